--- a/Makefile
+++ b/Makefile
@@ -22,22 +22,22 @@
 KILLS ?= 1000
 SEED ?= 1
 torture:
-	go test -count=1 -timeout 0 -v ./internal/torture -run TestKills -args -kills $(KILLS) -seed $(SEED)
+	go test -count=1 -timeout 0 -v ./internal/crashtest -run TestKills -args -kills $(KILLS) -seed $(SEED)
 
 # Power cuts over a disk in memory that fails.
 SEEDS ?= 10000
 powercut:
-	go test -count=1 -timeout 0 -v ./internal/joblog/store -run TestPowerCuts -args -seeds $(SEEDS)
+	go test -count=1 -timeout 0 -v ./internal/journal/store -run TestPowerCuts -args -seeds $(SEEDS)
 
 # Many schedulers as processes of their own, with faults between them.
 ROUNDS ?= 300
 faults:
-	go test -count=1 -timeout 0 -v ./internal/fleetrig -run TestManySchedulersThroughFaults -args -rounds $(ROUNDS) -seed $(SEED)
+	go test -count=1 -timeout 0 -v ./internal/faultinjection -run TestManySchedulersThroughFaults -args -rounds $(ROUNDS) -seed $(SEED)
 
 # Teams that come, go and change their shares at many schedulers, with faults meanwhile; and a scheduler frozen for 10 s.
 CHANGES ?= 1000
 changes:
-	go test -count=1 -timeout 0 -v ./internal/fleetrig -run 'TestTeamsChangeAgainAndAgain|TestFrozenThroughAChange' \
+	go test -count=1 -timeout 0 -v ./internal/faultinjection -run 'TestTeamsChangeAgainAndAgain|TestFrozenThroughAChange' \
 		-args -changes $(CHANGES) -long -seed $(SEED)
 
 # Whole small systems on a virtual clock, through random faults.
--- a/cmd/sedgevale/journal.go
+++ b/cmd/sedgevale/journal.go
@@ -15,9 +15,9 @@
 	"text/tabwriter"
 	"time"
 
-	"sedgevale/internal/joblog"
-	"sedgevale/internal/joblog/store"
 	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/recorder"
+	"sedgevale/internal/journal/store"
 	"sedgevale/internal/ops"
 )
 
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	lines, err := journal.Lines(v.Jobs, c.ID)
+	lines, err := recorder.Lines(v.Jobs, c.ID)
 	if err != nil {
 		return err
 	}
@@ -83,9 +83,9 @@
 }
 
 // tell writes a job for a person.
-func tell(w io.Writer, r joblog.Report) {
+func tell(w io.Writer, r journal.Report) {
 	fmt.Fprintf(w, "%s: %s: %s\n", r.Job, r.Verdict, r.Reason)
-	if len(r.Look) > 0 && r.Verdict == joblog.Unknown.String() {
+	if len(r.Look) > 0 && r.Verdict == journal.Unknown.String() {
 		fmt.Fprintf(w, "  look at    %s\n", strings.Join(r.Look, ", "))
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -124,10 +124,10 @@
 }
 
 func (c listCmd) Run() error {
-	var verdict joblog.Verdict
+	var verdict journal.Verdict
 	var err error
 	if c.Verdict != "" {
-		if verdict, err = joblog.ParseVerdict(c.Verdict); err != nil {
+		if verdict, err = journal.ParseVerdict(c.Verdict); err != nil {
 			return fmt.Errorf("--verdict: %w", err)
 		}
 	}
@@ -147,7 +147,7 @@
 		is, _, _ := j.Verdict()
 		return c.Open && !j.Open() || verdict != 0 && is != verdict || c.Class != "" && j.Class != c.Class ||
 			c.Tenant != "" && j.Tenant != c.Tenant || since != 0 && j.TakenAt < since || until != 0 && j.TakenAt >= until ||
-			c.Worker != "" && !slices.ContainsFunc(j.Attempts, func(a joblog.Attempt) bool { return a.Worker == c.Worker })
+			c.Worker != "" && !slices.ContainsFunc(j.Attempts, func(a journal.Attempt) bool { return a.Worker == c.Worker })
 	})
 	return write(os.Stdout, jobs, c.JSON)
 }
@@ -247,7 +247,7 @@
 }
 
 func (c settleCmd) Run() error {
-	verdict, err := joblog.ParseVerdict(c.Verdict)
+	verdict, err := journal.ParseVerdict(c.Verdict)
 	if err != nil {
 		return fmt.Errorf("--verdict: %w", err)
 	}
--- a/cmd/sedgevale/operate.go
+++ b/cmd/sedgevale/operate.go
@@ -12,9 +12,9 @@
 	"text/tabwriter"
 	"time"
 
+	"sedgevale/internal/system/clusterconfig"
 	"sedgevale/internal/system/core"
 	"sedgevale/internal/system/local"
-	"sedgevale/internal/system/opconfig"
 	"sedgevale/internal/system/rpc"
 	"sedgevale/internal/system/statefile"
 )
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	config, err := opconfig.Parse(text)
+	config, err := clusterconfig.Parse(text)
 	if err == nil {
 		err = config.Check()
 	}
--- a/cmd/sedgevale/standin.go
+++ b/cmd/sedgevale/standin.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"sedgevale/internal/standin"
+	"sedgevale/internal/fake"
 	"sedgevale/scheduler"
 )
 
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	faults := standin.Faults{}
+	faults := fake.Faults{}
 	for _, f := range c.Fault {
 		if err := faults.ParseFault(f); err != nil {
 			return err
@@ -41,14 +41,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	shelves := map[int]*standin.Shelf{}
+	shelves := map[int]*fake.Shelf{}
 	for _, m := range file.Known.Members {
 		if shelves[m.Cell] == nil {
-			shelves[m.Cell] = standin.NewShelf(0)
+			shelves[m.Cell] = fake.NewShelf(0)
 		}
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(m.ID))
-		box := standin.NewBox(standin.BoxOptions{ID: m.ID, Slots: int(m.Size), Faults: faults, Seed: c.Seed ^ h.Sum64(),
+		box := fake.NewBox(fake.BoxOptions{ID: m.ID, Slots: int(m.Size), Faults: faults, Seed: c.Seed ^ h.Sum64(),
 			Shelf: shelves[m.Cell], Work: func(_ string, r *rand.Rand) time.Duration {
 				return time.Duration(min(10, r.ExpFloat64()) * float64(c.Work))
 			}})
--- a/cmd/sedgevale/swarm.go
+++ b/cmd/sedgevale/swarm.go
@@ -8,7 +8,7 @@
 	"os"
 	"strings"
 
-	"sedgevale/internal/swarm"
+	"sedgevale/internal/fleetsim"
 )
 
 type swarmCmd struct {
@@ -23,7 +23,7 @@
 	if err := existing(c.File); err != nil {
 		return err
 	}
-	f, err := swarm.Read(c.File)
+	f, err := fleetsim.Read(c.File)
 	if err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 	played, total := 0, len(f.Schedulers)*len(f.Variants)*f.Seeds
 	var failed error
 	e := json.NewEncoder(lines)
-	all := swarm.Run(&f, func(r swarm.Result) {
+	all := fleetsim.Run(&f, func(r fleetsim.Result) {
 		failed = errors.Join(failed, e.Encode(r))
 		if played++; !c.Quiet && terminal(os.Stderr) {
 			fmt.Fprintf(os.Stderr, "\r[%-40s] %d of %d plays", strings.Repeat("=", 40*played/total), played, total)
@@ -51,14 +51,14 @@
 		if err != nil {
 			return err
 		}
-		if err := errors.Join(swarm.HTML(page, &f, all), end()); err != nil {
+		if err := errors.Join(fleetsim.HTML(page, &f, all), end()); err != nil {
 			return fmt.Errorf("%s: %w", c.HTML, err)
 		}
 	}
 	if c.JSON == "-" {
 		return nil
 	}
-	return swarm.Table(os.Stdout, &f, all)
+	return fleetsim.Table(os.Stdout, &f, all)
 }
 
 // create opens a file to write, standard output for "-", and nothing for "".
--- a/internal/torture/kill_test.go
+++ b/internal/crashtest/kill_test.go
@@ -1,6 +1,6 @@
-// Package torture kills a real scheduler again and again and holds what its journal
+// Package crashtest kills a real scheduler again and again and holds what its journal
 // says against what the boxes say. It has tests alone.
-package torture
+package crashtest
 
 import (
 	"bytes"
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/fleetrig"
-	"sedgevale/internal/joblog"
-	"sedgevale/internal/joblog/store"
-	"sedgevale/internal/standin"
+	"sedgevale/internal/fake"
+	"sedgevale/internal/faultinjection"
+	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/store"
 	"sedgevale/internal/testkit"
 )
 
@@ -29,7 +29,7 @@
 )
 
 func TestMain(m *testing.M) {
-	fleetrig.ServeIfAsked()
+	faultinjection.ServeIfAsked()
 	os.Exit(m.Run())
 }
 
@@ -48,8 +48,8 @@
 type arena struct {
 	t      *testing.T
 	rand   *rand.Rand
-	boxes  []*standin.Box
-	ledger *standin.Ledger
+	boxes  []*fake.Box
+	ledger *fake.Ledger
 	file   string
 	dir    string
 	listen string
@@ -57,22 +57,22 @@
 	cycle  int
 
 	jobs, recorded, died, failed, settled int
-	verdicts                              [joblog.Unknown + 1]int
+	verdicts                              [journal.Unknown + 1]int
 }
 
 func newArena(t *testing.T) *arena {
-	a := &arena{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), ledger: standin.NewLedger(), dir: filepath.Join(t.TempDir(), "journal"),
+	a := &arena{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), ledger: fake.NewLedger(), dir: filepath.Join(t.TempDir(), "journal"),
 		listen: testkit.FreeAddr(t), log: &bytes.Buffer{}}
-	shelf := standin.NewShelf(0)
-	var members []standin.Member
+	shelf := fake.NewShelf(0)
+	var members []fake.Member
 	for i := range 3 {
-		faults := standin.Faults{}
-		for _, p := range standin.Points {
-			if p != standin.Hang { // a run of a thousand kills would wait for each
+		faults := fake.Faults{}
+		for _, p := range fake.Points {
+			if p != fake.Hang { // a run of a thousand kills would wait for each
 				faults[p] = 0.001
 			}
 		}
-		b := standin.NewBox(standin.BoxOptions{ID: fmt.Sprintf("box-%d", i), Slots: 8, Faults: faults, Seed: *seed + uint64(i),
+		b := fake.NewBox(fake.BoxOptions{ID: fmt.Sprintf("box-%d", i), Slots: 8, Faults: faults, Seed: *seed + uint64(i),
 			Shelf: shelf, Ledger: a.ledger, Work: func(_ string, r *rand.Rand) time.Duration {
 				return 300*time.Microsecond + time.Duration(r.Int64N(int64(1200*time.Microsecond)))
 			}})
@@ -82,17 +82,17 @@
 		}
 		t.Cleanup(func() { b.Close() })
 		a.boxes = append(a.boxes, b)
-		members = append(members, standin.Member{ID: fmt.Sprintf("box-%d", i), HostPort: addr, Locality: "hut", Flavor: "box",
+		members = append(members, fake.Member{ID: fmt.Sprintf("box-%d", i), HostPort: addr, Locality: "hut", Flavor: "box",
 			Phase: "ready", Size: 8})
 	}
-	d := standin.NewDiscovery(members...)
+	d := fake.NewDiscovery(members...)
 	addr, err := d.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { d.Close() })
 	a.file = filepath.Join(t.TempDir(), "operator.toml")
-	if err := os.WriteFile(a.file, append(fmt.Appendf(nil, operatorFile, a.listen, addr, a.dir), fleetrig.Settings...), 0o600); err != nil {
+	if err := os.WriteFile(a.file, append(fmt.Appendf(nil, operatorFile, a.listen, addr, a.dir), faultinjection.Settings...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return a
@@ -101,7 +101,7 @@
 // start starts a scheduler.
 func (a *arena) start() *exec.Cmd {
 	a.log.Reset()
-	c := fleetrig.Command(a.file, filepath.Dir(a.file), a.log)
+	c := faultinjection.Command(a.file, filepath.Dir(a.file), a.log)
 	if err := c.Start(); err != nil {
 		a.t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 
 // ready waits until the scheduler serves.
 func (a *arena) ready() {
-	if err := fleetrig.AwaitReady(a.listen); err != nil {
+	if err := faultinjection.AwaitReady(a.listen); err != nil {
 		a.t.Fatalf("cycle %d: %v:\n%s", a.cycle, err, a.log)
 	}
 }
@@ -121,7 +121,7 @@
 	a.cycle++
 	prefix := fmt.Sprintf("c%d", a.cycle)
 	c := a.start()
-	var told []standin.Told
+	var told []fake.Told
 	var killed time.Time
 	kill := func() {
 		killed = time.Now()
@@ -138,9 +138,9 @@
 			kill()
 			stop()
 		})
-		told = standin.Clients{Target: a.listen, Number: 12, Tenants: []string{"valley", "east"}, Think: 2 * time.Millisecond,
+		told = fake.Clients{Target: a.listen, Number: 12, Tenants: []string{"valley", "east"}, Think: 2 * time.Millisecond,
 			Timeout: 2 * time.Second, Prefix: prefix, Seed: a.rand.Uint64(),
-			Mix: fleetrig.Mix}.Run(ctx)
+			Mix: faultinjection.Mix}.Run(ctx)
 	}
 	for _, b := range a.boxes {
 		b.Quiet()
@@ -153,7 +153,7 @@
 }
 
 // check holds the journal against the ledgers and against what clients were told.
-func (a *arena) check(prefix string, told []standin.Told, killed time.Time) {
+func (a *arena) check(prefix string, told []fake.Told, killed time.Time) {
 	a.jobs += len(told)
 	if !store.Used(store.OS{}, a.dir) { // killed before it ever wrote
 		if len(a.ledger.Jobs()) > 0 {
@@ -166,11 +166,11 @@
 		a.t.Errorf("cycle %d: damaged: %v", a.cycle, view.Problems)
 	}
 	mine := func(id string) bool { return strings.HasPrefix(id, prefix) }
-	for _, breach := range standin.Audit(a.ledger, view.Jobs, func(class string) bool { return class != "usage-view" },
+	for _, breach := range fake.Audit(a.ledger, view.Jobs, func(class string) bool { return class != "usage-view" },
 		func(class string) bool { return class == "plan-change" }, mine, nil) {
 		a.t.Errorf("cycle %d: %s", a.cycle, breach)
 	}
-	answered := map[string]standin.Told{}
+	answered := map[string]fake.Told{}
 	for _, t := range told {
 		answered[t.Job] = t
 	}
@@ -181,7 +181,7 @@
 		a.recorded++
 		v, reason, _ := j.Verdict()
 		a.verdicts[v]++
-		if v != joblog.Unknown {
+		if v != journal.Unknown {
 			continue
 		}
 		if strings.Contains(reason, "the scheduler died") {
@@ -215,14 +215,14 @@
 	}
 	left := 5
 	for _, j := range a.read().Jobs {
-		if v, _, _ := j.Verdict(); v != joblog.Unknown || j.SettledAs != 0 {
+		if v, _, _ := j.Verdict(); v != journal.Unknown || j.SettledAs != 0 {
 			continue
 		}
 		if left--; left < 0 { // the others wait
 			break
 		}
 		n, err := store.SettleIn(store.Options{Dir: a.dir, Secret: secret, Owner: store.Owner{PID: os.Getpid()}}, j.ID,
-			joblog.Ran, "the test", "found out")
+			journal.Ran, "the test", "found out")
 		if err != nil {
 			a.t.Fatalf("cycle %d: settling %s: %v", a.cycle, j.ID, err)
 		}
@@ -246,6 +246,6 @@
 		}
 	}
 	t.Logf("%d kills, seed %d: %d jobs sent, %d on record: %d ran, %d did not run, %d unknown (%d by the kill, %.2f%%; %d since their box failed); %d settled; 0 violations",
-		*kills, *seed, a.jobs, a.recorded, a.verdicts[joblog.Ran], a.verdicts[joblog.DidNotRun], a.verdicts[joblog.Unknown],
+		*kills, *seed, a.jobs, a.recorded, a.verdicts[journal.Ran], a.verdicts[journal.DidNotRun], a.verdicts[journal.Unknown],
 		a.died, 100*float64(a.died)/float64(max(1, a.recorded)), a.failed, a.settled)
 }
--- a/internal/core/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"context"
--- a/internal/core/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -1,7 +1,7 @@
-// Package core stands between those who bring requests and those who carry
+// Package dispatch stands between those who bring requests and those who carry
 // attempts to workers. It deals in requests, attempts and outcomes and knows
 // no wire. All decisions are the Dispatcher's.
-package core
+package dispatch
 
 import (
 	"time"
--- a/internal/core/planner.go
+++ b/internal/dispatch/planner.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"container/heap"
@@ -11,7 +11,7 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/inbox"
+	"sedgevale/internal/unbounded"
 )
 
 // Planner owns one Dispatcher. All that happens comes in through its inbox and
@@ -25,8 +25,8 @@
 	seed    uint64
 
 	d       *sedgevale.Dispatcher
-	box     *inbox.Box[event]
-	orders  *inbox.Box[func()] // of operators: taken before each event
+	box     *unbounded.Box[event]
+	orders  *unbounded.Box[func()] // of operators: taken before each event
 	wake    chan struct{}
 	timers  timers
 	serial  uint64
@@ -76,7 +76,7 @@
 	log *slog.Logger) (*Planner, error) {
 	p := &Planner{clock: clock, carrier: carrier, watch: watch, log: log, set: set, seed: seed,
 		wake: make(chan struct{}, 1), open: map[string]*Exchange{}, list: map[string]sedgevale.WorkerInfo{}, out: map[string]bool{}, sharing: sharing{partners: map[int]*partner{}}}
-	p.box, p.orders = inbox.New[event](p.poke), inbox.New[func()](p.poke)
+	p.box, p.orders = unbounded.New[event](p.poke), unbounded.New[func()](p.poke)
 	var err error
 	p.d, err = sedgevale.New(set, seed, p)
 	return p, err
--- a/internal/core/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"context"
@@ -241,7 +241,7 @@
 
 // Client side and server side meet only in an Exchange.
 func TestSidesAreApart(t *testing.T) {
-	sides := [][]string{{"httpd", "front", "sse", "intake"}, {"upstream", "discovery"}}
+	sides := [][]string{{"httpd", "platformapi", "sse", "jobrequest"}, {"upstream", "discovery"}}
 	for i, side := range sides {
 		for _, name := range side {
 			for file, f := range sourcesOf(t, "../"+name, name) {
@@ -257,10 +257,10 @@
 	}
 }
 
-// The core deals in requests, attempts and outcomes, and knows no wire.
-func TestCoreKnowsNoWire(t *testing.T) {
+// Package dispatch deals in requests, attempts and outcomes, and knows no wire.
+func TestDispatchKnowsNoWire(t *testing.T) {
 	files := 0
-	for name, f := range sourcesOf(t, ".", "core") {
+	for name, f := range sourcesOf(t, ".", "dispatch") {
 		files++
 		for _, i := range f.Imports {
 			for _, wire := range []string{"net", "gnet", "http", "httpd", "http1", "sse", "json", "upstream"} {
--- a/internal/core/tally_test.go
+++ b/internal/dispatch/tally_test.go
@@ -1,6 +1,6 @@
 //go:build tally
 
-package core
+package dispatch
 
 import (
 	"bytes"
--- a/internal/config/config.go
+++ b/internal/dispatchconfig/config.go
@@ -1,6 +1,6 @@
-// Package config reads what the scheduler is told at its start: by the platform
+// Package dispatchconfig reads what the scheduler is told at its start: by the platform
 // in the file that EDGE_CONFIG names, or by an operator's file.
-package config
+package dispatchconfig
 
 import (
 	"encoding/json"
--- a/internal/config/web.go
+++ b/internal/dispatchconfig/web.go
@@ -1,4 +1,4 @@
-package config
+package dispatchconfig
 
 import (
 	"errors"
--- a/internal/evloop/evloop.go
+++ b/internal/evloop/evloop.go
@@ -13,7 +13,7 @@
 	"github.com/panjf2000/gnet/v2"
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 
-	"sedgevale/internal/inbox"
+	"sedgevale/internal/unbounded"
 )
 
 const readBuffer = 32 << 10
@@ -32,7 +32,7 @@
 type Loop struct {
 	client *gnet.Client
 	loop   gnet.EventLoop
-	box    *inbox.Box[func()]
+	box    *unbounded.Box[func()]
 }
 
 // New starts a Loop.
@@ -53,14 +53,14 @@
 }
 
 // NewBox returns a queue of functions that are called on a loop.
-func NewBox(loop gnet.EventLoop) (box *inbox.Box[func()]) {
+func NewBox(loop gnet.EventLoop) (box *unbounded.Box[func()]) {
 	run := gnet.RunnableFunc(func(context.Context) error {
 		for _, f := range box.Take() {
 			f()
 		}
 		return nil
 	})
-	box = inbox.New[func()](func() { _ = loop.Execute(context.Background(), run) })
+	box = unbounded.New[func()](func() { _ = loop.Execute(context.Background(), run) })
 	return box
 }
 
--- a/internal/doorkeeper/keeper.go
+++ b/internal/fairqueue/driver/driver.go
@@ -1,32 +1,32 @@
-// Package doorkeeper puts a door between the fronts and the planners: it keeps the time,
+// Package driver puts a door between the fronts and the planners: it keeps the time,
 // tells the door what comes and goes, and carries out what the door decides.
-package doorkeeper
+package driver
 
 import (
 	"log/slog"
 	"sync"
 	"time"
 
-	"sedgevale/internal/core"
-	"sedgevale/internal/door"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/fairqueue"
 )
 
 // Planners take requests in.
 type Planners interface {
-	Request(*core.Exchange)
-	Gone(*core.Exchange)
+	Request(*dispatch.Exchange)
+	Gone(*dispatch.Exchange)
 }
 
 // Keeper stands before Planners and is one itself, for the fronts.
 type Keeper struct {
 	inner Planners
-	clock core.Clock
+	clock dispatch.Clock
 	most  time.Duration // the longest advice; 0: none is given
 	log   *slog.Logger
 
 	mu    sync.Mutex
-	door  *door.Door
-	jobs  map[*core.Exchange]*job
+	door  *fairqueue.Door
+	jobs  map[*dispatch.Exchange]*job
 	cost  map[string]float64 // seconds a slot is held, by class
 	armed bool
 	stats Stats
@@ -38,8 +38,8 @@
 }
 
 type job struct {
-	x      *core.Exchange
-	ask    door.Ask
+	x      *dispatch.Exchange
+	ask    fairqueue.Ask
 	inside bool
 	since  time.Duration
 }
@@ -52,19 +52,19 @@
 )
 
 // New returns a Keeper. Most is the longest advice that clients heed, 0 if none is given.
-func New(o door.Options, inner Planners, clock core.Clock, most time.Duration, log *slog.Logger) (*Keeper, error) {
+func New(o fairqueue.Options, inner Planners, clock dispatch.Clock, most time.Duration, log *slog.Logger) (*Keeper, error) {
 	if most > 0 {
 		o.MaxAfter = most
 	}
-	d, err := door.New(o)
+	d, err := fairqueue.New(o)
 	if err != nil {
 		return nil, err
 	}
-	return &Keeper{inner: inner, clock: clock, most: most, log: log, door: d, jobs: map[*core.Exchange]*job{}, cost: map[string]float64{}}, nil
+	return &Keeper{inner: inner, clock: clock, most: most, log: log, door: d, jobs: map[*dispatch.Exchange]*job{}, cost: map[string]float64{}}, nil
 }
 
 // Request takes a request to the door.
-func (k *Keeper) Request(x *core.Exchange) {
+func (k *Keeper) Request(x *dispatch.Exchange) {
 	now := k.clock.Now()
 	k.mu.Lock()
 	number := -1
@@ -77,39 +77,39 @@
 		return
 	}
 	j := &job{x: x}
-	j.ask = door.Ask{Token: j, Coop: number, Client: x.Client, Cost: k.costOf(x) * max(1, x.Slots), Left: x.Left(now)/2 - margin}
-	x.Intercept(func(c core.Client) core.Client { return &leaver{c, k, j} })
+	j.ask = fairqueue.Ask{Token: j, Coop: number, Client: x.Client, Cost: k.costOf(x) * max(1, x.Slots), Left: x.Left(now)/2 - margin}
+	x.Intercept(func(c dispatch.Client) dispatch.Client { return &leaver{c, k, j} })
 	v, after := k.door.Arrive(now, j.ask)
-	if v != door.Refused {
+	if v != fairqueue.Refused {
 		k.jobs[x] = j
 	}
 	switch v {
-	case door.In:
+	case fairqueue.In:
 		k.stats.In++
 		j.inside, j.since = true, now
-	case door.Wait:
+	case fairqueue.Wait:
 		k.stats.Waited++
 		k.arm()
-	case door.Refused:
+	case fairqueue.Refused:
 		k.stats.Refused++
 	}
 	k.mu.Unlock()
 	switch v {
-	case door.In:
+	case fairqueue.In:
 		k.inner.Request(x)
-	case door.Refused:
+	case fairqueue.Refused:
 		x.TurnAway(min(after, k.most), "its co-op's queue is full")
 	}
 }
 
 // Retune goes on by other co-ops. Jobs that wait or are inside keep their rights. An error changes nothing.
-func (k *Keeper) Retune(coops []door.Coop) error {
+func (k *Keeper) Retune(coops []fairqueue.Coop) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.door.Retune(coops)
 }
 
-func (k *Keeper) costOf(x *core.Exchange) float64 {
+func (k *Keeper) costOf(x *dispatch.Exchange) float64 {
 	if c, ok := k.cost[x.Class.Name]; ok {
 		return c
 	}
@@ -117,7 +117,7 @@
 }
 
 // Gone tells that a client has left.
-func (k *Keeper) Gone(x *core.Exchange) {
+func (k *Keeper) Gone(x *dispatch.Exchange) {
 	k.mu.Lock()
 	j := k.jobs[x]
 	if j != nil && !j.inside {
@@ -154,8 +154,8 @@
 // advance lets in who can, and refuses who cannot be in time any more.
 func (k *Keeper) advance() {
 	now := k.clock.Now()
-	var in []*core.Exchange
-	var late []door.Expired
+	var in []*dispatch.Exchange
+	var late []fairqueue.Expired
 	k.mu.Lock()
 	for {
 		a, ok := k.door.Next(now)
@@ -236,12 +236,12 @@
 
 // leaver is a job's client that tells the keeper of its answer.
 type leaver struct {
-	core.Client
+	dispatch.Client
 	k *Keeper
 	j *job
 }
 
-func (l *leaver) Answer(a core.Answer) {
+func (l *leaver) Answer(a dispatch.Answer) {
 	l.Client.Answer(a)
-	l.k.leave(l.j, a.Kind == core.Served)
+	l.k.leave(l.j, a.Kind == dispatch.Served)
 }
--- a/internal/doorkeeper/keeper_test.go
+++ b/internal/fairqueue/driver/driver_test.go
@@ -1,4 +1,4 @@
-package doorkeeper
+package driver
 
 import (
 	"log/slog"
@@ -6,41 +6,41 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
-	"sedgevale/internal/door"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/fairqueue"
 	"sedgevale/internal/testkit"
 )
 
 // planners note what comes in and what is left.
 type planners struct {
-	in   chan *core.Exchange
-	gone chan *core.Exchange
+	in   chan *dispatch.Exchange
+	gone chan *dispatch.Exchange
 }
 
-func (p *planners) Request(x *core.Exchange) { p.in <- x }
-func (p *planners) Gone(x *core.Exchange)    { p.gone <- x }
+func (p *planners) Request(x *dispatch.Exchange) { p.in <- x }
+func (p *planners) Gone(x *dispatch.Exchange)    { p.gone <- x }
 
 type client struct {
-	got chan core.Answer
+	got chan dispatch.Answer
 }
 
-func (c *client) Started()             {}
-func (c *client) Progress(float64)     {}
-func (c *client) Answer(a core.Answer) { c.got <- a }
+func (c *client) Started()                 {}
+func (c *client) Progress(float64)         {}
+func (c *client) Answer(a dispatch.Answer) { c.got <- a }
 
-func setUp(t *testing.T) (*Keeper, *planners, func(id string, coop int, left time.Duration) (*core.Exchange, *client)) {
+func setUp(t *testing.T) (*Keeper, *planners, func(id string, coop int, left time.Duration) (*dispatch.Exchange, *client)) {
 	t.Helper()
-	p := &planners{make(chan *core.Exchange, 16), make(chan *core.Exchange, 16)}
-	clock := core.NewClock()
-	k, err := New(door.Options{Coops: []door.Coop{{Name: "a", Share: 1}, {Name: "b", Share: 1}}, Concurrency: 1, Queue: 2, Seed: 1}, p, clock,
+	p := &planners{make(chan *dispatch.Exchange, 16), make(chan *dispatch.Exchange, 16)}
+	clock := dispatch.NewClock()
+	k, err := New(fairqueue.Options{Coops: []fairqueue.Coop{{Name: "a", Share: 1}, {Name: "b", Share: 1}}, Concurrency: 1, Queue: 2, Seed: 1}, p, clock,
 		2*time.Second, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	class := &sedgevale.Class{Name: "view"}
-	return k, p, func(id string, coop int, left time.Duration) (*core.Exchange, *client) {
-		c := &client{got: make(chan core.Answer, 4)}
-		x := core.NewExchange(core.Job{ID: id, Class: class, Tenant: coop, TenantName: []string{"a", "b"}[coop], Client: id, Slots: 1}, clock.Now()+left, c)
+	return k, p, func(id string, coop int, left time.Duration) (*dispatch.Exchange, *client) {
+		c := &client{got: make(chan dispatch.Answer, 4)}
+		x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: coop, TenantName: []string{"a", "b"}[coop], Client: id, Slots: 1}, clock.Now()+left, c)
 		k.Request(x)
 		return x, c
 	}
@@ -58,7 +58,7 @@
 	leaving, _ := ask("leaving", 1, 10*time.Second)
 	k.Gone(leaving)
 	_, late := ask("late", 0, 200*time.Millisecond)
-	if a := testkit.Await(t, "the late one's answer", late.got); a.Kind != core.Refused || a.After <= 0 || a.After > 2*time.Second {
+	if a := testkit.Await(t, "the late one's answer", late.got); a.Kind != dispatch.Refused || a.After <= 0 || a.After > 2*time.Second {
 		t.Errorf("late: %+v", a)
 	}
 	if len(p.in) != 0 {
@@ -92,7 +92,7 @@
 	first, _ := ask("first", 0, 10*time.Second)
 	testkit.Await(t, "the first", p.in)
 	waits, _ := ask("waits", 1, 10*time.Second)
-	if err := k.Retune([]door.Coop{{Name: "c", Share: 1}, {Name: "a", Share: 1}}); err != nil {
+	if err := k.Retune([]fairqueue.Coop{{Name: "c", Share: 1}, {Name: "a", Share: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	if _, _ = ask("own", 0, 10*time.Second); k.Waiting() != 2 {
--- a/internal/door/door.go
+++ b/internal/fairqueue/fairqueue.go
@@ -1,4 +1,4 @@
-// Package door decides who of those that ask may come in, in which order, and when those
+// Package fairqueue decides who of those that ask may come in, in which order, and when those
 // who may not should come back. It stands between the fronts and the planners and is fair
 // twice over: between co-ops by their shares, and inside a co-op between its clients. It
 // is pure: it does no input or output, and time is an argument. It never decides which
@@ -7,7 +7,7 @@
 // Order is by start-time fair queueing (Goyal, Vin and Cheng, 1996), in two levels. A flow
 // that asks for less than its share is never behind one that asks for more, and what one
 // leaves others use.
-package door
+package fairqueue
 
 import (
 	"errors"
--- a/internal/door/door_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -1,4 +1,4 @@
-package door
+package fairqueue
 
 import (
 	"container/heap"
--- a/internal/standin/box.go
+++ b/internal/fake/box.go
@@ -1,9 +1,9 @@
-// Package standin has stand-ins for the outside systems that a scheduler meets: worker
+// Package fake has stand-ins for the outside systems that a scheduler meets: worker
 // boxes with ledgers of their own, a discovery, clients, and a file system that fails.
 // They are written from the public descriptions alone, know nothing of how the
 // scheduler works, and stay on loopback. Tests, the torture run and `sedgevale standin`
 // share them.
-package standin
+package fake
 
 import (
 	"context"
--- a/internal/standin/clients.go
+++ b/internal/fake/clients.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bytes"
--- a/internal/standin/disk.go
+++ b/internal/fake/disk.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"sync"
 	"syscall"
 
-	"sedgevale/internal/joblog/store"
+	"sedgevale/internal/journal/store"
 )
 
 // Disk is a file system in memory that fails as real ones do. It is a store.FS. A power
--- a/internal/standin/ledger.go
+++ b/internal/fake/ledger.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"sedgevale/internal/joblog"
-	"sedgevale/internal/joblog/store"
+	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/store"
 )
 
 // Run is one beginning of a job at a box.
@@ -109,9 +109,9 @@
 		finished := slices.ContainsFunc(runs, func(r Run) bool { return !r.Finished.IsZero() })
 		for _, j := range found {
 			switch v, reason, _ := j.Verdict(); {
-			case v == joblog.DidNotRun && len(found) == 1 && len(runs) > 0:
+			case v == journal.DidNotRun && len(found) == 1 && len(runs) > 0:
 				breaches = append(breaches, fmt.Sprintf("job %s did not run (%s), but box %s began it", id, reason, runs[0].Box))
-			case v == joblog.Ran && !finished:
+			case v == journal.Ran && !finished:
 				breaches = append(breaches, fmt.Sprintf("job %s ran (%s), but no box has finished it", id, reason))
 			}
 		}
@@ -121,6 +121,6 @@
 
 func intended(found []store.Found, box string) bool {
 	return slices.ContainsFunc(found, func(j store.Found) bool {
-		return slices.ContainsFunc(j.Attempts, func(a joblog.Attempt) bool { return a.Worker == box })
+		return slices.ContainsFunc(j.Attempts, func(a journal.Attempt) bool { return a.Worker == box })
 	})
 }
--- a/internal/fleetrig/rig.go
+++ b/internal/faultinjection/harness.go
@@ -1,8 +1,8 @@
-// Package fleetrig starts several processes of the program with stand-in boxes, discovery and clients, puts relays
+// Package faultinjection starts several processes of the program with stand-in boxes, discovery and clients, puts relays
 // of its own between them that lose, delay, repeat, cut and reset, kills and freezes the processes, and has a referee
 // who reads only the boxes' ledgers and the clients' answers. It is for tests of how many schedulers behave together
 // when parts break; all of it stays on loopback.
-package fleetrig
+package faultinjection
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 	"syscall"
 	"time"
 
-	"sedgevale/internal/standin"
+	"sedgevale/internal/fake"
 	"sedgevale/internal/testkit"
 	"sedgevale/scheduler"
 )
@@ -70,7 +70,7 @@
 	Cell   int
 	Slots  int
 	Work   time.Duration // of a job, on average
-	Faults standin.Faults
+	Faults fake.Faults
 }
 
 // Options are the choices for a Rig.
@@ -139,15 +139,15 @@
 `
 
 // Mix is the brief's mix of jobs.
-var Mix = []standin.Mix{{Class: "usage-view", Part: 0.44}, {Class: "plan-change", Part: 0.31},
+var Mix = []fake.Mix{{Class: "usage-view", Part: 0.44}, {Class: "plan-change", Part: 0.31},
 	{Class: "bill-pay", Part: 0.25, Keyed: true}}
 
 // Rig is some schedulers and all that they meet.
 type Rig struct {
 	opt        Options
 	Net        *Network
-	Ledger     *standin.Ledger
-	Boxes      []*standin.Box
+	Ledger     *fake.Ledger
+	Boxes      []*fake.Box
 	Cells      map[string]int // by box
 	Schedulers []*Scheduler
 
@@ -161,7 +161,7 @@
 	Listen, Ops string
 	file        string
 	text        func(Configuration) []byte // the file by a configuration
-	discovery   *standin.Discovery
+	discovery   *fake.Discovery
 	log         *os.File
 
 	mu      sync.Mutex
@@ -176,14 +176,14 @@
 	if len(o.Start.Teams) == 0 {
 		o.Start.Teams = []Team{{Name: "valley", Share: 0.6}, {Name: "east", Share: 0.4}}
 	}
-	r := &Rig{opt: o, Net: NewNetwork(o.Seed), Ledger: standin.NewLedger(), Cells: map[string]int{}, drained: map[string][]Span{}}
+	r := &Rig{opt: o, Net: NewNetwork(o.Seed), Ledger: fake.NewLedger(), Cells: map[string]int{}, drained: map[string][]Span{}}
 	var addrs []string
-	shelves := map[int]*standin.Shelf{}
+	shelves := map[int]*fake.Shelf{}
 	for i, b := range o.Boxes {
 		if shelves[b.Cell] == nil {
-			shelves[b.Cell] = standin.NewShelf(0)
+			shelves[b.Cell] = fake.NewShelf(0)
 		}
-		box := standin.NewBox(standin.BoxOptions{ID: boxName(i), Slots: b.Slots, Faults: b.Faults, Seed: o.Seed + uint64(i),
+		box := fake.NewBox(fake.BoxOptions{ID: boxName(i), Slots: b.Slots, Faults: b.Faults, Seed: o.Seed + uint64(i),
 			Shelf: shelves[b.Cell], Ledger: r.Ledger, Work: func(_ string, rnd *rand.Rand) time.Duration {
 				return time.Duration((0.5 + rnd.Float64()) * float64(b.Work))
 			}})
@@ -223,16 +223,16 @@
 
 // equip gives a scheduler its own discovery, ways to the boxes, and file.
 func (r *Rig) equip(s *Scheduler, boxes []string, known []netip.AddrPort, number int) error {
-	var members []standin.Member
+	var members []fake.Member
 	for i, b := range r.opt.Boxes {
 		addr, err := r.Net.Stream(s.Name, boxName(i), boxes[i])
 		if err != nil {
 			return err
 		}
-		members = append(members, standin.Member{ID: boxName(i), HostPort: addr, Locality: "hut", Flavor: "box", Cell: b.Cell,
+		members = append(members, fake.Member{ID: boxName(i), HostPort: addr, Locality: "hut", Flavor: "box", Cell: b.Cell,
 			Phase: "ready", Size: float64(b.Slots)})
 	}
-	s.discovery = standin.NewDiscovery(members...)
+	s.discovery = fake.NewDiscovery(members...)
 	at, err := s.discovery.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
@@ -414,7 +414,7 @@
 }
 
 // Evidence is what the referee is given: what boxes and clients say, and when schedulers were out.
-func (r *Rig) Evidence(told []standin.Told, timeout time.Duration) Evidence {
+func (r *Rig) Evidence(told []fake.Told, timeout time.Duration) Evidence {
 	e := Evidence{Told: told, Ledger: r.Ledger, Cells: r.Cells, Timeout: timeout, Outages: map[string][]Span{}, Drained: map[string][]Span{}}
 	for _, s := range r.Schedulers {
 		s.mu.Lock()
--- a/internal/fleetrig/rig_test.go
+++ b/internal/faultinjection/harness_test.go
@@ -1,4 +1,4 @@
-package fleetrig
+package faultinjection
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"sedgevale/internal/fake"
 	"sedgevale/internal/peers"
-	"sedgevale/internal/standin"
 )
 
 var (
@@ -34,7 +34,7 @@
 		case 3, 11:
 			b.Work *= 6
 		case 7:
-			b.Faults = standin.Faults{standin.Error500: 0.8}
+			b.Faults = fake.Faults{fake.Error500: 0.8}
 		}
 		o.Boxes = append(o.Boxes, b)
 	}
@@ -56,7 +56,7 @@
 }
 
 // judge reports what the referee has found.
-func (r *Rig) judge(t *testing.T, told []standin.Told) {
+func (r *Rig) judge(t *testing.T, told []fake.Told) {
 	t.Helper()
 	e := r.Evidence(told, timeout)
 	for i, b := range e.Judge() {
@@ -123,7 +123,7 @@
 	r := run(t, o)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	answers := make(chan []standin.Told, 1)
+	answers := make(chan []fake.Told, 1)
 	go func() { answers <- r.Load(ctx, 2, 120*time.Millisecond, timeout) }()
 	served := func(n int) {
 		t.Helper()
@@ -214,7 +214,7 @@
 	r := begin(t, 8, 24, false)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	answers := make(chan []standin.Told, 1)
+	answers := make(chan []fake.Told, 1)
 	go func() { answers <- r.Load(ctx, 4, 30*time.Millisecond, timeout) }()
 	if err := r.agree(agreeWithin); err != nil {
 		t.Fatal(err)
--- a/internal/fleetrig/reconfigure.go
+++ b/internal/faultinjection/reconfigure.go
@@ -1,4 +1,4 @@
-package fleetrig
+package faultinjection
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"sedgevale/internal/standin"
+	"sedgevale/internal/fake"
 )
 
 // Team is one of those who share the boxes: a realm of the settings.
@@ -104,8 +104,8 @@
 }
 
 // Post hands one job in and returns what was told of it. Its id must begin with the scheduler's name and a hyphen.
-func (s *Scheduler) Post(ctx context.Context, id, class, team string, timeout time.Duration) standin.Told {
-	t := standin.Told{Job: id, Class: class, Asked: time.Now()}
+func (s *Scheduler) Post(ctx context.Context, id, class, team string, timeout time.Duration) fake.Told {
+	t := fake.Told{Job: id, Class: class, Asked: time.Now()}
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Listen+"/"+class, strings.NewReader("job "+id))
 	if err != nil {
 		return t
@@ -128,13 +128,13 @@
 }
 
 // Run runs the crowd's clients until the context ends and returns what they were told.
-func (r *Rig) Run(ctx context.Context, c Crowd) []standin.Told {
+func (r *Rig) Run(ctx context.Context, c Crowd) []fake.Told {
 	var mu sync.Mutex
-	var all []standin.Told
+	var all []fake.Told
 	var wg sync.WaitGroup
 	for i, s := range c.Schedulers {
 		wg.Go(func() {
-			told := standin.Clients{Target: s.Listen, Number: c.Clients, Tenants: c.Teams, Think: c.Think, Timeout: c.Timeout,
+			told := fake.Clients{Target: s.Listen, Number: c.Clients, Tenants: c.Teams, Think: c.Think, Timeout: c.Timeout,
 				Prefix: s.Name + c.Label, Seed: r.opt.Seed*31 + uint64(i), Mix: Mix}.Run(ctx)
 			mu.Lock()
 			defer mu.Unlock()
@@ -146,6 +146,6 @@
 }
 
 // Load runs clients of each scheduler and of both co-ops until the context ends and returns what they were told.
-func (r *Rig) Load(ctx context.Context, clients int, think, timeout time.Duration) []standin.Told {
+func (r *Rig) Load(ctx context.Context, clients int, think, timeout time.Duration) []fake.Told {
 	return r.Run(ctx, Crowd{Schedulers: r.Schedulers, Teams: []string{"valley", "east"}, Clients: clients, Think: think, Timeout: timeout})
 }
--- a/internal/fleetrig/referee.go
+++ b/internal/faultinjection/referee.go
@@ -1,4 +1,4 @@
-package fleetrig
+package faultinjection
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 	"strings"
 	"time"
 
-	"sedgevale/internal/standin"
+	"sedgevale/internal/fake"
 )
 
 // Evidence is all that the referee looks at. Nothing of it comes from a scheduler.
 type Evidence struct {
-	Told    []standin.Told // what clients were told; a job's id begins with the name of the scheduler that was asked
-	Ledger  *standin.Ledger
+	Told    []fake.Told // what clients were told; a job's id begins with the name of the scheduler that was asked
+	Ledger  *fake.Ledger
 	Cells   map[string]int    // of boxes
 	Timeout time.Duration     // as clients tell it
 	Outages map[string][]Span // of schedulers: down, frozen or being started
@@ -71,7 +71,7 @@
 		if t.Status == http.StatusBadRequest && len(runs) > 0 {
 			add("no job is begun", t.Job, runs[0].Box, runs[0].Began, "told that it is no job, and begun there")
 		}
-		if t.Status == http.StatusOK && !slices.ContainsFunc(runs, func(r standin.Run) bool {
+		if t.Status == http.StatusOK && !slices.ContainsFunc(runs, func(r fake.Run) bool {
 			return !r.Finished.IsZero() && strings.HasSuffix(t.Body, " by "+r.Box)
 		}) {
 			add("served by a box", t.Job, "", t.At, "answered %q, which no box has finished", t.Body)
@@ -110,7 +110,7 @@
 }
 
 // Summarize counts the answers to what was asked at or after a moment; InTime are those served within a time.
-func Summarize(told []standin.Told, since time.Time, within time.Duration) (s Summary) {
+func Summarize(told []fake.Told, since time.Time, within time.Duration) (s Summary) {
 	for _, t := range told {
 		if t.Asked.Before(since) {
 			continue
--- a/internal/fleetrig/referee_test.go
+++ b/internal/faultinjection/referee_test.go
@@ -1,4 +1,4 @@
-package fleetrig
+package faultinjection
 
 import (
 	"os"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/standin"
+	"sedgevale/internal/fake"
 )
 
 func TestMain(m *testing.M) {
@@ -40,12 +40,12 @@
 		{"once a shelf", func(e *Evidence) { e.Ledger.Begin("n1-0-0", "bill-pay", "box-3", at) }},
 		{"drains kept", func(e *Evidence) { e.Drained["box-1"][0].From = at.Add(-2 * time.Second) }},
 	} {
-		e := Evidence{Ledger: standin.NewLedger(), Cells: map[string]int{"box-1": 1, "box-2": 1, "box-3": 2}, Timeout: 2 * time.Second,
+		e := Evidence{Ledger: fake.NewLedger(), Cells: map[string]int{"box-1": 1, "box-2": 1, "box-3": 2}, Timeout: 2 * time.Second,
 			Outages: map[string][]Span{}, Drained: map[string][]Span{"box-1": {{From: at.Add(-100 * time.Millisecond)}, {at.Add(-time.Hour), at.Add(-time.Minute)}}}}
 		for _, job := range []struct{ id, class string }{{"n0-0-0", "plan-change"}, {"n1-0-0", "bill-pay"}} {
 			e.Ledger.Begin(job.id, job.class, "box-1", at)
 			e.Ledger.Finish(job.id, "box-1")
-			e.Told = append(e.Told, standin.Told{Job: job.id, Class: job.class, Asked: at, At: at.Add(time.Second), Status: 200,
+			e.Told = append(e.Told, fake.Told{Job: job.id, Class: job.class, Asked: at, At: at.Add(time.Second), Status: 200,
 				Body: job.class + " " + job.id + ": 3 bytes by box-1"})
 		}
 		c.plant(&e)
--- a/internal/fleetrig/torment.go
+++ b/internal/faultinjection/torment.go
@@ -1,4 +1,4 @@
-package fleetrig
+package faultinjection
 
 import (
 	"context"
--- a/internal/fleetrig/trial_test.go
+++ b/internal/faultinjection/trial_test.go
@@ -1,4 +1,4 @@
-package fleetrig
+package faultinjection
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/standin"
+	"sedgevale/internal/fake"
 )
 
 // inForceWithin is what a change may take until it is in force at a scheduler that has been told.
@@ -25,7 +25,7 @@
 	busy sync.WaitGroup
 
 	mu     sync.Mutex
-	told   []standin.Told
+	told   []fake.Told
 	probes int
 	since  time.Time // of the last change, or the beginning
 }
@@ -59,7 +59,7 @@
 }
 
 // ask hands one job of a team in and returns what was told of it.
-func (f *trial) ask(s *Scheduler, team string) standin.Told {
+func (f *trial) ask(s *Scheduler, team string) fake.Told {
 	f.mu.Lock()
 	f.probes++
 	id := fmt.Sprintf("%s-%s-probe-%d", s.Name, team, f.probes)
@@ -82,7 +82,7 @@
 func (f *trial) each(team string, status int, at []*Scheduler) {
 	f.t.Helper()
 	type answer struct {
-		standin.Told
+		fake.Told
 		after time.Duration
 	}
 	answers := make(chan answer, len(at))
@@ -117,7 +117,7 @@
 }
 
 // finish ends all clients and judges what they were told.
-func (f *trial) finish() []standin.Told {
+func (f *trial) finish() []fake.Told {
 	f.t.Helper()
 	f.stop()
 	f.busy.Wait()
@@ -126,7 +126,7 @@
 }
 
 // of returns the answers to a team's jobs.
-func (f *trial) of(team string) (out []standin.Told) {
+func (f *trial) of(team string) (out []fake.Told) {
 	for _, t := range f.told {
 		if strings.Contains(t.Job, "-"+team+"-") {
 			out = append(out, t)
@@ -140,14 +140,14 @@
 // that were out when their time ended.
 func (f *trial) stayed(team string) {
 	f.t.Helper()
-	f.ended(team, func(t standin.Told) bool { return t.Status == http.StatusOK })
+	f.ended(team, func(t fake.Told) bool { return t.Status == http.StatusOK })
 }
 
 // changing does so for a team that comes and goes, whose jobs may also be told that it is not known, and returns how many
 // of its jobs were under way when a moment came.
 func (f *trial) changing(team string, at time.Time) (under int) {
 	f.t.Helper()
-	f.ended(team, func(t standin.Told) bool {
+	f.ended(team, func(t fake.Told) bool {
 		if t.Status == http.StatusOK && t.Asked.Before(at) && t.At.After(at) {
 			under++
 		}
@@ -161,14 +161,14 @@
 
 // late reports whether the boxes' ledger bears out that a job was still at a box when its time ended: it came to one, and none
 // had finished it in time for its answer. Else its scheduler has lost it, or kept it until it was too late.
-func (f *trial) late(t standin.Told) bool {
+func (f *trial) late(t fake.Told) bool {
 	runs := f.Ledger.Runs(t.Job)
-	return len(runs) > 0 && !slices.ContainsFunc(runs, func(r standin.Run) bool {
+	return len(runs) > 0 && !slices.ContainsFunc(runs, func(r fake.Run) bool {
 		return !r.Finished.IsZero() && r.Finished.Before(t.At.Add(-onTheWay))
 	})
 }
 
-func (f *trial) ended(team string, well func(standin.Told) bool) {
+func (f *trial) ended(team string, well func(fake.Told) bool) {
 	f.t.Helper()
 	e := f.Evidence(nil, timeout)
 	all, refused, late := f.of(team), 0, 0
--- a/internal/budget/budget.go
+++ b/internal/fdlimit/fdlimit.go
@@ -1,6 +1,6 @@
-// Package budget counts the descriptors that connections hold, so that the
+// Package fdlimit counts the descriptors that connections hold, so that the
 // process stays within its limit.
-package budget
+package fdlimit
 
 import (
 	"math"
--- a/internal/budget/budget_test.go
+++ b/internal/fdlimit/fdlimit_test.go
@@ -1,4 +1,4 @@
-package budget
+package fdlimit
 
 import "testing"
 
--- a/internal/swarm/cold.go
+++ b/internal/fleetsim/cold.go
@@ -1,10 +1,10 @@
-package swarm
+package fleetsim
 
 import (
 	"math"
 	"time"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 )
 
 // What the platform allows a box that has just started: so many times what it can do then, in any such span.
@@ -21,7 +21,7 @@
 
 // reached notes work at a cold box.
 func (b *box) reached(t *task) {
-	if b.cold && b.c.now < b.upFrom+config.Seconds(b.set.ColdS) {
+	if b.cold && b.c.now < b.upFrom+dispatchconfig.Seconds(b.set.ColdS) {
 		b.came = append(b.came, arrival{b.c.now, t.work.Seconds() * float64(t.slots)})
 	}
 }
--- a/internal/swarm/config.go
+++ b/internal/fleetsim/config.go
@@ -1,8 +1,8 @@
-// Package swarm is an experiment in virtual time: many real Dispatchers with what they tell each other
+// Package fleetsim is an experiment in virtual time: many real Dispatchers with what they tell each other
 // (internal/peers), over modelled boxes, clients and a lossy network, with troubles by script. Variants of the settings
 // are played on the same seeds and compared pair by pair. It is for judging how the choices of many schedulers add up
 // before a change is built, in seconds instead of a day on the real fleet.
-package swarm
+package fleetsim
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 )
 
 // Version is that of the experiment's file.
@@ -95,7 +95,7 @@
 // Read reads an experiment and checks it.
 func Read(path string) (File, error) {
 	f := Default()
-	if _, err := config.Decode(path, &f); err != nil {
+	if _, err := dispatchconfig.Decode(path, &f); err != nil {
 		return f, err
 	}
 	if err := f.Check(); err != nil {
--- a/internal/swarm/swarm_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -1,4 +1,4 @@
-package swarm
+package fleetsim
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 )
 
 // erlangC is the mean wait in an M/M/c queue, in service times.
@@ -40,8 +40,8 @@
 		var arrive func()
 		arrive = func() {
 			came := k.now
-			b.take(&task{slots: 1, work: config.Seconds(r.ExpFloat64()), started: func() { jobs, waited = jobs+1, waited+k.now-came }, ended: func(bool, float64) {}})
-			k.after(config.Seconds(r.ExpFloat64()/c.load/float64(c.cores)), arrive)
+			b.take(&task{slots: 1, work: dispatchconfig.Seconds(r.ExpFloat64()), started: func() { jobs, waited = jobs+1, waited+k.now-came }, ended: func(bool, float64) {}})
+			k.after(dispatchconfig.Seconds(r.ExpFloat64()/c.load/float64(c.cores)), arrive)
 		}
 		arrive()
 		k.run(time.Duration(600_000/float64(c.cores)) * time.Second)
--- a/internal/swarm/result.go
+++ b/internal/fleetsim/result.go
@@ -1,4 +1,4 @@
-package swarm
+package fleetsim
 
 import (
 	"math"
--- a/internal/swarm/trouble.go
+++ b/internal/fleetsim/trouble.go
@@ -1,15 +1,15 @@
-package swarm
+package fleetsim
 
 import (
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 )
 
 // trouble begins something that happens.
 func (w *world) trouble(t *Trouble) {
-	last := config.Seconds(t.ForS)
+	last := dispatchconfig.Seconds(t.ForS)
 	switch t.Kind {
 	case "kill":
 		for _, n := range w.someNodes(t.Share) {
--- a/internal/swarm/world.go
+++ b/internal/fleetsim/world.go
@@ -1,4 +1,4 @@
-package swarm
+package fleetsim
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"sedgevale"
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/peers"
 )
 
@@ -137,10 +137,10 @@
 	}
 	for i := range f.Troubles {
 		t := &f.Troubles[i]
-		w.after(config.Seconds(t.AtS), func() { w.trouble(t) })
+		w.after(dispatchconfig.Seconds(t.AtS), func() { w.trouble(t) })
 	}
 	w.arrive()
-	w.run(config.Seconds(f.LengthS) + 6*time.Second)
+	w.run(dispatchconfig.Seconds(f.LengthS) + 6*time.Second)
 	return w.result(capacity)
 }
 
@@ -155,11 +155,11 @@
 
 // arrive has the next job come.
 func (w *world) arrive() {
-	rate, length := w.rate, config.Seconds(w.f.LengthS)
+	rate, length := w.rate, dispatchconfig.Seconds(w.f.LengthS)
 	if w.now > length/3 && w.now < 2*length/3 {
 		rate *= 1 + w.f.Burst
 	}
-	w.after(config.Seconds(w.rand.ExpFloat64()/rate), func() {
+	w.after(dispatchconfig.Seconds(w.rand.ExpFloat64()/rate), func() {
 		if w.now >= length {
 			return
 		}
@@ -234,7 +234,7 @@
 	n.up, n.frozen = true, 0
 	n.jobs, n.idle = map[string]*job{}, map[int][]time.Duration{}
 	set := sedgevale.Settings{Peers: len(w.nodes), MaxAttempts: 6, ParallelTries: true, MayCancel: true, TellsStart: true, InOrder: true,
-		MaxRetryAfter: 2 * time.Second, Weights: sedgevale.WeightSize, WarmUp: config.Seconds(w.f.Box.ColdS), StartCapacity: w.f.Box.ColdFrom,
+		MaxRetryAfter: 2 * time.Second, Weights: sedgevale.WeightSize, WarmUp: dispatchconfig.Seconds(w.f.Box.ColdS), StartCapacity: w.f.Box.ColdFrom,
 		FallMultiple: fallMultiple, Fall: fall}
 	for _, c := range classes {
 		set.Classes = append(set.Classes, c.Class)
@@ -343,7 +343,7 @@
 	w.r.Attempts++
 	way := ms(w.f.Net.WayMS)
 	idle := n.idle[at]
-	for len(idle) > 0 && w.now-idle[0] >= config.Seconds(w.f.Box.IdleS) {
+	for len(idle) > 0 && w.now-idle[0] >= dispatchconfig.Seconds(w.f.Box.IdleS) {
 		idle = idle[1:]
 	}
 	if len(idle) > 0 {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -17,8 +17,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"sedgevale/internal/core"
 	"sedgevale/internal/discovery"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/sse"
 )
 
@@ -46,11 +46,11 @@
 
 // State is what the old process hands over.
 type State struct {
-	Source    []byte         `json:"source,omitempty"` // the configuration it serves by, of the platform
-	List      discovery.List `json:"list"`
-	Discovery string         `json:"discovery"` // where that list is from
-	Cordons   []string       `json:"cordons,omitempty"`
-	Planners  []core.Estate  `json:"planners"`
+	Source    []byte            `json:"source,omitempty"` // the configuration it serves by, of the platform
+	List      discovery.List    `json:"list"`
+	Discovery string            `json:"discovery"` // where that list is from
+	Cordons   []string          `json:"cordons,omitempty"`
+	Planners  []dispatch.Estate `json:"planners"`
 }
 
 // Order is an operator's order that one process has had and both carry out.
@@ -62,8 +62,8 @@
 
 // Share is what a planner tells its counterpart.
 type Share struct {
-	Planner int         `json:"planner"`
-	Shared  core.Shared `json:"shared"`
+	Planner int             `json:"planner"`
+	Shared  dispatch.Shared `json:"shared"`
 }
 
 // Message is one line of a Link.
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,8 +14,8 @@
 
 	"pgregory.net/rapid"
 
-	"sedgevale/internal/core"
 	"sedgevale/internal/discovery"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/testkit"
 )
@@ -66,7 +66,7 @@
 	go host.Accept(hello, func() []*net.TCPListener { return []*net.TCPListener{l} }, func(s *Session) {
 		link := s.Link(loop, old, log)
 		link.Send(&Message{State: &State{List: discovery.List{Revision: 7}, Cordons: []string{"w"},
-			Planners: []core.Estate{{Shared: core.Shared{Opened: []string{"job"}}}}}})
+			Planners: []dispatch.Estate{{Shared: dispatch.Shared{Opened: []string{"job"}}}}}})
 		link.Send(&Message{Used: 5})
 		links <- link
 	}, func(err error) { t.Error(err) })
--- a/internal/haproxy/backend.go
+++ b/internal/haproxy/backend.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"strings"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/route"
 )
 
@@ -112,7 +112,7 @@
 // kind makes sure that there is a check, and says of which kind unless that is "".
 func (b *builder) kind(kind string) {
 	if b.check == nil {
-		b.check = &config.WebCheck{Kind: "tcp"}
+		b.check = &dispatchconfig.WebCheck{Kind: "tcp"}
 	}
 	if kind != "" {
 		b.check.Kind = kind
@@ -181,7 +181,7 @@
 		b.fail("cookie takes a name")
 		return
 	}
-	c := &config.WebCookie{Name: w[1]}
+	c := &dispatchconfig.WebCookie{Name: w[1]}
 	var without []string
 	for i := 2; i < len(w); i++ {
 		switch w[i] {
@@ -228,7 +228,7 @@
 	var on []string
 	for _, w := range words {
 		switch {
-		case slices.Contains(config.RetryWords, w):
+		case slices.Contains(dispatchconfig.RetryWords, w):
 			on = append(on, w)
 		case w == "all-retryable-errors":
 			on = append(on, "conn-failure", "empty-response", "junk-response", "response-timeout", "500", "502", "503", "504")
--- a/internal/haproxy/explain.go
+++ b/internal/haproxy/explain.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"strings"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/pool"
 	"sedgevale/internal/route"
@@ -30,7 +30,7 @@
 
 // Explain says which frontend, rule, backend and server a request would take, while all
 // servers serve. Of several whose turn it may be the first is named.
-func Explain(w *config.Web, files route.Files, ask Ask) (*Way, error) {
+func Explain(w *dispatchconfig.Web, files route.Files, ask Ask) (*Way, error) {
 	f := &w.Frontends[0]
 	if ask.Frontend != "" {
 		f = nil
@@ -66,7 +66,7 @@
 		}
 		q.Fields = append(q.Fields, http1.Field{Name: strings.TrimSpace(name), Value: strings.TrimSpace(value)})
 	}
-	backends := map[string]*config.WebBackend{}
+	backends := map[string]*dispatchconfig.WebBackend{}
 	for i := range w.Backends {
 		backends[w.Backends[i].Name] = &w.Backends[i]
 	}
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/route"
 )
 
@@ -20,7 +20,7 @@
 
 // Result is an imported configuration.
 type Result struct {
-	File   config.File
+	File   dispatchconfig.File
 	Report Report
 	origin map[string]string // of frontends ("f NAME") and backends ("b NAME"): where they came from
 }
@@ -36,7 +36,7 @@
 	errs     []error
 	verdicts map[place]Entry // of directives that several sections inherit: the worst
 	order    []place
-	web      config.Web
+	web      dispatchconfig.Web
 	sockets  int
 }
 
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/haproxy"
 )
 
@@ -87,7 +87,7 @@
 	if err := os.WriteFile(path, b.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := config.ReadOperator(path)
+	c, err := dispatchconfig.ReadOperator(path)
 	if err != nil || *c.Web.Backends[0].Servers[1].Weight != 0 || c.Web.Backends[0].Attempts() != 1 {
 		t.Errorf("%+v %v", c, err)
 	}
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/route"
 )
 
@@ -14,13 +14,13 @@
 type builder struct {
 	im       *importer
 	s        *section
-	front    *config.WebFrontend // nil: not one
-	back     *config.WebBackend
+	front    *dispatchconfig.WebFrontend // nil: not one
+	back     *dispatchconfig.WebBackend
 	backends map[string]bool // those carried over
 	lists    *route.Lists
 	dropped  map[string]bool // access lists that are not carried over
 	base     []string        // options of default-server
-	check    *config.WebCheck
+	check    *dispatchconfig.WebCheck
 	inter    bool     // option httpchk or tcp-check was given
 	redirect []string // redirect rules, which count behind http-request rules
 	cur      item
@@ -53,10 +53,10 @@
 	}
 	b := &builder{im: im, s: s, backends: backends, lists: route.NewLists(im.opt.Files), dropped: map[string]bool{}}
 	if s.kind != "backend" {
-		b.front = &config.WebFrontend{Name: s.name}
+		b.front = &dispatchconfig.WebFrontend{Name: s.name}
 	}
 	if s.kind != "frontend" {
-		b.back = &config.WebBackend{Name: s.name}
+		b.back = &dispatchconfig.WebBackend{Name: s.name}
 	}
 	for _, it := range items { // rules may name an access list that stands behind them
 		if it.words[0] == "acl" {
@@ -318,7 +318,7 @@
 				b.front.Default = b.back.Name
 			}
 		}
-		if b.check != nil && slices.ContainsFunc(b.back.Servers, func(x config.WebServer) bool { return !x.NoCheck && x.Track == "" }) {
+		if b.check != nil && slices.ContainsFunc(b.back.Servers, func(x dispatchconfig.WebServer) bool { return !x.NoCheck && x.Track == "" }) {
 			b.back.Check = b.check
 		} else {
 			for i := range b.back.Servers {
@@ -326,7 +326,7 @@
 			}
 		}
 		b.back.Servers = slices.Clip(b.back.Servers)
-		if b.back.Cookie != nil && !slices.ContainsFunc(b.back.Servers, func(x config.WebServer) bool { return x.Cookie != "" }) {
+		if b.back.Cookie != nil && !slices.ContainsFunc(b.back.Servers, func(x dispatchconfig.WebServer) bool { return x.Cookie != "" }) {
 			b.back.Cookie = nil
 		}
 		if b.front == nil || len(b.back.Servers) > 0 {
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -18,12 +18,12 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/budget"
-	"sedgevale/internal/config"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/evloop"
+	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/haproxy"
-	"sedgevale/internal/web"
+	"sedgevale/internal/reverseproxy"
 )
 
 // seen is what a stand-in server tells of a request that it got.
@@ -38,7 +38,7 @@
 	t      *testing.T
 	name   string
 	ref    *refConf
-	site   *web.Site
+	site   *reverseproxy.Site
 	report haproxy.Report
 	front  map[string]string // address of each frontend
 	mu     sync.Mutex
@@ -105,7 +105,7 @@
 	if err := os.WriteFile(filepath.Join(filepath.Dir(out), "hosts.map"), maps, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := config.ReadOperator(out)
+	c, err := dispatchconfig.ReadOperator(out)
 	if err != nil {
 		text, _ := os.ReadFile(out)
 		t.Fatalf("what was written is not good: %v\n%s", err, text)
@@ -114,13 +114,13 @@
 	return s
 }
 
-func (s *stand) serve(c *config.Config) {
+func (s *stand) serve(c *dispatchconfig.Config) {
 	log := slog.New(slog.DiscardHandler)
 	loop, err := evloop.New(log)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if s.site, err = web.New(web.Options{Config: c.Web, Loop: loop, Clock: core.NewClock(), Seed: 1, Budget: budget.New(0), Log: log}); err != nil {
+	if s.site, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loop: loop, Clock: dispatch.NewClock(), Seed: 1, Budget: fdlimit.New(0), Log: log}); err != nil {
 		s.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/haproxy/server.go
+++ b/internal/haproxy/server.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 )
 
 func isMissing(err error) bool {
@@ -32,7 +32,7 @@
 	maxConn  int
 	cookie   string
 	check    bool
-	over     config.WebCheck
+	over     dispatchconfig.WebCheck
 	port     int
 	addr     string
 	track    string
@@ -129,7 +129,7 @@
 		b.fail("server takes a name and an address")
 		return
 	}
-	if slices.ContainsFunc(b.back.Servers, func(s config.WebServer) bool { return s.Name == w[1] }) {
+	if slices.ContainsFunc(b.back.Servers, func(s dispatchconfig.WebServer) bool { return s.Name == w[1] }) {
 		b.fail("server %q is there twice", w[1])
 		return
 	}
@@ -162,7 +162,7 @@
 		b.note(NotCarried, "%s", reason)
 		return
 	}
-	s := config.WebServer{Name: name, Addr: addr, Backup: o.backup, Disabled: o.disabled, MaxConn: o.maxConn, Cookie: o.cookie}
+	s := dispatchconfig.WebServer{Name: name, Addr: addr, Backup: o.backup, Disabled: o.disabled, MaxConn: o.maxConn, Cookie: o.cookie}
 	if o.weight != nil && *o.weight != 1 {
 		s.Weight = o.weight
 	}
--- a/internal/haproxy/write.go
+++ b/internal/haproxy/write.go
@@ -8,7 +8,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 )
 
 // Write writes the operator's file, without what is zero or usual, and with a comment on
@@ -20,12 +20,12 @@
 		fmt.Fprintf(&b, "\n[limits]\nsockets = %d\n", r.File.Limits.Sockets)
 	}
 	for _, f := range r.File.Web.Frontends {
-		if err := part(&b, r.origin["f "+f.Name], map[string][]config.WebFrontend{"frontends": {f}}); err != nil {
+		if err := part(&b, r.origin["f "+f.Name], map[string][]dispatchconfig.WebFrontend{"frontends": {f}}); err != nil {
 			return err
 		}
 	}
 	for _, k := range r.File.Web.Backends {
-		if err := part(&b, r.origin["b "+k.Name], map[string][]config.WebBackend{"backends": {k}}); err != nil {
+		if err := part(&b, r.origin["b "+k.Name], map[string][]dispatchconfig.WebBackend{"backends": {k}}); err != nil {
 			return err
 		}
 	}
--- a/internal/httpd/endings_test.go
+++ b/internal/httpd/endings_test.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"sedgevale/internal/budget"
+	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/testkit"
 )
 
@@ -53,7 +53,7 @@
 	h.echo.Serve(c, q)
 }
 
-func startServed(t *testing.T, b *budget.Budget) (*Server, served) {
+func startServed(t *testing.T, b *fdlimit.Budget) (*Server, served) {
 	t.Helper()
 	h := served{echo{make(chan struct{}, 8)}, make(chan *Conn, 512), make(chan int, 512)}
 	s := New(testkit.FreeAddr(t), 1, h, b, slog.New(slog.DiscardHandler))
@@ -74,7 +74,7 @@
 // Guards against a reset under a request that came in the moment in which its resting
 // connection was to be closed: it is read, and answered.
 func TestRequestThatCrossesTheDecisionToClose(t *testing.T) {
-	s, h := startServed(t, budget.New(0))
+	s, h := startServed(t, fdlimit.New(0))
 	c, r := dial(t, s.addr)
 	send(t, c, post)
 	answer(t, r)
@@ -92,7 +92,7 @@
 // Guards against a request that is served after the end of the connection was told, whose
 // answer nobody can get, and against a reset by it: the client reads the end, and no more.
 func TestRequestAfterTheShutdownIsNotServed(t *testing.T) {
-	s, h := startServed(t, budget.New(0))
+	s, h := startServed(t, fdlimit.New(0))
 	c, r := dial(t, s.addr)
 	send(t, c, post)
 	answer(t, r)
@@ -128,7 +128,7 @@
 // Guards against new connections that are taken in and then reset as the server stops, and
 // against a half request that keeps it: the one is refused, the other told the end.
 func TestRefuse(t *testing.T) {
-	s, h := startServed(t, budget.New(0))
+	s, h := startServed(t, fdlimit.New(0))
 	half, halfR := dial(t, s.addr)
 	send(t, half, post[:20])
 	silent, silentR := dial(t, s.addr)
@@ -158,7 +158,7 @@
 // Guards against a request without an answer since its client sends much more behind it, as
 // one that speaks another protocol may; and against following such a one without end.
 func TestFloodBehindARequest(t *testing.T) {
-	s, h := startServed(t, budget.New(0))
+	s, h := startServed(t, fdlimit.New(0))
 	c, r := dial(t, s.addr)
 	send(t, c, "POST /hold HTTP/1.1\r\nHost: h\r\n\r\n")
 	conn := testkit.Await(t, "the request", h.conns)
@@ -192,7 +192,7 @@
 // Guards against small writes that the system holds back until the last was acknowledged: a
 // reset takes them along.
 func TestClientsHaveNoDelay(t *testing.T) {
-	s, h := startServed(t, budget.New(0))
+	s, h := startServed(t, fdlimit.New(0))
 	c, r := dial(t, s.addr)
 	send(t, c, post)
 	answer(t, r)
@@ -205,8 +205,8 @@
 // Guards against a crowd of clients that connect and say nothing, up to the last
 // descriptor: one that speaks is still heard, and workers can still be reached.
 func TestSilentCrowdLeavesDescriptors(t *testing.T) {
-	const descriptors = budget.Reserve + 40
-	b := budget.New(descriptors)
+	const descriptors = fdlimit.Reserve + 40
+	b := fdlimit.New(descriptors)
 	s, _ := startServed(t, b)
 	for range 2 * descriptors {
 		c, err := net.Dial("tcp", s.addr)
@@ -215,7 +215,7 @@
 		}
 		defer c.Close()
 	}
-	until(t, "the crowd to be thinned", func() bool { return s.Clients() <= descriptors-budget.Reserve/2 })
+	until(t, "the crowd to be thinned", func() bool { return s.Clients() <= descriptors-fdlimit.Reserve/2 })
 	if !b.Take() {
 		t.Error("no descriptor is left for a worker")
 	}
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -15,8 +15,8 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"sedgevale/internal/budget"
 	"sedgevale/internal/evloop"
+	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/http1"
 )
 
@@ -63,7 +63,7 @@
 	loops    int
 	handler  Handler
 	limits   Limits
-	budget   *budget.Budget
+	budget   *fdlimit.Budget
 	log      *slog.Logger
 	client   *gnet.Client
 	acceptor *acceptor
@@ -101,12 +101,12 @@
 }
 
 // New returns a Server that is not yet listening.
-func New(addr string, loops int, handler Handler, b *budget.Budget, log *slog.Logger) *Server {
+func New(addr string, loops int, handler Handler, b *fdlimit.Budget, log *slog.Logger) *Server {
 	return NewLimited(addr, loops, handler, Limits{}, b, log)
 }
 
 // NewLimited returns a Server with limits of its own.
-func NewLimited(addr string, loops int, handler Handler, limits Limits, b *budget.Budget, log *slog.Logger) *Server {
+func NewLimited(addr string, loops int, handler Handler, limits Limits, b *fdlimit.Budget, log *slog.Logger) *Server {
 	for _, l := range []struct {
 		to    *time.Duration
 		usual time.Duration
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/budget"
+	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/testkit"
 )
@@ -27,7 +27,7 @@
 
 func (e echo) Gone(*Conn) { e.gone <- struct{}{} }
 
-func start(t *testing.T, addr string, b *budget.Budget) (*Server, echo) {
+func start(t *testing.T, addr string, b *fdlimit.Budget) (*Server, echo) {
 	t.Helper()
 	h := echo{make(chan struct{}, 8)}
 	s := New(addr, 1, h, b, slog.New(slog.DiscardHandler))
@@ -74,7 +74,7 @@
 // its last run closed are still in TIME_WAIT.
 func TestStartsAgain(t *testing.T) {
 	addr := testkit.FreeAddr(t)
-	s, _ := start(t, addr, budget.New(0))
+	s, _ := start(t, addr, fdlimit.New(0))
 	c, r := dial(t, addr)
 	if _, err := io.WriteString(c, "BAD\r\n\r\n"); err != nil { // the server is the one that closes
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 		t.Errorf("after the last answer: %v", err)
 	}
 	stop(t, s)
-	s, _ = start(t, addr, budget.New(0))
+	s, _ = start(t, addr, fdlimit.New(0))
 	stop(t, s)
 }
 
@@ -95,7 +95,7 @@
 // leaves new connections to the second, and its end resets none of them.
 func TestListenerIsPassedOn(t *testing.T) {
 	addr := testkit.FreeAddr(t)
-	first, _ := start(t, addr, budget.New(0))
+	first, _ := start(t, addr, fdlimit.New(0))
 	kept, keptReader := dial(t, addr)
 	if _, err := io.WriteString(kept, post); err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 		t.Fatal(err)
 	}
 	passed.Close()
-	second := New(addr, 1, echo{make(chan struct{}, 8)}, budget.New(0), slog.New(slog.DiscardHandler))
+	second := New(addr, 1, echo{make(chan struct{}, 8)}, fdlimit.New(0), slog.New(slog.DiscardHandler))
 	if err := second.Start(l.(*net.TCPListener)); err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 // and against the bytes after it being dropped: gnet's Discard(0) drops all.
 func TestRequestsOneAfterAnother(t *testing.T) {
 	addr := testkit.FreeAddr(t)
-	s, _ := start(t, addr, budget.New(0))
+	s, _ := start(t, addr, fdlimit.New(0))
 	defer stop(t, s)
 	c, r := dial(t, addr)
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
@@ -181,7 +181,7 @@
 
 func TestMalformedRequestsAreAnswered(t *testing.T) {
 	addr := testkit.FreeAddr(t)
-	s, _ := start(t, addr, budget.New(0))
+	s, _ := start(t, addr, fdlimit.New(0))
 	defer stop(t, s)
 	for _, c := range []struct {
 		text string
@@ -207,7 +207,7 @@
 // not. After Drain each answer is the last of its connection.
 func TestGoneAndDrain(t *testing.T) {
 	addr := testkit.FreeAddr(t)
-	s, h := start(t, addr, budget.New(0))
+	s, h := start(t, addr, fdlimit.New(0))
 	defer stop(t, s)
 	c, _ := dial(t, addr)
 	if _, err := io.WriteString(c, "POST /hold HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
@@ -238,7 +238,7 @@
 // connecting, also when bytes trickle in. One between two requests is left alone.
 func TestClientsThatKeepSilent(t *testing.T) {
 	addr := testkit.FreeAddr(t)
-	s, _ := start(t, addr, budget.New(0))
+	s, _ := start(t, addr, fdlimit.New(0))
 	defer stop(t, s)
 	kept, keptR := dial(t, addr)
 	if _, err := io.WriteString(kept, post); err != nil {
@@ -296,7 +296,7 @@
 // goes out at the head, and a body without end is not followed for long.
 func TestHugeBody(t *testing.T) {
 	addr := testkit.FreeAddr(t)
-	s, _ := start(t, addr, budget.New(0))
+	s, _ := start(t, addr, fdlimit.New(0))
 	defer stop(t, s)
 	c, r := dial(t, addr)
 	sent := make(chan int, 1)
@@ -323,7 +323,7 @@
 // The longest idle ones are closed, though descriptors are not short.
 func TestIdleClientsAreBounded(t *testing.T) {
 	addr := testkit.FreeAddr(t)
-	b := budget.New(1024)
+	b := fdlimit.New(1024)
 	s, _ := start(t, addr, b)
 	defer stop(t, s)
 	most := b.Idle()
@@ -354,7 +354,7 @@
 // idle connections are closed, the busy one stays.
 func TestShortOfDescriptors(t *testing.T) {
 	addr := testkit.FreeAddr(t)
-	b := budget.New(68) // 4 connections and the reserve
+	b := fdlimit.New(68) // 4 connections and the reserve
 	s, _ := start(t, addr, b)
 	defer stop(t, s)
 	busy, _ := dial(t, addr)
--- a/internal/httpd/lane.go
+++ b/internal/httpd/lane.go
@@ -6,13 +6,13 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"sedgevale/internal/evloop"
-	"sedgevale/internal/inbox"
+	"sedgevale/internal/unbounded"
 )
 
 // lane is one event loop: what is asked of it from outside, and its connections.
 type lane struct {
 	loop gnet.EventLoop
-	box  *inbox.Box[func()]
+	box  *unbounded.Box[func()]
 	// The connections that are waited for, the longest first: to send anything at
 	// all, to send a further request, to send the rest of one, to read the last answer.
 	fresh, idle, reading, ending list
--- a/internal/intake/intake.go
+++ b/internal/jobrequest/jobrequest.go
@@ -1,6 +1,6 @@
-// Package intake turns a client's HTTP request into a job. Both fronts take
+// Package jobrequest turns a client's HTTP request into a job. Both fronts take
 // their requests in by the same rules.
-package intake
+package jobrequest
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
 )
@@ -22,7 +22,7 @@
 
 // Rules are what requests are read by. They may be used by several goroutines.
 type Rules struct {
-	clock  core.Clock
+	clock  dispatch.Clock
 	terms  *atomic.Pointer[Terms]
 	margin time.Duration // beyond margin
 }
@@ -35,7 +35,7 @@
 }
 
 // New returns rules by those terms.
-func New(clock core.Clock, t *Terms) *Rules {
+func New(clock dispatch.Clock, t *Terms) *Rules {
 	r := &Rules{clock: clock, terms: &atomic.Pointer[Terms]{}}
 	r.terms.Store(t)
 	return r
@@ -85,8 +85,8 @@
 
 // Job reads a request, and until when its client waits. An id and a time-out
 // are asked for unless they are given here for a request that has none.
-func (r *Rules) Job(q *httpd.Request, id string, patience time.Duration) (core.Job, time.Duration, error) {
-	j := core.Job{ID: id, Tenant: -1, Slots: 1, Method: q.Method, Target: q.Target, Body: q.Body}
+func (r *Rules) Job(q *httpd.Request, id string, patience time.Duration) (dispatch.Job, time.Duration, error) {
+	j := dispatch.Job{ID: id, Tenant: -1, Slots: 1, Method: q.Method, Target: q.Target, Body: q.Body}
 	terms := r.terms.Load()
 	hint, info := "", ""
 	class, tenant := "", ""
--- a/internal/intake/intake_test.go
+++ b/internal/jobrequest/jobrequest_test.go
@@ -1,4 +1,4 @@
-package intake
+package jobrequest
 
 import (
 	"errors"
@@ -6,13 +6,13 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
 )
 
 func rules() *Rules {
-	return New(core.NewClock(), &Terms{Classes: []sedgevale.Class{{Name: "free"}, {Name: "key", Effect: sedgevale.Keyed}},
+	return New(dispatch.NewClock(), &Terms{Classes: []sedgevale.Class{{Name: "free"}, {Name: "key", Effect: sedgevale.Keyed}},
 		Tenants: []sedgevale.Tenant{{Name: "a"}, {Name: "b"}}})
 }
 
--- a/internal/joblog/frame.go
+++ b/internal/journal/frame.go
@@ -1,4 +1,4 @@
-package joblog
+package journal
 
 import (
 	"bytes"
--- a/internal/joblog/record.go
+++ b/internal/journal/record.go
@@ -1,8 +1,8 @@
-// Package joblog is the pure part of the journal of one-shot jobs: what its records
+// Package journal is the pure part of the journal of one-shot jobs: what its records
 // say, how a job goes on over them, and what can be said of a job after a crash. It
 // does no input or output and asks no clock; package store keeps records on a disk,
 // package journal feeds it from the planners.
-package joblog
+package journal
 
 import (
 	"bytes"
--- a/internal/journal/journal.go
+++ b/internal/journal/recorder/recorder.go
@@ -1,6 +1,6 @@
-// Package journal joins the planners to the journal of one-shot jobs: it decides which
+// Package recorder joins the planners to the journal of one-shot jobs: it decides which
 // jobs are recorded, and puts what the planners tell into records.
-package journal
+package recorder
 
 import (
 	"bytes"
@@ -15,10 +15,10 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/config"
-	"sedgevale/internal/core"
-	"sedgevale/internal/joblog"
-	"sedgevale/internal/joblog/store"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/store"
 )
 
 // Recorder is a core.Journal.
@@ -32,7 +32,7 @@
 }
 
 // Open opens the journal that a configuration asks for.
-func Open(c *config.Config, log *slog.Logger) (*Recorder, error) {
+func Open(c *dispatchconfig.Config, log *slog.Logger) (*Recorder, error) {
 	j := c.Journal
 	fsys := store.OS{}
 	if err := fsys.MkdirAll(j.Dir); err != nil {
@@ -42,12 +42,12 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{classes: map[string]bool{}, serve: j.OnFull == config.ServeOnFull, reading: make(chan struct{}, 1)}
+	r := &Recorder{classes: map[string]bool{}, serve: j.OnFull == dispatchconfig.ServeOnFull, reading: make(chan struct{}, 1)}
 	for _, name := range c.JournalClasses() {
 		r.classes[name] = true
 	}
-	r.opt = store.Options{FS: fsys, Dir: j.Dir, Secret: secret, Log: log, Sync: j.Sync != config.SyncNone,
-		Owner: store.Owner{PID: os.Getpid(), Name: c.Name, Ops: c.Ops}, Keep: config.Seconds(j.Keep),
+	r.opt = store.Options{FS: fsys, Dir: j.Dir, Secret: secret, Log: log, Sync: j.Sync != dispatchconfig.SyncNone,
+		Owner: store.Owner{PID: os.Getpid(), Name: c.Name, Ops: c.Ops}, Keep: dispatchconfig.Seconds(j.Keep),
 		MaxBytes: int64(j.MaxMB) << 20, Reserve: int64(j.ReserveMB) << 20}
 	if r.store, err = store.Open(r.opt); err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 func now() int64 { return time.Now().UnixMicro() }
 
 // Take is the core's.
-func (r *Recorder) Take(j *core.Job) (uint64, bool) {
+func (r *Recorder) Take(j *dispatch.Job) (uint64, bool) {
 	if !r.classes[j.Class.Name] {
 		return 0, true
 	}
@@ -73,7 +73,7 @@
 	}
 	sum := sha256.Sum256(j.Body)
 	number := r.store.Serial()
-	rec := joblog.Record{Kind: joblog.Taken, Serial: number, At: now(), Job: j.ID, Class: j.Class.Name, Target: j.Target,
+	rec := journal.Record{Kind: journal.Taken, Serial: number, At: now(), Job: j.ID, Class: j.Class.Name, Target: j.Target,
 		Size: len(j.Body), Digest: sum[:16], Tenant: j.TenantName}
 	r.store.Put(rec, nil)
 	return number, true
@@ -81,38 +81,38 @@
 
 // Intent is the core's.
 func (r *Recorder) Intent(number uint64, attempt int, id, worker string, done func(ok bool)) {
-	r.store.Put(joblog.Record{Kind: joblog.Intent, Serial: number, At: now(), Job: id, Attempt: attempt, Worker: worker},
+	r.store.Put(journal.Record{Kind: journal.Intent, Serial: number, At: now(), Job: id, Attempt: attempt, Worker: worker},
 		func(err error) { done(err == nil) })
 }
 
 // Sent is the core's.
 func (r *Recorder) Sent(number uint64, attempt int) {
-	r.store.Put(joblog.Record{Kind: joblog.Sent, Serial: number, At: now(), Attempt: attempt}, nil)
+	r.store.Put(journal.Record{Kind: journal.Sent, Serial: number, At: now(), Attempt: attempt}, nil)
 }
 
 // Started is the core's.
 func (r *Recorder) Started(number uint64, attempt int) {
-	r.store.Put(joblog.Record{Kind: joblog.Started, Serial: number, At: now(), Attempt: attempt}, nil)
+	r.store.Put(journal.Record{Kind: journal.Started, Serial: number, At: now(), Attempt: attempt}, nil)
 }
 
 // Ended is the core's.
 func (r *Recorder) Ended(number uint64, attempt int, o sedgevale.Outcome, unseen bool) {
-	r.store.Put(joblog.Record{Kind: joblog.Ended, Serial: number, At: now(), Attempt: attempt,
-		Code: uint8(joblog.OutcomeOf(o)), Unseen: unseen}, nil)
+	r.store.Put(journal.Record{Kind: journal.Ended, Serial: number, At: now(), Attempt: attempt,
+		Code: uint8(journal.OutcomeOf(o)), Unseen: unseen}, nil)
 }
 
-var kinds = map[core.AnswerKind]joblog.AnswerKind{
-	core.Served: joblog.Served, core.Refused: joblog.Refused, core.Failed: joblog.Failed,
+var kinds = map[dispatch.AnswerKind]journal.AnswerKind{
+	dispatch.Served: journal.Served, dispatch.Refused: journal.Refused, dispatch.Failed: journal.Failed,
 }
 
 // Answered is the core's.
-func (r *Recorder) Answered(number uint64, a core.Answer) {
-	r.store.Put(joblog.Record{Kind: joblog.Answered, Serial: number, At: now(), Code: uint8(kinds[a.Kind]), Text: a.Reason}, nil)
+func (r *Recorder) Answered(number uint64, a dispatch.Answer) {
+	r.store.Put(journal.Record{Kind: journal.Answered, Serial: number, At: now(), Code: uint8(kinds[a.Kind]), Text: a.Reason}, nil)
 }
 
 // Gone is the core's.
 func (r *Recorder) Gone(number uint64) {
-	r.store.Put(joblog.Record{Kind: joblog.ClientGone, Serial: number, At: now()}, nil)
+	r.store.Put(journal.Record{Kind: journal.ClientGone, Serial: number, At: now()}, nil)
 }
 
 // ErrBusy says that another question is being answered.
@@ -166,7 +166,7 @@
 
 // Settle records an operator's verdict on the jobs of an id.
 func (r *Recorder) Settle(_ context.Context, id, verdict, by, why string) (int, error) {
-	v, err := joblog.ParseVerdict(verdict)
+	v, err := journal.ParseVerdict(verdict)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/joblog/store/background_test.go
+++ b/internal/journal/store/background_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/joblog"
-	"sedgevale/internal/joblog/store"
-	"sedgevale/internal/standin"
+	"sedgevale/internal/fake"
+	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/store"
 )
 
 // slowDisk holds up syncs of files, as a disk does on which others sync too.
@@ -35,7 +35,7 @@
 // Guards that a record is with the operating system, and so outlives the end of the process, while a sync of earlier
 // records takes its time; and that nobody is told that it is durable before a sync that began after it.
 func TestRecordsAreWrittenDuringASync(t *testing.T) {
-	memory := standin.NewDisk(1, 1<<20)
+	memory := fake.NewDisk(1, 1<<20)
 	disk := &slowDisk{FS: memory, begun: make(chan struct{}), goOn: make(chan struct{})}
 	s, err := store.Open(store.Options{FS: disk, Dir: "j", Secret: secret, Sync: true})
 	if err != nil {
@@ -43,10 +43,10 @@
 	}
 	let := func() { <-disk.begun; disk.goOn <- struct{}{} }
 	first, second := make(chan error, 1), make(chan error, 1)
-	s.Put(joblog.Record{Kind: joblog.Taken, Serial: 1, At: 1, Job: "one", Class: "once"}, func(err error) { first <- err })
+	s.Put(journal.Record{Kind: journal.Taken, Serial: 1, At: 1, Job: "one", Class: "once"}, func(err error) { first <- err })
 	let() // the new segment's own
 	<-disk.begun
-	s.Put(joblog.Record{Kind: joblog.Taken, Serial: 2, At: 2, Job: "two", Class: "once"}, func(err error) { second <- err })
+	s.Put(journal.Record{Kind: journal.Taken, Serial: 2, At: 2, Job: "two", Class: "once"}, func(err error) { second <- err })
 	deadline := time.Now().Add(10 * time.Second)
 	for !recorded(t, memory, "two") {
 		if time.Now().After(deadline) {
@@ -75,7 +75,7 @@
 }
 
 // recorded reports whether a process that starts now would find a job in the journal.
-func recorded(t *testing.T, disk *standin.Disk, job string) bool {
+func recorded(t *testing.T, disk *fake.Disk, job string) bool {
 	view, err := store.Read(disk, "j", secret, "")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/joblog/store/lane.go
+++ b/internal/journal/store/lane.go
@@ -7,7 +7,7 @@
 	"io"
 	"time"
 
-	"sedgevale/internal/joblog"
+	"sedgevale/internal/journal"
 )
 
 // lane is the segments that one process writes. It is for one goroutine and waits for
@@ -21,27 +21,27 @@
 type lane struct {
 	fs    FS
 	dir   string
-	key   *joblog.Key
+	key   *journal.Key
 	limit int64 // bytes of a segment
 	run   [16]byte
 
 	file    File // nil: the next write begins a segment
 	number  uint64
-	off     int64      // bytes written and good
-	durable int64      // of those, surely on the disk
-	chain   joblog.Mac // on which the next frame follows, in this file
-	tip     joblog.Mac // of the last record, whichever segment has it
-	seq     uint64     // of the last record
-	last    int64      // time of the last record
-
-	durTip joblog.Mac // the same at the last good sync
+	off     int64       // bytes written and good
+	durable int64       // of those, surely on the disk
+	chain   journal.Mac // on which the next frame follows, in this file
+	tip     journal.Mac // of the last record, whichever segment has it
+	seq     uint64      // of the last record
+	last    int64       // time of the last record
+
+	durTip journal.Mac // the same at the last good sync
 	durSeq uint64
-	pend   []joblog.Record // written since, or to be written again
-	mark   *syncMark       // what the sync that is under way makes durable; nil for none
-	behind bool            // pend is of the process before, whose run was
+	pend   []journal.Record // written since, or to be written again
+	mark   *syncMark        // what the sync that is under way makes durable; nil for none
+	behind bool             // pend is of the process before, whose run was
 	before [16]byte
 
-	book     *joblog.Book      // open jobs, and those that an operator must look at
+	book     *journal.Book     // open jobs, and those that an operator must look at
 	first    map[uint64]uint64 // by serial: the segment with the oldest record of such a job
 	segments []segment         // sealed
 	stale    []string          // files that do not count any more
@@ -51,20 +51,20 @@
 
 // recovery is what was found at the start.
 type recovery struct {
-	open     [joblog.Unknown + 1]int // by verdict: jobs that the process before had open
-	kept     int                     // jobs that wait for an operator
+	open     [journal.Unknown + 1]int // by verdict: jobs that the process before had open
+	kept     int                      // jobs that wait for an operator
 	problems []Problem
 	clean    bool
 }
 
 // openLane reads what there is and gets ready to go on after it. It writes nothing.
-func openLane(fsys FS, dir string, key *joblog.Key, limit int64, doubts func(Problem)) (*lane, recovery, error) {
-	l := &lane{fs: fsys, dir: dir, key: key, limit: limit, book: joblog.NewBook(), first: map[uint64]uint64{}, doubts: doubts}
+func openLane(fsys FS, dir string, key *journal.Key, limit int64, doubts func(Problem)) (*lane, recovery, error) {
+	l := &lane{fs: fsys, dir: dir, key: key, limit: limit, book: journal.NewBook(), first: map[uint64]uint64{}, doubts: doubts}
 	_, _ = rand.Read(l.run[:])
 	var rec recovery
 	got, err := readLane(fsys, dir, key, visitor{
 		run:    func() { l.died() },
-		record: func(r *joblog.Record, number uint64) { l.learn(r, number) },
+		record: func(r *journal.Record, number uint64) { l.learn(r, number) },
 		gap:    l.book.MarkGap,
 	})
 	if err != nil {
@@ -82,7 +82,7 @@
 }
 
 // died closes the books of a process that is gone, and forgets what nobody need look at.
-func (l *lane) died() [joblog.Unknown + 1]int {
+func (l *lane) died() [journal.Unknown + 1]int {
 	counts := l.book.Died()
 	for serial, j := range l.book.Jobs {
 		l.forget(serial, j)
@@ -90,7 +90,7 @@
 	return counts
 }
 
-func (l *lane) forget(serial uint64, j *joblog.Job) {
+func (l *lane) forget(serial uint64, j *journal.Job) {
 	if j.Done() {
 		l.book.Drop(serial)
 		delete(l.first, serial)
@@ -98,12 +98,12 @@
 }
 
 // learn keeps the book. A record that does not fit was counted there.
-func (l *lane) learn(r *joblog.Record, number uint64) {
+func (l *lane) learn(r *journal.Record, number uint64) {
 	j, _ := l.book.Apply(r)
 	if j == nil {
 		return
 	}
-	if _, ok := l.first[j.Serial]; !ok || r.Kind == joblog.Kept {
+	if _, ok := l.first[j.Serial]; !ok || r.Kind == journal.Kept {
 		l.first[j.Serial] = number
 	}
 	l.forget(j.Serial, j)
@@ -111,7 +111,7 @@
 
 // write appends records; they are not durable yet. After an error none of them is in
 // the journal.
-func (l *lane) write(recs []joblog.Record) error {
+func (l *lane) write(recs []journal.Record) error {
 	if l.file != nil && l.off > l.limit && l.mark == nil { // the limit may be passed by what comes during a sync
 		if err := l.sync(); err != nil {
 			return err
@@ -144,7 +144,7 @@
 
 // frames encodes records. One that cannot be is left out: nothing that was read from a
 // client may keep the others from being written.
-func (l *lane) frames(buf []byte, chain joblog.Mac, durable int64, recs []joblog.Record) ([]byte, joblog.Mac, uint64) {
+func (l *lane) frames(buf []byte, chain journal.Mac, durable int64, recs []journal.Record) ([]byte, journal.Mac, uint64) {
 	n := uint64(0)
 	for i := range recs {
 		var err error
@@ -184,7 +184,7 @@
 	if l.behind {
 		run = l.before
 	}
-	h := joblog.Header{Number: l.number, Run: run, First: l.durSeq + 1, Prev: l.durTip}
+	h := journal.Header{Number: l.number, Run: run, First: l.durSeq + 1, Prev: l.durTip}
 	buf, mac := l.key.AppendHeader(nil, h)
 	buf, chain, n := l.frames(buf, mac, 0, l.pend)
 	if w, werr := f.Write(buf); werr != nil || w < len(buf) {
@@ -226,7 +226,7 @@
 	file    File
 	off     int64
 	seq     uint64
-	tip     joblog.Mac
+	tip     journal.Mac
 	records int  // of pend
 	given   bool // the file was given up meanwhile
 }
@@ -326,7 +326,7 @@
 	if err != nil {
 		return err
 	}
-	at := int64(joblog.HeaderSize)
+	at := int64(journal.HeaderSize)
 	for at < l.durable {
 		f, err := l.key.ReadFrame(b[at:], mac)
 		if err != nil {
@@ -354,12 +354,12 @@
 // beginPrune writes what allows to drop the n oldest sealed segments: again what they say of jobs that must be kept, and that
 // they are dropped on purpose. Only once that is durable, endPrune drops the files.
 func (l *lane) beginPrune(now time.Time, n int) error {
-	var recs []joblog.Record
+	var recs []journal.Record
 	for serial, number := range l.first {
 		if j := l.book.Jobs[serial]; j != nil && number <= l.segments[n-1].number {
 			whole := *j
-			whole.Attempts = append([]joblog.Attempt(nil), j.Attempts...)
-			recs = append(recs, joblog.Record{Kind: joblog.Kept, Serial: serial, At: now.UnixMicro(), Whole: &whole})
+			whole.Attempts = append([]journal.Attempt(nil), j.Attempts...)
+			recs = append(recs, journal.Record{Kind: journal.Kept, Serial: serial, At: now.UnixMicro(), Whole: &whole})
 		}
 	}
 	// The records before the next segment go, whichever that is.
@@ -367,7 +367,7 @@
 	if err != nil {
 		return err
 	}
-	recs = append(recs, joblog.Record{Kind: joblog.Pruned, At: now.UnixMicro(), Count: dropped})
+	recs = append(recs, journal.Record{Kind: journal.Pruned, At: now.UnixMicro(), Count: dropped})
 	return l.write(recs)
 }
 
@@ -408,7 +408,7 @@
 
 // close ends the lane in order.
 func (l *lane) close(now time.Time) error {
-	err := l.write([]joblog.Record{{Kind: joblog.Closed, At: now.UnixMicro()}})
+	err := l.write([]journal.Record{{Kind: journal.Closed, At: now.UnixMicro()}})
 	if err == nil {
 		err = l.sync()
 	}
--- a/internal/joblog/store/powercut_test.go
+++ b/internal/journal/store/powercut_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/joblog"
-	"sedgevale/internal/joblog/store"
-	"sedgevale/internal/standin"
+	"sedgevale/internal/fake"
+	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/store"
 )
 
 // CI plays some hundred seeds; `make powercut` plays as many as SEEDS says.
@@ -21,8 +21,8 @@
 // that fails and loses its power.
 type world struct {
 	r      *rand.Rand
-	disk   *standin.Disk
-	ledger *standin.Ledger
+	disk   *fake.Disk
+	ledger *fake.Ledger
 	store  *store.Store
 	now    time.Time
 	jobs   int
@@ -96,18 +96,18 @@
 	}
 	w.jobs++
 	f := &flight{id: fmt.Sprintf("job-%d", w.jobs), box: fmt.Sprintf("box-%d", w.r.IntN(3)), serial: w.store.Serial()}
-	w.store.Put(joblog.Record{Kind: joblog.Taken, Serial: f.serial, At: w.now.UnixMicro(), Job: f.id, Class: "once"}, nil)
+	w.store.Put(journal.Record{Kind: journal.Taken, Serial: f.serial, At: w.now.UnixMicro(), Job: f.id, Class: "once"}, nil)
 	begin := func(err error) {
 		if err != nil {
-			w.put(f, joblog.Answered, uint8(joblog.Refused), false)
+			w.put(f, journal.Answered, uint8(journal.Refused), false)
 			return
 		}
 		f.begun = true
 		w.ledger.Begin(f.id, "once", f.box, time.Now())
-		w.put(f, joblog.Sent, 0, false)
+		w.put(f, journal.Sent, 0, false)
 		w.out = append(w.out, f)
 	}
-	intent := joblog.Record{Kind: joblog.Intent, Serial: f.serial, At: w.now.UnixMicro(), Job: f.id, Worker: f.box}
+	intent := journal.Record{Kind: journal.Intent, Serial: f.serial, At: w.now.UnixMicro(), Job: f.id, Worker: f.box}
 	if w.early {
 		begin(nil)
 		w.store.Put(intent, nil)
@@ -116,8 +116,8 @@
 	w.store.Put(intent, begin)
 }
 
-func (w *world) put(f *flight, kind joblog.Kind, code uint8, unseen bool) {
-	w.store.Put(joblog.Record{Kind: kind, Serial: f.serial, At: w.now.UnixMicro(), Code: code, Unseen: unseen}, nil)
+func (w *world) put(f *flight, kind journal.Kind, code uint8, unseen bool) {
+	w.store.Put(journal.Record{Kind: kind, Serial: f.serial, At: w.now.UnixMicro(), Code: code, Unseen: unseen}, nil)
 }
 
 // progress has one of the jobs that are out go on.
@@ -130,26 +130,26 @@
 	w.out = append(w.out[:i], w.out[i+1:]...)
 	switch w.r.IntN(8) {
 	case 0:
-		w.put(f, joblog.Ended, uint8(joblog.OutTimedOut), false)
-		w.put(f, joblog.Answered, uint8(joblog.Failed), false)
+		w.put(f, journal.Ended, uint8(journal.OutTimedOut), false)
+		w.put(f, journal.Answered, uint8(journal.Failed), false)
 	case 1:
-		w.put(f, joblog.Started, 0, false)
+		w.put(f, journal.Started, 0, false)
 		w.out = append(w.out, f)
 	default:
 		w.ledger.Finish(f.id, f.box)
-		w.put(f, joblog.Ended, uint8(joblog.OutServed), false)
-		w.put(f, joblog.Answered, uint8(joblog.Served), false)
+		w.put(f, journal.Ended, uint8(journal.OutServed), false)
+		w.put(f, journal.Answered, uint8(journal.Served), false)
 		w.over[f.id] = true
 	}
 }
 
 // play runs a world over some cuts and returns what its journal says that is not so.
 func play(t *testing.T, seed uint64, early bool) (breaches []string, jobs, unknown int) {
-	w := &world{r: rand.New(rand.NewPCG(seed, 1)), ledger: standin.NewLedger(), now: time.UnixMicro(1e15), early: early,
+	w := &world{r: rand.New(rand.NewPCG(seed, 1)), ledger: fake.NewLedger(), now: time.UnixMicro(1e15), early: early,
 		over: map[string]bool{}}
-	w.disk = standin.NewDisk(seed, []int64{1 << 20, 24 << 10, 10 << 10}[w.r.IntN(3)])
-	faults := []standin.Op{standin.OpWrite, standin.OpShort, standin.OpSync, standin.OpCreate,
-		standin.OpSyncDir, standin.OpRename, standin.OpRemove}
+	w.disk = fake.NewDisk(seed, []int64{1 << 20, 24 << 10, 10 << 10}[w.r.IntN(3)])
+	faults := []fake.Op{fake.OpWrite, fake.OpShort, fake.OpSync, fake.OpCreate,
+		fake.OpSyncDir, fake.OpRename, fake.OpRemove}
 	w.open(t)
 	for range 3 {
 		for range 40 + w.r.IntN(120) {
@@ -177,7 +177,7 @@
 		if len(view.Lanes) > 0 && view.Lanes[0].Pruned > 0 {
 			dropped = func(id string) bool { return w.over[id] }
 		}
-		breaches = append(breaches, standin.Audit(w.ledger, view.Jobs, all, all, all, dropped)...)
+		breaches = append(breaches, fake.Audit(w.ledger, view.Jobs, all, all, all, dropped)...)
 		for _, p := range view.Problems {
 			if !p.Torn {
 				breaches = append(breaches, "taken for damage: "+p.String())
@@ -190,7 +190,7 @@
 		t.Fatalf("seed %d: %v", seed, err)
 	}
 	for _, j := range view.Jobs {
-		if v, _, _ := j.Verdict(); v == joblog.Unknown {
+		if v, _, _ := j.Verdict(); v == journal.Unknown {
 			unknown++
 		}
 	}
--- a/internal/joblog/store/query.go
+++ b/internal/journal/store/query.go
@@ -8,12 +8,12 @@
 	"slices"
 	"time"
 
-	"sedgevale/internal/joblog"
+	"sedgevale/internal/journal"
 )
 
 // Found is a job that a question has found.
 type Found struct {
-	*joblog.Job
+	*journal.Job
 	Lane string
 	Live bool // the process that has the lane lives
 }
@@ -73,20 +73,20 @@
 }
 
 func (v *View) read(fsys FS, lane string, secret []byte, id string) error {
-	key, err := joblog.NewKey(secret)
+	key, err := journal.NewKey(secret)
 	if err != nil {
 		return err
 	}
 	owner, live := fsys.Locked(join(lane, lockName)) // before: what it ends while we read has ended
-	book := joblog.NewBook()
+	book := journal.NewBook()
 	odd := Problem{File: lane}
 	got, err := readLane(fsys, lane, key, visitor{
 		run: func() { book.Died() },
-		record: func(r *joblog.Record, number uint64) {
+		record: func(r *journal.Record, number uint64) {
 			if id != "" && !concerns(r, id, book) {
 				return
 			}
-			if _, err := book.Apply(r); err != nil && !errors.Is(err, joblog.ErrUnknownJob) {
+			if _, err := book.Apply(r); err != nil && !errors.Is(err, journal.ErrUnknownJob) {
 				odd.What = fmt.Sprintf("segment %d: %v", number, err)
 			}
 		},
@@ -111,13 +111,13 @@
 }
 
 // concerns reports whether a record is of a job of that id, or of none.
-func concerns(r *joblog.Record, id string, book *joblog.Book) bool {
+func concerns(r *journal.Record, id string, book *journal.Book) bool {
 	switch r.Kind {
-	case joblog.Taken:
+	case journal.Taken:
 		return r.Job == id
-	case joblog.Intent:
+	case journal.Intent:
 		return r.Job == id || book.Jobs[r.Serial] != nil
-	case joblog.Kept:
+	case journal.Kept:
 		return r.Whole.ID == id
 	}
 	return true // of an unknown job it is ignored
@@ -132,7 +132,7 @@
 	want := []byte(id)
 	return func(b []byte) bool {
 		// A MessagePack array of up to 65,535, then the kind as a small number.
-		if len(b) > 4 && b[0] == 0xdc && (b[3] == byte(joblog.Taken) || b[3] == byte(joblog.Intent) || b[3] == byte(joblog.Kept)) {
+		if len(b) > 4 && b[0] == 0xdc && (b[3] == byte(journal.Taken) || b[3] == byte(journal.Intent) || b[3] == byte(journal.Kept)) {
 			return !bytes.Contains(b, want)
 		}
 		return false
@@ -149,7 +149,7 @@
 // Settle writes an operator's verdict on each job of an id that waits for one, in this
 // lane and in those that no process has, and returns how many those were. It waits for
 // the disk.
-func (s *Store) Settle(id string, v joblog.Verdict, by, why string) (int, error) {
+func (s *Store) Settle(id string, v journal.Verdict, by, why string) (int, error) {
 	type result struct {
 		n   int
 		err error
@@ -176,11 +176,11 @@
 }
 
 // settle writes a verdict on each job of an id that waits for one.
-func (l *lane) settle(now time.Time, id string, v joblog.Verdict, by, why string) (int, error) {
-	var recs []joblog.Record
+func (l *lane) settle(now time.Time, id string, v journal.Verdict, by, why string) (int, error) {
+	var recs []journal.Record
 	for serial, j := range l.book.Jobs {
 		if j.ID == id && !j.Open() {
-			r := joblog.Record{Kind: joblog.Settled, Serial: serial, At: now.UnixMicro(), Job: id, Code: uint8(v), Text: why, Who: by}
+			r := journal.Record{Kind: journal.Settled, Serial: serial, At: now.UnixMicro(), Job: id, Code: uint8(v), Text: why, Who: by}
 			r.Clip()
 			recs = append(recs, r)
 		}
@@ -196,7 +196,7 @@
 
 // SettleIn does the same in the lanes that no process writes. Where there is none to
 // settle in those, but a scheduler has another, the error is a *BusyError.
-func SettleIn(o Options, id string, v joblog.Verdict, by, why string) (n int, err error) {
+func SettleIn(o Options, id string, v journal.Verdict, by, why string) (n int, err error) {
 	if o.FS == nil {
 		o.FS = OS{}
 	}
@@ -204,7 +204,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("journal %s: %w", o.Dir, err)
 	}
-	key, err := joblog.NewKey(o.Secret)
+	key, err := journal.NewKey(o.Secret)
 	if err != nil {
 		return 0, err
 	}
@@ -224,7 +224,7 @@
 	return 0, ErrNothingToSettle
 }
 
-func settleLane(o Options, dir string, key *joblog.Key, id string, v joblog.Verdict, by, why string) (n int, err error) {
+func settleLane(o Options, dir string, key *journal.Key, id string, v journal.Verdict, by, why string) (n int, err error) {
 	lock, text, err := o.FS.Lock(join(dir, lockName), fmt.Sprintf(`{"pid":%d,"name":"journal settle"}`, o.Owner.PID))
 	if err != nil {
 		if errors.Is(err, ErrLocked) {
--- a/internal/joblog/store/replay.go
+++ b/internal/journal/store/replay.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"sedgevale/internal/joblog"
+	"sedgevale/internal/journal"
 )
 
 const (
@@ -44,30 +44,30 @@
 	problems []Problem
 	number   uint64 // the highest of any file, good or not
 	records  uint64
-	seq      uint64     // of the last good record
-	tip      joblog.Mac // its mac
+	seq      uint64      // of the last good record
+	tip      journal.Mac // its mac
 	run      [16]byte
 	pruned   uint64
 	stale    []string // files that retention has dropped, and that are still there
 	durSeq   uint64   // of the last record that was surely durable, and what follows it
-	durTip   joblog.Mac
-	after    []joblog.Record
+	durTip   journal.Mac
+	after    []journal.Record
 	closed   bool // the last record says that nothing is missing
 	torn     bool // something stands behind the last good record
 }
 
 // visitor is shown what is read, in order.
 type visitor struct {
-	run    func()                                // the process whose records came so far is gone
-	record func(r *joblog.Record, number uint64) // number is the segment's
-	gap    func()                                // records are missing here
-	skip   func(encoded []byte) bool             // true: not even decoded; may be nil
+	run    func()                                 // the process whose records came so far is gone
+	record func(r *journal.Record, number uint64) // number is the segment's
+	gap    func()                                 // records are missing here
+	skip   func(encoded []byte) bool              // true: not even decoded; may be nil
 }
 
 // readLane reads all segments of a lane and checks the chain. Only an error that says
 // nothing of the files' content is returned; what is wrong in them is in problems. A
 // key or version that is not ours is an error: nothing could be read.
-func readLane(fsys FS, dir string, key *joblog.Key, v visitor) (*replayed, error) {
+func readLane(fsys FS, dir string, key *journal.Key, v visitor) (*replayed, error) {
 	names, err := fsys.ReadDir(dir)
 	if err != nil {
 		return nil, err
@@ -75,8 +75,8 @@
 	out := &replayed{}
 	type open struct {
 		segment
-		header joblog.Header
-		mac    joblog.Mac
+		header journal.Header
+		mac    journal.Mac
 	}
 	var all []open
 	for _, name := range names {
@@ -98,7 +98,7 @@
 		s.bytes = int64(len(b))
 		s.header, s.mac, err = key.ReadHeader(b)
 		switch {
-		case errors.Is(err, joblog.ErrKey), errors.Is(err, joblog.ErrVersion):
+		case errors.Is(err, journal.ErrKey), errors.Is(err, journal.ErrVersion):
 			return nil, fmt.Errorf("%s: %w", s.path, err)
 		case err == nil && s.header.Number != number:
 			out.problems = append(out.problems, Problem{s.path, 0, fmt.Sprintf("it is segment %d by its header", s.header.Number), false})
@@ -140,12 +140,12 @@
 		if err != nil {
 			return nil, err
 		}
-		lastMac, good := s.mac, joblog.HeaderSize
+		lastMac, good := s.mac, journal.HeaderSize
 		// A segment is begun once all before it is durable.
 		out.durSeq, out.durTip, out.after = out.seq, out.tip, nil
 		type place struct {
 			end int
-			mac joblog.Mac
+			mac journal.Mac
 		}
 		var undurable []place // of the records in after
 		for cut == 0 || out.seq+1 < cut {
@@ -165,15 +165,15 @@
 			}
 			undurable = append(undurable, place{good, f.Mac})
 			if r == nil {
-				out.after = append(out.after, joblog.Record{}) // a question: nothing is written after it
+				out.after = append(out.after, journal.Record{}) // a question: nothing is written after it
 			} else {
 				out.after = append(out.after, *r)
 			}
 			if r != nil {
-				out.closed = r.Kind == joblog.Closed
+				out.closed = r.Kind == journal.Closed
 				out.records++
 				s.last = max(s.last, r.At)
-				if r.Kind == joblog.Pruned {
+				if r.Kind == journal.Pruned {
 					out.pruned = max(out.pruned, r.Count)
 				}
 				if v.record != nil {
@@ -188,8 +188,8 @@
 		default:
 			out.torn, out.closed = true, false
 			out.problems = append(out.problems, Problem{s.path, int64(good), fmt.Sprintf(
-				"%d bytes at the end are no record", len(b)-good), tail == joblog.TornTail})
-			if tail == joblog.DamagedTail && v.gap != nil {
+				"%d bytes at the end are no record", len(b)-good), tail == journal.TornTail})
+			if tail == journal.DamagedTail && v.gap != nil {
 				v.gap()
 			}
 		}
@@ -212,11 +212,11 @@
 	return out, nil
 }
 
-func decode(b []byte, skip func([]byte) bool) (*joblog.Record, error) {
+func decode(b []byte, skip func([]byte) bool) (*journal.Record, error) {
 	if skip != nil && skip(b) {
 		return nil, nil
 	}
-	return joblog.Decode(b)
+	return journal.Decode(b)
 }
 
 func segmentNumber(name string) (uint64, bool) {
--- a/internal/joblog/store/store.go
+++ b/internal/journal/store/store.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"sedgevale/internal/inbox"
-	"sedgevale/internal/joblog"
+	"sedgevale/internal/journal"
+	"sedgevale/internal/unbounded"
 )
 
 // Options set a Store up.
@@ -61,7 +61,7 @@
 var ErrEnded = errors.New("the journal is closed")
 
 type entry struct {
-	rec  joblog.Record
+	rec  journal.Record
 	done func(error) // once the record is durable, or cannot be; may be nil
 	call func()      // in place of a record
 }
@@ -71,7 +71,7 @@
 type Store struct {
 	opt   Options
 	lock  io.Closer
-	box   *inbox.Box[entry]
+	box   *unbounded.Box[entry]
 	wake  chan struct{}
 	ended chan struct{}
 	lane  *lane
@@ -83,8 +83,8 @@
 	closing bool
 
 	// For the loop alone.
-	space   joblog.Space
-	held    []joblog.Record
+	space   journal.Space
+	held    []journal.Record
 	dropped uint64
 	waiting []func(error)
 	swept   time.Time
@@ -127,7 +127,7 @@
 	if o.Segment <= 0 {
 		o.Segment = min(max(o.MaxBytes/16, ledgerMin), ledgerMax)
 	}
-	key, err := joblog.NewKey(o.Secret)
+	key, err := journal.NewKey(o.Secret)
 	if err != nil {
 		return nil, fmt.Errorf("journal %s: %w", o.Dir, err)
 	}
@@ -136,14 +136,14 @@
 		return nil, fmt.Errorf("journal %s: %w", o.Dir, err)
 	}
 	s := &Store{opt: o, lock: lock, wake: make(chan struct{}, 1), ended: make(chan struct{}),
-		space: joblog.Space{Reserve: o.Reserve, Most: o.MaxBytes}, spawn: func(do func()) { go do() }}
+		space: journal.Space{Reserve: o.Reserve, Most: o.MaxBytes}, spawn: func(do func()) { go do() }}
 	var rec recovery
 	if s.lane, rec, err = openLane(o.FS, dir, key, o.Segment, s.doubt); err != nil {
 		lock.Close()
 		return nil, fmt.Errorf("journal %s: %w", o.Dir, err)
 	}
 	s.serial = s.lane.book.Last
-	s.box = inbox.New[entry](func() {
+	s.box = unbounded.New[entry](func() {
 		select {
 		case s.wake <- struct{}{}:
 		default:
@@ -154,8 +154,8 @@
 			o.Log.Error("the journal is damaged", "at", p.String())
 		}
 	}
-	o.Log.Info("journal open", "dir", dir, "after_crash", !rec.clean, "open_ran", rec.open[joblog.Ran],
-		"open_did_not_run", rec.open[joblog.DidNotRun], "open_unknown", rec.open[joblog.Unknown], "to_settle", rec.kept)
+	o.Log.Info("journal open", "dir", dir, "after_crash", !rec.clean, "open_ran", rec.open[journal.Ran],
+		"open_did_not_run", rec.open[journal.DidNotRun], "open_unknown", rec.open[journal.Unknown], "to_settle", rec.kept)
 	s.measure()
 	return s, nil
 }
@@ -242,7 +242,7 @@
 
 // Put hands a record in. Done, which may be nil, is called from the Store's goroutine
 // once the record is durable, or with an error once it cannot be.
-func (s *Store) Put(r joblog.Record, done func(error)) {
+func (s *Store) Put(r journal.Record, done func(error)) {
 	r.Clip()
 	s.box.Put(entry{rec: r, done: done})
 }
@@ -345,7 +345,7 @@
 		return end
 	}
 	if s.dropped > 0 {
-		recs = append([]joblog.Record{{Kind: joblog.Gap, At: s.opt.Now().UnixMicro(), Count: s.dropped}}, recs...)
+		recs = append([]journal.Record{{Kind: journal.Gap, At: s.opt.Now().UnixMicro(), Count: s.dropped}}, recs...)
 	}
 	err := s.lane.write(recs)
 	if err != nil && s.reserve { // what closes open jobs may use what was reserved for it
@@ -374,10 +374,10 @@
 
 // hold keeps what could not be written, but for intents, whose attempts are not made,
 // and beyond the bound.
-func (s *Store) hold(recs []joblog.Record) {
+func (s *Store) hold(recs []journal.Record) {
 	for _, r := range recs {
 		switch {
-		case r.Kind == joblog.Intent, r.Kind == joblog.Gap:
+		case r.Kind == journal.Intent, r.Kind == journal.Gap:
 		case len(s.held) >= heldMost:
 			s.dropped++
 		default:
--- a/internal/joblog/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -13,16 +13,16 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/joblog"
-	"sedgevale/internal/joblog/store"
-	"sedgevale/internal/standin"
+	"sedgevale/internal/fake"
+	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/store"
 	"sedgevale/internal/testkit"
 )
 
 // desk is a stepped Store on a disk in memory.
 type desk struct {
 	t    *testing.T
-	disk *standin.Disk
+	disk *fake.Disk
 	s    *store.Store
 	now  time.Time
 	log  bytes.Buffer
@@ -30,7 +30,7 @@
 }
 
 func newDesk(t *testing.T, room int64, change func(*store.Options)) *desk {
-	d := &desk{t: t, disk: standin.NewDisk(1, room), now: time.UnixMicro(1e15)}
+	d := &desk{t: t, disk: fake.NewDisk(1, room), now: time.UnixMicro(1e15)}
 	d.opt = store.Options{FS: d.disk, Dir: "j", Secret: secret, Sync: true, Keep: time.Hour, Reserve: 4 << 10, Segment: 4 << 10,
 		Owner: store.Owner{PID: 1, Name: "a"}, Now: func() time.Time { return d.now }, Log: slog.New(slog.NewTextHandler(&d.log, nil))}
 	if change != nil {
@@ -62,16 +62,16 @@
 	serial = d.s.Serial()
 	at := d.now.UnixMicro()
 	out := errors.New("still waiting")
-	d.s.Put(joblog.Record{Kind: joblog.Taken, Serial: serial, At: at, Job: id, Class: "once"}, nil)
-	d.s.Put(joblog.Record{Kind: joblog.Intent, Serial: serial, At: at, Job: id, Worker: "box"}, func(err error) { out = err })
+	d.s.Put(journal.Record{Kind: journal.Taken, Serial: serial, At: at, Job: id, Class: "once"}, nil)
+	d.s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: at, Job: id, Worker: "box"}, func(err error) { out = err })
 	return serial, func() error { return out }
 }
 
 // end hands in that a job ran and was answered.
 func (d *desk) end(serial uint64) {
 	at := d.now.UnixMicro()
-	d.s.Put(joblog.Record{Kind: joblog.Ended, Serial: serial, At: at, Code: uint8(joblog.OutServed)}, nil)
-	d.s.Put(joblog.Record{Kind: joblog.Answered, Serial: serial, At: at, Code: uint8(joblog.Served)}, nil)
+	d.s.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: at, Code: uint8(journal.OutServed)}, nil)
+	d.s.Put(journal.Record{Kind: journal.Answered, Serial: serial, At: at, Code: uint8(journal.Served)}, nil)
 }
 
 func (d *desk) view() *store.View {
@@ -115,7 +115,7 @@
 	if err := got(); !errors.Is(err, store.ErrNoRoom) {
 		t.Errorf("an intent with no room: %v", err)
 	}
-	d.s.Put(joblog.Record{Kind: joblog.Answered, Serial: late, At: 1, Code: uint8(joblog.Refused)}, nil)
+	d.s.Put(journal.Record{Kind: journal.Answered, Serial: late, At: 1, Code: uint8(journal.Refused)}, nil)
 	for range 5 {
 		d.step()
 	}
@@ -165,7 +165,7 @@
 	d := newDesk(t, 1<<20, nil)
 	_, first := d.begin("first")
 	d.step()
-	d.disk.Fail(standin.OpSync, 1)
+	d.disk.Fail(fake.OpSync, 1)
 	_, second := d.begin("second")
 	for range 3 {
 		d.step()
@@ -176,7 +176,7 @@
 	if !strings.Contains(d.log.String(), "cannot be written") {
 		t.Error("no line says so")
 	}
-	d.disk.Fail(standin.OpSync, 0)
+	d.disk.Fail(fake.OpSync, 0)
 	d.step()
 	if err := second(); err != nil {
 		t.Errorf("after the fault: %v", err)
@@ -193,8 +193,8 @@
 func TestRetention(t *testing.T) {
 	d := newDesk(t, 8<<20, func(o *store.Options) { o.Keep, o.MaxBytes = time.Minute, 1<<20 })
 	doubt, _ := d.begin("doubt")
-	d.s.Put(joblog.Record{Kind: joblog.Ended, Serial: doubt, At: 1, Code: uint8(joblog.OutLost)}, nil)
-	d.s.Put(joblog.Record{Kind: joblog.Answered, Serial: doubt, At: 1, Code: uint8(joblog.Failed)}, nil)
+	d.s.Put(journal.Record{Kind: journal.Ended, Serial: doubt, At: 1, Code: uint8(journal.OutLost)}, nil)
+	d.s.Put(journal.Record{Kind: journal.Answered, Serial: doubt, At: 1, Code: uint8(journal.Failed)}, nil)
 	open, _ := d.begin("open")
 	for i := range 2000 {
 		serial, _ := d.begin(fmt.Sprint("many-", i))
@@ -221,14 +221,14 @@
 		t.Errorf("carried on and ended: %s", got)
 	}
 	d.s.Finish()
-	n, err := store.SettleIn(d.opt, "doubt", joblog.Ran, "ann", "seen on the box")
+	n, err := store.SettleIn(d.opt, "doubt", journal.Ran, "ann", "seen on the box")
 	if n != 1 || err != nil {
 		t.Fatalf("settled %d, %v", n, err)
 	}
 	if got := d.verdict("doubt"); got != "ran" {
 		t.Errorf("settled as ran: %s", got)
 	}
-	if _, err := store.SettleIn(d.opt, "doubt", joblog.Ran, "ann", "again"); !errors.Is(err, store.ErrNothingToSettle) {
+	if _, err := store.SettleIn(d.opt, "doubt", journal.Ran, "ann", "again"); !errors.Is(err, store.ErrNothingToSettle) {
 		t.Errorf("settled twice: %v", err)
 	}
 	d.open()
@@ -340,7 +340,7 @@
 		t.Errorf("missing for a journal with records: %v", err)
 	}
 	made, err := store.MakeKey(path, false)
-	if err != nil || len(made) < joblog.MinKey {
+	if err != nil || len(made) < journal.MinKey {
 		t.Fatalf("%d bytes, %v", len(made), err)
 	}
 	if again, err := store.MakeKey(path, true); err != nil || !bytes.Equal(made, again) {
@@ -368,12 +368,12 @@
 	d.begin("j")
 	d.step()
 	wrong := bytes.Repeat([]byte{1}, 32)
-	if _, err := store.Read(d.disk, "j", wrong, ""); !errors.Is(err, joblog.ErrKey) {
+	if _, err := store.Read(d.disk, "j", wrong, ""); !errors.Is(err, journal.ErrKey) {
 		t.Errorf("another key: %v", err)
 	}
 	d.disk = d.disk.Kill()
 	d.opt.FS, d.opt.Secret = d.disk, wrong
-	if _, err := store.OpenStepped(d.opt); !errors.Is(err, joblog.ErrKey) {
+	if _, err := store.OpenStepped(d.opt); !errors.Is(err, journal.ErrKey) {
 		t.Errorf("opened with another key: %v", err)
 	}
 	if strings.Contains(d.log.String(), hex.EncodeToString(secret)) {
@@ -392,8 +392,8 @@
 	done := make(chan error, 300)
 	for i := range 300 {
 		serial := s.Serial()
-		s.Put(joblog.Record{Kind: joblog.Taken, Serial: serial, At: int64(i + 1), Job: fmt.Sprint("job-", i), Class: "once"}, nil)
-		s.Put(joblog.Record{Kind: joblog.Intent, Serial: serial, At: int64(i + 1), Job: fmt.Sprint("job-", i), Worker: "box"},
+		s.Put(journal.Record{Kind: journal.Taken, Serial: serial, At: int64(i + 1), Job: fmt.Sprint("job-", i), Class: "once"}, nil)
+		s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: int64(i + 1), Job: fmt.Sprint("job-", i), Worker: "box"},
 			func(err error) { done <- err })
 	}
 	for range 300 {
@@ -405,7 +405,7 @@
 	if err != nil || len(v.Jobs) != 1 || v.Jobs[0].ID != "job-77" || !v.Jobs[0].Live || len(v.Jobs[0].Attempts) != 1 {
 		t.Fatalf("%+v, %v", v, err)
 	}
-	if n, err := s.Settle("job-77", joblog.Ran, "ann", "why"); n != 0 || !errors.Is(err, store.ErrNothingToSettle) {
+	if n, err := s.Settle("job-77", journal.Ran, "ann", "why"); n != 0 || !errors.Is(err, store.ErrNothingToSettle) {
 		t.Errorf("an open job was settled: %d, %v", n, err)
 	}
 	s.Close()
--- a/internal/ops/journal.go
+++ b/internal/ops/journal.go
@@ -9,8 +9,8 @@
 
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
-	"sedgevale/internal/joblog"
-	"sedgevale/internal/joblog/store"
+	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/store"
 )
 
 // Journal answers questions about jobs. Its methods may wait for the disk.
@@ -35,7 +35,7 @@
 	if s.Job == "" || s.By == "" || s.Why == "" {
 		return errors.New(`the body must be {"job":"ID","verdict":"ran|did_not_run|unknown","by":"NAME","why":"TEXT"}`)
 	}
-	_, err := joblog.ParseVerdict(s.Verdict)
+	_, err := journal.ParseVerdict(s.Verdict)
 	return err
 }
 
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/budget"
+	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/httpd"
 	"sedgevale/internal/testkit"
 )
@@ -39,7 +39,7 @@
 	t.Helper()
 	o = &orders{make(chan string, 8), sick}
 	addr = testkit.FreeAddr(t)
-	s := httpd.New(addr, 1, New(o, nil, nil), budget.New(0), slog.New(slog.DiscardHandler))
+	s := httpd.New(addr, 1, New(o, nil, nil), fdlimit.New(0), slog.New(slog.DiscardHandler))
 	if err := s.Start(nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
 	"sedgevale/internal/discovery"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/peers"
 )
 
@@ -39,8 +39,8 @@
 	Revision peers.Revision // of the configuration that is in force at the start; told where they watch
 	Hearers  int
 	Least    int
-	Planners []*core.Planner
-	Clock    core.Clock
+	Planners []*dispatch.Planner
+	Clock    dispatch.Clock
 	Log      *slog.Logger
 }
 
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -9,32 +9,32 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
 	"sedgevale/internal/discovery"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/testkit"
 )
 
 // carrier notes where jobs are sent.
-type carrier struct{ sent chan *core.Attempt }
+type carrier struct{ sent chan *dispatch.Attempt }
 
-func (c *carrier) Send(a *core.Attempt)        { c.sent <- a }
-func (c *carrier) Cancel(*core.Attempt)        {}
-func (c *carrier) Withdraw(*core.Attempt)      {}
-func (c *carrier) Probe(string, *core.Planner) {}
-func (c *carrier) CloseIdle(string)            {}
+func (c *carrier) Send(a *dispatch.Attempt)        { c.sent <- a }
+func (c *carrier) Cancel(*dispatch.Attempt)        {}
+func (c *carrier) Withdraw(*dispatch.Attempt)      {}
+func (c *carrier) Probe(string, *dispatch.Planner) {}
+func (c *carrier) CloseIdle(string)                {}
 
 type client struct{}
 
-func (client) Started()           {}
-func (client) Progress(float64)   {}
-func (client) Answer(core.Answer) {}
+func (client) Started()               {}
+func (client) Progress(float64)       {}
+func (client) Answer(dispatch.Answer) {}
 
 // one is a scheduler's planner with its link.
 type one struct {
-	planner *core.Planner
+	planner *dispatch.Planner
 	carrier *carrier
 	link    *Link
-	clock   core.Clock
+	clock   dispatch.Clock
 	class   *sedgevale.Class
 }
 
@@ -43,14 +43,14 @@
 func begin(t *testing.T, self int, addrs []netip.AddrPort) *one {
 	t.Helper()
 	set := sedgevale.Settings{Classes: []sedgevale.Class{{Name: "free", Aim: time.Second, Limit: 5 * time.Second}}, MaxAttempts: 2}
-	s := &one{carrier: &carrier{make(chan *core.Attempt, 16)}, clock: core.NewClock(), class: &set.Classes[0]}
+	s := &one{carrier: &carrier{make(chan *dispatch.Attempt, 16)}, clock: dispatch.NewClock(), class: &set.Classes[0]}
 	log := slog.New(slog.DiscardHandler)
 	var err error
-	if s.planner, err = core.NewPlanner(set, uint64(self), s.clock, s.carrier, func() {}, log); err != nil {
+	if s.planner, err = dispatch.NewPlanner(set, uint64(self), s.clock, s.carrier, func() {}, log); err != nil {
 		t.Fatal(err)
 	}
 	s.link = New(Options{Listen: addrs[self], Peers: addrs, Self: self, Site: 1, Hearers: 12, Least: 6,
-		Planners: []*core.Planner{s.planner}, Clock: s.clock, Log: log})
+		Planners: []*dispatch.Planner{s.planner}, Clock: s.clock, Log: log})
 	var entries []sedgevale.WorkerInfo
 	for _, m := range list.Members {
 		entries = append(entries, sedgevale.WorkerInfo{Worker: m.ID})
@@ -67,7 +67,7 @@
 
 func (s *one) ask(t *testing.T, id string) (worker string) {
 	t.Helper()
-	s.planner.Request(core.NewExchange(core.Job{ID: id, Class: s.class, Tenant: -1}, s.clock.Now()+5*time.Second, client{}))
+	s.planner.Request(dispatch.NewExchange(dispatch.Job{ID: id, Class: s.class, Tenant: -1}, s.clock.Now()+5*time.Second, client{}))
 	return testkit.Await(t, "a job at a worker", s.carrier.sent).Worker
 }
 
--- a/internal/peerlink/revision_test.go
+++ b/internal/peerlink/revision_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/peers"
 )
 
@@ -17,7 +17,7 @@
 func alone(t *testing.T, self int, addrs []netip.AddrPort, watch bool, r peers.Revision) *Link {
 	t.Helper()
 	l := New(Options{Listen: addrs[self], Peers: addrs, Self: self, Site: 1, Watch: watch, Seed: uint64(self), Hearers: 2, Least: 1,
-		Revision: r, Clock: core.NewClock(), Log: slog.New(slog.DiscardHandler)})
+		Revision: r, Clock: dispatch.NewClock(), Log: slog.New(slog.DiscardHandler)})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
@@ -78,7 +78,7 @@
 func TestWhoIsBehindIsLogged(t *testing.T) {
 	addrs := addresses(t, 9)
 	var out bytes.Buffer
-	l := New(Options{Listen: addrs[0], Peers: addrs, Self: 0, Site: 1, Watch: true, Clock: core.NewClock(), Log: slog.New(slog.NewTextHandler(&out, nil))})
+	l := New(Options{Listen: addrs[0], Peers: addrs, Self: 0, Site: 1, Watch: true, Clock: dispatch.NewClock(), Log: slog.New(slog.NewTextHandler(&out, nil))})
 	lag := func(number int, over bool) peers.Lag {
 		return peers.Lag{Number: number, Revision: 40, Newest: 41, For: 15_300 * time.Millisecond, Over: over}
 	}
--- a/internal/front/front.go
+++ b/internal/platformapi/platformapi.go
@@ -1,32 +1,32 @@
-// Package front is the thin front for the platform's protocol: a request comes,
+// Package platformapi is the thin front for the platform's protocol: a request comes,
 // one answer goes.
-package front
+package platformapi
 
 import (
 	"errors"
 	"strconv"
 
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
-	"sedgevale/internal/intake"
+	"sedgevale/internal/jobrequest"
 )
 
 // Planners take requests in.
 type Planners interface {
-	Request(*core.Exchange)
-	Gone(*core.Exchange)
+	Request(*dispatch.Exchange)
+	Gone(*dispatch.Exchange)
 }
 
 // Front is an httpd.Handler.
 type Front struct {
-	rules    *intake.Rules
+	rules    *jobrequest.Rules
 	planners Planners
 	ready    func() bool
 }
 
 // New returns a Front. Ready says whether the scheduler should be sent requests.
-func New(rules *intake.Rules, planners Planners, ready func() bool) *Front {
+func New(rules *jobrequest.Rules, planners Planners, ready func() bool) *Front {
 	return &Front{rules, planners, ready}
 }
 
@@ -41,14 +41,14 @@
 		Reject(c, err)
 		return
 	}
-	x := core.NewExchange(job, deadline, waiter{c})
+	x := dispatch.NewExchange(job, deadline, waiter{c})
 	c.State = x
 	f.planners.Request(x)
 }
 
 // Gone is called when the client left before its answer.
 func (f *Front) Gone(c *httpd.Conn) {
-	if x, ok := c.State.(*core.Exchange); ok {
+	if x, ok := c.State.(*dispatch.Exchange); ok {
 		f.planners.Gone(x)
 	}
 }
@@ -57,7 +57,7 @@
 func Ready(c *httpd.Conn, q *httpd.Request, ready bool) {
 	switch {
 	case q.Method != "GET":
-		Reject(c, &intake.Error{Status: 405, Text: "only GET"})
+		Reject(c, &jobrequest.Error{Status: 405, Text: "only GET"})
 	case ready:
 		c.Respond(200, nil, []byte("ready\n"))
 	default:
@@ -68,7 +68,7 @@
 // Reject answers a request that is no job, and ends its connection.
 func Reject(c *httpd.Conn, err error) {
 	status := 400
-	var why *intake.Error
+	var why *jobrequest.Error
 	if errors.As(err, &why) {
 		status = why.Status
 	}
@@ -85,20 +85,20 @@
 func (waiter) Started()         {}
 func (waiter) Progress(float64) {}
 
-func (w waiter) Answer(a core.Answer) {
+func (w waiter) Answer(a dispatch.Answer) {
 	w.c.Post(func(c *httpd.Conn) {
 		c.State = nil
 		switch a.Kind {
-		case core.Served:
+		case dispatch.Served:
 			c.Respond(200, nil, a.Result)
-		case core.Refused:
+		case dispatch.Refused:
 			var fields []http1.Field
 			if a.After > 0 {
 				fields = []http1.Field{{Name: "Retry-After",
 					Value: strconv.FormatFloat(a.After.Seconds(), 'f', 3, 64)}}
 			}
 			c.Respond(503, fields, []byte(a.Reason+"\n"))
-		case core.Failed:
+		case dispatch.Failed:
 			c.Respond(500, nil, []byte(a.Reason+"\n"))
 		}
 	})
--- a/internal/web/bench_test.go
+++ b/internal/reverseproxy/bench_test.go
@@ -1,4 +1,4 @@
-package web
+package reverseproxy
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/route"
 )
 
@@ -48,8 +48,8 @@
 		spec.Use = append(spec.Use, fmt.Sprintf("app if { path_beg /p%d/ }", i))
 	}
 	b := &testing.B{}
-	serve(b, &config.Web{Frontends: []config.WebFrontend{{Name: "in", Listen: []string{words[1]}, ForwardFor: true, Spec: spec}},
-		Backends: []config.WebBackend{{Name: "app", Servers: []config.WebServer{{Name: "s", Addr: words[2]}}}}})
+	serve(b, &dispatchconfig.Web{Frontends: []dispatchconfig.WebFrontend{{Name: "in", Listen: []string{words[1]}, ForwardFor: true, Spec: spec}},
+		Backends: []dispatchconfig.WebBackend{{Name: "app", Servers: []dispatchconfig.WebServer{{Name: "s", Addr: words[2]}}}}})
 	select {}
 }
 
--- a/internal/web/call.go
+++ b/internal/reverseproxy/call.go
@@ -1,4 +1,4 @@
-package web
+package reverseproxy
 
 import (
 	"math/rand/v2"
@@ -10,7 +10,7 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
 	"sedgevale/internal/pool"
@@ -43,7 +43,7 @@
 	tries  int
 	server string // has it now; "": none
 	member int
-	x      *core.Exchange
+	x      *dispatch.Exchange
 	cause  string // of the last failure, as retry_on names it
 	flying bool   // it is out at the server
 	begun  bool   // the head of an answer has gone to the client
@@ -279,7 +279,7 @@
 	if k.pump != nil { // its body takes as long as the client does; the pump keeps the times
 		limit = pumpMost
 	}
-	k.x = core.NewExchange(core.Job{ID: k.site.requestID(), Class: class, Tenant: -1, Slots: 1, Load: k}, now+limit, &side{k})
+	k.x = dispatch.NewExchange(dispatch.Job{ID: k.site.requestID(), Class: class, Tenant: -1, Slots: 1, Load: k}, now+limit, &side{k})
 	x := k.x
 	k.mu.Unlock()
 	k.site.planners.Request(x)
@@ -294,9 +294,9 @@
 // Answer comes from the planner's goroutine. Served means that the head of an answer has
 // come, which the relay passes on by itself. After a refusal the request may go to another
 // server: the module says by it that nothing of it can have run, or may run again.
-func (s *side) Answer(a core.Answer) {
+func (s *side) Answer(a dispatch.Answer) {
 	k := s.k
-	if a.Kind == core.Served {
+	if a.Kind == dispatch.Served {
 		return
 	}
 	k.mu.Lock()
@@ -321,7 +321,7 @@
 	}
 	b := k.back
 	b.mu.Lock()
-	again := a.Kind == core.Refused && cause != "" && b.spec.RetriesOn(cause) && tries < b.spec.Attempts() && (k.pump == nil || !k.pump.passed())
+	again := a.Kind == dispatch.Refused && cause != "" && b.spec.RetriesOn(cause) && tries < b.spec.Attempts() && (k.pump == nil || !k.pump.passed())
 	b.mu.Unlock()
 	if cause == "conn-failure" && server != "" {
 		b.failed(server)
--- a/internal/web/failure_test.go
+++ b/internal/reverseproxy/failure_test.go
@@ -1,4 +1,4 @@
-package web
+package reverseproxy
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 )
 
 // box is a server that can be made to fail, and notes what it began.
@@ -101,15 +101,15 @@
 func TestFailuresUnderLoad(t *testing.T) {
 	const inter, fall = 50 * time.Millisecond, 2
 	boxes := make([]*box, 4)
-	var servers []config.WebServer
+	var servers []dispatchconfig.WebServer
 	for i := range boxes {
 		boxes[i] = newBox(t)
-		servers = append(servers, config.WebServer{Addr: boxes[i].addr})
+		servers = append(servers, dispatchconfig.WebServer{Addr: boxes[i].addr})
 	}
 	c := site(t, servers...)
 	c.Backends[0].ServerTimeout, c.Backends[0].ConnectTimeout = 0.8, 0.3
 	c.Backends[0].RetryOn = []string{"conn-failure", "empty-response"}
-	c.Backends[0].Check = &config.WebCheck{Kind: "http", Method: "GET", URI: "/up", Every: inter.Seconds(), Rise: 2, Fall: fall}
+	c.Backends[0].Check = &dispatchconfig.WebCheck{Kind: "http", Method: "GET", URI: "/up", Every: inter.Seconds(), Rise: 2, Fall: fall}
 	s, front := serve(t, c)
 
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/web/loop_out.go
+++ b/internal/reverseproxy/loop_out.go
@@ -1,4 +1,4 @@
-package web
+package reverseproxy
 
 import (
 	"slices"
--- a/internal/web/pump.go
+++ b/internal/reverseproxy/pump.go
@@ -1,4 +1,4 @@
-package web
+package reverseproxy
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
 )
@@ -28,8 +28,8 @@
 type pump struct {
 	call   *call
 	client *httpd.Detached
-	sent   chan *core.Attempt // the module has sent it
-	told   chan ownAnswer     // an answer of ours
+	sent   chan *dispatch.Attempt // the module has sent it
+	told   chan ownAnswer         // an answer of ours
 	end    chan struct{}
 	once   sync.Once
 
@@ -48,7 +48,7 @@
 }
 
 func newPump(k *call, c *httpd.Detached) *pump {
-	return &pump{call: k, client: c, sent: make(chan *core.Attempt, 1), told: make(chan ownAnswer, 1), end: make(chan struct{})}
+	return &pump{call: k, client: c, sent: make(chan *dispatch.Attempt, 1), told: make(chan ownAnswer, 1), end: make(chan struct{})}
 }
 
 func (p *pump) answer(status int, fields []http1.Field, body []byte, _ bool) {
@@ -136,7 +136,7 @@
 }
 
 // attempt carries the request to a server. It returns true if another may be tried.
-func (p *pump) attempt(a *core.Attempt) (again bool) {
+func (p *pump) attempt(a *dispatch.Attempt) (again bool) {
 	k := p.call
 	r := k.site.relay
 	finished := func(o sedgevale.Outcome) {
--- a/internal/web/relay.go
+++ b/internal/reverseproxy/relay.go
@@ -1,4 +1,4 @@
-package web
+package reverseproxy
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/http1"
 )
@@ -32,7 +32,7 @@
 
 	// For the loop alone.
 	servers map[string]*server
-	flights map[*core.Attempt]*flight
+	flights map[*dispatch.Attempt]*flight
 	calls   map[*call]*flight
 
 	mu    sync.Mutex
@@ -46,7 +46,7 @@
 }
 
 type flight struct {
-	a    *core.Attempt
+	a    *dispatch.Attempt
 	call *call
 	w    *server
 	c    *rconn
@@ -55,7 +55,7 @@
 }
 
 func newRelay(s *Site) *relay {
-	return &relay{site: s, loop: s.opt.Loop, servers: map[string]*server{}, flights: map[*core.Attempt]*flight{},
+	return &relay{site: s, loop: s.opt.Loop, servers: map[string]*server{}, flights: map[*dispatch.Attempt]*flight{},
 		calls: map[*call]*flight{}, ready: map[string]bool{}}
 }
 
@@ -112,7 +112,7 @@
 }
 
 // Send carries out an attempt.
-func (r *relay) Send(a *core.Attempt) {
+func (r *relay) Send(a *dispatch.Attempt) {
 	k := a.Load.(*call)
 	r.loop.Do(func() {
 		f := &flight{a: a, call: k, w: r.servers[a.Worker]}
@@ -132,7 +132,7 @@
 }
 
 // Cancel gives an attempt up by closing its connection.
-func (r *relay) Cancel(a *core.Attempt) {
+func (r *relay) Cancel(a *dispatch.Attempt) {
 	r.loop.Do(func() {
 		if f := r.flights[a]; f != nil {
 			if f.call.pump != nil && f.over {
@@ -147,7 +147,7 @@
 }
 
 // Withdraw gives an attempt up unless its request is on its way already.
-func (r *relay) Withdraw(a *core.Attempt) {
+func (r *relay) Withdraw(a *dispatch.Attempt) {
 	r.loop.Do(func() {
 		if f := r.flights[a]; f != nil && f.c == nil && f.call.pump == nil {
 			r.end(f, sedgevale.NotSent)
@@ -156,7 +156,7 @@
 }
 
 // Probe is the core's; there are no load reports here.
-func (r *relay) Probe(worker string, p *core.Planner) { p.Probed(worker, nil) }
+func (r *relay) Probe(worker string, p *dispatch.Planner) { p.Probed(worker, nil) }
 
 // CloseIdle is the core's.
 func (r *relay) CloseIdle(id string) {
--- a/internal/web/web_test.go
+++ b/internal/reverseproxy/reverseproxy_test.go
@@ -1,4 +1,4 @@
-package web
+package reverseproxy
 
 import (
 	"bufio"
@@ -18,23 +18,23 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/budget"
-	"sedgevale/internal/config"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/evloop"
+	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/route"
 	"sedgevale/internal/testkit"
 )
 
 // serve runs a Site until the test ends and returns its address.
-func serve(t testing.TB, w *config.Web) (*Site, string) {
+func serve(t testing.TB, w *dispatchconfig.Web) (*Site, string) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	loop, err := evloop.New(log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New(Options{Config: w, Loops: 1, Loop: loop, Clock: core.NewClock(), Seed: 1, Budget: budget.New(0), Log: log})
+	s, err := New(Options{Config: w, Loops: 1, Loop: loop, Clock: dispatch.NewClock(), Seed: 1, Budget: fdlimit.New(0), Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,14 +69,14 @@
 }
 
 // site is a configuration with one frontend and one backend.
-func site(t testing.TB, servers ...config.WebServer) *config.Web {
+func site(t testing.TB, servers ...dispatchconfig.WebServer) *dispatchconfig.Web {
 	for i := range servers {
 		if servers[i].Name == "" {
 			servers[i].Name = fmt.Sprint("s", i)
 		}
 	}
-	return &config.Web{Frontends: []config.WebFrontend{{Name: "in", Listen: []string{freeAddr(t)}, Spec: route.Spec{Default: "app"}}},
-		Backends: []config.WebBackend{{Name: "app", ConnectTimeout: 1, ServerTimeout: 5, Servers: servers}}}
+	return &dispatchconfig.Web{Frontends: []dispatchconfig.WebFrontend{{Name: "in", Listen: []string{freeAddr(t)}, Spec: route.Spec{Default: "app"}}},
+		Backends: []dispatchconfig.WebBackend{{Name: "app", ConnectTimeout: 1, ServerTimeout: 5, Servers: servers}}}
 }
 
 // origin is a server of net/http.
@@ -160,7 +160,7 @@
 			_, _ = w.Write(body)
 		}
 	})
-	c := site(t, config.WebServer{Addr: addr})
+	c := site(t, dispatchconfig.WebServer{Addr: addr})
 	c.Frontends[0].ForwardFor = true
 	_, front := serve(t, c)
 	w := dial(t, front) // one connection for all
@@ -208,7 +208,7 @@
 func TestSmuggling(t *testing.T) {
 	var hits atomic.Int64
 	addr := origin(t, func(w http.ResponseWriter, q *http.Request) { hits.Add(1) })
-	_, front := serve(t, site(t, config.WebServer{Addr: addr}))
+	_, front := serve(t, site(t, dispatchconfig.WebServer{Addr: addr}))
 	for _, bad := range []string{
 		"POST / HTTP/1.1\nHost: h\nContent-Length: 5\nTransfer-Encoding: chunked\n\n0\n\nGET /x HTTP/1.1\n\n",
 		"POST / HTTP/1.1\nHost: h\nTransfer-Encoding: chunked\nTransfer-Encoding: identity\n\n0\n\n",
@@ -271,7 +271,7 @@
 			}
 		}
 	})
-	_, front := serve(t, site(t, config.WebServer{Addr: addr}))
+	_, front := serve(t, site(t, dispatchconfig.WebServer{Addr: addr}))
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	for _, path := range []string{"/length", "/chunks", "/none"} {
 		for _, size := range []int{0, 1000, 64 << 10, 64<<10 + 1, 3 << 20} {
@@ -312,7 +312,7 @@
 			sent.Add(int64(n))
 		}
 	})
-	_, front := serve(t, site(t, config.WebServer{Addr: addr}))
+	_, front := serve(t, site(t, dispatchconfig.WebServer{Addr: addr}))
 	w := dial(t, front)
 	w.send("GET / HTTP/1.1\nHost: h\n\n")
 	last := int64(-1)
@@ -355,7 +355,7 @@
 			_, _ = io.WriteString(c, "echo "+line)
 		}
 	})
-	s, front := serve(t, site(t, config.WebServer{Addr: addr, MaxConn: 1}))
+	s, front := serve(t, site(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1}))
 	w := dial(t, front)
 	w.send("GET /ws HTTP/1.1\nHost: h\nConnection: keep-alive, Upgrade\nUpgrade: websocket\n\n")
 	a, err := http.ReadResponse(w.in, nil)
@@ -406,7 +406,7 @@
 	})
 	var good atomic.Int64
 	ok := origin(t, func(w http.ResponseWriter, q *http.Request) { good.Add(1); _, _ = io.WriteString(w, "ok") })
-	ask := func(c *config.Web, method string) int {
+	ask := func(c *dispatchconfig.Web, method string) int {
 		_, front := serve(t, c)
 		w := dial(t, front)
 		w.send("%s / HTTP/1.1\nHost: h\nContent-Length: 1\n\nx", method)
@@ -414,9 +414,9 @@
 		return a.StatusCode
 	}
 	// The weights make it certain that the bad one is asked first.
-	first := func(addr string) *config.Web {
+	first := func(addr string) *dispatchconfig.Web {
 		one, many := 1, 200
-		return site(t, config.WebServer{Addr: addr, Weight: &many}, config.WebServer{Addr: ok, Weight: &one})
+		return site(t, dispatchconfig.WebServer{Addr: addr, Weight: &many}, dispatchconfig.WebServer{Addr: ok, Weight: &one})
 	}
 	began := time.Now()
 	if got := ask(first(dead), "POST"); got != 200 || time.Since(began) > 2*time.Second {
@@ -451,13 +451,13 @@
 	if got := ask(first(bad), "GET"); got != 503 || failing.Load() != 2 {
 		t.Errorf("a 503 passes on: %d, %d", got, failing.Load())
 	}
-	none := site(t, config.WebServer{Addr: dead})
+	none := site(t, dispatchconfig.WebServer{Addr: dead})
 	none.Backends[0].RetryAfter = 3
 	if got := ask(none, "GET"); got != 503 {
 		t.Errorf("nobody there: %d", got)
 	}
 	slow := testkit.Accept(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
-	late := site(t, config.WebServer{Addr: slow})
+	late := site(t, dispatchconfig.WebServer{Addr: slow})
 	late.Backends[0].ServerTimeout, late.Backends[0].ConnectTimeout = 0.3, 0.2
 	if got := ask(late, "POST"); got != 504 {
 		t.Errorf("a server that says nothing: %d", got)
@@ -474,7 +474,7 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhello")
 		}
 	})
-	s, front := serve(t, site(t, config.WebServer{Addr: addr, MaxConn: 1}))
+	s, front := serve(t, site(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1}))
 	for _, path := range []string{"/chunked", "/length", "/chunked"} {
 		w := dial(t, front)
 		w.send("GET %s HTTP/1.1\nHost: h\n\n", path)
@@ -503,7 +503,7 @@
 			time.Sleep(600 * time.Millisecond)
 		}
 	})
-	c := site(t, config.WebServer{Addr: addr, MaxConn: 1})
+	c := site(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
 	_, front := serve(t, c)
 	var wg sync.WaitGroup
 	var bad atomic.Int64
@@ -521,7 +521,7 @@
 	if bad.Load() != 0 || most.Load() != 1 {
 		t.Errorf("%d failed, %d at a time", bad.Load(), most.Load())
 	}
-	c = site(t, config.WebServer{Addr: addr, MaxConn: 1})
+	c = site(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
 	c.Backends[0].QueueTimeout, c.Backends[0].RetryAfter = 0.2, 2
 	_, front = serve(t, c)
 	w, late := dial(t, front), dial(t, front)
@@ -540,10 +540,10 @@
 // have failed their checks, until one is back.
 func TestSite(t *testing.T) {
 	var up [3]atomic.Bool
-	servers := make([]config.WebServer, 3)
+	servers := make([]dispatchconfig.WebServer, 3)
 	for i := range servers {
 		up[i].Store(true)
-		servers[i] = config.WebServer{Name: fmt.Sprint("s", i), Cookie: fmt.Sprint("c", i), Addr: origin(t, func(w http.ResponseWriter, q *http.Request) {
+		servers[i] = dispatchconfig.WebServer{Name: fmt.Sprint("s", i), Cookie: fmt.Sprint("c", i), Addr: origin(t, func(w http.ResponseWriter, q *http.Request) {
 			if !up[i].Load() {
 				http.Error(w, "down", 500)
 				return
@@ -557,10 +557,10 @@
 	c.Frontends[0].Spec = route.Spec{ACL: []string{"api path_beg /api"}, Default: "app",
 		Request: []string{"deny if { path_beg /secret }", "redirect location /new code 301 if { path /old }", "set-header X-A b"},
 		Use:     []string{"api if api"}, Response: []string{"set-header X-Frame DENY"}}
-	c.Backends[0].Cookie = &config.WebCookie{Name: "SRV", Insert: true, Indirect: true, NoCache: true}
-	c.Backends[0].Check = &config.WebCheck{Kind: "http", Method: "GET", URI: "/up", Every: 0.02, Timeout: 5, Rise: 1, Fall: 1}
-	c.Backends = append(c.Backends, config.WebBackend{Name: "api", Spec: route.Spec{Request: []string{`replace-path ^/api/(.*) /\1`}},
-		Servers: []config.WebServer{{Name: "s0", Addr: servers[0].Addr}}})
+	c.Backends[0].Cookie = &dispatchconfig.WebCookie{Name: "SRV", Insert: true, Indirect: true, NoCache: true}
+	c.Backends[0].Check = &dispatchconfig.WebCheck{Kind: "http", Method: "GET", URI: "/up", Every: 0.02, Timeout: 5, Rise: 1, Fall: 1}
+	c.Backends = append(c.Backends, dispatchconfig.WebBackend{Name: "api", Spec: route.Spec{Request: []string{`replace-path ^/api/(.*) /\1`}},
+		Servers: []dispatchconfig.WebServer{{Name: "s0", Addr: servers[0].Addr}}})
 	s, front := serve(t, c)
 	get := func(path, cookie string) (*http.Response, string) {
 		t.Helper()
@@ -656,18 +656,18 @@
 		_, _ = io.WriteString(w, "a")
 	})
 	b := origin(t, func(w http.ResponseWriter, q *http.Request) { _, _ = io.WriteString(w, "b") })
-	c := site(t, config.WebServer{Addr: a, MaxConn: 5})
+	c := site(t, dispatchconfig.WebServer{Addr: a, MaxConn: 5})
 	s, front := serve(t, c)
 	w := dial(t, front)
 	w.send("GET /hold HTTP/1.1\nHost: h\n\n")
 	until(t, "the request at the server", func() bool { return s.Status()[0].Busy == 1 })
 	next := *c
-	next.Backends = []config.WebBackend{{Name: "app", Servers: []config.WebServer{{Name: "s0", Addr: a, MaxConn: 5}, {Name: "new", Addr: b}}},
-		{Name: "other", Servers: []config.WebServer{{Name: "x", Addr: b}}}}
-	next.Frontends = []config.WebFrontend{{Name: "in", Listen: c.Frontends[0].Listen, Spec: route.Spec{Default: "app",
+	next.Backends = []dispatchconfig.WebBackend{{Name: "app", Servers: []dispatchconfig.WebServer{{Name: "s0", Addr: a, MaxConn: 5}, {Name: "new", Addr: b}}},
+		{Name: "other", Servers: []dispatchconfig.WebServer{{Name: "x", Addr: b}}}}
+	next.Frontends = []dispatchconfig.WebFrontend{{Name: "in", Listen: c.Frontends[0].Listen, Spec: route.Spec{Default: "app",
 		Use: []string{"other if { path /other }"}}}}
 	bad := next
-	bad.Frontends = []config.WebFrontend{{Name: "in", Listen: c.Frontends[0].Listen, Spec: route.Spec{Default: "nowhere"}}}
+	bad.Frontends = []dispatchconfig.WebFrontend{{Name: "in", Listen: c.Frontends[0].Listen, Spec: route.Spec{Default: "nowhere"}}}
 	if _, err := s.Reload(&bad); err == nil {
 		t.Error("a bad configuration was taken")
 	}
@@ -714,7 +714,7 @@
 			}
 		}
 	})
-	s, front := serve(t, site(t, config.WebServer{Addr: addr, MaxConn: 1}))
+	s, front := serve(t, site(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1}))
 	for _, text := range []string{
 		"POST / HTTP/1.1\nHost: h\nContent-Length: 1000000\n\n" + strings.Repeat("x", 200_000),
 		"POST / HTTP/1.1\nHost: h\nTransfer-Encoding: chunked\n\n30d40\n" + strings.Repeat("x", 200_000) + "\n",
@@ -737,7 +737,7 @@
 		n, _ := io.Copy(io.Discard, q.Body)
 		fmt.Fprint(w, n)
 	})
-	_, front := serve(t, site(t, config.WebServer{Addr: addr}))
+	_, front := serve(t, site(t, dispatchconfig.WebServer{Addr: addr}))
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/web/site.go
+++ b/internal/reverseproxy/site.go
@@ -1,9 +1,9 @@
-// Package web is the third front: a plain HTTP/1.1 reverse proxy for any method, path and
+// Package reverseproxy is the third front: a plain HTTP/1.1 reverse proxy for any method, path and
 // answer, on the same event loops, Exchange and decision module as the others. Routes say
 // which backend a request goes to, the backend's pool which of its servers may have it,
 // and the module whether and when it goes. Bodies of up to 64 KiB are carried on the event
 // loops; longer ones, and tunnels, in goroutines that read no faster than they write.
-package web
+package reverseproxy
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/budget"
-	"sedgevale/internal/config"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/evloop"
+	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/healthcheck"
 	"sedgevale/internal/httpd"
 	"sedgevale/internal/pool"
@@ -30,19 +30,19 @@
 
 // Options set a Site up.
 type Options struct {
-	Config *config.Web
+	Config *dispatchconfig.Web
 	Loops  int
 	Loop   *evloop.Loop
-	Clock  core.Clock
+	Clock  dispatch.Clock
 	Seed   uint64
-	Budget *budget.Budget
+	Budget *fdlimit.Budget
 	Log    *slog.Logger
 }
 
 // Site is all frontends and backends.
 type Site struct {
 	opt      Options
-	planners *core.Set
+	planners *dispatch.Set
 	relay    *relay
 	servers  []*httpd.Server
 	next     atomic.Uint64 // of requests
@@ -56,13 +56,13 @@
 
 // tables are what requests are dealt with by. They are not changed, only replaced.
 type tables struct {
-	web       *config.Web
+	web       *dispatchconfig.Web
 	frontends map[string]*frontend
 	backends  map[string]*backend
 }
 
 type frontend struct {
-	spec  config.WebFrontend
+	spec  dispatchconfig.WebFrontend
 	rules *route.Rules
 }
 
@@ -72,7 +72,7 @@
 	site *Site
 
 	mu     sync.Mutex
-	spec   config.WebBackend
+	spec   dispatchconfig.WebBackend
 	rules  *route.Rules
 	pool   *pool.Pool
 	hash   *route.Format
@@ -95,15 +95,15 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := core.NewPlanner(s.settings(t), o.Seed, o.Clock, s.relay, func() {}, o.Log)
+	p, err := dispatch.NewPlanner(s.settings(t), o.Seed, o.Clock, s.relay, func() {}, o.Log)
 	if err != nil {
 		return nil, err
 	}
-	s.planners = core.NewSet(p)
+	s.planners = dispatch.NewSet(p)
 	s.install(t)
 	for _, f := range o.Config.Frontends {
-		limits := httpd.Limits{First: config.Seconds(f.RequestTimeout), Slow: config.Seconds(f.RequestTimeout),
-			Read: config.Seconds(f.RequestTimeout), Idle: config.Seconds(f.IdleTimeout)}
+		limits := httpd.Limits{First: dispatchconfig.Seconds(f.RequestTimeout), Slow: dispatchconfig.Seconds(f.RequestTimeout),
+			Read: dispatchconfig.Seconds(f.RequestTimeout), Idle: dispatchconfig.Seconds(f.IdleTimeout)}
 		if f.RequestTimeout == 0 {
 			limits.First, limits.Slow, limits.Read = requestWait, requestWait, requestWait
 		}
@@ -140,7 +140,7 @@
 // Reload goes on by other frontends and backends. Requests under way go on by the old
 // ones; servers that stay keep their state. New addresses to listen on wait for a new
 // start; they are returned. An error changes nothing.
-func (s *Site) Reload(w *config.Web) (waits []string, err error) {
+func (s *Site) Reload(w *dispatchconfig.Web) (waits []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t, err := s.build(w)
@@ -152,7 +152,7 @@
 	s.check()
 	old := s.opt.Config
 	for _, f := range w.Frontends {
-		i := slices.IndexFunc(old.Frontends, func(o config.WebFrontend) bool { return o.Name == f.Name })
+		i := slices.IndexFunc(old.Frontends, func(o dispatchconfig.WebFrontend) bool { return o.Name == f.Name })
 		if i < 0 || !slices.Equal(old.Frontends[i].Listen, f.Listen) {
 			waits = append(waits, "web.frontends."+f.Name+".listen")
 		}
@@ -161,7 +161,7 @@
 }
 
 // build compiles a configuration. It changes nothing that is in use.
-func (s *Site) build(w *config.Web) (*tables, error) {
+func (s *Site) build(w *dispatchconfig.Web) (*tables, error) {
 	if err := w.Check(); err != nil {
 		return nil, err
 	}
--- a/internal/sse/job.go
+++ b/internal/sse/job.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/httpd"
 )
 
@@ -47,13 +47,13 @@
 }
 
 // Answer is the core's.
-func (j *job) Answer(a core.Answer) {
+func (j *job) Answer(a dispatch.Answer) {
 	switch a.Kind {
-	case core.Served:
+	case dispatch.Served:
 		j.emit("result", nil, struct {
 			Result string `json:"result"`
 		}{string(a.Result)}, true)
-	case core.Refused:
+	case dispatch.Refused:
 		var retry []byte
 		if a.After > 0 {
 			ms := max(1, a.After.Milliseconds())
@@ -63,7 +63,7 @@
 			Reason     string  `json:"reason"`
 			RetryAfter float64 `json:"retry_after"`
 		}{a.Reason, a.After.Seconds()}, true)
-	case core.Failed:
+	case dispatch.Failed:
 		j.emit("failed", nil, failureOf(j.class, a.Reason, a.Ran), true)
 	}
 }
--- a/internal/sse/job_test.go
+++ b/internal/sse/job_test.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
-	"sedgevale/internal/intake"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/jobrequest"
 )
 
 func newFront() *Front {
-	return New(Options{Rules: intake.New(core.NewClock(), &intake.Terms{}), Log: slog.New(slog.DiscardHandler)})
+	return New(Options{Rules: jobrequest.New(dispatch.NewClock(), &jobrequest.Terms{}), Log: slog.New(slog.DiscardHandler)})
 }
 
 func (f *Front) add(id string) *job {
@@ -30,8 +30,8 @@
 	for i := range 5 * maxEvents {
 		j.Progress(float64(i))
 	}
-	j.Answer(core.Answer{Kind: core.Served, Result: []byte("r")})
-	j.Answer(core.Answer{Kind: core.Failed})
+	j.Answer(dispatch.Answer{Kind: dispatch.Served, Result: []byte("r")})
+	j.Answer(dispatch.Answer{Kind: dispatch.Failed})
 	j.Progress(1)
 	var all strings.Builder
 	bytes := 0
@@ -54,7 +54,7 @@
 	f := newFront()
 	f.add("runs")
 	for i := range maxKept + 10 {
-		f.add(randomID()).Answer(core.Answer{Kind: core.Refused, After: time.Duration(i)})
+		f.add(randomID()).Answer(dispatch.Answer{Kind: dispatch.Refused, After: time.Duration(i)})
 	}
 	if n := len(f.jobs); n != maxKept+1 {
 		t.Errorf("%d jobs kept", n)
@@ -99,7 +99,7 @@
 		next.Take(1, s) // no harm if it comes twice
 	})
 	j.Progress(0.5)
-	j.Answer(core.Answer{Kind: core.Served, Result: []byte("r")})
+	j.Answer(dispatch.Answer{Kind: dispatch.Served, Result: []byte("r")})
 	text := func(j *job) (all string) {
 		for _, e := range j.events {
 			all += string(e.text)
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -16,11 +16,11 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/core"
-	"sedgevale/internal/front"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
-	"sedgevale/internal/intake"
+	"sedgevale/internal/jobrequest"
+	"sedgevale/internal/platformapi"
 )
 
 const (
@@ -33,8 +33,8 @@
 
 // Options set a Front up.
 type Options struct {
-	Rules     *intake.Rules
-	Planners  front.Planners
+	Rules     *jobrequest.Rules
+	Planners  platformapi.Planners
 	Ready     func() bool
 	Heartbeat time.Duration // between comments on a stream that says nothing; 0: 10 s
 	Retain    time.Duration // how long a finished job can be asked for; 0: a minute
@@ -43,8 +43,8 @@
 
 // Front is an httpd.Handler.
 type Front struct {
-	rules     *intake.Rules
-	planners  front.Planners
+	rules     *jobrequest.Rules
+	planners  platformapi.Planners
 	ready     func() bool
 	heartbeat time.Duration
 	retain    time.Duration
@@ -130,27 +130,27 @@
 // Serve is called with each request.
 func (f *Front) Serve(c *httpd.Conn, q *httpd.Request) {
 	if q.Target == "/ready" {
-		front.Ready(c, q, f.ready())
+		platformapi.Ready(c, q, f.ready())
 		return
 	}
-	name := intake.Name(q.Target)
+	name := jobrequest.Name(q.Target)
 	class := f.rules.Class(name)
 	var err error
 	switch {
 	case class == nil && (q.Method != "GET" || !f.has(name)):
-		err = &intake.Error{Status: 404, Text: "no such class"}
+		err = &jobrequest.Error{Status: 404, Text: "no such class"}
 	case q.Method != "POST" && q.Method != "GET":
 		c.RespondLast(405, []http1.Field{{Name: "Allow", Value: "GET, POST"}}, []byte("only GET and POST\n"))
 		return
 	case !accepts(q.Get("Accept")):
-		err = &intake.Error{Status: 406, Text: "answers here are text/event-stream"}
+		err = &jobrequest.Error{Status: 406, Text: "answers here are text/event-stream"}
 	case q.Method == "POST":
 		err = f.post(c, q, class)
 	default:
 		err = f.resume(c, q, name, class)
 	}
 	if err != nil {
-		front.Reject(c, err)
+		platformapi.Reject(c, err)
 	}
 }
 
@@ -184,7 +184,7 @@
 	f.mu.Lock()
 	if f.jobs[work.ID] != nil {
 		f.mu.Unlock()
-		return &intake.Error{Status: 409, Text: "this Request-Id is known; GET with it, or with Last-Event-ID, resumes"}
+		return &jobrequest.Error{Status: 409, Text: "this Request-Id is known; GET with it, or with Last-Event-ID, resumes"}
 	}
 	j := &job{front: f, id: work.ID, epoch: f.epoch, class: work.Class}
 	f.jobs[j.id] = j
@@ -193,7 +193,7 @@
 	j.emit("accepted", nil, struct {
 		Request string `json:"request"`
 	}{j.id}, false)
-	f.planners.Request(core.NewExchange(work, deadline, j))
+	f.planners.Request(dispatch.NewExchange(work, deadline, j))
 	return nil
 }
 
@@ -222,7 +222,7 @@
 	if last := q.Get("Last-Event-ID"); last != "" {
 		var ok bool
 		if id, ok = parseID(last); !ok || id.class != name {
-			return &intake.Error{Status: 400, Text: "Last-Event-ID is none of this path's"}
+			return &jobrequest.Error{Status: 400, Text: "Last-Event-ID is none of this path's"}
 		}
 	} else if id.request == "" {
 		return errNoID
--- a/internal/system/opconfig/check.go
+++ b/internal/system/clusterconfig/check.go
@@ -1,4 +1,4 @@
-package opconfig
+package clusterconfig
 
 import (
 	"encoding/json"
--- a/internal/system/opconfig/opconfig.go
+++ b/internal/system/clusterconfig/clusterconfig.go
@@ -1,8 +1,8 @@
-// Package opconfig holds the configuration that operators give the system: its types, what makes one
+// Package clusterconfig holds the configuration that operators give the system: its types, what makes one
 // valid, how named items are changed, and which route a request takes.
-package opconfig
+package clusterconfig
 
-//go:generate easyjson -all opconfig.go
+//go:generate easyjson -all clusterconfig.go
 
 // Config is a whole configuration.
 type Config struct {
--- a/internal/system/core/config.go
+++ b/internal/system/core/config.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sedgevale/internal/avrocodec"
-	"sedgevale/internal/system/opconfig"
+	"sedgevale/internal/system/clusterconfig"
 	"sedgevale/internal/system/result"
 )
 
@@ -33,8 +33,8 @@
 // configState is the newest configuration that this scheduler knows to be chosen.
 type configState struct {
 	record configRecord
-	config *opconfig.Config
-	table  *opconfig.Table
+	config *clusterconfig.Config
+	table  *clusterconfig.Table
 
 	patches map[int64][]byte // that make it of earlier versions, as far as anybody asked; nil for one that is not possible
 }
@@ -75,13 +75,13 @@
 		if o.match != record.Version || record.Version == 0 {
 			return nil, o.conflict(&record)
 		}
-		patched, err := opconfig.Apply(record.Text, o.body)
+		patched, err := clusterconfig.Apply(record.Text, o.body)
 		if err != nil {
 			return nil, result.Errorf(result.Invalid, "patch: %w", err)
 		}
 		text = patched
 	}
-	config, err := opconfig.Parse(text)
+	config, err := clusterconfig.Parse(text)
 	if err == nil {
 		err = config.Check()
 	}
@@ -118,7 +118,7 @@
 		c.logger.Error(err, "configuration cannot be read")
 		return
 	}
-	config, err := opconfig.Parse(state.record.Text)
+	config, err := clusterconfig.Parse(state.record.Text)
 	if err != nil {
 		c.logger.Error(err, "configuration cannot be read", "version", state.record.Version)
 		return
@@ -130,7 +130,7 @@
 		}
 	}
 	state.config = config
-	state.table = opconfig.NewTable(config)
+	state.table = clusterconfig.NewTable(config)
 	c.config = state
 	for _, o := range c.owners {
 		o.configure(state)
--- a/internal/system/core/leaving_test.go
+++ b/internal/system/core/leaving_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"sedgevale/coord/membership"
-	"sedgevale/internal/system/opconfig"
+	"sedgevale/internal/system/clusterconfig"
 )
 
 // A member that leaves waits for the word of an owner that knew of it: before, the owner counted the leaving one too.
@@ -13,7 +13,7 @@
 	s := newSite(t)
 	since := time.Now().Add(-time.Second / 2)
 	c := &Core{address: "a", store: s.stores["a"], peers: map[string]*peerState{}, leaving: true, leavingSince: since}
-	c.config = &configState{config: &opconfig.Config{Services: []opconfig.Service{{Name: "s"}}}}
+	c.config = &configState{config: &clusterconfig.Config{Services: []clusterconfig.Service{{Name: "s"}}}}
 	hear := func(address string, after time.Duration, claims ...claim) {
 		c.peers[address] = &peerState{known: true, heard: since.Add(after), last: pingMessage{Address: address, Claims: claims}}
 	}
--- a/internal/system/core/watch.go
+++ b/internal/system/core/watch.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"sedgevale/internal/system/api"
-	"sedgevale/internal/system/opconfig"
+	"sedgevale/internal/system/clusterconfig"
 	"sedgevale/internal/system/rpc"
 )
 
@@ -65,7 +65,7 @@
 		}
 		patch, known := c.config.patches[version]
 		if !known {
-			patch, _ = opconfig.Difference(past.Text, whole)
+			patch, _ = clusterconfig.Difference(past.Text, whole)
 			c.config.patches[version] = patch
 		}
 		if len(patch) > 0 && len(patch) < len(whole) {
--- a/internal/system/directory/directory.go
+++ b/internal/system/directory/directory.go
@@ -14,8 +14,8 @@
 
 	"sedgevale/coord/rendezvous"
 	"sedgevale/internal/system/api"
+	"sedgevale/internal/system/clusterconfig"
 	"sedgevale/internal/system/node"
-	"sedgevale/internal/system/opconfig"
 )
 
 const (
@@ -34,7 +34,7 @@
 	cores   []string
 	owners  map[string]api.Owner
 	digest  int64
-	table   *opconfig.Table
+	table   *clusterconfig.Table
 	text    []byte // the configuration as it came
 	version int64
 	fresh   time.Time // when the newest confirmed answer was asked for
@@ -135,9 +135,9 @@
 		return
 	}
 	text, err := d.wholeText(answer)
-	var config *opconfig.Config
+	var config *clusterconfig.Config
 	if err == nil {
-		config, err = opconfig.Parse(text)
+		config, err = clusterconfig.Parse(text)
 	}
 	if err != nil {
 		d.logger.Error(err, "configuration cannot be read", "version", answer.ConfigVersion)
@@ -145,7 +145,7 @@
 		return
 	}
 	d.text = text
-	d.table = opconfig.NewTable(config)
+	d.table = clusterconfig.NewTable(config)
 	d.version = answer.ConfigVersion
 	d.logger.V(1).Info("configuration in force", "version", d.version)
 }
@@ -158,11 +158,11 @@
 	if answer.Base != d.version || d.text == nil {
 		return nil, fmt.Errorf("a patch on version %d came, %d is known", answer.Base, d.version)
 	}
-	return opconfig.Apply(d.text, answer.Config)
+	return clusterconfig.Apply(d.text, answer.Config)
 }
 
 // Table returns the newest configuration, or nil, its version, and how long ago it was confirmed.
-func (d *Directory) Table() (table *opconfig.Table, version int64, age time.Duration) {
+func (d *Directory) Table() (table *clusterconfig.Table, version int64, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table, d.version, time.Since(d.fresh)
--- a/internal/system/edge/requests.go
+++ b/internal/system/edge/requests.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sedgevale/internal/system/api"
-	"sedgevale/internal/system/opconfig"
+	"sedgevale/internal/system/clusterconfig"
 	"sedgevale/internal/system/result"
 	"sedgevale/jobs"
 )
@@ -68,7 +68,7 @@
 }
 
 // waitFor returns how long a request may take here.
-func waitFor(r *http.Request, route *opconfig.Route) time.Duration {
+func waitFor(r *http.Request, route *clusterconfig.Route) time.Duration {
 	wait := min(mostWait, time.Duration(route.TimeoutMS)*time.Millisecond-answerSlack)
 	if deadline, err := strconv.ParseInt(r.Header.Get(deadlineHeader), 10, 64); err == nil && deadline > 0 {
 		wait = min(wait, time.Duration(deadline)*time.Millisecond-answerSlack)
@@ -97,7 +97,7 @@
 type call struct {
 	edge    *Edge
 	ctx     context.Context
-	route   *opconfig.Route
+	route   *clusterconfig.Route
 	version int64
 	id      string
 	age     time.Duration
--- a/internal/system/standin/worker.go
+++ b/internal/system/fakeworker/worker.go
@@ -1,6 +1,6 @@
-// Package standin plays the workers of the system: they beat to their side scheduler, run what they are told and
+// Package fakeworker plays the workers of the system: they beat to their side scheduler, run what they are told and
 // kill everything once nobody lets them hold on to it. Tests and the system on loopback use it.
-package standin
+package fakeworker
 
 import (
 	"bytes"
--- a/internal/system/local/local.go
+++ b/internal/system/local/local.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
+	"sedgevale/internal/system/fakeworker"
 	"sedgevale/internal/system/settings"
-	"sedgevale/internal/system/standin"
 	"sedgevale/workeragent"
 )
 
@@ -192,7 +192,7 @@
 
 // worker plays one worker.
 func (s *System) worker(ctx context.Context, i int) {
-	standin.New(standin.Options{
+	fakeworker.New(fakeworker.Options{
 		ID: fmt.Sprintf("i-%d-%d", i+1, os.Getpid()), Service: service, Side: fmt.Sprintf("%s:%d", sideIP(i), controlPort),
 		Capacity: workeragent.Capacity{CPU: workerCPU, MemMB: 32768}, Labels: []string{"a", fmt.Sprintf("r%d", i/2+1)},
 		TaskCPU: taskCPU, ShortTask: 100 * time.Millisecond, LongTask: 900 * time.Millisecond, FailOneIn: 50,
--- a/internal/system/simulation/world_test.go
+++ b/internal/system/simulation/world_test.go
@@ -20,10 +20,10 @@
 
 	"sedgevale/internal/system/core"
 	"sedgevale/internal/system/edge"
+	"sedgevale/internal/system/fakeworker"
 	"sedgevale/internal/system/node"
 	"sedgevale/internal/system/settings"
 	"sedgevale/internal/system/side"
-	"sedgevale/internal/system/standin"
 	"sedgevale/workeragent"
 )
 
@@ -283,7 +283,7 @@
 	life := w.lives
 	w.mu.Unlock()
 	h := w.fabric.host("w" + m.ip)
-	one := standin.New(standin.Options{
+	one := fakeworker.New(fakeworker.Options{
 		ID: fmt.Sprintf("i-%d", life), Service: service, Side: m.ip + ":80", TaskCPU: taskCPU,
 		Capacity: workeragent.Capacity{CPU: 8 * taskCPU}, Labels: []string{"k", "r1"},
 		ShortTask: 100 * time.Millisecond, LongTask: time.Second, FailOneIn: 30, ClockSlow: 0.02, Observer: w.ledger,
--- a/internal/inbox/inbox.go
+++ b/internal/unbounded/queue.go
@@ -1,6 +1,6 @@
-// Package inbox holds the queue by which one goroutine hands work to another
+// Package unbounded holds the queue by which one goroutine hands work to another
 // without ever waiting for it.
-package inbox
+package unbounded
 
 import (
 	"sync"
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"sedgevale"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/testkit"
 )
@@ -126,13 +126,13 @@
 	t.Fatal("no connection is being made")
 }
 
-func request(p *core.Planner, clock core.Clock, id string, class *sedgevale.Class, body []byte) (*core.Exchange, client) {
+func request(p *dispatch.Planner, clock dispatch.Clock, id string, class *sedgevale.Class, body []byte) (*dispatch.Exchange, client) {
 	answers := make(client, 1)
 	once := ""
 	if class.Effect == sedgevale.Keyed {
 		once = "key-" + id
 	}
-	x := core.NewExchange(core.Job{ID: id, Class: class, Tenant: -1, Method: "POST", Target: "/x", Once: once, Body: body},
+	x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: -1, Method: "POST", Target: "/x", Once: once, Body: body},
 		clock.Now()+3*time.Second, answers)
 	p.Request(x)
 	return x, answers
@@ -184,7 +184,7 @@
 	close(breakOff)
 	dialling(t, pool, "v")
 	got := takes()
-	if a := testkit.Await(t, "the answer", answers); a.Kind == core.Served {
+	if a := testkit.Await(t, "the answer", answers); a.Kind == dispatch.Served {
 		t.Errorf("%+v", a)
 	}
 	closed := make(chan struct{})
@@ -207,7 +207,7 @@
 	_, answers := request(planner, clock, "a", &classes[0], nil)
 	dialling(t, pool, "w")
 	pool.Members(false, []Member{{ID: "w", Addr: testkit.FreeAddr(t), Ready: true}})
-	if a := testkit.Await(t, "the answer", answers); a.Kind != core.Refused {
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Refused {
 		t.Errorf("%+v", a)
 	}
 	if text := testkit.Await(t, "the late connection's end", takes()); text != "" {
@@ -256,7 +256,7 @@
 			})
 			_, planner, clock := begin(t, addr, 0)
 			_, answers := request(planner, clock, "a", &classes[0], nil)
-			if a := testkit.Await(t, "the answer", answers); a.Kind != core.Failed || !a.Ran {
+			if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Failed || !a.Ran {
 				t.Errorf("%+v", a)
 			}
 			if n := testkit.Await(t, "the worker's end", wrote); n >= 64<<20 {
@@ -283,7 +283,7 @@
 	pool, planner, clock := begin(t, addr, 0)
 	_, first := request(planner, clock, "a", &classes[0], nil)
 	testkit.Await(t, "the first job", asked)
-	if a := testkit.Await(t, "the first answer", first); a.Kind != core.Refused {
+	if a := testkit.Await(t, "the first answer", first); a.Kind != dispatch.Refused {
 		t.Errorf("%+v", a)
 	}
 	idle := make(chan int, 1)
@@ -352,7 +352,7 @@
 		})
 		left = testkit.Await(t, "the loop", seen)
 	}
-	if a := testkit.Await(t, "the answer", answers); a.Kind != core.Refused {
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Refused {
 		t.Errorf("%+v", a)
 	}
 	if got, _ := io.Copy(io.Discard, r); got >= size {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/budget"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/evloop"
+	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/http1"
 )
 
@@ -20,9 +20,9 @@
 	DialTimeout time.Duration
 	IdleClose   time.Duration // when workers close an idle connection; 0: not told
 	Host        string        // the Host field of what is sent
-	Clock       core.Clock
+	Clock       dispatch.Clock
 	Loop        *evloop.Loop
-	Budget      *budget.Budget
+	Budget      *fdlimit.Budget
 	Log         *slog.Logger
 }
 
@@ -53,7 +53,7 @@
 	// For the loop alone.
 	workers map[string]*worker
 	out     map[string]bool // cordoned: nothing is sent there, whatever the list says
-	flights map[*core.Attempt]*flight
+	flights map[*dispatch.Attempt]*flight
 	tails   map[*conn]struct{} // their attempt is over, the end of the answer is still to come
 	kept    wear               // of connections that had carried an attempt before
 	made    wear               // of new ones
@@ -81,8 +81,8 @@
 
 // flight is an attempt on its way, or a probe.
 type flight struct {
-	a    *core.Attempt // nil: a probe
-	p    *core.Planner // of the probe
+	a    *dispatch.Attempt // nil: a probe
+	p    *dispatch.Planner // of the probe
 	w    *worker
 	c    *conn // nil: not connected yet
 	over bool
@@ -92,7 +92,7 @@
 func New(opt Options) *Pool {
 	opt.times(opt.DialTimeout, opt.IdleClose)
 	p := &Pool{opt: opt, loop: opt.Loop, workers: map[string]*worker{}, out: map[string]bool{},
-		flights: map[*core.Attempt]*flight{}, tails: map[*conn]struct{}{}}
+		flights: map[*dispatch.Attempt]*flight{}, tails: map[*conn]struct{}{}}
 	opt.Budget.OnDire(func(n int) { p.loop.Do(func() { p.closeIdle(n) }) })
 	return p
 }
@@ -195,7 +195,7 @@
 }
 
 // Send carries out an attempt.
-func (p *Pool) Send(a *core.Attempt) {
+func (p *Pool) Send(a *dispatch.Attempt) {
 	p.loop.Do(func() {
 		f := &flight{a: a, w: p.workers[a.Worker]}
 		p.flights[a] = f
@@ -204,7 +204,7 @@
 }
 
 // Cancel gives an attempt up by closing its connection.
-func (p *Pool) Cancel(a *core.Attempt) {
+func (p *Pool) Cancel(a *dispatch.Attempt) {
 	p.loop.Do(func() {
 		if f := p.flights[a]; f != nil {
 			p.end(f, sedgevale.Cancelled, nil, nil)
@@ -213,7 +213,7 @@
 }
 
 // Withdraw gives an attempt up unless its request is on its way already.
-func (p *Pool) Withdraw(a *core.Attempt) {
+func (p *Pool) Withdraw(a *dispatch.Attempt) {
 	p.loop.Do(func() {
 		if f := p.flights[a]; f != nil && f.c == nil {
 			p.end(f, sedgevale.NotSent, nil, nil)
@@ -222,7 +222,7 @@
 }
 
 // Probe asks a worker for its load.
-func (p *Pool) Probe(id string, planner *core.Planner) {
+func (p *Pool) Probe(id string, planner *dispatch.Planner) {
 	p.loop.Do(func() {
 		f := &flight{p: planner, w: p.workers[id]}
 		if f.w == nil {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -13,17 +13,17 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/budget"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
 	"sedgevale/internal/evloop"
+	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/testkit"
 )
 
-type client chan core.Answer
+type client chan dispatch.Answer
 
-func (client) Started()               {}
-func (client) Progress(float64)       {}
-func (c client) Answer(a core.Answer) { c <- a }
+func (client) Started()                   {}
+func (client) Progress(float64)           {}
+func (c client) Answer(a dispatch.Answer) { c <- a }
 
 var classes = []sedgevale.Class{
 	{Name: "once", Effect: sedgevale.Unsafe, Aim: 3 * time.Second, Limit: 3 * time.Second},
@@ -31,13 +31,13 @@
 }
 
 // begin runs a pool and a planner that know one worker.
-func begin(t *testing.T, addr string, idle time.Duration) (*Pool, *core.Planner, core.Clock) {
+func begin(t *testing.T, addr string, idle time.Duration) (*Pool, *dispatch.Planner, dispatch.Clock) {
 	t.Helper()
 	return beginWith(t, addr, idle, func(*sedgevale.Settings) {})
 }
 
 // beginWith is begin with other settings.
-func beginWith(t *testing.T, addr string, idle time.Duration, set func(*sedgevale.Settings)) (*Pool, *core.Planner, core.Clock) {
+func beginWith(t *testing.T, addr string, idle time.Duration, set func(*sedgevale.Settings)) (*Pool, *dispatch.Planner, dispatch.Clock) {
 	t.Helper()
 	settings := sedgevale.Settings{MaxAttempts: 3, MayCancel: true, Classes: classes}
 	set(&settings)
@@ -46,10 +46,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clock := core.NewClock()
+	clock := dispatch.NewClock()
 	pool := New(Options{DialTimeout: time.Minute, IdleClose: idle, Host: "h", Clock: clock, Loop: loop,
-		Budget: budget.New(0), Log: log})
-	planner, err := core.NewPlanner(settings, 1, clock, pool, func() {}, log)
+		Budget: fdlimit.New(0), Log: log})
+	planner, err := dispatch.NewPlanner(settings, 1, clock, pool, func() {}, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,13 +72,13 @@
 // an operator takes out is no other.
 func TestDrainEndsWhatIsBeingDialled(t *testing.T) {
 	t.Run("drain", func(t *testing.T) {
-		endsWhatIsBeingDialled(t, func(pool *Pool, planner *core.Planner, addr string) {
+		endsWhatIsBeingDialled(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
 			pool.Members(false, []Member{{ID: "w", Addr: addr}})
 			planner.Members(sedgevale.ListPatch, []sedgevale.WorkerInfo{{Worker: "w", State: sedgevale.Leaving}})
 		})
 	})
 	t.Run("cordon", func(t *testing.T) {
-		endsWhatIsBeingDialled(t, func(pool *Pool, planner *core.Planner, addr string) {
+		endsWhatIsBeingDialled(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
 			planner.Cordon("w", true, func(bool) {})
 			pool.Cordon("w", true, func() {})
 			pool.Members(true, []Member{{ID: "w", Addr: addr, Ready: true}})
@@ -86,16 +86,16 @@
 	})
 }
 
-func endsWhatIsBeingDialled(t *testing.T, leave func(*Pool, *core.Planner, string)) {
+func endsWhatIsBeingDialled(t *testing.T, leave func(*Pool, *dispatch.Planner, string)) {
 	t.Helper()
 	addr, _ := late(t)
 	pool, planner, clock := begin(t, addr, 0)
 	answers := make(client, 1)
-	planner.Request(core.NewExchange(core.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
+	planner.Request(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
 		clock.Now()+3*time.Second, answers))
 	dialling(t, pool, "w")
 	leave(pool, planner, addr)
-	if a := testkit.Await(t, "the answer", answers); a.Kind != core.Refused {
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Refused {
 		t.Errorf("%+v", a)
 	}
 }
@@ -134,9 +134,9 @@
 		want  []int
 	}{{"a", 1, []int{1}}, {"b", 1, []int{2, 1}}, {"c", 1, []int{2, 1}}, {"d", 0, []int{1}}, {"e", 1, []int{2, 2, 1}}} {
 		answers := make(client, 1)
-		planner.Request(core.NewExchange(core.Job{ID: job.id, Class: &classes[job.class], Tenant: -1, Method: "POST", Target: "/x"},
+		planner.Request(dispatch.NewExchange(dispatch.Job{ID: job.id, Class: &classes[job.class], Tenant: -1, Method: "POST", Target: "/x"},
 			clock.Now()+3*time.Second, answers))
-		if a := testkit.Await(t, "the answer", answers); a.Kind != core.Served {
+		if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Served {
 			t.Errorf("%s: %+v", job.id, a)
 		}
 		for _, want := range job.want {
@@ -158,7 +158,7 @@
 	const idle = 3 * time.Second
 	_, planner, clock := begin(t, l.Addr().String(), idle)
 	answers := make(client, 1)
-	planner.Request(core.NewExchange(core.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
+	planner.Request(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
 		clock.Now()+3*time.Second, answers))
 	c, err := l.Accept()
 	if err != nil {
@@ -173,7 +173,7 @@
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 38\r\n\r\n"+line); err != nil || len(line) != 38 {
 		t.Fatal(len(line), err)
 	}
-	if a := testkit.Await(t, "the answer", answers); a.Kind != core.Served || string(a.Result) != "r" {
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Served || string(a.Result) != "r" {
 		t.Errorf("%+v", a)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(idle))
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -1,25 +1,25 @@
 package scheduler
 
 import (
-	"sedgevale/internal/config"
 	"sedgevale/internal/discovery"
+	"sedgevale/internal/dispatchconfig"
 )
 
 // What a scheduler is told, for programs that embed one.
 type (
-	Config   = config.Config
-	Limits   = config.Limits
-	SSE      = config.SSE
-	Journal  = config.Journal
-	Web      = config.Web
-	Settings = config.Settings
-	Class    = config.Class
+	Config   = dispatchconfig.Config
+	Limits   = dispatchconfig.Limits
+	SSE      = dispatchconfig.SSE
+	Journal  = dispatchconfig.Journal
+	Web      = dispatchconfig.Web
+	Settings = dispatchconfig.Settings
+	Class    = dispatchconfig.Class
 	List     = discovery.List
 	Member   = discovery.Member
 )
 
 // FromEnv reads the platform's configuration, which EDGE_CONFIG names.
-func FromEnv() (*Config, error) { return config.FromEnv() }
+func FromEnv() (*Config, error) { return dispatchconfig.FromEnv() }
 
 // ReadFile reads and checks an operator's file.
-func ReadFile(path string) (*Config, error) { return config.ReadOperator(path) }
+func ReadFile(path string) (*Config, error) { return dispatchconfig.ReadOperator(path) }
--- a/scheduler/door_test.go
+++ b/scheduler/door_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/testkit"
 )
 
@@ -13,7 +13,7 @@
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
 	c.kill()
-	c.config.Door = &config.Door{Concurrency: 1}
+	c.config.Door = &dispatchconfig.Door{Concurrency: 1}
 	c.write()
 	c.start()
 	first := post(c.plain, "/usage-view", job("first")...)
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/config"
 	"sedgevale/internal/discovery"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/testkit"
 	"sedgevale/scheduler"
 )
@@ -31,10 +31,10 @@
 	if path == "" {
 		os.Exit(m.Run())
 	}
-	read := func() (*config.Config, error) { return config.ReadOperator(path) }
+	read := func() (*dispatchconfig.Config, error) { return dispatchconfig.ReadOperator(path) }
 	if strings.HasSuffix(path, ".json") {
 		os.Setenv("EDGE_CONFIG", path)
-		read = config.FromEnv
+		read = dispatchconfig.FromEnv
 	}
 	if err := scheduler.Serve(read, slog.New(slog.NewTextHandler(os.Stderr, nil))); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -196,7 +196,7 @@
 }
 
 // settings are those of a small deployment.
-func settings(t *testing.T) (s config.Settings) {
+func settings(t *testing.T) (s dispatchconfig.Settings) {
 	t.Helper()
 	err := json.Unmarshal([]byte(`{"bounds":{"cancel":true,"dial_timeout":1,"idle_close":15,"max_attempts":3,
 		"max_retry_after":2,"parallel_tries":true,"retry_after":true},"classes":[
@@ -218,7 +218,7 @@
 	plain, sse string // addresses
 	cmd        *exec.Cmd
 	exited     chan error
-	config     config.File
+	config     dispatchconfig.File
 	log        logLines
 }
 
@@ -252,7 +252,7 @@
 	defer w.Close()
 	if strings.HasSuffix(c.file, ".json") { // as the platform does
 		f := &c.config
-		err = json.NewEncoder(w).Encode(config.Config{Name: f.Name, Listen: f.Listen, Ops: f.Ops, Discovery: f.Discovery,
+		err = json.NewEncoder(w).Encode(dispatchconfig.Config{Name: f.Name, Listen: f.Listen, Ops: f.Ops, Discovery: f.Discovery,
 			Seed: f.Seed, Limits: f.Limits, Known: &discovery.List{Complete: true, Members: f.Workers}, Settings: f.Settings})
 	} else {
 		err = c.config.Write(w)
@@ -272,9 +272,9 @@
 func startChild(t *testing.T, f *fleet) *child {
 	t.Helper()
 	c := &child{t: t, file: filepath.Join(t.TempDir(), "operator.toml"), plain: testkit.FreeAddr(t), sse: testkit.FreeAddr(t)}
-	c.config = config.File{Name: "test", Listen: c.plain, Ops: testkit.FreeAddr(t), Discovery: f.addr, Seed: "1f", Settings: settings(t),
-		Limits: config.Limits{MemoryMB: 192, Sockets: 1024}, Workers: f.list.Members,
-		SSE: &config.SSE{Listen: c.sse, Heartbeat: 0.2, Retain: 30}, Planners: 2, Loops: 2}
+	c.config = dispatchconfig.File{Name: "test", Listen: c.plain, Ops: testkit.FreeAddr(t), Discovery: f.addr, Seed: "1f", Settings: settings(t),
+		Limits: dispatchconfig.Limits{MemoryMB: 192, Sockets: 1024}, Workers: f.list.Members,
+		SSE: &dispatchconfig.SSE{Listen: c.sse, Heartbeat: 0.2, Retain: 30}, Planners: 2, Loops: 2}
 	c.write()
 	c.start()
 	t.Cleanup(c.kill)
--- a/scheduler/journal_bench_test.go
+++ b/scheduler/journal_bench_test.go
@@ -18,9 +18,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"sedgevale/internal/config"
 	"sedgevale/internal/discovery"
-	"sedgevale/internal/standin"
+	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/fake"
 	"sedgevale/scheduler"
 )
 
@@ -40,7 +40,7 @@
 func benchJournal(b *testing.B, class string, many int, kept string) {
 	var members []discovery.Member
 	for i := range 4 {
-		box := standin.NewBox(standin.BoxOptions{ID: fmt.Sprint("box-", i), Slots: 256, Queue: 1024,
+		box := fake.NewBox(fake.BoxOptions{ID: fmt.Sprint("box-", i), Slots: 256, Queue: 1024,
 			Work: func(string, *rand.Rand) time.Duration { return 0 }})
 		addr, err := box.Listen("127.0.0.1:0")
 		if err != nil {
@@ -57,13 +57,13 @@
 	addr := l.Addr().String()
 	l.Close()
 	c := &scheduler.Config{Name: "bench", Listen: addr, Seed: "1f", Known: &discovery.List{Complete: true, Members: members}}
-	c.Settings.Classes = []config.Class{{Name: "usage-view", Effect: "free", Promise: 8, HardLimit: 10},
+	c.Settings.Classes = []dispatchconfig.Class{{Name: "usage-view", Effect: "free", Promise: 8, HardLimit: 10},
 		{Name: "plan-change", Effect: "single_shot", Promise: 8, HardLimit: 10}}
 	c.Settings.Bounds.MaxAttempts, c.Settings.Family.TellsStart = 3, true
 	c.Settings.Kinds, c.Settings.Zones = []string{"box"}, []string{"hut"}
 	dir := filepath.Join(b.TempDir(), "journal")
 	if kept != "off" {
-		c.Journal = &config.Journal{Dir: dir, Sync: kept}
+		c.Journal = &dispatchconfig.Journal{Dir: dir, Sync: kept}
 	}
 	s, err := scheduler.New(c, scheduler.Options{Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
--- a/scheduler/journal_test.go
+++ b/scheduler/journal_test.go
@@ -9,13 +9,13 @@
 	"syscall"
 	"testing"
 
-	"sedgevale/internal/config"
-	"sedgevale/internal/joblog"
+	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/journal"
 	"sedgevale/internal/testkit"
 )
 
 // ask asks the scheduler's journal.
-func (c *child) ask(query string) (int, joblog.Report) {
+func (c *child) ask(query string) (int, journal.Report) {
 	c.t.Helper()
 	a, err := http.Get("http://" + c.config.Ops + "/admin/journal" + query)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	defer a.Body.Close()
 	body, _ := io.ReadAll(a.Body)
-	var r joblog.Report
+	var r journal.Report
 	if a.StatusCode == 200 {
 		lines := strings.Split(strings.TrimSpace(string(body)), "\n")
 		if err := json.Unmarshal([]byte(lines[len(lines)-1]), &r); err != nil {
@@ -37,7 +37,7 @@
 	t.Helper()
 	c := startChild(t, f)
 	c.kill()
-	c.config.Journal = &config.Journal{Dir: filepath.Join(t.TempDir(), "journal"), ReserveMB: 1, MaxMB: 16}
+	c.config.Journal = &dispatchconfig.Journal{Dir: filepath.Join(t.TempDir(), "journal"), ReserveMB: 1, MaxMB: 16}
 	c.write()
 	c.start()
 	return c
--- a/scheduler/orders.go
+++ b/scheduler/orders.go
@@ -8,7 +8,7 @@
 	"os"
 	"path/filepath"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/ops"
 )
 
@@ -110,7 +110,7 @@
 }
 
 // fileOf names a file of this scheduler, the same for each of its processes.
-func fileOf(c *config.Config, ending string) string {
+func fileOf(c *dispatchconfig.Config, ending string) string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(c.Name + "\x00" + c.Listen))
 	return filepath.Join(os.TempDir(), fmt.Sprintf("sedgevale-%016x.%s", h.Sum64(), ending))
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -16,23 +16,23 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/budget"
-	"sedgevale/internal/config"
-	"sedgevale/internal/core"
 	"sedgevale/internal/discovery"
-	"sedgevale/internal/door"
-	"sedgevale/internal/doorkeeper"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/evloop"
-	"sedgevale/internal/front"
+	"sedgevale/internal/fairqueue"
+	"sedgevale/internal/fairqueue/driver"
+	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/handover"
 	"sedgevale/internal/httpd"
-	"sedgevale/internal/intake"
-	"sedgevale/internal/journal"
+	"sedgevale/internal/jobrequest"
+	"sedgevale/internal/journal/recorder"
 	"sedgevale/internal/ops"
 	"sedgevale/internal/peerlink"
+	"sedgevale/internal/platformapi"
+	"sedgevale/internal/reverseproxy"
 	"sedgevale/internal/sse"
 	"sedgevale/internal/upstream"
-	"sedgevale/internal/web"
 )
 
 const (
@@ -76,23 +76,23 @@
 // Scheduler is a real scheduler.
 type Scheduler struct {
 	opt       Options
-	config    *config.Config                     // of the start
-	current   atomic.Pointer[config.Config]      // read last
-	settings  atomic.Pointer[sedgevale.Settings] // in force; not changed, only replaced
-	rules     *intake.Rules
-	clock     core.Clock
-	budget    *budget.Budget
+	config    *dispatchconfig.Config                // of the start
+	current   atomic.Pointer[dispatchconfig.Config] // read last
+	settings  atomic.Pointer[sedgevale.Settings]    // in force; not changed, only replaced
+	rules     *jobrequest.Rules
+	clock     dispatch.Clock
+	budget    *fdlimit.Budget
 	loop      *evloop.Loop // for workers and discovery
 	pool      *upstream.Pool
 	watcher   *discovery.Watcher
-	planners  *core.Set
+	planners  *dispatch.Set
 	servers   []*httpd.Server
 	streams   *sse.Front    // nil: no second front
 	operators *httpd.Server // nil: no second address
 	cordons   *ops.Cordons
-	journal   *journal.Recorder  // nil: none
-	web       *web.Site          // nil: no third front
-	keeper    *doorkeeper.Keeper // nil: no door
+	journal   *recorder.Recorder // nil: none
+	web       *reverseproxy.Site // nil: no third front
+	keeper    *driver.Keeper     // nil: no door
 	link      *peerlink.Link     // nil: no other schedulers
 	bonds     bonds
 	listMu    sync.Mutex
@@ -102,7 +102,7 @@
 }
 
 // New returns a scheduler that does nothing yet.
-func New(c *config.Config, opt Options) (*Scheduler, error) {
+func New(c *dispatchconfig.Config, opt Options) (*Scheduler, error) {
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	set.AskForList = c.Discovery != "" // pushed lists come to the address, and it is asked for them there
-	s := &Scheduler{opt: opt, config: c, clock: core.NewClock(), budget: budget.New(0),
+	s := &Scheduler{opt: opt, config: c, clock: dispatch.NewClock(), budget: fdlimit.New(0),
 		order: make(chan struct{}, 1), bonds: bonds{all: map[*bond]struct{}{}, more: make(chan struct{}, 1)}}
 	s.settings.Store(&set)
 	s.current.Store(c)
@@ -123,18 +123,18 @@
 	if s.loop, err = evloop.New(opt.Log); err != nil {
 		return nil, err
 	}
-	s.pool = upstream.New(upstream.Options{Loop: s.loop, DialTimeout: config.Seconds(c.Settings.Bounds.DialTimeout),
-		IdleClose: config.Seconds(c.Settings.Bounds.IdleClose), Host: service, Clock: s.clock, Budget: s.budget,
+	s.pool = upstream.New(upstream.Options{Loop: s.loop, DialTimeout: dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout),
+		IdleClose: dispatchconfig.Seconds(c.Settings.Bounds.IdleClose), Host: service, Clock: s.clock, Budget: s.budget,
 		Log: opt.Log})
 	s.watcher = discovery.NewWatcher(s.loop, c.Discovery, *c.Known, s.told, s.broken, opt.Log)
 	if c.Journal != nil {
-		if s.journal, err = journal.Open(c, opt.Log); err != nil {
+		if s.journal, err = recorder.Open(c, opt.Log); err != nil {
 			return nil, errors.Join(err, s.loop.Stop())
 		}
 	}
-	var planners []*core.Planner
+	var planners []*dispatch.Planner
 	for i := range many {
-		p, err := core.NewPlanner(set, c.SeedNumber()+uint64(i), s.clock, s.pool, s.watcher.Watch, opt.Log)
+		p, err := dispatch.NewPlanner(set, c.SeedNumber()+uint64(i), s.clock, s.pool, s.watcher.Watch, opt.Log)
 		if err != nil {
 			return nil, err
 		}
@@ -143,7 +143,7 @@
 		}
 		planners = append(planners, p)
 	}
-	s.planners = core.NewSet(planners...)
+	s.planners = dispatch.NewSet(planners...)
 	if plan, err := c.PeerPlan(); err != nil {
 		return nil, errors.Join(err, s.loop.Stop())
 	} else if plan != nil {
@@ -151,21 +151,21 @@
 			Watch: plan.Watch, Revision: c.InForce(), Seed: c.SeedNumber(), Hearers: hearers, Least: leastPart, Planners: planners, Clock: s.clock, Log: opt.Log})
 	}
 	s.members(sedgevale.ListStale, *c.Known)
-	s.rules = intake.New(s.clock, &intake.Terms{Classes: set.Classes, Tenants: set.Tenants})
-	var takers front.Planners = s.planners
+	s.rules = jobrequest.New(s.clock, &jobrequest.Terms{Classes: set.Classes, Tenants: set.Tenants})
+	var takers platformapi.Planners = s.planners
 	if c.Door != nil {
-		o := door.Options{Coops: coops(set.Tenants), Concurrency: c.Door.Concurrency, Queue: c.Door.Queue, Clients: c.Door.Clients,
+		o := fairqueue.Options{Coops: coops(set.Tenants), Concurrency: c.Door.Concurrency, Queue: c.Door.Queue, Clients: c.Door.Clients,
 			Seed: c.SeedNumber()}
-		if s.keeper, err = doorkeeper.New(o, s.planners, s.clock, set.MaxRetryAfter, opt.Log); err != nil {
+		if s.keeper, err = driver.New(o, s.planners, s.clock, set.MaxRetryAfter, opt.Log); err != nil {
 			return nil, errors.Join(err, s.loop.Stop())
 		}
 		takers = s.keeper
 	}
 	if c.Listen != "" {
-		s.servers = append(s.servers, httpd.New(c.Listen, c.Loops, front.New(s.rules, takers, s.ready.Load), s.budget, opt.Log))
+		s.servers = append(s.servers, httpd.New(c.Listen, c.Loops, platformapi.New(s.rules, takers, s.ready.Load), s.budget, opt.Log))
 	}
 	if c.Web != nil {
-		if s.web, err = web.New(web.Options{Config: c.Web, Loops: c.Loops, Loop: s.loop, Clock: s.clock, Seed: c.SeedNumber() + uint64(many),
+		if s.web, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loops: c.Loops, Loop: s.loop, Clock: s.clock, Seed: c.SeedNumber() + uint64(many),
 			Budget: s.budget, Log: opt.Log}); err != nil {
 			return nil, errors.Join(err, s.loop.Stop())
 		}
@@ -173,7 +173,7 @@
 	}
 	if c.SSE != nil {
 		s.streams = sse.New(sse.Options{Rules: s.rules.Earlier(streamMargin), Planners: takers, Ready: s.ready.Load,
-			Heartbeat: config.Seconds(c.SSE.Heartbeat), Retain: config.Seconds(c.SSE.Retain), Log: opt.Log})
+			Heartbeat: dispatchconfig.Seconds(c.SSE.Heartbeat), Retain: dispatchconfig.Seconds(c.SSE.Retain), Log: opt.Log})
 		s.servers = append(s.servers, httpd.New(c.SSE.Listen, c.Loops, s.streams, s.budget, opt.Log))
 	}
 	if s.cordons, err = ops.ReadCordons(fileOf(c, "cordons")); err != nil {
@@ -183,15 +183,15 @@
 		s.keep(host)
 	}
 	if c.Ops != "" {
-		s.operators = httpd.New(c.Ops, 1, ops.New(s, s.questions(), s.pages()), budget.New(budget.Reserve+opsDescriptors/2), opt.Log)
+		s.operators = httpd.New(c.Ops, 1, ops.New(s, s.questions(), s.pages()), fdlimit.New(fdlimit.Reserve+opsDescriptors/2), opt.Log)
 	}
 	return s, nil
 }
 
 // coops returns the tenants as the door knows them.
-func coops(tenants []sedgevale.Tenant) (all []door.Coop) {
+func coops(tenants []sedgevale.Tenant) (all []fairqueue.Coop) {
 	for _, t := range tenants {
-		all = append(all, door.Coop{Name: t.Name, Share: t.Share})
+		all = append(all, fairqueue.Coop{Name: t.Name, Share: t.Share})
 	}
 	return all
 }
@@ -227,7 +227,7 @@
 }
 
 // limit keeps to a configuration's limit of descriptors. The operators' are kept apart.
-func (s *Scheduler) limit(c *config.Config) {
+func (s *Scheduler) limit(c *dispatchconfig.Config) {
 	n := c.Limits.Sockets
 	if n > 0 && c.Ops != "" {
 		n = max(1, n-opsDescriptors)
@@ -237,7 +237,7 @@
 
 // Limit sets the Go runtime up for the machine: it is for programs that are
 // nothing but a scheduler.
-func Limit(c *config.Config) {
+func Limit(c *dispatchconfig.Config) {
 	memory(c, 1)
 	if runtime.GOMAXPROCS(0) < processors {
 		runtime.GOMAXPROCS(processors)
@@ -245,7 +245,7 @@
 }
 
 // memory keeps to one of so many even parts of the machine's memory.
-func memory(c *config.Config, parts int) {
+func memory(c *dispatchconfig.Config, parts int) {
 	if c.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryPart * float64(c.Limits.MemoryMB) / float64(parts) * (1 << 20)))
 	}
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -11,8 +11,8 @@
 	"syscall"
 
 	"sedgevale"
-	"sedgevale/internal/config"
-	"sedgevale/internal/intake"
+	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/jobrequest"
 )
 
 // Serve is all of a program that is nothing but a scheduler. It serves by the
@@ -61,7 +61,7 @@
 // Connections, exchanges and all that was learned stay, and jobs under way keep
 // their class. It is checked whole before anything changes, so a bad one changes
 // nothing. It must not be called twice at a time.
-func (s *Scheduler) Reload(c *config.Config) error {
+func (s *Scheduler) Reload(c *dispatchconfig.Config) error {
 	if err := c.Check(); err != nil {
 		return err
 	}
@@ -86,8 +86,8 @@
 	s.current.Store(c)
 	before := s.settings.Swap(&set)
 	s.planners.Retune(set) // before the rules: whose jobs are let in is known there then
-	s.rules.Retune(&intake.Terms{Classes: set.Classes, Tenants: set.Tenants})
-	s.pool.Retune(config.Seconds(c.Settings.Bounds.DialTimeout), config.Seconds(c.Settings.Bounds.IdleClose))
+	s.rules.Retune(&jobrequest.Terms{Classes: set.Classes, Tenants: set.Tenants})
+	s.pool.Retune(dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout), dispatchconfig.Seconds(c.Settings.Bounds.IdleClose))
 	s.limit(c)
 	s.watcher.Move(c.Discovery)
 	if c.Discovery == "" {
@@ -126,7 +126,7 @@
 }
 
 // fixed names what of a new configuration a running scheduler does not take over.
-func (s *Scheduler) fixed(c *config.Config) (kept []string) {
+func (s *Scheduler) fixed(c *dispatchconfig.Config) (kept []string) {
 	for _, part := range []struct {
 		name     string
 		old, new any
--- a/scheduler/teams_test.go
+++ b/scheduler/teams_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/config"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/testkit"
 )
 
@@ -44,7 +44,7 @@
 }
 
 // startTeams starts a scheduler with teams, and with more of its file changed.
-func startTeams(t *testing.T, f *fleet, change func(*config.File), all ...team) *child {
+func startTeams(t *testing.T, f *fleet, change func(*dispatchconfig.File), all ...team) *child {
 	t.Helper()
 	c := startChild(t, f)
 	c.kill()
@@ -103,8 +103,8 @@
 // own team's name, though that team's place in the list is another's by then; so do those of a team that stays. It may come back.
 func TestTeamGoesWithJobsUnderWay(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := startTeams(t, f, func(file *config.File) {
-		file.Journal = &config.Journal{Dir: filepath.Join(t.TempDir(), "journal"), ReserveMB: 1, MaxMB: 16}
+	c := startTeams(t, f, func(file *dispatchconfig.File) {
+		file.Journal = &dispatchconfig.Journal{Dir: filepath.Join(t.TempDir(), "journal"), ReserveMB: 1, MaxMB: 16}
 	}, team{"leaver", 0.3, 20}, team{"co-op", 0.7, 0})
 	tenants := []string{"leaver", "co-op"}
 	out, outAnswers := map[string]*run{}, map[string]<-chan reply{}
@@ -377,7 +377,7 @@
 // co-ops come in by their new shares.
 func TestDoorSharesChange(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := startTeams(t, f, func(file *config.File) { file.Door = &config.Door{Concurrency: 1} },
+	c := startTeams(t, f, func(file *dispatchconfig.File) { file.Door = &dispatchconfig.Door{Concurrency: 1} },
 		team{"leaver", 0.2, 0}, team{"left", 0.4, 0}, team{"right", 0.4, 0})
 	const each = 8
 	streams := map[string]*stream{}
--- a/scheduler/upgrade.go
+++ b/scheduler/upgrade.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"sedgevale"
-	"sedgevale/internal/config"
-	"sedgevale/internal/core"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/handover"
 	"sedgevale/internal/sse"
 )
@@ -116,8 +116,8 @@
 
 // inherited returns the configuration of the process that serves, or nil: a file
 // that it has turned down must not stop the next one.
-func inherited() *config.Config {
-	me := &config.Config{Name: os.Getenv("EDGE_NAME"), Listen: os.Getenv("EDGE_LISTEN")}
+func inherited() *dispatchconfig.Config {
+	me := &dispatchconfig.Config{Name: os.Getenv("EDGE_NAME"), Listen: os.Getenv("EDGE_LISTEN")}
 	session, err := handover.Join(fileOf(me, "sock"), handover.NewHello(me.Name, me.Listen))
 	if err != nil {
 		return nil
@@ -127,7 +127,7 @@
 	if err != nil || state.Source == nil {
 		return nil
 	}
-	c, err := config.FromSource(state.Source)
+	c, err := dispatchconfig.FromSource(state.Source)
 	if err != nil {
 		return nil
 	}
@@ -215,7 +215,7 @@
 }
 
 // tell passes on what a planner does.
-func (b *bond) tell(planner int, shared core.Shared) {
+func (b *bond) tell(planner int, shared dispatch.Shared) {
 	b.send(&handover.Message{Share: &handover.Share{Planner: planner, Shared: shared}, Used: b.s.used()})
 }
 
