--- /dev/null
+++ b/internal/system/simulation/stored_data_test.go
@@ -0,0 +1,257 @@
+package simulation
+
+import (
+	"bytes"
+	"context"
+	"flag"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"sedgevale/coord/rendezvous"
+	"sedgevale/internal/system/core"
+	"sedgevale/internal/system/statefile"
+	"sedgevale/workeragent"
+)
+
+var updateStored = flag.Bool("update", false, "write the stored data of other tests anew")
+
+// storedData is where tests of what reads a core machine's data directory find those of this test.
+const storedData = "../statefile/testdata"
+
+// storedConfiguration is the configuration under which the stored jobs were handed in.
+const storedConfiguration = `{"version":%d,"routes":[` +
+	`{"name":"q","host":"h","path_prefix":"/q/","timeout_ms":3000,"target_latency_ms":1000,"priority":0,"service":"svc","retries":2,"extension":2},` +
+	`{"name":"r","host":"h","path_prefix":"/r/","timeout_ms":4000,"target_latency_ms":2000,"priority":1,"service":"svc","retries":0,"extension":2}],` +
+	`"services":[{"name":"svc"}]}`
+
+// storedJobs are handed in by queue and ID. What their texts mean to the worker is said at scriptedWorker.
+var storedJobs = []struct{ path, body string }{
+	{"/q/00000000000000d1", `{"spec":"short","stages":[{"count":2,"cpu":100,"estimate_ms":200},{"count":1,"cpu":100,"depends_on":[0]}]}`},
+	{"/q/00000000000000f1", `{"spec":"fail","stages":[{"count":1,"cpu":100,"estimate_ms":200}]}`},
+	{"/q/00000000000000a1", `{"spec":"save","stages":[{"count":2,"cpu":150,"mem_mb":64,"estimate_ms":60000,"checkpoints":true}]}`},
+	{"/r/00000000000000c1", `{"spec":"hold","stages":[{"count":1,"cpu":100,"long_running":true}],"long_running":true}`},
+	{"/r/00000000000000b1", `{"spec":"hold","stages":[{"count":1,"cpu":999999}]}`},
+	{"/q/00000000000000e1", `{"spec":"short","stages":[{"count":1,"cpu":100,"estimate_ms":200}],"repeat":40,"start_at_ms":946684810000,"interval_ms":4000}`},
+}
+
+// scriptedWorker beats like a worker and ends its runs by the text of their job: those of "short" are done after a moment,
+// those of "fail" fail, those of "save" report a checkpoint and go on, but for the first attempt of the second, which fails
+// then; all others go on.
+type scriptedWorker struct {
+	world    *world
+	client   *http.Client
+	sequence int64
+	number   int64
+	active   []workeragent.Active
+	text     map[string]string
+	finished []workeragent.Finished
+}
+
+func (s *scriptedWorker) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		time.Sleep(100 * time.Millisecond)
+		s.beat(ctx)
+	}
+	s.client.CloseIdleConnections()
+}
+
+func (s *scriptedWorker) beat(ctx context.Context) {
+	s.sequence++
+	beat := workeragent.Heartbeat{
+		Service: service, Zone: "z", Version: "v1", State: "ready", Sequence: s.sequence, Active: s.active, Finished: s.finished,
+		Capacity: workeragent.Capacity{CPU: 4000, MemMB: 4096, GPU: 1}, Labels: []string{"k", "r1"},
+	}
+	text, err := beat.MarshalJSON()
+	if err != nil {
+		s.world.fail("heartbeat: %v", err)
+		return
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://10.0.2.1:80/sedgevale/instances/stored-1", bytes.NewReader(text))
+	if err != nil {
+		s.world.fail("heartbeat: %v", err)
+		return
+	}
+	response, err := s.client.Do(request)
+	if err != nil {
+		return
+	}
+	body, err := io.ReadAll(response.Body)
+	if failed := response.Body.Close(); failed != nil {
+		s.world.fail("heartbeat: %v", failed)
+	}
+	answer := workeragent.Answer{}
+	if err != nil || response.StatusCode != http.StatusOK || len(body) == 0 || answer.UnmarshalJSON(body) != nil {
+		return
+	}
+	s.obey(&answer)
+}
+
+func (s *scriptedWorker) obey(answer *workeragent.Answer) {
+	for len(s.finished) > 0 && s.finished[0].Number <= answer.LastSeen {
+		s.finished = s.finished[1:]
+	}
+	stopped := map[string]bool{}
+	for _, one := range answer.Stopped {
+		stopped[one.Task] = true
+	}
+	running := s.active
+	s.active = nil
+	for _, one := range running {
+		switch {
+		case stopped[one.Task]:
+			s.end(one, "stopped")
+		case s.text[one.Task] == "short":
+			s.end(one, "done")
+		case s.text[one.Task] == "fail", one.Saved != "" && one.Attempt == 1 && strings.HasSuffix(one.Task, ".1"):
+			s.end(one, "failed")
+		default:
+			if s.text[one.Task] == "save" {
+				one.Saved, one.Percent = fmt.Sprintf("saved/%s/%d", one.Task, one.Attempt), 40
+			}
+			s.active = append(s.active, one)
+		}
+	}
+	for _, start := range answer.Started {
+		s.text[start.Task] = start.Text
+		s.active = append(s.active, workeragent.Active{Task: start.Task, Attempt: start.Attempt, Saved: start.Saved})
+	}
+}
+
+func (s *scriptedWorker) end(one workeragent.Active, how string) {
+	s.number++
+	s.finished = append(s.finished, workeragent.Finished{Number: s.number, Task: one.Task, Attempt: one.Attempt, How: how, Saved: one.Saved})
+}
+
+// A whole system writes what a core machine keeps: registers, seats, shards and jobs, before and after the takeover of a
+// shard, the loss of a disk and the start of a new generation. With -update its directories become the stored data that
+// other tests read.
+func TestCoreDirectoryHoldsTheWholeState(t *testing.T) {
+	playControl(t, shape{cores: 3, tolerance: 1}, func(t *testing.T, w *world) {
+		defer w.startScripted()()
+		w.submitStored(t)
+		first := w.coreNames()
+		owner := ownerAmong(w, first)
+		var others []string
+		for _, name := range first {
+			if name != owner {
+				others = append(others, name)
+			}
+		}
+		w.kill(owner)
+		time.Sleep(5 * time.Second)
+		w.kill(others[0])
+		w.checkDirectory(t, others[0], "takeover", "epoch 1 of", "shard svc: token 2,", "configuration 2\n")
+		w.start(others[0])
+		time.Sleep(4 * time.Second)
+		w.wipe(owner)
+		w.start(owner)
+		time.Sleep(catchUp)
+		w.putStored(t, 3)
+		w.handIn(t, "/r/00000000000000b2", storedJobs[4].body)
+		w.kill(others[0])
+		w.start(others[0])
+		time.Sleep(4 * time.Second)
+		w.handIn(t, "/q/00000000000000b3", storedJobs[4].body)
+		time.Sleep(time.Second)
+		w.kill(others[0])
+		w.checkDirectory(t, others[0], "generation", "epoch 3 of", "life 3,", "shard svc: token 2,", "configuration 3\n")
+		w.kill(owner)
+		w.checkDirectory(t, owner, "rejoined", "epoch 3 of", "joined in epoch 2\n", "votes true,", "configuration 3\n")
+	})
+}
+
+// startScripted puts a scripted worker in the place of the others and returns what ends it.
+func (w *world) startScripted() context.CancelFunc {
+	for i := range sides {
+		w.workers[fmt.Sprint("side", i)]()
+	}
+	h := w.fabric.host("w10.0.2.1")
+	worker := &scriptedWorker{
+		world: w, client: &http.Client{Transport: &http.Transport{DialContext: h.dial}, Timeout: 2 * time.Second}, text: map[string]string{},
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	w.running.Add(1)
+	go func() {
+		defer w.running.Done()
+		worker.run(ctx)
+	}()
+	return cancel
+}
+
+// submitStored hands the stored jobs in and cancels one of them.
+func (w *world) submitStored(t *testing.T) {
+	t.Helper()
+	w.putStored(t, 2)
+	time.Sleep(2 * time.Second)
+	for _, job := range storedJobs {
+		w.handIn(t, job.path, job.body)
+	}
+	time.Sleep(6 * time.Second)
+	if status, _ := w.call(http.MethodDelete, "10.0.1.1:90", storedJobs[3].path, "h", "", ""); status != http.StatusOK {
+		t.Fatalf("cancelling: status %d", status)
+	}
+	time.Sleep(2 * time.Second)
+}
+
+func (w *world) putStored(t *testing.T, version int64) {
+	t.Helper()
+	status, text := w.call(http.MethodPut, "10.0.0.2:80", "/sedgevale/config", "", fmt.Sprint(version-1), fmt.Sprintf(storedConfiguration, version))
+	if status != http.StatusOK {
+		t.Fatalf("configuration %d: %d %s", version, status, text)
+	}
+}
+
+func (w *world) handIn(t *testing.T, path, body string) {
+	t.Helper()
+	if status, text := w.call(http.MethodPost, "10.0.1.1:90", path, "h", "", body); status != http.StatusOK {
+		t.Fatalf("%s: %d %s", path, status, text)
+	}
+}
+
+// ownerAmong returns the core machine that owns the shard as long as all are up.
+func ownerAmong(w *world, names []string) string {
+	var addresses []string
+	byAddress := map[string]string{}
+	for _, name := range names {
+		address := w.machine(name).ip + ":7000"
+		addresses = append(addresses, address)
+		byAddress[address] = name
+	}
+	return byAddress[rendezvous.First(service, addresses)]
+}
+
+// checkDirectory checks what the directory of a dead core machine says, and stores a copy where that was asked for.
+func (w *world) checkDirectory(t *testing.T, name, stored string, parts ...string) {
+	t.Helper()
+	dir := w.machine(name).dir
+	var text strings.Builder
+	if err := core.Describe(dir, &text); err != nil {
+		t.Fatal(err)
+	}
+	for _, part := range parts {
+		if !strings.Contains(text.String(), part) {
+			t.Errorf("%s: no %q in\n%s", stored, part, text.String())
+		}
+	}
+	files, err := statefile.Inspect(dir)
+	if err != nil || len(files) != 2 || !files[0].Whole || !files[1].Whole {
+		t.Errorf("%s: files %+v, error %v", stored, files, err)
+	}
+	if !*updateStored {
+		return
+	}
+	to := filepath.Join(storedData, stored)
+	if err := os.RemoveAll(to); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.CopyFS(to, os.DirFS(dir)); err != nil {
+		t.Fatal(err)
+	}
+	t.Logf("%s is that of %s:\n%s", to, name, text.String())
+}
