--- /dev/null
+++ b/internal/journal/golden_test.go
@@ -0,0 +1,106 @@
+package journal
+
+import (
+	"bytes"
+	"encoding/hex"
+	"reflect"
+	"testing"
+)
+
+// goldenRecords are records of each kind, with each field that a kind has, and their bytes. Fields go by their order; the
+// bytes must never change.
+var goldenRecords = []struct {
+	record Record
+	want   string
+}{
+	{Record{Kind: Taken, Serial: 7, At: 1_700_000_000_000_001, Job: "job", Class: "once", Tenant: "team", Target: "/t?a=1", Size: 300, Digest: []byte{1, 2}}, "dc00110107cf00060a24181e4001a36a6f6200a0a46f6e6365a47465616da62f743f613d31cd012cc402010200c2a0a000c0"},
+	{Record{Kind: Intent, Serial: 7, At: 2, Job: "job", Attempt: 3, Worker: "box"}, "dc0011020702a36a6f6203a3626f78a0a0a000c000c2a0a000c0"},
+	{Record{Kind: Sent, Serial: 7, At: 3, Attempt: 3}, "dc0011030703a003a0a0a0a000c000c2a0a000c0"},
+	{Record{Kind: Started, Serial: 7, At: 4, Attempt: 3}, "dc0011040704a003a0a0a0a000c000c2a0a000c0"},
+	{Record{Kind: Ended, Serial: 7, At: 5, Attempt: 3, Code: uint8(OutLost), Unseen: true}, "dc0011050705a003a0a0a0a000c006c3a0a000c0"},
+	{Record{Kind: Answered, Serial: 7, At: 6, Code: uint8(Refused), Text: "why"}, "dc0011060706a000a0a0a0a000c002c2a3776879a000c0"},
+	{Record{Kind: ClientGone, Serial: 7, At: 7}, "dc0011070707a000a0a0a0a000c000c2a0a000c0"},
+	{Record{Kind: Settled, Serial: 7, At: 8, Job: "job", Code: uint8(DidNotRun), Text: "why", Who: "ann"}, "dc0011080708a36a6f6200a0a0a0a000c002c2a3776879a3616e6e00c0"},
+	{Record{Kind: Kept, Serial: 7, At: 9, Whole: &Job{
+		Serial: 7, ID: "job", Class: "once", Tenant: "team", Target: "/t", Size: 4, Digest: []byte{9}, TakenAt: 10,
+		Attempts: []Attempt{{
+			Number: 1, Worker: "box", IntentAt: 11, SentAt: 12, StartedAt: 13, EndedAt: 14, Outcome: OutTimedOut, Unseen: true,
+		}},
+		Answer: Failed, AnswerAt: 15, Reason: "because", GoneAt: 16, Broken: true, Gap: false,
+		SettledAs: Unknown, SettledAt: 17, SettledBy: "ann", SettledWhy: "seen",
+	}}, "dc0011090709a000a0a0a0a000c000c2a0a000dc001307a36a6f62a46f6e6365a47465616da22f7404c401090a919801a3626f780b0c0d0e04c3030fa76265636175736510c3c20311a3616e6ea47365656e"},
+	{Record{Kind: Pruned, At: 10, Count: 70000}, "dc00110a000aa000a0a0a0a000c000c2a0a0ce00011170c0"},
+	{Record{Kind: Gap, At: 11, Count: 3}, "dc00110b000ba000a0a0a0a000c000c2a0a003c0"},
+	{Record{Kind: Closed, At: 12}, "dc00110c000ca000a0a0a0a000c000c2a0a000c0"},
+}
+
+func TestRecordBytes(t *testing.T) {
+	for _, one := range goldenRecords {
+		got, err := Encode(nil, &one.record)
+		if err != nil || hex.EncodeToString(got) != one.want {
+			t.Errorf("kind %d: error %v, bytes\n%x want\n%s", one.record.Kind, err, got, one.want)
+		}
+		bytesOf, err := hex.DecodeString(one.want)
+		if err != nil {
+			t.Fatal(err)
+		}
+		back, err := Decode(bytesOf)
+		if err != nil || !reflect.DeepEqual(*back, one.record) {
+			t.Errorf("kind %d is read as %+v, error %v", one.record.Kind, back, err)
+		}
+	}
+}
+
+// The numbers and words of outcomes, answers and verdicts are part of the format.
+func TestNumbersOfTheFormat(t *testing.T) {
+	for i, want := range []string{"unknown", "served", "error", "turned_away", "timed_out", "could_not_connect", "connection_lost", "cancelled", "not_sent", "unknown"} {
+		if got := Outcome(i).String(); got != want {
+			t.Errorf("outcome %d is %q, want %q", i, got, want)
+		}
+	}
+	for i, want := range []string{"unknown", "served", "refused", "failed"} {
+		if got := AnswerKind(i).String(); got != want {
+			t.Errorf("answer %d is %q, want %q", i, got, want)
+		}
+	}
+	for i, want := range []string{"unknown", "ran", "did_not_run", "unknown"} {
+		if got := Verdict(i).String(); got != want {
+			t.Errorf("verdict %d is %q, want %q", i, got, want)
+		}
+	}
+	if Taken != 1 || Intent != 2 || Sent != 3 || Started != 4 || Ended != 5 || Answered != 6 || ClientGone != 7 || Settled != 8 ||
+		Kept != 9 || Pruned != 10 || Gap != 11 || Closed != 12 {
+		t.Error("a kind of records has another number")
+	}
+}
+
+// A segment's header and a frame with their chained authentication codes.
+func TestFrameBytes(t *testing.T) {
+	key, err := NewKey([]byte("0123456789abcdef0123456789abcdef"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	header := Header{Number: 5, First: 77}
+	copy(header.Run[:], "run-of-a-process")
+	copy(header.Prev[:], "mac-of-the-prior")
+	segment, mac := key.AppendHeader(nil, header)
+	segment, mac, err = key.AppendFrame(segment, mac, 1234, &Record{Kind: Sent, Serial: 7, At: 3, Attempt: 3})
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = "53564a4f424c4f470100000000000000050000000000000072756e2d6f662d612d70726f636573734d000000000000006d61632d6f662d7468652d7072696f7264093598084def5a4b02df1da9438a4c7a2ac972a01b675314000000d2040000dc0011030703a003a0a0a0a000c000c2a0a000c0615dfcb3378c13d3e216b5b303808adc"
+	if got := hex.EncodeToString(segment); got != want {
+		t.Errorf("the segment is\n%s want\n%s", got, want)
+	}
+	if !bytes.HasSuffix(segment, mac[:]) {
+		t.Error("the frame does not end with its code")
+	}
+	read, chain, err := key.ReadHeader(segment)
+	if err != nil || read != header {
+		t.Fatalf("the header is read as %+v, error %v", read, err)
+	}
+	frame, err := key.ReadFrame(segment[HeaderSize:], chain)
+	if err != nil || frame.Mac != mac || frame.Size != len(segment)-HeaderSize {
+		t.Errorf("the frame is read as %+v, error %v", frame, err)
+	}
+}
--- /dev/null
+++ b/internal/journal/store/stored_data_test.go
@@ -0,0 +1,241 @@
+package store_test
+
+import (
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/store"
+)
+
+var updateStored = flag.Bool("update", false, "write the stored journal anew")
+
+const storedJournal = "testdata/journal"
+
+// storedOptions are those under which the stored journal was written, with segments that are as short as possible.
+func storedOptions(dir string, pid int, now func() time.Time) store.Options {
+	return store.Options{
+		Dir: dir, Secret: secret, Sync: true, Keep: time.Hour, Segment: 600, Now: now, Owner: store.Owner{PID: pid, Name: "n0", Ops: "127.0.0.1:9"},
+	}
+}
+
+// writer puts records of jobs into a store.
+type writer struct {
+	t   *testing.T
+	s   *store.Store
+	now time.Time
+}
+
+func newWriter(t *testing.T, dir string, pid int, now time.Time) *writer {
+	t.Helper()
+	w := &writer{t: t, now: now}
+	var err error
+	if w.s, err = store.OpenStepped(storedOptions(dir, pid, func() time.Time { return w.now })); err != nil {
+		t.Fatal(err)
+	}
+	return w
+}
+
+// put hands records in, a millisecond apart, and has them made durable.
+func (w *writer) put(records ...journal.Record) {
+	for _, r := range records {
+		w.now = w.now.Add(time.Millisecond)
+		r.At = w.now.UnixMicro()
+		w.s.Put(r, func(err error) {
+			if err != nil {
+				w.t.Errorf("record %+v: %v", r, err)
+			}
+		})
+	}
+	w.s.Batch()
+	w.s.Sync()
+	w.s.Tend()
+}
+
+// begin puts that a job was taken and is about to go to a worker.
+func (w *writer) begin(id string) uint64 {
+	serial := w.s.Serial()
+	digest := sha256.Sum256([]byte(id))
+	w.put(
+		journal.Record{Kind: journal.Taken, Serial: serial, Job: id, Class: "once", Tenant: "team", Target: "/once?a=1", Size: 77, Digest: digest[:16]},
+		journal.Record{Kind: journal.Intent, Serial: serial, Job: id, Worker: "box-1"},
+	)
+	return serial
+}
+
+// writeStored writes a journal of two processes: one that ended in order after it dropped old segments, and one that died.
+func writeStored(t *testing.T, dir string) {
+	t.Helper()
+	w := newWriter(t, dir, 1, time.UnixMicro(1_700_000_000_000_000))
+	finish := func(serial uint64) {
+		w.put(
+			journal.Record{Kind: journal.Sent, Serial: serial}, journal.Record{Kind: journal.Started, Serial: serial},
+			journal.Record{Kind: journal.Ended, Serial: serial, Code: uint8(journal.OutServed)},
+			journal.Record{Kind: journal.Answered, Serial: serial, Code: uint8(journal.Served)},
+		)
+	}
+	lost := w.begin("lost")
+	w.put(
+		journal.Record{Kind: journal.Sent, Serial: lost}, journal.Record{Kind: journal.Started, Serial: lost},
+		journal.Record{Kind: journal.Ended, Serial: lost, Code: uint8(journal.OutLost)},
+		journal.Record{Kind: journal.Answered, Serial: lost, Code: uint8(journal.Failed), Text: "the connection broke"},
+	)
+	for i := range 4 {
+		finish(w.begin(fmt.Sprint("old-", i)))
+	}
+	w.now = w.now.Add(2 * time.Hour)
+	finish(w.begin("finished"))
+	settled := w.begin("settled")
+	w.put(
+		journal.Record{Kind: journal.Ended, Serial: settled, Code: uint8(journal.OutTimedOut)},
+		journal.Record{Kind: journal.ClientGone, Serial: settled},
+	)
+	w.put(journal.Record{Kind: journal.Settled, Serial: settled, Job: "settled", Code: uint8(journal.Ran), Text: "seen in the box's log", Who: "ann"})
+	retried := w.begin("retried")
+	w.put(
+		journal.Record{Kind: journal.Ended, Serial: retried, Code: uint8(journal.OutFull), Unseen: true},
+		journal.Record{Kind: journal.Intent, Serial: retried, Attempt: 1, Job: "retried", Worker: "box-2"},
+		journal.Record{Kind: journal.Sent, Serial: retried, Attempt: 1}, journal.Record{Kind: journal.Started, Serial: retried, Attempt: 1},
+		journal.Record{Kind: journal.Ended, Serial: retried, Attempt: 1, Code: uint8(journal.OutServed)},
+		journal.Record{Kind: journal.Answered, Serial: retried, Code: uint8(journal.Served)},
+	)
+	w.s.Tend()
+	w.s.Finish()
+
+	w = newWriter(t, dir, 2, w.now.Add(time.Second))
+	finish(w.begin("finished-2"))
+	w.begin("open-intent")
+	started := w.begin("open-started")
+	w.put(journal.Record{Kind: journal.Sent, Serial: started}, journal.Record{Kind: journal.Started, Serial: started})
+	gone := w.begin("open-refused")
+	w.put(journal.Record{Kind: journal.Ended, Serial: gone, Code: uint8(journal.OutConnectFailed), Unseen: true})
+	w.s.Unlock()
+}
+
+// describeJob writes all that is known of a job.
+func describeJob(j store.Found) string {
+	var text strings.Builder
+	verdict, reason, workers := j.Verdict()
+	fmt.Fprintf(&text, "%s serial %d class %s tenant %s target %s size %d digest %x taken %d: open %t, done %t, verdict %s (%s; %s)\n",
+		j.ID, j.Serial, j.Class, j.Tenant, j.Target, j.Size, j.Digest, j.TakenAt, j.Open(), j.Done(), verdict, reason, strings.Join(workers, ", "))
+	for _, a := range j.Attempts {
+		fmt.Fprintf(&text, " attempt %d at %s: intent %d, sent %d, started %d, ended %d %s, unseen %t\n", a.Number, a.Worker, a.IntentAt, a.SentAt,
+			a.StartedAt, a.EndedAt, a.Outcome, a.Unseen)
+	}
+	fmt.Fprintf(&text, " answer %s at %d %q, client gone %d, broken %t, gap %t, settled %s at %d by %q: %q\n", j.Answer, j.AnswerAt, j.Reason, j.GoneAt,
+		j.Broken, j.Gap, j.SettledAs, j.SettledAt, j.SettledBy, j.SettledWhy)
+	return text.String()
+}
+
+func describeView(v *store.View) string {
+	var text strings.Builder
+	for _, j := range v.Jobs {
+		text.WriteString(describeJob(j))
+	}
+	for _, p := range v.Problems {
+		fmt.Fprintf(&text, "problem %s\n", p)
+	}
+	for _, l := range v.Lanes {
+		fmt.Fprintf(&text, "%s live %t, closed %t, %d segments, pruned to %d, %d records\n", filepath.Base(l.Dir), l.Live, l.Closed, l.Segments, l.Pruned, l.Records)
+	}
+	return text.String()
+}
+
+// checkText compares a text with a file under testdata, which -update writes.
+func checkText(t *testing.T, got, path string) {
+	t.Helper()
+	if *updateStored {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil || got != string(want) {
+		t.Errorf("error %v; the journal says\n%s\nwant\n%s", err, got, want)
+	}
+}
+
+// A journal that an earlier release wrote is read whole: its finished, open, unknown and settled jobs, with their times.
+func TestStoredJournalIsRead(t *testing.T) {
+	if *updateStored {
+		if err := os.RemoveAll(storedJournal); err != nil {
+			t.Fatal(err)
+		}
+		writeStored(t, storedJournal)
+	}
+	view, err := store.Read(store.OS{}, storedJournal, secret, "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if view.Damaged() {
+		t.Errorf("it counts as damaged: %v", view.Problems)
+	}
+	checkText(t, describeView(view), "testdata/dead.txt")
+	one, err := store.Read(store.OS{}, storedJournal, secret, "lost")
+	if err != nil || len(one.Jobs) != 1 || one.Jobs[0].Reason != "the connection broke" {
+		t.Errorf("one job is read as %+v, error %v", one, err)
+	}
+}
+
+func copyStored(t *testing.T) string {
+	t.Helper()
+	dir := filepath.Join(t.TempDir(), "j")
+	if err := os.CopyFS(dir, os.DirFS(storedJournal)); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// As long as its process lives, the jobs of a lane are open.
+func TestStoredJournalOfALivingProcess(t *testing.T) {
+	dir := copyStored(t)
+	lock, _, err := store.OS{}.Lock(filepath.Join(dir, "lane-0", "lock"), `{"pid":2,"name":"n0","ops":"127.0.0.1:9"}`)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := lock.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	view, err := store.Read(store.OS{}, dir, secret, "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := (store.Owner{PID: 2, Name: "n0", Ops: "127.0.0.1:9"}); view.Lanes[0].Owner != want {
+		t.Errorf("the lane is of %+v, want %+v", view.Lanes[0].Owner, want)
+	}
+	checkText(t, describeView(view), "testdata/live.txt")
+}
+
+// The next process goes on after what is there: serials rise on, jobs that are not known wait for a verdict, and one of
+// them takes it.
+func TestStoredJournalGoesOn(t *testing.T) {
+	dir := copyStored(t)
+	w := newWriter(t, dir, 3, time.UnixMicro(1_700_007_300_000_000))
+	if got := w.s.Known(); got != 3 {
+		t.Errorf("%d jobs wait for a verdict, want 3", got)
+	}
+	if got := w.s.Serial(); got != 13 {
+		t.Errorf("the next serial is %d, want 13", got)
+	}
+	w.s.Finish()
+	if n, err := store.SettleIn(storedOptions(dir, 4, time.Now), "lost", journal.DidNotRun, "bob", "asked"); n != 1 || err != nil {
+		t.Errorf("%d jobs settled, error %v", n, err)
+	}
+	view, err := store.Read(store.OS{}, dir, secret, "")
+	if err != nil || view.Damaged() {
+		t.Fatalf("damaged: %v, error %v", view, err)
+	}
+	i := slices.IndexFunc(view.Jobs, func(j store.Found) bool { return j.ID == "lost" })
+	if i < 0 || view.Jobs[i].SettledAs != journal.DidNotRun || view.Jobs[i].SettledBy != "bob" {
+		t.Errorf("the verdict is not there: %s", describeView(view))
+	}
+}
