--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -15,7 +15,7 @@
 	return m
 }
 
-// next installs the change of a membership that nobody else changes.
+// next applies a change to a membership without rival proposals.
 func next(t *testing.T, m Membership, change Change) Membership {
 	t.Helper()
 	changed, err := Next(m, m, change)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestSeatChangesHandsByWayOfALearner(t *testing.T) {
+func TestSeatIsReplacedThroughALearner(t *testing.T) {
 	m := first(t)
 	learner := next(t, m, Admit(0, "x", "d"))
 	if got, _ := learner.Member("x"); got != (Member{ID: "x", Address: "d", Since: 2}) || len(learner.Voters()) != 2 {
@@ -48,7 +48,7 @@
 	if got, _ := voter.Member("x"); !got.Voter || got.Since != 2 || voter.Epoch != 3 || voter.Base != 2 {
 		t.Errorf("%+v", voter)
 	}
-	if _, err := Next(voter, voter, Promote("x")); !errors.Is(err, ErrNotALearner) {
+	if _, err := Next(voter, voter, Promote("x")); !errors.Is(err, ErrNotLearner) {
 		t.Errorf("promoted twice: %v", err)
 	}
 }
@@ -56,20 +56,20 @@
 func TestNoChangeLeavesTooFewVoters(t *testing.T) {
 	m := next(t, first(t), Admit(0, "x", "d"))
 	if _, err := Next(m, m, Admit(1, "y", "e")); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("a second voter gives way before the first learner votes: %v", err)
+		t.Errorf("a second voter was replaced before the first learner was promoted: %v", err)
 	}
 	if replaced := next(t, m, Admit(0, "y", "e")); replaced.SeatOf("y") != 0 {
-		t.Errorf("a learner that has gone is not replaced: %+v", replaced)
+		t.Errorf("a learner that was lost is not replaced: %+v", replaced)
 	}
 	one := First(1, []string{"a"})
 	if _, err := Next(one, one, Admit(0, "x", "d")); !errors.Is(err, ErrNoQuorum) {
-		t.Errorf("the only voter gives way: %v", err)
+		t.Errorf("the only voter was replaced: %v", err)
 	}
 }
 
-func TestNobodyHoldsTwoSeats(t *testing.T) {
+func TestNoDiskHoldsTwoSeats(t *testing.T) {
 	m := first(t)
-	for _, change := range []Change{Admit(1, FirstID("a"), "a"), Admit(1, "x", "a"), Admit(3, "x", "d"), Admit(-1, "x", "d")} {
+	for _, change := range []Change{Admit(1, BootstrapID("a"), "a"), Admit(1, "x", "a"), Admit(3, "x", "d"), Admit(-1, "x", "d")} {
 		if changed, err := Next(m, m, change); err == nil {
 			t.Errorf("%+v", changed)
 		}
@@ -79,25 +79,25 @@
 	}
 }
 
-// An attempt that was accepted by some and is not chosen as far as is known: another one that is made on the same
-// membership replaces it, under a higher epoch, as if it had never been.
-func TestHalfMadeChangeIsReplaced(t *testing.T) {
+// A proposal that was accepted by some and is not known to be chosen is replaced by another one with the same base, under a
+// higher epoch.
+func TestUncommittedChangeIsReplaced(t *testing.T) {
 	m := first(t)
 	half := next(t, m, Admit(0, "x", "d"))
 	other, err := Next(m, half, Admit(2, "y", "e"))
-	if err != nil || other.Epoch != 3 || other.Base != 1 || other.SeatOf(FirstID("a")) != 0 || other.SeatOf("y") != 2 {
+	if err != nil || other.Epoch != 3 || other.Base != 1 || other.SeatOf(BootstrapID("a")) != 0 || other.SeatOf("y") != 2 {
 		t.Errorf("%+v, %v", other, err)
 	}
 	if again, err := Next(m, half, Admit(0, "x", "d")); err != nil || !again.Equal(half) {
-		t.Errorf("the same change is not finished: %+v, %v", again, err)
+		t.Errorf("the same change is not completed: %+v, %v", again, err)
 	}
-	// Whoever has installed one of them finishes the other, which may be chosen, before changing anything.
+	// A proposer that has installed one of them first completes the other, which may have been chosen.
 	if finished, err := Next(half, other, Promote("x")); err != nil || !finished.Equal(other) {
 		t.Errorf("%+v, %v", finished, err)
 	}
 }
 
-// All memberships that are made on one of them have voters that hold its seats, so that any two quorums share one.
+// The quorums of all memberships with one base share a voter pairwise.
 func TestQuorumsOfRivalsShareAVoter(t *testing.T) {
 	base := next(t, First(5, []string{"a", "b", "c", "d", "e"}), Admit(0, "x", "f"))
 	rivals := []Membership{base, next(t, base, Promote("x"))}
@@ -108,12 +108,12 @@
 	}
 	for _, one := range rivals {
 		for _, two := range rivals {
-			lives := map[string]bool{}
+			ids := map[string]bool{}
 			for _, voter := range slices.Concat(one.Voters(), two.Voters()) {
-				lives[voter.ID] = true
+				ids[voter.ID] = true
 			}
-			if 2*one.Quorum() <= len(lives) {
-				t.Errorf("quorums of %+v and %+v may miss each other", one, two)
+			if 2*one.Quorum() <= len(ids) {
+				t.Errorf("quorums of %+v and %+v may not intersect", one, two)
 			}
 		}
 	}
--- a/coord/register/register_test.go
+++ b/coord/register/register_test.go
@@ -13,7 +13,7 @@
 	}
 }
 
-func TestAcceptorTurnsDownLowerBallots(t *testing.T) {
+func TestAcceptorRejectsLowerBallots(t *testing.T) {
 	a := &Acceptor{}
 	a.Prepare(Ballot{5, "p"}, Ballot{})
 	if p := a.Prepare(Ballot{4, "q"}, Ballot{}); p.Granted || p.Promised != (Ballot{5, "p"}) {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestPromiseLeavesOutAKnownValue(t *testing.T) {
+func TestPromiseOmitsAKnownValue(t *testing.T) {
 	a := &Acceptor{}
 	a.Accept(Ballot{1, "p"}, []byte("x"))
 	if p := a.Prepare(Ballot{2, "p"}, Ballot{1, "p"}); p.Value != nil || p.Accepted != (Ballot{1, "p"}) {
@@ -60,8 +60,8 @@
 	}
 }
 
-// Proposers race for a counter over replicas that lose messages: each increment that was reported happened just
-// once, in some order (linearizable), as the returned values are all different and rise to their count.
+// Proposers increment a counter concurrently over replicas that lose messages. The register is linearizable: each
+// increment that was reported happened exactly once, so the returned values are all different.
 func TestRacingProposersLoseNoIncrement(t *testing.T) {
 	for seed := range uint64(300) {
 		if err := raceOnce(seed, 2); err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// With a quorum one short the same race is seen to go wrong.
+// With a quorum that is one too small the same test detects a violation.
 func TestQuorumOneShortIsCaught(t *testing.T) {
 	for seed := range uint64(300) {
 		if raceOnce(seed, 1) != nil {
--- a/coord/rendezvous/rendezvous.go
+++ b/coord/rendezvous/rendezvous.go
@@ -1,5 +1,6 @@
-// Package rendezvous chooses members for keys by highest random weight hashing (Thaler and Ravishankar,
-// 1998): all who know the same members choose alike, and a member that comes or goes moves only its own keys.
+// Package rendezvous assigns keys to members by highest random weight hashing: D. Thaler and C. Ravishankar, "Using
+// Name-Based Mappings to Increase Hit Rates", IEEE/ACM Transactions on Networking 6(1), 1998. All who know the same
+// members choose alike, and a member that joins or leaves moves only its own keys.
 package rendezvous
 
 import (
@@ -18,7 +19,7 @@
 	return hash.Sum64()
 }
 
-// Rank returns the members in the order of their weight for a key, the heaviest first.
+// Rank returns the members by descending weight for a key; ties are broken by name.
 func Rank(key string, members []string) []string {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -27,7 +28,7 @@
 	return ranked
 }
 
-// First returns the member with the greatest weight for a key, or "" where there is none.
+// First returns the member with the highest weight for a key, or "" if there are no members.
 func First(key string, members []string) string {
 	if len(members) == 0 {
 		return ""
@@ -35,7 +36,7 @@
 	return Rank(key, members)[0]
 }
 
-// Monitors returns the members that one of them watches: the few heaviest others for its own name.
+// Monitors returns the members that a member monitors: the count others with the highest weight for its own name.
 func Monitors(self string, members []string, count int) []string {
 	var others []string
 	for _, member := range members {
--- a/coord/shard/primary.go
+++ b/coord/shard/primary.go
@@ -2,46 +2,47 @@
 
 import "slices"
 
-// Primary is the owner's side of the replication: what each replica has yet to be told, and up to where
-// a majority has stored the changes. It is pure; the caller carries the writes.
+// Primary is the owner's part of the replication: the changes that each replica has yet to be sent, and the change up to
+// which a quorum has acknowledged. It is a pure state machine; the caller carries the writes.
 type Primary struct {
-	Token    int64
+	Token    int64 // the owner's fencing token
 	Set      *Set
-	sequence int64
+	sequence int64 // the number of the last change; the first has 1
 	quorum   int
-	peers    []peer
+	replicas []replicaProgress
 }
 
-type peer struct {
-	votes   bool // its acknowledgements count
-	inStep  bool
-	acked   int64 // all changes up to this one are stored there
-	pending map[string]bool
+// replicaProgress is what the owner knows of one replica.
+type replicaProgress struct {
+	voter   bool            // its acknowledgements count for the quorum
+	inSync  bool            // it is repaired, or being repaired, and is sent all changes since
+	acked   int64           // it stores all changes up to this one; 0 if it is not in sync
+	pending map[string]bool // keys changed since the last batch; empty if it is not in sync
 }
 
-// NewPrimary returns the owner's state over a merged set of records. All replicas vote until SetVoter says otherwise.
+// NewPrimary returns the owner's state over a merged set of records. All replicas are voters, and none is in sync.
 func NewPrimary(token int64, set *Set, replicas, quorum int) *Primary {
-	p := &Primary{Token: token, Set: set, quorum: quorum, peers: make([]peer, replicas)}
-	for i := range p.peers {
-		p.peers[i].pending = map[string]bool{}
-		p.peers[i].votes = true
+	p := &Primary{Token: token, Set: set, quorum: quorum, replicas: make([]replicaProgress, replicas)}
+	for i := range p.replicas {
+		p.replicas[i].pending = map[string]bool{}
+		p.replicas[i].voter = true
 	}
 	return p
 }
 
 // Put changes a record and returns the number of the change.
-func (p *Primary) Put(key string, value []byte) int64 { return p.change(key, value, false) }
+func (p *Primary) Put(key string, value []byte) int64 { return p.write(key, value, false) }
 
-// Delete drops a record and returns the number of the change.
-func (p *Primary) Delete(key string) int64 { return p.change(key, nil, true) }
+// Delete removes a record and returns the number of the change.
+func (p *Primary) Delete(key string) int64 { return p.write(key, nil, true) }
 
-func (p *Primary) change(key string, value []byte, deleted bool) int64 {
+func (p *Primary) write(key string, value []byte, deleted bool) int64 {
 	p.sequence++
 	version := Version{Token: p.Token, Sequence: p.sequence}
 	p.Set.Apply(Record{Key: key, Version: version, Value: value, Deleted: deleted})
-	for i := range p.peers {
-		if p.peers[i].inStep {
-			p.peers[i].pending[key] = true
+	for i := range p.replicas {
+		if p.replicas[i].inSync {
+			p.replicas[i].pending[key] = true
 		}
 	}
 	return p.sequence
@@ -50,31 +51,32 @@
 // Sequence returns the number of the last change.
 func (p *Primary) Sequence() int64 { return p.sequence }
 
-// Quorum returns how many replicas have to store a change.
+// Quorum returns the number of voters that have to acknowledge a change.
 func (p *Primary) Quorum() int { return p.quorum }
 
-// InStep reports whether a replica takes writes.
-func (p *Primary) InStep(replica int) bool { return p.peers[replica].inStep }
+// InStep reports whether a replica is in sync, so that it is sent changes.
+func (p *Primary) InStep(replica int) bool { return p.replicas[replica].inSync }
 
-// BeginRepair returns the key ranges in which a replica with these digests differs, with their records, and the
-// number of the last change that they cover. Changes from now on are pending for it.
+// BeginRepair returns the key ranges, with their records, in which a replica with the given digests differs from the
+// owner, and the number of the last change that they contain. Later changes are pending for the replica.
 func (p *Primary) BeginRepair(replica int, digests []int64) ([]Range, int64) {
 	ranges := Ranges(p.Set, digests)
-	p.peers[replica].inStep = true
-	clear(p.peers[replica].pending)
+	p.replicas[replica].inSync = true
+	clear(p.replicas[replica].pending)
 	return ranges, p.sequence
 }
 
-// Lost notes that a replica has to be repaired before it counts again.
+// Lost records that a replica is out of sync: it has to be repaired before it counts again.
 func (p *Primary) Lost(replica int) {
-	p.peers[replica].inStep = false
-	p.peers[replica].acked = 0
-	clear(p.peers[replica].pending)
+	p.replicas[replica].inSync = false
+	p.replicas[replica].acked = 0
+	clear(p.replicas[replica].pending)
 }
 
-// Next returns what a replica has to be told and the number of the change up to which that brings it.
+// Next returns the records that are pending for a replica, which are no longer pending then, and the number of the change
+// up to which the replica is once it stores them.
 func (p *Primary) Next(replica int) ([]Record, int64) {
-	pending := p.peers[replica].pending
+	pending := p.replicas[replica].pending
 	records := make([]Record, 0, len(pending))
 	for key := range pending {
 		record, ok := p.Set.Get(key)
@@ -87,55 +89,55 @@
 	return records, p.sequence
 }
 
-// HasPending reports whether a replica has yet to be told anything.
-func (p *Primary) HasPending(replica int) bool { return len(p.peers[replica].pending) > 0 }
+// HasPending reports whether changes are pending for a replica.
+func (p *Primary) HasPending(replica int) bool { return len(p.replicas[replica].pending) > 0 }
 
-// Acked notes that a replica stores all changes up to one.
+// Acked records that a replica stores all changes up to one.
 func (p *Primary) Acked(replica int, sequence int64) {
-	p.peers[replica].acked = max(p.peers[replica].acked, sequence)
+	p.replicas[replica].acked = max(p.replicas[replica].acked, sequence)
 }
 
-// SetVoter notes whether what a replica stores counts. A learner is kept in step and counts for nothing.
-func (p *Primary) SetVoter(replica int, votes bool) { p.peers[replica].votes = votes }
+// SetVoter sets whether a replica's acknowledgements count. A learner is kept in sync and counts for no quorum.
+func (p *Primary) SetVoter(replica int, voter bool) { p.replicas[replica].voter = voter }
 
-// Holds reports whether a replica stores all changes up to one.
+// Holds reports whether a replica is in sync and has acknowledged all changes up to one.
 func (p *Primary) Holds(replica int, sequence int64) bool {
-	return p.peers[replica].inStep && p.peers[replica].acked >= sequence
+	return p.replicas[replica].inSync && p.replicas[replica].acked >= sequence
 }
 
-// Committed returns the number of the change up to which a quorum of voters stores all.
+// Committed returns the number of the change up to which a quorum of voters has acknowledged.
 func (p *Primary) Committed() int64 {
-	acked := make([]int64, len(p.peers))
-	for i, one := range p.peers {
-		if one.votes {
-			acked[i] = one.acked
+	acked := make([]int64, len(p.replicas))
+	for i, replica := range p.replicas {
+		if replica.voter {
+			acked[i] = replica.acked
 		}
 	}
 	slices.Sort(acked)
 	return acked[len(acked)-p.quorum]
 }
 
-// Everywhere returns the number of the change up to which every replica stores all. Records are only
-// dropped when no replica can bring an older state of them back.
-func (p *Primary) Everywhere() int64 {
-	least := p.sequence
-	for _, one := range p.peers {
-		if !one.inStep {
+// AckedByAll returns the number of the change up to which all replicas, learners included, have acknowledged; 0 if one is
+// out of sync. A deletion may be forgotten only then: until then a replica could bring the deleted record back.
+func (p *Primary) AckedByAll() int64 {
+	lowest := p.sequence
+	for _, replica := range p.replicas {
+		if !replica.inSync {
 			return 0
 		}
-		least = min(least, one.acked)
+		lowest = min(lowest, replica.acked)
 	}
-	return least
+	return lowest
 }
 
-// Sealed is a replica's answer to a seal.
+// Sealed is a replica's answer to a new owner's fencing message.
 type Sealed struct {
-	InStep  int64
+	InStep  int64 // as Replica.InStep
 	Digests []int64
 }
 
-// Newest returns which of the sealed replicas were in step with the newest owner; only their records are
-// merged, since each change that was acknowledged is at one of them.
+// Newest returns, in ascending order, the replicas that were in sync with the newest owner among all that answered. Only
+// their records are merged: each committed change is at one of them, and others may have records that never committed.
 func Newest(answers map[int]Sealed) []int {
 	newest := int64(0)
 	for _, a := range answers {
--- a/coord/shard/shard_test.go
+++ b/coord/shard/shard_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Sets with equal records have equal digests, in whatever order they came; a version that differs shows.
-func TestDigestsTellSetsApart(t *testing.T) {
+// Sets with equal records have equal digests, in whatever order they were applied; a different version changes one.
+func TestDigestsDifferWithVersions(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
 	properties.Property("order does not matter, versions do", prop.ForAll(func(keys []string) bool {
 		one, two := NewSet(), NewSet()
@@ -46,7 +46,7 @@
 	properties.TestingRun(t)
 }
 
-func TestRepairBringsAReplicaToTheOwnersState(t *testing.T) {
+func TestRepairBringsReplicaInSync(t *testing.T) {
 	set := NewSet()
 	for i, key := range []string{"a", "b", "c", "d"} {
 		set.Apply(record(key, 1, int64(i+1)))
@@ -73,14 +73,14 @@
 	replica := NewReplica(true)
 	replica.Repair(3, 1, nil, true)
 	if !replica.Write(3, []Record{record("a", 3, 1)}) {
-		t.Error("the owner's write was turned down")
+		t.Error("the owner's write was rejected")
 	}
 	replica.Seal(4)
 	if replica.Write(3, []Record{record("a", 3, 2)}) || replica.Seal(3) || replica.Repair(3, 1, nil, true) {
 		t.Error("an older token still works")
 	}
 	if replica.Write(4, nil) {
-		t.Error("an owner wrote to a replica that it has not brought in step")
+		t.Error("an owner wrote to a replica that is not in sync with it")
 	}
 }
 
@@ -95,16 +95,16 @@
 		t.Error("one replica of three is no majority")
 	}
 	p.Acked(2, n)
-	if p.Committed() != n || p.Everywhere() >= n {
-		t.Errorf("committed %d, everywhere %d", p.Committed(), p.Everywhere())
+	if p.Committed() != n || p.AckedByAll() >= n {
+		t.Errorf("committed %d, acknowledged by all %d", p.Committed(), p.AckedByAll())
 	}
 	p.Lost(2)
 	if p.Committed() >= n {
-		t.Error("a replica that was lost counts on")
+		t.Error("a replica that is out of sync still counts")
 	}
 }
 
-func TestNextTellsEachChangeOnce(t *testing.T) {
+func TestNextReturnsEachChangeOnce(t *testing.T) {
 	p := NewPrimary(1, NewSet(), 3, 2)
 	p.BeginRepair(1, p.Set.Digests())
 	p.Put("a", []byte("x"))
@@ -116,15 +116,15 @@
 	}
 }
 
-func TestNewestAreThoseInStepWithTheLastOwner(t *testing.T) {
+func TestNewestAreInSyncWithTheLastOwner(t *testing.T) {
 	got := Newest(map[int]Sealed{0: {InStep: 3}, 1: {InStep: 5}, 2: {InStep: 5}})
 	if len(got) != 2 || got[0] != 1 || got[1] != 2 {
 		t.Errorf("newest %v", got)
 	}
 }
 
-// A repair that was held up behind a cut must not undo what came after it.
-func TestLateRepairIsTurnedDown(t *testing.T) {
+// A repair message that a network partition has delayed must not undo later writes.
+func TestDelayedRepairIsRejected(t *testing.T) {
 	replica := NewReplica(true)
 	old := []Range{{Bucket: int64(BucketOf("a")), Records: []Record{record("a", 1, 1)}}}
 	replica.Repair(3, 2, nil, true)
@@ -136,12 +136,12 @@
 		t.Errorf("record %+v", got)
 	}
 	if !replica.Repair(4, 1, nil, true) {
-		t.Error("the first repair of the next owner was turned down")
+		t.Error("the first repair of the next owner was rejected")
 	}
 }
 
-// A learner is kept in step and counts for nothing: a rival membership may yet go on without it.
-func TestLearnerCountsForNothing(t *testing.T) {
+// A learner is kept in sync and counts for no quorum: a rival membership may be chosen that lacks it.
+func TestLearnerCountsForNoQuorum(t *testing.T) {
 	p := NewPrimary(1, NewSet(), 3, 2)
 	p.SetVoter(0, false)
 	for replica := range 3 {
@@ -159,17 +159,17 @@
 	}
 }
 
-// An owner that was deposed without knowing it repairs a new replica, before the replica's disk has heard of the newer one
-// from a quorum: what it brought may lack what the newer owner committed.
+// An owner that was deposed without knowing it repairs a new replica before the replica's disk has learnt the newer token
+// from a quorum: the records of that repair may lack what the newer owner committed.
 func TestRepairByADeposedOwnerMakesNoVoter(t *testing.T) {
 	replica := NewReplica(true)
 	replica.Forget()
 	if !replica.Repair(3, 1, nil, true) || replica.Voter {
-		t.Error("a repair made a voter of a replica whose disk has heard no quorum yet")
+		t.Error("a repair made a voter of a replica whose disk has not learnt the tokens of a quorum")
 	}
 	replica.Trust(4)
 	if replica.Voter || replica.Repair(3, 2, nil, true) {
-		t.Error("it votes with the state of an owner that was deposed")
+		t.Error("it votes with the state of a deposed owner")
 	}
 	if !replica.Repair(4, 1, nil, true) || !replica.Voter {
 		t.Error("it does not vote after the repair by the newer owner")
