--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -13,20 +13,20 @@
 func TestCutAndRaise(t *testing.T) {
 	tuning := Tuning{CutFactor: 0.5, RiseStep: 0.1, Least: 0.1}
 	if got := tuning.Cut(8, 4); got != 2 {
-		t.Errorf("cut to %v from what was out there", got)
+		t.Errorf("decreased to %v", got)
 	}
 	if got := tuning.Cut(0.1, 0); got != 0.1 {
-		t.Errorf("cut to %v, below the least", got)
+		t.Errorf("decreased to %v, below the minimum", got)
 	}
 	if got := tuning.Raise(4, 2); math.Abs(got-4.2) > 1e-9 {
 		t.Errorf("raised to %v", got)
 	}
 	if got := tuning.Raise(4, -2); got != 4 {
-		t.Errorf("raised to %v without spare room", got)
+		t.Errorf("raised to %v without unused capacity", got)
 	}
 }
 
-func TestShareFades(t *testing.T) {
+func TestShareDecays(t *testing.T) {
 	const gain = 0.25
 	s := Share{}.Add(1, gain)
 	if s.Value != gain || s.Now(2, gain) != gain*(1-gain) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// The max-min level never gives out more than the limit, and leaves nothing while somebody wants more.
+// The max-min allocation never exceeds the limit, and uses all of it while a claimant wants more.
 func TestFairLevelIsMaxMin(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
 	properties.Property("max-min", prop.ForAll(func(wants []float64) bool {
@@ -72,7 +72,7 @@
 
 func TestLocalShare(t *testing.T) {
 	if got := LocalShare(1, Claimant{Want: 2, Share: 0.5}, 4, 10, 0, 0.5); got != 5 {
-		t.Errorf("while the demand is met the share ramps to %v", got)
+		t.Errorf("while the demand is met the share grows to %v", got)
 	}
 	if got := LocalShare(9, Claimant{Want: 8, Share: 0.5}, 20, 10, 12, 0.5); got != 6 {
 		t.Errorf("beyond it is %v", got)
@@ -101,7 +101,7 @@
 	}
 	deficits[0].Visit(5, false)
 	if deficits[0] != 0 {
-		t.Error("a queue without work keeps credit")
+		t.Error("a queue without backlog keeps credit")
 	}
 }
 
@@ -145,7 +145,7 @@
 			credit = credit || d > 0
 		}
 		if len(one.debts) > 0 && !credit {
-			t.Errorf("%v: nobody has credit after %v turns", one.debts, turns)
+			t.Errorf("%v: no queue has credit after %v turns", one.debts, turns)
 		}
 	}
 }
--- /dev/null
+++ b/admission/limit.go
@@ -0,0 +1,48 @@
+// Package admission holds the arithmetic of admission control: limits on the concurrency of each worker that are learned
+// from failures, the quantile over them, weighted max-min shares between queues, and deficit round robin by estimated work.
+//
+// It follows Algorithm 1 of Wisp: L. Suresh, P. Bodik, I. Menache, M. Canini and F. Ciucu, "Distributed Resource
+// Management Across Process Boundaries", SoCC 2017. In each control interval a queue's limit is the lesser of its local
+// share and Q(sigma_d/alpha_d, q), where sigma_d is the limit learned for worker d, alpha_d the share of the queue's work
+// that went to d, and Q the q-quantile over the workers.
+//
+// The request dispatcher and the job scheduler both decide with this package. All of it is pure arithmetic. Limits and
+// amounts of work have the unit of their caller: requests in flight in the dispatcher, estimated shares of a worker in the
+// job scheduler.
+package admission
+
+import (
+	"math"
+	"slices"
+)
+
+// Unlimited is the limit of a worker for which none was learned.
+var Unlimited = math.Inf(1)
+
+// Tuning holds the parameters by which a worker's limit changes: additive increase, multiplicative decrease.
+type Tuning struct {
+	CutFactor float64 // the factor of a decrease, between 0 and 1
+	RiseStep  float64 // the increase after an interval without failure, as a part of the unused capacity
+	Least     float64 // lower bound of a limit
+}
+
+// Cut returns a worker's limit after a failure, with inFlight units of work at the worker.
+func (t Tuning) Cut(limit, inFlight float64) float64 {
+	return max(t.Least, t.CutFactor*min(limit, inFlight))
+}
+
+// Raise returns a worker's limit after an interval without failure, with so much of its capacity unused. A limit below 1
+// rises in proportion to itself.
+func (t Tuning) Raise(limit, unused float64) float64 {
+	return limit + t.RiseStep*min(1, limit)*max(0, unused)
+}
+
+// Quantile returns the q-quantile of values, without interpolation, or Unlimited if there are none. It sorts values in
+// place.
+func Quantile(values []float64, q float64) float64 {
+	if len(values) == 0 {
+		return Unlimited
+	}
+	slices.Sort(values)
+	return values[int(q*float64(len(values)-1))]
+}
