--- a/admission/limit.go
+++ b/admission/limit.go
@@ -7,7 +7,7 @@
 // that went to d, and Q the q-quantile over the workers.
 //
 // The request dispatcher and the job scheduler both decide with this package. All of it is pure arithmetic. Limits and
-// amounts of work have the unit of their caller: requests in flight in the dispatcher, estimated shares of a worker in the
+// amounts of work have the unit of their caller: requests in flight in the dispatcher, parts of a worker's capacity in the
 // job scheduler.
 package admission
 
--- a/internal/system/side/worker.go
+++ b/internal/system/side/worker.go
@@ -36,7 +36,7 @@
 	}
 	s.confirm(one)
 	waits := one.confirmed && one.agent.Idle() && !one.agent.Pending(s.now())
-	news := one.agent.News(s.now())
+	news := one.agent.News()
 	if news != one.told {
 		one.told = news
 		poke(one.tell)
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -20,11 +20,11 @@
 }
 mutate "a quorum one short" coord/membership/membership.go 's/return len\(m\.Seats\)\/2 \+ 1/return max(1, len(m.Seats)\/2)/'
 mutate "last_seen before the sync" jobs/ends.go 's/b\.after\(func\(\) \{\n\t\tw\.noted = max\(w\.noted, last\)\n\t\tw\.dirty = true\n\t\}\)/w.noted = max(w.noted, last)/'
-mutate "a hold without the 2%" workeragent/agent.go 's/ClockDrift = 1\.0205/ClockDrift = 1.0/'
+mutate "a hold without the 2%" workeragent/agent.go 's/maxClockDrift = 1\.0205/maxClockDrift = 1.0/'
 mutate "an empty disk that votes" internal/system/core/store.go 's/if bootstrap \{/if true {/'
 mutate "starts sent before they are stored" jobs/place.go 's/b\.after\(func\(\) \{\n\t\trun\.durable = true\n\t\tw\.dirty = true\n\t\}\)/run.durable = true; w.dirty = true/'
 mutate "no wait for runs of workers unheard" jobs/restore.go 's/expiry: now \+ b\.options\.LapseAfter/expiry: now/'
-mutate "an older owner is obeyed" workeragent/agent.go 's/if token < a\.token \{/if token < 0 {/g'
+mutate "an older owner is obeyed" workeragent/orders.go 's/if token < a\.token \{/if token < 0 {/g'
 mutate "replicas take writes of older owners" coord/shard/replica.go 's/if token != r\.Sealed \|\| r\.InStep != token/if r.InStep == 0/'
 mutate "messages of older epochs are answered" coord/membership/membership.go 's/if sent\.Epoch < m\.Epoch \{/if false {/'
 mutate "a learner votes" internal/system/core/store_membership.go 's/err == nil && !member\.Voter/err == nil \&\& !member.Voter \&\& false/'
--- a/workeragent/agent_test.go
+++ b/workeragent/agent_test.go
@@ -12,18 +12,17 @@
 	"sedgevale/jobs"
 )
 
-// A timeline is a text with one line an event: the time in milliseconds, the column of who acts, and what it does.
-// The columns are the worker, the agent's own clock, and owners with their fencing tokens. Lines with = tell
-// what must be seen.
+// timeline plays a script with one event a line: the time in milliseconds, who acts (the worker, the agent's own clock, or
+// an owner with its fencing token) and what it does. Lines with => hold the expected answer.
 //
 //	beat S=1 a:t1 f:3/t2/done ready   a heartbeat: sequence, active runs, finished ones, state
 //	=> answer hold start t1 stop t2   what the answer holds
 //	7: start t1 500 | stop t1 | lease | noted 3   an owner's orders under token 7
 //	restart                           the agent's process is a new one
 type timeline struct {
-	t     *testing.T
-	agent *Agent
-	lives int
+	t            *testing.T
+	agent        *Agent
+	incarnations int
 }
 
 var testTiming = Timing{Hold: 4 * time.Second, Lease: 8 * time.Second}
@@ -49,8 +48,8 @@
 func (l *timeline) step(now time.Duration, what, row string) {
 	l.t.Helper()
 	if l.agent == nil || what == "restart" {
-		l.lives++
-		l.agent = New(now, "i-1", "life"+strconv.Itoa(l.lives), testTiming)
+		l.incarnations++
+		l.agent = New(now, "i-1", "life"+strconv.Itoa(l.incarnations), testTiming)
 	}
 	fields := strings.Fields(what)
 	switch {
@@ -183,7 +182,7 @@
 	50   => hold`)
 }
 
-// Trap 5: an answer that the worker dropped is seen in the next heartbeat, and the order is given again.
+// Trap 5: the next heartbeat shows that the worker has not received an answer, and the order is sent again.
 func TestDroppedAnswerIsRepeated(t *testing.T) {
 	play(t, `
 	0    7: lease
@@ -196,8 +195,8 @@
 	1130 => hold`)
 }
 
-// Trap 7: what runs, what is being stopped and what is on its way counts against the capacity of 1000.
-func TestCapacityCountsAllThatMayRun(t *testing.T) {
+// Trap 7: active, stopping and possibly started runs count against the capacity of 1000.
+func TestCapacityCountsAllRunsThatMayBeActive(t *testing.T) {
 	play(t, `
 	0    7: lease
 	10   beat S:1
@@ -215,7 +214,8 @@
 	120  => hold start t2`)
 }
 
-// Trap 7: a new agent process learns from the next heartbeat and from the owner what runs, before it starts anything.
+// Trap 7: a new agent process starts nothing before it knows the active runs and their demand, from the next heartbeat
+// and from the owner.
 func TestNewAgentStartsNothingBesideUnknownRuns(t *testing.T) {
 	play(t, `
 	0    7: lease
@@ -228,8 +228,8 @@
 	60   => hold start t2`)
 }
 
-// Trap 6: the older fencing token does nothing, also after a freeze.
-func TestOlderOwnerIsTurnedDown(t *testing.T) {
+// Trap 6: an older fencing token is rejected, also after a pause of the process.
+func TestOlderOwnerIsFenced(t *testing.T) {
 	play(t, `
 	0    7: lease
 	10   beat S:1
@@ -240,15 +240,15 @@
 	6030 => hold`)
 }
 
-func TestOrdersForAnEarlierLifeAreVoid(t *testing.T) {
+func TestOrdersForAnEarlierIncarnationAreVoid(t *testing.T) {
 	play(t, `
 	0    7: lease
 	10   beat S:1
 	20   7: old-life refused`)
 }
 
-// Without a lease the worker is neither let hold on nor told to start.
-func TestNoHoldWithoutALease(t *testing.T) {
+// Without a lease from the owner the agent neither renews the worker's lease nor starts anything.
+func TestWorkerLeaseNeedsAnOwnersLease(t *testing.T) {
 	play(t, `
 	0     7: lease
 	10    beat S:1
@@ -260,8 +260,8 @@
 	8130  => hold`)
 }
 
-// Trap 5: the hold lapses on a clock that runs 2% slow, counted from the last answer that may have reached the worker.
-func TestHoldLapsesOnASlowClock(t *testing.T) {
+// Trap 5: the worker's lease expires on a clock that runs 2% slow, from the heartbeat whose answer may have reached it.
+func TestWorkerLeaseExpiresOnASlowClock(t *testing.T) {
 	a := play(t, `
 	0    7: lease
 	0    beat S:1
@@ -272,24 +272,24 @@
 	5170 check false
 	5190 check true
 	5200 check false`)
-	if a.State(0) != jobs.Lapsed || len(a.Report(0).Active) != 0 {
-		t.Errorf("state %s", a.State(0))
+	if a.State() != jobs.Lapsed || len(a.Report(0).Active) != 0 {
+		t.Errorf("state %s", a.State())
 	}
 }
 
-// A mutation: without the 2% the lapse would be told before the worker's clock has reached it.
-func TestLapseAllowsForDrift(t *testing.T) {
+// Without the 2% the expiry would be reported before the worker's clock has reached it.
+func TestExpiryAllowsForClockDrift(t *testing.T) {
 	if stretch(4*time.Second) < 4*time.Second*100/98 {
 		t.Errorf("%v for a clock that runs 2%% slow", stretch(4*time.Second))
 	}
 	if testTiming.LapseAfter() < testTiming.Lease+testTiming.Hold*100/98 {
-		t.Errorf("an owner waits just %v", testTiming.LapseAfter())
+		t.Errorf("an owner waits only %v", testTiming.LapseAfter())
 	}
 }
 
-// An order that was never given to the worker can be taken back at once; one that may have reached it not before
-// the next heartbeat tells.
-func TestStopOfWhatMayNotHaveStarted(t *testing.T) {
+// An order that was in no answer can be dropped at once; one that may have reached the worker only after the next
+// heartbeat.
+func TestStopOfARunThatMayNotHaveStarted(t *testing.T) {
 	play(t, `
 	0    7: lease
 	10   beat S:1
@@ -306,7 +306,7 @@
 	120  => hold`)
 }
 
-// Trap 9: nothing starts on a worker that drains or has said good-bye; what was ordered is given back.
+// Trap 9: nothing starts on a worker that drains or has deregistered; pending orders are dropped and reported.
 func TestDrainStartsNothing(t *testing.T) {
 	play(t, `
 	0    7: lease
@@ -319,7 +319,7 @@
 	70   dropped t1 t2`)
 }
 
-func TestGoodbyeWithoutDraining(t *testing.T) {
+func TestDeregistrationWithoutDraining(t *testing.T) {
 	a := play(t, `
 	0    7: lease
 	10   beat S:1 a:t1
@@ -333,8 +333,8 @@
 	}
 }
 
-// A heartbeat that comes late, out of order, changes nothing.
-func TestLateHeartbeatIsLeftOut(t *testing.T) {
+// A heartbeat that arrives out of order changes nothing.
+func TestOutdatedHeartbeatIsIgnored(t *testing.T) {
 	a := play(t, `
 	0    7: lease
 	10   beat S:5 a:t1
@@ -345,7 +345,7 @@
 	}
 }
 
-// Trap 4: an end is reported until the owner has noted it, and last_seen never passes one that was not.
+// Trap 4: an end is reported until the owner has acknowledged it, and last_seen never passes one that it has not.
 func TestLastSeenWaitsForTheOwner(t *testing.T) {
 	a := play(t, `
 	0    7: lease
@@ -377,15 +377,15 @@
 	}
 }
 
-// An owner is told at once what changed, and what has not changed only now and then.
-func TestNewsIsWhatChanged(t *testing.T) {
+// The digest changes with what the owner has to learn at once.
+func TestDigestChangesWithTheState(t *testing.T) {
 	a := play(t, `
 	0    7: lease
 	10   beat S:1 a:t1`)
-	first := a.News(0)
+	first := a.News()
 	a.OnBeat(0, parseBeat([]string{"S:2", "a:t1"}))
-	if a.News(0) != first {
-		t.Error("a heartbeat like the last one is news")
+	if a.News() != first {
+		t.Error("a heartbeat like the last one changes the digest")
 	}
 	changes := map[string][]string{
 		"a run more": {"S:3", "a:t1", "a:t2"}, "an end": {"S:4", "f:1/t1/done"}, "a drain": {"S:5", "a:t1", "draining"},
@@ -393,14 +393,13 @@
 	for name, beat := range changes {
 		b := play(t, "0 7: lease")
 		b.OnBeat(0, parseBeat(beat))
-		if b.News(0) == first {
-			t.Errorf("%s is no news", name)
+		if b.News() == first {
+			t.Errorf("%s does not change the digest", name)
 		}
 	}
 }
 
-// Only the heartbeat of an idle worker may wait for an order. One that says it will leave is acknowledged at once: a
-// sweep showed 701 ms.
+// Only the heartbeat of an idle worker may wait for an order. One that announces a drain is answered at once.
 func TestOnlyAnIdleWorkerWaits(t *testing.T) {
 	cases := map[string]bool{"S:1": true, "S:1 a:t1": false, "S:1 f:1/t1/done": false, "S:1 draining": false}
 	for beat, want := range cases {
@@ -412,7 +411,7 @@
 	}
 }
 
-// A worker takes an answer of 4 MiB at most. Orders that would make it longer wait for the next one.
+// A worker takes an answer of 4 MiB at most. Orders beyond that wait for the next one.
 func TestAnswerIsNeverTooLong(t *testing.T) {
 	const workerTakes = 4 << 20
 	now := time.Second
--- a/workeragent/message.go
+++ b/workeragent/message.go
@@ -1,11 +1,12 @@
-// Package workeragent decides for the side agent of one worker: it is the only one that talks to the
-// worker, so it is the arbiter of what starts there.
+// Package workeragent holds the decisions of the agent beside one worker. The agent alone talks to the worker, so it is the
+// arbiter of which runs start there.
 //
-// Several owners may follow one another; the agent obeys the highest fencing token that it has met. It
-// starts nothing beyond the announced capacity, where all that runs, is being stopped or is on its way
-// counts; nothing on a worker that drains; and it lets the worker hold on to its runs for as long as the
-// owner has granted, and not longer. Each heartbeat tells exactly what the answer before it brought about, since
-// the worker sends the next only after that answer or after it has given up on it.
+// Fencing tokens and two chained leases (C. Gray and D. Cheriton, "Leases", SOSP 1989) keep a run from being active twice.
+// Owners of the worker's shard may follow one another: the agent obeys the highest fencing token that it has met. An owner
+// grants the agent a lease, and while it lasts the agent grants the worker one with each answer; when the worker's lease
+// expires its runs end. The agent starts nothing beyond the announced capacity, against which active, stopping and possibly
+// started runs count, and nothing on a worker that drains. A worker sends the next heartbeat only after it has received the
+// answer to the last one or has given up on it, so each heartbeat shows exactly what that answer brought about.
 //
 // An Agent is a pure state machine: heartbeats and orders come in with the time, answers and reports go out.
 package workeragent
@@ -19,7 +20,7 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Heartbeat is a worker's account of itself.
+// Heartbeat is a worker's report on itself. The JSON keys are part of the workers' protocol, as are those of Answer.
 //
 //easyjson:json
 type Heartbeat struct {
@@ -39,7 +40,7 @@
 	Finished     []Finished `json:"finished"`
 }
 
-// Capacity is what a worker has.
+// Capacity is the resources of a worker: CPU in thousandths of a core, memory in MiB, GPUs in whole ones.
 //
 //easyjson:json
 type Capacity struct {
@@ -48,7 +49,7 @@
 	GPU   int64 `json:"gpu"`
 }
 
-// Answer is what a worker is told.
+// Answer is the answer to a Heartbeat. Durations are in milliseconds.
 //
 //easyjson:json
 type Answer struct {
@@ -60,7 +61,7 @@
 	RetryAfterMS int64    `json:"retry_after_ms,omitempty"`
 }
 
-// Active is a run that is under way: [task, run, saved, percent].
+// Active is a run that has not ended: [task, run, saved, percent]. Saved is its last checkpoint, Percent its progress.
 type Active struct {
 	Task    string
 	Attempt int64
@@ -68,7 +69,7 @@
 	Percent float64
 }
 
-// Finished is a run that has ended: [N, task, run, how, saved].
+// Finished is a run that has ended: [N, task, run, how, saved]. N numbers the ends at the worker.
 type Finished struct {
 	Number  int64
 	Task    string
@@ -77,7 +78,7 @@
 	Saved   string
 }
 
-// Start orders a run: [task, run, spec, saved].
+// Start is the order to start a run: [task, run, spec, saved]. Saved is the checkpoint to start from, if any.
 type Start struct {
 	Task    string
 	Attempt int64
@@ -85,7 +86,7 @@
 	Saved   string
 }
 
-// RunRef names a run: [task, run].
+// RunRef identifies a run, an attempt of a task: [task, run].
 type RunRef struct {
 	Task    string
 	Attempt int64
@@ -127,7 +128,7 @@
 // MarshalEasyJSON writes [task, run].
 func (r RunRef) MarshalEasyJSON(out *jwriter.Writer) { writeTuple(out, r.Task, r.Attempt) }
 
-// readTuple reads a JSON array into fields, in order. Further items are skipped, missing ones left.
+// readTuple reads a JSON array into fields, in order. Items beyond them are skipped; fields without an item stay as they are.
 func readTuple(in *jlexer.Lexer, fields ...any) {
 	in.Delim('[')
 	n := 0
@@ -156,7 +157,7 @@
 	case *float64:
 		*to = in.Float64()
 	default:
-		in.AddError(fmt.Errorf("no field for %T", field))
+		in.AddError(fmt.Errorf("tuple: no reader for %T", field))
 	}
 }
 
@@ -177,15 +178,3 @@
 	}
 	out.RawByte(']')
 }
-
-// wireSize returns how long a text is in JSON at most.
-func wireSize(text string) int {
-	size := len(text)
-	for i := range len(text) {
-		switch c := text[i]; {
-		case c < ' ', c >= 0x7f, c == '"', c == '\\', c == '<', c == '>', c == '&':
-			size += escapedByte - 1
-		}
-	}
-	return size
-}
--- /dev/null
+++ b/workeragent/orders.go
@@ -0,0 +1,88 @@
+package workeragent
+
+import (
+	"time"
+
+	"sedgevale/internal/system/result"
+	"sedgevale/jobs"
+)
+
+// OnOrders handles the orders of an owner with a fencing token. The error has the code result.Fenced if a higher token is
+// known, and result.WrongInstance if the orders are for another incarnation of the worker.
+func (a *Agent) OnOrders(now time.Duration, token int64, orders *jobs.Orders) error {
+	if token < a.token {
+		return a.fenced(token)
+	}
+	a.token = token
+	if orders.Instance != a.Instance || orders.Life != a.Life() {
+		return result.Errorf(result.WrongInstance, "this is %s %s, orders are for %s %s", a.Instance, a.Life(),
+			orders.Instance, orders.Life)
+	}
+	a.acknowledged = max(a.acknowledged, orders.Noted)
+	for _, known := range orders.Known {
+		a.demands[jobs.RunRef{Task: known.Task, Attempt: known.Attempt}] = known.Demand
+	}
+	for _, ref := range orders.Stops {
+		a.addStop(now, ref)
+	}
+	for _, start := range orders.Starts {
+		a.addStart(now, start)
+	}
+	return nil
+}
+
+// OnLease handles an owner's answer to a report that was sent at sentAt: it grants the agent another lease, and
+// acknowledges the ends of runs up to a number. The error has the code result.Fenced if a higher token is known.
+func (a *Agent) OnLease(sentAt time.Duration, token, acknowledged int64) error {
+	if token < a.token {
+		return a.fenced(token)
+	}
+	a.token = token
+	a.acknowledged = max(a.acknowledged, acknowledged)
+	a.leaseUntil = max(a.leaseUntil, sentAt+a.timing.Lease)
+	return nil
+}
+
+func (a *Agent) fenced(token int64) error {
+	return result.Errorf(result.Fenced, "fencing token %d is known, %d was sent", a.token, token)
+}
+
+func (a *Agent) addStart(now time.Duration, start jobs.Start) {
+	ref := jobs.RunRef{Task: start.Task, Attempt: start.Attempt}
+	if _, rejected := a.rejected[ref]; rejected {
+		a.dropped[ref] = now
+		return
+	}
+	if a.finished[ref] {
+		return
+	}
+	a.demands[ref] = start.Demand
+	if a.active[ref] || a.starts[ref] != nil {
+		return
+	}
+	a.starts[ref] = &pendingStart{start: start}
+	if a.heartbeats > 0 && !a.acceptsRuns() {
+		a.dropOrder(now, ref)
+	}
+}
+
+// addStop orders that a run end. A run that cannot have reached the worker is dropped at once.
+func (a *Agent) addStop(now time.Duration, ref jobs.RunRef) {
+	o := a.starts[ref]
+	if a.active[ref] || (o != nil && o.inFlight) || a.heartbeats == 0 {
+		a.stops[ref] = true
+		return
+	}
+	if a.finished[ref] {
+		return
+	}
+	a.dropOrder(now, ref)
+}
+
+// dropOrder records that a run has not begun and must not begin any more.
+func (a *Agent) dropOrder(now time.Duration, ref jobs.RunRef) {
+	delete(a.starts, ref)
+	delete(a.stops, ref)
+	a.dropped[ref] = now
+	a.rejected[ref] = now
+}
