--- a/internal/avrocodec/codec.go
+++ b/internal/avrocodec/codec.go
@@ -1,5 +1,8 @@
-// Package avrocodec encodes messages and records as Avro. The schemas are derived from the Go types, field
-// by field in their order, so all programs of one release agree on them.
+// Package avrocodec encodes the messages of the internal protocol and stored records in Avro's binary encoding.
+//
+// Schemas are derived from Go types by reflection and are not part of the encoded data. A record is encoded field by field
+// in the order of the struct, so its fields may be renamed, but must never be moved, retyped, added or removed: other
+// programs and stored data would then be read wrongly.
 package avrocodec
 
 import (
@@ -11,9 +14,9 @@
 	"github.com/hamba/avro/v2"
 )
 
-var schemas sync.Map // reflect.Type to avro.Schema
+var schemas sync.Map // a cache: reflect.Type to avro.Schema
 
-// SchemaOf returns the Avro schema of a message type.
+// SchemaOf returns the Avro schema of a struct type. It panics for a type with a field of a kind that has no schema here.
 func SchemaOf(message reflect.Type) (avro.Schema, error) {
 	if known, ok := schemas.Load(message); ok {
 		return known.(avro.Schema), nil
@@ -27,7 +30,7 @@
 	return schema, nil
 }
 
-// schemaText writes the schema of a type as JSON. A record that was named before is referred to by name.
+// schemaText returns the schema of a type as JSON. A record that was defined before is referred to by its name.
 func schemaText(t reflect.Type, named map[reflect.Type]bool) string {
 	switch t.Kind() {
 	case reflect.String:
@@ -66,7 +69,7 @@
 	return `{"type":"record","name":"` + name + `","fields":[` + strings.Join(fields, ",") + `]}`
 }
 
-// Encode returns the Avro encoding of a message, given by pointer.
+// Encode returns the encoding of the struct to which message points.
 func Encode(message any) ([]byte, error) {
 	schema, err := SchemaOf(reflect.TypeOf(message).Elem())
 	if err != nil {
@@ -75,7 +78,7 @@
 	return avro.Marshal(schema, message)
 }
 
-// Decode reads a message into a pointer.
+// Decode decodes body into the struct to which message points.
 func Decode(body []byte, message any) error {
 	schema, err := SchemaOf(reflect.TypeOf(message).Elem())
 	if err != nil {
--- a/internal/system/api/api.go
+++ b/internal/system/api/api.go
@@ -1,9 +1,10 @@
-// Package api holds the messages that schedulers on edge and side machines exchange with core schedulers.
+// Package api holds the messages that schedulers on edge and side machines exchange with core schedulers. They are encoded
+// by avrocodec, in the order of their fields.
 package api
 
 import "sedgevale/jobs"
 
-// The methods.
+// The methods of the internal protocol. Core schedulers serve all but MethodOrders.
 const (
 	MethodWatch   = "core.watch"
 	MethodSubmit  = "jobs.submit"
@@ -14,34 +15,35 @@
 	MethodOrders  = "worker.orders" // served by side schedulers
 )
 
-// WatchRequest asks what has changed. Versions that are known already are not told again.
+// WatchRequest asks for updates by long poll: the call returns once something differs from what the sender knows, and after
+// WaitMS, of at most 1000, at the latest.
 type WatchRequest struct {
 	Node          string
-	ConfigVersion int64
+	ConfigVersion int64 // the version that the sender has, 0 for none
 	WantConfig    bool
-	OwnersDigest  int64
-	WaitMS        int64
+	OwnersDigest  int64 // of the last response
+	WaitMS        int64 // milliseconds
 }
 
-// WatchResponse tells the newest configuration, who owns which shard, and who the core schedulers are.
+// WatchResponse holds the newest configuration, the owners of the shards and the addresses of the core schedulers.
 type WatchResponse struct {
-	Fresh         bool // a quorum has confirmed this a moment ago
+	Fresh         bool // a quorum has confirmed the state recently
 	ConfigVersion int64
-	Config        []byte // left out where the version is known
-	Base          int64  // where it is not 0, Config is a patch on this version
+	Config        []byte // empty if the sender has this version
+	Base          int64  // if not 0, Config is a patch on this version
 	Owners        []Owner
 	OwnersDigest  int64
 	Cores         []string
 }
 
-// Owner says who owns a shard.
+// Owner is the owner of a shard, with its fencing token.
 type Owner struct {
 	Shard   string
 	Address string
 	Token   int64
 }
 
-// SubmitRequest hands a job in.
+// SubmitRequest submits a job. It is idempotent by Queue and ID.
 type SubmitRequest struct {
 	Shard         string
 	ConfigVersion int64
@@ -50,50 +52,50 @@
 	Body          []byte
 }
 
-// JobRequest asks about a job.
+// JobRequest names a job, to read its state or to cancel it.
 type JobRequest struct {
 	Shard string
 	Queue string
 	ID    string
 }
 
-// JobResponse tells a job's state.
+// JobResponse holds a job's state.
 type JobResponse struct {
 	State string
 }
 
-// PendingRequest asks how many jobs of a queue have not ended.
+// PendingRequest asks for the number of jobs of a queue that have not ended.
 type PendingRequest struct {
 	Shard string
 	Queue string
 }
 
-// PendingResponse tells it.
+// PendingResponse is the answer to a PendingRequest.
 type PendingResponse struct {
 	Pending int64
 }
 
-// ReportRequest tells the owner of a shard how a worker stands.
+// ReportRequest is a side scheduler's report on a worker to the owner of the worker's shard.
 type ReportRequest struct {
 	Shard    string
-	Session  string // as the owner gave it; a report that was held up on its way has none that still counts
-	Sequence int64  // rises with each report of a side scheduler's process
+	Session  string // from the last response; the owner rejects a delayed report by its old session
+	Sequence int64  // increases with each report of a side scheduler's process
 	Report   jobs.Report
 }
 
-// ReportResponse grants the side agent another lease.
+// ReportResponse grants the side agent another lease (workeragent.Timing).
 type ReportResponse struct {
 	Token    int64
-	Noted    int64
+	Noted    int64  // the owner has stored all ends of runs up to this number
 	Session  string // for the next report
-	Accepted bool   // false where the report was not in a session, and nothing of it was taken
+	Accepted bool   // false if the report was in no valid session and was ignored
 }
 
-// OrdersRequest tells a side agent what to start and stop.
+// OrdersRequest tells a side agent which runs to start and stop.
 type OrdersRequest struct {
 	Token  int64
 	Orders jobs.Orders
 }
 
-// Empty is an answer without content.
+// Empty is a response without content.
 type Empty struct{}
--- a/internal/system/core/core.go
+++ b/internal/system/core/core.go
@@ -78,10 +78,10 @@
 	c.handleJobs(server)
 	c.handleAdmin(server)
 	process.Measure(collector{c})
-	if err := process.Listen(c.address, server.Handler()); err != nil {
+	if err := process.Listen(ctx, c.address, server.Handler()); err != nil {
 		return err
 	}
-	operators, err := process.ListenServer(s.BindAddrs.ControlPlane, &http.Server{Handler: c.operatorHandler()})
+	operators, err := process.ListenServer(ctx, s.BindAddrs.ControlPlane, &http.Server{Handler: c.operatorHandler()})
 	if err != nil {
 		return err
 	}
--- a/internal/system/edge/edge.go
+++ b/internal/system/edge/edge.go
@@ -52,14 +52,14 @@
 	go e.directory.Run(running)
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+readyPath, e.readyz)
-	if err := p.Listen(p.Settings.BindAddrs.Readiness, ready); err != nil {
+	if err := p.Listen(ctx, p.Settings.BindAddrs.Readiness, ready); err != nil {
 		return err
 	}
 	server := &http.Server{
 		Handler: e.counted(), ReadHeaderTimeout: headerTimeout, ReadTimeout: 2 * headerTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeader,
 	}
-	server, err := p.ListenServer(p.Settings.BindAddrs.Frontend, server)
+	server, err := p.ListenServer(ctx, p.Settings.BindAddrs.Frontend, server)
 	if err != nil {
 		return err
 	}
--- a/internal/system/node/metrics.go
+++ b/internal/system/node/metrics.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"strconv"
@@ -10,8 +11,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// serveMetrics serves metrics at a port; 0 stands for the last one of port_range.
-func (p *Process) serveMetrics(port int) error {
+// serveMetrics serves Prometheus metrics at a port; 0 stands for the last port of port_range.
+func (p *Process) serveMetrics(ctx context.Context, port int) error {
 	if port == 0 {
 		port = p.Settings.PortRange[1]
 	}
@@ -19,16 +20,16 @@
 	p.Measure(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(p.metrics, promhttp.HandlerOpts{}))
-	return p.Listen(net.JoinHostPort(p.Settings.IP, strconv.Itoa(port)), mux)
+	return p.Listen(ctx, net.JoinHostPort(p.Settings.IP, strconv.Itoa(port)), mux)
 }
 
-// Measure adds to what the metrics endpoint tells, where there is one.
-func (p *Process) Measure(measured ...prometheus.Collector) {
+// Measure registers collectors with the metrics endpoint, if there is one.
+func (p *Process) Measure(collectors ...prometheus.Collector) {
 	if p.metrics == nil {
 		return
 	}
-	for _, one := range measured {
-		if err := p.metrics.Register(one); err != nil {
+	for _, collector := range collectors {
+		if err := p.metrics.Register(collector); err != nil {
 			p.Logger.Error(err, "metrics not registered")
 		}
 	}
--- a/internal/system/node/node.go
+++ b/internal/system/node/node.go
@@ -1,4 +1,4 @@
-// Package node is what all roles of the system share: settings, logs, listeners, signals and limits.
+// Package node holds what all roles of the system share: settings, logs, listeners, signals, metrics and limits.
 package node
 
 import (
@@ -25,16 +25,19 @@
 )
 
 const (
-	settingsTries = 100
-	settingsPause = 50 * time.Millisecond
-	memoryPart    = 0.7 // of the limit, from which on the garbage collector works harder
-	idleTimeout   = 30 * time.Second
-	headerTimeout = 5 * time.Second
-	bindTries     = 40
-	bindPause     = 50 * time.Millisecond
-
-	longestHold  = 4 * time.Second
-	longestLease = 8 * time.Second
+	maxSettingsReads      = 100 // at the start
+	maxSettingsRereads    = 5   // after SIGHUP
+	settingsRetryInterval = 50 * time.Millisecond
+
+	memoryLimitFraction = 0.7 // of limits.memory_mb, above which the garbage collector runs more often
+
+	idleTimeout       = 30 * time.Second
+	headerTimeout     = 5 * time.Second
+	maxBindAttempts   = 40
+	bindRetryInterval = 50 * time.Millisecond
+
+	maxWorkerLease = 4 * time.Second
+	agentLease     = 8 * time.Second
 )
 
 // Process is a running role.
@@ -43,45 +46,47 @@
 	Logger   logr.Logger
 	Client   *rpc.Client
 	current  atomic.Pointer[settings.Settings]
-	metrics  *prometheus.Registry // nil where they are off
+	metrics  *prometheus.Registry // nil if they are not served
 	listen   func(address string) (net.Listener, error)
-	mu       sync.Mutex
-	servers  []*http.Server
+
+	mu      sync.Mutex // guards servers
+	servers []*http.Server
+	serving sync.WaitGroup // the goroutines of servers
 }
 
-// NewProcess returns a process on a network of its own, as tests have it.
+// NewProcess returns a process on the network of dial and listen. Run makes one on TCP; tests simulate a network.
 func NewProcess(s *settings.Settings, logger logr.Logger, dial rpc.Dial, listen func(string) (net.Listener, error)) *Process {
 	p := &Process{Settings: s, Logger: logger, Client: rpc.NewClient(dial), listen: listen}
 	p.current.Store(s)
 	return p
 }
 
-func listenTCP(address string) (net.Listener, error) { return net.Listen("tcp4", address) }
-
-// Close ends all listeners and connections.
+// Close closes all listeners and connections and waits for the goroutines that serve them.
 func (p *Process) Close() {
 	p.mu.Lock()
-	defer p.mu.Unlock()
 	for _, server := range p.servers {
-		_ = server.Close()
+		_ = server.Close() // the process ends; a listener that fails to close holds nothing up
 	}
 	p.Client.Close()
+	p.mu.Unlock()
+	p.serving.Wait()
 }
 
-// ErrKilled as the cause of a role's context has it end at once, as if the machine had lost power.
+// ErrKilled as the cause of a role's context makes the role end at once, without a graceful shutdown, as a loss of power
+// would.
 var ErrKilled = errors.New("killed")
 
 // Role serves until its context ends.
 type Role func(context.Context, *Process) error
 
-// Options are an operator's choices for a process.
+// Options are command-line options of a process.
 type Options struct {
-	Verbose     bool // log more
+	Verbose     bool // log at debug level
 	Metrics     bool // serve metrics at the last port of port_range
-	MetricsPort int  // serve metrics at this port, where it is not 0
+	MetricsPort int  // serve metrics at this port unless it is 0
 }
 
-// Run reads the settings and runs a role until SIGTERM or SIGINT. SIGHUP reads the settings again.
+// Run reads the settings and runs a role until SIGTERM or SIGINT. On SIGHUP it reads the settings again.
 func Run(role Role, options Options) error {
 	level := slog.LevelInfo
 	if options.Verbose {
@@ -94,64 +99,61 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	path := settings.Path()
-	read, err := settings.ReadRetrying(path, settingsTries, settingsPause)
+	read, err := settings.ReadRetrying(ctx, path, maxSettingsReads, settingsRetryInterval)
 	if err != nil {
 		return err
 	}
 	if read.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(read.Limits.MemoryMB) * memoryPart * (1 << 20)))
+		debug.SetMemoryLimit(int64(float64(read.Limits.MemoryMB) * memoryLimitFraction * (1 << 20)))
 	}
-	p := NewProcess(read, logger.WithName(read.Node), rpc.DialTCP(), listenTCP)
+	listen := func(address string) (net.Listener, error) { return new(net.ListenConfig).Listen(ctx, "tcp4", address) }
+	p := NewProcess(read, logger.WithName(read.Node), rpc.DialTCP(), listen)
 	if options.Metrics || options.MetricsPort != 0 {
-		if err := p.serveMetrics(options.MetricsPort); err != nil {
+		if err := p.serveMetrics(ctx, options.MetricsPort); err != nil {
 			return err
 		}
 	}
-	go p.reread(ctx, path, hangup)
-	return role(ctx, p)
+	var reloading sync.WaitGroup
+	reloading.Go(func() { p.reload(ctx, path, hangup) })
+	err = role(ctx, p)
+	cancel()
+	reloading.Wait()
+	return err
 }
 
-// reread takes the settings again at each SIGHUP. A file that cannot be read changes nothing.
-func (p *Process) reread(ctx context.Context, path string, hangup <-chan os.Signal) {
+// reload reads the settings again at each SIGHUP until ctx ends. A file that is invalid changes nothing.
+func (p *Process) reload(ctx context.Context, path string, hangup <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup:
 		}
-		read, err := settings.ReadRetrying(path, 5, settingsPause)
+		read, err := settings.ReadRetrying(ctx, path, maxSettingsRereads, settingsRetryInterval)
 		if err != nil {
-			p.Logger.Error(err, "settings stay as they were")
+			p.Logger.Error(err, "settings not reloaded")
 			continue
 		}
 		p.current.Store(read)
-		p.Logger.Info("settings read again")
+		p.Logger.Info("settings reloaded")
 	}
 }
 
-// Current returns the newest settings, of which only the seeds are used after the start.
+// Current returns the newest settings. Only the seeds take effect after the start.
 func (p *Process) Current() *settings.Settings { return p.current.Load() }
 
-// Listen serves HTTP at an address in the background. An address that is still taken is tried again for a while.
-func (p *Process) Listen(address string, handler http.Handler) error {
-	_, err := p.ListenServer(address, &http.Server{Handler: handler})
+// Listen serves HTTP at an address in the background, until Close. It retries for 2 s while the address is in use.
+func (p *Process) Listen(ctx context.Context, address string, handler http.Handler) error {
+	_, err := p.ListenServer(ctx, address, &http.Server{Handler: handler})
 	return err
 }
 
-// ListenServer is Listen for a server with settings of its own.
-func (p *Process) ListenServer(address string, server *http.Server) (*http.Server, error) {
+// ListenServer is like Listen, for a server with settings of its own.
+func (p *Process) ListenServer(ctx context.Context, address string, server *http.Server) (*http.Server, error) {
 	if address == "" {
 		return nil, errors.New("no address to listen on in bind_addrs")
 	}
-	var listener net.Listener
-	var err error
-	for range bindTries {
-		listener, err = p.listen(address)
-		if err == nil {
-			break
-		}
-		time.Sleep(bindPause)
-	}
+	listener, err := p.bind(ctx, address)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -165,12 +167,30 @@
 	p.mu.Lock()
 	p.servers = append(p.servers, server)
 	p.mu.Unlock()
-	go func() { _ = server.Serve(listener) }()
+	p.serving.Go(func() { _ = server.Serve(listener) }) // returns once the server is closed
 	return server, nil
 }
 
-// Timing returns how long workers may hold on, within the deployment's bound.
+// bind opens a listener, with retries until ctx ends.
+func (p *Process) bind(ctx context.Context, address string) (listener net.Listener, err error) {
+	retry := time.NewTicker(bindRetryInterval)
+	defer retry.Stop()
+	for range maxBindAttempts {
+		listener, err = p.listen(address)
+		if err == nil {
+			return listener, nil
+		}
+		select {
+		case <-ctx.Done():
+			return nil, err
+		case <-retry.C:
+		}
+	}
+	return nil, err
+}
+
+// Timing returns the leases of workers and their agents, within hold_max_ms.
 func Timing(s *settings.Settings) workeragent.Timing {
-	most := time.Duration(s.Bounds.HoldMaxMS) * time.Millisecond
-	return workeragent.Timing{Hold: min(longestHold, most), Lease: longestLease}
+	bound := time.Duration(s.Bounds.HoldMaxMS) * time.Millisecond
+	return workeragent.Timing{Hold: min(maxWorkerLease, bound), Lease: agentLease}
 }
--- a/internal/system/result/result.go
+++ b/internal/system/result/result.go
@@ -1,5 +1,5 @@
-// Package result holds the numbered result codes of the system: every error that one scheduler tells
-// another, or an operator, has a code that the table in docs/RESULTS.md explains.
+// Package result holds the numbered result codes of the system: every error that one scheduler returns to another, or to
+// an operator, has a code. docs/RESULTS.md explains them.
 package result
 
 import (
@@ -7,49 +7,55 @@
 	"fmt"
 )
 
-// Code names one outcome. Codes are never reused.
+// Code identifies an outcome. A code keeps its meaning and is never reused.
 type Code int
 
-// The codes. Those below 2000 say that nothing was changed by the call; those from 2000 on leave it open.
+// The codes. Below 2000 the call has changed nothing; from 2000 on that is unknown, and the call, being idempotent, may be
+// repeated.
 const (
 	OK                Code = 0
-	BadRequest        Code = 1001 // the message cannot be read
+	BadRequest        Code = 1001 // the message cannot be decoded
 	NotOwner          Code = 1002 // this scheduler does not own the shard
 	NotReady          Code = 1003 // no configuration or no quorum yet
 	Fenced            Code = 1004 // a newer fencing token is known
 	EpochOutdated     Code = 1005 // the sender's membership of the core is older
-	NotRecovered      Code = 1006 // the replica holds no seat, or is a learner and does not vote yet
+	NotRecovered      Code = 1006 // the replica holds no seat, or is a learner that does not vote yet
 	NoRoute           Code = 1007 // no such route in the newest configuration
 	NoJob             Code = 1008 // no such job
-	Overloaded        Code = 1009 // the queue is full; nothing was taken
+	Overloaded        Code = 1009 // the queue is full; the job was not accepted
 	Conflict          Code = 1010 // another version of the configuration is current
 	Invalid           Code = 1011 // the configuration or job is invalid
-	WrongInstance     Code = 1012 // the worker has another incarnation by now
+	WrongInstance     Code = 1012 // the worker has another incarnation
 	BallotOutdated    Code = 1013 // a higher ballot was promised
-	WrongReplica      Code = 1014 // another replica answers at the address by now
+	WrongReplica      Code = 1014 // another replica answers at the address
 	Unavailable       Code = 1015 // no quorum could be reached
-	MembershipInvalid Code = 1016 // a membership that cannot be
+	MembershipInvalid Code = 1016 // the membership violates an invariant
 	WrongDeployment   Code = 1017 // the message is of another deployment
-	WrongDisk         Code = 1018 // the disk belongs to another machine, or its layout is not known
-	StorageFailed     Code = 2001 // the disk did not take a write; its fate is open
-	OutcomeUnknown    Code = 2002 // a commit was begun and its fate is unknown
-	TransportFailed   Code = 2003 // the connection failed before an answer came
+	WrongDisk         Code = 1018 // the disk belongs to another machine, or its layout is unknown
+	StorageFailed     Code = 2001 // a write to the disk failed, or may have
+	OutcomeUnknown    Code = 2002 // a commit was begun and its outcome is unknown
+	TransportFailed   Code = 2003 // the connection failed before the answer
 )
 
-// Error is an error with a code.
+// Error is an error with a code. Only the code and the text are sent to other schedulers.
 type Error struct {
-	Code Code
-	Text string
+	Code  Code
+	Text  string
+	cause error // nil if the error came from another scheduler
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("[%d] %s", e.Code, e.Text) }
 
-// Errorf makes an Error.
+// Unwrap returns the local cause, if any.
+func (e *Error) Unwrap() error { return e.cause }
+
+// Errorf returns an Error with a text like fmt.Errorf's; %w wraps a cause.
 func Errorf(code Code, format string, args ...any) error {
-	return &Error{Code: code, Text: fmt.Errorf(format, args...).Error()}
+	cause := fmt.Errorf(format, args...)
+	return &Error{Code: code, Text: cause.Error(), cause: cause}
 }
 
-// CodeOf returns the code of an error; OK for nil, TransportFailed for one without a code.
+// CodeOf returns the code of an error: OK for nil, TransportFailed for an error without a code.
 func CodeOf(err error) Code {
 	if err == nil {
 		return OK
@@ -61,7 +67,7 @@
 	return TransportFailed
 }
 
-// Unchanged reports whether the failed call has surely changed nothing.
+// Unchanged reports whether the call that returned the error has certainly changed nothing.
 func Unchanged(err error) bool {
 	code := CodeOf(err)
 	return code != OK && code < StorageFailed
--- a/internal/system/rpc/rpc.go
+++ b/internal/system/rpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc carries the internal protocol between schedulers: Avro bodies in HTTP requests, numbered
-// result codes in place of status codes, and connections that end when the other side falls silent.
+// Package rpc carries the internal protocol between schedulers: Avro bodies in HTTP/1.1 requests, numbered result codes in
+// place of status codes, and connections that time out when the peer stops acknowledging.
 package rpc
 
 import (
@@ -25,44 +25,44 @@
 	resultHeader    = "Sedgevale-Result"
 	maxMessageBytes = 32 << 20
 	dialTimeout     = 700 * time.Millisecond
-	userTimeout     = 1500 * time.Millisecond
+	tcpUserTimeout  = 1500 * time.Millisecond
 	idleTimeout     = 20 * time.Second
-	idlePerHost     = 8
+	maxIdlePerHost  = 8
 )
 
-// Client calls other schedulers.
+// Client calls methods of other schedulers. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
-// Dial opens a connection to an address.
+// Dial opens a connection to an address, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// DialTCP opens TCP connections that end when the other side stays silent for some time.
+// DialTCP returns a Dial for TCP connections that fail when sent data stays unacknowledged for 1.5 s.
 func DialTCP() Dial {
-	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: time.Second, Control: limitSilence}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: time.Second, Control: setUserTimeout}
 	return dialer.DialContext
 }
 
-// NewClient returns a Client on connections that dial opens.
+// NewClient returns a Client that connects with dial.
 func NewClient(dial Dial) *Client {
 	transport := &http.Transport{
 		DialContext:         dial,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// Close gives up connections that no call uses.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// limitSilence has the kernel end a connection whose bytes stay unacknowledged.
-func limitSilence(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets the TCP user timeout (RFC 5482), after which the kernel ends a connection with unacknowledged data.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
@@ -70,9 +70,9 @@
 	return failed
 }
 
-// Call sends a request to a method at an address and reads the answer. An error of the method comes back
-// as *result.Error; one of the transport has the code result.TransportFailed, or result.Unavailable where
-// no connection came about, so that the method has surely not been called.
+// Call calls a method at an address: request and response point to structs that avrocodec encodes. An error of the method
+// is a *result.Error. An error of the transport has the code result.TransportFailed, or result.Unavailable if no connection
+// was made, so that the method has certainly not been called. No call is ever sent twice.
 func (c *Client) Call(ctx context.Context, address, method string, request, response any) error {
 	body, err := avrocodec.Encode(request)
 	if err != nil {
@@ -82,15 +82,15 @@
 	if err != nil {
 		return result.Errorf(result.BadRequest, "%s: %w", method, err)
 	}
-	call.GetBody = nil // a request that may have been read is never sent twice by the transport
+	call.GetBody = nil // without it http.Transport cannot repeat a request that the peer may have read
 	answer, err := c.http.Do(call)
 	if err != nil {
-		if neverConnected(err) {
+		if dialFailed(err) {
 			return result.Errorf(result.Unavailable, "%s at %s: %w", method, address, err)
 		}
 		return result.Errorf(result.TransportFailed, "%s at %s: %w", method, address, err)
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(answer.Body, maxMessageBytes))
 	if err != nil {
 		return result.Errorf(result.TransportFailed, "%s at %s: %w", method, address, err)
@@ -107,13 +107,13 @@
 	return nil
 }
 
-// neverConnected reports whether the error came while dialling.
-func neverConnected(err error) bool {
+// dialFailed reports whether the error is one of dialling.
+func dialFailed(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// Server takes calls.
+// Server dispatches calls to methods.
 type Server struct {
 	mux *http.ServeMux
 }
@@ -124,27 +124,27 @@
 // Handler returns the HTTP handler of all methods.
 func (s *Server) Handler() http.Handler { return s.mux }
 
-// Handle adds a method to a server.
+// Handle registers a method. An error of serve is sent with its result.CodeOf.
 func Handle[Request, Response any](s *Server, method string, serve func(context.Context, *Request) (*Response, error)) {
 	s.mux.HandleFunc("POST "+pathPrefix+method, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 		if err != nil {
-			fail(w, result.Errorf(result.BadRequest, "%s: %w", method, err))
+			writeError(w, result.Errorf(result.BadRequest, "%s: %w", method, err))
 			return
 		}
 		request := new(Request)
 		if err := avrocodec.Decode(body, request); err != nil {
-			fail(w, result.Errorf(result.BadRequest, "%s: %w", method, err))
+			writeError(w, result.Errorf(result.BadRequest, "%s: %w", method, err))
 			return
 		}
 		response, err := serve(r.Context(), request)
 		if err != nil {
-			fail(w, err)
+			writeError(w, err)
 			return
 		}
 		text, err := avrocodec.Encode(response)
 		if err != nil {
-			fail(w, fmt.Errorf("%s: %w", method, err))
+			writeError(w, fmt.Errorf("%s: %w", method, err))
 			return
 		}
 		w.Header().Set("Content-Type", "avro/binary")
@@ -153,7 +153,7 @@
 	})
 }
 
-func fail(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	w.Header().Set(resultHeader, strconv.Itoa(int(result.CodeOf(err))))
 	w.WriteHeader(http.StatusConflict)
 	text := err.Error()
--- a/internal/system/rpc/rpc_test.go
+++ b/internal/system/rpc/rpc_test.go
@@ -17,14 +17,21 @@
 
 type word struct{ Text string }
 
-// peer is a process that reads requests and answers as a test says.
+func closeConn(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// peer is a server that reads requests and has serve answer each, with its number.
 func peer(t *testing.T, serve func(n int64, c net.Conn)) (address string, requests *atomic.Int64) {
 	t.Helper()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	t.Cleanup(func() { closeConn(t, listener) })
 	requests = &atomic.Int64{}
 	go func() {
 		for {
@@ -33,7 +40,7 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }() // serve may have closed it
 				in := bufio.NewReader(c)
 				for {
 					r, err := http.ReadRequest(in)
@@ -50,6 +57,7 @@
 }
 
 func answer(t *testing.T, c net.Conn, text string) {
+	t.Helper()
 	body, err := avrocodec.Encode(&word{text})
 	if err != nil {
 		t.Error(err)
@@ -58,18 +66,18 @@
 	_ = response.Write(c)
 }
 
-// Point 5: a call on a connection that was idle, and that the other side ends once it has read the request, is made once; the
-// HTTP library's own repeats do not come about.
+// Point 5: a call on an idle connection that the peer closes once it has read the request is sent once; net/http does not
+// retry it.
 func TestCallIsNeverRepeated(t *testing.T) {
 	endings := map[string]func(c net.Conn){
-		"closed": func(c net.Conn) { c.Close() },
+		"closed": func(c net.Conn) { closeConn(t, c) },
 		"reset": func(c net.Conn) {
 			_ = c.(*net.TCPConn).SetLinger(0)
-			c.Close()
+			closeConn(t, c)
 		},
 		"cut short": func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nhalf")
-			c.Close()
+			closeConn(t, c)
 		},
 	}
 	for name, end := range endings {
@@ -100,8 +108,8 @@
 	}
 }
 
-// Point 5: an answer that comes after its caller has given up reaches nobody, and no other call.
-func TestLateAnswerReachesNobody(t *testing.T) {
+// Point 5: an answer that arrives after its caller has given up is dropped, and is not the answer to a later call.
+func TestLateAnswerIsDropped(t *testing.T) {
 	given := make(chan struct{})
 	address, requests := peer(t, func(n int64, c net.Conn) {
 		if n == 1 {
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -1,8 +1,10 @@
-// Package settings reads and checks the settings file of a process.
+// Package settings reads and validates the settings file of a process. Errors name the file and the key.
 package settings
 
 import (
+	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -10,13 +12,13 @@
 	"time"
 )
 
-// DefaultPath is read where the environment names no other file.
+// DefaultPath is the path of the file unless EnvironmentKey is set.
 const DefaultPath = "/etc/sedgevale/boot.json"
 
-// EnvironmentKey names the variable that holds the path of the file.
+// EnvironmentKey is the environment variable with the path of the file.
 const EnvironmentKey = "SEDGEVALE_SETTINGS"
 
-// Settings are the settings of one process. Unknown keys of the file are skipped.
+// Settings are the settings of one process. Unknown keys of the file are ignored.
 type Settings struct {
 	Node            string            `json:"node"`
 	Role            string            `json:"role"`
@@ -47,7 +49,7 @@
 	ControlPlane string `json:"control_plane"`
 }
 
-// Limits bound the process.
+// Limits are the resources that the process may use.
 type Limits struct {
 	CPUShares       float64 `json:"cpu_shares"`
 	MemoryMB        int64   `json:"memory_mb"`
@@ -55,14 +57,14 @@
 	DiskMB          int64   `json:"disk_mb"`
 }
 
-// FaultTolerance says how much may be lost at once.
+// FaultTolerance is the number of simultaneous losses that the system has to survive.
 type FaultTolerance struct {
 	Machines int `json:"machines"`
 	Zones    int `json:"zones"`
 	Regions  int `json:"regions"`
 }
 
-// Bounds are the time bounds that the system has to keep, in milliseconds or seconds as named.
+// Bounds are the durations that the system has to keep, in milliseconds (MS) or seconds (S); FarX is a factor.
 type Bounds struct {
 	ContactMS     int64   `json:"contact_ms"`
 	AckMS         int64   `json:"ack_ms"`
@@ -90,7 +92,7 @@
 	return DefaultPath
 }
 
-// Read reads and checks the file. Errors name the file and the key.
+// Read reads and validates the file.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -103,19 +105,26 @@
 	return parsed, nil
 }
 
-// ReadRetrying reads the file and tries again for a while, since it may be replaced while it is read.
-func ReadRetrying(path string, tries int, pause time.Duration) (read *Settings, err error) {
-	for range tries {
+// ReadRetrying reads the file with so many attempts at an interval, since it may be replaced while it is read. It returns
+// the error of the last attempt, also when ctx ends before.
+func ReadRetrying(ctx context.Context, path string, attempts int, interval time.Duration) (read *Settings, err error) {
+	retry := time.NewTicker(interval)
+	defer retry.Stop()
+	for range attempts {
 		read, err = Read(path)
 		if err == nil {
 			return read, nil
 		}
-		time.Sleep(pause)
+		select {
+		case <-ctx.Done():
+			return nil, err
+		case <-retry.C:
+		}
 	}
 	return nil, err
 }
 
-// Parse checks the text of a settings file.
+// Parse reads and validates the text of a settings file.
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := json.Unmarshal(text, s); err != nil {
@@ -154,9 +163,10 @@
 	}
 }
 
+// check returns an error for the first key whose value is invalid.
 func (s *Settings) check() error {
 	if s.Node == "" {
-		return fmt.Errorf("node: missing")
+		return errors.New("node: missing")
 	}
 	if net.ParseIP(s.IP) == nil {
 		return fmt.Errorf("ip: %q is no address", s.IP)
@@ -164,8 +174,21 @@
 	if len(s.PortRange) != 2 || s.PortRange[0] < 1 || s.PortRange[1] < s.PortRange[0] || s.PortRange[1] > 65535 {
 		return fmt.Errorf("port_range: %v is no range of ports", s.PortRange)
 	}
+	if err := s.checkAddresses(); err != nil {
+		return err
+	}
+	if s.Limits.MemoryMB < 0 {
+		return errors.New("limits.memory_mb: below 0")
+	}
+	if s.FaultTolerance.Machines < 0 || s.FaultTolerance.Machines > 4 {
+		return fmt.Errorf("fault_tolerance.machines: %d is not between 0 and 4", s.FaultTolerance.Machines)
+	}
+	return nil
+}
+
+func (s *Settings) checkAddresses() error {
 	if len(s.Seeds) == 0 {
-		return fmt.Errorf("seeds: none")
+		return errors.New("seeds: none")
 	}
 	for i, seed := range s.Seeds {
 		if _, _, err := net.SplitHostPort(seed); err != nil {
@@ -181,17 +204,11 @@
 			return fmt.Errorf("bind_addrs: %w", err)
 		}
 	}
-	if s.Limits.MemoryMB < 0 {
-		return fmt.Errorf("limits.memory_mb: below 0")
-	}
-	if s.FaultTolerance.Machines < 0 || s.FaultTolerance.Machines > 4 {
-		return fmt.Errorf("fault_tolerance.machines: %d is not between 0 and 4", s.FaultTolerance.Machines)
-	}
 	return nil
 }
 
-// InternalAddress returns the address on which this process hears other schedulers: the first port of the range. A
-// machine has one role of ours.
+// InternalAddress returns the address of this process for other schedulers: the first port of port_range. A machine runs
+// one role only.
 func (s *Settings) InternalAddress() string {
 	return s.internalAt(s.IP)
 }
@@ -200,7 +217,7 @@
 	return net.JoinHostPort(ip, strconv.Itoa(s.PortRange[0]))
 }
 
-// SeedAddresses returns the internal addresses of the seeds, in their order.
+// SeedAddresses returns the internal addresses of the seeds, in the order of the settings.
 func (s *Settings) SeedAddresses() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -42,18 +42,18 @@
 }
 
 // A file that is replaced while it is read is read again.
-func TestCutFileIsReadAgain(t *testing.T) {
+func TestPartlyWrittenFileIsReadAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.json")
 	if err := os.WriteFile(path, []byte(good[:50]), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadRetrying(path, 2, time.Nanosecond); err == nil || !strings.Contains(err.Error(), path) {
+	if _, err := ReadRetrying(t.Context(), path, 2, time.Nanosecond); err == nil || !strings.Contains(err.Error(), path) {
 		t.Errorf("error %v", err)
 	}
 	if err := os.WriteFile(path, []byte(good), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadRetrying(path, 2, time.Nanosecond); err != nil {
+	if _, err := ReadRetrying(t.Context(), path, 2, time.Nanosecond); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/system/side/side.go
+++ b/internal/system/side/side.go
@@ -81,13 +81,13 @@
 	go s.directory.Run(ctx)
 	server := rpc.NewServer()
 	rpc.Handle(server, api.MethodOrders, s.takeOrders)
-	if err := p.Listen(p.Settings.InternalAddress(), server.Handler()); err != nil {
+	if err := p.Listen(ctx, p.Settings.InternalAddress(), server.Handler()); err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /sedgevale/instances/{id}", s.heartbeat)
 	mux.HandleFunc("DELETE /sedgevale/instances/{id}", s.goodbye)
-	if err := p.Listen(p.Settings.BindAddrs.ControlPlane, mux); err != nil {
+	if err := p.Listen(ctx, p.Settings.BindAddrs.ControlPlane, mux); err != nil {
 		return err
 	}
 	go s.checkLoop(ctx)
--- a/internal/system/simulation/edge_test.go
+++ b/internal/system/simulation/edge_test.go
@@ -61,7 +61,7 @@
 		return &api.Empty{}, s.submit()
 	})
 	p := node.NewProcess(w.settings(&machine{name: "core0", ip: "10.0.0.1"}), logr.Discard(), h.dial, h.listen)
-	if err := p.Listen("10.0.0.1:7000", server.Handler()); err != nil {
+	if err := p.Listen(w.t.Context(), "10.0.0.1:7000", server.Handler()); err != nil {
 		w.t.Fatal(err)
 	}
 	return p
