--- /dev/null
+++ b/internal/upstream/call.go
@@ -0,0 +1,114 @@
+package upstream
+
+import (
+	"time"
+
+	"sedgevale"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/http1"
+)
+
+// probeTimeout bounds a health check, including the time to connect.
+const probeTimeout = time.Second
+
+// call is an attempt, or a health check of a worker, from Send or Probe to its outcome.
+type call struct {
+	attempt *dispatch.Attempt // nil for a health check
+	planner *dispatch.Planner // of the health check
+	worker  *worker
+	conn    *conn // nil until the request is sent
+	done    bool
+}
+
+// Send starts an attempt. Its outcome is reported to its planner.
+func (p *Pool) Send(a *dispatch.Attempt) {
+	p.loop.Do(func() {
+		cl := &call{attempt: a, worker: p.workers[a.Worker]}
+		p.calls[a] = cl
+		p.start(cl)
+	})
+}
+
+// Cancel aborts an attempt by closing its connection.
+func (p *Pool) Cancel(a *dispatch.Attempt) {
+	p.loop.Do(func() {
+		if cl := p.calls[a]; cl != nil {
+			p.finish(cl, sedgevale.Cancelled, nil, nil)
+		}
+	})
+}
+
+// Withdraw ends an attempt unless its request has been sent, at least in part.
+func (p *Pool) Withdraw(a *dispatch.Attempt) {
+	p.loop.Do(func() {
+		if cl := p.calls[a]; cl != nil && cl.conn == nil {
+			p.finish(cl, sedgevale.NotSent, nil, nil)
+		}
+	})
+}
+
+// Probe sends a health check, which asks a worker for its load, and reports the answer to planner.
+func (p *Pool) Probe(id string, planner *dispatch.Planner) {
+	p.loop.Do(func() {
+		cl := &call{planner: planner, worker: p.workers[id]}
+		if cl.worker == nil {
+			planner.Probed(id, nil)
+			return
+		}
+		p.start(cl)
+		time.AfterFunc(probeTimeout, func() {
+			p.loop.Do(func() { p.finish(cl, sedgevale.TimedOut, nil, nil) })
+		})
+	})
+}
+
+// start sends a call over an idle connection, or begins to dial a new one.
+func (p *Pool) start(cl *call) {
+	w := cl.worker
+	if w == nil || !p.accepts(w) {
+		p.finish(cl, sedgevale.NotSent, nil, nil)
+		return
+	}
+	// A request that is not idempotent has a single attempt. It is not risked on a reused connection while those break.
+	for n := len(w.idle); n > 0 && (cl.attempt == nil || !cl.attempt.Single || !p.reusedConnsBreak()); n = len(w.idle) {
+		c := w.idle[n-1]
+		w.idle = w.idle[:n-1]
+		if c.isQuiet() {
+			c.send(cl)
+			return
+		}
+		p.closeConn(c)
+	}
+	// The descriptor counts from the dial on: while workers do not respond, pending dials hold most of them.
+	if !p.opt.Budget.Take() {
+		p.opt.Budget.Release()
+		p.finish(cl, sedgevale.NotSent, nil, nil)
+		return
+	}
+	w.dialling[cl] = struct{}{}
+	c := &conn{pool: p, call: cl, parser: http1.NewParser(http1.Response)}
+	p.loop.Dial(w.addr, p.opt.DialTimeout, c, func(error) {
+		p.opt.Budget.Release()
+		p.finish(cl, sedgevale.ConnectFailed, nil, nil)
+	})
+}
+
+// finish ends a call and reports its outcome. The connection is closed unless the answer is complete.
+func (p *Pool) finish(cl *call, o sedgevale.Outcome, result []byte, report *sedgevale.Report) {
+	if cl.done {
+		return
+	}
+	cl.done = true
+	if cl.worker != nil {
+		delete(cl.worker.dialling, cl)
+	}
+	if c := cl.conn; c != nil && !c.closed && o != sedgevale.Served && !c.answered {
+		p.closeConn(c)
+	}
+	if cl.attempt == nil {
+		cl.planner.Probed(cl.worker.id, report)
+		return
+	}
+	delete(p.calls, cl.attempt)
+	cl.attempt.Planner.Ended(cl.attempt, o, result, report)
+}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,68 +12,68 @@
 	"sedgevale/internal/http1"
 )
 
-// conn is a connection to a worker. It belongs to the loop.
+// conn is a connection to a worker. It implements evloop.Handler and is accessed on the loop only.
 type conn struct {
-	pool   *Pool
-	raw     evloop.Conn
+	pool        *Pool
+	raw         evloop.Conn
 	worker      *worker
-	call      *call // what it carries; nil: it is idle, or only the end of an answer is to come
-	parser *http1.Parser
-	lines  lineSplitter
-	closed   bool
-	writeFailed bool // writing fails
-	answered  bool // the whole answer has come
-	uses   int  // attempts carried
-	answerBytes    int  // bytes of the answer at hand
-	idleSince  time.Time
-	buffer    []byte
+	call        *call // nil if the connection is idle, or only the end of an answer is outstanding
+	parser      *http1.Parser
+	lines       lineSplitter
+	closed      bool
+	writeFailed bool // set during a Write and after a failed one
+	answered    bool // the outcome of the last call is known; it stays set while the connection is idle
+	uses        int  // calls sent
+	answerBytes int  // size of the answer so far
+	idleSince   time.Time
+	buffer      []byte
 }
 
-// Opened is the loop's: a dialled connection is up.
-func (c *conn) Opened(gc evloop.Conn) bool {
-	c.raw = gc
-	f := c.call
-	c.worker, c.call = f.worker, nil
-	if f.done { // the worker has begun to drain or was taken out, or nobody waits any more
+// Opened implements evloop.Handler: a dialled connection is established.
+func (c *conn) Opened(raw evloop.Conn) bool {
+	c.raw = raw
+	cl := c.call
+	c.worker, c.call = cl.worker, nil
+	if cl.done { // the worker drains or is cordoned, or the client has disconnected
 		c.closed = true
 		return false
 	}
-	delete(f.worker.dialling, f)
-	c.send(f)
+	delete(cl.worker.dialling, cl)
+	c.send(cl)
 	return true
 }
 
-// Closed is the loop's.
+// Closed implements evloop.Handler.
 func (c *conn) Closed(evloop.Conn) {
 	p := c.pool
 	p.opt.Budget.Release()
 	c.closed = true
 	c.worker.removeIdle(c)
-	delete(p.draining, c)
-	f := c.call
-	if f == nil || f.done {
+	delete(p.awaitingEnd, c)
+	cl := c.call
+	if cl == nil || cl.done {
 		return
 	}
 	if c.requestWritten() {
 		if c.parser.Idle() {
 			c.stats().broken++
 		}
-		p.finish(f, sedgevale.Lost, nil, nil)
+		p.finish(cl, sedgevale.Lost, nil, nil)
 	} else {
 		c.shutdownWrite()
-		p.finish(f, sedgevale.ConnectFailed, nil, nil)
+		p.finish(cl, sedgevale.ConnectFailed, nil, nil)
 	}
 }
 
-// shutdownWrite sees to it that a request of which a part is still to be written stays a part: gnet
-// writes the rest as it closes the connection, and then the request may run that was told not
-// to have been sent.
+// shutdownWrite keeps a partly written request partial: gnet flushes its buffer as it closes a connection, and then a
+// request that was reported as not sent would be served.
 func (c *conn) shutdownWrite() {
 	if c.raw.OutboundBuffered() > 0 {
 		_ = unix.Shutdown(c.raw.Fd(), unix.SHUT_WR)
 	}
 }
 
+// stats returns the counts to which the last call on the connection belongs.
 func (c *conn) stats() *connStats {
 	if c.uses > 1 {
 		return &c.pool.reusedConns
@@ -81,43 +81,43 @@
 	return &c.pool.newConns
 }
 
-// isQuiet reports whether nothing has come on an idle connection, not even its end,
-// that the loop has yet to read.
+// isQuiet reports whether an idle connection has nothing to read, not even its end, that the loop has yet to notice.
 func (c *conn) isQuiet() bool {
 	var b [1]byte
 	_, _, err := unix.Recvfrom(c.raw.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// send sends a flight's request.
-func (c *conn) send(f *call) {
-	if f.attempt != nil && f.attempt.Expired(c.pool.opt.Clock.Now()) { // by the time that it took to connect
+// send sends the request of a call.
+func (c *conn) send(cl *call) {
+	if cl.attempt != nil && cl.attempt.Expired(c.pool.opt.Clock.Now()) { // while the connection was being made
 		c.putIdle()
-		c.pool.finish(f, sedgevale.NotSent, nil, nil)
+		c.pool.finish(cl, sedgevale.NotSent, nil, nil)
 		return
 	}
-	c.call, f.conn = f, c
+	c.call, cl.conn = cl, c
 	c.uses++
 	c.stats().used++
 	c.answered, c.answerBytes = false, 0
 	c.lines.partial = nil
-	c.buffer = c.appendRequest(c.buffer[:0], f)
-	c.writeFailed = true // a failure closes the connection within Write, and OnClose tells
+	c.buffer = c.appendRequest(c.buffer[:0], cl)
+	c.writeFailed = true // a failing Write calls Closed
 	if _, err := c.raw.Write(c.buffer); err != nil {
-		c.pool.finish(f, sedgevale.ConnectFailed, nil, nil)
+		c.pool.finish(cl, sedgevale.ConnectFailed, nil, nil)
 		return
 	}
 	c.writeFailed = false
-	if f.attempt != nil && f.attempt.Recorded() {
-		f.attempt.Planner.Sent(f.attempt)
+	if cl.attempt != nil && cl.attempt.Recorded() {
+		cl.attempt.Planner.Sent(cl.attempt)
 	}
 	if cap(c.buffer) > 8<<10 {
 		c.buffer = nil
 	}
 }
 
-func (c *conn) appendRequest(b []byte, f *call) []byte {
-	a := f.attempt
+// appendRequest appends the request of a call to b.
+func (c *conn) appendRequest(b []byte, cl *call) []byte {
+	a := cl.attempt
 	if a == nil {
 		b = http1.AppendRequest(b, "GET", "/status/load")
 		b = http1.AppendField(b, "Host", c.pool.opt.Host)
@@ -134,11 +134,10 @@
 	return http1.AppendBody(b, a.Body)
 }
 
-// requestWritten reports whether the request's last byte has been written.
+// requestWritten reports whether the whole request has been written to the socket.
 func (c *conn) requestWritten() bool { return !c.writeFailed && c.raw.OutboundBuffered() == 0 }
 
-// Traffic is the loop's. It takes an answer apart as it comes. What is malformed ends the attempt
-// and the connection, nothing else.
+// Traffic implements evloop.Handler: it parses an answer incrementally. A malformed one ends the attempt and the connection.
 func (c *conn) Traffic(evloop.Conn) bool {
 	for !c.closed {
 		buf, _ := c.raw.Peek(-1)
@@ -169,47 +168,27 @@
 	return true
 }
 
+// interim reports whether the message at hand is an informational (1xx) response.
 func (c *conn) interim() bool { return c.parser.Head.Status < 200 }
 
+// malformed ends the call, if any, and closes the connection.
 func (c *conn) malformed(err error) {
-	if f := c.call; f != nil && !f.done {
-		c.pool.opt.Log.Warn("a worker's answer is malformed", "worker", c.worker.id, "err", err)
-		c.pool.finish(f, sedgevale.Lost, nil, nil)
+	if cl := c.call; cl != nil && !cl.done {
+		c.pool.opt.Log.Warn("malformed answer from worker", "worker", c.worker.id, "err", err)
+		c.pool.finish(cl, sedgevale.Lost, nil, nil)
 	}
 	c.pool.closeConn(c)
 }
 
+// handleEvent handles what the parser has found in the answer.
 func (c *conn) handleEvent(ev http1.Event, body []byte) error {
-	h := &c.parser.Head
 	switch ev {
 	case http1.Headed:
-		if c.call == nil && c.answered {
-			return errUnsolicited
-		}
-		if c.call == nil || c.call.done || c.interim() {
-			return nil
-		}
-		if c.call.attempt == nil || h.Status != 200 {
-			c.headOnly(h)
-		}
+		return c.handleHead()
 	case http1.Body:
-		if h.Status != 200 || c.call != nil && c.call.attempt == nil {
-			return nil
-		}
-		for len(body) > 0 {
-			var whole []byte
-			var err error
-			if whole, body, err = c.lines.next(body); err != nil {
-				return err
-			}
-			if whole != nil {
-				if err := c.handleLine(whole); err != nil || c.closed {
-					return err
-				}
-			}
-		}
+		return c.handleBody(body)
 	case http1.Ended:
-		if len(c.lines.partial) > 0 && !c.interim() { // the last line may lack its end
+		if len(c.lines.partial) > 0 && !c.interim() { // the last line may lack its line feed
 			last := c.lines.partial
 			c.lines.partial = nil
 			return c.handleLine(last)
@@ -218,38 +197,71 @@
 	return nil
 }
 
-// headOnly deals with an answer that tells all in its head. What it means is
-// kept until its end, so that the connection can be used again.
+func (c *conn) handleHead() error {
+	h := &c.parser.Head
+	if c.call == nil && c.answered {
+		return errUnsolicited
+	}
+	if c.call == nil || c.call.done || c.interim() {
+		return nil
+	}
+	if c.call.attempt == nil || h.Status != 200 {
+		c.headOnly(h)
+	}
+	return nil
+}
+
+func (c *conn) handleBody(body []byte) error {
+	if c.parser.Head.Status != 200 || c.call != nil && c.call.attempt == nil {
+		return nil
+	}
+	for len(body) > 0 {
+		line, rest, err := c.lines.next(body)
+		if err != nil {
+			return err
+		}
+		body = rest
+		if line != nil {
+			if err := c.handleLine(line); err != nil || c.closed {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// headOnly handles an answer whose outcome is known from its head: a health check, or a status other than 200. The
+// connection is reused once the answer has ended.
 func (c *conn) headOnly(h *http1.Head) {
-	f := c.call
+	cl := c.call
 	report := parseLoadHeader(h.Get("Server-Load"))
 	o := sedgevale.Errored
 	if (h.Status == 503 || h.Status == 504) && h.Get("Not-Started") == "1" {
 		o = sedgevale.Full
-		h.Close = true // it names no job: come twice, it would prove of the next that it never ran
+		h.Close = true // it names no request: a duplicate would be taken for the answer to the next one
 	}
 	c.awaitEnd()
-	c.pool.finish(f, o, nil, report)
+	c.pool.finish(cl, o, nil, report)
 }
 
-// handleLine deals with one object of a job's answer.
+// handleLine handles one JSON object of an answer. A line after the outcome is ignored.
 func (c *conn) handleLine(text []byte) error {
-	f := c.call
-	if f == nil || f.done || len(text) == 0 || len(text) == 1 && text[0] == '\r' {
+	cl := c.call
+	if cl == nil || cl.done || len(text) == 0 || len(text) == 1 && text[0] == '\r' {
 		return nil
 	}
 	l, err := parseLine(text)
 	if err != nil {
 		return err
 	}
-	if l.ID != f.attempt.ID {
-		return errOtherJob
+	if l.ID != cl.attempt.ID {
+		return errOtherRequest
 	}
 	switch l.State {
 	case "started":
-		f.attempt.Planner.Started(f.attempt)
+		cl.attempt.Planner.Started(cl.attempt)
 	case "running":
-		f.attempt.Planner.Progress(f.attempt, min(max(l.Share, 0), 1))
+		cl.attempt.Planner.Progress(cl.attempt, min(max(l.Share, 0), 1))
 	case "done":
 		if l.Result == nil {
 			return errNoResult
@@ -265,25 +277,23 @@
 	return nil
 }
 
-// handleOutcome ends the attempt by its last line. The end of the chunks is still to
-// come; until then the connection is not used again.
+// handleOutcome ends the attempt by its last line. The connection is not reused before the answer has ended.
 func (c *conn) handleOutcome(o sedgevale.Outcome, result []byte, l answerLine) {
 	c.awaitEnd()
 	c.pool.finish(c.call, o, result, loadReport(l.Load))
 }
 
-// awaitEnd notes that only the end of the answer is still to come.
+// awaitEnd records that only the end of the answer is outstanding.
 func (c *conn) awaitEnd() {
 	c.answered, c.idleSince = true, time.Now()
-	c.pool.draining[c] = struct{}{}
+	c.pool.awaitingEnd[c] = struct{}{}
 }
 
-// handleEnd is called at the end of an answer. It makes the connection ready for
-// the next request, or closes it.
+// handleEnd handles the end of an answer: it makes the connection idle, or closes it. It reports whether it is still open.
 func (c *conn) handleEnd() bool {
-	delete(c.pool.draining, c)
-	if f := c.call; f != nil && !f.done { // it ended without a last line
-		c.pool.finish(f, sedgevale.Lost, nil, nil)
+	delete(c.pool.awaitingEnd, c)
+	if cl := c.call; cl != nil && !cl.done { // there was no last line with an outcome
+		c.pool.finish(cl, sedgevale.Lost, nil, nil)
 	}
 	if c.closed {
 		return false
@@ -294,25 +304,22 @@
 		return false
 	}
 	c.putIdle()
-	if len(c.worker.idle) > maxIdleWhileAvoided && c.pool.reusedConnsBreak() { // each job that avoids them adds one
+	if len(c.worker.idle) > maxIdleWhileAvoided && c.pool.reusedConnsBreak() { // each request that avoids them adds one
 		c.pool.closeConn(c.worker.idle[0])
 	}
 	return true
 }
 
-// putIdle puts a connection that carries nothing beside the others.
+// putIdle adds the connection to the idle ones of its worker.
 func (c *conn) putIdle() {
 	c.answered, c.idleSince = true, time.Now()
 	c.worker.idle = append(c.worker.idle, c)
 }
 
-type fault string
-
-func (f fault) Error() string { return string(f) }
-
-const (
-	errUnsolicited    = fault("an answer that nothing was asked for")
-	errOtherJob   = fault("an answer to another job")
-	errNoResult   = fault("a job is done without a result")
-	errAnswerTooLong = fault("an answer without end")
+// Errors of a malformed answer. Each closes the connection and ends the attempt.
+var (
+	errUnsolicited   = errors.New("unsolicited answer")
+	errOtherRequest  = errors.New("answer to another request")
+	errNoResult      = errors.New("state done without a result")
+	errAnswerTooLong = errors.New("answer too long")
 )
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -22,12 +22,12 @@
 	"sedgevale/internal/testkit"
 )
 
-// The paths on which an attempt ends, and what must be told apart on each: what was never
-// sent, and what may have run.
+// The tests of this file concern the ways in which an attempt ends. On each, what was never sent must be told apart from
+// what the worker may have served.
 
-// late returns a worker whose connections come up only once it is told to take them, and what
-// it then gets.
-func late(t *testing.T) (addr string, takes func() <-chan string) {
+// late returns the address of a worker whose connections are established only once accept is called, and a channel of what
+// each of them then receives up to its end.
+func late(t *testing.T) (addr string, accept func() <-chan string) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -45,7 +45,11 @@
 	}
 	addr = (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: sa.(*unix.SockaddrInet4).Port}).String()
 	fill(t, addr)
-	t.Cleanup(func() { unix.Close(fd) })
+	t.Cleanup(func() {
+		if err := unix.Close(fd); err != nil {
+			t.Error(err)
+		}
+	})
 	return addr, func() <-chan string {
 		got := make(chan string, 16)
 		go func() {
@@ -55,7 +59,7 @@
 					return
 				}
 				go func() {
-					defer unix.Close(c)
+					defer func() { _ = unix.Close(c) }()
 					var all []byte
 					for buf := make([]byte, 4096); ; {
 						n, err := unix.Read(c, buf)
@@ -72,28 +76,28 @@
 	}
 }
 
-// fill has a listener's queue full, so that further connections do not come up. Those that
-// fill it end with the test, or say so by their ends once they are taken.
+// fill fills a listener's queue, so that further connections are not established. The connections that fill it are closed at
+// the end of the test.
 func fill(t *testing.T, addr string) {
 	t.Helper()
 	const slow = 100 * time.Millisecond
 	for wait, n := slow, 0; n < 8; n++ {
-		c, err := net.DialTimeout("tcp", addr, wait)
+		c, err := (&net.Dialer{Timeout: wait}).DialContext(t.Context(), "tcp", addr)
 		switch {
 		case err == nil:
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { closeOne(t, c) })
 			wait = slow
 		case wait > slow:
 			return
-		default: // a busy machine may be as slow once; then the queue still had room, and the test none
+		default: // on a busy machine a dial may take so long though the queue is not full
 			wait = 4 * slow
 		}
 	}
 	t.Skip("this system takes connections beyond the queue")
 }
 
-// dialling waits until a connection to the worker is being made and its first packet is out: by then
-// the queue that it did not get into was full.
+// dialling waits until a connection to the worker is being made and its first packet has been sent: by then the queue of the
+// listener was full.
 func dialling(t *testing.T, pool *Pool, worker string) {
 	t.Helper()
 	addr := ""
@@ -138,12 +142,12 @@
 	return x, answers
 }
 
-// Guards against a job that begins though its client left while its connection was being
-// made, also where the settings let nothing be called off: it was not sent, so nothing needs to be.
+// Guards against a request that is sent though its client disconnected while the connection was being made, also where the
+// settings forbid cancellation: it was not sent, so there is nothing to cancel.
 func TestClientGoneWhileDialling(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		t.Run(fmt.Sprint("may cancel ", mayCancel), func(t *testing.T) {
-			addr, takes := late(t)
+			addr, accept := late(t)
 			pool, planner, clock := beginWith(t, addr, 0, func(s *sedgevale.Settings) { s.MayCancel = mayCancel })
 			x, _ := request(planner, clock, "a", &classes[0], nil)
 			dialling(t, pool, "w")
@@ -151,8 +155,8 @@
 			open := make(chan int, 1)
 			planner.Open(func(n int) { open <- n })
 			testkit.Await(t, "the planner", open)
-			got := takes()
-			for nth := 0; ; nth++ { // what filled the queue stays; ours comes up and ends
+			got := accept()
+			for { // the connections that fill the queue stay open; that of the pool is established and closed
 				if text := testkit.Await(t, "the late connection's end", got); text != "" {
 					t.Errorf("the worker got %q", text)
 				} else {
@@ -163,18 +167,18 @@
 	}
 }
 
-// Guards against a repeat after the time in which workers drop repeats: it was decided within
-// the window, but its connection came up after it. The client is told that it failed.
+// Guards against a retry after the window in which workers recognise an idempotency key: it was decided within the window,
+// but its connection was established after it. The client gets an error.
 func TestWindowEndsWhileDialling(t *testing.T) {
 	keyed := sedgevale.Class{Name: "keyed", Effect: sedgevale.Keyed, Window: 500 * time.Millisecond, Aim: 3 * time.Second, Limit: 3 * time.Second}
-	addr, takes := late(t)
+	addr, accept := late(t)
 	come, breakOff := make(chan struct{}, 4), make(chan struct{})
-	first := testkit.Accept(t, func(c net.Conn) { // takes the job and breaks off
+	first := testkit.Accept(t, func(c net.Conn) { // receives the request and resets the connection
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		come <- struct{}{}
 		<-breakOff
 		_ = c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+		closeOne(t, c)
 	})
 	pool, planner, clock := beginWith(t, first, 0, func(s *sedgevale.Settings) { s.Classes = []sedgevale.Class{keyed} })
 	pool.Members(false, []Member{{ID: "v", Addr: addr, Ready: true}})
@@ -183,12 +187,12 @@
 	planner.Members(sedgevale.ListPatch, []sedgevale.WorkerInfo{{Worker: "v"}})
 	close(breakOff)
 	dialling(t, pool, "v")
-	got := takes()
+	got := accept()
 	if a := testkit.Await(t, "the answer", answers); a.Kind == dispatch.Served {
 		t.Errorf("%+v", a)
 	}
 	closed := make(chan struct{})
-	pool.loop.Do(func() { // the connection is kept for the next job
+	pool.loop.Do(func() { // the connection is idle, for the next request
 		for _, w := range pool.workers {
 			pool.closeIdleOf(w)
 		}
@@ -200,9 +204,9 @@
 	}
 }
 
-// Guards against a send to an address that the list has given up meanwhile.
+// Guards against a request sent to an address that the worker no longer has.
 func TestAddressChangesWhileDialling(t *testing.T) {
-	addr, takes := late(t)
+	addr, accept := late(t)
 	pool, planner, clock := begin(t, addr, 0)
 	_, answers := request(planner, clock, "a", &classes[0], nil)
 	dialling(t, pool, "w")
@@ -210,15 +214,15 @@
 	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Refused {
 		t.Errorf("%+v", a)
 	}
-	if text := testkit.Await(t, "the late connection's end", takes()); text != "" {
+	if text := testkit.Await(t, "the late connection's end", accept()); text != "" {
 		t.Errorf("the former address got %q", text)
 	}
 }
 
-// answering is a worker that writes one text for each request, and then what more returns.
+// answering runs a worker that has say answer each request.
 func answering(t *testing.T, say func(id string, w io.Writer)) string {
 	return testkit.Accept(t, func(c net.Conn) {
-		defer c.Close()
+		defer func() { _ = c.Close() }() // the pool may have reset it
 		for r := bufio.NewReader(c); ; {
 			q, err := http.ReadRequest(r)
 			if err != nil {
@@ -230,7 +234,7 @@
 	})
 }
 
-// Guards against answers that never end: they are bounded in bytes, and are nobody's result.
+// Guards against answers that never end: they are bounded in bytes, and the attempt fails.
 func TestEndlessAnswers(t *testing.T) {
 	for name, endless := range map[string]func(id string) string{
 		"progress":  func(id string) string { return fmt.Sprintf(`{"id":%q,"state":"running","share":0.5}`+"\n", id) },
@@ -244,7 +248,9 @@
 				part := []byte(strings.Repeat(text, 1+4096/len(text)))
 				n := 0
 				if !strings.HasPrefix(text, "HTTP") {
-					fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 1<<40)
+					if _, err := fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 1<<40); err != nil {
+						t.Error(err)
+					}
 				}
 				for n < 64<<20 {
 					m, err := w.Write(part)
@@ -266,18 +272,18 @@
 	}
 }
 
-// Guards against an answer that comes twice being taken for the next job's: that it names no job and
-// says 'not started' would send a job out again that runs.
-func TestDoubledTurningAway(t *testing.T) {
-	const away = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+// Guards against a duplicated answer that is taken for that to the next request: since it names no request and says that it
+// was not started, a request that the worker serves would be sent again.
+func TestDuplicateRejection(t *testing.T) {
+	const rejection = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	asked := make(chan string, 16)
 	again := make(chan struct{})
 	addr := answering(t, func(id string, w io.Writer) {
 		asked <- id
-		_, _ = io.WriteString(w, away)
+		_, _ = io.WriteString(w, rejection)
 		if id == "a" {
-			<-again // when the next job has come, on whatever connection
-			_, _ = io.WriteString(w, away)
+			<-again // until the next request has come, on whatever connection
+			_, _ = io.WriteString(w, rejection)
 		}
 	})
 	pool, planner, clock := begin(t, addr, 0)
@@ -289,13 +295,13 @@
 	idle := make(chan int, 1)
 	pool.loop.Do(func() { idle <- len(pool.workers["w"].idle) })
 	if n := testkit.Await(t, "the loop", idle); n != 0 {
-		t.Errorf("%d connections kept on which the same answer may come again", n)
+		t.Errorf("%d idle connections on which the same answer may come again", n)
 	}
 	close(again)
 }
 
-// Guards against a request that is told not to have been sent, since its connection ended
-// while a part of it was still to be written, and is then written as the connection is closed.
+// Guards against a request that is reported as not sent, since its connection ended while a part of it was buffered, and that
+// is flushed as the connection is closed.
 func TestHalfWrittenRequestStaysHalf(t *testing.T) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4096) })
@@ -304,20 +310,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer closeOne(t, l)
 	pool, planner, clock := beginWith(t, l.Addr().String(), 0, func(s *sedgevale.Settings) { s.MaxAttempts = 1 })
 	_, answers := request(planner, clock, "a", &classes[1], nil)
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer closeOne(t, c)
 	r := bufio.NewReader(c)
 	if _, err := http.ReadRequest(r); err != nil {
 		t.Fatal(err)
 	}
-	const line = `{"id":"a","state":"done","result":"r"}`
-	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(line), line)
+	writeDone(t, c, "a")
 	testkit.Await(t, "the first answer", answers)
 	buffer := func(gc evloop.Conn, n int) {
 		if err := unix.SetsockoptInt(gc.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, n); err != nil {
@@ -335,7 +340,7 @@
 	if !testkit.Await(t, "the loop", small) {
 		t.Fatal("the connection was not kept")
 	}
-	const size = 100 << 10 // more than that holds, but not more than it will
+	const size = 100 << 10 // more than the buffer holds now, but not more than it will
 	_, answers = request(planner, clock, "b", &classes[0], bytes.Repeat([]byte("b"), size))
 	for left := 0; left == 0; {
 		seen := make(chan int)
@@ -345,7 +350,7 @@
 				if f.conn != nil && f.conn.raw.OutboundBuffered() > 0 {
 					n = f.conn.raw.OutboundBuffered()
 					buffer(f.conn.raw, 4*size)
-					pool.loop.Close(f.conn.raw) // as when reading from it fails
+					pool.loop.Close(f.conn.raw) // as after a failed read
 				}
 			}
 			seen <- n
@@ -360,11 +365,10 @@
 	}
 }
 
-// Guards against small writes that the system holds back.
+// Guards against small writes that the kernel delays (Nagle's algorithm).
 func TestWorkersHaveNoDelay(t *testing.T) {
 	addr := answering(t, func(id string, w io.Writer) {
-		line := fmt.Sprintf(`{"id":%q,"state":"done","result":"r"}`, id)
-		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(line), line)
+		writeDone(t, w, id)
 	})
 	pool, planner, clock := begin(t, addr, 0)
 	_, answers := request(planner, clock, "a", &classes[0], nil)
--- a/internal/upstream/line.go
+++ b/internal/upstream/line.go
@@ -9,7 +9,7 @@
 	"sedgevale"
 )
 
-// answerLine is one object of a worker's answer, read into what is used of it.
+// answerLine is the part of one JSON object of a worker's answer that is used.
 type answerLine struct {
 	ID     string             `json:"id"`
 	State  string             `json:"state"`
@@ -23,31 +23,30 @@
 	return l, err
 }
 
-// lineSplitter cuts a body, which comes in parts, into lines. It keeps only a line
-// that is not whole yet.
+// lineSplitter splits a body that arrives in chunks into lines. It keeps the incomplete last line.
 type lineSplitter struct{ partial []byte }
 
 var errLineTooLong = errors.New("line too long")
 
-// maxLineBytes bounds a line: a result of 64 KiB in which each byte is escaped.
+// maxLineBytes bounds a line: a result of 64 KiB of which JSON escapes each byte, and some more.
 const maxLineBytes = 512 << 10
 
-// maxAnswerBytes bounds an answer: the longest line, and the starts and progress before it.
+// maxAnswerBytes bounds an answer: the longest line, and the lines of starts and progress before it.
 const maxAnswerBytes = 2 * maxLineBytes
 
-// next returns the first whole line of b, and what follows it. Without a whole
-// line it keeps b and returns nil. The line is valid until the next call.
-func (l *lineSplitter) next(b []byte) (whole, rest []byte, err error) {
+// next returns the first complete line of b, with what was kept before it, and the rest of b. If there is none it keeps b and
+// returns nil. The line is valid until the next call.
+func (l *lineSplitter) next(b []byte) (line, rest []byte, err error) {
 	for i, c := range b {
 		if c != '\n' {
 			continue
 		}
-		whole = b[:i]
+		line = b[:i]
 		if len(l.partial) > 0 {
-			whole = append(l.partial, whole...)
+			line = append(l.partial, line...)
 			l.partial = l.partial[:0]
 		}
-		return whole, b[i+1:], nil
+		return line, b[i+1:], nil
 	}
 	if len(l.partial)+len(b) > maxLineBytes {
 		return nil, nil, errLineTooLong
@@ -56,7 +55,7 @@
 	return nil, nil, nil
 }
 
-// loadReport picks the values that decisions are made from; nil if there is none.
+// loadReport returns the values that decisions use, or nil if there are none.
 func loadReport(values map[string]float64) *sedgevale.Report {
 	var r sedgevale.Report
 	r.Free, r.HasFree = values["x0"]
@@ -69,8 +68,8 @@
 	return &r
 }
 
-// parseLoadHeader reads a report of the form name=value,name=value. What is malformed
-// is left out: a report is advice, and the answer that carries it still counts.
+// parseLoadHeader parses a Server-Load field, name=value,name=value. Malformed pairs are ignored: a report is a hint, and
+// the answer with it is still valid.
 func parseLoadHeader(s string) *sedgevale.Report {
 	values := map[string]float64{}
 	for pair := range strings.SplitSeq(s, ",") {
--- a/internal/upstream/line_test.go
+++ b/internal/upstream/line_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 200) }
 
-// Lines come out whole however the body is cut into chunks.
+// A body is split into the same lines however it is cut into chunks.
 func TestLinesCuts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(rapid.StringMatching(`[ -~]{0,40}`), 0, 6).Draw(t, "lines")
--- /dev/null
+++ b/internal/upstream/pool.go
@@ -0,0 +1,230 @@
+// Package upstream sends attempts to workers over pooled HTTP/1.1 connections on a gnet event loop, one attempt at a time on
+// a connection, and reports their outcomes to the planner. It takes no decisions and never retries on its own.
+package upstream
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"sedgevale"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/evloop"
+	"sedgevale/internal/fdlimit"
+)
+
+// Options configure a Pool.
+type Options struct {
+	DialTimeout time.Duration
+	IdleClose   time.Duration // the workers' idle timeout; 0 if unknown
+	Host        string        // the Host field of requests
+	Clock       dispatch.Clock
+	Loop        *evloop.Loop
+	Budget      *fdlimit.Budget
+	Log         *slog.Logger
+}
+
+// Member is a worker in the membership list.
+type Member struct {
+	ID, Addr string
+	Ready    bool // false if it drains or has left
+}
+
+const (
+	sweepInterval       = 500 * time.Millisecond
+	defaultDialTimeout  = time.Second
+	defaultIdleTimeout  = 30 * time.Second
+	idleTimeoutFraction = 0.6         // of the workers' idle timeout: a request must not cross the close of its connection
+	trailerTimeout      = time.Second // for the end of an answer whose outcome is known
+	maxIdleWhileAvoided = 4           // idle connections to one worker while reused connections are avoided
+)
+
+// Pool holds the connections to all workers. It implements dispatch.Carrier. Its methods are safe for concurrent use and
+// take effect on the loop.
+type Pool struct {
+	opt  Options
+	loop *evloop.Loop
+
+	// The fields below are accessed on the loop only.
+	workers     map[string]*worker
+	cordoned    map[string]bool // workers to which nothing is sent, whatever the list says
+	calls       map[*dispatch.Attempt]*call
+	awaitingEnd map[*conn]struct{} // their attempt has ended, the end of the answer is outstanding
+	reusedConns connStats          // of connections that had carried an attempt before
+	newConns    connStats          // of first attempts on connections
+}
+
+// worker is the state of the connections to one worker.
+type worker struct {
+	id, addr string
+	ready    bool
+	idle     []*conn // the most recently used last
+	dialling map[*call]struct{}
+}
+
+// New returns a Pool.
+func New(opt Options) *Pool {
+	opt.setTimeouts(opt.DialTimeout, opt.IdleClose)
+	p := &Pool{opt: opt, loop: opt.Loop, workers: map[string]*worker{}, cordoned: map[string]bool{},
+		calls: map[*dispatch.Attempt]*call{}, awaitingEnd: map[*conn]struct{}{}}
+	opt.Budget.OnDire(func(n int) { p.loop.Do(func() { p.closeIdle(n) }) })
+	return p
+}
+
+// Retune changes the timeouts; what is 0 or less gets its default.
+func (p *Pool) Retune(dialTimeout, idleClose time.Duration) {
+	p.loop.Do(func() { p.opt.setTimeouts(dialTimeout, idleClose) })
+}
+
+func (o *Options) setTimeouts(dialTimeout, idleClose time.Duration) {
+	if o.IdleClose = idleClose; o.IdleClose <= 0 {
+		o.IdleClose = defaultIdleTimeout
+	}
+	if o.DialTimeout = dialTimeout; o.DialTimeout <= 0 {
+		o.DialTimeout = defaultDialTimeout
+	}
+}
+
+// Run closes connections that are idle for too long, until ctx ends.
+func (p *Pool) Run(ctx context.Context) {
+	tick := time.NewTicker(sweepInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+			p.loop.Do(p.sweep)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// Members applies an update of the membership list: the full list, from which an absent worker has been removed, or the
+// changed entries.
+func (p *Pool) Members(full bool, members []Member) {
+	p.loop.Do(func() {
+		if full {
+			named := make(map[string]bool, len(members))
+			for _, m := range members {
+				named[m.ID] = true
+			}
+			for id, w := range p.workers {
+				if !named[id] {
+					p.stopSending(w)
+				}
+			}
+		}
+		for _, m := range members {
+			w := p.workers[m.ID]
+			if w == nil {
+				w = &worker{id: m.ID, dialling: map[*call]struct{}{}}
+				p.workers[m.ID] = w
+			}
+			if w.addr != m.Addr {
+				p.cancelUnsent(w) // dials are to the address before
+				w.addr = m.Addr
+			}
+			if w.ready = m.Ready; !m.Ready {
+				p.stopSending(w)
+			}
+		}
+	})
+}
+
+// Cordon stops sending to a worker, or resumes it, whatever the list says. Done is called on the loop once it has taken
+// effect.
+func (p *Pool) Cordon(id string, on bool, done func()) {
+	p.loop.Do(func() {
+		delete(p.cordoned, id)
+		if on {
+			p.cordoned[id] = true
+			if w := p.workers[id]; w != nil {
+				p.cancelUnsent(w)
+			}
+		}
+		done()
+	})
+}
+
+// accepts reports whether attempts may be sent to a worker.
+func (p *Pool) accepts(w *worker) bool { return w.ready && !p.cordoned[w.id] }
+
+// stopSending ends the attempts that have not been sent yet to a worker that drains or has left: an attempt counts as sent
+// from its first byte, which a dial delays.
+func (p *Pool) stopSending(w *worker) {
+	w.ready = false
+	p.cancelUnsent(w)
+}
+
+// cancelUnsent ends the attempts whose connection is being made, and closes idle connections.
+func (p *Pool) cancelUnsent(w *worker) {
+	for c := range w.dialling {
+		p.finish(c, sedgevale.NotSent, nil, nil)
+	}
+	p.closeIdleOf(w)
+}
+
+func (p *Pool) closeIdleOf(w *worker) {
+	for len(w.idle) > 0 {
+		p.closeConn(w.idle[len(w.idle)-1])
+	}
+}
+
+// CloseIdle closes the idle connections to a worker.
+func (p *Pool) CloseIdle(id string) {
+	p.loop.Do(func() {
+		if w := p.workers[id]; w != nil {
+			p.closeIdleOf(w)
+		}
+	})
+}
+
+// closeConn closes a connection at once. It does nothing for a closed one.
+func (p *Pool) closeConn(c *conn) {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	c.worker.removeIdle(c)
+	c.shutdownWrite()
+	p.loop.Close(c.raw)
+}
+
+func (w *worker) removeIdle(c *conn) {
+	for i := range w.idle {
+		if w.idle[i] == c {
+			w.idle = append(w.idle[:i], w.idle[i+1:]...)
+			return
+		}
+	}
+}
+
+// sweep closes connections whose idle timeout at the worker is near, and removes workers that have left.
+func (p *Pool) sweep() {
+	now := time.Now()
+	p.reusedConns.decay()
+	p.newConns.decay()
+	for c := range p.awaitingEnd {
+		if now.Sub(c.idleSince) > trailerTimeout {
+			p.closeConn(c)
+		}
+	}
+	last := now.Add(-time.Duration(idleTimeoutFraction * float64(p.opt.IdleClose)))
+	for id, w := range p.workers {
+		for len(w.idle) > 0 && w.idle[0].idleSince.Before(last) {
+			p.closeConn(w.idle[0])
+		}
+		if !w.ready && len(w.idle) == 0 && len(w.dialling) == 0 {
+			delete(p.workers, id)
+		}
+	}
+}
+
+// closeIdle closes up to n idle connections, of any workers.
+func (p *Pool) closeIdle(n int) {
+	for _, w := range p.workers {
+		for ; n > 0 && len(w.idle) > 0; n-- {
+			p.closeConn(w.idle[0])
+		}
+	}
+}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/pool_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -30,13 +31,30 @@
 	{Name: "free", Aim: 3 * time.Second, Limit: 3 * time.Second},
 }
 
-// begin runs a pool and a planner that know one worker.
+// closeOne closes a listener or connection of a test.
+func closeOne(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// writeDone writes the answer of a worker that has served a request with the result r.
+func writeDone(t *testing.T, w io.Writer, id string) {
+	t.Helper()
+	line := fmt.Sprintf(`{"id":%q,"state":"done","result":"r"}`, id)
+	if _, err := fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(line), line); err != nil {
+		t.Error(err)
+	}
+}
+
+// begin runs a pool and a planner with one worker, w.
 func begin(t *testing.T, addr string, idle time.Duration) (*Pool, *dispatch.Planner, dispatch.Clock) {
 	t.Helper()
 	return beginWith(t, addr, idle, func(*sedgevale.Settings) {})
 }
 
-// beginWith is begin with other settings.
+// beginWith is like begin, with settings that set changes.
 func beginWith(t *testing.T, addr string, idle time.Duration, set func(*sedgevale.Settings)) (*Pool, *dispatch.Planner, dispatch.Clock) {
 	t.Helper()
 	settings := sedgevale.Settings{MaxAttempts: 3, MayCancel: true, Classes: classes}
@@ -67,18 +85,17 @@
 	return pool, planner, clock
 }
 
-// Guards against a first byte long after the drain was told: a connection that
-// comes up late is no reason to send. The job never ran, so it is refused. What
-// an operator takes out is no other.
+// Guards against a first byte long after the worker was known to drain: a connection that is established late must not be
+// used. The request was never sent, so it is rejected. The same holds for a cordon.
 func TestDrainEndsWhatIsBeingDialled(t *testing.T) {
 	t.Run("drain", func(t *testing.T) {
-		endsWhatIsBeingDialled(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
+		checkCancelsDials(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
 			pool.Members(false, []Member{{ID: "w", Addr: addr}})
 			planner.Members(sedgevale.ListPatch, []sedgevale.WorkerInfo{{Worker: "w", State: sedgevale.Leaving}})
 		})
 	})
 	t.Run("cordon", func(t *testing.T) {
-		endsWhatIsBeingDialled(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
+		checkCancelsDials(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
 			planner.Cordon("w", true, func(bool) {})
 			pool.Cordon("w", true, func() {})
 			pool.Members(true, []Member{{ID: "w", Addr: addr, Ready: true}})
@@ -86,7 +103,7 @@
 	})
 }
 
-func endsWhatIsBeingDialled(t *testing.T, leave func(*Pool, *dispatch.Planner, string)) {
+func checkCancelsDials(t *testing.T, leave func(*Pool, *dispatch.Planner, string)) {
 	t.Helper()
 	addr, _ := late(t)
 	pool, planner, clock := begin(t, addr, 0)
@@ -100,9 +117,8 @@
 	}
 }
 
-// Guards against plan changes that are lost for good because they were written to
-// kept connections which the other side has forgotten: once those are seen to
-// break, what must not run twice goes on a new one. What may is still sent on them.
+// Guards against requests that are lost because they were sent on reused connections of which the worker has lost the state:
+// once those are seen to break, a request that is not idempotent gets a new connection. Others are still sent on them.
 func TestSingleJobsAvoidConnectionsThatBreak(t *testing.T) {
 	type arrival struct {
 		id  string
@@ -120,11 +136,10 @@
 			arrivals <- arrival{id, n}
 			if n > 1 {
 				_ = c.(*net.TCPConn).SetLinger(0) // a reset
-				c.Close()
+				closeOne(t, c)
 				return
 			}
-			line := fmt.Sprintf(`{"id":%q,"state":"done","result":"r"}`, id)
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(line), line)
+			writeDone(t, c, id)
 		}
 	})
 	_, planner, clock := begin(t, addr, 0)
@@ -147,14 +162,13 @@
 	}
 }
 
-// Guards against requests that cross a worker's closing of an idle connection:
-// this side closes first.
+// Guards against requests that cross a worker's close of an idle connection: this side closes first.
 func TestIdleConnectionsAreClosedFirst(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer closeOne(t, l)
 	const idle = 3 * time.Second
 	_, planner, clock := begin(t, l.Addr().String(), idle)
 	answers := make(client, 1)
@@ -164,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer closeOne(t, c)
 	buf := make([]byte, 4096)
 	if n, err := c.Read(buf); err != nil || !strings.HasPrefix(string(buf[:n]), "POST /once HTTP/1.1\r\n") {
 		t.Errorf("%q, error %v", buf[:n], err)
@@ -177,7 +191,7 @@
 		t.Errorf("%+v", a)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(idle))
-	if _, err := c.Read(buf); err != io.EOF {
+	if _, err := c.Read(buf); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection: %v", err)
 	}
 }
