--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,112 +12,112 @@
 	"sedgevale/internal/http1"
 )
 
-// conn is a connection to a worker. It belongs to the loop.
+// conn is a connection to a worker. It implements evloop.Handler and is accessed on the loop only.
 type conn struct {
-	pool   *Pool
-	gc     evloop.Conn
-	w      *worker
-	f      *flight // what it carries; nil: it is idle, or only the end of an answer is to come
-	parser *http1.Parser
-	lines  lines
-	dead   bool
-	broken bool // writing fails
-	ended  bool // the whole answer has come
-	uses   int  // attempts carried
-	got    int  // bytes of the answer at hand
-	since  time.Time
-	out    []byte
+	pool        *Pool
+	raw         evloop.Conn
+	worker      *worker
+	call        *call // nil if the connection is idle, or only the end of an answer is outstanding
+	parser      *http1.Parser
+	lines       lineSplitter
+	closed      bool
+	writeFailed bool // set during a Write and after a failed one
+	answered    bool // the outcome of the last call is known; it stays set while the connection is idle
+	uses        int  // calls sent
+	answerBytes int  // size of the answer so far
+	idleSince   time.Time
+	buffer      []byte
 }
 
-// Opened is the loop's: a dialled connection is up.
-func (c *conn) Opened(gc evloop.Conn) bool {
-	c.gc = gc
-	f := c.f
-	c.w, c.f = f.w, nil
-	if f.over { // the worker has begun to drain or was taken out, or nobody waits any more
-		c.dead = true
+// Opened implements evloop.Handler: a dialled connection is established.
+func (c *conn) Opened(raw evloop.Conn) bool {
+	c.raw = raw
+	cl := c.call
+	c.worker, c.call = cl.worker, nil
+	if cl.done { // the worker drains or is cordoned, or the client has disconnected
+		c.closed = true
 		return false
 	}
-	delete(f.w.dialling, f)
-	c.carry(f)
+	delete(cl.worker.dialling, cl)
+	c.send(cl)
 	return true
 }
 
-// Closed is the loop's.
+// Closed implements evloop.Handler.
 func (c *conn) Closed(evloop.Conn) {
 	p := c.pool
 	p.opt.Budget.Release()
-	c.dead = true
-	c.w.forget(c)
-	delete(p.tails, c)
-	f := c.f
-	if f == nil || f.over {
+	c.closed = true
+	c.worker.removeIdle(c)
+	delete(p.awaitingEnd, c)
+	cl := c.call
+	if cl == nil || cl.done {
 		return
 	}
-	if c.whole() {
+	if c.requestWritten() {
 		if c.parser.Idle() {
-			c.wear().broke++
+			c.stats().broken++
 		}
-		p.end(f, sedgevale.Lost, nil, nil)
+		p.finish(cl, sedgevale.Lost, nil, nil)
 	} else {
 		c.shutdownWrite()
-		p.end(f, sedgevale.ConnectFailed, nil, nil)
+		p.finish(cl, sedgevale.ConnectFailed, nil, nil)
 	}
 }
 
-// shutdownWrite sees to it that a request of which a part is still to be written stays a part: gnet
-// writes the rest as it closes the connection, and then the request may run that was told not
-// to have been sent.
+// shutdownWrite keeps a partly written request partial: gnet flushes its buffer as it closes a connection, and then a
+// request that was reported as not sent would be served.
 func (c *conn) shutdownWrite() {
-	if c.gc.OutboundBuffered() > 0 {
-		_ = unix.Shutdown(c.gc.Fd(), unix.SHUT_WR)
+	if c.raw.OutboundBuffered() > 0 {
+		_ = unix.Shutdown(c.raw.Fd(), unix.SHUT_WR)
 	}
 }
 
-func (c *conn) wear() *wear {
+// stats returns the counts to which the last call on the connection belongs.
+func (c *conn) stats() *connStats {
 	if c.uses > 1 {
-		return &c.pool.kept
+		return &c.pool.reusedConns
 	}
-	return &c.pool.made
+	return &c.pool.newConns
 }
 
-// quiet reports whether nothing has come on an idle connection, not even its end,
-// that the loop has yet to read.
-func (c *conn) quiet() bool {
+// isQuiet reports whether an idle connection has nothing to read, not even its end, that the loop has yet to notice.
+func (c *conn) isQuiet() bool {
 	var b [1]byte
-	_, _, err := unix.Recvfrom(c.gc.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	_, _, err := unix.Recvfrom(c.raw.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// carry sends a flight's request.
-func (c *conn) carry(f *flight) {
-	if f.a != nil && f.a.Expired(c.pool.opt.Clock.Now()) { // by the time that it took to connect
+// send sends the request of a call.
+func (c *conn) send(cl *call) {
+	if cl.attempt != nil && cl.attempt.Expired(c.pool.opt.Clock.Now()) { // while the connection was being made
 		c.putIdle()
-		c.pool.end(f, sedgevale.NotSent, nil, nil)
+		c.pool.finish(cl, sedgevale.NotSent, nil, nil)
 		return
 	}
-	c.f, f.c = f, c
+	c.call, cl.conn = cl, c
 	c.uses++
-	c.wear().used++
-	c.ended, c.got = false, 0
-	c.lines.part = nil
-	c.out = c.request(c.out[:0], f)
-	c.broken = true // a failure closes the connection within Write, and OnClose tells
-	if _, err := c.gc.Write(c.out); err != nil {
-		c.pool.end(f, sedgevale.ConnectFailed, nil, nil)
+	c.stats().used++
+	c.answered, c.answerBytes = false, 0
+	c.lines.partial = nil
+	c.buffer = c.appendRequest(c.buffer[:0], cl)
+	c.writeFailed = true // a failing Write calls Closed
+	if _, err := c.raw.Write(c.buffer); err != nil {
+		c.pool.finish(cl, sedgevale.ConnectFailed, nil, nil)
 		return
 	}
-	c.broken = false
-	if f.a != nil && f.a.Recorded() {
-		f.a.Planner.Sent(f.a)
+	c.writeFailed = false
+	if cl.attempt != nil && cl.attempt.Recorded() {
+		cl.attempt.Planner.Sent(cl.attempt)
 	}
-	if cap(c.out) > 8<<10 {
-		c.out = nil
+	if cap(c.buffer) > 8<<10 {
+		c.buffer = nil
 	}
 }
 
-func (c *conn) request(b []byte, f *flight) []byte {
-	a := f.a
+// appendRequest appends the request of a call to b.
+func (c *conn) appendRequest(b []byte, cl *call) []byte {
+	a := cl.attempt
 	if a == nil {
 		b = http1.AppendRequest(b, "GET", "/status/load")
 		b = http1.AppendField(b, "Host", c.pool.opt.Host)
@@ -134,34 +134,33 @@
 	return http1.AppendBody(b, a.Body)
 }
 
-// whole reports whether the request's last byte has been written.
-func (c *conn) whole() bool { return !c.broken && c.gc.OutboundBuffered() == 0 }
+// requestWritten reports whether the whole request has been written to the socket.
+func (c *conn) requestWritten() bool { return !c.writeFailed && c.raw.OutboundBuffered() == 0 }
 
-// Traffic is the loop's. It takes an answer apart as it comes. What is malformed ends the attempt
-// and the connection, nothing else.
+// Traffic implements evloop.Handler: it parses an answer incrementally. A malformed one ends the attempt and the connection.
 func (c *conn) Traffic(evloop.Conn) bool {
-	for !c.dead {
-		buf, _ := c.gc.Peek(-1)
+	for !c.closed {
+		buf, _ := c.raw.Peek(-1)
 		n, ev, body, err := c.parser.Next(buf)
 		if err == nil {
-			err = c.event(ev, body)
+			err = c.handleEvent(ev, body)
 		}
-		if c.dead {
+		if c.closed {
 			return true
 		}
-		evloop.Take(c.gc, n)
-		if c.got += n; c.got > maxAnswer && err == nil {
-			err = errLongAnswer
+		evloop.Take(c.raw, n)
+		if c.answerBytes += n; c.answerBytes > maxAnswerBytes && err == nil {
+			err = errAnswerTooLong
 		}
 		if err != nil {
-			c.broke(err)
+			c.malformed(err)
 			return true
 		}
 		if ev == http1.More {
 			return true
 		}
 		if ev == http1.Ended && !c.interim() {
-			if !c.finish() {
+			if !c.handleEnd() {
 				return true
 			}
 		}
@@ -169,150 +168,158 @@
 	return true
 }
 
+// interim reports whether the message at hand is an informational (1xx) response.
 func (c *conn) interim() bool { return c.parser.Head.Status < 200 }
 
-func (c *conn) broke(err error) {
-	if f := c.f; f != nil && !f.over {
-		c.pool.opt.Log.Warn("a worker's answer is malformed", "worker", c.w.id, "err", err)
-		c.pool.end(f, sedgevale.Lost, nil, nil)
+// malformed ends the call, if any, and closes the connection.
+func (c *conn) malformed(err error) {
+	if cl := c.call; cl != nil && !cl.done {
+		c.pool.opt.Log.Warn("malformed answer from worker", "worker", c.worker.id, "err", err)
+		c.pool.finish(cl, sedgevale.Lost, nil, nil)
 	}
-	c.pool.drop(c)
+	c.pool.closeConn(c)
 }
 
-func (c *conn) event(ev http1.Event, body []byte) error {
-	h := &c.parser.Head
+// handleEvent handles what the parser has found in the answer.
+func (c *conn) handleEvent(ev http1.Event, body []byte) error {
 	switch ev {
 	case http1.Headed:
-		if c.f == nil && c.ended {
-			return errUnasked
-		}
-		if c.f == nil || c.f.over || c.interim() {
-			return nil
-		}
-		if c.f.a == nil || h.Status != 200 {
-			c.headOnly(h)
-		}
+		return c.handleHead()
 	case http1.Body:
-		if h.Status != 200 || c.f != nil && c.f.a == nil {
-			return nil
+		return c.handleBody(body)
+	case http1.Ended:
+		if len(c.lines.partial) > 0 && !c.interim() { // the last line may lack its line feed
+			last := c.lines.partial
+			c.lines.partial = nil
+			return c.handleLine(last)
+		}
+	}
+	return nil
+}
+
+func (c *conn) handleHead() error {
+	h := &c.parser.Head
+	if c.call == nil && c.answered {
+		return errUnsolicited
+	}
+	if c.call == nil || c.call.done || c.interim() {
+		return nil
+	}
+	if c.call.attempt == nil || h.Status != 200 {
+		c.headOnly(h)
+	}
+	return nil
+}
+
+func (c *conn) handleBody(body []byte) error {
+	if c.parser.Head.Status != 200 || c.call != nil && c.call.attempt == nil {
+		return nil
+	}
+	for len(body) > 0 {
+		line, rest, err := c.lines.next(body)
+		if err != nil {
+			return err
 		}
-		for len(body) > 0 {
-			var whole []byte
-			var err error
-			if whole, body, err = c.lines.next(body); err != nil {
+		body = rest
+		if line != nil {
+			if err := c.handleLine(line); err != nil || c.closed {
 				return err
 			}
-			if whole != nil {
-				if err := c.line(whole); err != nil || c.dead {
-					return err
-				}
-			}
-		}
-	case http1.Ended:
-		if len(c.lines.part) > 0 && !c.interim() { // the last line may lack its end
-			last := c.lines.part
-			c.lines.part = nil
-			return c.line(last)
 		}
 	}
 	return nil
 }
 
-// headOnly deals with an answer that tells all in its head. What it means is
-// kept until its end, so that the connection can be used again.
+// headOnly handles an answer whose outcome is known from its head: a health check, or a status other than 200. The
+// connection is reused once the answer has ended.
 func (c *conn) headOnly(h *http1.Head) {
-	f := c.f
-	report := parseLoad(h.Get("Server-Load"))
+	cl := c.call
+	report := parseLoadHeader(h.Get("Server-Load"))
 	o := sedgevale.Errored
 	if (h.Status == 503 || h.Status == 504) && h.Get("Not-Started") == "1" {
 		o = sedgevale.Full
-		h.Close = true // it names no job: come twice, it would prove of the next that it never ran
+		h.Close = true // it names no request: a duplicate would be taken for the answer to the next one
 	}
-	c.tail()
-	c.pool.end(f, o, nil, report)
+	c.awaitEnd()
+	c.pool.finish(cl, o, nil, report)
 }
 
-// line deals with one object of a job's answer.
-func (c *conn) line(text []byte) error {
-	f := c.f
-	if f == nil || f.over || len(text) == 0 || len(text) == 1 && text[0] == '\r' {
+// handleLine handles one JSON object of an answer. A line after the outcome is ignored.
+func (c *conn) handleLine(text []byte) error {
+	cl := c.call
+	if cl == nil || cl.done || len(text) == 0 || len(text) == 1 && text[0] == '\r' {
 		return nil
 	}
 	l, err := parseLine(text)
 	if err != nil {
 		return err
 	}
-	if l.ID != f.a.ID {
-		return errOtherJob
+	if l.ID != cl.attempt.ID {
+		return errOtherRequest
 	}
 	switch l.State {
 	case "started":
-		f.a.Planner.Started(f.a)
+		cl.attempt.Planner.Started(cl.attempt)
 	case "running":
-		f.a.Planner.Progress(f.a, min(max(l.Share, 0), 1))
+		cl.attempt.Planner.Progress(cl.attempt, min(max(l.Share, 0), 1))
 	case "done":
 		if l.Result == nil {
 			return errNoResult
 		}
-		c.over(sedgevale.Served, []byte(*l.Result), l)
+		c.handleOutcome(sedgevale.Served, []byte(*l.Result), l)
 	case "failed":
-		c.over(sedgevale.Errored, nil, l)
+		c.handleOutcome(sedgevale.Errored, nil, l)
 	case "returned":
-		c.over(sedgevale.Full, nil, l)
+		c.handleOutcome(sedgevale.Full, nil, l)
 	case "lost":
-		c.over(sedgevale.Lost, nil, l)
+		c.handleOutcome(sedgevale.Lost, nil, l)
 	}
 	return nil
 }
 
-// over ends the attempt by its last line. The end of the chunks is still to
-// come; until then the connection is not used again.
-func (c *conn) over(o sedgevale.Outcome, result []byte, l line) {
-	c.tail()
-	c.pool.end(c.f, o, result, reportOf(l.Load))
+// handleOutcome ends the attempt by its last line. The connection is not reused before the answer has ended.
+func (c *conn) handleOutcome(o sedgevale.Outcome, result []byte, l answerLine) {
+	c.awaitEnd()
+	c.pool.finish(c.call, o, result, loadReport(l.Load))
 }
 
-// tail notes that only the end of the answer is still to come.
-func (c *conn) tail() {
-	c.ended, c.since = true, time.Now()
-	c.pool.tails[c] = struct{}{}
+// awaitEnd records that only the end of the answer is outstanding.
+func (c *conn) awaitEnd() {
+	c.answered, c.idleSince = true, time.Now()
+	c.pool.awaitingEnd[c] = struct{}{}
 }
 
-// finish is called at the end of an answer. It makes the connection ready for
-// the next request, or closes it.
-func (c *conn) finish() bool {
-	delete(c.pool.tails, c)
-	if f := c.f; f != nil && !f.over { // it ended without a last line
-		c.pool.end(f, sedgevale.Lost, nil, nil)
+// handleEnd handles the end of an answer: it makes the connection idle, or closes it. It reports whether it is still open.
+func (c *conn) handleEnd() bool {
+	delete(c.pool.awaitingEnd, c)
+	if cl := c.call; cl != nil && !cl.done { // there was no last line with an outcome
+		c.pool.finish(cl, sedgevale.Lost, nil, nil)
 	}
-	if c.dead {
+	if c.closed {
 		return false
 	}
-	c.f = nil
-	if c.parser.Head.Close || !c.pool.takes(c.w) {
-		c.pool.drop(c)
+	c.call = nil
+	if c.parser.Head.Close || !c.pool.accepts(c.worker) {
+		c.pool.closeConn(c)
 		return false
 	}
 	c.putIdle()
-	if len(c.w.idle) > keptMost && c.pool.keptBreak() { // each job that avoids them adds one
-		c.pool.drop(c.w.idle[0])
+	if len(c.worker.idle) > maxIdleWhileAvoided && c.pool.reusedConnsBreak() { // each request that avoids them adds one
+		c.pool.closeConn(c.worker.idle[0])
 	}
 	return true
 }
 
-// putIdle puts a connection that carries nothing beside the others.
+// putIdle adds the connection to the idle ones of its worker.
 func (c *conn) putIdle() {
-	c.ended, c.since = true, time.Now()
-	c.w.idle = append(c.w.idle, c)
+	c.answered, c.idleSince = true, time.Now()
+	c.worker.idle = append(c.worker.idle, c)
 }
 
-type fault string
-
-func (f fault) Error() string { return string(f) }
-
-const (
-	errUnasked    = fault("an answer that nothing was asked for")
-	errOtherJob   = fault("an answer to another job")
-	errNoResult   = fault("a job is done without a result")
-	errLongAnswer = fault("an answer without end")
+// Errors of a malformed answer. Each closes the connection and ends the attempt.
+var (
+	errUnsolicited   = errors.New("unsolicited answer")
+	errOtherRequest  = errors.New("answer to another request")
+	errNoResult      = errors.New("state done without a result")
+	errAnswerTooLong = errors.New("answer too long")
 )
