--- a/internal/system/edge/edge.go
+++ b/internal/system/edge/edge.go
@@ -1,129 +1,94 @@
-// Package edge is the scheduler that clients call: it finds the queue of a request and passes it on to the owner of
-// the queue's shard.
+// Package edge is the scheduler that clients call. It finds the queue of a request by the configuration's routes,
+// forwards the request to the owner of the queue's shard and answers for it. It keeps no state of its own.
 package edge
 
 import (
 	"context"
+	"errors"
 	"net/http"
-	"strconv"
+	"sync"
 	"time"
 
-	"github.com/go-logr/logr"
 	"github.com/prometheus/client_golang/prometheus"
 
 	"sedgevale/internal/system/directory"
 	"sedgevale/internal/system/node"
 	"sedgevale/internal/system/rpc"
-	"sedgevale/internal/system/settings"
 )
 
 const (
-	readyPath     = "/sedgevale/readyz"
-	readyFor      = 1600 * time.Millisecond // after the last confirmed word of a core scheduler
-	leaveAfter    = 2600 * time.Millisecond // the platform notices that a scheduler is not ready
-	shutdownSlack = 600 * time.Millisecond
-	headerTimeout = 3 * time.Second
-	idleTimeout   = 15 * time.Second
-	maxHeader     = 16 << 10
+	readinessPath      = "/sedgevale/readyz"
+	readinessTimeout   = 1600 * time.Millisecond // after the configuration was last confirmed
+	maxDrainDelay      = 2600 * time.Millisecond // until the platform has noticed that a scheduler is not ready
+	minShutdownTimeout = 600 * time.Millisecond
+	headerTimeout      = 3 * time.Second
+	idleTimeout        = 15 * time.Second
+	maxHeaderBytes     = 16 << 10
 )
 
-// Edge is a scheduler on an edge machine.
-type Edge struct {
-	settings  *settings.Settings
-	logger    logr.Logger
+// Scheduler is the scheduler on an edge machine.
+type Scheduler struct {
 	client    *rpc.Client
 	directory *directory.Directory
-	leaving   chan struct{}
-	answers   *prometheus.CounterVec // by method and status
+	draining  chan struct{} // closed once the process was told to end
+	responses *prometheus.CounterVec
 }
 
-// Run serves until the context ends, and then until requests under way have ended.
+// Run serves until the context ends, and then until requests in flight have ended or the grace of the settings is over.
 func Run(ctx context.Context, p *node.Process) error {
-	e := &Edge{
-		settings: p.Settings, logger: p.Logger, client: p.Client, directory: directory.New(p, true),
-		leaving: make(chan struct{}),
-		answers: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "sedgevale_edge_answers_total", Help: "Answers to clients.",
-		}, []string{"method", "status"}),
+	s := &Scheduler{
+		client: p.Client, directory: directory.New(p, true), draining: make(chan struct{}), responses: newResponseCounter(),
 	}
-	p.Measure(e.answers)
-	running, stop := context.WithCancel(context.Background())
+	p.Measure(s.responses)
+	following, stop := context.WithCancel(context.WithoutCancel(ctx)) // requests in flight need the owners after ctx's end
+	var background sync.WaitGroup
+	defer background.Wait()
 	defer stop()
-	go e.directory.Run(running)
-	ready := http.NewServeMux()
-	ready.HandleFunc("GET "+readyPath, e.readyz)
-	if err := p.Listen(p.Settings.BindAddrs.Readiness, ready); err != nil {
+	background.Go(func() { s.directory.Run(following) })
+	readiness := http.NewServeMux()
+	readiness.HandleFunc("GET "+readinessPath, s.handleReadiness)
+	if err := p.Listen(p.Settings.BindAddrs.Readiness, readiness); err != nil {
 		return err
 	}
-	server := &http.Server{
-		Handler: e.counted(), ReadHeaderTimeout: headerTimeout, ReadTimeout: 2 * headerTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeader,
-	}
-	server, err := p.ListenServer(p.Settings.BindAddrs.Frontend, server)
+	server, err := p.ListenServer(p.Settings.BindAddrs.Frontend, &http.Server{
+		Handler: s.countResponses(s), ReadHeaderTimeout: headerTimeout, ReadTimeout: 2 * headerTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+	})
 	if err != nil {
 		return err
 	}
 	<-ctx.Done()
-	close(e.leaving)
-	grace := time.Duration(p.Settings.Bounds.GraceS * float64(time.Second))
-	time.Sleep(min(leaveAfter, grace/2))
-	last, cancel := context.WithTimeout(context.Background(), max(grace-leaveAfter-shutdownSlack, shutdownSlack))
-	defer cancel()
-	return ignoreTimeout(server.Shutdown(last))
-}
-
-func ignoreTimeout(err error) error {
-	if err == context.DeadlineExceeded {
-		return nil
-	}
-	return err
+	close(s.draining)
+	return shutDown(following, server, time.Duration(p.Settings.Bounds.GraceS*float64(time.Second)))
 }
 
-// counted counts the answers to clients.
-func (e *Edge) counted() http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		counting := &statusWriter{ResponseWriter: w, status: http.StatusOK}
-		e.ServeHTTP(counting, r)
-		e.answers.WithLabelValues(methodLabel(r.Method), strconv.Itoa(counting.status)).Inc()
-	})
-}
-
-// methodLabel bounds what clients may make labels of.
-func methodLabel(method string) string {
-	switch method {
-	case http.MethodGet, http.MethodPost, http.MethodDelete:
-		return method
+// shutDown goes on accepting requests until the platform has noticed that the scheduler is not ready, and then waits for
+// those in flight within the grace.
+func shutDown(ctx context.Context, server *http.Server, grace time.Duration) error {
+	time.Sleep(min(maxDrainDelay, grace/2))
+	ctx, cancel := context.WithTimeout(ctx, max(grace-maxDrainDelay-minShutdownTimeout, minShutdownTimeout))
+	defer cancel()
+	if err := server.Shutdown(ctx); !errors.Is(err, context.DeadlineExceeded) {
+		return err
 	}
-	return "other"
-}
-
-// statusWriter remembers the status of an answer.
-type statusWriter struct {
-	http.ResponseWriter
-	status int
-}
-
-// WriteHeader sends a status.
-func (s *statusWriter) WriteHeader(status int) {
-	s.status = status
-	s.ResponseWriter.WriteHeader(status)
+	return nil // the grace is over; what is in flight is cut off
 }
 
-// isLeaving reports whether this scheduler was told to end.
-func (e *Edge) isLeaving() bool {
+// isDraining reports whether the process was told to end.
+func (s *Scheduler) isDraining() bool {
 	select {
-	case <-e.leaving:
+	case <-s.draining:
 		return true
 	default:
 		return false
 	}
 }
 
-// readyz says whether new connections are welcome: there is a configuration, and a core scheduler in touch with
-// the majority was heard a moment ago.
-func (e *Edge) readyz(w http.ResponseWriter, _ *http.Request) {
-	table, _, age := e.directory.Table()
-	if table == nil || age > readyFor || e.isLeaving() {
+// handleReadiness says whether the platform may send new connections: there is a configuration, and a core scheduler in
+// touch with a quorum confirmed it a moment ago.
+func (s *Scheduler) handleReadiness(w http.ResponseWriter, _ *http.Request) {
+	table, _, age := s.directory.Table()
+	if table == nil || age > readinessTimeout || s.isDraining() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- /dev/null
+++ b/internal/system/edge/handler.go
@@ -0,0 +1,163 @@
+package edge
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"sedgevale/internal/system/api"
+	"sedgevale/internal/system/clusterconfig"
+	"sedgevale/jobs"
+)
+
+const (
+	confirmationTTL     = 1500 * time.Millisecond // how long a configuration counts as current without confirmation
+	jobIDLength         = 16                      // hexadecimal digits
+	defaultMaxBodyBytes = 262144
+	deadlineHeader      = "Deadline-Ms"
+)
+
+// ServeHTTP serves a client's request: it submits, shows or cancels a job, or counts the pending jobs of a queue.
+func (s *Scheduler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if s.isDraining() {
+		w.Header().Set("Connection", "close")
+	}
+	table, version, age := s.directory.Table()
+	if table == nil {
+		unavailable(w, "no configuration yet")
+		return
+	}
+	route, id := table.Match(r.Host, r.URL.Path)
+	if route == nil {
+		if age > confirmationTTL {
+			unavailable(w, "the configuration is not confirmed")
+			return
+		}
+		http.Error(w, "no such route", http.StatusNotFound)
+		return
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout(r, route))
+	defer cancel()
+	from := &request{scheduler: s, route: route, configVersion: version, configAge: age, jobID: id}
+	switch {
+	case id == "" && r.Method == http.MethodGet:
+		from.countPending(ctx, w)
+	case !validJobID(id):
+		http.Error(w, "path: an ID of 16 hex digits is wanted behind the prefix", http.StatusBadRequest)
+	case r.Method == http.MethodPost:
+		from.submit(ctx, w, r.Body, table.Config.Limits.MaxBodyBytes)
+	case r.Method == http.MethodGet:
+		from.showStatus(ctx, w)
+	case r.Method == http.MethodDelete:
+		from.cancel(ctx, w)
+	default:
+		http.Error(w, "method: POST, GET or DELETE is wanted", http.StatusMethodNotAllowed)
+	}
+}
+
+// requestTimeout returns how long a request may take here: the least of the bound, the route's timeout and the client's
+// deadline, less the time that the response takes.
+func requestTimeout(r *http.Request, route *clusterconfig.Route) time.Duration {
+	timeout := min(maxRequestTime, time.Duration(route.TimeoutMS)*time.Millisecond-responseReserve)
+	if deadline, err := strconv.ParseInt(r.Header.Get(deadlineHeader), 10, 64); err == nil && deadline > 0 {
+		timeout = min(timeout, time.Duration(deadline)*time.Millisecond-responseReserve)
+	}
+	return max(timeout, minRequestTime)
+}
+
+func validJobID(id string) bool {
+	if len(id) != jobIDLength {
+		return false
+	}
+	for _, c := range id {
+		if (c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F') {
+			return false
+		}
+	}
+	return true
+}
+
+// submit submits a job.
+func (r *request) submit(ctx context.Context, w http.ResponseWriter, content io.ReadCloser, maxBytes int64) {
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
+	}
+	body, err := io.ReadAll(http.MaxBytesReader(w, content, maxBytes))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		http.Error(w, "body: more than "+strconv.FormatInt(maxBytes, 10)+" bytes", http.StatusRequestEntityTooLarge)
+		return
+	}
+	if err != nil {
+		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
+		return
+	}
+	if err := checkJob(body); err != nil {
+		http.Error(w, "job: "+err.Error(), http.StatusBadRequest)
+		return
+	}
+	message := &api.SubmitRequest{
+		Shard: r.route.Service, ConfigVersion: r.configVersion, Queue: r.route.Name, ID: r.jobID, Body: body,
+	}
+	if err := r.forward(ctx, api.MethodSubmit, message, &api.Empty{}); err != nil {
+		r.fail(w, err)
+		return
+	}
+	w.WriteHeader(http.StatusOK)
+}
+
+// checkJob returns an error that names what makes a job invalid, or nil.
+func checkJob(body []byte) error {
+	spec := &jobs.Spec{}
+	if err := spec.UnmarshalJSON(body); err != nil {
+		return err
+	}
+	return spec.Check()
+}
+
+func (r *request) jobMessage() *api.JobRequest {
+	return &api.JobRequest{Shard: r.route.Service, Queue: r.route.Name, ID: r.jobID}
+}
+
+// showStatus answers with a job's state.
+func (r *request) showStatus(ctx context.Context, w http.ResponseWriter) {
+	response := &api.JobResponse{}
+	if err := r.forward(ctx, api.MethodStatus, r.jobMessage(), response); err != nil {
+		r.fail(w, err)
+		return
+	}
+	writeJSON(w, map[string]any{"state": response.State})
+}
+
+// cancel cancels a job.
+func (r *request) cancel(ctx context.Context, w http.ResponseWriter) {
+	if err := r.forward(ctx, api.MethodCancel, r.jobMessage(), &api.Empty{}); err != nil {
+		r.fail(w, err)
+		return
+	}
+	w.WriteHeader(http.StatusOK)
+}
+
+// countPending answers with the number of the queue's jobs of which no task has started.
+func (r *request) countPending(ctx context.Context, w http.ResponseWriter) {
+	if r.configAge > confirmationTTL {
+		unavailable(w, "the configuration is not confirmed")
+		return
+	}
+	response := &api.PendingResponse{}
+	message := &api.PendingRequest{Shard: r.route.Service, Queue: r.route.Name}
+	if err := r.forward(ctx, api.MethodPending, message, response); err != nil {
+		r.fail(w, err)
+		return
+	}
+	writeJSON(w, map[string]any{"pending": response.Pending})
+}
+
+func writeJSON(w http.ResponseWriter, value any) {
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(value)
+}
--- a/internal/system/side/side.go
+++ b/internal/system/side/side.go
@@ -1,5 +1,6 @@
-// Package side is the scheduler beside a worker: the only one that talks to it. It answers heartbeats, obeys the
-// owner of the worker's shard, and tells it what the worker does. What it decides is in workeragent.
+// Package side is the scheduler beside a worker: the only process that talks to that worker. It answers the worker's
+// heartbeats, passes on the orders of the owner of the worker's shard, and reports the worker's state to that owner.
+// The decisions are in package workeragent; this package does the I/O.
 package side
 
 import (
@@ -22,214 +23,175 @@
 )
 
 const (
-	checkEvery   = 50 * time.Millisecond
-	reportEvery  = 400 * time.Millisecond
-	reportCall   = 700 * time.Millisecond
-	answerAfter  = 700 * time.Millisecond // an idle worker's heartbeat is answered after so long without orders
-	retryAfterMS = 25                     // between an answer and the next heartbeat
-	maxBeatBytes = 8 << 20
-	keepLapsed   = 20 * time.Second
+	expiryCheckInterval = 50 * time.Millisecond
+	expiredRetention    = 20 * time.Second // an incarnation is forgotten so long after its lease expired
+
+	// minConfirmingHeartbeats is how many heartbeats confirm an incarnation: a delayed heartbeat of an incarnation
+	// that has crashed is not followed by another.
+	minConfirmingHeartbeats = 2
 )
 
-// Side is a scheduler on a side machine.
-type Side struct {
-	settings  *settings.Settings
-	logger    logr.Logger
-	client    *rpc.Client
-	directory *directory.Directory
-	timing    workeragent.Timing
-	life      string
-	started   time.Time
-	ctx       context.Context // of the process
-
-	mu       sync.Mutex
-	agents   map[string]*incarnation
-	newest   string
-	sequence int64  // of the last report
-	owner    string // that the session is with
-	session  string
+// Scheduler is the scheduler on a side machine.
+type Scheduler struct {
+	settings    *settings.Settings
+	logger      logr.Logger
+	client      *rpc.Client
+	directory   *directory.Directory
+	timing      workeragent.Timing
+	incarnation string // names this process to owners
+	started     time.Time
+	ctx         context.Context // of the process, for loops that heartbeats start
+	loops       sync.WaitGroup
+
+	mu             sync.Mutex // guards the fields below and the workers
+	workers        map[string]*worker
+	newestInstance string // of the incarnation that was confirmed last
+	reportSequence int64
+	owner          string // address of the owner that the session is with
+	session        string // as the owner gave it; empty before its first answer
+	stopped        bool   // no further loops are started
 }
 
-// incarnation is one incarnation of the worker and what waits for it.
-type incarnation struct {
-	agent     *workeragent.Agent
-	service   string
-	orders    chan struct{} // poked when there is something for the worker
-	tell      chan struct{} // poked when there is something for the owner
-	told      uint64        // the news that was told last
-	lapsedAt  time.Duration
-	ended     bool // another incarnation has replaced it
-	confirmed bool
+// worker is one incarnation of the worker.
+type worker struct {
+	agent       *workeragent.Agent
+	service     string
+	ordersReady chan struct{} // signalled when there are orders for the worker
+	reportDue   chan struct{} // signalled when the owner has to be told of a change at once
+	reported    uint64        // digest of the agent's state that the owner was last to be told of
+	expiredAt   time.Duration // since the start of the process; 0 before the worker's lease has expired
+	replaced    bool          // another incarnation has taken its place
+	confirmed   bool
 }
 
-func poke(wake chan struct{}) {
+// signal wakes the receiver of a channel of capacity one. It never blocks.
+func signal(c chan struct{}) {
 	select {
-	case wake <- struct{}{}:
+	case c <- struct{}{}:
 	default:
 	}
 }
 
 // Run serves until the context ends.
 func Run(ctx context.Context, p *node.Process) error {
-	var random [6]byte
-	_, _ = rand.Read(random[:])
-	s := &Side{
-		settings: p.Settings, logger: p.Logger, client: p.Client, directory: directory.New(p, false),
-		timing: node.Timing(p.Settings), life: hex.EncodeToString(random[:]), started: time.Now(),
-		agents: map[string]*incarnation{}, ctx: ctx,
-	}
-	go s.directory.Run(ctx)
+	ctx, cancel := context.WithCancel(ctx)
+	s := newScheduler(ctx, p)
+	defer s.stop(cancel)
+	s.loops.Go(func() { s.directory.Run(ctx) })
 	server := rpc.NewServer()
-	rpc.Handle(server, api.MethodOrders, s.takeOrders)
+	rpc.Handle(server, api.MethodOrders, s.handleOrders)
 	if err := p.Listen(p.Settings.InternalAddress(), server.Handler()); err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT /sedgevale/instances/{id}", s.heartbeat)
-	mux.HandleFunc("DELETE /sedgevale/instances/{id}", s.goodbye)
+	mux.HandleFunc("PUT /sedgevale/instances/{id}", s.handleHeartbeat)
+	mux.HandleFunc("DELETE /sedgevale/instances/{id}", s.handleLeave)
 	if err := p.Listen(p.Settings.BindAddrs.ControlPlane, mux); err != nil {
 		return err
 	}
-	go s.checkLoop(ctx)
+	s.loops.Go(func() { s.expiryLoop(ctx) })
 	<-ctx.Done()
 	return nil
 }
 
-func (s *Side) now() time.Duration { return time.Since(s.started) }
+func newScheduler(ctx context.Context, p *node.Process) *Scheduler {
+	var random [6]byte
+	_, _ = rand.Read(random[:]) // never fails
+	return &Scheduler{
+		settings: p.Settings, logger: p.Logger, client: p.Client, directory: directory.New(p, false),
+		timing: node.Timing(p.Settings), incarnation: hex.EncodeToString(random[:]), started: time.Now(),
+		workers: map[string]*worker{}, ctx: ctx,
+	}
+}
 
-// incarnationOf returns the state for an instance, made at its first heartbeat. The lock is held.
-func (s *Side) incarnationOf(instance string) *incarnation {
-	one := s.agents[instance]
-	if one != nil {
-		return one
+// stop ends all loops and waits for them.
+func (s *Scheduler) stop(cancel context.CancelFunc) {
+	cancel()
+	s.mu.Lock()
+	s.stopped = true
+	s.mu.Unlock()
+	s.loops.Wait()
+}
+
+// now returns the time since the start of the process.
+func (s *Scheduler) now() time.Duration { return time.Since(s.started) }
+
+// workerOf returns the state of an incarnation, made at its first heartbeat. The lock is held.
+func (s *Scheduler) workerOf(instance string) *worker {
+	if known := s.workers[instance]; known != nil {
+		return known
 	}
-	one = &incarnation{
-		agent:  workeragent.New(s.now(), instance, s.life, s.timing),
-		orders: make(chan struct{}, 1), tell: make(chan struct{}, 1),
+	added := &worker{
+		agent:       workeragent.New(s.now(), instance, s.incarnation, s.timing),
+		ordersReady: make(chan struct{}, 1), reportDue: make(chan struct{}, 1),
 	}
-	s.agents[instance] = one
-	return one
+	s.workers[instance] = added
+	return added
 }
 
-// certainBeats is how many heartbeats make an incarnation certain: a late one of an incarnation that has
-// crashed is not followed by another.
-const certainBeats = 2
-
-// confirm notes that an incarnation is certainly there. A worker that crashed comes back under another name,
-// so the others have ended, but for those that announced their end and may still be at work. The lock is held.
-func (s *Side) confirm(one *incarnation) {
-	if one.confirmed || one.agent.Beats() < certainBeats {
+// confirm takes an incarnation for the present one after enough heartbeats. A worker that crashed comes back under
+// another name, so this replaces all others, except those that are draining and may still run tasks. The lock is held.
+func (s *Scheduler) confirm(w *worker) {
+	if w.confirmed || w.agent.Beats() < minConfirmingHeartbeats {
 		return
 	}
-	one.confirmed = true
-	s.newest = one.agent.Instance
-	for _, old := range s.agents {
-		if old != one && !old.agent.Draining() {
-			old.ended = true
+	w.confirmed = true
+	s.newestInstance = w.agent.Instance
+	for _, other := range s.workers {
+		if other != w && !other.agent.Draining() {
+			other.replaced = true
 		}
 	}
-	go s.reportLoop(s.ctx, one)
+	if !s.stopped {
+		s.loops.Go(func() { s.reportLoop(s.ctx, w) })
+	}
 }
 
-// takeOrders passes an owner's orders to the agent.
-func (s *Side) takeOrders(_ context.Context, r *api.OrdersRequest) (*api.Empty, error) {
+// handleOrders passes an owner's orders to the agent.
+func (s *Scheduler) handleOrders(_ context.Context, r *api.OrdersRequest) (*api.Empty, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one := s.agents[r.Orders.Instance]
-	if one == nil || one.ended {
+	w := s.workers[r.Orders.Instance]
+	if w == nil || w.replaced {
 		return nil, result.Errorf(result.WrongInstance, "instance %s is not here", r.Orders.Instance)
 	}
-	if err := one.agent.OnOrders(s.now(), r.Token, &r.Orders); err != nil {
+	if err := w.agent.OnOrders(s.now(), r.Token, &r.Orders); err != nil {
 		return nil, err
 	}
-	if one.agent.Pending(s.now()) {
-		poke(one.orders)
+	if w.agent.Pending(s.now()) {
+		signal(w.ordersReady)
 	}
 	return &api.Empty{}, nil
 }
 
-// checkLoop looks for holds that have lapsed, and forgets incarnations that ended long ago.
-func (s *Side) checkLoop(ctx context.Context) {
-	for ctx.Err() == nil {
-		time.Sleep(checkEvery)
-		s.mu.Lock()
-		now := s.now()
-		for instance, one := range s.agents {
-			if one.agent.Check(now) {
-				s.logger.V(1).Info("hold lapsed", "instance", instance)
-				one.lapsedAt = now
-				poke(one.tell)
-			}
-			if instance != s.newest && one.agent.SafelyDead() && now-one.lapsedAt > keepLapsed {
-				one.ended = true
-				delete(s.agents, instance)
-			}
-		}
-		s.mu.Unlock()
-	}
-}
-
-// reportLoop tells the owner how an incarnation stands, at each change and now and then.
-func (s *Side) reportLoop(ctx context.Context, one *incarnation) {
+// expiryLoop looks for expired leases of workers until the context ends.
+func (s *Scheduler) expiryLoop(ctx context.Context) {
+	ticker := time.NewTicker(expiryCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-one.tell:
-		case <-time.After(reportEvery):
+		case <-ticker.C:
+			s.expire()
 		}
-		s.mu.Lock()
-		known := s.agents[one.agent.Instance] == one && !one.ended
-		s.mu.Unlock()
-		if !known {
-			return
-		}
-		s.report(one)
 	}
 }
 
-func (s *Side) report(one *incarnation) {
-	s.mu.Lock()
-	now := s.now()
-	report := one.agent.Report(now)
-	report.Side = s.settings.InternalAddress()
-	service := one.service
-	owner, _ := s.directory.Owner(service)
-	if owner != s.owner {
-		s.owner, s.session = owner, ""
-	}
-	s.sequence++
-	request := &api.ReportRequest{Shard: service, Session: s.session, Sequence: s.sequence, Report: *report}
-	s.mu.Unlock()
-	if owner == "" || service == "" {
-		time.Sleep(checkEvery)
-		poke(one.tell)
-		return
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), reportCall)
-	defer cancel()
-	response := &api.ReportResponse{}
-	err := s.client.Call(ctx, owner, api.MethodReport, request, response)
-	if err != nil {
-		s.logger.V(1).Info("report not taken", "owner", owner, "error", err.Error())
-		time.Sleep(checkEvery)
-		poke(one.tell) // to this owner again, or to the next
-		return
-	}
+// expire has the owner told of leases that have expired, and forgets incarnations whose lease expired long ago.
+func (s *Scheduler) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if owner == s.owner {
-		s.session = response.Session
-	}
-	if !response.Accepted {
-		poke(one.tell)
-		return
-	}
-	if err := one.agent.OnLease(now, response.Token, response.Noted); err != nil {
-		s.logger.V(1).Info("owner is outdated", "owner", owner, "error", err.Error())
-		return
-	}
-	if one.agent.Pending(s.now()) {
-		poke(one.orders)
+	now := s.now()
+	for instance, w := range s.workers {
+		if w.agent.Check(now) {
+			s.logger.V(1).Info("worker lease expired", "instance", instance)
+			w.expiredAt = now
+			signal(w.reportDue)
+		}
+		if instance != s.newestInstance && w.agent.SafelyDead() && now-w.expiredAt > expiredRetention {
+			w.replaced = true
+			delete(s.workers, instance)
+		}
 	}
 }
