--- a/internal/system/clusterconfig/clusterconfig.go
+++ b/internal/system/clusterconfig/clusterconfig.go
@@ -1,10 +1,10 @@
-// Package clusterconfig holds the configuration that operators give the system: its types, what makes one
-// valid, how named items are changed, and which route a request takes.
+// Package clusterconfig holds the configuration that operators give the system: its types, its validation, patches of named
+// items, and the table that finds the route of a request.
 package clusterconfig
 
-//go:generate easyjson -all clusterconfig.go
+//go:generate go run github.com/mailru/easyjson/easyjson -all clusterconfig.go
 
-// Config is a whole configuration.
+// Config is a complete configuration.
 type Config struct {
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
@@ -12,21 +12,21 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// Route is a queue: which requests go into it and how its jobs are treated. Times are in milliseconds.
+// Route is a queue: which requests it takes and how its jobs are scheduled.
 type Route struct {
 	Name            string  `json:"name"`
 	Host            string  `json:"host"`
 	PathPrefix      string  `json:"path_prefix"`
 	Type            string  `json:"type,omitempty"`
-	TimeoutMS       int64   `json:"timeout_ms"`
-	TargetLatencyMS float64 `json:"target_latency_ms"`
-	Priority        int64   `json:"priority"`
-	Service         string  `json:"service"`
-	Retries         int64   `json:"retries"`
-	Extension       float64 `json:"extension"`
+	TimeoutMS       int64   `json:"timeout_ms"`        // of one request
+	TargetLatencyMS float64 `json:"target_latency_ms"` // latency target of a job
+	Priority        int64   `json:"priority"`          // 0 is served first
+	Service         string  `json:"service"`           // whose workers run the jobs; also the shard
+	Retries         int64   `json:"retries"`           // of a task, beyond its first attempt
+	Extension       float64 `json:"extension"`         // of a job's deadline beyond its target, as a share of its critical path
 }
 
-// Service is a kind of workers.
+// Service is a group of workers that run the same jobs.
 type Service struct {
 	Name           string `json:"name"`
 	HealthPath     string `json:"health_path,omitempty"`
@@ -36,7 +36,7 @@
 	Preconditions  bool   `json:"preconditions"`
 }
 
-// Limits bound what clients send.
+// Limits bound clients' requests.
 type Limits struct {
 	MaxHeaderBytes  int64 `json:"max_header_bytes"`
 	MaxBodyBytes    int64 `json:"max_body_bytes"`
@@ -44,7 +44,7 @@
 	IdleTimeoutMS   int64 `json:"idle_timeout_ms"`
 }
 
-// Patch changes named items.
+// Patch changes named items of a configuration.
 type Patch struct {
 	Version int64  `json:"version"`
 	Upsert  Items  `json:"upsert"`
@@ -58,7 +58,7 @@
 	Services []Service `json:"services"`
 }
 
-// Names are names of items to remove.
+// Names are the names of items to remove.
 type Names struct {
 	Routes   []string `json:"routes"`
 	Services []string `json:"services"`
--- a/internal/system/clusterconfig/clusterconfig_easyjson.go
+++ b/internal/system/clusterconfig/clusterconfig_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig(in *jlexer.Lexer, out *Service) {
+func easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig(in *jlexer.Lexer, out *Service) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -77,7 +77,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig(out *jwriter.Writer, in Service) {
+func easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig(out *jwriter.Writer, in Service) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -117,27 +117,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Service) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig(&w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Service) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig(w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Service) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig(&r, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Service) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig(l, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig(l, v)
 }
-func easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig1(in *jlexer.Lexer, out *Route) {
+func easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig1(in *jlexer.Lexer, out *Route) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -221,7 +221,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig1(out *jwriter.Writer, in Route) {
+func easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig1(out *jwriter.Writer, in Route) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -281,27 +281,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Route) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig1(&w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Route) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig1(w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Route) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig1(&r, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Route) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig1(l, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig1(l, v)
 }
-func easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig2(in *jlexer.Lexer, out *Patch) {
+func easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig2(in *jlexer.Lexer, out *Patch) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -349,7 +349,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig2(out *jwriter.Writer, in Patch) {
+func easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig2(out *jwriter.Writer, in Patch) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -379,27 +379,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Patch) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig2(&w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Patch) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig2(w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Patch) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig2(&r, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Patch) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig2(l, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig2(l, v)
 }
-func easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig3(in *jlexer.Lexer, out *Names) {
+func easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig3(in *jlexer.Lexer, out *Names) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -477,7 +477,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig3(out *jwriter.Writer, in Names) {
+func easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig3(out *jwriter.Writer, in Names) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -519,27 +519,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Names) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig3(&w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Names) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig3(w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Names) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig3(&r, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Names) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig3(l, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig3(l, v)
 }
-func easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig4(in *jlexer.Lexer, out *Limits) {
+func easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig4(in *jlexer.Lexer, out *Limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -587,7 +587,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig4(out *jwriter.Writer, in Limits) {
+func easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig4(out *jwriter.Writer, in Limits) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -617,27 +617,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Limits) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig4(&w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig4(w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Limits) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig4(&r, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig4(l, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig4(l, v)
 }
-func easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig5(in *jlexer.Lexer, out *Items) {
+func easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig5(in *jlexer.Lexer, out *Items) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -715,7 +715,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig5(out *jwriter.Writer, in Items) {
+func easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig5(out *jwriter.Writer, in Items) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -757,27 +757,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Items) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig5(&w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Items) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig5(w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Items) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig5(&r, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Items) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig5(l, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig5(l, v)
 }
-func easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig6(in *jlexer.Lexer, out *Config) {
+func easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig6(in *jlexer.Lexer, out *Config) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -867,7 +867,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig6(out *jwriter.Writer, in Config) {
+func easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig6(out *jwriter.Writer, in Config) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -919,23 +919,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Config) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig6(&w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig6(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Config) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjsonA1e3f6fEncodeSedgevaleInternalSystemOpconfig6(w, v)
+	easyjsonA7bc543eEncodeSedgevaleInternalSystemClusterconfig6(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Config) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig6(&r, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig6(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Config) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjsonA1e3f6fDecodeSedgevaleInternalSystemOpconfig6(l, v)
+	easyjsonA7bc543eDecodeSedgevaleInternalSystemClusterconfig6(l, v)
 }
--- /dev/null
+++ b/internal/system/clusterconfig/diff.go
@@ -0,0 +1,73 @@
+package clusterconfig
+
+import (
+	"bytes"
+	"encoding/json"
+	"slices"
+)
+
+// Difference returns a patch that turns the configuration before into the one after, or false if they differ in more
+// than their lists of named items, version and limits.
+func Difference(before, after []byte) ([]byte, bool) {
+	old, err := splitObject(before)
+	if err != nil {
+		return nil, false
+	}
+	changed, err := splitObject(after)
+	if err != nil {
+		return nil, false
+	}
+	for _, f := range old {
+		if fieldValue(changed, f.key) == nil {
+			return nil, false
+		}
+	}
+	patch := []field{{"version", fieldValue(changed, "version")}}
+	var upsert, remove []field
+	for _, f := range changed {
+		switch {
+		case f.key == "version" || f.key != "limits" && bytes.Equal(fieldValue(old, f.key), f.value):
+		case f.key == "limits":
+			patch = append(patch, f)
+		default:
+			upserted, removed, ok := diffLists(fieldValue(old, f.key), f.value)
+			if !ok {
+				return nil, false
+			}
+			upsert = append(upsert, field{f.key, joinList(upserted)})
+			remove = append(remove, field{f.key, removed})
+		}
+	}
+	patch = append(patch, field{"upsert", joinObject(upsert)}, field{"remove", joinObject(remove)})
+	return joinObject(patch), true
+}
+
+// diffLists compares two lists of named items. It returns the items that are new or differ, and the names of those that
+// were removed as a JSON text.
+func diffLists(before, after []byte) (upserted []item, removed []byte, ok bool) {
+	old, err := splitList(before)
+	if err != nil {
+		return nil, nil, false
+	}
+	items, err := splitList(after)
+	if err != nil {
+		return nil, nil, false
+	}
+	oldTexts := make(map[string][]byte, len(old))
+	for _, it := range old {
+		oldTexts[it.name] = it.text
+	}
+	for _, it := range items {
+		if !bytes.Equal(oldTexts[it.name], it.text) {
+			upserted = append(upserted, it)
+		}
+		delete(oldTexts, it.name)
+	}
+	names := []string{}
+	for name := range oldTexts {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	removed, err = json.Marshal(names)
+	return upserted, removed, err == nil
+}
--- a/internal/system/clusterconfig/table.go
+++ b/internal/system/clusterconfig/routing.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// Table finds the route of a request. It is built once for a configuration and not changed.
+// Table finds the route of a request. It is built once for a configuration and not changed, so that goroutines may share
+// it.
 type Table struct {
 	Config *Config
-	byHost map[string][]*Route // longest prefix first
+	byHost map[string][]*Route // by host in lower case; longest path prefix first
 	byName map[string]*Route
 }
 
-// NewTable builds the table of a configuration.
+// NewTable builds the table of a configuration, which must not be changed afterwards.
 func NewTable(c *Config) *Table {
 	t := &Table{Config: c, byHost: map[string][]*Route{}, byName: map[string]*Route{}}
 	for i := range c.Routes {
@@ -28,14 +29,15 @@
 	return t
 }
 
-// Match returns the route of a host and a path, and what follows the prefix; nil where there is none.
-func (t *Table) Match(host, path string) (*Route, string) {
+// Match returns the route of a host, with or without a port, and a path, and the rest of the path behind the prefix. The
+// route is nil if there is none.
+func (t *Table) Match(host, path string) (route *Route, rest string) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	for _, route := range t.byHost[strings.ToLower(host)] {
-		if rest, ok := strings.CutPrefix(path, route.PathPrefix); ok {
-			return route, rest
+	for _, candidate := range t.byHost[strings.ToLower(host)] {
+		if rest, ok := strings.CutPrefix(path, candidate.PathPrefix); ok {
+			return candidate, rest
 		}
 	}
 	return nil, ""
