--- a/internal/system/fakeworker/worker.go
+++ b/internal/system/fakeworker/worker.go
@@ -1,10 +1,11 @@
-// Package fakeworker plays the workers of the system: they beat to their side scheduler, run what they are told and
-// kill everything once nobody lets them hold on to it. Tests and the system on loopback use it.
+// Package fakeworker simulates workers: they send heartbeats to their side scheduler, start and stop tasks as ordered and
+// kill all tasks when their lease expires. Tests and the system on loopback use it.
 package fakeworker
 
 import (
 	"bytes"
 	"context"
+	"errors"
 	"io"
 	"math/rand/v2"
 	"net/http"
@@ -14,203 +15,209 @@
 	"sedgevale/workeragent"
 )
 
-// Observer is told what a worker does, in the moment it does it.
+// Observer is called at each event of a worker, in order, from the worker's goroutine.
 type Observer interface {
-	Started(task, worker string, cpu, capacity int64)
-	Ended(task, worker string)
-	Noted(task string) // a good end was taken note of
-	Wrong(err error)   // an answer cannot be read
+	// TaskStarted takes the CPU that the worker uses with the task, and its capacity, in millicores.
+	TaskStarted(task, worker string, cpu, capacity int64)
+	TaskEnded(task, worker string)
+	// EndAcknowledged says that the side scheduler has acknowledged a task's successful end.
+	EndAcknowledged(task string)
+	// InvalidAnswer says that an answer cannot be read.
+	InvalidAnswer(err error)
 }
 
-// Options of a worker. Times are those of its own clock.
+// Options of a worker. Times are of the worker's own clock.
 type Options struct {
-	ID        string
-	Service   string
-	Side      string // host:port of its side scheduler
-	Capacity  workeragent.Capacity
-	Labels    []string
-	TaskCPU   int64         // what a task takes, since orders do not say
-	ShortTask time.Duration // tasks run for this long to
-	LongTask  time.Duration // this long
-	FailOneIn int           // one task in so many fails; 0 for none
-	ClockSlow float64       // how much slower its clock runs: 0.02 is 2%
-	Client    *http.Client
-	Observer  Observer
-	Random    *rand.Rand
+	ID          string // of the incarnation
+	Service     string
+	SideAddress string // host:port of its side scheduler
+	Capacity    workeragent.Capacity
+	Labels      []string
+	TaskCPU     int64         // millicores that a task is taken to use, since orders do not say
+	MinTaskTime time.Duration // tasks run for random times in
+	MaxTaskTime time.Duration // [MinTaskTime, MaxTaskTime)
+	FailOneIn   int           // one task in so many fails; 0 for none
+	ClockDrift  float64       // how much slower than real time its clock runs: 0.02 is 2%
+	Client      *http.Client
+	Observer    Observer
+	Random      *rand.Rand
 }
 
 const (
-	beatTimeout = time.Second
-	beatPause   = 50 * time.Millisecond
-	failedPause = 200 * time.Millisecond
+	heartbeatTimeout  = time.Second
+	heartbeatInterval = 50 * time.Millisecond
+	retryBackoff      = 200 * time.Millisecond
 )
 
-// Worker plays one incarnation of a worker.
+// Worker simulates one incarnation of a worker.
 type Worker struct {
 	Options
 
-	mu        sync.Mutex
-	token     int64
-	sequence  int64
-	number    int64
-	voidUpTo  int64 // ends up to this number came before the hold lapsed
-	active    map[string]*running
-	finished  []workeragent.Finished
-	stopped   map[string]int64 // the highest attempt that ended here
-	holdUntil time.Time
+	mu             sync.Mutex // guards the fields below
+	fencingToken   int64      // the highest that was seen
+	sequence       int64      // of the last heartbeat
+	lastEnd        int64      // number of the last end
+	expiredUpTo    int64      // ends up to this number came before the lease expired
+	active         map[string]*attempt
+	unacknowledged []workeragent.Finished // ends that heartbeats repeat
+	lastAttempt    map[string]int64       // by task: the highest attempt that ended here
+	leaseUntil     time.Time              // zero before the first lease
 }
 
-type running struct {
-	attempt int64
-	until   time.Time
+// attempt is a running attempt of a task.
+type attempt struct {
+	number int64
+	until  time.Time
 }
 
 // New returns a worker that runs nothing.
 func New(options Options) *Worker {
-	return &Worker{Options: options, active: map[string]*running{}, stopped: map[string]int64{}}
+	return &Worker{Options: options, active: map[string]*attempt{}, lastAttempt: map[string]int64{}}
 }
 
-// Run beats until the context ends, as if the worker had crashed then.
+// Run sends heartbeats until the context ends, as if the worker crashed then.
 func (w *Worker) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := w.beat(ctx)
+		delay := w.heartbeat(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for task := range w.active {
-		w.Observer.Ended(task, w.ID)
+		w.Observer.TaskEnded(task, w.ID)
 	}
 	w.Client.CloseIdleConnections()
 }
 
-// step ends what is due.
-func (w *Worker) step() {
+// advance ends the attempts that are over, or all of them if the lease has expired. The lock is held.
+func (w *Worker) advance() {
 	now := time.Now()
-	lapsed := !w.holdUntil.IsZero() && now.After(w.holdUntil)
-	if lapsed {
-		w.voidUpTo = w.number
+	expired := !w.leaseUntil.IsZero() && now.After(w.leaseUntil)
+	if expired {
+		w.expiredUpTo = w.lastEnd
 	}
-	for task, r := range w.active {
+	for task, running := range w.active {
 		switch {
-		case lapsed:
-			w.end(task, r.attempt, "lapsed")
-		case now.After(r.until):
+		case expired:
+			w.end(task, running.number, "lapsed")
+		case now.After(running.until):
 			how := "done"
 			if w.FailOneIn > 0 && w.Random.IntN(w.FailOneIn) == 0 {
 				how = "failed"
 			}
-			w.end(task, r.attempt, how)
+			w.end(task, running.number, how)
 		}
 	}
 }
 
+// end ends an attempt. The lock is held.
 func (w *Worker) end(task string, attempt int64, how string) {
 	delete(w.active, task)
-	w.stopped[task] = max(w.stopped[task], attempt)
-	w.number++
-	w.finished = append(w.finished, workeragent.Finished{Number: w.number, Task: task, Attempt: attempt, How: how})
-	w.Observer.Ended(task, w.ID)
+	w.lastAttempt[task] = max(w.lastAttempt[task], attempt)
+	w.lastEnd++
+	w.unacknowledged = append(w.unacknowledged, workeragent.Finished{Number: w.lastEnd, Task: task, Attempt: attempt, How: how})
+	w.Observer.TaskEnded(task, w.ID)
 }
 
-// beat sends one heartbeat and returns the time until the next.
-func (w *Worker) beat(ctx context.Context) time.Duration {
-	text, err := w.account().MarshalJSON()
+// heartbeat sends one heartbeat, applies the answer and returns the time until the next.
+func (w *Worker) heartbeat(ctx context.Context) time.Duration {
+	text, err := w.nextHeartbeat().MarshalJSON()
 	if err != nil {
-		w.Observer.Wrong(err)
-		return failedPause
+		w.Observer.InvalidAnswer(err)
+		return retryBackoff
 	}
 	sentAt := time.Now()
-	call, cancel := context.WithTimeout(ctx, beatTimeout)
+	call, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	url := "http://" + w.Side + "/sedgevale/instances/" + w.ID
+	url := "http://" + w.SideAddress + "/sedgevale/instances/" + w.ID
 	request, err := http.NewRequestWithContext(call, http.MethodPut, url, bytes.NewReader(text))
 	if err != nil {
-		w.Observer.Wrong(err)
-		return failedPause
+		w.Observer.InvalidAnswer(err)
+		return retryBackoff
 	}
 	response, err := w.Client.Do(request)
 	if err != nil {
-		return failedPause
+		return retryBackoff
 	}
 	body, err := io.ReadAll(response.Body)
-	response.Body.Close()
-	if err != nil || response.StatusCode != http.StatusOK || time.Since(sentAt) > beatTimeout {
-		return failedPause
+	if errors.Join(err, response.Body.Close()) != nil || response.StatusCode != http.StatusOK || time.Since(sentAt) > heartbeatTimeout {
+		return retryBackoff
 	}
 	answer := workeragent.Answer{}
 	if len(body) > 0 {
 		if err := answer.UnmarshalJSON(body); err != nil {
-			w.Observer.Wrong(err)
-			return failedPause
+			w.Observer.InvalidAnswer(err)
+			return retryBackoff
 		}
 	}
-	w.obey(answer, sentAt)
-	return beatPause
+	w.apply(answer, sentAt)
+	return heartbeatInterval
 }
 
-// account is the body of the next heartbeat.
-func (w *Worker) account() workeragent.Heartbeat {
+// nextHeartbeat returns the content of the next heartbeat.
+func (w *Worker) nextHeartbeat() workeragent.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.step()
+	w.advance()
 	w.sequence++
-	beat := workeragent.Heartbeat{
-		Service: w.Service, State: "ready", Sequence: w.sequence, Capacity: w.Capacity, Labels: w.Labels, Finished: w.finished,
+	heartbeat := workeragent.Heartbeat{
+		Service: w.Service, State: "ready", Sequence: w.sequence, Capacity: w.Capacity, Labels: w.Labels, Finished: w.unacknowledged,
 	}
-	for task, r := range w.active {
-		beat.Active = append(beat.Active, workeragent.Active{Task: task, Attempt: r.attempt})
+	for task, running := range w.active {
+		heartbeat.Active = append(heartbeat.Active, workeragent.Active{Task: task, Attempt: running.number})
 	}
-	return beat
+	return heartbeat
 }
 
-func (w *Worker) obey(a workeragent.Answer, sentAt time.Time) {
+// apply follows the answer to a heartbeat that was sent at a time, unless its fencing token is outdated.
+func (w *Worker) apply(a workeragent.Answer, sentAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.step()
-	w.forget(a.LastSeen)
-	if a.FenceToken < w.token {
+	w.advance()
+	w.acknowledge(a.LastSeen)
+	if a.FenceToken < w.fencingToken {
 		return
 	}
-	w.token = a.FenceToken
+	w.fencingToken = a.FenceToken
 	for _, ref := range a.Stopped {
-		if r := w.active[ref.Task]; r != nil && r.attempt == ref.Attempt {
+		if running := w.active[ref.Task]; running != nil && running.number == ref.Attempt {
 			w.end(ref.Task, ref.Attempt, "stopped")
 		}
-		w.stopped[ref.Task] = max(w.stopped[ref.Task], ref.Attempt)
+		w.lastAttempt[ref.Task] = max(w.lastAttempt[ref.Task], ref.Attempt)
 	}
 	if a.HoldMS == 0 {
 		return
 	}
-	hold := time.Duration(float64(a.HoldMS) / (1 - w.ClockSlow) * float64(time.Millisecond))
-	if until := sentAt.Add(hold); until.After(w.holdUntil) {
-		w.holdUntil = until
+	lease := time.Duration(float64(a.HoldMS) / (1 - w.ClockDrift) * float64(time.Millisecond))
+	if until := sentAt.Add(lease); until.After(w.leaseUntil) {
+		w.leaseUntil = until
 	}
 	for _, start := range a.Started {
 		w.start(start)
 	}
 }
 
+// start starts a task, unless it runs or a later attempt has ended here. The lock is held.
 func (w *Worker) start(start workeragent.Start) {
-	if w.active[start.Task] != nil || start.Attempt <= w.stopped[start.Task] {
+	if w.active[start.Task] != nil || start.Attempt <= w.lastAttempt[start.Task] {
 		return
 	}
-	w.Observer.Started(start.Task, w.ID, int64(len(w.active)+1)*w.TaskCPU, w.Capacity.CPU)
-	span := max(1, int64(w.LongTask-w.ShortTask))
-	runs := w.ShortTask + time.Duration(w.Random.Int64N(span))
-	w.active[start.Task] = &running{attempt: start.Attempt, until: time.Now().Add(runs)}
+	w.Observer.TaskStarted(start.Task, w.ID, int64(len(w.active)+1)*w.TaskCPU, w.Capacity.CPU)
+	spread := max(1, int64(w.MaxTaskTime-w.MinTaskTime))
+	duration := w.MinTaskTime + time.Duration(w.Random.Int64N(spread))
+	w.active[start.Task] = &attempt{number: start.Attempt, until: time.Now().Add(duration)}
 }
 
-// forget drops the ends up to a number. A good end counts as taken note of unless the worker's hold has lapsed since: its
-// task may have been started elsewhere by then.
-func (w *Worker) forget(seen int64) {
-	for len(w.finished) > 0 && w.finished[0].Number <= seen {
-		if w.finished[0].How == "done" && w.finished[0].Number > w.voidUpTo {
-			w.Observer.Noted(w.finished[0].Task)
+// acknowledge drops the ends up to a number. A successful end counts as acknowledged unless the lease has expired since:
+// its task may have been started elsewhere by then. The lock is held.
+func (w *Worker) acknowledge(upTo int64) {
+	for len(w.unacknowledged) > 0 && w.unacknowledged[0].Number <= upTo {
+		if w.unacknowledged[0].How == "done" && w.unacknowledged[0].Number > w.expiredUpTo {
+			w.Observer.EndAcknowledged(w.unacknowledged[0].Task)
 		}
-		w.finished = w.finished[1:]
+		w.unacknowledged = w.unacknowledged[1:]
 	}
 }
--- a/internal/system/local/client.go
+++ b/internal/system/local/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -11,55 +12,68 @@
 )
 
 const (
-	submitEvery = 300 * time.Millisecond
-	tellEvery   = 10 // jobs between two lines
-	askAfter    = 3 * time.Second
+	submitInterval = 300 * time.Millisecond
+	statusDelay    = 3 * time.Second // after which a job's state is looked at
+	callTimeout    = 3 * time.Second
+	jobsPerLine    = 10 // of the output
 )
 
-// client hands in a job now and then, and tells what became of those some time ago.
-func (s *System) client(ctx context.Context) {
-	type handedIn struct {
-		id string
-		at time.Time
-	}
-	var open []handedIn
-	accepted, refused, completed, other := 0, 0, 0, 0
+// submission is a job that was accepted.
+type submission struct {
+	id string
+	at time.Time
+}
+
+// clientStats counts jobs by what became of them.
+type clientStats struct {
+	accepted, rejected, completed, other int
+}
+
+// runClient submits a job at an interval, looks at its state some time later, and prints counts until the context ends.
+func (s *system) runClient(ctx context.Context) {
+	var open []submission // the oldest first
+	stats := clientStats{}
 	for n := 1; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%016x", rand.Uint64())
-		if s.submit(ctx, id) {
-			accepted++
-			open = append(open, handedIn{id, time.Now()})
+		if submit(ctx, id) {
+			stats.accepted++
+			open = append(open, submission{id, time.Now()})
 		} else {
-			refused++
+			stats.rejected++
 		}
-		for len(open) > 0 && time.Since(open[0].at) > askAfter {
-			if s.state(ctx, open[0].id) == "completed" {
-				completed++
+		for len(open) > 0 && time.Since(open[0].at) > statusDelay {
+			if jobState(ctx, open[0].id) == "completed" {
+				stats.completed++
 			} else {
-				other++
+				stats.other++
 			}
 			open = open[1:]
 		}
-		if n%tellEvery == 0 {
-			fmt.Fprintf(s.out, "jobs: %d accepted, %d not taken, %d completed within 3 s, %d not yet or failed\n",
-				accepted, refused, completed, other)
+		if n%jobsPerLine == 0 {
+			_, _ = fmt.Fprintf(s.out, "jobs: %d accepted, %d not taken, %d completed within 3 s, %d not yet or failed\n",
+				stats.accepted, stats.rejected, stats.completed, stats.other)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(submitEvery):
+		case <-time.After(submitInterval):
 		}
 	}
 }
 
-func (s *System) submit(ctx context.Context, id string) bool {
+// submit submits a job of two stages and reports whether it was accepted.
+func submit(ctx context.Context, id string) bool {
 	body := fmt.Sprintf(`{"spec":"demo","stages":[{"count":%d,"cpu":%d,"mem_mb":64,"estimate_ms":500},`+
 		`{"count":1,"cpu":%d,"mem_mb":64,"estimate_ms":500,"depends_on":[0]}]}`, 1+rand.IntN(4), taskCPU, taskCPU)
-	status, _ := s.call(ctx, http.MethodPost, id, body)
-	return status == http.StatusOK
+	status, _, err := call(ctx, http.MethodPost, id, body)
+	return err == nil && status == http.StatusOK
 }
 
-func (s *System) state(ctx context.Context, id string) string {
-	_, text := s.call(ctx, http.MethodGet, id, "")
+// jobState returns a job's state, or "unknown".
+func jobState(ctx context.Context, id string) string {
+	_, text, err := call(ctx, http.MethodGet, id, "")
+	if err != nil {
+		return "unknown"
+	}
 	for _, state := range []string{"completed", "running", "queued", "failed", "cancelled"} {
 		if strings.Contains(text, state) {
 			return state
@@ -68,22 +82,19 @@
 	return "unknown"
 }
 
-func (s *System) call(ctx context.Context, method, id, body string) (int, string) {
-	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+// call makes a client's call about a job.
+func call(ctx context.Context, method, id, body string) (status int, text string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+EdgeAddress()+prefix+id, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+edgeAddress()+prefix+id, strings.NewReader(body))
 	if err != nil {
-		return 0, ""
+		return 0, "", err
 	}
 	request.Host = host
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return 0, ""
-	}
-	defer response.Body.Close()
-	text, err := io.ReadAll(response.Body)
-	if err != nil {
-		return 0, ""
+		return 0, "", err
 	}
-	return response.StatusCode, string(text)
+	content, err := io.ReadAll(response.Body)
+	return response.StatusCode, string(content), errors.Join(err, response.Body.Close())
 }
--- a/internal/system/simulation/doc.go
+++ b/internal/system/simulation/doc.go
@@ -1,4 +1,4 @@
-// Package simulation plays whole small systems on a virtual clock: the real daemons of all roles, with a network,
-// workers, clients and an operator of its own, through cuts, kills, lost disks and crashed workers. It holds only
-// tests. They print what happened as a timeline with one column for each scheduler.
+// Package simulation tests small clusters on a virtual clock: the real daemons of all roles, on a simulated network with
+// fake workers, clients and operators, under injected faults: partitions, crashes, lost disks, power failures, crashed
+// workers. It holds only tests. A test that fails prints a timeline with one column for each scheduler.
 package simulation
--- a/internal/system/simulation/edge_test.go
+++ b/internal/system/simulation/edge_test.go
@@ -24,24 +24,24 @@
 	edgeAddr = "10.0.1.1:90"
 )
 
-// stubCore answers an edge scheduler like a core scheduler that owns the shard.
+// stubCore answers an edge scheduler as the core scheduler that owns the shard does.
 type stubCore struct {
-	stale  atomic.Bool        // no quorum's word
-	unset  atomic.Bool        // no configuration was taken yet
-	stop   context.CancelFunc // ends the edge scheduler as SIGTERM does
-	submit func() error
-	calls  atomic.Int64
+	noQuorum        atomic.Bool        // the configuration is not confirmed by a quorum
+	noConfiguration atomic.Bool        // there is no configuration yet
+	stop            context.CancelFunc // shuts the edge scheduler down as SIGTERM does
+	submit          func() error
+	calls           atomic.Int64
 }
 
-func (s *stubCore) start(w *world) *node.Process {
-	h := w.fabric.host("10.0.0.1")
+func (s *stubCore) start(c *cluster) *node.Process {
+	h := c.network.host("10.0.0.1")
 	server := rpc.NewServer()
 	rpc.Handle(server, api.MethodWatch, func(ctx context.Context, r *api.WatchRequest) (*api.WatchResponse, error) {
 		answer := &api.WatchResponse{
-			Fresh: !s.stale.Load(), ConfigVersion: 1, Owners: []api.Owner{{Shard: service, Address: "10.0.0.1:7000", Token: 1}},
+			Fresh: !s.noQuorum.Load(), ConfigVersion: 1, Owners: []api.Owner{{Shard: service, Address: "10.0.0.1:7000", Token: 1}},
 			OwnersDigest: 1, Cores: []string{"10.0.0.1:7000"},
 		}
-		if s.unset.Load() {
+		if s.noConfiguration.Load() {
 			time.Sleep(time.Duration(r.WaitMS) * time.Millisecond)
 			return &api.WatchResponse{Fresh: true, Cores: answer.Cores}, nil
 		}
@@ -60,55 +60,56 @@
 		s.calls.Add(1)
 		return &api.Empty{}, s.submit()
 	})
-	p := node.NewProcess(w.settings(&machine{name: "core0", ip: "10.0.0.1"}), logr.Discard(), h.dial, h.listen)
+	p := node.NewProcess(c.settings(&machine{name: "core0", ip: "10.0.0.1"}), logr.Discard(), h.dial, h.listen)
 	if err := p.Listen("10.0.0.1:7000", server.Handler()); err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return p
 }
 
-// withEdge runs an edge scheduler against a stub and has check look at it.
-func withEdge(t *testing.T, stub *stubCore, check func(w *world)) {
+// runEdge runs an edge scheduler against a stub of the core, and then check.
+func runEdge(t *testing.T, stub *stubCore, check func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, seeds: firstSeeds, fabric: newFabric(), ledger: newLedger(time.Now()), machines: map[string]*machine{}, begun: time.Now()}
-		core := stub.start(w)
+		c := &cluster{t: t, seeds: initialSeeds, network: newNetwork(), checker: newChecker(time.Now()), machines: map[string]*machine{}, started: time.Now()}
+		core := stub.start(c)
 		ctx, cancel := context.WithCancel(context.Background())
 		stub.stop = cancel
-		h := w.fabric.host("10.0.1.1")
-		p := node.NewProcess(w.settings(&machine{name: "edge0", ip: "10.0.1.1"}), logr.Discard(), h.dial, h.listen)
+		h := c.network.host("10.0.1.1")
+		p := node.NewProcess(c.settings(&machine{name: "edge0", ip: "10.0.1.1"}), logr.Discard(), h.dial, h.listen)
 		ended := make(chan error)
 		go func() { ended <- edge.Run(ctx, p) }()
 		time.Sleep(time.Second)
-		check(w)
+		check(c)
 		cancel()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 		p.Close()
 		core.Close()
-		time.Sleep(5 * time.Second) // calls that are still under way give up
+		time.Sleep(5 * time.Second) // calls in flight time out
 	})
 }
 
-// Trap 1: 503 and 429 say that the job never runs, so they are given only where nothing can have been taken.
-func TestAnswerIsAVerdict(t *testing.T) {
+// Requirement 1: 503 and 429 are rejections, after which a job never runs. They are given only if nothing can have been
+// applied.
+func TestRejectionOnlyIfNothingWasApplied(t *testing.T) {
 	cases := []struct {
 		name string
 		fail error
 		want int
 	}{
-		{"taken", nil, http.StatusOK},
-		{"not the owner any more", result.Errorf(result.NotOwner, "no"), http.StatusServiceUnavailable},
+		{"accepted", nil, http.StatusOK},
+		{"no longer the owner", result.Errorf(result.NotOwner, "no"), http.StatusServiceUnavailable},
 		{"no quorum before a commit", result.Errorf(result.NotReady, "no"), http.StatusServiceUnavailable},
 		{"full", result.Errorf(result.Overloaded, "no"), http.StatusTooManyRequests},
-		{"a commit of unknown fate", result.Errorf(result.OutcomeUnknown, "no"), http.StatusGatewayTimeout},
-		{"a route that is gone", result.Errorf(result.NoRoute, "no"), http.StatusNotFound},
+		{"a commit with unknown outcome", result.Errorf(result.OutcomeUnknown, "no"), http.StatusGatewayTimeout},
+		{"a removed route", result.Errorf(result.NoRoute, "no"), http.StatusNotFound},
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
 			stub := &stubCore{submit: func() error { return one.fail }}
-			withEdge(t, stub, func(w *world) {
-				if got, _ := w.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob); got != one.want {
+			runEdge(t, stub, func(c *cluster) {
+				if got, _ := c.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob); got != one.want {
 					t.Errorf("status %d, %d wanted", got, one.want)
 				}
 			})
@@ -116,8 +117,8 @@
 	}
 }
 
-// Once a commit may have begun, a later refusal is no verdict any more.
-func TestRefusalAfterAnUnknownFateIsNone(t *testing.T) {
+// Once an attempt may have been committed, the failure of a later one does not reject the job.
+func TestNoRejectionAfterAnUnknownOutcome(t *testing.T) {
 	stub := &stubCore{}
 	stub.submit = func() error {
 		if stub.calls.Load() == 1 {
@@ -125,59 +126,59 @@
 		}
 		return result.Errorf(result.Overloaded, "no")
 	}
-	withEdge(t, stub, func(w *world) {
-		if got, _ := w.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob); got != http.StatusGatewayTimeout {
+	runEdge(t, stub, func(c *cluster) {
+		if got, _ := c.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob); got != http.StatusGatewayTimeout {
 			t.Errorf("status %d", got)
 		}
 	})
 }
 
 // 404 is given only while a quorum confirms the configuration.
-func TestNoRouteIsSaidOnlyWhileConfirmed(t *testing.T) {
+func TestNotFoundOnlyWhileConfirmed(t *testing.T) {
 	stub := &stubCore{}
-	withEdge(t, stub, func(w *world) {
-		if got, _ := w.call(http.MethodGet, edgeAddr, "/x/", "h", "", ""); got != http.StatusNotFound {
+	runEdge(t, stub, func(c *cluster) {
+		if got, _ := c.call(http.MethodGet, edgeAddr, "/x/", "h", "", ""); got != http.StatusNotFound {
 			t.Errorf("status %d", got)
 		}
-		stub.stale.Store(true)
+		stub.noQuorum.Store(true)
 		time.Sleep(3 * time.Second)
-		if got, _ := w.call(http.MethodGet, edgeAddr, "/x/", "h", "", ""); got != http.StatusServiceUnavailable {
-			t.Errorf("status %d without a quorum's word", got)
+		if got, _ := c.call(http.MethodGet, edgeAddr, "/x/", "h", "", ""); got != http.StatusServiceUnavailable {
+			t.Errorf("status %d without a quorum's confirmation", got)
 		}
-		if got, _ := w.call(http.MethodGet, "10.0.1.1:91", "/sedgevale/readyz", "h", "", ""); got != http.StatusServiceUnavailable {
-			t.Errorf("ready: %d without a quorum's word", got)
+		if got, _ := c.call(http.MethodGet, "10.0.1.1:91", "/sedgevale/readyz", "h", "", ""); got != http.StatusServiceUnavailable {
+			t.Errorf("ready: %d without a quorum's confirmation", got)
 		}
 	})
 }
 
-// Before the first configuration nothing is known of any queue: 503, which is no verdict, never 404.
-func TestNoConfigurationIsNoVerdict(t *testing.T) {
+// Before the first configuration no queue is known: 503, which asks for a retry, never 404.
+func TestUnavailableBeforeFirstConfiguration(t *testing.T) {
 	stub := &stubCore{}
-	stub.unset.Store(true)
-	withEdge(t, stub, func(w *world) {
+	stub.noConfiguration.Store(true)
+	runEdge(t, stub, func(c *cluster) {
 		for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
-			if got, _ := w.call(method, edgeAddr, jobPath, "h", "", goodJob); got != http.StatusServiceUnavailable {
+			if got, _ := c.call(method, edgeAddr, jobPath, "h", "", goodJob); got != http.StatusServiceUnavailable {
 				t.Errorf("%s: status %d", method, got)
 			}
 		}
-		if got, _ := w.call(http.MethodGet, "10.0.1.1:91", "/sedgevale/readyz", "h", "", ""); got != http.StatusServiceUnavailable {
+		if got, _ := c.call(http.MethodGet, "10.0.1.1:91", "/sedgevale/readyz", "h", "", ""); got != http.StatusServiceUnavailable {
 			t.Errorf("ready: %d without a configuration", got)
 		}
 	})
 }
 
-// Requests that an edge scheduler reads until it stops accepting, after SIGTERM too, get their whole answer, however long
-// the owner takes.
-func TestPlannedEndAnswersClients(t *testing.T) {
+// Requests that an edge scheduler reads, also after SIGTERM until it stops accepting, get their complete response,
+// however long the owner takes.
+func TestGracefulShutdownAnswersClients(t *testing.T) {
 	stub := &stubCore{submit: func() error {
 		time.Sleep(700 * time.Millisecond)
 		return nil
 	}}
-	withEdge(t, stub, func(w *world) {
+	runEdge(t, stub, func(c *cluster) {
 		answers := make(chan int)
 		send := func(wait time.Duration) {
 			time.Sleep(wait)
-			status, _ := w.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob)
+			status, _ := c.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob)
 			answers <- status
 		}
 		waits := []time.Duration{0, 150 * time.Millisecond, 900 * time.Millisecond, 1900 * time.Millisecond}
@@ -204,9 +205,9 @@
 		{"too large", jobPath, strings.Repeat("x", 300), "200 bytes"},
 	}
 	stub := &stubCore{submit: func() error { return nil }}
-	withEdge(t, stub, func(w *world) {
+	runEdge(t, stub, func(c *cluster) {
 		for _, one := range cases {
-			got, text := w.call(http.MethodPost, edgeAddr, one.path, "h", "", one.body)
+			got, text := c.call(http.MethodPost, edgeAddr, one.path, "h", "", one.body)
 			if got/100 != 4 || !strings.Contains(text, one.want) {
 				t.Errorf("%s: %d %s", one.name, got, text)
 			}
--- a/internal/system/simulation/network_test.go
+++ b/internal/system/simulation/network_test.go
@@ -10,30 +10,30 @@
 
 const latency = 500 * time.Microsecond
 
-// fabric is a network in memory. Cuts are silent: what is written waits until the cut is over.
-type fabric struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	conns     map[*conn]bool
-	cuts      map[[2]string]bool // from, to
-	changed   chan struct{}      // closed when a cut ends
-}
-
-func newFabric() *fabric {
-	return &fabric{
-		listeners: map[string]*listener{}, conns: map[*conn]bool{}, cuts: map[[2]string]bool{}, changed: make(chan struct{}),
+// network is a simulated network. Partitions are silent: what is written waits until they heal.
+type network struct {
+	mu         sync.Mutex
+	listeners  map[string]*listener
+	conns      map[*conn]bool
+	partitions map[[2]string]bool // from, to
+	healed     chan struct{}      // closed, and replaced, when a partition heals
+}
+
+func newNetwork() *network {
+	return &network{
+		listeners: map[string]*listener{}, conns: map[*conn]bool{}, partitions: map[[2]string]bool{}, healed: make(chan struct{}),
 	}
 }
 
-// host is one life of a machine on the network. A dead one reaches nobody.
+// host is one incarnation of a machine on the network. A dead one reaches nobody.
 type host struct {
-	fabric *fabric
-	ip     string
-	mu     sync.Mutex
-	dead   bool
+	network *network
+	ip      string
+	mu      sync.Mutex
+	dead    bool
 }
 
-func (f *fabric) host(ip string) *host { return &host{fabric: f, ip: ip} }
+func (n *network) host(ip string) *host { return &host{network: n, ip: ip} }
 
 func (h *host) isDead() bool {
 	h.mu.Lock()
@@ -41,62 +41,62 @@
 	return h.dead
 }
 
-// kill ends all listeners and connections of this life.
+// kill closes all listeners and connections of this incarnation.
 func (h *host) kill() {
 	h.mu.Lock()
 	h.dead = true
 	h.mu.Unlock()
-	f := h.fabric
-	f.mu.Lock()
+	n := h.network
+	n.mu.Lock()
 	var closing []interface{ Close() error }
-	for _, l := range f.listeners {
+	for _, l := range n.listeners {
 		if l.host == h {
 			closing = append(closing, l)
 		}
 	}
-	for c := range f.conns {
+	for c := range n.conns {
 		if c.from == h || c.to == h {
 			closing = append(closing, c)
 		}
 	}
-	f.mu.Unlock()
+	n.mu.Unlock()
 	for _, one := range closing {
 		_ = one.Close()
 	}
 }
 
-// reset ends some of the connections of a machine, while calls are under way on them.
-func (f *fabric) reset(ip string, chosen func() bool) {
-	f.mu.Lock()
+// reset closes selected connections of a machine, also with calls in flight.
+func (n *network) reset(ip string, selected func() bool) {
+	n.mu.Lock()
 	var closing []*conn
-	for c := range f.conns {
-		if (c.from.ip == ip || c.to.ip == ip) && chosen() {
+	for c := range n.conns {
+		if (c.from.ip == ip || c.to.ip == ip) && selected() {
 			closing = append(closing, c)
 		}
 	}
-	f.mu.Unlock()
+	n.mu.Unlock()
 	for _, one := range closing {
 		_ = one.Close()
 	}
 }
 
-// cut stops what goes from one machine to another, or heals that.
-func (f *fabric) cut(from, to string, is bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if is {
-		f.cuts[[2]string{from, to}] = true
+// partition stops traffic from one machine to another, or heals that.
+func (n *network) partition(from, to string, active bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if active {
+		n.partitions[[2]string{from, to}] = true
 		return
 	}
-	delete(f.cuts, [2]string{from, to})
-	close(f.changed)
-	f.changed = make(chan struct{})
+	delete(n.partitions, [2]string{from, to})
+	close(n.healed)
+	n.healed = make(chan struct{})
 }
 
-func (f *fabric) blocked(from, to string) (bool, <-chan struct{}) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.cuts[[2]string{from, to}], f.changed
+func (n *network) blocked(from, to string) (bool, <-chan struct{}) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.partitions[[2]string{from, to}], n.healed
 }
 
 type listener struct {
@@ -108,14 +108,14 @@
 }
 
 func (h *host) listen(address string) (net.Listener, error) {
-	f := h.fabric
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.listeners[address] != nil || h.isDead() {
+	n := h.network
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.listeners[address] != nil || h.isDead() {
 		return nil, &net.OpError{Op: "listen", Err: errors.New("address in use")}
 	}
 	l := &listener{host: h, address: address, accepts: make(chan net.Conn), closed: make(chan struct{})}
-	f.listeners[address] = l
+	n.listeners[address] = l
 	return l, nil
 }
 
@@ -131,9 +131,9 @@
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
-		l.host.fabric.mu.Lock()
-		delete(l.host.fabric.listeners, l.address)
-		l.host.fabric.mu.Unlock()
+		l.host.network.mu.Lock()
+		delete(l.host.network.listeners, l.address)
+		l.host.network.mu.Unlock()
 	})
 	return nil
 }
@@ -144,14 +144,14 @@
 type conn struct {
 	net.Conn
 	from, to *host
-	fabric   *fabric
+	network  *network
 	closed   chan struct{}
 	once     sync.Once
 }
 
 func (c *conn) Write(b []byte) (int, error) {
 	for {
-		blocked, changed := c.fabric.blocked(c.from.ip, c.to.ip)
+		blocked, changed := c.network.blocked(c.from.ip, c.to.ip)
 		if !blocked {
 			break
 		}
@@ -168,9 +168,9 @@
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
-		c.fabric.mu.Lock()
-		delete(c.fabric.conns, c)
-		c.fabric.mu.Unlock()
+		c.network.mu.Lock()
+		delete(c.network.conns, c)
+		c.network.mu.Unlock()
 	})
 	return c.Conn.Close()
 }
@@ -179,11 +179,11 @@
 	ctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer cancel()
 	fail := func(err error) (net.Conn, error) { return nil, &net.OpError{Op: "dial", Err: err} }
-	f := h.fabric
+	n := h.network
 	ip, _, _ := net.SplitHostPort(address)
 	for {
-		there, changed := f.blocked(h.ip, ip)
-		back, _ := f.blocked(ip, h.ip)
+		there, changed := n.blocked(h.ip, ip)
+		back, _ := n.blocked(ip, h.ip)
 		if !there && !back {
 			break
 		}
@@ -193,16 +193,16 @@
 			return fail(ctx.Err())
 		}
 	}
-	f.mu.Lock()
-	l := f.listeners[address]
-	f.mu.Unlock()
+	n.mu.Lock()
+	l := n.listeners[address]
+	n.mu.Unlock()
 	if l == nil || h.isDead() {
 		time.Sleep(latency)
 		return fail(errors.New("connection refused"))
 	}
 	near, far := net.Pipe()
-	mine := &conn{Conn: near, from: h, to: l.host, fabric: f, closed: make(chan struct{})}
-	theirs := &conn{Conn: far, from: l.host, to: h, fabric: f, closed: make(chan struct{})}
+	mine := &conn{Conn: near, from: h, to: l.host, network: n, closed: make(chan struct{})}
+	theirs := &conn{Conn: far, from: l.host, to: h, network: n, closed: make(chan struct{})}
 	select {
 	case l.accepts <- theirs:
 	case <-l.closed:
@@ -210,8 +210,8 @@
 	case <-ctx.Done():
 		return fail(ctx.Err())
 	}
-	f.mu.Lock()
-	f.conns[mine], f.conns[theirs] = true, true
-	f.mu.Unlock()
+	n.mu.Lock()
+	n.conns[mine], n.conns[theirs] = true, true
+	n.mu.Unlock()
 	return mine, nil
 }
--- a/internal/system/simulation/operators_test.go
+++ b/internal/system/simulation/operators_test.go
@@ -11,71 +11,71 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// The outcomes of an operator's order.
+// The outcomes of a change.
 const (
-	orderTaken   = iota
-	orderRefused // another version is current, and the order has had no effect and never will
-	orderUnclear // no clear answer came
+	changeApplied  = iota
+	changeRejected // another version is current; the change has had no effect and never will
+	changeUnknown  // the outcome is unknown
 )
 
-// order is what an operator asks for, or a read of the configuration where read is set.
-type order struct {
-	read    bool
-	match   int64
-	version int64
-	note    string // tells two orders of one version apart
+// configChange is an operator's change of the configuration, or a read of it if read is set.
+type configChange struct {
+	read        bool
+	baseVersion int64
+	version     int64
+	marker      string // tells two changes of one version apart
 }
 
-type orderResult struct {
+type changeResult struct {
 	outcome int
 	version int64 // what was read
-	note    string
+	marker  string
 }
 
-// history is all calls of the operators, for a check of linearizability.
+// history holds all calls of the operators, for the check of linearizability.
 type history struct {
-	mu    sync.Mutex
-	calls []porcupine.Operation
-	begun time.Time
+	mu      sync.Mutex
+	calls   []porcupine.Operation
+	started time.Time
 }
 
-func (h *history) add(client int, input order, output orderResult, call, back time.Time) {
+func (h *history) add(client int, input configChange, output changeResult, call, back time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	operation := porcupine.Operation{
-		ClientId: client, Input: input, Output: output, Call: call.Sub(h.begun).Nanoseconds(), Return: back.Sub(h.begun).Nanoseconds(),
+		ClientId: client, Input: input, Output: output, Call: call.Sub(h.started).Nanoseconds(), Return: back.Sub(h.started).Nanoseconds(),
 	}
-	if output.outcome == orderUnclear {
-		operation.Return = time.Hour.Nanoseconds() // it may take effect at any time from its call on, or never
+	if output.outcome == changeUnknown {
+		operation.Return = time.Hour.Nanoseconds() // it may take effect at any time after the call, or never
 	}
 	h.calls = append(h.calls, operation)
 }
 
-// configuration is the state of the register by the operators' rules.
-type configuration struct {
+// registerState is the state of the register in the model.
+type registerState struct {
 	version int64
-	note    string
+	marker  string
 }
 
-// compareAndSwap is what a register of configurations may do.
-var compareAndSwap = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{configuration{}} },
+// casRegister is the model of the configuration: a register with compare-and-swap by version.
+var casRegister = porcupine.NondeterministicModel{
+	Init: func() []any { return []any{registerState{}} },
 	Step: func(state, input, output any) []any {
-		current, asked, got := state.(configuration), input.(order), output.(orderResult)
-		next := configuration{asked.version, asked.note}
-		matches := current.version == asked.match && asked.version > current.version
+		current, change, got := state.(registerState), input.(configChange), output.(changeResult)
+		next := registerState{change.version, change.marker}
+		matches := current.version == change.baseVersion && change.version > current.version
 		switch {
-		case asked.read && got == orderResult{version: current.version, note: current.note}:
+		case change.read && got == changeResult{version: current.version, marker: current.marker}:
 			return []any{current}
-		case asked.read:
+		case change.read:
 			return nil
-		case got.outcome == orderTaken && matches:
+		case got.outcome == changeApplied && matches:
 			return []any{next}
-		case got.outcome == orderRefused && !matches:
+		case got.outcome == changeRejected && !matches:
 			return []any{current}
-		case got.outcome == orderUnclear && matches:
+		case got.outcome == changeUnknown && matches:
 			return []any{current, next}
-		case got.outcome == orderUnclear:
+		case got.outcome == changeUnknown:
 			return []any{current}
 		}
 		return nil
@@ -83,79 +83,79 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// linearizable reports whether the history can be explained by one register.
+// linearizable reports whether the history is linearizable, or could not be checked in 20 seconds.
 func (h *history) linearizable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	model := compareAndSwap.ToModel()
+	model := casRegister.ToModel()
 	return porcupine.CheckOperationsTimeout(model, h.calls, 20*time.Second) != porcupine.Illegal
 }
 
 // configurationText returns a configuration with a route for jobs.
-func configurationText(version int64, note string) string {
+func configurationText(version int64, marker string) string {
 	return fmt.Sprintf(`{"version":%d,"note":%q,"routes":[{"name":"q","host":"h","path_prefix":"/q/","timeout_ms":3000,`+
 		`"target_latency_ms":1000,"priority":0,"service":%q,"retries":20,"extension":2}],"services":[{"name":%q}]}`,
-		version, note, service, service)
+		version, marker, service, service)
 }
 
-// send sends a change to one core scheduler after another until there is a clear answer.
-func (w *world) send(client int, asked order, h *history) int {
+// putUntilClear retries a change at random core machines until its outcome is known, for 15 seconds at most.
+func (c *cluster) putUntilClear(client int, change configChange, h *history) int {
 	began := time.Now()
-	body := configurationText(asked.version, asked.note)
-	result := orderResult{outcome: orderUnclear}
+	body := configurationText(change.version, change.marker)
+	result := changeResult{outcome: changeUnknown}
 	for time.Since(began) < 15*time.Second {
-		status, _ := w.call(http.MethodPut, w.anyCore().ip+":80", "/sedgevale/config", "", strconv.FormatInt(asked.match, 10), body)
+		status, _ := c.call(http.MethodPut, c.anyCore().ip+":80", "/sedgevale/config", "", strconv.FormatInt(change.baseVersion, 10), body)
 		if status == http.StatusOK {
-			result.outcome = orderTaken
+			result.outcome = changeApplied
 			break
 		}
 		if status == http.StatusPreconditionFailed {
-			result.outcome = orderRefused
+			result.outcome = changeRejected
 			break
 		}
 		if status >= 400 && status < 500 {
-			w.fail("CONFIG: version %d on %d was answered with %d", asked.version, asked.match, status)
+			c.violation("CONFIG: version %d on base %d got status %d", change.version, change.baseVersion, status)
 			break
 		}
-		time.Sleep(time.Duration(50+w.number(300)) * time.Millisecond)
+		time.Sleep(time.Duration(50+c.intN(300)) * time.Millisecond)
 	}
-	h.add(client, asked, result, began, time.Now())
+	h.add(client, change, result, began, time.Now())
 	return result.outcome
 }
 
-// readConfiguration asks core schedulers until one answers.
-func (w *world) readConfiguration(client int, h *history, patience time.Duration) (configuration, bool) {
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(200 * time.Millisecond) {
+// readConfiguration reads the configuration; it retries at random core machines until a timeout.
+func (c *cluster) readConfiguration(client int, h *history, timeout time.Duration) (registerState, bool) {
+	for began := time.Now(); time.Since(began) < timeout; time.Sleep(200 * time.Millisecond) {
 		sent := time.Now()
-		status, text := w.call(http.MethodGet, w.anyCore().ip+":80", "/sedgevale/config", "", "", "")
-		var got configuration
+		status, text := c.call(http.MethodGet, c.anyCore().ip+":80", "/sedgevale/config", "", "", "")
+		var got registerState
 		if status != http.StatusOK || !strings.HasPrefix(text, "{") {
 			continue
 		}
-		if _, err := fmt.Sscanf(text, `{"version":%d,"note":%q,`, &got.version, &got.note); err != nil {
-			w.fail("CONFIG: read %q: %v", text, err)
+		if _, err := fmt.Sscanf(text, `{"version":%d,"note":%q,`, &got.version, &got.marker); err != nil {
+			c.violation("CONFIG: read %q: %v", text, err)
 			return got, false
 		}
-		h.add(client, order{read: true}, orderResult{version: got.version, note: got.note}, sent, time.Now())
+		h.add(client, configChange{read: true}, changeResult{version: got.version, marker: got.marker}, sent, time.Now())
 		return got, true
 	}
-	return configuration{}, false
+	return registerState{}, false
 }
 
-// operate has an operator change the configuration again and again until stop is closed. Two of them pick the same
-// numbers.
-func (w *world) operate(client int, h *history, stop <-chan struct{}) {
-	defer w.running.Done()
+// runOperator has an operator change the configuration repeatedly until stop is closed. Two of them pick the same
+// versions.
+func (c *cluster) runOperator(client int, h *history, stop <-chan struct{}) {
+	defer c.background.Done()
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(100+w.number(1500)) * time.Millisecond):
+		case <-time.After(time.Duration(100+c.intN(1500)) * time.Millisecond):
 		}
-		current, ok := w.readConfiguration(client, h, 2*time.Second)
+		current, ok := c.readConfiguration(client, h, 2*time.Second)
 		if !ok {
 			continue
 		}
-		w.send(client, order{match: current.version, version: current.version + 1, note: fmt.Sprintf("%d-%d", client, n)}, h)
+		c.putUntilClear(client, configChange{baseVersion: current.version, version: current.version + 1, marker: fmt.Sprintf("%d-%d", client, n)}, h)
 	}
 }
