--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 run: build
 	@mkdir -p logs
 	@{ cat deploy/operator.toml; printf '\n[journal]\ndir = "logs/journal"\n'; } > logs/run.toml
-	@bin/sedgevale standin -f logs/run.toml & boxes=$$!; trap 'kill $$boxes 2>/dev/null' EXIT; \
+	@bin/sedgevale fake-workers -f logs/run.toml & boxes=$$!; trap 'kill $$boxes 2>/dev/null' EXIT; \
 		trap 'kill $$serve 2>/dev/null' INT TERM; bin/sedgevale serve -f logs/run.toml & serve=$$!; \
 		wait $$serve; wait $$serve
 
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Benchlink hosts sedgevale dispatchers on the bench's wire, on standard input
-// and output.
+// Benchlink hosts sedgevale dispatchers for the bench: it reads events from standard input and writes the dispatchers'
+// actions to standard output, in the protocol of package wire.
 package main
 
 import (
@@ -19,58 +19,61 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run answers batches until the input ends. An event that cannot be applied is reported as fatal, and the rest of its
+// batch is skipped.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
-	link := &link{instances: map[string]*sedgevale.Dispatcher{}}
+	h := &host{instances: map[string]*sedgevale.Dispatcher{}}
 	for {
 		seq, err := reader.Batch()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := link.batch(reader); err != nil {
+		if err := h.applyBatch(reader); err != nil {
 			var syntax *wire.SyntaxError
-			if !errors.As(err, &syntax) && !errors.Is(err, errFatal) {
+			if !errors.As(err, &syntax) && !errors.Is(err, errNotApplied) {
 				return err
 			}
-			link.out.About(reader.Instance())
-			link.out.Fatal(err.Error())
+			h.out.About(reader.Instance())
+			h.out.Fatal(err.Error())
 			if err := reader.Skip(); err != nil {
 				return err
 			}
 		}
-		if _, err := out.Write(link.out.Finish(seq)); err != nil {
+		if _, err := out.Write(h.out.Finish(seq)); err != nil {
 			return err
 		}
 	}
 }
 
-// errFatal marks errors that end the day, but not the program.
-var errFatal = errors.New("event not acted on")
+// errNotApplied marks errors of one event, after which the program goes on with the next batch.
+var errNotApplied = errors.New("event not acted on")
 
-type link struct {
-	out       wire.Writer
+// host holds the dispatchers.
+type host struct {
+	out       wire.Writer // the reply to the present batch
 	instances map[string]*sedgevale.Dispatcher
 }
 
-func (l *link) batch(reader *wire.Reader) error {
+// applyBatch applies the events of a batch.
+func (h *host) applyBatch(reader *wire.Reader) error {
 	for {
 		e, err := reader.Next()
 		if e == nil || err != nil {
 			return err
 		}
-		l.out.About(e.Instance)
-		if err := l.event(e); err != nil {
-			return fmt.Errorf("%w: %s: %v", errFatal, e.Instance, err)
+		h.out.About(e.Instance)
+		if err := h.applyEvent(e); err != nil {
+			return fmt.Errorf("%w: %s: %w", errNotApplied, e.Instance, err)
 		}
 	}
 }
 
-// event passes an event on; a panic becomes an error.
-func (l *link) event(e *wire.Event) (err error) {
+// applyEvent applies an event to its instance. A panic becomes an error.
+func (h *host) applyEvent(e *wire.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
@@ -78,23 +81,24 @@
 	}()
 	switch e.Kind {
 	case wire.Begin:
-		d, err := sedgevale.New(e.Settings, e.Seed, &l.out)
+		d, err := sedgevale.New(e.Settings, e.Seed, &h.out)
 		if err != nil {
 			return err
 		}
-		l.instances[e.Instance] = d
+		h.instances[e.Instance] = d
 		return nil
 	case wire.Kill:
-		delete(l.instances, e.Instance)
+		delete(h.instances, e.Instance)
 		return nil
 	}
-	d := l.instances[e.Instance]
+	d := h.instances[e.Instance]
 	if d == nil {
 		return errors.New("no such instance")
 	}
 	return deliver(d, e)
 }
 
+// deliver calls the method of a dispatcher that an event stands for.
 func deliver(d *sedgevale.Dispatcher, e *wire.Event) error {
 	id, n := e.Result.ID, e.Result.Attempt
 	switch e.Kind {
--- /dev/null
+++ b/cmd/sedgevale/fakeworkers.go
@@ -0,0 +1,76 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"sedgevale/internal/fake"
+	"sedgevale/scheduler"
+)
+
+// maxRunTimeFactor bounds a job's run time, as a multiple of the mean.
+const maxRunTimeFactor = 10
+
+// fakeWorkersCmd runs fake workers.
+type fakeWorkersCmd struct {
+	File  string        `arg:"-f,required,--file" help:"The operator's file that names the workers."`
+	Seed  uint64        `arg:"--seed" default:"1" help:"The seed of random numbers."`
+	Work  time.Duration `arg:"--work" default:"100ms" help:"The mean run time of a job."`
+	Fault []string      `arg:"separate,--fault" placeholder:"POINT=SHARE" help:"Inject a fault at a point for a share of the jobs: turn-away, cut-early, error, cut-begun, garbage, hang, cut-done, failed."`
+}
+
+// Run listens at the addresses of the file's workers until SIGTERM or SIGINT.
+func (c fakeWorkersCmd) Run() error {
+	c.Fault = splitCommas(c.Fault)
+	if err := requireFiles(c.File); err != nil {
+		return err
+	}
+	file, err := scheduler.ReadFile(c.File)
+	if err != nil {
+		return err
+	}
+	faults := fake.Faults{}
+	for _, f := range c.Fault {
+		if err := faults.ParseFault(f); err != nil {
+			return err
+		}
+	}
+	if c.Work <= 0 {
+		return fmt.Errorf("--work %v must be above 0", c.Work)
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	shelves := map[int]*fake.Shelf{} // by cell
+	for _, m := range file.Known.Members {
+		if shelves[m.Cell] == nil {
+			shelves[m.Cell] = fake.NewShelf(0)
+		}
+		worker := fake.NewBox(fake.BoxOptions{
+			ID: m.ID, Slots: int(m.Size), Faults: faults, Seed: c.Seed ^ hash(m.ID), Shelf: shelves[m.Cell], Work: c.runTime,
+		})
+		if _, err := worker.Listen(m.HostPort); err != nil {
+			return fmt.Errorf("box %s: %w", m.ID, err)
+		}
+		defer func() { _ = worker.Close() }()
+		fmt.Printf("box %s listens on %s\n", m.ID, m.HostPort)
+	}
+	<-ctx.Done()
+	return nil
+}
+
+// runTime draws the run time of a job: exponential with the mean Work, and at most ten times that.
+func (c fakeWorkersCmd) runTime(_ string, random *rand.Rand) time.Duration {
+	return time.Duration(min(maxRunTimeFactor, random.ExpFloat64()) * float64(c.Work))
+}
+
+// hash returns a hash of a worker's ID, so that each worker has random numbers of its own.
+func hash(id string) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(id)) // never fails
+	return h.Sum64()
+}
--- a/cmd/sedgevale/import.go
+++ b/cmd/sedgevale/import.go
@@ -3,13 +3,13 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 
 	"sedgevale/internal/haproxy"
 )
 
+// importCmd converts an HAProxy configuration to an operator's file.
 type importCmd struct {
 	Config   []string          `arg:"positional,required" help:"HAProxy's configuration; several files are read as one."`
 	Out      string            `arg:"-o,--out" help:"The file to write; standard output without it."`
@@ -26,68 +26,94 @@
 	Source   string            `arg:"--source" help:"With --explain: the client's address."`
 }
 
-// Run writes the operator's file, and reports on standard error what became of each line.
+// Run writes the operator's file, and reports on standard error what became of each directive.
 func (c importCmd) Run() error {
-	c.Define = splitCommas(c.Define)
-	if err := existing(c.Config...); err != nil {
+	if err := requireFiles(c.Config...); err != nil {
 		return err
 	}
 	if c.Report != "text" && c.Report != "json" {
 		return fmt.Errorf("--report: %q is neither text nor json", c.Report)
 	}
-	opt := haproxy.Options{Env: c.Env, Defines: map[string]bool{}, Hosts: c.Host, Name: c.Name}
-	for _, d := range c.Define {
-		opt.Defines[d] = true
+	sources, err := c.sources()
+	if err != nil {
+		return err
+	}
+	options := c.options()
+	imported, err := haproxy.Import(sources, options)
+	switch {
+	case imported == nil:
+		return err
+	case err == nil && c.Explain != "":
+		return c.explain(imported, options.Files)
+	}
+	if err := errors.Join(err, c.report(imported)); err != nil {
+		return err
+	}
+	if err := c.write(imported); err != nil {
+		return err
+	}
+	if n := imported.Report.Count(haproxy.NotCarried); c.Strict && n > 0 {
+		return exitError{exitNotCarried, fmt.Errorf("%d directives are not carried over", n)}
+	}
+	return nil
+}
+
+// options returns the options of the import. Files that the configuration names are read relative to its directory.
+func (c importCmd) options() haproxy.Options {
+	options := haproxy.Options{Env: c.Env, Defines: map[string]bool{}, Hosts: c.Host, Name: c.Name}
+	for _, name := range splitCommas(c.Define) {
+		options.Defines[name] = true
 	}
 	dir := filepath.Dir(c.Config[0])
-	opt.Files = func(path string) ([]byte, error) {
+	options.Files = func(path string) ([]byte, error) {
 		if !filepath.IsAbs(path) {
 			path = filepath.Join(dir, path)
 		}
 		return os.ReadFile(path)
 	}
+	return options
+}
+
+// sources reads HAProxy's configuration.
+func (c importCmd) sources() ([]haproxy.Source, error) {
 	var sources []haproxy.Source
 	for _, name := range c.Config {
 		text, err := os.ReadFile(name)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		sources = append(sources, haproxy.Source{Name: name, Text: text})
 	}
-	got, err := haproxy.Import(sources, opt)
-	if got == nil {
-		return err
-	}
-	if c.Explain != "" && err == nil {
-		way, err := haproxy.Explain(got.File.Web, opt.Files, haproxy.Ask{Frontend: c.Frontend, Line: c.Explain, Headers: c.Header, Source: c.Source})
-		if err == nil {
-			way.Text(os.Stdout)
-		}
-		return err
-	}
-	report := got.Report.JSON
-	if c.Report == "text" {
-		report = func(w io.Writer) error { return got.Report.Text(w, c.All) }
-	}
-	if e := report(os.Stderr); e != nil || err != nil {
-		return errors.Join(err, e)
-	}
-	if err := c.write(got); err != nil {
-		return err
+	return sources, nil
+}
+
+// explain prints where a request would be routed.
+func (c importCmd) explain(imported *haproxy.Result, files func(string) ([]byte, error)) error {
+	way, err := haproxy.Explain(imported.File.Web, files, haproxy.Ask{
+		Frontend: c.Frontend, Line: c.Explain, Headers: c.Header, Source: c.Source,
+	})
+	if err == nil {
+		way.Text(os.Stdout)
 	}
-	if n := got.Report.Count(haproxy.NotCarried); c.Strict && n > 0 {
-		return status{3, fmt.Errorf("%d directives are not carried over", n)}
+	return err
+}
+
+// report writes the report to standard error.
+func (c importCmd) report(imported *haproxy.Result) error {
+	if c.Report == "json" {
+		return imported.Report.JSON(os.Stderr)
 	}
-	return nil
+	return imported.Report.Text(os.Stderr, c.All)
 }
 
-func (c importCmd) write(got *haproxy.Result) error {
+// write writes the operator's file.
+func (c importCmd) write(imported *haproxy.Result) error {
 	if c.Out == "" {
-		return got.Write(os.Stdout)
+		return imported.Write(os.Stdout)
 	}
 	out, err := os.Create(c.Out)
 	if err != nil {
 		return err
 	}
-	return errors.Join(got.Write(out), out.Close())
+	return errors.Join(imported.Write(out), out.Close())
 }
--- a/cmd/sedgevale/journal.go
+++ b/cmd/sedgevale/journal.go
@@ -2,71 +2,70 @@
 
 import (
 	"bufio"
-	"bytes"
-	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"net/http"
 	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"sedgevale/internal/journal"
 	"sedgevale/internal/journal/recorder"
 	"sedgevale/internal/journal/store"
-	"sedgevale/internal/ops"
 )
 
+// journalCmd queries the journal of one-shot jobs.
 type journalCmd struct {
-	Ask    *askCmd    `arg:"subcommand:ask" help:"Tell what became of a job."`
+	Ask    *askCmd    `arg:"subcommand:ask" help:"Show the outcome of a job."`
 	List   *listCmd   `arg:"subcommand:list" help:"List jobs."`
 	Verify *verifyCmd `arg:"subcommand:verify" help:"Check that nothing was lost or altered; exit status 2 if something was."`
-	Settle *settleCmd `arg:"subcommand:settle" help:"Record what an operator found out about a job of unknown fate."`
+	Settle *settleCmd `arg:"subcommand:settle" help:"Record what an operator found out about a job with unknown outcome."`
 	Export *exportCmd `arg:"subcommand:export" help:"Write all jobs as lines of JSON."`
 }
 
-// where is the journal that a command is about.
-type where struct {
+// journalFlags name a journal.
+type journalFlags struct {
 	Dir string `arg:"required,--dir" placeholder:"DIR" help:"The journal's directory: dir of [journal]."`
 	Key string `arg:"--key" placeholder:"FILE" help:"The journal's key: key_file of [journal]; \"key\" in the directory without it."`
 }
 
-func (w where) secret() ([]byte, error) { return store.ReadKey(store.KeyPath(w.Dir, w.Key)) }
+func (f journalFlags) secret() ([]byte, error) { return store.ReadKey(store.KeyPath(f.Dir, f.Key)) }
 
-func (w where) read(id string) (*store.View, error) {
-	if _, err := os.Stat(w.Dir); err != nil {
+// read reads the records of a job, or of all jobs if the ID is empty. It warns on standard error of a damaged journal.
+func (f journalFlags) read(id string) (*store.View, error) {
+	if _, err := os.Stat(f.Dir); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	if !store.Used(store.OS{}, w.Dir) {
-		return nil, fmt.Errorf("journal %s: no records there; is it the dir of [journal]?", w.Dir)
+	if !store.Used(store.OS{}, f.Dir) {
+		return nil, fmt.Errorf("journal %s: no records there; is it the dir of [journal]?", f.Dir)
 	}
-	secret, err := w.secret()
+	secret, err := f.secret()
 	if err != nil {
 		return nil, err
 	}
-	v, err := store.Read(store.OS{}, w.Dir, secret, id)
-	if err == nil && v.Damaged() {
-		fmt.Fprintf(os.Stderr, "sedgevale: the journal is damaged, so this may not be all; `sedgevale journal verify %s` says where\n", w.Dir)
+	view, err := store.Read(store.OS{}, f.Dir, secret, id)
+	if err == nil && view.Damaged() {
+		fmt.Fprintf(os.Stderr, "sedgevale: the journal is damaged, so this may not be all; `sedgevale journal verify %s` says where\n", f.Dir)
 	}
-	return v, err
+	return view, err
 }
 
+// askCmd shows the outcome of a job.
 type askCmd struct {
-	where
+	journalFlags
 	ID   string `arg:"positional,required" help:"The job's Request-Id."`
-	JSON bool   `arg:"--json" help:"Answer with a line of JSON for each job of that id."`
+	JSON bool   `arg:"--json" help:"Print a line of JSON for each job of that ID."`
 }
 
+// Run prints the outcome of each job of the ID.
 func (c askCmd) Run() error {
-	v, err := c.read(c.ID)
+	view, err := c.read(c.ID)
 	if err != nil {
 		return err
 	}
-	lines, err := recorder.Lines(v.Jobs, c.ID)
+	lines, err := recorder.Lines(view.Jobs, c.ID)
 	if err != nil {
 		return err
 	}
@@ -74,226 +73,210 @@
 		_, err = os.Stdout.Write(lines)
 		return err
 	}
-	for _, j := range v.Jobs {
-		if j.ID == c.ID {
-			tell(os.Stdout, j.Report())
+	for _, job := range view.Jobs {
+		if job.ID != c.ID {
+			continue
+		}
+		if err := printReport(os.Stdout, job.Report()); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// tell writes a job for a person.
-func tell(w io.Writer, r journal.Report) {
-	fmt.Fprintf(w, "%s: %s: %s\n", r.Job, r.Verdict, r.Reason)
-	if len(r.Look) > 0 && r.Verdict == journal.Unknown.String() {
-		fmt.Fprintf(w, "  look at    %s\n", strings.Join(r.Look, ", "))
+// printReport prints the history of a job.
+func printReport(out io.Writer, r journal.Report) error {
+	_, err := fmt.Fprintf(out, "%s: %s: %s\n", r.Job, r.Verdict, r.Reason)
+	if err == nil && len(r.Look) > 0 && r.Verdict == journal.Unknown.String() {
+		_, err = fmt.Fprintf(out, "  look at    %s\n", strings.Join(r.Look, ", "))
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	row := func(at, format string, args ...any) {
+	if err != nil {
+		return err
+	}
+	t := newTable(out)
+	event := func(at, format string, args ...any) {
 		if at != "" {
-			fmt.Fprintf(t, "  %s\t%s\n", at, fmt.Sprintf(format, args...))
+			t.row("  %s\t%s", at, fmt.Sprintf(format, args...))
 		}
 	}
-	row(r.TakenAt, "taken: class %s, tenant %s, %s, %d bytes (sha256 %s...)", r.Class, r.Tenant, r.Target, r.Bytes, r.Digest)
+	event(r.TakenAt, "taken: class %s, tenant %s, %s, %d bytes (sha256 %s...)", r.Class, r.Tenant, r.Target, r.Bytes, r.Digest)
 	for _, a := range r.Attempts {
-		row(a.IntentAt, "attempt %d is to go to %s", a.Number, a.Worker)
-		row(a.SentAt, "  written to its connection")
-		row(a.StartedAt, "  %s said that it has begun", a.Worker)
-		row(a.EndedAt, "  ended: %s", a.Outcome)
+		event(a.IntentAt, "attempt %d is to go to %s", a.Number, a.Worker)
+		event(a.SentAt, "  written to its connection")
+		event(a.StartedAt, "  %s said that it has begun", a.Worker)
+		event(a.EndedAt, "  ended: %s", a.Outcome)
 	}
 	if r.Answer != nil {
-		row(r.Answer.At, "the client was told: %s %s", r.Answer.Kind, r.Answer.Reason)
+		event(r.Answer.At, "the client was told: %s %s", r.Answer.Kind, r.Answer.Reason)
 	}
-	row(r.GoneAt, "the client left")
+	event(r.GoneAt, "the client left")
 	if r.Settled != nil {
-		row(r.Settled.At, "settled as %s by %s: %s", r.Settled.Verdict, r.Settled.By, r.Settled.Why)
+		event(r.Settled.At, "settled as %s by %s: %s", r.Settled.Verdict, r.Settled.By, r.Settled.Why)
 	}
-	t.Flush()
+	return t.flush()
 }
 
+// listCmd lists jobs.
 type listCmd struct {
-	where
+	journalFlags
 	Open    bool   `arg:"--open" help:"Only jobs that a scheduler still has."`
 	Verdict string `arg:"--verdict" placeholder:"V" help:"Only jobs of this verdict: ran, did_not_run or unknown."`
 	Class   string `arg:"--class" help:"Only jobs of this class."`
-	Worker  string `arg:"--worker" help:"Only jobs of which an attempt was to go to this worker."`
+	Worker  string `arg:"--worker" help:"Only jobs with an attempt that was to go to this worker."`
 	Tenant  string `arg:"--tenant" help:"Only jobs of this tenant."`
 	Since   string `arg:"--since" placeholder:"T" help:"Only jobs taken at T or later: RFC 3339, or a time ago as 15m."`
 	Until   string `arg:"--until" placeholder:"T" help:"Only jobs taken before T."`
-	JSON    bool   `arg:"--json" help:"A line of JSON for each job."`
+	JSON    bool   `arg:"--json" help:"Print a line of JSON for each job."`
 }
 
+// Run prints the jobs that match all flags.
 func (c listCmd) Run() error {
-	var verdict journal.Verdict
-	var err error
-	if c.Verdict != "" {
-		if verdict, err = journal.ParseVerdict(c.Verdict); err != nil {
-			return fmt.Errorf("--verdict: %w", err)
-		}
-	}
-	since, err := when("--since", c.Since)
+	filter, err := c.filter()
 	if err != nil {
 		return err
 	}
-	until, err := when("--until", c.Until)
+	view, err := c.read("")
 	if err != nil {
 		return err
 	}
-	v, err := c.read("")
-	if err != nil {
-		return err
+	jobs := slices.DeleteFunc(view.Jobs, func(job store.Found) bool { return !filter.matches(job) })
+	return printJobs(os.Stdout, jobs, c.JSON)
+}
+
+// jobFilter selects jobs. Zero fields match all.
+type jobFilter struct {
+	open                  bool
+	verdict               journal.Verdict
+	class, worker, tenant string
+	since, until          int64 // microseconds of Unix time
+}
+
+// filter reads the flags.
+func (c listCmd) filter() (jobFilter, error) {
+	filter := jobFilter{open: c.Open, class: c.Class, worker: c.Worker, tenant: c.Tenant}
+	var err error
+	if c.Verdict != "" {
+		if filter.verdict, err = journal.ParseVerdict(c.Verdict); err != nil {
+			return filter, fmt.Errorf("--verdict: %w", err)
+		}
 	}
-	jobs := slices.DeleteFunc(v.Jobs, func(j store.Found) bool {
-		is, _, _ := j.Verdict()
-		return c.Open && !j.Open() || verdict != 0 && is != verdict || c.Class != "" && j.Class != c.Class ||
-			c.Tenant != "" && j.Tenant != c.Tenant || since != 0 && j.TakenAt < since || until != 0 && j.TakenAt >= until ||
-			c.Worker != "" && !slices.ContainsFunc(j.Attempts, func(a journal.Attempt) bool { return a.Worker == c.Worker })
-	})
-	return write(os.Stdout, jobs, c.JSON)
+	if filter.since, err = parseTime("--since", c.Since); err != nil {
+		return filter, err
+	}
+	filter.until, err = parseTime("--until", c.Until)
+	return filter, err
+}
+
+func (f jobFilter) matches(job store.Found) bool {
+	verdict, _, _ := job.Verdict()
+	switch {
+	case f.open && !job.Open(),
+		f.verdict != 0 && verdict != f.verdict,
+		f.class != "" && job.Class != f.class,
+		f.tenant != "" && job.Tenant != f.tenant,
+		f.since != 0 && job.TakenAt < f.since,
+		f.until != 0 && job.TakenAt >= f.until:
+		return false
+	}
+	return f.worker == "" ||
+		slices.ContainsFunc(job.Attempts, func(a journal.Attempt) bool { return a.Worker == f.worker })
 }
 
-// when reads a time; empty is 0.
-func when(flag, s string) (int64, error) {
-	if s == "" {
+// parseTime reads the value of a flag: a time or a duration ago. It returns microseconds of Unix time, and 0 for an empty
+// value.
+func parseTime(flag, value string) (int64, error) {
+	if value == "" {
 		return 0, nil
 	}
-	if ago, err := time.ParseDuration(s); err == nil {
+	if ago, err := time.ParseDuration(value); err == nil {
 		return time.Now().Add(-ago).UnixMicro(), nil
 	}
-	t, err := time.Parse(time.RFC3339Nano, s)
+	t, err := time.Parse(time.RFC3339Nano, value)
 	if err != nil {
-		return 0, fmt.Errorf("%s %q is neither a time as 2026-12-01T08:00:00Z nor one ago as 15m", flag, s)
+		return 0, fmt.Errorf("%s %q is neither a time as 2026-12-01T08:00:00Z nor one ago as 15m", flag, value)
 	}
 	return t.UnixMicro(), nil
 }
 
-func write(w io.Writer, jobs []store.Found, asJSON bool) error {
-	out := bufio.NewWriter(w)
-	e := json.NewEncoder(out)
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	if !asJSON {
-		fmt.Fprintln(t, "TAKEN\tJOB\tCLASS\tTENANT\tVERDICT\tREASON")
+// printJobs prints jobs as a table or as lines of JSON.
+func printJobs(out io.Writer, jobs []store.Found, asJSON bool) error {
+	buffered := bufio.NewWriter(out)
+	var err error
+	if asJSON {
+		err = printJobLines(buffered, jobs)
+	} else {
+		err = printJobTable(buffered, jobs)
 	}
-	for _, j := range jobs {
-		r := j.Report()
-		if asJSON {
-			if err := e.Encode(r); err != nil {
-				return err
-			}
-			continue
+	return errors.Join(err, buffered.Flush())
+}
+
+func printJobLines(out io.Writer, jobs []store.Found) error {
+	encoder := json.NewEncoder(out)
+	for _, job := range jobs {
+		if err := encoder.Encode(job.Report()); err != nil {
+			return err
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", r.TakenAt, r.Job, r.Class, r.Tenant, r.Verdict, r.Reason)
 	}
-	if !asJSON {
-		t.Flush()
-	}
-	return out.Flush()
+	return nil
+}
+
+func printJobTable(out io.Writer, jobs []store.Found) error {
+	t := newTable(out)
+	t.row("TAKEN\tJOB\tCLASS\tTENANT\tVERDICT\tREASON")
+	for _, job := range jobs {
+		r := job.Report()
+		t.row("%s\t%s\t%s\t%s\t%s\t%s", r.TakenAt, r.Job, r.Class, r.Tenant, r.Verdict, r.Reason)
+	}
+	return t.flush()
 }
 
+// exportCmd writes all jobs as lines of JSON.
 type exportCmd struct {
 	Dir string `arg:"positional,required" help:"The journal's directory."`
 	Key string `arg:"--key" placeholder:"FILE" help:"The journal's key; \"key\" in the directory without it."`
 }
 
+// Run writes all jobs.
 func (c exportCmd) Run() error {
-	v, err := where(c).read("")
+	view, err := journalFlags(c).read("")
 	if err != nil {
 		return err
 	}
-	return write(os.Stdout, v.Jobs, true)
+	return printJobs(os.Stdout, view.Jobs, true)
 }
 
+// verifyCmd checks a journal.
 type verifyCmd struct {
 	Dir string `arg:"positional,required" help:"The journal's directory."`
 	Key string `arg:"--key" placeholder:"FILE" help:"The journal's key; \"key\" in the directory without it."`
 }
 
-// Run says of each lane how it stands.
+// Run prints the state of each lane and each problem, and fails with exitDamaged if there is damage.
 func (c verifyCmd) Run() error {
-	v, err := where(c).read("")
+	view, err := journalFlags(c).read("")
 	if err != nil {
 		return err
 	}
-	for _, l := range v.Lanes {
+	for _, lane := range view.Lanes {
 		state := "ends with a crash"
 		switch {
-		case l.Live:
-			state = "in use by " + l.Owner.String()
-		case l.Closed:
+		case lane.Live:
+			state = "in use by " + lane.Owner.String()
+		case lane.Closed:
 			state = "closed in order"
 		}
-		fmt.Printf("%s: %d records in %d segments, %s\n", l.Dir, l.Records, l.Segments, state)
+		fmt.Printf("%s: %d records in %d segments, %s\n", lane.Dir, lane.Records, lane.Segments, state)
 	}
-	for _, p := range v.Problems {
+	for _, p := range view.Problems {
 		if p.Torn {
 			fmt.Printf("%s (as a crash leaves it)\n", p)
 		} else {
 			fmt.Printf("%s: DAMAGED\n", p)
 		}
 	}
-	if v.Damaged() {
-		return status{2, errors.New("the journal is damaged")}
+	if view.Damaged() {
+		return exitError{exitDamaged, errors.New("the journal is damaged")}
 	}
 	fmt.Println("nothing is missing or altered")
 	return nil
 }
-
-type settleCmd struct {
-	where
-	ID      string `arg:"positional,required" help:"The job's Request-Id."`
-	Verdict string `arg:"required,--verdict" placeholder:"V" help:"ran, did_not_run or unknown."`
-	Why     string `arg:"required,--why" placeholder:"TEXT" help:"How that is known."`
-	By      string `arg:"--by,env:USER" default:"an operator" help:"Who says so."`
-}
-
-func (c settleCmd) Run() error {
-	verdict, err := journal.ParseVerdict(c.Verdict)
-	if err != nil {
-		return fmt.Errorf("--verdict: %w", err)
-	}
-	if _, err := os.Stat(c.Dir); err != nil {
-		return fmt.Errorf("journal: %w", err)
-	}
-	secret, err := c.secret()
-	if err != nil {
-		return err
-	}
-	n, err := store.SettleIn(store.Options{Dir: c.Dir, Secret: secret, Owner: store.Owner{PID: os.Getpid()}},
-		c.ID, verdict, c.By, c.Why)
-	if busy := (*store.BusyError)(nil); errors.As(err, &busy) {
-		if busy.Owner.Ops == "" {
-			return fmt.Errorf("%w, which has no operators' address to ask: set ops in its file, or settle when it has ended", err)
-		}
-		return c.askScheduler(busy.Owner.Ops)
-	}
-	if err != nil {
-		return fmt.Errorf("%w: %q", err, c.ID)
-	}
-	fmt.Printf("settled: %d\n", n)
-	return nil
-}
-
-// askScheduler has the scheduler that writes the journal record it.
-func (c settleCmd) askScheduler(addr string) error {
-	body, err := json.Marshal(ops.Settlement{Job: c.ID, Verdict: c.Verdict, By: c.By, Why: c.Why})
-	if err != nil {
-		return err
-	}
-	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
-	defer stop()
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/admin/journal/settle", bytes.NewReader(body))
-	if err != nil {
-		return err
-	}
-	a, err := http.DefaultClient.Do(q)
-	if err != nil {
-		return fmt.Errorf("the scheduler that writes the journal: %w", err)
-	}
-	defer a.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(a.Body, 4096))
-	if a.StatusCode != http.StatusOK {
-		return fmt.Errorf("the scheduler at %s says %s", addr, bytes.TrimSpace(text))
-	}
-	fmt.Printf("settled by the scheduler at %s\n", addr)
-	return nil
-}
--- a/cmd/sedgevale/main.go
+++ b/cmd/sedgevale/main.go
@@ -15,34 +15,37 @@
 	"sedgevale/scheduler"
 )
 
+// cli is the command line.
 type cli struct {
-	Serve   *serveCmd   `arg:"subcommand:serve" help:"Schedule jobs until SIGTERM; SIGHUP reads the file again."`
-	Edge    *edgeCmd    `arg:"subcommand:edge" help:"Serve clients on an edge machine; settings by SEDGEVALE_SETTINGS."`
-	Side    *sideCmd    `arg:"subcommand:side" help:"Serve the worker on a side machine; settings by SEDGEVALE_SETTINGS."`
-	Core    *coreCmd    `arg:"subcommand:core" help:"Keep the system's state on a core machine; settings by SEDGEVALE_SETTINGS."`
-	Job     *jobCmd     `arg:"subcommand:job" help:"Hand in, show or cancel a job of a running system."`
-	Config  *configCmd  `arg:"subcommand:config" help:"Read, change or check the configuration of a running system."`
-	Members *membersCmd `arg:"subcommand:members" help:"Show the core of a running system."`
-	Queues  *queuesCmd  `arg:"subcommand:queues" help:"Show how the queues of a running system stand."`
-	State   *stateCmd   `arg:"subcommand:state" help:"Look at the state directory of a stopped core scheduler."`
-	Local   *localCmd   `arg:"subcommand:local" help:"Run a small system on loopback, with stand-in workers and a stand-in client."`
-	Import  *importCmd  `arg:"subcommand:import" help:"Make an operator's file of HAProxy's configuration."`
-	Check   *checkCmd   `arg:"subcommand:check" help:"Check an operator's file."`
-	Journal *journalCmd `arg:"subcommand:journal" help:"Ask the journal of one-shot jobs."`
-	Peers   *peersCmd   `arg:"subcommand:peers" help:"Ask a scheduler about the others of its site."`
-	Swarm   *swarmCmd   `arg:"subcommand:swarm" help:"Play an experiment of many schedulers in virtual time."`
-	Standin *standinCmd `arg:"subcommand:standin" help:"Play the workers that an operator's file names, to try things out."`
-	Version *versionCmd `arg:"subcommand:version" help:"Print the version."`
+	Serve       *serveCmd       `arg:"subcommand:serve" help:"Schedule jobs until SIGTERM; SIGHUP reloads the file."`
+	Edge        *edgeCmd        `arg:"subcommand:edge" help:"Run the scheduler of an edge machine, which clients call; settings by SEDGEVALE_SETTINGS."`
+	Side        *sideCmd        `arg:"subcommand:side" help:"Run the scheduler of a side machine, beside a worker; settings by SEDGEVALE_SETTINGS."`
+	Core        *coreCmd        `arg:"subcommand:core" help:"Run the scheduler of a core machine, which keeps the system's state; settings by SEDGEVALE_SETTINGS."`
+	Job         *jobCmd         `arg:"subcommand:job" help:"Submit, show or cancel a job of a running system."`
+	Config      *configCmd      `arg:"subcommand:config" help:"Read, change or check the configuration of a running system."`
+	Members     *membersCmd     `arg:"subcommand:members" help:"Show the membership, peers and shard owners of a running system's core."`
+	Queues      *queuesCmd      `arg:"subcommand:queues" help:"Show the state of the queues of a running system."`
+	State       *stateCmd       `arg:"subcommand:state" help:"Inspect the state directory of a stopped core scheduler."`
+	Local       *localCmd       `arg:"subcommand:local" help:"Run a small system on loopback, with fake workers and a client."`
+	Import      *importCmd      `arg:"subcommand:import" help:"Convert an HAProxy configuration to an operator's file."`
+	Check       *checkCmd       `arg:"subcommand:check" help:"Check an operator's file."`
+	Journal     *journalCmd     `arg:"subcommand:journal" help:"Query the journal of one-shot jobs."`
+	Peers       *peersCmd       `arg:"subcommand:peers" help:"Query a scheduler about its peers."`
+	FleetSim    *fleetSimCmd    `arg:"subcommand:fleetsim|swarm" help:"Simulate a fleet of many schedulers in virtual time."`
+	FakeWorkers *fakeWorkersCmd `arg:"subcommand:fake-workers|standin" help:"Run fake workers in place of those that an operator's file names."`
+	Version     *versionCmd     `arg:"subcommand:version" help:"Print the version."`
 }
 
+// serveCmd runs a scheduler that is configured by an operator's file.
 type serveCmd struct {
-	File string `arg:"-f,--file" help:"Operator's file. Without it EDGE_CONFIG names the platform's."`
+	File string `arg:"-f,--file" help:"The operator's file; without it, EDGE_CONFIG names the platform's file."`
 }
 
+// Run serves until SIGTERM.
 func (s serveCmd) Run() error {
 	read := scheduler.FromEnv
 	if s.File != "" {
-		if err := existing(s.File); err != nil {
+		if err := requireFiles(s.File); err != nil {
 			return err
 		}
 		read = func() (*scheduler.Config, error) { return scheduler.ReadFile(s.File) }
@@ -50,23 +53,25 @@
 	return scheduler.Serve(read, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 }
 
+// checkCmd checks an operator's file.
 type checkCmd struct {
 	File string `arg:"positional,required" help:"The file."`
 }
 
+// Run reads the file and prints what it sets up.
 func (c checkCmd) Run() error {
-	if err := existing(c.File); err != nil {
+	if err := requireFiles(c.File); err != nil {
 		return err
 	}
 	got, err := scheduler.ReadFile(c.File)
 	if err == nil {
-		fmt.Printf("%s: good: %s\n", c.File, contents(got))
+		fmt.Printf("%s: good: %s\n", c.File, summary(got))
 	}
 	return err
 }
 
-// contents says in a few words what a file sets up.
-func contents(c *scheduler.Config) string {
+// summary says what a file sets up.
+func summary(c *scheduler.Config) string {
 	text := ""
 	if c.Listen != "" {
 		text = fmt.Sprintf("%d classes, %d workers", len(c.Settings.Classes), len(c.Known.Members))
@@ -80,24 +85,31 @@
 	return text
 }
 
+// versionCmd prints the version.
 type versionCmd struct{}
 
+// Run prints the version of the program and of Go.
 func (versionCmd) Run() error {
 	version := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
 		version = info.Main.Version
 	}
-	fmt.Println("sedgevale", version, runtime.Version())
-	return nil
+	_, err := fmt.Println("sedgevale", version, runtime.Version())
+	return err
 }
 
+// Description is the first line of the help.
 func (cli) Description() string { return "A job scheduler for a fleet of workers." }
 
-// command is what a subcommand does.
+// command is a subcommand after its flags have been read.
 type command interface{ Run() error }
 
-// exitUsage is the exit status after a command line that is not understood.
-const exitUsage = 2
+// The exit statuses beside 0 and 1.
+const (
+	exitUsage      = 2 // the command line is invalid
+	exitDamaged    = 2 // a journal or state directory is damaged
+	exitNotCarried = 3 // import --strict: not all directives are carried over
+)
 
 func main() {
 	parser, err := arg.NewParser(arg.Config{Program: "sedgevale", Exit: os.Exit}, &cli{})
@@ -115,14 +127,14 @@
 	if err := chosen.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "sedgevale:", err)
 		code := 1
-		if s := (status{}); errors.As(err, &s) {
-			code = s.code
+		if exit := (exitError{}); errors.As(err, &exit) {
+			code = exit.code
 		}
 		os.Exit(code)
 	}
 }
 
-// splitCommas takes lists in either form: an option given again, or values with commas between them.
+// splitCommas splits the values of an option, which may be repeated or hold several values separated by commas.
 func splitCommas(values []string) []string {
 	var all []string
 	for _, value := range values {
@@ -132,7 +144,7 @@
 }
 
 // existing returns an error that names a file which is not there.
-func existing(files ...string) error {
+func requireFiles(files ...string) error {
 	for _, file := range files {
 		info, err := os.Stat(file)
 		if err != nil {
@@ -145,10 +157,11 @@
 	return nil
 }
 
-// status is an error with an exit status of its own.
-type status struct {
+// exitError is an error with an exit status of its own.
+type exitError struct {
 	code int
 	error
 }
 
-func (s status) Unwrap() error { return s.error }
+// Unwrap returns the error without its exit status.
+func (e exitError) Unwrap() error { return e.error }
--- /dev/null
+++ b/cmd/sedgevale/main_test.go
@@ -0,0 +1,41 @@
+package main
+
+import (
+	"reflect"
+	"testing"
+
+	"github.com/alexflint/go-arg"
+)
+
+// Guards scripts that call a command by its former name: it takes the same flags and does the same.
+func TestFormerCommandNamesAreAliases(t *testing.T) {
+	cases := []struct {
+		name, alias string
+		flags       []string
+	}{
+		{"fleetsim", "swarm", []string{"experiment.toml", "--json", "-", "--html", "page.html", "-q"}},
+		{"fake-workers", "standin", []string{"-f", "operator.toml", "--seed", "7", "--work", "20ms", "--fault", "error=0.1"}},
+	}
+	for _, c := range cases {
+		t.Run(c.alias, func(t *testing.T) {
+			parse := func(name string) any {
+				t.Helper()
+				parser, err := arg.NewParser(arg.Config{Program: "sedgevale"}, &cli{})
+				if err != nil {
+					t.Fatal(err)
+				}
+				if err := parser.Parse(append([]string{name}, c.flags...)); err != nil {
+					t.Fatalf("%s: %v", name, err)
+				}
+				return parser.Subcommand()
+			}
+			got, want := parse(c.alias), parse(c.name)
+			if !reflect.DeepEqual(got, want) || reflect.ValueOf(got).Elem().IsZero() {
+				t.Errorf("%s sets %+v, %s sets %+v", c.alias, got, c.name, want)
+			}
+			if _, ok := got.(command); !ok {
+				t.Errorf("%s cannot be run", c.alias)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/sedgevale/members.go
@@ -0,0 +1,38 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"sedgevale/internal/system/core"
+)
+
+// membersCmd shows the core as one of its schedulers sees it.
+type membersCmd struct{ coreFlags }
+
+// Run prints the membership, the peers and the owners of shards.
+func (c membersCmd) Run() error {
+	m := &core.MembersResponse{}
+	if err := c.ask(core.MethodMembers, &core.MembersRequest{}, m); err != nil {
+		return err
+	}
+	fmt.Printf("%s: configuration %d, confirmed by a quorum: %t\n\n", m.Address, m.ConfigVersion, m.ConfigFresh)
+	t := newTable(os.Stdout)
+	t.row("EPOCH %d\nSEAT\tDISK\tADDRESS\tSINCE\tVOTER", m.Membership.Epoch)
+	for i, member := range m.Membership.Seats {
+		t.row("%d\t%s\t%s\t%d\t%t", i, member.ID, member.Address, member.Since, member.Voter)
+	}
+	t.row("\nPEER\tZONE\tHEARD\tDISK\tEPOCH\tLEAVING")
+	for _, p := range m.Peers {
+		heard := "never"
+		if p.HeardMS >= 0 {
+			heard = fmt.Sprintf("%d ms ago", p.HeardMS)
+		}
+		t.row("%s\t%s\t%s\t%s\t%d\t%t", p.Address, p.Zone, heard, p.Member, p.Epoch, p.Leaving)
+	}
+	t.row("\nSHARD\tOWNER\tTOKEN")
+	for _, o := range m.Owners {
+		t.row("%s\t%s\t%d", o.Shard, o.Address, o.Token)
+	}
+	return t.flush()
+}
--- a/cmd/sedgevale/peers.go
+++ b/cmd/sedgevale/peers.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -9,31 +10,31 @@
 	"os"
 	"strconv"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"sedgevale/internal/peers"
 )
 
+// peersCmd queries a scheduler about its peers.
 type peersCmd struct {
-	Show *peersShowCmd `arg:"subcommand:show" help:"Show who is there, and what is told of each box."`
+	Show *peersShowCmd `arg:"subcommand:show" help:"Show the peers, and the load of each worker that they report."`
 }
 
 type peersShowCmd struct {
-	Ops  string `arg:"required,--ops" placeholder:"HOST:PORT" help:"The scheduler's second address: ops in its file."`
-	JSON bool   `arg:"--json" help:"Write JSON instead of tables."`
-	All  bool   `arg:"--all" help:"Show all boxes, also those where nobody has anything out."`
+	Ops  string `arg:"required,--ops" placeholder:"HOST:PORT" help:"The scheduler's operator address: ops in its file."`
+	JSON bool   `arg:"--json" help:"Print JSON instead of tables."`
+	All  bool   `arg:"--all" help:"Show all workers, also those where no scheduler has jobs in flight."`
 }
 
-// askFor is how long a scheduler may take to answer a question.
-const askFor = 5 * time.Second
+// opsTimeout bounds a call to a scheduler's operator address.
+const opsTimeout = 5 * time.Second
 
-// Run asks the scheduler and prints the answer.
+// Run prints the peers of a scheduler.
 func (p peersShowCmd) Run() error { return p.show(os.Stdout) }
 
 func (p peersShowCmd) show(out io.Writer) error {
 	body, err := askOps(p.Ops, "/admin/peers")
-	if errors.Is(err, errNoPage) {
+	if errors.Is(err, errNotFound) {
 		return fmt.Errorf("the scheduler at %s has no peers: its file needs peer_listen and peers (docs/PEERS.md)", p.Ops)
 	}
 	if err != nil {
@@ -50,37 +51,49 @@
 	return printPeers(out, s, p.All)
 }
 
-var errNoPage = errors.New("no such page")
+// maxPageBytes bounds the response of a scheduler.
+const maxPageBytes = 16 << 20
 
-// askOps reads a page of a scheduler's second address.
-func askOps(addr, path string) ([]byte, error) {
-	h := http.Client{Timeout: askFor}
-	a, err := h.Get("http://" + addr + path)
+var errNotFound = errors.New("no such page")
+
+// askOps reads a page of a scheduler's operator address. It returns errNotFound if there is no such page.
+func askOps(address, path string) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), opsTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer a.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(a.Body, 16<<20))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
+	err = errors.Join(err, response.Body.Close())
 	switch {
 	case err != nil:
 		return nil, err
-	case a.StatusCode == http.StatusNotFound:
-		return nil, errNoPage
-	case a.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("%s answers %s: %s", addr, a.Status, body)
+	case response.StatusCode == http.StatusNotFound:
+		return nil, errNotFound
+	case response.StatusCode != http.StatusOK:
+		return nil, fmt.Errorf("%s answers %s: %s", address, response.Status, body)
 	}
 	return body, nil
 }
 
+// printPeers prints the peers of a scheduler, and the load of all workers or just of those with any.
 func printPeers(out io.Writer, s peers.Status, all bool) error {
 	c := s.Counts
-	fmt.Fprintf(out, "scheduler %d of %d; %d boxes, %d of them its part; %d datagrams (%d bytes) sent, %d received, %d refused\n\n",
+	_, err := fmt.Fprintf(out, "scheduler %d of %d; %d boxes, %d of them its part; %d datagrams (%d bytes) sent, %d received, %d refused\n\n",
 		s.Self, len(s.Members), c.Boxes, c.Part, c.Sent, c.SentBytes, c.Received, c.Refused)
-	if s.Watched {
-		fmt.Fprintf(out, "%s\n\n", inForce(s))
+	if err == nil && s.Watched {
+		_, err = fmt.Fprintf(out, "%s\n\n", rollout(s))
+	}
+	if err != nil {
+		return err
 	}
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "NUMBER\tSTATE\tHEARD\tLOSS\tREVISION\tIN FORCE")
+	t := newTable(out)
+	t.row("NUMBER\tSTATE\tHEARD\tLOSS\tREVISION\tIN FORCE")
 	for _, m := range s.Members {
 		heard := "never"
 		if m.HeardMS >= 0 {
@@ -89,65 +102,66 @@
 		revision, state := "?", ""
 		switch {
 		case m.Digest != "":
-			revision, state = fmt.Sprintf("%d %s", m.Revision, m.Digest), standing(m)
-		case !there(m):
+			revision, state = fmt.Sprintf("%d %s", m.Revision, m.Digest), divergence(m)
+		case !isPresent(m):
 			revision = "-"
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%.0f%%\t%s\t%s\n", m.Number, m.State, heard, 100*m.Loss, revision, state)
+		t.row("%d\t%s\t%s\t%.0f%%\t%s\t%s", m.Number, m.State, heard, 100*m.Loss, revision, state)
 	}
-	fmt.Fprintln(t, "\nBOX\tOURS\tOTHERS\tTELLERS\tOLDEST\tAUDIENCE")
+	t.row("\nBOX\tOURS\tOTHERS\tTELLERS\tOLDEST\tAUDIENCE")
 	for _, b := range s.Boxes {
 		if !all && b.Ours == (peers.Out{}) && b.Tellers == 0 {
 			continue
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%dms\t%v\n", b.ID, slotsOf(b.Ours), slotsOf(b.Others), b.Tellers, b.OldestMS, b.Audience)
+		t.row("%s\t%s\t%s\t%d\t%dms\t%v", b.ID, formatLoad(b.Ours), formatLoad(b.Others), b.Tellers, b.OldestMS, b.Audience)
 	}
-	return t.Flush()
+	return t.flush()
 }
 
-// there reports whether a member counts as there.
-func there(m peers.MemberStatus) bool {
+// isPresent reports whether a member takes part at present.
+func isPresent(m peers.MemberStatus) bool {
 	return m.State == "self" || m.State == "alive" || m.State == "doubted"
 }
 
-// standing tells how a member stands to the newest configuration; empty: it has it in force.
-func standing(m peers.MemberStatus) string {
+// divergence says how a member's configuration differs from the newest; empty if it does not.
+func divergence(m peers.MemberStatus) string {
 	switch {
 	case m.BehindMS >= 0:
-		return "behind " + briefly(m.BehindMS)
+		return "behind " + formatSeconds(m.BehindMS)
 	case m.Differs:
 		return "differs"
 	}
 	return ""
 }
 
-func briefly(ms int64) string {
+// formatSeconds formats milliseconds as a duration in whole seconds.
+func formatSeconds(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Truncate(time.Second).String()
 }
 
-// inForce sums up where the newest configuration is in force, and names those where it is not.
-func inForce(s peers.Status) string {
-	var behind, differ, silent []string
+// rollout says at how many members the newest configuration is in force, and names the others.
+func rollout(s peers.Status) string {
+	var behind, differ, unknown []string
 	present := 0
 	for _, m := range s.Members {
 		number := strconv.Itoa(m.Number)
 		switch {
-		case !there(m):
+		case !isPresent(m):
 			continue
 		case m.Digest == "":
-			silent = append(silent, number)
+			unknown = append(unknown, number)
 		case m.BehindMS >= 0:
-			behind = append(behind, fmt.Sprintf("%s (%s)", number, briefly(m.BehindMS)))
+			behind = append(behind, fmt.Sprintf("%s (%s)", number, formatSeconds(m.BehindMS)))
 		case m.Differs:
 			differ = append(differ, number)
 		}
 		present++
 	}
-	line := fmt.Sprintf("revision %d in force at %d of %d", s.Newest, present-len(behind)-len(differ)-len(silent), present)
+	line := fmt.Sprintf("revision %d in force at %d of %d", s.Newest, present-len(behind)-len(differ)-len(unknown), present)
 	for _, part := range []struct {
 		what string
 		who  []string
-	}{{"behind", behind}, {"differs", differ}, {"not known", silent}} {
+	}{{"behind", behind}, {"differs", differ}, {"not known", unknown}} {
 		if len(part.who) > 0 {
 			line += "; " + part.what + ": " + strings.Join(part.who, ", ")
 		}
@@ -155,7 +169,8 @@
 	return line
 }
 
-func slotsOf(o peers.Out) string {
+// formatLoad formats the slots that jobs in flight take, and the jobs that wait.
+func formatLoad(o peers.Out) string {
 	if o.Waiting == 0 {
 		return fmt.Sprint(o.Slots)
 	}
--- /dev/null
+++ b/cmd/sedgevale/queues.go
@@ -0,0 +1,49 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"sedgevale/internal/system/core"
+)
+
+// queuesCmd shows the shards that a core scheduler owns.
+type queuesCmd struct {
+	coreFlags
+	Workers bool `arg:"--workers" help:"Show workers too."`
+}
+
+// Run prints the queues, the pending tasks and, if wanted, the workers of each shard.
+func (c queuesCmd) Run() error {
+	q := &core.QueuesResponse{}
+	if err := c.ask(core.MethodQueues, &core.QueuesRequest{}, q); err != nil {
+		return err
+	}
+	if len(q.Shards) == 0 {
+		_, err := fmt.Println("it owns no shard; `sedgevale members` tells who does")
+		return err
+	}
+	t := newTable(os.Stdout)
+	for _, s := range q.Shards {
+		t.row("shard %s, token %d, %d records, %d replicas in step", s.Shard, s.Token, s.Records, s.InStep)
+		t.row("QUEUE\tPRIORITY\tUNENDED\tPENDING\tHELD\tWAITING\tSIGMA\tUSUAL RUN")
+		for _, one := range s.Queues {
+			t.row("%s\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.0f ms", one.Name, one.Priority, one.Unended, one.Pending, one.Held, one.Wanted,
+				one.Sigma, one.UsualMS)
+		}
+		if len(s.Waiting) > 0 {
+			t.row("WAITS BESIDE ROOM\tQUEUE\tTASKS\tFOR\tREASON\tWORKER\tKEPT FOR")
+		}
+		for _, one := range s.Waiting {
+			t.row("%s\t%s\t%d\t%d ms\t%s\t%s\t%s", one.Job, one.Queue, one.Tasks, one.WaitedMS, one.Reason, one.Worker, one.Holder)
+		}
+		if !c.Workers {
+			continue
+		}
+		t.row("WORKER\tSTATE\tRUNS\tHELD\tSIGMA\tFAILING\tPACE")
+		for _, w := range s.Workers {
+			t.row("%s\t%s\t%d\t%.2f\t%.2f\t%.2f\t%.1f", w.Ref, w.State, w.Runs, w.Held, w.Sigma, w.Failing, w.Pace)
+		}
+	}
+	return t.flush()
+}
--- a/cmd/sedgevale/system.go
+++ b/cmd/sedgevale/roles.go
@@ -7,9 +7,9 @@
 	"sedgevale/internal/system/side"
 )
 
-// roleFlags are the flags of every role of the system.
+// roleFlags are the flags of all roles of the system.
 type roleFlags struct {
-	Verbose     bool `arg:"--verbose" help:"Log more."`
+	Verbose     bool `arg:"--verbose" help:"Log at DEBUG level."`
 	Metrics     bool `arg:"--metrics" help:"Serve Prometheus metrics at the last port of port_range."`
 	MetricsPort int  `arg:"--metrics-port" help:"Serve Prometheus metrics at this port."`
 }
@@ -18,14 +18,20 @@
 	return node.Options{Verbose: f.Verbose, Metrics: f.Metrics, MetricsPort: f.MetricsPort}
 }
 
+// edgeCmd runs the scheduler of an edge machine.
 type edgeCmd struct{ roleFlags }
 
+// Run serves until SIGTERM or SIGINT.
 func (c edgeCmd) Run() error { return node.Run(edge.Run, c.options()) }
 
+// sideCmd runs the scheduler of a side machine.
 type sideCmd struct{ roleFlags }
 
+// Run serves until SIGTERM or SIGINT.
 func (c sideCmd) Run() error { return node.Run(side.Run, c.options()) }
 
+// coreCmd runs the scheduler of a core machine.
 type coreCmd struct{ roleFlags }
 
+// Run serves until SIGTERM or SIGINT.
 func (c coreCmd) Run() error { return node.Run(core.Run, c.options()) }
--- /dev/null
+++ b/cmd/sedgevale/settle.go
@@ -0,0 +1,81 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/store"
+	"sedgevale/internal/ops"
+)
+
+// maxErrorBytes bounds a scheduler's error text.
+const maxErrorBytes = 4096
+
+// settleCmd records the outcome of a job.
+type settleCmd struct {
+	journalFlags
+	ID      string `arg:"positional,required" help:"The job's Request-Id."`
+	Verdict string `arg:"required,--verdict" placeholder:"V" help:"ran, did_not_run or unknown."`
+	Why     string `arg:"required,--why" placeholder:"TEXT" help:"How that is known."`
+	By      string `arg:"--by,env:USER" default:"an operator" help:"Who found it out."`
+}
+
+// Run records the outcome in the journal, or has the scheduler do it that writes the journal.
+func (c settleCmd) Run() error {
+	verdict, err := journal.ParseVerdict(c.Verdict)
+	if err != nil {
+		return fmt.Errorf("--verdict: %w", err)
+	}
+	if _, err := os.Stat(c.Dir); err != nil {
+		return fmt.Errorf("journal: %w", err)
+	}
+	secret, err := c.secret()
+	if err != nil {
+		return err
+	}
+	n, err := store.SettleIn(store.Options{Dir: c.Dir, Secret: secret, Owner: store.Owner{PID: os.Getpid()}},
+		c.ID, verdict, c.By, c.Why)
+	var busy *store.BusyError
+	if errors.As(err, &busy) {
+		if busy.Owner.Ops == "" {
+			return fmt.Errorf("%w, which has no operators' address to ask: set ops in its file, or settle when it has ended", err)
+		}
+		return c.settleAt(busy.Owner.Ops)
+	}
+	if err != nil {
+		return fmt.Errorf("%w: %q", err, c.ID)
+	}
+	fmt.Printf("settled: %d\n", n)
+	return nil
+}
+
+// settleAt has the scheduler record it that writes the journal.
+func (c settleCmd) settleAt(address string) error {
+	body, err := json.Marshal(ops.Settlement{Job: c.ID, Verdict: c.Verdict, By: c.By, Why: c.Why})
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), opsTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/admin/journal/settle", bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return fmt.Errorf("the scheduler that writes the journal: %w", err)
+	}
+	defer func() { _ = response.Body.Close() }()
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes)) // the status decides
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("the scheduler at %s says %s", address, bytes.TrimSpace(text))
+	}
+	fmt.Printf("settled by the scheduler at %s\n", address)
+	return nil
+}
