--- /dev/null
+++ b/affinity.go
@@ -0,0 +1,84 @@
+package sedgevale
+
+// Affinity: jobs of one key go to one home in each zone, by a ring of hashes.
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+const (
+	ringPoints = 16 // points of a worker on the ring of homes
+)
+
+type point struct {
+	hash uint64
+	w    *worker
+}
+
+// pickHome serves jobs that need something a worker may keep at hand: a key has one home
+// in each zone, the first worker that follows its hash on a ring, the own zone's first.
+// All dispatchers know the same rings, so they agree without talking.
+func (d *Dispatcher) pickHome(now time.Duration, r *request) *worker {
+	for _, w := range d.homes(r.class.pool, r.hash) {
+		if d.usable(now, w, r, false) && d.roomy(now, w, r, true) && d.mayTry(now, r, w) {
+			return w
+		}
+	}
+	return nil
+}
+
+// homes returns the first worker that follows the hash on each zone's ring, of
+// the own zone first.
+func (d *Dispatcher) homes(p *pool, hash uint64) []*worker {
+	if p.ringOld {
+		p.buildRings()
+	}
+	d.found = d.found[:0]
+	for z, ring := range p.rings {
+		if len(ring) == 0 {
+			continue
+		}
+		i, _ := slices.BinarySearchFunc(ring, hash, func(p point, h uint64) int { return cmp.Compare(p.hash, h) })
+		d.found = append(d.found, ring[i%len(ring)].w)
+		if z == d.set.Zone {
+			last := len(d.found) - 1
+			d.found[0], d.found[last] = d.found[last], d.found[0]
+		}
+	}
+	return d.found
+}
+
+func (p *pool) buildRings() {
+	p.ringOld = false
+	for z, ws := range p.zones {
+		ring := p.rings[z][:0]
+		for _, w := range ws {
+			h := hashOf(w.Worker)
+			for i := range uint64(ringPoints) {
+				ring = append(ring, point{mix(h + i*0x9e3779b97f4a7c15), w})
+			}
+		}
+		slices.SortFunc(ring, func(a, b point) int { return cmp.Compare(a.hash, b.hash) })
+		p.rings[z] = ring
+	}
+}
+
+// hashOf returns 0 only for no key.
+func hashOf(s string) uint64 {
+	if s == "" {
+		return 0
+	}
+	h := uint64(14695981039346656037)
+	for i := range len(s) {
+		h = (h ^ uint64(s[i])) * 1099511628211
+	}
+	return mix(h) | 1
+}
+
+func mix(h uint64) uint64 {
+	h = (h ^ h>>33) * 0xff51afd7ed558ccd
+	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
+	return h ^ h>>33
+}
--- a/retune.go
+++ b/tenants.go
@@ -1,33 +1,105 @@
 package sedgevale
 
-// How a Dispatcher's settings change while jobs are under way. Nothing here decides.
+// Tenants: their shares, quotas, and what is counted for each.
 
 import (
-	"reflect"
 	"slices"
 	"time"
+
+	"sedgevale/admission"
 )
 
-// Retune goes on by new settings. Jobs under way keep their class as it was; what
-// was learned of a class counts for the next of its name. Tenants go by their names:
-// one that stays keeps its turn, its credit and all that was learned, whatever becomes
-// of the others; one that goes keeps its share until its last job is over (see Tenant).
-// Zone, peers and the meaning of weights stay: they change with a new Dispatcher.
-// Settings that make no sense are an error and change nothing.
-func (d *Dispatcher) Retune(set Settings) error {
-	if err := set.Check(); err != nil {
-		return err
-	}
-	old := d.set
-	d.set = set
-	d.set.Zone, d.set.Peers, d.set.Weights, d.set.AskForList = old.Zone, old.Peers, old.Weights, old.AskForList
-	d.set.MaxAttempts = attemptsOf(set)
-	if set.Further.Span != old.Further.Span {
-		d.tallies()
-	}
-	d.enroll(set.Tenants)
-	d.classify(set.Classes)
-	return nil
+const (
+	arrivedDecay = 0.01 // of the counts of arrivals, a round
+	knownMost    = 8    // workers that served a tenant in time, which are asked first
+	modestRoom   = 1.4  // times more for one who sends less than its share of what arrives here
+	quotaRoom    = 1.5  // a dispatcher may have this many times its even part of a tenant's quota
+)
+
+type tenant struct {
+	name     string
+	weight   float64       // its share as the settings give it
+	open     int           // requests that are not forgotten
+	gone     bool          // the settings do not have it any more
+	until    time.Duration // for gone: when nobody can come any more who was taken before; 0: not reckoned yet
+	share    float64       // of all shares; 0: gone, and without a job
+	quota    float64       // jobs a second here that are within its share; 0: not told
+	tokens   float64       // of those, not yet sent
+	tokensAt time.Duration
+	queue    queue
+	backlog  []float64 // work held, by a class's index
+	waiting  float64   // slots of the queue
+	inflight float64
+	deficit  float64
+	blocked  bool    // its turn ended for lack of room, not of credit
+	arrived  float64 // decayed count of jobs
+	sigma    float64
+	local    float64
+	jobs     uint64
+	known    []*worker // the last that served it in time
+	alpha    []alpha
+	used     []int
+}
+
+// claim returns what the tenant wants of the slots that all share.
+func (t *tenant) claim() admission.Claimant {
+	return admission.Claimant{Want: t.inflight + t.waiting, Share: t.share}
+}
+
+// used notes that the tenant has sent a job to the worker.
+func (t *tenant) use(w *worker) {
+	t.jobs++
+	for len(t.alpha) <= w.index {
+		t.alpha = append(t.alpha, alpha{})
+	}
+	a := &t.alpha[w.index]
+	if !a.Used {
+		t.used = append(t.used, w.index)
+	}
+	*a = a.Add(t.jobs, alphaGain)
+}
+
+func (t *tenant) know(w *worker) {
+	t.unknow(w)
+	if len(t.known) == knownMost {
+		t.known = slices.Delete(t.known, 0, 1)
+	}
+	t.known = append(t.known, w)
+}
+
+func (t *tenant) unknow(w *worker) {
+	t.known = slices.DeleteFunc(t.known, func(v *worker) bool { return v == w })
+}
+
+// withinShare reports whether the tenant has sent less than its quota, or
+// sends less than its share of what arrives here: a dispatcher may have more
+// than its even part of everybody. Where no quota is told, the room counts.
+func (d *Dispatcher) withinShare(now time.Duration, t *tenant) bool {
+	if t.quota == 0 {
+		return t.inflight < t.share*d.room
+	}
+	rate := t.quota
+	if t.arrived <= t.share*d.arrived {
+		rate *= modestRoom
+	}
+	t.tokens = min(max(2, rate), t.tokens+rate*(now-t.tokensAt).Seconds())
+	t.tokensAt = now
+	return t.tokens >= 1
+}
+
+// shares reckons each tenant's part of all shares. Who is gone and has no job has none.
+func (d *Dispatcher) shares() {
+	sum := 0.0
+	for _, t := range d.tenants {
+		if !t.gone || t.open > 0 {
+			sum += t.weight
+		}
+	}
+	for _, t := range d.tenants {
+		if t.share = 0; !t.gone || t.open > 0 {
+			t.share = t.weight / sum
+		}
+	}
 }
 
 // Tenant returns the number by which Request knows the tenant of that name now: its place in the settings
@@ -93,21 +165,6 @@
 	d.shares()
 }
 
-// shares reckons each tenant's part of all shares. Who is gone and has no job has none.
-func (d *Dispatcher) shares() {
-	sum := 0.0
-	for _, t := range d.tenants {
-		if !t.gone || t.open > 0 {
-			sum += t.weight
-		}
-	}
-	for _, t := range d.tenants {
-		if t.share = 0; !t.gone || t.open > 0 {
-			t.share = t.weight / sum
-		}
-	}
-}
-
 // retire gives the shares of tenants that are gone back to the others once they have no job, and forgets
 // them after the longest time that a job which was taken before can still come.
 func (d *Dispatcher) retire(now time.Duration) {
@@ -141,76 +198,3 @@
 	}
 	d.shares()
 }
-
-// tallies begins to count attempts and requests for the budget's span.
-func (d *Dispatcher) tallies() {
-	part := max(1, d.set.Further.Span/tallyParts)
-	d.further, d.taken = tally{part: part}, tally{part: part}
-}
-
-func attemptsOf(set Settings) int {
-	return min(max(1, set.MaxAttempts), 31) // a timer's token has 5 bits for it
-}
-
-// classify makes the classes of new settings. One that has not changed is the same
-// as before; another of the same name goes on from what was learned.
-func (d *Dispatcher) classify(classes []Class) {
-	former := d.classes
-	d.classes = make([]*class, len(classes))
-	for i, c := range classes {
-		k := &class{Class: c}
-		k.Kinds, k.Zones = slices.Clone(c.Kinds), slices.Clone(c.Zones)
-		for _, f := range former {
-			if f.Name != c.Name {
-				continue
-			}
-			if reflect.DeepEqual(f.Class, k.Class) {
-				k = f
-			} else {
-				k.run, k.base, k.hint, k.complete, k.runs = f.run, f.base, f.hint, f.complete, f.runs
-			}
-			break
-		}
-		k.pool = d.poolOf(c.Kinds, c.Zones)
-		d.classes[i] = k
-	}
-	d.keep()
-	for _, w := range d.workers { // the classes may have brought a pool
-		if w != nil && len(w.places) < len(d.pools) {
-			w.places = append(w.places, slices.Repeat([]int{-1}, len(d.pools)-len(w.places))...)
-			d.place(w)
-		}
-	}
-	d.roomAgain()
-}
-
-// keep keeps the classes of the settings and of jobs under way, and forgets the others.
-func (d *Dispatcher) keep() {
-	work := make([]map[*class]float64, len(d.tenants))
-	for i, t := range d.tenants {
-		work[i] = map[*class]float64{}
-		for at, k := range d.kept {
-			work[i][k] = t.backlog[at]
-		}
-	}
-	inUse := map[*class]bool{}
-	for _, r := range d.requests {
-		inUse[r.class] = true
-	}
-	kept := slices.Clone(d.classes)
-	for _, k := range d.kept {
-		if inUse[k] && !slices.Contains(kept, k) {
-			kept = append(kept, k)
-		}
-	}
-	d.kept = kept
-	for at, k := range kept {
-		k.index = at
-	}
-	for i, t := range d.tenants {
-		t.backlog = make([]float64, len(kept))
-		for at, k := range kept {
-			t.backlog[at] = work[i][k]
-		}
-	}
-}
