--- a/accounting.go
+++ b/accounting.go
@@ -7,77 +7,77 @@
 	"time"
 )
 
-// hold books slots of ours at the worker.
-func (d *Dispatcher) hold(w *worker, slots float64) {
-	d.held += slots
-	d.occupy(w, slots)
-	if d.tells && !w.marked {
-		w.marked = true
-		d.marked = append(d.marked, w)
+// addInFlight books slots of ours at the worker.
+func (d *Dispatcher) addInFlight(w *worker, slots float64) {
+	d.inFlight += slots
+	d.addOccupied(w, slots)
+	if d.tracksLoadChanges && !w.loadChanged {
+		w.loadChanged = true
+		d.loadChanged = append(d.loadChanged, w)
 	}
 }
 
-// occupy books slots at the worker, whoever has them.
-func (d *Dispatcher) occupy(w *worker, slots float64) {
-	w.held += slots
+// addOccupied books slots at the worker, whoever has them.
+func (d *Dispatcher) addOccupied(w *worker, slots float64) {
+	w.inFlight += slots
 	for i, p := range d.pools {
-		if w.places[i] < 0 {
+		if w.poolPositions[i] < 0 {
 			continue
 		}
-		p.held += slots
-		if w.ours {
-			p.nearHeld += slots
+		p.inFlight += slots
+		if w.inSubset {
+			p.subsetInFlight += slots
 		}
 	}
 }
 
-// book puts an attempt on the books and returns its number.
-func (d *Dispatcher) book(now time.Duration, r *request, w *worker) int {
-	r.attempts = append(r.attempts, attempt{w: w, sent: now})
-	r.out++
-	r.class.inflight++
-	r.tenant.inflight += r.Slots
-	r.tenant.use(w)
-	d.hold(w, r.Slots)
-	w.unstarted++
-	w.free -= r.Slots
-	w.sent += r.work
-	w.out = append(w.out, flight{r, len(r.attempts) - 1})
+// startAttempt puts an attempt on the books and returns its number.
+func (d *Dispatcher) startAttempt(now time.Duration, r *request, w *worker) int {
+	r.attempts = append(r.attempts, attempt{worker: w, sentAt: now})
+	r.inFlight++
+	r.class.inFlight++
+	r.tenant.inFlight += r.Slots
+	r.tenant.noteSent(w)
+	d.addInFlight(w, r.Slots)
+	w.notStarted++
+	w.freeSlots -= r.Slots
+	w.workSent += r.work
+	w.attempts = append(w.attempts, attemptRef{r, len(r.attempts) - 1})
 	return len(r.attempts) - 1
 }
 
-// settle takes an attempt off the books.
-func (d *Dispatcher) settle(now time.Duration, r *request, a *attempt, o Outcome) {
+// endAttempt takes an attempt off the books.
+func (d *Dispatcher) endAttempt(now time.Duration, r *request, a *attempt, o Outcome) {
 	d.writeOff(r, a)
-	a.over, a.proven = true, d.neverRan(o)
-	a.moved = a.moved || o != NotSent && o != Cancelled && d.pools[0].active > 1
-	r.out--
-	a.w.out = slices.DeleteFunc(a.w.out, func(f flight) bool { return f.r == r && &r.attempts[f.n] == a })
+	a.ended, a.neverRan = true, d.provesNeverRan(o)
+	a.avoidWorker = a.avoidWorker || o != NotSent && o != Cancelled && d.pools[0].active > 1
+	r.inFlight--
+	a.worker.attempts = slices.DeleteFunc(a.worker.attempts, func(f attemptRef) bool { return f.request == r && &r.attempts[f.number] == a })
 	if o == Served || o == Errored || o == Full {
-		a.w.sign(now)
+		a.worker.markAlive(now)
 	}
 }
 
 // writeOff takes an attempt off the books of what workers and tenants have in
 // hand, when it ends or before.
 func (d *Dispatcher) writeOff(r *request, a *attempt) {
-	if a.off {
+	if a.writtenOff {
 		return
 	}
-	a.off = true
-	r.class.inflight--
-	r.tenant.inflight -= r.Slots
-	d.hold(a.w, -r.Slots)
-	if a.started == 0 {
-		a.w.unstarted--
+	a.writtenOff = true
+	r.class.inFlight--
+	r.tenant.inFlight -= r.Slots
+	d.addInFlight(a.worker, -r.Slots)
+	if a.startedAt == 0 {
+		a.worker.notStarted--
 	}
 }
 
-// writeOn puts a running attempt on the books that was written off, or that had
+// writeBack puts a running attempt on the books that was written off, or that had
 // waited until now.
-func (d *Dispatcher) writeOn(r *request, a *attempt) {
-	a.off = false
-	r.class.inflight++
-	r.tenant.inflight += r.Slots
-	d.hold(a.w, r.Slots)
+func (d *Dispatcher) writeBack(r *request, a *attempt) {
+	a.writtenOff = false
+	r.class.inFlight++
+	r.tenant.inFlight += r.Slots
+	d.addInFlight(a.worker, r.Slots)
 }
--- a/affinity.go
+++ b/affinity.go
@@ -12,55 +12,55 @@
 	ringPoints = 16 // points of a worker on the ring of homes
 )
 
-type point struct {
+type ringPoint struct {
 	hash uint64
-	w    *worker
+	worker    *worker
 }
 
 // pickHome serves jobs that need something a worker may keep at hand: a key has one home
 // in each zone, the first worker that follows its hash on a ring, the own zone's first.
 // All dispatchers know the same rings, so they agree without talking.
 func (d *Dispatcher) pickHome(now time.Duration, r *request) *worker {
-	for _, w := range d.homes(r.class.pool, r.hash) {
-		if d.usable(now, w, r, false) && d.roomy(now, w, r, true) && d.mayTry(now, r, w) {
+	for _, w := range d.homeWorkers(r.class.pool, r.keyHash) {
+		if d.usable(now, w, r, false) && d.belowSlotThreshold(now, w, r, true) && d.mayAttempt(now, r, w) {
 			return w
 		}
 	}
 	return nil
 }
 
-// homes returns the first worker that follows the hash on each zone's ring, of
+// homeWorkers returns the first worker that follows the hash on each zone's ring, of
 // the own zone first.
-func (d *Dispatcher) homes(p *pool, hash uint64) []*worker {
-	if p.ringOld {
+func (d *Dispatcher) homeWorkers(p *pool, hash uint64) []*worker {
+	if p.ringsStale {
 		p.buildRings()
 	}
-	d.found = d.found[:0]
+	d.homesBuffer = d.homesBuffer[:0]
 	for z, ring := range p.rings {
 		if len(ring) == 0 {
 			continue
 		}
-		i, _ := slices.BinarySearchFunc(ring, hash, func(p point, h uint64) int { return cmp.Compare(p.hash, h) })
-		d.found = append(d.found, ring[i%len(ring)].w)
-		if z == d.set.Zone {
-			last := len(d.found) - 1
-			d.found[0], d.found[last] = d.found[last], d.found[0]
+		i, _ := slices.BinarySearchFunc(ring, hash, func(p ringPoint, h uint64) int { return cmp.Compare(p.hash, h) })
+		d.homesBuffer = append(d.homesBuffer, ring[i%len(ring)].worker)
+		if z == d.settings.Zone {
+			last := len(d.homesBuffer) - 1
+			d.homesBuffer[0], d.homesBuffer[last] = d.homesBuffer[last], d.homesBuffer[0]
 		}
 	}
-	return d.found
+	return d.homesBuffer
 }
 
 func (p *pool) buildRings() {
-	p.ringOld = false
+	p.ringsStale = false
 	for z, ws := range p.zones {
 		ring := p.rings[z][:0]
 		for _, w := range ws {
 			h := hashOf(w.Worker)
 			for i := range uint64(ringPoints) {
-				ring = append(ring, point{mix(h + i*0x9e3779b97f4a7c15), w})
+				ring = append(ring, ringPoint{mix(h + i*0x9e3779b97f4a7c15), w})
 			}
 		}
-		slices.SortFunc(ring, func(a, b point) int { return cmp.Compare(a.hash, b.hash) })
+		slices.SortFunc(ring, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
 		p.rings[z] = ring
 	}
 }
--- a/api.go
+++ b/api.go
@@ -89,9 +89,9 @@
 	// Send starts the request's next attempt on the worker. A time-out of 0
 	// means as long as the client waits.
 	Send(id, worker string, timeout time.Duration)
-	// Refuse ends the request unserved; the client may safely come again,
+	// Reject ends the request unserved; the client may safely come again,
 	// after the given time if that is not 0.
-	Refuse(id string, after time.Duration)
+	Reject(id string, after time.Duration)
 	// Fail ends the request and promises nothing.
 	Fail(id string)
 	// Cancel calls off an attempt. Its outcome still comes.
@@ -101,10 +101,10 @@
 	SetTimer(after time.Duration, token uint64)
 	// Probe asks a worker for its load; see Dispatcher.Probed.
 	Probe(worker string)
-	// CloseIdle closes the connections to a worker that carry nothing now.
-	CloseIdle(worker string)
-	// Watch asks for the list of workers and all its changes.
-	Watch()
+	// CloseIdleConnections closes the connections to a worker that carry nothing now.
+	CloseIdleConnections(worker string)
+	// WatchWorkers asks for the list of workers and all its changes.
+	WatchWorkers()
 	// Log notes a line for whoever is on call.
 	Log(text string)
 }
--- a/budget.go
+++ b/budget.go
@@ -6,56 +6,56 @@
 	"time"
 )
 
-// tally counts events of the last span in parts of it, in constant memory.
-type tally struct {
+// slidingCounter counts events of the last span in parts of it, in constant memory.
+type slidingCounter struct {
 	part  time.Duration
 	last  int64 // the newest part
-	parts [tallyParts + 1]int
+	parts [counterParts + 1]int
 }
 
-// tallyParts is how many parts of a span a tally tells apart.
-const tallyParts = 64
+// counterParts is how many parts of a span a tally tells apart.
+const counterParts = 64
 
-// roll forgets what is older than the span.
-func (t *tally) roll(now time.Duration) {
+// advance forgets what is older than the span.
+func (t *slidingCounter) advance(now time.Duration) {
 	at := int64(now / t.part)
-	for range min(at-t.last, tallyParts+1) {
+	for range min(at-t.last, counterParts+1) {
 		t.last++
-		t.parts[t.last%(tallyParts+1)] = 0
+		t.parts[t.last%(counterParts+1)] = 0
 	}
 	t.last = at
 }
 
-func (t *tally) add(now time.Duration) {
-	t.roll(now)
-	t.parts[t.last%(tallyParts+1)]++
+func (t *slidingCounter) add(now time.Duration) {
+	t.advance(now)
+	t.parts[t.last%(counterParts+1)]++
 }
 
 // counts returns how many events at most, and how many at least, the last span
 // has had: with and without the part in which it begins.
-func (t *tally) counts(now time.Duration) (most, least int) {
-	t.roll(now)
+func (t *slidingCounter) counts(now time.Duration) (most, least int) {
+	t.advance(now)
 	for _, n := range t.parts {
 		most += n
 	}
-	return most, most - t.parts[(t.last+1)%(tallyParts+1)]
+	return most, most - t.parts[(t.last+1)%(counterParts+1)]
 }
 
-// tallies begins to count attempts and requests for the budget's span.
-func (d *Dispatcher) tallies() {
-	part := max(1, d.set.Further.Span/tallyParts)
-	d.further, d.taken = tally{part: part}, tally{part: part}
+// resetCounters begins to count attempts and requests for the budget's span.
+func (d *Dispatcher) resetCounters() {
+	part := max(1, d.settings.Further.Span/counterParts)
+	d.retryCounter, d.requestCounter = slidingCounter{part: part}, slidingCounter{part: part}
 }
 
-// withinBudget reports whether an attempt beyond a request's first keeps the
+// withinRetryBudget reports whether an attempt beyond a request's first keeps the
 // budget of those. Attempts count for a 64th of the span longer and requests
 // for as much less than they must, so it holds in every window.
-func (d *Dispatcher) withinBudget(now time.Duration) bool {
-	b := &d.set.Further
+func (d *Dispatcher) withinRetryBudget(now time.Duration) bool {
+	b := &d.settings.Further
 	if b.Span == 0 {
 		return true
 	}
-	further, _ := d.further.counts(now)
-	_, taken := d.taken.counts(now)
+	further, _ := d.retryCounter.counts(now)
+	_, taken := d.requestCounter.counts(now)
 	return float64(further+1) <= float64(b.Free)+b.Ratio*float64(taken)
 }
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -99,24 +99,24 @@
 	id, n := e.Result.ID, e.Result.Attempt
 	switch e.Kind {
 	case wire.Members:
-		d.Members(e.Now, e.List, e.Entries)
+		d.WorkersUpdated(e.Now, e.List, e.Entries)
 	case wire.Knock:
-		return d.Request(e.Now, e.Request)
+		return d.SubmitRequest(e.Now, e.Request)
 	case wire.Answer:
-		return d.Outcome(e.Now, e.Result)
+		return d.AttemptEnded(e.Now, e.Result)
 	case wire.Note:
 		if e.Started {
-			return d.Started(e.Now, id, n)
+			return d.AttemptStarted(e.Now, id, n)
 		}
-		return d.Progress(e.Now, id, n, e.Share)
+		return d.AttemptProgressed(e.Now, id, n, e.Share)
 	case wire.Headers:
-		return d.StreamBegan(e.Now, id, n)
+		return d.StreamStarted(e.Now, id, n)
 	case wire.Echo:
-		d.Probed(e.Now, e.Worker, e.Result.Report)
+		d.ProbeResult(e.Now, e.Worker, e.Result.Report)
 	case wire.Gone:
-		d.Gone(e.Now, id)
+		d.ClientDisconnected(e.Now, id)
 	case wire.Wake:
-		d.Timer(e.Now, e.Token)
+		d.TimerFired(e.Now, e.Token)
 	}
 	return nil
 }
--- a/cordon_test.go
+++ b/cordon_test.go
@@ -13,7 +13,7 @@
 	h.run(d, h.now+5*ms)
 	if h.tries[id] > 0 {
 		worker = h.last()
-		_ = d.Started(h.now, id, 0)
+		_ = d.AttemptStarted(h.now, id, 0)
 		h.run(d, h.now+20*ms)
 		h.over(d, id, 0, Served)
 	}
@@ -43,38 +43,38 @@
 		t.Error("a known worker was not taken out")
 	}
 	only("cordoned twice", "b")
-	d.Members(h.now, ListWhole, []WorkerInfo{a, b})
+	d.WorkersUpdated(h.now, ListWhole, []WorkerInfo{a, b})
 	only("listed anew", "b")
-	d.Members(h.now, ListWhole, []WorkerInfo{b})
+	d.WorkersUpdated(h.now, ListWhole, []WorkerInfo{b})
 	if !d.Cordon(h.now, "a", true) {
 		t.Error("vanished, the worker is still one that was taken out")
 	}
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "a", Weight: 1, StartedAt: h.now}})
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "a", Weight: 1, StartedAt: h.now}})
 	only("vanished and returned", "b")
 	leaving := a
 	leaving.State = Leaving
-	d.Members(h.now, ListPatch, []WorkerInfo{leaving})
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{leaving})
 	if !d.Cordon(h.now, "a", false) {
 		t.Error("the call back was refused")
 	}
 	only("called back while it drains", "b")
 	leaving = b
 	leaving.State = Leaving
-	d.Members(h.now, ListPatch, []WorkerInfo{a, leaving})
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{a, leaving})
 	only("back", "a")
 }
 
 // A worker taken out in an earlier run is out before any list names it.
 func TestKeptOut(t *testing.T) {
 	d, h := start(t, settings(), WorkerInfo{Worker: "b", Weight: 1})
-	d.Keep("a")
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "a", Weight: 1}})
+	d.RestoreCordon("a")
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "a", Weight: 1}})
 	for range 12 {
 		if w := h.one(d); w != "b" {
 			t.Fatalf("a job went to %q", w)
 		}
 	}
-	if !d.Cordon(h.now, "a", false) || d.byName["a"].cordoned {
+	if !d.Cordon(h.now, "a", false) || d.workersByName["a"].cordoned {
 		t.Error("it was not put back")
 	}
 }
@@ -116,14 +116,14 @@
 	restarted := h.now + time.Second
 	a.StartedAt = restarted
 	h.run(d, h.now+5*time.Second)
-	d.Members(h.now, ListPatch, []WorkerInfo{a})
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{a})
 	for _, w := range []string{"a", "b"} {
 		d.Cordon(h.now, w, false)
 	}
-	if got := d.byName["a"].coldUntil; got != restarted+set.WarmUp {
+	if got := d.workersByName["a"].warmAt; got != restarted+set.WarmUp {
 		t.Errorf("cold until %v after its restart", got-restarted)
 	}
-	if got := d.byName["b"].coldUntil; got != h.now+set.WarmUp {
+	if got := d.workersByName["b"].warmAt; got != h.now+set.WarmUp {
 		t.Errorf("cold until %v after it came back", got-h.now)
 	}
 }
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -8,87 +8,87 @@
 )
 
 const (
-	roundEvery = 100 * time.Millisecond // Wisp's control interval
-	lateRound  = 25 * time.Millisecond  // a round overdue by more means that we stood still
-	settleFor  = time.Millisecond       // a timer for it comes after all that waits to be read
+	roundInterval = 100 * time.Millisecond // Wisp's control interval
+	stallThreshold  = 25 * time.Millisecond  // a round overdue by more means that we stood still
+	catchUpDelay  = time.Millisecond       // a timer for it comes after all that waits to be read
 )
 
 const (
 	tokenRound = iota
 	tokenWatch
 	tokenDeadline
-	tokenHold
-	tokenStart
-	tokenLook
-	tokenSettle
+	tokenSendBy
+	tokenStartDue
+	tokenProbe
+	tokenCaughtUp
 )
 
 var (
-	inf    = admission.Unlimited
-	tuning = admission.Tuning{CutFactor: cutFactor, RiseStep: riseStep, Least: minSigma}
+	unlimited    = admission.Unlimited
+	limitTuning = admission.Tuning{CutFactor: limitCutFactor, RiseStep: limitRaiseStep, Least: minLimit}
 )
 
 // Dispatcher decides for one dispatcher. Make one with New.
 type Dispatcher struct {
-	set        Settings
+	settings        Settings
 	host       Host
 	rng        *rand.Rand
 	requests   map[string]*request
-	serials    map[uint64]*request
-	serial     uint64
+	requestsBySerial    map[uint64]*request
+	lastSerial     uint64
 	tenants    []*tenant // in the order of their turns; also those that are gone until their last job is over
-	named      []*tenant // by the settings' index; without tenants one that all jobs have
-	gone       int       // tenants that are gone
+	tenantsByIndex      []*tenant // by the settings' index; without tenants one that all jobs have
+	removedTenants       int       // tenants that are gone
 	classes    []*class  // by the settings' index
-	kept       []*class  // those, and former ones that jobs under way still have
-	byName     map[string]*worker
+	classesInUse       []*class  // those, and former ones that jobs under way still have
+	workersByName     map[string]*worker
 	workers    []*worker // by index; nil: free index
 	pools      []*pool
 	cells      map[int][]*worker // those that may be sent to
-	touched    []*worker
-	leaving    []*worker // their connections are closed once more
-	kindSize   []float64 // largest weight seen of a kind
-	kindRoom   []float64 // most free slots reported of a kind
-	held       float64
-	backlog    int
+	cleanWorkers    []*worker
+	drainingWorkers    []*worker // their connections are closed once more
+	maxWeightByKind   []float64 // largest weight seen of a kind
+	maxFreeByKind   []float64 // most free slots reported of a kind
+	inFlight       float64
+	pendingRequests    int
 	turn       int
-	credited   bool // the tenant whose turn it is has had its credit
-	crowded    bool // this round a job found no room
-	room       float64
+	turnCredited   bool // the tenant whose turn it is has had its credit
+	capacityShort    bool // this round a job found no room
+	capacity       float64
 	meanWork   float64
-	usual      float64 // the same over requests whose class was known
-	weighed    float64 // those
-	served     float64 // work done in this round
-	carry      float64 // work a second and unit of weight that workers carry for us
-	arrived    float64 // decayed count of jobs
-	largest    float64 // size of a worker
-	fewest     *worker // of the last pick
-	fewestLoad float64
+	meanKnownWork      float64 // the same over requests whose class was known
+	knownRequests    float64 // those
+	roundWork     float64 // work done in this round
+	workRate      float64 // work a second and unit of weight that workers carry for us
+	arrivals    float64 // decayed count of jobs
+	maxWorkerSize    float64 // size of a worker
+	leastLoaded     *worker // of the last pick
+	leastLoad float64
 	round      int64
-	due        time.Duration // of the next round
-	settling   bool          // the dispatcher stood still, and still reads what came meanwhile
-	gauge      *worker       // asked twice on end, to see whether its report changes
-	metered    float64       // seconds between such askings
-	changes    float64       // in that time
-	broke      map[int]sign  // by cell: the last worker there that broke or refused a connection
-	presumed   int           // workers taken for restarted
+	roundDue        time.Duration // of the next round
+	catchingUp   bool          // the dispatcher stood still, and still reads what came meanwhile
+	meteredWorker      *worker       // asked twice on end, to see whether its report changes
+	meteredSeconds    float64       // seconds between such askings
+	reportChanges    float64       // in that time
+	brokenByCell      map[int]brokenConnection  // by cell: the last worker there that broke or refused a connection
+	presumedRestarts   int           // workers taken for restarted
 	cordons    map[string]bool
-	quick      float64       // pace of the quick workers
-	silent     float64       // decayed count of connections that fell silent under an attempt
-	prompt     float64       // share of attempts that started at once
-	moveFrom   time.Duration // when jobs may be called off again
-	further    tally         // attempts beyond each request's first
-	taken      tally         // requests
+	fastPace      float64       // pace of the quick workers
+	silentConnections     float64       // decayed count of connections that fell silent under an attempt
+	promptStartRate     float64       // share of attempts that started at once
+	rescheduleAllowedAt   time.Duration // when jobs may be called off again
+	retryCounter    slidingCounter         // attempts beyond each request's first
+	requestCounter      slidingCounter         // requests
 	running    bool
-	rewatch    time.Duration
+	watchBackoff    time.Duration
 	scratch    []float64
-	claims     []admission.Claimant
-	found      []*worker
-	tells      bool      // what we have out is told to others
-	marked     []*worker // where that has changed
-	part       int       // workers that are ours; 0: all alike
-	met        int       // of those, usable in the last pick
-	sharers    int       // dispatchers that send to a worker
+	claimants     []admission.Claimant
+	homesBuffer      []*worker
+	tracksLoadChanges      bool      // what we have out is told to others
+	loadChanged     []*worker // where that has changed
+	subsetSize       int       // workers that are ours; 0: all alike
+	subsetUsable        int       // of those, usable in the last pick
+	subsetSharers    int       // dispatchers that send to a worker
 }
 
 // New returns a Dispatcher that acts on host. It wants a class and tenants with
@@ -100,114 +100,114 @@
 	if host == nil {
 		return nil, errNoHost
 	}
-	d := &Dispatcher{set: set, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
-		requests: map[string]*request{}, serials: map[uint64]*request{}, byName: map[string]*worker{},
-		rewatch: rewatchFirst, prompt: 1, quick: 1,
-		pools: []*pool{{}}, cells: map[int][]*worker{}, broke: map[int]sign{}, cordons: map[string]bool{}}
-	d.tallies()
-	d.set.Peers = max(1, set.Peers)
-	d.sharers = d.set.Peers
-	d.enroll(set.Tenants)
-	d.set.MaxAttempts = attemptsOf(set)
-	d.classify(set.Classes)
+	d := &Dispatcher{settings: set, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
+		requests: map[string]*request{}, requestsBySerial: map[uint64]*request{}, workersByName: map[string]*worker{},
+		watchBackoff: minWatchBackoff, promptStartRate: 1, fastPace: 1,
+		pools: []*pool{{}}, cells: map[int][]*worker{}, brokenByCell: map[int]brokenConnection{}, cordons: map[string]bool{}}
+	d.resetCounters()
+	d.settings.Peers = max(1, set.Peers)
+	d.subsetSharers = d.settings.Peers
+	d.updateTenants(set.Tenants)
+	d.settings.MaxAttempts = attemptLimit(set)
+	d.updateClasses(set.Classes)
 	return d, nil
 }
 
-// wake starts the rounds with the first event that needs them.
-func (d *Dispatcher) wake(now time.Duration) {
+// startRounds starts the rounds with the first event that needs them.
+func (d *Dispatcher) startRounds(now time.Duration) {
 	if !d.running {
 		d.running = true
-		d.due = now + roundEvery
-		d.host.SetTimer(roundEvery, tokenRound)
+		d.roundDue = now + roundInterval
+		d.host.SetTimer(roundInterval, tokenRound)
 	}
 }
 
-func (d *Dispatcher) timer(after time.Duration, kind uint64, r *request, n int) {
+func (d *Dispatcher) setTimer(after time.Duration, kind uint64, r *request, n int) {
 	d.host.SetTimer(max(after, time.Millisecond), kind|uint64(n)<<4|r.serial<<9)
 }
 
-// Timer tells that the time asked for by Host.SetTimer has passed.
-func (d *Dispatcher) Timer(now time.Duration, token uint64) {
-	d.stoodStill(now)
-	kind, r, n := token&15, d.serials[token>>9], int(token>>4&31)
-	if kind == tokenStart && !d.settling && (r == nil || !r.attempts[n].late) { // over: at once
-		d.prompt += promptGain * (oneIf(r == nil || r.attempts[n].started > 0) - d.prompt)
+// TimerFired tells that the time asked for by Host.SetTimer has passed.
+func (d *Dispatcher) TimerFired(now time.Duration, token uint64) {
+	d.detectStall(now)
+	kind, r, n := token&15, d.requestsBySerial[token>>9], int(token>>4&31)
+	if kind == tokenStartDue && !d.catchingUp && (r == nil || !r.attempts[n].startOverdue) { // over: at once
+		d.promptStartRate += promptStartGain * (boolToFloat(r == nil || r.attempts[n].startedAt > 0) - d.promptStartRate)
 	}
 	switch {
 	case kind == tokenRound:
 		d.endRound(now)
 	case kind == tokenWatch:
-		d.host.Watch()
-	case kind == tokenSettle:
-		d.settling = false
-		d.release(now)
+		d.host.WatchWorkers()
+	case kind == tokenCaughtUp:
+		d.catchingUp = false
+		d.releasePending(now)
 	case r == nil || r.ended:
-	case d.settling && kind == tokenStart: // what it looks for may have come meanwhile
-		d.timer(settleFor, kind, r, n)
-	case kind == tokenStart:
+	case d.catchingUp && kind == tokenStartDue: // what it looks for may have come meanwhile
+		d.setTimer(catchUpDelay, kind, r, n)
+	case kind == tokenStartDue:
 		d.checkStart(now, r, n)
-	case kind == tokenLook:
-		d.release(now)
-	case kind == tokenHold && r.queued && now >= r.latest && r.out > 0: // a copy that finds no place
-		d.dequeue(r)
-	case kind == tokenDeadline && !r.stream, kind == tokenHold && r.queued && now >= r.latest:
-		d.end(now, r)
+	case kind == tokenProbe:
+		d.releasePending(now)
+	case kind == tokenSendBy && r.queued && now >= r.sendBy && r.inFlight > 0: // a copy that finds no place
+		d.removePending(r)
+	case kind == tokenDeadline && !r.streaming, kind == tokenSendBy && r.queued && now >= r.sendBy:
+		d.endUnserved(now, r)
 	}
 }
 
-// stoodStill notices, by an overdue round, that this dispatcher had no turn for a while.
+// detectStall notices, by an overdue round, that this dispatcher had no turn for a while.
 // Until all that came meanwhile has been read nothing is sent: a drain or an outcome may
 // be among it. Times by our own clock say nothing then about workers.
-func (d *Dispatcher) stoodStill(now time.Duration) {
-	if d.running && !d.settling && now > d.due+lateRound {
-		d.settling = true
-		d.host.SetTimer(settleFor, tokenSettle)
+func (d *Dispatcher) detectStall(now time.Duration) {
+	if d.running && !d.catchingUp && now > d.roundDue+stallThreshold {
+		d.catchingUp = true
+		d.host.SetTimer(catchUpDelay, tokenCaughtUp)
 	}
 }
 
 // endRound is Wisp's Algorithm 1.
 func (d *Dispatcher) endRound(now time.Duration) {
 	d.round++
-	for _, w := range d.touched {
-		w.outcomes = false
-		if w.cutIn < d.round-1 && w.sigma < inf {
-			spare := w.sigma - w.held
-			if now-w.freeAt < d.fresh() && w.freeAt > 0 {
-				spare = w.free
+	for _, w := range d.cleanWorkers {
+		w.cleanRound = false
+		if w.lastCutRound < d.round-1 && w.limit < unlimited {
+			spare := w.limit - w.inFlight
+			if now-w.freeSlotsAt < d.reportTTL() && w.freeSlotsAt > 0 {
+				spare = w.freeSlots
 			}
-			d.setSigma(w, tuning.Raise(w.sigma, spare))
+			d.setLimit(w, limitTuning.Raise(w.limit, spare))
 		}
 	}
-	d.touched = d.touched[:0]
-	d.carry += 0.05 * (d.served/roundEvery.Seconds()/d.pools[0].ownWeight() - d.carry)
-	d.served = 0
-	for _, c := range d.kept {
-		c.complete += completeDecay * min(0, c.run-c.complete)
+	d.cleanWorkers = d.cleanWorkers[:0]
+	d.workRate += 0.05 * (d.roundWork/roundInterval.Seconds()/d.pools[0].targetWeight() - d.workRate)
+	d.roundWork = 0
+	for _, c := range d.classesInUse {
+		c.meanCompletion += completionDecay * min(0, c.meanRuntime-c.meanCompletion)
 	}
-	d.quick = d.quickest()
-	d.closeAgain(now)
-	d.askAgain()
-	d.silent *= 1 - silentDecay
+	d.fastPace = d.fastestPace()
+	d.closeIdleConnsAgain(now)
+	d.probeMeteredWorker()
+	d.silentConnections *= 1 - silentConnectionsDecay
 	for _, w := range d.workers {
-		if w != nil && d.set.TellsStart && !d.settling {
+		if w != nil && d.settings.TellsStart && !d.catchingUp {
 			w.pace += paceDecay * (1 - w.pace)
-			d.overdue(now, w)
+			d.writeOffOverdue(now, w)
 		}
 	}
-	d.retire(now)
-	d.shareOut()
+	d.retireTenants(now)
+	d.updateLocalShares()
 	for _, t := range d.tenants {
-		t.sigma = min(t.local, d.quantile(t))
-		t.arrived *= 1 - arrivedDecay
+		t.limit = min(t.localShare, d.limitQuantile(t))
+		t.arrivals *= 1 - arrivalsDecay
 	}
-	d.arrived, d.crowded = d.arrived*(1-arrivedDecay), false
-	d.roomAgain()
-	d.due = now + roundEvery
-	d.host.SetTimer(roundEvery, tokenRound)
-	d.release(now)
+	d.arrivals, d.capacityShort = d.arrivals*(1-arrivalsDecay), false
+	d.capacityChanged()
+	d.roundDue = now + roundInterval
+	d.host.SetTimer(roundInterval, tokenRound)
+	d.releasePending(now)
 }
 
-func oneIf(is bool) float64 {
+func boolToFloat(is bool) float64 {
 	if is {
 		return 1
 	}
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -62,7 +62,7 @@
 	h.ends[id] = how
 	h.note("%s %s", how, id)
 }
-func (h *fake) Refuse(id string, _ time.Duration) { h.end(id, "refused") }
+func (h *fake) Reject(id string, _ time.Duration) { h.end(id, "refused") }
 func (h *fake) Fail(id string)                    { h.end(id, "failed") }
 func (h *fake) Cancel(id string, n int) {
 	h.cancels = append(h.cancels, fmt.Sprint(id, n))
@@ -76,11 +76,11 @@
 	h.probes = append(h.probes, worker)
 	h.note("probe %s", worker)
 }
-func (h *fake) CloseIdle(worker string) {
+func (h *fake) CloseIdleConnections(worker string) {
 	h.closes = append(h.closes, closed{h.now, worker})
 	h.note("close %s", worker)
 }
-func (h *fake) Watch()          { h.watches++; h.note("watch") }
+func (h *fake) WatchWorkers()          { h.watches++; h.note("watch") }
 func (h *fake) Log(text string) { h.note("log %s", text) }
 
 // last returns the worker of the last send, or "".
@@ -107,7 +107,7 @@
 		t := h.timers[next]
 		h.timers = slices.Delete(h.timers, next, next+1)
 		h.now = max(h.now, t.at)
-		d.Timer(h.now, t.token)
+		d.TimerFired(h.now, t.token)
 	}
 }
 
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Members(h.now, ListStale, workers)
+	d.WorkersUpdated(h.now, ListStale, workers)
 	return d, h
 }
 
@@ -144,14 +144,14 @@
 
 func (h *fake) ask(d *Dispatcher, id string, class int) {
 	h.t.Helper()
-	if err := d.Request(h.now, Request{ID: id, Class: class, Left: 5 * time.Second}); err != nil {
+	if err := d.SubmitRequest(h.now, Request{ID: id, Class: class, Left: 5 * time.Second}); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
 func (h *fake) over(d *Dispatcher, id string, n int, o Outcome) {
 	h.t.Helper()
-	if err := d.Outcome(h.now, Result{ID: id, Attempt: n, Outcome: o, Closed: o == Served}); err != nil {
+	if err := d.AttemptEnded(h.now, Result{ID: id, Attempt: n, Outcome: o, Closed: o == Served}); err != nil {
 		h.t.Fatal(err)
 	}
 	if o == Served {
@@ -168,17 +168,17 @@
 			if len(h.sends) != 1 {
 				t.Fatalf("not sent at once: %v", h.sends)
 			}
-			first := d.byName[h.last()]
+			first := d.workersByName[h.last()]
 			h.now += ms
 			h.over(d, "r", 0, o)
-			again, mayRepeat := len(h.sends) > 1, d.neverRan(o) || effect != Unsafe
+			again, mayRepeat := len(h.sends) > 1, d.provesNeverRan(o) || effect != Unsafe
 			if again && !mayRepeat {
 				t.Errorf("effect %d, outcome %d: sent again", effect, o)
 			}
 			if !again && mayRepeat {
 				t.Errorf("effect %d, outcome %d: not tried again", effect, o)
 			}
-			if again && effect == Keyed && !d.neverRan(o) && d.byName[h.last()].Zone != first.Zone {
+			if again && effect == Keyed && !d.provesNeverRan(o) && d.workersByName[h.last()].Zone != first.Zone {
 				t.Errorf("keyed, outcome %d: left the zone that drops repeats", o)
 			}
 			if !mayRepeat && h.ends["r"] != "failed" {
@@ -217,7 +217,7 @@
 	h.now += 1950 * ms
 	r := d.requests["r"]
 	for _, w := range d.workers {
-		if d.mayTry(h.now, r, w) {
+		if d.mayAttempt(h.now, r, w) {
 			t.Errorf("may go to %s at the end of the window", w.Worker)
 		}
 	}
@@ -229,7 +229,7 @@
 	d, h := start(t, set, fleet(4)...)
 	h.ask(d, "r", 0)
 	for _, w := range d.workers {
-		if d.mayTry(h.now, d.requests["r"], w) {
+		if d.mayAttempt(h.now, d.requests["r"], w) {
 			t.Error("a second attempt would go out beside the first")
 		}
 	}
@@ -238,8 +238,8 @@
 // Rule 3: drained and removed workers get nothing from the moment that it is told.
 func TestDrainsAreKept(t *testing.T) {
 	d, h := start(t, settings(), fleet(3)...)
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
-	d.Members(h.now, ListWhole, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}, {Worker: "w1", Zone: 1, Weight: 1}})
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
+	d.WorkersUpdated(h.now, ListWhole, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}, {Worker: "w1", Zone: 1, Weight: 1}})
 	for i := range 20 {
 		h.ask(d, fmt.Sprint("r", i), i%3)
 		h.now += 10 * ms
@@ -267,8 +267,8 @@
 		t.Fatalf("%d watches at the start", h.watches)
 	}
 	for i := 2; i < 9; i++ {
-		d.Members(h.now, ListBroken, nil)
-		h.run(d, h.now+2*rewatchMost)
+		d.WorkersUpdated(h.now, ListBroken, nil)
+		h.run(d, h.now+2*maxWatchBackoff)
 		if h.watches != i {
 			t.Fatalf("%d watches after %d breaks", h.watches, i-1)
 		}
@@ -287,7 +287,7 @@
 	d, h := start(t, set, fleet(2)...)
 	for i := range 40 { // the waits have a spread
 		began, before := h.now, h.watches
-		d.Members(h.now, ListBroken, nil)
+		d.WorkersUpdated(h.now, ListBroken, nil)
 		for h.watches == before {
 			if h.run(d, h.now+ms); h.now > began+10*time.Second {
 				t.Fatal("not asked for again")
@@ -309,9 +309,9 @@
 			h.ask(d, fmt.Sprint("r", i), 0)
 			h.run(d, h.now+20*ms)
 			for _, s := range h.sends {
-				if r := d.requests[s.id]; r != nil && !r.attempts[s.n].over {
-					if a := &r.attempts[s.n]; a.started == 0 {
-						_ = d.Started(h.now, s.id, s.n)
+				if r := d.requests[s.id]; r != nil && !r.attempts[s.n].ended {
+					if a := &r.attempts[s.n]; a.startedAt == 0 {
+						_ = d.AttemptStarted(h.now, s.id, s.n)
 					} else if h.now >= s.at+100*ms {
 						h.over(d, s.id, s.n, Served)
 					}
@@ -324,7 +324,7 @@
 	}
 	serve(0, 500)
 	h.sends = h.sends[:0]
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "cold", Weight: 1, StartedAt: h.now}})
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "cold", Weight: 1, StartedAt: h.now}})
 	began := h.now
 	serve(500, 75) // 1.5 s
 	got := 0
@@ -353,9 +353,9 @@
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 8*time.Second, 0.3, 2.5, 1500*ms
 	d, h := start(t, set, fleet(1)...)
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "w0", Weight: 1, StartedAt: h.now - time.Second}})
-	if w := d.byName["w0"]; w.coldUntil != h.now+7*time.Second || w.credit > 0 {
-		t.Errorf("cold until %v with credit %v", w.coldUntil-h.now, w.credit)
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", Weight: 1, StartedAt: h.now - time.Second}})
+	if w := d.workersByName["w0"]; w.warmAt != h.now+7*time.Second || w.slowStartCredit > 0 {
+		t.Errorf("cold until %v with credit %v", w.warmAt-h.now, w.slowStartCredit)
 	}
 }
 
@@ -380,7 +380,7 @@
 				}
 				if before := uncertain[s.id]; before != "" && class[s.id] == 2 {
 					t.Fatalf("seed %d: unsafe %s sent again", seed, s.id)
-				} else if before != "" && class[s.id] == 1 && d.byName[before].Zone != d.byName[s.worker].Zone {
+				} else if before != "" && class[s.id] == 1 && d.workersByName[before].Zone != d.workersByName[s.worker].Zone {
 					t.Fatalf("seed %d: keyed %s left its zone", seed, s.id)
 				}
 				uncertain[s.id] = s.worker
@@ -410,26 +410,26 @@
 				fmt.Sscan(k, &id, &n)
 				delete(open, k)
 				o := Outcome(rng.IntN(8))
-				if d.neverRan(o) {
+				if d.provesNeverRan(o) {
 					delete(uncertain, id)
 				}
 				closed := h.ends[id] != "" || o == Served
 				if o == Served && h.ends[id] == "" {
 					h.ends[id] = "served"
 				}
-				if err := d.Outcome(h.now, Result{ID: id, Attempt: n, Outcome: o, Closed: closed}); err != nil {
+				if err := d.AttemptEnded(h.now, Result{ID: id, Attempt: n, Outcome: o, Closed: closed}); err != nil {
 					t.Fatal(err)
 				}
 				check()
 			}
 			if rng.IntN(40) == 0 {
 				w := WorkerInfo{Worker: fmt.Sprint("w", rng.IntN(6)), Weight: 1}
-				w.Zone, w.Cell = d.byName[w.Worker].Zone, d.byName[w.Worker].Cell
+				w.Zone, w.Cell = d.workersByName[w.Worker].Zone, d.workersByName[w.Worker].Cell
 				if rng.IntN(2) == 0 {
 					w.State = Leaving
 				}
 				drained[w.Worker] = w.State == Leaving
-				d.Members(h.now, ListPatch, []WorkerInfo{w})
+				d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{w})
 				check()
 			}
 		}
@@ -437,7 +437,7 @@
 			var id string
 			var n int
 			fmt.Sscan(k, &id, &n)
-			_ = d.Outcome(h.now, Result{ID: id, Attempt: n, Outcome: Full, Closed: h.ends[id] != ""})
+			_ = d.AttemptEnded(h.now, Result{ID: id, Attempt: n, Outcome: Full, Closed: h.ends[id] != ""})
 		}
 		h.run(d, h.now+6*time.Second)
 		for id := range class {
@@ -447,7 +447,7 @@
 		}
 		leaked := len(d.requests)
 		for id, r := range d.requests {
-			if r.out > 0 {
+			if r.inFlight > 0 {
 				leaked-- // sent again by the outcomes just above
 			} else {
 				t.Logf("%s: %+v", id, r)
@@ -471,7 +471,7 @@
 			h.ask(d, fmt.Sprint("r", i), i%3)
 			h.run(d, h.now+5*ms)
 			for _, s := range h.sends {
-				if r := d.requests[s.id]; r != nil && s.n < len(r.attempts) && !r.attempts[s.n].over && (i+s.n)%3 == 0 {
+				if r := d.requests[s.id]; r != nil && s.n < len(r.attempts) && !r.attempts[s.n].ended && (i+s.n)%3 == 0 {
 					h.over(d, s.id, s.n, Served)
 				}
 			}
@@ -486,37 +486,37 @@
 
 func TestSigmaIsCutOnceARoundAndRises(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
-	w := d.byName["w0"]
-	if w.sigma != inf {
-		t.Fatalf("sigma %v before any failure", w.sigma)
+	w := d.workersByName["w0"]
+	if w.limit != unlimited {
+		t.Fatalf("sigma %v before any failure", w.limit)
 	}
-	w.held = 4
-	d.cut(w, 0)
-	d.cut(w, 0)
-	if want := cutFactor * 4; w.sigma != want {
-		t.Errorf("sigma %v after two failures in a round, want %v", w.sigma, want)
+	w.inFlight = 4
+	d.cutLimit(w, 0)
+	d.cutLimit(w, 0)
+	if want := limitCutFactor * 4; w.limit != want {
+		t.Errorf("sigma %v after two failures in a round, want %v", w.limit, want)
 	}
 	d.endRound(h.now)
 	d.endRound(h.now)
-	w.held, w.outcomes = 1, true
-	d.touched = []*worker{w}
-	before := w.sigma
+	w.inFlight, w.cleanRound = 1, true
+	d.cleanWorkers = []*worker{w}
+	before := w.limit
 	d.endRound(h.now)
-	if want := before + riseStep*(before-1); math.Abs(w.sigma-want) > 1e-9 {
-		t.Errorf("sigma %v after a clean round, want %v", w.sigma, want)
+	if want := before + limitRaiseStep*(before-1); math.Abs(w.limit-want) > 1e-9 {
+		t.Errorf("sigma %v after a clean round, want %v", w.limit, want)
 	}
-	w.outcomes, w.free, w.freeAt = true, 3, h.now
-	d.meanWork, d.touched, before = 1, []*worker{w}, w.sigma
+	w.cleanRound, w.freeSlots, w.freeSlotsAt = true, 3, h.now
+	d.meanWork, d.cleanWorkers, before = 1, []*worker{w}, w.limit
 	d.endRound(h.now)
-	if want := before + riseStep*3; math.Abs(w.sigma-want) > 1e-9 {
-		t.Errorf("sigma %v with three slots reported free, want %v", w.sigma, want)
+	if want := before + limitRaiseStep*3; math.Abs(w.limit-want) > 1e-9 {
+		t.Errorf("sigma %v with three slots reported free, want %v", w.limit, want)
 	}
-	d.setSigma(w, minSigma)
-	w.cutIn = -1
-	w.held = 0
-	d.cut(w, 0)
-	if w.sigma != minSigma {
-		t.Errorf("sigma %v fell below its least", w.sigma)
+	d.setLimit(w, minLimit)
+	w.lastCutRound = -1
+	w.inFlight = 0
+	d.cutLimit(w, 0)
+	if w.limit != minLimit {
+		t.Errorf("sigma %v fell below its least", w.limit)
 	}
 }
 
@@ -525,14 +525,14 @@
 	d, _ := start(t, settings(), fleet(5)...)
 	tn := d.tenants[0]
 	for i, sigma := range []float64{1, 2, 6, 8, 3} {
-		d.setSigma(d.workers[i], sigma)
-		tn.use(d.workers[i])
-		tn.alpha[i] = alpha{Value: []float64{0.5, 0.125, 0.125, 0.125, 0.125}[i], At: 1000, Used: true}
+		d.setLimit(d.workers[i], sigma)
+		tn.noteSent(d.workers[i])
+		tn.sendShares[i] = sendShare{Value: []float64{0.5, 0.125, 0.125, 0.125, 0.125}[i], At: 1000, Used: true}
 	}
-	tn.jobs = 1000
+	tn.sentJobs = 1000
 	// alpha drawn to a fifth by 5 jobs of 133: 65/133, then 17/133 four times; the second lowest of five.
 	want := 2.0 / (17.0 / 133.0)
-	if got := d.quantile(tn); math.Abs(got-want) > 1e-9 {
+	if got := d.limitQuantile(tn); math.Abs(got-want) > 1e-9 {
 		t.Errorf("Q = %v, want %v, above %v and below %v", got, want, 1/(65.0/133), 3/(17.0/133))
 	}
 }
@@ -541,15 +541,15 @@
 	d, _ := start(t, settings(), fleet(2)...)
 	tn := d.tenants[0]
 	for range 2000 {
-		tn.use(d.workers[0])
+		tn.noteSent(d.workers[0])
 	}
-	if a := tn.alpha[0].Now(tn.jobs, alphaGain); math.Abs(a-1) > 0.01 {
+	if a := tn.sendShares[0].Now(tn.sentJobs, sendShareGain); math.Abs(a-1) > 0.01 {
 		t.Errorf("alpha %v of the only worker used", a)
 	}
 	for range 128 {
-		tn.use(d.workers[1])
+		tn.noteSent(d.workers[1])
 	}
-	if a := tn.alpha[0].Now(tn.jobs, alphaGain); math.Abs(a-math.Pow(1-alphaGain, 128)) > 0.01 {
+	if a := tn.sendShares[0].Now(tn.sentJobs, sendShareGain); math.Abs(a-math.Pow(1-sendShareGain, 128)) > 0.01 {
 		t.Errorf("alpha %v after 128 jobs elsewhere", a)
 	}
 }
@@ -559,24 +559,24 @@
 	set.Tenants = []Tenant{{Share: 2}, {Share: 1}, {Share: 1}}
 	d, _ := start(t, set, fleet(4)...)
 	for _, w := range d.workers {
-		d.setSigma(w, 2)
+		d.setLimit(w, 2)
 	}
 	for i, demand := range []float64{20, 1, 5} {
-		d.tenants[i].inflight = demand
+		d.tenants[i].inFlight = demand
 	}
-	d.shareOut()
+	d.updateLocalShares()
 	// 8 slots: the second tenant's 1 is met, the rest go 2 to 1; nobody falls below its share of 8.
 	for i, want := range []float64{14.0 / 3, 2, 7.0 / 3} {
-		if got := d.tenants[i].local; math.Abs(got-want) > 1e-9 {
+		if got := d.tenants[i].localShare; math.Abs(got-want) > 1e-9 {
 			t.Errorf("tenant %d: %v slots, want %v", i, got, want)
 		}
 	}
 	for _, tn := range d.tenants {
-		tn.inflight, tn.local = 1, 1
+		tn.inFlight, tn.localShare = 1, 1
 	}
-	d.shareOut()
-	if want := 1 + riseStep*5; math.Abs(d.tenants[0].local-want) > 1e-9 {
-		t.Errorf("local share ramps to %v, want %v", d.tenants[0].local, want)
+	d.updateLocalShares()
+	if want := 1 + limitRaiseStep*5; math.Abs(d.tenants[0].localShare-want) > 1e-9 {
+		t.Errorf("local share ramps to %v, want %v", d.tenants[0].localShare, want)
 	}
 }
 
@@ -589,12 +589,12 @@
 	set.Classes[0].Limit = time.Minute
 	d, h := start(t, set)
 	for i := range 80 {
-		if err := d.Request(h.now, Request{ID: fmt.Sprint(i%2, "-", i), Tenant: i % 2, Left: time.Minute,
+		if err := d.SubmitRequest(h.now, Request{ID: fmt.Sprint(i%2, "-", i), Tenant: i % 2, Left: time.Minute,
 			Hint: 100 * ms}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d.Members(h.now, ListWhole, []WorkerInfo{{Worker: "w", Weight: 1}})
+	d.WorkersUpdated(h.now, ListWhole, []WorkerInfo{{Worker: "w", Weight: 1}})
 	for i := 0; len(h.sends) < 40; i++ { // one at a time waits there, so each that ends lets another out
 		h.now += ms
 		h.over(d, h.sends[i].id, 0, Served)
@@ -629,7 +629,7 @@
 		}
 	}
 	for _, s := range slices.Clone(h.sends) {
-		if err := d.Started(h.now, s.id, 0); err != nil {
+		if err := d.AttemptStarted(h.now, s.id, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -653,12 +653,12 @@
 	d, h := start(t, settings(), fleet(2)...)
 	for i := range 50 {
 		id := fmt.Sprint("r", i)
-		_ = d.Request(h.now, Request{ID: id, Left: 5 * time.Second, Hint: 10 * ms})
+		_ = d.SubmitRequest(h.now, Request{ID: id, Left: 5 * time.Second, Hint: 10 * ms})
 		h.now += ms
 		h.over(d, id, 0, Served)
 	}
-	d.Gone(h.now, "none")
-	_ = d.Request(h.now, Request{ID: "large", Left: 5 * time.Second, Hint: 800 * ms, Slots: 4})
+	d.ClientDisconnected(h.now, "none")
+	_ = d.SubmitRequest(h.now, Request{ID: "large", Left: 5 * time.Second, Hint: 800 * ms, Slots: 4})
 	h.run(d, h.now+200*ms)
 	if h.tries["large"] != 1 {
 		t.Errorf("large job sent %d times, ended %q", h.tries["large"], h.ends["large"])
@@ -667,13 +667,13 @@
 
 func TestRefusedEarlyWhenItCannotBeInTime(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
-	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], run: 0.1, complete: 0.1, runs: 10, inflight: 1}
-	d.tenants[0].backlog[0], d.room, d.pools[0].noRoom = 10, 1, true
+	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 0.1, meanCompletion: 0.1, samples: 10, inFlight: 1}
+	d.tenants[0].pendingWork[0], d.capacity, d.pools[0].noCapacity = 10, 1, true
 	h.ask(d, "late", 0)
 	if h.ends["late"] != "refused" {
 		t.Errorf("behind 10 s of work: %q", h.ends["late"])
 	}
-	d.tenants[0].backlog[0] = 0
+	d.tenants[0].pendingWork[0] = 0
 	h.ask(d, "fine", 0)
 	if h.ends["fine"] != "" {
 		t.Errorf("behind nothing: %q", h.ends["fine"])
@@ -684,7 +684,7 @@
 // since no outcome came to lower it.
 func TestRefusalsEndByThemselves(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
-	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], run: 0.1, complete: 3, runs: 1000}
+	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 0.1, meanCompletion: 3, samples: 1000}
 	h.ask(d, "trial", 0)
 	if h.tries["trial"] != 1 {
 		t.Fatal("no job is let through to renew the mean")
@@ -692,7 +692,7 @@
 	for range 200 {
 		d.endRound(h.now)
 	}
-	if c := d.classes[0].complete; c > 0.2 {
+	if c := d.classes[0].meanCompletion; c > 0.2 {
 		t.Errorf("mean completion still %v after 20 s without jobs", c)
 	}
 }
@@ -700,7 +700,7 @@
 // Incident ie55aff: a request may arrive with no time left.
 func TestNoTimeLeft(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
-	if err := d.Request(h.now, Request{ID: "r", Class: 2}); err != nil || h.ends["r"] != "refused" || len(d.requests) > 0 {
+	if err := d.SubmitRequest(h.now, Request{ID: "r", Class: 2}); err != nil || h.ends["r"] != "refused" || len(d.requests) > 0 {
 		t.Errorf("error %v, end %q", err, h.ends["r"])
 	}
 }
@@ -710,12 +710,12 @@
 	set.TellsStart = false
 	d, h := start(t, set, fleet(4)...)
 	for _, w := range d.workers[:3] {
-		w.held = 3
-		d.held += 3
+		w.inFlight = 3
+		d.inFlight += 3
 	}
-	d.workers[2].held, d.held = 20, d.held+17 // mean 6.5: threshold 7.5
+	d.workers[2].inFlight, d.inFlight = 20, d.inFlight+17 // mean 6.5: threshold 7.5
 	for range 100 {
-		if w := d.pick(h.now, &request{class: d.classes[0], Request: Request{Slots: 1}}, true); w == d.workers[2] {
+		if w := d.pickWorker(h.now, &request{class: d.classes[0], Request: Request{Slots: 1}}, true); w == d.workers[2] {
 			t.Fatal("picked a worker above the threshold")
 		}
 	}
@@ -733,10 +733,10 @@
 	if h.last() == hung {
 		t.Error("second job to a worker that has not started the first")
 	}
-	_ = d.Started(h.now, "b", 0)
+	_ = d.AttemptStarted(h.now, "b", 0)
 	h.run(d, h.now+200*ms)
-	if w := d.byName[hung]; w.suspect <= h.now || w.sigma == inf {
-		t.Errorf("overdue start: left alone until %v, sigma %v", w.suspect, w.sigma)
+	if w := d.workersByName[hung]; w.unhealthyUntil <= h.now || w.limit == unlimited {
+		t.Errorf("overdue start: left alone until %v, sigma %v", w.unhealthyUntil, w.limit)
 	}
 	h.ask(d, "c", 0)
 	h.ask(d, "e", 0)
@@ -745,8 +745,8 @@
 			t.Error("job to a stuck worker")
 		}
 	}
-	_ = d.Started(h.now, "a", 0)
-	if d.byName[hung].suspect != 0 {
+	_ = d.AttemptStarted(h.now, "a", 0)
+	if d.workersByName[hung].unhealthyUntil != 0 {
 		t.Error("still left alone after a sign")
 	}
 }
@@ -766,14 +766,14 @@
 	if len(h.sends) != 2 {
 		t.Fatal("sent again at once")
 	}
-	h.run(d, h.now+2*backoffFirst)
+	h.run(d, h.now+2*minUnhealthyBackoff)
 	h.ask(d, "b", 0)
 	h.ask(d, "c", 0)
 	if h.tries["b"] != 1 || h.tries["c"] != 0 {
 		t.Errorf("trial: %d and %d sends", h.tries["b"], h.tries["c"])
 	}
 	h.over(d, "b", 0, Served)
-	if d.byName["w0"].suspect != 0 {
+	if d.workersByName["w0"].unhealthyUntil != 0 {
 		t.Error("still doubted after a success")
 	}
 }
@@ -785,12 +785,12 @@
 	set.Tenants = []Tenant{{Share: 1, Quota: 2}, {Share: 1, Quota: 2}}
 	d, h := start(t, set, fleet(2)...)
 	for _, w := range d.workers {
-		w.free, w.freeAt = 0, h.now-time.Minute
+		w.freeSlots, w.freeSlotsAt = 0, h.now-time.Minute
 	}
 	for i := range 10 {
-		_ = d.Request(h.now, Request{ID: fmt.Sprint("r", i), Left: 5 * time.Second})
+		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), Left: 5 * time.Second})
 	}
-	if len(h.sends) != int(2*quotaRoom) {
+	if len(h.sends) != int(2*quotaFactor) {
 		t.Errorf("%d sent, quota of 2 jobs a second", len(h.sends))
 	}
 }
@@ -806,20 +806,20 @@
 		if seed == 2 {
 			slices.Reverse(ws)
 		}
-		d.Members(h.now, ListStale, ws)
+		d.WorkersUpdated(h.now, ListStale, ws)
 		for i := range 30 {
 			id := fmt.Sprint("r", i)
-			_ = d.Request(h.now, Request{ID: id, Key: id, Left: 5 * time.Second})
+			_ = d.SubmitRequest(h.now, Request{ID: id, Key: id, Left: 5 * time.Second})
 			if seed == 2 && homes[id] != h.last() {
 				t.Errorf("key %s: %s and %s", id, homes[id], h.last())
 			}
 			homes[id] = h.last()
 			h.over(d, id, 0, Served)
 		}
-		_ = d.Request(h.now, Request{ID: "x", Key: "k", Left: 5 * time.Second})
-		_ = d.Request(h.now, Request{ID: "y", Key: "k", Left: 5 * time.Second})
+		_ = d.SubmitRequest(h.now, Request{ID: "x", Key: "k", Left: 5 * time.Second})
+		_ = d.SubmitRequest(h.now, Request{ID: "y", Key: "k", Left: 5 * time.Second})
 		x, y := h.sends[len(h.sends)-2].worker, h.last()
-		if d.byName[x].Zone != 0 || d.byName[y].Zone != 1 {
+		if d.workersByName[x].Zone != 0 || d.workersByName[y].Zone != 1 {
 			t.Errorf("homes %s and %s", x, y)
 		}
 	}
@@ -829,9 +829,9 @@
 	set := settings()
 	set.Weights = WeightLive
 	d, h := start(t, set, WorkerInfo{Worker: "a", Weight: 4}, WorkerInfo{Worker: "b", Weight: 2})
-	d.kindRoom[0] = 4
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "a", Weight: 3.2}, {Worker: "b", Weight: 2}})
-	if a, b := d.byName["a"].free, d.byName["b"].free; math.Abs(a-3) > 1e-9 || b != 0 {
+	d.maxFreeByKind[0] = 4
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "a", Weight: 3.2}, {Worker: "b", Weight: 2}})
+	if a, b := d.workersByName["a"].freeSlots, d.workersByName["b"].freeSlots; math.Abs(a-3) > 1e-9 || b != 0 {
 		t.Errorf("free %v and %v, want 3 and 0", a, b)
 	}
 }
@@ -840,24 +840,24 @@
 	d, h := start(t, settings(), fleet(2)...)
 	h.ask(d, "r", 0)
 	for what, got := range map[string][2]error{
-		"class":         {d.Request(h.now, Request{ID: "x", Class: 3, Left: 1}), ErrBadRequest},
-		"tenant":        {d.Request(h.now, Request{ID: "x", Tenant: 1, Left: 1}), ErrBadRequest},
-		"twice":         {d.Request(h.now, Request{ID: "r", Left: time.Second}), ErrDuplicateRequest},
-		"unknown":       {d.Outcome(h.now, Result{ID: "x"}), ErrUnknownRequest},
-		"attempt":       {d.Started(h.now, "r", 1), ErrUnknownAttempt},
-		"progress":      {d.Progress(h.now, "r", -1, 0), ErrUnknownAttempt},
-		"stream":        {d.StreamBegan(h.now, "x", 0), ErrUnknownRequest},
-		"good":          {d.Outcome(h.now, Result{ID: "r", Outcome: Served, Closed: true}), nil},
+		"class":         {d.SubmitRequest(h.now, Request{ID: "x", Class: 3, Left: 1}), ErrBadRequest},
+		"tenant":        {d.SubmitRequest(h.now, Request{ID: "x", Tenant: 1, Left: 1}), ErrBadRequest},
+		"twice":         {d.SubmitRequest(h.now, Request{ID: "r", Left: time.Second}), ErrDuplicateRequest},
+		"unknown":       {d.AttemptEnded(h.now, Result{ID: "x"}), ErrUnknownRequest},
+		"attempt":       {d.AttemptStarted(h.now, "r", 1), ErrUnknownAttempt},
+		"progress":      {d.AttemptProgressed(h.now, "r", -1, 0), ErrUnknownAttempt},
+		"stream":        {d.StreamStarted(h.now, "x", 0), ErrUnknownRequest},
+		"good":          {d.AttemptEnded(h.now, Result{ID: "r", Outcome: Served, Closed: true}), nil},
 		"after its end": {nil, nil},
 	} {
 		if got[0] != got[1] {
 			t.Errorf("%s: error %v, want %v", what, got[0], got[1])
 		}
 	}
-	if err := d.Outcome(h.now, Result{ID: "r"}); err != ErrUnknownRequest {
+	if err := d.AttemptEnded(h.now, Result{ID: "r"}); err != ErrUnknownRequest {
 		t.Errorf("outcome after the end: %v", err)
 	}
-	d.Gone(h.now, "r")
+	d.ClientDisconnected(h.now, "r")
 }
 
 func TestBadSettings(t *testing.T) {
@@ -894,7 +894,7 @@
 	d, h := start(t, settings(), WorkerInfo{Worker: "large", Weight: 3}, WorkerInfo{Worker: "small", Weight: 1})
 	large := 0
 	for range 2000 {
-		if d.pick(h.now, &request{class: d.classes[0], Request: Request{Slots: 1}, deadline: inTwo(h), aim: inTwo(h)}, true).Worker == "large" {
+		if d.pickWorker(h.now, &request{class: d.classes[0], Request: Request{Slots: 1}, deadline: inTwo(h), targetAt: inTwo(h)}, true).Worker == "large" {
 			large++
 		}
 	}
@@ -909,15 +909,15 @@
 	d, h := start(t, settings(), fleet(20)...)
 	far := func(r *request) (n int) {
 		for range 1000 {
-			n += d.pick(h.now, r, true).Zone
+			n += d.pickWorker(h.now, r, true).Zone
 		}
 		return n
 	}
-	r := &request{class: d.classes[0], Request: Request{Slots: 1}, deadline: inTwo(h), aim: inTwo(h)}
+	r := &request{class: d.classes[0], Request: Request{Slots: 1}, deadline: inTwo(h), targetAt: inTwo(h)}
 	if n := far(r); n != 0 {
 		t.Errorf("%d of 1000 first picks outside the own zone while it has room", n)
 	}
-	r.attempts = []attempt{{w: d.workers[0], over: true}}
+	r.attempts = []attempt{{worker: d.workers[0], ended: true}}
 	if n := far(r); n < 400 || n > 600 {
 		t.Errorf("%d of 1000 further picks outside the own zone", n)
 	}
@@ -927,8 +927,8 @@
 // counts is the hint.
 func TestHintedJobIsJudgedByItsOwnTime(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
-	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], run: 1, hint: 1, complete: 1.05, runs: 1000, inflight: 1}
-	_ = d.Request(h.now, Request{ID: "short", Left: 5 * time.Second, Hint: 10 * ms})
+	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 1, meanHint: 1, meanCompletion: 1.05, samples: 1000, inFlight: 1}
+	_ = d.SubmitRequest(h.now, Request{ID: "short", Left: 5 * time.Second, Hint: 10 * ms})
 	if h.tries["short"] != 1 {
 		t.Errorf("short job: %q", h.ends["short"])
 	}
@@ -936,14 +936,14 @@
 
 func TestOneLongWaitCountsForTwoAims(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
-	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], run: 0.1, complete: 0.1, runs: 1000}
+	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 0.1, meanCompletion: 0.1, samples: 1000}
 	h.ask(d, "r", 0)
 	h.run(d, h.now+4*time.Second)
-	_ = d.Started(h.now, "r", 0)
+	_ = d.AttemptStarted(h.now, "r", 0)
 	h.now += 100 * ms
 	h.over(d, "r", 0, Served)
-	if want := 0.1 + meanGain*waitClip*0.2; math.Abs(d.classes[0].complete-want) > 1e-6 {
-		t.Errorf("mean completion %v, want %v", d.classes[0].complete, want)
+	if want := 0.1 + meanGain*maxWaitTargets*0.2; math.Abs(d.classes[0].meanCompletion-want) > 1e-6 {
+		t.Errorf("mean completion %v, want %v", d.classes[0].meanCompletion, want)
 	}
 }
 
@@ -952,11 +952,11 @@
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall, set.Peers = 8*time.Second, 0.5, 0.5, 2*time.Second, 1
 	d, h := start(t, set, fleet(1)...)
-	d.usual, d.weighed, d.carry = 0.1, 1, 1
-	w := d.byName["w0"]
-	w.coldUntil, w.credit, w.creditAt = h.now+8*time.Second, -1, h.now-time.Second
-	d.coldRoom(h.now, w, &request{class: d.classes[0]})
-	if want := -1 + 0.5*0.5/2; math.Abs(w.credit-want) > 1e-9 {
-		t.Errorf("credit %v after a second, want %v", w.credit, want)
+	d.meanKnownWork, d.knownRequests, d.workRate = 0.1, 1, 1
+	w := d.workersByName["w0"]
+	w.warmAt, w.slowStartCredit, w.slowStartCreditAt = h.now+8*time.Second, -1, h.now-time.Second
+	d.slowStartAdmits(h.now, w, &request{class: d.classes[0]})
+	if want := -1 + 0.5*0.5/2; math.Abs(w.slowStartCredit-want) > 1e-9 {
+		t.Errorf("credit %v after a second, want %v", w.slowStartCredit, want)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -11,13 +11,13 @@
 type printer struct{}
 
 func (printer) Send(id, worker string, _ time.Duration) { fmt.Println("send", id, "to", worker) }
-func (printer) Refuse(id string, _ time.Duration)       { fmt.Println("refuse", id) }
+func (printer) Reject(id string, _ time.Duration)       { fmt.Println("refuse", id) }
 func (printer) Fail(id string)                          { fmt.Println("fail", id) }
 func (printer) Cancel(id string, attempt int)           { fmt.Println("cancel", id, attempt) }
 func (printer) SetTimer(time.Duration, uint64)          {} // call Dispatcher.Timer with the token after that time
 func (printer) Probe(worker string)                     { fmt.Println("probe", worker) }
-func (printer) CloseIdle(worker string)                 { fmt.Println("close idle to", worker) }
-func (printer) Watch()                                  { fmt.Println("watch the list") }
+func (printer) CloseIdleConnections(worker string)                 { fmt.Println("close idle to", worker) }
+func (printer) WatchWorkers()                                  { fmt.Println("watch the list") }
 func (printer) Log(text string)                         { fmt.Println(text) }
 
 func Example() {
@@ -35,12 +35,12 @@
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
 
-	d.Members(clock(), sedgevale.ListWhole, []sedgevale.WorkerInfo{{Worker: "10.0.0.1:5000"}})
-	err = d.Request(clock(), sedgevale.Request{ID: "job-1", Left: 5 * time.Second})
+	d.WorkersUpdated(clock(), sedgevale.ListWhole, []sedgevale.WorkerInfo{{Worker: "10.0.0.1:5000"}})
+	err = d.SubmitRequest(clock(), sedgevale.Request{ID: "job-1", Left: 5 * time.Second})
 	if err != nil {
 		fmt.Println(err)
 	}
-	err = d.Outcome(clock(), sedgevale.Result{ID: "job-1", Outcome: sedgevale.Served, Closed: true})
+	err = d.AttemptEnded(clock(), sedgevale.Result{ID: "job-1", Outcome: sedgevale.Served, Closed: true})
 	fmt.Println(err)
 	// Output:
 	// send job-1 to 10.0.0.1:5000
--- a/health_test.go
+++ b/health_test.go
@@ -9,7 +9,7 @@
 
 func (h *fake) began(d *Dispatcher, id string, n int) {
 	h.t.Helper()
-	if err := d.Started(h.now, id, n); err != nil {
+	if err := d.AttemptStarted(h.now, id, n); err != nil {
 		h.t.Fatal(err)
 	}
 }
@@ -23,14 +23,14 @@
 		set := settings()
 		set.InOrder, set.Peers = true, 2
 		d, h := start(t, set, fleet(1)...)
-		w := d.byName["w0"]
+		w := d.workersByName["w0"]
 		h.ask(d, "mute", class)
-		h.now += overtakeGap + ms
-		d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "v", Cell: 5, Weight: 1}}) // the rule on copies allows no other cell
+		h.now += minOvertakeGap + ms
+		d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "v", Cell: 5, Weight: 1}}) // the rule on copies allows no other cell
 		d.send(h.now, newRequest(d, h, "other"), w)
 		h.began(d, "other", 0)
-		if w.held != 1 || w.unstarted != 0 {
-			t.Errorf("effect %d: %v slots held, %d to start; the silent one counts", effect, w.held, w.unstarted)
+		if w.inFlight != 1 || w.notStarted != 0 {
+			t.Errorf("effect %d: %v slots held, %d to start; the silent one counts", effect, w.inFlight, w.notStarted)
 		}
 		want := 2
 		if effect == Unsafe {
@@ -40,20 +40,20 @@
 			t.Errorf("effect %d: %d attempts", effect, h.tries["mute"])
 		}
 		h.over(d, "mute", 0, TimedOut)
-		if w.suspect != 0 || w.sigma != inf {
-			t.Errorf("effect %d: the worker is blamed: until %v, sigma %v", effect, w.suspect, w.sigma)
+		if w.unhealthyUntil != 0 || w.limit != unlimited {
+			t.Errorf("effect %d: the worker is blamed: until %v, sigma %v", effect, w.unhealthyUntil, w.limit)
 		}
-		if w.held != 1 {
-			t.Errorf("effect %d: %v slots held in the end", effect, w.held)
+		if w.inFlight != 1 {
+			t.Errorf("effect %d: %v slots held in the end", effect, w.inFlight)
 		}
 	}
 }
 
 func newRequest(d *Dispatcher, h *fake, id string) *request {
-	d.serial++
-	r := &request{class: d.classes[0], Request: Request{ID: id, Slots: 1}, serial: d.serial, tenant: d.tenants[0],
-		deadline: h.now + 5*time.Second, aim: h.now + time.Second}
-	d.requests[id], d.serials[r.serial] = r, r
+	d.lastSerial++
+	r := &request{class: d.classes[0], Request: Request{ID: id, Slots: 1}, serial: d.lastSerial, tenant: d.tenants[0],
+		deadline: h.now + 5*time.Second, targetAt: h.now + time.Second}
+	d.requests[id], d.requestsBySerial[r.serial] = r, r
 	return r
 }
 
@@ -65,8 +65,8 @@
 	d, h := start(t, set, fleet(1)...)
 	h.ask(d, "mute", 2)
 	h.run(d, h.now+500*ms)
-	if w := d.byName["w0"]; w.held != 0 || w.unstarted != 0 {
-		t.Errorf("%v slots held, %d to start", w.held, w.unstarted)
+	if w := d.workersByName["w0"]; w.inFlight != 0 || w.notStarted != 0 {
+		t.Errorf("%v slots held, %d to start", w.inFlight, w.notStarted)
 	}
 	h.run(d, h.now+time.Second)
 	h.ask(d, "next", 2)
@@ -75,8 +75,8 @@
 	}
 	h.began(d, "next", 0)
 	h.began(d, "mute", 0) // it had only been slow
-	if w := d.byName["w0"]; w.held != 2 || w.suspect != 0 {
-		t.Errorf("%v slots held, left alone until %v", w.held, w.suspect)
+	if w := d.workersByName["w0"]; w.inFlight != 2 || w.unhealthyUntil != 0 {
+		t.Errorf("%v slots held, left alone until %v", w.inFlight, w.unhealthyUntil)
 	}
 }
 
@@ -84,24 +84,24 @@
 // put on them again by its next word.
 func TestOverdueJobsAreNotCounted(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
-	d.classes[2].run = 0.1
+	d.classes[2].meanRuntime = 0.1
 	h.ask(d, "long", 2)
 	h.began(d, "long", 0)
-	w := d.byName["w0"]
+	w := d.workersByName["w0"]
 	h.run(d, h.now+500*ms)
-	if w.held != 1 {
-		t.Errorf("%v slots held after 5 usual running times", w.held)
+	if w.inFlight != 1 {
+		t.Errorf("%v slots held after 5 usual running times", w.inFlight)
 	}
 	h.run(d, h.now+500*ms)
-	if w.held != 0 {
-		t.Errorf("%v slots held after 10", w.held)
+	if w.inFlight != 0 {
+		t.Errorf("%v slots held after 10", w.inFlight)
 	}
-	if err := d.Progress(h.now, "long", 0, 0.5); err != nil || w.held != 1 {
-		t.Errorf("%v slots held after a word of progress, error %v", w.held, err)
+	if err := d.AttemptProgressed(h.now, "long", 0, 0.5); err != nil || w.inFlight != 1 {
+		t.Errorf("%v slots held after a word of progress, error %v", w.inFlight, err)
 	}
 	h.over(d, "long", 0, Served)
-	if w.held != 0 || w.unstarted != 0 {
-		t.Errorf("%v slots held in the end, %d to start", w.held, w.unstarted)
+	if w.inFlight != 0 || w.notStarted != 0 {
+		t.Errorf("%v slots held in the end, %d to start", w.inFlight, w.notStarted)
 	}
 }
 
@@ -111,19 +111,19 @@
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.1, 3, 2*time.Second
 	d, h := start(t, set, fleet(2)...)
-	w := d.byName["w0"]
+	w := d.workersByName["w0"]
 	for _, id := range []string{"a", "b", "c"} {
 		d.send(h.now, newRequest(d, h, id), w)
 		h.began(d, id, 0)
 	}
 	h.over(d, "a", 0, Lost)
-	if w.suspect != 0 || w.sigma != inf || w.coldUntil != 0 {
-		t.Errorf("one of three: left alone until %v, sigma %v, cold until %v", w.suspect, w.sigma, w.coldUntil)
+	if w.unhealthyUntil != 0 || w.limit != unlimited || w.warmAt != 0 {
+		t.Errorf("one of three: left alone until %v, sigma %v, cold until %v", w.unhealthyUntil, w.limit, w.warmAt)
 	}
 	h.over(d, "b", 0, Lost)
 	h.over(d, "c", 0, Lost)
-	if w.suspect <= h.now || w.coldUntil <= h.now {
-		t.Errorf("all: left alone until %v, cold until %v", w.suspect, w.coldUntil)
+	if w.unhealthyUntil <= h.now || w.warmAt <= h.now {
+		t.Errorf("all: left alone until %v, cold until %v", w.unhealthyUntil, w.warmAt)
 	}
 }
 
@@ -154,13 +154,13 @@
 		if failed == 0 || failed > 20 { // a third of 200 would be even
 			t.Errorf("outcome %d: %d of 200 jobs went to the bad worker", o, failed)
 		}
-		w := d.byName["w0"]
-		w.rest = 0
+		w := d.workersByName["w0"]
+		w.ejectedUntil = 0
 		for range 8 {
-			d.learn(h.now, newRequest(d, h, "x"), &attempt{w: w, sent: h.now}, Served)
+			d.learn(h.now, newRequest(d, h, "x"), &attempt{worker: w, sentAt: h.now}, Served)
 		}
-		if w.bad >= badMost || w.restFor != 0 {
-			t.Errorf("outcome %d: after 8 good answers share of errors %v, rests for %v", o, w.bad, w.restFor)
+		if w.errorRate >= maxErrorRate || w.ejectionBackoff != 0 {
+			t.Errorf("outcome %d: after 8 good answers share of errors %v, rests for %v", o, w.errorRate, w.ejectionBackoff)
 		}
 	}
 }
@@ -169,9 +169,9 @@
 // others have room, and against aims that seem to move away as workers get slower.
 func TestSlowWorkersGetWhatTheyCanDoInTime(t *testing.T) {
 	d, h := start(t, settings(), fleet(3)...)
-	slow, quick := d.byName["w0"], d.byName["w2"]
+	slow, quick := d.workersByName["w0"], d.workersByName["w2"]
 	served := func(w *worker, run time.Duration) {
-		d.learn(h.now, newRequest(d, h, "served"), &attempt{w: w, sent: h.now - run, started: h.now - run}, Served)
+		d.learn(h.now, newRequest(d, h, "served"), &attempt{worker: w, sentAt: h.now - run, startedAt: h.now - run}, Served)
 	}
 	for range 1000 {
 		served(quick, 100*ms)
@@ -183,8 +183,8 @@
 	if slow.pace < 3 || quick.pace > 1.1 {
 		t.Errorf("paces %v of a worker ten times as slow, %v of the others", slow.pace, quick.pace)
 	}
-	if c := d.classes[0]; c.run < 0.12 || c.base > 0.12 {
-		t.Errorf("mean running time %v, of the jobs' own %v", c.run, c.base)
+	if c := d.classes[0]; c.meanRuntime < 0.12 || c.baseRuntime > 0.12 {
+		t.Errorf("mean running time %v, of the jobs' own %v", c.meanRuntime, c.baseRuntime)
 	}
 	slow.pace, d.meanWork = 8, 0.1 // no request has come yet
 	for i := range 50 {
@@ -208,13 +208,13 @@
 // wait that it is given is that of a short one.
 func TestWaitIsThatOfAShortJob(t *testing.T) {
 	d, _ := start(t, settings(), fleet(1)...)
-	r := &request{class: d.classes[0], Request: Request{Slots: 1}, own: 0.2, work: 0.2, deadline: time.Hour, aim: 600 * ms}
+	r := &request{class: d.classes[0], Request: Request{Slots: 1}, runtime: 0.2, work: 0.2, deadline: time.Hour, targetAt: 600 * ms}
 	// 200 ms + 2 times its own time, less its own time, for one of 0.4 of 200 ms.
-	if got, want := d.slackAt(0, r, 1), 0.2+shortPart*0.2; got < want-1e-9 || got > want+1e-9 {
+	if got, want := d.slackAtPace(0, r, 1), 0.2+shortJobPart*0.2; got < want-1e-9 || got > want+1e-9 {
 		t.Errorf("slack %v, want %v", got, want)
 	}
 	r.Hint = 200 * ms
-	if got := d.slackAt(0, r, 1); got < 0.4-1e-9 || got > 0.4+1e-9 {
+	if got := d.slackAtPace(0, r, 1); got < 0.4-1e-9 || got > 0.4+1e-9 {
 		t.Errorf("slack %v of a job whose time is known, want 0.4", got)
 	}
 }
--- a/internal/dispatch/planner.go
+++ b/internal/dispatch/planner.go
@@ -135,7 +135,7 @@
 func (p *Planner) Keep(worker string) {
 	p.order(func() {
 		p.out[worker] = true
-		p.d.Keep(worker)
+		p.d.RestoreCordon(worker)
 	})
 }
 
@@ -237,9 +237,9 @@
 		for _, e := range p.list {
 			entries = append(entries, e)
 		}
-		p.d.Members(p.clock.Now(), sedgevale.ListWhole, entries)
+		p.d.WorkersUpdated(p.clock.Now(), sedgevale.ListWhole, entries)
 		for worker := range p.out {
-			p.d.Keep(worker)
+			p.d.RestoreCordon(worker)
 		}
 		p.anew()
 	}()
@@ -257,7 +257,7 @@
 			if e.x.journal != nil {
 				e.x.journal.Gone(e.x.record)
 			}
-			p.d.Gone(p.now, e.x.ID)
+			p.d.ClientDisconnected(p.now, e.x.ID)
 			p.withdraw(e.x)
 			p.forget(e.x)
 		}
@@ -277,19 +277,19 @@
 				e.a.client.Started()
 			}
 			p.changed = true
-			p.check(p.d.Started(p.now, e.a.ID, e.a.Number))
+			p.check(p.d.AttemptStarted(p.now, e.a.ID, e.a.Number))
 		}
 	case evProgress:
 		if !e.a.over {
 			if !e.a.answered {
 				e.a.client.Progress(e.share)
 			}
-			p.check(p.d.Progress(p.now, e.a.ID, e.a.Number, e.share))
+			p.check(p.d.AttemptProgressed(p.now, e.a.ID, e.a.Number, e.share))
 		}
 	case evEnded:
 		p.ended(e.a, e.outcome, e.result, e.report)
 	case evProbed:
-		p.d.Probed(p.now, e.worker, e.report)
+		p.d.ProbeResult(p.now, e.worker, e.report)
 	case evMembers:
 		p.members(e.list, e.entries)
 	case evCall:
@@ -319,7 +319,7 @@
 	}
 	p.open[x.ID] = x
 	p.opened(x.ID)
-	err := p.d.Request(p.now, sedgevale.Request{ID: x.ID, Class: class, Tenant: tenant, Key: x.Key,
+	err := p.d.SubmitRequest(p.now, sedgevale.Request{ID: x.ID, Class: class, Tenant: tenant, Key: x.Key,
 		Left: left, Hint: x.Hint, Slots: x.Slots, Retry: x.Retry})
 	if err != nil {
 		p.log.Error("decision module did not take a request", "err", err)
@@ -341,14 +341,14 @@
 		x.Tenant < 0 && len(p.set.Tenants) == 0 {
 		return x.Tenant
 	}
-	return p.d.Tenant(x.TenantName)
+	return p.d.TenantIndex(x.TenantName)
 }
 
 // Retune goes on by new settings, which are not changed any more. Jobs under way
 // keep their class.
 func (p *Planner) Retune(set sedgevale.Settings) {
 	p.call(func() {
-		if err := p.d.Retune(set); err != nil {
+		if err := p.d.UpdateSettings(set); err != nil {
 			p.log.Error("decision module refused new settings", "err", err)
 			return
 		}
@@ -379,7 +379,7 @@
 		x.answer(Answer{Kind: Served, Result: result})
 		p.withdraw(x)
 	}
-	p.check(p.d.Outcome(p.now, sedgevale.Result{ID: x.ID, Attempt: a.Number, Outcome: o,
+	p.check(p.d.AttemptEnded(p.now, sedgevale.Result{ID: x.ID, Attempt: a.Number, Outcome: o,
 		Closed: x.answered, Report: report}))
 	p.forget(x)
 }
@@ -393,7 +393,7 @@
 			delete(p.list, e.Worker)
 		}
 	}
-	p.d.Members(p.now, list, entries)
+	p.d.WorkersUpdated(p.now, list, entries)
 }
 
 // forget drops what is over: answered, and no attempt out.
@@ -417,7 +417,7 @@
 		t := heap.Pop(&p.timers).(*timer)
 		switch {
 		case t.attempt == nil:
-			p.d.Timer(p.now, t.token)
+			p.d.TimerFired(p.now, t.token)
 		case t.attempt.over:
 		case t.attempt.held:
 			p.turnBack(t.attempt)
--- a/internal/dispatch/planner_host.go
+++ b/internal/dispatch/planner_host.go
@@ -27,8 +27,8 @@
 	p.carry(a)
 }
 
-// Refuse is called by the Dispatcher.
-func (p *Planner) Refuse(id string, after time.Duration) {
+// Reject is called by the Dispatcher.
+func (p *Planner) Reject(id string, after time.Duration) {
 	if x := p.open[id]; x != nil {
 		p.tally.refuse()
 		x.answer(Answer{Kind: Refused, After: after, Reason: "cannot be in time"})
@@ -84,11 +84,11 @@
 // Probe is called by the Dispatcher.
 func (p *Planner) Probe(worker string) { p.carrier.Probe(worker, p) }
 
-// CloseIdle is called by the Dispatcher.
-func (p *Planner) CloseIdle(worker string) { p.carrier.CloseIdle(worker) }
+// CloseIdleConnections is called by the Dispatcher.
+func (p *Planner) CloseIdleConnections(worker string) { p.carrier.CloseIdle(worker) }
 
-// Watch is called by the Dispatcher.
-func (p *Planner) Watch() { p.watch() }
+// WatchWorkers is called by the Dispatcher.
+func (p *Planner) WatchWorkers() { p.watch() }
 
 // Log is called by the Dispatcher.
 func (p *Planner) Log(text string) { p.log.Warn(text) }
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -95,7 +95,7 @@
 // it. Where it has fewer or more of them, each here goes on from one there.
 func (s *Set) Adopt(number int, tell func(planner int, s Shared), estates []Estate) {
 	for i, p := range s.planners {
-		var learned sedgevale.Learned
+		var learned sedgevale.LearnedState
 		if len(estates) > 0 {
 			learned = estates[i%len(estates)].Learned
 		}
--- a/internal/dispatch/sharing.go
+++ b/internal/dispatch/sharing.go
@@ -20,7 +20,7 @@
 // Estate is what a planner hands over to a new process.
 type Estate struct {
 	Shared  Shared            `json:"shared"`
-	Learned sedgevale.Learned `json:"learned"`
+	Learned sedgevale.LearnedState `json:"learned"`
 }
 
 // partner is the planners of another process.
@@ -46,7 +46,7 @@
 // given all there is up to now.
 func (p *Planner) Share(number int, tell func(Shared), got func(Estate)) {
 	p.call(func() {
-		e := Estate{Shared{Out: p.d.Out()}, p.d.Learned(p.now)}
+		e := Estate{Shared{Out: p.d.LoadByWorker()}, p.d.LearnedState(p.now)}
 		for id := range p.open {
 			e.Shared.Opened = append(e.Shared.Opened, id)
 		}
@@ -56,9 +56,9 @@
 }
 
 // Adopt takes over what a partner has learned, and begins to tell it.
-func (p *Planner) Adopt(number int, tell func(Shared), learned sedgevale.Learned) {
+func (p *Planner) Adopt(number int, tell func(Shared), learned sedgevale.LearnedState) {
 	p.call(func() {
-		p.d.Adopt(p.now, learned)
+		p.d.RestoreLearnedState(p.now, learned)
 		p.partners[number] = newPartner(tell)
 	})
 }
@@ -102,7 +102,7 @@
 			}
 		}
 	}
-	p.d.Beside(p.now, sum)
+	p.d.SetSiblingLoad(p.now, sum)
 }
 
 // elsewhere reports whether a partner has an open job of that id.
@@ -138,7 +138,7 @@
 		return shareEvery - since
 	}
 	p.toldAt = p.clock.Now()
-	p.next.Out = p.d.Out()
+	p.next.Out = p.d.LoadByWorker()
 	for _, other := range p.partners {
 		other.tell(p.next)
 	}
--- a/internal/dispatch/signals.go
+++ b/internal/dispatch/signals.go
@@ -22,7 +22,7 @@
 // planner's goroutine, so it must not block, nor keep the slice. It must be called before Run.
 func (p *Planner) Signal(tell func([]sedgevale.Told)) {
 	p.tell = tell
-	p.d.Tell()
+	p.d.TrackLoadChanges()
 }
 
 // Others brings what other schedulers have out at some workers. The slice is not kept.
@@ -37,7 +37,7 @@
 func (p *Planner) Near(workers []string, sharers int) {
 	p.call(func() {
 		p.part, p.sharers = workers, sharers
-		p.d.Part(p.now, workers, sharers)
+		p.d.SetSubset(p.now, workers, sharers)
 	})
 }
 
@@ -48,7 +48,7 @@
 	p.othersMu.Unlock()
 	if len(p.reading) > 0 {
 		p.now = p.clock.Now()
-		p.guard(func() { p.d.Others(p.now, p.reading) })
+		p.guard(func() { p.d.UpdatePeerLoad(p.now, p.reading) })
 	}
 }
 
@@ -57,7 +57,7 @@
 	if p.tell == nil {
 		return
 	}
-	if p.told = p.d.Changed(p.told[:0]); len(p.told) > 0 {
+	if p.told = p.d.AppendLoadChanges(p.told[:0]); len(p.told) > 0 {
 		p.tell(p.told)
 	}
 }
@@ -68,8 +68,8 @@
 	if p.tell == nil {
 		return
 	}
-	p.d.Tell()
-	p.d.Part(p.now, p.part, p.sharers)
+	p.d.TrackLoadChanges()
+	p.d.SetSubset(p.now, p.part, p.sharers)
 	p.told = p.told[:0]
 	for worker := range p.list {
 		p.told = append(p.told, sedgevale.Told{Worker: worker})
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -249,14 +249,14 @@
 	}
 	if w.v.Peers {
 		n.peers = peers.New(peers.Options{Self: n.number, Members: len(w.nodes), Site: 1, Incarnation: uint16(n.run), Hearers: w.v.Hearers, Least: w.v.Least})
-		n.d.Tell()
+		n.d.TrackLoadChanges()
 		n.later(peers.TickEvery, n.tick)
 	}
 	n.told(func() { n.list(sedgevale.ListStale) })
 }
 
 func (n *node) list(kind sedgevale.ListKind) {
-	n.d.Members(n.w.now, kind, n.w.members)
+	n.d.WorkersUpdated(n.w.now, kind, n.w.members)
 	if n.peers == nil {
 		return
 	}
@@ -271,7 +271,7 @@
 }
 
 func (n *node) parted() {
-	n.peers.Parted(func(part []string, sharers int) { n.d.Part(n.w.now, part, sharers) })
+	n.peers.Parted(func(part []string, sharers int) { n.d.SetSubset(n.w.now, part, sharers) })
 }
 
 func (n *node) tick() {
@@ -286,7 +286,7 @@
 	if n.peers == nil || !n.up {
 		return
 	}
-	n.changed = n.d.Changed(n.changed[:0])
+	n.changed = n.d.AppendLoadChanges(n.changed[:0])
 	for _, t := range n.changed {
 		n.peers.Out(n.w.now, t.Worker, peers.Out{Slots: int(t.Held + 0.5), Waiting: t.Waiting}, t.Full)
 	}
@@ -315,7 +315,7 @@
 		n.news = append(n.news, sedgevale.Told{Worker: id, Load: sedgevale.Load{Held: float64(slots), Waiting: waiting}})
 	})
 	if len(n.news) > 0 {
-		n.d.Others(n.w.now, n.news)
+		n.d.UpdatePeerLoad(n.w.now, n.news)
 	}
 }
 
@@ -328,7 +328,7 @@
 	n.told(func() {
 		j.over, j.attempts = false, nil
 		n.jobs[j.id] = j
-		_ = n.d.Request(n.w.now, sedgevale.Request{ID: j.id, Class: j.class, Tenant: j.tenant, Left: j.limit - n.w.now, Slots: float64(j.slots), Retry: j.tries > 0})
+		_ = n.d.SubmitRequest(n.w.now, sedgevale.Request{ID: j.id, Class: j.class, Tenant: j.tenant, Left: j.limit - n.w.now, Slots: float64(j.slots), Retry: j.tries > 0})
 	})
 }
 
@@ -360,7 +360,7 @@
 	a.t.started = func() {
 		n.later(ms(w.f.Net.WayMS), func() {
 			if !a.over {
-				_ = n.d.Started(w.now, j.id, number)
+				_ = n.d.AttemptStarted(w.now, j.id, number)
 			}
 		})
 	}
@@ -400,7 +400,7 @@
 		n.w.answered(j, n)
 		j.over = true
 	}
-	_ = n.d.Outcome(n.w.now, sedgevale.Result{ID: j.id, Attempt: number, Outcome: o, Closed: j.over, Report: report})
+	_ = n.d.AttemptEnded(n.w.now, sedgevale.Result{ID: j.id, Attempt: number, Outcome: o, Closed: j.over, Report: report})
 }
 
 // Cancel calls an attempt off and closes its connection.
@@ -413,8 +413,8 @@
 	n.later(0, func() { n.ended(j, number, sedgevale.Cancelled, nil) })
 }
 
-// Refuse answers the client, who may come back.
-func (n *node) Refuse(id string, after time.Duration) {
+// Reject answers the client, who may come back.
+func (n *node) Reject(id string, after time.Duration) {
 	w, j := n.w, n.jobs[id]
 	j.over = true
 	w.r.Refusals++
@@ -435,21 +435,21 @@
 
 // SetTimer has the module woken.
 func (n *node) SetTimer(after time.Duration, token uint64) {
-	n.later(after, func() { n.d.Timer(n.w.now, token) })
+	n.later(after, func() { n.d.TimerFired(n.w.now, token) })
 }
 
 // Probe asks a box for its load.
 func (n *node) Probe(worker string) {
 	n.later(2*ms(n.w.f.Net.WayMS), func() {
-		n.d.Probed(n.w.now, worker, &sedgevale.Report{HasFree: true, Free: n.w.boxes[n.w.ids[worker]].report})
+		n.d.ProbeResult(n.w.now, worker, &sedgevale.Report{HasFree: true, Free: n.w.boxes[n.w.ids[worker]].report})
 	})
 }
 
-// CloseIdle forgets the idle connections to a box.
-func (n *node) CloseIdle(worker string) { delete(n.idle, n.w.ids[worker]) }
+// CloseIdleConnections forgets the idle connections to a box.
+func (n *node) CloseIdleConnections(worker string) { delete(n.idle, n.w.ids[worker]) }
 
-// Watch is not needed: lists are told as they change.
-func (n *node) Watch() {}
+// WatchWorkers is not needed: lists are told as they change.
+func (n *node) WatchWorkers() {}
 
 // Log is of no use here.
 func (n *node) Log(string) {}
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -55,8 +55,8 @@
 	w.end()
 }
 
-// Refuse ends a request unserved.
-func (w *Writer) Refuse(id string, after time.Duration) {
+// Reject ends a request unserved.
+func (w *Writer) Reject(id string, after time.Duration) {
 	w.start("OVERLOAD_REPLY")
 	w.text(id)
 	w.seconds(after)
@@ -93,15 +93,15 @@
 	w.end()
 }
 
-// CloseIdle gives back the connections that carry nothing.
-func (w *Writer) CloseIdle(worker string) {
+// CloseIdleConnections gives back the connections that carry nothing.
+func (w *Writer) CloseIdleConnections(worker string) {
 	w.start("RELEASE")
 	w.text(worker)
 	w.end()
 }
 
-// Watch subscribes to the list of workers.
-func (w *Writer) Watch() {
+// WatchWorkers subscribes to the list of workers.
+func (w *Writer) WatchWorkers() {
 	w.start("SUBSCRIBE")
 	w.number(1)
 	w.end()
--- a/learned.go
+++ b/learned.go
@@ -7,156 +7,156 @@
 	"time"
 )
 
-// Learned is what a dispatcher has learned, for one that takes over from it.
+// LearnedState is what a dispatcher has learned, for one that takes over from it.
 // Times are in seconds, before or after now; workers, classes and tenants go by
 // their names. Limits below 0 stand for none.
-type Learned struct {
+type LearnedState struct {
 	Classes []LearnedClass  `json:"classes"`
 	Tenants []LearnedTenant `json:"tenants"`
 	Workers []LearnedWorker `json:"workers"`
-	Size    []float64       `json:"size"` // by kind
-	Room    []float64       `json:"room"`
-	Jobs    float64         `json:"jobs"` // in hand, as the most that found room
-	Work    float64         `json:"work"`
-	Carry   float64         `json:"carry"`
-	Arrived float64         `json:"arrived"`
-	Prompt  float64         `json:"prompt"`
-	Silent  float64         `json:"silent"`
-	Metered float64         `json:"metered"`
-	Changes float64         `json:"changes"`
+	MaxWeights    []float64       `json:"size"` // by kind
+	MaxFreeSlots    []float64       `json:"room"`
+	Capacity    float64         `json:"jobs"` // in hand, as the most that found room
+	MeanWork    float64         `json:"work"`
+	WorkRate   float64         `json:"carry"`
+	Arrivals float64         `json:"arrived"`
+	PromptStartRate  float64         `json:"prompt"`
+	SilentConnections  float64         `json:"silent"`
+	MeteredSeconds float64         `json:"metered"`
+	ReportChanges float64         `json:"changes"`
 }
 
 // LearnedClass is what is known of a class.
 type LearnedClass struct {
 	Name     string  `json:"name"`
-	Run      float64 `json:"run"`
-	Base     float64 `json:"base"`
-	Hint     float64 `json:"hint"`
-	Complete float64 `json:"complete"`
-	Runs     float64 `json:"runs"`
+	MeanRuntime      float64 `json:"run"`
+	BaseRuntime     float64 `json:"base"`
+	MeanHint     float64 `json:"hint"`
+	MeanCompletion float64 `json:"complete"`
+	Samples     float64 `json:"runs"`
 }
 
 // LearnedTenant is what is known of a tenant.
 type LearnedTenant struct {
 	Name    string  `json:"name"`
-	Sigma   float64 `json:"sigma"`
-	Local   float64 `json:"local"`
-	Arrived float64 `json:"arrived"`
+	Limit   float64 `json:"sigma"`
+	LocalShare   float64 `json:"local"`
+	Arrivals float64 `json:"arrived"`
 	Tokens  float64 `json:"tokens"`
 }
 
 // LearnedWorker is what is known of a worker.
 type LearnedWorker struct {
 	Worker  string  `json:"worker"`
-	Sigma   float64 `json:"sigma"`
+	Limit   float64 `json:"sigma"`
 	Pace    float64 `json:"pace"`
-	Bad     float64 `json:"bad,omitempty"`
-	Free    float64 `json:"free,omitempty"`
-	FreeAge float64 `json:"free_age"`          // below 0: no report yet
-	Cold    float64 `json:"cold,omitempty"`    // for so long
-	Credit  float64 `json:"credit,omitempty"`  // of a cold worker
-	Suspect float64 `json:"suspect,omitempty"` // for so long
-	Backoff float64 `json:"backoff,omitempty"`
-	Rest    float64 `json:"rest,omitempty"` // for so long
-	RestFor float64 `json:"rest_for,omitempty"`
+	ErrorRate     float64 `json:"bad,omitempty"`
+	FreeSlots    float64 `json:"free,omitempty"`
+	FreeSlotsAge float64 `json:"free_age"`          // below 0: no report yet
+	WarmIn    float64 `json:"cold,omitempty"`    // for so long
+	SlowStartCredit  float64 `json:"credit,omitempty"`  // of a cold worker
+	UnhealthyFor float64 `json:"suspect,omitempty"` // for so long
+	UnhealthyBackoff float64 `json:"backoff,omitempty"`
+	EjectedFor    float64 `json:"rest,omitempty"` // for so long
+	EjectionBackoff float64 `json:"rest_for,omitempty"`
 }
 
-func limited(v float64) float64 {
-	if v == inf {
+func encodeLimit(v float64) float64 {
+	if v == unlimited {
 		return -1
 	}
 	return v
 }
 
-func unlimited(v float64) float64 {
+func decodeLimit(v float64) float64 {
 	if v < 0 {
-		return inf
+		return unlimited
 	}
 	return v
 }
 
-// Learned returns what this dispatcher has learned.
-func (d *Dispatcher) Learned(now time.Duration) Learned {
-	l := Learned{Size: slices.Clone(d.kindSize), Room: slices.Clone(d.kindRoom), Jobs: d.room, Work: d.meanWork, Carry: d.carry, Arrived: d.arrived,
-		Prompt: d.prompt, Silent: d.silent, Metered: d.metered, Changes: d.changes}
+// LearnedState returns what this dispatcher has learned.
+func (d *Dispatcher) LearnedState(now time.Duration) LearnedState {
+	l := LearnedState{MaxWeights: slices.Clone(d.maxWeightByKind), MaxFreeSlots: slices.Clone(d.maxFreeByKind), Capacity: d.capacity, MeanWork: d.meanWork, WorkRate: d.workRate, Arrivals: d.arrivals,
+		PromptStartRate: d.promptStartRate, SilentConnections: d.silentConnections, MeteredSeconds: d.meteredSeconds, ReportChanges: d.reportChanges}
 	for _, c := range d.classes {
-		l.Classes = append(l.Classes, LearnedClass{c.Name, c.run, c.base, c.hint, c.complete, c.runs})
+		l.Classes = append(l.Classes, LearnedClass{c.Name, c.meanRuntime, c.baseRuntime, c.meanHint, c.meanCompletion, c.samples})
 	}
-	for i, t := range d.set.Tenants {
-		v := d.named[i]
-		l.Tenants = append(l.Tenants, LearnedTenant{t.Name, limited(v.sigma), limited(v.local), v.arrived, v.tokens})
+	for i, t := range d.settings.Tenants {
+		v := d.tenantsByIndex[i]
+		l.Tenants = append(l.Tenants, LearnedTenant{t.Name, encodeLimit(v.limit), encodeLimit(v.localShare), v.arrivals, v.tokens})
 	}
 	for _, w := range d.workers {
 		if w == nil {
 			continue
 		}
 		age := -1.0
-		if w.freeAt > 0 {
-			age = (now - w.freeAt).Seconds()
+		if w.freeSlotsAt > 0 {
+			age = (now - w.freeSlotsAt).Seconds()
 		}
-		l.Workers = append(l.Workers, LearnedWorker{w.Worker, limited(w.sigma), w.pace, w.bad, w.free, age,
-			max(0, w.coldUntil-now).Seconds(), w.credit, max(0, w.suspect-now).Seconds(), w.backoff.Seconds(),
-			max(0, w.rest-now).Seconds(), w.restFor.Seconds()})
+		l.Workers = append(l.Workers, LearnedWorker{w.Worker, encodeLimit(w.limit), w.pace, w.errorRate, w.freeSlots, age,
+			max(0, w.warmAt-now).Seconds(), w.slowStartCredit, max(0, w.unhealthyUntil-now).Seconds(), w.unhealthyBackoff.Seconds(),
+			max(0, w.ejectedUntil-now).Seconds(), w.ejectionBackoff.Seconds()})
 	}
 	return l
 }
 
-// Adopt goes on from what another dispatcher has learned, as far as it speaks of
+// RestoreLearnedState goes on from what another dispatcher has learned, as far as it speaks of
 // classes, tenants and workers that are known here.
-func (d *Dispatcher) Adopt(now time.Duration, l Learned) {
-	d.wake(now)
+func (d *Dispatcher) RestoreLearnedState(now time.Duration, l LearnedState) {
+	d.startRounds(now)
 	for _, k := range d.classes {
 		for _, c := range l.Classes {
 			if c.Name == k.Name {
-				k.run, k.base, k.hint, k.complete, k.runs = c.Run, c.Base, c.Hint, c.Complete, c.Runs
+				k.meanRuntime, k.baseRuntime, k.meanHint, k.meanCompletion, k.samples = c.MeanRuntime, c.BaseRuntime, c.MeanHint, c.MeanCompletion, c.Samples
 			}
 		}
 	}
-	for i := range d.set.Tenants {
+	for i := range d.settings.Tenants {
 		for _, t := range l.Tenants {
-			if v := d.named[i]; t.Name == d.set.Tenants[i].Name {
-				v.sigma, v.local, v.arrived, v.tokens = unlimited(t.Sigma), unlimited(t.Local), t.Arrived, t.Tokens
+			if v := d.tenantsByIndex[i]; t.Name == d.settings.Tenants[i].Name {
+				v.limit, v.localShare, v.arrivals, v.tokens = decodeLimit(t.Limit), decodeLimit(t.LocalShare), t.Arrivals, t.Tokens
 			}
 		}
 	}
-	for kind, size := range l.Size {
-		d.growKinds(kind)
-		d.kindSize[kind] = max(d.kindSize[kind], size)
+	for kind, size := range l.MaxWeights {
+		d.growKindTables(kind)
+		d.maxWeightByKind[kind] = max(d.maxWeightByKind[kind], size)
 	}
-	for kind, room := range l.Room {
-		d.growKinds(kind)
-		d.kindRoom[kind] = max(d.kindRoom[kind], room)
+	for kind, room := range l.MaxFreeSlots {
+		d.growKindTables(kind)
+		d.maxFreeByKind[kind] = max(d.maxFreeByKind[kind], room)
 	}
-	d.room, d.meanWork, d.carry, d.arrived = l.Jobs, l.Work, l.Carry, l.Arrived
-	d.prompt, d.silent, d.metered, d.changes = l.Prompt, l.Silent, l.Metered, l.Changes
-	d.serial = max(d.serial, learnedJobs)
-	if l.Work > 0 {
-		d.usual, d.weighed = l.Work, max(d.weighed, learnedJobs)
+	d.capacity, d.meanWork, d.workRate, d.arrivals = l.Capacity, l.MeanWork, l.WorkRate, l.Arrivals
+	d.promptStartRate, d.silentConnections, d.meteredSeconds, d.reportChanges = l.PromptStartRate, l.SilentConnections, l.MeteredSeconds, l.ReportChanges
+	d.lastSerial = max(d.lastSerial, handoverSamples)
+	if l.MeanWork > 0 {
+		d.meanKnownWork, d.knownRequests = l.MeanWork, max(d.knownRequests, handoverSamples)
 	}
 	for _, v := range l.Workers {
-		w := d.byName[v.Worker]
+		w := d.workersByName[v.Worker]
 		if w == nil {
 			continue
 		}
-		d.setSigma(w, unlimited(v.Sigma))
-		w.pace, w.bad, w.free = v.Pace, v.Bad, v.Free
-		w.freeAt = 0
-		if v.FreeAge >= 0 {
-			w.freeAt = now - seconds(v.FreeAge)
+		d.setLimit(w, decodeLimit(v.Limit))
+		w.pace, w.errorRate, w.freeSlots = v.Pace, v.ErrorRate, v.FreeSlots
+		w.freeSlotsAt = 0
+		if v.FreeSlotsAge >= 0 {
+			w.freeSlotsAt = now - seconds(v.FreeSlotsAge)
 		}
-		if v.Cold > 0 { // the credit stays with the other, who goes on sending
-			w.coldUntil = max(w.coldUntil, now+seconds(v.Cold))
-			w.credit, w.creditAt = min(0, v.Credit), now
+		if v.WarmIn > 0 { // the credit stays with the other, who goes on sending
+			w.warmAt = max(w.warmAt, now+seconds(v.WarmIn))
+			w.slowStartCredit, w.slowStartCreditAt = min(0, v.SlowStartCredit), now
 		}
-		w.backoff, w.restFor = seconds(v.Backoff), seconds(v.RestFor)
-		if v.Suspect > 0 {
-			w.suspect = now + seconds(v.Suspect)
+		w.unhealthyBackoff, w.ejectionBackoff = seconds(v.UnhealthyBackoff), seconds(v.EjectionBackoff)
+		if v.UnhealthyFor > 0 {
+			w.unhealthyUntil = now + seconds(v.UnhealthyFor)
 		}
-		if v.Rest > 0 {
-			w.rest = now + seconds(v.Rest)
+		if v.EjectedFor > 0 {
+			w.ejectedUntil = now + seconds(v.EjectedFor)
 		}
 	}
 }
 
-// learnedJobs is how many jobs means that were handed over stand for.
-const learnedJobs = 64
+// handoverSamples is how many jobs means that were handed over stand for.
+const handoverSamples = 64
--- a/peers.go
+++ b/peers.go
@@ -16,39 +16,39 @@
 // Plus returns the sum of two loads.
 func (l Load) Plus(m Load) Load { return Load{l.Held + m.Held, l.Waiting + m.Waiting, l.Sent + m.Sent} }
 
-// Out returns what this dispatcher has out at each worker, without what Beside
+// LoadByWorker returns what this dispatcher has out at each worker, without what Beside
 // has told of others.
-func (d *Dispatcher) Out() map[string]Load {
+func (d *Dispatcher) LoadByWorker() map[string]Load {
 	out := map[string]Load{}
 	for _, w := range d.workers {
 		if w == nil {
 			continue
 		}
-		if l := (Load{w.held - w.beside.Held, w.unstarted - w.beside.Waiting, w.sent}); l != (Load{}) {
+		if l := (Load{w.inFlight - w.siblingLoad.Held, w.notStarted - w.siblingLoad.Waiting, w.workSent}); l != (Load{}) {
 			out[w.Worker] = l
 		}
 	}
 	return out
 }
 
-// Beside tells what other dispatchers of the same scheduler have out. It counts
+// SetSiblingLoad tells what other dispatchers of the same scheduler have out. It counts
 // like what is out from here, for limits and for cold workers.
-func (d *Dispatcher) Beside(now time.Duration, loads map[string]Load) {
-	d.wake(now)
+func (d *Dispatcher) SetSiblingLoad(now time.Duration, loads map[string]Load) {
+	d.startRounds(now)
 	for _, w := range d.workers {
 		if w == nil {
 			continue
 		}
 		l := loads[w.Worker]
-		d.hold(w, l.Held-w.beside.Held)
-		w.unstarted += l.Waiting - w.beside.Waiting
-		if w.coldUntil > now && w.besides {
-			w.credit -= max(0, l.Sent-w.beside.Sent)
+		d.addInFlight(w, l.Held-w.siblingLoad.Held)
+		w.notStarted += l.Waiting - w.siblingLoad.Waiting
+		if w.warmAt > now && w.siblingLoadKnown {
+			w.slowStartCredit -= max(0, l.Sent-w.siblingLoad.Sent)
 		}
-		w.beside, w.besides = l, true
+		w.siblingLoad, w.siblingLoadKnown = l, true
 	}
-	d.roomAgain()
-	d.release(now)
+	d.capacityChanged()
+	d.releasePending(now)
 }
 
 // Told is what somebody has out at a worker.
@@ -58,65 +58,65 @@
 	Full bool // more is out there, from all, than the worker has slots: what waits will go on waiting
 }
 
-// Tell has Changed work from now on.
-func (d *Dispatcher) Tell() { d.tells = true }
+// TrackLoadChanges has Changed work from now on.
+func (d *Dispatcher) TrackLoadChanges() { d.tracksLoadChanges = true }
 
-// Changed appends what this dispatcher has out now at each worker where that has changed since it was
+// AppendLoadChanges appends what this dispatcher has out now at each worker where that has changed since it was
 // last asked, with what Beside has told of: the other process is the same scheduler.
-func (d *Dispatcher) Changed(buf []Told) []Told {
-	for i, w := range d.marked {
-		w.marked, d.marked[i] = false, nil
-		buf = append(buf, Told{w.Worker, Load{w.held - w.others.Held, w.unstarted - w.others.Waiting, w.sent},
-			w.held > d.kindRoom[w.Kind]})
+func (d *Dispatcher) AppendLoadChanges(buf []Told) []Told {
+	for i, w := range d.loadChanged {
+		w.loadChanged, d.loadChanged[i] = false, nil
+		buf = append(buf, Told{w.Worker, Load{w.inFlight - w.peerLoad.Held, w.notStarted - w.peerLoad.Waiting, w.workSent},
+			w.inFlight > d.maxFreeByKind[w.Kind]})
 	}
-	d.marked = d.marked[:0]
+	d.loadChanged = d.loadChanged[:0]
 	return buf
 }
 
-// Others tells what other schedulers of the site have out at some workers, each as a sum that takes the
+// UpdatePeerLoad tells what other schedulers of the site have out at some workers, each as a sum that takes the
 // place of the one before. It counts against the worker's room, but not as ours. Workers that no list
 // has named are passed over.
-func (d *Dispatcher) Others(now time.Duration, told []Told) {
-	d.wake(now)
+func (d *Dispatcher) UpdatePeerLoad(now time.Duration, told []Told) {
+	d.startRounds(now)
 	for i := range told {
-		w := d.byName[told[i].Worker]
+		w := d.workersByName[told[i].Worker]
 		if w == nil {
 			continue
 		}
-		d.occupy(w, told[i].Held-w.others.Held)
-		w.unstarted += told[i].Waiting - w.others.Waiting
-		w.others = told[i].Load
+		d.addOccupied(w, told[i].Held-w.peerLoad.Held)
+		w.notStarted += told[i].Waiting - w.peerLoad.Waiting
+		w.peerLoad = told[i].Load
 	}
-	d.roomAgain()
-	d.release(now)
+	d.capacityChanged()
+	d.releasePending(now)
 }
 
-// Part makes some workers this dispatcher's own part of a fleet: it looks there first. So many
+// SetSubset makes some workers this dispatcher's own part of a fleet: it looks there first. So many
 // dispatchers as sharers have a worker in their parts, this one included. An empty part stands for all
 // workers alike, as at the start. Workers that no list names yet do not count.
-func (d *Dispatcher) Part(now time.Duration, workers []string, sharers int) {
+func (d *Dispatcher) SetSubset(now time.Duration, workers []string, sharers int) {
 	ours := make(map[string]bool, len(workers))
 	for _, name := range workers {
 		ours[name] = true
 	}
-	d.part, d.sharers = 0, max(1, sharers)
+	d.subsetSize, d.subsetSharers = 0, max(1, sharers)
 	if len(workers) == 0 {
-		d.sharers = d.set.Peers
+		d.subsetSharers = d.settings.Peers
 	}
 	for _, w := range d.workers {
 		if w == nil {
 			continue
 		}
-		if w.ours != ours[w.Worker] {
-			d.count(w, -1)
-			w.ours = ours[w.Worker]
-			d.count(w, 1)
+		if w.inSubset != ours[w.Worker] {
+			d.adjustPoolSums(w, -1)
+			w.inSubset = ours[w.Worker]
+			d.adjustPoolSums(w, 1)
 			for _, p := range d.pools {
-				p.nearOld = true
+				p.subsetStale = true
 			}
 		}
-		d.part += int(oneIf(w.ours))
+		d.subsetSize += int(boolToFloat(w.inSubset))
 	}
-	d.roomAgain()
-	d.release(now)
+	d.capacityChanged()
+	d.releasePending(now)
 }
--- a/queue.go
+++ b/queue.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	maxTurns  = 64 // rounds of all tenants in one release
-	scanMost  = 32 // held jobs of a tenant passed by in the search of those
-	scanDepth = 4  // held jobs of a tenant looked at when the first has no home
+	maxReleaseTurns  = 64 // rounds of all tenants in one release
+	maxQueueScan  = 32 // held jobs of a tenant passed by in the search of those
+	maxPlacementTries = 4  // held jobs of a tenant looked at when the first has no home
 )
 
 // queue is a heap of a tenant's held jobs by slack (the paper's section 4.2):
@@ -19,7 +19,7 @@
 
 func (q queue) Len() int { return len(q) }
 
-func (q queue) Less(i, j int) bool { return q[i].latest < q[j].latest }
+func (q queue) Less(i, j int) bool { return q[i].sendBy < q[j].sendBy }
 
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
@@ -34,76 +34,76 @@
 }
 
 func (d *Dispatcher) enqueue(now time.Duration, r *request) {
-	r.latest = now + seconds(holdPart*d.feasibleFor(now, r).Seconds())
-	d.queue(r)
+	r.sendBy = now + seconds(maxSlackPart*d.timeToSend(now, r).Seconds())
+	d.pushPending(r)
 }
 
-func (d *Dispatcher) queue(r *request) {
+func (d *Dispatcher) pushPending(r *request) {
 	r.queued = true
-	r.tenant.backlog[r.class.index] += r.work
-	r.tenant.waiting += r.Slots
-	d.backlog++
+	r.tenant.pendingWork[r.class.index] += r.work
+	r.tenant.pendingSlots += r.Slots
+	d.pendingRequests++
 	heap.Push(&r.tenant.queue, r)
 }
 
-func (d *Dispatcher) dequeue(r *request) {
+func (d *Dispatcher) removePending(r *request) {
 	t := r.tenant
 	r.queued = false
-	t.backlog[r.class.index] = max(0, t.backlog[r.class.index]-r.work)
-	t.waiting -= r.Slots
-	d.backlog--
+	t.pendingWork[r.class.index] = max(0, t.pendingWork[r.class.index]-r.work)
+	t.pendingSlots -= r.Slots
+	d.pendingRequests--
 	for len(t.queue) > 0 && !t.queue[0].queued {
 		heap.Pop(&t.queue)
 	}
 }
 
-// release sends held jobs by deficit round robin while there is room.
-func (d *Dispatcher) release(now time.Duration) {
-	if d.settling {
+// releasePending sends held jobs by deficit round robin while there is room.
+func (d *Dispatcher) releasePending(now time.Duration) {
+	if d.catchingUp {
 		return
 	}
-	idle, most, resume := 0, maxTurns*len(d.tenants), -1
+	idle, most, resume := 0, maxReleaseTurns*len(d.tenants), -1
 	for _, p := range d.pools {
-		p.full = false
+		p.jobBlocked = false
 	}
-	for ; d.backlog > 0 && idle < len(d.tenants) && most > 0; idle, most = idle+1, most-1 {
+	for ; d.pendingRequests > 0 && idle < len(d.tenants) && most > 0; idle, most = idle+1, most-1 {
 		t := d.tenants[d.turn]
 		if len(t.queue) == 0 {
 			t.deficit = 0
 		} else {
 			had := t.deficit
-			if !d.credited {
+			if !d.turnCredited {
 				t.deficit = min(t.deficit, max(4*d.meanWork, t.queue[0].work)) +
 					d.meanWork*t.share*float64(len(d.tenants))
-				d.credited = true
+				d.turnCredited = true
 			}
-			sent := d.serve(now, t)
+			sent := d.serveTenant(now, t)
 			if sent {
 				idle = -1
 			}
 			// Guards against turns that end with one job each, as room comes slot by slot: then all
 			// tenants would get alike. Who has credit left goes on when there is room again.
-			if t.blocked && resume < 0 {
+			if t.blockedByCapacity && resume < 0 {
 				resume = d.turn
-			} else if t.blocked && !sent {
+			} else if t.blockedByCapacity && !sent {
 				t.deficit = had
 			}
 		}
-		d.turn, d.credited = (d.turn+1)%len(d.tenants), false
+		d.turn, d.turnCredited = (d.turn+1)%len(d.tenants), false
 	}
 	if resume >= 0 {
-		d.turn, d.credited = resume, true
+		d.turn, d.turnCredited = resume, true
 	}
 }
 
-// serve sends what the tenant's credit and sigma allow, and reports whether another turn may send more.
-func (d *Dispatcher) serve(now time.Duration, t *tenant) (sent bool) {
-	t.blocked = false
-	for i, tried := 0, 0; i < min(len(t.queue), scanMost) && tried < scanDepth; i++ {
+// serveTenant sends what the tenant's credit and sigma allow, and reports whether another turn may send more.
+func (d *Dispatcher) serveTenant(now time.Duration, t *tenant) (sent bool) {
+	t.blockedByCapacity = false
+	for i, tried := 0, 0; i < min(len(t.queue), maxQueueScan) && tried < maxPlacementTries; i++ {
 		r := t.queue[i]
 		p := r.class.pool
 		own := d.withinShare(now, t)
-		if !r.queued || p.noRoom && !own || r.looking > 0 && now < r.lookTill {
+		if !r.queued || p.noCapacity && !own || r.probesPending > 0 && now < r.probeDeadline {
 			continue
 		}
 		tried++
@@ -111,51 +111,51 @@
 			if tried > 1 {
 				continue
 			}
-			t.blocked = p.full
-			return sent || !p.full // another turn brings the credit
+			t.blockedByCapacity = p.jobBlocked
+			return sent || !p.jobBlocked // another turn brings the credit
 		}
-		if !own && t.inflight > 0 && t.inflight+r.Slots > t.sigma {
+		if !own && t.inFlight > 0 && t.inFlight+r.Slots > t.limit {
 			return sent
 		}
-		w := d.pick(now, r, own)
-		if w == nil && r.looking > 0 {
+		w := d.pickWorker(now, r, own)
+		if w == nil && r.probesPending > 0 {
 			continue
 		}
 		if w == nil {
-			d.crowded, t.blocked, p.full = true, true, true
-			if r.looks >= lookRounds && r.out == 0 { // nothing more will be known in time
-				d.end(now, r)
+			d.capacityShort, t.blockedByCapacity, p.jobBlocked = true, true, true
+			if r.probeRounds >= maxProbeRounds && r.inFlight == 0 { // nothing more will be known in time
+				d.endUnserved(now, r)
 			} else if r.Key == "" && len(r.attempts) == 0 {
-				p.noRoom = true
+				p.noCapacity = true
 			}
 			continue
 		}
 		t.deficit -= r.work
 		t.tokens--
-		d.dequeue(r)
+		d.removePending(r)
 		d.send(now, r, w)
-		sent, t.blocked, i, tried = true, false, -1, 0
+		sent, t.blockedByCapacity, i, tried = true, false, -1, 0
 	}
 	return sent
 }
 
 func (d *Dispatcher) send(now time.Duration, r *request, w *worker) {
 	if len(r.attempts) > 0 {
-		d.further.add(now)
+		d.retryCounter.add(now)
 	}
-	n := d.book(now, r, w)
-	if w.coldUntil > now {
-		w.credit -= d.weightOf(r)
+	n := d.startAttempt(now, r, w)
+	if w.warmAt > now {
+		w.slowStartCredit -= d.expectedWorkOf(r)
 	}
-	if w.suspect > 0 {
-		w.trial = now
+	if w.unhealthyUntil > 0 {
+		w.lastTrial = now
 	}
 	d.host.Send(r.ID, w.Worker, 0)
-	if d.set.TellsStart {
-		wait := (min(r.deadline, r.aim) - now - seconds(r.class.run)) / 2
-		if w.held <= d.kindRoom[w.Kind] && d.set.InOrder && d.ownEyes() {
-			wait = min(wait, promptWait) // there should be a free slot
+	if d.settings.TellsStart {
+		wait := (min(r.deadline, r.targetAt) - now - seconds(r.class.meanRuntime)) / 2
+		if w.inFlight <= d.maxFreeByKind[w.Kind] && d.settings.InOrder && d.lateStartMeansSilence() {
+			wait = min(wait, promptStartTimeout) // there should be a free slot
 		}
-		d.timer(min(max(wait, minGrace), maxGrace), tokenStart, r, n)
+		d.setTimer(min(max(wait, minStartTimeout), maxStartTimeout), tokenStartDue, r, n)
 	}
 }
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -7,35 +7,35 @@
 	"slices"
 )
 
-// Retune goes on by new settings. Jobs under way keep their class as it was; what
+// UpdateSettings goes on by new settings. Jobs under way keep their class as it was; what
 // was learned of a class counts for the next of its name. Tenants go by their names:
 // one that stays keeps its turn, its credit and all that was learned, whatever becomes
 // of the others; one that goes keeps its share until its last job is over (see Tenant).
 // Zone, peers and the meaning of weights stay: they change with a new Dispatcher.
 // Settings that make no sense are an error and change nothing.
-func (d *Dispatcher) Retune(set Settings) error {
+func (d *Dispatcher) UpdateSettings(set Settings) error {
 	if err := set.Check(); err != nil {
 		return err
 	}
-	old := d.set
-	d.set = set
-	d.set.Zone, d.set.Peers, d.set.Weights, d.set.AskForList = old.Zone, old.Peers, old.Weights, old.AskForList
-	d.set.MaxAttempts = attemptsOf(set)
+	old := d.settings
+	d.settings = set
+	d.settings.Zone, d.settings.Peers, d.settings.Weights, d.settings.AskForList = old.Zone, old.Peers, old.Weights, old.AskForList
+	d.settings.MaxAttempts = attemptLimit(set)
 	if set.Further.Span != old.Further.Span {
-		d.tallies()
+		d.resetCounters()
 	}
-	d.enroll(set.Tenants)
-	d.classify(set.Classes)
+	d.updateTenants(set.Tenants)
+	d.updateClasses(set.Classes)
 	return nil
 }
 
-func attemptsOf(set Settings) int {
+func attemptLimit(set Settings) int {
 	return min(max(1, set.MaxAttempts), 31) // a timer's token has 5 bits for it
 }
 
-// classify makes the classes of new settings. One that has not changed is the same
+// updateClasses makes the classes of new settings. One that has not changed is the same
 // as before; another of the same name goes on from what was learned.
-func (d *Dispatcher) classify(classes []Class) {
+func (d *Dispatcher) updateClasses(classes []Class) {
 	former := d.classes
 	d.classes = make([]*class, len(classes))
 	for i, c := range classes {
@@ -48,30 +48,30 @@
 			if reflect.DeepEqual(f.Class, k.Class) {
 				k = f
 			} else {
-				k.run, k.base, k.hint, k.complete, k.runs = f.run, f.base, f.hint, f.complete, f.runs
+				k.meanRuntime, k.baseRuntime, k.meanHint, k.meanCompletion, k.samples = f.meanRuntime, f.baseRuntime, f.meanHint, f.meanCompletion, f.samples
 			}
 			break
 		}
 		k.pool = d.poolOf(c.Kinds, c.Zones)
 		d.classes[i] = k
 	}
-	d.keep()
+	d.compactClasses()
 	for _, w := range d.workers { // the classes may have brought a pool
-		if w != nil && len(w.places) < len(d.pools) {
-			w.places = append(w.places, slices.Repeat([]int{-1}, len(d.pools)-len(w.places))...)
-			d.place(w)
+		if w != nil && len(w.poolPositions) < len(d.pools) {
+			w.poolPositions = append(w.poolPositions, slices.Repeat([]int{-1}, len(d.pools)-len(w.poolPositions))...)
+			d.addToPools(w)
 		}
 	}
-	d.roomAgain()
+	d.capacityChanged()
 }
 
-// keep keeps the classes of the settings and of jobs under way, and forgets the others.
-func (d *Dispatcher) keep() {
+// compactClasses keeps the classes of the settings and of jobs under way, and forgets the others.
+func (d *Dispatcher) compactClasses() {
 	work := make([]map[*class]float64, len(d.tenants))
 	for i, t := range d.tenants {
 		work[i] = map[*class]float64{}
-		for at, k := range d.kept {
-			work[i][k] = t.backlog[at]
+		for at, k := range d.classesInUse {
+			work[i][k] = t.pendingWork[at]
 		}
 	}
 	inUse := map[*class]bool{}
@@ -79,19 +79,19 @@
 		inUse[r.class] = true
 	}
 	kept := slices.Clone(d.classes)
-	for _, k := range d.kept {
+	for _, k := range d.classesInUse {
 		if inUse[k] && !slices.Contains(kept, k) {
 			kept = append(kept, k)
 		}
 	}
-	d.kept = kept
+	d.classesInUse = kept
 	for at, k := range kept {
 		k.index = at
 	}
 	for i, t := range d.tenants {
-		t.backlog = make([]float64, len(kept))
+		t.pendingWork = make([]float64, len(kept))
 		for at, k := range kept {
-			t.backlog[at] = work[i][k]
+			t.pendingWork[at] = work[i][k]
 		}
 	}
 }
--- a/rejection.go
+++ b/rejection.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	shortPart = 0.4 // of the mean: a job may be so short, and its aim so near
-	holdPart  = 0.4 // a job is held for at most this part of its slack: means hide a spread
+	shortJobPart = 0.4 // of the mean: a job may be so short, and its aim so near
+	maxSlackPart  = 0.4 // a job is held for at most this part of its slack: means hide a spread
 )
 
 // feasible reports whether the request can be in time, on arrival behind the
@@ -16,71 +16,71 @@
 func (d *Dispatcher) feasible(now time.Duration, r *request, behind bool) bool {
 	wait := 0.0
 	if behind {
-		for c, work := range r.tenant.backlog {
-			if d.kept[c].slack() <= r.class.slack() {
+		for c, work := range r.tenant.pendingWork {
+			if d.classesInUse[c].slack() <= r.class.slack() {
 				wait += work
 			}
 		}
-		wait /= max(minSigma, min(r.tenant.sigma, max(1, d.room))*d.poolPart(r))
+		wait /= max(minLimit, min(r.tenant.limit, max(1, d.capacity))*d.poolWeightShare(r))
 	}
 	// Guards against refusing a class for good on a mean that no job renews.
-	if wait == 0 && r.class.inflight == 0 {
-		return now < min(r.deadline, r.aim)
+	if wait == 0 && r.class.inFlight == 0 {
+		return now < min(r.deadline, r.targetAt)
 	}
-	return wait <= holdPart*d.feasibleFor(now, r).Seconds()
+	return wait <= maxSlackPart*d.timeToSend(now, r).Seconds()
 }
 
-// feasibleFor returns how long the request can still wait to be sent: its own
+// timeToSend returns how long the request can still wait to be sent: its own
 // running time and the class's mean wait at workers come off the time left.
-func (d *Dispatcher) feasibleFor(now time.Duration, r *request) time.Duration {
+func (d *Dispatcher) timeToSend(now time.Duration, r *request) time.Duration {
 	c := r.class
-	return seconds(d.slackAt(now, r, d.quick) - max(0, c.complete-c.run))
+	return seconds(d.slackAtPace(now, r, d.fastPace) - max(0, c.meanCompletion-c.meanRuntime))
 }
 
-// slackAt returns how long the request can still wait if a worker of that pace
+// slackAtPace returns how long the request can still wait if a worker of that pace
 // runs it. Its own time is not known where there is no hint; it may be short, and
 // then its aim is near too. For a further attempt the mean is good enough.
-func (d *Dispatcher) slackAt(now time.Duration, r *request, pace float64) float64 {
-	part := shortPart
+func (d *Dispatcher) slackAtPace(now time.Duration, r *request, pace float64) float64 {
+	part := shortJobPart
 	if r.Hint > 0 || len(r.attempts) > 0 {
 		part = 1
 	}
-	return (min(r.deadline, r.aim) - now).Seconds() - (1-part)*r.class.Stretch*r.own - part*pace*r.work/r.Slots
+	return (min(r.deadline, r.targetAt) - now).Seconds() - (1-part)*r.class.Stretch*r.runtime - part*pace*r.work/r.Slots
 }
 
-// mayRefuse is rule 2 for refusals.
-func (d *Dispatcher) mayRefuse(r *request) bool {
+// mayReject is rule 2 for refusals.
+func (d *Dispatcher) mayReject(r *request) bool {
 	c := r.class
 	if c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
 		return true
 	}
 	for i := range r.attempts {
-		if !r.attempts[i].proven {
+		if !r.attempts[i].neverRan {
 			return false
 		}
 	}
 	return true
 }
 
-// end gives the request its one final answer: refused where that is allowed.
-func (d *Dispatcher) end(now time.Duration, r *request) {
+// endUnserved gives the request its one final answer: refused where that is allowed.
+func (d *Dispatcher) endUnserved(now time.Duration, r *request) {
 	if r.ended {
 		return
 	}
-	if d.mayRefuse(r) {
-		d.host.Refuse(r.ID, d.comeBack(now, r))
+	if d.mayReject(r) {
+		d.host.Reject(r.ID, d.retryAfter(now, r))
 	} else {
 		d.host.Fail(r.ID)
 	}
-	d.close(r)
+	d.closeRequest(r)
 }
 
-// comeBack is the advice to a refused client: soon enough for its job to be in time yet, or after
+// retryAfter is the advice to a refused client: soon enough for its job to be in time yet, or after
 // about a job, when slots have changed hands; spread, so that not all return at once.
-func (d *Dispatcher) comeBack(now time.Duration, r *request) time.Duration {
-	after := holdPart * d.feasibleFor(now, r).Seconds()
+func (d *Dispatcher) retryAfter(now time.Duration, r *request) time.Duration {
+	after := maxSlackPart * d.timeToSend(now, r).Seconds()
 	if after <= 0 {
 		after = d.meanWork
 	}
-	return min(d.set.MaxRetryAfter, seconds(after*d.rng.Float64()))
+	return min(d.settings.MaxRetryAfter, seconds(after*d.rng.Float64()))
 }
--- a/retune_test.go
+++ b/retune_test.go
@@ -16,19 +16,19 @@
 	h.ask(d, "free", 0)
 	h.ask(d, "many", 0)
 	learned := 0.25
-	d.classes[0].run = learned
+	d.classes[0].meanRuntime = learned
 	next := set
 	next.MaxAttempts = 1
 	next.Classes = []Class{{Name: "new", Aim: 200 * ms, Limit: 5 * time.Second, Kinds: []int{7}}, set.Classes[0]}
 	next.Classes[1].Effect, next.Classes[1].Stretch = Unsafe, 9 // stricter
-	if err := d.Retune(Settings{}); err == nil || len(d.classes) != 3 {
+	if err := d.UpdateSettings(Settings{}); err == nil || len(d.classes) != 3 {
 		t.Error("settings without a class were taken")
 	}
-	if err := d.Retune(next); err != nil {
+	if err := d.UpdateSettings(next); err != nil {
 		t.Fatal(err)
 	}
-	if k := d.classes[1]; k.run != learned || k.Effect != Unsafe || len(d.kept) != 4 {
-		t.Errorf("the class goes on as %+v, %d are kept", k, len(d.kept))
+	if k := d.classes[1]; k.meanRuntime != learned || k.Effect != Unsafe || len(d.classesInUse) != 4 {
+		t.Errorf("the class goes on as %+v, %d are kept", k, len(d.classesInUse))
 	}
 	h.over(d, "once", 0, Lost)
 	if h.ends["once"] != "failed" {
@@ -39,7 +39,7 @@
 		t.Errorf("was %q after %d attempts", h.ends["free"], h.tries["free"])
 	}
 	next.MaxAttempts = 4
-	if err := d.Retune(next); err != nil {
+	if err := d.UpdateSettings(next); err != nil {
 		t.Fatal(err)
 	}
 	h.over(d, "many", 0, Lost)
@@ -51,7 +51,7 @@
 	if h.ends["strict"] != "failed" || h.tries["strict"] != 1 {
 		t.Errorf("a job of the stricter class was %q after %d attempts", h.ends["strict"], h.tries["strict"])
 	}
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "special", Kind: 7, Weight: 1}})
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "special", Kind: 7, Weight: 1}})
 	h.ask(d, "new", 0)
 	if h.last() != "special" {
 		t.Errorf("the new class went to %s", h.last())
@@ -59,15 +59,15 @@
 	h.over(d, "new", 0, Served)
 	h.over(d, "many", 1, Served)
 	h.run(d, h.now+10*time.Second)
-	if err := d.Retune(next); err != nil {
+	if err := d.UpdateSettings(next); err != nil {
 		t.Fatal(err)
 	}
-	if len(d.kept) != 2 || d.held != 0 || len(d.requests) != 0 {
-		t.Errorf("%d classes are kept, %v slots booked, %d requests open", len(d.kept), d.held, len(d.requests))
+	if len(d.classesInUse) != 2 || d.inFlight != 0 || len(d.requests) != 0 {
+		t.Errorf("%d classes are kept, %v slots booked, %d requests open", len(d.classesInUse), d.inFlight, len(d.requests))
 	}
 	for _, tn := range d.tenants {
-		if len(tn.backlog) != 2 || slices.Max(tn.backlog) > 1e-9 {
-			t.Errorf("work held: %v", tn.backlog)
+		if len(tn.pendingWork) != 2 || slices.Max(tn.pendingWork) > 1e-9 {
+			t.Errorf("work held: %v", tn.pendingWork)
 		}
 	}
 }
@@ -79,16 +79,16 @@
 	for i := range 3 {
 		h.ask(d, string(rune('a'+i)), i)
 	}
-	d.classes[1].run = 0.5
+	d.classes[1].meanRuntime = 0.5
 	set.Classes = slices.Clone(set.Classes[:1])
 	set.Classes[0].Aim = time.Second
-	if err := d.Retune(set); err != nil {
+	if err := d.UpdateSettings(set); err != nil {
 		t.Fatal(err)
 	}
-	if len(d.kept) != 4 || d.backlog != 3 {
-		t.Errorf("%d classes are kept for %d held jobs", len(d.kept), d.backlog)
+	if len(d.classesInUse) != 4 || d.pendingRequests != 3 {
+		t.Errorf("%d classes are kept for %d held jobs", len(d.classesInUse), d.pendingRequests)
 	}
-	d.Members(h.now, ListWhole, fleet(3))
+	d.WorkersUpdated(h.now, ListWhole, fleet(3))
 	for _, id := range []string{"a", "b", "c"} {
 		if h.tries[id] != 1 {
 			t.Errorf("%s was sent %d times", id, h.tries[id])
--- a/rules_test.go
+++ b/rules_test.go
@@ -27,13 +27,13 @@
 	}
 	h.ask(d, "zone", 1)
 	for n := range 3 {
-		if w := d.byName[h.last()]; w.Zone != 1 {
+		if w := d.workersByName[h.last()]; w.Zone != 1 {
 			t.Errorf("attempt %d went to zone %d", n, w.Zone)
 		}
 		h.over(d, "zone", n, ConnectFailed)
 	}
 	h.ask(d, "nowhere", 2)
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "w77", Kind: 1, Zone: 1, State: Leaving, Weight: 1}})
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w77", Kind: 1, Zone: 1, State: Leaving, Weight: 1}})
 	h.ask(d, "none", 0)
 	sends := len(h.sends)
 	h.ask(d, "other", 1) // is not stopped by those that find nothing
@@ -129,10 +129,10 @@
 	for i := range 20 {
 		id := fmt.Sprint("k", i)
 		h.ask(d, id, 1)
-		cell := d.byName[h.last()].Cell
+		cell := d.workersByName[h.last()].Cell
 		h.over(d, id, 0, Full)
-		if h.tries[id] != 2 || d.byName[h.last()].Cell != cell {
-			t.Fatalf("keyed: %d sends, cell %d after %d", h.tries[id], d.byName[h.last()].Cell, cell)
+		if h.tries[id] != 2 || d.workersByName[h.last()].Cell != cell {
+			t.Fatalf("keyed: %d sends, cell %d after %d", h.tries[id], d.workersByName[h.last()].Cell, cell)
 		}
 		h.over(d, id, 1, Served)
 	}
@@ -151,12 +151,12 @@
 	set.CloseOnDrain = 1500 * ms
 	d, h := start(t, set, fleet(1)...)
 	h.ask(d, "r", 0)
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
 	if len(h.closes) != 1 {
 		t.Fatalf("%d closes at the notice", len(h.closes))
 	}
 	h.run(d, h.now+400*ms)
-	d.Members(h.now, ListWhole, nil)
+	d.WorkersUpdated(h.now, ListWhole, nil)
 	h.run(d, h.now+3*time.Second)
 	before := len(h.closes)
 	outcome := h.now
@@ -174,7 +174,7 @@
 		t.Error("closed again for nothing")
 	}
 	d, h = start(t, settings(), fleet(1)...)
-	d.Members(h.now, ListWhole, nil)
+	d.WorkersUpdated(h.now, ListWhole, nil)
 	if len(h.closes) != 0 {
 		t.Error("closed where that is not asked for")
 	}
@@ -192,7 +192,7 @@
 	for i := range 6 {
 		h.ask(d, fmt.Sprint("r", i), 0)
 	}
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
 	if len(h.sends) != sends {
 		t.Fatal("sent while the batch is still being read")
 	}
@@ -218,16 +218,16 @@
 	h.timers = nil
 	for _, x := range due {
 		if x.at <= h.now {
-			d.Timer(h.now, x.token)
+			d.TimerFired(h.now, x.token)
 		}
 	}
-	if err := d.Started(h.now, "r", 0); err != nil {
+	if err := d.AttemptStarted(h.now, "r", 0); err != nil {
 		t.Fatal(err)
 	}
 	h.over(d, "r", 0, Served)
 	h.run(d, h.now+20*ms)
-	if w := d.byName["w0"]; w.sigma != inf || w.suspect != 0 || d.classes[0].runs > 0 {
-		t.Errorf("sigma %v, doubt %v, %v jobs learned from", w.sigma, w.suspect, d.classes[0].runs)
+	if w := d.workersByName["w0"]; w.limit != unlimited || w.unhealthyUntil != 0 || d.classes[0].samples > 0 {
+		t.Errorf("sigma %v, doubt %v, %v jobs learned from", w.limit, w.unhealthyUntil, d.classes[0].samples)
 	}
 }
 
@@ -248,8 +248,8 @@
 		if effect == Unsafe {
 			continue
 		}
-		if w := d.byName[first]; w.suspect <= h.now {
-			t.Errorf("doubted until %v: it can give no sign of this job any more", w.suspect-h.now)
+		if w := d.workersByName[first]; w.unhealthyUntil <= h.now {
+			t.Errorf("doubted until %v: it can give no sign of this job any more", w.unhealthyUntil-h.now)
 		}
 		h.over(d, "r", 0, Cancelled)
 		if len(h.sends) != 2 || h.last() == first {
@@ -267,11 +267,11 @@
 		{"we hold a job a worker", 150 * ms, 8, false},
 	} {
 		d, h := start(t, settings(), fleet(8)...)
-		d.classes[0].run, d.classes[0].base = 0.3, 0.3 // so that the start is waited for longer
+		d.classes[0].meanRuntime, d.classes[0].baseRuntime = 0.3, 0.3 // so that the start is waited for longer
 		h.ask(d, "full", 0)
 		h.now += c.after
 		h.over(d, "full", 0, Full)
-		d.hold(d.workers[1], c.held)
+		d.addInFlight(d.workers[1], c.held)
 		h.cancels = nil
 		h.run(d, h.now+400*ms)
 		if got := len(h.cancels) > 0; got != c.calledOf {
@@ -288,7 +288,7 @@
 	for _, changes := range []bool{true, false} {
 		d, h := start(t, set, fleet(30)...)
 		ask := func(id string) {
-			if err := d.Request(h.now, Request{ID: id, Left: 5 * time.Second, Hint: 200 * ms}); err != nil {
+			if err := d.SubmitRequest(h.now, Request{ID: id, Left: 5 * time.Second, Hint: 200 * ms}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -299,7 +299,7 @@
 				if changes {
 					free += float64(i) / 100
 				}
-				d.Probed(h.now, w, &Report{HasFree: true, Free: free})
+				d.ProbeResult(h.now, w, &Report{HasFree: true, Free: free})
 			}
 			h.probes = nil
 		}
@@ -312,22 +312,22 @@
 			}
 			continue
 		}
-		if len(h.probes) != lookAt || h.tries["r"] != 0 {
+		if len(h.probes) != probeFanout || h.tries["r"] != 0 {
 			t.Fatalf("%d asked, %d sends before any answer", len(h.probes), h.tries["r"])
 		}
-		d.Probed(h.now, h.probes[0], &Report{HasFree: true, Held: 3})
-		d.Probed(h.now, h.probes[1], &Report{HasFree: true, Free: 1})
+		d.ProbeResult(h.now, h.probes[0], &Report{HasFree: true, Held: 3})
+		d.ProbeResult(h.now, h.probes[1], &Report{HasFree: true, Free: 1})
 		if h.last() != h.probes[1] {
 			t.Errorf("sent to %q, room is at %q", h.last(), h.probes[1])
 		}
 		h.run(d, h.now+100*ms)
 		ask("silent") // no answer comes
-		h.run(d, h.now+2*lookWait+ms)
+		h.run(d, h.now+2*probeTimeout+ms)
 		if h.tries["silent"] != 1 {
 			t.Error("held up by a probe that is not answered")
 		}
-		d.Probed(h.now, "gone", &Report{HasFree: true, Free: 1})
-		d.Probed(h.now, h.probes[0], nil)
+		d.ProbeResult(h.now, "gone", &Report{HasFree: true, Free: 1})
+		d.ProbeResult(h.now, h.probes[0], nil)
 	}
 }
 
@@ -338,25 +338,25 @@
 	set.MustProbe = true
 	set.Tenants = []Tenant{{Share: 1}, {Share: 1}}
 	d, h := start(t, set, fleet(100)...)
-	d.metered, d.changes, d.meanWork = 1, 100, 0.2
+	d.meteredSeconds, d.reportChanges, d.meanWork = 1, 100, 0.2
 	tn := d.tenants[0]
 	for _, w := range d.workers[:9] {
-		tn.know(w)
+		tn.rememberWorker(w)
 	}
-	tn.know(d.workers[4])
-	if len(tn.known) != knownMost || tn.known[knownMost-1] != d.workers[4] {
-		t.Fatalf("%d known, the last %s", len(tn.known), tn.known[len(tn.known)-1].Worker)
+	tn.rememberWorker(d.workers[4])
+	if len(tn.recentWorkers) != maxRecentWorkers || tn.recentWorkers[maxRecentWorkers-1] != d.workers[4] {
+		t.Fatalf("%d known, the last %s", len(tn.recentWorkers), tn.recentWorkers[len(tn.recentWorkers)-1].Worker)
 	}
-	d.learn(h.now, &request{class: d.classes[0], tenant: tn, Request: Request{Slots: 1}}, &attempt{w: d.workers[4]}, Full)
+	d.learn(h.now, &request{class: d.classes[0], tenant: tn, Request: Request{Slots: 1}}, &attempt{worker: d.workers[4]}, Full)
 	for i := range 20 {
 		h.probes = nil
-		_ = d.Request(h.now, Request{ID: fmt.Sprint("r", i), Left: 5 * time.Second, Hint: 200 * ms})
+		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), Left: 5 * time.Second, Hint: 200 * ms})
 		for _, name := range h.probes {
-			w := d.byName[name]
+			w := d.workersByName[name]
 			if w.index == 4 || w.index > 8 {
 				t.Fatalf("asked %s", name)
 			}
-			d.Probed(h.now, name, &Report{HasFree: true, Free: 1})
+			d.ProbeResult(h.now, name, &Report{HasFree: true, Free: 1})
 		}
 		h.over(d, fmt.Sprint("r", i), 0, Served)
 		h.run(d, h.now+60*ms)
@@ -371,11 +371,11 @@
 		set.MustProbe = true
 		set.Tenants = []Tenant{{Share: 1, Quota: 100}}
 		d, h := start(t, set, fleet(30)...)
-		d.metered, d.changes = 1, 100
-		d.classes[0].run, d.classes[0].hint, d.classes[0].complete = 0.2, 0.2, 0.2
-		_ = d.Request(h.now, Request{ID: "r", Left: 5 * time.Second, Hint: 200 * ms})
+		d.meteredSeconds, d.reportChanges = 1, 100
+		d.classes[0].meanRuntime, d.classes[0].meanHint, d.classes[0].meanCompletion = 0.2, 0.2, 0.2
+		_ = d.SubmitRequest(h.now, Request{ID: "r", Left: 5 * time.Second, Hint: 200 * ms})
 		for i := 0; i < len(h.probes); i++ {
-			d.Probed(h.now, h.probes[i], &Report{HasFree: true, HasHeld: true, Held: held})
+			d.ProbeResult(h.now, h.probes[i], &Report{HasFree: true, HasHeld: true, Held: held})
 		}
 		if late := held > 20; late != (h.ends["r"] == "refused") || late == (h.tries["r"] == 1) {
 			t.Errorf("%v in hand everywhere: %d sends, end %q", held, h.tries["r"], h.ends["r"])
@@ -396,7 +396,7 @@
 	}
 	cold := func(d *Dispatcher, h *fake) (n int) {
 		for _, w := range d.workers {
-			if n++; w.coldUntil <= h.now {
+			if n++; w.warmAt <= h.now {
 				n--
 			}
 		}
@@ -404,8 +404,8 @@
 	}
 	fails := func(d *Dispatcher, h *fake, worker int, o Outcome) {
 		r := &request{class: d.classes[0], tenant: d.tenants[0], Request: Request{Slots: 1}}
-		for range presumeLeast { // fewer may be single connections
-			d.learn(h.now, r, &attempt{w: d.workers[worker]}, o)
+		for range minConnFailuresForRestart { // fewer may be single connections
+			d.learn(h.now, r, &attempt{worker: d.workers[worker]}, o)
 		}
 	}
 	d, h := start(t, set, all...)
@@ -418,16 +418,16 @@
 		t.Errorf("%d of a cell of 4 where two broke", n)
 	}
 	began := h.now - time.Second
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "w10", Weight: 1, StartedAt: began}})
-	if w := d.byName["w10"]; w.coldUntil != began+set.WarmUp || w.presumed != 0 {
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w10", Weight: 1, StartedAt: began}})
+	if w := d.workersByName["w10"]; w.warmAt != began+set.WarmUp || w.presumedRestartAt != 0 {
 		t.Error("the list's news does not replace the presumption")
 	}
-	h.run(d, h.now+presumeFor+ms)
+	h.run(d, h.now+presumedRestartTTL+ms)
 	for _, w := range d.workers {
 		d.usable(h.now, w, &request{class: d.classes[0], Request: Request{Slots: 1}}, true)
 	}
-	if n := cold(d, h); n != 1 || d.presumed != 0 {
-		t.Errorf("%d cold without news, %d presumed", n, d.presumed)
+	if n := cold(d, h); n != 1 || d.presumedRestarts != 0 {
+		t.Errorf("%d cold without news, %d presumed", n, d.presumedRestarts)
 	}
 	d, h = start(t, set, all...)
 	fails(d, h, 0, ConnectFailed)
@@ -468,8 +468,8 @@
 	seen := map[time.Duration]bool{}
 	for range 50 {
 		for _, left := range []time.Duration{time.Second, 0, 0} {
-			r := &request{class: d.classes[0], deadline: h.now + left, aim: h.now + left}
-			after := d.comeBack(h.now, r)
+			r := &request{class: d.classes[0], deadline: h.now + left, targetAt: h.now + left}
+			after := d.retryAfter(h.now, r)
 			if after <= 0 || after > set.MaxRetryAfter {
 				t.Fatalf("come back after %v", after)
 			}
@@ -479,8 +479,8 @@
 	if len(seen) < 100 {
 		t.Errorf("%d different times of 150", len(seen))
 	}
-	d.set.MaxRetryAfter = 0
-	if after := d.comeBack(h.now, &request{class: d.classes[0]}); after != 0 {
+	d.settings.MaxRetryAfter = 0
+	if after := d.retryAfter(h.now, &request{class: d.classes[0]}); after != 0 {
 		t.Errorf("advice of %v where none is heeded", after)
 	}
 }
@@ -511,7 +511,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Members(h.now, ListStale, fleet(workers))
+		d.WorkersUpdated(h.now, ListStale, fleet(workers))
 		all, hosts = append(all, d), append(hosts, h)
 	}
 	const tick = 10 * ms
@@ -524,24 +524,24 @@
 					h.timers = nil
 					d, _ = New(set, uint64(i), h)
 					all[i], open[i] = d, nil
-					d.Members(now, ListStale, fleet(workers))
+					d.WorkersUpdated(now, ListStale, fleet(workers))
 				}
 				cold := fleet(workers)[:colds]
 				for k := range cold {
 					cold[k].StartedAt = began
 				}
-				d.Members(now, ListPatch, cold)
+				d.WorkersUpdated(now, ListPatch, cold)
 			}
 			rate := 0.7 * workers * cores / 0.4 / peers * float64(i%4) / 1.5 // jobs a second
 			if rng.Float64() < rate*tick.Seconds() {
 				run := 0.4 * []float64{0.4, 0.4, 0.4, 0.4, 3.4}[rng.IntN(5)]
 				id := fmt.Sprint(i, "-", now)
 				work[id] = run
-				_ = d.Request(now, Request{ID: id, Left: 5 * time.Second, Hint: time.Duration(run * float64(time.Second))})
+				_ = d.SubmitRequest(now, Request{ID: id, Left: 5 * time.Second, Hint: time.Duration(run * float64(time.Second))})
 			}
 			for _, s := range h.sends {
 				open[i] = append(open[i], job{s.at + time.Duration(work[s.id]*float64(time.Second)), s.id})
-				if k := d.byName[s.worker]; k.StartedAt > 0 {
+				if k := d.workersByName[s.worker]; k.StartedAt > 0 {
 					got[s.worker] = append(got[s.worker], s)
 				}
 			}
@@ -586,14 +586,14 @@
 	d, h := start(t, set, fleet(3)...)
 	h.ask(d, "a", 0)
 	r := d.requests["a"]
-	r.attempts[0].over = true
-	r.out = 0
-	if w := d.workers[1]; !d.mayTry(h.now, r, w) {
+	r.attempts[0].ended = true
+	r.inFlight = 0
+	if w := d.workers[1]; !d.mayAttempt(h.now, r, w) {
 		t.Fatal("the free attempt is not allowed")
 	}
-	d.further.add(h.now)
+	d.retryCounter.add(h.now)
 	for _, w := range d.workers {
-		if d.mayTry(h.now, r, w) {
+		if d.mayAttempt(h.now, r, w) {
 			t.Error("one free attempt, and it is used up")
 		}
 	}
@@ -606,8 +606,8 @@
 	d, h := start(t, set, fleet(6)...)
 	h.ask(d, "r", 1)
 	r := d.requests["r"]
-	mate := d.byName[fmt.Sprint("w", (d.byName[h.last()].index+2)%6)] // of the same zone
-	if !d.mayTry(h.now+60*ms, r, mate) || d.mayTry(h.now+75*ms, r, mate) {
+	mate := d.workersByName[fmt.Sprint("w", (d.workersByName[h.last()].index+2)%6)] // of the same zone
+	if !d.mayAttempt(h.now+60*ms, r, mate) || d.mayAttempt(h.now+75*ms, r, mate) {
 		t.Error("want a repeat within 70 ms of the first send, and none after")
 	}
 }
--- a/sharing_test.go
+++ b/sharing_test.go
@@ -13,32 +13,32 @@
 // were alone, and against slots that stay booked when the other, or the worker, ends.
 func TestBesideCountsLikeOwn(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
-	if len(d.Out()) != 0 {
-		t.Errorf("nothing is out, but %v", d.Out())
+	if len(d.LoadByWorker()) != 0 {
+		t.Errorf("nothing is out, but %v", d.LoadByWorker())
 	}
-	d.Beside(h.now, map[string]Load{"w0": {Held: 3, Waiting: 1}, "stranger": {Held: 9}})
+	d.SetSiblingLoad(h.now, map[string]Load{"w0": {Held: 3, Waiting: 1}, "stranger": {Held: 9}})
 	for i := range 3 {
 		id := fmt.Sprint("r", i)
 		h.ask(d, id, 0)
 		if h.last() != "w1" {
 			t.Errorf("job %d went to %s, where the other has three", i, h.last())
 		}
-		_ = d.Started(h.now, id, 0)
+		_ = d.AttemptStarted(h.now, id, 0)
 	}
-	if got := d.Out()["w1"]; got.Held != 3 || got.Waiting != 0 || d.Out()["w0"] != (Load{}) {
-		t.Errorf("out is %v", d.Out())
+	if got := d.LoadByWorker()["w1"]; got.Held != 3 || got.Waiting != 0 || d.LoadByWorker()["w0"] != (Load{}) {
+		t.Errorf("out is %v", d.LoadByWorker())
 	}
-	if d.held != 6 {
-		t.Errorf("%v slots are booked", d.held)
+	if d.inFlight != 6 {
+		t.Errorf("%v slots are booked", d.inFlight)
 	}
-	d.Beside(h.now, map[string]Load{"w0": {Held: 1}})
-	if w := d.byName["w0"]; d.held != 4 || w.held != 1 || w.unstarted != 0 {
-		t.Errorf("%v slots are booked, %v at w0, %d wait", d.held, w.held, w.unstarted)
+	d.SetSiblingLoad(h.now, map[string]Load{"w0": {Held: 1}})
+	if w := d.workersByName["w0"]; d.inFlight != 4 || w.inFlight != 1 || w.notStarted != 0 {
+		t.Errorf("%v slots are booked, %v at w0, %d wait", d.inFlight, w.inFlight, w.notStarted)
 	}
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Left}})
-	d.Beside(h.now, nil)
-	if d.held != 3 || d.pools[0].held != 3 {
-		t.Errorf("%v slots are booked once the worker and the other are gone", d.held)
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Left}})
+	d.SetSiblingLoad(h.now, nil)
+	if d.inFlight != 3 || d.pools[0].inFlight != 3 {
+		t.Errorf("%v slots are booked once the worker and the other are gone", d.inFlight)
 	}
 }
 
@@ -47,12 +47,12 @@
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 8*time.Second, 0.3, 3, 2*time.Second
 	d, h := start(t, set, WorkerInfo{Worker: "cold", Weight: 1, StartedAt: time.Hour})
-	w := d.byName["cold"]
-	w.credit = 1
-	d.Beside(h.now, map[string]Load{"cold": {Sent: 50}}) // before it was known here
-	d.Beside(h.now, map[string]Load{"cold": {Sent: 50.75}})
-	if w.credit != 0.25 {
-		t.Errorf("credit is %v", w.credit)
+	w := d.workersByName["cold"]
+	w.slowStartCredit = 1
+	d.SetSiblingLoad(h.now, map[string]Load{"cold": {Sent: 50}}) // before it was known here
+	d.SetSiblingLoad(h.now, map[string]Load{"cold": {Sent: 50.75}})
+	if w.slowStartCredit != 0.25 {
+		t.Errorf("credit is %v", w.slowStartCredit)
 	}
 }
 
@@ -70,40 +70,40 @@
 		if h.tries[id] == 0 {
 			continue
 		}
-		_ = d.Started(h.now, id, 0)
+		_ = d.AttemptStarted(h.now, id, 0)
 		h.run(d, h.now+30*ms)
 		if i%7 == 6 {
 			h.over(d, id, 0, Full)
 		} else {
-			_ = d.Outcome(h.now, Result{ID: id, Outcome: Served, Closed: true, Report: &Report{HasFree: true, Free: 3}})
+			_ = d.AttemptEnded(h.now, Result{ID: id, Outcome: Served, Closed: true, Report: &Report{HasFree: true, Free: 3}})
 			h.ends[id] = "served"
 		}
 	}
-	b, err := json.Marshal(d.Learned(h.now))
+	b, err := json.Marshal(d.LearnedState(h.now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Learned
+	var l LearnedState
 	if err := json.Unmarshal(b, &l); err != nil {
 		t.Fatal(err)
 	}
 	next, other := start(t, set, workers...)
 	other.now = h.now + time.Hour // its clock is another
-	next.Adopt(other.now, l)
-	got := next.Learned(other.now)
+	next.RestoreLearnedState(other.now, l)
+	got := next.LearnedState(other.now)
 	for i := range l.Workers { // the credit stays with the other
-		l.Workers[i].Credit = min(0, l.Workers[i].Credit)
-		if l.Workers[i].Cold == 0 {
-			got.Workers[i].Credit = l.Workers[i].Credit
+		l.Workers[i].SlowStartCredit = min(0, l.Workers[i].SlowStartCredit)
+		if l.Workers[i].WarmIn == 0 {
+			got.Workers[i].SlowStartCredit = l.Workers[i].SlowStartCredit
 		}
-		for _, v := range []*float64{&l.Workers[i].Suspect, &got.Workers[i].Suspect} { // times are whole nanoseconds
+		for _, v := range []*float64{&l.Workers[i].UnhealthyFor, &got.Workers[i].UnhealthyFor} { // times are whole nanoseconds
 			*v = math.Round(*v*1e6) / 1e6
 		}
 	}
 	if !reflect.DeepEqual(got, l) {
 		t.Errorf("adopted %+v\nfrom %+v", got, l)
 	}
-	if l.Classes[0].Run <= 0 || l.Workers[0].Sigma == 0 || l.Work <= 0 || l.Workers[3].Cold <= 0 {
+	if l.Classes[0].MeanRuntime <= 0 || l.Workers[0].Limit == 0 || l.MeanWork <= 0 || l.Workers[3].WarmIn <= 0 {
 		t.Errorf("nothing was learned: %+v", l)
 	}
 }
@@ -112,56 +112,56 @@
 // others' jobs that are taken for our own, by which waits here would be reckoned far too short.
 func TestOthersCountAtTheWorkerOnly(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
-	d.Tell()
-	d.Others(h.now, []Told{{Worker: "w0", Load: Load{Held: 3, Waiting: 1}}, {Worker: "stranger", Load: Load{Held: 9}}})
+	d.TrackLoadChanges()
+	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 3, Waiting: 1}}, {Worker: "stranger", Load: Load{Held: 9}}})
 	for i := range 2 {
 		id := fmt.Sprint("r", i)
 		h.ask(d, id, 0)
 		if h.last() != "w1" {
 			t.Errorf("job %d went to %s, where others have three", i, h.last())
 		}
-		_ = d.Started(h.now, id, 0)
+		_ = d.AttemptStarted(h.now, id, 0)
 	}
-	if w := d.byName["w0"]; d.held != 2 || w.held != 3 || w.unstarted != 1 || d.pools[0].held != 5 {
-		t.Errorf("booked %v in all, %v of 5 at workers, %v and %d at w0", d.held, d.pools[0].held, w.held, w.unstarted)
+	if w := d.workersByName["w0"]; d.inFlight != 2 || w.inFlight != 3 || w.notStarted != 1 || d.pools[0].inFlight != 5 {
+		t.Errorf("booked %v in all, %v of 5 at workers, %v and %d at w0", d.inFlight, d.pools[0].inFlight, w.inFlight, w.notStarted)
 	}
-	told := d.Changed(nil)
+	told := d.AppendLoadChanges(nil)
 	if len(told) != 1 || told[0].Worker != "w1" || told[0].Held != 2 || told[0].Waiting != 0 {
 		t.Errorf("told %v, want ours at w1 alone", told)
 	}
-	if again := d.Changed(nil); len(again) != 0 {
+	if again := d.AppendLoadChanges(nil); len(again) != 0 {
 		t.Errorf("told again %v", again)
 	}
-	d.Members(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Left}})
-	d.Others(h.now, []Told{{Worker: "w1"}})
-	if d.held != 2 || d.pools[0].held != 2 {
-		t.Errorf("booked %v, %v at workers once the others are gone", d.held, d.pools[0].held)
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Left}})
+	d.UpdatePeerLoad(h.now, []Told{{Worker: "w1"}})
+	if d.inFlight != 2 || d.pools[0].inFlight != 2 {
+		t.Errorf("booked %v, %v at workers once the others are gone", d.inFlight, d.pools[0].inFlight)
 	}
 }
 
 // Guards against a wait at a full worker that the others hear of too late, and one told where it will soon be over.
 func TestFullIsTold(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
-	d.Tell()
+	d.TrackLoadChanges()
 	full := func(id string) bool {
 		h.ask(d, id, 0)
-		told := d.Changed(nil)
+		told := d.AppendLoadChanges(nil)
 		if len(told) != 1 || told[0].Worker != "w0" {
 			t.Fatalf("told %v, want w0 alone", told)
 		}
-		_ = d.Started(h.now, id, 0)
+		_ = d.AttemptStarted(h.now, id, 0)
 		return told[0].Full
 	}
 	if full("r0") {
 		t.Error("told that it is full, of which no report has come")
 	}
-	_ = d.Outcome(h.now, Result{ID: "r0", Outcome: Served, Closed: true, Report: &Report{HasFree: true, Free: 2}})
+	_ = d.AttemptEnded(h.now, Result{ID: "r0", Outcome: Served, Closed: true, Report: &Report{HasFree: true, Free: 2}})
 	if full("r1") {
 		t.Error("told that it is full with one job on two slots")
 	}
-	d.Others(h.now, []Told{{Worker: "w0", Load: Load{Held: 3}}})
-	_ = d.Outcome(h.now, Result{ID: "r1", Outcome: Served, Closed: true})
-	if told := d.Changed(nil); len(told) != 1 || !told[0].Full || told[0].Held != 0 {
+	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 3}}})
+	_ = d.AttemptEnded(h.now, Result{ID: "r1", Outcome: Served, Closed: true})
+	if told := d.AppendLoadChanges(nil); len(told) != 1 || !told[0].Full || told[0].Held != 0 {
 		t.Errorf("told %v with three of others' jobs on two slots, want that it is full", told)
 	}
 }
@@ -170,23 +170,23 @@
 // mean of the part it looks as empty as others.
 func TestKnownSlotsAreNotOversold(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
-	d.Part(h.now, []string{"w0", "w1"}, 4)
-	d.kindRoom[0] = 4
-	d.Others(h.now, []Told{{Worker: "w0", Load: Load{Held: 4}}, {Worker: "w1", Load: Load{Held: 4}}})
+	d.SetSubset(h.now, []string{"w0", "w1"}, 4)
+	d.maxFreeByKind[0] = 4
+	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 4}}, {Worker: "w1", Load: Load{Held: 4}}})
 	r := &request{Request: Request{Slots: 1}, class: d.classes[0], tenant: d.tenants[0]}
-	if d.roomy(h.now, d.byName["w0"], r, true) {
+	if d.belowSlotThreshold(h.now, d.workersByName["w0"], r, true) {
 		t.Error("there is room at a worker whose four slots are taken")
 	}
-	d.Others(h.now, []Told{{Worker: "w0", Load: Load{Held: 3}}})
-	if !d.roomy(h.now, d.byName["w0"], r, true) {
+	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 3}}})
+	if !d.belowSlotThreshold(h.now, d.workersByName["w0"], r, true) {
 		t.Error("there is no room with one of four slots free")
 	}
-	if r.Slots = 2; d.roomy(h.now, d.byName["w0"], r, true) {
+	if r.Slots = 2; d.belowSlotThreshold(h.now, d.workersByName["w0"], r, true) {
 		t.Error("there is room for a job of two slots with one free")
 	}
-	d.Others(h.now, []Told{{Worker: "w0", Load: Load{Held: 4}}})
-	d.Part(h.now, nil, 0) // then what others have out is not all known
-	if r.Slots = 1; !d.roomy(h.now, d.byName["w1"], r, true) {
+	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 4}}})
+	d.SetSubset(h.now, nil, 0) // then what others have out is not all known
+	if r.Slots = 1; !d.belowSlotThreshold(h.now, d.workersByName["w1"], r, true) {
 		t.Error("there is no room though the worker holds no more than the mean")
 	}
 }
@@ -195,28 +195,28 @@
 // own part only waits; and against jobs refused where the whole part is out of service.
 func TestPartIsKept(t *testing.T) {
 	d, h := start(t, settings(), fleet(20)...)
-	d.Part(h.now, []string{"w3", "w7", "stranger"}, 4)
+	d.SetSubset(h.now, []string{"w3", "w7", "stranger"}, 4)
 	for i := range 8 {
 		h.ask(d, fmt.Sprint("r", i), 0)
 	}
 	ours := map[string]bool{"w3": true, "w7": true}
 	for _, w := range d.workers {
-		if w.held > 0 && !ours[w.Worker] {
-			t.Errorf("%v slots at %s, which is not of the part", w.held, w.Worker)
+		if w.inFlight > 0 && !ours[w.Worker] {
+			t.Errorf("%v slots at %s, which is not of the part", w.inFlight, w.Worker)
 		}
 	}
 	for name := range ours {
-		d.Members(h.now, ListPatch, []WorkerInfo{{Worker: name, State: Leaving}})
+		d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: name, State: Leaving}})
 	}
 	if h.ask(d, "out", 0); ours[h.last()] {
 		t.Errorf("the job went to %s, which leaves", h.last())
 	}
-	if d.byName[h.last()] == nil || d.byName[h.last()].held == 0 {
+	if d.workersByName[h.last()] == nil || d.workersByName[h.last()].inFlight == 0 {
 		t.Error("no job went out though 18 workers are free")
 	}
-	d.Part(h.now, nil, 0)
-	if p := d.pools[0]; d.part != 0 || d.nearby(p) != nil || p.ownWeight() != p.weight {
-		t.Errorf("%d workers are ours still, weight %v of %v", d.part, p.ownWeight(), p.weight)
+	d.SetSubset(h.now, nil, 0)
+	if p := d.pools[0]; d.subsetSize != 0 || d.subsetZones(p) != nil || p.targetWeight() != p.weight {
+		t.Errorf("%d workers are ours still, weight %v of %v", d.subsetSize, p.targetWeight(), p.weight)
 	}
 }
 
@@ -227,19 +227,19 @@
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall, set.Peers = 8*time.Second, 0.3, 3, 2*time.Second, 300
 	d, h := start(t, set, WorkerInfo{Worker: "mine", Weight: 1}, WorkerInfo{Worker: "cold", Weight: 1, StartedAt: time.Hour})
 	d.meanWork = 0.1
-	cold := d.byName["cold"]
+	cold := d.workersByName["cold"]
 	r := &request{class: d.classes[0], work: 0.1, Request: Request{Slots: 1}}
 	usable := func() bool {
-		cold.credit, cold.creditAt = 1, h.now
+		cold.slowStartCredit, cold.slowStartCreditAt = 1, h.now
 		return d.usable(h.now, cold, r, true)
 	}
 	if !usable() {
 		t.Error("without a part a cold worker with credit is not usable")
 	}
-	if d.Part(h.now, []string{"mine"}, 12); usable() {
+	if d.SetSubset(h.now, []string{"mine"}, 12); usable() {
 		t.Error("a cold worker of another part is usable")
 	}
-	if d.Part(h.now, []string{"mine", "cold"}, 12); !usable() {
+	if d.SetSubset(h.now, []string{"mine", "cold"}, 12); !usable() {
 		t.Error("a cold worker of our part is not usable")
 	}
 }
--- a/tenants.go
+++ b/tenants.go
@@ -10,65 +10,65 @@
 )
 
 const (
-	arrivedDecay = 0.01 // of the counts of arrivals, a round
-	knownMost    = 8    // workers that served a tenant in time, which are asked first
-	modestRoom   = 1.4  // times more for one who sends less than its share of what arrives here
-	quotaRoom    = 1.5  // a dispatcher may have this many times its even part of a tenant's quota
+	arrivalsDecay = 0.01 // of the counts of arrivals, a round
+	maxRecentWorkers    = 8    // workers that served a tenant in time, which are asked first
+	belowShareFactor   = 1.4  // times more for one who sends less than its share of what arrives here
+	quotaFactor    = 1.5  // a dispatcher may have this many times its even part of a tenant's quota
 )
 
 type tenant struct {
 	name     string
 	weight   float64       // its share as the settings give it
-	open     int           // requests that are not forgotten
-	gone     bool          // the settings do not have it any more
-	until    time.Duration // for gone: when nobody can come any more who was taken before; 0: not reckoned yet
+	openRequests     int           // requests that are not forgotten
+	removed     bool          // the settings do not have it any more
+	retireAt    time.Duration // for gone: when nobody can come any more who was taken before; 0: not reckoned yet
 	share    float64       // of all shares; 0: gone, and without a job
 	quota    float64       // jobs a second here that are within its share; 0: not told
 	tokens   float64       // of those, not yet sent
 	tokensAt time.Duration
 	queue    queue
-	backlog  []float64 // work held, by a class's index
-	waiting  float64   // slots of the queue
-	inflight float64
+	pendingWork  []float64 // work held, by a class's index
+	pendingSlots  float64   // slots of the queue
+	inFlight float64
 	deficit  float64
-	blocked  bool    // its turn ended for lack of room, not of credit
-	arrived  float64 // decayed count of jobs
-	sigma    float64
-	local    float64
-	jobs     uint64
-	known    []*worker // the last that served it in time
-	alpha    []alpha
-	used     []int
+	blockedByCapacity  bool    // its turn ended for lack of room, not of credit
+	arrivals  float64 // decayed count of jobs
+	limit    float64
+	localShare    float64
+	sentJobs     uint64
+	recentWorkers    []*worker // the last that served it in time
+	sendShares    []sendShare
+	usedWorkers     []int
 }
 
 // claim returns what the tenant wants of the slots that all share.
 func (t *tenant) claim() admission.Claimant {
-	return admission.Claimant{Want: t.inflight + t.waiting, Share: t.share}
+	return admission.Claimant{Want: t.inFlight + t.pendingSlots, Share: t.share}
 }
 
 // used notes that the tenant has sent a job to the worker.
-func (t *tenant) use(w *worker) {
-	t.jobs++
-	for len(t.alpha) <= w.index {
-		t.alpha = append(t.alpha, alpha{})
+func (t *tenant) noteSent(w *worker) {
+	t.sentJobs++
+	for len(t.sendShares) <= w.index {
+		t.sendShares = append(t.sendShares, sendShare{})
 	}
-	a := &t.alpha[w.index]
+	a := &t.sendShares[w.index]
 	if !a.Used {
-		t.used = append(t.used, w.index)
+		t.usedWorkers = append(t.usedWorkers, w.index)
 	}
-	*a = a.Add(t.jobs, alphaGain)
+	*a = a.Add(t.sentJobs, sendShareGain)
 }
 
-func (t *tenant) know(w *worker) {
-	t.unknow(w)
-	if len(t.known) == knownMost {
-		t.known = slices.Delete(t.known, 0, 1)
+func (t *tenant) rememberWorker(w *worker) {
+	t.forgetWorker(w)
+	if len(t.recentWorkers) == maxRecentWorkers {
+		t.recentWorkers = slices.Delete(t.recentWorkers, 0, 1)
 	}
-	t.known = append(t.known, w)
+	t.recentWorkers = append(t.recentWorkers, w)
 }
 
-func (t *tenant) unknow(w *worker) {
-	t.known = slices.DeleteFunc(t.known, func(v *worker) bool { return v == w })
+func (t *tenant) forgetWorker(w *worker) {
+	t.recentWorkers = slices.DeleteFunc(t.recentWorkers, func(v *worker) bool { return v == w })
 }
 
 // withinShare reports whether the tenant has sent less than its quota, or
@@ -76,60 +76,60 @@
 // than its even part of everybody. Where no quota is told, the room counts.
 func (d *Dispatcher) withinShare(now time.Duration, t *tenant) bool {
 	if t.quota == 0 {
-		return t.inflight < t.share*d.room
+		return t.inFlight < t.share*d.capacity
 	}
 	rate := t.quota
-	if t.arrived <= t.share*d.arrived {
-		rate *= modestRoom
+	if t.arrivals <= t.share*d.arrivals {
+		rate *= belowShareFactor
 	}
 	t.tokens = min(max(2, rate), t.tokens+rate*(now-t.tokensAt).Seconds())
 	t.tokensAt = now
 	return t.tokens >= 1
 }
 
-// shares reckons each tenant's part of all shares. Who is gone and has no job has none.
-func (d *Dispatcher) shares() {
+// updateShares reckons each tenant's part of all shares. Who is gone and has no job has none.
+func (d *Dispatcher) updateShares() {
 	sum := 0.0
 	for _, t := range d.tenants {
-		if !t.gone || t.open > 0 {
+		if !t.removed || t.openRequests > 0 {
 			sum += t.weight
 		}
 	}
 	for _, t := range d.tenants {
-		if t.share = 0; !t.gone || t.open > 0 {
+		if t.share = 0; !t.removed || t.openRequests > 0 {
 			t.share = t.weight / sum
 		}
 	}
 }
 
-// Tenant returns the number by which Request knows the tenant of that name now: its place in the settings
+// TenantIndex returns the number by which Request knows the tenant of that name now: its place in the settings
 // or, of one that they have no more, a number that holds until the next event. A job that was taken
 // before its tenant went may come later, as from a queue before the Dispatcher. It is -1 once all of
 // those must be over, and for a name that was never there.
-func (d *Dispatcher) Tenant(name string) int {
-	for i := range d.set.Tenants {
-		if d.set.Tenants[i].Name == name {
+func (d *Dispatcher) TenantIndex(name string) int {
+	for i := range d.settings.Tenants {
+		if d.settings.Tenants[i].Name == name {
 			return i
 		}
 	}
-	at := len(d.named)
+	at := len(d.tenantsByIndex)
 	for _, t := range d.tenants {
-		if t.gone && t.name == name {
+		if t.removed && t.name == name {
 			return at
 		}
-		at += int(oneIf(t.gone))
+		at += int(boolToFloat(t.removed))
 	}
 	return -1
 }
 
-// tenantOf returns the tenant of a number, or nil.
-func (d *Dispatcher) tenantOf(number int) *tenant {
-	if number = max(0, number); number < len(d.named) {
-		return d.named[number]
+// tenantByIndex returns the tenant of a number, or nil.
+func (d *Dispatcher) tenantByIndex(number int) *tenant {
+	if number = max(0, number); number < len(d.tenantsByIndex) {
+		return d.tenantsByIndex[number]
 	}
-	number -= len(d.named)
+	number -= len(d.tenantsByIndex)
 	for _, t := range d.tenants {
-		if t.gone {
+		if t.removed {
 			if number == 0 {
 				return t
 			}
@@ -139,62 +139,62 @@
 	return nil
 }
 
-// enroll goes on by the settings' tenants, matched by name. Newcomers have their turns after all others.
-func (d *Dispatcher) enroll(tenants []Tenant) {
+// updateTenants goes on by the settings' tenants, matched by name. Newcomers have their turns after all others.
+func (d *Dispatcher) updateTenants(tenants []Tenant) {
 	byName := make(map[string]*tenant, len(d.tenants))
 	for _, t := range d.tenants {
 		byName[t.name] = t
-		t.gone = true
+		t.removed = true
 	}
 	if len(tenants) == 0 {
 		tenants = []Tenant{{Share: 1}}
 	}
-	d.named = make([]*tenant, len(tenants))
+	d.tenantsByIndex = make([]*tenant, len(tenants))
 	for i, s := range tenants {
-		quota := quotaRoom * s.Quota / float64(d.set.Peers)
+		quota := quotaFactor * s.Quota / float64(d.settings.Peers)
 		t := byName[s.Name]
 		delete(byName, s.Name) // a name that is there twice is two tenants
 		if t == nil {
-			t = &tenant{name: s.Name, sigma: inf, local: inf, tokens: quota, backlog: make([]float64, len(d.kept))}
+			t = &tenant{name: s.Name, limit: unlimited, localShare: unlimited, tokens: quota, pendingWork: make([]float64, len(d.classesInUse))}
 			d.tenants = append(d.tenants, t)
 		}
-		t.weight, t.quota, t.gone, t.until = s.Share, quota, false, 0
-		d.named[i] = t
+		t.weight, t.quota, t.removed, t.retireAt = s.Share, quota, false, 0
+		d.tenantsByIndex[i] = t
 	}
-	d.gone = len(d.tenants) - len(d.named)
-	d.shares()
+	d.removedTenants = len(d.tenants) - len(d.tenantsByIndex)
+	d.updateShares()
 }
 
-// retire gives the shares of tenants that are gone back to the others once they have no job, and forgets
+// retireTenants gives the shares of tenants that are gone back to the others once they have no job, and forgets
 // them after the longest time that a job which was taken before can still come.
-func (d *Dispatcher) retire(now time.Duration) {
-	if d.gone == 0 {
+func (d *Dispatcher) retireTenants(now time.Duration) {
+	if d.removedTenants == 0 {
 		return
 	}
 	longest := time.Duration(0)
-	for _, k := range d.kept {
+	for _, k := range d.classesInUse {
 		longest = max(longest, k.Limit)
 	}
 	for i := 0; i < len(d.tenants); i++ {
 		t := d.tenants[i]
-		if !t.gone || t.open > 0 {
+		if !t.removed || t.openRequests > 0 {
 			continue
 		}
-		if t.until == 0 {
-			t.until = now + longest
+		if t.retireAt == 0 {
+			t.retireAt = now + longest
 		}
-		if now < t.until {
+		if now < t.retireAt {
 			continue
 		}
 		d.tenants = slices.Delete(d.tenants, i, i+1)
-		d.gone--
+		d.removedTenants--
 		switch {
 		case d.turn > i:
 			d.turn--
 		case d.turn == i:
-			d.turn, d.credited = i%len(d.tenants), false
+			d.turn, d.turnCredited = i%len(d.tenants), false
 		}
 		i--
 	}
-	d.shares()
+	d.updateShares()
 }
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -32,7 +32,7 @@
 
 func (h *fake) askFor(d *Dispatcher, id string, tenant int, left time.Duration) {
 	h.t.Helper()
-	if err := d.Request(h.now, Request{ID: id, Tenant: tenant, Left: left, Hint: 100 * ms}); err != nil {
+	if err := d.SubmitRequest(h.now, Request{ID: id, Tenant: tenant, Left: left, Hint: 100 * ms}); err != nil {
 		h.t.Fatal(err)
 	}
 }
@@ -59,36 +59,36 @@
 		}
 	}
 	h.run(d, h.now+150*ms)
-	if d.backlog == 0 || d.tenants[0].deficit == 0 && d.tenants[1].deficit == 0 {
-		t.Fatalf("nothing is held, or nobody has credit: %d", d.backlog)
+	if d.pendingRequests == 0 || d.tenants[0].deficit == 0 && d.tenants[1].deficit == 0 {
+		t.Fatalf("nothing is held, or nobody has credit: %d", d.pendingRequests)
 	}
-	turn, credited := d.tenants[d.turn], d.credited
+	turn, credited := d.tenants[d.turn], d.turnCredited
 	before := []tenant{*d.tenants[0], *d.tenants[2]}
 	next := set
 	next.Tenants = []Tenant{{"e", 9, 0}, {"c", 2, 3}, {"b", 1, 1}, {"a", 4, 3}} // d goes, e comes, b is less, the order is another
-	if err := d.Retune(next); err != nil {
+	if err := d.UpdateSettings(next); err != nil {
 		t.Fatal(err)
 	}
-	if d.turns() != "abcde" || d.tenants[d.turn] != turn || d.credited != credited {
-		t.Errorf("turns %s, it is that of %s (credited %v), was %s (%v)", d.turns(), d.tenants[d.turn].name, d.credited, turn.name, credited)
+	if d.turns() != "abcde" || d.tenants[d.turn] != turn || d.turnCredited != credited {
+		t.Errorf("turns %s, it is that of %s (credited %v), was %s (%v)", d.turns(), d.tenants[d.turn].name, d.turnCredited, turn.name, credited)
 	}
 	for i, at := range []int{0, 2} {
 		was, is := before[i], *d.tenants[at]
-		if was.deficit != is.deficit || was.sigma != is.sigma || was.local != is.local || was.tokens != is.tokens || was.tokensAt != is.tokensAt ||
-			was.quota != is.quota || was.arrived != is.arrived || was.jobs != is.jobs || was.inflight != is.inflight || was.waiting != is.waiting ||
-			was.weight != is.weight || was.open != is.open || !slices.Equal(was.alpha, is.alpha) || !slices.Equal(was.used, is.used) ||
-			!slices.Equal(was.known, is.known) || !slices.Equal(was.queue, is.queue) || !slices.Equal(was.backlog, is.backlog) {
+		if was.deficit != is.deficit || was.limit != is.limit || was.localShare != is.localShare || was.tokens != is.tokens || was.tokensAt != is.tokensAt ||
+			was.quota != is.quota || was.arrivals != is.arrivals || was.sentJobs != is.sentJobs || was.inFlight != is.inFlight || was.pendingSlots != is.pendingSlots ||
+			was.weight != is.weight || was.openRequests != is.openRequests || !slices.Equal(was.sendShares, is.sendShares) || !slices.Equal(was.usedWorkers, is.usedWorkers) ||
+			!slices.Equal(was.recentWorkers, is.recentWorkers) || !slices.Equal(was.queue, is.queue) || !slices.Equal(was.pendingWork, is.pendingWork) {
 			t.Errorf("tenant %s changed:\n%+v\n%+v", is.name, was, is)
 		}
 	}
 	for i, name := range []string{"e", "c", "b", "a"} {
-		if d.named[i].name != name || d.Tenant(name) != i {
-			t.Errorf("number %d is %s, and %s has number %d", i, d.named[i].name, name, d.Tenant(name))
+		if d.tenantsByIndex[i].name != name || d.TenantIndex(name) != i {
+			t.Errorf("number %d is %s, and %s has number %d", i, d.tenantsByIndex[i].name, name, d.TenantIndex(name))
 		}
 	}
 	if bad := next; true {
 		bad.Tenants = []Tenant{{"a", 0, 0}}
-		if err := d.Retune(bad); err == nil || d.turns() != "abcde" || d.named[1].name != "c" {
+		if err := d.UpdateSettings(bad); err == nil || d.turns() != "abcde" || d.tenantsByIndex[1].name != "c" {
 			t.Errorf("settings with a share of 0: error %v, turns %s", err, d.turns())
 		}
 	}
@@ -101,17 +101,17 @@
 	for i := range 6 {
 		h.askFor(d, fmt.Sprint("c", i), 2, 5*time.Second)
 	}
-	held := d.tenants[2].waiting
+	held := d.tenants[2].pendingSlots
 	if held == 0 || len(h.sends) == 0 {
 		t.Fatalf("%v held, %d sent", held, len(h.sends))
 	}
-	if err := d.Retune(teams("ab", 2, 1)); err != nil {
+	if err := d.UpdateSettings(teams("ab", 2, 1)); err != nil {
 		t.Fatal(err)
 	}
-	if c := d.tenants[2]; c.share != 0.25 || c.waiting != held {
-		t.Errorf("it has a share of %v and holds %v; before it was 0.25 and %v", c.share, c.waiting, held)
+	if c := d.tenants[2]; c.share != 0.25 || c.pendingSlots != held {
+		t.Errorf("it has a share of %v and holds %v; before it was 0.25 and %v", c.share, c.pendingSlots, held)
 	}
-	if got := d.Tenant("c"); got != 2 {
+	if got := d.TenantIndex("c"); got != 2 {
 		t.Errorf("it has number %d", got)
 	}
 	for done := 0; done < len(h.sends); done++ {
@@ -123,20 +123,20 @@
 			t.Errorf("%s ended as %q", id, h.ends[id])
 		}
 	}
-	h.run(d, h.now+roundEvery)
+	h.run(d, h.now+roundInterval)
 	if a, c := d.tenants[0], d.tenants[2]; c.share != 0 || a.share != 2.0/3 {
 		t.Errorf("without a job it has a share of %v, and a has %v", c.share, a.share)
 	}
-	h.askFor(d, "late", d.Tenant("c"), time.Second) // as from a queue before the Dispatcher
+	h.askFor(d, "late", d.TenantIndex("c"), time.Second) // as from a queue before the Dispatcher
 	if a, c := d.tenants[0], d.tenants[2]; c.share != 0.25 || a.share != 0.5 {
 		t.Errorf("with a job again it has a share of %v, and a has %v", c.share, a.share)
 	}
 	h.over(d, "late", 0, Served)
-	h.run(d, h.now+5*time.Second+2*roundEvery)
-	if d.turns() != "ab" || d.gone != 0 || d.Tenant("c") != -1 {
-		t.Errorf("turns %s, %d gone, number %d", d.turns(), d.gone, d.Tenant("c"))
+	h.run(d, h.now+5*time.Second+2*roundInterval)
+	if d.turns() != "ab" || d.removedTenants != 0 || d.TenantIndex("c") != -1 {
+		t.Errorf("turns %s, %d gone, number %d", d.turns(), d.removedTenants, d.TenantIndex("c"))
 	}
-	if err := d.Request(h.now, Request{ID: "never", Tenant: 2, Left: time.Second}); err != ErrBadRequest {
+	if err := d.SubmitRequest(h.now, Request{ID: "never", Tenant: 2, Left: time.Second}); err != ErrBadRequest {
 		t.Errorf("a job of nobody: %v", err)
 	}
 }
@@ -148,20 +148,20 @@
 	h.askFor(d, "r", 1, 5*time.Second)
 	h.over(d, "r", 0, Served)
 	b := d.tenants[1]
-	jobs, deficit := b.jobs, b.deficit
+	jobs, deficit := b.sentJobs, b.deficit
 	for range 3 {
 		for _, s := range []Settings{teams("a", 1), set} {
-			if err := d.Retune(s); err != nil {
+			if err := d.UpdateSettings(s); err != nil {
 				t.Fatal(err)
 			}
 		}
-		h.run(d, h.now+roundEvery)
+		h.run(d, h.now+roundInterval)
 	}
-	if d.named[1] != b || b.jobs != jobs || b.deficit != deficit || b.gone || d.gone != 0 || d.turns() != "ab" {
-		t.Errorf("it is %+v, turns %s", d.named[1], d.turns())
+	if d.tenantsByIndex[1] != b || b.sentJobs != jobs || b.deficit != deficit || b.removed || d.removedTenants != 0 || d.turns() != "ab" {
+		t.Errorf("it is %+v, turns %s", d.tenantsByIndex[1], d.turns())
 	}
 	h.run(d, h.now+time.Minute)
-	if d.named[1] != b || d.turns() != "ab" {
+	if d.tenantsByIndex[1] != b || d.turns() != "ab" {
 		t.Errorf("later the turns are %s", d.turns())
 	}
 }
@@ -172,7 +172,7 @@
 	set := teams("ab", 1, 9)
 	set.Tenants[0].Quota, set.Tenants[1].Quota = 40, 40
 	d, h := start(t, set, fleet(3)...)
-	d.arrived, d.tenants[0].arrived = 10, 10 // more than its share of what arrives
+	d.arrivals, d.tenants[0].arrivals = 10, 10 // more than its share of what arrives
 	within := func() (n int) {               // jobs within its share in two seconds
 		for range 2000 {
 			h.now += ms
@@ -188,10 +188,10 @@
 		next := set
 		next.Tenants = slices.Clone(set.Tenants)
 		next.Tenants[0].Quota = quota
-		if err := d.Retune(next); err != nil {
+		if err := d.UpdateSettings(next); err != nil {
 			t.Fatal(err)
 		}
-		if got, want := float64(within()), 2*quota*quotaRoom; math.Abs(got-want) > 3 {
+		if got, want := float64(within()), 2*quota*quotaFactor; math.Abs(got-want) > 3 {
 			t.Errorf("with a quota of %v a second %v jobs in 2 s are within the share, want %v", quota, got, want)
 		}
 	}
@@ -203,12 +203,12 @@
 	for i := range 4 {
 		h.askFor(d, fmt.Sprint("any", i), -1, 5*time.Second)
 	}
-	if err := d.Retune(teams("ab", 1, 1)); err != nil {
+	if err := d.UpdateSettings(teams("ab", 1, 1)); err != nil {
 		t.Fatal(err)
 	}
 	h.askFor(d, "a", 0, 5*time.Second)
-	h.askFor(d, "late", d.Tenant(""), 5*time.Second)
-	if err := d.Retune(patient()); err != nil {
+	h.askFor(d, "late", d.TenantIndex(""), 5*time.Second)
+	if err := d.UpdateSettings(patient()); err != nil {
 		t.Fatal(err)
 	}
 	h.askFor(d, "again", -1, 5*time.Second)
@@ -245,7 +245,7 @@
 					left[v.Name] = h.now
 				}
 				set = draw("next")
-				if err := d.Retune(set); err != nil {
+				if err := d.UpdateSettings(set); err != nil {
 					r.Fatal(err)
 				}
 			},
@@ -254,15 +254,15 @@
 				if n := len(set.Tenants); n > 0 {
 					number = rapid.IntRange(0, n-1).Draw(r, "tenant")
 				}
-				if err := d.Request(h.now, Request{ID: fmt.Sprint("r", asked), Tenant: number, Left: 2 * time.Second, Hint: 50 * ms}); err != nil {
+				if err := d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", asked), Tenant: number, Left: 2 * time.Second, Hint: 50 * ms}); err != nil {
 					r.Fatal(err)
 				}
 				asked++
 			},
 			"ask late": func(r *rapid.T) {
 				name := string(names[rapid.IntRange(0, 5).Draw(r, "name")])
-				if number := d.Tenant(name); number >= 0 {
-					if err := d.Request(h.now, Request{ID: fmt.Sprint("r", asked), Tenant: number, Left: time.Second, Hint: 50 * ms}); err != nil {
+				if number := d.TenantIndex(name); number >= 0 {
+					if err := d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", asked), Tenant: number, Left: time.Second, Hint: 50 * ms}); err != nil {
 						r.Fatal(err)
 					}
 					if got := d.requests[fmt.Sprint("r", asked)]; got != nil && got.tenant.name != name {
@@ -276,7 +276,7 @@
 			"end": func(r *rapid.T) {
 				for ; done < len(h.sends); done++ {
 					s := h.sends[done]
-					if err := d.Outcome(h.now, Result{ID: s.id, Attempt: s.n, Outcome: Served, Closed: true}); err == nil {
+					if err := d.AttemptEnded(h.now, Result{ID: s.id, Attempt: s.n, Outcome: Served, Closed: true}); err == nil {
 						if h.ends[s.id] == "" {
 							h.ends[s.id] = "served"
 						}
@@ -294,17 +294,17 @@
 					if seen[v] {
 						r.Fatalf("%s has two turns", v.name)
 					}
-					seen[v], open, sum = true, open+v.open, sum+v.share
-					if len(v.backlog) != len(d.kept) || v.open < 0 {
-						r.Fatalf("%s: %d classes of %d, %d open", v.name, len(v.backlog), len(d.kept), v.open)
+					seen[v], open, sum = true, open+v.openRequests, sum+v.share
+					if len(v.pendingWork) != len(d.classesInUse) || v.openRequests < 0 {
+						r.Fatalf("%s: %d classes of %d, %d open", v.name, len(v.pendingWork), len(d.classesInUse), v.openRequests)
 					}
 				}
-				if len(d.named) != max(1, len(set.Tenants)) || len(d.tenants) != len(d.named)+d.gone || open != len(d.requests) || math.Abs(sum-1) > 1e-9 {
-					r.Fatalf("%d named of %d, %d turns, %d gone, %d open of %d, shares add up to %v", len(d.named), len(set.Tenants),
-						len(d.tenants), d.gone, open, len(d.requests), sum)
+				if len(d.tenantsByIndex) != max(1, len(set.Tenants)) || len(d.tenants) != len(d.tenantsByIndex)+d.removedTenants || open != len(d.requests) || math.Abs(sum-1) > 1e-9 {
+					r.Fatalf("%d named of %d, %d turns, %d gone, %d open of %d, shares add up to %v", len(d.tenantsByIndex), len(set.Tenants),
+						len(d.tenants), d.removedTenants, open, len(d.requests), sum)
 				}
 				for i, v := range set.Tenants {
-					if got := d.named[i]; got.name != v.Name || got.weight != v.Share || got.quota != quotaRoom*v.Quota || got.gone || !seen[got] {
+					if got := d.tenantsByIndex[i]; got.name != v.Name || got.weight != v.Share || got.quota != quotaFactor*v.Quota || got.removed || !seen[got] {
 						r.Fatalf("tenant %d is %+v, settings say %+v", i, got, v)
 					}
 				}
@@ -321,11 +321,11 @@
 		}
 		h.run(d, h.now+10*time.Second)
 		for ; done < len(h.sends); done++ {
-			_ = d.Outcome(h.now, Result{ID: h.sends[done].id, Attempt: h.sends[done].n, Outcome: Cancelled})
+			_ = d.AttemptEnded(h.now, Result{ID: h.sends[done].id, Attempt: h.sends[done].n, Outcome: Cancelled})
 		}
 		h.run(d, h.now+10*time.Second)
-		if d.gone != 0 || len(d.requests) != 0 {
-			r.Fatalf("in the end %d are gone and still there, with %d requests", d.gone, len(d.requests))
+		if d.removedTenants != 0 || len(d.requests) != 0 {
+			r.Fatalf("in the end %d are gone and still there, with %d requests", d.removedTenants, len(d.requests))
 		}
 	})
 }
--- a/worker.go
+++ b/worker.go
@@ -12,102 +12,102 @@
 	WorkerInfo
 	index     int // in tenant.alpha and Dispatcher.workers
 	size      float64
-	places    []int // by pool: where in its zone's list, -1 if not in it
-	held      float64
-	unstarted int
-	sigma     float64
-	cutIn     int64         // the round of the last cut
-	beside    Load          // of other dispatchers of this scheduler, counted in held and unstarted
-	besides   bool          // that has been told before
-	others    Load          // of other schedulers, counted in held and unstarted
-	marked    bool          // what we have out here has changed since Changed
-	ours      bool          // of our part of the workers
-	sent      float64       // work ever sent
-	outAt     time.Duration // when it was taken out
+	poolPositions    []int // by pool: where in its zone's list, -1 if not in it
+	inFlight      float64
+	notStarted int
+	limit     float64
+	lastCutRound     int64         // the round of the last cut
+	siblingLoad    Load          // of other dispatchers of this scheduler, counted in held and unstarted
+	siblingLoadKnown   bool          // that has been told before
+	peerLoad    Load          // of other schedulers, counted in held and unstarted
+	loadChanged    bool          // what we have out here has changed since Changed
+	inSubset      bool          // of our part of the workers
+	workSent      float64       // work ever sent
+	cordonedAt     time.Duration // when it was taken out
 	cordoned  bool          // taken out by an operator, whatever the list says
-	outcomes  bool          // this round had clean outcomes
-	closedAt  time.Duration // when its idle connections were last closed, while it leaves
-	askers    []*request    // they wait for its answer to a probe
-	told      Report        // the last answer to a probe
-	free      float64       // free slots by the last report, less what we sent since
-	freeAt    time.Duration
-	suspect   time.Duration // not to be sent to before; 0: trusted
-	backoff   time.Duration
-	lastSign  time.Duration
-	trial     time.Duration // when it was last tried while not trusted
-	broken    int           // connections that broke or failed since the last sign
-	rest      time.Duration // gives bad answers: not to be sent to before
-	restFor   time.Duration
-	bad       float64 // EWMA share of errors
+	cleanRound  bool          // this round had clean outcomes
+	idleClosedAt  time.Duration // when its idle connections were last closed, while it leaves
+	probeWaiters    []*request    // they wait for its answer to a probe
+	lastReport      Report        // the last answer to a probe
+	freeSlots      float64       // free slots by the last report, less what we sent since
+	freeSlotsAt    time.Duration
+	unhealthyUntil   time.Duration // not to be sent to before; 0: trusted
+	unhealthyBackoff   time.Duration
+	lastSeen  time.Duration
+	lastTrial     time.Duration // when it was last tried while not trusted
+	connFailures    int           // connections that broke or failed since the last sign
+	ejectedUntil      time.Duration // gives bad answers: not to be sent to before
+	ejectionBackoff   time.Duration
+	errorRate       float64 // EWMA share of errors
 	pace      float64 // EWMA of its running times over the class's mean
-	out       []flight
-	coldUntil time.Duration
-	presumed  time.Duration // when it was taken for restarted; 0: not
-	credit    float64       // work that a cold worker may be sent
-	creditAt  time.Duration
+	attempts       []attemptRef
+	warmAt time.Duration
+	presumedRestartAt  time.Duration // when it was taken for restarted; 0: not
+	slowStartCredit    float64       // work that a cold worker may be sent
+	slowStartCreditAt  time.Duration
 }
 
-// flight is an attempt that is out.
-type flight struct {
-	r *request
-	n int
+// attemptRef is an attempt that is out.
+type attemptRef struct {
+	request *request
+	number int
 }
 
-func (d *Dispatcher) newWorker(e *WorkerInfo) *worker {
-	w := &worker{WorkerInfo: *e, places: slices.Repeat([]int{-1}, len(d.pools)), sigma: inf, pace: 1,
-		index: len(d.workers), cutIn: -1, cordoned: d.cordons[e.Worker]}
+func (d *Dispatcher) addWorker(e *WorkerInfo) *worker {
+	w := &worker{WorkerInfo: *e, poolPositions: slices.Repeat([]int{-1}, len(d.pools)), limit: unlimited, pace: 1,
+		index: len(d.workers), lastCutRound: -1, cordoned: d.cordons[e.Worker]}
 	if i := slices.Index(d.workers, nil); i >= 0 {
 		w.index = i
 		d.workers[i] = w
 	} else {
 		d.workers = append(d.workers, w)
 	}
-	d.byName[e.Worker] = w
+	d.workersByName[e.Worker] = w
 	return w
 }
 
-func (d *Dispatcher) drop(w *worker) {
-	delete(d.byName, w.Worker)
-	d.hold(w, -w.beside.Held)
-	w.unstarted -= w.beside.Waiting
-	d.occupy(w, -w.others.Held)
-	w.unstarted -= w.others.Waiting
-	w.beside, w.others = Load{}, Load{}
-	d.answered(w)
-	d.absolve(w)
+func (d *Dispatcher) removeWorker(w *worker) {
+	delete(d.workersByName, w.Worker)
+	d.addInFlight(w, -w.siblingLoad.Held)
+	w.notStarted -= w.siblingLoad.Waiting
+	d.addOccupied(w, -w.peerLoad.Held)
+	w.notStarted -= w.peerLoad.Waiting
+	w.siblingLoad, w.peerLoad = Load{}, Load{}
+	d.endProbe(w)
+	d.clearPresumedRestart(w)
 	d.workers[w.index] = nil
 	for _, t := range d.tenants {
-		if w.index < len(t.alpha) && t.alpha[w.index].Used {
-			t.alpha[w.index] = alpha{}
-			t.used = slices.DeleteFunc(t.used, func(i int) bool { return i == w.index })
+		if w.index < len(t.sendShares) && t.sendShares[w.index].Used {
+			t.sendShares[w.index] = sendShare{}
+			t.usedWorkers = slices.DeleteFunc(t.usedWorkers, func(i int) bool { return i == w.index })
 		}
 	}
 }
 
-// sign notes that the worker is alive.
-func (w *worker) sign(now time.Duration) { w.lastSign, w.broken, w.suspect, w.backoff = now, 0, 0, 0 }
+// markAlive notes that the worker is alive.
+func (w *worker) markAlive(now time.Duration) { w.lastSeen, w.connFailures, w.unhealthyUntil, w.unhealthyBackoff = now, 0, 0, 0 }
 
-// trustAgain forgets what was held against a worker.
-func (d *Dispatcher) trustAgain(w *worker) {
-	w.sigma, w.freeAt, w.pace, w.bad = inf, 0, 1, 0
-	w.suspect, w.backoff, w.trial, w.rest, w.restFor, w.broken = 0, 0, 0, 0, 0, 0
+// resetHealth forgets what was held against a worker.
+func (d *Dispatcher) resetHealth(w *worker) {
+	w.limit, w.freeSlotsAt, w.pace, w.errorRate = unlimited, 0, 1, 0
+	w.unhealthyUntil, w.unhealthyBackoff, w.lastTrial, w.ejectedUntil, w.ejectionBackoff, w.connFailures = 0, 0, 0, 0, 0, 0
 }
 
 // sizeOf is the worker's listed size where the list tells it. Live weights
 // sink below the size, which is the most that was seen of the kind.
 func (d *Dispatcher) sizeOf(e *WorkerInfo) float64 {
-	if d.set.Weights == WeightNone || e.Weight <= 0 {
+	if d.settings.Weights == WeightNone || e.Weight <= 0 {
 		return 1
 	}
-	if d.set.Weights == WeightLive {
-		return d.kindSize[e.Kind]
+	if d.settings.Weights == WeightLive {
+		return d.maxWeightByKind[e.Kind]
 	}
 	return e.Weight
 }
 
-func (d *Dispatcher) growKinds(kind int) {
-	for len(d.kindSize) <= kind {
-		d.kindSize, d.kindRoom = append(d.kindSize, 0), append(d.kindRoom, 1)
+func (d *Dispatcher) growKindTables(kind int) {
+	for len(d.maxWeightByKind) <= kind {
+		d.maxWeightByKind, d.maxFreeByKind = append(d.maxWeightByKind, 0), append(d.maxFreeByKind, 1)
 	}
 }
 
@@ -116,47 +116,47 @@
 // the restart that the list has told of meanwhile. An unknown worker is reported as false, and nothing
 // changes.
 func (d *Dispatcher) Cordon(now time.Duration, name string, out bool) bool {
-	w := d.byName[name]
+	w := d.workersByName[name]
 	if w == nil && !d.cordons[name] {
 		return false
 	}
 	if out == d.cordons[name] {
 		return true
 	}
-	d.wake(now)
+	d.startRounds(now)
 	if out {
-		d.Keep(name)
+		d.RestoreCordon(name)
 		if w != nil {
-			w.outAt = now
+			w.cordonedAt = now
 		}
 		return true
 	}
 	delete(d.cordons, name)
 	if w != nil {
-		d.unplace(w)
+		d.removeFromPools(w)
 		w.cordoned = false
-		d.absolve(w)
-		d.trustAgain(w)
-		if d.set.WarmUp > 0 {
+		d.clearPresumedRestart(w)
+		d.resetHealth(w)
+		if d.settings.WarmUp > 0 {
 			from := now
-			if w.StartedAt > w.outAt { // the list has told of its restart
+			if w.StartedAt > w.cordonedAt { // the list has told of its restart
 				from = min(now, w.StartedAt)
 			}
-			d.coolDown(now, w, from)
+			d.beginSlowStart(now, w, from)
 		}
-		d.place(w)
+		d.addToPools(w)
 	}
-	d.roomAgain()
-	d.release(now)
+	d.capacityChanged()
+	d.releasePending(now)
 	return true
 }
 
-// Keep takes a worker out, also one that no list has named yet: it was taken out in an earlier run.
-func (d *Dispatcher) Keep(name string) {
+// RestoreCordon takes a worker out, also one that no list has named yet: it was taken out in an earlier run.
+func (d *Dispatcher) RestoreCordon(name string) {
 	d.cordons[name] = true
-	if w := d.byName[name]; w != nil && !w.cordoned {
-		d.unplace(w)
+	if w := d.workersByName[name]; w != nil && !w.cordoned {
+		d.removeFromPools(w)
 		w.cordoned = true
-		d.place(w)
+		d.addToPools(w)
 	}
 }
