--- a/affinity.go
+++ b/affinity.go
@@ -13,8 +13,8 @@
 )
 
 type ringPoint struct {
-	hash uint64
-	worker    *worker
+	hash   uint64
+	worker *worker
 }
 
 // pickHome serves jobs that need something a worker may keep at hand: a key has one home
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	roundInterval = 100 * time.Millisecond // Wisp's control interval
-	stallThreshold  = 25 * time.Millisecond  // a round overdue by more means that we stood still
-	catchUpDelay  = time.Millisecond       // a timer for it comes after all that waits to be read
+	roundInterval  = 100 * time.Millisecond // Wisp's control interval
+	stallThreshold = 25 * time.Millisecond  // a round overdue by more means that we stood still
+	catchUpDelay   = time.Millisecond       // a timer for it comes after all that waits to be read
 )
 
 const (
@@ -24,71 +24,71 @@
 )
 
 var (
-	unlimited    = admission.Unlimited
+	unlimited   = admission.Unlimited
 	limitTuning = admission.Tuning{CutFactor: limitCutFactor, RiseStep: limitRaiseStep, Least: minLimit}
 )
 
 // Dispatcher decides for one dispatcher. Make one with New.
 type Dispatcher struct {
-	settings        Settings
-	host       Host
-	rng        *rand.Rand
-	requests   map[string]*request
+	settings            Settings
+	host                Host
+	rng                 *rand.Rand
+	requests            map[string]*request
 	requestsBySerial    map[uint64]*request
-	lastSerial     uint64
-	tenants    []*tenant // in the order of their turns; also those that are gone until their last job is over
+	lastSerial          uint64
+	tenants             []*tenant // in the order of their turns; also those that are gone until their last job is over
 	tenantsByIndex      []*tenant // by the settings' index; without tenants one that all jobs have
-	removedTenants       int       // tenants that are gone
-	classes    []*class  // by the settings' index
-	classesInUse       []*class  // those, and former ones that jobs under way still have
-	workersByName     map[string]*worker
-	workers    []*worker // by index; nil: free index
-	pools      []*pool
-	cells      map[int][]*worker // those that may be sent to
-	cleanWorkers    []*worker
-	drainingWorkers    []*worker // their connections are closed once more
-	maxWeightByKind   []float64 // largest weight seen of a kind
-	maxFreeByKind   []float64 // most free slots reported of a kind
-	inFlight       float64
-	pendingRequests    int
-	turn       int
-	turnCredited   bool // the tenant whose turn it is has had its credit
-	capacityShort    bool // this round a job found no room
-	capacity       float64
-	meanWork   float64
-	meanKnownWork      float64 // the same over requests whose class was known
-	knownRequests    float64 // those
-	roundWork     float64 // work done in this round
-	workRate      float64 // work a second and unit of weight that workers carry for us
-	arrivals    float64 // decayed count of jobs
-	maxWorkerSize    float64 // size of a worker
-	leastLoaded     *worker // of the last pick
-	leastLoad float64
-	round      int64
-	roundDue        time.Duration // of the next round
-	catchingUp   bool          // the dispatcher stood still, and still reads what came meanwhile
-	meteredWorker      *worker       // asked twice on end, to see whether its report changes
-	meteredSeconds    float64       // seconds between such askings
-	reportChanges    float64       // in that time
-	brokenByCell      map[int]brokenConnection  // by cell: the last worker there that broke or refused a connection
-	presumedRestarts   int           // workers taken for restarted
-	cordons    map[string]bool
-	fastPace      float64       // pace of the quick workers
-	silentConnections     float64       // decayed count of connections that fell silent under an attempt
-	promptStartRate     float64       // share of attempts that started at once
-	rescheduleAllowedAt   time.Duration // when jobs may be called off again
-	retryCounter    slidingCounter         // attempts beyond each request's first
-	requestCounter      slidingCounter         // requests
-	running    bool
-	watchBackoff    time.Duration
-	scratch    []float64
-	claimants     []admission.Claimant
-	homesBuffer      []*worker
-	tracksLoadChanges      bool      // what we have out is told to others
-	loadChanged     []*worker // where that has changed
-	subsetSize       int       // workers that are ours; 0: all alike
+	removedTenants      int       // tenants that are gone
+	classes             []*class  // by the settings' index
+	classesInUse        []*class  // those, and former ones that jobs under way still have
+	workersByName       map[string]*worker
+	workers             []*worker // by index; nil: free index
+	pools               []*pool
+	cells               map[int][]*worker // those that may be sent to
+	cleanWorkers        []*worker
+	drainingWorkers     []*worker // their connections are closed once more
+	maxWeightByKind     []float64 // largest weight seen of a kind
+	maxFreeByKind       []float64 // most free slots reported of a kind
+	inFlight            float64
+	pendingRequests     int
+	turn                int
+	turnCredited        bool // the tenant whose turn it is has had its credit
+	capacityShort       bool // this round a job found no room
+	capacity            float64
+	meanWork            float64
+	meanKnownWork       float64 // the same over requests whose class was known
+	knownRequests       float64 // those
+	roundWork           float64 // work done in this round
+	workRate            float64 // work a second and unit of weight that workers carry for us
+	arrivals            float64 // decayed count of jobs
+	maxWorkerSize       float64 // size of a worker
+	leastLoaded         *worker // of the last pick
+	leastLoad           float64
+	round               int64
+	roundDue            time.Duration            // of the next round
+	catchingUp          bool                     // the dispatcher stood still, and still reads what came meanwhile
+	meteredWorker       *worker                  // asked twice on end, to see whether its report changes
+	meteredSeconds      float64                  // seconds between such askings
+	reportChanges       float64                  // in that time
+	brokenByCell        map[int]brokenConnection // by cell: the last worker there that broke or refused a connection
+	presumedRestarts    int                      // workers taken for restarted
+	cordons             map[string]bool
+	fastPace            float64        // pace of the quick workers
+	silentConnections   float64        // decayed count of connections that fell silent under an attempt
+	promptStartRate     float64        // share of attempts that started at once
+	rescheduleAllowedAt time.Duration  // when jobs may be called off again
+	retryCounter        slidingCounter // attempts beyond each request's first
+	requestCounter      slidingCounter // requests
+	running             bool
+	watchBackoff        time.Duration
+	scratch             []float64
+	claimants           []admission.Claimant
+	homesBuffer         []*worker
+	tracksLoadChanges   bool      // what we have out is told to others
+	loadChanged         []*worker // where that has changed
+	subsetSize          int       // workers that are ours; 0: all alike
 	subsetUsable        int       // of those, usable in the last pick
-	subsetSharers    int       // dispatchers that send to a worker
+	subsetSharers       int       // dispatchers that send to a worker
 }
 
 // New returns a Dispatcher that acts on host. It wants a class and tenants with
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -80,7 +80,7 @@
 	h.closes = append(h.closes, closed{h.now, worker})
 	h.note("close %s", worker)
 }
-func (h *fake) WatchWorkers()          { h.watches++; h.note("watch") }
+func (h *fake) WatchWorkers()   { h.watches++; h.note("watch") }
 func (h *fake) Log(text string) { h.note("log %s", text) }
 
 // last returns the worker of the last send, or "".
--- a/example_test.go
+++ b/example_test.go
@@ -16,8 +16,8 @@
 func (printer) Cancel(id string, attempt int)           { fmt.Println("cancel", id, attempt) }
 func (printer) SetTimer(time.Duration, uint64)          {} // call Dispatcher.Timer with the token after that time
 func (printer) Probe(worker string)                     { fmt.Println("probe", worker) }
-func (printer) CloseIdleConnections(worker string)                 { fmt.Println("close idle to", worker) }
-func (printer) WatchWorkers()                                  { fmt.Println("watch the list") }
+func (printer) CloseIdleConnections(worker string)      { fmt.Println("close idle to", worker) }
+func (printer) WatchWorkers()                           { fmt.Println("watch the list") }
 func (printer) Log(text string)                         { fmt.Println(text) }
 
 func Example() {
--- a/health.go
+++ b/health.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	errorRateGain      = 0.25 // EWMA weight of one answer in a worker's share of errors
-	maxErrorRate      = 0.4  // a worker with a larger share of errors is left alone
-	minEjectionBackoff    = 100 * time.Millisecond
-	maxEjectionBackoff     = 2 * time.Second
+	errorRateGain       = 0.25 // EWMA weight of one answer in a worker's share of errors
+	maxErrorRate        = 0.4  // a worker with a larger share of errors is left alone
+	minEjectionBackoff  = 100 * time.Millisecond
+	maxEjectionBackoff  = 2 * time.Second
 	minUnhealthyBackoff = 500 * time.Millisecond // a worker that failed is left alone at first for so long
-	maxUnhealthyBackoff  = 8 * time.Second
+	maxUnhealthyBackoff = 8 * time.Second
 )
 
 // eject leaves a worker alone for a while that answers, but turns jobs away or fails them, twice as long
--- a/internal/dispatch/sharing.go
+++ b/internal/dispatch/sharing.go
@@ -19,7 +19,7 @@
 
 // Estate is what a planner hands over to a new process.
 type Estate struct {
-	Shared  Shared            `json:"shared"`
+	Shared  Shared                 `json:"shared"`
 	Learned sedgevale.LearnedState `json:"learned"`
 }
 
--- a/learned.go
+++ b/learned.go
@@ -11,54 +11,54 @@
 // Times are in seconds, before or after now; workers, classes and tenants go by
 // their names. Limits below 0 stand for none.
 type LearnedState struct {
-	Classes []LearnedClass  `json:"classes"`
-	Tenants []LearnedTenant `json:"tenants"`
-	Workers []LearnedWorker `json:"workers"`
-	MaxWeights    []float64       `json:"size"` // by kind
-	MaxFreeSlots    []float64       `json:"room"`
-	Capacity    float64         `json:"jobs"` // in hand, as the most that found room
-	MeanWork    float64         `json:"work"`
-	WorkRate   float64         `json:"carry"`
-	Arrivals float64         `json:"arrived"`
-	PromptStartRate  float64         `json:"prompt"`
-	SilentConnections  float64         `json:"silent"`
-	MeteredSeconds float64         `json:"metered"`
-	ReportChanges float64         `json:"changes"`
+	Classes           []LearnedClass  `json:"classes"`
+	Tenants           []LearnedTenant `json:"tenants"`
+	Workers           []LearnedWorker `json:"workers"`
+	MaxWeights        []float64       `json:"size"` // by kind
+	MaxFreeSlots      []float64       `json:"room"`
+	Capacity          float64         `json:"jobs"` // in hand, as the most that found room
+	MeanWork          float64         `json:"work"`
+	WorkRate          float64         `json:"carry"`
+	Arrivals          float64         `json:"arrived"`
+	PromptStartRate   float64         `json:"prompt"`
+	SilentConnections float64         `json:"silent"`
+	MeteredSeconds    float64         `json:"metered"`
+	ReportChanges     float64         `json:"changes"`
 }
 
 // LearnedClass is what is known of a class.
 type LearnedClass struct {
-	Name     string  `json:"name"`
-	MeanRuntime      float64 `json:"run"`
-	BaseRuntime     float64 `json:"base"`
-	MeanHint     float64 `json:"hint"`
+	Name           string  `json:"name"`
+	MeanRuntime    float64 `json:"run"`
+	BaseRuntime    float64 `json:"base"`
+	MeanHint       float64 `json:"hint"`
 	MeanCompletion float64 `json:"complete"`
-	Samples     float64 `json:"runs"`
+	Samples        float64 `json:"runs"`
 }
 
 // LearnedTenant is what is known of a tenant.
 type LearnedTenant struct {
-	Name    string  `json:"name"`
-	Limit   float64 `json:"sigma"`
-	LocalShare   float64 `json:"local"`
-	Arrivals float64 `json:"arrived"`
-	Tokens  float64 `json:"tokens"`
+	Name       string  `json:"name"`
+	Limit      float64 `json:"sigma"`
+	LocalShare float64 `json:"local"`
+	Arrivals   float64 `json:"arrived"`
+	Tokens     float64 `json:"tokens"`
 }
 
 // LearnedWorker is what is known of a worker.
 type LearnedWorker struct {
-	Worker  string  `json:"worker"`
-	Limit   float64 `json:"sigma"`
-	Pace    float64 `json:"pace"`
-	ErrorRate     float64 `json:"bad,omitempty"`
-	FreeSlots    float64 `json:"free,omitempty"`
-	FreeSlotsAge float64 `json:"free_age"`          // below 0: no report yet
-	WarmIn    float64 `json:"cold,omitempty"`    // for so long
+	Worker           string  `json:"worker"`
+	Limit            float64 `json:"sigma"`
+	Pace             float64 `json:"pace"`
+	ErrorRate        float64 `json:"bad,omitempty"`
+	FreeSlots        float64 `json:"free,omitempty"`
+	FreeSlotsAge     float64 `json:"free_age"`          // below 0: no report yet
+	WarmIn           float64 `json:"cold,omitempty"`    // for so long
 	SlowStartCredit  float64 `json:"credit,omitempty"`  // of a cold worker
-	UnhealthyFor float64 `json:"suspect,omitempty"` // for so long
+	UnhealthyFor     float64 `json:"suspect,omitempty"` // for so long
 	UnhealthyBackoff float64 `json:"backoff,omitempty"`
-	EjectedFor    float64 `json:"rest,omitempty"` // for so long
-	EjectionBackoff float64 `json:"rest_for,omitempty"`
+	EjectedFor       float64 `json:"rest,omitempty"` // for so long
+	EjectionBackoff  float64 `json:"rest_for,omitempty"`
 }
 
 func encodeLimit(v float64) float64 {
--- a/learning.go
+++ b/learning.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	meanGain      = 1.0 / 64   // EWMA weight of one outcome in a class's means
+	meanGain        = 1.0 / 64   // EWMA weight of one outcome in a class's means
 	completionDecay = 0.02       // a round draws a mean completion so far towards the running time
-	maxSampleMeans   = 10         // one sample counts for at most this many means
-	paceGain      = 1.0 / 8    // EWMA weight of one job in a worker's pace
-	baseRuntimeGain      = 1.0 / 4096 // EWMA weight of one job in its class\'s own running time
-	paceDecay     = 0.01       // of a pace a round, towards the mean, to try it again
-	maxWaitTargets      = 2          // a job's wait counts for so many aims at most in the mean completion
-	hintTrust     = 0.01       // seconds of running time by which hints are trusted at first
+	maxSampleMeans  = 10         // one sample counts for at most this many means
+	paceGain        = 1.0 / 8    // EWMA weight of one job in a worker's pace
+	baseRuntimeGain = 1.0 / 4096 // EWMA weight of one job in its class\'s own running time
+	paceDecay       = 0.01       // of a pace a round, towards the mean, to try it again
+	maxWaitTargets  = 2          // a job's wait counts for so many aims at most in the mean completion
+	hintTrust       = 0.01       // seconds of running time by which hints are trusted at first
 )
 
 // class is a class of jobs and what was learned of it. Jobs point to it: it stays as
 // it is for those under way when the settings change.
 type class struct {
 	Class
-	index    int // in tenant.backlog and Dispatcher.kept
-	pool     *pool
-	meanRuntime      float64 // mean running time, seconds
-	baseRuntime     float64 // the same over long, and lower rather than higher: what aims grow by
-	meanHint     float64 // mean hint of those
+	index          int // in tenant.backlog and Dispatcher.kept
+	pool           *pool
+	meanRuntime    float64 // mean running time, seconds
+	baseRuntime    float64 // the same over long, and lower rather than higher: what aims grow by
+	meanHint       float64 // mean hint of those
 	meanCompletion float64 // mean time from send to answer
-	samples     float64
-	inFlight int
+	samples        float64
+	inFlight       int
 }
 
 // slack is how long a job of the class can wait when it arrives.
--- a/limits.go
+++ b/limits.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	limitQuantileQ    = 0.25      // the quantile over workers; Wisp starts from 0.5
-	limitCutFactor    = 0.7       // a worker's limit after a failure, of what was out there
+	limitQuantileQ     = 0.25      // the quantile over workers; Wisp starts from 0.5
+	limitCutFactor     = 0.7       // a worker's limit after a failure, of what was out there
 	limitRaiseStep     = 0.1       // what a clean round adds to a limit, of the spare room
-	minLimit     = 0.1       // a limit never falls below: one slot for a tenth of the time
-	sendShareGain    = 1.0 / 128 // EWMA weight of one job in a tenant's alpha
+	minLimit           = 0.1       // a limit never falls below: one slot for a tenth of the time
+	sendShareGain      = 1.0 / 128 // EWMA weight of one job in a tenant's alpha
 	maxQuantileSamples = 64        // workers looked at for a quantile, so that a round stays cheap
 )
 
--- a/membership.go
+++ b/membership.go
@@ -9,7 +9,7 @@
 
 const (
 	minWatchBackoff = 200 * time.Millisecond
-	maxWatchBackoff  = time.Second // with its spread and a failed call: within 6 s of the list's return
+	maxWatchBackoff = time.Second // with its spread and a failed call: within 6 s of the list's return
 )
 
 // Exceptions to the paper's path. Members brings the list of workers, whole or in part. Workers that
--- a/placement.go
+++ b/placement.go
@@ -11,9 +11,9 @@
 
 const (
 	slotThresholdMargin = 0.5 // slot threshold over the mean of what workers hold of ours
-	maxPickTries     = 16  // workers looked at for one placement
-	maxQueuedAtWorker     = 1   // jobs of ours that may wait at a worker that we know to be busy
-	waitSafetyFactor     = 1.5 // what a wait at a worker may come to, over the mean
+	maxPickTries        = 16  // workers looked at for one placement
+	maxQueuedAtWorker   = 1   // jobs of ours that may wait at a worker that we know to be busy
+	waitSafetyFactor    = 1.5 // what a wait at a worker may come to, over the mean
 )
 
 // pickWorker returns a random worker below the slot threshold, drawn by size: with few jobs a worker the
--- a/pool.go
+++ b/pool.go
@@ -10,20 +10,20 @@
 // that may go anywhere.
 type pool struct {
 	allowedKinds, allowedZones []int // the only kinds and zones; nil: any
-	zones         [][]*worker
-	rings         [][]ringPoint
-	ringsStale       bool
-	active        int
-	weight        float64 // of the active workers
-	inFlight          float64 // slots there that we know to be taken
-	subset          [1][]*worker
-	subsetStale       bool    // near is not up to date
-	subsetWeight    float64 // of the active workers of our part
-	subsetInFlight      float64 // slots there that we know to be taken
-	limitedWorkers       int     // active workers with a finite sigma
-	limitSum        float64 // the sum of those
-	noCapacity        bool    // since the last outcome
-	jobBlocked          bool    // in this release a job found no room
+	zones                      [][]*worker
+	rings                      [][]ringPoint
+	ringsStale                 bool
+	active                     int
+	weight                     float64 // of the active workers
+	inFlight                   float64 // slots there that we know to be taken
+	subset                     [1][]*worker
+	subsetStale                bool    // near is not up to date
+	subsetWeight               float64 // of the active workers of our part
+	subsetInFlight             float64 // slots there that we know to be taken
+	limitedWorkers             int     // active workers with a finite sigma
+	limitSum                   float64 // the sum of those
+	noCapacity                 bool    // since the last outcome
+	jobBlocked                 bool    // in this release a job found no room
 }
 
 func (d *Dispatcher) poolOf(kinds, places []int) *pool {
--- a/probe.go
+++ b/probe.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	probeFanout      = 2                     // workers asked for their load at a time
-	maxProbeRounds  = 2                     // times that others are asked when none has room
-	probeTimeout    = 15 * time.Millisecond // an answer is waited for so long
-	probeResultTTL   = 40 * time.Millisecond // a worker that has answered is not asked again for so long
-	minMeteredSeconds  = 0.6                   // seconds between two askings, summed, before they tell
+	probeFanout         = 2                     // workers asked for their load at a time
+	maxProbeRounds      = 2                     // times that others are asked when none has room
+	probeTimeout        = 15 * time.Millisecond // an answer is waited for so long
+	probeResultTTL      = 40 * time.Millisecond // a worker that has answered is not asked again for so long
+	minMeteredSeconds   = 0.6                   // seconds between two askings, summed, before they tell
 	meterIntervalRounds = 32                    // later a worker is asked twice every so many rounds
-	maxReportChangeJobs   = 2.0                   // mean jobs between changes of a report, at most, for it to tell
-	reportTTLPart   = 0.5                   // a report speaks for this part of a mean job
-	maxQueueWaitPart   = 0.35                  // part of the time left that a queue's wait, by a report, may take
+	maxReportChangeJobs = 2.0                   // mean jobs between changes of a report, at most, for it to tell
+	reportTTLPart       = 0.5                   // a report speaks for this part of a mean job
+	maxQueueWaitPart    = 0.35                  // part of the time left that a queue's wait, by a report, may take
 )
 
 // probeForLoad asks a few workers for their load before a job is placed, where reports come only so: without
--- a/queue.go
+++ b/queue.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxReleaseTurns  = 64 // rounds of all tenants in one release
-	maxQueueScan  = 32 // held jobs of a tenant passed by in the search of those
+	maxReleaseTurns   = 64 // rounds of all tenants in one release
+	maxQueueScan      = 32 // held jobs of a tenant passed by in the search of those
 	maxPlacementTries = 4  // held jobs of a tenant looked at when the first has no home
 )
 
--- a/rejection.go
+++ b/rejection.go
@@ -8,7 +8,7 @@
 
 const (
 	shortJobPart = 0.4 // of the mean: a job may be so short, and its aim so near
-	maxSlackPart  = 0.4 // a job is held for at most this part of its slack: means hide a spread
+	maxSlackPart = 0.4 // a job is held for at most this part of its slack: means hide a spread
 )
 
 // feasible reports whether the request can be in time, on arrival behind the
--- a/request.go
+++ b/request.go
@@ -8,35 +8,35 @@
 
 type attempt struct {
 	worker       *worker
-	sentAt    time.Duration
-	startedAt time.Duration
+	sentAt       time.Duration
+	startedAt    time.Duration
 	progressAt   time.Duration // its last progress
-	ended    bool
-	neverRan  bool // over, and nothing ran
-	avoidWorker   bool // it failed there, or was called off for another worker
-	writtenOff     bool // nothing more is expected of it; off the books
-	startOverdue    bool // its start is overdue
+	ended        bool
+	neverRan     bool // over, and nothing ran
+	avoidWorker  bool // it failed there, or was called off for another worker
+	writtenOff   bool // nothing more is expected of it; off the books
+	startOverdue bool // its start is overdue
 }
 
 type request struct {
 	Request
-	class    *class
-	serial   uint64
-	tenant   *tenant
-	keyHash     uint64
-	work     float64 // estimated slot seconds
-	runtime      float64 // estimated running time, by which its aim grows
-	deadline time.Duration
+	class         *class
+	serial        uint64
+	tenant        *tenant
+	keyHash       uint64
+	work          float64 // estimated slot seconds
+	runtime       float64 // estimated running time, by which its aim grows
+	deadline      time.Duration
 	targetAt      time.Duration
-	sendBy   time.Duration // when it must be sent
-	attempts []attempt
+	sendBy        time.Duration // when it must be sent
+	attempts      []attempt
 	inFlight      int
-	ended    bool
-	queued   bool
-	streaming   bool
-	probed   []*worker // asked for their load on its behalf
-	probesPending  int       // answers of those still to come
-	probeRounds    int
+	ended         bool
+	queued        bool
+	streaming     bool
+	probed        []*worker // asked for their load on its behalf
+	probesPending int       // answers of those still to come
+	probeRounds   int
 	probeDeadline time.Duration // not waited for any longer
 }
 
--- a/retry.go
+++ b/retry.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	promptStartGain   = 1.0 / 32              // EWMA weight of one start
-	minPromptStartRate  = 0.35                  // share of attempts that start at once, for another to be worth it
-	rescheduleBackoff     = 30 * time.Second      // after 'full' none is: what was called off may still fill queues
-	maxReschedules     = 2                     // times that a job is called off to try another worker
-	minLateValue    = 0.5                   // a late answer that earns less is not waited for
-	minStartTimeout     = 20 * time.Millisecond // least wait for a start note before it is late
-	maxStartTimeout     = time.Second
-	promptStartTimeout   = 60 * time.Millisecond // for a start note where a slot should be free
-	minOvertakeGap  = 30 * time.Millisecond // a job sent so much later that starts before has overtaken another
-	maxStartWaitJobs    = 3                     // mean jobs after which a start is not waited for any more
-	maxRuntimeMultiple = 4                     // usual running times after which a job is not counted any more
-	minSilentConnections  = 1.0                   // decayed count of silent connections for running jobs to be copied
-	silentConnectionsDecay  = 0.01                  // of that count, a round
+	promptStartGain        = 1.0 / 32              // EWMA weight of one start
+	minPromptStartRate     = 0.35                  // share of attempts that start at once, for another to be worth it
+	rescheduleBackoff      = 30 * time.Second      // after 'full' none is: what was called off may still fill queues
+	maxReschedules         = 2                     // times that a job is called off to try another worker
+	minLateValue           = 0.5                   // a late answer that earns less is not waited for
+	minStartTimeout        = 20 * time.Millisecond // least wait for a start note before it is late
+	maxStartTimeout        = time.Second
+	promptStartTimeout     = 60 * time.Millisecond // for a start note where a slot should be free
+	minOvertakeGap         = 30 * time.Millisecond // a job sent so much later that starts before has overtaken another
+	maxStartWaitJobs       = 3                     // mean jobs after which a start is not waited for any more
+	maxRuntimeMultiple     = 4                     // usual running times after which a job is not counted any more
+	minSilentConnections   = 1.0                   // decayed count of silent connections for running jobs to be copied
+	silentConnectionsDecay = 0.01                  // of that count, a round
 )
 
 // mayAttempt is rule 2 for sends: it alone decides whether the request may be tried on this worker.
@@ -176,4 +176,6 @@
 
 // lateStartMeansSilence reports whether a late start tells of a silent connection: nobody else
 // fills the worker's slots, or connections are known to fall silent now.
-func (d *Dispatcher) lateStartMeansSilence() bool { return d.settings.Peers == 1 || d.silentConnections > minSilentConnections }
+func (d *Dispatcher) lateStartMeansSilence() bool {
+	return d.settings.Peers == 1 || d.silentConnections > minSilentConnections
+}
--- a/slowstart.go
+++ b/slowstart.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	presumedRestartTTL   = 5 * time.Second // within it the list tells of a restart
+	presumedRestartTTL        = 5 * time.Second // within it the list tells of a restart
 	minConnFailuresForRestart = 3               // connections on end that break or fail for a restart to be presumed
 )
 
 type brokenConnection struct {
-	worker  *worker
-	at time.Duration
+	worker *worker
+	at     time.Duration
 }
 
 // slowStartIfRecent makes a worker that has just started a cold one (rule 4). It gets credit for a part of the
@@ -44,7 +44,7 @@
 	// A heavier job than usual must leave room for others, also where our part is twice the mean.
 	heavy := d.settings.FallMultiple / 4 * rate * float64(d.subsetSharers) * d.settings.Fall.Seconds()
 	rate *= min(1.5, d.settings.FallMultiple/2) // half of the multiple at most, for chance and bursts
-	if d.knownRequests == 0 {                    // knowing no job yet one must begin somewhere: two of all together
+	if d.knownRequests == 0 {                   // knowing no job yet one must begin somewhere: two of all together
 		rate = 2 * least
 	}
 	w.slowStartCredit = min(w.slowStartCredit+rate*(now-w.slowStartCreditAt).Seconds(), rate*d.settings.Fall.Seconds()/4)
--- a/tenants.go
+++ b/tenants.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	arrivalsDecay = 0.01 // of the counts of arrivals, a round
-	maxRecentWorkers    = 8    // workers that served a tenant in time, which are asked first
-	belowShareFactor   = 1.4  // times more for one who sends less than its share of what arrives here
-	quotaFactor    = 1.5  // a dispatcher may have this many times its even part of a tenant's quota
+	arrivalsDecay    = 0.01 // of the counts of arrivals, a round
+	maxRecentWorkers = 8    // workers that served a tenant in time, which are asked first
+	belowShareFactor = 1.4  // times more for one who sends less than its share of what arrives here
+	quotaFactor      = 1.5  // a dispatcher may have this many times its even part of a tenant's quota
 )
 
 type tenant struct {
-	name     string
-	weight   float64       // its share as the settings give it
-	openRequests     int           // requests that are not forgotten
-	removed     bool          // the settings do not have it any more
-	retireAt    time.Duration // for gone: when nobody can come any more who was taken before; 0: not reckoned yet
-	share    float64       // of all shares; 0: gone, and without a job
-	quota    float64       // jobs a second here that are within its share; 0: not told
-	tokens   float64       // of those, not yet sent
-	tokensAt time.Duration
-	queue    queue
-	pendingWork  []float64 // work held, by a class's index
-	pendingSlots  float64   // slots of the queue
-	inFlight float64
-	deficit  float64
-	blockedByCapacity  bool    // its turn ended for lack of room, not of credit
-	arrivals  float64 // decayed count of jobs
-	limit    float64
-	localShare    float64
-	sentJobs     uint64
-	recentWorkers    []*worker // the last that served it in time
-	sendShares    []sendShare
-	usedWorkers     []int
+	name              string
+	weight            float64       // its share as the settings give it
+	openRequests      int           // requests that are not forgotten
+	removed           bool          // the settings do not have it any more
+	retireAt          time.Duration // for gone: when nobody can come any more who was taken before; 0: not reckoned yet
+	share             float64       // of all shares; 0: gone, and without a job
+	quota             float64       // jobs a second here that are within its share; 0: not told
+	tokens            float64       // of those, not yet sent
+	tokensAt          time.Duration
+	queue             queue
+	pendingWork       []float64 // work held, by a class's index
+	pendingSlots      float64   // slots of the queue
+	inFlight          float64
+	deficit           float64
+	blockedByCapacity bool    // its turn ended for lack of room, not of credit
+	arrivals          float64 // decayed count of jobs
+	limit             float64
+	localShare        float64
+	sentJobs          uint64
+	recentWorkers     []*worker // the last that served it in time
+	sendShares        []sendShare
+	usedWorkers       []int
 }
 
 // claim returns what the tenant wants of the slots that all share.
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -173,7 +173,7 @@
 	set.Tenants[0].Quota, set.Tenants[1].Quota = 40, 40
 	d, h := start(t, set, fleet(3)...)
 	d.arrivals, d.tenants[0].arrivals = 10, 10 // more than its share of what arrives
-	within := func() (n int) {               // jobs within its share in two seconds
+	within := func() (n int) {                 // jobs within its share in two seconds
 		for range 2000 {
 			h.now += ms
 			if d.withinShare(h.now, d.tenants[0]) {
--- a/worker.go
+++ b/worker.go
@@ -10,47 +10,47 @@
 // worker is what this dispatcher knows of a worker.
 type worker struct {
 	WorkerInfo
-	index     int // in tenant.alpha and Dispatcher.workers
-	size      float64
-	poolPositions    []int // by pool: where in its zone's list, -1 if not in it
-	inFlight      float64
-	notStarted int
-	limit     float64
-	lastCutRound     int64         // the round of the last cut
-	siblingLoad    Load          // of other dispatchers of this scheduler, counted in held and unstarted
-	siblingLoadKnown   bool          // that has been told before
-	peerLoad    Load          // of other schedulers, counted in held and unstarted
-	loadChanged    bool          // what we have out here has changed since Changed
-	inSubset      bool          // of our part of the workers
-	workSent      float64       // work ever sent
-	cordonedAt     time.Duration // when it was taken out
-	cordoned  bool          // taken out by an operator, whatever the list says
-	cleanRound  bool          // this round had clean outcomes
-	idleClosedAt  time.Duration // when its idle connections were last closed, while it leaves
-	probeWaiters    []*request    // they wait for its answer to a probe
-	lastReport      Report        // the last answer to a probe
-	freeSlots      float64       // free slots by the last report, less what we sent since
-	freeSlotsAt    time.Duration
-	unhealthyUntil   time.Duration // not to be sent to before; 0: trusted
-	unhealthyBackoff   time.Duration
-	lastSeen  time.Duration
-	lastTrial     time.Duration // when it was last tried while not trusted
-	connFailures    int           // connections that broke or failed since the last sign
+	index             int // in tenant.alpha and Dispatcher.workers
+	size              float64
+	poolPositions     []int // by pool: where in its zone's list, -1 if not in it
+	inFlight          float64
+	notStarted        int
+	limit             float64
+	lastCutRound      int64         // the round of the last cut
+	siblingLoad       Load          // of other dispatchers of this scheduler, counted in held and unstarted
+	siblingLoadKnown  bool          // that has been told before
+	peerLoad          Load          // of other schedulers, counted in held and unstarted
+	loadChanged       bool          // what we have out here has changed since Changed
+	inSubset          bool          // of our part of the workers
+	workSent          float64       // work ever sent
+	cordonedAt        time.Duration // when it was taken out
+	cordoned          bool          // taken out by an operator, whatever the list says
+	cleanRound        bool          // this round had clean outcomes
+	idleClosedAt      time.Duration // when its idle connections were last closed, while it leaves
+	probeWaiters      []*request    // they wait for its answer to a probe
+	lastReport        Report        // the last answer to a probe
+	freeSlots         float64       // free slots by the last report, less what we sent since
+	freeSlotsAt       time.Duration
+	unhealthyUntil    time.Duration // not to be sent to before; 0: trusted
+	unhealthyBackoff  time.Duration
+	lastSeen          time.Duration
+	lastTrial         time.Duration // when it was last tried while not trusted
+	connFailures      int           // connections that broke or failed since the last sign
 	ejectedUntil      time.Duration // gives bad answers: not to be sent to before
 	ejectionBackoff   time.Duration
-	errorRate       float64 // EWMA share of errors
-	pace      float64 // EWMA of its running times over the class's mean
-	attempts       []attemptRef
-	warmAt time.Duration
-	presumedRestartAt  time.Duration // when it was taken for restarted; 0: not
-	slowStartCredit    float64       // work that a cold worker may be sent
-	slowStartCreditAt  time.Duration
+	errorRate         float64 // EWMA share of errors
+	pace              float64 // EWMA of its running times over the class's mean
+	attempts          []attemptRef
+	warmAt            time.Duration
+	presumedRestartAt time.Duration // when it was taken for restarted; 0: not
+	slowStartCredit   float64       // work that a cold worker may be sent
+	slowStartCreditAt time.Duration
 }
 
 // attemptRef is an attempt that is out.
 type attemptRef struct {
 	request *request
-	number int
+	number  int
 }
 
 func (d *Dispatcher) addWorker(e *WorkerInfo) *worker {
@@ -85,7 +85,9 @@
 }
 
 // markAlive notes that the worker is alive.
-func (w *worker) markAlive(now time.Duration) { w.lastSeen, w.connFailures, w.unhealthyUntil, w.unhealthyBackoff = now, 0, 0, 0 }
+func (w *worker) markAlive(now time.Duration) {
+	w.lastSeen, w.connFailures, w.unhealthyUntil, w.unhealthyBackoff = now, 0, 0, 0
+}
 
 // resetHealth forgets what was held against a worker.
 func (d *Dispatcher) resetHealth(w *worker) {
