--- a/dispatcher.go
+++ b/dispatcher.go
@@ -9,18 +9,20 @@
 
 const (
 	roundInterval  = 100 * time.Millisecond // Wisp's control interval
-	stallThreshold = 25 * time.Millisecond  // a round overdue by more means that we stood still
-	catchUpDelay   = time.Millisecond       // a timer for it comes after all that waits to be read
+	stallThreshold = 25 * time.Millisecond  // a round overdue by more means that this process had no turn
+	catchUpDelay   = time.Millisecond       // its timer fires after all events that wait to be read
 )
 
+// The kinds of timers, in the lowest 4 bits of a token. The next 5 bits are the
+// attempt's number, the rest is the request's serial number.
 const (
-	tokenRound = iota
-	tokenWatch
-	tokenDeadline
-	tokenSendBy
-	tokenStartDue
-	tokenProbe
-	tokenCaughtUp
+	tokenRound    = iota // the next round
+	tokenWatch           // retry the watch on the list of workers
+	tokenDeadline        // the request's client stops waiting
+	tokenSendBy          // the request must have been sent
+	tokenStartDue        // the attempt should have started
+	tokenProbe           // answers to the request's probes are overdue
+	tokenCaughtUp        // all that came during a stall has been read
 )
 
 var (
@@ -28,71 +30,93 @@
 	limitTuning = admission.Tuning{CutFactor: limitCutFactor, RiseStep: limitRaiseStep, Least: minLimit}
 )
 
-// Dispatcher decides for one dispatcher. Make one with New.
+// Dispatcher makes the decisions of one dispatcher. Use [New] to make one. It
+// is not safe for concurrent use.
+//
+// Work is counted in slot seconds, times in seconds of the host's clock unless
+// they are a [time.Duration].
 type Dispatcher struct {
-	settings            Settings
-	host                Host
-	rng                 *rand.Rand
-	requests            map[string]*request
-	requestsBySerial    map[uint64]*request
-	lastSerial          uint64
-	tenants             []*tenant // in the order of their turns; also those that are gone until their last job is over
-	tenantsByIndex      []*tenant // by the settings' index; without tenants one that all jobs have
-	removedTenants      int       // tenants that are gone
-	classes             []*class  // by the settings' index
-	classesInUse        []*class  // those, and former ones that jobs under way still have
-	workersByName       map[string]*worker
-	workers             []*worker // by index; nil: free index
-	pools               []*pool
-	cells               map[int][]*worker // those that may be sent to
-	cleanWorkers        []*worker
-	drainingWorkers     []*worker // their connections are closed once more
-	maxWeightByKind     []float64 // largest weight seen of a kind
-	maxFreeByKind       []float64 // most free slots reported of a kind
-	inFlight            float64
-	pendingRequests     int
-	turn                int
-	turnCredited        bool // the tenant whose turn it is has had its credit
-	capacityShort       bool // this round a job found no room
-	capacity            float64
-	meanWork            float64
-	meanKnownWork       float64 // the same over requests whose class was known
-	knownRequests       float64 // those
-	roundWork           float64 // work done in this round
-	workRate            float64 // work a second and unit of weight that workers carry for us
-	arrivals            float64 // decayed count of jobs
-	maxWorkerSize       float64 // size of a worker
-	leastLoaded         *worker // of the last pick
-	leastLoad           float64
-	round               int64
-	roundDue            time.Duration            // of the next round
-	catchingUp          bool                     // the dispatcher stood still, and still reads what came meanwhile
-	meteredWorker       *worker                  // asked twice on end, to see whether its report changes
-	meteredSeconds      float64                  // seconds between such askings
-	reportChanges       float64                  // in that time
-	brokenByCell        map[int]brokenConnection // by cell: the last worker there that broke or refused a connection
-	presumedRestarts    int                      // workers taken for restarted
-	cordons             map[string]bool
-	fastPace            float64        // pace of the quick workers
-	silentConnections   float64        // decayed count of connections that fell silent under an attempt
-	promptStartRate     float64        // share of attempts that started at once
-	rescheduleAllowedAt time.Duration  // when jobs may be called off again
-	retryCounter        slidingCounter // attempts beyond each request's first
-	requestCounter      slidingCounter // requests
-	running             bool
-	watchBackoff        time.Duration
-	scratch             []float64
-	claimants           []admission.Claimant
-	homesBuffer         []*worker
-	tracksLoadChanges   bool      // what we have out is told to others
-	loadChanged         []*worker // where that has changed
-	subsetSize          int       // workers that are ours; 0: all alike
-	subsetUsable        int       // of those, usable in the last pick
-	subsetSharers       int       // dispatchers that send to a worker
+	settings Settings
+	host     Host
+	rng      *rand.Rand
+
+	// Rounds and stalls.
+	running    bool // rounds have begun
+	round      int64
+	roundDue   time.Duration // of the next round
+	catchingUp bool          // after a stall, until all that came meanwhile has been read
+
+	// Requests.
+	requests         map[string]*request // by ID
+	requestsBySerial map[uint64]*request
+	lastSerial       uint64
+	pendingRequests  int            // queued
+	retryCounter     slidingCounter // attempts beyond each request's first
+	requestCounter   slidingCounter
+	arrivals         float64 // decayed count of requests
+
+	// Classes and tenants.
+	classes        []*class  // by the settings' index
+	classesInUse   []*class  // those, and former ones that requests in flight still have
+	tenants        []*tenant // in the order of their turns, with removed ones until their last request is over
+	tenantsByIndex []*tenant // by the settings' index; without tenants one that all requests have
+	removedTenants int
+	turn           int  // index into tenants
+	turnCredited   bool // the tenant whose turn it is has had its credit
+	claimants      []admission.Claimant
+
+	// Workers.
+	workersByName   map[string]*worker
+	workers         []*worker // by index; nil: free index
+	pools           []*pool
+	cells           map[int][]*worker // the workers of a cell that may be sent to
+	drainingWorkers []*worker         // whose idle connections are closed once more
+	cordons         map[string]bool   // by name, also of workers not listed
+	maxWeightByKind []float64
+	maxFreeByKind   []float64 // most free slots ever reported, 1 at least
+	maxWorkerSize   float64
+	watchBackoff    time.Duration
+	leastLoaded     *worker // the fallback of the last pick
+	leastLoad       float64
+	homesBuffer     []*worker
+
+	// Limits and capacity.
+	cleanWorkers  []*worker // with a clean outcome in this round
+	inFlight      float64   // slots of this dispatcher's and its sibling's attempts
+	capacityShort bool      // in this round a request found no free capacity
+	capacity      float64   // slots in flight that found capacity, at most
+	scratch       []float64
+
+	// Learned means.
+	meanWork      float64 // of all requests
+	meanKnownWork float64 // of requests whose running time could be estimated
+	knownRequests float64 // the number of those
+	roundWork     float64 // done in this round
+	workRate      float64 // work a second, for each unit of weight, that workers do for this dispatcher
+	fastPace      float64 // pace of the fastest workers
+
+	// Load probes.
+	meteredWorker  *worker // probed in two rounds in a row, to see whether its report changes
+	meteredSeconds float64 // seconds between such probes, summed and decayed
+	reportChanges  float64 // in that time
+
+	// Broken and silent connections, and presumed restarts.
+	brokenByCell        map[int]brokenConnection // the last one of each cell
+	presumedRestarts    int                      // workers presumed restarted
+	silentConnections   float64                  // decayed count of connections that fell silent under an attempt
+	promptStartRate     float64                  // EWMA share of attempts that started at once
+	rescheduleAllowedAt time.Duration
+
+	// Load of and for other dispatchers, and this one's subset of the workers.
+	tracksLoadChanges bool
+	loadChanged       []*worker // since the last AppendLoadChanges
+	subsetSize        int       // workers in the subset; 0: there is none
+	subsetUsable      int       // of those, met in the last pick and usable
+	subsetSharers     int       // dispatchers that send to a worker
 }
 
-// New returns a Dispatcher that acts on host. It wants a class and tenants with
-// positive times and shares.
+// New returns a Dispatcher that calls host and draws its random numbers from
+// seed. The error is that of the settings, or says that there is no host.
 func New(set Settings, seed uint64, host Host) (*Dispatcher, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
@@ -100,10 +124,21 @@
 	if host == nil {
 		return nil, errNoHost
 	}
-	d := &Dispatcher{settings: set, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
-		requests: map[string]*request{}, requestsBySerial: map[uint64]*request{}, workersByName: map[string]*worker{},
-		watchBackoff: minWatchBackoff, promptStartRate: 1, fastPace: 1,
-		pools: []*pool{{}}, cells: map[int][]*worker{}, brokenByCell: map[int]brokenConnection{}, cordons: map[string]bool{}}
+	d := &Dispatcher{
+		settings:         set,
+		host:             host,
+		rng:              rand.New(rand.NewPCG(seed, 0)),
+		requests:         map[string]*request{},
+		requestsBySerial: map[uint64]*request{},
+		workersByName:    map[string]*worker{},
+		watchBackoff:     minWatchBackoff,
+		promptStartRate:  1,
+		fastPace:         1,
+		pools:            []*pool{{}},
+		cells:            map[int][]*worker{},
+		brokenByCell:     map[int]brokenConnection{},
+		cordons:          map[string]bool{},
+	}
 	d.resetCounters()
 	d.settings.Peers = max(1, set.Peers)
 	d.subsetSharers = d.settings.Peers
@@ -122,42 +157,65 @@
 	}
 }
 
+// setTimer sets a timer of the request's attempt n, or of the request with n 0.
 func (d *Dispatcher) setTimer(after time.Duration, kind uint64, r *request, n int) {
 	d.host.SetTimer(max(after, time.Millisecond), kind|uint64(n)<<4|r.serial<<9)
 }
 
-// TimerFired tells that the time asked for by Host.SetTimer has passed.
+// TimerFired reports that the time asked for by [Host.SetTimer] has passed.
 func (d *Dispatcher) TimerFired(now time.Duration, token uint64) {
 	d.detectStall(now)
 	kind, r, n := token&15, d.requestsBySerial[token>>9], int(token>>4&31)
-	if kind == tokenStartDue && !d.catchingUp && (r == nil || !r.attempts[n].startOverdue) { // over: at once
-		d.promptStartRate += promptStartGain * (boolToFloat(r == nil || r.attempts[n].startedAt > 0) - d.promptStartRate)
+	// A request that is over by now started at once.
+	if kind == tokenStartDue && !d.catchingUp && (r == nil || !r.attempts[n].startOverdue) {
+		started := boolToFloat(r == nil || r.attempts[n].startedAt > 0)
+		d.promptStartRate += promptStartGain * (started - d.promptStartRate)
 	}
-	switch {
-	case kind == tokenRound:
+	switch kind {
+	case tokenRound:
 		d.endRound(now)
-	case kind == tokenWatch:
+	case tokenWatch:
 		d.host.WatchWorkers()
-	case kind == tokenCaughtUp:
+	case tokenCaughtUp:
 		d.catchingUp = false
 		d.releasePending(now)
-	case r == nil || r.ended:
-	case d.catchingUp && kind == tokenStartDue: // what it looks for may have come meanwhile
-		d.setTimer(catchUpDelay, kind, r, n)
-	case kind == tokenStartDue:
+	default:
+		if r != nil && !r.ended {
+			d.requestTimerFired(now, kind, r, n)
+		}
+	}
+}
+
+func (d *Dispatcher) requestTimerFired(now time.Duration, kind uint64, r *request, n int) {
+	switch kind {
+	case tokenStartDue:
+		if d.catchingUp { // the start may be among what came meanwhile
+			d.setTimer(catchUpDelay, kind, r, n)
+			return
+		}
 		d.checkStart(now, r, n)
-	case kind == tokenProbe:
+	case tokenProbe:
 		d.releasePending(now)
-	case kind == tokenSendBy && r.queued && now >= r.sendBy && r.inFlight > 0: // a copy that finds no place
-		d.removePending(r)
-	case kind == tokenDeadline && !r.streaming, kind == tokenSendBy && r.queued && now >= r.sendBy:
+	case tokenSendBy:
+		if !r.queued || now < r.sendBy {
+			return
+		}
+		if r.inFlight > 0 { // a hedge that found no worker: the first attempt goes on
+			d.removePending(r)
+			return
+		}
 		d.endUnserved(now, r)
+	case tokenDeadline:
+		if !r.streaming {
+			d.endUnserved(now, r)
+		}
 	}
 }
 
-// detectStall notices, by an overdue round, that this dispatcher had no turn for a while.
-// Until all that came meanwhile has been read nothing is sent: a drain or an outcome may
-// be among it. Times by our own clock say nothing then about workers.
+// detectStall notices, by an overdue round, that this dispatcher had no turn for
+// a while. Nothing is sent until all that came meanwhile has been read: a drain
+// or an outcome may be among it, and times by the own clock say nothing about
+// workers.
 func (d *Dispatcher) detectStall(now time.Duration) {
 	if d.running && !d.catchingUp && now > d.roundDue+stallThreshold {
 		d.catchingUp = true
@@ -165,20 +223,10 @@
 	}
 }
 
-// endRound is Wisp's Algorithm 1.
+// endRound is the control round of Wisp's Algorithm 1.
 func (d *Dispatcher) endRound(now time.Duration) {
 	d.round++
-	for _, w := range d.cleanWorkers {
-		w.cleanRound = false
-		if w.lastCutRound < d.round-1 && w.limit < unlimited {
-			spare := w.limit - w.inFlight
-			if now-w.freeSlotsAt < d.reportTTL() && w.freeSlotsAt > 0 {
-				spare = w.freeSlots
-			}
-			d.setLimit(w, limitTuning.Raise(w.limit, spare))
-		}
-	}
-	d.cleanWorkers = d.cleanWorkers[:0]
+	d.raiseLimits(now)
 	d.workRate += 0.05 * (d.roundWork/roundInterval.Seconds()/d.pools[0].targetWeight() - d.workRate)
 	d.roundWork = 0
 	for _, c := range d.classesInUse {
@@ -200,13 +248,15 @@
 		t.limit = min(t.localShare, d.limitQuantile(t))
 		t.arrivals *= 1 - arrivalsDecay
 	}
-	d.arrivals, d.capacityShort = d.arrivals*(1-arrivalsDecay), false
+	d.arrivals *= 1 - arrivalsDecay
+	d.capacityShort = false
 	d.capacityChanged()
 	d.roundDue = now + roundInterval
 	d.host.SetTimer(roundInterval, tokenRound)
 	d.releasePending(now)
 }
 
+// boolToFloat returns 1 for true.
 func boolToFloat(is bool) float64 {
 	if is {
 		return 1
--- a/limits.go
+++ b/limits.go
@@ -3,6 +3,8 @@
 // Limits: of each worker, learned from failures, and of each tenant, a quantile of those (Wisp's Algorithm 1).
 
 import (
+	"time"
+
 	"sedgevale/admission"
 )
 
@@ -33,9 +35,26 @@
 	d.setLimit(w, limitTuning.Cut(w.limit, w.inFlight+slots))
 }
 
-// limitQuantile returns Q(sigma_d/alpha_d, q) over the workers that the tenant
-// used. With few jobs to a worker alpha is mostly noise, so it is drawn to the
-// even share by as many jobs as there are workers.
+// raiseLimits raises the limits of workers that had only clean outcomes in the
+// last round, by a part of their spare capacity.
+func (d *Dispatcher) raiseLimits(now time.Duration) {
+	for _, w := range d.cleanWorkers {
+		w.cleanRound = false
+		if w.lastCutRound < d.round-1 && w.limit < unlimited {
+			spare := w.limit - w.inFlight
+			if now-w.freeSlotsAt < d.reportTTL() && w.freeSlotsAt > 0 {
+				spare = w.freeSlots
+			}
+			d.setLimit(w, limitTuning.Raise(w.limit, spare))
+		}
+	}
+	d.cleanWorkers = d.cleanWorkers[:0]
+}
+
+// limitQuantile returns the paper's Q(sigma_d/alpha_d, q): the quantile, over the
+// workers that the tenant used, of a worker's limit over the tenant's share of
+// jobs sent there. With few jobs to a worker that share is mostly noise, so it is
+// drawn to the even share by as many jobs as there are workers.
 func (d *Dispatcher) limitQuantile(t *tenant) float64 {
 	n := float64(max(1, d.pools[0].active))
 	jobs := min(float64(t.sentJobs), 1/sendShareGain)
--- a/request.go
+++ b/request.go
@@ -6,41 +6,46 @@
 	"time"
 )
 
+// attempt is one sending of a request to a worker. It stays in its request's list
+// once it has ended.
 type attempt struct {
 	worker       *worker
 	sentAt       time.Duration
 	startedAt    time.Duration
-	progressAt   time.Duration // its last progress
+	progressAt   time.Duration // the last report of progress
 	ended        bool
-	neverRan     bool // over, and nothing ran
-	avoidWorker  bool // it failed there, or was called off for another worker
-	writtenOff   bool // nothing more is expected of it; off the books
-	startOverdue bool // its start is overdue
+	neverRan     bool // ended, and the worker surely did not begin it
+	avoidWorker  bool // the request must not go there again: it failed, or was cancelled to try another worker
+	writtenOff   bool // not counted as in flight any more; nothing is expected of it
+	startOverdue bool // no start notice came in time
 }
 
+// request is a request that has not got its final answer, or has attempts in flight.
 type request struct {
 	Request
 	class         *class
-	serial        uint64
+	serial        uint64 // names it in timers' tokens
 	tenant        *tenant
-	keyHash       uint64
-	work          float64 // estimated slot seconds
-	runtime       float64 // estimated running time, by which its aim grows
+	keyHash       uint64  // 0: no key
+	work          float64 // estimated, in slot seconds
+	runtime       float64 // estimated, in seconds; the latency target grows by it
 	deadline      time.Duration
-	targetAt      time.Duration
-	sendBy        time.Duration // when it must be sent
+	targetAt      time.Duration // an answer by then earns the full value
+	sendBy        time.Duration // while queued: rejected if not sent by then
 	attempts      []attempt
-	inFlight      int
-	ended         bool
+	inFlight      int  // attempts that have not ended
+	ended         bool // it has its final answer
 	queued        bool
-	streaming     bool
-	probed        []*worker // asked for their load on its behalf
+	streaming     bool      // its answer has begun to stream
+	probed        []*worker // probed for their load on its behalf
 	probesPending int       // answers of those still to come
 	probeRounds   int
-	probeDeadline time.Duration // not waited for any longer
+	probeDeadline time.Duration // when answers are no longer waited for
 }
 
-// SubmitRequest takes a job from a client.
+// SubmitRequest takes a request from a client. The request may be rejected, sent
+// or queued before it returns. It returns [ErrBadRequest] or
+// [ErrDuplicateRequest] for a request that it did not take.
 func (d *Dispatcher) SubmitRequest(now time.Duration, q Request) error {
 	if q.Class < 0 || q.Class >= len(d.classes) || d.tenantByIndex(q.Tenant) == nil {
 		return ErrBadRequest
@@ -56,22 +61,7 @@
 	k := d.classes[q.Class]
 	r := &request{Request: q, class: k, serial: d.lastSerial, tenant: d.tenantByIndex(q.Tenant)}
 	r.deadline = now + q.Left
-	run := k.meanRuntime
-	r.work = q.Slots * run
-	if q.Hint > 0 { // a hint is in the time of a usual core, ours in that of the workers met
-		run = q.Hint.Seconds()
-		r.work = q.Slots * run * (k.meanRuntime + hintTrust) / (k.meanHint + hintTrust)
-	}
-	d.meanWork += (r.work - d.meanWork) * max(meanGain, 1/float64(r.serial))
-	d.observeWork(r)
-	if q.Hint <= 0 {
-		run = k.baseRuntime // what the client counts is the job's own time, however slow workers are now
-	}
-	r.runtime = run
-	r.targetAt = now + k.Aim + seconds(k.Stretch*run)
-	if q.Retry { // the aim counts from the client's first try
-		r.targetAt -= max(0, k.Limit-q.Left)
-	}
+	d.estimate(now, r)
 	r.keyHash = hashOf(q.Key)
 	d.arrivals++
 	d.addRequest(r)
@@ -89,7 +79,30 @@
 	return nil
 }
 
-// AttemptStarted tells that a job has begun to run.
+// estimate sets the request's work, running time and latency target.
+func (d *Dispatcher) estimate(now time.Duration, r *request) {
+	k := r.class
+	run := k.meanRuntime
+	r.work = r.Slots * run
+	if r.Hint > 0 { // a hint counts on an average core, the mean on the workers met
+		run = r.Hint.Seconds()
+		r.work = r.Slots * run * (k.meanRuntime + hintTrust) / (k.meanHint + hintTrust)
+	}
+	d.meanWork += (r.work - d.meanWork) * max(meanGain, 1/float64(r.serial))
+	d.observeWork(r)
+	if r.Hint <= 0 {
+		run = k.baseRuntime // the target counts the job's own time, however slow workers are now
+	}
+	r.runtime = run
+	r.targetAt = now + k.Aim + seconds(k.Stretch*run)
+	if r.Retry { // the target counts from the client's first try
+		r.targetAt -= max(0, k.Limit-r.Left)
+	}
+}
+
+// AttemptStarted reports that a worker has begun attempt n of the request. It
+// returns [ErrUnknownRequest] or [ErrUnknownAttempt], like the other reports of
+// an attempt.
 func (d *Dispatcher) AttemptStarted(now time.Duration, id string, n int) error {
 	r, a, err := d.findAttempt(id, n)
 	if err != nil {
@@ -108,20 +121,23 @@
 	return nil
 }
 
-// AttemptProgressed tells that a job is being worked on.
+// AttemptProgressed reports that a worker goes on with attempt n of the request.
+// The share done, 0 to 1, is not used.
 func (d *Dispatcher) AttemptProgressed(now time.Duration, id string, n int, _ float64) error {
 	r, a, err := d.findAttempt(id, n)
 	if err != nil {
 		return err
 	}
 	a.worker.markAlive(now)
-	if a.progressAt = now; a.writtenOff && a.startedAt > 0 {
+	a.progressAt = now
+	if a.writtenOff && a.startedAt > 0 {
 		d.writeBack(r, a)
 	}
 	return nil
 }
 
-// StreamStarted tells that the answer of a streamed class has begun.
+// StreamStarted reports that the answer of a streamed class has begun: from here
+// on the request is not cancelled, hedged or ended at its deadline.
 func (d *Dispatcher) StreamStarted(now time.Duration, id string, n int) error {
 	r, a, err := d.findAttempt(id, n)
 	if err != nil {
@@ -132,7 +148,8 @@
 	return nil
 }
 
-// AttemptEnded tells how an attempt ended.
+// AttemptEnded reports how an attempt ended, and the load that came with it. It
+// may send the request again or give it its final answer.
 func (d *Dispatcher) AttemptEnded(now time.Duration, res Result) error {
 	r, a, err := d.findAttempt(res.ID, res.Attempt)
 	if err != nil {
@@ -157,7 +174,9 @@
 	return nil
 }
 
-// ClientDisconnected tells that the client has left. An unknown request is no error: it may have ended just then.
+// ClientDisconnected reports that the client of a request has left: nothing more
+// is sent for it, and its attempts are cancelled where that is allowed. An unknown
+// request is no error, for it may have ended just then.
 func (d *Dispatcher) ClientDisconnected(now time.Duration, id string) {
 	if r := d.requests[id]; r != nil && !r.ended {
 		d.closeRequest(r)
@@ -165,6 +184,7 @@
 	}
 }
 
+// findAttempt returns a request and its attempt n, which has not ended.
 func (d *Dispatcher) findAttempt(id string, n int) (*request, *attempt, error) {
 	r := d.requests[id]
 	if r == nil {
@@ -176,17 +196,19 @@
 	return r, &r.attempts[n], nil
 }
 
-// addRequest keeps a request that has come.
+// addRequest registers a request that has come.
 func (d *Dispatcher) addRequest(r *request) {
 	t := r.tenant
 	t.arrivals++
-	if t.openRequests++; t.removed && t.openRequests == 1 { // it has its share back
+	t.openRequests++
+	if t.removed && t.openRequests == 1 { // it has its share back
 		d.updateShares()
 	}
 	d.requests[r.ID], d.requestsBySerial[r.serial] = r, r
 }
 
-// closeRequest marks the request as finished; nothing is sent for it from here on.
+// closeRequest marks the request as ended and cancels its attempts where that is
+// allowed; nothing is sent for it from here on.
 func (d *Dispatcher) closeRequest(r *request) {
 	if r.ended {
 		return
@@ -205,7 +227,7 @@
 	d.forgetIfDone(r)
 }
 
-// forgetIfDone frees the request once it has its answer and its attempts are over.
+// forgetIfDone forgets the request once it has its answer and its attempts have ended.
 func (d *Dispatcher) forgetIfDone(r *request) {
 	if r.ended && r.inFlight == 0 && d.requests[r.ID] == r {
 		r.tenant.openRequests--
--- a/worker.go
+++ b/worker.go
@@ -42,17 +42,19 @@
 	pace              float64 // EWMA of its running times over the class's mean
 	attempts          []attemptRef
 	warmAt            time.Duration
-	presumedRestartAt time.Duration // when it was taken for restarted; 0: not
-	slowStartCredit   float64       // work that a cold worker may be sent
+	presumedRestartAt time.Duration // when it was presumed to have restarted; 0: it is not
+	slowStartCredit   float64       // slot seconds that it may be sent now while it warms up
 	slowStartCreditAt time.Duration
 }
 
-// attemptRef is an attempt that is out.
+// attemptRef names an attempt in flight.
 type attemptRef struct {
 	request *request
 	number  int
 }
 
+// addWorker adds a worker that the list names for the first time. The lowest free
+// index is taken again.
 func (d *Dispatcher) addWorker(e *WorkerInfo) *worker {
 	w := &worker{WorkerInfo: *e, poolPositions: slices.Repeat([]int{-1}, len(d.pools)), limit: unlimited, pace: 1,
 		index: len(d.workers), lastCutRound: -1, cordoned: d.cordons[e.Worker]}
@@ -66,6 +68,8 @@
 	return w
 }
 
+// removeWorker forgets a worker that has left the list, and the load of others there.
+// Its attempts in flight keep it until they end.
 func (d *Dispatcher) removeWorker(w *worker) {
 	delete(d.workersByName, w.Worker)
 	d.addInFlight(w, -w.siblingLoad.Held)
@@ -89,14 +93,18 @@
 	w.lastSeen, w.connFailures, w.unhealthyUntil, w.unhealthyBackoff = now, 0, 0, 0
 }
 
-// resetHealth forgets what was held against a worker.
-func (d *Dispatcher) resetHealth(w *worker) {
-	w.limit, w.freeSlotsAt, w.pace, w.errorRate = unlimited, 0, 1, 0
-	w.unhealthyUntil, w.unhealthyBackoff, w.lastTrial, w.ejectedUntil, w.ejectionBackoff, w.connFailures = 0, 0, 0, 0, 0, 0
+// resetHealth forgets the worker's failures, its limit and its pace.
+func (w *worker) resetHealth() {
+	w.limit, w.freeSlotsAt = unlimited, 0
+	w.pace, w.errorRate = 1, 0
+	w.unhealthyUntil, w.unhealthyBackoff, w.lastTrial = 0, 0, 0
+	w.ejectedUntil, w.ejectionBackoff = 0, 0
+	w.connFailures = 0
 }
 
-// sizeOf is the worker's listed size where the list tells it. Live weights
-// sink below the size, which is the most that was seen of the kind.
+// sizeOf returns the worker's size: its listed weight, or 1 where weights mean
+// nothing. Live weights sink below the size, so there it is the largest weight
+// seen of the kind.
 func (d *Dispatcher) sizeOf(e *WorkerInfo) float64 {
 	if d.settings.Weights == WeightNone || e.Weight <= 0 {
 		return 1
@@ -107,16 +115,18 @@
 	return e.Weight
 }
 
+// growKindTables makes room for a kind in the tables that are indexed by kind.
 func (d *Dispatcher) growKindTables(kind int) {
 	for len(d.maxWeightByKind) <= kind {
 		d.maxWeightByKind, d.maxFreeByKind = append(d.maxWeightByKind, 0), append(d.maxFreeByKind, 1)
 	}
 }
 
-// Cordon takes a worker out, or puts it back. While it is out nothing is sent to it, whatever the list
-// says of it meanwhile, also if it vanishes and returns. Put back it counts as cold: from now, or from
-// the restart that the list has told of meanwhile. An unknown worker is reported as false, and nothing
-// changes.
+// Cordon cordons a worker (out is true) or uncordons it. Nothing is sent to a
+// cordoned worker, whatever the list says of it meanwhile, also if it vanishes and
+// returns. Once uncordoned it warms up: from now, or from the restart that the
+// list has shown meanwhile. Cordon returns false for an unknown worker, and then
+// changes nothing.
 func (d *Dispatcher) Cordon(now time.Duration, name string, out bool) bool {
 	w := d.workersByName[name]
 	if w == nil && !d.cordons[name] {
@@ -138,10 +148,10 @@
 		d.removeFromPools(w)
 		w.cordoned = false
 		d.clearPresumedRestart(w)
-		d.resetHealth(w)
+		w.resetHealth()
 		if d.settings.WarmUp > 0 {
 			from := now
-			if w.StartedAt > w.cordonedAt { // the list has told of its restart
+			if w.StartedAt > w.cordonedAt { // the list has shown its restart
 				from = min(now, w.StartedAt)
 			}
 			d.beginSlowStart(now, w, from)
@@ -153,7 +163,8 @@
 	return true
 }
 
-// RestoreCordon takes a worker out, also one that no list has named yet: it was taken out in an earlier run.
+// RestoreCordon cordons a worker as it was in an earlier run, also one that no list
+// has named yet.
 func (d *Dispatcher) RestoreCordon(name string) {
 	d.cordons[name] = true
 	if w := d.workersByName[name]; w != nil && !w.cordoned {
