--- a/affinity.go
+++ b/affinity.go
@@ -1,6 +1,6 @@
 package sedgevale
 
-// Affinity: jobs of one key go to one home in each zone, by a ring of hashes.
+// Affinity: requests of one key go to one home in each zone, by a consistent-hashing ring.
 
 import (
 	"cmp"
@@ -8,18 +8,17 @@
 	"time"
 )
 
-const (
-	ringPoints = 16 // points of a worker on the ring of homes
-)
+const ringPoints = 16 // of each worker on its zone's ring
 
+// ringPoint is one of a worker's points on a ring.
 type ringPoint struct {
 	hash   uint64
 	worker *worker
 }
 
-// pickHome serves jobs that need something a worker may keep at hand: a key has one home
-// in each zone, the first worker that follows its hash on a ring, the own zone's first.
-// All dispatchers know the same rings, so they agree without talking.
+// pickHome picks a worker for a request with a key: the key has one home in each
+// zone, the first worker that follows its hash on the ring. The home in the own zone
+// comes first. All dispatchers have the same rings, so they agree without messages.
 func (d *Dispatcher) pickHome(now time.Duration, r *request) *worker {
 	for _, w := range d.homeWorkers(r.class.pool, r.keyHash) {
 		if d.usable(now, w, r, false) && d.belowSlotThreshold(now, w, r, true) && d.mayAttempt(now, r, w) {
@@ -29,8 +28,8 @@
 	return nil
 }
 
-// homeWorkers returns the first worker that follows the hash on each zone's ring, of
-// the own zone first.
+// homeWorkers returns the first worker that follows the hash on each zone's ring, the
+// own zone's first. The slice is valid until the next call.
 func (d *Dispatcher) homeWorkers(p *pool, hash uint64) []*worker {
 	if p.ringsStale {
 		p.buildRings()
@@ -50,6 +49,7 @@
 	return d.homesBuffer
 }
 
+// buildRings builds the rings anew, after the pool's workers have changed.
 func (p *pool) buildRings() {
 	p.ringsStale = false
 	for z, ws := range p.zones {
@@ -65,7 +65,7 @@
 	}
 }
 
-// hashOf returns 0 only for no key.
+// hashOf returns a key's hash by FNV-1a and a finalizer; it is 0 only for no key.
 func hashOf(s string) uint64 {
 	if s == "" {
 		return 0
@@ -77,6 +77,7 @@
 	return mix(h) | 1
 }
 
+// mix is the 64-bit finalizer of MurmurHash3.
 func mix(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
--- a/health.go
+++ b/health.go
@@ -1,22 +1,35 @@
 package sedgevale
 
-// Workers that are left alone for a while: those that reject or fail jobs, and those that may have crashed.
+// Ejected workers, which reject or fail requests, and unhealthy ones, which may have crashed.
 
 import (
 	"time"
 )
 
 const (
-	errorRateGain       = 0.25 // EWMA weight of one answer in a worker's share of errors
-	maxErrorRate        = 0.4  // a worker with a larger share of errors is left alone
+	errorRateGain       = 0.25 // EWMA weight of one answer in a worker's error rate
+	maxErrorRate        = 0.4  // a worker with a higher error rate is ejected
 	minEjectionBackoff  = 100 * time.Millisecond
 	maxEjectionBackoff  = 2 * time.Second
-	minUnhealthyBackoff = 500 * time.Millisecond // a worker that failed is left alone at first for so long
+	minUnhealthyBackoff = 500 * time.Millisecond
 	maxUnhealthyBackoff = 8 * time.Second
 )
 
-// eject leaves a worker alone for a while that answers, but turns jobs away or fails them, twice as long
-// each time until it serves one. It guards against workers that draw all jobs because they keep none.
+// ejected reports whether the worker is left alone for rejecting or failing requests.
+// One with a high error rate gets one request at a time.
+func (w *worker) ejected(now time.Duration) bool {
+	return now < w.ejectedUntil || w.errorRate > maxErrorRate && w.inFlight > 0
+}
+
+// unhealthy reports whether the worker is left alone because it may have crashed, or
+// has a trial request since.
+func (w *worker) unhealthy(now time.Duration) bool {
+	return w.unhealthyUntil > 0 && now < max(w.unhealthyUntil, w.lastTrial+w.unhealthyBackoff)
+}
+
+// eject sends nothing for a while to a worker that answers, but rejects or fails
+// requests: twice as long each time until it serves one. It guards against workers
+// that draw all requests because they hold none.
 func (d *Dispatcher) eject(now time.Duration, w *worker) {
 	if now >= w.ejectedUntil {
 		w.ejectionBackoff = min(max(minEjectionBackoff, 2*w.ejectionBackoff), maxEjectionBackoff)
@@ -24,9 +37,10 @@
 	}
 }
 
-// markUnhealthy leaves a worker alone for a while after an attempt that was lost there
-// or found no connection, twice as long each time. Then it gets one job, and
-// others once that has brought a sign. It guards against crashed workers still listed.
+// markUnhealthy sends nothing to a worker for a while after an attempt that was lost
+// there or found no connection: twice as long each time. Then it gets one trial
+// request, and others after a sign of life. It guards against crashed workers that
+// are still listed.
 func (d *Dispatcher) markUnhealthy(now time.Duration, w *worker) {
 	if now < w.unhealthyUntil {
 		return
--- a/limits.go
+++ b/limits.go
@@ -10,23 +10,25 @@
 
 const (
 	limitQuantileQ     = 0.25      // the quantile over workers; Wisp starts from 0.5
-	limitCutFactor     = 0.7       // a worker's limit after a failure, of what was out there
-	limitRaiseStep     = 0.1       // what a clean round adds to a limit, of the spare room
-	minLimit           = 0.1       // a limit never falls below: one slot for a tenth of the time
-	sendShareGain      = 1.0 / 128 // EWMA weight of one job in a tenant's alpha
-	maxQuantileSamples = 64        // workers looked at for a quantile, so that a round stays cheap
+	limitCutFactor     = 0.7       // a worker's limit after a failure, over the slots in flight there
+	limitRaiseStep     = 0.1       // what a clean round adds to a limit, of the spare slots
+	minLimit           = 0.1       // slots: one slot for a tenth of the time
+	sendShareGain      = 1.0 / 128 // EWMA weight of one request in a tenant's share sent to a worker
+	maxQuantileSamples = 64        // workers sampled for a quantile, so that a round stays cheap
 )
 
-// sendShare is a tenant's EWMA share of jobs sent to a worker.
+// sendShare is the EWMA share of a tenant's requests that went to a worker.
 type sendShare = admission.Share
 
+// setLimit sets the worker's limit and keeps the sums of its pools.
 func (d *Dispatcher) setLimit(w *worker, to float64) {
 	d.adjustPoolSums(w, -1)
 	w.limit = to
 	d.adjustPoolSums(w, 1)
 }
 
-// cutLimit lowers a worker's limit after a failure, at most once a round, from what was out there then.
+// cutLimit lowers a worker's limit after a failure, at most once a round. Slots are
+// those of the failed attempt, which are not in flight any more.
 func (d *Dispatcher) cutLimit(w *worker, slots float64) {
 	if w.lastCutRound == d.round {
 		return
@@ -71,8 +73,9 @@
 	return admission.Quantile(d.scratch, limitQuantileQ)
 }
 
-// updateLocalShares sets the local shares: they ramp while the demand is met, else each is the tenant's max-min
-// fair part. No part is below the tenant's own share, for a demand can appear within the round.
+// updateLocalShares sets the tenants' local shares, in slots: they rise while the
+// demand is met, else each is the tenant's max-min fair share. None is below the
+// tenant's quota share, since a demand can appear within the round.
 func (d *Dispatcher) updateLocalShares() {
 	limit := unlimited
 	all := d.pools[0]
@@ -98,7 +101,7 @@
 	}
 }
 
-// fairLevel returns the max-min level: slots per unit of share.
+// fairLevel returns the max-min fair level in slots per unit of share.
 func (d *Dispatcher) fairLevel(limit float64) float64 {
 	d.claimants = d.claimants[:0]
 	for _, t := range d.tenants {
--- a/membership.go
+++ b/membership.go
@@ -1,6 +1,6 @@
 package sedgevale
 
-// Updates of the list of workers, and the connections of workers that leave.
+// Updates of the list of workers, and the connections of workers that drain.
 
 import (
 	"slices"
@@ -9,11 +9,12 @@
 
 const (
 	minWatchBackoff = 200 * time.Millisecond
-	maxWatchBackoff = time.Second // with its spread and a failed call: within 6 s of the list's return
+	maxWatchBackoff = time.Second // with jitter and a failed call: retried within 6 s of discovery's return
 )
 
-// Exceptions to the paper's path. Members brings the list of workers, whole or in part. Workers that
-// drain or are gone leave the pick at once.
+// WorkersUpdated brings the list of workers or changes of it, as kind says. Workers
+// that drain or are removed get nothing more from here on; attempts that they have
+// in flight go on.
 func (d *Dispatcher) WorkersUpdated(now time.Duration, kind ListKind, entries []WorkerInfo) {
 	first := !d.running
 	d.startRounds(now)
@@ -22,7 +23,7 @@
 		d.host.WatchWorkers()
 	}
 	if kind == ListBroken {
-		d.host.Log("the watch on the list of workers failed; the old list stands, asking again")
+		d.host.Log("the watch on the list of workers failed; the last list stands, retrying")
 		d.host.SetTimer(d.watchBackoff/2+time.Duration(d.rng.Int64N(int64(d.watchBackoff))), tokenWatch)
 		d.watchBackoff = min(2*d.watchBackoff, maxWatchBackoff)
 		return
@@ -45,6 +46,7 @@
 	d.releasePending(now)
 }
 
+// updateWorker applies one entry of the list.
 func (d *Dispatcher) updateWorker(now time.Duration, e *WorkerInfo) {
 	w := d.workersByName[e.Worker]
 	if w == nil {
@@ -77,22 +79,23 @@
 	d.closeIdleConns(now, w)
 }
 
-// missingWorkers returns the workers that a whole list no longer has.
-func (d *Dispatcher) missingWorkers(entries []WorkerInfo) (gone []*worker) {
+// missingWorkers returns the workers that a complete list no longer has.
+func (d *Dispatcher) missingWorkers(entries []WorkerInfo) (missing []*worker) {
 	named := make(map[string]bool, len(entries))
 	for i := range entries {
 		named[entries[i].Worker] = true
 	}
 	for _, w := range d.workers {
 		if w != nil && !named[w.Worker] {
-			gone = append(gone, w)
+			missing = append(missing, w)
 		}
 	}
-	return gone
+	return missing
 }
 
-// closeIdleConns closes what is idle to a worker that leaves, at the notice, after each outcome
-// there, and once more later: a connection may still be made for an attempt called off.
+// closeIdleConns closes the idle connections to a worker that drains: at the
+// notice, after each outcome there, and once more later, since a connection may
+// still be made for an attempt that was cancelled.
 func (d *Dispatcher) closeIdleConns(now time.Duration, w *worker) {
 	v := d.workersByName[w.Worker]
 	if d.settings.CloseOnDrain == 0 || w.State == Active || v != nil && v.State == Active {
@@ -105,7 +108,8 @@
 	w.idleClosedAt = now
 }
 
-// closeIdleConnsAgain closes once more half the time after the last notice or outcome.
+// closeIdleConnsAgain closes idle connections once more, half the allowed time after
+// the last notice or outcome.
 func (d *Dispatcher) closeIdleConnsAgain(now time.Duration) {
 	d.drainingWorkers = slices.DeleteFunc(d.drainingWorkers, func(w *worker) bool {
 		if now < w.idleClosedAt+d.settings.CloseOnDrain/2 {
--- a/placement.go
+++ b/placement.go
@@ -10,38 +10,42 @@
 )
 
 const (
-	slotThresholdMargin = 0.5 // slot threshold over the mean of what workers hold of ours
-	maxPickTries        = 16  // workers looked at for one placement
-	maxQueuedAtWorker   = 1   // jobs of ours that may wait at a worker that we know to be busy
+	slotThresholdMargin = 0.5 // slot threshold over the mean of the slots in flight at workers
+	maxPickTries        = 16  // workers sampled for one placement
+	maxQueuedAtWorker   = 1   // attempts that may wait at a worker that is known to be busy
 	waitSafetyFactor    = 1.5 // what a wait at a worker may come to, over the mean
 )
 
-// pickWorker returns a random worker below the slot threshold, drawn by size: with few jobs a worker the
-// threshold alone does not tell sizes apart. Without one, a job within its tenant's share goes to the
-// worker with the fewest of our slots for its size, others wait.
-func (d *Dispatcher) pickWorker(now time.Duration, r *request, own bool) *worker {
+// pickWorker returns a random worker below the slot threshold, drawn by size: with
+// few requests to a worker the threshold alone does not tell sizes apart. Without
+// one, a request within its tenant's share goes to the worker with the lowest load
+// for its size, others wait (nil).
+func (d *Dispatcher) pickWorker(now time.Duration, r *request, withinShare bool) *worker {
 	if r.keyHash != 0 {
 		return d.pickHome(now, r)
 	}
 	if len(r.probed) > 0 {
-		if w, decided := d.pickProbed(now, r, own); decided {
+		if w, decided := d.pickProbed(now, r, withinShare); decided {
 			return w
 		}
 	}
 	d.leastLoaded, d.leastLoad = nil, unlimited
 	near, all := d.candidateZones(r)
 	d.subsetUsable = 0
-	if w := d.sampleWorkers(now, r, near, own); w != nil || d.subsetUsable > 0 { // others' parts are full too, and not known
+	// Where the own subset is full, those of other dispatchers are too, and their
+	// load is not known here.
+	if w := d.sampleWorkers(now, r, near, withinShare); w != nil || d.subsetUsable > 0 {
 		return cmp.Or(w, d.leastLoaded)
 	}
-	if w := d.sampleWorkers(now, r, all, own); w != nil {
+	if w := d.sampleWorkers(now, r, all, withinShare); w != nil {
 		return w
 	}
 	return d.leastLoaded
 }
 
-// candidateZones returns where to look for a worker first, and then: the own part or zone and
-// all, or, once a keyed job may have run, only the group that drops a repeat.
+// candidateZones returns where to look for a worker first, and then: the own subset
+// or zone, and all. Once a request that is idempotent by key may have run, it
+// returns only the group of workers that drops a repeat.
 func (d *Dispatcher) candidateZones(r *request) (near, all [][]*worker) {
 	all = r.class.pool.zones
 	if w := d.mayHaveRun(r); w != nil {
@@ -57,17 +61,19 @@
 	return near, all
 }
 
-func (d *Dispatcher) sampleWorkers(now time.Duration, r *request, zones [][]*worker, own bool) *worker {
+// sampleWorkers returns a worker below the slot threshold from a random sample, and
+// notes the least loaded where the request may wait.
+func (d *Dispatcher) sampleWorkers(now time.Duration, r *request, zones [][]*worker, withinShare bool) *worker {
 	var small *worker
 	for w := range d.randomWorkers(zones) {
 		d.subsetUsable += int(boolToFloat(w.inSubset && r.class.pool.admits(w) && now >= max(w.ejectedUntil, w.unhealthyUntil)))
-		if !d.usable(now, w, r, own) || !d.mayAttempt(now, r, w) {
+		if !d.usable(now, w, r, withinShare) || !d.mayAttempt(now, r, w) {
 			continue
 		}
 		if !d.meetsTargetAt(now, w, r, 0) {
-			continue // too slow for this job
+			continue // too slow for this request
 		}
-		if d.belowSlotThreshold(now, w, r, own) {
+		if d.belowSlotThreshold(now, w, r, withinShare) {
 			if d.rng.Float64()*d.maxWorkerSize > w.size {
 				small = w // its size lost the draw; it serves if no other is found
 				continue
@@ -75,29 +81,29 @@
 			return w
 		}
 		load := (w.inFlight + float64(w.notStarted) - min(0, w.freeSlots)) / w.size
-		if own && load < d.leastLoad && d.mayQueueAt(now, w, r) {
+		if withinShare && load < d.leastLoad && d.mayQueueAt(now, w, r) {
 			d.leastLoaded, d.leastLoad = w, load
 		}
 	}
 	return small
 }
 
-// admits is placement, and rule 3: it alone decides which workers a class may be sent to.
+// admits reports whether the pool's classes may be sent to the worker (rule 3).
+// Nothing else decides that.
 func (p *pool) admits(w *worker) bool {
 	return w.State == Active && !w.cordoned && (p.allowedKinds == nil || slices.Contains(p.allowedKinds, w.Kind)) &&
 		(p.allowedZones == nil || slices.Contains(p.allowedZones, w.Zone))
 }
 
-// usable reports whether the job may go to the worker at all.
-func (d *Dispatcher) usable(now time.Duration, w *worker, r *request, own bool) bool {
-	if !r.class.pool.admits(w) || now < w.ejectedUntil || w.errorRate > maxErrorRate && w.inFlight > 0 ||
-		slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.avoidWorker && a.worker == w }) {
+// usable reports whether the request may go to the worker at all.
+func (d *Dispatcher) usable(now time.Duration, w *worker, r *request, withinShare bool) bool {
+	if !r.class.pool.admits(w) || w.ejected(now) || r.avoids(w) {
 		return false
 	}
-	if !own && (w.inFlight > 0 && w.inFlight+r.Slots > w.limit) {
+	if !withinShare && w.inFlight > 0 && w.inFlight+r.Slots > w.limit {
 		return false
 	}
-	if w.unhealthyUntil > 0 && now < max(w.unhealthyUntil, w.lastTrial+w.unhealthyBackoff) {
+	if w.unhealthy(now) {
 		return false
 	}
 	if w.presumedRestartAt > 0 && now > w.presumedRestartAt+presumedRestartTTL {
@@ -106,20 +112,25 @@
 	return w.warmAt <= now || (d.subsetSize == 0 || w.inSubset) && d.slowStartAdmits(now, w, r)
 }
 
-// belowSlotThreshold reports whether the worker is below the slot threshold for the job.
-func (d *Dispatcher) belowSlotThreshold(now time.Duration, w *worker, r *request, own bool) bool {
+// belowSlotThreshold reports whether the worker is below the slot threshold for the
+// request.
+func (d *Dispatcher) belowSlotThreshold(now time.Duration, w *worker, r *request, withinShare bool) bool {
 	if d.settings.TellsStart && w.notStarted > 0 {
 		return false
 	}
-	known := d.maxFreeByKind[w.Kind] - r.Slots // the most that may be out where others tell us of theirs
-	if w.inFlight >= slotThresholdMargin+r.class.pool.meanInFlight(w)*w.size || w.inSubset && w.inFlight > max(0, known) {
+	if w.inFlight >= slotThresholdMargin+r.class.pool.meanInFlight(w)*w.size {
 		return false
 	}
-	return w.freeSlotsAt == 0 || own && now-w.freeSlotsAt > d.reportTTL() || w.freeSlots >= r.Slots-0.5
+	// In the own subset the load of all dispatchers is known.
+	if w.inSubset && w.inFlight > max(0, d.maxFreeByKind[w.Kind]-r.Slots) {
+		return false
+	}
+	return w.freeSlotsAt == 0 || withinShare && now-w.freeSlotsAt > d.reportTTL() || w.freeSlots >= r.Slots-0.5
 }
 
-// mayQueueAt reports whether a job that finds no slot free at the worker may wait there. It guards against
-// queues at workers that make all late alike, where held jobs could be refused.
+// mayQueueAt reports whether a request that finds no free slot at the worker may wait
+// there. It guards against queues at workers, which make all requests late, where
+// those that are pending here could be rejected.
 func (d *Dispatcher) mayQueueAt(now time.Duration, w *worker, r *request) bool {
 	if !d.settings.TellsStart {
 		return true
@@ -132,17 +143,19 @@
 	return d.meetsTargetAt(now, w, r, waitSafetyFactor*wait)
 }
 
-// meetsTargetAt reports whether a job may expect to be in time at the worker after a wait, by the worker's
-// pace. It guards against workers that have become slow, where all jobs would be late.
+// meetsTargetAt reports whether the request can be expected to meet its latency
+// target at the worker, by its pace, after a wait in seconds. It guards against
+// workers that have become slow, where all requests would be late.
 func (d *Dispatcher) meetsTargetAt(now time.Duration, w *worker, r *request, wait float64) bool {
 	return !d.settings.TellsStart || wait <= d.slackAtPace(now, r, w.pace)
 }
 
-// recentThenRandom returns the known workers, then a few of the zones, in random order.
-func (d *Dispatcher) recentThenRandom(known []*worker, zones [][]*worker) iter.Seq[*worker] {
+// recentThenRandom yields the recent workers from a random one on, then a few of the
+// zones in random order.
+func (d *Dispatcher) recentThenRandom(recent []*worker, zones [][]*worker) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
-		for i, at := 0, d.rng.IntN(len(known)+1); i < len(known); i++ {
-			if !yield(known[(i+at)%len(known)]) {
+		for i, at := 0, d.rng.IntN(len(recent)+1); i < len(recent); i++ {
+			if !yield(recent[(i+at)%len(recent)]) {
 				return
 			}
 		}
@@ -150,7 +163,7 @@
 	}
 }
 
-// randomWorkers returns a few workers of the zones in random order.
+// randomWorkers yields at most maxPickTries workers of the zones in random order.
 func (d *Dispatcher) randomWorkers(zones [][]*worker) iter.Seq[*worker] {
 	n := 0
 	for _, z := range zones {
@@ -173,6 +186,7 @@
 	}
 }
 
+// nthWorker returns worker i of all zones together.
 func nthWorker(zones [][]*worker, i int) *worker {
 	for _, z := range zones {
 		if i < len(z) {
--- a/pool.go
+++ b/pool.go
@@ -6,40 +6,46 @@
 	"slices"
 )
 
-// pool is the workers that some classes may be sent to. The first is for those
-// that may go anywhere.
+// pool is the workers that some classes may be sent to. The first pool is for
+// classes that may go anywhere.
 type pool struct {
-	allowedKinds, allowedZones []int // the only kinds and zones; nil: any
-	zones                      [][]*worker
-	rings                      [][]ringPoint
-	ringsStale                 bool
-	active                     int
-	weight                     float64 // of the active workers
-	inFlight                   float64 // slots there that we know to be taken
-	subset                     [1][]*worker
-	subsetStale                bool    // near is not up to date
-	subsetWeight               float64 // of the active workers of our part
-	subsetInFlight             float64 // slots there that we know to be taken
-	limitedWorkers             int     // active workers with a finite sigma
-	limitSum                   float64 // the sum of those
-	noCapacity                 bool    // since the last outcome
-	jobBlocked                 bool    // in this release a job found no room
+	allowedKinds, allowedZones []int // nil: any
+
+	zones      [][]*worker   // by zone, the workers that may be sent to
+	rings      [][]ringPoint // by zone
+	ringsStale bool          // rings must be built again
+
+	active         int     // workers in zones
+	weight         float64 // the sum of their sizes
+	inFlight       float64 // slots there that are known to be taken
+	limitedWorkers int     // of them, those with a finite limit
+	limitSum       float64 // the sum of those limits
+
+	subset         [1][]*worker // those of the dispatcher's subset, as if of one zone
+	subsetStale    bool
+	subsetWeight   float64 // the sum of their sizes
+	subsetInFlight float64 // slots there that are known to be taken
+
+	noCapacity bool // no request found capacity since capacity last changed
+	jobBlocked bool // in this release a request found no capacity
 }
 
-func (d *Dispatcher) poolOf(kinds, places []int) *pool {
+// poolOf returns the pool for classes with these kinds and zones, where nil means any
+// and an empty list none.
+func (d *Dispatcher) poolOf(kinds, zones []int) *pool {
 	for _, p := range d.pools {
-		if slices.Equal(p.allowedKinds, kinds) && slices.Equal(p.allowedZones, places) &&
-			(p.allowedKinds == nil) == (kinds == nil) && (p.allowedZones == nil) == (places == nil) {
+		if slices.Equal(p.allowedKinds, kinds) && slices.Equal(p.allowedZones, zones) &&
+			(p.allowedKinds == nil) == (kinds == nil) && (p.allowedZones == nil) == (zones == nil) {
 			return p
 		}
 	}
-	p := &pool{allowedKinds: slices.Clone(kinds), allowedZones: slices.Clone(places)}
+	p := &pool{allowedKinds: slices.Clone(kinds), allowedZones: slices.Clone(zones)}
 	d.pools = append(d.pools, p)
 	return p
 }
 
-// poolWeightShare is the part of all workers that is open to the request's class; it
-// is all while none is.
+// poolWeightShare returns the part, by weight, of all active workers that the
+// request's class may be sent to; it is 1 while there is none.
 func (d *Dispatcher) poolWeightShare(r *request) float64 {
 	if p := r.class.pool; p.weight > 0 {
 		return p.weight / d.pools[0].weight
@@ -47,8 +53,8 @@
 	return 1
 }
 
-// addToPools puts a worker into the lists of those that may be sent to, or takes it
-// out of them.
+// addToPools puts a worker into each pool that admits it now, and takes it out of the
+// others.
 func (d *Dispatcher) addToPools(w *worker) {
 	d.removeFromPools(w)
 	for i, p := range d.pools {
@@ -68,6 +74,7 @@
 	d.adjustPoolSums(w, 1)
 }
 
+// removeFromPools takes a worker out of all pools.
 func (d *Dispatcher) removeFromPools(w *worker) {
 	d.adjustPoolSums(w, -1)
 	if w.poolPositions[0] >= 0 {
@@ -91,7 +98,8 @@
 	}
 }
 
-// adjustPoolSums keeps the sums of the pools that the worker is in.
+// adjustPoolSums adds the worker to the sums of its pools (sign 1) or subtracts it
+// (-1). A change of what is summed needs a call before and after it.
 func (d *Dispatcher) adjustPoolSums(w *worker, sign int) {
 	for i, p := range d.pools {
 		if w.poolPositions[i] < 0 {
@@ -111,8 +119,9 @@
 	}
 }
 
-// meanInFlight returns the slots that we know to be taken for each unit of weight: in our part, where others
-// tell us of theirs, or outside it, by which side the worker is on.
+// meanInFlight returns the slots that are known to be taken for each unit of weight:
+// in the subset, where the load of other dispatchers is known, or outside it,
+// wherever the worker is.
 func (p *pool) meanInFlight(w *worker) float64 {
 	if w.inSubset {
 		return p.subsetInFlight / max(1e-9, p.subsetWeight)
@@ -120,7 +129,7 @@
 	return (p.inFlight - p.subsetInFlight) / max(1e-9, p.weight-p.subsetWeight)
 }
 
-// targetWeight returns the weight of the workers that our jobs go to.
+// targetWeight returns the weight of the workers that this dispatcher sends to.
 func (p *pool) targetWeight() float64 {
 	if p.subsetWeight > 1e-6 { // sums of floats leave traces
 		return p.subsetWeight
@@ -128,7 +137,8 @@
 	return max(1e-9, p.weight)
 }
 
-// subsetZones returns the workers of our part that the pool has, by zones of which there is one, or nil.
+// subsetZones returns the pool's workers of the subset as one zone, or nil if there
+// are none.
 func (d *Dispatcher) subsetZones(p *pool) [][]*worker {
 	if d.subsetSize == 0 {
 		return nil
@@ -149,7 +159,7 @@
 	return p.subset[:]
 }
 
-// lightlyLoaded reports whether less than a job a worker is known to be out, and so little of each.
+// lightlyLoaded reports whether less than a slot for each worker is known to be taken.
 func (d *Dispatcher) lightlyLoaded() bool {
 	if d.subsetSize > 0 {
 		return d.pools[0].subsetInFlight < float64(d.subsetSize)
@@ -157,6 +167,7 @@
 	return d.pools[0].inFlight < float64(d.pools[0].active)
 }
 
+// capacityChanged has pools without capacity tried again.
 func (d *Dispatcher) capacityChanged() {
 	for _, p := range d.pools {
 		p.noCapacity = false
--- a/probe.go
+++ b/probe.go
@@ -1,6 +1,6 @@
 package sedgevale
 
-// Load reports: asking workers for their load, and what the answers are worth.
+// Load probes and reports: asking workers for their load, and how far to trust the answers.
 
 import (
 	"slices"
@@ -8,19 +8,20 @@
 )
 
 const (
-	probeFanout         = 2                     // workers asked for their load at a time
-	maxProbeRounds      = 2                     // times that others are asked when none has room
-	probeTimeout        = 15 * time.Millisecond // an answer is waited for so long
-	probeResultTTL      = 40 * time.Millisecond // a worker that has answered is not asked again for so long
-	minMeteredSeconds   = 0.6                   // seconds between two askings, summed, before they tell
-	meterIntervalRounds = 32                    // later a worker is asked twice every so many rounds
-	maxReportChangeJobs = 2.0                   // mean jobs between changes of a report, at most, for it to tell
-	reportTTLPart       = 0.5                   // a report speaks for this part of a mean job
-	maxQueueWaitPart    = 0.35                  // part of the time left that a queue's wait, by a report, may take
+	probeFanout         = 2 // workers probed for one request at a time
+	maxProbeRounds      = 2 // rounds of probes for one request, when none has free slots
+	probeTimeout        = 15 * time.Millisecond
+	probeResultTTL      = 40 * time.Millisecond // a worker that has answered is not probed again for so long
+	minMeteredSeconds   = 0.6                   // of metering before it counts
+	meterIntervalRounds = 32                    // later a worker is metered every so many rounds
+	maxReportChangeJobs = 2.0                   // mean work between changes of a report, at most, for it to be timely
+	reportTTLPart       = 0.5                   // of the mean work: how long a report holds
+	maxQueueWaitPart    = 0.35                  // of the time left: what a queue's wait, by a report, may take
 )
 
-// probeForLoad asks a few workers for their load before a job is placed, where reports come only so: without
-// them a dispatcher with some jobs a second knows nothing of a worker's room, whatever has filled it.
+// probeForLoad probes a few workers for their load before a request is placed, where
+// reports come only as answers to probes. Without them a dispatcher with few
+// requests a second does not know a worker's free capacity, whoever has taken it.
 func (d *Dispatcher) probeForLoad(now time.Duration, r *request) {
 	if r.keyHash != 0 || !d.reportsAreTimely() {
 		return
@@ -28,11 +29,11 @@
 	r.probeRounds++
 	r.probed = r.probed[:0]
 	near, all := d.candidateZones(r)
-	known := r.tenant.recentWorkers
+	recent := r.tenant.recentWorkers
 	if r.probeRounds > 1 || len(near) == 0 || len(near[0]) < probeFanout {
-		near, known = all, nil
+		near, recent = all, nil
 	}
-	for w := range d.recentThenRandom(known, near) {
+	for w := range d.recentThenRandom(recent, near) {
 		if !d.usable(now, w, r, true) || !d.mayAttempt(now, r, w) || slices.Contains(r.probed, w) {
 			continue
 		}
@@ -54,22 +55,23 @@
 	}
 }
 
-// pickProbed returns the worker with the most room of those that were asked.
-// If none has any, others are asked; in the end a job within its tenant's
-// share goes where least is in hand. Without any answer nothing is decided.
-func (d *Dispatcher) pickProbed(now time.Duration, r *request, own bool) (best *worker, decided bool) {
-	most, least := 0.0, unlimited
-	var fewest *worker
+// pickProbed returns the worker with the most free capacity of those that were
+// probed. If none has any, others are probed; in the end a request within its
+// tenant's share goes where the wait is shortest. Without any answer nothing is
+// decided.
+func (d *Dispatcher) pickProbed(now time.Duration, r *request, withinShare bool) (best *worker, decided bool) {
+	mostFree, leastWait := 0.0, unlimited
+	var shortest *worker
 	for _, w := range r.probed {
-		if now-w.freeSlotsAt > probeResultTTL+probeTimeout || !d.usable(now, w, r, own) || !d.mayAttempt(now, r, w) {
+		if now-w.freeSlotsAt > probeResultTTL+probeTimeout || !d.usable(now, w, r, withinShare) || !d.mayAttempt(now, r, w) {
 			continue
 		}
 		decided = true
-		if room := w.freeSlots * w.size; w.freeSlots >= r.Slots-0.5 && room > most {
-			best, most = w, room
+		if free := w.freeSlots * w.size; w.freeSlots >= r.Slots-0.5 && free > mostFree {
+			best, mostFree = w, free
 		}
-		if wait := d.reportedWait(w, r); own && wait < least {
-			fewest, least = w, wait
+		if wait := d.reportedWait(w, r); withinShare && wait < leastWait {
+			shortest, leastWait = w, wait
 		}
 	}
 	switch {
@@ -79,20 +81,21 @@
 		d.probeForLoad(now, r)
 		return nil, r.probesPending > 0
 	}
-	if left := min(r.deadline, r.targetAt) - now; least > maxQueueWaitPart*(left.Seconds()-r.work/r.Slots) {
-		fewest = nil
+	if left := min(r.deadline, r.targetAt) - now; leastWait > maxQueueWaitPart*(left.Seconds()-r.work/r.Slots) {
+		shortest = nil
 	}
-	return fewest, decided
+	return shortest, decided
 }
 
-// reportedWait returns how long a job would wait at a worker by its last report.
+// reportedWait returns how many seconds a request would wait at a worker by its last
+// report.
 func (d *Dispatcher) reportedWait(w *worker, r *request) float64 {
 	slots := d.maxFreeByKind[w.Kind]
 	return max(0, w.lastReport.Held+r.Slots-slots-min(0, w.freeSlots)) / slots * r.class.meanRuntime
 }
 
-// ProbeResult brings a worker's answer to a probe, or nil where none came. The
-// worker may have left meanwhile.
+// ProbeResult brings a worker's answer to [Host.Probe], or nil where none came in
+// time. The worker may have left the list meanwhile.
 func (d *Dispatcher) ProbeResult(now time.Duration, name string, rep *Report) {
 	d.detectStall(now)
 	w := d.workersByName[name]
@@ -107,8 +110,7 @@
 	d.releasePending(now)
 }
 
-// endProbe tells those who wait for the worker's answer to a probe that there
-// is nothing more to wait for.
+// endProbe releases the requests that wait for the worker's answer to a probe.
 func (d *Dispatcher) endProbe(w *worker) {
 	for _, r := range w.probeWaiters {
 		r.probesPending--
@@ -116,6 +118,7 @@
 	w.probeWaiters = w.probeWaiters[:0]
 }
 
+// applyReport takes over free slots from a report; none at all cut the limit.
 func (d *Dispatcher) applyReport(now time.Duration, w *worker, p *Report) {
 	w.freeSlots, w.freeSlotsAt = p.Free, now
 	d.maxFreeByKind[w.Kind] = max(d.maxFreeByKind[w.Kind], p.Free)
@@ -124,14 +127,16 @@
 	}
 }
 
-// applyLiveWeight reads free slots from a live weight, which is the size over 1 +
-// requests held per core: it guards against slots that other dispatchers fill.
+// applyLiveWeight takes over free slots from a live weight, which is the size over 1
+// + requests in flight per core. It guards against slots that other dispatchers
+// fill.
 func (d *Dispatcher) applyLiveWeight(now time.Duration, w *worker) {
 	perCore := d.maxWeightByKind[w.Kind]/w.Weight - 1
 	w.freeSlots, w.freeSlotsAt = (1-perCore)*d.maxFreeByKind[w.Kind], now
 }
 
-// probeMeteredWorker asks a worker in two rounds on end, often at first.
+// probeMeteredWorker probes one worker in two rounds in a row, often at first, to
+// learn how fast reports change.
 func (d *Dispatcher) probeMeteredWorker() {
 	if !d.settings.MustProbe || d.meteredSeconds > minMeteredSeconds && d.round%meterIntervalRounds > 1 {
 		return
@@ -144,7 +149,8 @@
 	}
 }
 
-// meterReports learns from a worker asked twice within two rounds.
+// meterReports counts whether the report of a worker that was probed twice within two
+// rounds has changed.
 func (d *Dispatcher) meterReports(now time.Duration, w *worker, p *Report) {
 	if since := now - w.freeSlotsAt; w.freeSlotsAt > 0 && since <= 2*roundInterval && since >= roundInterval/2 {
 		d.meteredSeconds = d.meteredSeconds*(1-meanGain) + since.Seconds()
@@ -156,12 +162,12 @@
 	w.lastReport = *p
 }
 
-// reportsAreTimely reports whether a worker's report changes often enough to tell
-// of the next job's slot, not of those before: all who see an old free slot
-// go there at once. How often it changes is measured, not told.
+// reportsAreTimely reports whether a worker's report changes often enough to show the
+// next request's slot, not one of those before: all dispatchers that see an old free
+// slot send there at once. No setting tells how often reports change.
 func (d *Dispatcher) reportsAreTimely() bool {
 	return d.meteredSeconds >= minMeteredSeconds && d.meteredSeconds < maxReportChangeJobs*d.meanWork*d.reportChanges
 }
 
-// reportTTL is how long a report speaks for: slots change hands as jobs end.
+// reportTTL returns how long a report holds: slots change hands as requests end.
 func (d *Dispatcher) reportTTL() time.Duration { return seconds(reportTTLPart * d.meanWork) }
--- a/queue.go
+++ b/queue.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	maxReleaseTurns   = 64 // rounds of all tenants in one release
-	maxQueueScan      = 32 // held jobs of a tenant passed by in the search of those
-	maxPlacementTries = 4  // held jobs of a tenant looked at when the first has no home
+	maxReleaseTurns   = 64 // turns of each tenant in one release
+	maxQueueScan      = 32 // queued requests of a tenant scanned in one turn
+	maxPlacementTries = 4  // of those, requests tried when the first finds no worker
 )
 
-// queue is a heap of a tenant's held jobs by slack (the paper's section 4.2):
-// the one that must be sent soonest comes first. Ended ones stay until popped.
+// queue is a heap of a tenant's pending requests by slack (the paper's section
+// 4.2): the one that must be sent soonest comes first. Requests that are not
+// queued any more stay until they are popped.
 type queue []*request
 
 func (q queue) Len() int { return len(q) }
@@ -33,11 +34,13 @@
 	return r
 }
 
+// enqueue queues the request and sets until when it must be sent.
 func (d *Dispatcher) enqueue(now time.Duration, r *request) {
 	r.sendBy = now + seconds(maxSlackPart*d.timeToSend(now, r).Seconds())
 	d.pushPending(r)
 }
 
+// pushPending adds the request to its tenant's queue.
 func (d *Dispatcher) pushPending(r *request) {
 	r.queued = true
 	r.tenant.pendingWork[r.class.index] += r.work
@@ -46,6 +49,7 @@
 	heap.Push(&r.tenant.queue, r)
 }
 
+// removePending takes the request out of its tenant's queue.
 func (d *Dispatcher) removePending(r *request) {
 	t := r.tenant
 	r.queued = false
@@ -57,7 +61,8 @@
 	}
 }
 
-// releasePending sends held jobs by deficit round robin while there is room.
+// releasePending sends queued requests by deficit round robin while workers have
+// capacity.
 func (d *Dispatcher) releasePending(now time.Duration) {
 	if d.catchingUp {
 		return
@@ -71,7 +76,7 @@
 		if len(t.queue) == 0 {
 			t.deficit = 0
 		} else {
-			had := t.deficit
+			deficit := t.deficit
 			if !d.turnCredited {
 				t.deficit = min(t.deficit, max(4*d.meanWork, t.queue[0].work)) +
 					d.meanWork*t.share*float64(len(d.tenants))
@@ -81,12 +86,13 @@
 			if sent {
 				idle = -1
 			}
-			// Guards against turns that end with one job each, as room comes slot by slot: then all
-			// tenants would get alike. Who has credit left goes on when there is room again.
+			// Capacity comes slot by slot. If each turn ended with one request, all
+			// tenants would get the same, so a tenant with credit left resumes when
+			// there is capacity again.
 			if t.blockedByCapacity && resume < 0 {
 				resume = d.turn
 			} else if t.blockedByCapacity && !sent {
-				t.deficit = had
+				t.deficit = deficit
 			}
 		}
 		d.turn, d.turnCredited = (d.turn+1)%len(d.tenants), false
@@ -96,14 +102,15 @@
 	}
 }
 
-// serveTenant sends what the tenant's credit and sigma allow, and reports whether another turn may send more.
+// serveTenant sends what the tenant's credit and limit allow, and reports whether
+// another turn may send more.
 func (d *Dispatcher) serveTenant(now time.Duration, t *tenant) (sent bool) {
 	t.blockedByCapacity = false
 	for i, tried := 0, 0; i < min(len(t.queue), maxQueueScan) && tried < maxPlacementTries; i++ {
 		r := t.queue[i]
 		p := r.class.pool
-		own := d.withinShare(now, t)
-		if !r.queued || p.noCapacity && !own || r.probesPending > 0 && now < r.probeDeadline {
+		withinShare := d.withinShare(now, t)
+		if !r.queued || p.noCapacity && !withinShare || r.probesPending > 0 && now < r.probeDeadline {
 			continue
 		}
 		tried++
@@ -114,19 +121,13 @@
 			t.blockedByCapacity = p.jobBlocked
 			return sent || !p.jobBlocked // another turn brings the credit
 		}
-		if !own && t.inFlight > 0 && t.inFlight+r.Slots > t.limit {
+		if !withinShare && t.inFlight > 0 && t.inFlight+r.Slots > t.limit {
 			return sent
 		}
-		w := d.pickWorker(now, r, own)
-		if w == nil && r.probesPending > 0 {
-			continue
-		}
+		w := d.pickWorker(now, r, withinShare)
 		if w == nil {
-			d.capacityShort, t.blockedByCapacity, p.jobBlocked = true, true, true
-			if r.probeRounds >= maxProbeRounds && r.inFlight == 0 { // nothing more will be known in time
-				d.endUnserved(now, r)
-			} else if r.Key == "" && len(r.attempts) == 0 {
-				p.noCapacity = true
+			if r.probesPending == 0 {
+				d.placementFailed(now, r)
 			}
 			continue
 		}
@@ -139,6 +140,19 @@
 	return sent
 }
 
+// placementFailed notes that no worker has capacity for the request, and ends it if
+// nothing more will be known in time.
+func (d *Dispatcher) placementFailed(now time.Duration, r *request) {
+	p := r.class.pool
+	d.capacityShort, r.tenant.blockedByCapacity, p.jobBlocked = true, true, true
+	if r.probeRounds >= maxProbeRounds && r.inFlight == 0 {
+		d.endUnserved(now, r)
+	} else if r.Key == "" && len(r.attempts) == 0 {
+		p.noCapacity = true
+	}
+}
+
+// send sends the request's next attempt to the worker and waits for its start.
 func (d *Dispatcher) send(now time.Duration, r *request, w *worker) {
 	if len(r.attempts) > 0 {
 		d.retryCounter.add(now)
@@ -154,7 +168,7 @@
 	if d.settings.TellsStart {
 		wait := (min(r.deadline, r.targetAt) - now - seconds(r.class.meanRuntime)) / 2
 		if w.inFlight <= d.maxFreeByKind[w.Kind] && d.settings.InOrder && d.lateStartMeansSilence() {
-			wait = min(wait, promptStartTimeout) // there should be a free slot
+			wait = min(wait, promptStartTimeout) // a slot should be free
 		}
 		d.setTimer(min(max(wait, minStartTimeout), maxStartTimeout), tokenStartDue, r, n)
 	}
--- a/request.go
+++ b/request.go
@@ -3,6 +3,7 @@
 // Requests and attempts: from a client's request to its one final answer.
 
 import (
+	"slices"
 	"time"
 )
 
@@ -184,6 +185,11 @@
 	}
 }
 
+// avoids reports whether the request must not go to the worker again.
+func (r *request) avoids(w *worker) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.avoidWorker && a.worker == w })
+}
+
 // findAttempt returns a request and its attempt n, which has not ended.
 func (d *Dispatcher) findAttempt(id string, n int) (*request, *attempt, error) {
 	r := d.requests[id]
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,24 +1,26 @@
 package sedgevale
 
-// Workers that warm up, and workers presumed restarted before the list says so.
+// Slow start: workers that warm up, and workers presumed restarted before the list says so.
 
 import (
 	"time"
 )
 
 const (
-	presumedRestartTTL        = 5 * time.Second // within it the list tells of a restart
-	minConnFailuresForRestart = 3               // connections on end that break or fail for a restart to be presumed
+	presumedRestartTTL        = 5 * time.Second // within it the list shows a restart
+	minConnFailuresForRestart = 3               // connections in a row that break or fail
 )
 
+// brokenConnection is a connection that broke or was refused.
 type brokenConnection struct {
 	worker *worker
 	at     time.Duration
 }
 
-// slowStartIfRecent makes a worker that has just started a cold one (rule 4). It gets credit for a part of the
-// work that warm ones carry for us, which grows as it warms; every dispatcher does so, hence the sum
-// stays below what it can do.
+// slowStartIfRecent begins the slow start of a worker that has just started (rule
+// 4). It earns credit for a part of the work that warm workers do for this
+// dispatcher, which grows as it warms up. Every dispatcher does the same, hence the
+// sum stays below what it can do.
 func (d *Dispatcher) slowStartIfRecent(now time.Duration, w *worker) {
 	d.clearPresumedRestart(w)
 	w.warmAt = 0
@@ -27,24 +29,28 @@
 	}
 }
 
-// beginSlowStart makes the worker a cold one that started at the time. A random part
-// of a job is owed at first, so that dispatchers do not all begin at once.
+// beginSlowStart begins the slow start of a worker that started at the given time.
+// Its credit begins at minus a random part of a request, so that dispatchers do not
+// all begin at once.
 func (d *Dispatcher) beginSlowStart(now time.Duration, w *worker, started time.Duration) {
 	w.warmAt = started + d.settings.WarmUp
 	w.slowStartCreditAt = now
 	w.slowStartCredit = -d.rng.Float64() * d.expectedWork()
 }
 
+// slowStartAdmits reports whether the request may go to a worker that warms up, and
+// brings its credit up to date.
 func (d *Dispatcher) slowStartAdmits(now time.Duration, w *worker, r *request) bool {
 	warm := 1 - (w.warmAt-now).Seconds()/d.settings.WarmUp.Seconds()
 	part := d.settings.StartCapacity + (1-d.settings.StartCapacity)*max(0, warm)
 	mean := d.expectedWork()
 	least := mean / d.settings.Fall.Seconds() / float64(d.subsetSharers)
 	rate := part * max(least, d.workRate*w.size)
-	// A heavier job than usual must leave room for others, also where our part is twice the mean.
+	// A heavier request than usual must leave capacity for others, also where this
+	// dispatcher's part is twice the mean.
 	heavy := d.settings.FallMultiple / 4 * rate * float64(d.subsetSharers) * d.settings.Fall.Seconds()
 	rate *= min(1.5, d.settings.FallMultiple/2) // half of the multiple at most, for chance and bursts
-	if d.knownRequests == 0 {                   // knowing no job yet one must begin somewhere: two of all together
+	if d.knownRequests == 0 {                   // no running time is known yet: begin with two from all together
 		rate = 2 * least
 	}
 	w.slowStartCredit = min(w.slowStartCredit+rate*(now-w.slowStartCreditAt).Seconds(), rate*d.settings.Fall.Seconds()/4)
@@ -52,17 +58,19 @@
 	return w.slowStartCredit > 0 && d.expectedWorkOf(r) <= max(mean, heavy)
 }
 
-// presumeRestart takes workers for restarted before the list says so: one that broke
-// or refused a connection, and all of its cell if another there did lately and
-// none has served since. It guards against workers that come back cold and are pushed over by those who
-// do not know it yet. If most workers are struck, the fault is not theirs.
+// presumeRestart presumes workers restarted before the list says so: one that broke
+// or refused connections, and all of its cell if another there did lately and none
+// has served since. It guards against workers that come back cold and are
+// overloaded by dispatchers that do not know it yet. If that holds for most
+// workers, the fault is not theirs.
 func (d *Dispatcher) presumeRestart(now time.Duration, w *worker) {
-	struck := []*worker{w}
+	restarted := []*worker{w}
 	before := d.brokenByCell[w.Cell]
-	if d.brokenByCell[w.Cell] = (brokenConnection{w, now}); before.worker != nil && before.worker != w && now < before.at+presumedRestartTTL {
-		struck = d.cells[w.Cell]
+	d.brokenByCell[w.Cell] = brokenConnection{w, now}
+	if before.worker != nil && before.worker != w && now < before.at+presumedRestartTTL {
+		restarted = d.cells[w.Cell]
 	}
-	for _, v := range struck {
+	for _, v := range restarted {
 		d.presumeWorkerRestarted(now, v)
 	}
 	if d.presumedRestarts*2 > d.pools[0].active {
@@ -70,7 +78,7 @@
 	}
 }
 
-// presumeWorkerRestarted makes the worker a cold one, unless it is known to be one.
+// presumeWorkerRestarted begins the worker's slow start, unless it is known to warm up.
 func (d *Dispatcher) presumeWorkerRestarted(now time.Duration, w *worker) {
 	if d.settings.WarmUp > 0 && (w.presumedRestartAt > 0 || w.warmAt <= now) {
 		d.clearPresumedRestart(w)
@@ -80,7 +88,7 @@
 	}
 }
 
-// clearPresumedRestart ends presumptions of a restart.
+// clearPresumedRestart takes back that workers are presumed restarted.
 func (d *Dispatcher) clearPresumedRestart(workers ...*worker) {
 	for _, w := range workers {
 		if w != nil && w.presumedRestartAt > 0 {
--- a/worker.go
+++ b/worker.go
@@ -10,38 +10,38 @@
 // worker is what this dispatcher knows of a worker.
 type worker struct {
 	WorkerInfo
-	index             int // in tenant.alpha and Dispatcher.workers
-	size              float64
-	poolPositions     []int // by pool: where in its zone's list, -1 if not in it
-	inFlight          float64
-	notStarted        int
-	limit             float64
-	lastCutRound      int64         // the round of the last cut
-	siblingLoad       Load          // of other dispatchers of this scheduler, counted in held and unstarted
-	siblingLoadKnown  bool          // that has been told before
-	peerLoad          Load          // of other schedulers, counted in held and unstarted
-	loadChanged       bool          // what we have out here has changed since Changed
-	inSubset          bool          // of our part of the workers
-	workSent          float64       // work ever sent
-	cordonedAt        time.Duration // when it was taken out
-	cordoned          bool          // taken out by an operator, whatever the list says
+	index             int     // in Dispatcher.workers and tenant.sendShares
+	size              float64 // by the listed weight; see sizeOf
+	poolPositions     []int   // by pool: position in its zone's list, -1 if not in it
+	inFlight          float64 // slots, with siblingLoad and peerLoad
+	notStarted        int     // attempts without a start notice, with those of siblingLoad and peerLoad
+	limit             float64 // learned bound on slots in flight; unlimited at first
+	lastCutRound      int64   // of the limit
+	siblingLoad       Load    // of other dispatchers of this scheduler
+	siblingLoadKnown  bool    // siblingLoad has been set before
+	peerLoad          Load    // of other schedulers of the site
+	loadChanged       bool    // it stands in Dispatcher.loadChanged
+	inSubset          bool    // of the workers that this dispatcher prefers
+	workSent          float64 // ever, in slot seconds
+	cordoned          bool    // by an operator, whatever the list says
+	cordonedAt        time.Duration
 	cleanRound        bool          // this round had clean outcomes
-	idleClosedAt      time.Duration // when its idle connections were last closed, while it leaves
-	probeWaiters      []*request    // they wait for its answer to a probe
+	idleClosedAt      time.Duration // of its idle connections while it drains; 0: not to be closed again
+	probeWaiters      []*request    // that wait for its answer to a probe
 	lastReport        Report        // the last answer to a probe
-	freeSlots         float64       // free slots by the last report, less what we sent since
-	freeSlotsAt       time.Duration
-	unhealthyUntil    time.Duration // not to be sent to before; 0: trusted
+	freeSlots         float64       // by the last report, less what was sent since
+	freeSlotsAt       time.Duration // of the last report; 0: none yet
+	unhealthyUntil    time.Duration // not to be sent to before; 0: healthy
 	unhealthyBackoff  time.Duration
-	lastSeen          time.Duration
-	lastTrial         time.Duration // when it was last tried while not trusted
-	connFailures      int           // connections that broke or failed since the last sign
-	ejectedUntil      time.Duration // gives bad answers: not to be sent to before
+	lastSeen          time.Duration // its last sign of life
+	lastTrial         time.Duration // when it was last sent to while unhealthy
+	connFailures      int           // connections that broke or failed since the last sign of life
+	ejectedUntil      time.Duration // not to be sent to before: it rejected or failed requests
 	ejectionBackoff   time.Duration
-	errorRate         float64 // EWMA share of errors
-	pace              float64 // EWMA of its running times over the class's mean
-	attempts          []attemptRef
-	warmAt            time.Duration
+	errorRate         float64       // EWMA share of errors
+	pace              float64       // EWMA of its running times over the class's mean; above 1 is slow
+	attempts          []attemptRef  // that have not ended
+	warmAt            time.Duration // when its slow start ends
 	presumedRestartAt time.Duration // when it was presumed to have restarted; 0: it is not
 	slowStartCredit   float64       // slot seconds that it may be sent now while it warms up
 	slowStartCreditAt time.Duration
