--- a/accounting.go
+++ b/accounting.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// addInFlight books slots of ours at the worker.
+// addInFlight adds slots of this dispatcher, or of its sibling, at the worker.
 func (d *Dispatcher) addInFlight(w *worker, slots float64) {
 	d.inFlight += slots
 	d.addOccupied(w, slots)
@@ -17,7 +17,7 @@
 	}
 }
 
-// addOccupied books slots at the worker, whoever has them.
+// addOccupied adds slots at the worker, whichever dispatcher has them.
 func (d *Dispatcher) addOccupied(w *worker, slots float64) {
 	w.inFlight += slots
 	for i, p := range d.pools {
@@ -31,7 +31,7 @@
 	}
 }
 
-// startAttempt puts an attempt on the books and returns its number.
+// startAttempt adds an attempt and returns its number.
 func (d *Dispatcher) startAttempt(now time.Duration, r *request, w *worker) int {
 	r.attempts = append(r.attempts, attempt{worker: w, sentAt: now})
 	r.inFlight++
@@ -46,20 +46,21 @@
 	return len(r.attempts) - 1
 }
 
-// endAttempt takes an attempt off the books.
+// endAttempt marks an attempt as ended.
 func (d *Dispatcher) endAttempt(now time.Duration, r *request, a *attempt, o Outcome) {
 	d.writeOff(r, a)
 	a.ended, a.neverRan = true, d.provesNeverRan(o)
 	a.avoidWorker = a.avoidWorker || o != NotSent && o != Cancelled && d.pools[0].active > 1
 	r.inFlight--
-	a.worker.attempts = slices.DeleteFunc(a.worker.attempts, func(f attemptRef) bool { return f.request == r && &r.attempts[f.number] == a })
+	a.worker.attempts = slices.DeleteFunc(a.worker.attempts, func(ref attemptRef) bool {
+		return ref.request == r && &r.attempts[ref.number] == a
+	})
 	if o == Served || o == Errored || o == Full {
 		a.worker.markAlive(now)
 	}
 }
 
-// writeOff takes an attempt off the books of what workers and tenants have in
-// hand, when it ends or before.
+// writeOff stops counting an attempt as in flight: when it ends, or before.
 func (d *Dispatcher) writeOff(r *request, a *attempt) {
 	if a.writtenOff {
 		return
@@ -73,8 +74,8 @@
 	}
 }
 
-// writeBack puts a running attempt on the books that was written off, or that had
-// waited until now.
+// writeBack counts a running attempt as in flight again that was written off, or that
+// had waited until now.
 func (d *Dispatcher) writeBack(r *request, a *attempt) {
 	a.writtenOff = false
 	r.class.inFlight++
--- a/learned.go
+++ b/learned.go
@@ -7,60 +7,64 @@
 	"time"
 )
 
+// handoverSamples is how many jobs means that were handed over stand for.
+const handoverSamples = 64
+
 // LearnedState is what a dispatcher has learned, for one that takes over from it.
-// Times are in seconds, before or after now; workers, classes and tenants go by
-// their names. Limits below 0 stand for none.
+// Times are in seconds, before or after now; work is in slot seconds. Workers,
+// classes and tenants go by their names. A limit below 0 stands for none.
 type LearnedState struct {
 	Classes           []LearnedClass  `json:"classes"`
 	Tenants           []LearnedTenant `json:"tenants"`
 	Workers           []LearnedWorker `json:"workers"`
-	MaxWeights        []float64       `json:"size"` // by kind
-	MaxFreeSlots      []float64       `json:"room"`
-	Capacity          float64         `json:"jobs"` // in hand, as the most that found room
-	MeanWork          float64         `json:"work"`
-	WorkRate          float64         `json:"carry"`
-	Arrivals          float64         `json:"arrived"`
-	PromptStartRate   float64         `json:"prompt"`
-	SilentConnections float64         `json:"silent"`
-	MeteredSeconds    float64         `json:"metered"`
-	ReportChanges     float64         `json:"changes"`
+	MaxWeights        []float64       `json:"size"`    // by kind
+	MaxFreeSlots      []float64       `json:"room"`    // by kind
+	Capacity          float64         `json:"jobs"`    // slots in flight that found capacity, at most
+	MeanWork          float64         `json:"work"`    // of a request
+	WorkRate          float64         `json:"carry"`   // work a second, for each unit of weight
+	Arrivals          float64         `json:"arrived"` // decayed count of requests
+	PromptStartRate   float64         `json:"prompt"`  // share of attempts that started at once
+	SilentConnections float64         `json:"silent"`  // decayed count
+	MeteredSeconds    float64         `json:"metered"` // between probes of one worker, decayed
+	ReportChanges     float64         `json:"changes"` // in that time
 }
 
-// LearnedClass is what is known of a class.
+// LearnedClass is what was learned of a class.
 type LearnedClass struct {
 	Name           string  `json:"name"`
 	MeanRuntime    float64 `json:"run"`
-	BaseRuntime    float64 `json:"base"`
+	BaseRuntime    float64 `json:"base"` // over long, and rather low
 	MeanHint       float64 `json:"hint"`
-	MeanCompletion float64 `json:"complete"`
+	MeanCompletion float64 `json:"complete"` // from send to answer
 	Samples        float64 `json:"runs"`
 }
 
-// LearnedTenant is what is known of a tenant.
+// LearnedTenant is what was learned of a tenant.
 type LearnedTenant struct {
 	Name       string  `json:"name"`
-	Limit      float64 `json:"sigma"`
-	LocalShare float64 `json:"local"`
-	Arrivals   float64 `json:"arrived"`
-	Tokens     float64 `json:"tokens"`
+	Limit      float64 `json:"sigma"`   // slots
+	LocalShare float64 `json:"local"`   // slots
+	Arrivals   float64 `json:"arrived"` // decayed count of requests
+	Tokens     float64 `json:"tokens"`  // of its quota
 }
 
-// LearnedWorker is what is known of a worker.
+// LearnedWorker is what was learned of a worker.
 type LearnedWorker struct {
 	Worker           string  `json:"worker"`
-	Limit            float64 `json:"sigma"`
-	Pace             float64 `json:"pace"`
-	ErrorRate        float64 `json:"bad,omitempty"`
-	FreeSlots        float64 `json:"free,omitempty"`
-	FreeSlotsAge     float64 `json:"free_age"`          // below 0: no report yet
-	WarmIn           float64 `json:"cold,omitempty"`    // for so long
-	SlowStartCredit  float64 `json:"credit,omitempty"`  // of a cold worker
-	UnhealthyFor     float64 `json:"suspect,omitempty"` // for so long
-	UnhealthyBackoff float64 `json:"backoff,omitempty"`
-	EjectedFor       float64 `json:"rest,omitempty"` // for so long
-	EjectionBackoff  float64 `json:"rest_for,omitempty"`
+	Limit            float64 `json:"sigma"`              // slots
+	Pace             float64 `json:"pace"`               // running time over the class's mean
+	ErrorRate        float64 `json:"bad,omitempty"`      // share of answers
+	FreeSlots        float64 `json:"free,omitempty"`     // by the last report
+	FreeSlotsAge     float64 `json:"free_age"`           // of that report; below 0: none yet
+	WarmIn           float64 `json:"cold,omitempty"`     // until its slow start ends
+	SlowStartCredit  float64 `json:"credit,omitempty"`   // work
+	UnhealthyFor     float64 `json:"suspect,omitempty"`  // not to be sent to for so long
+	UnhealthyBackoff float64 `json:"backoff,omitempty"`  // the last one
+	EjectedFor       float64 `json:"rest,omitempty"`     // not to be sent to for so long
+	EjectionBackoff  float64 `json:"rest_for,omitempty"` // the last one
 }
 
+// encodeLimit returns -1 for no limit, which JSON cannot express.
 func encodeLimit(v float64) float64 {
 	if v == unlimited {
 		return -1
@@ -68,6 +72,7 @@
 	return v
 }
 
+// decodeLimit is the inverse of encodeLimit.
 func decodeLimit(v float64) float64 {
 	if v < 0 {
 		return unlimited
@@ -77,86 +82,125 @@
 
 // LearnedState returns what this dispatcher has learned.
 func (d *Dispatcher) LearnedState(now time.Duration) LearnedState {
-	l := LearnedState{MaxWeights: slices.Clone(d.maxWeightByKind), MaxFreeSlots: slices.Clone(d.maxFreeByKind), Capacity: d.capacity, MeanWork: d.meanWork, WorkRate: d.workRate, Arrivals: d.arrivals,
-		PromptStartRate: d.promptStartRate, SilentConnections: d.silentConnections, MeteredSeconds: d.meteredSeconds, ReportChanges: d.reportChanges}
+	l := LearnedState{
+		MaxWeights:        slices.Clone(d.maxWeightByKind),
+		MaxFreeSlots:      slices.Clone(d.maxFreeByKind),
+		Capacity:          d.capacity,
+		MeanWork:          d.meanWork,
+		WorkRate:          d.workRate,
+		Arrivals:          d.arrivals,
+		PromptStartRate:   d.promptStartRate,
+		SilentConnections: d.silentConnections,
+		MeteredSeconds:    d.meteredSeconds,
+		ReportChanges:     d.reportChanges,
+	}
 	for _, c := range d.classes {
-		l.Classes = append(l.Classes, LearnedClass{c.Name, c.meanRuntime, c.baseRuntime, c.meanHint, c.meanCompletion, c.samples})
+		l.Classes = append(l.Classes, LearnedClass{
+			Name:           c.Name,
+			MeanRuntime:    c.meanRuntime,
+			BaseRuntime:    c.baseRuntime,
+			MeanHint:       c.meanHint,
+			MeanCompletion: c.meanCompletion,
+			Samples:        c.samples,
+		})
 	}
 	for i, t := range d.settings.Tenants {
 		v := d.tenantsByIndex[i]
-		l.Tenants = append(l.Tenants, LearnedTenant{t.Name, encodeLimit(v.limit), encodeLimit(v.localShare), v.arrivals, v.tokens})
+		l.Tenants = append(l.Tenants, LearnedTenant{
+			Name:       t.Name,
+			Limit:      encodeLimit(v.limit),
+			LocalShare: encodeLimit(v.localShare),
+			Arrivals:   v.arrivals,
+			Tokens:     v.tokens,
+		})
 	}
 	for _, w := range d.workers {
-		if w == nil {
-			continue
-		}
-		age := -1.0
-		if w.freeSlotsAt > 0 {
-			age = (now - w.freeSlotsAt).Seconds()
+		if w != nil {
+			l.Workers = append(l.Workers, w.learned(now))
 		}
-		l.Workers = append(l.Workers, LearnedWorker{w.Worker, encodeLimit(w.limit), w.pace, w.errorRate, w.freeSlots, age,
-			max(0, w.warmAt-now).Seconds(), w.slowStartCredit, max(0, w.unhealthyUntil-now).Seconds(), w.unhealthyBackoff.Seconds(),
-			max(0, w.ejectedUntil-now).Seconds(), w.ejectionBackoff.Seconds()})
 	}
 	return l
 }
 
-// RestoreLearnedState goes on from what another dispatcher has learned, as far as it speaks of
-// classes, tenants and workers that are known here.
+func (w *worker) learned(now time.Duration) LearnedWorker {
+	age := -1.0
+	if w.freeSlotsAt > 0 {
+		age = (now - w.freeSlotsAt).Seconds()
+	}
+	return LearnedWorker{
+		Worker:           w.Worker,
+		Limit:            encodeLimit(w.limit),
+		Pace:             w.pace,
+		ErrorRate:        w.errorRate,
+		FreeSlots:        w.freeSlots,
+		FreeSlotsAge:     age,
+		WarmIn:           max(0, w.warmAt-now).Seconds(),
+		SlowStartCredit:  w.slowStartCredit,
+		UnhealthyFor:     max(0, w.unhealthyUntil-now).Seconds(),
+		UnhealthyBackoff: w.unhealthyBackoff.Seconds(),
+		EjectedFor:       max(0, w.ejectedUntil-now).Seconds(),
+		EjectionBackoff:  w.ejectionBackoff.Seconds(),
+	}
+}
+
+// RestoreLearnedState goes on from what another dispatcher has learned, as far as it
+// concerns classes, tenants and workers that are known here.
 func (d *Dispatcher) RestoreLearnedState(now time.Duration, l LearnedState) {
 	d.startRounds(now)
 	for _, k := range d.classes {
 		for _, c := range l.Classes {
 			if c.Name == k.Name {
-				k.meanRuntime, k.baseRuntime, k.meanHint, k.meanCompletion, k.samples = c.MeanRuntime, c.BaseRuntime, c.MeanHint, c.MeanCompletion, c.Samples
+				k.meanRuntime, k.baseRuntime, k.meanHint = c.MeanRuntime, c.BaseRuntime, c.MeanHint
+				k.meanCompletion, k.samples = c.MeanCompletion, c.Samples
 			}
 		}
 	}
 	for i := range d.settings.Tenants {
 		for _, t := range l.Tenants {
 			if v := d.tenantsByIndex[i]; t.Name == d.settings.Tenants[i].Name {
-				v.limit, v.localShare, v.arrivals, v.tokens = decodeLimit(t.Limit), decodeLimit(t.LocalShare), t.Arrivals, t.Tokens
+				v.limit, v.localShare = decodeLimit(t.Limit), decodeLimit(t.LocalShare)
+				v.arrivals, v.tokens = t.Arrivals, t.Tokens
 			}
 		}
 	}
-	for kind, size := range l.MaxWeights {
+	for kind, weight := range l.MaxWeights {
 		d.growKindTables(kind)
-		d.maxWeightByKind[kind] = max(d.maxWeightByKind[kind], size)
+		d.maxWeightByKind[kind] = max(d.maxWeightByKind[kind], weight)
 	}
-	for kind, room := range l.MaxFreeSlots {
+	for kind, free := range l.MaxFreeSlots {
 		d.growKindTables(kind)
-		d.maxFreeByKind[kind] = max(d.maxFreeByKind[kind], room)
+		d.maxFreeByKind[kind] = max(d.maxFreeByKind[kind], free)
 	}
 	d.capacity, d.meanWork, d.workRate, d.arrivals = l.Capacity, l.MeanWork, l.WorkRate, l.Arrivals
-	d.promptStartRate, d.silentConnections, d.meteredSeconds, d.reportChanges = l.PromptStartRate, l.SilentConnections, l.MeteredSeconds, l.ReportChanges
+	d.promptStartRate, d.silentConnections = l.PromptStartRate, l.SilentConnections
+	d.meteredSeconds, d.reportChanges = l.MeteredSeconds, l.ReportChanges
 	d.lastSerial = max(d.lastSerial, handoverSamples)
 	if l.MeanWork > 0 {
 		d.meanKnownWork, d.knownRequests = l.MeanWork, max(d.knownRequests, handoverSamples)
 	}
-	for _, v := range l.Workers {
-		w := d.workersByName[v.Worker]
-		if w == nil {
-			continue
-		}
-		d.setLimit(w, decodeLimit(v.Limit))
-		w.pace, w.errorRate, w.freeSlots = v.Pace, v.ErrorRate, v.FreeSlots
-		w.freeSlotsAt = 0
-		if v.FreeSlotsAge >= 0 {
-			w.freeSlotsAt = now - seconds(v.FreeSlotsAge)
-		}
-		if v.WarmIn > 0 { // the credit stays with the other, who goes on sending
-			w.warmAt = max(w.warmAt, now+seconds(v.WarmIn))
-			w.slowStartCredit, w.slowStartCreditAt = min(0, v.SlowStartCredit), now
-		}
-		w.unhealthyBackoff, w.ejectionBackoff = seconds(v.UnhealthyBackoff), seconds(v.EjectionBackoff)
-		if v.UnhealthyFor > 0 {
-			w.unhealthyUntil = now + seconds(v.UnhealthyFor)
-		}
-		if v.EjectedFor > 0 {
-			w.ejectedUntil = now + seconds(v.EjectedFor)
+	for i := range l.Workers {
+		if w := d.workersByName[l.Workers[i].Worker]; w != nil {
+			d.restoreWorker(now, w, &l.Workers[i])
 		}
 	}
 }
 
-// handoverSamples is how many jobs means that were handed over stand for.
-const handoverSamples = 64
+func (d *Dispatcher) restoreWorker(now time.Duration, w *worker, l *LearnedWorker) {
+	d.setLimit(w, decodeLimit(l.Limit))
+	w.pace, w.errorRate, w.freeSlots = l.Pace, l.ErrorRate, l.FreeSlots
+	w.freeSlotsAt = 0
+	if l.FreeSlotsAge >= 0 {
+		w.freeSlotsAt = now - seconds(l.FreeSlotsAge)
+	}
+	if l.WarmIn > 0 { // the credit stays with the other dispatcher, which goes on sending
+		w.warmAt = max(w.warmAt, now+seconds(l.WarmIn))
+		w.slowStartCredit, w.slowStartCreditAt = min(0, l.SlowStartCredit), now
+	}
+	w.unhealthyBackoff, w.ejectionBackoff = seconds(l.UnhealthyBackoff), seconds(l.EjectionBackoff)
+	if l.UnhealthyFor > 0 {
+		w.unhealthyUntil = now + seconds(l.UnhealthyFor)
+	}
+	if l.EjectedFor > 0 {
+		w.ejectedUntil = now + seconds(l.EjectedFor)
+	}
+}
--- a/peers.go
+++ b/peers.go
@@ -1,38 +1,41 @@
 package sedgevale
 
-// Load of other dispatchers: of the same scheduler while one process takes over from another, and of other schedulers of one site.
+// Load of other dispatchers: of siblings, which are the same scheduler while one process takes over from another, and
+// of peers, which are other schedulers of one site.
 
 import (
 	"time"
 )
 
-// Load is what a dispatcher has out at a worker.
+// Load is a dispatcher's load at a worker.
 type Load struct {
-	Held    float64 `json:"held"`              // slots
-	Waiting int     `json:"waiting,omitempty"` // attempts that have not started
-	Sent    float64 `json:"sent,omitempty"`    // work ever, in slot seconds
+	Held    float64 `json:"held"`              // slots in flight
+	Waiting int     `json:"waiting,omitempty"` // attempts in flight that have not started
+	Sent    float64 `json:"sent,omitempty"`    // work ever sent, in slot seconds
 }
 
 // Plus returns the sum of two loads.
-func (l Load) Plus(m Load) Load { return Load{l.Held + m.Held, l.Waiting + m.Waiting, l.Sent + m.Sent} }
+func (l Load) Plus(m Load) Load {
+	return Load{l.Held + m.Held, l.Waiting + m.Waiting, l.Sent + m.Sent}
+}
 
-// LoadByWorker returns what this dispatcher has out at each worker, without what Beside
-// has told of others.
+// LoadByWorker returns this dispatcher's own load at each worker, without that of its
+// siblings.
 func (d *Dispatcher) LoadByWorker() map[string]Load {
-	out := map[string]Load{}
+	loads := map[string]Load{}
 	for _, w := range d.workers {
 		if w == nil {
 			continue
 		}
 		if l := (Load{w.inFlight - w.siblingLoad.Held, w.notStarted - w.siblingLoad.Waiting, w.workSent}); l != (Load{}) {
-			out[w.Worker] = l
+			loads[w.Worker] = l
 		}
 	}
-	return out
+	return loads
 }
 
-// SetSiblingLoad tells what other dispatchers of the same scheduler have out. It counts
-// like what is out from here, for limits and for cold workers.
+// SetSiblingLoad sets the load of other dispatchers of the same scheduler, by worker.
+// It counts like this dispatcher's own, for limits and for workers that warm up.
 func (d *Dispatcher) SetSiblingLoad(now time.Duration, loads map[string]Load) {
 	d.startRounds(now)
 	for _, w := range d.workers {
@@ -51,18 +54,18 @@
 	d.releasePending(now)
 }
 
-// Told is what somebody has out at a worker.
+// Told is somebody's load at a worker.
 type Told struct {
 	Worker string
 	Load
-	Full bool // more is out there, from all, than the worker has slots: what waits will go on waiting
+	Full bool // all dispatchers together have more in flight there than the worker has slots
 }
 
-// TrackLoadChanges has Changed work from now on.
+// TrackLoadChanges has [Dispatcher.AppendLoadChanges] work from now on.
 func (d *Dispatcher) TrackLoadChanges() { d.tracksLoadChanges = true }
 
-// AppendLoadChanges appends what this dispatcher has out now at each worker where that has changed since it was
-// last asked, with what Beside has told of: the other process is the same scheduler.
+// AppendLoadChanges appends the load at each worker where it has changed since the
+// last call. Siblings' load is in it, since they are the same scheduler.
 func (d *Dispatcher) AppendLoadChanges(buf []Told) []Told {
 	for i, w := range d.loadChanged {
 		w.loadChanged, d.loadChanged[i] = false, nil
@@ -73,31 +76,34 @@
 	return buf
 }
 
-// UpdatePeerLoad tells what other schedulers of the site have out at some workers, each as a sum that takes the
-// place of the one before. It counts against the worker's room, but not as ours. Workers that no list
-// has named are passed over.
-func (d *Dispatcher) UpdatePeerLoad(now time.Duration, told []Told) {
+// UpdatePeerLoad brings the load of other schedulers of the site at some workers. Each
+// is the sum over all peers and replaces the last one. It counts against the worker's
+// capacity, but not as this dispatcher's load. Workers that no list has named are
+// ignored.
+func (d *Dispatcher) UpdatePeerLoad(now time.Duration, loads []Told) {
 	d.startRounds(now)
-	for i := range told {
-		w := d.workersByName[told[i].Worker]
+	for i := range loads {
+		l := &loads[i]
+		w := d.workersByName[l.Worker]
 		if w == nil {
 			continue
 		}
-		d.addOccupied(w, told[i].Held-w.peerLoad.Held)
-		w.notStarted += told[i].Waiting - w.peerLoad.Waiting
-		w.peerLoad = told[i].Load
+		d.addOccupied(w, l.Held-w.peerLoad.Held)
+		w.notStarted += l.Waiting - w.peerLoad.Waiting
+		w.peerLoad = l.Load
 	}
 	d.capacityChanged()
 	d.releasePending(now)
 }
 
-// SetSubset makes some workers this dispatcher's own part of a fleet: it looks there first. So many
-// dispatchers as sharers have a worker in their parts, this one included. An empty part stands for all
-// workers alike, as at the start. Workers that no list names yet do not count.
+// SetSubset sets the subset of the workers that this dispatcher prefers. Sharers is
+// how many dispatchers have a worker in their subsets, this one included. An empty
+// subset means no preference, as at the start. Workers that no list names yet do not
+// count.
 func (d *Dispatcher) SetSubset(now time.Duration, workers []string, sharers int) {
-	ours := make(map[string]bool, len(workers))
+	subset := make(map[string]bool, len(workers))
 	for _, name := range workers {
-		ours[name] = true
+		subset[name] = true
 	}
 	d.subsetSize, d.subsetSharers = 0, max(1, sharers)
 	if len(workers) == 0 {
@@ -107,9 +113,9 @@
 		if w == nil {
 			continue
 		}
-		if w.inSubset != ours[w.Worker] {
+		if w.inSubset != subset[w.Worker] {
 			d.adjustPoolSums(w, -1)
-			w.inSubset = ours[w.Worker]
+			w.inSubset = subset[w.Worker]
 			d.adjustPoolSums(w, 1)
 			for _, p := range d.pools {
 				p.subsetStale = true
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -7,12 +7,13 @@
 	"slices"
 )
 
-// UpdateSettings goes on by new settings. Jobs under way keep their class as it was; what
-// was learned of a class counts for the next of its name. Tenants go by their names:
-// one that stays keeps its turn, its credit and all that was learned, whatever becomes
-// of the others; one that goes keeps its share until its last job is over (see Tenant).
-// Zone, peers and the meaning of weights stay: they change with a new Dispatcher.
-// Settings that make no sense are an error and change nothing.
+// UpdateSettings takes over new settings. Requests in flight keep their class as it
+// was; what was learned of a class holds for the next of its name. Tenants go by
+// their names: one that stays keeps its turn, its credit and all that was learned,
+// whatever becomes of the others; one that is removed keeps its share until its last
+// request is over (see [Dispatcher.TenantIndex]). Zone, peers, the meaning of weights
+// and how the list comes stay: they change with a new Dispatcher. Invalid settings
+// are an error and change nothing.
 func (d *Dispatcher) UpdateSettings(set Settings) error {
 	if err := set.Check(); err != nil {
 		return err
@@ -29,12 +30,13 @@
 	return nil
 }
 
+// attemptLimit returns how many attempts a request may have.
 func attemptLimit(set Settings) int {
 	return min(max(1, set.MaxAttempts), 31) // a timer's token has 5 bits for it
 }
 
-// updateClasses makes the classes of new settings. One that has not changed is the same
-// as before; another of the same name goes on from what was learned.
+// updateClasses makes the classes of new settings. One that has not changed stays the
+// same; another of the same name goes on from what was learned.
 func (d *Dispatcher) updateClasses(classes []Class) {
 	former := d.classes
 	d.classes = make([]*class, len(classes))
@@ -48,7 +50,8 @@
 			if reflect.DeepEqual(f.Class, k.Class) {
 				k = f
 			} else {
-				k.meanRuntime, k.baseRuntime, k.meanHint, k.meanCompletion, k.samples = f.meanRuntime, f.baseRuntime, f.meanHint, f.meanCompletion, f.samples
+				k.meanRuntime, k.baseRuntime, k.meanHint = f.meanRuntime, f.baseRuntime, f.meanHint
+				k.meanCompletion, k.samples = f.meanCompletion, f.samples
 			}
 			break
 		}
@@ -56,7 +59,7 @@
 		d.classes[i] = k
 	}
 	d.compactClasses()
-	for _, w := range d.workers { // the classes may have brought a pool
+	for _, w := range d.workers { // the classes may need new pools
 		if w != nil && len(w.poolPositions) < len(d.pools) {
 			w.poolPositions = append(w.poolPositions, slices.Repeat([]int{-1}, len(d.pools)-len(w.poolPositions))...)
 			d.addToPools(w)
@@ -65,7 +68,8 @@
 	d.capacityChanged()
 }
 
-// compactClasses keeps the classes of the settings and of jobs under way, and forgets the others.
+// compactClasses keeps the classes of the settings and of requests in flight, and
+// forgets the others.
 func (d *Dispatcher) compactClasses() {
 	work := make([]map[*class]float64, len(d.tenants))
 	for i, t := range d.tenants {
--- a/rejection.go
+++ b/rejection.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	shortJobPart = 0.4 // of the mean: a job may be so short, and its aim so near
-	maxSlackPart = 0.4 // a job is held for at most this part of its slack: means hide a spread
+	shortJobPart = 0.4 // of the mean: a request may run for so short a time, and its target be as near
+	maxSlackPart = 0.4 // a request is queued for at most this part of its slack, since means hide a spread
 )
 
-// feasible reports whether the request can be in time, on arrival behind the
+// feasible reports whether the request can be in time: on arrival, behind the pending
 // work of its tenant that has less slack.
-func (d *Dispatcher) feasible(now time.Duration, r *request, behind bool) bool {
+func (d *Dispatcher) feasible(now time.Duration, r *request, onArrival bool) bool {
 	wait := 0.0
-	if behind {
+	if onArrival {
 		for c, work := range r.tenant.pendingWork {
 			if d.classesInUse[c].slack() <= r.class.slack() {
 				wait += work
@@ -23,23 +23,23 @@
 		}
 		wait /= max(minLimit, min(r.tenant.limit, max(1, d.capacity))*d.poolWeightShare(r))
 	}
-	// Guards against refusing a class for good on a mean that no job renews.
+	// Guards against rejecting a class for ever by a mean that no request updates.
 	if wait == 0 && r.class.inFlight == 0 {
 		return now < min(r.deadline, r.targetAt)
 	}
 	return wait <= maxSlackPart*d.timeToSend(now, r).Seconds()
 }
 
-// timeToSend returns how long the request can still wait to be sent: its own
-// running time and the class's mean wait at workers come off the time left.
+// timeToSend returns how long the request can still wait to be sent: the time left
+// less its running time and the class's mean wait at workers.
 func (d *Dispatcher) timeToSend(now time.Duration, r *request) time.Duration {
 	c := r.class
 	return seconds(d.slackAtPace(now, r, d.fastPace) - max(0, c.meanCompletion-c.meanRuntime))
 }
 
-// slackAtPace returns how long the request can still wait if a worker of that pace
-// runs it. Its own time is not known where there is no hint; it may be short, and
-// then its aim is near too. For a further attempt the mean is good enough.
+// slackAtPace returns how many seconds the request can still wait if a worker of that
+// pace runs it. Without a hint its running time is not known; it may be short, and
+// then its latency target is near too. For a retry the mean is good enough.
 func (d *Dispatcher) slackAtPace(now time.Duration, r *request, pace float64) float64 {
 	part := shortJobPart
 	if r.Hint > 0 || len(r.attempts) > 0 {
@@ -48,7 +48,8 @@
 	return (min(r.deadline, r.targetAt) - now).Seconds() - (1-part)*r.class.Stretch*r.runtime - part*pace*r.work/r.Slots
 }
 
-// mayReject is rule 2 for refusals.
+// mayReject reports whether the request may be rejected, which tells the client that
+// it may safely come again (rule 2 for rejections).
 func (d *Dispatcher) mayReject(r *request) bool {
 	c := r.class
 	if c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
@@ -62,7 +63,8 @@
 	return true
 }
 
-// endUnserved gives the request its one final answer: refused where that is allowed.
+// endUnserved gives the request its one final answer: rejected where that is allowed,
+// else failed.
 func (d *Dispatcher) endUnserved(now time.Duration, r *request) {
 	if r.ended {
 		return
@@ -75,8 +77,9 @@
 	d.closeRequest(r)
 }
 
-// retryAfter is the advice to a refused client: soon enough for its job to be in time yet, or after
-// about a job, when slots have changed hands; spread, so that not all return at once.
+// retryAfter returns the advice to a rejected client: soon enough for its request to
+// be in time yet, or after about the mean work, when slots have changed hands. It is
+// drawn at random, so that not all come back at once.
 func (d *Dispatcher) retryAfter(now time.Duration, r *request) time.Duration {
 	after := maxSlackPart * d.timeToSend(now, r).Seconds()
 	if after <= 0 {
--- a/tenants.go
+++ b/tenants.go
@@ -11,42 +11,47 @@
 
 const (
 	arrivalsDecay    = 0.01 // of the counts of arrivals, a round
-	maxRecentWorkers = 8    // workers that served a tenant in time, which are asked first
-	belowShareFactor = 1.4  // times more for one who sends less than its share of what arrives here
-	quotaFactor      = 1.5  // a dispatcher may have this many times its even part of a tenant's quota
+	maxRecentWorkers = 8    // that served a tenant in time, and are probed first
+	belowShareFactor = 1.4  // of its quota, for a tenant that sends less than its share of what arrives here
+	quotaFactor      = 1.5  // of its even part of a tenant's quota that a dispatcher may use
 )
 
+// tenant is a tenant of the settings, or one that they have removed until its last
+// request is over.
 type tenant struct {
-	name              string
-	weight            float64       // its share as the settings give it
-	openRequests      int           // requests that are not forgotten
-	removed           bool          // the settings do not have it any more
-	retireAt          time.Duration // for gone: when nobody can come any more who was taken before; 0: not reckoned yet
-	share             float64       // of all shares; 0: gone, and without a job
-	quota             float64       // jobs a second here that are within its share; 0: not told
-	tokens            float64       // of those, not yet sent
-	tokensAt          time.Duration
+	name         string
+	weight       float64       // its share as the settings give it
+	openRequests int           // that are not forgotten yet
+	removed      bool          // the settings do not have it any more
+	retireAt     time.Duration // when it is removed: no request that was taken before can come after it; 0: not set yet
+	share        float64       // normalized over all tenants; 0: removed, and without requests
+
+	quota    float64 // requests a second here within its share; 0: none is set
+	tokens   float64 // of the quota, not yet used
+	tokensAt time.Duration
+
 	queue             queue
-	pendingWork       []float64 // work held, by a class's index
-	pendingSlots      float64   // slots of the queue
-	inFlight          float64
-	deficit           float64
-	blockedByCapacity bool    // its turn ended for lack of room, not of credit
-	arrivals          float64 // decayed count of jobs
-	limit             float64
-	localShare        float64
-	sentJobs          uint64
-	recentWorkers     []*worker // the last that served it in time
-	sendShares        []sendShare
-	usedWorkers       []int
+	pendingWork       []float64 // by a class's index
+	pendingSlots      float64
+	inFlight          float64 // slots
+	deficit           float64 // credit of the deficit round robin, in slot seconds
+	blockedByCapacity bool    // its turn ended for lack of capacity, not of credit
+	arrivals          float64 // decayed count of requests
+
+	limit         float64 // bound on slots in flight beyond its share
+	localShare    float64 // slots
+	sentJobs      uint64
+	sendShares    []sendShare // by a worker's index
+	usedWorkers   []int       // indexes of workers with a share
+	recentWorkers []*worker   // the last that served it in time
 }
 
-// claim returns what the tenant wants of the slots that all share.
+// claim returns the slots that the tenant wants, and its share.
 func (t *tenant) claim() admission.Claimant {
 	return admission.Claimant{Want: t.inFlight + t.pendingSlots, Share: t.share}
 }
 
-// used notes that the tenant has sent a job to the worker.
+// noteSent notes that a request of the tenant was sent to the worker.
 func (t *tenant) noteSent(w *worker) {
 	t.sentJobs++
 	for len(t.sendShares) <= w.index {
@@ -59,6 +64,7 @@
 	*a = a.Add(t.sentJobs, sendShareGain)
 }
 
+// rememberWorker notes that the worker served the tenant in time.
 func (t *tenant) rememberWorker(w *worker) {
 	t.forgetWorker(w)
 	if len(t.recentWorkers) == maxRecentWorkers {
@@ -67,13 +73,15 @@
 	t.recentWorkers = append(t.recentWorkers, w)
 }
 
+// forgetWorker takes the worker off the tenant's recent ones.
 func (t *tenant) forgetWorker(w *worker) {
 	t.recentWorkers = slices.DeleteFunc(t.recentWorkers, func(v *worker) bool { return v == w })
 }
 
-// withinShare reports whether the tenant has sent less than its quota, or
-// sends less than its share of what arrives here: a dispatcher may have more
-// than its even part of everybody. Where no quota is told, the room counts.
+// withinShare reports whether the tenant has sent less than its quota. The quota is
+// larger for one that sends less than its share of what arrives here, since a
+// dispatcher may get more than its even part of all tenants. Without a quota the
+// tenant's share of the capacity counts.
 func (d *Dispatcher) withinShare(now time.Duration, t *tenant) bool {
 	if t.quota == 0 {
 		return t.inFlight < t.share*d.capacity
@@ -87,7 +95,8 @@
 	return t.tokens >= 1
 }
 
-// updateShares reckons each tenant's part of all shares. Who is gone and has no job has none.
+// updateShares normalizes the tenants' shares. A removed tenant without requests has
+// none.
 func (d *Dispatcher) updateShares() {
 	sum := 0.0
 	for _, t := range d.tenants {
@@ -102,10 +111,11 @@
 	}
 }
 
-// TenantIndex returns the number by which Request knows the tenant of that name now: its place in the settings
-// or, of one that they have no more, a number that holds until the next event. A job that was taken
-// before its tenant went may come later, as from a queue before the Dispatcher. It is -1 once all of
-// those must be over, and for a name that was never there.
+// TenantIndex returns the index by which [Request] knows the tenant of that name now:
+// its index in the settings or, for a removed tenant, one that holds until the next
+// event. A request that was taken before its tenant was removed may come later, as
+// from a queue before the Dispatcher. The index is -1 once all of those must be over,
+// and for an unknown name.
 func (d *Dispatcher) TenantIndex(name string) int {
 	for i := range d.settings.Tenants {
 		if d.settings.Tenants[i].Name == name {
@@ -122,24 +132,27 @@
 	return -1
 }
 
-// tenantByIndex returns the tenant of a number, or nil.
-func (d *Dispatcher) tenantByIndex(number int) *tenant {
-	if number = max(0, number); number < len(d.tenantsByIndex) {
-		return d.tenantsByIndex[number]
-	}
-	number -= len(d.tenantsByIndex)
+// tenantByIndex returns the tenant of an index as TenantIndex gives it, or nil. A
+// negative index is that of the one tenant where the settings have none.
+func (d *Dispatcher) tenantByIndex(index int) *tenant {
+	index = max(0, index)
+	if index < len(d.tenantsByIndex) {
+		return d.tenantsByIndex[index]
+	}
+	index -= len(d.tenantsByIndex)
 	for _, t := range d.tenants {
 		if t.removed {
-			if number == 0 {
+			if index == 0 {
 				return t
 			}
-			number--
+			index--
 		}
 	}
 	return nil
 }
 
-// updateTenants goes on by the settings' tenants, matched by name. Newcomers have their turns after all others.
+// updateTenants takes over the settings' tenants, matched by name. New ones have their
+// turns after all others.
 func (d *Dispatcher) updateTenants(tenants []Tenant) {
 	byName := make(map[string]*tenant, len(d.tenants))
 	for _, t := range d.tenants {
@@ -165,8 +178,9 @@
 	d.updateShares()
 }
 
-// retireTenants gives the shares of tenants that are gone back to the others once they have no job, and forgets
-// them after the longest time that a job which was taken before can still come.
+// retireTenants gives the shares of removed tenants back to the others once they have
+// no requests, and forgets them after the longest time in which a request that was
+// taken before can still come.
 func (d *Dispatcher) retireTenants(now time.Duration) {
 	if d.removedTenants == 0 {
 		return
