--- a/api.go
+++ b/api.go
@@ -11,42 +11,42 @@
 // The states of a worker.
 const (
 	Active  WorkerState = iota
-	Leaving             // finishes its work, takes nothing new
-	Left                // removed
+	Leaving             // finishes its attempts in flight, gets nothing new
+	Left                // removed from the list
 )
 
 // WorkerInfo is an entry of the list of workers. A Dispatcher keeps no
 // reference to the slices that carry it.
 type WorkerInfo struct {
-	Worker    string
+	Worker    string // its name
 	Zone      int
-	Kind      int
-	Cell      int
+	Kind      int // of machine
+	Cell      int // workers of a cell share faults and, in some classes, the memory of keys
 	State     WorkerState
-	Weight    float64
+	Weight    float64       // see [WeightMeaning]
 	StartedAt time.Duration // when it last started, on the host's clock; 0: long ago
 }
 
-// ListKind says how a list of workers is to be read.
+// ListKind says what an update of the list of workers holds.
 type ListKind uint8
 
-// The kinds of lists.
+// The kinds of updates.
 const (
 	ListPatch  ListKind = iota // changed entries only
-	ListWhole                  // all workers; who is absent has been removed
+	ListWhole                  // all workers; one that is absent has been removed
 	ListStale                  // all workers as last known, maybe long ago
-	ListBroken                 // no entries: a watch failed or broke, the old list stands
+	ListBroken                 // no entries: a watch failed or broke, the last list stands
 )
 
-// Request is a job taken from a client.
+// Request is a request taken from a client.
 type Request struct {
 	ID     string
-	Class  int
-	Tenant int           // -1 where there are no tenants
-	Key    string        // what a worker may keep at hand for the job; may be empty
+	Class  int           // index into Settings.Classes
+	Tenant int           // as by [Dispatcher.TenantIndex]; -1 where there are no tenants
+	Key    string        // affinity key: what a worker may have cached for the request; may be empty
 	Left   time.Duration // how long the client still waits
-	Hint   time.Duration // a guess of its running time; 0: none
-	Slots  float64       // 0 counts as 1
+	Hint   time.Duration // an estimate of its running time; 0: none
+	Slots  float64       // that it takes at a worker; 0 counts as 1
 	Retry  bool          // the client has tried before
 }
 
@@ -57,11 +57,11 @@
 const (
 	Served        Outcome = iota // the answer went to the client
 	Errored                      // the worker answered with an error
-	Full                         // turned away; unseen, but see Settings.FullMayHaveRun
-	TimedOut                     // no reply in time
+	Full                         // the worker rejected it; the settings say whether it may have begun it
+	TimedOut                     // no answer in time
 	ConnectFailed                // no connection could be made
-	Lost                         // the connection broke while the attempt was out
-	Cancelled                    // called off
+	Lost                         // the connection broke while the attempt was in flight
+	Cancelled                    // by [Host.Cancel]
 	NotSent                      // the host did not send it
 )
 
@@ -70,50 +70,52 @@
 	HasFree bool
 	Free    float64 // free slots
 	HasHeld bool
-	Held    float64 // requests in hand
+	Held    float64 // requests in flight or queued there
 }
 
 // Result is the end of an attempt.
 type Result struct {
 	ID      string
-	Attempt int // counted from 0 by the order of the request's sends
+	Attempt int // counted from 0 in the order of the request's sends
 	Outcome Outcome
-	Closed  bool    // the request has its final answer, by this outcome or before
-	Report  *Report // nil: none came along; not kept
+	Closed  bool    // the client has its final answer, by this outcome or before
+	Report  *Report // nil: none came with it. The Dispatcher does not keep it
 }
 
 // Host carries out what a Dispatcher decides. The calls come from within the
 // Dispatcher's methods, in the order in which they are to take effect; they
 // must not call back into it.
 type Host interface {
-	// Send starts the request's next attempt on the worker. A time-out of 0
+	// Send sends the request's next attempt to the worker. A time-out of 0
 	// means as long as the client waits.
 	Send(id, worker string, timeout time.Duration)
-	// Reject ends the request unserved; the client may safely come again,
+	// Reject ends the request unserved. The client may safely come again,
 	// after the given time if that is not 0.
-	Reject(id string, after time.Duration)
-	// Fail ends the request and promises nothing.
+	Reject(id string, retryAfter time.Duration)
+	// Fail ends the request unserved. It may have run.
 	Fail(id string)
-	// Cancel calls off an attempt. Its outcome still comes.
+	// Cancel cancels an attempt. Its outcome must still be reported.
 	Cancel(id string, attempt int)
-	// SetTimer asks for Dispatcher.Timer with the token once the time has
-	// passed. Timers cannot be unset.
+	// SetTimer asks for [Dispatcher.TimerFired] with the token once the time
+	// has passed. Timers cannot be stopped.
 	SetTimer(after time.Duration, token uint64)
-	// Probe asks a worker for its load; see Dispatcher.Probed.
+	// Probe asks a worker for its load, for [Dispatcher.ProbeResult].
 	Probe(worker string)
-	// CloseIdleConnections closes the connections to a worker that carry nothing now.
+	// CloseIdleConnections closes the connections to a worker that carry no
+	// attempt.
 	CloseIdleConnections(worker string)
-	// WatchWorkers asks for the list of workers and all its changes.
+	// WatchWorkers asks for the list of workers and all its updates, for
+	// [Dispatcher.WorkersUpdated].
 	WatchWorkers()
-	// Log notes a line for whoever is on call.
+	// Log writes a line to the operators' log.
 	Log(text string)
 }
 
-// Errors for what a host has got wrong. The event that returned one was not
-// acted on.
+// Errors for a host's mistakes. The Dispatcher did nothing on an event for which it
+// returned one.
 var (
 	ErrUnknownRequest   = errors.New("sedgevale: no such request")
-	ErrUnknownAttempt   = errors.New("sedgevale: no such attempt, or it is over")
+	ErrUnknownAttempt   = errors.New("sedgevale: no such attempt, or it has ended")
 	ErrDuplicateRequest = errors.New("sedgevale: request id already taken")
 	errNoHost           = errors.New("sedgevale: no host")
 	ErrBadRequest       = errors.New("sedgevale: class or tenant out of range")
--- a/settings.go
+++ b/settings.go
@@ -7,59 +7,67 @@
 	"time"
 )
 
-// Effect says what a second run of a job would do.
+// Effect says whether a request may run more than once.
 type Effect uint8
 
-// The effects of a class.
+// The kinds of idempotency.
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // workers of one group drop repeats for a while
+	Keyed                // workers of one group drop repeats by a key, for a while
 	Unsafe               // must never run twice
 )
 
-// Scope is the group of workers that drops repeats of a Keyed job.
+// Scope is the group of workers that drops repeats of a request by its key.
 type Scope uint8
 
-// The scopes of a Keyed class.
+// The groups of workers.
 const (
 	ScopeAll  Scope = iota // all workers
 	ScopeZone              // the workers of one zone
 	ScopeCell              // the workers of one cell
 )
 
-// Class describes one class of jobs.
+// Class describes one class of requests.
 type Class struct {
-	Name      string
-	Effect    Effect
-	Scope     Scope         // for Keyed
-	Window    time.Duration // for Keyed: how long a group remembers, from the first send that may have run
-	Aim       time.Duration // an answer within Aim plus Stretch times the job's own running time earns all
+	Name   string
+	Effect Effect
+
+	// Where repeats are dropped by key: the group of workers that does so, and for
+	// how long, from the first send that may have run.
+	Scope  Scope
+	Window time.Duration
+
+	// An answer earns its full value within the latency target, to which the stretch
+	// adds so many times the request's own running time. A later answer earns the
+	// given part of it, 0 to 1.
+	Aim       time.Duration
 	Stretch   float64
-	Limit     time.Duration // how long a client waits in all, over all its tries
-	LateShare float64       // the part of the worth that an answer after the aim earns
-	Stream    bool          // the answer is streamed; see Dispatcher.StreamBegan
+	LateShare float64
+
+	Limit  time.Duration // how long a client waits in all, over all its tries
+	Stream bool          // the answer is streamed; see [Dispatcher.StreamStarted]
 
 	// The only machine kinds and the only zones whose workers the class may be
 	// sent to. Nil means any; an empty list that is not nil means none at all,
-	// and such a class is only ever refused.
+	// and such a class is only ever rejected.
 	Kinds []int
 	Zones []int
 }
 
-// Budget bounds the attempts of one Dispatcher beyond each request's first: in
-// any Span they number at most Free and Ratio times the requests that it took
-// in that Span. The zero Budget does not bind.
+// Budget bounds the attempts of one Dispatcher beyond each request's first. In any
+// window there may be a fixed number of them, and a ratio of the requests that it
+// took in that window. The zero value does not bind.
 type Budget struct {
-	Free  int
-	Ratio float64
-	Span  time.Duration
+	Free  int           // the fixed number
+	Ratio float64       // attempts for each request
+	Span  time.Duration // the window's length
 }
 
-// Tenant describes one of those who share the workers.
+// Tenant describes one of the tenants that share the workers.
 type Tenant struct {
 	Name  string
-	Share float64 // its part of the service; only the proportions count
-	Quota float64 // requests a second, over all dispatchers, within its share; 0: not told
+	Share float64 // quota share; only the proportions count
+	Quota float64 // requests a second, over all dispatchers, within its share; 0: not known
 }
 
 // WeightMeaning says what WorkerInfo.Weight stands for.
@@ -69,56 +77,55 @@
 const (
 	WeightNone WeightMeaning = iota // nothing
 	WeightSize                      // the worker's size, exactly or roughly
-	WeightLive                      // size over 1 + requests held per core, sampled a while ago
+	WeightLive                      // size over 1 + requests in flight per core, sampled a while ago
 )
 
-// Settings are what a Dispatcher is told once, at its start.
+// Settings are the settings of a Dispatcher. Most of them may change while it runs;
+// see [Dispatcher.UpdateSettings].
 type Settings struct {
 	Classes []Class
-	Tenants []Tenant // may be empty: then all jobs share alike
+	Tenants []Tenant // may be empty: then all requests have one queue
 	Zone    int      // this dispatcher's zone
 	Peers   int      // how many dispatchers there are, this one included; 0 counts as 1
 	Weights WeightMeaning
 
-	MaxAttempts   int  // attempts for one request; 0 means 1
-	ParallelTries bool // two attempts of one request may be out at once
-	MayCancel     bool // Host.Cancel is allowed
-	AskForList    bool // the list comes only after Host.Watch
+	MaxAttempts   int  // for one request; 0 means 1
+	ParallelTries bool // two attempts of one request may be in flight at once
+	MayCancel     bool // [Host.Cancel] is allowed
+	AskForList    bool // the list of workers comes only after [Host.WatchWorkers]
 
-	TellsStart bool // workers tell when a job starts
-	InOrder    bool // workers start jobs in the order in which they come
-	MustProbe  bool // load reports come only as answers to Host.Probe, which is allowed
+	TellsStart bool // workers report when they start a request
+	InOrder    bool // workers start requests in the order in which they come
+	MustProbe  bool // load reports come only as answers to [Host.Probe], which is allowed
 
 	Further        Budget        // of attempts beyond each request's first
-	FullMayHaveRun bool          // workers answer Full also for work that they had begun
-	CloseOnDrain   time.Duration // idle connections to a worker that leaves are closed within it; 0: need not be
+	FullMayHaveRun bool          // workers reject also work that they had begun
+	CloseOnDrain   time.Duration // idle connections to a draining worker are closed within it; 0: they need not be
 
-	MaxRetryAfter time.Duration // the longest advice that clients heed; 0: none
+	MaxRetryAfter time.Duration // the longest advice that clients follow; 0: none
 
-	// A worker that has just started does StartCapacity of its work, and all
-	// of it after WarmUp; sent more than FallMultiple times what it can do for
-	// Fall, it falls over. WarmUp 0 means that workers start warm.
+	// Slow start. A worker that has just started has a part of its capacity, in (0,
+	// 1], and all of it after the duration; 0 means that workers need no slow start.
+	// It breaks down if for the overload window it is sent more than the overload
+	// multiple of what it can do.
 	StartCapacity float64
 	WarmUp        time.Duration
 	FallMultiple  float64
 	Fall          time.Duration
 }
 
-// Check returns an error for settings that make no sense.
+// Check returns an error for invalid settings.
 func (s *Settings) Check() error {
 	if len(s.Classes) == 0 {
 		return errors.New("sedgevale: no class in the settings")
 	}
-	for i, c := range s.Classes {
-		if c.Limit <= 0 || c.Aim <= 0 || c.Stretch < 0 || c.Effect == Keyed && c.Window <= 0 {
-			return fmt.Errorf("sedgevale: class %d (%s): limit, aim and window must be positive", i, c.Name)
-		}
-		if slices.ContainsFunc(c.Kinds, negative) || slices.ContainsFunc(c.Zones, negative) {
-			return fmt.Errorf("sedgevale: class %d (%s): kinds and zones must not be negative", i, c.Name)
+	for i := range s.Classes {
+		if err := s.Classes[i].check(); err != nil {
+			return fmt.Errorf("sedgevale: class %d (%s): %w", i, s.Classes[i].Name, err)
 		}
 	}
-	if b := s.Further; b.Free < 0 || !(b.Ratio >= 0) || b.Span < 0 || b.Span == 0 && b != (Budget{}) {
-		return errors.New("sedgevale: the budget of further attempts must not be negative, and needs a span")
+	if err := s.Further.check(); err != nil {
+		return fmt.Errorf("sedgevale: %w", err)
 	}
 	for i, t := range s.Tenants {
 		if !(t.Share > 0) || t.Quota < 0 {
@@ -126,12 +133,28 @@
 		}
 	}
 	if s.WarmUp > 0 && !(s.StartCapacity > 0 && s.StartCapacity <= 1 && s.Fall > 0 && s.FallMultiple > 0) {
-		return errors.New("sedgevale: start capacity must be in (0, 1], fall and its multiple positive")
+		return errors.New("sedgevale: slow start capacity must be in (0, 1], overload window and multiple positive")
 	}
 	if s.Zone < 0 || s.MaxAttempts < 0 || s.Peers < 0 || s.CloseOnDrain < 0 || s.MaxRetryAfter < 0 {
-		return errors.New("sedgevale: zone, attempts, peers, closing time and advice must not be negative")
+		return errors.New("sedgevale: zone, attempts, dispatchers, drain close timeout and retry-after must not be negative")
+	}
+	return nil
+}
+
+func (c *Class) check() error {
+	if c.Limit <= 0 || c.Aim <= 0 || c.Stretch < 0 || c.Effect == Keyed && c.Window <= 0 {
+		return errors.New("client timeout, latency target and dedup window must be positive, stretch not negative")
+	}
+	negative := func(i int) bool { return i < 0 }
+	if slices.ContainsFunc(c.Kinds, negative) || slices.ContainsFunc(c.Zones, negative) {
+		return errors.New("kinds and zones must not be negative")
 	}
 	return nil
 }
 
-func negative(i int) bool { return i < 0 }
+func (b Budget) check() error {
+	if b.Free < 0 || !(b.Ratio >= 0) || b.Span < 0 || b.Span == 0 && b != (Budget{}) {
+		return errors.New("the retry budget must not be negative, and needs a window")
+	}
+	return nil
+}
