--- a/learning.go
+++ b/learning.go
@@ -18,25 +18,6 @@
 	hintTrust       = 0.01       // seconds of running time by which hints are trusted at first
 )
 
-// class is a class of requests and what was learned of it. Requests point to it: it
-// stays as it is for those in flight when the settings change.
-type class struct {
-	Class
-	index          int // in tenant.pendingWork and Dispatcher.classesInUse
-	pool           *pool
-	meanRuntime    float64 // seconds
-	baseRuntime    float64 // seconds, over long, and rather low: latency targets grow by it
-	meanHint       float64 // seconds, of the same requests as meanRuntime
-	meanCompletion float64 // seconds from send to answer
-	samples        float64 // answers that the means are made of
-	inFlight       int     // attempts that are counted as in flight
-}
-
-// slack returns how many seconds a request of the class can wait when it arrives.
-func (c *class) slack() float64 {
-	return c.Aim.Seconds() + c.Stretch*c.meanRuntime - c.meanCompletion
-}
-
 // learn updates the worker's and the class's figures from an outcome.
 func (d *Dispatcher) learn(now time.Duration, r *request, a *attempt, o Outcome) {
 	w := a.worker
@@ -149,51 +130,3 @@
 		d.cleanWorkers = append(d.cleanWorkers, w)
 	}
 }
-
-// observeWork updates the mean work from a request whose running time could be
-// estimated. Others must not count: by a mean over requests of no known work, all
-// dispatchers that started with a release overloaded its cold workers together.
-func (d *Dispatcher) observeWork(r *request) {
-	if r.class.samples > 0 || r.Hint > 0 {
-		d.knownRequests++
-		d.meanKnownWork += (r.work - d.meanKnownWork) * max(meanGain, 1/d.knownRequests)
-	}
-}
-
-// expectedWork returns the mean work, in slot seconds, of requests whose running
-// time could be estimated. While there were none it goes by the settings: a class's
-// running time is taken to be like its latency target.
-func (d *Dispatcher) expectedWork() float64 {
-	if d.knownRequests > 0 {
-		return d.meanKnownWork
-	}
-	sum := 0.0
-	for _, k := range d.classes {
-		sum += k.Aim.Seconds()
-	}
-	return sum / float64(len(d.classes))
-}
-
-// expectedWorkOf returns the request's work, or the expected work while its running
-// time cannot be estimated.
-func (d *Dispatcher) expectedWorkOf(r *request) float64 {
-	if r.class.samples > 0 || r.Hint > 0 {
-		return r.work
-	}
-	return r.Slots * d.expectedWork()
-}
-
-// fastestPace returns the pace of the second fastest active worker, 1 at most: a
-// request takes at least that much of its class's mean running time.
-func (d *Dispatcher) fastestPace() float64 {
-	first, second := 1.0, 1.0
-	for _, w := range d.workers {
-		if w == nil || w.State != Active || w.pace >= second {
-			continue
-		}
-		if second = w.pace; w.pace < first {
-			first, second = w.pace, first
-		}
-	}
-	return second
-}
--- a/probe.go
+++ b/probe.go
@@ -55,6 +55,11 @@
 	}
 }
 
+// awaitsProbes reports whether the request waits for answers to its probes.
+func (r *request) awaitsProbes(now time.Duration) bool {
+	return r.probesPending > 0 && now < r.probeDeadline
+}
+
 // pickProbed returns the worker with the most free capacity of those that were
 // probed. If none has any, others are probed; in the end a request within its
 // tenant's share goes where the wait is shortest. Without any answer nothing is
--- a/queue.go
+++ b/queue.go
@@ -110,7 +110,7 @@
 		r := t.queue[i]
 		p := r.class.pool
 		withinShare := d.withinShare(now, t)
-		if !r.queued || p.noCapacity && !withinShare || r.probesPending > 0 && now < r.probeDeadline {
+		if !r.queued || p.noCapacity && !withinShare || r.awaitsProbes(now) {
 			continue
 		}
 		tried++
--- a/settings.go
+++ b/settings.go
@@ -132,7 +132,7 @@
 			return fmt.Errorf("sedgevale: tenant %d (%s): share must be positive, quota not negative", i, t.Name)
 		}
 	}
-	if s.WarmUp > 0 && !(s.StartCapacity > 0 && s.StartCapacity <= 1 && s.Fall > 0 && s.FallMultiple > 0) {
+	if !s.slowStartValid() {
 		return errors.New("sedgevale: slow start capacity must be in (0, 1], overload window and multiple positive")
 	}
 	if s.Zone < 0 || s.MaxAttempts < 0 || s.Peers < 0 || s.CloseOnDrain < 0 || s.MaxRetryAfter < 0 {
@@ -141,6 +141,10 @@
 	return nil
 }
 
+func (s *Settings) slowStartValid() bool {
+	return s.WarmUp <= 0 || s.StartCapacity > 0 && s.StartCapacity <= 1 && s.Fall > 0 && s.FallMultiple > 0
+}
+
 func (c *Class) check() error {
 	if c.Limit <= 0 || c.Aim <= 0 || c.Stretch < 0 || c.Effect == Keyed && c.Window <= 0 {
 		return errors.New("client timeout, latency target and dedup window must be positive, stretch not negative")
