--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -1,7 +1,9 @@
 package sedgevale
 
 import (
+	"errors"
 	"fmt"
+	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -364,98 +366,121 @@
 // to workers that drain, and all state freed at the end.
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := range uint64(20) {
-		rng := rand.New(rand.NewPCG(seed, 7))
-		set := settings()
-		set.TellsStart, set.ParallelTries = seed%2 == 0, seed%3 > 0
-		d, h := start(t, set, fleet(6)...)
-		uncertain := map[string]string{} // request to the worker where it may have run
-		class := map[string]int{}
-		drained := map[string]bool{}
-		checked, open := 0, map[string]bool{}
-		check := func() {
-			for ; checked < len(h.sends); checked++ {
-				s := h.sends[checked]
-				if drained[s.worker] {
-					t.Fatalf("seed %d: sent to drained %s", seed, s.worker)
-				}
-				if before := uncertain[s.id]; before != "" && class[s.id] == 2 {
-					t.Fatalf("seed %d: unsafe %s sent again", seed, s.id)
-				} else if before != "" && class[s.id] == 1 && d.workersByName[before].Zone != d.workersByName[s.worker].Zone {
-					t.Fatalf("seed %d: keyed %s left its zone", seed, s.id)
-				}
-				uncertain[s.id] = s.worker
-				open[fmt.Sprint(s.id, " ", s.n)] = true
-			}
-		}
+		p := newRandomPlay(t, seed)
 		for i := range 3000 {
-			h.run(d, h.now+time.Duration(rng.IntN(20))*ms)
-			check()
-			if i < 2500 && rng.IntN(3) > 0 {
+			p.h.run(p.d, p.h.now+time.Duration(p.rng.IntN(20))*ms)
+			p.check()
+			if i < 2500 && p.rng.IntN(3) > 0 {
 				id := fmt.Sprint("r", i)
-				class[id] = rng.IntN(3)
-				h.ask(d, id, class[id])
+				p.class[id] = p.rng.IntN(3)
+				p.h.ask(p.d, id, p.class[id])
 			}
-			check()
-			ids := make([]string, 0, len(open))
-			for k := range open {
-				ids = append(ids, k)
-			}
-			slices.Sort(ids)
-			for _, k := range ids {
-				if rng.IntN(4) > 0 {
-					continue
-				}
-				var id string
-				var n int
-				fmt.Sscan(k, &id, &n)
-				delete(open, k)
-				o := Outcome(rng.IntN(8))
-				if d.provesNeverRan(o) {
-					delete(uncertain, id)
-				}
-				closed := h.ends[id] != "" || o == Served
-				if o == Served && h.ends[id] == "" {
-					h.ends[id] = "served"
-				}
-				if err := d.AttemptEnded(h.now, Result{ID: id, Attempt: n, Outcome: o, Closed: closed}); err != nil {
-					t.Fatal(err)
-				}
-				check()
-			}
-			if rng.IntN(40) == 0 {
-				w := WorkerInfo{Worker: fmt.Sprint("w", rng.IntN(6)), Weight: 1}
-				w.Zone, w.Cell = d.workersByName[w.Worker].Zone, d.workersByName[w.Worker].Cell
-				if rng.IntN(2) == 0 {
-					w.State = Leaving
-				}
-				drained[w.Worker] = w.State == Leaving
-				d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{w})
-				check()
+			p.check()
+			p.endSome()
+			if p.rng.IntN(40) == 0 {
+				p.drainOrReturn()
 			}
 		}
-		for k := range open {
-			var id string
-			var n int
-			fmt.Sscan(k, &id, &n)
-			_ = d.AttemptEnded(h.now, Result{ID: id, Attempt: n, Outcome: Full, Closed: h.ends[id] != ""})
+		p.finish()
+	}
+}
+
+// randomPlay is a Dispatcher under random events.
+type randomPlay struct {
+	t         *testing.T
+	seed      uint64
+	rng       *rand.Rand
+	d         *Dispatcher
+	h         *fake
+	uncertain map[string]string // request to the worker where it may have run
+	class     map[string]int
+	drained   map[string]bool
+	checked   int             // sends
+	open      map[string]sent // by "request attempt"
+}
+
+func newRandomPlay(t *testing.T, seed uint64) *randomPlay {
+	set := settings()
+	set.TellsStart, set.ParallelTries = seed%2 == 0, seed%3 > 0
+	d, h := start(t, set, fleet(6)...)
+	return &randomPlay{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), d: d, h: h,
+		uncertain: map[string]string{}, class: map[string]int{}, drained: map[string]bool{}, open: map[string]sent{}}
+}
+
+// check checks what was sent since the last check.
+func (p *randomPlay) check() {
+	p.t.Helper()
+	for ; p.checked < len(p.h.sends); p.checked++ {
+		s := p.h.sends[p.checked]
+		if p.drained[s.worker] {
+			p.t.Fatalf("seed %d: sent to drained %s", p.seed, s.worker)
+		}
+		if before := p.uncertain[s.id]; before != "" && p.class[s.id] == 2 {
+			p.t.Fatalf("seed %d: unsafe %s sent again", p.seed, s.id)
+		} else if before != "" && p.class[s.id] == 1 && p.d.workersByName[before].Zone != p.d.workersByName[s.worker].Zone {
+			p.t.Fatalf("seed %d: keyed %s left its zone", p.seed, s.id)
 		}
-		h.run(d, h.now+6*time.Second)
-		for id := range class {
-			if h.ends[id] == "" {
-				t.Errorf("seed %d: %s has no end", seed, id)
-			}
+		p.uncertain[s.id] = s.worker
+		p.open[fmt.Sprint(s.id, " ", s.n)] = s
+	}
+}
+
+// endSome ends some attempts at random.
+func (p *randomPlay) endSome() {
+	for _, k := range slices.Sorted(maps.Keys(p.open)) {
+		if p.rng.IntN(4) > 0 {
+			continue
 		}
-		leaked := len(d.requests)
-		for id, r := range d.requests {
-			if r.inFlight > 0 {
-				leaked-- // sent again by the outcomes just above
-			} else {
-				t.Logf("%s: %+v", id, r)
-			}
+		id, n := p.open[k].id, p.open[k].n
+		delete(p.open, k)
+		o := Outcome(p.rng.IntN(8))
+		if p.d.provesNeverRan(o) {
+			delete(p.uncertain, id)
+		}
+		closed := p.h.ends[id] != "" || o == Served
+		if o == Served && p.h.ends[id] == "" {
+			p.h.ends[id] = "served"
 		}
-		if leaked > 0 {
-			t.Errorf("seed %d: %d requests kept", seed, leaked)
+		if err := p.d.AttemptEnded(p.h.now, Result{ID: id, Attempt: n, Outcome: o, Closed: closed}); err != nil {
+			p.t.Fatal(err)
 		}
+		p.check()
+	}
+}
+
+// drainOrReturn has a random worker drain, or come back.
+func (p *randomPlay) drainOrReturn() {
+	w := WorkerInfo{Worker: fmt.Sprint("w", p.rng.IntN(6)), Weight: 1}
+	w.Zone, w.Cell = p.d.workersByName[w.Worker].Zone, p.d.workersByName[w.Worker].Cell
+	if p.rng.IntN(2) == 0 {
+		w.State = Leaving
+	}
+	p.drained[w.Worker] = w.State == Leaving
+	p.d.WorkersUpdated(p.h.now, ListPatch, []WorkerInfo{w})
+	p.check()
+}
+
+// finish ends all that is open and checks that nothing is left.
+func (p *randomPlay) finish() {
+	for _, s := range p.open {
+		_ = p.d.AttemptEnded(p.h.now, Result{ID: s.id, Attempt: s.n, Outcome: Full, Closed: p.h.ends[s.id] != ""})
+	}
+	p.h.run(p.d, p.h.now+6*time.Second)
+	for id := range p.class {
+		if p.h.ends[id] == "" {
+			p.t.Errorf("seed %d: %s has no end", p.seed, id)
+		}
+	}
+	leaked := len(p.d.requests)
+	for id, r := range p.d.requests {
+		if r.inFlight > 0 {
+			leaked-- // sent again by the outcomes just above
+		} else {
+			p.t.Logf("%s: %+v", id, r)
+		}
+	}
+	if leaked > 0 {
+		p.t.Errorf("seed %d: %d requests kept", p.seed, leaked)
 	}
 }
 
@@ -850,11 +875,11 @@
 		"good":          {d.AttemptEnded(h.now, Result{ID: "r", Outcome: Served, Closed: true}), nil},
 		"after its end": {nil, nil},
 	} {
-		if got[0] != got[1] {
+		if !errors.Is(got[0], got[1]) {
 			t.Errorf("%s: error %v, want %v", what, got[0], got[1])
 		}
 	}
-	if err := d.AttemptEnded(h.now, Result{ID: "r"}); err != ErrUnknownRequest {
+	if err := d.AttemptEnded(h.now, Result{ID: "r"}); !errors.Is(err, ErrUnknownRequest) {
 		t.Errorf("outcome after the end: %v", err)
 	}
 	d.ClientDisconnected(h.now, "r")
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -9,7 +9,7 @@
 // Guards against jobs under way that change their class with the settings, against
 // attempts beyond a lower number, and against work that stays on the books of a class
 // which is gone.
-func TestRetune(t *testing.T) {
+func TestUpdateSettings(t *testing.T) {
 	set := settings()
 	d, h := start(t, set, fleet(3)...)
 	h.ask(d, "once", 2)
@@ -38,6 +38,12 @@
 	if h.ends["free"] != "refused" || h.tries["free"] != 1 { // 1 attempt now; by its class it is harmless to try again
 		t.Errorf("was %q after %d attempts", h.ends["free"], h.tries["free"])
 	}
+	checkRequestsOfFormerClasses(t, d, h, next)
+}
+
+// checkRequestsOfFormerClasses goes on with a request that is older than the settings, and with new ones.
+func checkRequestsOfFormerClasses(t *testing.T, d *Dispatcher, h *fake, next Settings) {
+	t.Helper()
 	next.MaxAttempts = 4
 	if err := d.UpdateSettings(next); err != nil {
 		t.Fatal(err)
@@ -73,7 +79,7 @@
 }
 
 // Held jobs stay held, with their work on the books of their former class.
-func TestRetuneWithHeldJobs(t *testing.T) {
+func TestUpdateSettingsWithPendingRequests(t *testing.T) {
 	set := settings()
 	d, h := start(t, set)
 	for i := range 3 {
--- a/rules_test.go
+++ b/rules_test.go
@@ -499,21 +499,11 @@
 		done time.Duration
 		id   string
 	}
-	var all []*Dispatcher
-	var hosts []*fake
+	all, hosts := startAlike(t, set, peers, workers)
 	began := time.Hour + 10*time.Second
 	got := map[string][]sent{} // by cold worker
 	work := map[string]float64{}
 	open := make([][]job, peers)
-	for i := range peers {
-		h := &fake{t: t, now: time.Hour, tries: map[string]int{}, ends: map[string]string{}}
-		d, err := New(set, uint64(i), h)
-		if err != nil {
-			t.Fatal(err)
-		}
-		d.WorkersUpdated(h.now, ListStale, fleet(workers))
-		all, hosts = append(all, d), append(hosts, h)
-	}
 	const tick = 10 * ms
 	for now := time.Hour; now < began+15*time.Second; now += tick {
 		for i := range peers {
@@ -557,7 +547,30 @@
 			open[i] = keep
 		}
 	}
-	over, sends := 0, 0
+	sends, over := overloads(got, work, set, cores, began)
+	if sends < 100 || over > 0 {
+		t.Errorf("%d of %d sends to cold workers over the limit", over, sends)
+	}
+}
+
+// startAlike starts dispatchers that know the same workers.
+func startAlike(t *testing.T, set Settings, peers, workers int) (all []*Dispatcher, hosts []*fake) {
+	t.Helper()
+	for i := range peers {
+		h := &fake{t: t, now: time.Hour, tries: map[string]int{}, ends: map[string]string{}}
+		d, err := New(set, uint64(i), h)
+		if err != nil {
+			t.Fatal(err)
+		}
+		d.WorkersUpdated(h.now, ListStale, fleet(workers))
+		all, hosts = append(all, d), append(hosts, h)
+	}
+	return all, hosts
+}
+
+// overloads counts the sends to workers that warm up, and of them those by which a worker got more within the window
+// than it may: more than one job, and over the limit and a tenth for chance.
+func overloads(got map[string][]sent, work map[string]float64, set Settings, cores float64, began time.Duration) (sends, over int) {
 	for _, all := range got {
 		sends += len(all)
 		for k, last := range all {
@@ -569,13 +582,11 @@
 			}
 			part := 0.15 + 0.85*(last.at-began).Seconds()/20
 			if most := set.FallMultiple * part * cores * set.Fall.Seconds(); sum > 1.1*most && sum > work[last.id]+0.01 {
-				over++ // more than one job, and over the limit and a tenth for chance
+				over++
 			}
 		}
 	}
-	if sends < 100 || over > 0 {
-		t.Errorf("%d of %d sends to cold workers over the limit", over, sends)
-	}
+	return sends, over
 }
 
 // A further attempt that was held is checked when it is sent: what was left of
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -1,6 +1,7 @@
 package sedgevale
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -44,6 +45,27 @@
 	return names
 }
 
+// tenantNumbers are a tenant's figures that no other tenant may change.
+type tenantNumbers struct {
+	deficit, limit, localShare, tokens, quota, arrivals, inFlight, pendingSlots, weight float64
+	tokensAt                                                                            time.Duration
+	sentJobs                                                                            uint64
+	openRequests                                                                        int
+}
+
+func (t *tenant) numbers() tenantNumbers {
+	return tenantNumbers{
+		deficit: t.deficit, limit: t.limit, localShare: t.localShare, tokens: t.tokens, quota: t.quota, arrivals: t.arrivals,
+		inFlight: t.inFlight, pendingSlots: t.pendingSlots, weight: t.weight,
+		tokensAt: t.tokensAt, sentJobs: t.sentJobs, openRequests: t.openRequests,
+	}
+}
+
+func (t *tenant) sameLists(other *tenant) bool {
+	return slices.Equal(t.sendShares, other.sendShares) && slices.Equal(t.usedWorkers, other.usedWorkers) &&
+		slices.Equal(t.recentWorkers, other.recentWorkers) && slices.Equal(t.queue, other.queue) && slices.Equal(t.pendingWork, other.pendingWork)
+}
+
 // Guards what other tenants have when some come, go and change: their order, whose turn it is, their credit, what
 // they have learned and what they hold stay to the bit.
 func TestOtherTenantsStayToTheBit(t *testing.T) {
@@ -62,6 +84,12 @@
 	if d.pendingRequests == 0 || d.tenants[0].deficit == 0 && d.tenants[1].deficit == 0 {
 		t.Fatalf("nothing is held, or nobody has credit: %d", d.pendingRequests)
 	}
+	checkOthersStay(t, d, set)
+}
+
+// checkOthersStay changes the tenants, and checks that those that stay go on as they were.
+func checkOthersStay(t *testing.T, d *Dispatcher, set Settings) {
+	t.Helper()
 	turn, credited := d.tenants[d.turn], d.turnCredited
 	before := []tenant{*d.tenants[0], *d.tenants[2]}
 	next := set
@@ -74,23 +102,33 @@
 	}
 	for i, at := range []int{0, 2} {
 		was, is := before[i], *d.tenants[at]
-		if was.deficit != is.deficit || was.limit != is.limit || was.localShare != is.localShare || was.tokens != is.tokens || was.tokensAt != is.tokensAt ||
-			was.quota != is.quota || was.arrivals != is.arrivals || was.sentJobs != is.sentJobs || was.inFlight != is.inFlight || was.pendingSlots != is.pendingSlots ||
-			was.weight != is.weight || was.openRequests != is.openRequests || !slices.Equal(was.sendShares, is.sendShares) || !slices.Equal(was.usedWorkers, is.usedWorkers) ||
-			!slices.Equal(was.recentWorkers, is.recentWorkers) || !slices.Equal(was.queue, is.queue) || !slices.Equal(was.pendingWork, is.pendingWork) {
+		if was.numbers() != is.numbers() || !was.sameLists(&is) {
 			t.Errorf("tenant %s changed:\n%+v\n%+v", is.name, was, is)
 		}
 	}
+	checkOrderOfTenants(t, d)
+	bad := next
+	bad.Tenants = []Tenant{{"a", 0, 0}}
+	if err := d.UpdateSettings(bad); err == nil || d.turns() != "abcde" || d.tenantsByIndex[1].name != "c" {
+		t.Errorf("settings with a share of 0: error %v, turns %s", err, d.turns())
+	}
+}
+
+// checkOrderOfTenants checks that the settings' order counts for indexes, not for turns.
+func checkOrderOfTenants(t *testing.T, d *Dispatcher) {
+	t.Helper()
 	for i, name := range []string{"e", "c", "b", "a"} {
 		if d.tenantsByIndex[i].name != name || d.TenantIndex(name) != i {
 			t.Errorf("number %d is %s, and %s has number %d", i, d.tenantsByIndex[i].name, name, d.TenantIndex(name))
 		}
 	}
-	if bad := next; true {
-		bad.Tenants = []Tenant{{"a", 0, 0}}
-		if err := d.UpdateSettings(bad); err == nil || d.turns() != "abcde" || d.tenantsByIndex[1].name != "c" {
-			t.Errorf("settings with a share of 0: error %v, turns %s", err, d.turns())
-		}
+}
+
+// serveAll has all that is sent served, also what is sent meanwhile.
+func (h *fake) serveAll(d *Dispatcher) {
+	for done := 0; done < len(h.sends); done++ {
+		h.now += 10 * ms
+		h.over(d, h.sends[done].id, 0, Served)
 	}
 }
 
@@ -114,16 +152,19 @@
 	if got := d.TenantIndex("c"); got != 2 {
 		t.Errorf("it has number %d", got)
 	}
-	for done := 0; done < len(h.sends); done++ {
-		h.now += 10 * ms
-		h.over(d, h.sends[done].id, 0, Served)
-	}
+	h.serveAll(d)
 	for i := range 6 {
 		if id := fmt.Sprint("c", i); h.ends[id] != "served" {
 			t.Errorf("%s ended as %q", id, h.ends[id])
 		}
 	}
 	h.run(d, h.now+roundInterval)
+	checkShareOfRemovedTenant(t, d, h)
+}
+
+// checkShareOfRemovedTenant checks the share of tenant c, which is removed and has no job left.
+func checkShareOfRemovedTenant(t *testing.T, d *Dispatcher, h *fake) {
+	t.Helper()
 	if a, c := d.tenants[0], d.tenants[2]; c.share != 0 || a.share != 2.0/3 {
 		t.Errorf("without a job it has a share of %v, and a has %v", c.share, a.share)
 	}
@@ -136,7 +177,7 @@
 	if d.turns() != "ab" || d.removedTenants != 0 || d.TenantIndex("c") != -1 {
 		t.Errorf("turns %s, %d gone, number %d", d.turns(), d.removedTenants, d.TenantIndex("c"))
 	}
-	if err := d.SubmitRequest(h.now, Request{ID: "never", Tenant: 2, Left: time.Second}); err != ErrBadRequest {
+	if err := d.SubmitRequest(h.now, Request{ID: "never", Tenant: 2, Left: time.Second}); !errors.Is(err, ErrBadRequest) {
 		t.Errorf("a job of nobody: %v", err)
 	}
 }
@@ -212,10 +253,7 @@
 		t.Fatal(err)
 	}
 	h.askFor(d, "again", -1, 5*time.Second)
-	for done := 0; done < len(h.sends); done++ {
-		h.now += 10 * ms
-		h.over(d, h.sends[done].id, 0, Served)
-	}
+	h.serveAll(d)
 	if len(h.sends) != 7 {
 		t.Errorf("%d of 7 jobs were sent", len(h.sends))
 	}
@@ -226,106 +264,137 @@
 // the settings.
 func TestTenantsModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		names := "abcdef"
-		draw := func(label string) Settings {
-			set := settings()
-			for _, n := range rapid.Permutation([]byte(names)).Draw(r, label)[:rapid.IntRange(0, 5).Draw(r, "many")] {
-				set.Tenants = append(set.Tenants, Tenant{Name: string(n), Share: float64(rapid.IntRange(1, 9).Draw(r, "share")),
-					Quota: float64(rapid.IntRange(0, 3).Draw(r, "quota"))})
-			}
-			return set
-		}
-		set := draw("first")
-		d, h := start(t, set, fleet(rapid.IntRange(0, 3).Draw(r, "workers"))...)
-		left := map[string]time.Duration{} // when each name was last in the settings
-		asked, done := 0, 0
+		m := &tenantsModel{set: drawTenants(r, "first"), left: map[string]time.Duration{}}
+		m.d, m.h = start(t, m.set, fleet(rapid.IntRange(0, 3).Draw(r, "workers"))...)
 		r.Repeat(map[string]func(*rapid.T){
-			"retune": func(r *rapid.T) {
-				for _, v := range set.Tenants {
-					left[v.Name] = h.now
-				}
-				set = draw("next")
-				if err := d.UpdateSettings(set); err != nil {
-					r.Fatal(err)
-				}
-			},
-			"ask": func(r *rapid.T) {
-				number := -1
-				if n := len(set.Tenants); n > 0 {
-					number = rapid.IntRange(0, n-1).Draw(r, "tenant")
-				}
-				if err := d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", asked), Tenant: number, Left: 2 * time.Second, Hint: 50 * ms}); err != nil {
-					r.Fatal(err)
-				}
-				asked++
-			},
-			"ask late": func(r *rapid.T) {
-				name := string(names[rapid.IntRange(0, 5).Draw(r, "name")])
-				if number := d.TenantIndex(name); number >= 0 {
-					if err := d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", asked), Tenant: number, Left: time.Second, Hint: 50 * ms}); err != nil {
-						r.Fatal(err)
-					}
-					if got := d.requests[fmt.Sprint("r", asked)]; got != nil && got.tenant.name != name {
-						r.Fatalf("a job of %s is %s's", name, got.tenant.name)
-					}
-					asked++
-				} else if at, was := left[name]; was && h.now < at+5*time.Second {
-					r.Fatalf("%s is forgotten %v after it went", name, h.now-at)
-				}
-			},
-			"end": func(r *rapid.T) {
-				for ; done < len(h.sends); done++ {
-					s := h.sends[done]
-					if err := d.AttemptEnded(h.now, Result{ID: s.id, Attempt: s.n, Outcome: Served, Closed: true}); err == nil {
-						if h.ends[s.id] == "" {
-							h.ends[s.id] = "served"
-						}
-						done++
-						return
-					}
-				}
-			},
+			"retune":   m.updateSettings,
+			"ask":      m.ask,
+			"ask late": m.askLate,
+			"end":      m.endOne,
 			"wait": func(r *rapid.T) {
-				h.run(d, h.now+time.Duration(rapid.IntRange(1, 7000).Draw(r, "ms"))*ms)
-			},
-			"": func(r *rapid.T) {
-				seen, open, sum := map[*tenant]bool{}, 0, 0.0
-				for _, v := range d.tenants {
-					if seen[v] {
-						r.Fatalf("%s has two turns", v.name)
-					}
-					seen[v], open, sum = true, open+v.openRequests, sum+v.share
-					if len(v.pendingWork) != len(d.classesInUse) || v.openRequests < 0 {
-						r.Fatalf("%s: %d classes of %d, %d open", v.name, len(v.pendingWork), len(d.classesInUse), v.openRequests)
-					}
-				}
-				if len(d.tenantsByIndex) != max(1, len(set.Tenants)) || len(d.tenants) != len(d.tenantsByIndex)+d.removedTenants || open != len(d.requests) || math.Abs(sum-1) > 1e-9 {
-					r.Fatalf("%d named of %d, %d turns, %d gone, %d open of %d, shares add up to %v", len(d.tenantsByIndex), len(set.Tenants),
-						len(d.tenants), d.removedTenants, open, len(d.requests), sum)
-				}
-				for i, v := range set.Tenants {
-					if got := d.tenantsByIndex[i]; got.name != v.Name || got.weight != v.Share || got.quota != quotaFactor*v.Quota || got.removed || !seen[got] {
-						r.Fatalf("tenant %d is %+v, settings say %+v", i, got, v)
-					}
-				}
-				if d.turn >= len(d.tenants) {
-					r.Fatalf("the turn is that of %d of %d", d.turn, len(d.tenants))
-				}
+				m.h.run(m.d, m.h.now+time.Duration(rapid.IntRange(1, 7000).Draw(r, "ms"))*ms)
 			},
+			"": m.check,
 		})
-		h.run(d, h.now+10*time.Second)
-		for i := range asked {
-			if id := fmt.Sprint("r", i); h.ends[id] == "" {
-				r.Fatalf("%s has no end", id)
+		m.finish(r)
+	})
+}
+
+const modelTenants = "abcdef"
+
+func drawTenants(r *rapid.T, label string) Settings {
+	set := settings()
+	for _, n := range rapid.Permutation([]byte(modelTenants)).Draw(r, label)[:rapid.IntRange(0, 5).Draw(r, "many")] {
+		set.Tenants = append(set.Tenants, Tenant{Name: string(n), Share: float64(rapid.IntRange(1, 9).Draw(r, "share")),
+			Quota: float64(rapid.IntRange(0, 3).Draw(r, "quota"))})
+	}
+	return set
+}
+
+type tenantsModel struct {
+	set         Settings
+	d           *Dispatcher
+	h           *fake
+	left        map[string]time.Duration // when each name was last in the settings
+	asked, done int
+}
+
+func (m *tenantsModel) updateSettings(r *rapid.T) {
+	for _, v := range m.set.Tenants {
+		m.left[v.Name] = m.h.now
+	}
+	m.set = drawTenants(r, "next")
+	if err := m.d.UpdateSettings(m.set); err != nil {
+		r.Fatal(err)
+	}
+}
+
+func (m *tenantsModel) ask(r *rapid.T) {
+	number := -1
+	if n := len(m.set.Tenants); n > 0 {
+		number = rapid.IntRange(0, n-1).Draw(r, "tenant")
+	}
+	if err := m.d.SubmitRequest(m.h.now, Request{ID: fmt.Sprint("r", m.asked), Tenant: number, Left: 2 * time.Second, Hint: 50 * ms}); err != nil {
+		r.Fatal(err)
+	}
+	m.asked++
+}
+
+// askLate asks for a tenant that may be removed, as from a queue before the Dispatcher.
+func (m *tenantsModel) askLate(r *rapid.T) {
+	name := string(modelTenants[rapid.IntRange(0, 5).Draw(r, "name")])
+	if number := m.d.TenantIndex(name); number >= 0 {
+		if err := m.d.SubmitRequest(m.h.now, Request{ID: fmt.Sprint("r", m.asked), Tenant: number, Left: time.Second, Hint: 50 * ms}); err != nil {
+			r.Fatal(err)
+		}
+		if got := m.d.requests[fmt.Sprint("r", m.asked)]; got != nil && got.tenant.name != name {
+			r.Fatalf("a job of %s is %s's", name, got.tenant.name)
+		}
+		m.asked++
+	} else if at, was := m.left[name]; was && m.h.now < at+5*time.Second {
+		r.Fatalf("%s is forgotten %v after it went", name, m.h.now-at)
+	}
+}
+
+func (m *tenantsModel) endOne(*rapid.T) {
+	for ; m.done < len(m.h.sends); m.done++ {
+		s := m.h.sends[m.done]
+		if err := m.d.AttemptEnded(m.h.now, Result{ID: s.id, Attempt: s.n, Outcome: Served, Closed: true}); err == nil {
+			if m.h.ends[s.id] == "" {
+				m.h.ends[s.id] = "served"
 			}
+			m.done++
+			return
 		}
-		h.run(d, h.now+10*time.Second)
-		for ; done < len(h.sends); done++ {
-			_ = d.AttemptEnded(h.now, Result{ID: h.sends[done].id, Attempt: h.sends[done].n, Outcome: Cancelled})
+	}
+}
+
+func (m *tenantsModel) check(r *rapid.T) {
+	d := m.d
+	seen, open, sum := map[*tenant]bool{}, 0, 0.0
+	for _, v := range d.tenants {
+		if seen[v] {
+			r.Fatalf("%s has two turns", v.name)
 		}
-		h.run(d, h.now+10*time.Second)
-		if d.removedTenants != 0 || len(d.requests) != 0 {
-			r.Fatalf("in the end %d are gone and still there, with %d requests", d.removedTenants, len(d.requests))
+		seen[v], open, sum = true, open+v.openRequests, sum+v.share
+		if len(v.pendingWork) != len(d.classesInUse) || v.openRequests < 0 {
+			r.Fatalf("%s: %d classes of %d, %d open", v.name, len(v.pendingWork), len(d.classesInUse), v.openRequests)
 		}
-	})
+	}
+	if len(d.tenantsByIndex) != max(1, len(m.set.Tenants)) || len(d.tenants) != len(d.tenantsByIndex)+d.removedTenants || open != len(d.requests) || math.Abs(sum-1) > 1e-9 {
+		r.Fatalf("%d named of %d, %d turns, %d gone, %d open of %d, shares add up to %v", len(d.tenantsByIndex), len(m.set.Tenants),
+			len(d.tenants), d.removedTenants, open, len(d.requests), sum)
+	}
+	m.checkSettings(r, seen)
+	if d.turn >= len(d.tenants) {
+		r.Fatalf("the turn is that of %d of %d", d.turn, len(d.tenants))
+	}
+}
+
+// checkSettings checks the tenants of the settings, each of which has a turn.
+func (m *tenantsModel) checkSettings(r *rapid.T, seen map[*tenant]bool) {
+	for i, v := range m.set.Tenants {
+		if got := m.d.tenantsByIndex[i]; got.name != v.Name || got.weight != v.Share || got.quota != quotaFactor*v.Quota || got.removed || !seen[got] {
+			r.Fatalf("tenant %d is %+v, settings say %+v", i, got, v)
+		}
+	}
+}
+
+// finish checks that each job has one end, and that nothing is left.
+func (m *tenantsModel) finish(r *rapid.T) {
+	d, h := m.d, m.h
+	h.run(d, h.now+10*time.Second)
+	for i := range m.asked {
+		if id := fmt.Sprint("r", i); h.ends[id] == "" {
+			r.Fatalf("%s has no end", id)
+		}
+	}
+	h.run(d, h.now+10*time.Second)
+	for ; m.done < len(h.sends); m.done++ {
+		_ = d.AttemptEnded(h.now, Result{ID: h.sends[m.done].id, Attempt: h.sends[m.done].n, Outcome: Cancelled})
+	}
+	h.run(d, h.now+10*time.Second)
+	if d.removedTenants != 0 || len(d.requests) != 0 {
+		r.Fatalf("in the end %d are gone and still there, with %d requests", d.removedTenants, len(d.requests))
+	}
 }
