--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -71,11 +71,11 @@
 func TestExpiry(t *testing.T) {
 	keyed := &sedgevale.Class{Effect: sedgevale.Keyed, Window: time.Second}
 	x := &Exchange{Job: Job{Class: keyed}}
-	if got := x.expiry(); got != 0 {
+	if got := x.retryExpiry(); got != 0 {
 		t.Errorf("of a first attempt: %v", got)
 	}
-	x.attempts = []*Attempt{{sent: time.Second, over: true, unseen: true}, {sent: 3 * time.Second, over: true}, {sent: 4 * time.Second}}
-	if got := x.expiry(); got != 4*time.Second-windowMargin {
+	x.attempts = []*Attempt{{dispatchedAt: time.Second, ended: true, neverRan: true}, {dispatchedAt: 3 * time.Second, ended: true}, {dispatchedAt: 4 * time.Second}}
+	if got := x.retryExpiry(); got != 4*time.Second-dedupWindowMargin {
 		t.Errorf("after one that may have run: %v", got)
 	}
 	a := &Attempt{expiry: 4 * time.Second}
@@ -83,7 +83,7 @@
 		t.Error("the wrong moment")
 	}
 	x.Class = &sedgevale.Class{Effect: sedgevale.Unsafe}
-	if got := x.expiry(); got != 0 {
+	if got := x.retryExpiry(); got != 0 {
 		t.Errorf("of another class: %v", got)
 	}
 }
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -59,14 +59,14 @@
 // It belongs to its Planner from the moment it is handed in.
 type Exchange struct {
 	Job
-	client   Client
-	deadline time.Duration // on the Planner's clock
-	attempts []*Attempt
-	out      int
-	answered bool
-	last     sedgevale.Outcome // of the attempt that ended last
-	journal  Journal           // nil: the job is not recorded
-	record   uint64            // its number there
+	client       Client
+	deadline     time.Duration // on the Planner's clock
+	attempts     []*Attempt
+	inFlight     int
+	answered     bool
+	lastOutcome  sedgevale.Outcome // of the attempt that ended last
+	journal      Journal           // nil: the job is not recorded
+	recordNumber uint64            // its number there
 }
 
 // NewExchange returns an Exchange for a job whose client waits up to the
@@ -79,14 +79,14 @@
 	if !x.answered {
 		x.answered = true
 		if x.journal != nil {
-			x.journal.Answered(x.record, a)
+			x.journal.Answered(x.recordNumber, a)
 		}
 		x.client.Answer(a)
 	}
 }
 
 // mayHaveRun reports whether an attempt may have run.
-func (x *Exchange) mayHaveRun() bool { return x.ran(nil) }
+func (x *Exchange) mayHaveRun() bool { return x.mayHaveRunBesides(nil) }
 
 // Attempt is one sending of an Exchange to a worker.
 type Attempt struct {
@@ -99,11 +99,11 @@
 
 	timer        *timer
 	attemptTally               //lint:ignore U1000 it is empty in builds without the tally tag
-	sent         time.Duration // on the Clock: when it was given out
+	dispatchedAt time.Duration // on the Clock: when it was given out
 	expiry       time.Duration // on the Clock: not to be sent from then on; 0: its Deadline alone
-	held         bool          // not given to the carrier yet: its intent is not on record
-	over         bool
-	unseen       bool // over, and it never ran
+	awaitsIntent bool          // not given to the carrier yet: its intent is not on record
+	ended        bool
+	neverRan     bool // over, and it never ran
 }
 
 // Expired reports whether the time is over in which an attempt may begin: that in which
@@ -124,13 +124,13 @@
 // Clock is the one clock of the program: it never jumps, and Unix times can be
 // found on it.
 type Clock struct {
-	start time.Time
-	unix  time.Duration
+	start     time.Time
+	startUnix time.Duration
 }
 
-// origin is how far the Clock's zero lies before its start, so that what
+// clockOrigin is how far the Clock's zero lies before its start, so that what
 // happened not long before has a time of its own. Zero means long ago.
-const origin = 24 * time.Hour
+const clockOrigin = 24 * time.Hour
 
 // NewClock returns a Clock.
 func NewClock() Clock {
@@ -142,7 +142,7 @@
 func (c Clock) Now() time.Duration { return c.At(time.Now()) }
 
 // At returns the time at which time.Now gave t.
-func (c Clock) At(t time.Time) time.Duration { return t.Sub(c.start) + origin }
+func (c Clock) At(t time.Time) time.Duration { return t.Sub(c.start) + clockOrigin }
 
 // FromUnixMilli returns the time of a Unix time; 0 and what lies before the
 // Clock's own zero are long ago.
@@ -150,7 +150,7 @@
 	if ms <= 0 || ms > 1<<50 {
 		return 0
 	}
-	return max(0, time.Duration(ms)*time.Millisecond-c.unix+origin)
+	return max(0, time.Duration(ms)*time.Millisecond-c.startUnix+clockOrigin)
 }
 
 // Left returns how long the client still waits.
--- a/internal/dispatch/journal.go
+++ b/internal/dispatch/journal.go
@@ -24,76 +24,76 @@
 	Gone(number uint64)
 }
 
-// fullAfter is when a client may come again whose job cannot be recorded, where the
+// unrecordedRetryAfter is when a client may come again whose job cannot be recorded, where the
 // settings allow to say so.
-const fullAfter = time.Second
+const unrecordedRetryAfter = time.Second
 
 // Record has jobs recorded in a journal. It must be called before Run.
 func (p *Planner) Record(j Journal) { p.journal = j }
 
 // Recorded reports whether the attempt's job is kept in a journal, which then wants to
 // hear of its sending.
-func (a *Attempt) Recorded() bool { return a.record != 0 }
+func (a *Attempt) Recorded() bool { return a.recordNumber != 0 }
 
 // Sent tells that an attempt's bytes were written to its worker's connection. Only a
 // Recorded attempt's need be told.
-func (p *Planner) Sent(a *Attempt) { p.box.Put(event{kind: evSent, a: a}) }
+func (p *Planner) Sent(a *Attempt) { p.queue.Put(event{kind: eventSent, attempt: a}) }
 
-// take asks the journal for a job, and reports whether it may be taken in.
-func (p *Planner) take(x *Exchange) bool {
+// registerInJournal asks the journal for a job, and reports whether it may be taken in.
+func (p *Planner) registerInJournal(x *Exchange) bool {
 	if p.journal == nil {
 		return true
 	}
 	number, ok := p.journal.Take(&x.Job)
-	if x.record = number; number != 0 {
+	if x.recordNumber = number; number != 0 {
 		x.journal = p.journal
 	}
 	return ok
 }
 
-// carry sends an attempt, once its intent is on record if it is to be.
-func (p *Planner) carry(a *Attempt) {
-	if a.record == 0 {
+// sendAttempt sends an attempt, once its intent is on record if it is to be.
+func (p *Planner) sendAttempt(a *Attempt) {
+	if a.recordNumber == 0 {
 		p.carrier.Send(a)
 		return
 	}
-	a.held = true
-	p.journal.Intent(a.record, a.Number, a.ID, a.Worker, func(ok bool) {
-		p.box.Put(event{kind: evIntended, a: a, ok: ok})
+	a.awaitsIntent = true
+	p.journal.Intent(a.recordNumber, a.Number, a.ID, a.Worker, func(ok bool) {
+		p.queue.Put(event{kind: eventIntentRecorded, attempt: a, ok: ok})
 	})
 }
 
-// intended is told what became of an intent. The worker may have begun to drain since,
+// intentRecorded is told what became of an intent. The worker may have begun to drain since,
 // which the carrier checks.
-func (p *Planner) intended(a *Attempt, ok bool) {
-	if !a.held || a.over {
+func (p *Planner) intentRecorded(a *Attempt, ok bool) {
+	if !a.awaitsIntent || a.ended {
 		return
 	}
 	if !ok {
-		p.turnBack(a)
+		p.rejectUnrecorded(a)
 		return
 	}
-	a.held = false
+	a.awaitsIntent = false
 	p.carrier.Send(a)
 }
 
-// turnBack refuses the job of an attempt that was not sent, since that could not be
+// rejectUnrecorded refuses the job of an attempt that was not sent, since that could not be
 // recorded in time. What was sent of the job before stands.
-func (p *Planner) turnBack(a *Attempt) {
+func (p *Planner) rejectUnrecorded(a *Attempt) {
 	if x := a.Exchange; !x.answered {
-		if x.ran(a) {
+		if x.mayHaveRunBesides(a) {
 			x.answer(Answer{Kind: Failed, Reason: "it cannot be recorded where it goes next", Ran: true})
 		} else {
-			x.answer(Answer{Kind: Refused, After: min(fullAfter, p.set.MaxRetryAfter), Reason: "it cannot be recorded"})
+			x.answer(Answer{Kind: Refused, After: min(unrecordedRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
 		}
 	}
-	p.ended(a, sedgevale.NotSent, nil, nil)
+	p.endAttempt(a, sedgevale.NotSent, nil, nil)
 }
 
-// ran reports whether an attempt but this one may have run.
-func (x *Exchange) ran(but *Attempt) bool {
+// mayHaveRunBesides reports whether an attempt but this one may have run.
+func (x *Exchange) mayHaveRunBesides(but *Attempt) bool {
 	for _, a := range x.attempts {
-		if a != but && (!a.over || !a.unseen) {
+		if a != but && (!a.ended || !a.neverRan) {
 			return true
 		}
 	}
--- a/internal/dispatch/journal_test.go
+++ b/internal/dispatch/journal_test.go
@@ -70,7 +70,7 @@
 	t.Helper()
 	p, carry, clock := begin(t, "w")
 	b := &book{intents: make(chan func(bool), 16)}
-	p.call(func() { p.Record(b) })
+	p.enqueueCall(func() { p.Record(b) })
 	return p, carry, clock, b
 }
 
@@ -154,7 +154,7 @@
 	p, carry, clock, b := recorded(t)
 	p.Request(once("r", clock.Now()+5*time.Second, newClient()))
 	durable := testkit.Await(t, "an intent", b.intents)
-	p.call(func() { panic("a fault") })
+	p.enqueueCall(func() { panic("a fault") })
 	openNow(t, p)
 	durable(true)
 	if n := openNow(t, p); n != 0 || len(carry.sent) != 0 {
--- a/internal/dispatch/planner_host.go
+++ b/internal/dispatch/planner_host.go
@@ -8,7 +8,7 @@
 
 // Send is called by the Dispatcher.
 func (p *Planner) Send(id, worker string, timeout time.Duration) {
-	x := p.open[id]
+	x := p.exchanges[id]
 	if x == nil {
 		return
 	}
@@ -17,44 +17,44 @@
 	if timeout > 0 {
 		a.Deadline = min(a.Deadline, p.now+timeout)
 	}
-	a.sent, a.expiry = p.now, x.expiry()
+	a.dispatchedAt, a.expiry = p.now, x.retryExpiry()
 	p.tally.sent(a, p.now)
 	x.attempts = append(x.attempts, a)
-	x.out++
-	p.changed = true
-	a.timer = &timer{at: a.Deadline, attempt: a}
-	p.arm(a.timer)
-	p.carry(a)
+	x.inFlight++
+	p.loadChanged = true
+	a.timer = &timer{due: a.Deadline, attempt: a}
+	p.setTimer(a.timer)
+	p.sendAttempt(a)
 }
 
 // Reject is called by the Dispatcher.
 func (p *Planner) Reject(id string, after time.Duration) {
-	if x := p.open[id]; x != nil {
+	if x := p.exchanges[id]; x != nil {
 		p.tally.refuse()
 		x.answer(Answer{Kind: Refused, After: after, Reason: "cannot be in time"})
-		p.withdraw(x)
-		p.forget(x)
+		p.withdrawUnsent(x)
+		p.forgetIfDone(x)
 	}
 }
 
 // Fail is called by the Dispatcher.
 func (p *Planner) Fail(id string) {
-	if x := p.open[id]; x != nil {
+	if x := p.exchanges[id]; x != nil {
 		p.tally.fail()
-		x.answer(Answer{Kind: Failed, Reason: x.reason(), Ran: x.mayHaveRun()})
-		p.withdraw(x)
-		p.forget(x)
+		x.answer(Answer{Kind: Failed, Reason: x.failureReason(), Ran: x.mayHaveRun()})
+		p.withdrawUnsent(x)
+		p.forgetIfDone(x)
 	}
 }
 
-// withdraw sees to it that nothing more begins for an exchange that is answered, or whose
+// withdrawUnsent sees to it that nothing more begins for an exchange that is answered, or whose
 // client has gone, also where the Dispatcher may call nothing off: what is being dialled, or
 // waits to be recorded.
-func (p *Planner) withdraw(x *Exchange) {
+func (p *Planner) withdrawUnsent(x *Exchange) {
 	for _, a := range x.attempts {
 		switch {
-		case a.over:
-		case a.held:
+		case a.ended:
+		case a.awaitsIntent:
 			p.Ended(a, sedgevale.NotSent, nil, nil)
 		default:
 			p.carrier.Withdraw(a)
@@ -64,12 +64,12 @@
 
 // Cancel is called by the Dispatcher.
 func (p *Planner) Cancel(id string, attempt int) {
-	x := p.open[id]
-	if x == nil || attempt >= len(x.attempts) || x.attempts[attempt].over {
+	x := p.exchanges[id]
+	if x == nil || attempt >= len(x.attempts) || x.attempts[attempt].ended {
 		return
 	}
 	p.tally.cancel()
-	if a := x.attempts[attempt]; a.held { // the carrier does not have it
+	if a := x.attempts[attempt]; a.awaitsIntent { // the carrier does not have it
 		p.Ended(a, sedgevale.NotSent, nil, nil)
 	} else {
 		p.carrier.Cancel(a)
@@ -78,7 +78,7 @@
 
 // SetTimer is called by the Dispatcher.
 func (p *Planner) SetTimer(after time.Duration, token uint64) {
-	p.arm(&timer{at: p.now + after, token: token})
+	p.setTimer(&timer{due: p.now + after, token: token})
 }
 
 // Probe is called by the Dispatcher.
@@ -93,28 +93,28 @@
 // Log is called by the Dispatcher.
 func (p *Planner) Log(text string) { p.log.Warn(text) }
 
-// windowMargin is kept of the window in which workers drop repeats, for the way to them.
-const windowMargin = 10 * time.Millisecond
+// dedupWindowMargin is kept of the window in which workers drop repeats, for the way to them.
+const dedupWindowMargin = 10 * time.Millisecond
 
-// expiry returns until when a further attempt may begin, or 0: until the end of the window
+// retryExpiry returns until when a further attempt may begin, or 0: until the end of the window
 // of the first that may have run, where workers drop repeats at all.
-func (x *Exchange) expiry() time.Duration {
+func (x *Exchange) retryExpiry() time.Duration {
 	if x.Class.Effect != sedgevale.Keyed {
 		return 0
 	}
 	for _, a := range x.attempts {
-		if !a.unseen {
-			return max(1, a.sent+x.Class.Window-windowMargin)
+		if !a.neverRan {
+			return max(1, a.dispatchedAt+x.Class.Window-dedupWindowMargin)
 		}
 	}
 	return 0
 }
 
-func (x *Exchange) reason() string {
-	if x.out > 0 {
+func (x *Exchange) failureReason() string {
+	if x.inFlight > 0 {
 		return "no answer in time"
 	}
-	switch x.last {
+	switch x.lastOutcome {
 	case sedgevale.Errored:
 		return "the worker failed"
 	case sedgevale.Lost:
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -172,7 +172,7 @@
 	c := newClient()
 	p.Request(NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c))
 	testkit.Await(t, "an event", carry.sent)
-	p.box.Put(event{kind: evCall, call: func() { panic("fault") }})
+	p.queue.Put(event{kind: eventCall, call: func() { panic("fault") }})
 	if got := testkit.Await(t, "an event", c.first); got.Kind != Failed {
 		t.Errorf("answered %+v", got)
 	}
@@ -282,10 +282,10 @@
 	p, _, _ := begin(t, "w")
 	openNow(t, p) // the list has been read
 	hold, known := make(chan struct{}), make(chan bool, 1)
-	p.box.Put(event{kind: evCall, call: func() { <-hold }})
+	p.queue.Put(event{kind: eventCall, call: func() { <-hold }})
 	events := make(chan string, 200)
 	for range 100 {
-		p.box.Put(event{kind: evCall, call: func() { events <- "client" }})
+		p.queue.Put(event{kind: eventCall, call: func() { events <- "client" }})
 	}
 	p.Cordon("w", true, func(is bool) { events <- "order"; known <- is })
 	close(hold)
@@ -304,7 +304,7 @@
 	done := make(chan bool, 1)
 	p.Cordon("w", true, func(is bool) { done <- is })
 	testkit.Await(t, "the order", done)
-	p.box.Put(event{kind: evCall, call: func() { panic("fault") }})
+	p.queue.Put(event{kind: eventCall, call: func() { panic("fault") }})
 	for i := range 6 {
 		p.Request(NewExchange(Job{ID: string(rune('a' + i)), Class: &classes()[0], Tenant: -1}, clock.Now()+time.Second, newClient()))
 		a := testkit.Await(t, "an attempt", carry.sent)
--- a/internal/dispatch/planner_timers.go
+++ b/internal/dispatch/planner_timers.go
@@ -6,16 +6,16 @@
 )
 
 type timer struct {
-	at      time.Duration
+	due     time.Duration
 	serial  uint64
 	token   uint64
 	attempt *Attempt // its time-out; else the timer is the Dispatcher's
 	index   int      // in the heap; -1: not in it
 }
 
-func (p *Planner) arm(t *timer) {
-	p.serial++
-	t.serial = p.serial
+func (p *Planner) setTimer(t *timer) {
+	p.lastTimer++
+	t.serial = p.lastTimer
 	heap.Push(&p.timers, t)
 }
 
@@ -26,8 +26,8 @@
 func (t timers) Len() int { return len(t) }
 
 func (t timers) Less(i, j int) bool {
-	if t[i].at != t[j].at {
-		return t[i].at < t[j].at
+	if t[i].due != t[j].due {
+		return t[i].due < t[j].due
 	}
 	if first := t[i].attempt != nil; first != (t[j].attempt != nil) {
 		return first
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -27,7 +27,7 @@
 	wg.Wait()
 }
 
-func (s *Set) of(id string) *Planner {
+func (s *Set) plannerOf(id string) *Planner {
 	if len(s.planners) == 1 {
 		return s.planners[0]
 	}
@@ -35,10 +35,10 @@
 }
 
 // Request hands in an Exchange.
-func (s *Set) Request(x *Exchange) { s.of(x.ID).Request(x) }
+func (s *Set) Request(x *Exchange) { s.plannerOf(x.ID).Request(x) }
 
 // Gone tells that an Exchange's client has left.
-func (s *Set) Gone(x *Exchange) { s.of(x.ID).Gone(x) }
+func (s *Set) Gone(x *Exchange) { s.plannerOf(x.ID).Gone(x) }
 
 // Members brings the list of workers to all planners, each with a copy of its own.
 func (s *Set) Members(list sedgevale.ListKind, entries []sedgevale.WorkerInfo) {
@@ -50,7 +50,7 @@
 // Cordon takes a worker out at all planners, or puts it back, and reports whether
 // it is known.
 func (s *Set) Cordon(ctx context.Context, worker string, out bool) (bool, error) {
-	n, err := s.sum(ctx, func(p *Planner, tell func(int)) {
+	n, err := s.sumOverPlanners(ctx, func(p *Planner, tell func(int)) {
 		p.Cordon(worker, out, func(known bool) {
 			if known {
 				tell(1)
@@ -71,7 +71,7 @@
 
 // Alive returns once each planner has had a turn.
 func (s *Set) Alive(ctx context.Context) error {
-	_, err := s.sum(ctx, func(p *Planner, tell func(int)) { p.Alive(func() { tell(0) }) })
+	_, err := s.sumOverPlanners(ctx, func(p *Planner, tell func(int)) { p.Alive(func() { tell(0) }) })
 	return err
 }
 
@@ -80,7 +80,7 @@
 func (s *Set) Share(ctx context.Context, number int, tell func(planner int, s Shared)) ([]Estate, error) {
 	estates := make([]Estate, len(s.planners))
 	at := 0
-	_, err := s.sum(ctx, func(p *Planner, done func(int)) {
+	_, err := s.sumOverPlanners(ctx, func(p *Planner, done func(int)) {
 		i := at
 		at++
 		p.Share(number, func(s Shared) { tell(i, s) }, func(e Estate) {
@@ -128,13 +128,15 @@
 }
 
 // Open returns how many exchanges are not over.
-func (s *Set) Open(ctx context.Context) (int, error) { return s.sum(ctx, (*Planner).Open) }
+func (s *Set) Open(ctx context.Context) (int, error) { return s.sumOverPlanners(ctx, (*Planner).Open) }
 
 // Abandon has all exchanges answered that are not yet, as failed, and returns
 // how many those were.
-func (s *Set) Abandon(ctx context.Context) (int, error) { return s.sum(ctx, (*Planner).Abandon) }
+func (s *Set) Abandon(ctx context.Context) (int, error) {
+	return s.sumOverPlanners(ctx, (*Planner).Abandon)
+}
 
-func (s *Set) sum(ctx context.Context, ask func(*Planner, func(int))) (sum int, err error) {
+func (s *Set) sumOverPlanners(ctx context.Context, ask func(*Planner, func(int))) (sum int, err error) {
 	counts := make(chan int, len(s.planners))
 	for _, p := range s.planners {
 		ask(p, func(n int) { counts <- n })
--- a/internal/dispatch/sharing.go
+++ b/internal/dispatch/sharing.go
@@ -6,8 +6,8 @@
 	"sedgevale"
 )
 
-// shareEvery is the least time between two tellings of a partner.
-const shareEvery = 10 * time.Millisecond
+// shareInterval is the least time between two tellings of a partner.
+const shareInterval = 10 * time.Millisecond
 
 // Shared is what a planner tells its counterpart in the other process of an
 // upgrade: the two are one scheduler. It is not changed any more.
@@ -25,9 +25,9 @@
 
 // partner is the planners of another process.
 type partner struct {
-	tell func(Shared)
-	open map[string]struct{}
-	out  map[int]map[string]sedgevale.Load // by planner
+	send  func(Shared)
+	open  map[string]struct{}
+	loads map[int]map[string]sedgevale.Load // by planner
 }
 
 func newPartner(tell func(Shared)) *partner {
@@ -36,18 +36,18 @@
 
 // sharing is what a Planner keeps of its partners. Without any it costs nothing.
 type sharing struct {
-	partners map[int]*partner
-	next     Shared
-	changed  bool
-	toldAt   time.Duration
+	partners    map[int]*partner
+	next        Shared
+	loadChanged bool
+	sentAt      time.Duration
 }
 
 // Share begins to tell a partner, known by a number, what is done here. Got is
 // given all there is up to now.
 func (p *Planner) Share(number int, tell func(Shared), got func(Estate)) {
-	p.call(func() {
-		e := Estate{Shared{Out: p.d.LoadByWorker()}, p.d.LearnedState(p.now)}
-		for id := range p.open {
+	p.enqueueCall(func() {
+		e := Estate{Shared{Out: p.dispatcher.LoadByWorker()}, p.dispatcher.LearnedState(p.now)}
+		for id := range p.exchanges {
 			e.Shared.Opened = append(e.Shared.Opened, id)
 		}
 		p.partners[number] = newPartner(tell)
@@ -57,15 +57,15 @@
 
 // Adopt takes over what a partner has learned, and begins to tell it.
 func (p *Planner) Adopt(number int, tell func(Shared), learned sedgevale.LearnedState) {
-	p.call(func() {
-		p.d.RestoreLearnedState(p.now, learned)
+	p.enqueueCall(func() {
+		p.dispatcher.RestoreLearnedState(p.now, learned)
 		p.partners[number] = newPartner(tell)
 	})
 }
 
 // Beside brings what one of a partner's planners does.
 func (p *Planner) Beside(number, planner int, s Shared) {
-	p.call(func() {
+	p.enqueueCall(func() {
 		other := p.partners[number]
 		if other == nil {
 			return
@@ -76,37 +76,37 @@
 		for _, id := range s.Ended {
 			delete(other.open, id)
 		}
-		other.out[planner] = s.Out
-		p.reckon()
+		other.loads[planner] = s.Out
+		p.updateSiblingLoad()
 	})
 }
 
 // Part ends the sharing with a partner that is gone.
 func (p *Planner) Part(number int) {
-	p.call(func() {
+	p.enqueueCall(func() {
 		delete(p.partners, number)
-		p.reckon()
+		p.updateSiblingLoad()
 	})
 }
 
-// call has f called among the events: what came before, as a list of workers, counts.
-func (p *Planner) call(f func()) { p.box.Put(event{kind: evCall, call: f}) }
+// enqueueCall has f called among the events: what came before, as a list of workers, counts.
+func (p *Planner) enqueueCall(f func()) { p.queue.Put(event{kind: eventCall, call: f}) }
 
-// reckon tells the module what all partners have out.
-func (p *Planner) reckon() {
+// updateSiblingLoad tells the module what all partners have out.
+func (p *Planner) updateSiblingLoad() {
 	sum := map[string]sedgevale.Load{}
 	for _, other := range p.partners {
-		for _, out := range other.out {
+		for _, out := range other.loads {
 			for worker, l := range out {
 				sum[worker] = sum[worker].Plus(l)
 			}
 		}
 	}
-	p.d.SetSiblingLoad(p.now, sum)
+	p.dispatcher.SetSiblingLoad(p.now, sum)
 }
 
-// elsewhere reports whether a partner has an open job of that id.
-func (p *Planner) elsewhere(id string) bool {
+// openAtPartner reports whether a partner has an open job of that id.
+func (p *Planner) openAtPartner(id string) bool {
 	for _, other := range p.partners {
 		if _, open := other.open[id]; open {
 			return true
@@ -115,33 +115,33 @@
 	return false
 }
 
-func (p *Planner) opened(id string) {
+func (p *Planner) noteOpened(id string) {
 	if len(p.partners) > 0 {
 		p.next.Opened = append(p.next.Opened, id)
-		p.changed = true
+		p.loadChanged = true
 	}
 }
 
-func (p *Planner) over(id string) {
+func (p *Planner) noteEnded(id string) {
 	if len(p.partners) > 0 {
 		p.next.Ended = append(p.next.Ended, id)
-		p.changed = true
+		p.loadChanged = true
 	}
 }
 
-// share tells the partners what has changed, and returns when it wants to again.
-func (p *Planner) share() time.Duration {
-	if len(p.partners) == 0 || !p.changed {
+// notifyPartners tells the partners what has changed, and returns when it wants to again.
+func (p *Planner) notifyPartners() time.Duration {
+	if len(p.partners) == 0 || !p.loadChanged {
 		return time.Hour
 	}
-	if since := p.clock.Now() - p.toldAt; since < shareEvery {
-		return shareEvery - since
+	if since := p.clock.Now() - p.sentAt; since < shareInterval {
+		return shareInterval - since
 	}
-	p.toldAt = p.clock.Now()
-	p.next.Out = p.d.LoadByWorker()
+	p.sentAt = p.clock.Now()
+	p.next.Out = p.dispatcher.LoadByWorker()
 	for _, other := range p.partners {
-		other.tell(p.next)
+		other.send(p.next)
 	}
-	p.next, p.changed = Shared{}, false
+	p.next, p.loadChanged = Shared{}, false
 	return time.Hour
 }
--- a/internal/dispatch/signals.go
+++ b/internal/dispatch/signals.go
@@ -6,73 +6,73 @@
 	"sedgevale"
 )
 
-// signals is what joins a Planner with other schedulers. Without it nothing is kept or told.
-type signals struct {
-	tell    func([]sedgevale.Told) // nil: nobody wants to know
-	told    []sedgevale.Told
-	part    []string
-	sharers int
+// peerSignals is what joins a Planner with other schedulers. Without it nothing is kept or told.
+type peerSignals struct {
+	onLoadChange  func([]sedgevale.Told) // nil: nobody wants to know
+	loadChanges   []sedgevale.Told
+	subset        []string
+	subsetSharers int
 
-	othersMu sync.Mutex
-	others   []sedgevale.Told // of other schedulers, not read yet
-	reading  []sedgevale.Told
+	peerLoadMu   sync.Mutex
+	peerLoad     []sedgevale.Told // of other schedulers, not read yet
+	peerLoadRead []sedgevale.Told
 }
 
 // Signal has tell called with what the planner has out at each worker where that has changed: from the
 // planner's goroutine, so it must not block, nor keep the slice. It must be called before Run.
 func (p *Planner) Signal(tell func([]sedgevale.Told)) {
-	p.tell = tell
-	p.d.TrackLoadChanges()
+	p.onLoadChange = tell
+	p.dispatcher.TrackLoadChanges()
 }
 
 // Others brings what other schedulers have out at some workers. The slice is not kept.
 func (p *Planner) Others(told []sedgevale.Told) {
-	p.othersMu.Lock()
-	p.others = append(p.others, told...)
-	p.othersMu.Unlock()
-	p.poke()
+	p.peerLoadMu.Lock()
+	p.peerLoad = append(p.peerLoad, told...)
+	p.peerLoadMu.Unlock()
+	p.wakeUp()
 }
 
 // Near makes some workers the planner's part of the fleet; see sedgevale.Dispatcher.Part.
 func (p *Planner) Near(workers []string, sharers int) {
-	p.call(func() {
-		p.part, p.sharers = workers, sharers
-		p.d.SetSubset(p.now, workers, sharers)
+	p.enqueueCall(func() {
+		p.subset, p.subsetSharers = workers, sharers
+		p.dispatcher.SetSubset(p.now, workers, sharers)
 	})
 }
 
-// hear gives the module what has come of others.
-func (p *Planner) hear() {
-	p.othersMu.Lock()
-	p.reading, p.others = p.others, p.reading[:0]
-	p.othersMu.Unlock()
-	if len(p.reading) > 0 {
+// readPeerLoad gives the module what has come of others.
+func (p *Planner) readPeerLoad() {
+	p.peerLoadMu.Lock()
+	p.peerLoadRead, p.peerLoad = p.peerLoad, p.peerLoadRead[:0]
+	p.peerLoadMu.Unlock()
+	if len(p.peerLoadRead) > 0 {
 		p.now = p.clock.Now()
-		p.guard(func() { p.d.UpdatePeerLoad(p.now, p.reading) })
+		p.recoverPanics(func() { p.dispatcher.UpdatePeerLoad(p.now, p.peerLoadRead) })
 	}
 }
 
-// signal tells others what has changed here.
-func (p *Planner) signal() {
-	if p.tell == nil {
+// publishLoadChanges tells others what has changed here.
+func (p *Planner) publishLoadChanges() {
+	if p.onLoadChange == nil {
 		return
 	}
-	if p.told = p.d.AppendLoadChanges(p.told[:0]); len(p.told) > 0 {
-		p.tell(p.told)
+	if p.loadChanges = p.dispatcher.AppendLoadChanges(p.loadChanges[:0]); len(p.loadChanges) > 0 {
+		p.onLoadChange(p.loadChanges)
 	}
 }
 
-// anew goes on with a fresh Dispatcher, which has nothing out anywhere. What others have out it hears as
+// republishLoad goes on with a fresh Dispatcher, which has nothing out anywhere. What others have out it hears as
 // that changes.
-func (p *Planner) anew() {
-	if p.tell == nil {
+func (p *Planner) republishLoad() {
+	if p.onLoadChange == nil {
 		return
 	}
-	p.d.TrackLoadChanges()
-	p.d.SetSubset(p.now, p.part, p.sharers)
-	p.told = p.told[:0]
-	for worker := range p.list {
-		p.told = append(p.told, sedgevale.Told{Worker: worker})
+	p.dispatcher.TrackLoadChanges()
+	p.dispatcher.SetSubset(p.now, p.subset, p.subsetSharers)
+	p.loadChanges = p.loadChanges[:0]
+	for worker := range p.workers {
+		p.loadChanges = append(p.loadChanges, sedgevale.Told{Worker: worker})
 	}
-	p.tell(p.told)
+	p.onLoadChange(p.loadChanges)
 }
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -21,11 +21,11 @@
 	startSum                time.Duration
 }
 
-// tallyEvery is how often the line is written, on the planner's clock.
-const tallyEvery = 5 * time.Second
+// tallyInterval is how often the line is written, on the planner's clock.
+const tallyInterval = 5 * time.Second
 
-// startLateAfter is the delay from send to start note that counts as late.
-const startLateAfter = 100 * time.Millisecond
+// lateStartThreshold is the delay from send to start note that counts as late.
+const lateStartThreshold = 100 * time.Millisecond
 
 func (t *tally) sent(a *Attempt, now time.Duration) {
 	a.sentAt = now
@@ -43,7 +43,7 @@
 	t.starts++
 	delay := now - a.sentAt
 	t.startSum += delay
-	if delay > startLateAfter {
+	if delay > lateStartThreshold {
 		t.startLate++
 	}
 }
@@ -51,7 +51,7 @@
 // out writes the line once tallyEvery has passed since the last, if anything
 // was counted, and begins the next.
 func (t *tally) out(log *slog.Logger, now time.Duration) {
-	if now-t.since < tallyEvery {
+	if now-t.since < tallyInterval {
 		return
 	}
 	if t.sends+t.refused+t.failed > 0 {
--- a/internal/dispatch/tally_test.go
+++ b/internal/dispatch/tally_test.go
@@ -26,11 +26,11 @@
 	tl.ended(sedgevale.Cancelled)
 	tl.cancel()
 	tl.fail()
-	tl.out(log, tallyEvery-time.Millisecond)
+	tl.out(log, tallyInterval-time.Millisecond)
 	if buf.Len() != 0 {
-		t.Fatalf("a line before %v: %s", tallyEvery, buf.String())
+		t.Fatalf("a line before %v: %s", tallyInterval, buf.String())
 	}
-	tl.out(log, tallyEvery)
+	tl.out(log, tallyInterval)
 	line := buf.String()
 	for _, want := range []string{"sends=2 ", "further=1 ", "cancels=1 ", "failed=1 ", "served=1 ", "cancelled=1 ",
 		"starts=2 ", "starts_late=1 ", "start_mean_ms=115"} {
@@ -39,7 +39,7 @@
 		}
 	}
 	buf.Reset()
-	tl.out(log, 2*tallyEvery)
+	tl.out(log, 2*tallyInterval)
 	if buf.Len() != 0 {
 		t.Fatalf("a line with nothing counted: %s", buf.String())
 	}
