--- /dev/null
+++ b/accounting.go
@@ -0,0 +1,84 @@
+package sedgevale
+
+// Accounting of slots and attempts in flight.
+
+import (
+	"slices"
+	"time"
+)
+
+// addInFlight adds slots of this dispatcher, or of its sibling, at the worker.
+func (d *Dispatcher) addInFlight(w *worker, slots float64) {
+	d.inFlight += slots
+	d.addOccupied(w, slots)
+	if d.tracksLoadChanges && !w.loadChanged {
+		w.loadChanged = true
+		d.loadChanged = append(d.loadChanged, w)
+	}
+}
+
+// addOccupied adds slots at the worker, whichever dispatcher has them.
+func (d *Dispatcher) addOccupied(w *worker, slots float64) {
+	w.inFlight += slots
+	for i, p := range d.pools {
+		if w.poolPositions[i] < 0 {
+			continue
+		}
+		p.inFlight += slots
+		if w.inSubset {
+			p.subsetInFlight += slots
+		}
+	}
+}
+
+// startAttempt adds an attempt and returns its number.
+func (d *Dispatcher) startAttempt(now time.Duration, r *request, w *worker) int {
+	r.attempts = append(r.attempts, attempt{worker: w, sentAt: now})
+	r.inFlight++
+	r.class.inFlight++
+	r.tenant.inFlight += r.Slots
+	r.tenant.noteSent(w)
+	d.addInFlight(w, r.Slots)
+	w.notStarted++
+	w.freeSlots -= r.Slots
+	w.workSent += r.work
+	w.attempts = append(w.attempts, attemptRef{r, len(r.attempts) - 1})
+	return len(r.attempts) - 1
+}
+
+// endAttempt marks an attempt as ended.
+func (d *Dispatcher) endAttempt(now time.Duration, r *request, a *attempt, o Outcome) {
+	d.writeOff(r, a)
+	a.ended, a.neverRan = true, d.provesNeverRan(o)
+	a.avoidWorker = a.avoidWorker || o != NotSent && o != Cancelled && d.pools[0].active > 1
+	r.inFlight--
+	a.worker.attempts = slices.DeleteFunc(a.worker.attempts, func(ref attemptRef) bool {
+		return ref.request == r && &r.attempts[ref.number] == a
+	})
+	if o == Served || o == Errored || o == Full {
+		a.worker.markAlive(now)
+	}
+}
+
+// writeOff stops counting an attempt as in flight: when it ends, or before.
+func (d *Dispatcher) writeOff(r *request, a *attempt) {
+	if a.writtenOff {
+		return
+	}
+	a.writtenOff = true
+	r.class.inFlight--
+	r.tenant.inFlight -= r.Slots
+	d.addInFlight(a.worker, -r.Slots)
+	if a.startedAt == 0 {
+		a.worker.notStarted--
+	}
+}
+
+// writeBack counts a running attempt as in flight again that was written off, or that
+// had waited until now.
+func (d *Dispatcher) writeBack(r *request, a *attempt) {
+	a.writtenOff = false
+	r.class.inFlight++
+	r.tenant.inFlight += r.Slots
+	d.addInFlight(a.worker, r.Slots)
+}
--- a/api.go
+++ b/api.go
@@ -1,196 +1,52 @@
-// Package sedgevale makes the decisions of a dispatcher that pushes jobs to
-// workers. It does no input or output of its own: the host tells a Dispatcher
-// what happened, and the Dispatcher answers by calls on a Host.
-//
-// A Dispatcher bounds every tenant by a quantile of per-worker limits that it
-// learns from outcomes, holds what is over the bound, releases held jobs
-// fairly by estimated work, refuses early what cannot be in time, and places
-// jobs on workers that hold fewer of its slots than a threshold.
-//
-// Every event takes the host's clock as a [time.Duration] from any fixed
-// origin. A Dispatcher is not safe for concurrent use; several of them in one
-// process share nothing. The same settings, seed and events give the same
-// actions.
 package sedgevale
 
 import (
 	"errors"
-	"fmt"
-	"slices"
 	"time"
 )
 
-// Effect says what a second run of a job would do.
-type Effect uint8
-
-// The effects of a class.
-const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // workers of one group drop repeats for a while
-	Unsafe               // must never run twice
-)
-
-// Scope is the group of workers that drops repeats of a Keyed job.
-type Scope uint8
-
-// The scopes of a Keyed class.
-const (
-	ScopeAll  Scope = iota // all workers
-	ScopeZone              // the workers of one zone
-	ScopeCell              // the workers of one cell
-)
-
-// Class describes one class of jobs.
-type Class struct {
-	Name      string
-	Effect    Effect
-	Scope     Scope         // for Keyed
-	Window    time.Duration // for Keyed: how long a group remembers, from the first send that may have run
-	Aim       time.Duration // an answer within Aim plus Stretch times the job's own running time earns all
-	Stretch   float64
-	Limit     time.Duration // how long a client waits in all, over all its tries
-	LateShare float64       // the part of the worth that an answer after the aim earns
-	Stream    bool          // the answer is streamed; see Dispatcher.StreamBegan
-
-	// The only machine kinds and the only zones whose workers the class may be
-	// sent to. Nil means any; an empty list that is not nil means none at all,
-	// and such a class is only ever refused.
-	Kinds []int
-	Zones []int
-}
-
-// Budget bounds the attempts of one Dispatcher beyond each request's first: in
-// any Span they number at most Free and Ratio times the requests that it took
-// in that Span. The zero Budget does not bind.
-type Budget struct {
-	Free  int
-	Ratio float64
-	Span  time.Duration
-}
-
-// Tenant describes one of those who share the workers.
-type Tenant struct {
-	Name  string
-	Share float64 // its part of the service; only the proportions count
-	Quota float64 // requests a second, over all dispatchers, within its share; 0: not told
-}
-
-// WeightMeaning says what WorkerInfo.Weight stands for.
-type WeightMeaning uint8
-
-// The meanings of weights.
-const (
-	WeightNone WeightMeaning = iota // nothing
-	WeightSize                      // the worker's size, exactly or roughly
-	WeightLive                      // size over 1 + requests held per core, sampled a while ago
-)
-
-// Settings are what a Dispatcher is told once, at its start.
-type Settings struct {
-	Classes []Class
-	Tenants []Tenant // may be empty: then all jobs share alike
-	Zone    int      // this dispatcher's zone
-	Peers   int      // how many dispatchers there are, this one included; 0 counts as 1
-	Weights WeightMeaning
-
-	MaxAttempts   int  // attempts for one request; 0 means 1
-	ParallelTries bool // two attempts of one request may be out at once
-	MayCancel     bool // Host.Cancel is allowed
-	AskForList    bool // the list comes only after Host.Watch
-
-	TellsStart bool // workers tell when a job starts
-	InOrder    bool // workers start jobs in the order in which they come
-	MustProbe  bool // load reports come only as answers to Host.Probe, which is allowed
-
-	Further        Budget        // of attempts beyond each request's first
-	FullMayHaveRun bool          // workers answer Full also for work that they had begun
-	CloseOnDrain   time.Duration // idle connections to a worker that leaves are closed within it; 0: need not be
-
-	MaxRetryAfter time.Duration // the longest advice that clients heed; 0: none
-
-	// A worker that has just started does StartCapacity of its work, and all
-	// of it after WarmUp; sent more than FallMultiple times what it can do for
-	// Fall, it falls over. WarmUp 0 means that workers start warm.
-	StartCapacity float64
-	WarmUp        time.Duration
-	FallMultiple  float64
-	Fall          time.Duration
-}
-
-// Check returns an error for settings that make no sense.
-func (s *Settings) Check() error {
-	if len(s.Classes) == 0 {
-		return errors.New("sedgevale: no class in the settings")
-	}
-	for i, c := range s.Classes {
-		if c.Limit <= 0 || c.Aim <= 0 || c.Stretch < 0 || c.Effect == Keyed && c.Window <= 0 {
-			return fmt.Errorf("sedgevale: class %d (%s): limit, aim and window must be positive", i, c.Name)
-		}
-		if slices.ContainsFunc(c.Kinds, negative) || slices.ContainsFunc(c.Zones, negative) {
-			return fmt.Errorf("sedgevale: class %d (%s): kinds and zones must not be negative", i, c.Name)
-		}
-	}
-	if b := s.Further; b.Free < 0 || !(b.Ratio >= 0) || b.Span < 0 || b.Span == 0 && b != (Budget{}) {
-		return errors.New("sedgevale: the budget of further attempts must not be negative, and needs a span")
-	}
-	for i, t := range s.Tenants {
-		if !(t.Share > 0) || t.Quota < 0 {
-			return fmt.Errorf("sedgevale: tenant %d (%s): share must be positive, quota not negative", i, t.Name)
-		}
-	}
-	if s.WarmUp > 0 && !(s.StartCapacity > 0 && s.StartCapacity <= 1 && s.Fall > 0 && s.FallMultiple > 0) {
-		return errors.New("sedgevale: start capacity must be in (0, 1], fall and its multiple positive")
-	}
-	if s.Zone < 0 || s.MaxAttempts < 0 || s.Peers < 0 || s.CloseOnDrain < 0 || s.MaxRetryAfter < 0 {
-		return errors.New("sedgevale: zone, attempts, peers, closing time and advice must not be negative")
-	}
-	return nil
-}
-
-func negative(i int) bool { return i < 0 }
-
 // WorkerState is what the list says of a worker.
 type WorkerState uint8
 
 // The states of a worker.
 const (
 	Active  WorkerState = iota
-	Leaving             // finishes its work, takes nothing new
-	Left                // removed
+	Leaving             // finishes its attempts in flight, gets nothing new
+	Left                // removed from the list
 )
 
 // WorkerInfo is an entry of the list of workers. A Dispatcher keeps no
 // reference to the slices that carry it.
 type WorkerInfo struct {
-	Worker    string
+	Worker    string // its name
 	Zone      int
-	Kind      int
-	Cell      int
+	Kind      int // of machine
+	Cell      int // workers of a cell share faults and, in some classes, the memory of keys
 	State     WorkerState
-	Weight    float64
+	Weight    float64       // see [WeightMeaning]
 	StartedAt time.Duration // when it last started, on the host's clock; 0: long ago
 }
 
-// ListKind says how a list of workers is to be read.
+// ListKind says what an update of the list of workers holds.
 type ListKind uint8
 
-// The kinds of lists.
+// The kinds of updates.
 const (
 	ListPatch  ListKind = iota // changed entries only
-	ListWhole                  // all workers; who is absent has been removed
+	ListWhole                  // all workers; one that is absent has been removed
 	ListStale                  // all workers as last known, maybe long ago
-	ListBroken                 // no entries: a watch failed or broke, the old list stands
+	ListBroken                 // no entries: a watch failed or broke, the last list stands
 )
 
-// Request is a job taken from a client.
+// Request is a request taken from a client.
 type Request struct {
 	ID     string
-	Class  int
-	Tenant int           // -1 where there are no tenants
-	Key    string        // what a worker may keep at hand for the job; may be empty
+	Class  int           // index into Settings.Classes
+	Tenant int           // as by [Dispatcher.TenantIndex]; -1 where there are no tenants
+	Key    string        // affinity key: what a worker may have cached for the request; may be empty
 	Left   time.Duration // how long the client still waits
-	Hint   time.Duration // a guess of its running time; 0: none
-	Slots  float64       // 0 counts as 1
+	Hint   time.Duration // an estimate of its running time; 0: none
+	Slots  float64       // that it takes at a worker; 0 counts as 1
 	Retry  bool          // the client has tried before
 }
 
@@ -201,11 +57,11 @@
 const (
 	Served        Outcome = iota // the answer went to the client
 	Errored                      // the worker answered with an error
-	Full                         // turned away; unseen, but see Settings.FullMayHaveRun
-	TimedOut                     // no reply in time
+	Full                         // the worker rejected it; the settings say whether it may have begun it
+	TimedOut                     // no answer in time
 	ConnectFailed                // no connection could be made
-	Lost                         // the connection broke while the attempt was out
-	Cancelled                    // called off
+	Lost                         // the connection broke while the attempt was in flight
+	Cancelled                    // by [Host.Cancel]
 	NotSent                      // the host did not send it
 )
 
@@ -214,50 +70,52 @@
 	HasFree bool
 	Free    float64 // free slots
 	HasHeld bool
-	Held    float64 // requests in hand
+	Held    float64 // requests in flight or queued there
 }
 
 // Result is the end of an attempt.
 type Result struct {
 	ID      string
-	Attempt int // counted from 0 by the order of the request's sends
+	Attempt int // counted from 0 in the order of the request's sends
 	Outcome Outcome
-	Closed  bool    // the request has its final answer, by this outcome or before
-	Report  *Report // nil: none came along; not kept
+	Closed  bool    // the client has its final answer, by this outcome or before
+	Report  *Report // nil: none came with it. The Dispatcher does not keep it
 }
 
 // Host carries out what a Dispatcher decides. The calls come from within the
 // Dispatcher's methods, in the order in which they are to take effect; they
 // must not call back into it.
 type Host interface {
-	// Send starts the request's next attempt on the worker. A time-out of 0
+	// Send sends the request's next attempt to the worker. A time-out of 0
 	// means as long as the client waits.
 	Send(id, worker string, timeout time.Duration)
-	// Refuse ends the request unserved; the client may safely come again,
+	// Reject ends the request unserved. The client may safely come again,
 	// after the given time if that is not 0.
-	Refuse(id string, after time.Duration)
-	// Fail ends the request and promises nothing.
+	Reject(id string, retryAfter time.Duration)
+	// Fail ends the request unserved. It may have run.
 	Fail(id string)
-	// Cancel calls off an attempt. Its outcome still comes.
+	// Cancel cancels an attempt. Its outcome must still be reported.
 	Cancel(id string, attempt int)
-	// SetTimer asks for Dispatcher.Timer with the token once the time has
-	// passed. Timers cannot be unset.
+	// SetTimer asks for [Dispatcher.TimerFired] with the token once the time
+	// has passed. Timers cannot be stopped.
 	SetTimer(after time.Duration, token uint64)
-	// Probe asks a worker for its load; see Dispatcher.Probed.
+	// Probe asks a worker for its load, for [Dispatcher.ProbeResult].
 	Probe(worker string)
-	// CloseIdle closes the connections to a worker that carry nothing now.
-	CloseIdle(worker string)
-	// Watch asks for the list of workers and all its changes.
-	Watch()
-	// Log notes a line for whoever is on call.
+	// CloseIdleConnections closes the connections to a worker that carry no
+	// attempt.
+	CloseIdleConnections(worker string)
+	// WatchWorkers asks for the list of workers and all its updates, for
+	// [Dispatcher.WorkersUpdated].
+	WatchWorkers()
+	// Log writes a line to the operators' log.
 	Log(text string)
 }
 
-// Errors for what a host has got wrong. The event that returned one was not
-// acted on.
+// Errors for a host's mistakes. The Dispatcher did nothing on an event for which it
+// returned one.
 var (
 	ErrUnknownRequest   = errors.New("sedgevale: no such request")
-	ErrUnknownAttempt   = errors.New("sedgevale: no such attempt, or it is over")
+	ErrUnknownAttempt   = errors.New("sedgevale: no such attempt, or it has ended")
 	ErrDuplicateRequest = errors.New("sedgevale: request id already taken")
 	errNoHost           = errors.New("sedgevale: no host")
 	ErrBadRequest       = errors.New("sedgevale: class or tenant out of range")
--- /dev/null
+++ b/peers.go
@@ -0,0 +1,128 @@
+package sedgevale
+
+// Load of other dispatchers: of siblings, which are the same scheduler while one process takes over from another, and
+// of peers, which are other schedulers of one site.
+
+import (
+	"time"
+)
+
+// Load is a dispatcher's load at a worker.
+type Load struct {
+	Held    float64 `json:"held"`              // slots in flight
+	Waiting int     `json:"waiting,omitempty"` // attempts in flight that have not started
+	Sent    float64 `json:"sent,omitempty"`    // work ever sent, in slot seconds
+}
+
+// Plus returns the sum of two loads.
+func (l Load) Plus(m Load) Load {
+	return Load{l.Held + m.Held, l.Waiting + m.Waiting, l.Sent + m.Sent}
+}
+
+// LoadByWorker returns this dispatcher's own load at each worker, without that of its
+// siblings.
+func (d *Dispatcher) LoadByWorker() map[string]Load {
+	loads := map[string]Load{}
+	for _, w := range d.workers {
+		if w == nil {
+			continue
+		}
+		if l := (Load{w.inFlight - w.siblingLoad.Held, w.notStarted - w.siblingLoad.Waiting, w.workSent}); l != (Load{}) {
+			loads[w.Worker] = l
+		}
+	}
+	return loads
+}
+
+// SetSiblingLoad sets the load of other dispatchers of the same scheduler, by worker.
+// It counts like this dispatcher's own, for limits and for workers that warm up.
+func (d *Dispatcher) SetSiblingLoad(now time.Duration, loads map[string]Load) {
+	d.startRounds(now)
+	for _, w := range d.workers {
+		if w == nil {
+			continue
+		}
+		l := loads[w.Worker]
+		d.addInFlight(w, l.Held-w.siblingLoad.Held)
+		w.notStarted += l.Waiting - w.siblingLoad.Waiting
+		if w.warmAt > now && w.siblingLoadKnown {
+			w.slowStartCredit -= max(0, l.Sent-w.siblingLoad.Sent)
+		}
+		w.siblingLoad, w.siblingLoadKnown = l, true
+	}
+	d.capacityChanged()
+	d.releasePending(now)
+}
+
+// Told is somebody's load at a worker.
+type Told struct {
+	Worker string
+	Load
+	Full bool // all dispatchers together have more in flight there than the worker has slots
+}
+
+// TrackLoadChanges has [Dispatcher.AppendLoadChanges] work from now on.
+func (d *Dispatcher) TrackLoadChanges() { d.tracksLoadChanges = true }
+
+// AppendLoadChanges appends the load at each worker where it has changed since the
+// last call. Siblings' load is in it, since they are the same scheduler.
+func (d *Dispatcher) AppendLoadChanges(buf []Told) []Told {
+	for i, w := range d.loadChanged {
+		w.loadChanged, d.loadChanged[i] = false, nil
+		buf = append(buf, Told{w.Worker, Load{w.inFlight - w.peerLoad.Held, w.notStarted - w.peerLoad.Waiting, w.workSent},
+			w.inFlight > d.maxFreeByKind[w.Kind]})
+	}
+	d.loadChanged = d.loadChanged[:0]
+	return buf
+}
+
+// UpdatePeerLoad brings the load of other schedulers of the site at some workers. Each
+// is the sum over all peers and replaces the last one. It counts against the worker's
+// capacity, but not as this dispatcher's load. Workers that no list has named are
+// ignored.
+func (d *Dispatcher) UpdatePeerLoad(now time.Duration, loads []Told) {
+	d.startRounds(now)
+	for i := range loads {
+		l := &loads[i]
+		w := d.workersByName[l.Worker]
+		if w == nil {
+			continue
+		}
+		d.addOccupied(w, l.Held-w.peerLoad.Held)
+		w.notStarted += l.Waiting - w.peerLoad.Waiting
+		w.peerLoad = l.Load
+	}
+	d.capacityChanged()
+	d.releasePending(now)
+}
+
+// SetSubset sets the subset of the workers that this dispatcher prefers. Sharers is
+// how many dispatchers have a worker in their subsets, this one included. An empty
+// subset means no preference, as at the start. Workers that no list names yet do not
+// count.
+func (d *Dispatcher) SetSubset(now time.Duration, workers []string, sharers int) {
+	subset := make(map[string]bool, len(workers))
+	for _, name := range workers {
+		subset[name] = true
+	}
+	d.subsetSize, d.subsetSharers = 0, max(1, sharers)
+	if len(workers) == 0 {
+		d.subsetSharers = d.settings.Peers
+	}
+	for _, w := range d.workers {
+		if w == nil {
+			continue
+		}
+		if w.inSubset != subset[w.Worker] {
+			d.adjustPoolSums(w, -1)
+			w.inSubset = subset[w.Worker]
+			d.adjustPoolSums(w, 1)
+			for _, p := range d.pools {
+				p.subsetStale = true
+			}
+		}
+		d.subsetSize += int(boolToFloat(w.inSubset))
+	}
+	d.capacityChanged()
+	d.releasePending(now)
+}
--- /dev/null
+++ b/reconfigure.go
@@ -0,0 +1,101 @@
+package sedgevale
+
+// Changes of settings while jobs are under way.
+
+import (
+	"reflect"
+	"slices"
+)
+
+// UpdateSettings takes over new settings. Requests in flight keep their class as it
+// was; what was learned of a class holds for the next of its name. Tenants go by
+// their names: one that stays keeps its turn, its credit and all that was learned,
+// whatever becomes of the others; one that is removed keeps its share until its last
+// request is over (see [Dispatcher.TenantIndex]). Zone, peers, the meaning of weights
+// and how the list comes stay: they change with a new Dispatcher. Invalid settings
+// are an error and change nothing.
+func (d *Dispatcher) UpdateSettings(set Settings) error {
+	if err := set.Check(); err != nil {
+		return err
+	}
+	old := d.settings
+	d.settings = set
+	d.settings.Zone, d.settings.Peers, d.settings.Weights, d.settings.AskForList = old.Zone, old.Peers, old.Weights, old.AskForList
+	d.settings.MaxAttempts = attemptLimit(set)
+	if set.Further.Span != old.Further.Span {
+		d.resetCounters()
+	}
+	d.updateTenants(set.Tenants)
+	d.updateClasses(set.Classes)
+	return nil
+}
+
+// attemptLimit returns how many attempts a request may have.
+func attemptLimit(set Settings) int {
+	return min(max(1, set.MaxAttempts), 31) // a timer's token has 5 bits for it
+}
+
+// updateClasses makes the classes of new settings. One that has not changed stays the
+// same; another of the same name goes on from what was learned.
+func (d *Dispatcher) updateClasses(classes []Class) {
+	former := d.classes
+	d.classes = make([]*class, len(classes))
+	for i, c := range classes {
+		k := &class{Class: c}
+		k.Kinds, k.Zones = slices.Clone(c.Kinds), slices.Clone(c.Zones)
+		for _, f := range former {
+			if f.Name != c.Name {
+				continue
+			}
+			if reflect.DeepEqual(f.Class, k.Class) {
+				k = f
+			} else {
+				k.meanRuntime, k.baseRuntime, k.meanHint = f.meanRuntime, f.baseRuntime, f.meanHint
+				k.meanCompletion, k.samples = f.meanCompletion, f.samples
+			}
+			break
+		}
+		k.pool = d.poolOf(c.Kinds, c.Zones)
+		d.classes[i] = k
+	}
+	d.compactClasses()
+	for _, w := range d.workers { // the classes may need new pools
+		if w != nil && len(w.poolPositions) < len(d.pools) {
+			w.poolPositions = append(w.poolPositions, slices.Repeat([]int{-1}, len(d.pools)-len(w.poolPositions))...)
+			d.addToPools(w)
+		}
+	}
+	d.capacityChanged()
+}
+
+// compactClasses keeps the classes of the settings and of requests in flight, and
+// forgets the others.
+func (d *Dispatcher) compactClasses() {
+	work := make([]map[*class]float64, len(d.tenants))
+	for i, t := range d.tenants {
+		work[i] = map[*class]float64{}
+		for at, k := range d.classesInUse {
+			work[i][k] = t.pendingWork[at]
+		}
+	}
+	inUse := map[*class]bool{}
+	for _, r := range d.requests {
+		inUse[r.class] = true
+	}
+	kept := slices.Clone(d.classes)
+	for _, k := range d.classesInUse {
+		if inUse[k] && !slices.Contains(kept, k) {
+			kept = append(kept, k)
+		}
+	}
+	d.classesInUse = kept
+	for at, k := range kept {
+		k.index = at
+	}
+	for i, t := range d.tenants {
+		t.pendingWork = make([]float64, len(kept))
+		for at, k := range kept {
+			t.pendingWork[at] = work[i][k]
+		}
+	}
+}
