--- a/scheduler/drain_test.go
+++ b/scheduler/drain_test.go
@@ -15,10 +15,10 @@
 		3 * time.Second, 5 * time.Second, 25 * time.Second} {
 		s := &Scheduler{}
 		s.settings.Store(&sedgevale.Settings{Classes: []sedgevale.Class{{Limit: limit / 2}, {Limit: limit}}})
-		longest := s.longest()
+		longest := s.maxDeadline()
 		idle, end := drainDeadlines(longest)
-		kill := min(limit, patience) + killedAfter
-		if end+finalLinger >= kill {
+		kill := min(limit, maxDrainWait) + killedAfter
+		if end+lingerTimeout >= kill {
 			t.Errorf("%v: given up after %v, killed after %v", longest, end, kill)
 		}
 		if idle < 400*time.Millisecond || idle > end {
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-const patience = 20 * time.Second // for what must come; no test waits that long when all is well
+const maxDrainWait = 20 * time.Second // for what must come; no test waits that long when all is well
 
 // run is one job at a worker. The test tells what becomes of it.
 type run struct {
@@ -300,7 +300,7 @@
 func (c *child) start() {
 	c.t.Helper()
 	c.launch()
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(maxDrainWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		a, err := http.Get("http://" + c.sse + "/ready")
 		if err != nil {
 			continue
--- a/scheduler/orders.go
+++ b/scheduler/orders.go
@@ -12,24 +12,24 @@
 	"sedgevale/internal/ops"
 )
 
-var errNotReady = errors.New("not serving")
+var errNotServing = errors.New("not serving")
 
 // Healthy returns nil if this process can serve: it listens, is not ending, and
 // planners and event loops have their turns.
 func (s *Scheduler) Healthy(ctx context.Context) error {
 	if !s.ready.Load() {
-		return errNotReady
+		return errNotServing
 	}
 	if err := s.planners.Alive(ctx); err != nil {
 		return fmt.Errorf("the planners have no turn: %w", err)
 	}
-	if s.web != nil {
-		if err := s.web.Alive(ctx); err != nil {
+	if s.reverseProxy != nil {
+		if err := s.reverseProxy.Alive(ctx); err != nil {
 			return fmt.Errorf("the web front's planner has no turn: %w", err)
 		}
 	}
 	turn := make(chan struct{}, 1+len(s.servers))
-	s.loop.Do(func() { turn <- struct{}{} })
+	s.workerLoop.Do(func() { turn <- struct{}{} })
 	for _, server := range s.servers {
 		server.Alive(func() { turn <- struct{}{} })
 	}
@@ -46,27 +46,27 @@
 // Cordon takes a worker out or puts it back. It returns once that holds and is
 // saved, here and in the other process of an upgrade.
 func (s *Scheduler) Cordon(ctx context.Context, host string, out bool) error {
-	if err := s.apply(ctx, host, out); err != nil {
+	if err := s.applyCordon(ctx, host, out); err != nil {
 		return err
 	}
-	if err := s.tellOthers(ctx, host, out, nil); err != nil {
+	if err := s.forwardOrder(ctx, host, out, nil); err != nil {
 		return err
 	}
-	s.opt.Log.Info("an operator's order holds", "worker", host, "out", out)
+	s.options.Log.Info("an operator's order holds", "worker", host, "out", out)
 	return nil
 }
 
-// apply carries out an order in this process. Orders are carried out one after
+// applyCordon carries out an order in this process. Orders are carried out one after
 // another.
-func (s *Scheduler) apply(ctx context.Context, host string, out bool) error {
+func (s *Scheduler) applyCordon(ctx context.Context, host string, out bool) error {
 	select {
-	case s.order <- struct{}{}:
-		defer func() { <-s.order }()
+	case s.cordonTurn <- struct{}{}:
+		defer func() { <-s.cordonTurn }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	if !out { // else what is placed there at once would be turned back
-		if err := s.carry(ctx, host, false); err != nil {
+		if err := s.cordonConnections(ctx, host, false); err != nil {
 			return err
 		}
 	}
@@ -74,31 +74,31 @@
 	if err != nil {
 		return fmt.Errorf("the planners: %w", err)
 	}
-	if s.web != nil && s.web.Cordon(host, out) {
+	if s.reverseProxy != nil && s.reverseProxy.Cordon(host, out) {
 		known = true
 	}
 	if !known && !s.cordons.Has(host) {
 		return ops.ErrUnknown
 	}
 	if out {
-		if err := s.carry(ctx, host, true); err != nil {
+		if err := s.cordonConnections(ctx, host, true); err != nil {
 			return err
 		}
 	}
 	return s.cordons.Set(host, out)
 }
 
-// keep has a worker out from the start.
-func (s *Scheduler) keep(host string) {
+// restoreCordon has a worker out from the start.
+func (s *Scheduler) restoreCordon(host string) {
 	s.pool.Cordon(host, true, func() {})
 	s.planners.Keep(host)
-	if s.web != nil {
-		s.web.Cordon(host, true)
+	if s.reverseProxy != nil {
+		s.reverseProxy.Cordon(host, true)
 	}
 }
 
-// carry has the carrier keep to an order.
-func (s *Scheduler) carry(ctx context.Context, host string, out bool) error {
+// cordonConnections has the carrier keep to an order.
+func (s *Scheduler) cordonConnections(ctx context.Context, host string, out bool) error {
 	done := make(chan struct{})
 	s.pool.Cordon(host, out, func() { close(done) })
 	select {
@@ -109,8 +109,8 @@
 	}
 }
 
-// fileOf names a file of this scheduler, the same for each of its processes.
-func fileOf(c *dispatchconfig.Config, ending string) string {
+// runtimeFile names a file of this scheduler, the same for each of its processes.
+func runtimeFile(c *dispatchconfig.Config, ending string) string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(c.Name + "\x00" + c.Listen))
 	return filepath.Join(os.TempDir(), fmt.Sprintf("sedgevale-%016x.%s", h.Sum64(), ending))
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -38,67 +38,67 @@
 const (
 	// A front goes on sending for 0.4 s after it was told to stop, so at least as
 	// long is listened.
-	acceptGrace = 700 * time.Millisecond
-	quietFor    = 50 * time.Millisecond
+	acceptGracePeriod = 700 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
 	// Clients go on using the connections that they have. Each is good for one more
 	// request, so it stays open for a while yet. Who told us to stop waits for the
 	// longest deadline, or for so long, before it kills; what is open then would be
 	// lost, so it is answered before.
-	idleGrace    = 2500 * time.Millisecond
-	patience     = 3 * time.Second
-	abandonGrace = 400 * time.Millisecond
+	idleGracePeriod    = 2500 * time.Millisecond
+	maxDrainWait       = 3 * time.Second
+	abandonGracePeriod = 400 * time.Millisecond
 	// Who is told to end is killed 0.7 s after the longest time that a client may wait: the
 	// last answers, and the ends of connections, have so much of that.
-	finalLinger = 200 * time.Millisecond
+	lingerTimeout = 200 * time.Millisecond
 	// Each event loop and planner may sit in a system call; with a processor for
 	// each the others go on at once. One processor was measured to do nearly as
 	// well; see NOTES.md.
-	processors = 8
-	memoryPart = 0.75
-	service    = "origin.svc"
+	minProcessors  = 8
+	memoryFraction = 0.75
+	workerHost     = "origin.svc"
 	// Kept of a subscriber's time, for its last event's way.
-	streamMargin = 50 * time.Millisecond
+	streamDeadlineMargin = 50 * time.Millisecond
 	// Of the descriptors, for operators' calls alone.
-	opsDescriptors = 32
+	reservedOpsDescriptors = 32
 	// Schedulers that hear of a box at least, and boxes that one looks at first (docs/design/peers.md).
-	hearers   = 8
-	leastPart = 4
+	minWorkerObservers = 8
+	minSubsetSize      = 4
 )
 
 // Options are the choices of who embeds a scheduler.
 type Options struct {
 	Log *slog.Logger // nil: none
-	// Share is called with how many processes serve as this scheduler, this one
+	// OnProcessCount is called with how many processes serve as this scheduler, this one
 	// included, when that changes. It may be nil and must not block.
-	Share func(processes int)
+	OnProcessCount func(processes int)
 }
 
 // Scheduler is a real scheduler.
 type Scheduler struct {
-	opt       Options
-	config    *dispatchconfig.Config                // of the start
-	current   atomic.Pointer[dispatchconfig.Config] // read last
-	settings  atomic.Pointer[sedgevale.Settings]    // in force; not changed, only replaced
-	rules     *jobrequest.Rules
-	clock     dispatch.Clock
-	budget    *fdlimit.Budget
-	loop      *evloop.Loop // for workers and discovery
-	pool      *upstream.Pool
-	watcher   *discovery.Watcher
-	planners  *dispatch.Set
-	servers   []*httpd.Server
-	streams   *sse.Front    // nil: no second front
-	operators *httpd.Server // nil: no second address
-	cordons   *ops.Cordons
-	journal   *recorder.Recorder // nil: none
-	web       *reverseproxy.Site // nil: no third front
-	keeper    *driver.Keeper     // nil: no door
-	link      *peerlink.Link     // nil: no other schedulers
-	bonds     bonds
-	listMu    sync.Mutex
-	list      discovery.List // as it stands
-	order     chan struct{}  // held by the order that is carried out
-	ready     atomic.Bool
+	options      Options
+	config       *dispatchconfig.Config                // of the start
+	current      atomic.Pointer[dispatchconfig.Config] // read last
+	settings     atomic.Pointer[sedgevale.Settings]    // in force; not changed, only replaced
+	rules        *jobrequest.Rules
+	clock        dispatch.Clock
+	descriptors  *fdlimit.Budget
+	workerLoop   *evloop.Loop // for workers and discovery
+	pool         *upstream.Pool
+	watcher      *discovery.Watcher
+	planners     *dispatch.Set
+	servers      []*httpd.Server
+	eventStreams *sse.Front    // nil: no second front
+	opsServer    *httpd.Server // nil: no second address
+	cordons      *ops.Cordons
+	journal      *recorder.Recorder // nil: none
+	reverseProxy *reverseproxy.Site // nil: no third front
+	admission    *driver.Keeper     // nil: no door
+	peerLink     *peerlink.Link     // nil: no other schedulers
+	siblings     siblingSet
+	workersMu    sync.Mutex
+	workers      discovery.List // as it stands
+	cordonTurn   chan struct{}  // held by the order that is carried out
+	ready        atomic.Bool
 }
 
 // New returns a scheduler that does nothing yet.
@@ -115,21 +115,21 @@
 		return nil, err
 	}
 	set.AskForList = c.Discovery != "" // pushed lists come to the address, and it is asked for them there
-	s := &Scheduler{opt: opt, config: c, clock: dispatch.NewClock(), budget: fdlimit.New(0),
-		order: make(chan struct{}, 1), bonds: bonds{all: map[*bond]struct{}{}, more: make(chan struct{}, 1)}}
+	s := &Scheduler{options: opt, config: c, clock: dispatch.NewClock(), descriptors: fdlimit.New(0),
+		cordonTurn: make(chan struct{}, 1), siblings: siblingSet{all: map[*sibling]struct{}{}, added: make(chan struct{}, 1)}}
 	s.settings.Store(&set)
 	s.current.Store(c)
-	s.limit(c)
-	if s.loop, err = evloop.New(opt.Log); err != nil {
+	s.limitDescriptors(c)
+	if s.workerLoop, err = evloop.New(opt.Log); err != nil {
 		return nil, err
 	}
-	s.pool = upstream.New(upstream.Options{Loop: s.loop, DialTimeout: dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout),
-		IdleClose: dispatchconfig.Seconds(c.Settings.Bounds.IdleClose), Host: service, Clock: s.clock, Budget: s.budget,
+	s.pool = upstream.New(upstream.Options{Loop: s.workerLoop, DialTimeout: dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout),
+		IdleClose: dispatchconfig.Seconds(c.Settings.Bounds.IdleClose), Host: workerHost, Clock: s.clock, Budget: s.descriptors,
 		Log: opt.Log})
-	s.watcher = discovery.NewWatcher(s.loop, c.Discovery, *c.Known, s.told, s.broken, opt.Log)
+	s.watcher = discovery.NewWatcher(s.workerLoop, c.Discovery, *c.Known, s.onWorkerList, s.onDiscoveryFailure, opt.Log)
 	if c.Journal != nil {
 		if s.journal, err = recorder.Open(c, opt.Log); err != nil {
-			return nil, errors.Join(err, s.loop.Stop())
+			return nil, errors.Join(err, s.workerLoop.Stop())
 		}
 	}
 	var planners []*dispatch.Planner
@@ -145,109 +145,109 @@
 	}
 	s.planners = dispatch.NewSet(planners...)
 	if plan, err := c.PeerPlan(); err != nil {
-		return nil, errors.Join(err, s.loop.Stop())
+		return nil, errors.Join(err, s.workerLoop.Stop())
 	} else if plan != nil {
-		s.link = peerlink.New(peerlink.Options{Listen: plan.Listen, Peers: plan.Peers, Self: plan.Self, Site: plan.Site,
-			Watch: plan.Watch, Revision: c.InForce(), Seed: c.SeedNumber(), Hearers: hearers, Least: leastPart, Planners: planners, Clock: s.clock, Log: opt.Log})
+		s.peerLink = peerlink.New(peerlink.Options{Listen: plan.Listen, Peers: plan.Peers, Self: plan.Self, Site: plan.Site,
+			Watch: plan.Watch, Revision: c.InForce(), Seed: c.SeedNumber(), Hearers: minWorkerObservers, Least: minSubsetSize, Planners: planners, Clock: s.clock, Log: opt.Log})
 	}
-	s.members(sedgevale.ListStale, *c.Known)
+	s.updateWorkers(sedgevale.ListStale, *c.Known)
 	s.rules = jobrequest.New(s.clock, &jobrequest.Terms{Classes: set.Classes, Tenants: set.Tenants})
 	var takers platformapi.Planners = s.planners
 	if c.Door != nil {
-		o := fairqueue.Options{Coops: coops(set.Tenants), Concurrency: c.Door.Concurrency, Queue: c.Door.Queue, Clients: c.Door.Clients,
+		o := fairqueue.Options{Coops: tenantShares(set.Tenants), Concurrency: c.Door.Concurrency, Queue: c.Door.Queue, Clients: c.Door.Clients,
 			Seed: c.SeedNumber()}
-		if s.keeper, err = driver.New(o, s.planners, s.clock, set.MaxRetryAfter, opt.Log); err != nil {
-			return nil, errors.Join(err, s.loop.Stop())
+		if s.admission, err = driver.New(o, s.planners, s.clock, set.MaxRetryAfter, opt.Log); err != nil {
+			return nil, errors.Join(err, s.workerLoop.Stop())
 		}
-		takers = s.keeper
+		takers = s.admission
 	}
 	if c.Listen != "" {
-		s.servers = append(s.servers, httpd.New(c.Listen, c.Loops, platformapi.New(s.rules, takers, s.ready.Load), s.budget, opt.Log))
+		s.servers = append(s.servers, httpd.New(c.Listen, c.Loops, platformapi.New(s.rules, takers, s.ready.Load), s.descriptors, opt.Log))
 	}
 	if c.Web != nil {
-		if s.web, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loops: c.Loops, Loop: s.loop, Clock: s.clock, Seed: c.SeedNumber() + uint64(many),
-			Budget: s.budget, Log: opt.Log}); err != nil {
-			return nil, errors.Join(err, s.loop.Stop())
+		if s.reverseProxy, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loops: c.Loops, Loop: s.workerLoop, Clock: s.clock, Seed: c.SeedNumber() + uint64(many),
+			Budget: s.descriptors, Log: opt.Log}); err != nil {
+			return nil, errors.Join(err, s.workerLoop.Stop())
 		}
-		s.servers = append(s.servers, s.web.Servers()...)
+		s.servers = append(s.servers, s.reverseProxy.Servers()...)
 	}
 	if c.SSE != nil {
-		s.streams = sse.New(sse.Options{Rules: s.rules.Earlier(streamMargin), Planners: takers, Ready: s.ready.Load,
+		s.eventStreams = sse.New(sse.Options{Rules: s.rules.Earlier(streamDeadlineMargin), Planners: takers, Ready: s.ready.Load,
 			Heartbeat: dispatchconfig.Seconds(c.SSE.Heartbeat), Retain: dispatchconfig.Seconds(c.SSE.Retain), Log: opt.Log})
-		s.servers = append(s.servers, httpd.New(c.SSE.Listen, c.Loops, s.streams, s.budget, opt.Log))
+		s.servers = append(s.servers, httpd.New(c.SSE.Listen, c.Loops, s.eventStreams, s.descriptors, opt.Log))
 	}
-	if s.cordons, err = ops.ReadCordons(fileOf(c, "cordons")); err != nil {
+	if s.cordons, err = ops.ReadCordons(runtimeFile(c, "cordons")); err != nil {
 		opt.Log.Warn("the workers that were out are not known", "err", err)
 	}
 	for _, host := range s.cordons.Hosts() {
-		s.keep(host)
+		s.restoreCordon(host)
 	}
 	if c.Ops != "" {
-		s.operators = httpd.New(c.Ops, 1, ops.New(s, s.questions(), s.pages()), fdlimit.New(fdlimit.Reserve+opsDescriptors/2), opt.Log)
+		s.opsServer = httpd.New(c.Ops, 1, ops.New(s, s.journalReader(), s.opsPages()), fdlimit.New(fdlimit.Reserve+reservedOpsDescriptors/2), opt.Log)
 	}
 	return s, nil
 }
 
-// coops returns the tenants as the door knows them.
-func coops(tenants []sedgevale.Tenant) (all []fairqueue.Coop) {
+// tenantShares returns the tenants as the door knows them.
+func tenantShares(tenants []sedgevale.Tenant) (all []fairqueue.Coop) {
 	for _, t := range tenants {
 		all = append(all, fairqueue.Coop{Name: t.Name, Share: t.Share})
 	}
 	return all
 }
 
-// questions returns who answers questions about jobs, or nil.
-func (s *Scheduler) questions() ops.Journal {
+// journalReader returns who answers questions about jobs, or nil.
+func (s *Scheduler) journalReader() ops.Journal {
 	if s.journal == nil { // else it would be an interface that is not nil
 		return nil
 	}
 	return s.journal
 }
 
-// pages returns what operators can read.
-func (s *Scheduler) pages() map[string]ops.Page {
+// opsPages returns what operators can read.
+func (s *Scheduler) opsPages() map[string]ops.Page {
 	pages := map[string]ops.Page{}
-	if s.web != nil {
+	if s.reverseProxy != nil {
 		pages["/admin/servers"] = ops.Page{Type: "application/x-ndjson", Read: func() []byte {
 			var b bytes.Buffer
 			e := json.NewEncoder(&b)
-			for _, one := range s.web.Status() {
+			for _, one := range s.reverseProxy.Status() {
 				_ = e.Encode(one) // has no value that cannot be written
 			}
 			return b.Bytes()
 		}}
 	}
-	if s.link != nil {
+	if s.peerLink != nil {
 		pages["/admin/peers"] = ops.Page{Type: "application/json", Read: func() []byte {
-			b, _ := json.Marshal(s.link.Status()) // has no value that cannot be written
+			b, _ := json.Marshal(s.peerLink.Status()) // has no value that cannot be written
 			return append(b, '\n')
 		}}
 	}
 	return pages
 }
 
-// limit keeps to a configuration's limit of descriptors. The operators' are kept apart.
-func (s *Scheduler) limit(c *dispatchconfig.Config) {
+// limitDescriptors keeps to a configuration's limit of descriptors. The operators' are kept apart.
+func (s *Scheduler) limitDescriptors(c *dispatchconfig.Config) {
 	n := c.Limits.Sockets
 	if n > 0 && c.Ops != "" {
-		n = max(1, n-opsDescriptors)
+		n = max(1, n-reservedOpsDescriptors)
 	}
-	s.budget.Limit(n)
+	s.descriptors.Limit(n)
 }
 
-// Limit sets the Go runtime up for the machine: it is for programs that are
+// ConfigureRuntime sets the Go runtime up for the machine: it is for programs that are
 // nothing but a scheduler.
-func Limit(c *dispatchconfig.Config) {
-	memory(c, 1)
-	if runtime.GOMAXPROCS(0) < processors {
-		runtime.GOMAXPROCS(processors)
+func ConfigureRuntime(c *dispatchconfig.Config) {
+	limitMemory(c, 1)
+	if runtime.GOMAXPROCS(0) < minProcessors {
+		runtime.GOMAXPROCS(minProcessors)
 	}
 }
 
-// memory keeps to one of so many even parts of the machine's memory.
-func memory(c *dispatchconfig.Config, parts int) {
+// limitMemory keeps to one of so many even parts of the machine's memory.
+func limitMemory(c *dispatchconfig.Config, parts int) {
 	if c.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(c.Limits.MemoryMB) / float64(parts) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryFraction * float64(c.Limits.MemoryMB) / float64(parts) * (1 << 20)))
 	}
 }
 
@@ -255,20 +255,20 @@
 func (s *Scheduler) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	defer s.loop.Stop()
-	before, sockets := s.join()
+	defer s.workerLoop.Stop()
+	before, sockets := s.takeOver()
 	go s.planners.Run(work)
-	if s.web != nil {
-		go s.web.Run(work)
+	if s.reverseProxy != nil {
+		go s.reverseProxy.Run(work)
 	}
-	if s.link != nil {
-		go s.link.Run(work)
+	if s.peerLink != nil {
+		go s.peerLink.Run(work)
 	}
 	go s.pool.Run(work)
-	go s.report(work)
+	go s.reportDescriptors(work)
 	listening := s.servers
-	if s.operators != nil {
-		listening = append([]*httpd.Server{s.operators}, listening...)
+	if s.opsServer != nil {
+		listening = append([]*httpd.Server{s.opsServer}, listening...)
 	}
 	for _, server := range listening {
 		if err := server.Start(sockets[server.Addr()]); err != nil {
@@ -279,15 +279,15 @@
 	for _, l := range sockets { // of a front that this configuration lacks
 		l.Close()
 	}
-	if s.streams != nil {
-		go s.streams.Run(work)
+	if s.eventStreams != nil {
+		go s.eventStreams.Run(work)
 	}
 	s.ready.Store(true)
 	if before != nil {
 		before.send(&handover.Message{Serving: true})
 	}
-	s.await()
-	s.opt.Log.Info("serving", "name", s.config.Name, "listen", s.config.Listen,
+	s.acceptSuccessors()
+	s.options.Log.Info("serving", "name", s.config.Name, "listen", s.config.Listen,
 		"workers", len(s.config.Known.Members), "revision", s.config.Known.Revision)
 	<-ctx.Done()
 	return s.drain(work)
@@ -301,25 +301,25 @@
 	for _, server := range s.servers {
 		server.Drain()
 	}
-	s.opt.Log.Info("stopping: answering what was taken")
-	time.Sleep(acceptGrace)
-	idle, end := drainDeadlines(s.longest())
-	for closed := false; time.Since(began) < end; time.Sleep(quietFor) {
+	s.options.Log.Info("stopping: answering what was taken")
+	time.Sleep(acceptGracePeriod)
+	idle, end := drainDeadlines(s.maxDeadline())
+	for closed := false; time.Since(began) < end; time.Sleep(drainPollInterval) {
 		open, err := s.planners.Open(ctx)
 		if err != nil {
 			return err
 		}
-		if s.keeper != nil {
-			open += s.keeper.Waiting()
+		if s.admission != nil {
+			open += s.admission.Waiting()
 		}
-		if s.web != nil {
-			more, err := s.web.Open(ctx)
+		if s.reverseProxy != nil {
+			more, err := s.reverseProxy.Open(ctx)
 			if err != nil {
 				return err
 			}
 			open += more
 		}
-		clients := s.clients()
+		clients := s.openClients()
 		if open == 0 && clients == 0 {
 			break
 		}
@@ -330,27 +330,27 @@
 			}
 		}
 	}
-	s.refuse(ctx)
-	if s.keeper != nil {
-		s.keeper.Close()
+	s.refuseRequests(ctx)
+	if s.admission != nil {
+		s.admission.Close()
 	}
 	if n, err := s.planners.Abandon(ctx); err != nil {
 		return err
 	} else if n > 0 {
-		s.opt.Log.Warn("jobs were still out, their clients were told that they failed", "jobs", n)
+		s.options.Log.Warn("jobs were still out, their clients were told that they failed", "jobs", n)
 	}
 	// The last answers are on their way to their event loop, and their clients are to read them.
-	for until := time.Now().Add(finalLinger); time.Now().Before(until); time.Sleep(quietFor / 5) {
-		if s.clients() == 0 {
+	for until := time.Now().Add(lingerTimeout); time.Now().Before(until); time.Sleep(drainPollInterval / 5) {
+		if s.openClients() == 0 {
 			break
 		}
 	}
-	s.bonds.mu.Lock()
-	if s.bonds.host != nil {
-		s.bonds.host.Close()
+	s.siblings.mu.Lock()
+	if s.siblings.listener != nil {
+		s.siblings.listener.Close()
 	}
-	s.bonds.mu.Unlock()
-	for _, server := range append([]*httpd.Server{s.operators}, s.servers...) {
+	s.siblings.mu.Unlock()
+	for _, server := range append([]*httpd.Server{s.opsServer}, s.servers...) {
 		if server == nil {
 			continue
 		}
@@ -361,19 +361,19 @@
 	if s.journal != nil {
 		s.journal.Close()
 	}
-	s.opt.Log.Info("stopped")
+	s.options.Log.Info("stopped")
 	return nil
 }
 
 // drainDeadlines returns when, after the signal, connections that rest are ended, and when what is
 // open is given up. What is left then until the kill is for the last answers.
 func drainDeadlines(longest time.Duration) (idle, end time.Duration) {
-	return max(acceptGrace, min(longest, idleGrace)), min(longest, patience) + abandonGrace
+	return max(acceptGracePeriod, min(longest, idleGracePeriod)), min(longest, maxDrainWait) + abandonGracePeriod
 }
 
-// refuse sees to it that no further request is read, before what is open is given up.
-func (s *Scheduler) refuse(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, finalLinger/2)
+// refuseRequests sees to it that no further request is read, before what is open is given up.
+func (s *Scheduler) refuseRequests(ctx context.Context) {
+	ctx, stop := context.WithTimeout(ctx, lingerTimeout/2)
 	defer stop()
 	done := make(chan struct{}, len(s.servers))
 	for _, server := range s.servers {
@@ -389,16 +389,16 @@
 	}
 }
 
-// clients returns how many connections of clients are open.
-func (s *Scheduler) clients() (n int) {
+// openClients returns how many connections of clients are open.
+func (s *Scheduler) openClients() (n int) {
 	for _, server := range s.servers {
 		n += server.Clients()
 	}
 	return n
 }
 
-// longest is how long a client may wait.
-func (s *Scheduler) longest() time.Duration {
+// maxDeadline is how long a client may wait.
+func (s *Scheduler) maxDeadline() time.Duration {
 	most := time.Duration(0)
 	for _, c := range s.settings.Load().Classes {
 		most = max(most, c.Limit)
@@ -406,21 +406,21 @@
 	return most
 }
 
-// told passes an answer of discovery on: first to those who carry, so that they
+// onWorkerList passes an answer of discovery on: first to those who carry, so that they
 // know each worker that a planner may name.
-func (s *Scheduler) told(l discovery.List) {
+func (s *Scheduler) onWorkerList(l discovery.List) {
 	kind := sedgevale.ListPatch
 	if l.Complete {
 		kind = sedgevale.ListWhole
 	}
-	s.members(kind, l)
+	s.updateWorkers(kind, l)
 }
 
-func (s *Scheduler) members(kind sedgevale.ListKind, l discovery.List) {
-	s.listMu.Lock()
-	s.list = s.list.With(l, kind != sedgevale.ListPatch)
-	whole := s.list
-	s.listMu.Unlock()
+func (s *Scheduler) updateWorkers(kind sedgevale.ListKind, l discovery.List) {
+	s.workersMu.Lock()
+	s.workers = s.workers.With(l, kind != sedgevale.ListPatch)
+	whole := s.workers
+	s.workersMu.Unlock()
 	carriers := make([]upstream.Member, 0, len(l.Members))
 	for _, m := range l.Members {
 		carriers = append(carriers, upstream.Member{ID: m.ID, Addr: m.HostPort, Ready: m.Ready()})
@@ -428,16 +428,16 @@
 	s.pool.Members(kind != sedgevale.ListPatch, carriers)
 	names := discovery.Names{Zones: s.config.Settings.Zones, Kinds: s.config.Settings.Kinds}
 	s.planners.Members(kind, names.Entries(l, s.clock.FromUnixMilli))
-	if s.link != nil {
-		s.link.Members(whole)
+	if s.peerLink != nil {
+		s.peerLink.Members(whole)
 	}
 }
 
-// listed returns the list of workers as it stands.
-func (s *Scheduler) listed() discovery.List {
-	s.listMu.Lock()
-	defer s.listMu.Unlock()
-	return s.list
+// workerList returns the list of workers as it stands.
+func (s *Scheduler) workerList() discovery.List {
+	s.workersMu.Lock()
+	defer s.workersMu.Unlock()
+	return s.workers
 }
 
-func (s *Scheduler) broken() { s.planners.Members(sedgevale.ListBroken, nil) }
+func (s *Scheduler) onDiscoveryFailure() { s.planners.Members(sedgevale.ListBroken, nil) }
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -27,15 +27,15 @@
 	defer stop()
 	c, err := read()
 	if err != nil {
-		if c = inherited(); c == nil {
+		if c = inheritedConfig(); c == nil {
 			return err
 		}
 		log.Error("the configuration is bad, going on by that of the process that serves", "err", err)
 	}
-	Limit(c)
+	ConfigureRuntime(c)
 	var current atomic.Pointer[Config]
 	current.Store(c)
-	s, err := New(c, Options{Log: log, Share: func(processes int) { memory(current.Load(), processes) }})
+	s, err := New(c, Options{Log: log, OnProcessCount: func(processes int) { limitMemory(current.Load(), processes) }})
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 				continue
 			}
 			current.Store(c)
-			s.shareOut()
+			s.rebalanceResources()
 		}
 	}()
 	return s.Run(ctx)
@@ -73,13 +73,13 @@
 		return err
 	}
 	var waits []string
-	if s.web != nil && c.Web != nil {
-		if waits, err = s.web.Reload(c.Web); err != nil {
+	if s.reverseProxy != nil && c.Web != nil {
+		if waits, err = s.reverseProxy.Reload(c.Web); err != nil {
 			return err
 		}
 	}
-	if s.keeper != nil {
-		if err := s.keeper.Retune(coops(set.Tenants)); err != nil {
+	if s.admission != nil {
+		if err := s.admission.Retune(tenantShares(set.Tenants)); err != nil {
 			return err // not of settings that Check has passed
 		}
 	}
@@ -88,21 +88,21 @@
 	s.planners.Retune(set) // before the rules: whose jobs are let in is known there then
 	s.rules.Retune(&jobrequest.Terms{Classes: set.Classes, Tenants: set.Tenants})
 	s.pool.Retune(dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout), dispatchconfig.Seconds(c.Settings.Bounds.IdleClose))
-	s.limit(c)
+	s.limitDescriptors(c)
 	s.watcher.Move(c.Discovery)
 	if c.Discovery == "" {
-		s.loop.Do(func() { s.members(sedgevale.ListWhole, *c.Known) })
+		s.workerLoop.Do(func() { s.updateWorkers(sedgevale.ListWhole, *c.Known) })
 	}
-	if s.link != nil {
-		s.link.Revise(c.InForce())
+	if s.peerLink != nil {
+		s.peerLink.Revise(c.InForce())
 	}
-	s.opt.Log.Info("configuration read again", "revision", c.Revision, "discovery", c.Discovery, "classes", len(set.Classes),
+	s.options.Log.Info("configuration read again", "revision", c.Revision, "discovery", c.Discovery, "classes", len(set.Classes),
 		"max_attempts", set.MaxAttempts, "tenants", len(set.Tenants))
 	if added, gone, changed := tenantChanges(before.Tenants, set.Tenants); added+gone+changed > 0 {
-		s.opt.Log.Info("tenants changed", "added", added, "gone", gone, "changed", changed)
+		s.options.Log.Info("tenants changed", "added", added, "gone", gone, "changed", changed)
 	}
 	if kept := append(s.fixed(c), waits...); len(kept) > 0 {
-		s.opt.Log.Warn("part of the new configuration waits for a new start", "what", strings.Join(kept, ", "))
+		s.options.Log.Warn("part of the new configuration waits for a new start", "what", strings.Join(kept, ", "))
 	}
 	return nil
 }
--- a/scheduler/teams_test.go
+++ b/scheduler/teams_test.go
@@ -74,7 +74,7 @@
 func (c *child) recorded(id, team string) {
 	c.t.Helper()
 	status, r := c.ask("?job=" + id)
-	for until := time.Now().Add(patience); status == 503 && time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(maxDrainWait); status == 503 && time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		status, r = c.ask("?job=" + id)
 	}
 	if status != 200 || r.Verdict != "ran" || r.Tenant != team || len(r.Attempts) != 1 {
--- a/scheduler/upgrade.go
+++ b/scheduler/upgrade.go
@@ -17,62 +17,62 @@
 
 const (
 	// Descriptors of a process that are not connections.
-	overhead  = 32
-	tellEvery = 50 * time.Millisecond
+	fixedDescriptors = 32
+	reportInterval   = 50 * time.Millisecond
 	// An operator waits a second; the other process has this much of it.
-	orderWait = 400 * time.Millisecond
-	estateMax = time.Second
+	orderTimeout    = 400 * time.Millisecond
+	snapshotTimeout = time.Second
 )
 
 var (
-	errNoWord = errors.New("the other process of the upgrade has not confirmed the order")
-	errLate   = errors.New("it does not answer")
+	errOrderUnconfirmed = errors.New("the other process of the upgrade has not confirmed the order")
+	errNotAnswering     = errors.New("it does not answer")
 )
 
-// bond is what joins this process to another of the same scheduler.
-type bond struct {
-	s      *Scheduler
-	number int
+// sibling is what joins this process to another of the same scheduler.
+type sibling struct {
+	scheduler *Scheduler
+	id        int
 
-	mu      sync.Mutex
-	link    *handover.Link
-	held    []*handover.Message // until the first message is out
-	begun   bool
-	gone    chan struct{} // closed when the other is gone
-	lost    bool
-	used    int
-	serving bool // it accepts clients in our place
-	orders  uint64
-	waits   map[uint64]chan struct{}
+	mu            sync.Mutex
+	link          *handover.Link
+	pending       []*handover.Message // until the first message is out
+	started       bool
+	done          chan struct{} // closed when the other is gone
+	lost          bool
+	descriptors   int
+	serving       bool // it accepts clients in our place
+	lastOrder     uint64
+	pendingOrders map[uint64]chan struct{}
 }
 
-// bonds are all of those.
-type bonds struct {
-	mu   sync.Mutex
-	all  map[*bond]struct{}
-	last int
-	more chan struct{}  // holds a token once there is another
-	host *handover.Host // nil: not waiting for another process
+// siblingSet are all of those.
+type siblingSet struct {
+	mu       sync.Mutex
+	all      map[*sibling]struct{}
+	lastID   int
+	added    chan struct{}  // holds a token once there is another
+	listener *handover.Host // nil: not waiting for another process
 }
 
-func (s *Scheduler) bond() *bond {
-	s.bonds.mu.Lock()
-	defer s.bonds.mu.Unlock()
-	s.bonds.last++
-	b := &bond{s: s, number: s.bonds.last, gone: make(chan struct{}), waits: map[uint64]chan struct{}{}}
-	s.bonds.all[b] = struct{}{}
+func (s *Scheduler) addSibling() *sibling {
+	s.siblings.mu.Lock()
+	defer s.siblings.mu.Unlock()
+	s.siblings.lastID++
+	b := &sibling{scheduler: s, id: s.siblings.lastID, done: make(chan struct{}), pendingOrders: map[uint64]chan struct{}{}}
+	s.siblings.all[b] = struct{}{}
 	select {
-	case s.bonds.more <- struct{}{}:
+	case s.siblings.added <- struct{}{}:
 	default:
 	}
 	return b
 }
 
-func (s *Scheduler) others() []*bond {
-	s.bonds.mu.Lock()
-	defer s.bonds.mu.Unlock()
-	all := make([]*bond, 0, len(s.bonds.all))
-	for b := range s.bonds.all {
+func (s *Scheduler) siblingList() []*sibling {
+	s.siblings.mu.Lock()
+	defer s.siblings.mu.Unlock()
+	all := make([]*sibling, 0, len(s.siblings.all))
+	for b := range s.siblings.all {
 		all = append(all, b)
 	}
 	return all
@@ -80,11 +80,11 @@
 
 func (s *Scheduler) hello() handover.Hello { return handover.NewHello(s.config.Name, s.config.Listen) }
 
-// join takes over from the process that serves now, if there is one: it brings
+// takeOver takes over from the process that serves now, if there is one: it brings
 // its listening sockets and returns the bond. A partner that is missing or broken
 // is no reason not to start. It must be called before the planners run.
-func (s *Scheduler) join() (*bond, map[string]*net.TCPListener) {
-	session, err := handover.Join(fileOf(s.config, "sock"), s.hello())
+func (s *Scheduler) takeOver() (*sibling, map[string]*net.TCPListener) {
+	session, err := handover.Join(runtimeFile(s.config, "sock"), s.hello())
 	if errors.Is(err, handover.ErrNobody) {
 		return nil, nil
 	}
@@ -95,30 +95,30 @@
 		}
 	}
 	if err != nil {
-		s.opt.Log.Warn("the other process hands nothing over, starting without", "err", err)
+		s.options.Log.Warn("the other process hands nothing over, starting without", "err", err)
 		return nil, nil
 	}
 	s.watcher.Known(state.List.Revision, state.Discovery)
-	s.members(sedgevale.ListWhole, state.List)
+	s.updateWorkers(sedgevale.ListWhole, state.List)
 	for _, host := range state.Cordons {
 		if err := s.cordons.Set(host, true); err != nil {
-			s.opt.Log.Warn("a cordon is not saved", "worker", host, "err", err)
+			s.options.Log.Warn("a cordon is not saved", "worker", host, "err", err)
 		}
-		s.keep(host)
+		s.restoreCordon(host)
 	}
-	b := s.bond()
-	s.planners.Adopt(b.number, b.tell, state.Planners)
-	b.begin(session.Link(s.loop, b, s.opt.Log), nil)
-	s.shareOut()
-	s.opt.Log.Info("taking over from the process that serves", "workers", len(state.List.Members), "cordons", len(state.Cordons))
+	b := s.addSibling()
+	s.planners.Adopt(b.id, b.publish, state.Planners)
+	b.start(session.Link(s.workerLoop, b, s.options.Log), nil)
+	s.rebalanceResources()
+	s.options.Log.Info("taking over from the process that serves", "workers", len(state.List.Members), "cordons", len(state.Cordons))
 	return b, session.Sockets
 }
 
-// inherited returns the configuration of the process that serves, or nil: a file
+// inheritedConfig returns the configuration of the process that serves, or nil: a file
 // that it has turned down must not stop the next one.
-func inherited() *dispatchconfig.Config {
+func inheritedConfig() *dispatchconfig.Config {
 	me := &dispatchconfig.Config{Name: os.Getenv("EDGE_NAME"), Listen: os.Getenv("EDGE_LISTEN")}
-	session, err := handover.Join(fileOf(me, "sock"), handover.NewHello(me.Name, me.Listen))
+	session, err := handover.Join(runtimeFile(me, "sock"), handover.NewHello(me.Name, me.Listen))
 	if err != nil {
 		return nil
 	}
@@ -137,16 +137,16 @@
 	return c
 }
 
-// await waits for the next process, from now on.
-func (s *Scheduler) await() {
-	host, err := handover.Listen(fileOf(s.config, "sock"))
+// acceptSuccessors waits for the next process, from now on.
+func (s *Scheduler) acceptSuccessors() {
+	host, err := handover.Listen(runtimeFile(s.config, "sock"))
 	if err != nil {
-		s.opt.Log.Warn("a next process will find nobody to take over from", "err", err)
+		s.options.Log.Warn("a next process will find nobody to take over from", "err", err)
 		return
 	}
-	s.bonds.mu.Lock()
-	s.bonds.host = host
-	s.bonds.mu.Unlock()
+	s.siblings.mu.Lock()
+	s.siblings.listener = host
+	s.siblings.mu.Unlock()
 	sockets := func() (all []*net.TCPListener) {
 		for _, server := range s.servers {
 			all = append(all, server.Listener())
@@ -154,170 +154,170 @@
 		return all
 	}
 	go host.Accept(s.hello(), sockets, s.handOver, func(err error) {
-		s.opt.Log.Warn("a process that wanted to take over got nothing", "err", err)
+		s.options.Log.Warn("a process that wanted to take over got nothing", "err", err)
 	})
 }
 
 // handOver gives another process all that it needs to be this scheduler too.
 func (s *Scheduler) handOver(session *handover.Session) {
-	b := s.bond() // from here on it is told of orders; what is out already goes with the state
-	link := session.Link(s.loop, b, s.opt.Log)
-	ctx, stop := context.WithTimeout(context.Background(), estateMax)
+	b := s.addSibling() // from here on it is told of orders; what is out already goes with the state
+	link := session.Link(s.workerLoop, b, s.options.Log)
+	ctx, stop := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer stop()
-	estates, err := s.planners.Share(ctx, b.number, b.tell)
+	estates, err := s.planners.Share(ctx, b.id, b.publish)
 	if err != nil {
 		link.Drop(err)
 		return
 	}
-	state := &handover.State{Source: s.current.Load().Source, List: s.listed(), Discovery: s.watcher.Addr(), Cordons: s.cordons.Hosts(), Planners: estates}
-	b.begin(link, &handover.Message{State: state})
-	if s.streams != nil {
-		s.streams.Mirror(b.number, func(st *sse.Stream) { b.send(&handover.Message{Stream: st}) })
+	state := &handover.State{Source: s.current.Load().Source, List: s.workerList(), Discovery: s.watcher.Addr(), Cordons: s.cordons.Hosts(), Planners: estates}
+	b.start(link, &handover.Message{State: state})
+	if s.eventStreams != nil {
+		s.eventStreams.Mirror(b.id, func(st *sse.Stream) { b.send(&handover.Message{Stream: st}) })
 	}
-	s.shareOut()
+	s.rebalanceResources()
 	if b.isLost() { // its end may have come before the planners knew of it
-		s.part(b)
+		s.dropSibling(b)
 		return
 	}
-	s.opt.Log.Info("handing over to a new process", "workers", len(state.List.Members), "cordons", len(state.Cordons))
+	s.options.Log.Info("handing over to a new process", "workers", len(state.List.Members), "cordons", len(state.Cordons))
 }
 
-// begin sends the first message, if there is one, and what was held until now.
-func (b *bond) begin(link *handover.Link, first *handover.Message) {
+// start sends the first message, if there is one, and what was held until now.
+func (b *sibling) start(link *handover.Link, first *handover.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.link, b.begun = link, true
+	b.link, b.started = link, true
 	if first != nil {
 		link.Send(first)
 	}
-	for _, m := range b.held {
+	for _, m := range b.pending {
 		link.Send(m)
 	}
-	b.held = nil
+	b.pending = nil
 }
 
-func (b *bond) send(m *handover.Message) {
+func (b *sibling) send(m *handover.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
 	case b.lost:
-	case b.begun:
+	case b.started:
 		b.link.Send(m)
 	default:
-		b.held = append(b.held, m)
+		b.pending = append(b.pending, m)
 	}
 }
 
-func (b *bond) isLost() bool {
+func (b *sibling) isLost() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.lost
 }
 
-// tell passes on what a planner does.
-func (b *bond) tell(planner int, shared dispatch.Shared) {
-	b.send(&handover.Message{Share: &handover.Share{Planner: planner, Shared: shared}, Used: b.s.used()})
+// publish passes on what a planner does.
+func (b *sibling) publish(planner int, shared dispatch.Shared) {
+	b.send(&handover.Message{Share: &handover.Share{Planner: planner, Shared: shared}, Used: b.scheduler.descriptorsInUse()})
 }
 
-func (s *Scheduler) used() int { return s.budget.Used() + overhead }
+func (s *Scheduler) descriptorsInUse() int { return s.descriptors.Used() + fixedDescriptors }
 
 // Message is the link's.
-func (b *bond) Message(_ *handover.Link, m *handover.Message) {
-	s := b.s
+func (b *sibling) Message(_ *handover.Link, m *handover.Message) {
+	s := b.scheduler
 	if m.Share != nil {
-		s.planners.Beside(b.number, m.Share.Planner, m.Share.Shared)
+		s.planners.Beside(b.id, m.Share.Planner, m.Share.Shared)
 	}
-	if m.Stream != nil && s.streams != nil {
-		s.streams.Take(b.number, m.Stream)
+	if m.Stream != nil && s.eventStreams != nil {
+		s.eventStreams.Take(b.id, m.Stream)
 	}
 	if m.Order != nil {
-		go b.obey(m.Order)
+		go b.executeOrder(m.Order)
 	}
 	b.mu.Lock()
 	if m.Done != 0 {
-		if done := b.waits[m.Done]; done != nil {
+		if done := b.pendingOrders[m.Done]; done != nil {
 			close(done)
-			delete(b.waits, m.Done)
+			delete(b.pendingOrders, m.Done)
 		}
 	}
-	changed := m.Used != 0 && m.Used != b.used
+	changed := m.Used != 0 && m.Used != b.descriptors
 	if m.Used != 0 {
-		b.used = m.Used
+		b.descriptors = m.Used
 	}
 	if m.Serving {
 		b.serving = true
 	}
 	b.mu.Unlock()
 	if changed {
-		s.shareOut()
+		s.rebalanceResources()
 	}
 	if m.Serving {
-		s.opt.Log.Info("the new process accepts clients, this one does not any more")
+		s.options.Log.Info("the new process accepts clients, this one does not any more")
 		for _, server := range s.servers {
 			server.Pause()
 		}
-		if s.link != nil {
-			s.link.Pause()
+		if s.peerLink != nil {
+			s.peerLink.Pause()
 		}
 	}
 }
 
 // Lost is the link's.
-func (b *bond) Lost(*handover.Link) {
-	s := b.s
-	s.bonds.mu.Lock()
-	delete(s.bonds.all, b)
-	s.bonds.mu.Unlock()
+func (b *sibling) Lost(*handover.Link) {
+	s := b.scheduler
+	s.siblings.mu.Lock()
+	delete(s.siblings.all, b)
+	s.siblings.mu.Unlock()
 	b.mu.Lock()
-	b.lost, b.held = true, nil
+	b.lost, b.pending = true, nil
 	serving := b.serving
 	b.mu.Unlock()
-	close(b.gone)
-	s.part(b)
-	s.shareOut()
+	close(b.done)
+	s.dropSibling(b)
+	s.rebalanceResources()
 	if serving {
 		for _, server := range s.servers {
 			server.Resume()
 		}
-		if s.link != nil {
-			s.link.Resume()
+		if s.peerLink != nil {
+			s.peerLink.Resume()
 		}
 	}
 }
 
-// part ends all sharing with a process that is gone.
-func (s *Scheduler) part(b *bond) {
-	s.planners.Part(b.number)
-	if s.streams != nil {
-		s.streams.Part(b.number)
+// dropSibling ends all sharing with a process that is gone.
+func (s *Scheduler) dropSibling(b *sibling) {
+	s.planners.Part(b.id)
+	if s.eventStreams != nil {
+		s.eventStreams.Part(b.id)
 	}
 }
 
-// shareOut keeps this process to its share of the machine: all that the others
+// rebalanceResources keeps this process to its share of the machine: all that the others
 // leave of the descriptors, and an even part of the memory.
-func (s *Scheduler) shareOut() {
-	all, used := s.others(), 0
+func (s *Scheduler) rebalanceResources() {
+	all, used := s.siblingList(), 0
 	for _, b := range all {
 		b.mu.Lock()
-		used += max(overhead, b.used)
+		used += max(fixedDescriptors, b.descriptors)
 		b.mu.Unlock()
 	}
-	s.budget.Others(used)
-	if s.opt.Share != nil {
-		s.opt.Share(1 + len(all))
+	s.descriptors.Others(used)
+	if s.options.OnProcessCount != nil {
+		s.options.OnProcessCount(1 + len(all))
 	}
 }
 
-// report tells the others how many descriptors are in use here, as long as there
+// reportDescriptors tells the others how many descriptors are in use here, as long as there
 // are others, until the context ends. Alone it does not wake up.
-func (s *Scheduler) report(ctx context.Context) {
+func (s *Scheduler) reportDescriptors(ctx context.Context) {
 	for {
 		select {
-		case <-s.bonds.more:
+		case <-s.siblings.added:
 		case <-ctx.Done():
 			return
 		}
-		tick := time.NewTicker(tellEvery)
+		tick := time.NewTicker(reportInterval)
 		for last := 0; ; {
 			select {
 			case <-tick.C:
@@ -325,7 +325,7 @@
 				tick.Stop()
 				return
 			}
-			all, used := s.others(), s.used()
+			all, used := s.siblingList(), s.descriptorsInUse()
 			if len(all) == 0 {
 				break
 			}
@@ -340,47 +340,47 @@
 	}
 }
 
-// obey carries out an order that the other process has had.
-func (b *bond) obey(o *handover.Order) {
-	ctx, stop := context.WithTimeout(context.Background(), orderWait)
+// executeOrder carries out an order that the other process has had.
+func (b *sibling) executeOrder(o *handover.Order) {
+	ctx, stop := context.WithTimeout(context.Background(), orderTimeout)
 	defer stop()
-	err := b.s.apply(ctx, o.Host, o.Out)
+	err := b.scheduler.applyCordon(ctx, o.Host, o.Out)
 	if err == nil {
-		err = b.s.tellOthers(ctx, o.Host, o.Out, b)
+		err = b.scheduler.forwardOrder(ctx, o.Host, o.Out, b)
 	}
 	if err != nil {
-		b.s.opt.Log.Warn("an order of the other process is not carried out", "worker", o.Host, "out", o.Out, "err", err)
+		b.scheduler.options.Log.Warn("an order of the other process is not carried out", "worker", o.Host, "out", o.Out, "err", err)
 		return
 	}
 	b.send(&handover.Message{Done: o.Number})
 }
 
-// tellOthers has the other processes carry out an order, too.
-func (s *Scheduler) tellOthers(ctx context.Context, host string, out bool, but *bond) error {
-	ctx, stop := context.WithTimeout(ctx, orderWait)
+// forwardOrder has the other processes carry out an order, too.
+func (s *Scheduler) forwardOrder(ctx context.Context, host string, out bool, but *sibling) error {
+	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
-	for _, b := range s.others() {
+	for _, b := range s.siblingList() {
 		if b == but {
 			continue
 		}
 		done := make(chan struct{})
 		b.mu.Lock()
-		b.orders++
-		number := b.orders
-		b.waits[number] = done
+		b.lastOrder++
+		number := b.lastOrder
+		b.pendingOrders[number] = done
 		b.mu.Unlock()
 		b.send(&handover.Message{Order: &handover.Order{Number: number, Host: host, Out: out}})
 		select {
 		case <-done:
-		case <-b.gone:
+		case <-b.done:
 		case <-ctx.Done():
 			b.mu.Lock()
 			link := b.link
 			b.mu.Unlock()
 			if link != nil {
-				link.Drop(errLate)
+				link.Drop(errNotAnswering)
 			}
-			return errNoWord
+			return errOrderUnconfirmed
 		}
 	}
 	return nil
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -24,7 +24,7 @@
 	next.write()
 	next.launch()
 	c.t.Cleanup(next.kill)
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(maxDrainWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", next.config.Ops); err == nil {
 			conn.Close()
 			if next.tell("GET", "health", "") == 200 {
