--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	version   = 1
-	greetWait = time.Second
-	stateWait = 2 * time.Second // for what the old process hands over
-	maxLine   = 16 << 20
-	maxHello  = 4 << 10
-	maxSocks  = 8
-	longPath  = 80 // what surely fits into the kernel's address of a Unix socket
+	protocolVersion = 1
+	helloTimeout    = time.Second
+	stateTimeout    = 2 * time.Second // for what the old process hands over
+	maxLine         = 16 << 20
+	maxHello        = 4 << 10
+	maxSockets      = 8
+	maxSocketPath   = 80 // what surely fits into the kernel's address of a Unix socket
 )
 
 // Hello is the first line, both ways. The old process's brings its listening
@@ -42,7 +42,9 @@
 }
 
 // NewHello returns the first line of a scheduler.
-func NewHello(name, listen string) Hello { return Hello{Version: version, Name: name, Listen: listen} }
+func NewHello(name, listen string) Hello {
+	return Hello{Version: protocolVersion, Name: name, Listen: listen}
+}
 
 // State is what the old process hands over.
 type State struct {
@@ -83,7 +85,7 @@
 	Hello   Hello
 	Sockets map[string]*net.TCPListener // by address
 	conn    *net.UnixConn
-	in      *bufio.Reader
+	reader  *bufio.Reader
 }
 
 // Close ends the session with all that came by it.
@@ -94,10 +96,10 @@
 	}
 }
 
-// short returns a name for the path that a Unix socket's address can hold. It is
+// shortPath returns a name for the path that a Unix socket's address can hold. It is
 // good until the folder is closed.
-func short(path string) (name string, folder io.Closer, err error) {
-	if len(path) <= longPath {
+func shortPath(path string) (name string, folder io.Closer, err error) {
+	if len(path) <= maxSocketPath {
 		return path, io.NopCloser(nil), nil
 	}
 	f, err := os.Open(filepath.Dir(path))
@@ -113,12 +115,12 @@
 
 // Join finds the old process.
 func Join(path string, hello Hello) (*Session, error) {
-	name, folder, err := short(path)
+	name, folder, err := shortPath(path)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	defer folder.Close()
-	c, err := net.DialTimeout("unix", name, greetWait)
+	c, err := net.DialTimeout("unix", name, helloTimeout)
 	if errors.Is(err, unix.ENOENT) || errors.Is(err, unix.ECONNREFUSED) {
 		return nil, ErrNobody
 	}
@@ -126,29 +128,29 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	s := &Session{conn: c.(*net.UnixConn), Sockets: map[string]*net.TCPListener{}}
-	if err := s.greet(hello); err != nil {
+	if err := s.exchangeHello(hello); err != nil {
 		s.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	return s, nil
 }
 
-func (s *Session) greet(hello Hello) error {
-	_ = s.conn.SetDeadline(time.Now().Add(greetWait))
-	if err := s.say(hello, nil); err != nil {
+func (s *Session) exchangeHello(hello Hello) error {
+	_ = s.conn.SetDeadline(time.Now().Add(helloTimeout))
+	if err := s.writeLine(hello, nil); err != nil {
 		return err
 	}
-	buf, oob := make([]byte, maxHello), make([]byte, unix.CmsgSpace(4*maxSocks))
+	buf, oob := make([]byte, maxHello), make([]byte, unix.CmsgSpace(4*maxSockets))
 	n, oobn, _, _, err := s.conn.ReadMsgUnix(buf, oob)
 	if err != nil {
 		return err
 	}
-	listeners, err := received(oob[:oobn])
+	listeners, err := receivedListeners(oob[:oobn])
 	if err != nil {
 		return err
 	}
-	s.in = bufio.NewReader(io.MultiReader(bytes.NewReader(buf[:n]), s.conn))
-	err = s.hear(hello)
+	s.reader = bufio.NewReader(io.MultiReader(bytes.NewReader(buf[:n]), s.conn))
+	err = s.readHello(hello)
 	for i, l := range listeners {
 		if l == nil {
 			continue
@@ -162,8 +164,8 @@
 	return err
 }
 
-// received returns the listening sockets of a message; what is none is nil.
-func received(oob []byte) (listeners []*net.TCPListener, err error) {
+// receivedListeners returns the listening sockets of a message; what is none is nil.
+func receivedListeners(oob []byte) (listeners []*net.TCPListener, err error) {
 	if len(oob) == 0 {
 		return nil, nil
 	}
@@ -188,8 +190,8 @@
 	return listeners, nil
 }
 
-// say sends a line, with the sockets.
-func (s *Session) say(v any, sockets []*net.TCPListener) error {
+// writeLine sends a line, with the sockets.
+func (s *Session) writeLine(v any, sockets []*net.TCPListener) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -222,11 +224,11 @@
 	return inner
 }
 
-var errOther = errors.New("the other process is another scheduler, or speaks another version")
+var errMismatch = errors.New("the other process is another scheduler, or speaks another version")
 
-// hear reads the other's first line.
-func (s *Session) hear(ours Hello) error {
-	line, err := s.in.ReadSlice('\n')
+// readHello reads the other's first line.
+func (s *Session) readHello(ours Hello) error {
+	line, err := s.reader.ReadSlice('\n')
 	if err != nil {
 		return err
 	}
@@ -234,17 +236,17 @@
 		return err
 	}
 	if s.Hello.Version != ours.Version || s.Hello.Name != ours.Name || s.Hello.Listen != ours.Listen {
-		return errOther
+		return errMismatch
 	}
 	return nil
 }
 
 // State waits for what the old process hands over.
 func (s *Session) State() (*State, error) {
-	_ = s.conn.SetDeadline(time.Now().Add(stateWait))
+	_ = s.conn.SetDeadline(time.Now().Add(stateTimeout))
 	var line []byte
 	for {
-		part, err := s.in.ReadSlice('\n')
+		part, err := s.reader.ReadSlice('\n')
 		line = append(line, part...)
 		if err == nil {
 			break
@@ -265,15 +267,15 @@
 
 // Host waits for the next process, by the socket.
 type Host struct {
-	l    *net.UnixListener
-	path string
-	own  os.FileInfo
+	listener *net.UnixListener
+	path     string
+	info     os.FileInfo
 }
 
 // Listen makes the socket, in place of one that another process has left or has
 // still.
 func Listen(path string) (*Host, error) {
-	name, folder, err := short(path)
+	name, folder, err := shortPath(path)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
@@ -285,12 +287,12 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	l.SetUnlinkOnClose(false)
-	h := &Host{l: l, path: path}
+	h := &Host{listener: l, path: path}
 	if err = os.Chmod(draft, 0o600); err == nil {
 		err = os.Rename(draft, name)
 	}
 	if err == nil {
-		h.own, err = os.Stat(name)
+		h.info, err = os.Stat(name)
 	}
 	if err != nil {
 		l.Close()
@@ -303,18 +305,18 @@
 // has been given the sockets.
 func (h *Host) Accept(hello Hello, sockets func() []*net.TCPListener, deal func(*Session), failed func(error)) {
 	for {
-		c, err := h.l.AcceptUnix()
+		c, err := h.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			failed(fmt.Errorf("handover: %w", err))
-			time.Sleep(greetWait / 10)
+			time.Sleep(helloTimeout / 10)
 			continue
 		}
 		go func() {
-			s := &Session{conn: c, in: bufio.NewReader(c)}
-			if err := s.welcome(hello, sockets()); err != nil {
+			s := &Session{conn: c, reader: bufio.NewReader(c)}
+			if err := s.answerHello(hello, sockets()); err != nil {
 				s.Close()
 				failed(fmt.Errorf("handover: %w", err))
 				return
@@ -324,22 +326,22 @@
 	}
 }
 
-func (s *Session) welcome(hello Hello, sockets []*net.TCPListener) error {
-	_ = s.conn.SetDeadline(time.Now().Add(greetWait))
-	if err := s.hear(hello); err != nil {
+func (s *Session) answerHello(hello Hello, sockets []*net.TCPListener) error {
+	_ = s.conn.SetDeadline(time.Now().Add(helloTimeout))
+	if err := s.readHello(hello); err != nil {
 		return err
 	}
 	for _, l := range sockets {
 		hello.Sockets = append(hello.Sockets, l.Addr().String())
 	}
-	return s.say(hello, sockets)
+	return s.writeLine(hello, sockets)
 }
 
 // Close ends the waiting and removes the socket, unless it is another process's
 // by now.
 func (h *Host) Close() {
-	h.l.Close()
-	if now, err := os.Stat(h.path); err == nil && os.SameFile(now, h.own) {
+	h.listener.Close()
+	if now, err := os.Stat(h.path); err == nil && os.SameFile(now, h.info) {
 		_ = os.Remove(h.path)
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -22,15 +22,15 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 100) }
 
-// ends notes what a link brings.
-type ends struct {
-	got  chan *Message
-	lost chan struct{}
+// recorder notes what a link brings.
+type recorder struct {
+	messages chan *Message
+	lost     chan struct{}
 }
 
-func newEnds() ends                        { return ends{make(chan *Message, 64), make(chan struct{})} }
-func (e ends) Message(_ *Link, m *Message) { e.got <- m }
-func (e ends) Lost(*Link)                  { close(e.lost) }
+func newRecorder() recorder                    { return recorder{make(chan *Message, 64), make(chan struct{})} }
+func (e recorder) Message(_ *Link, m *Message) { e.messages <- m }
+func (e recorder) Lost(*Link)                  { close(e.lost) }
 func listener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	l := listener(t)
-	old := newEnds()
+	old := newRecorder()
 	links := make(chan *Link, 1)
 	go host.Accept(hello, func() []*net.TCPListener { return []*net.TCPListener{l} }, func(s *Session) {
 		link := s.Link(loop, old, log)
@@ -78,13 +78,13 @@
 	if err != nil || state.List.Revision != 7 || state.Cordons[0] != "w" || state.Planners[0].Shared.Opened[0] != "job" {
 		t.Fatalf("handed over %+v, error %v", state, err)
 	}
-	next := newEnds()
+	next := newRecorder()
 	link := s.Link(loop, next, log)
 	link.Send(&Message{Serving: true})
-	if m := testkit.Await(t, "a message of the old one", next.got); m.Used != 5 {
+	if m := testkit.Await(t, "a message of the old one", next.messages); m.Used != 5 {
 		t.Errorf("came %+v", m)
 	}
-	if m := testkit.Await(t, "a message of the new one", old.got); !m.Serving {
+	if m := testkit.Await(t, "a message of the new one", old.messages); !m.Serving {
 		t.Errorf("came %+v", m)
 	}
 	passed := s.Sockets[l.Addr().String()]
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host.l.Close() // as if it had been killed: the file stays
+	host.listener.Close() // as if it had been killed: the file stays
 	if _, err := Join(path, hello); !errors.Is(err, ErrNobody) {
 		t.Errorf("with the socket of a dead process: %v", err)
 	}
@@ -178,7 +178,7 @@
 	}
 	defer loop.Stop()
 	rapid.Check(t, func(t *rapid.T) {
-		h := newEnds()
+		h := newRecorder()
 		l := &Link{loop: loop, handler: h, log: log}
 		n := rapid.IntRange(1, 8).Draw(t, "messages")
 		var all []byte
@@ -192,22 +192,22 @@
 		all = append(all, `{"used":99`...) // not whole
 		for rest := all; len(rest) > 0; {
 			at := rapid.IntRange(1, len(rest)).Draw(t, "cut")
-			l.take(rest[:at])
+			l.receive(rest[:at])
 			rest = rest[at:]
 		}
 		for i := range n {
-			if len(h.got) == 0 {
+			if len(h.messages) == 0 {
 				t.Fatalf("only %d messages of %d", i, n)
 			}
-			if m := <-h.got; m.Used != i+1 {
+			if m := <-h.messages; m.Used != i+1 {
 				t.Fatalf("message %d is %+v", i+1, m)
 			}
 		}
-		if len(h.got) != 0 || l.dead {
-			t.Fatalf("%d messages more, lost %v", len(h.got), l.dead)
+		if len(h.messages) != 0 || l.closed {
+			t.Fatalf("%d messages more, lost %v", len(h.messages), l.closed)
 		}
-		l.take(append(rapid.SliceOfN(rapid.Byte(), 0, 50).Draw(t, "garbage"), "\x00\n"...)) // a zero byte is no JSON
-		if !l.dead {
+		l.receive(append(rapid.SliceOfN(rapid.Byte(), 0, 50).Draw(t, "garbage"), "\x00\n"...)) // a zero byte is no JSON
+		if !l.closed {
 			t.Fatal("garbage did not end the link")
 		}
 	})
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -26,19 +26,19 @@
 	log     *slog.Logger
 
 	// For the loop alone.
-	gc   evloop.Conn
-	part []byte // come already, of a line that is not whole yet
-	wait []byte // to be sent once the link is up
-	dead bool
+	conn    evloop.Conn
+	partial []byte // come already, of a line that is not whole yet
+	unsent  []byte // to be sent once the link is up
+	closed  bool
 }
 
 // Link makes a link of the session, on an event loop.
 func (s *Session) Link(loop *evloop.Loop, h Handler, log *slog.Logger) *Link {
 	l := &Link{loop: loop, handler: h, log: log}
 	_ = s.conn.SetDeadline(time.Time{})
-	early, _ := s.in.Peek(s.in.Buffered())
-	l.part = bytes.Clone(early)
-	loop.Enrol(s.conn, l, l.lose)
+	early, _ := s.reader.Peek(s.reader.Buffered())
+	l.partial = bytes.Clone(early)
+	loop.Enrol(s.conn, l, l.close)
 	return l
 }
 
@@ -52,9 +52,9 @@
 	b = append(b, '\n')
 	l.loop.Do(func() {
 		switch {
-		case l.dead:
-		case l.gc == nil:
-			l.wait = append(l.wait, b...)
+		case l.closed:
+		case l.conn == nil:
+			l.unsent = append(l.unsent, b...)
 		default:
 			l.write(b)
 		}
@@ -62,54 +62,54 @@
 }
 
 func (l *Link) write(b []byte) {
-	if _, err := l.gc.Write(b); err == nil && !l.dead && l.gc.OutboundBuffered() > maxUnsent {
-		l.lose(errHung)
+	if _, err := l.conn.Write(b); err == nil && !l.closed && l.conn.OutboundBuffered() > maxUnsent {
+		l.close(errNotReading)
 	}
 }
 
 // Drop ends the link. It may be called from anywhere.
-func (l *Link) Drop(why error) { l.loop.Do(func() { l.lose(why) }) }
+func (l *Link) Drop(why error) { l.loop.Do(func() { l.close(why) }) }
 
 var (
-	errHung  = errors.New("it does not read")
-	errEnded = errors.New("it has ended")
-	errLong  = errors.New("a line is too long")
+	errNotReading  = errors.New("it does not read")
+	errEnded       = errors.New("it has ended")
+	errLineTooLong = errors.New("a line is too long")
 )
 
-func (l *Link) lose(err error) {
-	if l.dead {
+func (l *Link) close(err error) {
+	if l.closed {
 		return
 	}
-	l.dead = true
-	l.part, l.wait = nil, nil
+	l.closed = true
+	l.partial, l.unsent = nil, nil
 	l.log.Info("the other process of the upgrade is gone, this one is alone", "why", err)
-	if l.gc != nil {
-		l.loop.Close(l.gc)
+	if l.conn != nil {
+		l.loop.Close(l.conn)
 	}
 	l.handler.Lost(l)
 }
 
 // Opened is the loop's.
 func (l *Link) Opened(gc evloop.Conn) bool {
-	if l.dead {
+	if l.closed {
 		return false
 	}
-	l.gc = gc
-	if wait := l.wait; len(wait) > 0 {
-		l.wait = nil
+	l.conn = gc
+	if wait := l.unsent; len(wait) > 0 {
+		l.unsent = nil
 		l.write(wait)
 	}
-	early := l.part
-	l.part = nil
-	l.take(early)
-	return !l.dead
+	early := l.partial
+	l.partial = nil
+	l.receive(early)
+	return !l.closed
 }
 
 // Traffic is the loop's.
 func (l *Link) Traffic(gc evloop.Conn) bool {
 	buf, _ := gc.Peek(-1)
-	l.take(buf)
-	if l.dead {
+	l.receive(buf)
+	if l.closed {
 		return true // closed already
 	}
 	evloop.Take(gc, len(buf))
@@ -117,26 +117,26 @@
 }
 
 // Closed is the loop's.
-func (l *Link) Closed(evloop.Conn) { l.lose(errEnded) }
+func (l *Link) Closed(evloop.Conn) { l.close(errEnded) }
 
-// take deals with bytes as they come; what is malformed ends the link, nothing else.
-func (l *Link) take(b []byte) {
-	for !l.dead {
+// receive deals with bytes as they come; what is malformed ends the link, nothing else.
+func (l *Link) receive(b []byte) {
+	for !l.closed {
 		line, rest, whole := bytes.Cut(b, []byte{'\n'})
 		if !whole {
-			if l.part = append(l.part, b...); len(l.part) > maxLine {
-				l.lose(errLong)
+			if l.partial = append(l.partial, b...); len(l.partial) > maxLine {
+				l.close(errLineTooLong)
 			}
 			return
 		}
-		if len(l.part) > 0 {
-			line = append(l.part, line...)
-			l.part = nil
+		if len(l.partial) > 0 {
+			line = append(l.partial, line...)
+			l.partial = nil
 		}
 		b = rest
 		var m Message
 		if err := json.Unmarshal(line, &m); err != nil {
-			l.lose(err)
+			l.close(err)
 			return
 		}
 		l.handler.Message(l, &m)
