--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,11 +1,13 @@
-// Package handover joins the two processes of an upgrade, which for a while are
-// one scheduler. The new one finds the old one by a Unix socket and is given its
-// listening sockets and its state; then each tells the other what it does.
+// Package handover links the two processes of an upgrade, which for a while serve as one
+// scheduler. The new process connects to the old one's Unix socket and is given its
+// listening sockets (SCM_RIGHTS) and its state; from then on each sends the other updates
+// over a Link. Messages are JSON objects, one a line.
 package handover
 
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -25,80 +27,80 @@
 const (
 	protocolVersion = 1
 	helloTimeout    = time.Second
-	stateTimeout    = 2 * time.Second // for what the old process hands over
-	maxLine         = 16 << 20
-	maxHello        = 4 << 10
+	stateTimeout    = 2 * time.Second // for the old process's state
+	maxLine         = 16 << 20        // bytes
+	maxHello        = 4 << 10         // bytes
 	maxSockets      = 8
-	maxSocketPath   = 80 // what surely fits into the kernel's address of a Unix socket
+	maxSocketPath   = 80 // bytes that surely fit into the kernel's address of a Unix socket
 )
 
-// Hello is the first line, both ways. The old process's brings its listening
-// sockets along.
+// Hello is the first line of either process. The old process's carries its listening
+// sockets. Its keys, like those of all messages, are read by other versions.
 type Hello struct {
 	Version int      `json:"version"`
 	Name    string   `json:"name"`
 	Listen  string   `json:"listen"`
-	Sockets []string `json:"sockets,omitempty"` // the addresses of those, in order
+	Sockets []string `json:"sockets,omitempty"` // the sockets' addresses, in order
 }
 
-// NewHello returns the first line of a scheduler.
+// NewHello returns the Hello of a scheduler.
 func NewHello(name, listen string) Hello {
 	return Hello{Version: protocolVersion, Name: name, Listen: listen}
 }
 
 // State is what the old process hands over.
 type State struct {
-	Source    []byte            `json:"source,omitempty"` // the configuration it serves by, of the platform
-	List      discovery.List    `json:"list"`
-	Discovery string            `json:"discovery"` // where that list is from
+	Source    []byte            `json:"source,omitempty"` // the configuration in force, as the platform wrote it
+	List      discovery.List    `json:"list"`             // of workers
+	Discovery string            `json:"discovery"`        // the address that the list is from
 	Cordons   []string          `json:"cordons,omitempty"`
 	Planners  []dispatch.Estate `json:"planners"`
 }
 
-// Order is an operator's order that one process has had and both carry out.
+// Order is an operator's cordon order that one process was given and both carry out.
 type Order struct {
 	Number uint64 `json:"number"`
 	Host   string `json:"host"`
 	Out    bool   `json:"out"`
 }
 
-// Share is what a planner tells its counterpart.
+// Share is an update that a planner sends its counterpart in the other process.
 type Share struct {
 	Planner int             `json:"planner"`
 	Shared  dispatch.Shared `json:"shared"`
 }
 
-// Message is one line of a Link.
+// Message is one line of a Link. Each field that is set is an update of its own.
 type Message struct {
-	State   *State `json:"state,omitempty"`   // the first of the old process
-	Serving bool   `json:"serving,omitempty"` // the new process accepts clients
+	State   *State `json:"state,omitempty"`   // the old process's first message
+	Serving bool   `json:"serving,omitempty"` // the new process accepts connections
 	Share   *Share `json:"share,omitempty"`
 	Order   *Order `json:"order,omitempty"`
-	Done    uint64 `json:"done,omitempty"` // the order of that number holds
-	Used    int    `json:"used,omitempty"` // descriptors
+	Done    uint64 `json:"done,omitempty"` // the order of that number is in force
+	Used    int    `json:"used,omitempty"` // descriptors in use
 
-	Stream *sse.Stream `json:"stream,omitempty"` // of the old process
+	Stream *sse.Stream `json:"stream,omitempty"` // events of the old process's streams
 }
 
 // Session is a connection to the other process before it becomes a Link.
 type Session struct {
-	Hello   Hello
-	Sockets map[string]*net.TCPListener // by address
+	Hello   Hello                       // the other process's
+	Sockets map[string]*net.TCPListener // received from it, by address
 	conn    *net.UnixConn
 	reader  *bufio.Reader
 }
 
-// Close ends the session with all that came by it.
+// Close closes the connection and all sockets that were received over it.
 func (s *Session) Close() {
-	s.conn.Close()
+	_ = s.conn.Close()
 	for _, l := range s.Sockets {
-		l.Close()
+		_ = l.Close()
 	}
 }
 
-// shortPath returns a name for the path that a Unix socket's address can hold. It is
-// good until the folder is closed.
-func shortPath(path string) (name string, folder io.Closer, err error) {
+// shortPath returns a name for the path that fits into a Unix socket's address. The name is
+// valid until the directory is closed.
+func shortPath(path string) (name string, dir io.Closer, err error) {
 	if len(path) <= maxSocketPath {
 		return path, io.NopCloser(nil), nil
 	}
@@ -109,18 +111,21 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", f.Fd(), filepath.Base(path)), f, nil
 }
 
-// ErrNobody is returned where no other process is there, though one that has
-// died may have left its socket.
+// ErrNobody is returned by Join where no process listens, though one that has died may have
+// left its socket behind.
 var ErrNobody = errors.New("no other process")
 
-// Join finds the old process.
-func Join(path string, hello Hello) (*Session, error) {
-	name, folder, err := shortPath(path)
+// Join connects to the old process by its socket and receives its listening sockets. The
+// error is ErrNobody if there is no such process; any other one says that it does not
+// answer in time, or is another scheduler.
+func Join(ctx context.Context, path string, hello Hello) (*Session, error) {
+	name, dir, err := shortPath(path)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	defer folder.Close()
-	c, err := net.DialTimeout("unix", name, helloTimeout)
+	defer func() { _ = dir.Close() }() // it was only read
+	dialer := net.Dialer{Timeout: helloTimeout}
+	c, err := dialer.DialContext(ctx, "unix", name)
 	if errors.Is(err, unix.ENOENT) || errors.Is(err, unix.ECONNREFUSED) {
 		return nil, ErrNobody
 	}
@@ -156,7 +161,7 @@
 			continue
 		}
 		if err != nil || i >= len(s.Hello.Sockets) || s.Sockets[s.Hello.Sockets[i]] != nil {
-			l.Close()
+			_ = l.Close()
 			continue
 		}
 		s.Sockets[s.Hello.Sockets[i]] = l
@@ -164,7 +169,8 @@
 	return err
 }
 
-// receivedListeners returns the listening sockets of a message; what is none is nil.
+// receivedListeners returns the listening sockets in a message's control data, nil for a
+// descriptor that is not a listening TCP socket.
 func receivedListeners(oob []byte) (listeners []*net.TCPListener, err error) {
 	if len(oob) == 0 {
 		return nil, nil
@@ -182,7 +188,7 @@
 			unix.CloseOnExec(fd)
 			f := os.NewFile(uintptr(fd), "passed")
 			l, _ := net.FileListener(f)
-			f.Close()
+			_ = f.Close() // the listener has a duplicate
 			t, _ := l.(*net.TCPListener)
 			listeners = append(listeners, t)
 		}
@@ -190,7 +196,7 @@
 	return listeners, nil
 }
 
-// writeLine sends a line, with the sockets.
+// writeLine sends a value as a line, together with the sockets.
 func (s *Session) writeLine(v any, sockets []*net.TCPListener) error {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -207,8 +213,8 @@
 	})
 }
 
-// withFDs calls f with the sockets' descriptors. File would give descriptors that
-// Fd makes blocking, for all who share the socket.
+// withFDs calls f with the sockets' descriptors. It avoids TCPListener.File, whose Fd would
+// switch the socket to blocking mode for all processes that share it.
 func withFDs(sockets []*net.TCPListener, fds []int, f func([]int) error) error {
 	if len(sockets) == 0 {
 		return f(fds)
@@ -224,9 +230,10 @@
 	return inner
 }
 
+// errMismatch is returned for a process that this one cannot share its state with.
 var errMismatch = errors.New("the other process is another scheduler, or speaks another version")
 
-// readHello reads the other's first line.
+// readHello reads the other process's Hello, which must match ours.
 func (s *Session) readHello(ours Hello) error {
 	line, err := s.reader.ReadSlice('\n')
 	if err != nil {
@@ -241,13 +248,13 @@
 	return nil
 }
 
-// State waits for what the old process hands over.
+// State waits for the state that the old process sends as its first message.
 func (s *Session) State() (*State, error) {
 	_ = s.conn.SetDeadline(time.Now().Add(stateTimeout))
 	var line []byte
 	for {
-		part, err := s.reader.ReadSlice('\n')
-		line = append(line, part...)
+		chunk, err := s.reader.ReadSlice('\n')
+		line = append(line, chunk...)
 		if err == nil {
 			break
 		}
@@ -264,84 +271,3 @@
 	}
 	return m.State, nil
 }
-
-// Host waits for the next process, by the socket.
-type Host struct {
-	listener *net.UnixListener
-	path     string
-	info     os.FileInfo
-}
-
-// Listen makes the socket, in place of one that another process has left or has
-// still.
-func Listen(path string) (*Host, error) {
-	name, folder, err := shortPath(path)
-	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
-	}
-	defer folder.Close()
-	draft := fmt.Sprintf("%s.%d", name, os.Getpid())
-	_ = os.Remove(draft) // of one that has died
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: draft, Net: "unix"})
-	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
-	}
-	l.SetUnlinkOnClose(false)
-	h := &Host{listener: l, path: path}
-	if err = os.Chmod(draft, 0o600); err == nil {
-		err = os.Rename(draft, name)
-	}
-	if err == nil {
-		h.info, err = os.Stat(name)
-	}
-	if err != nil {
-		l.Close()
-		return nil, fmt.Errorf("handover: %w", err)
-	}
-	return h, nil
-}
-
-// Accept calls deal, in a goroutine of its own, with each process that joins and
-// has been given the sockets.
-func (h *Host) Accept(hello Hello, sockets func() []*net.TCPListener, deal func(*Session), failed func(error)) {
-	for {
-		c, err := h.listener.AcceptUnix()
-		if errors.Is(err, net.ErrClosed) {
-			return
-		}
-		if err != nil {
-			failed(fmt.Errorf("handover: %w", err))
-			time.Sleep(helloTimeout / 10)
-			continue
-		}
-		go func() {
-			s := &Session{conn: c, reader: bufio.NewReader(c)}
-			if err := s.answerHello(hello, sockets()); err != nil {
-				s.Close()
-				failed(fmt.Errorf("handover: %w", err))
-				return
-			}
-			deal(s)
-		}()
-	}
-}
-
-func (s *Session) answerHello(hello Hello, sockets []*net.TCPListener) error {
-	_ = s.conn.SetDeadline(time.Now().Add(helloTimeout))
-	if err := s.readHello(hello); err != nil {
-		return err
-	}
-	for _, l := range sockets {
-		hello.Sockets = append(hello.Sockets, l.Addr().String())
-	}
-	return s.writeLine(hello, sockets)
-}
-
-// Close ends the waiting and removes the socket, unless it is another process's
-// by now.
-func (h *Host) Close() {
-	h.listener.Close()
-	if now, err := os.Stat(h.path); err == nil && os.SameFile(now, h.info) {
-		_ = os.Remove(h.path)
-	}
-}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -70,7 +70,7 @@
 		link.Send(&Message{Used: 5})
 		links <- link
 	}, func(err error) { t.Error(err) })
-	s, err := Join(path, hello)
+	s, err := Join(t.Context(), path, hello)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 func TestPartnersThatAreNone(t *testing.T) {
 	hello := NewHello("n0", "127.0.0.1:3000")
 	path := filepath.Join(t.TempDir(), "sock")
-	if _, err := Join(path, hello); !errors.Is(err, ErrNobody) {
+	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNobody) {
 		t.Errorf("without a socket: %v", err)
 	}
 	host, err := Listen(path)
@@ -126,7 +126,7 @@
 		t.Fatal(err)
 	}
 	host.listener.Close() // as if it had been killed: the file stays
-	if _, err := Join(path, hello); !errors.Is(err, ErrNobody) {
+	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNobody) {
 		t.Errorf("with the socket of a dead process: %v", err)
 	}
 	for what, line := range map[string]string{"silent": "", "garbage": "\x00\x01\n", "ends": "{}",
@@ -147,7 +147,7 @@
 			}
 		}()
 		began := time.Now()
-		if _, err := Join(l.Addr().String(), hello); err == nil || errors.Is(err, ErrNobody) || time.Since(began) > 3*time.Second {
+		if _, err := Join(t.Context(), l.Addr().String(), hello); err == nil || errors.Is(err, ErrNobody) || time.Since(began) > 3*time.Second {
 			t.Errorf("%s: %v after %v", what, err, time.Since(began))
 		}
 		l.Close()
--- /dev/null
+++ b/internal/handover/host.go
@@ -0,0 +1,93 @@
+package handover
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"time"
+)
+
+// acceptBackoff is the pause after a connection could not be accepted.
+const acceptBackoff = helloTimeout / 10
+
+// Host listens for the next process on the scheduler's Unix socket.
+type Host struct {
+	listener *net.UnixListener
+	path     string
+	info     os.FileInfo // of the socket, to tell it from a later process's
+}
+
+// Listen makes the socket. It replaces the socket of another process, alive or dead,
+// atomically: a process that joins finds one or the other.
+func Listen(path string) (*Host, error) {
+	name, dir, err := shortPath(path)
+	if err != nil {
+		return nil, fmt.Errorf("handover: %w", err)
+	}
+	defer func() { _ = dir.Close() }() // it was only read
+	draft := fmt.Sprintf("%s.%d", name, os.Getpid())
+	_ = os.Remove(draft) // of one that has died
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: draft, Net: "unix"})
+	if err != nil {
+		return nil, fmt.Errorf("handover: %w", err)
+	}
+	l.SetUnlinkOnClose(false)
+	h := &Host{listener: l, path: path}
+	if err = os.Chmod(draft, 0o600); err == nil {
+		err = os.Rename(draft, name)
+	}
+	if err == nil {
+		h.info, err = os.Stat(name)
+	}
+	if err != nil {
+		_ = l.Close()
+		return nil, fmt.Errorf("handover: %w", err)
+	}
+	return h, nil
+}
+
+// Accept accepts processes until Close. It passes the sockets to each that joins and then
+// calls handle with its session, in a goroutine of its own. Errors go to failed.
+func (h *Host) Accept(hello Hello, sockets func() []*net.TCPListener, handle func(*Session), failed func(error)) {
+	for {
+		c, err := h.listener.AcceptUnix()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			failed(fmt.Errorf("handover: %w", err))
+			time.Sleep(acceptBackoff)
+			continue
+		}
+		go func() {
+			s := &Session{conn: c, reader: bufio.NewReader(c)}
+			if err := s.answerHello(hello, sockets()); err != nil {
+				s.Close()
+				failed(fmt.Errorf("handover: %w", err))
+				return
+			}
+			handle(s)
+		}()
+	}
+}
+
+func (s *Session) answerHello(hello Hello, sockets []*net.TCPListener) error {
+	_ = s.conn.SetDeadline(time.Now().Add(helloTimeout))
+	if err := s.readHello(hello); err != nil {
+		return err
+	}
+	for _, l := range sockets {
+		hello.Sockets = append(hello.Sockets, l.Addr().String())
+	}
+	return s.writeLine(hello, sockets)
+}
+
+// Close stops listening and removes the socket, unless another process has replaced it.
+func (h *Host) Close() {
+	_ = h.listener.Close()
+	if now, err := os.Stat(h.path); err == nil && os.SameFile(now, h.info) {
+		_ = os.Remove(h.path)
+	}
+}
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -10,16 +10,17 @@
 	"sedgevale/internal/evloop"
 )
 
-// maxUnsent is what the other process may leave unread before it counts as hung.
+// maxUnsent is how many bytes the other process may leave unread before it counts as hung.
 const maxUnsent = 32 << 20
 
-// Handler deals with a Link. Its methods are called on the event loop.
+// Handler receives what comes over a Link. Its methods are called on the event loop.
 type Handler interface {
 	Message(*Link, *Message)
 	Lost(*Link) // once, also where the link never came up
 }
 
-// Link is the connection of the two processes.
+// Link is the connection of the two processes. Either end of it may be lost at any time;
+// what is sent then is dropped.
 type Link struct {
 	loop    *evloop.Loop
 	handler Handler
@@ -27,12 +28,12 @@
 
 	// For the loop alone.
 	conn    evloop.Conn
-	partial []byte // come already, of a line that is not whole yet
-	unsent  []byte // to be sent once the link is up
+	partial []byte // received of a line that is not complete yet
+	unsent  []byte // sent before the link was up
 	closed  bool
 }
 
-// Link makes a link of the session, on an event loop.
+// Link turns the session into a Link on an event loop. The session must not be used any more.
 func (s *Session) Link(loop *evloop.Loop, h Handler, log *slog.Logger) *Link {
 	l := &Link{loop: loop, handler: h, log: log}
 	_ = s.conn.SetDeadline(time.Time{})
@@ -42,11 +43,11 @@
 	return l
 }
 
-// Send sends a message. It may be called from anywhere.
+// Send sends a message. It may be called from any goroutine.
 func (l *Link) Send(m *Message) {
 	b, err := json.Marshal(m)
 	if err != nil {
-		l.log.Error("a message to the other process cannot be written", "err", err)
+		l.log.Error("cannot encode a message to the other process", "err", err)
 		return
 	}
 	b = append(b, '\n')
@@ -67,7 +68,7 @@
 	}
 }
 
-// Drop ends the link. It may be called from anywhere.
+// Drop closes the link; the reason is logged. It may be called from any goroutine.
 func (l *Link) Drop(why error) { l.loop.Do(func() { l.close(why) }) }
 
 var (
@@ -82,22 +83,22 @@
 	}
 	l.closed = true
 	l.partial, l.unsent = nil, nil
-	l.log.Info("the other process of the upgrade is gone, this one is alone", "why", err)
+	l.log.Info("the other process of the upgrade is gone, continuing alone", "why", err)
 	if l.conn != nil {
 		l.loop.Close(l.conn)
 	}
 	l.handler.Lost(l)
 }
 
-// Opened is the loop's.
+// Opened is called by the event loop when the connection is registered.
 func (l *Link) Opened(gc evloop.Conn) bool {
 	if l.closed {
 		return false
 	}
 	l.conn = gc
-	if wait := l.unsent; len(wait) > 0 {
+	if unsent := l.unsent; len(unsent) > 0 {
 		l.unsent = nil
-		l.write(wait)
+		l.write(unsent)
 	}
 	early := l.partial
 	l.partial = nil
@@ -105,7 +106,7 @@
 	return !l.closed
 }
 
-// Traffic is the loop's.
+// Traffic is called by the event loop when bytes have come.
 func (l *Link) Traffic(gc evloop.Conn) bool {
 	buf, _ := gc.Peek(-1)
 	l.receive(buf)
@@ -116,14 +117,14 @@
 	return true
 }
 
-// Closed is the loop's.
+// Closed is called by the event loop when the connection has ended.
 func (l *Link) Closed(evloop.Conn) { l.close(errEnded) }
 
-// receive deals with bytes as they come; what is malformed ends the link, nothing else.
+// receive parses bytes as they come. A malformed line closes the link and does nothing else.
 func (l *Link) receive(b []byte) {
 	for !l.closed {
-		line, rest, whole := bytes.Cut(b, []byte{'\n'})
-		if !whole {
+		line, rest, complete := bytes.Cut(b, []byte{'\n'})
+		if !complete {
 			if l.partial = append(l.partial, b...); len(l.partial) > maxLine {
 				l.close(errLineTooLong)
 			}
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -127,7 +127,7 @@
 	done := make(chan struct{})
 	go func() { s.site.Run(ctx); close(done) }()
 	for _, l := range s.site.Servers() {
-		if err := l.Start(nil); err != nil {
+		if err := l.Start(ctx, nil); err != nil {
 			s.t.Fatal(err)
 		}
 	}
--- a/internal/httpd/accept.go
+++ b/internal/httpd/accept.go
@@ -29,7 +29,7 @@
 
 // listen makes a listening socket. It may share its address with that of another
 // process, which cannot pass its own on.
-func listen(addr string) (*net.TCPListener, error) {
+func listen(ctx context.Context, addr string) (*net.TCPListener, error) {
 	lc := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
 		if e := c.Control(func(fd uintptr) {
@@ -39,7 +39,7 @@
 		}
 		return err
 	}}
-	l, err := lc.Listen(context.Background(), "tcp", addr)
+	l, err := lc.Listen(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("cannot listen on %s: %w", addr, err)
 	}
--- a/internal/httpd/endings_test.go
+++ b/internal/httpd/endings_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	h := served{echo{make(chan struct{}, 8)}, make(chan *Conn, 512), make(chan int, 512)}
 	s := New(testkit.FreeAddr(t), 1, h, b, slog.New(slog.DiscardHandler))
-	if err := s.Start(nil); err != nil {
+	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { stop(t, s) })
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -127,13 +127,13 @@
 // Start serves on a listening socket that another process has passed on, or, where
 // there is none, on one of its own. gnet accepts only on sockets that it has made
 // itself, so connections are accepted here and enrolled with its event loops.
-func (s *Server) Start(passed *net.TCPListener) error {
+func (s *Server) Start(ctx context.Context, passed *net.TCPListener) error {
 	if passed == nil {
-		if taken(s.addr) {
-			s.log.Warn("another process listens on the same address and passes nothing on, sharing it", "addr", s.addr)
+		if taken(ctx, s.addr) {
+			s.log.Warn("another process listens on the same address and hands no socket over, sharing the address", "addr", s.addr)
 		}
 		var err error
-		if passed, err = listen(s.addr); err != nil {
+		if passed, err = listen(ctx, s.addr); err != nil {
 			return err
 		}
 	}
@@ -143,7 +143,7 @@
 		err = client.Start()
 	}
 	if err != nil {
-		passed.Close()
+		_ = passed.Close()
 		return fmt.Errorf("event loops for %s: %w", s.addr, err)
 	}
 	s.client, s.acceptor = client, newAcceptor(passed)
@@ -175,12 +175,14 @@
 func (s *Server) Resume() { s.acceptor.goOn() }
 
 // taken reports whether somebody listens on the address.
-func taken(addr string) bool {
-	c, err := net.DialTimeout("tcp", addr, takenWait)
-	if err == nil {
-		c.Close()
+func taken(ctx context.Context, addr string) bool {
+	dialer := net.Dialer{Timeout: takenWait}
+	c, err := dialer.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return false
 	}
-	return err == nil
+	_ = c.Close()
+	return true
 }
 
 // Drain makes each further answer the last of its connection.
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	h := echo{make(chan struct{}, 8)}
 	s := New(addr, 1, h, b, slog.New(slog.DiscardHandler))
-	if err := s.Start(nil); err != nil {
+	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
 	return s, h
@@ -136,7 +136,7 @@
 	}
 	passed.Close()
 	second := New(addr, 1, echo{make(chan struct{}, 8)}, fdlimit.New(0), slog.New(slog.DiscardHandler))
-	if err := second.Start(l.(*net.TCPListener)); err != nil {
+	if err := second.Start(t.Context(), l.(*net.TCPListener)); err != nil {
 		t.Fatal(err)
 	}
 	answer(t, waitingReader)
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -40,7 +40,7 @@
 	o = &orders{make(chan string, 8), sick}
 	addr = testkit.FreeAddr(t)
 	s := httpd.New(addr, 1, New(o, nil, nil), fdlimit.New(0), slog.New(slog.DiscardHandler))
-	if err := s.Start(nil); err != nil {
+	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = s.Stop() })
--- a/internal/reverseproxy/reverseproxy_test.go
+++ b/internal/reverseproxy/reverseproxy_test.go
@@ -42,7 +42,7 @@
 	done := make(chan struct{})
 	go func() { s.Run(ctx); close(done) }()
 	for _, l := range s.Servers() {
-		if err := l.Start(nil); err != nil {
+		if err := l.Start(t.Context(), nil); err != nil {
 			t.Fatal(err)
 		}
 	}
--- /dev/null
+++ b/scheduler/build.go
@@ -0,0 +1,183 @@
+package scheduler
+
+import (
+	"errors"
+	"log/slog"
+	"time"
+
+	"sedgevale"
+	"sedgevale/internal/discovery"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/evloop"
+	"sedgevale/internal/fairqueue"
+	"sedgevale/internal/fairqueue/driver"
+	"sedgevale/internal/fdlimit"
+	"sedgevale/internal/httpd"
+	"sedgevale/internal/jobrequest"
+	"sedgevale/internal/journal/recorder"
+	"sedgevale/internal/ops"
+	"sedgevale/internal/peerlink"
+	"sedgevale/internal/platformapi"
+	"sedgevale/internal/reverseproxy"
+	"sedgevale/internal/sse"
+	"sedgevale/internal/upstream"
+)
+
+const (
+	// workerHost is the Host header of requests to workers.
+	workerHost = "origin.svc"
+	// streamDeadlineMargin is subtracted from the deadline of a job whose client follows an
+	// event stream: it is the time in which the final event reaches the client.
+	streamDeadlineMargin = 50 * time.Millisecond
+	// A worker is reported on by at least minWorkerObservers schedulers, and a scheduler
+	// begins with a subset of at least minSubsetSize workers (docs/design/peers.md).
+	minWorkerObservers = 8
+	minSubsetSize      = 4
+)
+
+// New returns a Scheduler that neither listens nor runs yet: Run does both. It returns an
+// error for a configuration that does not pass its Check, for a journal that cannot be
+// opened, and where the system refuses an event loop.
+func New(c *dispatchconfig.Config, opt Options) (*Scheduler, error) {
+	if opt.Log == nil {
+		opt.Log = slog.New(slog.DiscardHandler)
+	}
+	if err := c.Check(); err != nil {
+		return nil, err
+	}
+	settings, err := c.Settings.Module(max(1, c.Planners))
+	if err != nil {
+		return nil, err
+	}
+	settings.AskForList = c.Discovery != "" // pushed lists come to the address, and it is asked for them there
+	s := &Scheduler{options: opt, config: c, clock: dispatch.NewClock(), descriptors: fdlimit.New(0),
+		cordonTurn: make(chan struct{}, 1), siblings: siblingSet{all: map[*sibling]struct{}{}, added: make(chan struct{}, 1)}}
+	s.settings.Store(&settings)
+	s.current.Store(c)
+	s.limitDescriptors(c)
+	if s.workerLoop, err = evloop.New(opt.Log); err != nil {
+		return nil, err
+	}
+	if err := s.build(&settings); err != nil {
+		return nil, errors.Join(err, s.workerLoop.Stop())
+	}
+	return s, nil
+}
+
+// build makes the parts of a scheduler in the order in which they depend on each other.
+func (s *Scheduler) build(settings *sedgevale.Settings) error {
+	c := s.config
+	s.pool = upstream.New(upstream.Options{Loop: s.workerLoop, DialTimeout: dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout),
+		IdleClose: dispatchconfig.Seconds(c.Settings.Bounds.IdleClose), Host: workerHost, Clock: s.clock, Budget: s.descriptors,
+		Log: s.options.Log})
+	s.watcher = discovery.NewWatcher(s.workerLoop, c.Discovery, *c.Known, s.onWorkerList, s.onDiscoveryFailure, s.options.Log)
+	if c.Journal != nil {
+		var err error
+		if s.journal, err = recorder.Open(c, s.options.Log); err != nil {
+			return err
+		}
+	}
+	planners, err := s.buildPlanners(settings)
+	if err != nil {
+		return err
+	}
+	if err := s.buildPeerLink(planners); err != nil {
+		return err
+	}
+	s.updateWorkers(sedgevale.ListStale, *c.Known)
+	s.rules = jobrequest.New(s.clock, &jobrequest.Terms{Classes: settings.Classes, Tenants: settings.Tenants})
+	if err := s.buildServers(settings); err != nil {
+		return err
+	}
+	s.buildOps()
+	return nil
+}
+
+// buildPlanners makes the set of planners and returns its members.
+func (s *Scheduler) buildPlanners(settings *sedgevale.Settings) ([]*dispatch.Planner, error) {
+	var planners []*dispatch.Planner
+	for i := range max(1, s.config.Planners) {
+		p, err := dispatch.NewPlanner(*settings, s.config.SeedNumber()+uint64(i), s.clock, s.pool, s.watcher.Watch, s.options.Log)
+		if err != nil {
+			return nil, err
+		}
+		if s.journal != nil {
+			p.Record(s.journal)
+		}
+		planners = append(planners, p)
+	}
+	s.planners = dispatch.NewSet(planners...)
+	return planners, nil
+}
+
+// buildPeerLink makes the link to the peer schedulers if the configuration names any.
+func (s *Scheduler) buildPeerLink(planners []*dispatch.Planner) error {
+	c := s.config
+	plan, err := c.PeerPlan()
+	if err != nil || plan == nil {
+		return err
+	}
+	s.peerLink = peerlink.New(peerlink.Options{Listen: plan.Listen, Peers: plan.Peers, Self: plan.Self, Site: plan.Site,
+		Watch: plan.Watch, Revision: c.InForce(), Seed: c.SeedNumber(), Hearers: minWorkerObservers, Least: minSubsetSize,
+		Planners: planners, Clock: s.clock, Log: s.options.Log})
+	return nil
+}
+
+// buildServers makes the servers for clients: the platform's protocol, the reverse proxy
+// and the event streams, each where the configuration has it. The admission queue, if any,
+// stands between them and the planners.
+func (s *Scheduler) buildServers(settings *sedgevale.Settings) error {
+	c, log := s.config, s.options.Log
+	var planners platformapi.Planners = s.planners
+	if c.Door != nil {
+		o := fairqueue.Options{Coops: tenantShares(settings.Tenants), Concurrency: c.Door.Concurrency, Queue: c.Door.Queue,
+			Clients: c.Door.Clients, Seed: c.SeedNumber()}
+		var err error
+		if s.admission, err = driver.New(o, s.planners, s.clock, settings.MaxRetryAfter, log); err != nil {
+			return err
+		}
+		planners = s.admission
+	}
+	if c.Listen != "" {
+		s.servers = append(s.servers, httpd.New(c.Listen, c.Loops, platformapi.New(s.rules, planners, s.ready.Load), s.descriptors, log))
+	}
+	if c.Web != nil {
+		var err error
+		if s.reverseProxy, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loops: c.Loops, Loop: s.workerLoop, Clock: s.clock,
+			Seed: c.SeedNumber() + uint64(max(1, c.Planners)), Budget: s.descriptors, Log: log}); err != nil {
+			return err
+		}
+		s.servers = append(s.servers, s.reverseProxy.Servers()...)
+	}
+	if c.SSE != nil {
+		s.eventStreams = sse.New(sse.Options{Rules: s.rules.Earlier(streamDeadlineMargin), Planners: planners, Ready: s.ready.Load,
+			Heartbeat: dispatchconfig.Seconds(c.SSE.Heartbeat), Retain: dispatchconfig.Seconds(c.SSE.Retain), Log: log})
+		s.servers = append(s.servers, httpd.New(c.SSE.Listen, c.Loops, s.eventStreams, s.descriptors, log))
+	}
+	return nil
+}
+
+// buildOps restores the saved cordons and makes the server for operators' calls.
+func (s *Scheduler) buildOps() {
+	c, log := s.config, s.options.Log
+	var err error
+	if s.cordons, err = ops.ReadCordons(runtimeFile(c, "cordons")); err != nil {
+		log.Warn("cannot read the saved cordons, none is in force", "err", err)
+	}
+	for _, host := range s.cordons.Hosts() {
+		s.restoreCordon(host)
+	}
+	if c.Ops != "" {
+		s.opsServer = httpd.New(c.Ops, 1, ops.New(s, s.journalReader(), s.opsPages()),
+			fdlimit.New(fdlimit.Reserve+reservedOpsDescriptors/2), log)
+	}
+}
+
+// tenantShares returns the tenants as the admission queue takes them.
+func tenantShares(tenants []sedgevale.Tenant) (all []fairqueue.Coop) {
+	for _, t := range tenants {
+		all = append(all, fairqueue.Coop{Name: t.Name, Share: t.Share})
+	}
+	return all
+}
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -5,20 +5,30 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// What a scheduler is told, for programs that embed one.
+// The configuration of a Scheduler, for programs that embed one.
 type (
-	Config   = dispatchconfig.Config
-	Limits   = dispatchconfig.Limits
-	SSE      = dispatchconfig.SSE
-	Journal  = dispatchconfig.Journal
-	Web      = dispatchconfig.Web
+	// Config is the whole configuration.
+	Config = dispatchconfig.Config
+	// Limits bound the process's memory and descriptors.
+	Limits = dispatchconfig.Limits
+	// SSE configures the event streams.
+	SSE = dispatchconfig.SSE
+	// Journal configures the journal of attempts.
+	Journal = dispatchconfig.Journal
+	// Web configures the reverse proxy.
+	Web = dispatchconfig.Web
+	// Settings are those of the decision module.
 	Settings = dispatchconfig.Settings
-	Class    = dispatchconfig.Class
-	List     = discovery.List
-	Member   = discovery.Member
+	// Class is a class of requests.
+	Class = dispatchconfig.Class
+	// List is a list of workers.
+	List = discovery.List
+	// Member is a worker in a List.
+	Member = discovery.Member
 )
 
-// FromEnv reads the platform's configuration, which EDGE_CONFIG names.
+// FromEnv reads the platform's configuration, which the environment variable EDGE_CONFIG
+// names.
 func FromEnv() (*Config, error) { return dispatchconfig.FromEnv() }
 
 // ReadFile reads and checks an operator's file.
--- a/scheduler/endings_test.go
+++ b/scheduler/endings_test.go
@@ -45,7 +45,7 @@
 		}
 	}()
 	c.signal(syscall.SIGTERM)
-	c.logged("stopping")
+	c.logged("draining: answering")
 	var all sync.WaitGroup
 	for i, conn := range conns {
 		all.Go(func() {
--- a/scheduler/orders.go
+++ b/scheduler/operate.go
@@ -1,7 +1,9 @@
 package scheduler
 
 import (
+	"bytes"
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"hash/fnv"
@@ -14,8 +16,8 @@
 
 var errNotServing = errors.New("not serving")
 
-// Healthy returns nil if this process can serve: it listens, is not ending, and
-// planners and event loops have their turns.
+// Healthy returns nil if this process can serve: it listens, is not draining, and its
+// planners and event loops take turns before the context ends.
 func (s *Scheduler) Healthy(ctx context.Context) error {
 	if !s.ready.Load() {
 		return errNotServing
@@ -25,7 +27,7 @@
 	}
 	if s.reverseProxy != nil {
 		if err := s.reverseProxy.Alive(ctx); err != nil {
-			return fmt.Errorf("the web front's planner has no turn: %w", err)
+			return fmt.Errorf("the reverse proxy's planner has no turn: %w", err)
 		}
 	}
 	turn := make(chan struct{}, 1+len(s.servers))
@@ -43,8 +45,9 @@
 	return nil
 }
 
-// Cordon takes a worker out or puts it back. It returns once that holds and is
-// saved, here and in the other process of an upgrade.
+// Cordon takes a worker out of use, or back into use if out is false. It returns once that
+// is in force and saved, here and in the sibling process of an upgrade. The error is
+// ops.ErrUnknown for a worker that no list has named.
 func (s *Scheduler) Cordon(ctx context.Context, host string, out bool) error {
 	if err := s.applyCordon(ctx, host, out); err != nil {
 		return err
@@ -52,12 +55,11 @@
 	if err := s.forwardOrder(ctx, host, out, nil); err != nil {
 		return err
 	}
-	s.options.Log.Info("an operator's order holds", "worker", host, "out", out)
+	s.options.Log.Info("cordon order in force", "worker", host, "out", out)
 	return nil
 }
 
-// applyCordon carries out an order in this process. Orders are carried out one after
-// another.
+// applyCordon carries out an order in this process, one order after another.
 func (s *Scheduler) applyCordon(ctx context.Context, host string, out bool) error {
 	select {
 	case s.cordonTurn <- struct{}{}:
@@ -65,7 +67,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if !out { // else what is placed there at once would be turned back
+	if !out { // else requests placed there at once would be rejected by the pool
 		if err := s.cordonConnections(ctx, host, false); err != nil {
 			return err
 		}
@@ -88,7 +90,7 @@
 	return s.cordons.Set(host, out)
 }
 
-// restoreCordon has a worker out from the start.
+// restoreCordon takes a worker out of use before the scheduler runs.
 func (s *Scheduler) restoreCordon(host string) {
 	s.pool.Cordon(host, true, func() {})
 	s.planners.Keep(host)
@@ -97,7 +99,7 @@
 	}
 }
 
-// cordonConnections has the carrier keep to an order.
+// cordonConnections applies an order to the connection pool.
 func (s *Scheduler) cordonConnections(ctx context.Context, host string, out bool) error {
 	done := make(chan struct{})
 	s.pool.Cordon(host, out, func() { close(done) })
@@ -109,9 +111,39 @@
 	}
 }
 
+// journalReader returns what answers questions about jobs, or nil without a journal.
+func (s *Scheduler) journalReader() ops.Journal {
+	if s.journal == nil { // else it would be an interface that is not nil
+		return nil
+	}
+	return s.journal
+}
+
+// opsPages returns what operators can read, by path.
+func (s *Scheduler) opsPages() map[string]ops.Page {
+	pages := map[string]ops.Page{}
+	if s.reverseProxy != nil {
+		pages["/admin/servers"] = ops.Page{Type: "application/x-ndjson", Read: func() []byte {
+			var b bytes.Buffer
+			e := json.NewEncoder(&b)
+			for _, server := range s.reverseProxy.Status() {
+				_ = e.Encode(server) // every value of its type can be encoded
+			}
+			return b.Bytes()
+		}}
+	}
+	if s.peerLink != nil {
+		pages["/admin/peers"] = ops.Page{Type: "application/json", Read: func() []byte {
+			b, _ := json.Marshal(s.peerLink.Status()) // every value of its type can be encoded
+			return append(b, '\n')
+		}}
+	}
+	return pages
+}
+
 // runtimeFile names a file of this scheduler, the same for each of its processes.
-func runtimeFile(c *dispatchconfig.Config, ending string) string {
+func runtimeFile(c *dispatchconfig.Config, extension string) string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(c.Name + "\x00" + c.Listen))
-	return filepath.Join(os.TempDir(), fmt.Sprintf("sedgevale-%016x.%s", h.Sum64(), ending))
+	return filepath.Join(os.TempDir(), fmt.Sprintf("sedgevale-%016x.%s", h.Sum64(), extension))
 }
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -86,7 +86,7 @@
 		}
 	}
 	c.signal(syscall.SIGTERM)
-	c.logged("stopping")
+	c.logged("draining: answering")
 	if got := c.tell("GET", "health", ""); got != 503 {
 		t.Errorf("stopping, but health is %d", got)
 	}
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -59,7 +59,7 @@
 	if got := testkit.Await(t, "a call at the new address", asked); got != "/v1/endpoints" {
 		t.Errorf("first asked %s", got)
 	}
-	c.logged("waits for a new start")
+	c.logged("needs a restart")
 	testkit.Await(t, "the watch at the new address", asked)
 	f.phase("v", "draining")
 	for i := range 6 {
@@ -68,9 +68,9 @@
 
 	conn.Close()
 	c.signal(syscall.SIGTERM)
-	c.logged("stopping")
+	c.logged("draining: answering")
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration read again")
+	c.logged("configuration reloaded")
 	first.done("first")
 	if a := testkit.Await(t, "the answer", before); a.status != 200 || a.body != "first" {
 		t.Errorf("open since before: %+v", a)
@@ -100,7 +100,7 @@
 	c.config.Settings.Bounds.MaxAttempts = 2
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration read again")
+	c.logged("configuration reloaded")
 	if a := testkit.Await(t, "the answer", post(c.plain, "/plan-change", job("gone")...)); a.status != 404 {
 		t.Errorf("a class that is gone: %+v", a)
 	}
@@ -146,7 +146,7 @@
 	c.config.Settings.Classes = classes[1:]
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration read again")
+	c.logged("configuration reloaded")
 	s = subscribe(t, "GET", c.sse, "usage-view", "Request-Id", "stream")
 	streamed.done("streamed")
 	if last, _ := s.rest(); last.name != "result" {
--- a/scheduler/teams_test.go
+++ b/scheduler/teams_test.go
@@ -40,7 +40,7 @@
 	c.teams(all...)
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration read again")
+	c.logged("configuration reloaded")
 }
 
 // startTeams starts a scheduler with teams, and with more of its file changed.
@@ -271,7 +271,7 @@
 	begin("leaver", "old-leaver")
 	begin("co-op", "old-co-op")
 	next := c.beside()
-	c.logged("the new process accepts clients")
+	c.logged("the new process accepts connections")
 	begin("leaver", "new-leaver") // at the new process, by the first file
 	begin("stays", "new-stays")
 	newest := []team{{"stays", 0.2, 5}, {"newcomer", 0.5, 10}, {"co-op", 0.2, 30}}
@@ -286,7 +286,7 @@
 	streams["old-leaver"] = subscribe(t, "GET", next.sse, "plan-change", "Request-Id", "old-leaver")
 	streams["old-leaver"].until("started")
 	c.signal(syscall.SIGTERM)
-	c.logged("stopping")
+	c.logged("draining: answering")
 	for id, r := range runs {
 		r.done(id)
 	}
@@ -294,7 +294,7 @@
 		s.result(id)
 	}
 	c.ended()
-	next.logged("this one is alone")
+	next.logged("continuing alone")
 	next.stranger("leaver", "later")
 	for _, one := range newest {
 		begin(one.Name, "alone-"+one.Name)
@@ -318,7 +318,7 @@
 	c.teams(team{"newcomer", 0.2, 5}, team{"co-op", 0.8, 20})
 	next := c.beside()
 	c.config = before
-	c.logged("the new process accepts clients")
+	c.logged("the new process accepts connections")
 	next.stranger("leaver", "late")
 	for _, name := range []string{"newcomer", "co-op"} {
 		s := subscribe(t, "POST", next.sse, "plan-change", "Tenant", name, "Request-Id", "new-"+name)
@@ -326,11 +326,11 @@
 		s.result("new-" + name)
 	}
 	c.signal(syscall.SIGTERM)
-	c.logged("stopping")
+	c.logged("draining: answering")
 	r.done("old")
 	old.result("old")
 	c.ended()
-	next.logged("this one is alone")
+	next.logged("continuing alone")
 }
 
 // Guards the newest teams over an upgrade by a file that has become bad since: the new process has those of the one that serves.
@@ -354,12 +354,12 @@
 	next.config.Ops = testkit.FreeAddr(t)
 	next.launch()
 	t.Cleanup(next.kill)
-	next.logged("going on by that of the process that serves")
-	c.logged("the new process accepts clients")
+	next.logged("using that of the serving process")
+	c.logged("the new process accepts connections")
 	for i, kill := range []bool{false, true} {
 		if kill {
 			c.kill()
-			next.logged("this one is alone")
+			next.logged("continuing alone")
 		}
 		for name, want := range map[string]int{"newcomer": 200, "co-op": 200, "leaver": 400} {
 			got := post(next.plain, "/usage-view", jobOf(name, fmt.Sprint(name, "-", i))...)
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -101,7 +101,7 @@
 	onKept("kept-1")
 	stop := clients(f, c.plain)
 	next := c.beside()
-	c.logged("the new process accepts clients")
+	c.logged("the new process accepts connections")
 	if a := testkit.Await(t, "the answer", post(c.plain, "/plan-change", job("open")...)); a.status != 500 {
 		t.Errorf("the id of a job that the old process has open: %+v", a)
 	}
@@ -113,7 +113,7 @@
 		t.Error("the old process lets go of a client though it was not told to end")
 	}
 	c.signal(syscall.SIGTERM)
-	c.logged("stopping")
+	c.logged("draining: answering")
 	if !onKept("kept-3") {
 		t.Error("the old process keeps a client though it ends")
 	}
@@ -122,7 +122,7 @@
 		t.Errorf("open since before: %+v", a)
 	}
 	c.ended()
-	next.logged("this one is alone")
+	next.logged("continuing alone")
 	if got := next.tell("POST", "uncordon", "u"); got != 200 {
 		t.Errorf("uncordon at the new process: %d", got)
 	}
@@ -162,7 +162,7 @@
 		t.Fatalf("cordon at the old process: %d", got)
 	}
 	c.kill()
-	next.logged("this one is alone")
+	next.logged("continuing alone")
 	for i := range 8 {
 		got := post(c.plain, "/usage-view", job(fmt.Sprint("job-", i))...)
 		r := f.next()
@@ -187,7 +187,7 @@
 	f.next().say(`"state":"started"`)
 	before := orphan.until("started")
 	next := c.beside()
-	c.logged("the new process accepts clients")
+	c.logged("the new process accepts connections")
 	s.leave()
 	again := subscribe(t, "POST", c.sse, "plan-change", "Request-Id", "moved")
 	if again.status != 409 {
@@ -203,7 +203,7 @@
 		t.Errorf("the stream went on with %v and %s", names, end.data)
 	}
 	c.kill()
-	next.logged("this one is alone")
+	next.logged("continuing alone")
 	orphan = subscribe(t, "GET", c.sse, "plan-change", "Last-Event-ID", before.id)
 	if end, names := orphan.rest(); end.name != "failed" || end.field(t, "outcome") != "unknown" ||
 		end.field(t, "repeat_safe") != false || len(names) != 1 {
@@ -220,9 +220,9 @@
 	f := newFleet(t, "w")
 	c := startChild(t, f)
 	next := c.beside()
-	c.logged("the new process accepts clients")
+	c.logged("the new process accepts connections")
 	next.kill()
-	c.logged("this one is alone")
+	c.logged("continuing alone")
 	serve := func(id string) {
 		t.Helper()
 		got := post(c.plain, "/usage-view", job(id)...)
@@ -263,8 +263,8 @@
 	next.config.Ops = testkit.FreeAddr(t)
 	next.launch()
 	t.Cleanup(next.kill)
-	next.logged("going on by that of the process that serves")
-	c.logged("the new process accepts clients")
+	next.logged("using that of the serving process")
+	c.logged("the new process accepts connections")
 	c.kill()
 	got := post(c.plain, "/served-by", job("one")...)
 	f.next().done("")
@@ -287,5 +287,5 @@
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("healthy after %v", took)
 	}
-	next.logged("hands nothing over")
+	next.logged("takeover failed")
 }
--- /dev/null
+++ b/scheduler/workers.go
@@ -0,0 +1,45 @@
+package scheduler
+
+import (
+	"sedgevale"
+	"sedgevale/internal/discovery"
+	"sedgevale/internal/upstream"
+)
+
+// onWorkerList takes over an answer of discovery.
+func (s *Scheduler) onWorkerList(l discovery.List) {
+	kind := sedgevale.ListPatch
+	if l.Complete {
+		kind = sedgevale.ListWhole
+	}
+	s.updateWorkers(kind, l)
+}
+
+// onDiscoveryFailure is called when the watch on discovery breaks.
+func (s *Scheduler) onDiscoveryFailure() { s.planners.Members(sedgevale.ListBroken, nil) }
+
+// updateWorkers passes an update of the list of workers on, to the connection pool first:
+// it must know each worker that a planner may choose.
+func (s *Scheduler) updateWorkers(kind sedgevale.ListKind, l discovery.List) {
+	s.workersMu.Lock()
+	s.workers = s.workers.With(l, kind != sedgevale.ListPatch)
+	complete := s.workers
+	s.workersMu.Unlock()
+	pooled := make([]upstream.Member, 0, len(l.Members))
+	for _, m := range l.Members {
+		pooled = append(pooled, upstream.Member{ID: m.ID, Addr: m.HostPort, Ready: m.Ready()})
+	}
+	s.pool.Members(kind != sedgevale.ListPatch, pooled)
+	names := discovery.Names{Zones: s.config.Settings.Zones, Kinds: s.config.Settings.Kinds}
+	s.planners.Members(kind, names.Entries(l, s.clock.FromUnixMilli))
+	if s.peerLink != nil {
+		s.peerLink.Members(complete)
+	}
+}
+
+// workerList returns the list of workers after all updates.
+func (s *Scheduler) workerList() discovery.List {
+	s.workersMu.Lock()
+	defer s.workersMu.Unlock()
+	return s.workers
+}
