--- /dev/null
+++ b/internal/testkit/http.go
@@ -0,0 +1,50 @@
+package testkit
+
+import (
+	"bufio"
+	"io"
+	"net/http"
+	"testing"
+)
+
+// Response is an HTTP response that has been read whole.
+type Response struct {
+	Status int
+	Header http.Header
+	Body   string
+	Last   bool // the server closes the connection after it
+}
+
+// ReadResponse reads a response and its body from a connection. The error is as it came:
+// io.EOF where the connection ended before the response. If the body breaks off, the
+// response has its head and what came of the body.
+func ReadResponse(r *bufio.Reader) (Response, error) {
+	a, err := http.ReadResponse(r, nil)
+	if err != nil {
+		return Response{}, err
+	}
+	body, err := io.ReadAll(a.Body)
+	_ = a.Body.Close() // it has been read
+	return Response{a.StatusCode, a.Header, string(body), a.Close}, err
+}
+
+// Get sends a GET request by http.DefaultTransport and returns the response.
+func Get(t testing.TB, url string) (Response, error) {
+	t.Helper()
+	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return RoundTrip(http.DefaultTransport, q)
+}
+
+// RoundTrip sends a request and returns the response.
+func RoundTrip(transport http.RoundTripper, q *http.Request) (Response, error) {
+	a, err := transport.RoundTrip(q)
+	if err != nil {
+		return Response{}, err
+	}
+	body, err := io.ReadAll(a.Body)
+	_ = a.Body.Close() // it has been read
+	return Response{a.StatusCode, a.Header, string(body), a.Close}, err
+}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,7 +1,8 @@
-// Package testkit is shared by tests.
+// Package testkit has helpers that the tests of several packages share.
 package testkit
 
 import (
+	"context"
 	"flag"
 	"fmt"
 	"net"
@@ -12,11 +13,10 @@
 	"time"
 )
 
-// patience is for what must come; no test waits that long when all is well.
-const patience = 20 * time.Second
+// awaitTimeout is for what must come; no test waits that long when all is well.
+const awaitTimeout = 20 * time.Second
 
-// Main runs a package's tests with so many rapid checks each, the same ones
-// every time.
+// Main runs a package's tests with a number of rapid checks each, the same ones every time.
 func Main(m *testing.M, checks int) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": strconv.Itoa(checks),
@@ -28,32 +28,31 @@
 	os.Exit(m.Run())
 }
 
-var given atomic.Uint32
+var addresses atomic.Uint32 // given by Free so far
 
-// Free returns a loopback address of a network, "tcp4" or "udp4", on which nobody listens, and a new one each
-// time. The host is this process's and this call's alone, since the port is free for
-// anybody until it is used: a connection from 127.0.0.1 or the next call might get it.
+// Free returns a loopback address of a network, "tcp4" or "udp4", on which nobody listens,
+// and a new one each time. The host is this process's and this call's alone, since the port
+// is free for anybody until it is used: a connection from 127.0.0.1 or the next call might
+// get it.
 func Free(network string) (string, error) {
-	pid, n := os.Getpid(), given.Add(1)
+	pid, n := os.Getpid(), addresses.Add(1)
 	host := fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8&127, pid&255, 1+n%250)
 	if network == "udp4" {
-		c, err := net.ListenPacket(network, host)
+		c, err := new(net.ListenConfig).ListenPacket(context.Background(), network, host)
 		if err != nil {
 			return "", err
 		}
-		defer c.Close()
-		return c.LocalAddr().String(), nil
+		return c.LocalAddr().String(), c.Close()
 	}
-	l, err := net.Listen(network, host)
+	l, err := new(net.ListenConfig).Listen(context.Background(), network, host)
 	if err != nil {
 		return "", err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	return l.Addr().String(), l.Close()
 }
 
 // FreeAddr returns a free address for TCP, or fails the test.
-func FreeAddr(t *testing.T) string {
+func FreeAddr(t testing.TB) string {
 	t.Helper()
 	addr, err := Free("tcp4")
 	if err != nil {
@@ -62,33 +61,51 @@
 	return addr
 }
 
-// Accept listens on loopback until the test ends and has each connection dealt
-// with in a goroutine of its own.
-func Accept(t *testing.T, deal func(net.Conn)) (addr string) {
+// Listen listens on a TCP address until the test ends.
+func Listen(t testing.TB, addr string) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() }) // the test may have closed it
+	return l
+}
+
+// Dial connects to a TCP address. The connection is closed when the test ends.
+func Dial(t testing.TB, addr string) net.Conn {
+	t.Helper()
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
+	return c
+}
+
+// Accept listens on loopback until the test ends and has each connection handled in a
+// goroutine of its own.
+func Accept(t *testing.T, handle func(net.Conn)) (addr string) {
+	t.Helper()
+	l := Listen(t, "127.0.0.1:0")
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go deal(c)
+			go handle(c)
 		}
 	}()
 	return l.Addr().String()
 }
 
-// Await returns the next value of a channel, or fails the test.
+// Await returns the next value of a channel, or fails the test after 20 s.
 func Await[T any](t *testing.T, what string, from <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(patience):
+	case <-time.After(awaitTimeout):
 		t.Fatalf("waited in vain for %s", what)
 	}
 	return v
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -1,11 +1,12 @@
 package scheduler_test
 
 import (
+	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -33,7 +34,10 @@
 	}
 	read := func() (*dispatchconfig.Config, error) { return dispatchconfig.ReadOperator(path) }
 	if strings.HasSuffix(path, ".json") {
-		os.Setenv("EDGE_CONFIG", path)
+		if err := os.Setenv("EDGE_CONFIG", path); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
 		read = dispatchconfig.FromEnv
 	}
 	if err := scheduler.Serve(read, slog.New(slog.NewTextHandler(os.Stderr, nil))); err != nil {
@@ -87,13 +91,11 @@
 }
 
 func (f *fleet) serve(h http.Handler) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		f.t.Fatal(err)
-	}
+	f.t.Helper()
+	l := testkit.Listen(f.t, "127.0.0.1:0")
 	s := &http.Server{Handler: h}
-	go func() { _ = s.Serve(l) }()
-	f.t.Cleanup(func() { s.Close() })
+	go func() { _ = s.Serve(l) }() // ends with Close
+	f.t.Cleanup(func() { _ = s.Close() })
 	return l.Addr().String()
 }
 
@@ -173,7 +175,10 @@
 	close(f.newer)
 	f.newer = make(chan struct{})
 	f.mu.Unlock()
-	for testkit.Await(f.t, "the next watch", f.told) < want {
+	for {
+		if testkit.Await(f.t, "the next watch", f.told) >= want {
+			return
+		}
 	}
 }
 
@@ -238,7 +243,10 @@
 // logged waits for a line of the log that has the text in it.
 func (c *child) logged(text string) {
 	c.t.Helper()
-	for !strings.Contains(testkit.Await(c.t, "the log's "+text, c.log), text) {
+	for {
+		if strings.Contains(testkit.Await(c.t, "the log's "+text, c.log), text) {
+			return
+		}
 	}
 }
 
@@ -249,7 +257,6 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	defer w.Close()
 	if strings.HasSuffix(c.file, ".json") { // as the platform does
 		f := &c.config
 		err = json.NewEncoder(w).Encode(dispatchconfig.Config{Name: f.Name, Listen: f.Listen, Ops: f.Ops, Discovery: f.Discovery,
@@ -257,7 +264,7 @@
 	} else {
 		err = c.config.Write(w)
 	}
-	if err != nil {
+	if err := errors.Join(err, w.Close()); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -284,7 +291,7 @@
 // launch starts the process and does not wait.
 func (c *child) launch() {
 	c.t.Helper()
-	c.cmd = exec.Command(os.Args[0])
+	c.cmd = exec.CommandContext(context.WithoutCancel(c.t.Context()), os.Args[0]) // ended by kill, in a cleanup
 	c.cmd.Env = append(os.Environ(), childFile+"="+c.file, "TMPDIR="+filepath.Dir(c.file),
 		"EDGE_NAME="+c.config.Name, "EDGE_LISTEN="+c.plain, "EDGE_OPS="+c.config.Ops)
 	c.log = make(logLines, 256)
@@ -301,12 +308,7 @@
 	c.t.Helper()
 	c.launch()
 	for until := time.Now().Add(maxDrainWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		a, err := http.Get("http://" + c.sse + "/ready")
-		if err != nil {
-			continue
-		}
-		a.Body.Close()
-		if a.StatusCode == 200 {
+		if a, err := testkit.Get(c.t, "http://"+c.sse+"/ready"); err == nil && a.Status == 200 {
 			return
 		}
 	}
--- a/scheduler/front_test.go
+++ b/scheduler/front_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -30,7 +31,7 @@
 func post(addr, path string, fields ...string) <-chan reply {
 	got := make(chan reply, 1)
 	go func() {
-		q, err := http.NewRequest("POST", "http://"+addr+path, strings.NewReader("body"))
+		q, err := http.NewRequestWithContext(context.Background(), "POST", "http://"+addr+path, strings.NewReader("body"))
 		if err != nil {
 			got <- reply{err: err}
 			return
@@ -38,18 +39,25 @@
 		for i := 0; i < len(fields); i += 2 {
 			q.Header.Set(fields[i], fields[i+1])
 		}
-		a, err := (&http.Transport{}).RoundTrip(q)
-		if err != nil {
-			got <- reply{err: err}
-			return
-		}
-		defer a.Body.Close()
-		b, err := io.ReadAll(a.Body)
-		got <- reply{a.StatusCode, a.Header.Get("Retry-After"), string(b), a.Close, err}
+		a, err := testkit.RoundTrip(&http.Transport{}, q)
+		got <- reply{a.Status, a.Header.Get("Retry-After"), a.Body, a.Last, err}
 	}()
 	return got
 }
 
+// send writes a job without a body on a connection that is kept.
+func send(conn net.Conn, class, id string, timeout time.Duration, fields ...string) error {
+	var b strings.Builder
+	fmt.Fprintf(&b, "POST /%s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: co-op\r\nRequest-Timeout: %dm\r\n",
+		class, id, timeout.Milliseconds())
+	for i := 0; i < len(fields); i += 2 {
+		fmt.Fprintf(&b, "%s: %s\r\n", fields[i], fields[i+1])
+	}
+	b.WriteString("Content-Length: 0\r\n\r\n")
+	_, err := io.WriteString(conn, b.String())
+	return err
+}
+
 func job(id string, more ...string) []string {
 	return append([]string{"Request-Id", id, "Tenant", "co-op", "Request-Timeout", "9000m"}, more...)
 }
@@ -119,14 +127,14 @@
 func TestPlainGone(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
-	conn, err := net.Dial("tcp", c.plain)
-	if err != nil {
+	conn := testkit.Dial(t, c.plain)
+	if err := send(conn, "plan-change", "a", time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(conn, "POST /plan-change HTTP/1.1\r\nHost: h\r\nRequest-Id: a\r\nTenant: co-op\r\n"+
-		"Request-Timeout: 60000m\r\nContent-Length: 0\r\n\r\n")
 	r := f.next()
-	conn.Close()
+	if err := conn.Close(); err != nil {
+		t.Fatal(err)
+	}
 	testkit.Await(t, "the attempt to be called off", r.over)
 }
 
@@ -136,29 +144,20 @@
 func TestTermination(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
-	conn, err := net.Dial("tcp", c.plain) // kept from before
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	late, err := net.Dial("tcp", c.plain) // kept as well, and used when no new ones come any more
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer late.Close()
-	on := func(conn net.Conn, id string) {
+	conn := testkit.Dial(t, c.plain) // kept from before
+	late := testkit.Dial(t, c.plain) // kept as well, and used when no new ones come any more
+	r := bufio.NewReader(late)
+	serve := func(conn net.Conn, r *bufio.Reader, id string, last bool) {
 		t.Helper()
-		fmt.Fprintf(conn, "POST /usage-view HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: co-op\r\n"+
-			"Request-Timeout: 9000m\r\nContent-Length: 0\r\n\r\n", id)
+		if err := send(conn, "usage-view", id, 9*time.Second); err != nil {
+			t.Errorf("%s: %v", id, err)
+		}
 		f.next().done("third")
+		if a, err := testkit.ReadResponse(r); err != nil || a.Status != 200 || a.Last != last {
+			t.Errorf("%s: %+v, error %v", id, a, err)
+		}
 	}
-	on(late, "early")
-	r := bufio.NewReader(late)
-	if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != 200 || a.Close {
-		t.Errorf("before: %+v, error %v", a, err)
-	} else if _, err := io.ReadAll(a.Body); err != nil {
-		t.Error(err)
-	}
+	serve(late, r, "early", false)
 	before := post(c.plain, "/plan-change", job("before")...)
 	first := f.next()
 	first.say(`"state":"started"`) // else the worker counts as busy, and nothing more goes there
@@ -166,20 +165,14 @@
 	time.Sleep(200 * time.Millisecond) // the front goes on for so long
 	after := post(c.plain, "/usage-view", job("after")...)
 	f.next().done("second")
-	on(conn, "kept")
-	if a, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || a.StatusCode != 200 || !a.Close {
-		t.Errorf("on the kept connection: %+v, error %v", a, err)
-	}
+	serve(conn, bufio.NewReader(conn), "kept", true)
 	var timeout net.Error
 	_ = late.SetReadDeadline(time.Now().Add(800 * time.Millisecond))
 	if _, err := r.ReadByte(); !errors.As(err, &timeout) || !timeout.Timeout() {
 		t.Errorf("a connection that clients may still use: %v", err)
 	}
 	_ = late.SetReadDeadline(time.Time{})
-	on(late, "late")
-	if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != 200 || !a.Close {
-		t.Errorf("on the kept connection, late: %+v, error %v", a, err)
-	}
+	serve(late, r, "late", true)
 	first.done("first")
 	for want, got := range map[string]<-chan reply{"first": before, "second": after} {
 		if a := testkit.Await(t, "the answer", got); a.status != 200 || a.body != want || !a.last {
--- a/scheduler/journal_test.go
+++ b/scheduler/journal_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"io"
 	"net/http"
 	"path/filepath"
 	"strings"
@@ -17,20 +16,33 @@
 // ask asks the scheduler's journal.
 func (c *child) ask(query string) (int, journal.Report) {
 	c.t.Helper()
-	a, err := http.Get("http://" + c.config.Ops + "/admin/journal" + query)
+	a, err := testkit.Get(c.t, "http://"+c.config.Ops+"/admin/journal"+query)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	defer a.Body.Close()
-	body, _ := io.ReadAll(a.Body)
 	var r journal.Report
-	if a.StatusCode == 200 {
-		lines := strings.Split(strings.TrimSpace(string(body)), "\n")
+	if a.Status == 200 {
+		lines := strings.Split(strings.TrimSpace(a.Body), "\n")
 		if err := json.Unmarshal([]byte(lines[len(lines)-1]), &r); err != nil {
-			c.t.Fatalf("%s: %v", body, err)
+			c.t.Fatalf("%s: %v", a.Body, err)
 		}
 	}
-	return a.StatusCode, r
+	return a.Status, r
+}
+
+// settle has an operator settle a job, with that body, and returns the status.
+func (c *child) settle(body string) int {
+	c.t.Helper()
+	q, err := http.NewRequestWithContext(c.t.Context(), "POST", "http://"+c.config.Ops+"/admin/journal/settle", strings.NewReader(body))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	q.Header.Set("Content-Type", "application/json")
+	a, err := testkit.RoundTrip(http.DefaultTransport, q)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return a.Status
 }
 
 func journaled(t *testing.T, f *fleet) *child {
@@ -75,23 +87,15 @@
 	if status, _ := c.ask("?job=free"); status != 404 {
 		t.Errorf("a free job: %d", status)
 	}
-	settle := func(body string) int {
-		a, err := http.Post("http://"+c.config.Ops+"/admin/journal/settle", "application/json", strings.NewReader(body))
-		if err != nil {
-			t.Fatal(err)
-		}
-		a.Body.Close()
-		return a.StatusCode
-	}
 	for _, bad := range []string{"", "{}", `{"job":"out"}`, `{"job":"out","verdict":"maybe","by":"a","why":"b"}`} {
-		if got := settle(bad); got != 400 {
+		if got := c.settle(bad); got != 400 {
 			t.Errorf("settled by %q: %d", bad, got)
 		}
 	}
-	if got := settle(`{"job":"nobody","verdict":"ran","by":"ann","why":"saw it"}`); got != 404 {
+	if got := c.settle(`{"job":"nobody","verdict":"ran","by":"ann","why":"saw it"}`); got != 404 {
 		t.Errorf("an unknown job was settled: %d", got)
 	}
-	if got := settle(`{"job":"out","verdict":"ran","by":"ann","why":"saw it"}`); got != 200 {
+	if got := c.settle(`{"job":"out","verdict":"ran","by":"ann","why":"saw it"}`); got != 200 {
 		t.Errorf("settled: %d", got)
 	}
 	if _, r := c.ask("?job=out"); r.Verdict != "ran" || r.Settled == nil || r.Settled.By != "ann" {
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -17,17 +17,16 @@
 	if host != "" {
 		body = fmt.Sprintf(`{"host":%q}`, host)
 	}
-	q, err := http.NewRequest(method, "http://"+c.config.Ops+"/admin/"+call, strings.NewReader(body))
+	q, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+c.config.Ops+"/admin/"+call, strings.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	a, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(q)
+	a, err := testkit.RoundTrip(&http.Transport{DisableKeepAlives: true}, q)
 	if err != nil {
 		c.t.Errorf("%s: %v", call, err)
 		return 0
 	}
-	a.Body.Close()
-	return a.StatusCode
+	return a.Status
 }
 
 // Guards against a yes to a cordon that does not hold: nothing more goes to the
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -3,11 +3,11 @@
 import (
 	"bufio"
 	"fmt"
-	"net"
 	"net/http"
 	"os"
 	"syscall"
 	"testing"
+	"time"
 
 	"sedgevale/internal/testkit"
 	"sedgevale/scheduler"
@@ -19,22 +19,19 @@
 func TestReload(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
-	conn, err := net.Dial("tcp", c.plain)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
+	conn := testkit.Dial(t, c.plain)
 	kept := bufio.NewReader(conn)
 	onKept := func(id string) {
 		t.Helper()
-		fmt.Fprintf(conn, "POST /usage-view HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: co-op\r\n"+
-			"Request-Timeout: 9000m\r\nContent-Length: 0\r\n\r\n", id)
+		if err := send(conn, "usage-view", id, 9*time.Second); err != nil {
+			t.Errorf("%s: %v", id, err)
+		}
 		r := f.next()
 		if id != "kept-0" && r.worker != "w" {
 			t.Errorf("%s went to %s, which drains", id, r.worker)
 		}
 		r.done("")
-		if a, err := http.ReadResponse(kept, nil); err != nil || a.StatusCode != 200 {
+		if a, err := testkit.ReadResponse(kept); err != nil || a.Status != 200 {
 			t.Errorf("%s: %+v, error %v", id, a, err)
 		}
 	}
@@ -66,7 +63,9 @@
 		onKept(fmt.Sprint("kept-", i+1))
 	}
 
-	conn.Close()
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
 	c.signal(syscall.SIGTERM)
 	c.logged("draining: answering")
 	c.signal(syscall.SIGHUP)
--- a/scheduler/stream_test.go
+++ b/scheduler/stream_test.go
@@ -58,6 +58,7 @@
 	}
 	s := &stream{t: t, status: a.StatusCode, body: a.Body, events: make(chan event, 256), leave: leave}
 	go s.read()
+	t.Cleanup(func() { _ = a.Body.Close() })
 	return s
 }
 
@@ -330,13 +331,16 @@
 			t.Errorf("%s /%s %v: %d, want %d", q.method, q.class, q.fields, s.status, q.want)
 		}
 	}
-	q, _ := http.NewRequest("POST", "http://"+c.sse+"/usage-view", nil)
+	q, err := http.NewRequestWithContext(t.Context(), "POST", "http://"+c.sse+"/usage-view", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
 	q.Header = http.Header{"Accept": {"text/event-stream"}, "Tenant": {"co-op"}}
 	a, err := http.DefaultTransport.RoundTrip(q)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }()
 	r := f.next()
 	beat := make(chan bool, 1)
 	go func() {
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"syscall"
@@ -25,8 +24,8 @@
 	next.launch()
 	c.t.Cleanup(next.kill)
 	for until := time.Now().Add(maxDrainWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if conn, err := net.Dial("tcp", next.config.Ops); err == nil {
-			conn.Close()
+		if conn, err := new(net.Dialer).DialContext(c.t.Context(), "tcp", next.config.Ops); err == nil {
+			_ = conn.Close()
 			if next.tell("GET", "health", "") == 200 {
 				return next
 			}
@@ -38,7 +37,7 @@
 
 // clients send jobs, each on a new connection, until they are stopped, and return
 // how many failed.
-func clients(f *fleet, addr string) (stop func() (sent, failed int)) {
+func clients(addr string) (stop func() (sent, failed int)) {
 	end, counts := make(chan struct{}), make(chan [2]int)
 	go func() {
 		sent, failed := 0, 0
@@ -68,11 +67,7 @@
 func TestUpgrade(t *testing.T) {
 	f := newFleet(t, "u", "v", "w")
 	c := startChild(t, f)
-	conn, err := net.Dial("tcp", c.plain)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
+	conn := testkit.Dial(t, c.plain)
 	kept := bufio.NewReader(conn)
 	if got := c.tell("POST", "cordon", "u"); got != 200 {
 		t.Fatalf("cordon: %d", got)
@@ -82,14 +77,14 @@
 	first.say(`"state":"started"`)
 	onKept := func(id string) (last bool) {
 		t.Helper()
-		fmt.Fprintf(conn, "POST /bill-pay HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: co-op\r\nIdempotency-Key: k\r\n"+
-			"Request-Timeout: 9000m\r\nContent-Length: 0\r\n\r\n", id)
-		a, err := http.ReadResponse(kept, nil)
-		if err != nil || a.StatusCode != 200 {
+		if err := send(conn, "bill-pay", id, 9*time.Second, "Idempotency-Key", "k"); err != nil {
+			t.Fatalf("%s: %v", id, err)
+		}
+		a, err := testkit.ReadResponse(kept)
+		if err != nil || a.Status != 200 {
 			t.Fatalf("%s: %+v, error %v", id, a, err)
 		}
-		a.Body.Close()
-		return a.Close
+		return a.Last
 	}
 	ran := make(chan string, 4096) // where, of all but the open job
 	go func() {
@@ -99,7 +94,7 @@
 		}
 	}()
 	onKept("kept-1")
-	stop := clients(f, c.plain)
+	stop := clients(c.plain)
 	next := c.beside()
 	c.logged("the new process accepts connections")
 	if a := testkit.Await(t, "the answer", post(c.plain, "/plan-change", job("open")...)); a.status != 500 {
