--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -1,9 +1,10 @@
 package handover
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
+	"io"
 	"log/slog"
 	"net"
 	"os"
@@ -31,13 +32,28 @@
 func newRecorder() recorder                    { return recorder{make(chan *Message, 64), make(chan struct{})} }
 func (e recorder) Message(_ *Link, m *Message) { e.messages <- m }
 func (e recorder) Lost(*Link)                  { close(e.lost) }
+
+func newLoop(t *testing.T, log *slog.Logger) *evloop.Loop {
+	t.Helper()
+	loop, err := evloop.New(log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := loop.Stop(); err != nil && !errors.Is(err, context.Canceled) {
+			t.Error(err)
+		}
+	})
+	return loop
+}
+
 func listener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() }) // the test may have closed it
 	return l
 }
 
@@ -45,11 +61,7 @@
 // accepts, its state comes before all else, both can talk, and its end is noticed.
 func TestTakeOver(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	loop, err := evloop.New(log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer loop.Stop()
+	loop := newLoop(t, log)
 	folder := filepath.Join(t.TempDir(), strings.Repeat("long", 30)) // longer than a socket's address may be
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
@@ -91,19 +103,10 @@
 	if passed == nil {
 		t.Fatalf("passed on: %v", s.Sockets)
 	}
-	defer passed.Close()
-	l.Close()
-	go func() {
-		if c, err := net.Dial("tcp", passed.Addr().String()); err == nil {
-			c.Close()
-		}
-	}()
-	_ = passed.SetDeadline(time.Now().Add(10 * time.Second))
-	if c, err := passed.Accept(); err != nil {
-		t.Errorf("accepting on the socket that was passed on: %v", err)
-	} else {
-		c.Close()
+	if err := l.Close(); err != nil {
+		t.Error(err)
 	}
+	checkAccepts(t, passed)
 	testkit.Await(t, "the link", links).Drop(errors.New("test"))
 	testkit.Await(t, "the end", next.lost)
 	testkit.Await(t, "the end", old.lost)
@@ -113,6 +116,46 @@
 	}
 }
 
+// checkAccepts checks that a socket that was passed on accepts connections, and closes it.
+func checkAccepts(t *testing.T, passed *net.TCPListener) {
+	t.Helper()
+	go func() {
+		if c, err := new(net.Dialer).DialContext(t.Context(), "tcp", passed.Addr().String()); err == nil {
+			_ = c.Close()
+		}
+	}()
+	_ = passed.SetDeadline(time.Now().Add(10 * time.Second))
+	if c, err := passed.Accept(); err != nil {
+		t.Errorf("accepting on the socket that was passed on: %v", err)
+	} else if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+	if err := passed.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// partner listens for one process and answers its Hello by a line. It closes the connection
+// then unless it is silent.
+func partner(t *testing.T, line string, silent bool) net.Listener {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "unix", filepath.Join(t.TempDir(), "s"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		c, err := l.Accept()
+		if err == nil {
+			_, _ = io.WriteString(c, line)
+			if !silent {
+				_, _ = c.Read(make([]byte, 1<<10))
+				_ = c.Close()
+			}
+		}
+	}()
+	return l
+}
+
 // Guards against a start that a partner prevents: one that is not there, has died,
 // says nothing, says what makes no sense, or is another scheduler.
 func TestPartnersThatAreNone(t *testing.T) {
@@ -125,32 +168,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host.listener.Close() // as if it had been killed: the file stays
+	if err := host.listener.Close(); err != nil { // as if it had been killed: the file stays
+		t.Fatal(err)
+	}
 	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNobody) {
 		t.Errorf("with the socket of a dead process: %v", err)
 	}
 	for what, line := range map[string]string{"silent": "", "garbage": "\x00\x01\n", "ends": "{}",
 		"other": `{"version":1,"name":"n1","listen":"127.0.0.1:3000"}` + "\n",
 		"newer": `{"version":2,"name":"n0","listen":"127.0.0.1:3000"}` + "\n"} {
-		l, err := net.Listen("unix", filepath.Join(t.TempDir(), "s"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		go func() {
-			c, err := l.Accept()
-			if err == nil {
-				fmt.Fprint(c, line)
-				if what != "silent" {
-					_, _ = c.Read(make([]byte, 1<<10))
-					c.Close()
-				}
-			}
-		}()
+		l := partner(t, line, what == "silent")
 		began := time.Now()
 		if _, err := Join(t.Context(), l.Addr().String(), hello); err == nil || errors.Is(err, ErrNobody) || time.Since(began) > 3*time.Second {
 			t.Errorf("%s: %v after %v", what, err, time.Since(began))
 		}
-		l.Close()
+		if err := l.Close(); err != nil {
+			t.Error(err)
+		}
 	}
 	// A second host takes the path over, and the first one's end leaves it alone.
 	first, err := Listen(path)
@@ -172,11 +206,7 @@
 // link and nothing else.
 func TestLinkCuts(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	loop, err := evloop.New(log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer loop.Stop()
+	loop := newLoop(t, log)
 	rapid.Check(t, func(t *rapid.T) {
 		h := newRecorder()
 		l := &Link{loop: loop, handler: h, log: log}
--- a/scheduler/endings_test.go
+++ b/scheduler/endings_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"bufio"
+	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"sync"
 	"syscall"
 	"testing"
@@ -16,9 +17,9 @@
 	"sedgevale/internal/testkit"
 )
 
-// Guards against what is lost at the end of a process though it was taken: clients send on
-// every connection that they have, also on one that has rested since it was made, until it
-// ends; workers hang. Each request gets a whole answer, or its connection was ended before
+// Guards against what is lost at the end of a process though it was accepted: clients send
+// on every connection that they have, also on one that was idle since it was made, until it
+// ends; workers hang. Each request gets a whole response, or its connection was ended before
 // it was read, and never by a reset.
 func TestTerminationOwesNothing(t *testing.T) {
 	f := newFleet(t, "v", "w")
@@ -26,11 +27,7 @@
 	const clients = 12
 	conns := make([]net.Conn, clients)
 	for i := range conns {
-		var err error
-		if conns[i], err = net.Dial("tcp", c.plain); err != nil {
-			t.Fatal(err)
-		}
-		defer conns[i].Close()
+		conns[i] = testkit.Dial(t, c.plain)
 	}
 	go func() { // every third job hangs
 		for n := 0; ; n++ {
@@ -48,109 +45,72 @@
 	c.logged("draining: answering")
 	var all sync.WaitGroup
 	for i, conn := range conns {
-		all.Go(func() {
-			r := bufio.NewReader(conn)
-			if i%4 == 3 { // rests until it is ended, and sends in that moment
-				_, err := r.ReadByte()
-				if err != io.EOF {
-					t.Errorf("client %d: a resting connection ended with %v", i, err)
-				}
-			}
-			for n := 0; ; n++ {
-				_, err := fmt.Fprintf(conn, "POST /usage-view HTTP/1.1\r\nHost: h\r\nRequest-Id: %d-%d\r\nTenant: co-op\r\n"+
-					"Request-Timeout: 9000m\r\nContent-Length: 0\r\n\r\n", i, n)
-				if err != nil {
-					return // it was ended, and that was told
-				}
-				a, err := http.ReadResponse(r, nil)
-				if err == io.EOF || err == io.ErrUnexpectedEOF && n > 0 {
-					return
-				}
-				if err != nil {
-					if i%4 != 3 {
-						t.Errorf("client %d, request %d: %v", i, n, err)
-					}
-					return
-				}
-				if _, err := io.ReadAll(a.Body); err != nil {
-					t.Errorf("client %d, request %d: answered %d, cut short: %v", i, n, a.StatusCode, err)
-				}
-				if a.Close {
-					return
-				}
-			}
-		})
+		all.Go(func() { sendUntilEnded(t, conn, i) })
 	}
 	all.Wait()
 	c.ended()
 }
 
+// sendUntilEnded sends jobs on a connection until that has ended. Every fourth client leaves
+// its connection idle until it is ended, and sends in that moment.
+func sendUntilEnded(t *testing.T, conn net.Conn, client int) {
+	r := bufio.NewReader(conn)
+	idle := client%4 == 3
+	if idle {
+		if _, err := r.ReadByte(); err != io.EOF {
+			t.Errorf("client %d: an idle connection ended with %v", client, err)
+		}
+	}
+	for n := 0; ; n++ {
+		if send(conn, "usage-view", fmt.Sprint(client, "-", n), 9*time.Second) != nil {
+			return // it was ended, and that was told
+		}
+		a, err := testkit.ReadResponse(r)
+		if a.Status == 0 {
+			atEnd := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) && n > 0
+			if !atEnd && !idle {
+				t.Errorf("client %d, request %d: %v", client, n, err)
+			}
+			return
+		}
+		if err != nil {
+			t.Errorf("client %d, request %d: answered %d, cut short: %v", client, n, a.Status, err)
+		}
+		if a.Last {
+			return
+		}
+	}
+}
+
 // Guards against a crowd that holds all descriptors while discovery is down: clients are
-// still taken in, the watch comes up once discovery is back, and workers are reached.
+// still accepted, the watch comes up once discovery is back, and workers are reached.
 func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
 	const descriptors = 160
 	f := newFleet(t, "w")
 	back := f.addr
 	f.addr = testkit.FreeAddr(t) // where nobody listens for now
 	c := startChild(t, f)
-	if err := unix.Prlimit(c.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: descriptors, Max: descriptors}, nil); err != nil {
-		t.Fatal(err)
+	limit := func() {
+		t.Helper()
+		if err := unix.Prlimit(c.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: descriptors, Max: descriptors}, nil); err != nil {
+			t.Fatal(err)
+		}
 	}
+	limit()
 	c.kill()
 	c.config.Limits.Sockets = descriptors
 	c.write()
 	c.start()
-	if err := unix.Prlimit(c.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: descriptors, Max: descriptors}, nil); err != nil {
-		t.Fatal(err)
-	}
-	stop := make(chan struct{})
+	limit()
+	ctx, stop := context.WithCancel(t.Context())
 	var crowd sync.WaitGroup
 	for range 2 * descriptors {
-		crowd.Go(func() { // who is put out comes again at once
-			for {
-				conn, err := net.Dial("tcp", c.plain)
-				if err == nil {
-					ended := make(chan struct{})
-					go func() { _, _ = conn.Read(make([]byte, 1)); close(ended) }()
-					select {
-					case <-ended:
-						conn.Close()
-					case <-stop:
-						conn.Close()
-						<-ended
-						return
-					}
-				}
-				select {
-				case <-stop:
-					return
-				case <-time.After(20 * time.Millisecond):
-				}
-			}
-		})
+		crowd.Go(func() { reconnect(ctx, c.plain) })
 	}
 	defer crowd.Wait()
-	defer close(stop)
-	l, err := net.Listen("tcp", f.addr) // discovery is back
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	go func() {
-		for {
-			in, err := l.Accept()
-			if err != nil {
-				return
-			}
-			out, err := net.Dial("tcp", back)
-			if err != nil {
-				in.Close()
-				continue
-			}
-			go func() { _, _ = io.Copy(out, in); out.Close() }()
-			go func() { _, _ = io.Copy(in, out); in.Close() }()
-		}
-	}()
+	defer stop()
+	l := testkit.Listen(t, f.addr) // discovery is back
+	go forward(ctx, l, back)
 	testkit.Await(t, "the watch", f.told)
 	for i := range 5 {
 		got := post(c.plain, "/usage-view", job(fmt.Sprint("crowd-", i))...)
@@ -160,3 +120,38 @@
 		}
 	}
 }
+
+// reconnect keeps an idle connection to an address, a new one whenever it is ended, until
+// the context ends.
+func reconnect(ctx context.Context, addr string) {
+	for {
+		if conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr); err == nil {
+			stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
+			_, _ = conn.Read(make([]byte, 1))
+			stop()
+			_ = conn.Close() // again where the context has ended
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(20 * time.Millisecond):
+		}
+	}
+}
+
+// forward forwards connections to an address until the listener is closed.
+func forward(ctx context.Context, l net.Listener, to string) {
+	for {
+		in, err := l.Accept()
+		if err != nil {
+			return
+		}
+		out, err := new(net.Dialer).DialContext(ctx, "tcp", to)
+		if err != nil {
+			_ = in.Close()
+			continue
+		}
+		go func() { _, _ = io.Copy(out, in); _ = out.Close() }()
+		go func() { _, _ = io.Copy(in, out); _ = in.Close() }()
+	}
+}
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -327,7 +327,7 @@
 func (c *child) kill() {
 	if c.cmd != nil {
 		_ = c.cmd.Process.Kill()
-		<-c.exited
+		c.t.Log("the program ended: ", <-c.exited)
 		c.cmd = nil
 	}
 }
--- a/scheduler/journal_bench_test.go
+++ b/scheduler/journal_bench_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"fmt"
-	"io"
 	"log/slog"
 	"math/rand/v2"
 	"net"
@@ -21,49 +20,29 @@
 	"sedgevale/internal/discovery"
 	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/fake"
+	"sedgevale/internal/testkit"
 	"sedgevale/scheduler"
 )
 
-// BenchmarkJournal compares jobs with the journal and without, so many at once, on
-// stand-in boxes whose jobs take no time. Besides the time a job it gives the latency's
-// median and 99th percentile, in microseconds.
+// BenchmarkJournal compares jobs with the journal and without, with several numbers of
+// clients, on fake workers whose jobs take no time. Besides the time a job it gives the
+// latency's median and 99th percentile, in microseconds.
 func BenchmarkJournal(b *testing.B) {
 	for _, class := range []string{"plan-change", "usage-view"} {
-		for _, many := range []int{1, 32, 256} {
-			for _, kept := range []string{"off", "none", "group"} {
-				b.Run(fmt.Sprintf("%s/clients=%d/journal=%s", class, many, kept), func(b *testing.B) { benchJournal(b, class, many, kept) })
+		for _, clients := range []int{1, 32, 256} {
+			for _, sync := range []string{"off", "none", "group"} {
+				b.Run(fmt.Sprintf("%s/clients=%d/journal=%s", class, clients, sync), func(b *testing.B) { benchJournal(b, class, clients, sync) })
 			}
 		}
 	}
 }
 
-func benchJournal(b *testing.B, class string, many int, kept string) {
-	var members []discovery.Member
-	for i := range 4 {
-		box := fake.NewBox(fake.BoxOptions{ID: fmt.Sprint("box-", i), Slots: 256, Queue: 1024,
-			Work: func(string, *rand.Rand) time.Duration { return 0 }})
-		addr, err := box.Listen("127.0.0.1:0")
-		if err != nil {
-			b.Fatal(err)
-		}
-		defer box.Close()
-		members = append(members, discovery.Member{ID: fmt.Sprint("box-", i), HostPort: addr, Locality: "hut", Flavor: "box",
-			Phase: "ready", Size: 256})
-	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	addr := l.Addr().String()
-	l.Close()
-	c := &scheduler.Config{Name: "bench", Listen: addr, Seed: "1f", Known: &discovery.List{Complete: true, Members: members}}
-	c.Settings.Classes = []dispatchconfig.Class{{Name: "usage-view", Effect: "free", Promise: 8, HardLimit: 10},
-		{Name: "plan-change", Effect: "single_shot", Promise: 8, HardLimit: 10}}
-	c.Settings.Bounds.MaxAttempts, c.Settings.Family.TellsStart = 3, true
-	c.Settings.Kinds, c.Settings.Zones = []string{"box"}, []string{"hut"}
+// benchJournal runs b.N jobs; sync is the journal's setting, "off" for no journal.
+func benchJournal(b *testing.B, class string, clients int, sync string) {
 	dir := filepath.Join(b.TempDir(), "journal")
-	if kept != "off" {
-		c.Journal = &dispatchconfig.Journal{Dir: dir, Sync: kept}
+	c := benchConfig(b)
+	if sync != "off" {
+		c.Journal = &dispatchconfig.Journal{Dir: dir, Sync: sync}
 	}
 	s, err := scheduler.New(c, scheduler.Options{Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -73,71 +52,112 @@
 	over := make(chan error, 1)
 	go func() { over <- s.Run(ctx) }()
 	for {
-		if a, err := http.Get("http://" + addr + "/ready"); err == nil {
-			a.Body.Close()
-			if a.StatusCode == 200 {
-				break
-			}
+		if a, err := testkit.Get(b, "http://"+c.Listen+"/ready"); err == nil && a.Status == 200 {
+			break
 		}
 		time.Sleep(time.Millisecond)
 	}
+	b.ResetTimer()
+	hist, failed := benchLoad(b, c.Listen, class, clients)
+	b.StopTimer()
+	stop()
+	if err := <-over; err != nil {
+		b.Error(err)
+	}
+	b.ReportMetric(float64(hist.ValueAtQuantile(50)), "p50-µs")
+	b.ReportMetric(float64(hist.ValueAtQuantile(99)), "p99-µs")
+	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "jobs/s")
+	if failed > 0 {
+		b.ReportMetric(float64(failed), "failed")
+	}
+	if sync != "off" && class == "plan-change" {
+		b.ReportMetric(float64(segmentBytes(b, dir))/float64(b.N), "disk-B/job")
+	}
+}
+
+// benchConfig returns a configuration with four fake workers, which end with the benchmark.
+func benchConfig(b *testing.B) *scheduler.Config {
+	b.Helper()
+	var members []discovery.Member
+	for i := range 4 {
+		worker := fake.NewBox(fake.BoxOptions{ID: fmt.Sprint("box-", i), Slots: 256, Queue: 1024,
+			Work: func(string, *rand.Rand) time.Duration { return 0 }})
+		addr, err := worker.Listen("127.0.0.1:0")
+		if err != nil {
+			b.Fatal(err)
+		}
+		b.Cleanup(func() {
+			if err := worker.Close(); err != nil {
+				b.Error(err)
+			}
+		})
+		members = append(members, discovery.Member{ID: fmt.Sprint("box-", i), HostPort: addr, Locality: "hut", Flavor: "box",
+			Phase: "ready", Size: 256})
+	}
+	c := &scheduler.Config{Name: "bench", Listen: testkit.FreeAddr(b), Seed: "1f", Known: &discovery.List{Complete: true, Members: members}}
+	c.Settings.Classes = []dispatchconfig.Class{{Name: "usage-view", Effect: "free", Promise: 8, HardLimit: 10},
+		{Name: "plan-change", Effect: "single_shot", Promise: 8, HardLimit: 10}}
+	c.Settings.Bounds.MaxAttempts, c.Settings.Family.TellsStart = 3, true
+	c.Settings.Kinds, c.Settings.Zones = []string{"box"}, []string{"hut"}
+	return c
+}
+
+// benchLoad sends b.N jobs from a closed loop of clients, and returns their latencies in
+// microseconds and how many failed.
+func benchLoad(b *testing.B, addr, class string, clients int) (*hdrhistogram.Histogram, int64) {
 	hist := hdrhistogram.New(1, 10_000_000, 3)
-	var mu sync.Mutex
+	var mu sync.Mutex // guards hist
 	var next, failed atomic.Int64
-	b.ResetTimer()
 	var wg sync.WaitGroup
-	for n := range many {
+	for n := range clients {
 		wg.Go(func() {
-			conn, err := net.Dial("tcp", addr)
+			conn, err := new(net.Dialer).DialContext(b.Context(), "tcp", addr)
 			if err != nil {
 				b.Error(err)
 				return
 			}
-			defer conn.Close()
+			defer func() { _ = conn.Close() }()
 			in := bufio.NewReader(conn)
-			var mine []int64
+			var latencies []int64
 			for i := next.Add(1); i <= int64(b.N); i = next.Add(1) {
 				began := time.Now()
-				fmt.Fprintf(conn, "POST /%s HTTP/1.1\r\nHost: x\r\nRequest-Id: b%d-%d\r\nRequest-Timeout: 9000m\r\nContent-Length: 5\r\n\r\nhello",
-					class, n, i)
-				a, err := http.ReadResponse(in, nil)
+				if _, err := fmt.Fprintf(conn, "POST /%s HTTP/1.1\r\nHost: x\r\nRequest-Id: b%d-%d\r\nRequest-Timeout: 9000m\r\nContent-Length: 5\r\n\r\nhello",
+					class, n, i); err != nil {
+					b.Error(err)
+					return
+				}
+				a, err := testkit.ReadResponse(in)
 				if err != nil {
 					b.Error(err)
 					return
 				}
-				_, _ = io.Copy(io.Discard, a.Body)
-				if a.StatusCode != 200 {
+				if a.Status != http.StatusOK {
 					failed.Add(1)
 				}
-				mine = append(mine, time.Since(began).Microseconds())
+				latencies = append(latencies, time.Since(began).Microseconds())
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			for _, v := range mine {
-				_ = hist.RecordValue(max(1, v))
+			for _, v := range latencies {
+				_ = hist.RecordValue(max(1, v)) // more than 10 s are not counted
 			}
 		})
 	}
 	wg.Wait()
-	b.StopTimer()
-	stop()
-	if err := <-over; err != nil {
-		b.Error(err)
-	}
-	b.ReportMetric(float64(hist.ValueAtQuantile(50)), "p50-µs")
-	b.ReportMetric(float64(hist.ValueAtQuantile(99)), "p99-µs")
-	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "jobs/s")
-	if n := failed.Load(); n > 0 {
-		b.ReportMetric(float64(n), "failed")
+	return hist, failed.Load()
+}
+
+// segmentBytes returns the size of the journal's segments.
+func segmentBytes(b *testing.B, dir string) (bytes int64) {
+	b.Helper()
+	files, err := filepath.Glob(filepath.Join(dir, "lane-0", "*.seg"))
+	if err != nil {
+		b.Fatal(err)
 	}
-	if kept != "off" && class == "plan-change" {
-		bytes := int64(0)
-		files, _ := filepath.Glob(filepath.Join(dir, "lane-0", "*.seg"))
-		for _, f := range files {
-			if info, err := os.Stat(f); err == nil {
-				bytes += info.Size()
-			}
+	for _, f := range files {
+		if info, err := os.Stat(f); err == nil {
+			bytes += info.Size()
 		}
-		b.ReportMetric(float64(bytes)/float64(b.N), "disk-B/job")
 	}
+	return bytes
 }
--- a/scheduler/journal_test.go
+++ b/scheduler/journal_test.go
@@ -77,16 +77,7 @@
 	}
 	c.kill()
 	c.start()
-	if status, r := c.ask("?job=served"); status != 200 || r.Verdict != "ran" || r.Attempts[0].Outcome != "served" || r.Answer.Kind != "served" {
-		t.Errorf("what was served: %d %+v", status, r)
-	}
-	status, r := c.ask("?job=out")
-	if status != 200 || r.Verdict != "unknown" || len(r.Look) != 1 || r.Look[0] != out.worker || r.Attempts[0].SentAt == "" {
-		t.Errorf("what was out at the kill: %d %+v", status, r)
-	}
-	if status, _ := c.ask("?job=free"); status != 404 {
-		t.Errorf("a free job: %d", status)
-	}
+	checkAfterKill(t, c, out.worker)
 	for _, bad := range []string{"", "{}", `{"job":"out"}`, `{"job":"out","verdict":"maybe","by":"a","why":"b"}`} {
 		if got := c.settle(bad); got != 400 {
 			t.Errorf("settled by %q: %d", bad, got)
@@ -103,6 +94,22 @@
 	}
 }
 
+// checkAfterKill checks what the journal says of the jobs "served", "out" and "free" after
+// the scheduler was killed while "out" was at a worker.
+func checkAfterKill(t *testing.T, c *child, worker string) {
+	t.Helper()
+	if status, r := c.ask("?job=served"); status != 200 || r.Verdict != "ran" || r.Attempts[0].Outcome != "served" || r.Answer.Kind != "served" {
+		t.Errorf("what was served: %d %+v", status, r)
+	}
+	status, r := c.ask("?job=out")
+	if status != 200 || r.Verdict != "unknown" || len(r.Look) != 1 || r.Look[0] != worker || r.Attempts[0].SentAt == "" {
+		t.Errorf("what was out at the kill: %d %+v", status, r)
+	}
+	if status, _ := c.ask("?job=free"); status != 404 {
+		t.Errorf("a free job: %d", status)
+	}
+}
+
 // Guards the journals of an upgrade's two processes: each has its own, and either finds
 // the jobs of both.
 func TestJournalOverAnUpgrade(t *testing.T) {
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -56,11 +56,15 @@
 	if got := c.tell("POST", "cordon", "stranger"); got != 404 {
 		t.Errorf("cordon of an unknown worker: %d", got)
 	}
-	for i := range 6 {
-		if w := serve(fmt.Sprint("out-", i)); w == host {
-			t.Fatalf("a job went to %s, which is out", w)
+	passedOver := func(prefix, when string) {
+		t.Helper()
+		for i := range 6 {
+			if w := serve(fmt.Sprint(prefix, i)); w == host {
+				t.Fatalf("%s a job went to %s, which is out", when, w)
+			}
 		}
 	}
+	passedOver("out-", "after the call")
 	f.phase(host, "ready") // discovery lists it anew
 	if w := serve("listed"); w == host {
 		t.Errorf("a job went to %s after it was listed anew", w)
@@ -71,11 +75,7 @@
 	}
 	c.kill()
 	c.start()
-	for i := range 6 {
-		if w := serve(fmt.Sprint("again-", i)); w == host {
-			t.Fatalf("after a new start a job went to %s", w)
-		}
-	}
+	passedOver("again-", "after a new start")
 	if got := c.tell("POST", "uncordon", host); got != 200 {
 		t.Errorf("uncordon: %d", got)
 	}
@@ -84,6 +84,12 @@
 			t.Fatalf("%s is not used again", host)
 		}
 	}
+	checkUnhealthyInDrain(t, c)
+}
+
+// checkUnhealthyInDrain ends a scheduler and checks what it says of its health meanwhile.
+func checkUnhealthyInDrain(t *testing.T, c *child) {
+	t.Helper()
 	c.signal(syscall.SIGTERM)
 	c.logged("draining: answering")
 	if got := c.tell("GET", "health", ""); got != 503 {
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -103,6 +103,25 @@
 	if a := testkit.Await(t, "the answer", post(c.plain, "/plan-change", job("gone")...)); a.status != 404 {
 		t.Errorf("a class that is gone: %+v", a)
 	}
+	checkNewClasses(t, f, c, old, first)
+	checkBadFileIsRejected(t, f, c)
+
+	s.leave()
+	c.config.Settings.Classes = classes[1:]
+	c.write()
+	c.signal(syscall.SIGHUP)
+	c.logged("configuration reloaded")
+	s = subscribe(t, "GET", c.sse, "usage-view", "Request-Id", "stream")
+	streamed.done("streamed")
+	if last, _ := s.rest(); last.name != "result" {
+		t.Errorf("a stream whose class is gone ended in %+v", last)
+	}
+}
+
+// checkNewClasses checks jobs of classes that a new file has added and made stricter, and a
+// job of the latter that came before: old is its answer, first its attempt.
+func checkNewClasses(t *testing.T, f *fleet, c *child, old <-chan reply, first *run) {
+	t.Helper()
 	got := post(c.plain, "/usage-view-ii", job("new")...)
 	f.next().done("new")
 	if a := testkit.Await(t, "the answer", got); a.status != 200 || a.body != "new" {
@@ -125,7 +144,12 @@
 	if a := testkit.Await(t, "the answer", got); a.status != 503 {
 		t.Errorf("a third attempt: %+v", a)
 	}
+}
 
+// checkBadFileIsRejected checks that a file with a bad class and another discovery changes
+// neither.
+func checkBadFileIsRejected(t *testing.T, f *fleet, c *child) {
+	t.Helper()
 	c.config.Settings.Classes = append([]scheduler.Class(nil), c.config.Settings.Classes...)
 	c.config.Settings.Classes[0].Name, c.config.Settings.Classes[0].HardLimit = "other", -5
 	good := c.config.Discovery
@@ -135,20 +159,9 @@
 	c.logged("the new configuration is bad")
 	c.config.Discovery = good
 	f.phase("w", "ready") // still asked
-	got = post(c.plain, "/usage-view-ii", job("kept")...)
+	got := post(c.plain, "/usage-view-ii", job("kept")...)
 	f.next().done("kept")
 	if a := testkit.Await(t, "the answer", got); a.status != 200 {
 		t.Errorf("after a bad file: %+v", a)
 	}
-
-	s.leave()
-	c.config.Settings.Classes = classes[1:]
-	c.write()
-	c.signal(syscall.SIGHUP)
-	c.logged("configuration reloaded")
-	s = subscribe(t, "GET", c.sse, "usage-view", "Request-Id", "stream")
-	streamed.done("streamed")
-	if last, _ := s.rest(); last.name != "result" {
-		t.Errorf("a stream whose class is gone ended in %+v", last)
-	}
 }
--- a/scheduler/teams_test.go
+++ b/scheduler/teams_test.go
@@ -99,6 +99,32 @@
 	}
 }
 
+// checkEndedAs checks the answer of a team's job that was out while the teams changed, and
+// what the journal says of all its jobs.
+func checkEndedAs(t *testing.T, c *child, team string, answer <-chan reply) {
+	t.Helper()
+	if a := testkit.Await(t, "the answer", answer); a.status != 200 || a.body != "plain-"+team {
+		t.Errorf("out at %s: %+v", team, a)
+	}
+	for _, id := range []string{"out-" + team, "plain-" + team, "held-" + team} {
+		c.recorded(id, team)
+	}
+}
+
+// beginAt sends a team's jobs "out-TEAM", as a stream, and "plain-TEAM", and waits until both
+// have started at a worker.
+func beginAt(t *testing.T, f *fleet, c *child, team string) (s *stream, answer <-chan reply, runs []*run) {
+	t.Helper()
+	s = subscribe(t, "POST", c.sse, "plan-change", "Tenant", team, "Request-Id", "out-"+team)
+	streamed := f.next()
+	streamed.say(`"state":"started"`)
+	s.until("started")
+	answer = post(c.plain, "/plan-change", jobOf(team, "plain-"+team)...)
+	plain := f.next()
+	plain.say(`"state":"started"`)
+	return s, answer, []*run{streamed, plain}
+}
+
 // Guards jobs of a team that goes while they are out, or held for want of workers: each ends with its one answer under its
 // own team's name, though that team's place in the list is another's by then; so do those of a team that stays. It may come back.
 func TestTeamGoesWithJobsUnderWay(t *testing.T) {
@@ -110,15 +136,11 @@
 	out, outAnswers := map[string]*run{}, map[string]<-chan reply{}
 	streams := map[string]*stream{}
 	for _, name := range tenants {
-		streams["out-"+name] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", "out-"+name)
-		r := f.next()
-		r.say(`"state":"started"`)
-		streams["out-"+name].until("started")
-		out[r.id] = r
-		outAnswers[name] = post(c.plain, "/plan-change", jobOf(name, "plain-"+name)...)
-		r = f.next()
-		r.say(`"state":"started"`)
-		out[r.id] = r
+		var runs []*run
+		streams["out-"+name], outAnswers[name], runs = beginAt(t, f, c, name)
+		for _, r := range runs {
+			out[r.id] = r
+		}
 	}
 	f.phase("v", "draining")
 	f.phase("w", "draining")
@@ -156,12 +178,7 @@
 	}
 	for _, name := range tenants {
 		streams["out-"+name].result("out-" + name)
-		if a := testkit.Await(t, "the answer", outAnswers[name]); a.status != 200 || a.body != "plain-"+name {
-			t.Errorf("out at %s: %+v", name, a)
-		}
-		for _, id := range []string{"out-" + name, "plain-" + name, "held-" + name} {
-			c.recorded(id, name)
-		}
+		checkEndedAs(t, c, name, outAnswers[name])
 	}
 	c.recorded("held-newcomer", "newcomer")
 	if n := f.count("plan-change"); n != 8 {
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -61,6 +61,29 @@
 	}
 }
 
+// serveKept sends a job on a kept connection and reports whether its response is the last.
+func serveKept(t *testing.T, conn net.Conn, r *bufio.Reader, id string) (last bool) {
+	t.Helper()
+	if err := send(conn, "bill-pay", id, 9*time.Second, "Idempotency-Key", "k"); err != nil {
+		t.Fatalf("%s: %v", id, err)
+	}
+	a, err := testkit.ReadResponse(r)
+	if err != nil || a.Status != 200 {
+		t.Fatalf("%s: %+v, error %v", id, a, err)
+	}
+	return a.Last
+}
+
+// awaitWorker reads where jobs ran until one ran at a worker.
+func awaitWorker(t *testing.T, ran <-chan string, worker string) {
+	t.Helper()
+	for {
+		if testkit.Await(t, "a job at "+worker, ran) == worker {
+			return
+		}
+	}
+}
+
 // Guards against all that an upgrade can break: connections that are refused or
 // reset, a new process that fails or ends with the old one, a cordon that gets lost,
 // an id that is taken twice, and an open job without its answer.
@@ -75,17 +98,6 @@
 	open := post(c.plain, "/plan-change", job("open")...)
 	first := f.next()
 	first.say(`"state":"started"`)
-	onKept := func(id string) (last bool) {
-		t.Helper()
-		if err := send(conn, "bill-pay", id, 9*time.Second, "Idempotency-Key", "k"); err != nil {
-			t.Fatalf("%s: %v", id, err)
-		}
-		a, err := testkit.ReadResponse(kept)
-		if err != nil || a.Status != 200 {
-			t.Fatalf("%s: %+v, error %v", id, a, err)
-		}
-		return a.Last
-	}
 	ran := make(chan string, 4096) // where, of all but the open job
 	go func() {
 		for r := range f.runs {
@@ -93,7 +105,7 @@
 			r.done("")
 		}
 	}()
-	onKept("kept-1")
+	serveKept(t, conn, kept, "kept-1")
 	stop := clients(c.plain)
 	next := c.beside()
 	c.logged("the new process accepts connections")
@@ -104,12 +116,12 @@
 	if got := next.tell("POST", "cordon", "v"); got != 200 {
 		t.Errorf("cordon at the new process: %d", got)
 	}
-	if onKept("kept-2") {
+	if serveKept(t, conn, kept, "kept-2") {
 		t.Error("the old process lets go of a client though it was not told to end")
 	}
 	c.signal(syscall.SIGTERM)
 	c.logged("draining: answering")
-	if !onKept("kept-3") {
+	if !serveKept(t, conn, kept, "kept-3") {
 		t.Error("the old process keeps a client though it ends")
 	}
 	first.done("first")
@@ -121,14 +133,7 @@
 	if got := next.tell("POST", "uncordon", "u"); got != 200 {
 		t.Errorf("uncordon at the new process: %d", got)
 	}
-	for back := false; !back; {
-		switch testkit.Await(t, "a job", ran) {
-		case "v":
-			// Up to here some may have run there before it was taken out.
-		case "u":
-			back = true
-		}
-	}
+	awaitWorker(t, ran, "u")
 	if sent, failed := stop(); failed > 0 || sent < 10 {
 		t.Errorf("%d of %d jobs failed at the door", failed, sent)
 	}
