--- a/internal/fdlimit/fdlimit.go
+++ b/internal/fdlimit/fdlimit.go
@@ -14,9 +14,9 @@
 
 // Of the limit so much is for idle connections of clients, and so many at least.
 const (
-	idlePart  = 8
-	idleLeast = 16
-	sparePart = 8 // and so much is left to connections to workers
+	idleFraction  = 8
+	minIdle = 16
+	spareFraction = 8 // and so much is left to connections to workers
 )
 
 // Budget counts connections against a limit. When few are left it asks for
@@ -75,7 +75,7 @@
 // are, and refused before: a crowd of them must not keep jobs and the watch on discovery
 // from connecting.
 func (b *Budget) TakeClient() bool {
-	return b.take(max(0, b.left()-Reserve)/sparePart, Reserve*3/4)
+	return b.take(max(0, b.left()-Reserve)/spareFraction, Reserve*3/4)
 }
 
 // take counts a connection. Idle ones are closed from so many before the reserve on; it
@@ -100,7 +100,7 @@
 // Idle is how many idle connections of clients an event loop may keep.
 func (b *Budget) Idle() int {
 	if limit := b.left(); limit > 0 {
-		return int(max(idleLeast, limit/idlePart))
+		return int(max(minIdle, limit/idleFraction))
 	}
 	return math.MaxInt
 }
--- a/internal/httpd/accept.go
+++ b/internal/httpd/accept.go
@@ -13,22 +13,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// accepting pauses for so long when it fails: descriptors have run out.
-const acceptAgain = 5 * time.Millisecond
+// acceptBackoff is the pause after a connection could not be accepted: descriptors have run out.
+const acceptBackoff = 5 * time.Millisecond
 
-// acceptor accepts connections on a listening socket, which may be shared with
-// another process: what its queue holds is lost only with the last who has it.
+// acceptor accepts connections on a listening socket, which may be shared with another
+// process: the connections in its backlog are lost only when the last process closes it.
 type acceptor struct {
 	listener *net.TCPListener
-	mu       sync.Mutex
+	mu       sync.Mutex    // guards resume and paused
 	resume   chan struct{} // closed to go on accepting; nil: not paused
-	parked   chan struct{} // closed once nothing is accepted any more; nil: not paused
+	paused   chan struct{} // closed once nothing is accepted any more; nil: not paused
 	closed   chan struct{}
 	once     sync.Once
 }
 
-// listen makes a listening socket. It may share its address with that of another
-// process, which cannot pass its own on.
+// listen makes a listening socket. It may share its address (SO_REUSEPORT) with that of
+// another process, which cannot pass its own on.
 func listen(ctx context.Context, addr string) (*net.TCPListener, error) {
 	lc := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
@@ -50,7 +50,7 @@
 	return &acceptor{listener: l, closed: make(chan struct{})}
 }
 
-// accept takes connections until it is closed.
+// accept passes connections to take until it is closed.
 func (a *acceptor) accept(take func(*net.TCPConn), failed func(error)) {
 	for {
 		c, err := a.listener.AcceptTCP()
@@ -62,9 +62,9 @@
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			a.mu.Lock()
 			resume := a.resume
-			if resume != nil && a.parked != nil {
-				close(a.parked)
-				a.parked = nil
+			if resume != nil && a.paused != nil {
+				close(a.paused)
+				a.paused = nil
 			}
 			a.mu.Unlock()
 			if resume == nil {
@@ -77,14 +77,14 @@
 			}
 		default:
 			failed(err)
-			time.Sleep(acceptAgain)
+			time.Sleep(acceptBackoff)
 		}
 	}
 }
 
 // pause stops accepting and returns once it has stopped: an accept that was under way may
-// still have taken a connection. The socket stays as it is, and its queue waits for
-// whoever shares it.
+// still have taken a connection. The socket stays as it is, and its backlog waits for the
+// process that shares it.
 func (a *acceptor) pause() {
 	a.mu.Lock()
 	if a.resume != nil {
@@ -92,7 +92,7 @@
 		return
 	}
 	parked := make(chan struct{})
-	a.resume, a.parked = make(chan struct{}), parked
+	a.resume, a.paused = make(chan struct{}), parked
 	_ = a.listener.SetDeadline(time.Unix(1, 0))
 	a.mu.Unlock()
 	select {
@@ -101,16 +101,17 @@
 	}
 }
 
-func (a *acceptor) goOn() {
+// unpause accepts again.
+func (a *acceptor) unpause() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.resume != nil {
 		_ = a.listener.SetDeadline(time.Time{})
 		close(a.resume)
 		a.resume = nil
-		if a.parked != nil {
-			close(a.parked)
-			a.parked = nil
+		if a.paused != nil {
+			close(a.paused)
+			a.paused = nil
 		}
 	}
 }
--- a/internal/httpd/conn.go
+++ b/internal/httpd/conn.go
@@ -12,80 +12,81 @@
 	"sedgevale/internal/http1"
 )
 
+// connState is where a connection stands. But for stateBusy and stateClosed there is a time
+// by which something has to happen, and a queue of the connections in that state.
 type connState uint8
 
 const (
-	fresh   connState = iota // nothing has come yet
-	idle                     // between two requests
-	reading                  // part of a request has come
-	busy                     // the request is the handler's
-	ending                   // the last answer is out
-	closed
+	stateFresh   connState = iota // nothing has come yet
+	stateIdle                     // between two requests
+	stateReading                  // part of a request has come
+	stateBusy                     // the request is the handler's
+	stateEnding                   // the last response is out, or the end was announced
+	stateClosed
 )
 
-// Conn is a client's connection. Its methods are for its event loop, but for
-// Post.
+// Conn is a client's connection. Its methods are for its event loop, but for Post.
 type Conn struct {
 	State any // the handler's
 
-	gc         gnet.Conn
-	srv        *Server
-	lane       *lane
+	conn       gnet.Conn
+	server     *Server
+	loop       *eventLoop
 	parser     *http1.Parser
-	body       []byte
+	body       []byte // of the request that is read
 	state      connState
-	closeAfter bool
+	closeAfter bool // the next response is the connection's last
 	detached   bool // its descriptor lives on elsewhere
 	framing    Framing
-	heard      bool // a request has come whole
-	flooded    bool // far more came than one request, which is dropped
+	received   bool // a request has come whole
+	flooded    bool // the client sent more than maxPipelined ahead, which is dropped
 	opened     time.Time
-	until      time.Time
-	discarded  int // of a flood, and after the last answer
-	prev, next *Conn
-	in         *list
-	out        []byte
+	deadline   time.Time // of the state
+	discarded  int       // bytes of a flood, and after the last response
+	prev, next *Conn     // in queue
+	queue      *connList
+	out        []byte // a buffer for heads and chunks
 }
 
-// OnOpen is gnet's.
+// OnOpen is called by gnet with each new connection.
 func (s *Server) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
-	c := &Conn{gc: gc, srv: s, lane: s.laneOf(gc.EventLoop()), parser: http1.NewParser(http1.Request),
+	c := &Conn{conn: gc, server: s, loop: s.eventLoopOf(gc.EventLoop()), parser: http1.NewParser(http1.Request),
 		opened: time.Now()}
 	gc.SetContext(c)
-	c.setState(fresh)
+	c.setState(stateFresh)
 	s.clients.Add(1)
-	taken := s.budget.TakeClient()
+	taken := s.descriptors.TakeClient()
 	if !taken {
-		c.setState(busy) // not to be the one that is closed for itself
-		taken = c.lane.evict(1) > 0
-		c.setState(fresh)
+		c.setState(stateBusy) // not to be the one that is closed for itself
+		taken = c.loop.evict(1) > 0
+		c.setState(stateFresh)
 	}
 	if !taken {
-		// A descriptor more, and neither accepting nor dialling works, for anybody.
-		// This one connection is the lesser loss.
-		s.log.Error("no descriptors left, closing a new connection", "open", s.budget.Used())
+		// With one descriptor more neither accepting nor dialling works, for anybody. This
+		// one connection is the lesser loss.
+		s.log.Error("no descriptors left, closing a new connection", "open", s.descriptors.Used())
 		return nil, gnet.Close
 	}
 	return nil, gnet.None
 }
 
-// OnClose is gnet's.
+// OnClose is called by gnet when a connection is closed, by either side.
 func (s *Server) OnClose(gc gnet.Conn, _ error) gnet.Action {
 	c, ok := gc.Context().(*Conn)
 	if !ok {
 		return gnet.None
 	}
-	s.budget.Release()
+	s.descriptors.Release()
 	s.clients.Add(-1)
 	was := c.state
-	c.setState(closed)
-	if was == busy && !c.detached {
+	c.setState(stateClosed)
+	if was == stateBusy && !c.detached {
 		s.handler.Gone(c)
 	}
 	return gnet.None
 }
 
-// OnTraffic is gnet's.
+// OnTraffic is called by gnet when bytes have come.
 func (s *Server) OnTraffic(gc gnet.Conn) gnet.Action {
 	if c, ok := gc.Context().(*Conn); ok {
 		c.read()
@@ -94,201 +95,234 @@
 }
 
 func (c *Conn) setState(to connState) {
-	if c.in != nil {
-		c.in.remove(c)
+	if c.queue != nil {
+		c.queue.remove(c)
 	}
 	c.state = to
 	switch to {
-	case fresh:
-		c.until = c.opened.Add(c.srv.limits.First)
-		c.lane.fresh.push(c)
-	case idle:
-		if c.srv.limits.Idle > 0 {
-			c.until = time.Now().Add(c.srv.limits.Idle)
+	case stateFresh:
+		c.deadline = c.opened.Add(c.server.limits.First)
+		c.loop.fresh.push(c)
+	case stateIdle:
+		if c.server.limits.Idle > 0 {
+			c.deadline = time.Now().Add(c.server.limits.Idle)
 		}
-		c.lane.idle.push(c)
-	case reading:
-		c.until = c.opened.Add(c.srv.limits.Slow) // however the bytes trickle
-		if c.heard {
-			c.until = time.Now().Add(c.srv.limits.Read)
+		c.loop.idle.push(c)
+	case stateReading:
+		c.deadline = c.opened.Add(c.server.limits.Slow) // however the bytes trickle
+		if c.received {
+			c.deadline = time.Now().Add(c.server.limits.Read)
 		}
-		c.lane.reading.push(c)
-	case ending:
-		c.until = time.Now().Add(lingerFor)
-		c.lane.ending.push(c)
+		c.loop.reading.push(c)
+	case stateEnding:
+		c.deadline = time.Now().Add(lingerTimeout)
+		c.loop.ending.push(c)
 	}
 }
 
-// read takes what has come, up to one request.
+// read handles what has come, request by request, until one is the handler's or nothing
+// more has come.
 func (c *Conn) read() {
-	for c.state != closed {
-		if c.state == ending {
-			n := c.gc.InboundBuffered()
-			_, _ = c.gc.Discard(n)
-			if c.discarded += n; c.discarded > lingerBytes { // it had time to read; the rest is not worth ours
-				c.lane.close(c)
-			}
+	for {
+		switch c.state {
+		case stateClosed:
 			return
-		}
-		if c.state == busy {
-			if n := c.gc.InboundBuffered(); n > maxAhead || c.flooded {
-				c.flood(n)
+		case stateEnding:
+			c.discard()
+			return
+		case stateBusy:
+			if c.conn.InboundBuffered() > maxPipelined || c.flooded {
+				c.flood()
 			}
 			return
 		}
-		buf, _ := c.gc.Peek(-1)
-		if len(buf) == 0 && c.parser.Idle() {
+		if !c.parse() {
 			return
 		}
-		if c.state == idle || c.state == fresh {
-			c.setState(reading)
-		}
-		n, ev, part, err := c.parser.Next(buf)
-		if ev == http1.Body {
-			if len(c.body)+len(part) > MaxBody {
-				if over, ok := c.srv.handler.(Overflower); ok {
-					c.body = append(c.body, part...)
-					c.overflow(over, buf[n:])
-					return
-				}
-				err = &http1.Error{Status: 413, Text: "body too large"}
-			} else {
+	}
+}
+
+// parse takes the parser a step on, and reports whether there may be another.
+func (c *Conn) parse() bool {
+	buf, _ := c.conn.Peek(-1)
+	if len(buf) == 0 && c.parser.Idle() {
+		return false
+	}
+	if c.state == stateIdle || c.state == stateFresh {
+		c.setState(stateReading)
+	}
+	n, event, part, err := c.parser.Next(buf)
+	if event == http1.Body {
+		if len(c.body)+len(part) > MaxBody {
+			if over, ok := c.server.handler.(Overflower); ok {
 				c.body = append(c.body, part...)
+				c.overflow(over, buf[n:])
+				return false
 			}
+			err = &http1.Error{Status: 413, Text: "body too large"}
+		} else {
+			c.body = append(c.body, part...)
 		}
-		evloop.Take(c.gc, n)
-		switch {
-		case err != nil:
-			var wrong *http1.Error
-			if !errors.As(err, &wrong) {
-				wrong = &http1.Error{Status: 400, Text: err.Error()}
-			}
-			c.fail(wrong.Status, wrong.Text)
-			return
-		case ev == http1.Headed:
-			c.body = nil
-			if c.parser.Head.Length > MaxBody {
-				if over, ok := c.srv.handler.(Overflower); ok {
-					c.overflow(over, buf[n:])
-					return
-				}
-				c.fail(413, "body too large")
-				return
-			}
-			if len(c.parser.Head.Get("Expect")) > 0 && !c.parser.Head.Old {
-				_, _ = c.gc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
-			}
-		case ev == http1.Ended:
-			c.setState(busy)
-			c.heard = true
-			head := c.parser.Head
-			c.closeAfter = head.Close
-			body := c.body
-			c.body = nil
-			c.srv.handler.Serve(c, &Request{Head: &head, Body: body, At: time.Now()})
-		case ev == http1.More:
-			return
+	}
+	evloop.Take(c.conn, n)
+	if err != nil {
+		c.rejectFor(err)
+		return false
+	}
+	switch event {
+	case http1.Headed:
+		return c.onHead(buf[n:])
+	case http1.Ended:
+		c.onRequest()
+	case http1.More:
+		return false
+	}
+	return true
+}
+
+// onHead decides by a request's head whether its body is read. Rest is what was read behind
+// the head.
+func (c *Conn) onHead(rest []byte) bool {
+	c.body = nil
+	if c.parser.Head.Length > MaxBody {
+		if over, ok := c.server.handler.(Overflower); ok {
+			c.overflow(over, rest)
+			return false
 		}
+		c.reject(413, "body too large")
+		return false
+	}
+	if len(c.parser.Head.Get("Expect")) > 0 && !c.parser.Head.Old {
+		_, _ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+	return true
+}
+
+// onRequest gives a request that has come whole to the handler.
+func (c *Conn) onRequest() {
+	c.setState(stateBusy)
+	c.received = true
+	head := c.parser.Head
+	c.closeAfter = head.Close
+	body := c.body
+	c.body = nil
+	c.server.handler.Serve(c, &Request{Head: &head, Body: body, At: time.Now()})
+}
+
+// discard drops what a client sends after its last response. One that goes on for long is
+// cut off: it had time to read the response.
+func (c *Conn) discard() {
+	n := c.conn.InboundBuffered()
+	_, _ = c.conn.Discard(n)
+	if c.discarded += n; c.discarded > maxLingerBytes {
+		c.loop.close(c)
 	}
 }
 
-// flood drops what a client sends far ahead of its turn. The request at hand still gets its
-// answer, which is the last; but a client that goes on is not followed for long.
-func (c *Conn) flood(n int) {
+// flood drops what a client sends beyond maxPipelined while a request of its is served. That
+// request still gets its response, the connection's last; a client that goes on for long is
+// cut off.
+func (c *Conn) flood() {
 	if !c.flooded {
 		c.flooded, c.closeAfter = true, true
-		c.srv.log.Warn("a client sends far ahead of its turn, its answer will be the last")
-	}
-	_, _ = c.gc.Discard(n)
-	if c.discarded += n; c.discarded > lingerBytes {
-		c.lane.close(c)
+		c.server.log.Warn("a client pipelines too much, its response will be the last")
 	}
+	c.discard()
 }
 
-// unread reports whether something has come that the loop has yet to read.
-func (c *Conn) unread() bool {
-	if c.gc.InboundBuffered() > 0 {
+// hasUnread reports whether something has come that the event loop has yet to read.
+func (c *Conn) hasUnread() bool {
+	if c.conn.InboundBuffered() > 0 {
 		return true
 	}
 	var b [1]byte
-	n, _, err := unix.Recvfrom(c.gc.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	n, _, err := unix.Recvfrom(c.conn.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == nil && n > 0
 }
 
-// closeGracefully ends a connection on which no answer is due.
+// closeGracefully ends a connection on which no response is due.
 func (c *Conn) closeGracefully() {
-	c.setState(ending)
-	c.until = time.Now().Add(gracefulFor)
+	c.setState(stateEnding)
+	c.deadline = time.Now().Add(closeTimeout)
 	c.shutdown()
 }
 
-// fail answers what cannot be understood and ends the connection.
-func (c *Conn) fail(status int, text string) {
+// rejectFor answers a request that the parser has rejected, and ends the connection.
+func (c *Conn) rejectFor(err error) {
+	var malformed *http1.Error
+	if !errors.As(err, &malformed) {
+		malformed = &http1.Error{Status: 400, Text: err.Error()}
+	}
+	c.reject(malformed.Status, malformed.Text)
+}
+
+// reject answers a malformed request and ends the connection.
+func (c *Conn) reject(status int, text string) {
 	c.RespondLast(status, nil, append([]byte(text), '\n'))
 }
 
-// RespondLast answers the request and ends the connection.
+// RespondLast sends the response to the request and ends the connection.
 func (c *Conn) RespondLast(status int, fields []http1.Field, body []byte) {
 	c.closeAfter = true
 	c.Respond(status, fields, body)
 }
 
-// Respond answers the request.
+// Respond sends the response to the request.
 func (c *Conn) Respond(status int, fields []http1.Field, body []byte) {
-	if c.state == closed {
+	if c.state == stateClosed {
 		return
 	}
-	c.begin(status, fields)
+	c.writeHead(status, fields)
 	if status == 204 {
 		c.out = append(c.out, "\r\n"...)
 	} else {
 		c.out = http1.AppendBody(c.out, body)
 	}
-	_, _ = c.gc.Write(c.out)
-	c.finish()
+	_, _ = c.conn.Write(c.out)
+	c.endResponse()
 }
 
 // BeginStream sends a head whose body goes on until EndStream.
 func (c *Conn) BeginStream(fields []http1.Field) {
-	if c.state == closed {
+	if c.state == stateClosed {
 		return
 	}
 	c.closeAfter = true // the end of the connection ends the body
-	c.begin(200, fields)
+	c.writeHead(200, fields)
 	c.out = append(c.out, "\r\n"...)
-	_, _ = c.gc.Write(c.out)
+	_, _ = c.conn.Write(c.out)
 }
 
 // Write sends a part of a stream.
 func (c *Conn) Write(b []byte) {
-	if c.state != closed {
-		_, _ = c.gc.Write(b)
+	if c.state != stateClosed {
+		_, _ = c.conn.Write(b)
 	}
 }
 
-// Unsent is how much of what was written the kernel has not taken yet.
+// Unsent returns how many bytes of what was written the kernel has not taken yet.
 func (c *Conn) Unsent() int {
-	if c.state == closed {
+	if c.state == stateClosed {
 		return 0
 	}
-	return c.gc.OutboundBuffered()
+	return c.conn.OutboundBuffered()
 }
 
 // Closed reports whether the connection is closed. A write can find that out.
-func (c *Conn) Closed() bool { return c.state == closed }
+func (c *Conn) Closed() bool { return c.state == stateClosed }
 
 // EndStream ends a stream.
-func (c *Conn) EndStream() { c.finish() }
+func (c *Conn) EndStream() { c.endResponse() }
 
 // Abort closes the connection at once.
 func (c *Conn) Abort() {
-	if c.state != closed {
-		c.lane.close(c)
+	if c.state != stateClosed {
+		c.loop.close(c)
 	}
 }
 
-func (c *Conn) begin(status int, fields []http1.Field) {
-	c.closeAfter = c.closeAfter || c.srv.draining.Load()
+func (c *Conn) writeHead(status int, fields []http1.Field) {
+	c.closeAfter = c.closeAfter || c.server.draining.Load()
 	c.out = http1.AppendStatus(c.out[:0], status)
 	for _, f := range fields {
 		c.out = http1.AppendField(c.out, f.Name, f.Value)
@@ -298,39 +332,39 @@
 	}
 }
 
-// finish makes the connection ready for the next request, or ends it. The end
-// leaves the client time to read: closing with unread bytes about would reset
-// the connection under the answer.
-func (c *Conn) finish() {
-	if c.state == closed {
+// endResponse makes the connection ready for the next request, or ends it. The end leaves
+// the client time to read: closing while unread bytes are there would reset the connection
+// under the response.
+func (c *Conn) endResponse() {
+	if c.state == stateClosed {
 		return
 	}
 	if !c.closeAfter {
-		c.setState(idle)
-		if most := c.srv.budget.Idle(); c.lane.idle.n > most {
-			c.Post(func(*Conn) { c.lane.closeIdle(c.lane.idle.n - most) })
+		c.setState(stateIdle)
+		if maxIdle := c.server.descriptors.Idle(); c.loop.idle.n > maxIdle {
+			c.Post(func(*Conn) { c.loop.closeIdle(c.loop.idle.n - maxIdle) })
 		}
-		if c.gc.InboundBuffered() > 0 {
+		if c.conn.InboundBuffered() > 0 {
 			c.Post((*Conn).read)
 		}
 		return
 	}
-	c.setState(ending)
+	c.setState(stateEnding)
 	c.shutdown()
 }
 
-// shutdown ends our sending once all is out; sweep closes the rest.
+// shutdown half-closes the connection once all is sent; sweep does the rest.
 func (c *Conn) shutdown() {
-	if c.gc.OutboundBuffered() == 0 {
-		_ = unix.Shutdown(c.gc.Fd(), syscall.SHUT_WR)
+	if c.conn.OutboundBuffered() == 0 {
+		_ = unix.Shutdown(c.conn.Fd(), syscall.SHUT_WR)
 	}
 }
 
-// Post calls f on the connection's event loop unless it is closed by then. It
-// may be called from anywhere.
+// Post calls f on the connection's event loop unless the connection is closed by then. It may
+// be called from any goroutine.
 func (c *Conn) Post(f func(*Conn)) {
-	c.lane.box.Put(func() {
-		if c.state != closed {
+	c.loop.tasks.Put(func() {
+		if c.state != stateClosed {
 			f(c)
 		}
 	})
--- a/internal/httpd/endings_test.go
+++ b/internal/httpd/endings_test.go
@@ -25,7 +25,7 @@
 func hold(t *testing.T, s *Server) (letGo func()) {
 	t.Helper()
 	held, let := make(chan struct{}), make(chan struct{})
-	s.each(func(*lane) { close(held); <-let })
+	s.onEachLoop(func(*eventLoop) { close(held); <-let })
 	testkit.Await(t, "the event loop to stand", held)
 	return func() { close(let) }
 }
@@ -48,7 +48,7 @@
 }
 
 func (h served) Serve(c *Conn, q *Request) {
-	h.fds <- c.gc.Fd()
+	h.fds <- c.conn.Fd()
 	h.conns <- c
 	h.echo.Serve(c, q)
 }
@@ -142,7 +142,7 @@
 			t.Errorf("a connection that owes a request: %v", err)
 		}
 	}
-	if c, err := net.Dial("tcp", s.addr); !errors.Is(err, unix.ECONNREFUSED) {
+	if c, err := new(net.Dialer).DialContext(t.Context(), "tcp", s.addr); !errors.Is(err, unix.ECONNREFUSED) {
 		t.Errorf("a new connection: %v, %v", c, err)
 	}
 	conn.Post(func(c *Conn) { c.Respond(200, nil, []byte("late")) })
@@ -150,7 +150,7 @@
 		t.Errorf("%d %q, last %v", status, body, last)
 	}
 	for _, c := range []net.Conn{half, silent, busy} {
-		c.Close()
+		shut(t, c)
 	}
 	until(t, "the connections' ends", func() bool { return s.Clients() == 0 })
 }
@@ -162,13 +162,13 @@
 	c, r := dial(t, s.addr)
 	send(t, c, "POST /hold HTTP/1.1\r\nHost: h\r\n\r\n")
 	conn := testkit.Await(t, "the request", h.conns)
-	flood := bytes.Repeat([]byte("x"), 3*maxAhead)
+	flood := bytes.Repeat([]byte("x"), 3*maxPipelined)
 	if _, err := c.Write(flood); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the flood to be read", func() bool {
 		dropped := make(chan bool, 1)
-		conn.Post(func(c *Conn) { dropped <- c.discarded > 0 && !c.unread() })
+		conn.Post(func(c *Conn) { dropped <- c.discarded > 0 && !c.hasUnread() })
 		return testkit.Await(t, "the event loop", dropped)
 	})
 	conn.Post(func(c *Conn) { c.Respond(200, nil, []byte("whole")) })
@@ -209,27 +209,22 @@
 	b := fdlimit.New(descriptors)
 	s, _ := startServed(t, b)
 	for range 2 * descriptors {
-		c, err := net.Dial("tcp", s.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
+		testkit.Dial(t, s.addr)
 	}
 	until(t, "the crowd to be thinned", func() bool { return s.Clients() <= descriptors-fdlimit.Reserve/2 })
 	if !b.Take() {
 		t.Error("no descriptor is left for a worker")
 	}
 	b.Release()
-	q, err := http.NewRequest("POST", "http://"+s.addr+"/a", strings.NewReader("hi"))
+	q, err := http.NewRequestWithContext(t.Context(), "POST", "http://"+s.addr+"/a", strings.NewReader("hi"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := (&http.Transport{}).RoundTrip(q)
+	a, err := testkit.RoundTrip(&http.Transport{}, q)
 	if err != nil {
 		t.Fatalf("a client that speaks: %v", err)
 	}
-	defer a.Body.Close()
-	if body, err := io.ReadAll(a.Body); err != nil || string(body) != "hi" {
-		t.Errorf("%q, %v", body, err)
+	if a.Body != "hi" {
+		t.Errorf("%q", a.Body)
 	}
 }
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -1,5 +1,6 @@
-// Package httpd is the client side's ground: an HTTP/1.1 server on gnet's event
-// loops. It decides nothing; what a request means is its Handler's business.
+// Package httpd is an HTTP/1.1 server on gnet's event loops, for many connections that are
+// mostly idle. It reads requests whole, bounds what clients may send and how long they may
+// take, and leaves what a request means to its Handler.
 package httpd
 
 import (
@@ -20,61 +21,62 @@
 	"sedgevale/internal/http1"
 )
 
-// The server's bounds.
+// MaxBody is the longest body, in bytes, that is read for a Handler.
+const MaxBody = 64 << 10
+
 const (
-	MaxBody      = 64 << 10
-	maxAhead     = MaxBody + http1.MaxHead // bytes a client may send before its turn
-	firstWait    = 2 * time.Second         // from connecting, for the first byte
-	slowWait     = 2500 * time.Millisecond // from connecting, for the first request to come whole: some need 2 s
-	readTimeout  = 2 * time.Second         // for a later request that has begun to come
-	lingerFor    = 2 * time.Second         // for a client to read the last answer
-	gracefulFor  = 300 * time.Millisecond  // for a client to end a connection that we end between two requests
-	lingerBytes  = 1 << 20                 // of what it still sends meanwhile
-	unheardLeast = 300 * time.Millisecond  // before a connection may be closed unheard, where descriptors run short
-	sweepEvery   = 200 * time.Millisecond
-	readBuffer   = 32 << 10
-	writeBuffer  = 64 << 10
-	eventLoopCap = 64
-	takenWait    = 200 * time.Millisecond
-	idleAtOnce   = 8 // closed when a connection cannot be accepted
+	maxPipelined        = MaxBody + http1.MaxHead // bytes a client may send while a request of its is served
+	firstByteTimeout    = 2 * time.Second         // from connecting
+	firstRequestTimeout = 2500 * time.Millisecond // from connecting, for the whole request: some clients need 2 s
+	requestTimeout      = 2 * time.Second         // from its first byte, for a later request
+	lingerTimeout       = 2 * time.Second         // for a client to read the last response
+	closeTimeout        = 300 * time.Millisecond  // for a client to close an idle connection that the server ends
+	maxLingerBytes      = 1 << 20                 // that a client may still send meanwhile
+	minUnheardAge       = 300 * time.Millisecond  // of a connection on which nothing has come, before it is closed for want of descriptors
+	sweepInterval       = 200 * time.Millisecond
+	readBuffer          = 32 << 10 // bytes
+	writeBuffer         = 64 << 10 // bytes
+	maxEventLoops       = 64
+	probeTimeout        = 200 * time.Millisecond // for a connection to the own address, to see who listens there
+	evictBatch          = 8                      // connections closed when one cannot be accepted
 )
 
-// Request is one request of a client. At is when its last byte came.
+// Request is a request that has come whole. At is when its last byte came.
 type Request struct {
 	*http1.Head
 	Body []byte
 	At   time.Time
 }
 
-// Handler deals with requests. Its methods are called on the connection's event
-// loop and must not block. After Serve the connection is the request's until
-// Respond, or EndStream, has been called.
+// Handler answers requests. Its methods are called on the connection's event loop and must
+// not block. After Serve no further request of the connection is read until Respond, EndBody
+// or EndStream has been called.
 type Handler interface {
 	Serve(*Conn, *Request)
-	// Gone tells that the client has closed the connection of a request that
-	// was not answered, or of a stream that has not ended.
+	// Gone is called when a connection is closed whose request was not answered, or whose
+	// stream has not ended.
 	Gone(*Conn)
 }
 
 // Server is an HTTP/1.1 server.
 type Server struct {
 	gnet.BuiltinEventEngine
-	addr     string
-	loops    int
-	handler  Handler
-	limits   Limits
-	budget   *fdlimit.Budget
-	log      *slog.Logger
-	client   *gnet.Client
-	acceptor *acceptor
-	stopped  chan struct{}
-	draining atomic.Bool
-	clients  atomic.Int64
-	mu       sync.Mutex
-	lanes    map[gnet.EventLoop]*lane
+	addr        string
+	loops       int
+	handler     Handler
+	limits      Limits
+	descriptors *fdlimit.Budget
+	log         *slog.Logger
+	client      *gnet.Client
+	acceptor    *acceptor
+	stopped     chan struct{}
+	draining    atomic.Bool
+	clients     atomic.Int64
+	mu          sync.Mutex // guards eventLoops
+	eventLoops  map[gnet.EventLoop]*eventLoop
 }
 
-// Limits bound what clients may do. The zero value has the usual ones.
+// Limits bound how long clients may take. Zero stands for the default, but for Idle.
 type Limits struct {
 	First time.Duration // from connecting, for the first byte
 	Slow  time.Duration // from connecting, for the first request to come whole
@@ -82,15 +84,15 @@
 	Idle  time.Duration // between two requests; 0: as long as descriptors last
 }
 
-// Overflower is a Handler that deals with bodies beyond MaxBody itself. Overflow is called
-// on the connection's event loop with what has come, in place of Serve; the connection
-// has been taken off the loop.
+// Overflower is a Handler that reads bodies beyond MaxBody itself. Overflow is called on the
+// connection's event loop with what has come, in place of Serve; the connection has been
+// taken off the loop.
 type Overflower interface {
 	Overflow(q *Request, d *Detached)
 }
 
-// Detached is a connection that was taken off its event loop, for work that waits: a body
-// that must not be read faster than it is passed on, or a tunnel.
+// Detached is a connection that was taken off its event loop, for work that blocks: a body
+// that must not be read faster than it is forwarded, or a tunnel.
 type Detached struct {
 	net.Conn
 	Parser *http1.Parser // where it stands in the request
@@ -110,26 +112,27 @@
 	for _, l := range []struct {
 		to    *time.Duration
 		usual time.Duration
-	}{{&limits.First, firstWait}, {&limits.Slow, slowWait}, {&limits.Read, readTimeout}} {
+	}{{&limits.First, firstByteTimeout}, {&limits.Slow, firstRequestTimeout}, {&limits.Read, requestTimeout}} {
 		if *l.to <= 0 {
 			*l.to = l.usual
 		}
 	}
-	s := &Server{addr: addr, loops: min(max(1, loops), eventLoopCap), handler: handler, limits: limits, budget: b, log: log,
-		stopped: make(chan struct{}), lanes: map[gnet.EventLoop]*lane{}}
-	b.OnShort(func(n int) { s.each(func(l *lane) { l.closeIdle(n) }) })
+	s := &Server{addr: addr, loops: min(max(1, loops), maxEventLoops), handler: handler, limits: limits, descriptors: b, log: log,
+		stopped: make(chan struct{}), eventLoops: map[gnet.EventLoop]*eventLoop{}}
+	b.OnShort(func(n int) { s.onEachLoop(func(l *eventLoop) { l.closeIdle(n) }) })
 	return s
 }
 
-// Addr is the address that the server is for.
+// Addr returns the address that the server is for.
 func (s *Server) Addr() string { return s.addr }
 
-// Start serves on a listening socket that another process has passed on, or, where
-// there is none, on one of its own. gnet accepts only on sockets that it has made
-// itself, so connections are accepted here and enrolled with its event loops.
+// Start serves on a listening socket that another process has passed on, or, if that is nil,
+// on one of its own. The context is for making that; Stop ends the server. gnet accepts only
+// on sockets that it has made itself, so connections are accepted here and registered with its
+// event loops.
 func (s *Server) Start(ctx context.Context, passed *net.TCPListener) error {
 	if passed == nil {
-		if taken(ctx, s.addr) {
+		if isListening(ctx, s.addr) {
 			s.log.Warn("another process listens on the same address and hands no socket over, sharing the address", "addr", s.addr)
 		}
 		var err error
@@ -147,36 +150,36 @@
 		return fmt.Errorf("event loops for %s: %w", s.addr, err)
 	}
 	s.client, s.acceptor = client, newAcceptor(passed)
-	go s.acceptor.accept(s.enrol, s.cannotAccept)
-	go s.sweeper()
+	go s.acceptor.accept(s.register, s.cannotAccept)
+	go s.runSweeps()
 	return nil
 }
 
-// enrol gives a connection to an event loop.
-func (s *Server) enrol(c *net.TCPConn) {
+// register gives a connection to an event loop.
+func (s *Server) register(c *net.TCPConn) {
 	if _, err := s.client.EnrollContext(c, nil); err != nil {
-		s.log.Warn("a new connection was not taken", "err", err)
-		s.each(func(l *lane) { l.evict(idleAtOnce) }) // it needs a second descriptor for a moment
+		s.log.Warn("cannot register a new connection", "err", err)
+		s.onEachLoop(func(l *eventLoop) { l.evict(evictBatch) }) // it needs a second descriptor for a moment
 	}
 }
 
 func (s *Server) cannotAccept(err error) {
-	s.log.Error("cannot accept connections, trying again", "addr", s.addr, "err", err)
-	s.each(func(l *lane) { l.evict(idleAtOnce) })
+	s.log.Error("cannot accept connections, retrying", "addr", s.addr, "err", err)
+	s.onEachLoop(func(l *eventLoop) { l.evict(evictBatch) })
 }
 
-// Listener is the listening socket, to be passed on.
+// Listener returns the listening socket, to be passed on.
 func (s *Server) Listener() *net.TCPListener { return s.acceptor.listener }
 
-// Pause leaves new connections to whoever shares the listening socket.
+// Pause leaves new connections to the process that shares the listening socket.
 func (s *Server) Pause() { s.acceptor.pause() }
 
 // Resume accepts again.
-func (s *Server) Resume() { s.acceptor.goOn() }
+func (s *Server) Resume() { s.acceptor.unpause() }
 
-// taken reports whether somebody listens on the address.
-func taken(ctx context.Context, addr string) bool {
-	dialer := net.Dialer{Timeout: takenWait}
+// isListening reports whether a process listens on the address.
+func isListening(ctx context.Context, addr string) bool {
+	dialer := net.Dialer{Timeout: probeTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false
@@ -185,24 +188,24 @@
 	return true
 }
 
-// Drain makes each further answer the last of its connection.
+// Drain makes each further response the last of its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
 // Clients returns how many connections are open.
 func (s *Server) Clients() int { return int(s.clients.Load()) }
 
-// Alive calls f on each event loop that has served somebody, to show that they have
-// their turns; where none has, at once.
+// Alive calls f once each event loop that has had a connection has taken a turn; if there is
+// none, at once.
 func (s *Server) Alive(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := int64(len(s.lanes))
+	left := int64(len(s.eventLoops))
 	if left == 0 {
 		f()
 		return
 	}
-	for _, l := range s.lanes {
-		l.box.Put(func() {
+	for _, l := range s.eventLoops {
+		l.tasks.Put(func() {
 			if atomic.AddInt64(&left, -1) == 0 {
 				f()
 			}
@@ -210,25 +213,25 @@
 	}
 }
 
-// CloseIdle closes the connections that carry no request: its sending first, so that a
-// request which crosses that is read and dropped, and its client told by the end alone.
-func (s *Server) CloseIdle() { s.each(func(l *lane) { l.closeIdle(math.MaxInt) }) }
+// CloseIdle closes the connections that carry no request. It half-closes each first, so that
+// a request which crosses that is read and dropped, and the connection is not reset.
+func (s *Server) CloseIdle() { s.onEachLoop(func(l *eventLoop) { l.closeIdle(math.MaxInt) }) }
 
-// Refuse lets no further connection come up and ends those on which no request is due an
-// answer, also those that have begun to send one.
+// Refuse accepts no further connection and ends those on which no response is due, also
+// those that have begun to send a request.
 func (s *Server) Refuse() {
 	s.acceptor.close()
-	s.each(func(l *lane) {
+	s.onEachLoop(func(l *eventLoop) {
 		l.closeIdle(math.MaxInt)
-		for _, waiting := range []*list{&l.fresh, &l.reading} {
-			for c := waiting.first; c != nil; c = waiting.first {
+		for _, owing := range []*connList{&l.fresh, &l.reading} {
+			for c := owing.first; c != nil; c = owing.first {
 				c.closeGracefully()
 			}
 		}
 	})
 }
 
-// Stop ends the server with all its connections.
+// Stop closes the listening socket and all connections, and ends the event loops.
 func (s *Server) Stop() error {
 	s.acceptor.close()
 	close(s.stopped)
@@ -238,21 +241,23 @@
 	return nil
 }
 
-func (s *Server) each(f func(*lane)) {
+// onEachLoop calls f on each event loop that has had a connection.
+func (s *Server) onEachLoop(f func(*eventLoop)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.lanes {
-		l.box.Put(func() { f(l) })
+	for _, l := range s.eventLoops {
+		l.tasks.Put(func() { f(l) })
 	}
 }
 
-func (s *Server) sweeper() {
-	tick := time.NewTicker(sweepEvery)
+// runSweeps closes connections whose deadlines have passed, until the server is stopped.
+func (s *Server) runSweeps() {
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			s.each((*lane).sweep)
+			s.onEachLoop((*eventLoop).sweep)
 		case <-s.stopped:
 			return
 		}
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"log/slog"
 	"net"
-	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -46,26 +46,27 @@
 
 func dial(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
+	c := testkit.Dial(t, addr)
+	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	return c, bufio.NewReader(c)
 }
 
-func answer(t *testing.T, r *bufio.Reader) (status int, body string, last bool) {
+func shut(t *testing.T, c io.Closer) {
 	t.Helper()
-	a, err := http.ReadResponse(r, nil)
-	if err != nil {
-		t.Fatal(err)
+	if err := c.Close(); err != nil {
+		t.Error(err)
 	}
-	b, err := io.ReadAll(a.Body)
+}
+
+func answer(t *testing.T, r *bufio.Reader) (status int, body string, last bool) {
+	t.Helper()
+	a, err := testkit.ReadResponse(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a.StatusCode, string(b), a.Close
+	return a.Status, a.Body, a.Last
 }
 
 const post = "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"
@@ -111,7 +112,7 @@
 			if status, _, _ := answer(t, r); status != 200 {
 				t.Errorf("answered %d", status)
 			}
-			c.Close()
+			shut(t, c)
 		}
 	}
 	first.Pause()
@@ -134,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	passed.Close()
+	shut(t, passed)
 	second := New(addr, 1, echo{make(chan struct{}, 8)}, fdlimit.New(0), slog.New(slog.DiscardHandler))
 	if err := second.Start(t.Context(), l.(*net.TCPListener)); err != nil {
 		t.Fatal(err)
@@ -221,8 +222,8 @@
 	if status, _, last := answer(t, r); status != 200 || !last {
 		t.Errorf("answered %d, last %v", status, last)
 	}
-	d.Close()
-	c.Close()
+	shut(t, d)
+	shut(t, c)
 	select {
 	case <-h.gone:
 	case <-time.After(10 * time.Second):
@@ -283,7 +284,7 @@
 	if took := time.Since(began); took > 3*time.Second {
 		t.Errorf("it took %v", took)
 	}
-	silent.Close()
+	shut(t, silent)
 	if _, err := io.WriteString(kept, post); err != nil {
 		t.Fatal(err)
 	}
@@ -326,9 +327,9 @@
 	b := fdlimit.New(1024)
 	s, _ := start(t, addr, b)
 	defer stop(t, s)
-	most := b.Idle()
+	maxIdle := b.Idle()
 	var idle []*bufio.Reader
-	for range most + 3 {
+	for range maxIdle + 3 {
 		c, r := dial(t, addr)
 		if _, err := io.WriteString(c, post); err != nil {
 			t.Fatal(err)
@@ -344,9 +345,9 @@
 		}
 	}
 	// They have read the end and stay: they are closed all the same.
-	until(t, "the idle ones to be bounded", func() bool { return s.Clients() <= most })
-	if n := s.Clients(); n != most {
-		t.Errorf("%d connections kept, want %d", n, most)
+	until(t, "the idle ones to be bounded", func() bool { return s.Clients() <= maxIdle })
+	if n := s.Clients(); n != maxIdle {
+		t.Errorf("%d connections kept, want %d", n, maxIdle)
 	}
 }
 
@@ -372,11 +373,11 @@
 		}
 		idle = append(idle, c)
 	}
-	if _, err := idle[0].Read(make([]byte, 1)); err != io.EOF {
+	if _, err := idle[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the longest idle connection: %v", err)
 	}
 	_ = busy.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	if _, err := busy.Read(make([]byte, 1)); err == nil || err == io.EOF {
+	if _, err := busy.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 		t.Error("the busy connection was closed")
 	}
 }
--- a/internal/httpd/stream.go
+++ b/internal/httpd/stream.go
@@ -8,42 +8,42 @@
 	"sedgevale/internal/http1"
 )
 
-// Framing says how a response's body ends.
+// Framing says how the end of a response's body is told.
 type Framing uint8
 
-// The ways.
+// The ways in which the end of a body is told.
 const (
 	ByLength Framing = iota // its Content-Length is among the fields, or it has no body
 	ByChunks
 	ByClose // the connection's end, for HTTP/1.0
 )
 
-// Begin sends the head of a response whose body follows by Part until EndBody. Fields
-// must have no Transfer-Encoding, Connection or, but for ByLength, Content-Length.
+// Begin sends the head of a response whose body follows by Part until EndBody. Fields must
+// have no Transfer-Encoding, Connection or, but for ByLength, Content-Length.
 func (c *Conn) Begin(status int, fields []http1.Field, framing Framing) {
-	if c.state == closed {
+	if c.state == stateClosed {
 		return
 	}
 	c.framing = framing
 	c.closeAfter = c.closeAfter || framing == ByClose
-	c.begin(status, fields)
+	c.writeHead(status, fields)
 	if framing == ByChunks {
 		c.out = http1.AppendField(c.out, "Transfer-Encoding", "chunked")
 	}
 	c.out = append(c.out, "\r\n"...)
-	_, _ = c.gc.Write(c.out)
+	_, _ = c.conn.Write(c.out)
 }
 
 // Part sends a part of a body.
 func (c *Conn) Part(b []byte) {
-	if c.state == closed || len(b) == 0 {
+	if c.state == stateClosed || len(b) == 0 {
 		return
 	}
 	if c.framing == ByChunks {
 		c.out = http1.AppendChunk(c.out[:0], b)
 		b = c.out
 	}
-	_, _ = c.gc.Write(b)
+	_, _ = c.conn.Write(b)
 	if cap(c.out) > writeBuffer {
 		c.out = nil
 	}
@@ -51,58 +51,58 @@
 
 // EndBody ends a body. The trailer counts only in chunks.
 func (c *Conn) EndBody(trailer []http1.Field) {
-	if c.state == closed {
+	if c.state == stateClosed {
 		return
 	}
 	if c.framing == ByChunks {
-		_, _ = c.gc.Write(http1.AppendLastChunk(c.out[:0], trailer))
+		_, _ = c.conn.Write(http1.AppendLastChunk(c.out[:0], trailer))
 	}
-	c.finish()
+	c.endResponse()
 }
 
-// CloseAfter has the connection end with this answer.
+// CloseAfter has the connection end with this response.
 func (c *Conn) CloseAfter() { c.closeAfter = true }
 
-// Remote is the client's address.
-func (c *Conn) Remote() net.Addr { return c.gc.RemoteAddr() }
+// Remote returns the client's address.
+func (c *Conn) Remote() net.Addr { return c.conn.RemoteAddr() }
 
-// Local is the address of ours that the client came to.
-func (c *Conn) Local() net.Addr { return c.gc.LocalAddr() }
+// Local returns the server's address that the client connected to.
+func (c *Conn) Local() net.Addr { return c.conn.LocalAddr() }
 
-// Detach takes the connection off its event loop, with what was read and not used yet.
-// The Conn is closed by that, but its Handler is not told that the client has gone.
+// Detach takes the connection off its event loop, with what was read and not parsed yet. The
+// Conn is closed by that, but Handler.Gone is not called. An error leaves it as it was.
 func (c *Conn) Detach() (*Detached, error) {
-	buf, _ := c.gc.Peek(-1)
+	buf, _ := c.conn.Peek(-1)
 	return c.detach(append([]byte(nil), buf...))
 }
 
 func (c *Conn) detach(rest []byte) (*Detached, error) {
-	fd, err := c.gc.Dup()
+	fd, err := c.conn.Dup()
 	if err != nil {
 		return nil, err
 	}
 	f := os.NewFile(uintptr(fd), "client")
 	conn, err := net.FileConn(f)
-	f.Close()
+	_ = f.Close() // conn has a duplicate
 	if err != nil {
 		return nil, err
 	}
-	d := &Detached{Conn: conn, Parser: c.parser, Rest: rest, server: c.srv, opened: c.opened}
-	c.srv.clients.Add(1) // it is still one of ours, until it is closed or given back
-	c.srv.budget.TakeClient()
+	d := &Detached{Conn: conn, Parser: c.parser, Rest: rest, server: c.server, opened: c.opened}
+	c.server.clients.Add(1) // still open, until it is closed or given back
+	c.server.descriptors.TakeClient()
 	c.detached = true
-	c.lane.close(c)
+	c.loop.close(c)
 	return d, nil
 }
 
-// overflow hands a request over whose body is too long for the event loop. Rest is what
-// was read behind what the parser has taken.
+// overflow hands a request over whose body is too long for the event loop. Rest is what was
+// read behind what the parser has taken.
 func (c *Conn) overflow(over Overflower, rest []byte) {
 	head, body := c.parser.Head, c.body
-	c.setState(busy)
+	c.setState(stateBusy)
 	d, err := c.detach(append([]byte(nil), rest...))
 	if err != nil {
-		c.lane.close(c)
+		c.loop.close(c)
 		return
 	}
 	over.Overflow(&Request{Head: &head, Body: body, At: time.Now()}, d)
@@ -118,17 +118,17 @@
 func (d *Detached) release() {
 	d.once.Do(func() {
 		d.server.clients.Add(-1)
-		d.server.budget.Release()
+		d.server.descriptors.Release()
 	})
 }
 
 // Draining reports whether the server wants its connections to end.
 func (d *Detached) Draining() bool { return d.server.draining.Load() }
 
-// GiveBack puts a connection back on an event loop, for its next request. What was read
-// of that already is lost, so there must be none.
+// GiveBack puts a connection back on an event loop, for its next request. Nothing of that
+// may have been read yet: it would be lost.
 func (d *Detached) GiveBack() {
-	_ = d.Conn.SetDeadline(time.Time{})
+	_ = d.SetDeadline(time.Time{})
 	d.release()
 	if _, err := d.server.client.EnrollContext(d.Conn, nil); err != nil {
 		_ = d.Conn.Close()
--- a/internal/jobrequest/jobrequest.go
+++ b/internal/jobrequest/jobrequest.go
@@ -17,11 +17,11 @@
 	"sedgevale/internal/httpd"
 )
 
-// margin is kept of the time that a client waits, for the answer's way back.
-const margin = 10 * time.Millisecond
+// responseMargin is kept of the time that a client waits, for the answer's way back.
+const responseMargin = 10 * time.Millisecond
 
-// Rules are what requests are read by. They may be used by several goroutines.
-type Rules struct {
+// Parser are what requests are read by. They may be used by several goroutines.
+type Parser struct {
 	clock  dispatch.Clock
 	terms  *atomic.Pointer[Terms]
 	margin time.Duration // beyond margin
@@ -35,20 +35,20 @@
 }
 
 // New returns rules by those terms.
-func New(clock dispatch.Clock, t *Terms) *Rules {
-	r := &Rules{clock: clock, terms: &atomic.Pointer[Terms]{}}
+func New(clock dispatch.Clock, t *Terms) *Parser {
+	r := &Parser{clock: clock, terms: &atomic.Pointer[Terms]{}}
 	r.terms.Store(t)
 	return r
 }
 
-// Retune replaces the terms, also of rules made by Earlier.
-func (r *Rules) Retune(t *Terms) { r.terms.Store(t) }
+// Update replaces the terms, also of rules made by Earlier.
+func (r *Parser) Update(t *Terms) { r.terms.Store(t) }
 
-// At returns the time of a request on the clock of the deadlines.
-func (r *Rules) At(t time.Time) time.Duration { return r.clock.At(t) }
+// Time returns the time of a request on the clock of the deadlines.
+func (r *Parser) Time(t time.Time) time.Duration { return r.clock.At(t) }
 
-// Earlier returns rules by which a client's time ends earlier by so much.
-func (r *Rules) Earlier(by time.Duration) *Rules {
+// WithMargin returns rules by which a client's time ends earlier by so much.
+func (r *Parser) WithMargin(by time.Duration) *Parser {
 	out := *r
 	out.margin += by
 	return &out
@@ -62,17 +62,17 @@
 
 func (e *Error) Error() string { return e.Text }
 
-func bad(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
+func badRequest(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
 
-// Name returns the name of the class that a path stands for.
-func Name(target string) string {
+// ClassName returns the name of the class that a path stands for.
+func ClassName(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return name
 }
 
 // Class returns the class of that name, or nil.
-func (r *Rules) Class(name string) *sedgevale.Class { return r.terms.Load().class(name) }
+func (r *Parser) Class(name string) *sedgevale.Class { return r.terms.Load().class(name) }
 
 func (t *Terms) class(name string) *sedgevale.Class {
 	for i := range t.Classes {
@@ -83,16 +83,16 @@
 	return nil
 }
 
-// Job reads a request, and until when its client waits. An id and a time-out
+// Parse reads a request, and until when its client waits. An id and a time-out
 // are asked for unless they are given here for a request that has none.
-func (r *Rules) Job(q *httpd.Request, id string, patience time.Duration) (dispatch.Job, time.Duration, error) {
+func (r *Parser) Parse(q *httpd.Request, id string, patience time.Duration) (dispatch.Job, time.Duration, error) {
 	j := dispatch.Job{ID: id, Tenant: -1, Slots: 1, Method: q.Method, Target: q.Target, Body: q.Body}
 	terms := r.terms.Load()
 	hint, info := "", ""
 	class, tenant := "", ""
 	for i, f := range q.Fields {
-		if given(q.Fields[:i], f.Name) && single(f.Name) {
-			return j, 0, bad("%s is given twice", f.Name)
+		if hasField(q.Fields[:i], f.Name) && singleValued(f.Name) {
+			return j, 0, badRequest("%s is given twice", f.Name)
 		}
 		switch name := f.Name; {
 		case strings.EqualFold(name, "Request-Id"):
@@ -114,16 +114,16 @@
 		case strings.EqualFold(name, "Request-Info"):
 			info = f.Value
 		case strings.EqualFold(name, "Request-Timeout"):
-			d, ok := parseTime(f.Value)
+			d, ok := parseDuration(f.Value)
 			if !ok {
-				return j, 0, bad("Request-Timeout must be a number and m or u")
+				return j, 0, badRequest("Request-Timeout must be a number and m or u")
 			}
 			patience = d
 		}
 	}
-	j.Class = terms.class(Name(q.Target))
+	j.Class = terms.class(ClassName(q.Target))
 	if class != "" && (j.Class == nil || class != j.Class.Name) {
-		return j, 0, bad("Request-Class is unknown or not that of the path")
+		return j, 0, badRequest("Request-Class is unknown or not that of the path")
 	}
 	if j.Class == nil {
 		return j, 0, &Error{404, "no such class"}
@@ -132,11 +132,11 @@
 	case q.Method != "POST":
 		return j, 0, &Error{405, "jobs come by POST"}
 	case j.ID == "" || len(j.ID) > 128 || strings.ContainsAny(j.ID, " \t"):
-		return j, 0, bad("Request-Id must be one word")
+		return j, 0, badRequest("Request-Id must be one word")
 	case patience <= 0:
-		return j, 0, bad("Request-Timeout is missing")
+		return j, 0, badRequest("Request-Timeout is missing")
 	case j.Once == "" && j.Class.Effect == sedgevale.Keyed:
-		return j, 0, bad("this class needs an Idempotency-Key")
+		return j, 0, badRequest("this class needs an Idempotency-Key")
 	}
 	for i := range terms.Tenants {
 		if terms.Tenants[i].Name == tenant {
@@ -144,9 +144,9 @@
 		}
 	}
 	if j.Tenant < 0 && len(terms.Tenants) > 0 {
-		return j, 0, bad("unknown Tenant")
+		return j, 0, badRequest("unknown Tenant")
 	}
-	if d, ok := parseTime(hint); ok {
+	if d, ok := parseDuration(hint); ok {
 		j.Hint = d
 	}
 	for pair := range strings.SplitSeq(info, ",") {
@@ -156,16 +156,16 @@
 		}
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(v > 0) || v > 1e6 {
-			return j, 0, bad("slots must be a positive number")
+			return j, 0, badRequest("slots must be a positive number")
 		}
 		j.Slots = v
 	}
-	return j, r.clock.At(q.At) + patience - margin - r.margin, nil
+	return j, r.clock.At(q.At) + patience - responseMargin - r.margin, nil
 }
 
-// single reports whether a field says something that holds but once: which of two
+// singleValued reports whether a field says something that holds but once: which of two
 // values counts would depend on who reads them.
-func single(name string) bool {
+func singleValued(name string) bool {
 	for _, s := range []string{"Request-Id", "Request-Class", "Tenant", "Affinity-Key", "Idempotency-Key",
 		"Client-Retry", "Work-Hint", "Request-Info", "Request-Timeout"} {
 		if strings.EqualFold(s, name) {
@@ -175,12 +175,12 @@
 	return false
 }
 
-func given(fields []http1.Field, name string) bool {
+func hasField(fields []http1.Field, name string) bool {
 	return slices.ContainsFunc(fields, func(f http1.Field) bool { return strings.EqualFold(f.Name, name) })
 }
 
-// parseTime reads a number and a unit, m for milliseconds or u for microseconds.
-func parseTime(s string) (time.Duration, bool) {
+// parseDuration reads a number and a unit, m for milliseconds or u for microseconds.
+func parseDuration(s string) (time.Duration, bool) {
 	if len(s) < 2 {
 		return 0, false
 	}
--- a/internal/jobrequest/jobrequest_test.go
+++ b/internal/jobrequest/jobrequest_test.go
@@ -11,7 +11,7 @@
 	"sedgevale/internal/httpd"
 )
 
-func rules() *Rules {
+func rules() *Parser {
 	return New(dispatch.NewClock(), &Terms{Classes: []sedgevale.Class{{Name: "free"}, {Name: "key", Effect: sedgevale.Keyed}},
 		Tenants: []sedgevale.Tenant{{Name: "a"}, {Name: "b"}}})
 }
@@ -29,7 +29,7 @@
 	q := request("POST", "/key/sub?x=1", "request-id", "r1", "Request-Class", "key", "Tenant", "b", "Affinity-Key", "k",
 		"Request-Timeout", "4999m", "Client-Retry", "1", "Request-Info", "memory=2, slots=1.5", "Idempotency-Key", "once",
 		"Work-Hint", "2500u")
-	j, deadline, err := r.Job(q, "", 0)
+	j, deadline, err := r.Parse(q, "", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,10 +38,10 @@
 		t.Errorf("%+v", j)
 	}
 	// The client's time counts from its request, and a little is kept for the way back.
-	if left := deadline - r.At(q.At); left >= 4999*time.Millisecond || left < 4900*time.Millisecond {
+	if left := deadline - r.Time(q.At); left >= 4999*time.Millisecond || left < 4900*time.Millisecond {
 		t.Errorf("%v left", left)
 	}
-	if _, earlier, _ := r.Earlier(time.Second).Job(q, "", 0); earlier != deadline-time.Second {
+	if _, earlier, _ := r.WithMargin(time.Second).Parse(q, "", 0); earlier != deadline-time.Second {
 		t.Errorf("%v, and a second earlier %v", deadline, earlier)
 	}
 }
@@ -71,7 +71,7 @@
 		{"POST", "/free", with("Request-Info", "slots=0"), 400},
 		{"POST", "/free", good[:4], 400},
 	} {
-		_, _, err := rules().Job(request(c.method, c.target, c.fields...), "", 0)
+		_, _, err := rules().Parse(request(c.method, c.target, c.fields...), "", 0)
 		var why *Error
 		status := 0
 		if errors.As(err, &why) {
@@ -87,15 +87,15 @@
 // the class that it was read by.
 func TestRetune(t *testing.T) {
 	r := rules()
-	earlier := r.Earlier(time.Second)
+	earlier := r.WithMargin(time.Second)
 	q := request("POST", "/free", "Request-Id", "r", "Tenant", "a", "Request-Timeout", "9000m")
-	before, _, err := r.Job(q, "", 0)
+	before, _, err := r.Parse(q, "", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Retune(&Terms{Classes: []sedgevale.Class{{Name: "new"}, {Name: "free", Effect: sedgevale.Unsafe}},
+	r.Update(&Terms{Classes: []sedgevale.Class{{Name: "new"}, {Name: "free", Effect: sedgevale.Unsafe}},
 		Tenants: []sedgevale.Tenant{{Name: "a"}}})
-	after, _, err := earlier.Job(q, "", 0)
+	after, _, err := earlier.Parse(q, "", 0)
 	if err != nil || after.Class.Effect != sedgevale.Unsafe || before.Class.Effect != sedgevale.Safe {
 		t.Errorf("before %+v, after %+v, error %v", before.Class, after.Class, err)
 	}
--- a/internal/ops/cordons.go
+++ b/internal/ops/cordons.go
@@ -10,16 +10,16 @@
 	"sync"
 )
 
-// Cordons is the set of workers that operators have taken out, kept in a file so
-// that it outlives the process.
+// Cordons is the set of cordoned workers, by their ids. It is kept in a file, so that it
+// outlives the process.
 type Cordons struct {
 	path string
-	mu   sync.Mutex
+	mu   sync.Mutex // guards set, and the file's order of writes
 	set  map[string]bool
 }
 
-// ReadCordons reads the file; one that is not there is an empty set. The set is
-// usable also where an error is returned.
+// ReadCordons reads the file; one that is missing is an empty set. With an error, which is of
+// a file that cannot be read or parsed, it returns an empty set that is usable.
 func ReadCordons(path string) (*Cordons, error) {
 	c := &Cordons{path: path, set: map[string]bool{}}
 	b, err := os.ReadFile(path)
@@ -31,7 +31,7 @@
 		err = json.Unmarshal(b, &hosts)
 	}
 	if err != nil {
-		return c, fmt.Errorf("saved cordons: %w", err)
+		return c, fmt.Errorf("saved cordons %s: %w", path, err)
 	}
 	for _, h := range hosts {
 		c.set[h] = true
@@ -39,7 +39,7 @@
 	return c, nil
 }
 
-// Hosts returns the ids in order.
+// Hosts returns the ids of the cordoned workers in order.
 func (c *Cordons) Hosts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,15 +55,15 @@
 	return hosts
 }
 
-// Has reports whether a worker is out.
+// Has reports whether a worker is cordoned.
 func (c *Cordons) Has(host string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.set[host]
 }
 
-// Set takes a worker out or puts it back, and saves the set. The file is replaced
-// whole: a reader finds the old set or the new one.
+// Set cordons a worker, or uncordons it if out is false, and saves the set. The file is
+// replaced atomically. With an error the set has changed and the file has not.
 func (c *Cordons) Set(host string, out bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ops/journal.go
+++ b/internal/ops/journal.go
@@ -13,7 +13,9 @@
 	"sedgevale/internal/journal/store"
 )
 
-// Journal answers questions about jobs. Its methods may wait for the disk.
+// Journal is the journal of attempts. Its methods may wait for the disk. Ask returns a job's
+// records as JSON lines, Settle sets the verdict on a job whose outcome is unknown and returns
+// how many records it has settled, Stats returns counts as JSON.
 type Journal interface {
 	Ask(ctx context.Context, id string) (lines []byte, err error)
 	Settle(ctx context.Context, id, verdict, by, why string) (int, error)
@@ -30,7 +32,7 @@
 	Why     string `json:"why"`
 }
 
-// Check returns an error for a settlement that says too little.
+// Check returns an error for a settlement that is incomplete or has no known verdict.
 func (s *Settlement) Check() error {
 	if s.Job == "" || s.By == "" || s.Why == "" {
 		return errors.New(`the body must be {"job":"ID","verdict":"ran|did_not_run|unknown","by":"NAME","why":"TEXT"}`)
@@ -39,66 +41,84 @@
 	return err
 }
 
-// askJournal answers a call about the journal, and reports whether it was one.
-func (f *Front) askJournal(c *httpd.Conn, q *httpd.Request) bool {
+// journalCall is a parsed call to the journal.
+type journalCall struct {
+	settle     bool
+	settlement Settlement
+	job        string // that is asked for; empty: statistics
+}
+
+// parse reads a call's query and body.
+func (j *journalCall) parse(query string, body []byte) error {
+	values, err := url.ParseQuery(query)
+	if j.settle {
+		if err = json.Unmarshal(body, &j.settlement); err == nil || j.settlement.Job == "" {
+			err = j.settlement.Check()
+		}
+	}
+	j.job = values.Get("job")
+	return err
+}
+
+// run carries the call out and returns the body of the response.
+func (j *journalCall) run(ctx context.Context, journal Journal) ([]byte, error) {
+	if j.settle {
+		s := &j.settlement
+		_, err := journal.Settle(ctx, s.Job, s.Verdict, s.By, s.Why)
+		return []byte("yes\n"), err
+	}
+	if j.job == "" {
+		return journal.Stats(), nil
+	}
+	return journal.Ask(ctx, j.job)
+}
+
+// serveJournal answers a call to the journal, and reports whether it was one.
+func (h *Handler) serveJournal(c *httpd.Conn, q *httpd.Request) bool {
 	path, query, _ := strings.Cut(q.Target, "?")
-	settle := path == journalPath+"/settle"
-	if path != journalPath && !settle {
+	call := &journalCall{settle: path == journalPath+"/settle"}
+	if path != journalPath && !call.settle {
 		return false
 	}
 	method := "GET"
-	if settle {
+	if call.settle {
 		method = "POST"
 	}
 	switch {
-	case f.journal == nil:
+	case h.journal == nil:
 		c.RespondLast(404, nil, []byte("no: this scheduler keeps no journal; set [journal] in its file\n"))
 		return true
 	case q.Method != method:
 		c.RespondLast(405, []http1.Field{{Name: "Allow", Value: method}}, []byte("only "+method+"\n"))
 		return true
 	}
-	var order Settlement
-	values, err := url.ParseQuery(query)
-	if settle {
-		if err = json.Unmarshal(q.Body, &order); err == nil || order.Job == "" {
-			err = order.Check()
-		}
-	}
-	if err != nil {
+	if err := call.parse(query, q.Body); err != nil {
 		c.RespondLast(400, nil, []byte("no: "+err.Error()+"\n"))
 		return true
 	}
-	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), patience)
-		defer stop()
-		var body []byte
-		var err error
-		switch id := values.Get("job"); {
-		case settle:
-			_, err = f.journal.Settle(ctx, order.Job, order.Verdict, order.By, order.Why)
-			body = []byte("yes\n")
-		case id == "":
-			body = f.journal.Stats()
-		default:
-			body, err = f.journal.Ask(ctx, id)
-		}
-		c.Post(func(c *httpd.Conn) {
-			if err != nil {
-				answer(c, err)
-				return
-			}
-			var fields []http1.Field
-			if !settle {
-				fields = []http1.Field{{Name: "Content-Type", Value: "application/x-ndjson"}}
-			}
-			c.RespondLast(200, fields, body)
-		})
-	}()
+	go h.runJournalCall(c, call)
 	return true
 }
 
-// notFound reports whether an error says that what a call names is not there.
-func notFound(err error) bool {
+// runJournalCall carries a call out and responds.
+func (h *Handler) runJournalCall(c *httpd.Conn, call *journalCall) {
+	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
+	defer stop()
+	body, err := call.run(ctx, h.journal)
+	c.Post(func(c *httpd.Conn) {
+		if err != nil {
+			respond(c, err)
+			return
+		}
+		var fields []http1.Field
+		if !call.settle {
+			fields = []http1.Field{{Name: "Content-Type", Value: "application/x-ndjson"}}
+		}
+		c.RespondLast(200, fields, body)
+	})
+}
+
+// isNotFound reports whether an error says that what a call names does not exist.
+func isNotFound(err error) bool {
 	return errors.Is(err, ErrUnknown) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrNothingToSettle)
 }
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,5 @@
-// Package ops is the front for operators: one call a connection, on an address,
-// an event loop and descriptors of its own.
+// Package ops serves operators' calls over HTTP: health, cordons, the journal of jobs, and
+// pages of status. Each connection carries one call.
 package ops
 
 import (
@@ -12,49 +12,49 @@
 	"sedgevale/internal/httpd"
 )
 
-// patience is how long a call may take; the caller waits a second.
-const patience = 800 * time.Millisecond
+// callTimeout bounds a call; the caller waits a second.
+const callTimeout = 800 * time.Millisecond
 
-// ErrUnknown is what Cordon returns for a worker that nobody has named.
+// ErrUnknown is returned by Scheduler.Cordon for a worker that no list has named.
 var ErrUnknown = errors.New("no such worker")
 
-// Scheduler is what operators give orders to. Its methods may block until the
-// context ends.
+// Scheduler carries out operators' calls. Its methods may block until the context ends.
 type Scheduler interface {
 	// Healthy returns why the scheduler is not ready to serve, or nil.
 	Healthy(context.Context) error
-	// Cordon takes a worker out, or puts it back. It returns once that holds.
+	// Cordon takes a worker out of use, or back into use if out is false. It returns once
+	// that is in force.
 	Cordon(ctx context.Context, host string, out bool) error
 }
 
-// Front is an httpd.Handler.
-type Front struct {
+// Handler is an httpd.Handler for operators' calls.
+type Handler struct {
 	scheduler Scheduler
 	journal   Journal // nil: none
 	pages     map[string]Page
 }
 
-// Page is something that an operator can read, and how it is written.
+// Page is a status that operators can read.
 type Page struct {
-	Type string // of its content
+	Type string // its Content-Type
 	Read func() []byte
 }
 
-// New returns a Front; pages go by their paths. Journal and pages may be nil.
-func New(s Scheduler, journal Journal, pages map[string]Page) *Front {
-	return &Front{s, journal, pages}
+// New returns a Handler. Pages are by path. Journal and pages may be nil.
+func New(s Scheduler, journal Journal, pages map[string]Page) *Handler {
+	return &Handler{s, journal, pages}
 }
 
-// Serve is called with each request.
-func (f *Front) Serve(c *httpd.Conn, q *httpd.Request) {
-	if f.askJournal(c, q) {
+// Serve answers a call.
+func (h *Handler) Serve(c *httpd.Conn, q *httpd.Request) {
+	if h.serveJournal(c, q) {
 		return
 	}
-	if page, ok := f.pages[q.Target]; ok && q.Method == "GET" {
+	if page, ok := h.pages[q.Target]; ok && q.Method == "GET" {
 		c.RespondLast(200, []http1.Field{{Name: "Content-Type", Value: page.Type}}, page.Read())
 		return
 	}
-	method, do := "POST", f.scheduler.Healthy
+	method, do := "POST", h.scheduler.Healthy
 	switch q.Target {
 	case "/admin/health":
 		method = "GET"
@@ -76,26 +76,27 @@
 			return
 		}
 		out := q.Target == "/admin/cordon"
-		do = func(ctx context.Context) error { return f.scheduler.Cordon(ctx, order.Host, out) }
+		do = func(ctx context.Context) error { return h.scheduler.Cordon(ctx, order.Host, out) }
 	}
-	go func() { // it may have to wait for others, the event loop must not
-		ctx, stop := context.WithTimeout(context.Background(), patience)
+	go func() { // it may have to wait, which the event loop must not
+		ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 		defer stop()
 		err := do(ctx)
-		c.Post(func(c *httpd.Conn) { answer(c, err) })
+		c.Post(func(c *httpd.Conn) { respond(c, err) })
 	}()
 }
 
-func answer(c *httpd.Conn, err error) {
+// respond answers a call that was carried out, or why it was not.
+func respond(c *httpd.Conn, err error) {
 	switch {
 	case err == nil:
 		c.RespondLast(200, nil, []byte("yes\n"))
-	case notFound(err):
+	case isNotFound(err):
 		c.RespondLast(404, nil, []byte("no: "+err.Error()+"\n"))
 	default:
 		c.RespondLast(503, nil, []byte("no: "+err.Error()+"\n"))
 	}
 }
 
-// Gone is called when a caller has left. What was ordered holds.
-func (f *Front) Gone(*httpd.Conn) {}
+// Gone is called when a caller has disconnected. Its call is carried out all the same.
+func (h *Handler) Gone(*httpd.Conn) {}
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -6,8 +6,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
@@ -49,22 +47,21 @@
 
 func call(t *testing.T, addr, method, path, body string) int {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
+	c := testkit.Dial(t, addr)
+	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
-	a, err := http.ReadResponse(bufio.NewReader(c), nil)
+	a, err := testkit.ReadResponse(bufio.NewReader(c))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Body.Close()
-	if !a.Close {
+	if !a.Last {
 		t.Errorf("%s %s: the connection goes on", method, path)
 	}
-	return a.StatusCode
+	return a.Status
 }
 
 // Each call has its yes or no, and what is no call changes nothing.
@@ -111,13 +108,11 @@
 func TestSilentCallersDelayNobody(t *testing.T) {
 	addr, _ := begin(t, nil)
 	for i := range 8 {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
+		c := testkit.Dial(t, addr)
 		if i%2 == 0 {
-			fmt.Fprint(c, "POST /admin/cordon HTTP/1.1\r\nContent-Le")
+			if _, err := fmt.Fprint(c, "POST /admin/cordon HTTP/1.1\r\nContent-Le"); err != nil {
+				t.Fatal(err)
+			}
 		}
 	}
 	began := time.Now()
--- a/internal/platformapi/platformapi.go
+++ b/internal/platformapi/platformapi.go
@@ -18,38 +18,38 @@
 	Gone(*dispatch.Exchange)
 }
 
-// Front is an httpd.Handler.
-type Front struct {
-	rules    *jobrequest.Rules
+// Handler is an httpd.Handler.
+type Handler struct {
+	rules    *jobrequest.Parser
 	planners Planners
 	ready    func() bool
 }
 
 // New returns a Front. Ready says whether the scheduler should be sent requests.
-func New(rules *jobrequest.Rules, planners Planners, ready func() bool) *Front {
-	return &Front{rules, planners, ready}
+func New(rules *jobrequest.Parser, planners Planners, ready func() bool) *Handler {
+	return &Handler{rules, planners, ready}
 }
 
 // Serve is called with each request.
-func (f *Front) Serve(c *httpd.Conn, q *httpd.Request) {
+func (h *Handler) Serve(c *httpd.Conn, q *httpd.Request) {
 	if q.Target == "/ready" {
-		Ready(c, q, f.ready())
+		Ready(c, q, h.ready())
 		return
 	}
-	job, deadline, err := f.rules.Job(q, "", 0)
+	job, deadline, err := h.rules.Parse(q, "", 0)
 	if err != nil {
 		Reject(c, err)
 		return
 	}
 	x := dispatch.NewExchange(job, deadline, waiter{c})
 	c.State = x
-	f.planners.Request(x)
+	h.planners.Request(x)
 }
 
 // Gone is called when the client left before its answer.
-func (f *Front) Gone(c *httpd.Conn) {
+func (h *Handler) Gone(c *httpd.Conn) {
 	if x, ok := c.State.(*dispatch.Exchange); ok {
-		f.planners.Gone(x)
+		h.planners.Gone(x)
 	}
 }
 
--- a/internal/sse/id.go
+++ b/internal/sse/id.go
@@ -17,12 +17,12 @@
 	request string
 }
 
-const finalMark = ".end"
+const finalSuffix = ".end"
 
 func (id eventID) String() string {
 	seq := strconv.Itoa(id.seq)
 	if id.final {
-		seq += finalMark
+		seq += finalSuffix
 	}
 	return id.epoch + ":" + seq + ":" + url.QueryEscape(id.class) + ":" + url.QueryEscape(id.request)
 }
@@ -34,7 +34,7 @@
 		return id, false
 	}
 	id.epoch = parts[0]
-	seq, final := strings.CutSuffix(parts[1], finalMark)
+	seq, final := strings.CutSuffix(parts[1], finalSuffix)
 	v, err := strconv.ParseUint(seq, 10, 31)
 	if err != nil {
 		return id, false
--- a/internal/sse/job.go
+++ b/internal/sse/job.go
@@ -20,7 +20,7 @@
 // job is a request and its stream of events. It is the client side of its
 // exchange and lives on without a subscriber. The front's lock guards it.
 type job struct {
-	front   *Front
+	front   *Handler
 	id      string
 	epoch   string           // of the run that took it
 	partner int              // the process that has it, in an upgrade; 0: this one
@@ -138,7 +138,7 @@
 // runs on the event loop of c, without the lock: a write that fails closes the
 // connection and calls Gone, which takes the lock.
 func (j *job) attach(c *httpd.Conn, seq int) {
-	begin(c)
+	beginStream(c)
 	if c.Closed() {
 		return
 	}
--- a/internal/sse/job_test.go
+++ b/internal/sse/job_test.go
@@ -11,11 +11,11 @@
 	"sedgevale/internal/jobrequest"
 )
 
-func newFront() *Front {
+func newHandler() *Handler {
 	return New(Options{Rules: jobrequest.New(dispatch.NewClock(), &jobrequest.Terms{}), Log: slog.New(slog.DiscardHandler)})
 }
 
-func (f *Front) add(id string) *job {
+func (f *Handler) add(id string) *job {
 	j := &job{front: f, id: id, epoch: f.epoch, class: &sedgevale.Class{Name: "free"}}
 	f.jobs[id] = j
 	return j
@@ -24,7 +24,7 @@
 // Guards against a second final event, against a stream that grows without
 // bound, and against the loss of what matters in it.
 func TestStreamIsBoundedAndEndsOnce(t *testing.T) {
-	f := newFront()
+	f := newHandler()
 	j := f.add("a")
 	j.Started()
 	for i := range 5 * maxEvents {
@@ -51,16 +51,16 @@
 // Finished jobs are kept for a while, and so many at most; those that run on
 // are always kept.
 func TestRetention(t *testing.T) {
-	f := newFront()
+	f := newHandler()
 	f.add("runs")
-	for i := range maxKept + 10 {
+	for i := range maxFinished + 10 {
 		f.add(randomID()).Answer(dispatch.Answer{Kind: dispatch.Refused, After: time.Duration(i)})
 	}
-	if n := len(f.jobs); n != maxKept+1 {
+	if n := len(f.jobs); n != maxFinished+1 {
 		t.Errorf("%d jobs kept", n)
 	}
 	f.retire(time.Now().Add(f.retain))
-	if len(f.jobs) != 1 || f.jobs["runs"] == nil || f.bytes != 0 || len(f.done) != 0 {
+	if len(f.jobs) != 1 || f.jobs["runs"] == nil || f.bytes != 0 || len(f.finished) != 0 {
 		t.Errorf("%d jobs and %d bytes kept", len(f.jobs), f.bytes)
 	}
 }
@@ -90,7 +90,7 @@
 // was there and what comes later is told, each event once, and where the other process
 // ends without a word, one final event follows.
 func TestMirror(t *testing.T) {
-	old, next := newFront(), newFront()
+	old, next := newHandler(), newHandler()
 	j, lost := old.add("a"), old.add("lost")
 	j.Started()
 	lost.Started()
--- a/internal/sse/mirror.go
+++ b/internal/sse/mirror.go
@@ -25,7 +25,7 @@
 
 // Mirror tells a partner, known by a number, of all streams and of each event that
 // comes from now on. Tell must not block.
-func (f *Front) Mirror(number int, tell func(*Stream)) {
+func (f *Handler) Mirror(number int, tell func(*Stream)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.mirrors[number] = tell
@@ -44,7 +44,7 @@
 
 // Take adds what a partner tells of a stream of its own. A client that lost its
 // connection there can go on here, and cannot have the job run again.
-func (f *Front) Take(number int, s *Stream) {
+func (f *Handler) Take(number int, s *Stream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	j := f.jobs[s.ID]
@@ -64,7 +64,7 @@
 
 // Part ends the telling of a partner that is gone. What it has not ended, nobody
 // will: each of its streams gets its final event here.
-func (f *Front) Part(number int) {
+func (f *Handler) Part(number int) {
 	f.mu.Lock()
 	delete(f.mirrors, number)
 	var left []*job
@@ -89,7 +89,7 @@
 	j.trim()
 	if final {
 		j.final, j.ended = true, time.Now()
-		f.done = append(f.done, j)
+		f.finished = append(f.finished, j)
 		f.retire(j.ended)
 	}
 	if len(f.mirrors) > 0 {
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -26,14 +26,14 @@
 const (
 	maxEvents = 64       // of a job; older progress events are dropped beyond
 	maxUnsent = 64 << 10 // what a slow subscriber may leave unread
-	maxKept   = 4096     // jobs kept after their end
+	maxFinished   = 4096     // jobs kept after their end
 	maxBytes  = 16 << 20 // of all events kept
-	tickEvery = time.Second
+	tickInterval = time.Second
 )
 
 // Options set a Front up.
 type Options struct {
-	Rules     *jobrequest.Rules
+	Rules     *jobrequest.Parser
 	Planners  platformapi.Planners
 	Ready     func() bool
 	Heartbeat time.Duration // between comments on a stream that says nothing; 0: 10 s
@@ -41,9 +41,9 @@
 	Log       *slog.Logger
 }
 
-// Front is an httpd.Handler.
-type Front struct {
-	rules     *jobrequest.Rules
+// Handler is an httpd.Handler.
+type Handler struct {
+	rules     *jobrequest.Parser
 	planners  platformapi.Planners
 	ready     func() bool
 	heartbeat time.Duration
@@ -53,7 +53,7 @@
 
 	mu    sync.Mutex
 	jobs  map[string]*job
-	done  []*job // finished, the oldest first
+	finished  []*job // finished, the oldest first
 	bytes int
 
 	mirrors map[int]func(*Stream) // by partner
@@ -61,8 +61,8 @@
 
 // New returns a Front. Its epoch is new with each: ids of an earlier run are
 // known as such.
-func New(o Options) *Front {
-	f := &Front{rules: o.Rules, planners: o.Planners, ready: o.Ready, heartbeat: o.Heartbeat, retain: o.Retain,
+func New(o Options) *Handler {
+	f := &Handler{rules: o.Rules, planners: o.Planners, ready: o.Ready, heartbeat: o.Heartbeat, retain: o.Retain,
 		log: o.Log, epoch: randomID(), jobs: map[string]*job{},
 		mirrors: map[int]func(*Stream){}}
 	if f.heartbeat <= 0 {
@@ -82,8 +82,8 @@
 
 // Run sends heartbeats and drops what was kept long enough, until the context
 // ends.
-func (f *Front) Run(ctx context.Context) {
-	tick := time.NewTicker(min(tickEvery, f.heartbeat, f.retain))
+func (f *Handler) Run(ctx context.Context) {
+	tick := time.NewTicker(min(tickInterval, f.heartbeat, f.retain))
 	defer tick.Stop()
 	for {
 		select {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (f *Front) tick(now time.Time) {
+func (f *Handler) tick(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.retire(now)
@@ -112,32 +112,32 @@
 }
 
 // retire drops finished jobs that are too old or too many.
-func (f *Front) retire(now time.Time) {
+func (f *Handler) retire(now time.Time) {
 	n := 0
-	for n < len(f.done) && (now.Sub(f.done[n].ended) >= f.retain || len(f.done)-n > maxKept || f.bytes > maxBytes) {
-		j := f.done[n]
+	for n < len(f.finished) && (now.Sub(f.finished[n].ended) >= f.retain || len(f.finished)-n > maxFinished || f.bytes > maxBytes) {
+		j := f.finished[n]
 		if j.sub != nil { // its last events are on their way
 			break
 		}
 		f.bytes -= j.bytes
 		delete(f.jobs, j.id)
-		f.done[n] = nil
+		f.finished[n] = nil
 		n++
 	}
-	f.done = f.done[n:]
+	f.finished = f.finished[n:]
 }
 
 // Serve is called with each request.
-func (f *Front) Serve(c *httpd.Conn, q *httpd.Request) {
+func (f *Handler) Serve(c *httpd.Conn, q *httpd.Request) {
 	if q.Target == "/ready" {
 		platformapi.Ready(c, q, f.ready())
 		return
 	}
-	name := jobrequest.Name(q.Target)
+	name := jobrequest.ClassName(q.Target)
 	class := f.rules.Class(name)
 	var err error
 	switch {
-	case class == nil && (q.Method != "GET" || !f.has(name)):
+	case class == nil && (q.Method != "GET" || !f.hasJobOf(name)):
 		err = &jobrequest.Error{Status: 404, Text: "no such class"}
 	case q.Method != "POST" && q.Method != "GET":
 		c.RespondLast(405, []http1.Field{{Name: "Allow", Value: "GET, POST"}}, []byte("only GET and POST\n"))
@@ -155,7 +155,7 @@
 }
 
 // Gone is called when a subscriber has left. Its job goes on.
-func (f *Front) Gone(c *httpd.Conn) {
+func (f *Handler) Gone(c *httpd.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if j, ok := c.State.(*job); ok && j.sub == c {
@@ -174,13 +174,13 @@
 }
 
 // post takes a job in.
-func (f *Front) post(c *httpd.Conn, q *httpd.Request, class *sedgevale.Class) error {
+func (f *Handler) post(c *httpd.Conn, q *httpd.Request, class *sedgevale.Class) error {
 	limit := class.Limit
-	work, deadline, err := f.rules.Job(q, randomID(), limit)
+	work, deadline, err := f.rules.Parse(q, randomID(), limit)
 	if err != nil {
 		return err
 	}
-	deadline = min(deadline, f.rules.At(q.At)+limit)
+	deadline = min(deadline, f.rules.Time(q.At)+limit)
 	f.mu.Lock()
 	if f.jobs[work.ID] != nil {
 		f.mu.Unlock()
@@ -197,8 +197,8 @@
 	return nil
 }
 
-// has reports whether there are jobs of a class by that name, which may be gone by now.
-func (f *Front) has(name string) bool {
+// hasJobOf reports whether there are jobs of a class by that name, which may be gone by now.
+func (f *Handler) hasJobOf(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, j := range f.jobs {
@@ -209,15 +209,15 @@
 	return false
 }
 
-func begin(c *httpd.Conn) {
+func beginStream(c *httpd.Conn) {
 	c.BeginStream([]http1.Field{{Name: "Content-Type", Value: "text/event-stream"},
 		{Name: "Cache-Control", Value: "no-store"}})
 }
 
-var errNoID = errors.New("nothing to resume: send Last-Event-ID, or the Request-Id of a job")
+var errNothingToResume = errors.New("nothing to resume: send Last-Event-ID, or the Request-Id of a job")
 
 // resume goes on with a stream after the last event that the client has had.
-func (f *Front) resume(c *httpd.Conn, q *httpd.Request, name string, class *sedgevale.Class) error {
+func (f *Handler) resume(c *httpd.Conn, q *httpd.Request, name string, class *sedgevale.Class) error {
 	id := eventID{class: name, request: q.Get("Request-Id")} // of whichever run has it
 	if last := q.Get("Last-Event-ID"); last != "" {
 		var ok bool
@@ -225,7 +225,7 @@
 			return &jobrequest.Error{Status: 400, Text: "Last-Event-ID is none of this path's"}
 		}
 	} else if id.request == "" {
-		return errNoID
+		return errNothingToResume
 	}
 	if id.final {
 		c.Respond(204, nil, nil) // the client has all; it need not come again
@@ -245,7 +245,7 @@
 	if id.epoch != "" && id.epoch != f.epoch {
 		reason = "the scheduler has restarted since; what became of the job is unknown"
 	}
-	begin(c)
+	beginStream(c)
 	id = eventID{f.epoch, id.seq + 1, true, name, id.request}
 	c.Write(format(id, "failed", nil, failureOf(class, reason, true)))
 	c.EndStream()
--- a/scheduler/build.go
+++ b/scheduler/build.go
@@ -151,7 +151,7 @@
 		s.servers = append(s.servers, s.reverseProxy.Servers()...)
 	}
 	if c.SSE != nil {
-		s.eventStreams = sse.New(sse.Options{Rules: s.rules.Earlier(streamDeadlineMargin), Planners: planners, Ready: s.ready.Load,
+		s.eventStreams = sse.New(sse.Options{Rules: s.rules.WithMargin(streamDeadlineMargin), Planners: planners, Ready: s.ready.Load,
 			Heartbeat: dispatchconfig.Seconds(c.SSE.Heartbeat), Retain: dispatchconfig.Seconds(c.SSE.Retain), Log: log})
 		s.servers = append(s.servers, httpd.New(c.SSE.Listen, c.Loops, s.eventStreams, s.descriptors, log))
 	}
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -48,8 +48,8 @@
 
 const maxDrainWait = 20 * time.Second // for what must come; no test waits that long when all is well
 
-// run is one job at a worker. The test tells what becomes of it.
-type run struct {
+// attempt is one job at a worker. The test tells what becomes of it.
+type attempt struct {
 	worker, id, class, target string
 	body                      string
 	lines                     chan string // sent as they come; closed: the answer ends
@@ -57,11 +57,11 @@
 	over                      <-chan struct{} // the scheduler has given it up
 }
 
-func (r *run) say(format string, args ...any) {
+func (r *attempt) say(format string, args ...any) {
 	r.lines <- fmt.Sprintf(`{"id":%q,"from":%q,%s}`, r.id, r.worker, fmt.Sprintf(format, args...))
 }
 
-func (r *run) done(result string) {
+func (r *attempt) done(result string) {
 	r.say(`"state":"done","result":%q,"load":{"x0":3}`, result)
 	close(r.lines)
 }
@@ -69,7 +69,7 @@
 // fleet is some workers and the discovery that names them.
 type fleet struct {
 	t      *testing.T
-	runs   chan *run
+	runs   chan *attempt
 	mu     sync.Mutex
 	counts map[string]int // runs by class, and by worker
 	list   discovery.List
@@ -80,7 +80,7 @@
 }
 
 func newFleet(t *testing.T, workers ...string) *fleet {
-	f := &fleet{t: t, runs: make(chan *run, 64), counts: map[string]int{}, newer: make(chan struct{}),
+	f := &fleet{t: t, runs: make(chan *attempt, 64), counts: map[string]int{}, newer: make(chan struct{}),
 		told: make(chan int64, 1024), list: discovery.List{Revision: 1, Complete: true}}
 	for i, name := range workers {
 		f.list.Members = append(f.list.Members, discovery.Member{ID: name, HostPort: f.serve(f.worker(name)),
@@ -110,7 +110,7 @@
 			status(w, q)
 			return
 		}
-		r := &run{worker: name, id: q.Header.Get("Request-Id"), class: q.URL.Path[1:], target: q.RequestURI,
+		r := &attempt{worker: name, id: q.Header.Get("Request-Id"), class: q.URL.Path[1:], target: q.RequestURI,
 			body: string(body), lines: make(chan string, 16), cut: make(chan struct{}), over: q.Context().Done()}
 		f.mu.Lock()
 		f.counts[r.class]++
@@ -195,7 +195,7 @@
 	f.status = h
 }
 
-func (f *fleet) next() *run {
+func (f *fleet) next() *attempt {
 	f.t.Helper()
 	return testkit.Await(f.t, "a job at a worker", f.runs)
 }
--- a/scheduler/journal_test.go
+++ b/scheduler/journal_test.go
@@ -13,8 +13,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// ask asks the scheduler's journal.
-func (c *child) ask(query string) (int, journal.Report) {
+// askJournal asks the scheduler's journal.
+func (c *child) askJournal(query string) (int, journal.Report) {
 	c.t.Helper()
 	a, err := testkit.Get(c.t, "http://"+c.config.Ops+"/admin/journal"+query)
 	if err != nil {
@@ -70,7 +70,7 @@
 	post(c.plain, "/plan-change", job("out")...)
 	out := f.next()
 	out.say(`"state":"started"`)
-	for status, r := c.ask("?job=out"); status != 200 || r.Attempts[0].StartedAt == ""; status, r = c.ask("?job=out") {
+	for status, r := c.askJournal("?job=out"); status != 200 || r.Attempts[0].StartedAt == ""; status, r = c.askJournal("?job=out") {
 		if status != 200 && status != 404 {
 			t.Fatalf("asked for an open job: %d", status)
 		}
@@ -89,7 +89,7 @@
 	if got := c.settle(`{"job":"out","verdict":"ran","by":"ann","why":"saw it"}`); got != 200 {
 		t.Errorf("settled: %d", got)
 	}
-	if _, r := c.ask("?job=out"); r.Verdict != "ran" || r.Settled == nil || r.Settled.By != "ann" {
+	if _, r := c.askJournal("?job=out"); r.Verdict != "ran" || r.Settled == nil || r.Settled.By != "ann" {
 		t.Errorf("after it was settled: %+v", r)
 	}
 }
@@ -98,14 +98,14 @@
 // the scheduler was killed while "out" was at a worker.
 func checkAfterKill(t *testing.T, c *child, worker string) {
 	t.Helper()
-	if status, r := c.ask("?job=served"); status != 200 || r.Verdict != "ran" || r.Attempts[0].Outcome != "served" || r.Answer.Kind != "served" {
+	if status, r := c.askJournal("?job=served"); status != 200 || r.Verdict != "ran" || r.Attempts[0].Outcome != "served" || r.Answer.Kind != "served" {
 		t.Errorf("what was served: %d %+v", status, r)
 	}
-	status, r := c.ask("?job=out")
+	status, r := c.askJournal("?job=out")
 	if status != 200 || r.Verdict != "unknown" || len(r.Look) != 1 || r.Look[0] != worker || r.Attempts[0].SentAt == "" {
 		t.Errorf("what was out at the kill: %d %+v", status, r)
 	}
-	if status, _ := c.ask("?job=free"); status != 404 {
+	if status, _ := c.askJournal("?job=free"); status != 404 {
 		t.Errorf("a free job: %d", status)
 	}
 }
@@ -117,7 +117,7 @@
 	c := journaled(t, f)
 	before := post(c.plain, "/plan-change", job("before")...)
 	first := f.next()
-	next := c.beside()
+	next := c.startSuccessor()
 	first.done("x")
 	testkit.Await(t, "the answer", before)
 	after := post(c.plain, "/plan-change", job("after")...)
@@ -126,7 +126,7 @@
 	c.signal(syscall.SIGTERM)
 	c.ended()
 	for _, id := range []string{"before", "after"} {
-		if status, r := next.ask("?job=" + id); status != 200 || r.Verdict != "ran" {
+		if status, r := next.askJournal("?job=" + id); status != 200 || r.Verdict != "ran" {
 			t.Errorf("%s: %d %+v", id, status, r)
 		}
 	}
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -10,8 +10,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// tell makes a call at the second address.
-func (c *child) tell(method, call, host string) int {
+// callOps makes a call at the second address.
+func (c *child) callOps(method, call, host string) int {
 	c.t.Helper()
 	body := ""
 	if host != "" {
@@ -41,7 +41,7 @@
 		testkit.Await(t, "the answer", got)
 		return r.worker
 	}
-	if got := c.tell("GET", "health", ""); got != 200 {
+	if got := c.callOps("GET", "health", ""); got != 200 {
 		t.Errorf("health is %d", got)
 	}
 	before := post(c.plain, "/plan-change", job("before")...)
@@ -49,11 +49,11 @@
 	first.say(`"state":"started"`)
 	host := first.worker
 	for _, call := range []string{"cordon", "cordon"} {
-		if got := c.tell("POST", call, host); got != 200 {
+		if got := c.callOps("POST", call, host); got != 200 {
 			t.Errorf("%s of a known worker: %d", call, got)
 		}
 	}
-	if got := c.tell("POST", "cordon", "stranger"); got != 404 {
+	if got := c.callOps("POST", "cordon", "stranger"); got != 404 {
 		t.Errorf("cordon of an unknown worker: %d", got)
 	}
 	passedOver := func(prefix, when string) {
@@ -76,7 +76,7 @@
 	c.kill()
 	c.start()
 	passedOver("again-", "after a new start")
-	if got := c.tell("POST", "uncordon", host); got != 200 {
+	if got := c.callOps("POST", "uncordon", host); got != 200 {
 		t.Errorf("uncordon: %d", got)
 	}
 	for i := 0; serve(fmt.Sprint("back-", i)) != host; i++ {
@@ -92,7 +92,7 @@
 	t.Helper()
 	c.signal(syscall.SIGTERM)
 	c.logged("draining: answering")
-	if got := c.tell("GET", "health", ""); got != 503 {
+	if got := c.callOps("GET", "health", ""); got != 503 {
 		t.Errorf("stopping, but health is %d", got)
 	}
 }
--- a/scheduler/reload.go
+++ b/scheduler/reload.go
@@ -39,7 +39,7 @@
 	s.current.Store(c)
 	before := s.settings.Swap(&settings)
 	s.planners.Retune(settings) // before the rules: a tenant whose jobs are admitted is known there then
-	s.rules.Retune(&jobrequest.Terms{Classes: settings.Classes, Tenants: settings.Tenants})
+	s.rules.Update(&jobrequest.Terms{Classes: settings.Classes, Tenants: settings.Tenants})
 	s.pool.Retune(dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout), dispatchconfig.Seconds(c.Settings.Bounds.IdleClose))
 	s.limitDescriptors(c)
 	s.watcher.Move(c.Discovery)
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -120,7 +120,7 @@
 
 // checkNewClasses checks jobs of classes that a new file has added and made stricter, and a
 // job of the latter that came before: old is its answer, first its attempt.
-func checkNewClasses(t *testing.T, f *fleet, c *child, old <-chan reply, first *run) {
+func checkNewClasses(t *testing.T, f *fleet, c *child, old <-chan reply, first *attempt) {
 	t.Helper()
 	got := post(c.plain, "/usage-view-ii", job("new")...)
 	f.next().done("new")
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -44,7 +44,7 @@
 	config      *dispatchconfig.Config                // at the start; not changed
 	current     atomic.Pointer[dispatchconfig.Config] // of the last successful Reload
 	settings    atomic.Pointer[sedgevale.Settings]    // in force; not changed, only replaced
-	rules       *jobrequest.Rules
+	rules       *jobrequest.Parser
 	clock       dispatch.Clock
 	descriptors *fdlimit.Budget
 	workerLoop  *evloop.Loop // for connections to workers, discovery and the sibling process
@@ -57,7 +57,7 @@
 
 	servers      []*httpd.Server    // for clients
 	opsServer    *httpd.Server      // for operators; nil without an ops address
-	eventStreams *sse.Front         // nil without an [sse] section
+	eventStreams *sse.Handler         // nil without an [sse] section
 	reverseProxy *reverseproxy.Site // nil without a [web] section
 	journal      *recorder.Recorder // nil without a [journal] section
 	admission    *driver.Keeper     // nil without a [door] section
--- a/scheduler/teams_test.go
+++ b/scheduler/teams_test.go
@@ -14,15 +14,15 @@
 	"sedgevale/internal/testkit"
 )
 
-// team is one of those who share the workers: a realm of the settings.
-type team struct {
+// tenant is one of those who share the workers: a realm of the settings.
+type tenant struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
 	Quota float64 `json:"quota_rps"`
 }
 
-// teams makes the realms of the file that is written next.
-func (c *child) teams(all ...team) {
+// setTenants makes the realms of the file that is written next.
+func (c *child) setTenants(all ...tenant) {
 	c.t.Helper()
 	b, err := json.Marshal(all)
 	if err != nil {
@@ -34,21 +34,21 @@
 	}
 }
 
-// retune has the scheduler go on with other teams.
-func (c *child) retune(all ...team) {
+// reloadTenants has the scheduler go on with other teams.
+func (c *child) reloadTenants(all ...tenant) {
 	c.t.Helper()
-	c.teams(all...)
+	c.setTenants(all...)
 	c.write()
 	c.signal(syscall.SIGHUP)
 	c.logged("configuration reloaded")
 }
 
-// startTeams starts a scheduler with teams, and with more of its file changed.
-func startTeams(t *testing.T, f *fleet, change func(*dispatchconfig.File), all ...team) *child {
+// startTenants starts a scheduler with teams, and with more of its file changed.
+func startTenants(t *testing.T, f *fleet, change func(*dispatchconfig.File), all ...tenant) *child {
 	t.Helper()
 	c := startChild(t, f)
 	c.kill()
-	c.teams(all...)
+	c.setTenants(all...)
 	if change != nil {
 		change(&c.config)
 	}
@@ -57,12 +57,12 @@
 	return c
 }
 
-func jobOf(team, id string) []string { return job(id, "Tenant", team) }
+func jobOfTenant(team, id string) []string { return job(id, "Tenant", team) }
 
 // Guards who is refused, by both fronts.
-func (c *child) stranger(team, id string) {
+func (c *child) checkRejected(team, id string) {
 	c.t.Helper()
-	if a := testkit.Await(c.t, "the answer", post(c.plain, "/usage-view", jobOf(team, id)...)); a.status != 400 {
+	if a := testkit.Await(c.t, "the answer", post(c.plain, "/usage-view", jobOfTenant(team, id)...)); a.status != 400 {
 		c.t.Errorf("a job of %s: %+v", team, a)
 	}
 	if s := subscribe(c.t, "POST", c.sse, "usage-view", "Tenant", team, "Request-Id", id+"-stream"); s.status != 400 {
@@ -70,12 +70,12 @@
 	}
 }
 
-// recorded asks the journal of a job, again while its disk is slow, and reports whether it ran once for a team.
-func (c *child) recorded(id, team string) {
+// checkRecorded asks the journal of a job, again while its disk is slow, and reports whether it ran once for a team.
+func (c *child) checkRecorded(id, team string) {
 	c.t.Helper()
-	status, r := c.ask("?job=" + id)
+	status, r := c.askJournal("?job=" + id)
 	for until := time.Now().Add(maxDrainWait); status == 503 && time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-		status, r = c.ask("?job=" + id)
+		status, r = c.askJournal("?job=" + id)
 	}
 	if status != 200 || r.Verdict != "ran" || r.Tenant != team || len(r.Attempts) != 1 {
 		c.t.Errorf("the journal of %s: %d %+v", id, status, r)
@@ -107,36 +107,36 @@
 		t.Errorf("out at %s: %+v", team, a)
 	}
 	for _, id := range []string{"out-" + team, "plain-" + team, "held-" + team} {
-		c.recorded(id, team)
+		c.checkRecorded(id, team)
 	}
 }
 
 // beginAt sends a team's jobs "out-TEAM", as a stream, and "plain-TEAM", and waits until both
 // have started at a worker.
-func beginAt(t *testing.T, f *fleet, c *child, team string) (s *stream, answer <-chan reply, runs []*run) {
+func beginAt(t *testing.T, f *fleet, c *child, team string) (s *stream, answer <-chan reply, runs []*attempt) {
 	t.Helper()
 	s = subscribe(t, "POST", c.sse, "plan-change", "Tenant", team, "Request-Id", "out-"+team)
 	streamed := f.next()
 	streamed.say(`"state":"started"`)
 	s.until("started")
-	answer = post(c.plain, "/plan-change", jobOf(team, "plain-"+team)...)
+	answer = post(c.plain, "/plan-change", jobOfTenant(team, "plain-"+team)...)
 	plain := f.next()
 	plain.say(`"state":"started"`)
-	return s, answer, []*run{streamed, plain}
+	return s, answer, []*attempt{streamed, plain}
 }
 
 // Guards jobs of a team that goes while they are out, or held for want of workers: each ends with its one answer under its
 // own team's name, though that team's place in the list is another's by then; so do those of a team that stays. It may come back.
 func TestTeamGoesWithJobsUnderWay(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := startTeams(t, f, func(file *dispatchconfig.File) {
+	c := startTenants(t, f, func(file *dispatchconfig.File) {
 		file.Journal = &dispatchconfig.Journal{Dir: filepath.Join(t.TempDir(), "journal"), ReserveMB: 1, MaxMB: 16}
-	}, team{"leaver", 0.3, 20}, team{"co-op", 0.7, 0})
+	}, tenant{"leaver", 0.3, 20}, tenant{"co-op", 0.7, 0})
 	tenants := []string{"leaver", "co-op"}
-	out, outAnswers := map[string]*run{}, map[string]<-chan reply{}
+	out, outAnswers := map[string]*attempt{}, map[string]<-chan reply{}
 	streams := map[string]*stream{}
 	for _, name := range tenants {
-		var runs []*run
+		var runs []*attempt
 		streams["out-"+name], outAnswers[name], runs = beginAt(t, f, c, name)
 		for _, r := range runs {
 			out[r.id] = r
@@ -150,8 +150,8 @@
 		streams[id].until("accepted")
 	}
 
-	c.retune(team{"newcomer", 0.5, 10}, team{"co-op", 0.2, 30})
-	c.stranger("leaver", "late")
+	c.reloadTenants(tenant{"newcomer", 0.5, 10}, tenant{"co-op", 0.2, 30})
+	c.checkRejected("leaver", "late")
 	if n := f.count("plan-change"); n != 4 {
 		t.Errorf("%d jobs are out, and 4 were when all workers left", n)
 	}
@@ -166,13 +166,13 @@
 		streams["held-"+name].result("held-" + name)
 	}
 
-	c.retune(team{"co-op", 0.2, 30}, team{"newcomer", 0.5, 10}, team{"leaver", 0.1, 5})
-	back := post(c.plain, "/plan-change", jobOf("leaver", "back")...)
+	c.reloadTenants(tenant{"co-op", 0.2, 30}, tenant{"newcomer", 0.5, 10}, tenant{"leaver", 0.1, 5})
+	back := post(c.plain, "/plan-change", jobOfTenant("leaver", "back")...)
 	f.serveNext()
 	if a := testkit.Await(t, "the answer", back); a.status != 200 {
 		t.Errorf("a job of the team that came back: %+v", a)
 	}
-	c.retune(team{"newcomer", 1, 0})
+	c.reloadTenants(tenant{"newcomer", 1, 0})
 	for id, r := range out {
 		r.done(id)
 	}
@@ -180,7 +180,7 @@
 		streams["out-"+name].result("out-" + name)
 		checkEndedAs(t, c, name, outAnswers[name])
 	}
-	c.recorded("held-newcomer", "newcomer")
+	c.checkRecorded("held-newcomer", "newcomer")
 	if n := f.count("plan-change"); n != 8 {
 		t.Errorf("%d runs of 8 jobs", n)
 	}
@@ -188,14 +188,14 @@
 	again.result("out-leaver")
 	c.kill()
 	c.start()
-	c.recorded("out-leaver", "leaver")
+	c.checkRecorded("out-leaver", "leaver")
 }
 
 // Guards a scheduler that loses all its teams and gets some again: jobs of theirs that are held keep their rights, and without
 // teams any job is served, as by a file that never had any.
 func TestAllTeamsGoAndOthersCome(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := startTeams(t, f, nil, team{"leaver", 0.3, 20}, team{"co-op", 0.7, 0})
+	c := startTenants(t, f, nil, tenant{"leaver", 0.3, 20}, tenant{"co-op", 0.7, 0})
 	streams := map[string]*stream{}
 	hold := func(name, id string) {
 		t.Helper()
@@ -206,13 +206,13 @@
 	f.phase("w", "draining")
 	hold("leaver", "first-leaver")
 	hold("co-op", "first-co-op")
-	c.retune()
+	c.reloadTenants()
 	hold("anybody", "nobody's")
-	c.retune(team{"newcomer", 1, 5}, team{"co-op", 0.1, 0})
+	c.reloadTenants(tenant{"newcomer", 1, 5}, tenant{"co-op", 0.1, 0})
 	hold("newcomer", "newcomer's")
 	hold("co-op", "second-co-op")
-	c.stranger("leaver", "late")
-	c.stranger("anybody", "late-as-well")
+	c.checkRejected("leaver", "late")
+	c.checkRejected("anybody", "late-as-well")
 	f.phase("v", "ready")
 	f.phase("w", "ready")
 	for range streams {
@@ -230,7 +230,7 @@
 // them is refused or lost, nor is any of another team's.
 func TestTeamHalvedAtItsQuota(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := startTeams(t, f, nil, team{"heavy", 0.6, 8}, team{"co-op", 0.4, 8})
+	c := startTenants(t, f, nil, tenant{"heavy", 0.6, 8}, tenant{"co-op", 0.4, 8})
 	busy := subscribe(t, "POST", c.sse, "plan-change", "Tenant", "heavy", "Request-Id", "busy")
 	first := f.next()
 	first.say(`"state":"started"`)
@@ -247,7 +247,7 @@
 	}
 	hold("heavy", 0, 24) // three times what it may send a second
 	hold("co-op", 0, 4)
-	c.retune(team{"light", 0.3, 4}, team{"co-op", 0.4, 8}, team{"heavy", 0.3, 4})
+	c.reloadTenants(tenant{"light", 0.3, 4}, tenant{"co-op", 0.4, 8}, tenant{"heavy", 0.3, 4})
 	hold("light", 0, 2) // which shows that the file is in force
 	hold("heavy", 24, 28)
 	hold("co-op", 4, 8)
@@ -256,8 +256,8 @@
 	for range len(streams) / 2 {
 		f.serveNext()
 	}
-	c.retune(team{"heavy", 0.15, 2}, team{"co-op", 0.4, 8})
-	c.stranger("light", "late")
+	c.reloadTenants(tenant{"heavy", 0.15, 2}, tenant{"co-op", 0.4, 8})
+	c.checkRejected("light", "late")
 	for range len(streams) / 2 {
 		f.serveNext()
 	}
@@ -275,8 +275,8 @@
 // came, went and stayed end well at both, and the new process goes on with the newest.
 func TestTeamsChangeDuringUpgrade(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := startTeams(t, f, nil, team{"leaver", 0.3, 20}, team{"co-op", 0.4, 0}, team{"stays", 0.3, 5})
-	streams, runs := map[string]*stream{}, map[string]*run{}
+	c := startTenants(t, f, nil, tenant{"leaver", 0.3, 20}, tenant{"co-op", 0.4, 0}, tenant{"stays", 0.3, 5})
+	streams, runs := map[string]*stream{}, map[string]*attempt{}
 	begin := func(name, id string) {
 		t.Helper()
 		streams[id] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
@@ -287,16 +287,16 @@
 	}
 	begin("leaver", "old-leaver")
 	begin("co-op", "old-co-op")
-	next := c.beside()
+	next := c.startSuccessor()
 	c.logged("the new process accepts connections")
 	begin("leaver", "new-leaver") // at the new process, by the first file
 	begin("stays", "new-stays")
-	newest := []team{{"stays", 0.2, 5}, {"newcomer", 0.5, 10}, {"co-op", 0.2, 30}}
-	next.retune(newest...)
-	next.stranger("leaver", "late")
+	newest := []tenant{{"stays", 0.2, 5}, {"newcomer", 0.5, 10}, {"co-op", 0.2, 30}}
+	next.reloadTenants(newest...)
+	next.checkRejected("leaver", "late")
 	begin("newcomer", "new-newcomer")
 	begin("co-op", "new-co-op")
-	c.retune(newest...) // the old one is told later, and has jobs of a team that is gone
+	c.reloadTenants(newest...) // the old one is told later, and has jobs of a team that is gone
 	begin("newcomer", "newer-newcomer")
 	moved := streams["old-leaver"] // its client comes back to the new process, to a stream of a team that this does not have
 	moved.leave()
@@ -312,7 +312,7 @@
 	}
 	c.ended()
 	next.logged("continuing alone")
-	next.stranger("leaver", "later")
+	next.checkRejected("leaver", "later")
 	for _, one := range newest {
 		begin(one.Name, "alone-"+one.Name)
 		runs["alone-"+one.Name].done("alone-" + one.Name)
@@ -326,17 +326,17 @@
 // Guards an upgrade to a file with other teams than the old process has: what that one learned goes over by the teams' names.
 func TestUpgradeToOtherTeams(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := startTeams(t, f, nil, team{"leaver", 0.3, 20}, team{"co-op", 0.7, 0})
+	c := startTenants(t, f, nil, tenant{"leaver", 0.3, 20}, tenant{"co-op", 0.7, 0})
 	old := subscribe(t, "POST", c.sse, "plan-change", "Tenant", "leaver", "Request-Id", "old")
 	r := f.next()
 	r.say(`"state":"started"`)
 	old.until("started")
 	before := c.config
-	c.teams(team{"newcomer", 0.2, 5}, team{"co-op", 0.8, 20})
-	next := c.beside()
+	c.setTenants(tenant{"newcomer", 0.2, 5}, tenant{"co-op", 0.8, 20})
+	next := c.startSuccessor()
 	c.config = before
 	c.logged("the new process accepts connections")
-	next.stranger("leaver", "late")
+	next.checkRejected("leaver", "late")
 	for _, name := range []string{"newcomer", "co-op"} {
 		s := subscribe(t, "POST", next.sse, "plan-change", "Tenant", name, "Request-Id", "new-"+name)
 		f.serveNext()
@@ -357,11 +357,11 @@
 	c.sse = c.plain // asked for /ready
 	c.config.Name, c.config.Listen, c.config.Ops = "test", c.plain, testkit.FreeAddr(t)
 	c.config.Discovery, c.config.Settings, c.config.Workers = f.addr, settings(t), f.list.Members
-	c.teams(team{"leaver", 0.5, 5}, team{"co-op", 0.5, 5})
+	c.setTenants(tenant{"leaver", 0.5, 5}, tenant{"co-op", 0.5, 5})
 	c.write()
 	c.start()
 	t.Cleanup(c.kill)
-	c.retune(team{"newcomer", 0.9, 9}, team{"co-op", 0.1, 1})
+	c.reloadTenants(tenant{"newcomer", 0.9, 9}, tenant{"co-op", 0.1, 1})
 	if err := os.WriteFile(c.file, []byte(`{"settings":{"realms":[{"name":"leaver"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -379,7 +379,7 @@
 			next.logged("continuing alone")
 		}
 		for name, want := range map[string]int{"newcomer": 200, "co-op": 200, "leaver": 400} {
-			got := post(next.plain, "/usage-view", jobOf(name, fmt.Sprint(name, "-", i))...)
+			got := post(next.plain, "/usage-view", jobOfTenant(name, fmt.Sprint(name, "-", i))...)
 			if want == 200 {
 				f.serveNext()
 			}
@@ -394,8 +394,8 @@
 // co-ops come in by their new shares.
 func TestDoorSharesChange(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := startTeams(t, f, func(file *dispatchconfig.File) { file.Door = &dispatchconfig.Door{Concurrency: 1} },
-		team{"leaver", 0.2, 0}, team{"left", 0.4, 0}, team{"right", 0.4, 0})
+	c := startTenants(t, f, func(file *dispatchconfig.File) { file.Door = &dispatchconfig.Door{Concurrency: 1} },
+		tenant{"leaver", 0.2, 0}, tenant{"left", 0.4, 0}, tenant{"right", 0.4, 0})
 	const each = 8
 	streams := map[string]*stream{}
 	wait := func(name string, from, to int) {
@@ -410,8 +410,8 @@
 	wait("leaver", 0, 2)
 	wait("left", 0, each)
 	wait("right", 1, each)
-	c.retune(team{"right", 0.2, 0}, team{"newcomer", 0.2, 0}, team{"left", 0.6, 0})
-	c.stranger("leaver", "late")
+	c.reloadTenants(tenant{"right", 0.2, 0}, tenant{"newcomer", 0.2, 0}, tenant{"left", 0.6, 0})
+	c.checkRejected("leaver", "late")
 	wait("newcomer", 0, 1)
 	if n := f.count("usage-view"); n != 1 {
 		t.Errorf("%d jobs are inside, and the door has room for one", n)
@@ -438,7 +438,7 @@
 	if n := f.count("usage-view"); n != len(streams) {
 		t.Errorf("%d runs of %d jobs", n, len(streams))
 	}
-	c.teams() // a door needs somebody to share among
+	c.setTenants() // a door needs somebody to share among
 	c.write()
 	c.signal(syscall.SIGHUP)
 	c.logged("the new configuration is bad")
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -13,9 +13,9 @@
 	"sedgevale/internal/testkit"
 )
 
-// beside starts another process of the same scheduler, with a second address of
+// startSuccessor starts another process of the same scheduler, with a second address of
 // its own, and waits until it says that it is healthy.
-func (c *child) beside() *child {
+func (c *child) startSuccessor() *child {
 	c.t.Helper()
 	next := &child{t: c.t, file: filepath.Join(filepath.Dir(c.file), testkit.FreeAddr(c.t)+".toml"),
 		plain: c.plain, sse: c.sse, config: c.config}
@@ -26,7 +26,7 @@
 	for until := time.Now().Add(maxDrainWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if conn, err := new(net.Dialer).DialContext(c.t.Context(), "tcp", next.config.Ops); err == nil {
 			_ = conn.Close()
-			if next.tell("GET", "health", "") == 200 {
+			if next.callOps("GET", "health", "") == 200 {
 				return next
 			}
 		}
@@ -92,7 +92,7 @@
 	c := startChild(t, f)
 	conn := testkit.Dial(t, c.plain)
 	kept := bufio.NewReader(conn)
-	if got := c.tell("POST", "cordon", "u"); got != 200 {
+	if got := c.callOps("POST", "cordon", "u"); got != 200 {
 		t.Fatalf("cordon: %d", got)
 	}
 	open := post(c.plain, "/plan-change", job("open")...)
@@ -107,13 +107,13 @@
 	}()
 	serveKept(t, conn, kept, "kept-1")
 	stop := clients(c.plain)
-	next := c.beside()
+	next := c.startSuccessor()
 	c.logged("the new process accepts connections")
 	if a := testkit.Await(t, "the answer", post(c.plain, "/plan-change", job("open")...)); a.status != 500 {
 		t.Errorf("the id of a job that the old process has open: %+v", a)
 	}
 	// Each process hears of the other's orders, and may still be told any.
-	if got := next.tell("POST", "cordon", "v"); got != 200 {
+	if got := next.callOps("POST", "cordon", "v"); got != 200 {
 		t.Errorf("cordon at the new process: %d", got)
 	}
 	if serveKept(t, conn, kept, "kept-2") {
@@ -130,7 +130,7 @@
 	}
 	c.ended()
 	next.logged("continuing alone")
-	if got := next.tell("POST", "uncordon", "u"); got != 200 {
+	if got := next.callOps("POST", "uncordon", "u"); got != 200 {
 		t.Errorf("uncordon at the new process: %d", got)
 	}
 	awaitWorker(t, ran, "u")
@@ -150,15 +150,15 @@
 	f := newFleet(t, "u", "v", "w")
 	c := startChild(t, f)
 	for _, host := range []string{"u", "v"} {
-		if got := c.tell("POST", "cordon", host); got != 200 {
+		if got := c.callOps("POST", "cordon", host); got != 200 {
 			t.Fatalf("cordon: %d", got)
 		}
 	}
-	next := c.beside()
-	if got := c.tell("POST", "uncordon", "v"); got != 200 {
+	next := c.startSuccessor()
+	if got := c.callOps("POST", "uncordon", "v"); got != 200 {
 		t.Fatalf("uncordon at the old process: %d", got)
 	}
-	if got := c.tell("POST", "cordon", "w"); got != 200 {
+	if got := c.callOps("POST", "cordon", "w"); got != 200 {
 		t.Fatalf("cordon at the old process: %d", got)
 	}
 	c.kill()
@@ -186,7 +186,7 @@
 	orphan := subscribe(t, "POST", c.sse, "plan-change", "Request-Id", "orphan")
 	f.next().say(`"state":"started"`)
 	before := orphan.until("started")
-	next := c.beside()
+	next := c.startSuccessor()
 	c.logged("the new process accepts connections")
 	s.leave()
 	again := subscribe(t, "POST", c.sse, "plan-change", "Request-Id", "moved")
@@ -219,7 +219,7 @@
 func TestNewProcessDies(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
-	next := c.beside()
+	next := c.startSuccessor()
 	c.logged("the new process accepts connections")
 	next.kill()
 	c.logged("continuing alone")
@@ -271,7 +271,7 @@
 	if a := testkit.Await(t, "the answer", got); a.status != 200 {
 		t.Errorf("%+v", a)
 	}
-	if got := next.tell("GET", "health", ""); got != 200 {
+	if got := next.callOps("GET", "health", ""); got != 200 {
 		t.Errorf("health is %d", got)
 	}
 }
@@ -283,7 +283,7 @@
 	c.signal(syscall.SIGSTOP)
 	defer c.signal(syscall.SIGCONT)
 	began := time.Now()
-	next := c.beside()
+	next := c.startSuccessor()
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("healthy after %v", took)
 	}
