--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -1,9 +1,10 @@
 package handover
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
+	"io"
 	"log/slog"
 	"net"
 	"os"
@@ -22,22 +23,37 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 100) }
 
-// ends notes what a link brings.
-type ends struct {
-	got  chan *Message
-	lost chan struct{}
+// recorder notes what a link brings.
+type recorder struct {
+	messages chan *Message
+	lost     chan struct{}
+}
+
+func newRecorder() recorder                    { return recorder{make(chan *Message, 64), make(chan struct{})} }
+func (e recorder) Message(_ *Link, m *Message) { e.messages <- m }
+func (e recorder) Lost(*Link)                  { close(e.lost) }
+
+func newLoop(t *testing.T, log *slog.Logger) *evloop.Loop {
+	t.Helper()
+	loop, err := evloop.New(log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := loop.Stop(); err != nil && !errors.Is(err, context.Canceled) {
+			t.Error(err)
+		}
+	})
+	return loop
 }
 
-func newEnds() ends                        { return ends{make(chan *Message, 64), make(chan struct{})} }
-func (e ends) Message(_ *Link, m *Message) { e.got <- m }
-func (e ends) Lost(*Link)                  { close(e.lost) }
 func listener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() }) // the test may have closed it
 	return l
 }
 
@@ -45,11 +61,7 @@
 // accepts, its state comes before all else, both can talk, and its end is noticed.
 func TestTakeOver(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	loop, err := evloop.New(log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer loop.Stop()
+	loop := newLoop(t, log)
 	folder := filepath.Join(t.TempDir(), strings.Repeat("long", 30)) // longer than a socket's address may be
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
@@ -61,7 +73,7 @@
 		t.Fatal(err)
 	}
 	l := listener(t)
-	old := newEnds()
+	old := newRecorder()
 	links := make(chan *Link, 1)
 	go host.Accept(hello, func() []*net.TCPListener { return []*net.TCPListener{l} }, func(s *Session) {
 		link := s.Link(loop, old, log)
@@ -70,7 +82,7 @@
 		link.Send(&Message{Used: 5})
 		links <- link
 	}, func(err error) { t.Error(err) })
-	s, err := Join(path, hello)
+	s, err := Join(t.Context(), path, hello)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,32 +90,23 @@
 	if err != nil || state.List.Revision != 7 || state.Cordons[0] != "w" || state.Planners[0].Shared.Opened[0] != "job" {
 		t.Fatalf("handed over %+v, error %v", state, err)
 	}
-	next := newEnds()
+	next := newRecorder()
 	link := s.Link(loop, next, log)
 	link.Send(&Message{Serving: true})
-	if m := testkit.Await(t, "a message of the old one", next.got); m.Used != 5 {
+	if m := testkit.Await(t, "a message of the old one", next.messages); m.Used != 5 {
 		t.Errorf("came %+v", m)
 	}
-	if m := testkit.Await(t, "a message of the new one", old.got); !m.Serving {
+	if m := testkit.Await(t, "a message of the new one", old.messages); !m.Serving {
 		t.Errorf("came %+v", m)
 	}
 	passed := s.Sockets[l.Addr().String()]
 	if passed == nil {
 		t.Fatalf("passed on: %v", s.Sockets)
 	}
-	defer passed.Close()
-	l.Close()
-	go func() {
-		if c, err := net.Dial("tcp", passed.Addr().String()); err == nil {
-			c.Close()
-		}
-	}()
-	_ = passed.SetDeadline(time.Now().Add(10 * time.Second))
-	if c, err := passed.Accept(); err != nil {
-		t.Errorf("accepting on the socket that was passed on: %v", err)
-	} else {
-		c.Close()
+	if err := l.Close(); err != nil {
+		t.Error(err)
 	}
+	checkAccepts(t, passed)
 	testkit.Await(t, "the link", links).Drop(errors.New("test"))
 	testkit.Await(t, "the end", next.lost)
 	testkit.Await(t, "the end", old.lost)
@@ -113,44 +116,75 @@
 	}
 }
 
+// checkAccepts checks that a socket that was passed on accepts connections, and closes it.
+func checkAccepts(t *testing.T, passed *net.TCPListener) {
+	t.Helper()
+	go func() {
+		if c, err := new(net.Dialer).DialContext(t.Context(), "tcp", passed.Addr().String()); err == nil {
+			_ = c.Close()
+		}
+	}()
+	_ = passed.SetDeadline(time.Now().Add(10 * time.Second))
+	if c, err := passed.Accept(); err != nil {
+		t.Errorf("accepting on the socket that was passed on: %v", err)
+	} else if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+	if err := passed.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// partner listens for one process and answers its Hello by a line. It closes the connection
+// then unless it is silent.
+func partner(t *testing.T, line string, silent bool) net.Listener {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "unix", filepath.Join(t.TempDir(), "s"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		c, err := l.Accept()
+		if err == nil {
+			_, _ = io.WriteString(c, line)
+			if !silent {
+				_, _ = c.Read(make([]byte, 1<<10))
+				_ = c.Close()
+			}
+		}
+	}()
+	return l
+}
+
 // Guards against a start that a partner prevents: one that is not there, has died,
 // says nothing, says what makes no sense, or is another scheduler.
 func TestPartnersThatAreNone(t *testing.T) {
 	hello := NewHello("n0", "127.0.0.1:3000")
 	path := filepath.Join(t.TempDir(), "sock")
-	if _, err := Join(path, hello); !errors.Is(err, ErrNobody) {
+	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNobody) {
 		t.Errorf("without a socket: %v", err)
 	}
 	host, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	host.l.Close() // as if it had been killed: the file stays
-	if _, err := Join(path, hello); !errors.Is(err, ErrNobody) {
+	if err := host.listener.Close(); err != nil { // as if it had been killed: the file stays
+		t.Fatal(err)
+	}
+	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNobody) {
 		t.Errorf("with the socket of a dead process: %v", err)
 	}
 	for what, line := range map[string]string{"silent": "", "garbage": "\x00\x01\n", "ends": "{}",
 		"other": `{"version":1,"name":"n1","listen":"127.0.0.1:3000"}` + "\n",
 		"newer": `{"version":2,"name":"n0","listen":"127.0.0.1:3000"}` + "\n"} {
-		l, err := net.Listen("unix", filepath.Join(t.TempDir(), "s"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		go func() {
-			c, err := l.Accept()
-			if err == nil {
-				fmt.Fprint(c, line)
-				if what != "silent" {
-					_, _ = c.Read(make([]byte, 1<<10))
-					c.Close()
-				}
-			}
-		}()
+		l := partner(t, line, what == "silent")
 		began := time.Now()
-		if _, err := Join(l.Addr().String(), hello); err == nil || errors.Is(err, ErrNobody) || time.Since(began) > 3*time.Second {
+		if _, err := Join(t.Context(), l.Addr().String(), hello); err == nil || errors.Is(err, ErrNobody) || time.Since(began) > 3*time.Second {
 			t.Errorf("%s: %v after %v", what, err, time.Since(began))
 		}
-		l.Close()
+		if err := l.Close(); err != nil {
+			t.Error(err)
+		}
 	}
 	// A second host takes the path over, and the first one's end leaves it alone.
 	first, err := Listen(path)
@@ -172,13 +206,9 @@
 // link and nothing else.
 func TestLinkCuts(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	loop, err := evloop.New(log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer loop.Stop()
+	loop := newLoop(t, log)
 	rapid.Check(t, func(t *rapid.T) {
-		h := newEnds()
+		h := newRecorder()
 		l := &Link{loop: loop, handler: h, log: log}
 		n := rapid.IntRange(1, 8).Draw(t, "messages")
 		var all []byte
@@ -192,22 +222,22 @@
 		all = append(all, `{"used":99`...) // not whole
 		for rest := all; len(rest) > 0; {
 			at := rapid.IntRange(1, len(rest)).Draw(t, "cut")
-			l.take(rest[:at])
+			l.receive(rest[:at])
 			rest = rest[at:]
 		}
 		for i := range n {
-			if len(h.got) == 0 {
+			if len(h.messages) == 0 {
 				t.Fatalf("only %d messages of %d", i, n)
 			}
-			if m := <-h.got; m.Used != i+1 {
+			if m := <-h.messages; m.Used != i+1 {
 				t.Fatalf("message %d is %+v", i+1, m)
 			}
 		}
-		if len(h.got) != 0 || l.dead {
-			t.Fatalf("%d messages more, lost %v", len(h.got), l.dead)
+		if len(h.messages) != 0 || l.closed {
+			t.Fatalf("%d messages more, lost %v", len(h.messages), l.closed)
 		}
-		l.take(append(rapid.SliceOfN(rapid.Byte(), 0, 50).Draw(t, "garbage"), "\x00\n"...)) // a zero byte is no JSON
-		if !l.dead {
+		l.receive(append(rapid.SliceOfN(rapid.Byte(), 0, 50).Draw(t, "garbage"), "\x00\n"...)) // a zero byte is no JSON
+		if !l.closed {
 			t.Fatal("garbage did not end the link")
 		}
 	})
--- a/internal/sse/id.go
+++ b/internal/sse/id.go
@@ -6,35 +6,35 @@
 	"strings"
 )
 
-// eventID names an event: the scheduler's run, the request, its class, and the
-// event's place in the stream. It tells by itself whether the event was final,
-// so that nothing need be kept to know that a client has all.
+// eventID identifies an event: the process that accepted the request, the request, its
+// class, and the event's sequence number. It says by itself whether the event was final, so
+// that nothing need be kept to know that a client has all.
 type eventID struct {
-	epoch   string
-	seq     int
+	epoch   string // of the Handler
+	seq     int    // from 1
 	final   bool
 	class   string
 	request string
 }
 
-const finalMark = ".end"
+const finalSuffix = ".end"
 
 func (id eventID) String() string {
 	seq := strconv.Itoa(id.seq)
 	if id.final {
-		seq += finalMark
+		seq += finalSuffix
 	}
 	return id.epoch + ":" + seq + ":" + url.QueryEscape(id.class) + ":" + url.QueryEscape(id.request)
 }
 
-// parseID reads what a client sends back. It may be anything.
-func parseID(s string) (id eventID, ok bool) {
+// parseEventID parses what a client sends back, which may be anything.
+func parseEventID(s string) (id eventID, ok bool) {
 	parts := strings.Split(s, ":")
 	if len(parts) != 4 || parts[0] == "" || len(s) > 1024 {
 		return id, false
 	}
 	id.epoch = parts[0]
-	seq, final := strings.CutSuffix(parts[1], finalMark)
+	seq, final := strings.CutSuffix(parts[1], finalSuffix)
 	v, err := strconv.ParseUint(seq, 10, 31)
 	if err != nil {
 		return id, false
--- /dev/null
+++ b/scheduler/operate.go
@@ -0,0 +1,149 @@
+package scheduler
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"os"
+	"path/filepath"
+
+	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/ops"
+)
+
+var errNotServing = errors.New("not serving")
+
+// Healthy returns nil if this process can serve: it listens, is not draining, and its
+// planners and event loops take turns before the context ends.
+func (s *Scheduler) Healthy(ctx context.Context) error {
+	if !s.ready.Load() {
+		return errNotServing
+	}
+	if err := s.planners.Alive(ctx); err != nil {
+		return fmt.Errorf("the planners have no turn: %w", err)
+	}
+	if s.reverseProxy != nil {
+		if err := s.reverseProxy.Alive(ctx); err != nil {
+			return fmt.Errorf("the reverse proxy's planner has no turn: %w", err)
+		}
+	}
+	turn := make(chan struct{}, 1+len(s.servers))
+	s.workerLoop.Do(func() { turn <- struct{}{} })
+	for _, server := range s.servers {
+		server.Alive(func() { turn <- struct{}{} })
+	}
+	for range cap(turn) {
+		select {
+		case <-turn:
+		case <-ctx.Done():
+			return fmt.Errorf("an event loop has no turn: %w", ctx.Err())
+		}
+	}
+	return nil
+}
+
+// Cordon takes a worker out of use, or back into use if out is false. It returns once that
+// is in force and saved, here and in the sibling process of an upgrade. The error is
+// ops.ErrUnknown for a worker that no list has named.
+func (s *Scheduler) Cordon(ctx context.Context, host string, out bool) error {
+	if err := s.applyCordon(ctx, host, out); err != nil {
+		return err
+	}
+	if err := s.forwardOrder(ctx, host, out, nil); err != nil {
+		return err
+	}
+	s.options.Log.Info("cordon order in force", "worker", host, "out", out)
+	return nil
+}
+
+// applyCordon carries out an order in this process, one order after another.
+func (s *Scheduler) applyCordon(ctx context.Context, host string, out bool) error {
+	select {
+	case s.cordonTurn <- struct{}{}:
+		defer func() { <-s.cordonTurn }()
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	if !out { // else requests placed there at once would be rejected by the pool
+		if err := s.cordonConnections(ctx, host, false); err != nil {
+			return err
+		}
+	}
+	known, err := s.planners.Cordon(ctx, host, out)
+	if err != nil {
+		return fmt.Errorf("the planners: %w", err)
+	}
+	if s.reverseProxy != nil && s.reverseProxy.Cordon(host, out) {
+		known = true
+	}
+	if !known && !s.cordons.Has(host) {
+		return ops.ErrUnknown
+	}
+	if out {
+		if err := s.cordonConnections(ctx, host, true); err != nil {
+			return err
+		}
+	}
+	return s.cordons.Set(host, out)
+}
+
+// restoreCordon takes a worker out of use before the scheduler runs.
+func (s *Scheduler) restoreCordon(host string) {
+	s.pool.Cordon(host, true, func() {})
+	s.planners.Keep(host)
+	if s.reverseProxy != nil {
+		s.reverseProxy.Cordon(host, true)
+	}
+}
+
+// cordonConnections applies an order to the connection pool.
+func (s *Scheduler) cordonConnections(ctx context.Context, host string, out bool) error {
+	done := make(chan struct{})
+	s.pool.Cordon(host, out, func() { close(done) })
+	select {
+	case <-done:
+		return nil
+	case <-ctx.Done():
+		return fmt.Errorf("the workers' event loop: %w", ctx.Err())
+	}
+}
+
+// journalReader returns what answers questions about jobs, or nil without a journal.
+func (s *Scheduler) journalReader() ops.Journal {
+	if s.journal == nil { // else it would be an interface that is not nil
+		return nil
+	}
+	return s.journal
+}
+
+// opsPages returns what operators can read, by path.
+func (s *Scheduler) opsPages() map[string]ops.Page {
+	pages := map[string]ops.Page{}
+	if s.reverseProxy != nil {
+		pages["/admin/servers"] = ops.Page{Type: "application/x-ndjson", Read: func() []byte {
+			var b bytes.Buffer
+			e := json.NewEncoder(&b)
+			for _, server := range s.reverseProxy.Status() {
+				_ = e.Encode(server) // every value of its type can be encoded
+			}
+			return b.Bytes()
+		}}
+	}
+	if s.peerLink != nil {
+		pages["/admin/peers"] = ops.Page{Type: "application/json", Read: func() []byte {
+			b, _ := json.Marshal(s.peerLink.Status()) // every value of its type can be encoded
+			return append(b, '\n')
+		}}
+	}
+	return pages
+}
+
+// runtimeFile names a file of this scheduler, the same for each of its processes.
+func runtimeFile(c *dispatchconfig.Config, extension string) string {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(c.Name + "\x00" + c.Listen))
+	return filepath.Join(os.TempDir(), fmt.Sprintf("sedgevale-%016x.%s", h.Sum64(), extension))
+}
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -10,24 +10,23 @@
 	"sedgevale/internal/testkit"
 )
 
-// tell makes a call at the second address.
-func (c *child) tell(method, call, host string) int {
+// callOps makes a call at the operators' address and returns the status.
+func (c *child) callOps(method, call, host string) int {
 	c.t.Helper()
 	body := ""
 	if host != "" {
 		body = fmt.Sprintf(`{"host":%q}`, host)
 	}
-	q, err := http.NewRequest(method, "http://"+c.config.Ops+"/admin/"+call, strings.NewReader(body))
+	q, err := http.NewRequestWithContext(c.t.Context(), method, "http://"+c.config.Ops+"/admin/"+call, strings.NewReader(body))
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	a, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(q)
+	a, err := testkit.RoundTrip(&http.Transport{DisableKeepAlives: true}, q)
 	if err != nil {
 		c.t.Errorf("%s: %v", call, err)
 		return 0
 	}
-	a.Body.Close()
-	return a.StatusCode
+	return a.Status
 }
 
 // Guards against a yes to a cordon that does not hold: nothing more goes to the
@@ -36,48 +35,48 @@
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
 	serve := func(id string) (worker string) {
-		got := post(c.plain, "/usage-view", job(id)...)
+		got := post(c.addr, "/usage-view", job(id)...)
 		r := f.next()
-		r.done("")
+		r.finish("")
 		testkit.Await(t, "the answer", got)
 		return r.worker
 	}
-	if got := c.tell("GET", "health", ""); got != 200 {
+	if got := c.callOps("GET", "health", ""); got != 200 {
 		t.Errorf("health is %d", got)
 	}
-	before := post(c.plain, "/plan-change", job("before")...)
+	before := post(c.addr, "/plan-change", job("before")...)
 	first := f.next()
-	first.say(`"state":"started"`)
+	first.write(`"state":"started"`)
 	host := first.worker
 	for _, call := range []string{"cordon", "cordon"} {
-		if got := c.tell("POST", call, host); got != 200 {
+		if got := c.callOps("POST", call, host); got != 200 {
 			t.Errorf("%s of a known worker: %d", call, got)
 		}
 	}
-	if got := c.tell("POST", "cordon", "stranger"); got != 404 {
+	if got := c.callOps("POST", "cordon", "stranger"); got != 404 {
 		t.Errorf("cordon of an unknown worker: %d", got)
 	}
-	for i := range 6 {
-		if w := serve(fmt.Sprint("out-", i)); w == host {
-			t.Fatalf("a job went to %s, which is out", w)
+	passedOver := func(prefix, when string) {
+		t.Helper()
+		for i := range 6 {
+			if w := serve(fmt.Sprint(prefix, i)); w == host {
+				t.Fatalf("%s a job went to %s, which is out", when, w)
+			}
 		}
 	}
+	passedOver("out-", "after the call")
 	f.phase(host, "ready") // discovery lists it anew
 	if w := serve("listed"); w == host {
 		t.Errorf("a job went to %s after it was listed anew", w)
 	}
-	first.done("first")
+	first.finish("first")
 	if a := testkit.Await(t, "the answer", before); a.status != 200 || a.body != "first" {
 		t.Errorf("a job that ran there already: %+v", a)
 	}
 	c.kill()
 	c.start()
-	for i := range 6 {
-		if w := serve(fmt.Sprint("again-", i)); w == host {
-			t.Fatalf("after a new start a job went to %s", w)
-		}
-	}
-	if got := c.tell("POST", "uncordon", host); got != 200 {
+	passedOver("again-", "after a new start")
+	if got := c.callOps("POST", "uncordon", host); got != 200 {
 		t.Errorf("uncordon: %d", got)
 	}
 	for i := 0; serve(fmt.Sprint("back-", i)) != host; i++ {
@@ -85,9 +84,15 @@
 			t.Fatalf("%s is not used again", host)
 		}
 	}
+	checkUnhealthyInDrain(t, c)
+}
+
+// checkUnhealthyInDrain ends a scheduler and checks what it says of its health meanwhile.
+func checkUnhealthyInDrain(t *testing.T, c *child) {
+	t.Helper()
 	c.signal(syscall.SIGTERM)
-	c.logged("stopping")
-	if got := c.tell("GET", "health", ""); got != 503 {
+	c.logged("draining: answering")
+	if got := c.callOps("GET", "health", ""); got != 503 {
 		t.Errorf("stopping, but health is %d", got)
 	}
 }
--- a/scheduler/front_test.go
+++ b/scheduler/platformapi_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -17,7 +18,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// reply is what a client of the first front gets.
+// reply is what a client of the platform's protocol gets.
 type reply struct {
 	status int
 	after  string
@@ -30,7 +31,7 @@
 func post(addr, path string, fields ...string) <-chan reply {
 	got := make(chan reply, 1)
 	go func() {
-		q, err := http.NewRequest("POST", "http://"+addr+path, strings.NewReader("body"))
+		q, err := http.NewRequestWithContext(context.Background(), "POST", "http://"+addr+path, strings.NewReader("body"))
 		if err != nil {
 			got <- reply{err: err}
 			return
@@ -38,18 +39,25 @@
 		for i := 0; i < len(fields); i += 2 {
 			q.Header.Set(fields[i], fields[i+1])
 		}
-		a, err := (&http.Transport{}).RoundTrip(q)
-		if err != nil {
-			got <- reply{err: err}
-			return
-		}
-		defer a.Body.Close()
-		b, err := io.ReadAll(a.Body)
-		got <- reply{a.StatusCode, a.Header.Get("Retry-After"), string(b), a.Close, err}
+		a, err := testkit.RoundTrip(&http.Transport{}, q)
+		got <- reply{a.Status, a.Header.Get("Retry-After"), a.Body, a.Last, err}
 	}()
 	return got
 }
 
+// send writes a job without a body on a connection that is kept.
+func send(conn net.Conn, class, id string, timeout time.Duration, fields ...string) error {
+	var b strings.Builder
+	fmt.Fprintf(&b, "POST /%s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: co-op\r\nRequest-Timeout: %dm\r\n",
+		class, id, timeout.Milliseconds())
+	for i := 0; i < len(fields); i += 2 {
+		fmt.Fprintf(&b, "%s: %s\r\n", fields[i], fields[i+1])
+	}
+	b.WriteString("Content-Length: 0\r\n\r\n")
+	_, err := io.WriteString(conn, b.String())
+	return err
+}
+
 func job(id string, more ...string) []string {
 	return append([]string{"Request-Id", id, "Tenant", "co-op", "Request-Timeout", "9000m"}, more...)
 }
@@ -58,31 +66,31 @@
 func TestPlainAnswers(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
-	got := post(c.plain, "/usage-view/a?b=c", job("one")...)
+	got := post(c.addr, "/usage-view/a?b=c", job("one")...)
 	r := f.next()
 	if r.id != "one" || r.body != "body" || r.target != "/usage-view/a?b=c" {
 		t.Errorf("the worker got %q, %q, %q", r.id, r.target, r.body)
 	}
-	r.say(`"state":"started"`)
-	r.done("result")
+	r.write(`"state":"started"`)
+	r.finish("result")
 	if a := testkit.Await(t, "the answer", got); a.status != 200 || a.body != "result" || a.last {
 		t.Errorf("served: %+v", a)
 	}
-	got = post(c.plain, "/plan-change", job("two")...)
-	f.next().say(`"state":"failed"`)
+	got = post(c.addr, "/plan-change", job("two")...)
+	f.next().write(`"state":"failed"`)
 	if a := testkit.Await(t, "the answer", got); a.status != 500 {
 		t.Errorf("failed: %+v", a)
 	}
 	// An answer to another job is nobody's answer, and may hide that this one ran.
-	got = post(c.plain, "/plan-change", job("three")...)
+	got = post(c.addr, "/plan-change", job("three")...)
 	f.next().lines <- `{"id":"two","from":"w","state":"done","result":"not yours"}`
 	if a := testkit.Await(t, "the answer", got); a.status != 500 || strings.Contains(a.body, "not yours") {
 		t.Errorf("another's result: %+v", a)
 	}
 	// Garbage from a worker ends that attempt only; the safe job runs again.
-	got = post(c.plain, "/usage-view", job("four")...)
+	got = post(c.addr, "/usage-view", job("four")...)
 	f.next().lines <- `{"id":`
-	f.next().done("again")
+	f.next().finish("again")
 	if a := testkit.Await(t, "the answer", got); a.status != 200 || a.body != "again" {
 		t.Errorf("after garbage: %+v", a)
 	}
@@ -100,7 +108,7 @@
 		{"/usage-view", job(""), 400},
 		{"/bill-pay", job("x"), 400},
 	} {
-		if a := testkit.Await(t, "the answer", post(c.plain, q.path, q.fields...)); a.status != q.want || !a.last {
+		if a := testkit.Await(t, "the answer", post(c.addr, q.path, q.fields...)); a.status != q.want || !a.last {
 			t.Errorf("%s %v: %+v, want %d", q.path, q.fields, a, q.want)
 		}
 	}
@@ -109,7 +117,7 @@
 // Without workers the module refuses, and says when to come again.
 func TestPlainRefusal(t *testing.T) {
 	c := startChild(t, newFleet(t))
-	a := testkit.Await(t, "the answer", post(c.plain, "/usage-view", job("one", "Request-Timeout", "900m")...))
+	a := testkit.Await(t, "the answer", post(c.addr, "/usage-view", job("one", "Request-Timeout", "900m")...))
 	if after, err := strconv.ParseFloat(a.after, 64); a.status != 503 || err != nil || after <= 0 || after > 2 {
 		t.Errorf("%+v", a)
 	}
@@ -119,15 +127,15 @@
 func TestPlainGone(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
-	conn, err := net.Dial("tcp", c.plain)
-	if err != nil {
+	conn := testkit.Dial(t, c.addr)
+	if err := send(conn, "plan-change", "a", time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(conn, "POST /plan-change HTTP/1.1\r\nHost: h\r\nRequest-Id: a\r\nTenant: co-op\r\n"+
-		"Request-Timeout: 60000m\r\nContent-Length: 0\r\n\r\n")
 	r := f.next()
-	conn.Close()
-	testkit.Await(t, "the attempt to be called off", r.over)
+	if err := conn.Close(); err != nil {
+		t.Fatal(err)
+	}
+	testkit.Await(t, "the attempt to be called off", r.canceled)
 }
 
 // Guards against requests lost at a planned restart: what was taken is
@@ -136,51 +144,36 @@
 func TestTermination(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
-	conn, err := net.Dial("tcp", c.plain) // kept from before
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	late, err := net.Dial("tcp", c.plain) // kept as well, and used when no new ones come any more
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer late.Close()
-	on := func(conn net.Conn, id string) {
-		t.Helper()
-		fmt.Fprintf(conn, "POST /usage-view HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: co-op\r\n"+
-			"Request-Timeout: 9000m\r\nContent-Length: 0\r\n\r\n", id)
-		f.next().done("third")
-	}
-	on(late, "early")
+	conn := testkit.Dial(t, c.addr) // kept from before
+	late := testkit.Dial(t, c.addr) // kept as well, and used when no new ones come any more
 	r := bufio.NewReader(late)
-	if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != 200 || a.Close {
-		t.Errorf("before: %+v, error %v", a, err)
-	} else if _, err := io.ReadAll(a.Body); err != nil {
-		t.Error(err)
+	serve := func(conn net.Conn, r *bufio.Reader, id string, last bool) {
+		t.Helper()
+		if err := send(conn, "usage-view", id, 9*time.Second); err != nil {
+			t.Errorf("%s: %v", id, err)
+		}
+		f.next().finish("third")
+		if a, err := testkit.ReadResponse(r); err != nil || a.Status != 200 || a.Last != last {
+			t.Errorf("%s: %+v, error %v", id, a, err)
+		}
 	}
-	before := post(c.plain, "/plan-change", job("before")...)
+	serve(late, r, "early", false)
+	before := post(c.addr, "/plan-change", job("before")...)
 	first := f.next()
-	first.say(`"state":"started"`) // else the worker counts as busy, and nothing more goes there
+	first.write(`"state":"started"`) // else the worker counts as busy, and nothing more goes there
 	c.signal(syscall.SIGTERM)
-	time.Sleep(200 * time.Millisecond) // the front goes on for so long
-	after := post(c.plain, "/usage-view", job("after")...)
-	f.next().done("second")
-	on(conn, "kept")
-	if a, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || a.StatusCode != 200 || !a.Close {
-		t.Errorf("on the kept connection: %+v, error %v", a, err)
-	}
+	time.Sleep(200 * time.Millisecond) // clients go on for so long
+	after := post(c.addr, "/usage-view", job("after")...)
+	f.next().finish("second")
+	serve(conn, bufio.NewReader(conn), "kept", true)
 	var timeout net.Error
 	_ = late.SetReadDeadline(time.Now().Add(800 * time.Millisecond))
 	if _, err := r.ReadByte(); !errors.As(err, &timeout) || !timeout.Timeout() {
 		t.Errorf("a connection that clients may still use: %v", err)
 	}
 	_ = late.SetReadDeadline(time.Time{})
-	on(late, "late")
-	if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != 200 || !a.Close {
-		t.Errorf("on the kept connection, late: %+v, error %v", a, err)
-	}
-	first.done("first")
+	serve(late, r, "late", true)
+	first.finish("first")
 	for want, got := range map[string]<-chan reply{"first": before, "second": after} {
 		if a := testkit.Await(t, "the answer", got); a.status != 200 || a.body != want || !a.last {
 			t.Errorf("%s: %+v", want, a)
@@ -197,30 +190,30 @@
 		Flavor: "box", Phase: "ready", Size: 1})
 	c := startChild(t, f)
 	for i := range 8 { // some are tried first where nobody listens
-		got := post(c.plain, "/plan-change", job(fmt.Sprint("connect-", i))...)
-		f.next().done("ran")
+		got := post(c.addr, "/plan-change", job(fmt.Sprint("connect-", i))...)
+		f.next().finish("ran")
 		if a := testkit.Await(t, "the answer", got); a.status != 200 {
 			t.Errorf("a worker that refuses connections: %+v", a)
 		}
 	}
-	f.answer(func(w http.ResponseWriter, _ *http.Request) {
+	f.respondNext(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Not-Started", "1")
 		w.Header().Set("Server-Load", "lat_ms=1,q=9,x0=0")
 		w.WriteHeader(503)
 	})
-	got := post(c.plain, "/plan-change", job("full")...)
-	f.next().done("elsewhere")
+	got := post(c.addr, "/plan-change", job("full")...)
+	f.next().finish("elsewhere")
 	if a := testkit.Await(t, "the answer", got); a.status != 200 || a.body != "elsewhere" {
 		t.Errorf("turned away unstarted: %+v", a)
 	}
 	for _, status := range []int{500, 503, 418} { // without Not-Started it may have run
-		f.answer(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
-		if a := testkit.Await(t, "the answer", post(c.plain, "/plan-change", job(fmt.Sprint("s", status))...)); a.status != 500 {
+		f.respondNext(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
+		if a := testkit.Await(t, "the answer", post(c.addr, "/plan-change", job(fmt.Sprint("s", status))...)); a.status != 500 {
 			t.Errorf("a worker that answers %d: %+v", status, a)
 		}
 	}
-	f.answer(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(200) }) // ends without a last line
-	if a := testkit.Await(t, "the answer", post(c.plain, "/plan-change", job("short")...)); a.status != 500 {
+	f.respondNext(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(200) }) // ends without a last line
+	if a := testkit.Await(t, "the answer", post(c.addr, "/plan-change", job("short")...)); a.status != 500 {
 		t.Errorf("an answer without a last line: %+v", a)
 	}
 }
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -3,11 +3,11 @@
 import (
 	"bufio"
 	"fmt"
-	"net"
 	"net/http"
 	"os"
 	"syscall"
 	"testing"
+	"time"
 
 	"sedgevale/internal/testkit"
 	"sedgevale/scheduler"
@@ -19,27 +19,24 @@
 func TestReload(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
-	conn, err := net.Dial("tcp", c.plain)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
+	conn := testkit.Dial(t, c.addr)
 	kept := bufio.NewReader(conn)
 	onKept := func(id string) {
 		t.Helper()
-		fmt.Fprintf(conn, "POST /usage-view HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: co-op\r\n"+
-			"Request-Timeout: 9000m\r\nContent-Length: 0\r\n\r\n", id)
+		if err := send(conn, "usage-view", id, 9*time.Second); err != nil {
+			t.Errorf("%s: %v", id, err)
+		}
 		r := f.next()
 		if id != "kept-0" && r.worker != "w" {
 			t.Errorf("%s went to %s, which drains", id, r.worker)
 		}
-		r.done("")
-		if a, err := http.ReadResponse(kept, nil); err != nil || a.StatusCode != 200 {
+		r.finish("")
+		if a, err := testkit.ReadResponse(kept); err != nil || a.Status != 200 {
 			t.Errorf("%s: %+v, error %v", id, a, err)
 		}
 	}
 	onKept("kept-0")
-	before := post(c.plain, "/plan-change", job("before")...)
+	before := post(c.addr, "/plan-change", job("before")...)
 	first := f.next()
 
 	if err := os.WriteFile(c.file, []byte("listen = "), 0o600); err != nil {
@@ -59,19 +56,21 @@
 	if got := testkit.Await(t, "a call at the new address", asked); got != "/v1/endpoints" {
 		t.Errorf("first asked %s", got)
 	}
-	c.logged("waits for a new start")
+	c.logged("needs a restart")
 	testkit.Await(t, "the watch at the new address", asked)
 	f.phase("v", "draining")
 	for i := range 6 {
 		onKept(fmt.Sprint("kept-", i+1))
 	}
 
-	conn.Close()
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
 	c.signal(syscall.SIGTERM)
-	c.logged("stopping")
+	c.logged("draining: answering")
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration read again")
-	first.done("first")
+	c.logged("configuration reloaded")
+	first.finish("first")
 	if a := testkit.Await(t, "the answer", before); a.status != 200 || a.body != "first" {
 		t.Errorf("open since before: %+v", a)
 	}
@@ -79,17 +78,17 @@
 }
 
 // Retuning under way: classes appear, become stricter and vanish, fewer attempts are
-// allowed, jobs that came before keep their class, also on the second front, and a
+// allowed, jobs that came before keep their class, also of event streams, and a
 // bad file leaves all as it was.
 func TestRetune(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
 	s := subscribe(t, "POST", c.sse, "usage-view", "Request-Id", "stream")
 	streamed := f.next()
-	streamed.say(`"state":"started"`)
-	old := post(c.plain, "/usage-view", job("old")...)
+	streamed.write(`"state":"started"`)
+	old := post(c.addr, "/usage-view", job("old")...)
 	first := f.next()
-	first.say(`"state":"started"`)
+	first.write(`"state":"started"`)
 
 	classes := c.config.Settings.Classes
 	strict := classes[0]
@@ -100,33 +99,57 @@
 	c.config.Settings.Bounds.MaxAttempts = 2
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration read again")
-	if a := testkit.Await(t, "the answer", post(c.plain, "/plan-change", job("gone")...)); a.status != 404 {
+	c.logged("configuration reloaded")
+	if a := testkit.Await(t, "the answer", post(c.addr, "/plan-change", job("gone")...)); a.status != 404 {
 		t.Errorf("a class that is gone: %+v", a)
 	}
-	got := post(c.plain, "/usage-view-ii", job("new")...)
-	f.next().done("new")
+	checkNewClasses(t, f, c, old, first)
+	checkBadFileIsRejected(t, f, c)
+
+	s.leave()
+	c.config.Settings.Classes = classes[1:]
+	c.write()
+	c.signal(syscall.SIGHUP)
+	c.logged("configuration reloaded")
+	s = subscribe(t, "GET", c.sse, "usage-view", "Request-Id", "stream")
+	streamed.finish("streamed")
+	if last, _ := s.rest(); last.name != "result" {
+		t.Errorf("a stream whose class is gone ended in %+v", last)
+	}
+}
+
+// checkNewClasses checks jobs of classes that a new file has added and made stricter, and a
+// job of the latter that came before: old is its answer, first its attempt.
+func checkNewClasses(t *testing.T, f *fleet, c *child, old <-chan reply, first *attempt) {
+	t.Helper()
+	got := post(c.addr, "/usage-view-ii", job("new")...)
+	f.next().finish("new")
 	if a := testkit.Await(t, "the answer", got); a.status != 200 || a.body != "new" {
 		t.Errorf("a new class: %+v", a)
 	}
-	got = post(c.plain, "/usage-view", job("strict")...)
-	close(f.next().cut)
+	got = post(c.addr, "/usage-view", job("strict")...)
+	close(f.next().abort)
 	if a := testkit.Await(t, "the answer", got); a.status != 500 {
 		t.Errorf("a class that must not run twice any more: %+v", a)
 	}
-	close(first.cut)
-	f.next().done("again") // it came when it might
+	close(first.abort)
+	f.next().finish("again") // it came when it might
 	if a := testkit.Await(t, "the answer", old); a.status != 200 || a.body != "again" {
 		t.Errorf("a job that came before: %+v", a)
 	}
 	// Of what its attempts allow, a job of the class that is new has two.
-	got = post(c.plain, "/usage-view-ii", job("twice")...)
-	close(f.next().cut)
-	close(f.next().cut)
+	got = post(c.addr, "/usage-view-ii", job("twice")...)
+	close(f.next().abort)
+	close(f.next().abort)
 	if a := testkit.Await(t, "the answer", got); a.status != 503 {
 		t.Errorf("a third attempt: %+v", a)
 	}
+}
 
+// checkBadFileIsRejected checks that a file with a bad class and another discovery changes
+// neither.
+func checkBadFileIsRejected(t *testing.T, f *fleet, c *child) {
+	t.Helper()
 	c.config.Settings.Classes = append([]scheduler.Class(nil), c.config.Settings.Classes...)
 	c.config.Settings.Classes[0].Name, c.config.Settings.Classes[0].HardLimit = "other", -5
 	good := c.config.Discovery
@@ -136,20 +159,9 @@
 	c.logged("the new configuration is bad")
 	c.config.Discovery = good
 	f.phase("w", "ready") // still asked
-	got = post(c.plain, "/usage-view-ii", job("kept")...)
-	f.next().done("kept")
+	got := post(c.addr, "/usage-view-ii", job("kept")...)
+	f.next().finish("kept")
 	if a := testkit.Await(t, "the answer", got); a.status != 200 {
 		t.Errorf("after a bad file: %+v", a)
 	}
-
-	s.leave()
-	c.config.Settings.Classes = classes[1:]
-	c.write()
-	c.signal(syscall.SIGHUP)
-	c.logged("configuration read again")
-	s = subscribe(t, "GET", c.sse, "usage-view", "Request-Id", "stream")
-	streamed.done("streamed")
-	if last, _ := s.rest(); last.name != "result" {
-		t.Errorf("a stream whose class is gone ended in %+v", last)
-	}
 }
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"syscall"
@@ -14,20 +13,20 @@
 	"sedgevale/internal/testkit"
 )
 
-// beside starts another process of the same scheduler, with a second address of
+// startSuccessor starts another process of the same scheduler, with a second address of
 // its own, and waits until it says that it is healthy.
-func (c *child) beside() *child {
+func (c *child) startSuccessor() *child {
 	c.t.Helper()
 	next := &child{t: c.t, file: filepath.Join(filepath.Dir(c.file), testkit.FreeAddr(c.t)+".toml"),
-		plain: c.plain, sse: c.sse, config: c.config}
+		addr: c.addr, sse: c.sse, config: c.config}
 	next.config.Ops = testkit.FreeAddr(c.t)
 	next.write()
 	next.launch()
 	c.t.Cleanup(next.kill)
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if conn, err := net.Dial("tcp", next.config.Ops); err == nil {
-			conn.Close()
-			if next.tell("GET", "health", "") == 200 {
+	for until := time.Now().Add(maxDrainWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+		if conn, err := new(net.Dialer).DialContext(c.t.Context(), "tcp", next.config.Ops); err == nil {
+			_ = conn.Close()
+			if next.callOps("GET", "health", "") == 200 {
 				return next
 			}
 		}
@@ -38,7 +37,7 @@
 
 // clients send jobs, each on a new connection, until they are stopped, and return
 // how many failed.
-func clients(f *fleet, addr string) (stop func() (sent, failed int)) {
+func clients(addr string) (stop func() (sent, failed int)) {
 	end, counts := make(chan struct{}), make(chan [2]int)
 	go func() {
 		sent, failed := 0, 0
@@ -62,80 +61,81 @@
 	}
 }
 
+// serveKept sends a job on a kept connection and reports whether its response is the last.
+func serveKept(t *testing.T, conn net.Conn, r *bufio.Reader, id string) (last bool) {
+	t.Helper()
+	if err := send(conn, "bill-pay", id, 9*time.Second, "Idempotency-Key", "k"); err != nil {
+		t.Fatalf("%s: %v", id, err)
+	}
+	a, err := testkit.ReadResponse(r)
+	if err != nil || a.Status != 200 {
+		t.Fatalf("%s: %+v, error %v", id, a, err)
+	}
+	return a.Last
+}
+
+// awaitWorker reads where jobs ran until one ran at a worker.
+func awaitWorker(t *testing.T, ran <-chan string, worker string) {
+	t.Helper()
+	for {
+		if testkit.Await(t, "a job at "+worker, ran) == worker {
+			return
+		}
+	}
+}
+
 // Guards against all that an upgrade can break: connections that are refused or
 // reset, a new process that fails or ends with the old one, a cordon that gets lost,
 // an id that is taken twice, and an open job without its answer.
 func TestUpgrade(t *testing.T) {
 	f := newFleet(t, "u", "v", "w")
 	c := startChild(t, f)
-	conn, err := net.Dial("tcp", c.plain)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
+	conn := testkit.Dial(t, c.addr)
 	kept := bufio.NewReader(conn)
-	if got := c.tell("POST", "cordon", "u"); got != 200 {
+	if got := c.callOps("POST", "cordon", "u"); got != 200 {
 		t.Fatalf("cordon: %d", got)
 	}
-	open := post(c.plain, "/plan-change", job("open")...)
+	open := post(c.addr, "/plan-change", job("open")...)
 	first := f.next()
-	first.say(`"state":"started"`)
-	onKept := func(id string) (last bool) {
-		t.Helper()
-		fmt.Fprintf(conn, "POST /bill-pay HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nTenant: co-op\r\nIdempotency-Key: k\r\n"+
-			"Request-Timeout: 9000m\r\nContent-Length: 0\r\n\r\n", id)
-		a, err := http.ReadResponse(kept, nil)
-		if err != nil || a.StatusCode != 200 {
-			t.Fatalf("%s: %+v, error %v", id, a, err)
-		}
-		a.Body.Close()
-		return a.Close
-	}
+	first.write(`"state":"started"`)
 	ran := make(chan string, 4096) // where, of all but the open job
 	go func() {
-		for r := range f.runs {
+		for r := range f.attempts {
 			ran <- r.worker
-			r.done("")
+			r.finish("")
 		}
 	}()
-	onKept("kept-1")
-	stop := clients(f, c.plain)
-	next := c.beside()
-	c.logged("the new process accepts clients")
-	if a := testkit.Await(t, "the answer", post(c.plain, "/plan-change", job("open")...)); a.status != 500 {
+	serveKept(t, conn, kept, "kept-1")
+	stop := clients(c.addr)
+	next := c.startSuccessor()
+	c.logged("the new process accepts connections")
+	if a := testkit.Await(t, "the answer", post(c.addr, "/plan-change", job("open")...)); a.status != 500 {
 		t.Errorf("the id of a job that the old process has open: %+v", a)
 	}
-	// Each process hears of the other's orders, and may still be told any.
-	if got := next.tell("POST", "cordon", "v"); got != 200 {
+	// Each process carries out the other's orders, and still takes any.
+	if got := next.callOps("POST", "cordon", "v"); got != 200 {
 		t.Errorf("cordon at the new process: %d", got)
 	}
-	if onKept("kept-2") {
-		t.Error("the old process lets go of a client though it was not told to end")
+	if serveKept(t, conn, kept, "kept-2") {
+		t.Error("the old process lets go of a client though it was not ended")
 	}
 	c.signal(syscall.SIGTERM)
-	c.logged("stopping")
-	if !onKept("kept-3") {
+	c.logged("draining: answering")
+	if !serveKept(t, conn, kept, "kept-3") {
 		t.Error("the old process keeps a client though it ends")
 	}
-	first.done("first")
+	first.finish("first")
 	if a := testkit.Await(t, "the answer", open); a.status != 200 || a.body != "first" {
 		t.Errorf("open since before: %+v", a)
 	}
 	c.ended()
-	next.logged("this one is alone")
-	if got := next.tell("POST", "uncordon", "u"); got != 200 {
+	next.logged("continuing alone")
+	if got := next.callOps("POST", "uncordon", "u"); got != 200 {
 		t.Errorf("uncordon at the new process: %d", got)
 	}
-	for back := false; !back; {
-		switch testkit.Await(t, "a job", ran) {
-		case "v":
-			// Up to here some may have run there before it was taken out.
-		case "u":
-			back = true
-		}
-	}
+	awaitWorker(t, ran, "u")
 	if sent, failed := stop(); failed > 0 || sent < 10 {
-		t.Errorf("%d of %d jobs failed at the door", failed, sent)
+		t.Errorf("%d of %d jobs failed of those sent meanwhile", failed, sent)
 	}
 	select {
 	case err := <-next.exited:
@@ -144,29 +144,29 @@
 	}
 }
 
-// Guards against workers that either process uses though they were taken out at the
+// Guards against workers that either process uses though they were cordoned at the
 // other, or by one that is gone.
 func TestCordonsGoOver(t *testing.T) {
 	f := newFleet(t, "u", "v", "w")
 	c := startChild(t, f)
 	for _, host := range []string{"u", "v"} {
-		if got := c.tell("POST", "cordon", host); got != 200 {
+		if got := c.callOps("POST", "cordon", host); got != 200 {
 			t.Fatalf("cordon: %d", got)
 		}
 	}
-	next := c.beside()
-	if got := c.tell("POST", "uncordon", "v"); got != 200 {
+	next := c.startSuccessor()
+	if got := c.callOps("POST", "uncordon", "v"); got != 200 {
 		t.Fatalf("uncordon at the old process: %d", got)
 	}
-	if got := c.tell("POST", "cordon", "w"); got != 200 {
+	if got := c.callOps("POST", "cordon", "w"); got != 200 {
 		t.Fatalf("cordon at the old process: %d", got)
 	}
 	c.kill()
-	next.logged("this one is alone")
+	next.logged("continuing alone")
 	for i := range 8 {
-		got := post(c.plain, "/usage-view", job(fmt.Sprint("job-", i))...)
+		got := post(c.addr, "/usage-view", job(fmt.Sprint("job-", i))...)
 		r := f.next()
-		r.done("")
+		r.finish("")
 		if testkit.Await(t, "the answer", got); r.worker != "v" {
 			t.Fatalf("a job went to %s", r.worker)
 		}
@@ -181,29 +181,29 @@
 	c := startChild(t, f)
 	s := subscribe(t, "POST", c.sse, "plan-change", "Request-Id", "moved")
 	r := f.next()
-	r.say(`"state":"started"`)
+	r.write(`"state":"started"`)
 	last := s.until("started")
 	orphan := subscribe(t, "POST", c.sse, "plan-change", "Request-Id", "orphan")
-	f.next().say(`"state":"started"`)
+	f.next().write(`"state":"started"`)
 	before := orphan.until("started")
-	next := c.beside()
-	c.logged("the new process accepts clients")
+	next := c.startSuccessor()
+	c.logged("the new process accepts connections")
 	s.leave()
 	again := subscribe(t, "POST", c.sse, "plan-change", "Request-Id", "moved")
 	if again.status != 409 {
 		t.Errorf("posted again: %d", again.status)
 	}
 	s = subscribe(t, "GET", c.sse, "plan-change", "Last-Event-ID", last.id)
-	r.say(`"state":"running","share":0.5`)
+	r.write(`"state":"running","share":0.5`)
 	if e := s.until("progress"); e.field(t, "share") != 0.5 {
 		t.Errorf("progress is %s", e.data)
 	}
-	r.done("moved")
+	r.finish("moved")
 	if end, names := s.rest(); end.name != "result" || end.field(t, "result") != "moved" || len(names) != 1 {
 		t.Errorf("the stream went on with %v and %s", names, end.data)
 	}
 	c.kill()
-	next.logged("this one is alone")
+	next.logged("continuing alone")
 	orphan = subscribe(t, "GET", c.sse, "plan-change", "Last-Event-ID", before.id)
 	if end, names := orphan.rest(); end.name != "failed" || end.field(t, "outcome") != "unknown" ||
 		end.field(t, "repeat_safe") != false || len(names) != 1 {
@@ -219,14 +219,14 @@
 func TestNewProcessDies(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
-	next := c.beside()
-	c.logged("the new process accepts clients")
+	next := c.startSuccessor()
+	c.logged("the new process accepts connections")
 	next.kill()
-	c.logged("this one is alone")
+	c.logged("continuing alone")
 	serve := func(id string) {
 		t.Helper()
-		got := post(c.plain, "/usage-view", job(id)...)
-		f.next().done("")
+		got := post(c.addr, "/usage-view", job(id)...)
+		f.next().finish("")
 		if a := testkit.Await(t, "the answer", got); a.status != 200 {
 			t.Errorf("%s: %+v", id, a)
 		}
@@ -245,11 +245,11 @@
 // one, which the old process has turned down: it goes on by the old one's settings.
 func TestUpgradeByABadFile(t *testing.T) {
 	f := newFleet(t, "w")
-	c := &child{t: t, file: filepath.Join(t.TempDir(), "config.json"), plain: testkit.FreeAddr(t)}
-	c.sse = c.plain // asked for /ready
+	c := &child{t: t, file: filepath.Join(t.TempDir(), "config.json"), addr: testkit.FreeAddr(t)}
+	c.sse = c.addr // asked for /ready
 	set := settings(t)
 	set.Classes[0].Name = "served-by"
-	c.config.Name, c.config.Listen, c.config.Ops = "test", c.plain, testkit.FreeAddr(t)
+	c.config.Name, c.config.Listen, c.config.Ops = "test", c.addr, testkit.FreeAddr(t)
 	c.config.Discovery, c.config.Settings, c.config.Workers = f.addr, set, f.list.Members
 	c.write()
 	c.start()
@@ -259,19 +259,19 @@
 	}
 	c.signal(syscall.SIGHUP)
 	c.logged("the new configuration is bad")
-	next := &child{t: t, file: c.file, plain: c.plain, config: c.config}
+	next := &child{t: t, file: c.file, addr: c.addr, config: c.config}
 	next.config.Ops = testkit.FreeAddr(t)
 	next.launch()
 	t.Cleanup(next.kill)
-	next.logged("going on by that of the process that serves")
-	c.logged("the new process accepts clients")
+	next.logged("using that of the serving process")
+	c.logged("the new process accepts connections")
 	c.kill()
-	got := post(c.plain, "/served-by", job("one")...)
-	f.next().done("")
+	got := post(c.addr, "/served-by", job("one")...)
+	f.next().finish("")
 	if a := testkit.Await(t, "the answer", got); a.status != 200 {
 		t.Errorf("%+v", a)
 	}
-	if got := next.tell("GET", "health", ""); got != 200 {
+	if got := next.callOps("GET", "health", ""); got != 200 {
 		t.Errorf("health is %d", got)
 	}
 }
@@ -283,9 +283,9 @@
 	c.signal(syscall.SIGSTOP)
 	defer c.signal(syscall.SIGCONT)
 	began := time.Now()
-	next := c.beside()
+	next := c.startSuccessor()
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("healthy after %v", took)
 	}
-	next.logged("hands nothing over")
+	next.logged("takeover failed")
 }
