--- /dev/null
+++ b/internal/ops/golden_test.go
@@ -0,0 +1,155 @@
+package ops
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"sedgevale/internal/fdlimit"
+	"sedgevale/internal/httpd"
+	"sedgevale/internal/journal/store"
+	"sedgevale/internal/testkit"
+)
+
+// goldenJournal notes what it is asked and answers by a fixed text.
+type goldenJournal struct{ asked chan string }
+
+func (g *goldenJournal) Ask(_ context.Context, id string) ([]byte, error) {
+	g.asked <- "ask " + id
+	if id == "absent" {
+		return nil, fmt.Errorf("%w: %s", store.ErrNotFound, id)
+	}
+	return []byte("{\"job\":\"a b\"}\n"), nil
+}
+
+func (g *goldenJournal) Settle(_ context.Context, id, verdict, by, why string) (int, error) {
+	g.asked <- fmt.Sprintf("settle %s %s %s %s", id, verdict, by, why)
+	if id == "absent" {
+		return 0, store.ErrNothingToSettle
+	}
+	return 1, nil
+}
+
+func (g *goldenJournal) Stats() []byte { return []byte("{\"records\":1}\n") }
+
+// exchange sends a call and returns the answer's bytes.
+func exchange(t *testing.T, addr, method, path, body string) string {
+	t.Helper()
+	var dialer net.Dialer
+	c, err := dialer.DialContext(t.Context(), "tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body); err != nil {
+		t.Fatal(err)
+	}
+	answer, err := io.ReadAll(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(answer)
+}
+
+func serveGolden(t *testing.T, sick error, journal Journal) string {
+	t.Helper()
+	addr := testkit.FreeAddr(t)
+	front := New(&orders{make(chan string, 32), sick}, journal, map[string]Page{
+		"/metrics": {Type: "text/plain; version=0.0.4", Read: func() []byte { return []byte("up 1\n") }},
+	})
+	s := httpd.New(addr, 1, front, fdlimit.New(0), slog.New(slog.DiscardHandler))
+	if err := s.Start(nil); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = s.Stop() })
+	return addr
+}
+
+type goldenCall struct{ method, path, body, want string }
+
+func checkCalls(t *testing.T, addr string, calls []goldenCall) {
+	t.Helper()
+	for _, call := range calls {
+		if got := exchange(t, addr, call.method, call.path, call.body); got != call.want {
+			t.Errorf("%s %s %s: got\n%q\nwant\n%q", call.method, call.path, call.body, got, call.want)
+		}
+	}
+}
+
+// The bytes of each answer to an operator.
+func TestAnswerBytes(t *testing.T) {
+	journal := &goldenJournal{make(chan string, 32)}
+	checkCalls(t, serveGolden(t, nil, journal), []goldenCall{
+		{"GET", "/admin/health", "", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nyes\n"},
+		{"POST", "/admin/health", "", "HTTP/1.1 405 Method Not Allowed\r\nAllow: GET\r\nConnection: close\r\nContent-Length: 9\r\n\r\nonly GET\n"},
+		{"GET", "/admin/cordon", "", "HTTP/1.1 405 Method Not Allowed\r\nAllow: POST\r\nConnection: close\r\nContent-Length: 10\r\n\r\nonly POST\n"},
+		{"POST", "/admin/cordon", `{"host":"w"}`, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nyes\n"},
+		{"POST", "/admin/uncordon", `{"host":"w"}`, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nyes\n"},
+		{"POST", "/admin/cordon", `{"host":"stranger"}`, "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 19\r\n\r\nno: no such worker\n"},
+		{"POST", "/admin/cordon", `{"Name":"w"}`, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 31\r\n\r\nthe body must be {\"host\":\"ID\"}\n"},
+		{"POST", "/admin/other", `{}`, "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 13\r\n\r\nno such call\n"},
+		{"GET", "/metrics", "", "HTTP/1.1 200 OK\r\nContent-Type: text/plain; version=0.0.4\r\nConnection: close\r\nContent-Length: 5\r\n\r\nup 1\n"},
+		{"GET", "/admin/journal", "", "HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nConnection: close\r\nContent-Length: 14\r\n\r\n{\"records\":1}\n"},
+		{"GET", "/admin/journal?job=a%20b", "", "HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nConnection: close\r\nContent-Length: 14\r\n\r\n{\"job\":\"a b\"}\n"},
+		{"GET", "/admin/journal?job=absent", "", "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 39\r\n\r\nno: no such job in the journal: absent\n"},
+		{"POST", "/admin/journal", "", "HTTP/1.1 405 Method Not Allowed\r\nAllow: GET\r\nConnection: close\r\nContent-Length: 9\r\n\r\nonly GET\n"},
+		{"GET", "/admin/journal/settle", "", "HTTP/1.1 405 Method Not Allowed\r\nAllow: POST\r\nConnection: close\r\nContent-Length: 10\r\n\r\nonly POST\n"},
+		{"POST", "/admin/journal/settle", `{"job":"j","verdict":"ran","by":"ann","why":"seen"}`, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nyes\n"},
+		{"POST", "/admin/journal/settle", `{"job":"absent","verdict":"unknown","by":"ann","why":"seen"}`, "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 42\r\n\r\nno: no job of that id waits for a verdict\n"},
+		{"POST", "/admin/journal/settle", `{"job":"j","verdict":"maybe","by":"ann","why":"seen"}`, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 55\r\n\r\nno: \"maybe\" is no verdict: ran, did_not_run or unknown\n"},
+		{"POST", "/admin/journal/settle", `{"job":"j"}`, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 95\r\n\r\nno: the body must be {\"job\":\"ID\",\"verdict\":\"ran|did_not_run|unknown\",\"by\":\"NAME\",\"why\":\"TEXT\"}\n"},
+	})
+	close(journal.asked)
+	var asked []string
+	for one := range journal.asked {
+		asked = append(asked, one)
+	}
+	want := []string{"ask a b", "ask absent", "settle j ran ann seen", "settle absent unknown ann seen"}
+	if !slices.Equal(asked, want) {
+		t.Errorf("the journal was asked %q, want %q", asked, want)
+	}
+	checkCalls(t, serveGolden(t, errors.New("sick"), nil), []goldenCall{
+		{"GET", "/admin/health", "", "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 9\r\n\r\nno: sick\n"},
+		{"GET", "/admin/journal", "", "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 63\r\n\r\nno: this scheduler keeps no journal; set [journal] in its file\n"},
+	})
+}
+
+// The file of cordons that an earlier release wrote is read, and one that is saved has its bytes.
+func TestStoredCordons(t *testing.T) {
+	const stored = "testdata/cordons"
+	c, err := ReadCordons(stored)
+	if err != nil || !slices.Equal(c.Hosts(), []string{"box-1", "box-2", "z"}) || !c.Has("z") || c.Has("box-3") {
+		t.Errorf("read %q, error %v", c.Hosts(), err)
+	}
+	path := filepath.Join(t.TempDir(), "cordons")
+	saved, err := ReadCordons(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, host := range []string{"z", "box-3", "box-2", "box-1"} {
+		if err := saved.Set(host, true); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := saved.Set("box-3", false); err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := os.ReadFile(path); err != nil || string(got) != string(want) {
+		t.Errorf("saved %s, want %s, error %v", got, want, err)
+	}
+}
