--- a/internal/sse/golden_test.go
+++ b/internal/sse/golden_test.go
@@ -67,9 +67,9 @@
 	return epochs.ReplaceAllString(string(answer), "id: RUN:")
 }
 
-func post(path, id, more string) string {
-	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\nAccept: text/event-stream\r\nRequest-Id: %s\r\n%sContent-Length: 2\r\n\r\nhi",
-		path, id, more)
+func post(path, id string) string {
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\nAccept: text/event-stream\r\nRequest-Id: %s\r\nContent-Length: 2\r\n\r\nhi",
+		path, id)
 }
 
 func get(path, more string) string {
@@ -92,19 +92,19 @@
 	t.Cleanup(func() { _ = s.Stop() })
 	for _, one := range []struct{ request, want string }{
 		{get("/ready", ""), "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nready\n"},
-		{post("/free", "served", ""), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:free:served\nevent: accepted\ndata: {\"request\":\"served\"}\n\nid: RUN:2:free:served\nevent: started\ndata: {}\n\nid: RUN:3:free:served\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:free:served\nevent: result\ndata: {\"result\":\"the \\\"result\\\"\\n\"}\n\n"},
-		{post("/free", "served", ""), "HTTP/1.1 409 Conflict\r\nConnection: close\r\nContent-Length: 70\r\n\r\nthis Request-Id is known; GET with it, or with Last-Event-ID, resumes\n"},
+		{post("/free", "served"), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:free:served\nevent: accepted\ndata: {\"request\":\"served\"}\n\nid: RUN:2:free:served\nevent: started\ndata: {}\n\nid: RUN:3:free:served\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:free:served\nevent: result\ndata: {\"result\":\"the \\\"result\\\"\\n\"}\n\n"},
+		{post("/free", "served"), "HTTP/1.1 409 Conflict\r\nConnection: close\r\nContent-Length: 70\r\n\r\nthis Request-Id is known; GET with it, or with Last-Event-ID, resumes\n"},
 		{get("/free", "Request-Id: served\r\n"), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:free:served\nevent: accepted\ndata: {\"request\":\"served\"}\n\nid: RUN:2:free:served\nevent: started\ndata: {}\n\nid: RUN:3:free:served\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:free:served\nevent: result\ndata: {\"result\":\"the \\\"result\\\"\\n\"}\n\n"},
 		{get("/free", "Last-Event-ID: 0123456789abcdef:4.end:free:served\r\n"), "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"},
 		{get("/free", "Last-Event-ID: 0123456789abcdef:2:free:served\r\n"), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:3.end:free:served\nevent: failed\ndata: {\"reason\":\"the scheduler has restarted since; what became of the job is unknown\",\"outcome\":\"unknown\",\"repeat_safe\":true}\n\n"},
 		{get("/free", "Request-Id: never\r\n"), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1.end:free:never\nevent: failed\ndata: {\"reason\":\"the job is no longer known\",\"outcome\":\"unknown\",\"repeat_safe\":true}\n\n"},
 		{get("/free", ""), "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 66\r\n\r\nnothing to resume: send Last-Event-ID, or the Request-Id of a job\n"},
 		{get("/free", "Last-Event-ID: x\r\n"), "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 37\r\n\r\nLast-Event-ID is none of this path's\n"},
-		{post("/free", "refused", ""), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:free:refused\nevent: accepted\ndata: {\"request\":\"refused\"}\n\nid: RUN:2:free:refused\nevent: started\ndata: {}\n\nid: RUN:3:free:refused\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:free:refused\nevent: refused\nretry: 1500\ndata: {\"reason\":\"too much to do\",\"retry_after\":1.5}\n\n"},
-		{post("/free", "refused-bare", ""), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:free:refused-bare\nevent: accepted\ndata: {\"request\":\"refused-bare\"}\n\nid: RUN:2:free:refused-bare\nevent: started\ndata: {}\n\nid: RUN:3:free:refused-bare\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:free:refused-bare\nevent: refused\ndata: {\"reason\":\"no worker\",\"retry_after\":0}\n\n"},
-		{post("/once", "failed", ""), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:once:failed\nevent: accepted\ndata: {\"request\":\"failed\"}\n\nid: RUN:2:once:failed\nevent: started\ndata: {}\n\nid: RUN:3:once:failed\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:once:failed\nevent: failed\ndata: {\"reason\":\"the worker failed\",\"outcome\":\"unknown\",\"repeat_safe\":false}\n\n"},
-		{post("/once", "not-run", ""), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:once:not-run\nevent: accepted\ndata: {\"request\":\"not-run\"}\n\nid: RUN:2:once:not-run\nevent: started\ndata: {}\n\nid: RUN:3:once:not-run\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:once:not-run\nevent: failed\ndata: {\"reason\":\"none was there\",\"outcome\":\"not run\",\"repeat_safe\":true}\n\n"},
-		{post("/other", "served", ""), "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 14\r\n\r\nno such class\n"},
+		{post("/free", "refused"), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:free:refused\nevent: accepted\ndata: {\"request\":\"refused\"}\n\nid: RUN:2:free:refused\nevent: started\ndata: {}\n\nid: RUN:3:free:refused\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:free:refused\nevent: refused\nretry: 1500\ndata: {\"reason\":\"too much to do\",\"retry_after\":1.5}\n\n"},
+		{post("/free", "refused-bare"), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:free:refused-bare\nevent: accepted\ndata: {\"request\":\"refused-bare\"}\n\nid: RUN:2:free:refused-bare\nevent: started\ndata: {}\n\nid: RUN:3:free:refused-bare\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:free:refused-bare\nevent: refused\ndata: {\"reason\":\"no worker\",\"retry_after\":0}\n\n"},
+		{post("/once", "failed"), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:once:failed\nevent: accepted\ndata: {\"request\":\"failed\"}\n\nid: RUN:2:once:failed\nevent: started\ndata: {}\n\nid: RUN:3:once:failed\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:once:failed\nevent: failed\ndata: {\"reason\":\"the worker failed\",\"outcome\":\"unknown\",\"repeat_safe\":false}\n\n"},
+		{post("/once", "not-run"), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:once:not-run\nevent: accepted\ndata: {\"request\":\"not-run\"}\n\nid: RUN:2:once:not-run\nevent: started\ndata: {}\n\nid: RUN:3:once:not-run\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:once:not-run\nevent: failed\ndata: {\"reason\":\"none was there\",\"outcome\":\"not run\",\"repeat_safe\":true}\n\n"},
+		{post("/other", "served"), "HTTP/1.1 404 Not Found\r\nConnection: close\r\nContent-Length: 14\r\n\r\nno such class\n"},
 		{"POST /free HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 406 Not Acceptable\r\nConnection: close\r\nContent-Length: 35\r\n\r\nanswers here are text/event-stream\n"},
 		{"PUT /free HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405 Method Not Allowed\r\nAllow: GET, POST\r\nConnection: close\r\nContent-Length: 18\r\n\r\nonly GET and POST\n"},
 	} {
--- /dev/null
+++ b/internal/system/api/golden_test.go
@@ -0,0 +1,81 @@
+package api_test
+
+import (
+	"encoding/hex"
+	"reflect"
+	"testing"
+
+	"sedgevale/internal/avrocodec"
+	"sedgevale/internal/system/api"
+	"sedgevale/jobs"
+)
+
+// goldenReport and goldenOrders have another value in each field.
+var (
+	goldenReport = jobs.Report{
+		Side: "side", Life: "life", Service: "svc", Instance: "i-1", State: "ready", RemainingMS: 11,
+		Capacity: jobs.Resources{CPU: 12, MemMB: 13, GPU: 14}, Labels: []string{"k", "r"},
+		Active:   []jobs.ActiveRun{{Task: "a", Attempt: 15, Saved: "sa", Percent: 16}},
+		Finished: []jobs.EndedRun{{Number: 17, Task: "f", Attempt: 18, How: "done", Saved: "sf"}},
+		Held:     []jobs.RunRef{{Task: "h", Attempt: 19}}, Dropped: []jobs.RunRef{{Task: "d", Attempt: 20}},
+		Missed: 21, SinceBeatMS: 22, Unknown: 23, LapsesInMS: 24,
+	}
+	goldenOrders = jobs.Orders{
+		Instance: "i-1", Life: "life",
+		Known:  []jobs.Start{{Task: "k", Attempt: 1, Text: "tk", Saved: "sk", Demand: jobs.Resources{CPU: 2, MemMB: 3, GPU: 4}}},
+		Starts: []jobs.Start{{Task: "s", Attempt: 5, Text: "ts", Saved: "ss", Demand: jobs.Resources{CPU: 6, MemMB: 7, GPU: 8}}},
+		Stops:  []jobs.RunRef{{Task: "x", Attempt: 9}}, Noted: 10,
+	}
+)
+
+// goldenMessages are all messages between schedulers on edge and side machines and core schedulers, and their Avro bytes.
+// Programs of two releases talk to each other by them.
+var goldenMessages = []struct {
+	message any
+	want    string
+}{
+	{&api.WatchRequest{Node: "n", ConfigVersion: 1, WantConfig: true, OwnersDigest: 2, WaitMS: 3}, "026e02010406"},
+	{&api.WatchResponse{
+		Fresh: true, ConfigVersion: 1, Config: []byte("c"), Base: 2, Owners: []api.Owner{{Shard: "s", Address: "a", Token: 3}},
+		OwnersDigest: 4, Cores: []string{"x", "y"},
+	}, "0102026304010a0273026106000803080278027900"},
+	{&api.SubmitRequest{Shard: "s", ConfigVersion: 1, Queue: "q", ID: "i", Body: []byte("b")}, "027302027102690262"},
+	{&api.JobRequest{Shard: "s", Queue: "q", ID: "i"}, "027302710269"},
+	{&api.JobResponse{State: "queued"}, "0c717565756564"},
+	{&api.PendingRequest{Shard: "s", Queue: "q"}, "02730271"},
+	{&api.PendingResponse{Pending: 300}, "d804"},
+	{&api.ReportRequest{Shard: "s", Session: "se", Sequence: 1, Report: goldenReport}, "0273047365020873696465086c6966650673766306692d310a726561647916181a1c0308026b027200010e02611e047361200001182202662408646f6e65047366000106026826000106026428002a2c2e30"},
+	{&api.ReportResponse{Token: 1, Noted: 2, Session: "se", Accepted: true}, "020404736501"},
+	{&api.OrdersRequest{Token: 1, Orders: goldenOrders}, "0206692d31086c6966650118026b0204746b04736b04060800011802730a0474730473730c0e100001060278120014"},
+	{&api.Empty{}, ""},
+}
+
+func TestMessageBytes(t *testing.T) {
+	for _, one := range goldenMessages {
+		got, err := avrocodec.Encode(one.message)
+		if text := hex.EncodeToString(got); err != nil || text != one.want {
+			t.Errorf("%T: error %v, got\n%q\nwant\n%q", one.message, err, text, one.want)
+		}
+		bytesOf, err := hex.DecodeString(one.want)
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		back := reflect.New(reflect.TypeOf(one.message).Elem()).Interface()
+		if err := avrocodec.Decode(bytesOf, back); err != nil || !reflect.DeepEqual(back, one.message) {
+			t.Errorf("%T is read as %+v, error %v", one.message, back, err)
+		}
+	}
+}
+
+// The methods' names are part of the protocol.
+func TestMethodNames(t *testing.T) {
+	for got, want := range map[string]string{
+		api.MethodWatch: "core.watch", api.MethodSubmit: "jobs.submit", api.MethodStatus: "jobs.status", api.MethodCancel: "jobs.cancel",
+		api.MethodPending: "jobs.pending", api.MethodReport: "worker.report", api.MethodOrders: "worker.orders",
+	} {
+		if got != want {
+			t.Errorf("a method is called %s, want %s", got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/system/core/golden_test.go
@@ -0,0 +1,112 @@
+package core
+
+import (
+	"encoding/hex"
+	"reflect"
+	"testing"
+
+	"sedgevale/coord/membership"
+	"sedgevale/coord/register"
+	"sedgevale/coord/shard"
+	"sedgevale/internal/avrocodec"
+	"sedgevale/internal/system/api"
+	"sedgevale/jobs"
+)
+
+// Values with another content in each field, of which the messages below are made.
+var (
+	goldenMembership = membership.Membership{
+		Deployment: "d", Epoch: 3, Base: 2, Seats: []membership.Member{{ID: "i", Address: "a", Since: 1, Voter: true}, {}},
+	}
+	goldenTarget  = target{Membership: goldenMembership, Member: "m"}
+	goldenOrigin  = origin{Member: "m", Epoch: 3}
+	goldenBallot  = register.Ballot{Counter: 4, Proposer: "p"}
+	goldenKnown   = register.Ballot{Counter: 5, Proposer: "k"}
+	goldenRecords = []shard.Record{{Key: "key", Version: shard.Version{Token: 6, Sequence: 7}, Value: []byte("v"), Deleted: true}}
+	goldenRanges  = []shard.Range{{Bucket: 8, Records: goldenRecords}}
+)
+
+// goldenMessages are the messages between core schedulers, and what their commands ask, with their Avro bytes. Core schedulers
+// of two releases talk to each other by them.
+var goldenMessages = []struct {
+	message any
+	want    string
+}{
+	{&prepareRequest{To: goldenTarget, Name: "n", Ballot: goldenBallot, Known: goldenKnown}, "0264060403140269026102010000000000026d026e0802700a026b"},
+	{&prepareResponse{From: goldenOrigin, Promise: register.Promise{Granted: true, Promised: goldenBallot, Accepted: goldenKnown, Value: []byte("v")}}, "026d06010802700a026b0276"},
+	{&acceptRequest{To: goldenTarget, Name: "n", Ballot: goldenBallot, Value: []byte("v")}, "0264060403140269026102010000000000026d026e0802700276"},
+	{&acceptResponse{From: goldenOrigin, Accepted: true}, "026d0601"},
+	{&peekRequest{To: goldenTarget, Name: "n", Known: goldenKnown}, "0264060403140269026102010000000000026d026e0a026b"},
+	{&peekResponse{From: goldenOrigin, Accepted: goldenBallot, Value: []byte("v")}, "026d060802700276"},
+	{&learnRequest{Name: "n", Ballot: goldenBallot, Value: []byte("v")}, "026e0802700276"},
+	{&empty{}, ""},
+	{&ackResponse{From: goldenOrigin}, "026d06"},
+	{&sealRequest{To: goldenTarget, Shard: "s", Token: 9}, "0264060403140269026102010000000000026d027312"},
+	{&sealResponse{From: goldenOrigin, Voter: true, InStep: 10, Digests: []int64{11, -12}}, "026d0601140304161700"},
+	{&fetchRequest{To: goldenTarget, Shard: "s", Buckets: []int64{13}}, "0264060403140269026102010000000000026d027301021a00"},
+	{&fetchResponse{From: goldenOrigin, Ranges: goldenRanges}, "026d06011a100112066b65790c0e0276010000"},
+	{&copyRequest{Shard: "s", Digests: []int64{14}}, "027301021c00"},
+	{&copyResponse{Ranges: goldenRanges}, "011a100112066b65790c0e0276010000"},
+	{&repairRequest{To: goldenTarget, Shard: "s", Token: 15, Number: 16, Ranges: goldenRanges, Last: true}, "0264060403140269026102010000000000026d02731e20011a100112066b65790c0e027601000001"},
+	{&writeRequest{To: goldenTarget, Shard: "s", Token: 17, Records: goldenRecords}, "0264060403140269026102010000000000026d0273220112066b65790c0e02760100"},
+	{&stateRequest{To: goldenTarget}, "0264060403140269026102010000000000026d"},
+	{&stateResponse{
+		From: goldenOrigin, Shards: map[string]int64{"s": 18},
+		Registers: map[string]register.Acceptor{"n": {Promised: goldenBallot, Accepted: goldenKnown, Value: []byte("v")}},
+	}, "026d060114026e0802700a026b027600010602732400"},
+	{&silentRequest{Member: "m", Address: "a"}, "026d0261"},
+	{&silentResponse{Silent: true}, "01"},
+	{&pingMessage{
+		Address: "a", Zone: "z", Member: "m", Membership: goldenMembership, Known: []string{"x"}, Leaving: true,
+		Claims: []claim{{Shard: "s", Token: 19, Fresh: true, InStep: 20}}, Accepted: map[string]register.Ballot{"n": goldenBallot},
+	}, "0261027a026d02640604031402690261020100000000000104027800010a027326012800010a026e0802700001"},
+	{&ownerRecord{Address: "a", Token: 21}, "02612a"},
+	{&configRecord{Version: 22, Text: []byte("t"), History: []appliedChange{{Base: 23, Digest: -24}}}, "2c027401042e2f00"},
+	{&MembersRequest{}, ""},
+	{&MembersResponse{
+		Address: "a", ConfigVersion: 25, ConfigFresh: true, Membership: goldenMembership,
+		Peers:  []PeerInfo{{Address: "p", Zone: "z", HeardMS: 26, Leaving: true, Member: "m", Epoch: 27}},
+		Owners: []api.Owner{{Shard: "s", Address: "o", Token: 28}},
+	}, "02613201026406040314026902610201000000000001120270027a3401026d3600010a0273026f3800"},
+	{&QueuesRequest{}, ""},
+	{&QueuesResponse{Shards: []ShardInfo{{
+		Shard: "s", Token: 29, Fresh: true, Records: 30, InStep: 31,
+		Queues: []jobs.QueueSummary{{Name: "q", Priority: 32, Unended: 33, Pending: 34, Held: 0.5, Wanted: 1.5, Sigma: 2.5, UsualMS: 3.5}},
+		Workers: []jobs.WorkerSummary{{
+			Ref: "r", State: "ready", Runs: 35, Held: 4.5, Sigma: 5.5, Failing: 6.5, Pace: 7.5, Free: jobs.Resources{CPU: 36, MemMB: 37, GPU: 38},
+		}},
+		Waiting: []jobs.Withheld{{Queue: "wq", Job: "wj", Time: 42, Stage: 39, Tasks: 40, WaitedMS: 41, Reason: "why", Worker: "ww", Holder: "wh"}},
+	}}}, "01e80102733a013c3e014a0271404244000000000000e03f000000000000f83f00000000000004400000000000000c4000015802720a726561647946000000000000124000000000000016400000000000001a400000000000001e40484a4c00012804777104776a544e5052067768790477770477680000"},
+}
+
+func TestMessageBytes(t *testing.T) {
+	for _, one := range goldenMessages {
+		got, err := avrocodec.Encode(one.message)
+		if text := hex.EncodeToString(got); err != nil || text != one.want {
+			t.Errorf("%T: error %v, got\n%q\nwant\n%q", one.message, err, text, one.want)
+		}
+		bytesOf, err := hex.DecodeString(one.want)
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		back := reflect.New(reflect.TypeOf(one.message).Elem()).Interface()
+		if err := avrocodec.Decode(bytesOf, back); err != nil || !reflect.DeepEqual(back, one.message) {
+			t.Errorf("%T is read as %+v, error %v", one.message, back, err)
+		}
+	}
+}
+
+// The methods' names are part of the protocol.
+func TestMethodNames(t *testing.T) {
+	for got, want := range map[string]string{
+		methodPrepare: "register.prepare", methodAccept: "register.accept", methodPeek: "register.peek", methodLearn: "register.learn",
+		methodSeal: "shard.seal", methodFetch: "shard.fetch", methodCopy: "shard.copy", methodRepair: "shard.repair", methodWrite: "shard.write",
+		methodState: "membership.state", methodSilent: "membership.silent", methodPing: "core.ping",
+		MethodMembers: "admin.members", MethodQueues: "admin.queues",
+	} {
+		if got != want {
+			t.Errorf("a method is called %s, want %s", got, want)
+		}
+	}
+}
