--- /dev/null
+++ b/jobs/golden_test.go
@@ -0,0 +1,47 @@
+package jobs_test
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"sedgevale/jobs"
+)
+
+// A job as clients hand it in, with each key, is read field by field.
+func TestSpecBytes(t *testing.T) {
+	const text = `{"spec":"x","stages":[{"count":1,"cpu":2,"mem_mb":3,"gpu":4,"estimate_ms":5,"depends_on":[0],"checkpoints":true,"gang":true,` +
+		`"rack_local":true,"at_least_once":true,"long_running":true,"constraints":["k"],"affinity_to":"a","anti_affinity":6}],` +
+		`"repeat":7,"start_at_ms":8,"interval_ms":9,"long_running":true}`
+	want := jobs.Spec{
+		Text: "x", Repeat: 7, StartAtMS: 8, IntervalMS: 9, LongRunning: true,
+		Stages: []jobs.Stage{{
+			Count: 1, CPU: 2, MemMB: 3, GPU: 4, EstimateMS: 5, DependsOn: []int{0}, Checkpoints: true, Gang: true, RackLocal: true,
+			AtLeastOnce: true, LongRunning: true, Constraints: jobs.Labels{"k"}, AffinityTo: "a", AntiAffinity: 6,
+		}},
+	}
+	var spec jobs.Spec
+	if err := spec.UnmarshalJSON([]byte(text)); err != nil || !reflect.DeepEqual(spec, want) {
+		t.Errorf("the job is read as %+v, error %v", spec, err)
+	}
+	if got, err := json.Marshal(&want); err != nil || string(got) != text {
+		t.Errorf("error %v, the job is written as\n%s\nwant\n%s", err, got, text)
+	}
+}
+
+// The words for a job's and a worker's state, and how a task is called, are known to clients, workers and stored data.
+func TestWords(t *testing.T) {
+	for got, want := range map[string]string{
+		string(jobs.Queued): "queued", string(jobs.Running): "running", string(jobs.Completed): "completed", string(jobs.Failed): "failed",
+		string(jobs.Cancelled): "cancelled", string(jobs.Ready): "ready", string(jobs.Draining): "draining", string(jobs.Gone): "gone",
+		string(jobs.Silent): "silent", string(jobs.Lapsed): "lapsed", string(jobs.Unheard): "unheard",
+		jobs.TaskName("0123", 1, 2, 3): "0123.1.2.3", jobs.RefOf("i", "a:1"): "i@a:1",
+	} {
+		if got != want {
+			t.Errorf("%q is written, want %q", got, want)
+		}
+	}
+	if jobs.Waiting != 0 || jobs.Assigned != 1 || jobs.Done != 2 {
+		t.Error("a task's state has another number")
+	}
+}
