--- a/internal/system/core/golden_test.go
+++ b/internal/system/core/golden_test.go
@@ -3,8 +3,12 @@
 import (
 	"encoding/hex"
 	"reflect"
+	"regexp"
+	"slices"
 	"testing"
 
+	"github.com/prometheus/client_golang/prometheus"
+
 	"sedgevale/coord/membership"
 	"sedgevale/coord/register"
 	"sedgevale/coord/shard"
@@ -110,3 +114,29 @@
 		}
 	}
 }
+
+// The names and labels of metrics, which dashboards may name.
+func TestMetricNames(t *testing.T) {
+	descriptions := make(chan *prometheus.Desc, 100)
+	collector{}.Describe(descriptions)
+	close(descriptions)
+	var got []string
+	for one := range descriptions {
+		name := regexp.MustCompile(`fqName: "([a-z_]+)".*variableLabels: \{([a-z,]*)\}`).FindStringSubmatch(one.String())
+		if name == nil {
+			t.Fatalf("no name in %s", one)
+		}
+		got = append(got, name[1]+" "+name[2])
+	}
+	want := []string{
+		"sedgevale_config_version ", "sedgevale_shard_records shard", "sedgevale_shard_replicas_in_step shard",
+		"sedgevale_queue_unended_jobs shard,queue", "sedgevale_queue_pending_jobs shard,queue", "sedgevale_queue_held shard,queue",
+		"sedgevale_queue_wanted shard,queue", "sedgevale_queue_sigma shard,queue", "sedgevale_queue_withheld shard,queue,reason",
+		"sedgevale_worker_held shard,worker", "sedgevale_worker_sigma shard,worker",
+	}
+	slices.Sort(got)
+	slices.Sort(want)
+	if !slices.Equal(got, want) {
+		t.Errorf("metrics %q, want %q", got, want)
+	}
+}
