--- a/jobs/golden_test.go
+++ b/jobs/golden_test.go
@@ -35,6 +35,8 @@
 		string(jobs.Queued): "queued", string(jobs.Running): "running", string(jobs.Completed): "completed", string(jobs.Failed): "failed",
 		string(jobs.Cancelled): "cancelled", string(jobs.Ready): "ready", string(jobs.Draining): "draining", string(jobs.Gone): "gone",
 		string(jobs.Silent): "silent", string(jobs.Lapsed): "lapsed", string(jobs.Unheard): "unheard",
+		string(jobs.ByQueueLimit): "queue limit", string(jobs.ByHeadroom): "headroom", string(jobs.ByCredit): "credit",
+		string(jobs.ByReservation): "reservation", string(jobs.ByWorkerLimit): "worker limit", string(jobs.ByChoice): "choice",
 		jobs.TaskName("0123", 1, 2, 3): "0123.1.2.3", jobs.RefOf("i", "a:1"): "i@a:1",
 	} {
 		if got != want {
