--- a/internal/ops/golden_test.go
+++ b/internal/ops/golden_test.go
@@ -110,13 +110,12 @@
 		{"POST", "/admin/journal/settle", `{"job":"j","verdict":"maybe","by":"ann","why":"seen"}`, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 55\r\n\r\nno: \"maybe\" is no verdict: ran, did_not_run or unknown\n"},
 		{"POST", "/admin/journal/settle", `{"job":"j"}`, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 95\r\n\r\nno: the body must be {\"job\":\"ID\",\"verdict\":\"ran|did_not_run|unknown\",\"by\":\"NAME\",\"why\":\"TEXT\"}\n"},
 	})
-	close(journal.asked)
 	var asked []string
-	for one := range journal.asked {
-		asked = append(asked, one)
+	for range 4 {
+		asked = append(asked, testkit.Await(t, "a question to the journal", journal.asked))
 	}
 	want := []string{"ask a b", "ask absent", "settle j ran ann seen", "settle absent unknown ann seen"}
-	if !slices.Equal(asked, want) {
+	if !slices.Equal(asked, want) || len(journal.asked) != 0 {
 		t.Errorf("the journal was asked %q, want %q", asked, want)
 	}
 	checkCalls(t, serveGolden(t, errors.New("sick"), nil), []goldenCall{
