--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -13,25 +13,25 @@
 	record Record
 	want   string
 }{
-	{Record{Kind: Taken, Serial: 7, At: 1_700_000_000_000_001, Job: "job", Class: "once", Tenant: "team", Target: "/t?a=1", Size: 300, Digest: []byte{1, 2}}, "dc00110107cf00060a24181e4001a36a6f6200a0a46f6e6365a47465616da62f743f613d31cd012cc402010200c2a0a000c0"},
-	{Record{Kind: Intent, Serial: 7, At: 2, Job: "job", Attempt: 3, Worker: "box"}, "dc0011020702a36a6f6203a3626f78a0a0a000c000c2a0a000c0"},
+	{Record{Kind: Accepted, Serial: 7, At: 1_700_000_000_000_001, JobID: "job", Class: "once", Tenant: "team", Target: "/t?a=1", Size: 300, Digest: []byte{1, 2}}, "dc00110107cf00060a24181e4001a36a6f6200a0a46f6e6365a47465616da62f743f613d31cd012cc402010200c2a0a000c0"},
+	{Record{Kind: Intent, Serial: 7, At: 2, JobID: "job", Attempt: 3, Worker: "box"}, "dc0011020702a36a6f6203a3626f78a0a0a000c000c2a0a000c0"},
 	{Record{Kind: Sent, Serial: 7, At: 3, Attempt: 3}, "dc0011030703a003a0a0a0a000c000c2a0a000c0"},
 	{Record{Kind: Started, Serial: 7, At: 4, Attempt: 3}, "dc0011040704a003a0a0a0a000c000c2a0a000c0"},
-	{Record{Kind: Ended, Serial: 7, At: 5, Attempt: 3, Code: uint8(OutLost), Unseen: true}, "dc0011050705a003a0a0a0a000c006c3a0a000c0"},
+	{Record{Kind: Ended, Serial: 7, At: 5, Attempt: 3, Code: uint8(OutcomeConnectionLost), NeverRan: true}, "dc0011050705a003a0a0a0a000c006c3a0a000c0"},
 	{Record{Kind: Answered, Serial: 7, At: 6, Code: uint8(Refused), Text: "why"}, "dc0011060706a000a0a0a0a000c002c2a3776879a000c0"},
 	{Record{Kind: ClientGone, Serial: 7, At: 7}, "dc0011070707a000a0a0a0a000c000c2a0a000c0"},
-	{Record{Kind: Settled, Serial: 7, At: 8, Job: "job", Code: uint8(DidNotRun), Text: "why", Who: "ann"}, "dc0011080708a36a6f6200a0a0a0a000c002c2a3776879a3616e6e00c0"},
-	{Record{Kind: Kept, Serial: 7, At: 9, Whole: &Job{
+	{Record{Kind: Settled, Serial: 7, At: 8, JobID: "job", Code: uint8(DidNotRun), Text: "why", Operator: "ann"}, "dc0011080708a36a6f6200a0a0a0a000c002c2a3776879a3616e6e00c0"},
+	{Record{Kind: CarriedOver, Serial: 7, At: 9, CarriedJob: &Job{
 		Serial: 7, ID: "job", Class: "once", Tenant: "team", Target: "/t", Size: 4, Digest: []byte{9}, TakenAt: 10,
 		Attempts: []Attempt{{
-			Number: 1, Worker: "box", IntentAt: 11, SentAt: 12, StartedAt: 13, EndedAt: 14, Outcome: OutTimedOut, Unseen: true,
+			Number: 1, Worker: "box", IntentAt: 11, SentAt: 12, StartedAt: 13, EndedAt: 14, Outcome: OutcomeTimedOut, NeverRan: true,
 		}},
-		Answer: Failed, AnswerAt: 15, Reason: "because", GoneAt: 16, Broken: true, Gap: false,
+		Answer: Failed, AnswerAt: 15, Reason: "because", ClientGoneAt: 16, Orphaned: true, RecordsMissing: false,
 		SettledAs: Unknown, SettledAt: 17, SettledBy: "ann", SettledWhy: "seen",
 	}}, "dc0011090709a000a0a0a0a000c000c2a0a000dc001307a36a6f62a46f6e6365a47465616da22f7404c401090a919801a3626f780b0c0d0e04c3030fa76265636175736510c3c20311a3616e6ea47365656e"},
 	{Record{Kind: Pruned, At: 10, Count: 70000}, "dc00110a000aa000a0a0a0a000c000c2a0a0ce00011170c0"},
-	{Record{Kind: Gap, At: 11, Count: 3}, "dc00110b000ba000a0a0a0a000c000c2a0a003c0"},
-	{Record{Kind: Closed, At: 12}, "dc00110c000ca000a0a0a0a000c000c2a0a000c0"},
+	{Record{Kind: RecordsLost, At: 11, Count: 3}, "dc00110b000ba000a0a0a0a000c000c2a0a003c0"},
+	{Record{Kind: CleanShutdown, At: 12}, "dc00110c000ca000a0a0a0a000c000c2a0a000c0"},
 }
 
 func TestRecordBytes(t *testing.T) {
@@ -68,9 +68,12 @@
 			t.Errorf("verdict %d is %q, want %q", i, got, want)
 		}
 	}
-	if Taken != 1 || Intent != 2 || Sent != 3 || Started != 4 || Ended != 5 || Answered != 6 || ClientGone != 7 || Settled != 8 ||
-		Kept != 9 || Pruned != 10 || Gap != 11 || Closed != 12 {
-		t.Error("a kind of records has another number")
+	for i, kind := range []Kind{
+		Accepted, Intent, Sent, Started, Ended, Answered, ClientGone, Settled, CarriedOver, Pruned, RecordsLost, CleanShutdown,
+	} {
+		if int(kind) != i+1 {
+			t.Errorf("kind %d of records has the number %d", i+1, kind)
+		}
 	}
 }
 
--- a/internal/journal/job.go
+++ b/internal/journal/job.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Attempt is one sending of a job, as far as it is on record. Times are Unix
-// microseconds; 0 means not known.
+// Attempt is one dispatch of a job to a worker, as far as it is on record. Times are Unix
+// microseconds; 0 means not known. Fields are encoded in their order.
 type Attempt struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 an option of the encoder
 
@@ -18,28 +18,29 @@
 	StartedAt int64
 	EndedAt   int64
 	Outcome   Outcome // 0: not known
-	Unseen    bool    // ended, and surely never ran
+	NeverRan  bool    // ended, and certainly never ran
 }
 
-// Job is what the journal knows of a job.
+// Job is what the journal knows of a job. Times are Unix microseconds; 0 means not known.
+// Fields are encoded in their order.
 type Job struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 an option of the encoder
 
-	Serial   uint64
-	ID       string
-	Class    string
-	Tenant   string
-	Target   string
-	Size     int
-	Digest   []byte
-	TakenAt  int64
-	Attempts []Attempt
-	Answer   AnswerKind // 0: none on record
-	AnswerAt int64
-	Reason   string // of the answer
-	GoneAt   int64
-	Broken   bool // the process that had it died
-	Gap      bool // records about it may be missing
+	Serial         uint64
+	ID             string
+	Class          string
+	Tenant         string
+	Target         string
+	Size           int
+	Digest         []byte
+	TakenAt        int64
+	Attempts       []Attempt
+	Answer         AnswerKind // 0: none on record
+	AnswerAt       int64
+	Reason         string // of the answer
+	ClientGoneAt   int64
+	Orphaned       bool // the process that had it died
+	RecordsMissing bool // records about it may be missing
 
 	SettledAs  Verdict // 0: not settled
 	SettledAt  int64
@@ -47,68 +48,82 @@
 	SettledWhy string
 }
 
+// Why a record contradicts the ones before it.
 var (
-	errNoAttempt = errors.New("an attempt without its intent")
-	errOver      = errors.New("after the end of what it tells of")
+	errAcceptedTwice = errors.New("accepted twice")
+	errNoAttempt     = errors.New("an attempt without its intent")
+	errAlreadyEnded  = errors.New("a record after the end of its job or attempt")
 )
 
-// Apply takes a record of this job in. A record that cannot follow on what there is
-// returns an error and changes nothing.
+// Apply replays a record of this job. A record that contradicts the ones before it returns an
+// error and changes nothing.
 func (j *Job) Apply(r *Record) error {
 	switch r.Kind {
 	case Intent:
-		if r.Attempt != len(j.Attempts) {
-			return fmt.Errorf("intent of attempt %d where %d is the next", r.Attempt, len(j.Attempts))
-		}
-		if j.Answer != 0 || j.Broken {
-			return errOver
-		}
-		j.Attempts = append(j.Attempts, Attempt{Number: r.Attempt, Worker: r.Worker, IntentAt: r.At})
-		return nil
+		return j.applyIntent(r)
 	case Sent, Started, Ended:
-		if r.Attempt >= len(j.Attempts) {
-			if r.Kind == Ended && r.Unseen { // its intent found no room, so it was not sent
-				return nil
-			}
-			return errNoAttempt
-		}
-		a := &j.Attempts[r.Attempt]
-		if a.Outcome != 0 || j.Broken {
-			return errOver
-		}
-		switch r.Kind {
-		case Sent:
-			a.SentAt = r.At
-		case Started:
-			a.StartedAt = r.At
-		default:
-			a.EndedAt, a.Outcome, a.Unseen = r.At, Outcome(r.Code), r.Unseen
-		}
-		return nil
+		return j.applyAttempt(r)
 	case Answered:
-		if j.Answer != 0 || j.Broken {
-			return errOver
+		if j.concluded() {
+			return errAlreadyEnded
 		}
 		j.Answer, j.AnswerAt, j.Reason = AnswerKind(r.Code), r.At, r.Text
 	case ClientGone:
-		if j.Answer != 0 || j.Broken {
-			return errOver
+		if j.concluded() {
+			return errAlreadyEnded
 		}
-		j.GoneAt = r.At
+		j.ClientGoneAt = r.At
 	case Settled:
-		j.SettledAs, j.SettledAt, j.SettledBy, j.SettledWhy = Verdict(r.Code), r.At, r.Who, r.Text
+		j.SettledAs, j.SettledAt, j.SettledBy, j.SettledWhy = Verdict(r.Code), r.At, r.Operator, r.Text
+	default:
+		return fmt.Errorf("a record of kind %d is not about a job in progress", r.Kind)
+	}
+	return nil
+}
+
+// concluded reports whether the client was answered or the process that had the job has ended.
+func (j *Job) concluded() bool { return j.Answer != 0 || j.Orphaned }
+
+func (j *Job) applyIntent(r *Record) error {
+	if r.Attempt != len(j.Attempts) {
+		return fmt.Errorf("intent of attempt %d where %d is the next", r.Attempt, len(j.Attempts))
+	}
+	if j.concluded() {
+		return errAlreadyEnded
+	}
+	j.Attempts = append(j.Attempts, Attempt{Number: r.Attempt, Worker: r.Worker, IntentAt: r.At})
+	return nil
+}
+
+// applyAttempt replays how an attempt went on.
+func (j *Job) applyAttempt(r *Record) error {
+	if r.Attempt >= len(j.Attempts) {
+		if r.Kind == Ended && r.NeverRan { // its intent could not be written, so it was not sent
+			return nil
+		}
+		return errNoAttempt
+	}
+	a := &j.Attempts[r.Attempt]
+	if a.Outcome != 0 || j.Orphaned {
+		return errAlreadyEnded
+	}
+	switch r.Kind {
+	case Sent:
+		a.SentAt = r.At
+	case Started:
+		a.StartedAt = r.At
 	default:
-		return fmt.Errorf("a record of kind %d tells of no job under way", r.Kind)
+		a.EndedAt, a.Outcome, a.NeverRan = r.At, Outcome(r.Code), r.NeverRan
 	}
 	return nil
 }
 
 // Open reports whether a living process still has the job.
 func (j *Job) Open() bool {
-	if j.Broken {
+	if j.Orphaned {
 		return false
 	}
-	if j.Answer == 0 && j.GoneAt == 0 {
+	if j.Answer == 0 && j.ClientGoneAt == 0 {
 		return true
 	}
 	for i := range j.Attempts {
@@ -119,9 +134,9 @@
 	return false
 }
 
-// Done reports whether nothing more can be learned of the job and nobody need look
-// at it, so that it may be dropped when it is old.
-func (j *Job) Done() bool {
+// Resolved reports whether no further record of the job can come and no operator has to decide on
+// it, so that it may be dropped when it is old.
+func (j *Job) Resolved() bool {
 	v, _, _ := j.Verdict()
 	return !j.Open() && v != Unknown
 }
@@ -136,7 +151,9 @@
 	Unknown                      // it may have run
 )
 
-func (v Verdict) String() string { return name([]string{"", "ran", "did_not_run", "unknown"}, int(v)) }
+func (v Verdict) String() string {
+	return nameOf([]string{"", "ran", "did_not_run", "unknown"}, int(v))
+}
 
 // ParseVerdict reads a verdict.
 func ParseVerdict(s string) (Verdict, error) {
@@ -148,35 +165,35 @@
 	return 0, fmt.Errorf("%q is no verdict: ran, did_not_run or unknown", s)
 }
 
-// Verdict says whether the job ran, why that is known or not, and at which workers
-// to look: where it ran, or where it may have. Absence of a record is no proof: only
-// an outcome on record tells that an attempt never ran, since the record of a sending
-// may be lost in a crash while that of the intent cannot.
+// Verdict says whether the job ran, for which reason that is known or not, and at which workers
+// it ran or may have. The absence of a record proves nothing: only an outcome on record shows that
+// an attempt never ran, since a crash may lose the record of a dispatch, but not that of its intent,
+// which is durable before the dispatch.
 func (j *Job) Verdict() (v Verdict, reason string, workers []string) {
-	var ran, may []string
+	var ran, mayHaveRun []string
 	var why string
 	for i := range j.Attempts {
 		switch a := &j.Attempts[i]; {
-		case a.Outcome == OutServed:
+		case a.Outcome == OutcomeServed:
 			ran = append(ran, a.Worker)
-		case a.Unseen:
+		case a.NeverRan:
 		default:
-			may = append(may, a.Worker)
-			why = a.doubt(j)
+			mayHaveRun = append(mayHaveRun, a.Worker)
+			why = a.uncertainty(j)
 		}
 	}
 	switch {
 	case j.SettledAs != 0:
-		return j.SettledAs, fmt.Sprintf("settled by %s: %s", j.SettledBy, j.SettledWhy), append(ran, may...)
+		return j.SettledAs, fmt.Sprintf("settled by %s: %s", j.SettledBy, j.SettledWhy), append(ran, mayHaveRun...)
 	case len(ran) > 0:
 		reason = "finished by " + strings.Join(ran, ", ")
-		if len(may) > 0 {
-			reason += "; it may have run at " + strings.Join(may, ", ") + " too"
+		if len(mayHaveRun) > 0 {
+			reason += "; it may have run at " + strings.Join(mayHaveRun, ", ") + " too"
 		}
-		return Ran, reason, append(ran, may...)
-	case len(may) > 0:
-		return Unknown, why, may
-	case j.Gap:
+		return Ran, reason, append(ran, mayHaveRun...)
+	case len(mayHaveRun) > 0:
+		return Unknown, why, mayHaveRun
+	case j.RecordsMissing:
 		return Unknown, "records of this time are missing from the journal", nil
 	case j.Open():
 		return Unknown, "the scheduler still has it; nothing was sent yet", nil
@@ -186,27 +203,27 @@
 	return DidNotRun, "it was never sent to a worker", nil
 }
 
-// doubt says why it is not known whether an attempt ran.
-func (a *Attempt) doubt(j *Job) string {
-	had := ""
+// uncertainty returns why it is not known whether an attempt ran.
+func (a *Attempt) uncertainty(j *Job) string {
+	begun := ""
 	if a.StartedAt != 0 {
-		had = ", which had begun it"
+		begun = ", which had begun it"
 	}
 	switch a.Outcome {
 	case 0:
 		switch {
-		case j.Gap:
-			return "records are missing after it was to go to " + a.Worker + had
-		case j.Broken:
-			return "the scheduler died while it was out at " + a.Worker + had
+		case j.RecordsMissing:
+			return "records are missing after it was to go to " + a.Worker + begun
+		case j.Orphaned:
+			return "the scheduler died while it was out at " + a.Worker + begun
 		}
-		return "it is out at " + a.Worker + had
-	case OutErrored:
-		return a.Worker + " said that it failed" + had
-	case OutTimedOut:
-		return "no answer in time from " + a.Worker + had
-	case OutCancelled:
-		return "it was called off while out at " + a.Worker + had
+		return "it is out at " + a.Worker + begun
+	case OutcomeErrored:
+		return a.Worker + " said that it failed" + begun
+	case OutcomeTimedOut:
+		return "no answer in time from " + a.Worker + begun
+	case OutcomeCancelled:
+		return "it was called off while out at " + a.Worker + begun
 	}
-	return "the connection to " + a.Worker + " broke" + had
+	return "the connection to " + a.Worker + " broke" + begun
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -15,7 +15,7 @@
 
 func testKey(t testing.TB) *Key {
 	t.Helper()
-	k, err := NewKey(bytes.Repeat([]byte("k"), MinKey))
+	k, err := NewKey(bytes.Repeat([]byte("k"), MinKeySize))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,61 +43,82 @@
 	return !p.died && (!p.answered || slices.Contains(p.attempts, "out"))
 }
 
+// applyIntent tells whether an intent of an attempt fits, and takes it.
+func (p *plain) applyIntent(attempt int) (fits bool) {
+	if fits = attempt == len(p.attempts) && !p.answered && !p.died; fits {
+		p.attempts = append(p.attempts, "out")
+	}
+	return fits
+}
+
+// isOut tells whether an attempt is under way.
+func (p *plain) isOut(attempt int) bool {
+	return attempt < len(p.attempts) && p.attempts[attempt] == "out" && !p.died
+}
+
+// applyEnd tells whether the end of an attempt fits, and takes it.
+func (p *plain) applyEnd(r *Record) (fits bool) {
+	word := "doubt"
+	if Outcome(r.Code) == OutcomeServed {
+		word = "served"
+	} else if r.NeverRan {
+		word = "unseen"
+	}
+	if fits = p.isOut(r.Attempt); fits {
+		p.attempts[r.Attempt] = word
+	}
+	return fits || r.Attempt >= len(p.attempts) && r.NeverRan
+}
+
+// drawRecord draws a record of some kind and tells whether the model takes it; ok is false where the process dies instead.
+func drawRecord(t *rapid.T, b *JobTable, p *plain) (r Record, fits, ok bool) {
+	r = Record{Serial: 1, Attempt: rapid.IntRange(0, 3).Draw(t, "attempt"), At: rapid.Int64Range(1, 9).Draw(t, "at")}
+	switch rapid.IntRange(0, 5).Draw(t, "kind") {
+	case 0:
+		r.Kind, r.Worker = Intent, "w"
+		return r, p.applyIntent(r.Attempt), true
+	case 1:
+		r.Kind = Sent
+		return r, p.isOut(r.Attempt), true
+	case 2:
+		o := Outcome(rapid.IntRange(1, int(OutcomeNotSent)).Draw(t, "outcome"))
+		r.Kind, r.Code, r.NeverRan = Ended, uint8(o), o == OutcomeNotSent || o == OutcomeConnectFailed
+		return r, p.applyEnd(&r), true
+	case 3:
+		r.Kind, r.Code = Answered, uint8(Failed)
+		fits = !p.answered && !p.died
+		p.answered = p.answered || fits
+		return r, fits, true
+	case 4:
+		if rapid.IntRange(0, 3).Draw(t, "dies") == 0 {
+			b.EndProcess()
+			p.died = p.died || p.open()
+		}
+		return r, false, false
+	}
+	r.Kind = Pruned
+	return r, true, true
+}
+
 // Guards against a verdict that says more than the records do, and against records that
 // are taken though nothing can follow on them.
 func TestJobAgainstPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, p := NewBook(), &plain{}
-		j, err := b.Apply(&Record{Kind: Taken, Serial: 1, Job: "j", At: 1})
+		b, p := NewJobTable(), &plain{}
+		j, err := b.Apply(&Record{Kind: Accepted, Serial: 1, JobID: "j", At: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range rapid.IntRange(0, 12).Draw(t, "steps") {
-			n := rapid.IntRange(0, 3).Draw(t, "attempt")
-			r := Record{Serial: 1, Attempt: n, At: rapid.Int64Range(1, 9).Draw(t, "at")}
-			fits := false
-			switch rapid.IntRange(0, 5).Draw(t, "kind") {
-			case 0:
-				r.Kind, r.Worker = Intent, "w"
-				if fits = n == len(p.attempts) && !p.answered && !p.died; fits {
-					p.attempts = append(p.attempts, "out")
-				}
-			case 1:
-				r.Kind = Sent
-				fits = n < len(p.attempts) && p.attempts[n] == "out" && !p.died
-			case 2:
-				r.Kind = Ended
-				o := Outcome(rapid.IntRange(1, int(OutNotSent)).Draw(t, "outcome"))
-				r.Code, r.Unseen = uint8(o), o == OutNotSent || o == OutConnectFailed
-				word := "doubt"
-				if o == OutServed {
-					word = "served"
-				} else if r.Unseen {
-					word = "unseen"
-				}
-				if fits = n < len(p.attempts) && p.attempts[n] == "out" && !p.died; fits {
-					p.attempts[n] = word
-				}
-				fits = fits || n >= len(p.attempts) && r.Unseen
-			case 3:
-				r.Kind, r.Code = Answered, uint8(Failed)
-				fits = !p.answered && !p.died
-				p.answered = p.answered || fits
-			case 4:
-				if rapid.IntRange(0, 3).Draw(t, "dies") == 0 {
-					b.Died()
-					p.died = p.died || p.open()
-				}
+			r, fits, ok := drawRecord(t, b, p)
+			if !ok {
 				continue
-			case 5:
-				r.Kind, r.Text = Pruned, ""
-				fits = true
 			}
 			_, err := b.Apply(&r)
 			if fits != (err == nil) {
 				t.Fatalf("record %+v on %+v: fits %v, error %v", r, *j, fits, err)
 			}
-			j.Gap = false // what did not fit has marked the job; the next step is about the next record
+			j.RecordsMissing = false // what did not fit has marked the job; the next step is about the next record
 		}
 		if v, reason, _ := j.Verdict(); v != p.verdict() || j.Open() != p.open() {
 			t.Fatalf("%v (%s), open %v; the model says %v, %v: %+v", v, reason, j.Open(), p.verdict(), p.open(), p)
@@ -108,16 +129,16 @@
 // A job that is settled says so, whatever else is known; a gap leaves no job that was
 // open without doubt.
 func TestSettledAndGap(t *testing.T) {
-	b := NewBook()
-	j, _ := b.Apply(&Record{Kind: Taken, Serial: 7, Job: "j", At: 1})
-	if _, err := b.Apply(&Record{Kind: Gap, Count: 3}); err != nil {
+	b := NewJobTable()
+	j, _ := b.Apply(&Record{Kind: Accepted, Serial: 7, JobID: "j", At: 1})
+	if _, err := b.Apply(&Record{Kind: RecordsLost, Count: 3}); err != nil {
 		t.Fatal(err)
 	}
-	b.Died()
+	b.EndProcess()
 	if v, _, _ := j.Verdict(); v != Unknown {
 		t.Errorf("with records missing it is %v", v)
 	}
-	if _, err := b.Apply(&Record{Kind: Settled, Serial: 7, Code: uint8(DidNotRun), Who: "ann", Text: "the box has no trace"}); err != nil {
+	if _, err := b.Apply(&Record{Kind: Settled, Serial: 7, Code: uint8(DidNotRun), Operator: "ann", Text: "the box has no trace"}); err != nil {
 		t.Fatal(err)
 	}
 	if v, reason, _ := j.Verdict(); v != DidNotRun || reason != "settled by ann: the box has no trace" {
@@ -133,18 +154,18 @@
 func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 40, 400)
-		r := Record{Kind: Kind(rapid.SampledFrom([]Kind{Taken, Intent, Sent, Started, Gap, Closed}).Draw(t, "kind")),
-			Serial: rapid.Uint64().Draw(t, "serial"), At: rapid.Int64().Draw(t, "at"), Job: text.Draw(t, "job"),
+		r := Record{Kind: rapid.SampledFrom([]Kind{Accepted, Intent, Sent, Started, RecordsLost, CleanShutdown}).Draw(t, "kind"),
+			Serial: rapid.Uint64().Draw(t, "serial"), At: rapid.Int64().Draw(t, "at"), JobID: text.Draw(t, "job"),
 			Worker: text.Draw(t, "worker"), Target: text.Draw(t, "target"), Size: rapid.IntRange(0, 1<<16).Draw(t, "size"),
-			Attempt: rapid.IntRange(0, MaxAttempts-1).Draw(t, "attempt"), Unseen: rapid.Bool().Draw(t, "unseen"),
+			Attempt: rapid.IntRange(0, MaxAttempts-1).Draw(t, "attempt"), NeverRan: rapid.Bool().Draw(t, "unseen"),
 			Digest: rapid.SliceOfN(rapid.Byte(), 1, 16).Draw(t, "digest")}
-		r.Clip()
+		r.Truncate()
 		b, err := Encode(nil, &r)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := Decode(b)
-		if err != nil || got.Job != r.Job || got.Serial != r.Serial || got.At != r.At || got.Worker != r.Worker ||
+		if err != nil || got.JobID != r.JobID || got.Serial != r.Serial || got.At != r.At || got.Worker != r.Worker ||
 			got.Target != r.Target || got.Size != r.Size || !bytes.Equal(got.Digest, r.Digest) || got.Kind != r.Kind {
 			t.Fatalf("%+v became %+v, error %v", r, got, err)
 		}
@@ -154,8 +175,12 @@
 			}
 		}
 	})
-	for _, bad := range []Record{{Kind: 0}, {Kind: lastKind + 1}, {Kind: Ended, Code: 99}, {Kind: Ended}, {Kind: Kept},
-		{Kind: Sent, Attempt: MaxAttempts}, {Kind: Taken, Job: string(make([]byte, MaxText+1))}} {
+}
+
+// Records that are out of bounds are not read.
+func TestRecordsOutOfBounds(t *testing.T) {
+	for _, bad := range []Record{{Kind: 0}, {Kind: lastKind + 1}, {Kind: Ended, Code: 99}, {Kind: Ended}, {Kind: CarriedOver},
+		{Kind: Sent, Attempt: MaxAttempts}, {Kind: Accepted, JobID: string(make([]byte, MaxText+1))}} {
 		b, err := Encode(nil, &bad)
 		if err != nil {
 			t.Fatal(err)
@@ -173,7 +198,7 @@
 	b, mac := k.AppendHeader(nil, Header{Number: 1, First: 1})
 	for i := range n {
 		var err error
-		r := Record{Kind: Taken, Serial: uint64(i + 1), At: 1e15, Job: "job", Class: "plan-change", Digest: bytes.Repeat([]byte{byte(i)}, 16)}
+		r := Record{Kind: Accepted, Serial: uint64(i + 1), At: 1e15, JobID: "job", Class: "plan-change", Digest: bytes.Repeat([]byte{byte(i)}, 16)}
 		if b, mac, err = k.AppendFrame(b, mac, int64(len(b)), &r); err != nil {
 			t.Fatal(err)
 		}
@@ -191,7 +216,7 @@
 	for {
 		f, err := k.ReadFrame(b[at:], mac)
 		if err != nil {
-			return n, k.JudgeTail(b, at), nil
+			return n, k.ClassifyTail(b, at), nil
 		}
 		if _, err := Decode(f.Record); err != nil {
 			return n, DamagedTail, nil
@@ -200,7 +225,7 @@
 	}
 }
 
-// Guards against a record that is altered, left out or moved without a sign.
+// Guards against a record that is altered without a sign.
 func TestTampering(t *testing.T) {
 	k := testKey(t)
 	whole := segmentOf(t, 5)
@@ -219,6 +244,13 @@
 			t.Fatalf("bit %d of byte %d was turned, and that is taken for %v", bit%8, bit/8, tail)
 		}
 	}
+}
+
+// Guards against a record that is left out, moved, or cut off by the end of a process, and against another key or version.
+func TestTamperingWithRecords(t *testing.T) {
+	k := testKey(t)
+	whole := segmentOf(t, 5)
+	frame := (len(whole) - HeaderSize) / 5
 	at := func(i int) int { return HeaderSize + i*frame }
 	gone := slices.Concat(whole[:at(2)], whole[at(3):])
 	swapped := slices.Concat(whole[:at(1)], whole[at(2):at(3)], whole[at(1):at(2)], whole[at(3):])
@@ -232,7 +264,7 @@
 			t.Fatalf("cut to %d bytes: %d records, %v", cut, n, tail)
 		}
 	}
-	if other, _ := NewKey(bytes.Repeat([]byte("x"), MinKey)); other != nil {
+	if other, _ := NewKey(bytes.Repeat([]byte("x"), MinKeySize)); other != nil {
 		if _, _, err := walk(other, whole); !errors.Is(err, ErrKey) {
 			t.Errorf("another key: %v", err)
 		}
@@ -267,7 +299,7 @@
 
 // FuzzRecord: what is read is within its bounds, and is written the same again.
 func FuzzRecord(f *testing.F) {
-	for _, r := range []Record{{Kind: Taken, Serial: 1, Job: "j"}, {Kind: Ended, Code: 1}, {Kind: Kept, Whole: &Job{ID: "j"}}} {
+	for _, r := range []Record{{Kind: Accepted, Serial: 1, JobID: "j"}, {Kind: Ended, Code: 1}, {Kind: CarriedOver, CarriedJob: &Job{ID: "j"}}} {
 		b, err := Encode(nil, &r)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -1,7 +1,6 @@
-// Package journal is the pure part of the journal of one-shot jobs: what its records
-// say, how a job goes on over them, and what can be said of a job after a crash. It
-// does no input or output and asks no clock; package store keeps records on a disk,
-// package journal feeds it from the planners.
+// Package journal is the pure part of the journal of one-shot jobs, a write-ahead log of their attempts: the encoding of
+// its records, the state of a job that replaying them gives, and the verdict on a job after a crash. It does no input or
+// output and reads no clock; package store keeps the records on a disk, package recorder writes them for the planners.
 package journal
 
 import (
@@ -14,27 +13,27 @@
 	"sedgevale"
 )
 
-// Kind says what a record tells.
+// Kind is the event that a record stands for.
 type Kind uint8
 
 // The kinds of records. Their numbers are part of the format.
 const (
-	Taken      Kind = iota + 1 // a job was taken from a client
-	Intent                     // an attempt is about to go to Worker
-	Sent                       // the attempt's bytes were written to the worker's connection
-	Started                    // the worker said that it has begun
-	Ended                      // the attempt ended with Outcome
-	Answered                   // the client was given the final answer
-	ClientGone                 // the client left before its answer
-	Settled                    // an operator has decided what became of the job
-	Kept                       // a job's whole history, carried on from a segment that is dropped
-	Pruned                     // the records up to the Count-th were dropped by retention
-	Gap                        // Count records could not be written before this one
-	Closed                     // the process ended in order; nothing is missing after this
-	lastKind   = Closed
+	Accepted      Kind = iota + 1 // a job was accepted from a client
+	Intent                        // an attempt is about to go to Worker
+	Sent                          // the attempt's bytes were written to the worker's connection
+	Started                       // the worker said that it has begun
+	Ended                         // the attempt ended with Outcome
+	Answered                      // the client was given the final answer
+	ClientGone                    // the client left before its answer
+	Settled                       // an operator has decided what became of the job
+	CarriedOver                   // a job's complete history, copied from a segment that is dropped
+	Pruned                        // the records up to the Count-th were dropped by retention
+	RecordsLost                   // Count records could not be written before this one
+	CleanShutdown                 // the process shut down gracefully; no record is missing after this
+	lastKind      = CleanShutdown
 )
 
-// Bounds of a record. A reader refuses what lies beyond, a writer cuts texts short.
+// Bounds of a record. A reader rejects what exceeds them, a writer truncates texts.
 const (
 	MaxText     = 256     // bytes of a text
 	MaxAttempts = 64      // of a job
@@ -47,26 +46,26 @@
 type Record struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 an option of the encoder
 
-	Kind    Kind
-	Serial  uint64 // of the job: unique in a journal, where an id may come again
-	At      int64  // Unix time in microseconds, by the clock of the scheduler's machine
-	Job     string // the Request-Id; Taken, Intent, Settled
-	Attempt int    // counted from 0; Intent, Sent, Started, Ended
-	Worker  string // Intent
-	Class   string // Taken
-	Tenant  string // Taken
-	Target  string // Taken: path and query
-	Size    int    // Taken: bytes of the body
-	Digest  []byte // Taken: the first 16 bytes of the body's SHA-256
-	Code    uint8  // Ended: Outcome, Answered: AnswerKind, Settled: Verdict
-	Unseen  bool   // Ended: the attempt surely never ran
-	Text    string // Answered: the reason, Settled: why
-	Who     string // Settled: by whom
-	Count   uint64 // Pruned, Gap
-	Whole   *Job   // Kept
+	Kind       Kind
+	Serial     uint64 // of the job: unique in a journal, where an id may come again
+	At         int64  // Unix time in microseconds, by the clock of the scheduler's machine
+	JobID      string // the Request-Id; Accepted, Intent, Settled
+	Attempt    int    // counted from 0; Intent, Sent, Started, Ended
+	Worker     string // Intent
+	Class      string // Accepted
+	Tenant     string // Accepted
+	Target     string // Accepted: path and query
+	Size       int    // Accepted: bytes of the body
+	Digest     []byte // Accepted: the first 16 bytes of the body's SHA-256
+	Code       uint8  // Ended: Outcome, Answered: AnswerKind, Settled: Verdict
+	NeverRan   bool   // Ended: the attempt certainly never ran
+	Text       string // Answered: the reason, Settled: why
+	Operator   string // Settled: by whom
+	Count      uint64 // Pruned, RecordsLost
+	CarriedJob *Job   // CarriedOver
 }
 
-// AnswerKind tells what a client was told. The numbers are part of the format.
+// AnswerKind is the kind of the final answer to a client. The numbers are part of the format.
 type AnswerKind uint8
 
 // The kinds of answers.
@@ -77,62 +76,63 @@
 )
 
 func (a AnswerKind) String() string {
-	return name([]string{"", "served", "refused", "failed"}, int(a))
+	return nameOf([]string{"", "served", "refused", "failed"}, int(a))
 }
 
-// Outcome is how an attempt ended. The numbers are part of the format and apart from
-// the module's, which may change.
+// Outcome is how an attempt ended. The numbers are part of the format and independent of those of
+// sedgevale.Outcome, which may change.
 type Outcome uint8
 
 // The outcomes.
 const (
-	OutServed Outcome = iota + 1
-	OutErrored
-	OutFull
-	OutTimedOut
-	OutConnectFailed
-	OutLost
-	OutCancelled
-	OutNotSent
+	OutcomeServed Outcome = iota + 1
+	OutcomeErrored
+	OutcomeRejected
+	OutcomeTimedOut
+	OutcomeConnectFailed
+	OutcomeConnectionLost
+	OutcomeCancelled
+	OutcomeNotSent
 )
 
-var outcomes = map[sedgevale.Outcome]Outcome{
-	sedgevale.Served: OutServed, sedgevale.Errored: OutErrored, sedgevale.Full: OutFull,
-	sedgevale.TimedOut: OutTimedOut, sedgevale.ConnectFailed: OutConnectFailed, sedgevale.Lost: OutLost,
-	sedgevale.Cancelled: OutCancelled, sedgevale.NotSent: OutNotSent,
+var outcomeNumbers = map[sedgevale.Outcome]Outcome{
+	sedgevale.Served: OutcomeServed, sedgevale.Errored: OutcomeErrored, sedgevale.Full: OutcomeRejected,
+	sedgevale.TimedOut: OutcomeTimedOut, sedgevale.ConnectFailed: OutcomeConnectFailed, sedgevale.Lost: OutcomeConnectionLost,
+	sedgevale.Cancelled: OutcomeCancelled, sedgevale.NotSent: OutcomeNotSent,
 }
 
-// OutcomeOf returns the journal's number for an outcome of the module.
-func OutcomeOf(o sedgevale.Outcome) Outcome { return outcomes[o] }
+// OutcomeOf returns the journal's number for a sedgevale.Outcome.
+func OutcomeOf(o sedgevale.Outcome) Outcome { return outcomeNumbers[o] }
 
 func (o Outcome) String() string {
-	return name([]string{"", "served", "error", "turned_away", "timed_out", "could_not_connect", "connection_lost",
+	return nameOf([]string{"", "served", "error", "turned_away", "timed_out", "could_not_connect", "connection_lost",
 		"cancelled", "not_sent"}, int(o))
 }
 
-func name(names []string, i int) string {
+func nameOf(names []string, i int) string {
 	if i <= 0 || i >= len(names) {
 		return "unknown"
 	}
 	return names[i]
 }
 
-// Opens reports whether the record begins something, so that it may be left out as
-// long as what it stands for is not done either. All others close what is open.
-func (r *Record) Opens() bool { return r.Kind == Taken || r.Kind == Intent }
-
-// Clip cuts the texts of a record to their bounds.
-func (r *Record) Clip() {
-	for _, s := range []*string{&r.Job, &r.Worker, &r.Class, &r.Tenant, &r.Target, &r.Text, &r.Who} {
+// Truncate cuts the texts of a record to MaxText bytes.
+func (r *Record) Truncate() {
+	for _, s := range r.texts() {
 		if len(*s) > MaxText {
 			*s = (*s)[:MaxText]
 		}
 	}
 }
 
-var errBounds = errors.New("a field is out of its bounds")
+// texts returns the fields that MaxText bounds.
+func (r *Record) texts() []*string {
+	return []*string{&r.JobID, &r.Worker, &r.Class, &r.Tenant, &r.Target, &r.Text, &r.Operator}
+}
+
+var errOutOfBounds = errors.New("a field is out of its bounds")
 
-// Encode appends a record to b.
+// Encode appends a record to b. A record of more than MaxRecord bytes is an error.
 func Encode(b []byte, r *Record) ([]byte, error) {
 	w := bytes.NewBuffer(b)
 	e := msgpack.GetEncoder()
@@ -148,10 +148,10 @@
 	return w.Bytes(), nil
 }
 
-// Decode reads one record, which must fill b, and checks it.
+// Decode reads one record, which must fill b. One that is out of the bounds is an error.
 func Decode(b []byte) (*Record, error) {
 	if len(b) > MaxRecord {
-		return nil, errBounds
+		return nil, errOutOfBounds
 	}
 	var r Record
 	in := bytes.NewReader(b)
@@ -165,33 +165,37 @@
 	if in.Len() > 0 {
 		return nil, fmt.Errorf("record: %d bytes follow it", in.Len())
 	}
-	return &r, r.check()
+	return &r, r.validate()
 }
 
-func (r *Record) check() error {
+// validate returns an error for a record that no writer of this version has encoded.
+func (r *Record) validate() error {
 	if r.Kind == 0 || r.Kind > lastKind {
 		return fmt.Errorf("a record of unknown kind %d: written by a newer version?", r.Kind)
 	}
-	for _, s := range []string{r.Job, r.Worker, r.Class, r.Tenant, r.Target, r.Text, r.Who} {
-		if len(s) > MaxText {
-			return errBounds
+	for _, s := range r.texts() {
+		if len(*s) > MaxText {
+			return errOutOfBounds
 		}
 	}
-	most := uint8(0)
+	if r.Attempt < 0 || r.Attempt >= MaxAttempts || r.Size < 0 || len(r.Digest) > 16 || !r.validCode() {
+		return errOutOfBounds
+	}
+	if (r.Kind == CarriedOver) != (r.CarriedJob != nil) || r.CarriedJob != nil && len(r.CarriedJob.Attempts) > MaxAttempts {
+		return errOutOfBounds
+	}
+	return nil
+}
+
+// validCode reports whether Code is one of the numbers that the record's kind may have.
+func (r *Record) validCode() bool {
 	switch r.Kind {
 	case Ended:
-		most = uint8(OutNotSent)
+		return r.Code > 0 && r.Code <= uint8(OutcomeNotSent)
 	case Answered:
-		most = uint8(Failed)
+		return r.Code > 0 && r.Code <= uint8(Failed)
 	case Settled:
-		most = uint8(Unknown)
+		return r.Code > 0 && r.Code <= uint8(Unknown)
 	}
-	if r.Attempt < 0 || r.Attempt >= MaxAttempts || r.Size < 0 || len(r.Digest) > 16 || r.Code > most ||
-		most > 0 && r.Code == 0 {
-		return errBounds
-	}
-	if (r.Kind == Kept) != (r.Whole != nil) || r.Whole != nil && len(r.Whole.Attempts) > MaxAttempts {
-		return errBounds
-	}
-	return nil
+	return r.Code == 0
 }
--- a/internal/journal/recorder/recorder.go
+++ b/internal/journal/recorder/recorder.go
@@ -73,7 +73,7 @@
 	}
 	sum := sha256.Sum256(j.Body)
 	number := r.store.Serial()
-	rec := journal.Record{Kind: journal.Taken, Serial: number, At: now(), Job: j.ID, Class: j.Class.Name, Target: j.Target,
+	rec := journal.Record{Kind: journal.Accepted, Serial: number, At: now(), JobID: j.ID, Class: j.Class.Name, Target: j.Target,
 		Size: len(j.Body), Digest: sum[:16], Tenant: j.TenantName}
 	r.store.Put(rec, nil)
 	return number, true
@@ -81,7 +81,7 @@
 
 // Intent is the core's.
 func (r *Recorder) Intent(number uint64, attempt int, id, worker string, done func(ok bool)) {
-	r.store.Put(journal.Record{Kind: journal.Intent, Serial: number, At: now(), Job: id, Attempt: attempt, Worker: worker},
+	r.store.Put(journal.Record{Kind: journal.Intent, Serial: number, At: now(), JobID: id, Attempt: attempt, Worker: worker},
 		func(err error) { done(err == nil) })
 }
 
@@ -98,7 +98,7 @@
 // Ended is the core's.
 func (r *Recorder) Ended(number uint64, attempt int, o sedgevale.Outcome, unseen bool) {
 	r.store.Put(journal.Record{Kind: journal.Ended, Serial: number, At: now(), Attempt: attempt,
-		Code: uint8(journal.OutcomeOf(o)), Unseen: unseen}, nil)
+		Code: uint8(journal.OutcomeOf(o)), NeverRan: unseen}, nil)
 }
 
 var kinds = map[dispatch.AnswerKind]journal.AnswerKind{
--- a/internal/journal/report.go
+++ b/internal/journal/report.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Report is a job in the form in which questions are answered.
+// Report is what operators are told of a job, as JSON. Times are formatted by FormatTime; empty where not known.
 type Report struct {
 	Job      string          `json:"job"`
 	Class    string          `json:"class,omitempty"`
 	Tenant   string          `json:"tenant,omitempty"`
 	Verdict  string          `json:"verdict"`
 	Reason   string          `json:"reason"`
-	Look     []string        `json:"workers,omitempty"` // where it ran or may have
+	Look     []string        `json:"workers,omitempty"` // at which it ran or may have run
 	Target   string          `json:"target,omitempty"`
 	Bytes    int             `json:"bytes,omitempty"`
 	Digest   string          `json:"sha256_128,omitempty"` // the first 128 bits of the body's SHA-256
@@ -23,7 +23,7 @@
 	Settled  *SettledReport  `json:"settled,omitempty"`
 }
 
-// AttemptReport is an attempt of a Report.
+// AttemptReport is one attempt in a Report.
 type AttemptReport struct {
 	Number    int    `json:"number"`
 	Worker    string `json:"worker"`
@@ -34,14 +34,14 @@
 	Outcome   string `json:"outcome,omitempty"`
 }
 
-// AnswerReport is what the client was told.
+// AnswerReport is the final answer to the client.
 type AnswerReport struct {
 	Kind   string `json:"kind"`
 	At     string `json:"at"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// SettledReport is an operator's decision.
+// SettledReport is an operator's verdict.
 type SettledReport struct {
 	Verdict string `json:"verdict"`
 	By      string `json:"by"`
@@ -49,33 +49,33 @@
 	At      string `json:"at"`
 }
 
-// Stamp writes a time of a record as RFC 3339 with microseconds, in UTC.
-func Stamp(at int64) string {
+// FormatTime formats the time of a record, in Unix microseconds, as RFC 3339 with microseconds in UTC. Zero gives an empty text.
+func FormatTime(at int64) string {
 	if at == 0 {
 		return ""
 	}
 	return time.UnixMicro(at).UTC().Format("2006-01-02T15:04:05.000000Z07:00")
 }
 
-// Report returns the job in the form in which questions are answered.
+// Report returns what operators are told of the job.
 func (j *Job) Report() Report {
-	v, reason, look := j.Verdict()
-	r := Report{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Verdict: v.String(), Reason: reason, Look: look,
-		Target: j.Target, Bytes: j.Size, Digest: hex.EncodeToString(j.Digest), TakenAt: Stamp(j.TakenAt),
-		Attempts: []AttemptReport{}, GoneAt: Stamp(j.GoneAt)}
+	verdict, reason, workers := j.Verdict()
+	r := Report{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Verdict: verdict.String(), Reason: reason, Look: workers,
+		Target: j.Target, Bytes: j.Size, Digest: hex.EncodeToString(j.Digest), TakenAt: FormatTime(j.TakenAt),
+		Attempts: []AttemptReport{}, GoneAt: FormatTime(j.ClientGoneAt)}
 	for _, a := range j.Attempts {
-		out := AttemptReport{Number: a.Number, Worker: a.Worker, IntentAt: Stamp(a.IntentAt), SentAt: Stamp(a.SentAt),
-			StartedAt: Stamp(a.StartedAt), EndedAt: Stamp(a.EndedAt)}
+		out := AttemptReport{Number: a.Number, Worker: a.Worker, IntentAt: FormatTime(a.IntentAt), SentAt: FormatTime(a.SentAt),
+			StartedAt: FormatTime(a.StartedAt), EndedAt: FormatTime(a.EndedAt)}
 		if a.Outcome != 0 {
 			out.Outcome = a.Outcome.String()
 		}
 		r.Attempts = append(r.Attempts, out)
 	}
 	if j.Answer != 0 {
-		r.Answer = &AnswerReport{j.Answer.String(), Stamp(j.AnswerAt), j.Reason}
+		r.Answer = &AnswerReport{j.Answer.String(), FormatTime(j.AnswerAt), j.Reason}
 	}
 	if j.SettledAs != 0 {
-		r.Settled = &SettledReport{j.SettledAs.String(), j.SettledBy, j.SettledWhy, Stamp(j.SettledAt)}
+		r.Settled = &SettledReport{j.SettledAs.String(), j.SettledBy, j.SettledWhy, FormatTime(j.SettledAt)}
 	}
 	return r
 }
--- a/internal/journal/report_golden_test.go
+++ b/internal/journal/report_golden_test.go
@@ -23,9 +23,9 @@
 		Serial: 7, ID: "job", Class: "once", Tenant: "team", Target: "/t", Size: 4, Digest: []byte{9, 10}, TakenAt: 1_700_000_000_000_010,
 		Attempts: []journal.Attempt{{
 			Number: 0, Worker: "box-1", IntentAt: 1_700_000_000_000_011, SentAt: 1_700_000_000_000_012, StartedAt: 1_700_000_000_000_013,
-			EndedAt: 1_700_000_000_000_014, Outcome: journal.OutTimedOut,
+			EndedAt: 1_700_000_000_000_014, Outcome: journal.OutcomeTimedOut,
 		}, {Number: 1, Worker: "box-2", IntentAt: 1_700_000_000_000_015}},
-		Answer: journal.Failed, AnswerAt: 1_700_000_000_000_016, Reason: "because", GoneAt: 1_700_000_000_000_017, Broken: true,
+		Answer: journal.Failed, AnswerAt: 1_700_000_000_000_016, Reason: "because", ClientGoneAt: 1_700_000_000_000_017, Orphaned: true,
 		SettledAs: journal.DidNotRun, SettledAt: 1_700_000_000_000_018, SettledBy: "ann", SettledWhy: "seen",
 	}
 	if text, err = json.Marshal(job.Report()); err != nil {
--- a/internal/journal/store/background_test.go
+++ b/internal/journal/store/background_test.go
@@ -43,10 +43,10 @@
 	}
 	let := func() { <-disk.begun; disk.goOn <- struct{}{} }
 	first, second := make(chan error, 1), make(chan error, 1)
-	s.Put(journal.Record{Kind: journal.Taken, Serial: 1, At: 1, Job: "one", Class: "once"}, func(err error) { first <- err })
+	s.Put(journal.Record{Kind: journal.Accepted, Serial: 1, At: 1, JobID: "one", Class: "once"}, func(err error) { first <- err })
 	let() // the new segment's own
 	<-disk.begun
-	s.Put(journal.Record{Kind: journal.Taken, Serial: 2, At: 2, Job: "two", Class: "once"}, func(err error) { second <- err })
+	s.Put(journal.Record{Kind: journal.Accepted, Serial: 2, At: 2, JobID: "two", Class: "once"}, func(err error) { second <- err })
 	deadline := time.Now().Add(10 * time.Second)
 	for !recorded(t, memory, "two") {
 		if time.Now().After(deadline) {
--- a/internal/journal/store/bench_test.go
+++ b/internal/journal/store/bench_test.go
@@ -32,7 +32,7 @@
 				wg.Go(func() {
 					done := make(chan error, 1)
 					for i := n; i < b.N; i += many {
-						s.Put(journal.Record{Kind: journal.Intent, Serial: uint64(i), At: 1e15, Job: "9b1f03aa5c7e2d41", Worker: "s-0badcafe"},
+						s.Put(journal.Record{Kind: journal.Intent, Serial: uint64(i), At: 1e15, JobID: "9b1f03aa5c7e2d41", Worker: "s-0badcafe"},
 							func(err error) { done <- err })
 						if err := <-done; err != nil {
 							b.Error(err)
@@ -61,10 +61,10 @@
 			for i := range open {
 				serial := s.Serial()
 				id := fmt.Sprintf("9b1f03aa-%d", i)
-				s.Put(journal.Record{Kind: journal.Taken, Serial: serial, At: 1e15, Job: id, Class: "plan-change", Tenant: "brazos-valley",
+				s.Put(journal.Record{Kind: journal.Accepted, Serial: serial, At: 1e15, JobID: id, Class: "plan-change", Tenant: "brazos-valley",
 					Target: "/plan-change", Size: 212, Digest: make([]byte, 16)}, nil)
 				wg.Add(1)
-				s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: 1e15, Job: id, Worker: "s-0badcafe"}, func(error) { wg.Done() })
+				s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: 1e15, JobID: id, Worker: "s-0badcafe"}, func(error) { wg.Done() })
 			}
 			wg.Wait()
 			s.Close() // the jobs stay open on record
@@ -104,10 +104,10 @@
 			slots <- struct{}{}
 			serial := s.Serial()
 			id, at := fmt.Sprintf("9b1f03aa-%d", i), time.Now().UnixMicro()
-			s.Put(journal.Record{Kind: journal.Taken, Serial: serial, At: at, Job: id, Class: "plan-change", Tenant: "brazos-valley",
+			s.Put(journal.Record{Kind: journal.Accepted, Serial: serial, At: at, JobID: id, Class: "plan-change", Tenant: "brazos-valley",
 				Target: "/plan-change", Size: 212, Digest: make([]byte, 16)}, nil)
-			s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: at, Job: id, Worker: "s-0badcafe"}, func(error) {
-				s.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: at, Code: uint8(journal.OutServed)}, nil)
+			s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: at, JobID: id, Worker: "s-0badcafe"}, func(error) {
+				s.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: at, Code: uint8(journal.OutcomeServed)}, nil)
 				s.Put(journal.Record{Kind: journal.Answered, Serial: serial, At: at, Code: uint8(journal.Served)}, nil)
 				<-slots
 			})
--- a/internal/journal/store/key.go
+++ b/internal/journal/store/key.go
@@ -41,8 +41,8 @@
 	text := make([]byte, 4097)
 	n, _ := f.Read(text)
 	secret, err = hex.DecodeString(strings.TrimSpace(string(text[:n])))
-	if err != nil || len(secret) < journal.MinKey { // the text is not shown: it may be most of a secret
-		return nil, fmt.Errorf("the journal's key %s must be at least %d hexadecimal digits", path, 2*journal.MinKey)
+	if err != nil || len(secret) < journal.MinKeySize { // the text is not shown: it may be most of a secret
+		return nil, fmt.Errorf("the journal's key %s must be at least %d hexadecimal digits", path, 2*journal.MinKeySize)
 	}
 	return secret, nil
 }
@@ -57,7 +57,7 @@
 	if used {
 		return nil, fmt.Errorf("%w; the journal has records that were written with it: put it back, or begin in an empty directory", err)
 	}
-	secret = make([]byte, journal.MinKey)
+	secret = make([]byte, journal.MinKeySize)
 	_, _ = rand.Read(secret) // never fails
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if errors.Is(err, os.ErrExist) { // the other process of an upgrade was first
--- a/internal/journal/store/lane.go
+++ b/internal/journal/store/lane.go
@@ -41,7 +41,7 @@
 	behind bool             // pend is of the process before, whose run was
 	before [16]byte
 
-	book     *journal.Book     // open jobs, and those that an operator must look at
+	book     *journal.JobTable // open jobs, and those that an operator must look at
 	first    map[uint64]uint64 // by serial: the segment with the oldest record of such a job
 	segments []segment         // sealed
 	stale    []string          // files that do not count any more
@@ -59,13 +59,13 @@
 
 // openLane reads what there is and gets ready to go on after it. It writes nothing.
 func openLane(fsys FS, dir string, key *journal.Key, limit int64, doubts func(Problem)) (*lane, recovery, error) {
-	l := &lane{fs: fsys, dir: dir, key: key, limit: limit, book: journal.NewBook(), first: map[uint64]uint64{}, doubts: doubts}
+	l := &lane{fs: fsys, dir: dir, key: key, limit: limit, book: journal.NewJobTable(), first: map[uint64]uint64{}, doubts: doubts}
 	_, _ = rand.Read(l.run[:])
 	var rec recovery
 	got, err := readLane(fsys, dir, key, visitor{
 		run:    func() { l.died() },
 		record: func(r *journal.Record, number uint64) { l.learn(r, number) },
-		gap:    l.book.MarkGap,
+		gap:    l.book.MarkMissingRecords,
 	})
 	if err != nil {
 		return nil, rec, err
@@ -83,7 +83,7 @@
 
 // died closes the books of a process that is gone, and forgets what nobody need look at.
 func (l *lane) died() [journal.Unknown + 1]int {
-	counts := l.book.Died()
+	counts := l.book.EndProcess()
 	for serial, j := range l.book.Jobs {
 		l.forget(serial, j)
 	}
@@ -91,8 +91,8 @@
 }
 
 func (l *lane) forget(serial uint64, j *journal.Job) {
-	if j.Done() {
-		l.book.Drop(serial)
+	if j.Resolved() {
+		l.book.Remove(serial)
 		delete(l.first, serial)
 	}
 }
@@ -103,7 +103,7 @@
 	if j == nil {
 		return
 	}
-	if _, ok := l.first[j.Serial]; !ok || r.Kind == journal.Kept {
+	if _, ok := l.first[j.Serial]; !ok || r.Kind == journal.CarriedOver {
 		l.first[j.Serial] = number
 	}
 	l.forget(j.Serial, j)
@@ -359,7 +359,7 @@
 		if j := l.book.Jobs[serial]; j != nil && number <= l.segments[n-1].number {
 			whole := *j
 			whole.Attempts = append([]journal.Attempt(nil), j.Attempts...)
-			recs = append(recs, journal.Record{Kind: journal.Kept, Serial: serial, At: now.UnixMicro(), Whole: &whole})
+			recs = append(recs, journal.Record{Kind: journal.CarriedOver, Serial: serial, At: now.UnixMicro(), CarriedJob: &whole})
 		}
 	}
 	// The records before the next segment go, whichever that is.
@@ -408,7 +408,7 @@
 
 // close ends the lane in order.
 func (l *lane) close(now time.Time) error {
-	err := l.write([]journal.Record{{Kind: journal.Closed, At: now.UnixMicro()}})
+	err := l.write([]journal.Record{{Kind: journal.CleanShutdown, At: now.UnixMicro()}})
 	if err == nil {
 		err = l.sync()
 	}
--- a/internal/journal/store/powercut_test.go
+++ b/internal/journal/store/powercut_test.go
@@ -96,7 +96,7 @@
 	}
 	w.jobs++
 	f := &flight{id: fmt.Sprintf("job-%d", w.jobs), box: fmt.Sprintf("box-%d", w.r.IntN(3)), serial: w.store.Serial()}
-	w.store.Put(journal.Record{Kind: journal.Taken, Serial: f.serial, At: w.now.UnixMicro(), Job: f.id, Class: "once"}, nil)
+	w.store.Put(journal.Record{Kind: journal.Accepted, Serial: f.serial, At: w.now.UnixMicro(), JobID: f.id, Class: "once"}, nil)
 	begin := func(err error) {
 		if err != nil {
 			w.put(f, journal.Answered, uint8(journal.Refused), false)
@@ -107,7 +107,7 @@
 		w.put(f, journal.Sent, 0, false)
 		w.out = append(w.out, f)
 	}
-	intent := journal.Record{Kind: journal.Intent, Serial: f.serial, At: w.now.UnixMicro(), Job: f.id, Worker: f.box}
+	intent := journal.Record{Kind: journal.Intent, Serial: f.serial, At: w.now.UnixMicro(), JobID: f.id, Worker: f.box}
 	if w.early {
 		begin(nil)
 		w.store.Put(intent, nil)
@@ -117,7 +117,7 @@
 }
 
 func (w *world) put(f *flight, kind journal.Kind, code uint8, unseen bool) {
-	w.store.Put(journal.Record{Kind: kind, Serial: f.serial, At: w.now.UnixMicro(), Code: code, Unseen: unseen}, nil)
+	w.store.Put(journal.Record{Kind: kind, Serial: f.serial, At: w.now.UnixMicro(), Code: code, NeverRan: unseen}, nil)
 }
 
 // progress has one of the jobs that are out go on.
@@ -130,14 +130,14 @@
 	w.out = append(w.out[:i], w.out[i+1:]...)
 	switch w.r.IntN(8) {
 	case 0:
-		w.put(f, journal.Ended, uint8(journal.OutTimedOut), false)
+		w.put(f, journal.Ended, uint8(journal.OutcomeTimedOut), false)
 		w.put(f, journal.Answered, uint8(journal.Failed), false)
 	case 1:
 		w.put(f, journal.Started, 0, false)
 		w.out = append(w.out, f)
 	default:
 		w.ledger.Finish(f.id, f.box)
-		w.put(f, journal.Ended, uint8(journal.OutServed), false)
+		w.put(f, journal.Ended, uint8(journal.OutcomeServed), false)
 		w.put(f, journal.Answered, uint8(journal.Served), false)
 		w.over[f.id] = true
 	}
--- a/internal/journal/store/query.go
+++ b/internal/journal/store/query.go
@@ -78,10 +78,10 @@
 		return err
 	}
 	owner, live := fsys.Locked(join(lane, lockName)) // before: what it ends while we read has ended
-	book := journal.NewBook()
+	book := journal.NewJobTable()
 	odd := Problem{File: lane}
 	got, err := readLane(fsys, lane, key, visitor{
-		run: func() { book.Died() },
+		run: func() { book.EndProcess() },
 		record: func(r *journal.Record, number uint64) {
 			if id != "" && !concerns(r, id, book) {
 				return
@@ -90,14 +90,14 @@
 				odd.What = fmt.Sprintf("segment %d: %v", number, err)
 			}
 		},
-		gap:  book.MarkGap,
+		gap:  book.MarkMissingRecords,
 		skip: skipOthers(id),
 	})
 	if err != nil {
 		return err
 	}
 	if !live {
-		book.Died()
+		book.EndProcess()
 	}
 	v.Problems = got.problems
 	if odd.What != "" {
@@ -111,14 +111,14 @@
 }
 
 // concerns reports whether a record is of a job of that id, or of none.
-func concerns(r *journal.Record, id string, book *journal.Book) bool {
+func concerns(r *journal.Record, id string, book *journal.JobTable) bool {
 	switch r.Kind {
-	case journal.Taken:
-		return r.Job == id
+	case journal.Accepted:
+		return r.JobID == id
 	case journal.Intent:
-		return r.Job == id || book.Jobs[r.Serial] != nil
-	case journal.Kept:
-		return r.Whole.ID == id
+		return r.JobID == id || book.Jobs[r.Serial] != nil
+	case journal.CarriedOver:
+		return r.CarriedJob.ID == id
 	}
 	return true // of an unknown job it is ignored
 }
@@ -132,7 +132,7 @@
 	want := []byte(id)
 	return func(b []byte) bool {
 		// A MessagePack array of up to 65,535, then the kind as a small number.
-		if len(b) > 4 && b[0] == 0xdc && (b[3] == byte(journal.Taken) || b[3] == byte(journal.Intent) || b[3] == byte(journal.Kept)) {
+		if len(b) > 4 && b[0] == 0xdc && (b[3] == byte(journal.Accepted) || b[3] == byte(journal.Intent) || b[3] == byte(journal.CarriedOver)) {
 			return !bytes.Contains(b, want)
 		}
 		return false
@@ -180,8 +180,8 @@
 	var recs []journal.Record
 	for serial, j := range l.book.Jobs {
 		if j.ID == id && !j.Open() {
-			r := journal.Record{Kind: journal.Settled, Serial: serial, At: now.UnixMicro(), Job: id, Code: uint8(v), Text: why, Who: by}
-			r.Clip()
+			r := journal.Record{Kind: journal.Settled, Serial: serial, At: now.UnixMicro(), JobID: id, Code: uint8(v), Text: why, Operator: by}
+			r.Truncate()
 			recs = append(recs, r)
 		}
 	}
--- a/internal/journal/store/replay.go
+++ b/internal/journal/store/replay.go
@@ -170,7 +170,7 @@
 				out.after = append(out.after, *r)
 			}
 			if r != nil {
-				out.closed = r.Kind == journal.Closed
+				out.closed = r.Kind == journal.CleanShutdown
 				out.records++
 				s.last = max(s.last, r.At)
 				if r.Kind == journal.Pruned {
@@ -181,7 +181,7 @@
 				}
 			}
 		}
-		switch tail := key.JudgeTail(b, good); {
+		switch tail := key.ClassifyTail(b, good); {
 		case cut != 0 && out.seq+1 >= cut, good == len(b): // what follows, if anything does, was written again
 		case cut != 0: // the next segment says what is missing
 			out.problems = append(out.problems, Problem{s.path, int64(good), "records are altered or missing from here on", false})
--- a/internal/journal/store/store.go
+++ b/internal/journal/store/store.go
@@ -83,7 +83,7 @@
 	closing bool
 
 	// For the loop alone.
-	space   journal.Space
+	space   journal.DiskSpace
 	held    []journal.Record
 	dropped uint64
 	waiting []func(error)
@@ -136,13 +136,13 @@
 		return nil, fmt.Errorf("journal %s: %w", o.Dir, err)
 	}
 	s := &Store{opt: o, lock: lock, wake: make(chan struct{}, 1), ended: make(chan struct{}),
-		space: journal.Space{Reserve: o.Reserve, Most: o.MaxBytes}, spawn: func(do func()) { go do() }}
+		space: journal.DiskSpace{ReservedBytes: o.Reserve, MaxBytes: o.MaxBytes}, spawn: func(do func()) { go do() }}
 	var rec recovery
 	if s.lane, rec, err = openLane(o.FS, dir, key, o.Segment, s.doubt); err != nil {
 		lock.Close()
 		return nil, fmt.Errorf("journal %s: %w", o.Dir, err)
 	}
-	s.serial = s.lane.book.Last
+	s.serial = s.lane.book.HighestSerial
 	s.box = unbounded.New[entry](func() {
 		select {
 		case s.wake <- struct{}{}:
@@ -243,7 +243,7 @@
 // Put hands a record in. Done, which may be nil, is called from the Store's goroutine
 // once the record is durable, or with an error once it cannot be.
 func (s *Store) Put(r journal.Record, done func(error)) {
-	r.Clip()
+	r.Truncate()
 	s.box.Put(entry{rec: r, done: done})
 }
 
@@ -345,7 +345,7 @@
 		return end
 	}
 	if s.dropped > 0 {
-		recs = append([]journal.Record{{Kind: journal.Gap, At: s.opt.Now().UnixMicro(), Count: s.dropped}}, recs...)
+		recs = append([]journal.Record{{Kind: journal.RecordsLost, At: s.opt.Now().UnixMicro(), Count: s.dropped}}, recs...)
 	}
 	err := s.lane.write(recs)
 	if err != nil && s.reserve { // what closes open jobs may use what was reserved for it
@@ -377,7 +377,7 @@
 func (s *Store) hold(recs []journal.Record) {
 	for _, r := range recs {
 		switch {
-		case r.Kind == journal.Intent, r.Kind == journal.Gap:
+		case r.Kind == journal.Intent, r.Kind == journal.RecordsLost:
 		case len(s.held) >= heldMost:
 			s.dropped++
 		default:
@@ -395,7 +395,7 @@
 		s.failing = true
 		s.opt.Log.Error("the journal cannot be written", "dir", s.lane.dir, "err", err)
 	}
-	s.space.Failed(s.opt.Now())
+	s.space.WriteFailed(s.opt.Now())
 	s.tellFull()
 }
 
--- a/internal/journal/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -62,15 +62,15 @@
 	serial = d.s.Serial()
 	at := d.now.UnixMicro()
 	out := errors.New("still waiting")
-	d.s.Put(journal.Record{Kind: journal.Taken, Serial: serial, At: at, Job: id, Class: "once"}, nil)
-	d.s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: at, Job: id, Worker: "box"}, func(err error) { out = err })
+	d.s.Put(journal.Record{Kind: journal.Accepted, Serial: serial, At: at, JobID: id, Class: "once"}, nil)
+	d.s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: at, JobID: id, Worker: "box"}, func(err error) { out = err })
 	return serial, func() error { return out }
 }
 
 // end hands in that a job ran and was answered.
 func (d *desk) end(serial uint64) {
 	at := d.now.UnixMicro()
-	d.s.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: at, Code: uint8(journal.OutServed)}, nil)
+	d.s.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: at, Code: uint8(journal.OutcomeServed)}, nil)
 	d.s.Put(journal.Record{Kind: journal.Answered, Serial: serial, At: at, Code: uint8(journal.Served)}, nil)
 }
 
@@ -193,7 +193,7 @@
 func TestRetention(t *testing.T) {
 	d := newDesk(t, 8<<20, func(o *store.Options) { o.Keep, o.MaxBytes = time.Minute, 1<<20 })
 	doubt, _ := d.begin("doubt")
-	d.s.Put(journal.Record{Kind: journal.Ended, Serial: doubt, At: 1, Code: uint8(journal.OutLost)}, nil)
+	d.s.Put(journal.Record{Kind: journal.Ended, Serial: doubt, At: 1, Code: uint8(journal.OutcomeConnectionLost)}, nil)
 	d.s.Put(journal.Record{Kind: journal.Answered, Serial: doubt, At: 1, Code: uint8(journal.Failed)}, nil)
 	open, _ := d.begin("open")
 	for i := range 2000 {
@@ -340,7 +340,7 @@
 		t.Errorf("missing for a journal with records: %v", err)
 	}
 	made, err := store.MakeKey(path, false)
-	if err != nil || len(made) < journal.MinKey {
+	if err != nil || len(made) < journal.MinKeySize {
 		t.Fatalf("%d bytes, %v", len(made), err)
 	}
 	if again, err := store.MakeKey(path, true); err != nil || !bytes.Equal(made, again) {
@@ -392,8 +392,8 @@
 	done := make(chan error, 300)
 	for i := range 300 {
 		serial := s.Serial()
-		s.Put(journal.Record{Kind: journal.Taken, Serial: serial, At: int64(i + 1), Job: fmt.Sprint("job-", i), Class: "once"}, nil)
-		s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: int64(i + 1), Job: fmt.Sprint("job-", i), Worker: "box"},
+		s.Put(journal.Record{Kind: journal.Accepted, Serial: serial, At: int64(i + 1), JobID: fmt.Sprint("job-", i), Class: "once"}, nil)
+		s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: int64(i + 1), JobID: fmt.Sprint("job-", i), Worker: "box"},
 			func(err error) { done <- err })
 	}
 	for range 300 {
--- a/internal/journal/store/stored_data_test.go
+++ b/internal/journal/store/stored_data_test.go
@@ -64,8 +64,8 @@
 	serial := w.s.Serial()
 	digest := sha256.Sum256([]byte(id))
 	w.put(
-		journal.Record{Kind: journal.Taken, Serial: serial, Job: id, Class: "once", Tenant: "team", Target: "/once?a=1", Size: 77, Digest: digest[:16]},
-		journal.Record{Kind: journal.Intent, Serial: serial, Job: id, Worker: "box-1"},
+		journal.Record{Kind: journal.Accepted, Serial: serial, JobID: id, Class: "once", Tenant: "team", Target: "/once?a=1", Size: 77, Digest: digest[:16]},
+		journal.Record{Kind: journal.Intent, Serial: serial, JobID: id, Worker: "box-1"},
 	)
 	return serial
 }
@@ -77,14 +77,14 @@
 	finish := func(serial uint64) {
 		w.put(
 			journal.Record{Kind: journal.Sent, Serial: serial}, journal.Record{Kind: journal.Started, Serial: serial},
-			journal.Record{Kind: journal.Ended, Serial: serial, Code: uint8(journal.OutServed)},
+			journal.Record{Kind: journal.Ended, Serial: serial, Code: uint8(journal.OutcomeServed)},
 			journal.Record{Kind: journal.Answered, Serial: serial, Code: uint8(journal.Served)},
 		)
 	}
 	lost := w.begin("lost")
 	w.put(
 		journal.Record{Kind: journal.Sent, Serial: lost}, journal.Record{Kind: journal.Started, Serial: lost},
-		journal.Record{Kind: journal.Ended, Serial: lost, Code: uint8(journal.OutLost)},
+		journal.Record{Kind: journal.Ended, Serial: lost, Code: uint8(journal.OutcomeConnectionLost)},
 		journal.Record{Kind: journal.Answered, Serial: lost, Code: uint8(journal.Failed), Text: "the connection broke"},
 	)
 	for i := range 4 {
@@ -94,16 +94,16 @@
 	finish(w.begin("finished"))
 	settled := w.begin("settled")
 	w.put(
-		journal.Record{Kind: journal.Ended, Serial: settled, Code: uint8(journal.OutTimedOut)},
+		journal.Record{Kind: journal.Ended, Serial: settled, Code: uint8(journal.OutcomeTimedOut)},
 		journal.Record{Kind: journal.ClientGone, Serial: settled},
 	)
-	w.put(journal.Record{Kind: journal.Settled, Serial: settled, Job: "settled", Code: uint8(journal.Ran), Text: "seen in the box's log", Who: "ann"})
+	w.put(journal.Record{Kind: journal.Settled, Serial: settled, JobID: "settled", Code: uint8(journal.Ran), Text: "seen in the box's log", Operator: "ann"})
 	retried := w.begin("retried")
 	w.put(
-		journal.Record{Kind: journal.Ended, Serial: retried, Code: uint8(journal.OutFull), Unseen: true},
-		journal.Record{Kind: journal.Intent, Serial: retried, Attempt: 1, Job: "retried", Worker: "box-2"},
+		journal.Record{Kind: journal.Ended, Serial: retried, Code: uint8(journal.OutcomeRejected), NeverRan: true},
+		journal.Record{Kind: journal.Intent, Serial: retried, Attempt: 1, JobID: "retried", Worker: "box-2"},
 		journal.Record{Kind: journal.Sent, Serial: retried, Attempt: 1}, journal.Record{Kind: journal.Started, Serial: retried, Attempt: 1},
-		journal.Record{Kind: journal.Ended, Serial: retried, Attempt: 1, Code: uint8(journal.OutServed)},
+		journal.Record{Kind: journal.Ended, Serial: retried, Attempt: 1, Code: uint8(journal.OutcomeServed)},
 		journal.Record{Kind: journal.Answered, Serial: retried, Code: uint8(journal.Served)},
 	)
 	w.s.Tend()
@@ -115,7 +115,7 @@
 	started := w.begin("open-started")
 	w.put(journal.Record{Kind: journal.Sent, Serial: started}, journal.Record{Kind: journal.Started, Serial: started})
 	gone := w.begin("open-refused")
-	w.put(journal.Record{Kind: journal.Ended, Serial: gone, Code: uint8(journal.OutConnectFailed), Unseen: true})
+	w.put(journal.Record{Kind: journal.Ended, Serial: gone, Code: uint8(journal.OutcomeConnectFailed), NeverRan: true})
 	w.s.Unlock()
 }
 
@@ -124,13 +124,13 @@
 	var text strings.Builder
 	verdict, reason, workers := j.Verdict()
 	fmt.Fprintf(&text, "%s serial %d class %s tenant %s target %s size %d digest %x taken %d: open %t, done %t, verdict %s (%s; %s)\n",
-		j.ID, j.Serial, j.Class, j.Tenant, j.Target, j.Size, j.Digest, j.TakenAt, j.Open(), j.Done(), verdict, reason, strings.Join(workers, ", "))
+		j.ID, j.Serial, j.Class, j.Tenant, j.Target, j.Size, j.Digest, j.TakenAt, j.Open(), j.Resolved(), verdict, reason, strings.Join(workers, ", "))
 	for _, a := range j.Attempts {
 		fmt.Fprintf(&text, " attempt %d at %s: intent %d, sent %d, started %d, ended %d %s, unseen %t\n", a.Number, a.Worker, a.IntentAt, a.SentAt,
-			a.StartedAt, a.EndedAt, a.Outcome, a.Unseen)
+			a.StartedAt, a.EndedAt, a.Outcome, a.NeverRan)
 	}
-	fmt.Fprintf(&text, " answer %s at %d %q, client gone %d, broken %t, gap %t, settled %s at %d by %q: %q\n", j.Answer, j.AnswerAt, j.Reason, j.GoneAt,
-		j.Broken, j.Gap, j.SettledAs, j.SettledAt, j.SettledBy, j.SettledWhy)
+	fmt.Fprintf(&text, " answer %s at %d %q, client gone %d, broken %t, gap %t, settled %s at %d by %q: %q\n", j.Answer, j.AnswerAt, j.Reason, j.ClientGoneAt,
+		j.Orphaned, j.RecordsMissing, j.SettledAs, j.SettledAt, j.SettledBy, j.SettledWhy)
 	return text.String()
 }
 
