--- a/jobs/book_test.go
+++ b/jobs/book_test.go
@@ -346,37 +346,37 @@
 // A route that was dropped stays unknown when a new owner finds jobs of it: whoever has an older configuration hands in
 // nothing more. Its jobs are still finished.
 func TestDroppedQueueStaysUnknownAfterATakeover(t *testing.T) {
-	s := play(t, `
+	line := play(t, `
 	0  worker a cpu=1000
 	10 client submit low1 1x cpu=100 est=100
 	20 disk commit`)
 	testQueues, all := testQueues[:1], testQueues
-	s.book.Configure(testQueues)
-	if s.book.Knows("low") {
+	line.scheduler.Configure(testQueues)
+	if line.scheduler.Knows("low") {
 		t.Error("a queue that was dropped is known")
 	}
-	s.configs = testQueues
+	line.configs = testQueues
 	for now, row := range []string{"failover", "worker a cpu=1000 active low1.0.0.0/1", "worker a cpu=1000 end 1/low1.0.0.0/1/done",
 		"disk commit", "client low1 = completed"} {
-		s.step(time.Duration(30+now)*time.Millisecond, strings.Fields(row), row)
+		line.step(time.Duration(30+now)*time.Millisecond, strings.Fields(row), row)
 	}
-	if s.book.Knows("low") {
+	if line.scheduler.Knows("low") {
 		t.Error("a queue that was dropped is known again after a takeover")
 	}
-	s.book.Configure(all)
-	if !s.book.Knows("low") {
+	line.scheduler.Configure(all)
+	if !line.scheduler.Knows("low") {
 		t.Error("a queue that a configuration names is not known")
 	}
 }
 
 // One call to a side agent carries so many starts at most; the rest follow in the next.
 func TestOrdersComeInParts(t *testing.T) {
-	s := play(t, `
+	line := play(t, `
 	0  worker a cpu=64000
 	10 client submit j 2500x cpu=10 est=1000
 	20 disk commit`)
-	for part, want := range []int{startsMost, startsMost, 2500 - 2*startsMost} {
-		orders := s.book.Orders(time.Duration(30+part)*time.Millisecond, s.book.Worker("i-a@side-a"), 0)
+	for part, want := range []int{maxStartsPerCall, maxStartsPerCall, 2500 - 2*maxStartsPerCall} {
+		orders := line.scheduler.Orders(time.Duration(30+part)*time.Millisecond, line.scheduler.Worker("i-a@side-a"), 0)
 		if orders == nil || len(orders.Starts) != want {
 			t.Fatalf("part %d: %+v", part, orders)
 		}
--- a/jobs/headroom.go
+++ b/jobs/headroom.go
@@ -9,37 +9,37 @@
 
 // headroom is what is kept for the first priority, in parts of workers.
 type headroom struct {
-	peak   float64 // of the demand of the first priority, decaying
-	others float64 // what all other queues may hold together
+	peak        float64 // of the demand of the first priority, decaying
+	othersLimit float64 // what all other queues may hold together
 }
 
-// endRound takes the demand of the first priority and the limit over all workers.
-func (h *headroom) endRound(urgent, limit float64) {
+// update takes the demand of the first priority and the limit over all workers.
+func (h *headroom) update(urgent, limit float64) {
 	h.peak = max(urgent, h.peak-peakDecay*(h.peak-urgent))
-	h.others = max(0, limit-h.peak)
+	h.othersLimit = max(0, limit-h.peak)
 }
 
-// allowed returns how much a queue may hold in this turn: up to its sigma, and beside the room that is kept for the first
+// turnLimit returns how much a queue may hold in this turn: up to its sigma, and beside the room that is kept for the first
 // priority, but never less than its own share.
-func (b *Book) allowed(q *Queue) float64 {
-	if q.Priority == 0 || b.headroom.peak == 0 {
-		return q.sigma
+func (s *Book) turnLimit(q *Queue) float64 {
+	if q.Priority == 0 || s.headroom.peak == 0 {
+		return q.limit
 	}
 	held := 0.0
-	for _, other := range b.order {
+	for _, other := range s.queueOrder {
 		if other.Priority > 0 {
-			held += other.held
+			held += other.allocated
 		}
 	}
-	beside := q.held + max(0, b.headroom.others-held)
-	return min(q.sigma, max(beside, q.floor))
+	beside := q.allocated + max(0, s.headroom.othersLimit-held)
+	return min(q.limit, max(beside, q.guaranteed))
 }
 
-// limitOf returns how much the queue may hold before a unit is released. Tasks that last use room that is kept for the first
+// limitFor returns how much the queue may hold before a unit is released. Tasks that last use room that is kept for the first
 // priority: each of them is wanted at work all the time, and they are few.
-func (q *Queue) limitOf(u *unit) float64 {
-	if u.job.lasts(u.stage) {
-		return q.sigma
+func (q *Queue) limitFor(group *taskGroup) float64 {
+	if group.job.isLongRunning(group.stage) {
+		return q.limit
 	}
-	return q.limit
+	return q.turnLimit
 }
--- a/jobs/headroom_test.go
+++ b/jobs/headroom_test.go
@@ -26,17 +26,17 @@
 	230 disk commit
 	240 orders a = start v.0.0.0/1 start v.0.0.1/1`
 	play(t, text)
-	s := play(t, text+`
+	line := play(t, text+`
 	300 worker a cpu=4000 active low-j.0.0.0/1 active low-j.0.0.1/1 end 3/v.0.0.0/1/done end 4/v.0.0.1/1/done
 	310 disk commit
 	320 orders a = noted 4`)
 	for range 200 {
-		s.book.headroom.endRound(0, 1)
+		line.scheduler.headroom.update(0, 1)
 	}
-	s.book.wake = true
-	s.step(330*1e6, []string{"disk", "commit"}, "")
-	s.step(335*1e6, []string{"disk", "commit"}, "")
-	s.step(340*1e6, strings.Fields("orders a = start low-j.0.0.2/1 start low-j.0.0.3/1"), "room that nobody urgent wanted for 20 s")
+	line.scheduler.needsCycle = true
+	line.step(330*1e6, []string{"disk", "commit"}, "")
+	line.step(335*1e6, []string{"disk", "commit"}, "")
+	line.step(340*1e6, strings.Fields("orders a = start low-j.0.0.2/1 start low-j.0.0.3/1"), "room that nobody urgent wanted for 20 s")
 }
 
 // Without urgent demand nothing is kept.
--- a/jobs/idle_test.go
+++ b/jobs/idle_test.go
@@ -23,7 +23,7 @@
 	worldStep     = 50 * time.Millisecond
 	worldLength   = 40 * time.Second
 	worldArrivals = 25 * time.Second // jobs come until then
-	waitMost      = 2500 * time.Millisecond
+	maxWait       = 2500 * time.Millisecond
 )
 
 type worldRun struct {
@@ -38,21 +38,21 @@
 }
 
 type world struct {
-	t       *testing.T
-	random  *rand.Rand
-	book    *Book
-	workers []*worldWorker
-	last    int64
-	records map[string][]byte // durable
-	jobs    int
-	waits   map[string]time.Duration // since when a waiting thing could have run, by its name
-	worst   string                   // what waited for too long
+	t            *testing.T
+	random       *rand.Rand
+	scheduler    *Book
+	workers      []*worldWorker
+	last         int64
+	records      map[string][]byte // durable
+	jobs         int
+	waitingSince map[string]time.Duration // since when a waiting thing could have run, by its name
+	worst        string                   // what waited for too long
 }
 
 func newWorld(t *testing.T, seed int64) *world {
 	random := rand.New(rand.NewPCG(uint64(seed), 7))
-	s := &world{t: t, random: random, records: map[string][]byte{}, waits: map[string]time.Duration{}}
-	s.newBook()
+	s := &world{t: t, random: random, records: map[string][]byte{}, waitingSince: map[string]time.Duration{}}
+	s.newScheduler()
 	for i := range 1 + random.IntN(6) {
 		kind := []string{"a", "b"}[i%2]
 		s.workers = append(s.workers, &worldWorker{report: Report{
@@ -63,10 +63,10 @@
 	return s
 }
 
-// newBook has an owner decide that knows nothing yet.
-func (s *world) newBook() {
-	s.book = New(Options{LapseAfter: time.Minute, KeepEnded: time.Minute, FarX: 1.5}, rand.New(rand.NewPCG(s.random.Uint64(), 8)))
-	s.book.Configure([]QueueConfig{
+// newScheduler has an owner decide that knows nothing yet.
+func (s *world) newScheduler() {
+	s.scheduler = New(Options{LapseAfter: time.Minute, KeepEnded: time.Minute, FarX: 1.5}, rand.New(rand.NewPCG(s.random.Uint64(), 8)))
+	s.scheduler.Configure([]QueueConfig{
 		{Name: "urgent", Priority: 0, Retries: 3, Extension: 1.5, TargetLatencyMS: 800},
 		{Name: "large", Priority: 1, Retries: 3, Extension: 2.2, TargetLatencyMS: 1500},
 		{Name: "lasting", Priority: 1, Retries: 3, Extension: 2.2, TargetLatencyMS: 3000},
@@ -76,15 +76,15 @@
 
 // failover has a new owner take the durable records over.
 func (s *world) failover(now time.Duration) {
-	s.newBook()
+	s.newScheduler()
 	var records []Change
 	for key, value := range s.records {
 		records = append(records, Change{key, value})
 	}
-	if err := s.book.Restore(now, records, ""); err != nil {
+	if err := s.scheduler.Restore(now, records, ""); err != nil {
 		s.t.Fatal(err)
 	}
-	clear(s.waits)
+	clear(s.waitingSince)
 }
 
 // crash has a worker's life end with all that it runs; the next one stands on the same machine under another name.
@@ -116,7 +116,7 @@
 	}
 	s.jobs++
 	id := fmt.Sprintf("%s%d", queue, s.jobs)
-	if _, err := s.book.Submit(now, now.Milliseconds(), id, queue, specText(strings.Fields(spec+" "+label))); err != nil {
+	if _, err := s.scheduler.Submit(now, now.Milliseconds(), id, queue, jobBody(strings.Fields(spec+" "+label))); err != nil {
 		s.t.Fatalf("%s %s: %v", id, spec, err)
 	}
 }
@@ -124,14 +124,14 @@
 // step lets workers work, the book decide, and its changes be durable.
 func (s *world) step(now time.Duration) {
 	for _, w := range s.workers {
-		s.work(now, w)
-		s.book.Report(now, &w.report)
+		s.runTasks(now, w)
+		s.scheduler.Report(now, &w.report)
 	}
 	if now%(2*worldStep) == 0 {
-		s.book.Tick(now, now.Milliseconds())
+		s.scheduler.Tick(now, now.Milliseconds())
 	}
-	s.book.Schedule(now)
-	last, err := s.book.Flush(func(c Change) int64 {
+	s.scheduler.Schedule(now)
+	last, err := s.scheduler.Flush(func(c Change) int64 {
 		s.last++
 		if c.Value == nil {
 			delete(s.records, c.Key)
@@ -143,19 +143,19 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.book.Committed(last)
+	s.scheduler.Committed(last)
 	for _, w := range s.workers {
-		s.obey(now, w)
+		s.executeOrders(now, w)
 	}
 }
 
-// work ends the runs whose time is over and writes the worker's next report.
-func (s *world) work(now time.Duration, w *worldWorker) {
+// runTasks ends the runs whose time is over and writes the worker's next report.
+func (s *world) runTasks(now time.Duration, w *worldWorker) {
 	kept := w.runs[:0]
 	w.report.Active = nil
 	for _, run := range w.runs {
 		if run.until > 0 && now >= run.until {
-			s.end(w, run.ref, endDone)
+			s.end(w, run.ref, outcomeDone)
 			continue
 		}
 		kept = append(kept, run)
@@ -169,9 +169,9 @@
 	w.report.Finished = append(w.report.Finished, EndedRun{Number: w.ended, Task: ref.Task, Attempt: ref.Attempt, How: how})
 }
 
-// obey carries out a worker's orders.
-func (s *world) obey(now time.Duration, w *worldWorker) {
-	orders := s.book.Orders(now, s.book.Worker(RefOf(w.report.Instance, w.report.Side)), 0)
+// executeOrders carries out a worker's orders.
+func (s *world) executeOrders(now time.Duration, w *worldWorker) {
+	orders := s.scheduler.Orders(now, s.scheduler.Worker(WorkerRef(w.report.Instance, w.report.Side)), 0)
 	if orders == nil {
 		return
 	}
@@ -200,30 +200,30 @@
 	}
 }
 
-// look notes what waits although a worker has room for it twice over. It reckons by what workers run, not by what the
+// checkWaits notes what waits although a worker has room for it twice over. It reckons by what workers run, not by what the
 // book thinks of them.
-func (s *world) look(now time.Duration) {
+func (s *world) checkWaits(now time.Duration) {
 	seen := map[string]bool{}
 	idle := s.inUse() < 0.5
-	for _, job := range s.book.jobs {
-		for _, u := range job.units {
-			lasts := job.lasts(u.stage)
-			if u.gang || (!lasts && (job.assigned > 0 || !idle)) || s.roomFor(u) < 2 {
+	for _, job := range s.scheduler.jobs {
+		for _, group := range job.pending {
+			lasts := job.isLongRunning(group.stage)
+			if group.gang || (!lasts && (job.assigned > 0 || !idle)) || s.slotsFor(group) < 2 {
 				continue
 			}
-			name := fmt.Sprint(job.ID, "/", u.stage)
+			name := fmt.Sprint(job.ID, "/", group.stage)
 			seen[name] = true
-			if _, known := s.waits[name]; !known {
-				s.waits[name] = now
+			if _, known := s.waitingSince[name]; !known {
+				s.waitingSince[name] = now
 			}
-			if waited := now - s.waits[name]; waited > waitMost && s.worst == "" {
-				s.worst = fmt.Sprintf("%s waits for %v at %v: %v", name, waited, now, s.book.Withheld(now, waitMost))
+			if waited := now - s.waitingSince[name]; waited > maxWait && s.worst == "" {
+				s.worst = fmt.Sprintf("%s waits for %v at %v: %v", name, waited, now, s.scheduler.Withheld(now, maxWait))
 			}
 		}
 	}
-	for name := range s.waits {
+	for name := range s.waitingSince {
 		if !seen[name] {
-			delete(s.waits, name)
+			delete(s.waitingSince, name)
 		}
 	}
 }
@@ -241,40 +241,40 @@
 func (s *world) free(w *worldWorker) Resources {
 	free := w.report.Capacity
 	for _, run := range w.runs {
-		at, _ := parseTask(run.ref.Task)
-		if job := s.book.jobs[at.id]; job != nil {
+		at, _ := parseTaskName(run.ref.Task)
+		if job := s.scheduler.jobs[at.id]; job != nil {
 			free = free.minus(job.Spec.Stages[at.stage].demand())
 		}
 	}
 	return free
 }
 
-// roomFor returns how many tasks of a unit workers could take now, two or more of each at the most.
-func (s *world) roomFor(u *unit) int {
-	step := &u.job.Spec.Stages[u.stage]
+// slotsFor returns how many tasks of a unit workers could take now, two or more of each at the most.
+func (s *world) slotsFor(group *taskGroup) int {
+	stage := &group.job.Spec.Stages[group.stage]
 	slots := 0
 	for _, w := range s.workers {
-		known := s.book.Worker(RefOf(w.report.Instance, w.report.Side))
-		if known == nil || !known.carries(step.Constraints) {
+		known := s.scheduler.Worker(WorkerRef(w.report.Instance, w.report.Side))
+		if known == nil || !known.hasLabels(stage.Constraints) {
 			continue
 		}
 		most := 2
-		if step.AntiAffinity > 0 {
-			most = step.AntiAffinity - s.together(w, u)
+		if stage.AntiAffinity > 0 {
+			most = stage.AntiAffinity - s.colocated(w, group)
 		}
 		free := s.free(w)
-		for n := 0; n < most && free.Holds(step.demand()); n++ {
-			free = free.minus(step.demand())
+		for n := 0; n < most && free.Holds(stage.demand()); n++ {
+			free = free.minus(stage.demand())
 			slots++
 		}
 	}
 	return slots
 }
 
-func (s *world) together(w *worldWorker, u *unit) int {
+func (s *world) colocated(w *worldWorker, group *taskGroup) int {
 	n := 0
 	for _, run := range w.runs {
-		if at, _ := parseTask(run.ref.Task); at.id == u.job.ID && at.stage == u.stage {
+		if at, _ := parseTaskName(run.ref.Task); at.id == group.job.ID && at.stage == group.stage {
 			n++
 		}
 	}
@@ -303,7 +303,7 @@
 			}
 		}
 		s.step(now)
-		s.look(now)
+		s.checkWaits(now)
 	}
 	return s.worst
 }
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -1,13 +1,6 @@
 package jobs
 
-import (
-	"fmt"
-	"strconv"
-	"strings"
-	"time"
-
-	"sedgevale/internal/avrocodec"
-)
+import "time"
 
 // State is how a job is shown to clients.
 type State string
@@ -26,244 +19,128 @@
 
 // The states of a task.
 const (
-	Waiting  TaskState = iota // may be started once its step's turn has come
-	Assigned                  // a start was, or is about to be, sent to a worker
-	Done                      // has ended done; it never starts again
+	TaskPending   TaskState = iota // may be started once its step's turn has come
+	TaskAssigned                   // a start was, or is about to be, sent to a worker
+	TaskCompleted                  // has ended done; it never starts again
 )
 
 // Task is one task of one time. Attempt numbers its starts from 1.
 type Task struct {
-	State   TaskState
-	Attempt int64
-	Fails   int64
-	Failed  int64  // the attempt that was counted in Fails last
-	Worker  string // the worker that has or had the last start
-	Saved   string // the newest checkpoint
-}
-
-// StageRun is a step in one time.
-type StageRun struct {
-	Tasks []Task
-	done  int
-}
-
-// Time is one run of all steps of a job; a job without repeats has just number 0.
-type Time struct {
-	Number int
-	Done   bool
-	Stages []StageRun
-	due    time.Duration // when it became due, on the steady clock
-}
-
-// Job is a job and how far it is.
-type Job struct {
-	ID       string
-	Queue    string
-	Spec     *Spec
-	State    State // Queued stands for all that has not ended
-	Times    []*Time
-	Next     int // the number of the next time to become due
-	started  bool
-	begun    bool // a worker has begun one of its tasks, as far as this owner knows
-	assigned int  // tasks with a start that has not ended
-
-	units    []*unit // what waits of it
-	shown    State   // what clients may be told: it is durable
-	exists   bool    // its record is durable
-	accepted time.Duration
-	ended    time.Duration
-	dirty    bool
+	State       TaskState
+	Attempt     int64
+	Failures    int64
+	LastFailure int64  // the attempt that was counted in Fails last
+	Worker      string // the worker that has or had the last start
+	Checkpoint  string // the newest checkpoint
 }
 
-// jobRecord and the types below are the durable form of what changes of a job.
-type jobRecord struct {
-	State string
-	Next  int
-	Times []timeRecord
+// StageProgress is a step in one time.
+type StageProgress struct {
+	Tasks     []Task
+	completed int
 }
 
-type timeRecord struct {
+// Occurrence is one run of all steps of a job; a job without repeats has just number 0.
+type Occurrence struct {
 	Number int
 	Done   bool
-	Stages []stageRecord
-}
-
-type stageRecord struct {
-	Tasks []taskRecord
-}
-
-type taskRecord struct {
-	State   int
-	Attempt int64
-	Fails   int64
-	Failed  int64
-	Worker  string
-	Saved   string
-}
-
-// specRecord is the durable form of what a client handed in.
-type specRecord struct {
-	Queue string
-	Body  []byte
+	Stages []StageProgress
+	dueAt  time.Duration // when it became due, on the steady clock
 }
 
-// The kinds of keys of a shard.
-const (
-	specPrefix = "s/"
-	jobPrefix  = "d/"
-)
-
-func (j *Job) encode() ([]byte, error) {
-	record := jobRecord{State: string(j.State), Next: j.Next}
-	for _, t := range j.Times {
-		part := timeRecord{Number: t.Number, Done: t.Done}
-		if !t.Done {
-			part.Stages = encodeStages(t.Stages)
-		}
-		record.Times = append(record.Times, part)
-	}
-	return avrocodec.Encode(&record)
-}
-
-func encodeStages(stages []StageRun) []stageRecord {
-	records := make([]stageRecord, len(stages))
-	for i := range stages {
-		records[i].Tasks = make([]taskRecord, len(stages[i].Tasks))
-		for n, t := range stages[i].Tasks {
-			records[i].Tasks[n] = taskRecord{
-				State: int(t.State), Attempt: t.Attempt, Fails: t.Fails, Failed: t.Failed, Worker: t.Worker, Saved: t.Saved,
-			}
-		}
-	}
-	return records
-}
-
-func (j *Job) decode(value []byte) error {
-	var record jobRecord
-	if err := avrocodec.Decode(value, &record); err != nil {
-		return fmt.Errorf("job %s: %w", j.ID, err)
-	}
-	j.State = State(record.State)
-	j.Next = record.Next
-	for _, part := range record.Times {
-		t := &Time{Number: part.Number, Done: part.Done}
-		for i := range part.Stages {
-			run := StageRun{}
-			for _, task := range part.Stages[i].Tasks {
-				state := TaskState(task.State)
-				if state == Done {
-					run.done++
-				}
-				if state == Assigned {
-					j.assigned++
-				}
-				if task.Attempt > 0 {
-					j.started = true
-				}
-				if state == Done || task.Fails > 0 || task.Saved != "" {
-					j.begun = true
-				}
-				run.Tasks = append(run.Tasks, Task{
-					State: state, Attempt: task.Attempt, Fails: task.Fails, Failed: task.Failed,
-					Worker: task.Worker, Saved: task.Saved,
-				})
-			}
-			t.Stages = append(t.Stages, run)
-		}
-		if t.Done {
-			j.started = true
-			j.begun = true
+// allStagesCompleted reports whether all steps of a time are done.
+func (occurrence *Occurrence) allStagesCompleted() bool {
+	for i := range occurrence.Stages {
+		if occurrence.Stages[i].completed < len(occurrence.Stages[i].Tasks) {
+			return false
 		}
-		j.Times = append(j.Times, t)
 	}
-	return nil
+	return true
 }
 
-// newTime begins one run of all steps.
-func (j *Job) newTime(number int, now time.Duration) *Time {
-	t := &Time{Number: number, due: now}
+// Job is a job and how far it is.
+type Job struct {
+	ID             string
+	Queue          string
+	Spec           *Spec
+	State          State // Queued stands for all that has not ended
+	Occurrences    []*Occurrence
+	NextOccurrence int // the number of the next time to become due
+	everAssigned   bool
+	everRan        bool // a worker has begun one of its tasks, as far as this owner knows
+	assigned       int  // tasks with a start that has not ended
+
+	pending      []*taskGroup // what waits of it
+	durableState State        // what clients may be told: it is durable
+	durable      bool         // its record is durable
+	acceptedAt   time.Duration
+	endedAt      time.Duration
+	dirty        bool
+}
+
+// addOccurrence begins one run of all steps.
+func (j *Job) addOccurrence(number int, now time.Duration) *Occurrence {
+	occurrence := &Occurrence{Number: number, dueAt: now}
 	for i := range j.Spec.Stages {
-		t.Stages = append(t.Stages, StageRun{Tasks: make([]Task, j.Spec.Stages[i].Count)})
+		occurrence.Stages = append(occurrence.Stages, StageProgress{Tasks: make([]Task, j.Spec.Stages[i].Count)})
 	}
-	j.Times = append(j.Times, t)
-	return t
+	j.Occurrences = append(j.Occurrences, occurrence)
+	return occurrence
 }
 
-func (j *Job) time(number int) *Time {
-	for _, t := range j.Times {
-		if t.Number == number {
-			return t
+func (j *Job) occurrence(number int) *Occurrence {
+	for _, occurrence := range j.Occurrences {
+		if occurrence.Number == number {
+			return occurrence
 		}
 	}
 	return nil
 }
 
-// repeats returns how many times the steps run.
-func (j *Job) repeats() int { return max(1, j.Spec.Repeat) }
+// occurrenceCount returns how many times the steps run.
+func (j *Job) occurrenceCount() int { return max(1, j.Spec.Repeat) }
 
-// move changes the state of a task and keeps count of those at work.
-func (j *Job) move(task *Task, state TaskState) {
-	if task.State == Assigned {
+// setTaskState changes the state of a task and keeps count of those at work.
+func (j *Job) setTaskState(task *Task, state TaskState) {
+	if task.State == TaskAssigned {
 		j.assigned--
 	}
-	if state == Assigned {
+	if state == TaskAssigned {
 		j.assigned++
 	}
 	task.State = state
 }
 
-func (j *Job) over() bool { return j.State != Queued }
+func (j *Job) hasEnded() bool { return j.State != Queued }
 
-// lasts reports whether the tasks of a step run until the job is cancelled.
-func (j *Job) lasts(stage int) bool { return j.Spec.LongRunning || j.Spec.Stages[stage].LongRunning }
+// isLongRunning reports whether the tasks of a step run until the job is cancelled.
+func (j *Job) isLongRunning(stageIndex int) bool {
+	return j.Spec.LongRunning || j.Spec.Stages[stageIndex].LongRunning
+}
 
-// ready reports whether all steps that a step depends on are done.
-func (j *Job) ready(t *Time, stage int) bool {
-	for _, earlier := range j.Spec.Stages[stage].DependsOn {
-		if t.Stages[earlier].done < len(t.Stages[earlier].Tasks) {
+// dependenciesCompleted reports whether all steps that a step depends on are done.
+func (j *Job) dependenciesCompleted(occurrence *Occurrence, stageIndex int) bool {
+	for _, earlier := range j.Spec.Stages[stageIndex].DependsOn {
+		if occurrence.Stages[earlier].completed < len(occurrence.Stages[earlier].Tasks) {
 			return false
 		}
 	}
 	return true
 }
 
-// finished reports whether all steps of a time are done.
-func (t *Time) finished() bool {
-	for i := range t.Stages {
-		if t.Stages[i].done < len(t.Stages[i].Tasks) {
-			return false
+func dependsOn(job *Job, stageIndex, earlier int) bool {
+	for _, one := range job.Spec.Stages[stageIndex].DependsOn {
+		if one == earlier {
+			return true
 		}
 	}
-	return true
+	return false
 }
 
-// visible returns the state that clients may be told.
-func (j *Job) visible() State {
-	if j.shown == Queued && j.started {
+// visibleState returns the state that clients may be told.
+func (j *Job) visibleState() State {
+	if j.durableState == Queued && j.everAssigned {
 		return Running
 	}
-	return j.shown
-}
-
-// TaskName returns how workers know a task.
-func TaskName(id string, number, stage, index int) string {
-	return id + "." + strconv.Itoa(number) + "." + strconv.Itoa(stage) + "." + strconv.Itoa(index)
-}
-
-// place is a task's position in its job.
-type place struct {
-	id                   string
-	number, stage, index int
-}
-
-func parseTask(name string) (place, bool) {
-	parts := strings.Split(name, ".")
-	if len(parts) != 4 {
-		return place{}, false
-	}
-	number, err1 := strconv.Atoi(parts[1])
-	stage, err2 := strconv.Atoi(parts[2])
-	index, err3 := strconv.Atoi(parts[3])
-	ok := err1 == nil && err2 == nil && err3 == nil && number >= 0 && stage >= 0 && index >= 0
-	return place{parts[0], number, stage, index}, ok
+	return j.durableState
 }
--- a/jobs/orders.go
+++ b/jobs/orders.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// startsMost is how many starts one call to a side agent carries: a few megabytes with the longest texts.
-const startsMost = 1000
+// maxStartsPerCall is how many starts one call to a side agent carries: a few megabytes with the longest texts.
+const maxStartsPerCall = 1000
 
 // DirtyWorkers returns the workers whose side agents should be told something, and forgets which they were.
-func (b *Book) DirtyWorkers() []*Worker {
+func (s *Book) DirtyWorkers() []*Worker {
 	var dirty []*Worker
-	for _, w := range b.workers {
-		if w.dirty {
-			w.dirty = false
+	for _, w := range s.workers {
+		if w.ordersDue {
+			w.ordersDue = false
 			dirty = append(dirty, w)
 		}
 	}
@@ -18,36 +18,36 @@
 }
 
 // Orders returns what a worker's side agent should be told now, or nil. What is too much for one call is due for the next.
-func (b *Book) Orders(now time.Duration, w *Worker, sentNoted int64) *Orders {
-	if w.State == Unheard || w.State == Lapsed {
+func (s *Book) Orders(now time.Duration, w *Worker, sentNoted int64) *Orders {
+	if w.State == Unconfirmed || w.State == Lapsed {
 		return nil
 	}
-	orders := &Orders{Instance: w.Instance, Life: w.Life, Noted: w.noted}
-	if w.unknown {
-		orders.Known = b.demands(w)
-		w.unknown = false
+	orders := &Orders{Instance: w.Instance, Life: w.AgentIncarnation, Noted: w.durableCompletions}
+	if w.demandsUnknown {
+		orders.Known = s.runDemands(w)
+		w.demandsUnknown = false
 	}
 	for key, run := range w.Runs {
-		due := run.lastSent == 0 || now-run.lastSent >= resendAfter
+		due := run.lastSent == 0 || now-run.lastSent >= resendInterval
 		switch {
 		case !run.durable || !due:
-		case run.stopping || !b.wants(run):
+		case run.stopping || !s.needsRun(run):
 			run.lastSent = now
 			orders.Stops = append(orders.Stops, key)
-		case run.reported || len(orders.Starts) == startsMost:
+		case run.reported || len(orders.Starts) == maxStartsPerCall:
 		default:
 			run.lastSent = now
-			orders.Starts = append(orders.Starts, b.startOf(run))
+			orders.Starts = append(orders.Starts, s.startOrder(run))
 		}
 	}
-	if len(orders.Starts)+len(orders.Stops)+len(orders.Known) == 0 && w.noted == sentNoted {
+	if len(orders.Starts)+len(orders.Stops)+len(orders.Known) == 0 && w.durableCompletions == sentNoted {
 		return nil
 	}
 	return orders
 }
 
-// demands returns what each run of a worker takes, for a side agent that has just started.
-func (b *Book) demands(w *Worker) []Start {
+// runDemands returns what each run of a worker takes, for a side agent that has just started.
+func (s *Book) runDemands(w *Worker) []Start {
 	var known []Start
 	for key, run := range w.Runs {
 		known = append(known, Start{Task: key.Task, Attempt: key.Attempt, Demand: run.demand})
@@ -55,25 +55,25 @@
 	return known
 }
 
-// wants reports whether a run's task still waits for its end.
-func (b *Book) wants(run *Run) bool {
-	if run.job == nil || run.job.over() {
+// needsRun reports whether a run's task still waits for its end.
+func (s *Book) needsRun(run *Run) bool {
+	if run.job == nil || run.job.hasEnded() {
 		return false
 	}
-	t := run.job.time(run.at.number)
-	if t == nil || t.Done {
+	occurrence := run.job.occurrence(run.position.number)
+	if occurrence == nil || occurrence.Done {
 		return false
 	}
-	task := &t.Stages[run.at.stage].Tasks[run.at.index]
-	return task.State == Assigned && task.Attempt == run.Key.Attempt
+	task := &occurrence.Stages[run.position.stage].Tasks[run.position.index]
+	return task.State == TaskAssigned && task.Attempt == run.Key.Attempt
 }
 
-func (b *Book) startOf(run *Run) Start {
-	task := &run.job.time(run.at.number).Stages[run.at.stage].Tasks[run.at.index]
+func (s *Book) startOrder(run *Run) Start {
+	task := &run.job.occurrence(run.position.number).Stages[run.position.stage].Tasks[run.position.index]
 	return Start{
-		Task: run.Key.Task, Attempt: run.Key.Attempt, Text: run.job.Spec.Text, Saved: task.Saved, Demand: run.demand,
+		Task: run.Key.Task, Attempt: run.Key.Attempt, Text: run.job.Spec.Text, Saved: task.Checkpoint, Demand: run.demand,
 	}
 }
 
 // Noted returns up to which number the ends that a worker told are durable.
-func (b *Book) Noted(w *Worker) int64 { return w.noted }
+func (s *Book) Noted(w *Worker) int64 { return w.durableCompletions }
--- a/jobs/overdue.go
+++ b/jobs/overdue.go
@@ -6,105 +6,81 @@
 // nothing of its job at work, is no longer held back by the first two; by reservations it is, for as long as there is load,
 // unless it lasts.
 const (
-	overdueAfter  = 1500 * time.Millisecond // a unit that waits for longer is not held back by its queue's limit or credit,
-	overdueLoaded = 6 * time.Second         // nor one that waits for longer under load, when limits keep room for the urgent
-	overdueLook   = 1024                    // waiting units that are looked at in one round
-	overdueMost   = 64                      // of these, units that are tried
-	mostlyIdle    = 0.6                     // part of the cores in use up to which there is no load
+	minOverdueWait          = 1500 * time.Millisecond // a unit that waits for longer is not held back by its queue's limit or credit,
+	minOverdueWaitUnderLoad = 6 * time.Second         // nor one that waits for longer under load, when limits keep room for the urgent
+	maxOverdueScan          = 1024                    // waiting units that are looked at in one round
+	maxOverdueGroups        = 64                      // of these, units that are tried
+	maxIdleUtilization      = 0.6                     // part of the cores in use up to which there is no load
 )
 
-// placeOverdue places what has waited for too long, one task of each job, in room that all queues within their limits
+// placeOverdueGroups places what has waited for too long, one task of each job, in room that all queues within their limits
 // have left in this pass. Reservations hold it back only under load, when they decide who waits, and never tasks that
 // last, since each of these is wanted at work all the time.
-func (b *Book) placeOverdue(p *pass) {
-	idle := b.inUse(p) < mostlyIdle
-	for _, u := range b.overdueUnits(p, idle) {
-		p.unreserved = idle || u.job.lasts(u.stage)
-		b.placeOne(p, u)
+func (s *Book) placeOverdueGroups(c *cycle) {
+	idle := s.coreUtilization(c) < maxIdleUtilization
+	for _, group := range s.overdueGroups(c, idle) {
+		c.ignoreReservations = idle || group.job.isLongRunning(group.stage)
+		s.placeOverdueGroup(c, group)
 	}
 }
 
-// inUse returns the part of all cores of ready workers that runs take.
-func (b *Book) inUse(p *pass) float64 {
+// coreUtilization returns the part of all cores of ready workers that runs take.
+func (s *Book) coreUtilization(c *cycle) float64 {
 	used, all := int64(0), int64(0)
-	for _, w := range p.ready {
+	for _, w := range c.ready {
 		used += w.used.CPU
 		all += w.Capacity.CPU
 	}
 	return ratio(used, all)
 }
 
-// overdueUnits returns units that are overdue, of as many waiting ones as one round looks at; the next round goes on behind
+// overdueGroups returns units that are overdue, of as many waiting ones as one round looks at; the next round goes on behind
 // them. What was found to fit nowhere in this pass is left out, unless reservations were all that kept it out.
-func (b *Book) overdueUnits(p *pass, idle bool) []*unit {
-	var found []*unit
-	look := overdueLook
-	for range b.order {
-		q := b.order[b.overdueFrom%len(b.order)]
-		ended := q.lookFrom(&q.overdueNext, &look, func(u *unit) {
-			if p.isOverdue(u, idle) && (idle || u.job.lasts(u.stage) || !p.blocked[u]) {
-				found = append(found, u)
+func (s *Book) overdueGroups(c *cycle, idle bool) []*taskGroup {
+	var found []*taskGroup
+	look := maxOverdueScan
+	for range s.queueOrder {
+		q := s.queueOrder[s.overdueQueue%len(s.queueOrder)]
+		ended := q.scanFrom(&q.overdueResumeAt, &look, func(group *taskGroup) {
+			if c.isOverdue(group, idle) && (idle || group.job.isLongRunning(group.stage) || !c.unschedulable[group]) {
+				found = append(found, group)
 			}
-			if len(found) == overdueMost {
+			if len(found) == maxOverdueGroups {
 				look = 0
 			}
 		})
 		if !ended {
 			return found
 		}
-		b.overdueFrom++
+		s.overdueQueue++
 	}
 	return found
 }
 
 // isOverdue reports whether a unit has waited for too long: a task that lasts, or one of a job with nothing at work.
-func (p *pass) isOverdue(u *unit, idle bool) bool {
-	waited := p.now - u.since
-	if u.job.lasts(u.stage) {
-		return waited >= overdueAfter
+func (c *cycle) isOverdue(group *taskGroup, idle bool) bool {
+	waited := c.now - group.queuedAt
+	if group.job.isLongRunning(group.stage) {
+		return waited >= minOverdueWait
 	}
-	return u.job.assigned == 0 && (waited >= overdueLoaded || idle && waited >= overdueAfter)
+	return group.job.assigned == 0 && (waited >= minOverdueWaitUnderLoad || idle && waited >= minOverdueWait)
 }
 
-// lookFrom visits waiting units from a place on, as many as are left to look at, and reports whether it came to the
-// end of the queue. The place is moved on.
-func (q *Queue) lookFrom(place **unit, left *int, visit func(*unit)) (ended bool) {
-	ended = true
-	look := func(u *unit) bool {
-		if *left == 0 {
-			*place, ended = u, false
-			return false
-		}
-		*left--
-		visit(u)
-		return true
-	}
-	if from := *place; from != nil {
-		q.waiting.AscendGreaterOrEqual(from, look)
-	} else {
-		q.waiting.Ascend(look)
-	}
-	if ended {
-		*place = nil
-	}
-	return ended
-}
-
-// placeOne places the first task of a unit, all tasks of one that lasts, or a gang as a whole.
-func (b *Book) placeOne(p *pass, u *unit) {
-	if u.gang {
-		b.releaseGang(p, u)
+// placeOverdueGroup places the first task of a unit, all tasks of one that lasts, or a gang as a whole.
+func (s *Book) placeOverdueGroup(c *cycle, group *taskGroup) {
+	if group.gang {
+		s.placeGang(c, group)
 		return
 	}
 	count := 1
-	if u.job.lasts(u.stage) {
-		count = len(u.tasks)
+	if group.job.isLongRunning(group.stage) {
+		count = len(group.tasks)
 	}
 	for range count {
-		w := b.pick(p, u, nil)
+		w := s.pickWorker(c, group, nil)
 		if w == nil {
 			return
 		}
-		b.startNext(p, u, w)
+		s.assignNext(c, group, w)
 	}
 }
--- a/jobs/place_test.go
+++ b/jobs/place_test.go
@@ -23,14 +23,14 @@
 
 // Two gangs that both want all workers do not hold half each.
 func TestGangsDoNotBlockEachOther(t *testing.T) {
-	s := play(t, `
+	line := play(t, `
 	0   worker a cpu=4000 gpu=8
 	0   worker b cpu=4000 gpu=8
 	10  client submit j 2x cpu=500 gpu=8 gang est=100
 	10  client submit k 2x cpu=500 gpu=8 gang est=100
 	20  disk commit`)
 	running := map[string]int{}
-	for _, w := range s.book.workers {
+	for _, w := range line.scheduler.workers {
 		for key := range w.Runs {
 			running[key.Task[:1]]++
 		}
@@ -68,7 +68,7 @@
 
 // ROUTE: the label in constraints, the rack of the data, and at most so many of a step on one worker.
 func TestPlacementKeepsConstraints(t *testing.T) {
-	s := play(t, `
+	line := play(t, `
 	0   worker a cpu=4000 rack=r1
 	0   worker b cpu=4000 rack=r2
 	10  client submit near 4x cpu=100 near=r2 est=100
@@ -76,7 +76,7 @@
 	10  client submit label 3x cpu=100 label=r1 est=100
 	20  disk commit`)
 	where := map[string][]string{}
-	for _, w := range s.book.workers {
+	for _, w := range line.scheduler.workers {
 		for key := range w.Runs {
 			name, _, _ := strings.Cut(key.Task, ".")
 			where[name] = append(where[name], w.Instance)
@@ -95,12 +95,12 @@
 
 // Trap 7: nothing is placed beyond the announced capacity, also while the admission limit would allow it.
 func TestCapacityIsKept(t *testing.T) {
-	s := play(t, `
+	line := play(t, `
 	0   worker a cpu=1000
 	10  client submit j 5x cpu=300 est=100
 	20  disk commit
 	30  tick`)
-	for _, w := range s.book.workers {
+	for _, w := range line.scheduler.workers {
 		if w.used.CPU > 1000 || len(w.Runs) != 3 {
 			t.Errorf("%d runs with %d", len(w.Runs), w.used.CPU)
 		}
@@ -110,18 +110,18 @@
 // Work that no worker can take claims no share of the room, so that others are not held back for it.
 // Found by a hunt: mix --seed 122610384008 of a deployment whose only worker of a kind had left (LOST).
 func TestUnplaceableWorkHoldsNobodyBack(t *testing.T) {
-	s := newStage(t)
-	s.step(0, strings.Fields("worker a cpu=4000"), "")
-	s.step(1*time.Millisecond, strings.Fields("client submit stuck 400x cpu=1000 label=none est=1000"), "")
+	line := newTimeline(t)
+	line.step(0, strings.Fields("worker a cpu=4000"), "")
+	line.step(1*time.Millisecond, strings.Fields("client submit stuck 400x cpu=1000 label=none est=1000"), "")
 	for ms := 100; ms < 2000; ms += 100 {
 		now := time.Duration(ms) * time.Millisecond
-		s.step(now, strings.Fields("worker a cpu=4000"), "")
-		s.step(now, []string{"tick"}, "")
+		line.step(now, strings.Fields("worker a cpu=4000"), "")
+		line.step(now, []string{"tick"}, "")
 		if ms == 500 {
-			s.step(now, strings.Fields("client submit low 8x cpu=1000 est=60000"), "")
+			line.step(now, strings.Fields("client submit low 8x cpu=1000 est=60000"), "")
 		}
 	}
-	for _, w := range s.book.workers {
+	for _, w := range line.scheduler.workers {
 		if len(w.Runs) != 4 {
 			t.Errorf("%d runs on an idle worker with room for 4", len(w.Runs))
 		}
@@ -171,45 +171,45 @@
 // A limit that was cut below what runs rises again, also where the runs last. Found by scale-1 of the second site, which
 // in some plays left one of five workers at a tenth from second 11 to the end.
 func TestLimitRisesBelowWhatRuns(t *testing.T) {
-	s := newStage(t)
-	s.step(0, strings.Fields("worker a cpu=4000"), "")
-	s.step(1*time.Millisecond, strings.Fields("client submit stays 2x cpu=1000 lasts est=1000"), "")
-	for _, w := range s.book.workers {
+	line := newTimeline(t)
+	line.step(0, strings.Fields("worker a cpu=4000"), "")
+	line.step(1*time.Millisecond, strings.Fields("client submit stays 2x cpu=1000 lasts est=1000"), "")
+	for _, w := range line.scheduler.workers {
 		for range 20 {
-			w.hurt()
-			w.cut = false
+			w.cutLimit()
+			w.limitCut = false
 		}
 	}
 	for ms := 100; ms <= 4000; ms += 100 {
 		now := time.Duration(ms) * time.Millisecond
-		s.step(now, strings.Fields("worker a cpu=4000 active stays.0.0.0/1 active stays.0.0.1/1"), "")
-		s.step(now, []string{"tick"}, "")
+		line.step(now, strings.Fields("worker a cpu=4000 active stays.0.0.0/1 active stays.0.0.1/1"), "")
+		line.step(now, []string{"tick"}, "")
 	}
-	for _, w := range s.book.workers {
-		if w.sigma < 1 {
-			t.Errorf("limit %v after 4 s of clean rounds", w.sigma)
+	for _, w := range line.scheduler.workers {
+		if w.loadLimit < 1 {
+			t.Errorf("limit %v after 4 s of clean rounds", w.loadLimit)
 		}
 	}
 }
 
 // In a large shard a placement looks at a few workers from a random place on, but finds the only one that will do.
 func TestLargeShardFindsTheOnlyWorker(t *testing.T) {
-	s := newStage(t)
+	line := newTimeline(t)
 	for i := range 300 {
 		rack := "r1"
 		if i == 217 {
 			rack = "r2"
 		}
-		s.step(0, strings.Fields(fmt.Sprintf("worker w%d cpu=4000 rack=%s", i, rack)), "")
+		line.step(0, strings.Fields(fmt.Sprintf("worker w%d cpu=4000 rack=%s", i, rack)), "")
 	}
-	s.step(1*time.Millisecond, strings.Fields("client submit label 2x cpu=100 label=r2 est=100"), "")
-	s.step(1*time.Millisecond, strings.Fields("client submit near 2x cpu=100 near=r2 est=100"), "")
-	s.step(1*time.Millisecond, strings.Fields("client submit any 100x cpu=100 est=100"), "")
+	line.step(1*time.Millisecond, strings.Fields("client submit label 2x cpu=100 label=r2 est=100"), "")
+	line.step(1*time.Millisecond, strings.Fields("client submit near 2x cpu=100 near=r2 est=100"), "")
+	line.step(1*time.Millisecond, strings.Fields("client submit any 100x cpu=100 est=100"), "")
 	for ms := 100; ms <= 500; ms += 100 {
-		s.step(time.Duration(ms)*time.Millisecond, []string{"tick"}, "")
+		line.step(time.Duration(ms)*time.Millisecond, []string{"tick"}, "")
 	}
 	at := map[string]int{}
-	for _, w := range s.book.workers {
+	for _, w := range line.scheduler.workers {
 		for key := range w.Runs {
 			name, _, _ := strings.Cut(key.Task, ".")
 			at[name+" "+w.rack()]++
@@ -283,7 +283,7 @@
 
 // A worker is kept for a task only if the task may run there: not where enough of its step are.
 func TestNoWorkerIsKeptThatItsHolderMayNotUse(t *testing.T) {
-	s := play(t, `
+	line := play(t, `
 	0   worker a cpu=4000 rack=r1
 	0   worker b cpu=4000 rack=r2
 	10  client submit x 1x cpu=3500 label=r2 est=9000
@@ -292,10 +292,10 @@
 	600 worker a cpu=4000 rack=r1
 	600 worker b cpu=4000 rack=r2
 	610 tick`)
-	if len(s.book.reserved) == 0 {
+	if len(line.scheduler.reservations) == 0 {
 		t.Fatal("no worker is kept for the task that waits")
 	}
-	for w := range s.book.reserved {
+	for w := range line.scheduler.reservations {
 		if w.Instance != "i-b" {
 			t.Errorf("%s is kept, where one of the step's tasks is already", w.Instance)
 		}
--- a/jobs/slopes_test.go
+++ b/jobs/slopes_test.go
@@ -26,7 +26,7 @@
 	}
 	var heaps []float64
 	for _, s := range sizes {
-		m := measure(s)
+		m := measureScheduler(s)
 		heaps = append(heaps, m.heap)
 		t.Logf("workers %5d running %6d queues %4d: heap %7.2f MB, report %6.1f us, start %7.1f us, round %8.1f us, record %5.0f B a task",
 			s.workers, s.running, s.queues, m.heap, m.report, m.start, m.round, m.record)
@@ -38,7 +38,7 @@
 
 type measured struct{ heap, report, start, round, record float64 }
 
-func measure(s size) (m measured) {
+func measureScheduler(s size) (m measured) {
 	before := heapMB()
 	b := New(Options{LapseAfter: time.Minute, KeepEnded: time.Minute, FarX: 1.5}, rand.New(rand.NewPCG(1, 1)))
 	var queues []QueueConfig
@@ -63,14 +63,14 @@
 		now += 10 * time.Millisecond
 		if n%1024 == 0 {
 			for _, w := range b.workers {
-				w.heard, w.expiry = now, now+time.Minute
+				w.lastReport, w.leaseExpiry = now, now+time.Minute
 			}
 		}
 		if _, err := b.Submit(now, 0, fmt.Sprintf("%016x", n), queues[n/16%s.queues].Name, body); err != nil {
 			panic(err)
 		}
-		for _, q := range b.order { // the limits are not what is measured
-			q.sigma, q.local = 1e6, 1e6
+		for _, q := range b.queueOrder { // the limits are not what is measured
+			q.limit, q.localShare = 1e6, 1e6
 		}
 		b.Schedule(now)
 		_, _ = b.Flush(put, 1)
@@ -88,7 +88,7 @@
 	for ref, w := range b.workers {
 		r := reports[0]
 		for i := range reports {
-			if RefOf(reports[i].Instance, reports[i].Side) == ref {
+			if WorkerRef(reports[i].Instance, reports[i].Side) == ref {
 				r = reports[i]
 				break
 			}
--- a/jobs/summary.go
+++ b/jobs/summary.go
@@ -30,20 +30,20 @@
 }
 
 // Summary tells how all queues and workers stand, for operators.
-func (b *Book) Summary() ([]QueueSummary, []WorkerSummary) {
+func (s *Book) Summary() ([]QueueSummary, []WorkerSummary) {
 	var queues []QueueSummary
-	for _, q := range b.order {
+	for _, q := range s.queueOrder {
 		queues = append(queues, QueueSummary{
-			Name: q.Name, Priority: q.Priority, Unended: int64(q.unended), Pending: int64(q.unbegun),
-			Held: q.held, Wanted: q.wanted, Sigma: q.sigma,
-			UsualMS: 1000 * math.Exp(q.usual),
+			Name: q.Name, Priority: q.Priority, Unended: int64(q.activeJobs), Pending: int64(q.pendingJobs),
+			Held: q.allocated, Wanted: q.pendingDemand, Sigma: q.limit,
+			UsualMS: 1000 * math.Exp(q.meanLogRunTime),
 		})
 	}
 	var workers []WorkerSummary
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		workers = append(workers, WorkerSummary{
-			Ref: w.Ref, State: string(w.State), Runs: int64(len(w.Runs)), Held: w.held, Sigma: w.sigma, Failing: w.failing,
-			Pace: w.pace, Free: w.free(),
+			Ref: w.Ref, State: string(w.State), Runs: int64(len(w.Runs)), Held: w.allocated, Sigma: w.loadLimit, Failing: w.failureRate,
+			Pace: w.slowdown, Free: w.freeCapacity(),
 		})
 	}
 	sort.Slice(workers, func(i, j int) bool { return workers[i].Ref < workers[j].Ref })
--- /dev/null
+++ b/jobs/taskname.go
@@ -0,0 +1,29 @@
+package jobs
+
+import (
+	"strconv"
+	"strings"
+)
+
+// TaskName returns how workers know a task.
+func TaskName(id string, number, stageIndex, index int) string {
+	return id + "." + strconv.Itoa(number) + "." + strconv.Itoa(stageIndex) + "." + strconv.Itoa(index)
+}
+
+// taskPosition is a task's position in its job.
+type taskPosition struct {
+	id                   string
+	number, stage, index int
+}
+
+func parseTaskName(name string) (taskPosition, bool) {
+	parts := strings.Split(name, ".")
+	if len(parts) != 4 {
+		return taskPosition{}, false
+	}
+	number, err1 := strconv.Atoi(parts[1])
+	stageIndex, err2 := strconv.Atoi(parts[2])
+	index, err3 := strconv.Atoi(parts[3])
+	ok := err1 == nil && err2 == nil && err3 == nil && number >= 0 && stageIndex >= 0 && index >= 0
+	return taskPosition{parts[0], number, stageIndex, index}, ok
+}
--- a/jobs/timeline_test.go
+++ b/jobs/timeline_test.go
@@ -23,15 +23,15 @@
 //	failover                    a new owner takes the durable records over
 //
 // A spec is steps divided by |, each with words like 3x cpu=500 gang after=0 keep lasts near=r1 apart=1 est=900 gpu=2.
-type stage struct {
-	t       *testing.T
-	book    *Book
-	records map[string][]byte // durable
-	pending []Change
-	last    int64
-	noted   map[string]int64
-	ended   map[string][]EndedRun
-	configs []QueueConfig // that a new owner is told
+type timeline struct {
+	t                  *testing.T
+	scheduler          *Book
+	records            map[string][]byte // durable
+	pending            []Change
+	last               int64
+	durableCompletions map[string]int64
+	ended              map[string][]EndedRun
+	configs            []QueueConfig // that a new owner is told
 }
 
 var testQueues = []QueueConfig{
@@ -39,20 +39,20 @@
 	{Name: "low", Priority: 2, Retries: 2, Extension: 2, TargetLatencyMS: 1000},
 }
 
-func newStage(t *testing.T) *stage {
-	s := &stage{t: t, records: map[string][]byte{}, noted: map[string]int64{}, ended: map[string][]EndedRun{}, configs: testQueues}
-	s.fresh()
-	return s
+func newTimeline(t *testing.T) *timeline {
+	line := &timeline{t: t, records: map[string][]byte{}, durableCompletions: map[string]int64{}, ended: map[string][]EndedRun{}, configs: testQueues}
+	line.newScheduler()
+	return line
 }
 
-func (s *stage) fresh() {
-	s.book = New(Options{LapseAfter: 13 * time.Second, KeepEnded: time.Minute, FarX: 1.5}, rand.New(rand.NewPCG(1, 2)))
-	s.book.Configure(s.configs)
+func (line *timeline) newScheduler() {
+	line.scheduler = New(Options{LapseAfter: 13 * time.Second, KeepEnded: time.Minute, FarX: 1.5}, rand.New(rand.NewPCG(1, 2)))
+	line.scheduler.Configure(line.configs)
 }
 
-func play(t *testing.T, text string) *stage {
+func play(t *testing.T, text string) *timeline {
 	t.Helper()
-	s := newStage(t)
+	line := newTimeline(t)
 	for _, row := range strings.Split(text, "\n") {
 		row = strings.TrimSpace(row)
 		if row == "" || strings.HasPrefix(row, "#") {
@@ -63,95 +63,95 @@
 		if err != nil {
 			t.Fatalf("%q: %v", row, err)
 		}
-		s.step(time.Duration(ms)*time.Millisecond, fields[1:], row)
+		line.step(time.Duration(ms)*time.Millisecond, fields[1:], row)
 	}
-	return s
+	return line
 }
 
-func (s *stage) step(now time.Duration, fields []string, row string) {
-	s.t.Helper()
+func (line *timeline) step(now time.Duration, fields []string, row string) {
+	line.t.Helper()
 	switch fields[0] {
 	case "worker":
-		s.book.Report(now, s.report(fields[1:]))
+		line.scheduler.Report(now, line.report(fields[1:]))
 	case "client":
-		s.client(now, fields[1:], row)
+		line.client(now, fields[1:], row)
 	case "disk":
-		s.commit()
+		line.commit()
 	case "tick":
-		s.book.Tick(now, now.Milliseconds())
+		line.scheduler.Tick(now, now.Milliseconds())
 	case "pending":
-		if got := strconv.Itoa(s.book.Pending(fields[1])); got != fields[3] {
-			s.t.Errorf("%q: got %s", row, got)
+		if got := strconv.Itoa(line.scheduler.Pending(fields[1])); got != fields[3] {
+			line.t.Errorf("%q: got %s", row, got)
 		}
 	case "orders":
-		s.orders(now, fields[1], strings.Join(fields[3:], " "), row)
+		line.orders(now, fields[1], strings.Join(fields[3:], " "), row)
 	case "failover":
-		s.pending = nil
-		s.fresh()
+		line.pending = nil
+		line.newScheduler()
 		var records []Change
-		for key, value := range s.records {
+		for key, value := range line.records {
 			records = append(records, Change{key, value})
 		}
-		if err := s.book.Restore(now, records, ""); err != nil {
-			s.t.Fatalf("%q: %v", row, err)
+		if err := line.scheduler.Restore(now, records, ""); err != nil {
+			line.t.Fatalf("%q: %v", row, err)
 		}
 	default:
-		s.t.Fatalf("%q is not understood", row)
+		line.t.Fatalf("%q is not understood", row)
 	}
-	s.book.Schedule(now)
-	s.flush()
+	line.scheduler.Schedule(now)
+	line.flush()
 }
 
-func (s *stage) flush() {
-	last, err := s.book.Flush(func(c Change) int64 {
-		s.pending = append(s.pending, c)
-		s.last++
-		return s.last
-	}, s.last)
+func (line *timeline) flush() {
+	last, err := line.scheduler.Flush(func(c Change) int64 {
+		line.pending = append(line.pending, c)
+		line.last++
+		return line.last
+	}, line.last)
 	if err != nil {
-		s.t.Fatal(err)
+		line.t.Fatal(err)
 	}
-	s.last = last
+	line.last = last
 }
 
 // commit makes all changes so far durable.
-func (s *stage) commit() {
-	for _, c := range s.pending {
+func (line *timeline) commit() {
+	for _, c := range line.pending {
 		if c.Value == nil {
-			delete(s.records, c.Key)
+			delete(line.records, c.Key)
 		} else {
-			s.records[c.Key] = c.Value
+			line.records[c.Key] = c.Value
 		}
 	}
-	s.pending = nil
-	s.book.Committed(s.last)
+	line.pending = nil
+	line.scheduler.Committed(line.last)
 }
 
-func (s *stage) client(now time.Duration, fields []string, row string) {
-	s.t.Helper()
+func (line *timeline) client(now time.Duration, fields []string, row string) {
+	line.t.Helper()
 	switch {
 	case fields[0] == "submit":
 		queue := "q"
 		if strings.HasPrefix(fields[1], "low") {
 			queue = "low"
 		}
-		if _, err := s.book.Submit(now, now.Milliseconds(), fields[1], queue, specText(fields[2:])); err != nil {
-			s.t.Errorf("%q: %v", row, err)
+		if _, err := line.scheduler.Submit(now, now.Milliseconds(), fields[1], queue, jobBody(fields[2:])); err != nil {
+			line.t.Errorf("%q: %v", row, err)
 		}
 	case fields[0] == "cancel":
-		s.book.Cancel(now, fields[1])
+		line.scheduler.Cancel(now, fields[1])
 	default:
-		got, known := s.book.Status(fields[0])
+		got, known := line.scheduler.Status(fields[0])
 		if !known {
 			got = "unknown"
 		}
 		if string(got) != fields[2] {
-			s.t.Errorf("%q: got %s", row, got)
+			line.t.Errorf("%q: got %s", row, got)
 		}
 	}
 }
 
-func specText(words []string) []byte {
+func jobBody(words []string) []byte {
 	var steps []string
 	step := map[string]string{}
 	job := ""
@@ -204,7 +204,7 @@
 	return []byte(`{"spec":"text","stages":[` + strings.Join(steps, ",") + `]` + job + `}`)
 }
 
-func (s *stage) report(fields []string) *Report {
+func (line *timeline) report(fields []string) *Report {
 	name := fields[0]
 	r := &Report{Side: "side-" + name, Life: "1", Instance: "i-" + name, State: string(Ready), Labels: []string{"k", "r1"}}
 	for i := 1; i < len(fields); i++ {
@@ -230,7 +230,7 @@
 			r.RemainingMS, _ = strconv.ParseInt(fields[i], 10, 64)
 		case fields[i] == "endall":
 			i++
-			s.endAll(r, fields[i])
+			line.endAll(r, fields[i])
 		case fields[i] == "lapsed":
 			r.State = string(Lapsed)
 		case fields[i] == "active":
@@ -260,12 +260,12 @@
 }
 
 // endAll has all runs of a reporting worker end in one way.
-func (s *stage) endAll(r *Report, how string) {
-	w := s.book.workers[RefOf(r.Instance, r.Side)]
+func (line *timeline) endAll(r *Report, how string) {
+	w := line.scheduler.workers[WorkerRef(r.Instance, r.Side)]
 	if w == nil {
 		return
 	}
-	number := w.seen
+	number := w.appliedCompletions
 	for key := range w.Runs {
 		number++
 		r.Finished = append(r.Finished, EndedRun{Number: number, Task: key.Task, Attempt: key.Attempt, How: how})
@@ -279,14 +279,14 @@
 	return ActiveRun{Task: task, Attempt: n, Saved: saved}
 }
 
-func (s *stage) orders(now time.Duration, name, want, row string) {
-	s.t.Helper()
+func (line *timeline) orders(now time.Duration, name, want, row string) {
+	line.t.Helper()
 	var words []string
-	for _, w := range s.book.workers {
+	for _, w := range line.scheduler.workers {
 		if w.Instance != "i-"+name {
 			continue
 		}
-		orders := s.book.Orders(now, w, s.noted[name])
+		orders := line.scheduler.Orders(now, w, line.durableCompletions[name])
 		if orders == nil {
 			continue
 		}
@@ -300,8 +300,8 @@
 		for _, stop := range orders.Stops {
 			words = append(words, fmt.Sprintf("stop %s/%d", stop.Task, stop.Attempt))
 		}
-		if orders.Noted > s.noted[name] {
-			s.noted[name] = orders.Noted
+		if orders.Noted > line.durableCompletions[name] {
+			line.durableCompletions[name] = orders.Noted
 			words = append(words, fmt.Sprintf("noted %d", orders.Noted))
 		}
 	}
@@ -311,6 +311,6 @@
 		got = "nothing"
 	}
 	if matched, err := path.Match(want, got); err != nil || !matched {
-		s.t.Errorf("%q: got %q", row, got)
+		line.t.Errorf("%q: got %q", row, got)
 	}
 }
--- a/jobs/triage_test.go
+++ b/jobs/triage_test.go
@@ -47,27 +47,27 @@
 func TestHopelessWorkGoesLast(t *testing.T) {
 	now := 20 * time.Second
 	q := newQueue(QueueConfig{Name: "q", TargetLatencyMS: 1000, Extension: 2})
-	old := unitOf(q, 1, 0, 3*time.Second)
-	overdue := unitOf(q, 2, 14*time.Second, 17*time.Second)
-	fresh := unitOf(q, 3, now, now+3*time.Second)
+	old := groupOf(q, 1, 0, 3*time.Second)
+	overdue := groupOf(q, 2, 14*time.Second, 17*time.Second)
+	fresh := groupOf(q, 3, now, now+3*time.Second)
 	b := New(Options{}, nil)
-	b.mean = Resources{CPU: 1000}
-	for _, u := range []*unit{old, overdue, fresh} {
-		q.waiting.ReplaceOrInsert(u)
+	b.meanCapacity = Resources{CPU: 1000}
+	for _, group := range []*taskGroup{old, overdue, fresh} {
+		q.pending.ReplaceOrInsert(group)
 	}
-	q.held, q.served = 1, 1
+	q.allocated, q.meanAllocated = 1, 1
 	b.triage(now, q, 1)
-	p := &pass{now: now, blocked: map[*unit]bool{}}
-	units, _ := p.inOrder(q)
+	c := &cycle{now: now, unschedulable: map[*taskGroup]bool{}}
+	units, _ := c.nextGroups(q)
 	if len(units) != 3 || units[0] != fresh || units[1] != overdue || units[2] != old {
-		t.Errorf("prospects %v, %v, %v for fresh, late and hopeless work", fresh.prospect, overdue.prospect, old.prospect)
+		t.Errorf("prospects %v, %v, %v for fresh, late and hopeless work", fresh.class, overdue.class, old.class)
 	}
 }
 
-func unitOf(q *Queue, order uint64, due, deadline time.Duration) *unit {
+func groupOf(q *Queue, order uint64, due, deadline time.Duration) *taskGroup {
 	spec := &Spec{Stages: []Stage{{Count: 1, CPU: 1000, EstimateMS: 1000}}}
 	job := &Job{ID: "j", Spec: spec, State: Queued}
-	return &unit{job: job, time: job.newTime(0, due), queue: q, tasks: []int{0}, deadline: deadline, order: order}
+	return &taskGroup{job: job, occurrence: job.addOccurrence(0, due), queue: q, tasks: []int{0}, deadline: deadline, sequence: order}
 }
 
 // Whatever the jobs: those that are kept are in time if they run by deadline, and they are no fewer than those that
@@ -75,25 +75,25 @@
 func TestTriageKeepsAsManyInTimeAsDeadlineOrder(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
 	properties.Property("kept jobs are in time and no fewer", prop.ForAll(func(work []int) bool {
-		var all []candidate
+		var all []triageCandidate
 		q := newQueue(QueueConfig{})
 		inOrder, ahead := 0, 0.0
 		deadline := time.Duration(0)
 		for i, w := range work {
 			deadline += time.Duration(w%7) * 400 * time.Millisecond
-			c := candidate{unit: unitOf(q, uint64(i), 0, deadline+2*time.Second), work: float64(w) / 4, last: 0.5}
+			c := triageCandidate{unit: groupOf(q, uint64(i), 0, deadline+2*time.Second), work: float64(w) / 4, tail: 0.5}
 			all = append(all, c)
 			ahead += c.work
-			if c.reaches(0, inTime, ahead, 1) {
+			if c.reaches(0, onTime, ahead, 1) {
 				inOrder++
 			}
 		}
-		kept, putOff := keepMost(0, inTime, all, 0, 1)
+		kept, putOff := keepOnTime(0, onTime, all, 0, 1)
 		if kept < -1e-9 || len(all)-len(putOff) < inOrder {
 			return false
 		}
 		done := 0.0
-		off := map[*unit]bool{}
+		off := map[*taskGroup]bool{}
 		for _, c := range putOff {
 			off[c.unit] = true
 		}
@@ -102,7 +102,7 @@
 				continue
 			}
 			done += c.work
-			if c.unit.prospect != inTime || !c.reaches(0, inTime, done, 1) {
+			if c.unit.class != onTime || !c.reaches(0, onTime, done, 1) {
 				return false
 			}
 		}
@@ -114,14 +114,14 @@
 // What a round costs a queue of which as many units wait as are looked at, far beyond what it can do in time.
 func BenchmarkTriage(b *testing.B) {
 	q := newQueue(QueueConfig{Name: "q", TargetLatencyMS: 1000, Extension: 2})
-	for i := range triageMost {
+	for i := range maxTriagedGroups {
 		due := time.Duration(i) * 10 * time.Millisecond
-		q.waiting.ReplaceOrInsert(unitOf(q, uint64(i), due, due+3*time.Second))
+		q.pending.ReplaceOrInsert(groupOf(q, uint64(i), due, due+3*time.Second))
 	}
-	q.held, q.served = 10, 10
-	book := New(Options{}, nil)
-	book.mean = Resources{CPU: 1000}
+	q.allocated, q.meanAllocated = 10, 10
+	scheduler := New(Options{}, nil)
+	scheduler.meanCapacity = Resources{CPU: 1000}
 	for b.Loop() {
-		book.triage(5*time.Second, q, 10)
+		scheduler.triage(5*time.Second, q, 10)
 	}
 }
--- a/jobs/withheld_test.go
+++ b/jobs/withheld_test.go
@@ -29,21 +29,21 @@
 // heard, and it changes as they come and go; work that was counted by another measure must not count for nothing, or its
 // queue is held to what it has.
 func TestWaitingWorkIsCountedByTheWorkersThatAreThere(t *testing.T) {
-	s := play(t, `
+	line := play(t, `
 	0    worker a cpu=4000
 	10   client submit j 12x cpu=2000 est=1000
 	20   disk commit
 	30   failover
 	40   worker a cpu=4000 active j.0.0.0/1 active j.0.0.1/1`)
-	if got := s.book.queues["q"].wanted; got != 5 {
+	if got := line.scheduler.queues["q"].pendingDemand; got != 5 {
 		t.Errorf("10 tasks of half a worker wait: wanted is %v, 5 is right", got)
 	}
-	s.step(50*time.Millisecond, []string{"worker", "b", "cpu=12000"}, "a larger worker")
+	line.step(50*time.Millisecond, []string{"worker", "b", "cpu=12000"}, "a larger worker")
 	waiting := 0
-	for _, u := range s.book.jobs["j"].units {
-		waiting += len(u.tasks)
+	for _, group := range line.scheduler.jobs["j"].pending {
+		waiting += len(group.tasks)
 	}
-	if got, want := s.book.queues["q"].wanted, float64(waiting)*0.25; got != want {
+	if got, want := line.scheduler.queues["q"].pendingDemand, float64(waiting)*0.25; got != want {
 		t.Errorf("%d tasks of a quarter of the usual worker wait: wanted is %v, %v is right", waiting, got, want)
 	}
 }
@@ -76,17 +76,17 @@
 
 // More work than one pass looks at, which no worker can take, stands before work that one can.
 func TestWorkIsNotHiddenBehindWhatCannotRun(t *testing.T) {
-	s := play(t, `
+	line := play(t, `
 	0 worker a cpu=4000`)
-	for i := range 3 * maxUnits {
-		s.step(time.Millisecond, []string{"client", "submit", fmt.Sprint("never", i), "1x", "cpu=100", "est=10", "label=absent"}, "hopeless")
+	for i := range 3 * maxGroupsPerTurn {
+		line.step(time.Millisecond, []string{"client", "submit", fmt.Sprint("never", i), "1x", "cpu=100", "est=10", "label=absent"}, "hopeless")
 	}
-	s.step(2*time.Millisecond, []string{"client", "submit", "j", "1x", "cpu=100", "est=5000"}, "j")
+	line.step(2*time.Millisecond, []string{"client", "submit", "j", "1x", "cpu=100", "est=5000"}, "j")
 	for round := range 5 {
-		s.step(time.Duration(100*(round+1))*time.Millisecond, []string{"tick"}, "tick")
+		line.step(time.Duration(100*(round+1))*time.Millisecond, []string{"tick"}, "tick")
 	}
-	s.commit()
-	s.step(510*time.Millisecond, []string{"orders", "a", "=", "start", "j.0.0.0/1"}, "j is started within half a second")
+	line.commit()
+	line.step(510*time.Millisecond, []string{"orders", "a", "=", "start", "j.0.0.0/1"}, "j is started within half a second")
 }
 
 // A queue that has just released the work of hours is in debt for thousands of turns. While nobody else wants the room, its
@@ -106,7 +106,7 @@
 
 // Workers are kept among those that are there now, not among those of an earlier list that was as long.
 func TestKeptWorkersAreReady(t *testing.T) {
-	s := play(t, `
+	line := play(t, `
 	0    worker a cpu=8000
 	0    worker b cpu=8000 kind=z
 	10   client submit busy 1x cpu=5000 est=60000 label=k
@@ -124,11 +124,11 @@
 	1400 worker a cpu=8000 active busy.0.0.0/1
 	1400 worker b cpu=8000 kind=z instance=i-next
 	1400 tick`)
-	if len(s.book.reserved) == 0 {
+	if len(line.scheduler.reservations) == 0 {
 		t.Fatal("no worker is kept for what waits")
 	}
-	for w := range s.book.reserved {
-		if s.book.Worker(w.Ref) != w {
+	for w := range line.scheduler.reservations {
+		if line.scheduler.Worker(w.Ref) != w {
 			t.Errorf("%s is kept, which is not there any more", w.Ref)
 		}
 	}
