--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -26,13 +26,13 @@
 }
 export -f play
 prepare "as it is"
-prepare "no headroom" jobs/headroom.go 's/h\.others = max\(0, limit-h\.peak\)/h.others = limit/'
-prepare "no triage" jobs/queue.go 's/\t\tb\.triage\(now, q, limit\)\n//'
-prepare "no preemption" jobs/place.go 's/\tb\.preempt\(p\)\n//'
-prepare "no reservations" jobs/place.go 's/\tb\.reserve\(p, u, members\)\n/\t_ = members\n/'
-prepare "accelerators not packed" jobs/pick.go 's/if step\.GPU > 0 \{/if false {/'
-prepare "no wait for a rack" jobs/pick.go 's/if p\.now-u\.since >= min\(far, rackWaitMost\)/if true || p.now-u.since >= min(far, rackWaitMost)/'
-prepare "estimates as told" jobs/queue.go 's/if q\.ends < learnedAfter \|\| estimate <= 0/if true || q.ends < learnedAfter || estimate <= 0/'
+prepare "no headroom" jobs/headroom.go 's/h\.othersLimit = max\(0, capacity-h\.peak\)/h.othersLimit = capacity/'
+prepare "no triage" jobs/queuelimit.go 's/\t\ts\.triage\(now, q, capacity\)\n//'
+prepare "no preemption" jobs/cycle.go 's/\ts\.preempt\(c\)\n//'
+prepare "no reservations" jobs/assign.go 's/\ts\.reserve\(c, group, members\)\n/\t_ = members\n/'
+prepare "accelerators not packed" jobs/pick.go 's/if stage\.GPU > 0 \{/if false {/'
+prepare "no wait for a rack" jobs/pick.go 's/if c\.now-group\.queuedAt >= min\(maxWait, maxRackWait\)/if true || c.now-group.queuedAt >= min(maxWait, maxRackWait)/'
+prepare "estimates as told" jobs/estimate.go 's/if q\.completions < minCompletions \|\| estimate <= 0/if true || q.completions < minCompletions || estimate <= 0/'
 for seed in $seeds; do
   for name in "${names[@]}"; do
     printf '%s\0' "$bench" "$out" "$name" "$site" "$day" "$seed"
