--- /dev/null
+++ b/jobs/helpers_test.go
@@ -0,0 +1,151 @@
+package jobs
+
+import (
+	"math/rand/v2"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// newTestScheduler returns a scheduler with some queues, with leases of a length.
+func newTestScheduler(lease time.Duration, random *rand.Rand, queues []QueueConfig) *Book {
+	s := New(Options{LapseAfter: lease, KeepEnded: time.Minute, FarX: 1.5}, random)
+	s.Configure(queues)
+	return s
+}
+
+// recordStore holds the records of a shard, with changes that are not committed yet.
+type recordStore struct {
+	records map[string][]byte // committed
+	pending []Change
+	last    int64 // sequence number
+}
+
+// flush takes the scheduler's changes.
+func (r *recordStore) flush(t *testing.T, s *Book) {
+	t.Helper()
+	last, err := s.Flush(func(c Change) int64 {
+		r.pending = append(r.pending, c)
+		r.last++
+		return r.last
+	}, r.last)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if last != r.last {
+		t.Fatalf("flush returns %d, the last change has number %d", last, r.last)
+	}
+}
+
+// commit makes all changes so far durable.
+func (r *recordStore) commit(s *Book) {
+	for _, c := range r.pending {
+		if c.Value == nil {
+			delete(r.records, c.Key)
+		} else {
+			r.records[c.Key] = c.Value
+		}
+	}
+	r.pending = nil
+	s.Committed(r.last)
+}
+
+// restore has a new owner's scheduler take over the committed records.
+func (r *recordStore) restore(t *testing.T, s *Book, now time.Duration) {
+	t.Helper()
+	r.pending = nil
+	var records []Change
+	for key, value := range r.records {
+		records = append(records, Change{key, value})
+	}
+	if err := s.Restore(now, records); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// finished returns a finished run as a worker reports it.
+func finished(number int64, ref RunRef, outcome string) EndedRun {
+	return EndedRun{Number: number, Task: ref.Task, Attempt: ref.Attempt, How: outcome}
+}
+
+// runsByJob counts the runs at some workers by a key, which is given the job's ID.
+func runsByJob(s *Book, key func(id string, w *Worker) string) map[string]int {
+	counts := map[string]int{}
+	for _, w := range s.workers {
+		for ref := range w.Runs {
+			id, _, _ := strings.Cut(ref.Task, ".")
+			counts[key(id, w)]++
+		}
+	}
+	return counts
+}
+
+// number parses a number of a timeline.
+func number(t *testing.T, text string) int64 {
+	t.Helper()
+	n, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		t.Fatalf("%q is no number", text)
+	}
+	return n
+}
+
+// The words of a stage in jobBody that are not JSON keys themselves: those without a value and those with one.
+var (
+	stageFlags = map[string]string{"gang": "gang", "tight": "rack_local", "keep": "checkpoints", "lasts": "long_running"}
+	stageKeys  = map[string]string{"mem": "mem_mb", "apart": "anti_affinity", "est": "estimate_ms"}
+	stageTexts = map[string]string{"near": "affinity_to", "label": "constraints"}
+	jobKeys    = map[string]string{"repeat": "repeat", "at": "start_at_ms", "every": "interval_ms"}
+)
+
+// jobBody returns the body of a job from the words of a timeline (see play).
+func jobBody(words []string) []byte {
+	var stages []string
+	stage := map[string]string{}
+	job := ""
+	flush := func() {
+		var parts []string
+		for name, value := range stage {
+			parts = append(parts, strconv.Quote(name)+":"+value)
+		}
+		stages = append(stages, "{"+strings.Join(parts, ",")+"}")
+		stage = map[string]string{}
+	}
+	for _, word := range words {
+		if word == "|" {
+			flush()
+			continue
+		}
+		if count, ok := strings.CutSuffix(word, "x"); ok {
+			stage["count"] = count
+			continue
+		}
+		name, value, _ := strings.Cut(word, "=")
+		if key, ok := jobKeys[name]; ok {
+			job += "," + strconv.Quote(key) + ":" + value
+			continue
+		}
+		key, value := stageEntry(name, value)
+		stage[key] = value
+	}
+	flush()
+	return []byte(`{"spec":"text","stages":[` + strings.Join(stages, ",") + `]` + job + `}`)
+}
+
+// stageEntry returns the JSON key and value of a word about a stage.
+func stageEntry(name, value string) (key, text string) {
+	if key, ok := stageFlags[name]; ok {
+		return key, "true"
+	}
+	if key, ok := stageTexts[name]; ok {
+		return key, strconv.Quote(value)
+	}
+	if key, ok := stageKeys[name]; ok {
+		return key, value
+	}
+	if name == "after" {
+		return "depends_on", "[" + value + "]"
+	}
+	return name, value
+}
--- a/jobs/idle_test.go
+++ b/jobs/idle_test.go
@@ -42,8 +42,7 @@
 	random       *rand.Rand
 	scheduler    *Book
 	workers      []*worldWorker
-	last         int64
-	records      map[string][]byte // durable
+	store        recordStore
 	jobs         int
 	waitingSince map[string]time.Duration // since when a waiting thing could have run, by its name
 	worst        string                   // what waited for too long
@@ -51,7 +50,7 @@
 
 func newWorld(t *testing.T, seed int64) *world {
 	random := rand.New(rand.NewPCG(uint64(seed), 7))
-	s := &world{t: t, random: random, records: map[string][]byte{}, waitingSince: map[string]time.Duration{}}
+	s := &world{t: t, random: random, store: recordStore{records: map[string][]byte{}}, waitingSince: map[string]time.Duration{}}
 	s.newScheduler()
 	for i := range 1 + random.IntN(6) {
 		kind := []string{"a", "b"}[i%2]
@@ -63,27 +62,22 @@
 	return s
 }
 
-// newScheduler has an owner decide that knows nothing yet.
+var worldQueues = []QueueConfig{
+	{Name: "urgent", Priority: 0, Retries: 3, Extension: 1.5, TargetLatencyMS: 800},
+	{Name: "large", Priority: 1, Retries: 3, Extension: 2.2, TargetLatencyMS: 1500},
+	{Name: "lasting", Priority: 1, Retries: 3, Extension: 2.2, TargetLatencyMS: 3000},
+	{Name: "low", Priority: 2, Retries: 3, Extension: 4, TargetLatencyMS: 3000},
+}
+
+// newScheduler gives the shard to a new owner without any state.
 func (s *world) newScheduler() {
-	s.scheduler = New(Options{LapseAfter: time.Minute, KeepEnded: time.Minute, FarX: 1.5}, rand.New(rand.NewPCG(s.random.Uint64(), 8)))
-	s.scheduler.Configure([]QueueConfig{
-		{Name: "urgent", Priority: 0, Retries: 3, Extension: 1.5, TargetLatencyMS: 800},
-		{Name: "large", Priority: 1, Retries: 3, Extension: 2.2, TargetLatencyMS: 1500},
-		{Name: "lasting", Priority: 1, Retries: 3, Extension: 2.2, TargetLatencyMS: 3000},
-		{Name: "low", Priority: 2, Retries: 3, Extension: 4, TargetLatencyMS: 3000},
-	})
+	s.scheduler = newTestScheduler(time.Minute, rand.New(rand.NewPCG(s.random.Uint64(), 8)), worldQueues)
 }
 
-// failover has a new owner take the durable records over.
+// failover has a new owner take over the durable records.
 func (s *world) failover(now time.Duration) {
 	s.newScheduler()
-	var records []Change
-	for key, value := range s.records {
-		records = append(records, Change{key, value})
-	}
-	if err := s.scheduler.Restore(now, records); err != nil {
-		s.t.Fatal(err)
-	}
+	s.store.restore(s.t, s.scheduler, now)
 	clear(s.waitingSince)
 }
 
@@ -131,19 +125,8 @@
 		s.scheduler.Tick(now, now.Milliseconds())
 	}
 	s.scheduler.Schedule(now)
-	last, err := s.scheduler.Flush(func(c Change) int64 {
-		s.last++
-		if c.Value == nil {
-			delete(s.records, c.Key)
-		} else {
-			s.records[c.Key] = c.Value
-		}
-		return s.last
-	}, s.last)
-	if err != nil {
-		s.t.Fatal(err)
-	}
-	s.scheduler.Committed(last)
+	s.store.flush(s.t, s.scheduler)
+	s.store.commit(s.scheduler)
 	for _, w := range s.workers {
 		s.executeOrders(now, w)
 	}
@@ -164,9 +147,9 @@
 	w.runs = kept
 }
 
-func (s *world) end(w *worldWorker, ref RunRef, how string) {
+func (s *world) end(w *worldWorker, ref RunRef, outcome string) {
 	w.ended++
-	w.report.Finished = append(w.report.Finished, EndedRun{Number: w.ended, Task: ref.Task, Attempt: ref.Attempt, How: how})
+	w.report.Finished = append(w.report.Finished, finished(w.ended, ref, outcome))
 }
 
 // executeOrders carries out a worker's orders.
@@ -186,7 +169,7 @@
 		for i, run := range w.runs {
 			if run.ref == ref {
 				w.runs = append(w.runs[:i], w.runs[i+1:]...)
-				s.end(w, ref, "stopped")
+				s.end(w, ref, outcomeStopped)
 				break
 			}
 		}
--- a/jobs/place_test.go
+++ b/jobs/place_test.go
@@ -29,12 +29,7 @@
 	10  client submit j 2x cpu=500 gpu=8 gang est=100
 	10  client submit k 2x cpu=500 gpu=8 gang est=100
 	20  disk commit`)
-	running := map[string]int{}
-	for _, w := range line.scheduler.workers {
-		for key := range w.Runs {
-			running[key.Task[:1]]++
-		}
-	}
+	running := runsByJob(line.scheduler, func(id string, _ *Worker) string { return id })
 	if len(running) != 1 {
 		t.Errorf("runs by job: %v", running)
 	}
@@ -208,13 +203,7 @@
 	for ms := 100; ms <= 500; ms += 100 {
 		line.step(time.Duration(ms)*time.Millisecond, []string{"tick"}, "")
 	}
-	at := map[string]int{}
-	for _, w := range line.scheduler.workers {
-		for key := range w.Runs {
-			name, _, _ := strings.Cut(key.Task, ".")
-			at[name+" "+w.rack()]++
-		}
-	}
+	at := runsByJob(line.scheduler, func(id string, w *Worker) string { return id + " " + w.rack() })
 	if at["label r2"] != 2 || at["near r2"] != 2 || at["any r1"]+at["any r2"] != 100 {
 		t.Errorf("placed %v", at)
 	}
--- a/jobs/withheld_test.go
+++ b/jobs/withheld_test.go
@@ -85,7 +85,7 @@
 	for round := range 5 {
 		line.step(time.Duration(100*(round+1))*time.Millisecond, []string{"tick"}, "tick")
 	}
-	line.commit()
+	line.store.commit(line.scheduler)
 	line.step(510*time.Millisecond, []string{"orders", "a", "=", "start", "j.0.0.0/1"}, "j is started within half a second")
 }
 
