--- a/jobs/cycle_test.go
+++ b/jobs/cycle_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Work that no worker can take claims no share of the room, so that others are not held back for it.
+// Work without a feasible worker claims no share of the capacity, so that others are not held back for it.
 // Found by a hunt: mix --seed 122610384008 of a deployment whose only worker of a kind had left (LOST).
 func TestUnschedulableWorkHoldsNobodyBack(t *testing.T) {
 	line := newTimeline(t)
@@ -23,12 +23,12 @@
 	}
 	for _, w := range line.scheduler.workers {
 		if len(w.Runs) != 4 {
-			t.Errorf("%d runs on an idle worker with room for 4", len(w.Runs))
+			t.Errorf("%d runs on an idle worker with capacity for 4", len(w.Runs))
 		}
 	}
 }
 
-// More work than one pass looks at, which no worker can take, stands before work that one can.
+// More unschedulable groups than one cycle considers stand before one that can be placed.
 func TestWorkIsNotHiddenBehindUnschedulableWork(t *testing.T) {
 	line := play(t, `
 	0 worker a cpu=4000`)
@@ -43,7 +43,7 @@
 	line.step(510*time.Millisecond, []string{"orders", "a", "=", "start", "j.0.0.0/1"}, "j is started within half a second")
 }
 
-// A queue that has just released the work of hours is in debt for thousands of turns. While nobody else wants the room, its
+// A queue that has just started the work of hours is in debt for thousands of turns. While no other queue wants the capacity, its
 // next work does not wait for them.
 func TestDebtLeavesNoCapacityIdle(t *testing.T) {
 	play(t, `
--- a/jobs/gang_test.go
+++ b/jobs/gang_test.go
@@ -15,7 +15,7 @@
 	60  orders b = start j.0.0.?/1`)
 }
 
-// Two gangs that both want all workers do not hold half each.
+// Two gangs that both need all workers do not get half of them each.
 func TestGangsDoNotDeadlock(t *testing.T) {
 	line := play(t, `
 	0   worker a cpu=4000 gpu=8
@@ -29,7 +29,7 @@
 	}
 }
 
-// When one member of a gang ends badly the others are stopped, and all start again together; a failure counts once.
+// When one member of a gang fails, the others are stopped and all restart together; the failure counts once.
 func TestGangRestartsTogether(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000 gpu=8
@@ -55,7 +55,7 @@
 	70  client j = completed`)
 }
 
-// A gang that wants one rack waits for it a little, and then starts over more than one.
+// A rack-local gang waits a little for one rack, and then starts in more than one.
 func TestGangWaitsForItsRack(t *testing.T) {
 	play(t, `
 	0    worker a cpu=4000 gpu=8 rack=r1
--- a/jobs/headroom_test.go
+++ b/jobs/headroom_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Room that the first priority has wanted lately is kept free of other work, so that it need not preempt; after a while
+// Capacity that the first priority has wanted lately is kept free of other queues, so that it need not preempt; after a while
 // without such demand the others have it.
 func TestHeadroomFollowsRecentUrgentDemand(t *testing.T) {
 	const text = `
@@ -39,7 +39,7 @@
 	line.step(340*1e6, strings.Fields("orders a = start low-j.0.0.2/1 start low-j.0.0.3/1"), "room that nobody urgent wanted for 20 s")
 }
 
-// Without urgent demand nothing is kept.
+// Without urgent demand there is no headroom.
 func TestNoHeadroomWithoutUrgentDemand(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -49,7 +49,7 @@
 	200 orders a = start low-j.0.0.0/1 start low-j.0.0.1/1 start low-j.0.0.2/1 start low-j.0.0.3/1`)
 }
 
-// Tasks that last use room that is kept for the first priority.
+// Long-running tasks may use the headroom.
 func TestLongRunningTasksUseHeadroom(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
--- a/jobs/lifecycle_test.go
+++ b/jobs/lifecycle_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Traps 2 and 5: a start is ordered only once it is durable, and a job is shown only then.
+// Traps 2 and 5: a start is ordered, and a job visible, only once it is committed.
 func TestNothingHappensBeforeItIsDurable(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -21,7 +21,7 @@
 	220 orders a = noted 1`)
 }
 
-// Trap 4: an end that comes again changes nothing; a task that has ended done never starts again.
+// Trap 4: a finished run that is reported again changes nothing; a task that has succeeded never starts again.
 func TestFinishedRunsAreAppliedOnce(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -40,7 +40,7 @@
 	140 client j = completed`)
 }
 
-// ORDER: a step starts once all tasks of the steps before it have ended done.
+// ORDER: a stage starts once all tasks of the stages it depends on have succeeded.
 func TestStagesWaitForDependencies(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -55,7 +55,7 @@
 	110 orders a = noted 2 start j.0.1.0/1`)
 }
 
-// BUDGET: a job whose task failed as often as the queue allows is failed; other ends do not count.
+// BUDGET: a job fails when a task has failed as often as the queue's retries allow; other outcomes do not count.
 func TestFailuresCount(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -72,7 +72,7 @@
 	95  orders a = noted 3`)
 }
 
-// Trap 10: a cancel stops what runs and takes back what was not sent.
+// Trap 10: a cancel stops active runs and withdraws starts that were not sent.
 func TestCancelStopsRuns(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -156,7 +156,7 @@
 	6030 client j = completed`)
 }
 
-// What GET of a queue tells: accepted jobs of which no task has begun, also after a takeover.
+// GET of a queue returns the accepted jobs of which no task ever ran, also after a failover.
 func TestPendingCountsJobsThatNeverRan(t *testing.T) {
 	play(t, `
 	0   worker a cpu=1000
--- a/jobs/orders_test.go
+++ b/jobs/orders_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// An order that the side agent gave back is placed anew.
+// A start that the agent reports as dropped is assigned anew.
 func TestDroppedStartIsReassigned(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -18,7 +18,7 @@
 	70  orders b = start j.0.0.0/2`)
 }
 
-// An order that was not seen at the worker is sent again, as the same start.
+// A start that the agent does not report is sent again, as the same attempt.
 func TestUnconfirmedStartIsResent(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -33,14 +33,14 @@
 	960 orders a = start j.0.0.0/1`)
 }
 
-// A run that nothing wants is stopped.
+// An active run without an assignment is stopped.
 func TestStrayRunIsStopped(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000 active x.0.0.0/1
 	10  orders a = stop x.0.0.0/1`)
 }
 
-// A good end that arrives after its worker was given up still counts while the task waits.
+// A success that is reported after the worker had expired still counts while the task is pending.
 func TestLateSuccessCounts(t *testing.T) {
 	play(t, `
 	0    worker a cpu=4000
@@ -54,7 +54,7 @@
 	5040 client j = completed`)
 }
 
-// One call to a side agent carries so many starts at most; the rest follow in the next.
+// One call to an agent carries a bounded number of starts; the others follow in the next.
 func TestOrdersAreSplit(t *testing.T) {
 	line := play(t, `
 	0  worker a cpu=64000
--- a/jobs/overdue_test.go
+++ b/jobs/overdue_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Under load a queue at its limit waits for its share, but not beside room that those who come first cannot use.
+// Under load a queue at its limit waits for its share, but not beside capacity that the queues before it cannot use.
 func TestOverdueWorkTakesWhatOthersCannotUse(t *testing.T) {
 	play(t, `
 	0    worker a cpu=32000 gpu=8
@@ -31,7 +31,7 @@
 	1810 orders b = start low2.0.0.0/1`)
 }
 
-// Under load limits keep room for those who are urgent, but not for longer than some seconds.
+// Under load limits keep capacity for urgent work, but not for longer than some seconds.
 func TestOverdueWorkWaitsLongerUnderLoad(t *testing.T) {
 	const beats = `
 	%[1]d worker a cpu=32000 gpu=8 active large.0.0.0/1 active low1.0.0.0/1
--- a/jobs/placement_test.go
+++ b/jobs/placement_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ROUTE: the label in constraints, the rack of the data, and at most so many of a step on one worker.
+// ROUTE: the label in constraints, the rack of the data, and the stage's anti-affinity.
 func TestPlacementSatisfiesConstraints(t *testing.T) {
 	line := play(t, `
 	0   worker a cpu=4000 rack=r1
@@ -35,7 +35,7 @@
 	}
 }
 
-// Trap 7: nothing is placed beyond the announced capacity, also while the admission limit would allow it.
+// Trap 7: nothing is placed beyond a worker's capacity, also where the admission limit would allow it.
 func TestCapacityIsNotExceeded(t *testing.T) {
 	line := play(t, `
 	0   worker a cpu=1000
@@ -49,7 +49,7 @@
 	}
 }
 
-// In a large shard a placement looks at a few workers from a random place on, but finds the only one that will do.
+// In a large shard a placement samples workers from a random one on, but finds the only one that is feasible.
 func TestLargeShardFindsTheOnlyWorker(t *testing.T) {
 	line := newTimeline(t)
 	for i := range 300 {
@@ -71,7 +71,7 @@
 	}
 }
 
-// A task waits for room near its data for a part of what running far away would cost, and then runs there. Found on the
+// A task waits for the rack of its data for a fraction of what a run elsewhere would cost, and then runs elsewhere. Found on the
 // grown bpwl-portal, where an eighth of all tasks ran three times as long away from their data.
 func TestTaskWaitsForRackOfItsData(t *testing.T) {
 	play(t, `
@@ -92,7 +92,7 @@
 	320  orders b = start j.0.0.0/1`)
 }
 
-// It waits for no rack that has no worker for it, and never for long.
+// It does not wait for a rack without a feasible worker, and never for long.
 func TestTaskDoesNotWaitForAnEmptyRack(t *testing.T) {
 	play(t, `
 	0    worker b cpu=4000 rack=r2
--- a/jobs/preemption_test.go
+++ b/jobs/preemption_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The first priority takes the room of less urgent work that saves checkpoints, once it has waited for a while.
+// The first priority preempts lower priorities that save checkpoints, once it has waited for a while.
 func TestFirstPriorityPreempts(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
--- a/jobs/recovery_test.go
+++ b/jobs/recovery_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Trap 5: an owner that comes back takes every start that it wrote down for one that may have been sent, sends the
-// same one again, and starts the task elsewhere only once the hold has surely lapsed.
+// Trap 5: a new owner assumes that every committed start was sent. It sends the
+// same one again, and starts the task elsewhere only once the lease has certainly expired.
 func TestNewOwnerWaitsForRunsThatMayBeActive(t *testing.T) {
 	play(t, `
 	0     worker a cpu=4000
@@ -31,7 +31,7 @@
 	50  orders a = start j.0.0.0/1`)
 }
 
-// A start that was not durable when the owner died was never sent; the next owner decides anew.
+// A start that was not committed when the owner died was never sent; the next owner decides anew.
 func TestUncommittedStartIsDiscarded(t *testing.T) {
 	play(t, `
 	10  client submit j 1x cpu=500 est=100
@@ -57,8 +57,8 @@
 	95  client j = cancelled`)
 }
 
-// A route that was dropped stays unknown when a new owner finds jobs of it: whoever has an older configuration hands in
-// nothing more. Its jobs are still finished.
+// A queue that was removed stays removed when a new owner restores jobs of it: whoever has an older configuration submits
+// nothing more to it. Its jobs still run.
 func TestRemovedQueueStaysRemovedAfterFailover(t *testing.T) {
 	line := play(t, `
 	0  worker a cpu=1000
@@ -83,9 +83,9 @@
 	}
 }
 
-// What a queue waits for is told in parts of the usual worker. After a takeover that is not known until workers were
-// heard, and it changes as they come and go; work that was counted by another measure must not count for nothing, or its
-// queue is held to what it has.
+// Pending demand is measured in mean workers. After a failover the mean is not known until workers have
+// reported, and it changes as they come and go; demand that was counted by an earlier mean must be counted anew, or its
+// queue is limited to what it has.
 func TestPendingDemandFollowsMeanWorker(t *testing.T) {
 	line := play(t, `
 	0    worker a cpu=4000
--- a/jobs/reservation_test.go
+++ b/jobs/reservation_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Incident inc1: tasks of one job run one after the other on the only worker with their label. What they leave free of it
+// Incident inc1: tasks of one job run one after the other on the only worker with their label. What they leave of it
 // is enough for another job with that label, which waited for as long as the first one lasted.
 func TestWorkRunsBesideReservation(t *testing.T) {
 	play(t, `
@@ -21,7 +21,7 @@
 	1020 orders a = start low.0.0.0/1 start low.0.0.1/1 start low.0.0.2/1`)
 }
 
-// Workers are kept among those that are there now, not among those of an earlier list that was as long.
+// Workers are reserved among the ready ones, not among those of an earlier list of the same length.
 func TestReservedWorkersAreReady(t *testing.T) {
 	line := play(t, `
 	0    worker a cpu=8000
@@ -42,16 +42,16 @@
 	1400 worker b cpu=8000 kind=z instance=i-next
 	1400 tick`)
 	if len(line.scheduler.reservations) == 0 {
-		t.Fatal("no worker is kept for what waits")
+		t.Fatal("no worker is reserved for what is pending")
 	}
 	for w := range line.scheduler.reservations {
 		if line.scheduler.Worker(w.Ref) != w {
-			t.Errorf("%s is kept, which is not there any more", w.Ref)
+			t.Errorf("%s is reserved, which is not known any more", w.Ref)
 		}
 	}
 }
 
-// A worker is kept for a task only if the task may run there: not where enough of its step are.
+// A worker is reserved for a task only if it is feasible: not where anti-affinity forbids another task of the stage.
 func TestOnlyFeasibleWorkersAreReserved(t *testing.T) {
 	line := play(t, `
 	0   worker a cpu=4000 rack=r1
@@ -63,11 +63,11 @@
 	600 worker b cpu=4000 rack=r2
 	610 tick`)
 	if len(line.scheduler.reservations) == 0 {
-		t.Fatal("no worker is kept for the task that waits")
+		t.Fatal("no worker is reserved for the pending task")
 	}
 	for w := range line.scheduler.reservations {
 		if w.Instance != "i-b" {
-			t.Errorf("%s is kept, where one of the step's tasks is already", w.Instance)
+			t.Errorf("%s is reserved, where one of the stage's tasks runs already", w.Instance)
 		}
 	}
 }
--- a/jobs/triage_test.go
+++ b/jobs/triage_test.go
@@ -9,7 +9,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// A job that would make all behind it late, and itself, is put off; what can be in time goes first.
+// A job that would make itself and all jobs behind it tardy is deferred; what can be on time goes first.
 func TestTriageDefersTardyJobs(t *testing.T) {
 	play(t, `
 	0    worker a cpu=1000
@@ -26,7 +26,7 @@
 	520  orders a = noted 1 start one.0.0.0/1`)
 }
 
-// Without overload the first deadline goes first, wide jobs too.
+// Without overload the earliest deadline goes first, wide jobs included.
 func TestEarliestDeadlineFirstWithoutOverload(t *testing.T) {
 	play(t, `
 	0    worker a cpu=1000
@@ -43,7 +43,7 @@
 	520  orders a = noted 1 start wide.0.0.0/1`)
 }
 
-// What earns nothing any more waits behind what is late and still earns something.
+// Work without any value left waits behind tardy work that still has some.
 func TestMissedWorkGoesLast(t *testing.T) {
 	now := 20 * time.Second
 	q := newQueue(QueueConfig{Name: "q", TargetLatencyMS: 1000, Extension: 2})
@@ -70,8 +70,8 @@
 	return &taskGroup{job: job, occurrence: job.addOccurrence(0, due), queue: q, tasks: []int{0}, deadline: deadline, sequence: order}
 }
 
-// Whatever the jobs: those that are kept are in time if they run by deadline, and they are no fewer than those that
-// would be in time if all ran by deadline.
+// For any jobs: those that are admitted are on time if they run by deadline, and they are no fewer than those that
+// would be on time if all ran by deadline.
 func TestTriageKeepsAsManyOnTimeAsDeadlineOrder(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
 	properties.Property("kept jobs are in time and no fewer", prop.ForAll(func(work []int) bool {
@@ -111,7 +111,7 @@
 	properties.TestingRun(t)
 }
 
-// What a round costs a queue of which as many units wait as are looked at, far beyond what it can do in time.
+// BenchmarkTriage measures a tick of a queue with as many pending groups as are considered, far beyond what can be on time.
 func BenchmarkTriage(b *testing.B) {
 	q := newQueue(QueueConfig{Name: "q", TargetLatencyMS: 1000, Extension: 2})
 	for i := range maxTriagedGroups {
--- a/jobs/workconserving_test.go
+++ b/jobs/workconserving_test.go
@@ -18,7 +18,7 @@
 	idleSeed   = flag.Int64("idle.seed", 44, "where their seeds begin")
 )
 
-// A world of workers that do what they are told, on a clock of its own.
+// A world is a simulation of workers that follow their orders.
 const (
 	worldStep     = 50 * time.Millisecond
 	worldLength   = 40 * time.Second
@@ -28,7 +28,7 @@
 
 type worldRun struct {
 	ref   RunRef
-	until time.Duration // 0 for a task that lasts
+	until time.Duration // 0 for a long-running task
 }
 
 type worldWorker struct {
@@ -44,8 +44,8 @@
 	workers      []*worldWorker
 	store        recordStore
 	jobs         int
-	waitingSince map[string]time.Duration // since when a waiting thing could have run, by its name
-	worst        string                   // what waited for too long
+	waitingSince map[string]time.Duration // since when a pending group could have run, by its name
+	worst        string                   // what waited for too long; "" for nothing
 }
 
 func newWorld(t *testing.T, seed int64) *world {
@@ -81,7 +81,7 @@
 	clear(s.waitingSince)
 }
 
-// crash has a worker's life end with all that it runs; the next one stands on the same machine under another name.
+// crash ends a worker's incarnation with all its runs; the next one has the same agent.
 func (s *world) crash(w *worldWorker) {
 	s.jobs++
 	w.report.Instance = fmt.Sprint("i-new-", s.jobs)
@@ -89,7 +89,7 @@
 	w.runs, w.ended = nil, 0
 }
 
-// submit hands in a random job of a queue.
+// submit submits a random job to a queue.
 func (s *world) submit(now time.Duration, queue string) {
 	label := ""
 	if s.random.IntN(4) == 0 {
@@ -115,7 +115,7 @@
 	}
 }
 
-// step lets workers work, the book decide, and its changes be durable.
+// step lets workers run and report, the scheduler decide, and its changes be committed.
 func (s *world) step(now time.Duration) {
 	for _, w := range s.workers {
 		s.runTasks(now, w)
@@ -132,7 +132,7 @@
 	}
 }
 
-// runTasks ends the runs whose time is over and writes the worker's next report.
+// runTasks ends the runs whose time is over and sets the worker's next report.
 func (s *world) runTasks(now time.Duration, w *worldWorker) {
 	kept := w.runs[:0]
 	w.report.Active = nil
@@ -152,7 +152,7 @@
 	w.report.Finished = append(w.report.Finished, finished(w.ended, ref, outcome))
 }
 
-// executeOrders carries out a worker's orders.
+// executeOrders executes a worker's orders.
 func (s *world) executeOrders(now time.Duration, w *worldWorker) {
 	orders := s.scheduler.Orders(now, s.scheduler.Worker(WorkerRef(w.report.Instance, w.report.Side)), 0)
 	if orders == nil {
@@ -183,8 +183,8 @@
 	}
 }
 
-// checkWaits notes what waits although a worker has room for it twice over. It reckons by what workers run, not by what the
-// book thinks of them.
+// checkWaits records what is pending although workers have free capacity for two such tasks, by what the workers run and not by
+// what the scheduler believes.
 func (s *world) checkWaits(now time.Duration) {
 	seen := map[string]bool{}
 	idle := s.inUse() < 0.5
@@ -211,7 +211,7 @@
 	}
 }
 
-// inUse returns the part of all cores that runs take.
+// inUse returns the fraction of all cores that runs take.
 func (s *world) inUse() float64 {
 	used, all := int64(0), int64(0)
 	for _, w := range s.workers {
@@ -232,7 +232,7 @@
 	return free
 }
 
-// slotsFor returns how many tasks of a unit workers could take now, two or more of each at the most.
+// slotsFor returns how many tasks of a group the workers could take now, counting two a worker at most.
 func (s *world) slotsFor(group *taskGroup) int {
 	stage := &group.job.Spec.Stages[group.stage]
 	slots := 0
@@ -264,7 +264,7 @@
 	return n
 }
 
-// play runs the world and returns what waited for too long beside idle room, or "".
+// play runs the world and returns what waited for too long beside idle capacity, or "".
 func (s *world) play() string {
 	rates := map[string]int{}
 	for _, queue := range []string{"urgent", "large", "lasting", "low"} {
@@ -291,8 +291,8 @@
 	return s.worst
 }
 
-// What inc1 is an instance of: however work comes, what has nothing at work does not wait beside room for it while most of
-// the shard is idle, and a task that lasts never does.
+// The property behind inc1: however work comes, a job without a run does not wait beside free capacity while most of
+// the shard is idle, and a long-running task never does.
 func TestSchedulerIsWorkConserving(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(*idleSeed)
 	parameters.MinSuccessfulTests = *idleWorlds
--- a/jobs/workers_test.go
+++ b/jobs/workers_test.go
@@ -32,7 +32,7 @@
 	920  orders a2 = start j.0.0.0/2`)
 }
 
-// A worker that announced its end may still be at work when its successor comes.
+// A worker that announced its end may still have active runs when its successor comes.
 func TestDrainingWorkerIsNotSuperseded(t *testing.T) {
 	play(t, `
 	0    worker a cpu=4000
@@ -45,7 +45,7 @@
 	920  orders a2 = nothing`)
 }
 
-// Trap 9: what cannot end in time moves, with its checkpoint; what can stays.
+// Trap 9: runs that cannot end before the worker leaves move, with their checkpoints; the others stay.
 func TestDrainEvacuatesRunsThatCannotEnd(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -63,7 +63,7 @@
 	320 client short = completed`)
 }
 
-// After a crash the next life may be of another kind, at the same address.
+// After a crash the next incarnation at the same address may have other labels and another capacity.
 func TestNextIncarnationMayHaveOtherLabels(t *testing.T) {
 	play(t, `
 	0    worker a cpu=4000
@@ -78,7 +78,7 @@
 	940  client j = running`)
 }
 
-// Found by incident inc-a454: starts that were assigned to a worker behind a cut waited there for its end.
+// Found by incident inc-a454: starts that were assigned to a partitioned worker waited there for the end of the partition.
 func TestTimedOutAgentGetsNoStarts(t *testing.T) {
 	play(t, `
 	0    worker a cpu=4000
@@ -90,7 +90,7 @@
 	1050 orders b = start j.0.0.0/1`)
 }
 
-// A limit that was cut below what runs rises again, also where the runs last. Found by scale-1 of the second site, which
+// A limit that was cut below the load rises again, also where the runs are long-running. Found by scale-1 of the second site, which
 // in some plays left one of five workers at a tenth from second 11 to the end.
 func TestLimitRisesBelowWhatRuns(t *testing.T) {
 	line := newTimeline(t)
