--- a/jobs/run.go
+++ b/jobs/run.go
@@ -8,7 +8,7 @@
 	position     taskPosition
 	job          *Job // nil where the job is not known (any more)
 	demand       Resources
-	share        float64       // dominant share of the worker
+	share        float64       // dominant share of the worker; 0 while its capacity is not known
 	queue        *Queue        // nil where job was not known from the start
 	durable      bool          // the assignment is committed, so the start may be sent
 	reported     bool          // the agent's last report names it
--- a/jobs/summary.go
+++ b/jobs/summary.go
@@ -13,7 +13,7 @@
 	Pending  int64   // of these, jobs of which no task ever ran
 	Held     float64 // sum of the shares of its runs, in workers
 	Wanted   float64 // demand of its pending tasks, in workers
-	Sigma    float64 // the admission limit on Held
+	Sigma    float64 // the admission limit on the shares of its runs
 	UsualMS  float64 // mean run time of a task (geometric)
 }
 
