--- /dev/null
+++ b/jobs/completion.go
@@ -0,0 +1,190 @@
+package jobs
+
+import "time"
+
+// outcomeGain is the weight of one run in a worker's failure rate and slowdown.
+const outcomeGain = 0.2
+
+// maxSlowdownSample bounds what one run adds to a worker's slowdown.
+const maxSlowdownSample = 10
+
+// applyFinished applies the finished runs of a report that were not applied before. They are acknowledged to the worker once
+// that is committed.
+func (s *Book) applyFinished(now time.Duration, w *Worker, r *Report) {
+	last := w.appliedCompletions
+	for _, end := range r.Finished {
+		if end.Number <= w.appliedCompletions {
+			continue
+		}
+		last = max(last, end.Number)
+		s.finishRun(now, w, RunRef{end.Task, end.Attempt}, end.How, end.Saved)
+	}
+	if last == w.appliedCompletions {
+		return
+	}
+	w.appliedCompletions = last
+	s.onDurable(func() {
+		w.durableCompletions = max(w.durableCompletions, last)
+		w.ordersDue = true
+	})
+}
+
+// finishRun applies the end of a run, with its last checkpoint.
+func (s *Book) finishRun(now time.Duration, w *Worker, key RunRef, outcome, checkpoint string) {
+	s.needsCycle = true
+	run := w.Runs[key]
+	if run == nil {
+		s.applyLateSuccess(now, w, key, outcome)
+		return
+	}
+	run.saveCheckpoint(checkpoint)
+	if hasRun(outcome) {
+		s.markRan(run.job)
+	}
+	w.remove(run)
+	learnOutcome(now, w, run, outcome)
+	occurrence, _, task := run.task()
+	if task == nil || task.State != TaskAssigned || task.Attempt != key.Attempt || task.Worker != w.Ref {
+		return
+	}
+	s.advanceTask(now, run.job, occurrence, run.position, outcome)
+}
+
+// applyLateSuccess applies the success of a run that had been given up, as long as its task was not assigned again.
+func (s *Book) applyLateSuccess(now time.Duration, w *Worker, key RunRef, outcome string) {
+	position, ok := parseTaskName(key.Task)
+	if outcome != outcomeDone || !ok {
+		return
+	}
+	job, occurrence := s.pendingTask(position, key.Attempt, w.Ref)
+	if job == nil || job.isLongRunning(position.stage) || job.Spec.Stages[position.stage].Gang {
+		return
+	}
+	for _, group := range job.pending {
+		if group.occurrence == occurrence && group.stage == position.stage {
+			s.withdraw(group, position.index)
+			break
+		}
+	}
+	job.setTaskState(&occurrence.Stages[position.stage].Tasks[position.index], TaskAssigned)
+	s.advanceTask(now, job, occurrence, position, outcome)
+}
+
+// pendingTask returns the job and occurrence of a task, or nils unless the task is pending after an attempt on a worker.
+func (s *Book) pendingTask(position taskPosition, attempt int64, worker string) (*Job, *Occurrence) {
+	job := s.jobs[position.id]
+	if job == nil || job.hasEnded() {
+		return nil, nil
+	}
+	occurrence := job.occurrence(position.number)
+	if occurrence == nil || occurrence.Done || position.stage >= len(occurrence.Stages) {
+		return nil, nil
+	}
+	tasks := occurrence.Stages[position.stage].Tasks
+	if position.index >= len(tasks) {
+		return nil, nil
+	}
+	task := &tasks[position.index]
+	if task.State != TaskPending || task.Attempt != attempt || task.Worker != worker {
+		return nil, nil
+	}
+	return job, occurrence
+}
+
+// learnOutcome updates what is learned about a worker and the run's queue.
+func learnOutcome(now time.Duration, w *Worker, run *Run, outcome string) {
+	failed := 0.0
+	switch outcome {
+	case outcomeRefused, outcomeLapsed:
+		w.cutLimit()
+		return
+	case outcomeFailed:
+		failed = 1
+	case outcomeDone:
+	default:
+		return
+	}
+	w.failureRate += outcomeGain * (failed - w.failureRate)
+	if run.job == nil || outcome != outcomeDone {
+		return
+	}
+	estimate := run.spec().EstimateMS
+	if estimate <= 0 || run.queue == nil {
+		return
+	}
+	expected := run.queue.expectedRunTime(run.spec())
+	took := now - run.assignedAt
+	run.queue.learnRunTime(took, time.Duration(estimate)*time.Millisecond)
+	slowdown := min(took.Seconds()/max(expected.Seconds(), minRunSeconds), maxSlowdownSample)
+	w.slowdown += outcomeGain * (slowdown - w.slowdown)
+}
+
+// advanceTask moves an assigned task on after the end of its run: it is completed, enqueued again, or fails its job.
+func (s *Book) advanceTask(now time.Duration, job *Job, occurrence *Occurrence, position taskPosition, outcome string) {
+	progress := &occurrence.Stages[position.stage]
+	s.markDirty(job)
+	longRunning := job.isLongRunning(position.stage)
+	if outcome == outcomeDone && !longRunning {
+		s.completeTask(now, job, occurrence, position)
+		return
+	}
+	job.setTaskState(&progress.Tasks[position.index], TaskPending)
+	if job.hasEnded() {
+		return
+	}
+	if outcome == outcomeFailed && !longRunning && s.countFailure(job, progress, position) {
+		s.endJob(now, job, Failed)
+		return
+	}
+	if !job.Spec.Stages[position.stage].Gang {
+		s.enqueue(now, job, occurrence, position.stage, position.index)
+		return
+	}
+	for index := range progress.Tasks {
+		s.stopTask(job, occurrence, position.stage, index)
+	}
+	s.requeueStage(now, job, occurrence, position.stage)
+}
+
+// countFailure counts a failed run, once for all members of a gang, and reports whether the queue's retries are used up.
+func (s *Book) countFailure(job *Job, progress *StageProgress, position taskPosition) bool {
+	attempt := progress.Tasks[position.index].Attempt
+	counter := &progress.Tasks[position.index]
+	if job.Spec.Stages[position.stage].Gang {
+		counter = &progress.Tasks[0]
+	}
+	if counter.LastFailure != attempt {
+		counter.LastFailure = attempt
+		counter.Failures++
+	}
+	return counter.Failures >= max(1, s.queue(job.Queue).Retries)
+}
+
+// completeTask completes a task, or a whole gang after the success of one member, and what that completes in turn: the stage,
+// the occurrence, the job.
+func (s *Book) completeTask(now time.Duration, job *Job, occurrence *Occurrence, position taskPosition) {
+	progress := &occurrence.Stages[position.stage]
+	if job.Spec.Stages[position.stage].Gang {
+		for index := range progress.Tasks {
+			job.setTaskState(&progress.Tasks[index], TaskCompleted)
+		}
+		progress.completed = len(progress.Tasks)
+	} else {
+		job.setTaskState(&progress.Tasks[position.index], TaskCompleted)
+		progress.completed++
+	}
+	if !progress.isCompleted() || job.hasEnded() {
+		return
+	}
+	if occurrence.allStagesCompleted() {
+		occurrence.Done = true
+		occurrence.Stages = nil
+		s.completeJobIfDone(now, job)
+		return
+	}
+	for later := range occurrence.Stages {
+		if job.dependsOn(later, position.stage) {
+			s.enqueueStage(now, job, occurrence, later)
+		}
+	}
+}
--- /dev/null
+++ b/jobs/gang.go
@@ -0,0 +1,66 @@
+package jobs
+
+import "slices"
+
+// gangPlan is what the members of a gang would take of the workers, before all of them have one.
+type gangPlan struct {
+	rack   string // the only one to use; "" for any
+	demand map[*Worker]Resources
+	tasks  map[*Worker]int
+}
+
+// placeGang places all members of a gang or none. It reports whether the queue still has credit.
+func (s *Book) placeGang(c *cycle, group *taskGroup) bool {
+	members := group.spec().Count
+	if len(group.tasks) < members {
+		c.unschedulable[group] = true
+		return true
+	}
+	workers := s.planGang(c, group)
+	if workers == nil {
+		s.markUnschedulable(c, group, members)
+		return true
+	}
+	indexes := slices.Clone(group.tasks)
+	s.dequeue(group, len(indexes))
+	for i, index := range indexes {
+		s.assign(c, group, workers[i], index)
+	}
+	return group.queue.deficit.Pay(group.estimatedWork() * float64(len(indexes)))
+}
+
+// planGang returns a worker for each member, or nil. A rack-local gang prefers one rack, and waits a little for it.
+func (s *Book) planGang(c *cycle, group *taskGroup) []*Worker {
+	if group.spec().RackLocal {
+		racks := map[string]bool{}
+		for _, w := range c.ready {
+			racks[w.rack()] = true
+		}
+		for rack := range racks {
+			if workers := s.planGangIn(c, group, rack); workers != nil {
+				return workers
+			}
+		}
+		if len(group.tasks) > 1 && s.shouldWaitForRack(c, group) {
+			return nil
+		}
+	}
+	return s.planGangIn(c, group, "")
+}
+
+// planGangIn returns a worker for each member, or nil, in one rack if it is named.
+func (s *Book) planGangIn(c *cycle, group *taskGroup, rack string) []*Worker {
+	plan := &gangPlan{rack: rack, demand: map[*Worker]Resources{}, tasks: map[*Worker]int{}}
+	demand := group.spec().demand()
+	var workers []*Worker
+	for range group.tasks {
+		w := s.pickWorker(c, group, plan)
+		if w == nil {
+			return nil
+		}
+		plan.demand[w] = plan.demand[w].plus(demand)
+		plan.tasks[w]++
+		workers = append(workers, w)
+	}
+	return workers
+}
--- a/jobs/headroom_test.go
+++ b/jobs/headroom_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Room that the first priority has wanted lately is kept free of other work, so that it need not preempt; after a while
+// Capacity that the first priority has wanted lately is kept free of other queues, so that it need not preempt; after a while
 // without such demand the others have it.
-func TestRoomIsKeptForTheUrgentDemandSeenLately(t *testing.T) {
+func TestHeadroomFollowsRecentUrgentDemand(t *testing.T) {
 	const text = `
 	0   worker a cpu=4000
 	10  client submit u 2x cpu=1000 est=100
@@ -26,21 +26,21 @@
 	230 disk commit
 	240 orders a = start v.0.0.0/1 start v.0.0.1/1`
 	play(t, text)
-	s := play(t, text+`
+	line := play(t, text+`
 	300 worker a cpu=4000 active low-j.0.0.0/1 active low-j.0.0.1/1 end 3/v.0.0.0/1/done end 4/v.0.0.1/1/done
 	310 disk commit
 	320 orders a = noted 4`)
 	for range 200 {
-		s.book.headroom.endRound(0, 1)
+		line.scheduler.headroom.update(0, 1)
 	}
-	s.book.wake = true
-	s.step(330*1e6, []string{"disk", "commit"}, "")
-	s.step(335*1e6, []string{"disk", "commit"}, "")
-	s.step(340*1e6, strings.Fields("orders a = start low-j.0.0.2/1 start low-j.0.0.3/1"), "room that nobody urgent wanted for 20 s")
+	line.scheduler.needsCycle = true
+	line.step(330*1e6, []string{"disk", "commit"}, "")
+	line.step(335*1e6, []string{"disk", "commit"}, "")
+	line.step(340*1e6, strings.Fields("orders a = start low-j.0.0.2/1 start low-j.0.0.3/1"), "room that nobody urgent wanted for 20 s")
 }
 
-// Without urgent demand nothing is kept.
-func TestNoRoomIsKeptWithoutUrgentDemand(t *testing.T) {
+// Without urgent demand there is no headroom.
+func TestNoHeadroomWithoutUrgentDemand(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
 	100 tick
@@ -49,8 +49,8 @@
 	200 orders a = start low-j.0.0.0/1 start low-j.0.0.1/1 start low-j.0.0.2/1 start low-j.0.0.3/1`)
 }
 
-// Tasks that last use room that is kept for the first priority.
-func TestTasksThatLastUseKeptRoom(t *testing.T) {
+// Long-running tasks may use the headroom.
+func TestLongRunningTasksUseHeadroom(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
 	10  client submit u 4x cpu=1000 est=100
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -1,18 +1,14 @@
 package jobs
 
 import (
-	"fmt"
-	"strconv"
-	"strings"
+	"slices"
 	"time"
-
-	"sedgevale/internal/avrocodec"
 )
 
-// State is how a job is shown to clients.
+// State is the state of a job as clients see it.
 type State string
 
-// The states of a job.
+// The states of a job. Queued and Running are one stored state, Queued: a job is shown as running once a task was assigned.
 const (
 	Queued    State = "queued"
 	Running   State = "running"
@@ -21,249 +17,133 @@
 	Cancelled State = "cancelled"
 )
 
-// TaskState is where a task stands.
+// TaskState is the state of a task. The values are stored.
 type TaskState int
 
 // The states of a task.
 const (
-	Waiting  TaskState = iota // may be started once its step's turn has come
-	Assigned                  // a start was, or is about to be, sent to a worker
-	Done                      // has ended done; it never starts again
+	TaskPending   TaskState = iota // is or will be enqueued
+	TaskAssigned                   // has a run at a worker
+	TaskCompleted                  // has succeeded; it is never assigned again
 )
 
-// Task is one task of one time. Attempt numbers its starts from 1.
+// Task is the state of one task in one occurrence.
 type Task struct {
-	State   TaskState
-	Attempt int64
-	Fails   int64
-	Failed  int64  // the attempt that was counted in Fails last
-	Worker  string // the worker that has or had the last start
-	Saved   string // the newest checkpoint
-}
-
-// StageRun is a step in one time.
-type StageRun struct {
-	Tasks []Task
-	done  int
+	State       TaskState
+	Attempt     int64  // the number of its last run, counted from 1; 0 before the first
+	Failures    int64  // runs that failed; a gang counts them at its first task
+	LastFailure int64  // the last attempt that is counted in Failures
+	Worker      string // Ref of the worker of the last run
+	Checkpoint  string // the newest checkpoint
 }
 
-// Time is one run of all steps of a job; a job without repeats has just number 0.
-type Time struct {
-	Number int
-	Done   bool
-	Stages []StageRun
-	due    time.Duration // when it became due, on the steady clock
+// StageProgress is the state of one stage in one occurrence.
+type StageProgress struct {
+	Tasks     []Task
+	completed int // tasks in TaskCompleted
 }
 
-// Job is a job and how far it is.
-type Job struct {
-	ID       string
-	Queue    string
-	Spec     *Spec
-	State    State // Queued stands for all that has not ended
-	Times    []*Time
-	Next     int // the number of the next time to become due
-	started  bool
-	begun    bool // a worker has begun one of its tasks, as far as this owner knows
-	assigned int  // tasks with a start that has not ended
+// isCompleted reports whether all tasks of the stage have succeeded.
+func (p *StageProgress) isCompleted() bool { return p.completed >= len(p.Tasks) }
 
-	units    []*unit // what waits of it
-	shown    State   // what clients may be told: it is durable
-	exists   bool    // its record is durable
-	accepted time.Duration
-	ended    time.Duration
-	dirty    bool
-}
-
-// jobRecord and the types below are the durable form of what changes of a job.
-type jobRecord struct {
-	State string
-	Next  int
-	Times []timeRecord
-}
-
-type timeRecord struct {
+// Occurrence is one run through all stages of a job. A job that does not repeat has number 0 alone.
+type Occurrence struct {
 	Number int
-	Done   bool
-	Stages []stageRecord
-}
-
-type stageRecord struct {
-	Tasks []taskRecord
-}
-
-type taskRecord struct {
-	State   int
-	Attempt int64
-	Fails   int64
-	Failed  int64
-	Worker  string
-	Saved   string
-}
-
-// specRecord is the durable form of what a client handed in.
-type specRecord struct {
-	Queue string
-	Body  []byte
-}
-
-// The kinds of keys of a shard.
-const (
-	specPrefix = "s/"
-	jobPrefix  = "d/"
-)
-
-func (j *Job) encode() ([]byte, error) {
-	record := jobRecord{State: string(j.State), Next: j.Next}
-	for _, t := range j.Times {
-		part := timeRecord{Number: t.Number, Done: t.Done}
-		if !t.Done {
-			part.Stages = encodeStages(t.Stages)
-		}
-		record.Times = append(record.Times, part)
-	}
-	return avrocodec.Encode(&record)
+	Done   bool            // all stages are completed
+	Stages []StageProgress // nil once Done
+	dueAt  time.Duration   // when it became due; after a recovery, when the job was restored
 }
 
-func encodeStages(stages []StageRun) []stageRecord {
-	records := make([]stageRecord, len(stages))
-	for i := range stages {
-		records[i].Tasks = make([]taskRecord, len(stages[i].Tasks))
-		for n, t := range stages[i].Tasks {
-			records[i].Tasks[n] = taskRecord{
-				State: int(t.State), Attempt: t.Attempt, Fails: t.Fails, Failed: t.Failed, Worker: t.Worker, Saved: t.Saved,
-			}
-		}
-	}
-	return records
-}
-
-func (j *Job) decode(value []byte) error {
-	var record jobRecord
-	if err := avrocodec.Decode(value, &record); err != nil {
-		return fmt.Errorf("job %s: %w", j.ID, err)
-	}
-	j.State = State(record.State)
-	j.Next = record.Next
-	for _, part := range record.Times {
-		t := &Time{Number: part.Number, Done: part.Done}
-		for i := range part.Stages {
-			run := StageRun{}
-			for _, task := range part.Stages[i].Tasks {
-				state := TaskState(task.State)
-				if state == Done {
-					run.done++
-				}
-				if state == Assigned {
-					j.assigned++
-				}
-				if task.Attempt > 0 {
-					j.started = true
-				}
-				if state == Done || task.Fails > 0 || task.Saved != "" {
-					j.begun = true
-				}
-				run.Tasks = append(run.Tasks, Task{
-					State: state, Attempt: task.Attempt, Fails: task.Fails, Failed: task.Failed,
-					Worker: task.Worker, Saved: task.Saved,
-				})
-			}
-			t.Stages = append(t.Stages, run)
-		}
-		if t.Done {
-			j.started = true
-			j.begun = true
+// allStagesCompleted reports whether all tasks of the occurrence have succeeded.
+func (o *Occurrence) allStagesCompleted() bool {
+	for i := range o.Stages {
+		if !o.Stages[i].isCompleted() {
+			return false
 		}
-		j.Times = append(j.Times, t)
 	}
-	return nil
+	return true
 }
 
-// newTime begins one run of all steps.
-func (j *Job) newTime(number int, now time.Duration) *Time {
-	t := &Time{Number: number, due: now}
+// Job is a job and its progress.
+type Job struct {
+	ID             string
+	Queue          string // name
+	Spec           *Spec
+	State          State // Queued until the job ends, never Running
+	Occurrences    []*Occurrence
+	NextOccurrence int  // the number of the next occurrence to become due
+	everAssigned   bool // a task was assigned to a worker once
+	everRan        bool // a worker has run one of its tasks, as far as this owner knows
+	assigned       int  // tasks in TaskAssigned
+
+	pending      []*taskGroup
+	durableState State // State as committed
+	durable      bool  // its record is committed
+	endedAt      time.Duration
+	dirty        bool // State or progress changed since the last Flush
+}
+
+// addOccurrence adds an occurrence with all tasks pending.
+func (j *Job) addOccurrence(number int, now time.Duration) *Occurrence {
+	occurrence := &Occurrence{Number: number, dueAt: now}
 	for i := range j.Spec.Stages {
-		t.Stages = append(t.Stages, StageRun{Tasks: make([]Task, j.Spec.Stages[i].Count)})
+		occurrence.Stages = append(occurrence.Stages, StageProgress{Tasks: make([]Task, j.Spec.Stages[i].Count)})
 	}
-	j.Times = append(j.Times, t)
-	return t
+	j.Occurrences = append(j.Occurrences, occurrence)
+	return occurrence
 }
 
-func (j *Job) time(number int) *Time {
-	for _, t := range j.Times {
-		if t.Number == number {
-			return t
+// occurrence returns the occurrence with a number, or nil.
+func (j *Job) occurrence(number int) *Occurrence {
+	for _, occurrence := range j.Occurrences {
+		if occurrence.Number == number {
+			return occurrence
 		}
 	}
 	return nil
 }
 
-// repeats returns how many times the steps run.
-func (j *Job) repeats() int { return max(1, j.Spec.Repeat) }
+// occurrenceCount returns the number of occurrences, past and future.
+func (j *Job) occurrenceCount() int { return max(1, j.Spec.Repeat) }
 
-// move changes the state of a task and keeps count of those at work.
-func (j *Job) move(task *Task, state TaskState) {
-	if task.State == Assigned {
+// setTaskState changes the state of a task and the count of assigned ones.
+func (j *Job) setTaskState(task *Task, state TaskState) {
+	if task.State == TaskAssigned {
 		j.assigned--
 	}
-	if state == Assigned {
+	if state == TaskAssigned {
 		j.assigned++
 	}
 	task.State = state
 }
 
-func (j *Job) over() bool { return j.State != Queued }
-
-// lasts reports whether the tasks of a step run until the job is cancelled.
-func (j *Job) lasts(stage int) bool { return j.Spec.LongRunning || j.Spec.Stages[stage].LongRunning }
+// hasEnded reports whether the job is completed, failed or cancelled.
+func (j *Job) hasEnded() bool { return j.State != Queued }
 
-// ready reports whether all steps that a step depends on are done.
-func (j *Job) ready(t *Time, stage int) bool {
-	for _, earlier := range j.Spec.Stages[stage].DependsOn {
-		if t.Stages[earlier].done < len(t.Stages[earlier].Tasks) {
-			return false
-		}
-	}
-	return true
+// isLongRunning reports whether the tasks of a stage run until the job is cancelled.
+func (j *Job) isLongRunning(stageIndex int) bool {
+	return j.Spec.LongRunning || j.Spec.Stages[stageIndex].LongRunning
 }
 
-// finished reports whether all steps of a time are done.
-func (t *Time) finished() bool {
-	for i := range t.Stages {
-		if t.Stages[i].done < len(t.Stages[i].Tasks) {
+// dependenciesCompleted reports whether all stages that a stage depends on are completed.
+func (j *Job) dependenciesCompleted(occurrence *Occurrence, stageIndex int) bool {
+	for _, earlier := range j.Spec.Stages[stageIndex].DependsOn {
+		if !occurrence.Stages[earlier].isCompleted() {
 			return false
 		}
 	}
 	return true
 }
 
-// visible returns the state that clients may be told.
-func (j *Job) visible() State {
-	if j.shown == Queued && j.started {
-		return Running
-	}
-	return j.shown
+// dependsOn reports whether a stage depends directly on an earlier one.
+func (j *Job) dependsOn(stageIndex, earlier int) bool {
+	return slices.Contains(j.Spec.Stages[stageIndex].DependsOn, earlier)
 }
 
-// TaskName returns how workers know a task.
-func TaskName(id string, number, stage, index int) string {
-	return id + "." + strconv.Itoa(number) + "." + strconv.Itoa(stage) + "." + strconv.Itoa(index)
-}
-
-// place is a task's position in its job.
-type place struct {
-	id                   string
-	number, stage, index int
-}
-
-func parseTask(name string) (place, bool) {
-	parts := strings.Split(name, ".")
-	if len(parts) != 4 {
-		return place{}, false
+// visibleState returns the state that clients see: the committed one.
+func (j *Job) visibleState() State {
+	if j.durableState == Queued && j.everAssigned {
+		return Running
 	}
-	number, err1 := strconv.Atoi(parts[1])
-	stage, err2 := strconv.Atoi(parts[2])
-	index, err3 := strconv.Atoi(parts[3])
-	ok := err1 == nil && err2 == nil && err3 == nil && number >= 0 && stage >= 0 && index >= 0
-	return place{parts[0], number, stage, index}, ok
+	return j.durableState
 }
--- /dev/null
+++ b/jobs/lifecycle.go
@@ -0,0 +1,142 @@
+package jobs
+
+import (
+	"fmt"
+	"time"
+
+	"sedgevale/internal/avrocodec"
+)
+
+// Submit accepts a job; it is idempotent by the job's ID. Durable reports whether the job's record is already committed;
+// otherwise it is once all changes up to the next Flush are. The error says why a body is invalid.
+func (s *Book) Submit(now time.Duration, wallMS int64, id, queue string, body []byte) (durable bool, err error) {
+	if known := s.jobs[id]; known != nil {
+		return known.durable, nil
+	}
+	job, err := parseJob(id, queue, body)
+	if err != nil {
+		return false, err
+	}
+	record, err := avrocodec.Encode(&specRecord{Queue: queue, Body: body})
+	if err != nil {
+		return false, err
+	}
+	s.newSpecs = append(s.newSpecs, Change{Key: specPrefix + id, Value: record})
+	s.jobs[id] = job
+	s.countJob(job)
+	s.markDirty(job)
+	s.onDurable(func() { job.durable = true })
+	s.startDueOccurrences(now, wallMS, job)
+	return false, nil
+}
+
+// parseJob parses and checks the body of a submitted job.
+func parseJob(id, queue string, body []byte) (*Job, error) {
+	spec := &Spec{}
+	if err := spec.UnmarshalJSON(body); err != nil {
+		return nil, fmt.Errorf("cannot be read: %w", err)
+	}
+	if err := spec.Check(); err != nil {
+		return nil, err
+	}
+	return &Job{ID: id, Queue: queue, Spec: spec, State: Queued, durableState: Queued}, nil
+}
+
+// startDueOccurrences enqueues the occurrences of a job that are due. StartAtMS is the only time that is compared with the
+// wall clock.
+func (s *Book) startDueOccurrences(now time.Duration, wallMS int64, job *Job) {
+	for job.NextOccurrence < job.occurrenceCount() && !job.hasEnded() {
+		due := job.Spec.StartAtMS + int64(job.NextOccurrence)*job.Spec.IntervalMS
+		if job.Spec.StartAtMS > 0 && wallMS < due {
+			s.delayed[job.ID] = job
+			return
+		}
+		occurrence := job.addOccurrence(job.NextOccurrence, now)
+		job.NextOccurrence++
+		s.markDirty(job)
+		for stageIndex := range occurrence.Stages {
+			s.enqueueStage(now, job, occurrence, stageIndex)
+		}
+	}
+	delete(s.delayed, job.ID)
+}
+
+// Cancel ends a job and reports whether it is known. The cancellation is durable with all changes up to the next Flush.
+func (s *Book) Cancel(now time.Duration, id string) (known bool) {
+	job := s.jobs[id]
+	if job == nil {
+		return false
+	}
+	if !job.hasEnded() {
+		s.endJob(now, job, Cancelled)
+	}
+	return true
+}
+
+// endJob moves a job to its final state and dequeues and stops what is left of it.
+func (s *Book) endJob(now time.Duration, job *Job, state State) {
+	job.State = state
+	job.endedAt = now
+	s.ended = append(s.ended, job)
+	delete(s.delayed, job.ID)
+	s.uncountJob(job)
+	for len(job.pending) > 0 {
+		group := job.pending[0]
+		s.dequeue(group, len(group.tasks))
+	}
+	if state != Completed {
+		s.stopRuns(job)
+	}
+	s.markDirty(job)
+	s.onDurable(func() { job.durableState = state })
+}
+
+// completeJobIfDone completes a job after its last occurrence.
+func (s *Book) completeJobIfDone(now time.Duration, job *Job) {
+	if job.NextOccurrence < job.occurrenceCount() {
+		return
+	}
+	for _, occurrence := range job.Occurrences {
+		if !occurrence.Done {
+			return
+		}
+	}
+	s.endJob(now, job, Completed)
+}
+
+// stopRuns stops all runs of a job.
+func (s *Book) stopRuns(job *Job) {
+	for _, occurrence := range job.Occurrences {
+		for stageIndex := range occurrence.Stages {
+			for index := range occurrence.Stages[stageIndex].Tasks {
+				s.stopTask(job, occurrence, stageIndex, index)
+			}
+		}
+	}
+}
+
+// stopTask stops the run of a task, if it has one.
+func (s *Book) stopTask(job *Job, occurrence *Occurrence, stageIndex, index int) {
+	task := &occurrence.Stages[stageIndex].Tasks[index]
+	w := s.workers[task.Worker]
+	if task.State != TaskAssigned || w == nil {
+		return
+	}
+	run := w.Runs[RunRef{TaskName(job.ID, occurrence.Number, stageIndex, index), task.Attempt}]
+	if run != nil && !run.stopping {
+		run.stop()
+		w.ordersDue = true
+	}
+}
+
+// deleteEndedJobs deletes the records of ended jobs whose TTL is over.
+func (s *Book) deleteEndedJobs(now time.Duration) {
+	n := 0
+	for n < len(s.ended) && now-s.ended[n].endedAt > s.options.KeepEnded {
+		job := s.ended[n]
+		delete(s.jobs, job.ID)
+		s.deletedKeys = append(s.deletedKeys, specPrefix+job.ID, jobPrefix+job.ID)
+		n++
+	}
+	s.ended = s.ended[n:]
+}
--- a/jobs/orders.go
+++ b/jobs/orders.go
@@ -2,78 +2,69 @@
 
 import "time"
 
-// startsMost is how many starts one call to a side agent carries: a few megabytes with the longest texts.
-const startsMost = 1000
+const (
+	resendInterval   = 300 * time.Millisecond // between two sends of an order that is not confirmed
+	maxStartsPerCall = 1000                   // a few megabytes with the longest texts
+)
 
-// DirtyWorkers returns the workers whose side agents should be told something, and forgets which they were.
-func (b *Book) DirtyWorkers() []*Worker {
+// DirtyWorkers returns the workers whose agents have orders due, and resets which these are.
+func (s *Book) DirtyWorkers() []*Worker {
 	var dirty []*Worker
-	for _, w := range b.workers {
-		if w.dirty {
-			w.dirty = false
+	for _, w := range s.workers {
+		if w.ordersDue {
+			w.ordersDue = false
 			dirty = append(dirty, w)
 		}
 	}
 	return dirty
 }
 
-// Orders returns what a worker's side agent should be told now, or nil. What is too much for one call is due for the next.
-func (b *Book) Orders(now time.Duration, w *Worker, sentNoted int64) *Orders {
-	if w.State == Unheard || w.State == Lapsed {
+// Orders returns what is to be sent to a worker's agent now, or nil for nothing; starts above maxStartsPerCall are left for
+// the next call. Acknowledged is the number of committed finished runs that the agent knows of.
+func (s *Book) Orders(now time.Duration, w *Worker, acknowledged int64) *Orders {
+	if w.State == Unconfirmed || w.State == Lapsed {
 		return nil
 	}
-	orders := &Orders{Instance: w.Instance, Life: w.Life, Noted: w.noted}
-	if w.unknown {
-		orders.Known = b.demands(w)
-		w.unknown = false
+	orders := &Orders{Instance: w.Instance, Life: w.AgentIncarnation, Noted: w.durableCompletions}
+	if w.demandsUnknown {
+		orders.Known = w.runDemands()
+		w.demandsUnknown = false
 	}
 	for key, run := range w.Runs {
-		due := run.lastSent == 0 || now-run.lastSent >= resendAfter
+		due := run.lastSent == 0 || now-run.lastSent >= resendInterval
 		switch {
 		case !run.durable || !due:
-		case run.stopping || !b.wants(run):
+		case run.stopping || !run.isWanted():
 			run.lastSent = now
 			orders.Stops = append(orders.Stops, key)
-		case run.reported || len(orders.Starts) == startsMost:
+		case run.reported || len(orders.Starts) == maxStartsPerCall:
 		default:
 			run.lastSent = now
-			orders.Starts = append(orders.Starts, b.startOf(run))
+			orders.Starts = append(orders.Starts, run.startOrder())
 		}
 	}
-	if len(orders.Starts)+len(orders.Stops)+len(orders.Known) == 0 && w.noted == sentNoted {
+	if len(orders.Starts)+len(orders.Stops)+len(orders.Known) == 0 && w.durableCompletions == acknowledged {
 		return nil
 	}
 	return orders
 }
 
-// demands returns what each run of a worker takes, for a side agent that has just started.
-func (b *Book) demands(w *Worker) []Start {
-	var known []Start
+// runDemands returns the demand of each run, for an agent that has just started.
+func (w *Worker) runDemands() []Start {
+	var demands []Start
 	for key, run := range w.Runs {
-		known = append(known, Start{Task: key.Task, Attempt: key.Attempt, Demand: run.demand})
+		demands = append(demands, Start{Task: key.Task, Attempt: key.Attempt, Demand: run.demand})
 	}
-	return known
+	return demands
 }
 
-// wants reports whether a run's task still waits for its end.
-func (b *Book) wants(run *Run) bool {
-	if run.job == nil || run.job.over() {
-		return false
-	}
-	t := run.job.time(run.at.number)
-	if t == nil || t.Done {
-		return false
-	}
-	task := &t.Stages[run.at.stage].Tasks[run.at.index]
-	return task.State == Assigned && task.Attempt == run.Key.Attempt
-}
-
-func (b *Book) startOf(run *Run) Start {
-	task := &run.job.time(run.at.number).Stages[run.at.stage].Tasks[run.at.index]
+// startOrder returns the order to start a wanted run.
+func (r *Run) startOrder() Start {
+	_, _, task := r.task()
 	return Start{
-		Task: run.Key.Task, Attempt: run.Key.Attempt, Text: run.job.Spec.Text, Saved: task.Saved, Demand: run.demand,
+		Task: r.Key.Task, Attempt: r.Key.Attempt, Text: r.job.Spec.Text, Saved: task.Checkpoint, Demand: r.demand,
 	}
 }
 
-// Noted returns up to which number the ends that a worker told are durable.
-func (b *Book) Noted(w *Worker) int64 { return w.noted }
+// Noted returns the number up to which a worker's finished runs are committed.
+func (s *Book) Noted(w *Worker) int64 { return w.durableCompletions }
--- /dev/null
+++ b/jobs/record.go
@@ -0,0 +1,122 @@
+package jobs
+
+import (
+	"fmt"
+
+	"sedgevale/internal/avrocodec"
+)
+
+// A job has two records in its shard; the prefix of a key is followed by the job's ID.
+const (
+	specPrefix = "s/" // specRecord, written once
+	jobPrefix  = "d/" // jobRecord, written on every change
+)
+
+// specRecord is the stored form of a submitted job. Like all records it is Avro, read by the order of its fields: none may be
+// moved, added, dropped or retyped.
+type specRecord struct {
+	Queue string
+	Body  []byte
+}
+
+// jobRecord is the stored form of a job's state.
+type jobRecord struct {
+	State          string
+	NextOccurrence int
+	Occurrences    []occurrenceRecord
+}
+
+// occurrenceRecord is the stored form of an Occurrence.
+type occurrenceRecord struct {
+	Number int
+	Done   bool
+	Stages []stageRecord // none once Done
+}
+
+// stageRecord is the stored form of a StageProgress.
+type stageRecord struct {
+	Tasks []taskRecord
+}
+
+// taskRecord is the stored form of a Task.
+type taskRecord struct {
+	State       int
+	Attempt     int64
+	Failures    int64
+	LastFailure int64
+	Worker      string
+	Checkpoint  string
+}
+
+// encode returns the job's jobRecord.
+func (j *Job) encode() ([]byte, error) {
+	record := jobRecord{State: string(j.State), NextOccurrence: j.NextOccurrence}
+	for _, occurrence := range j.Occurrences {
+		stored := occurrenceRecord{Number: occurrence.Number, Done: occurrence.Done}
+		if !occurrence.Done {
+			stored.Stages = encodeStages(occurrence.Stages)
+		}
+		record.Occurrences = append(record.Occurrences, stored)
+	}
+	value, err := avrocodec.Encode(&record)
+	if err != nil {
+		return nil, fmt.Errorf("job %s: %w", j.ID, err)
+	}
+	return value, nil
+}
+
+func encodeStages(stages []StageProgress) []stageRecord {
+	records := make([]stageRecord, len(stages))
+	for i := range stages {
+		records[i].Tasks = make([]taskRecord, len(stages[i].Tasks))
+		for n, task := range stages[i].Tasks {
+			records[i].Tasks[n] = taskRecord{
+				State: int(task.State), Attempt: task.Attempt, Failures: task.Failures, LastFailure: task.LastFailure,
+				Worker: task.Worker, Checkpoint: task.Checkpoint,
+			}
+		}
+	}
+	return records
+}
+
+// decode sets the job's state from its jobRecord, and from that what is not stored: which tasks were ever assigned or ran.
+func (j *Job) decode(value []byte) error {
+	var record jobRecord
+	if err := avrocodec.Decode(value, &record); err != nil {
+		return fmt.Errorf("job %s: %w", j.ID, err)
+	}
+	j.State = State(record.State)
+	j.NextOccurrence = record.NextOccurrence
+	for _, stored := range record.Occurrences {
+		occurrence := &Occurrence{Number: stored.Number, Done: stored.Done}
+		for i := range stored.Stages {
+			occurrence.Stages = append(occurrence.Stages, j.decodeStage(&stored.Stages[i]))
+		}
+		if occurrence.Done {
+			j.everAssigned = true
+			j.everRan = true
+		}
+		j.Occurrences = append(j.Occurrences, occurrence)
+	}
+	return nil
+}
+
+func (j *Job) decodeStage(stored *stageRecord) StageProgress {
+	progress := StageProgress{}
+	for _, task := range stored.Tasks {
+		state := TaskState(task.State)
+		switch state {
+		case TaskCompleted:
+			progress.completed++
+		case TaskAssigned:
+			j.assigned++
+		}
+		j.everAssigned = j.everAssigned || task.Attempt > 0
+		j.everRan = j.everRan || state == TaskCompleted || task.Failures > 0 || task.Checkpoint != ""
+		progress.Tasks = append(progress.Tasks, Task{
+			State: state, Attempt: task.Attempt, Failures: task.Failures, LastFailure: task.LastFailure,
+			Worker: task.Worker, Checkpoint: task.Checkpoint,
+		})
+	}
+	return progress
+}
--- /dev/null
+++ b/jobs/recovery.go
@@ -0,0 +1,99 @@
+package jobs
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"sedgevale/internal/avrocodec"
+)
+
+// Restore sets the state of a new scheduler from the records of its shard. Runs whose starts the former owner may have sent
+// are assumed to be active until their workers report or their leases have certainly expired. An error names the record that
+// cannot be decoded.
+func (s *Book) Restore(now time.Duration, records []Change) error {
+	specs := map[string]specRecord{}
+	for _, r := range records {
+		if id, ok := strings.CutPrefix(r.Key, specPrefix); ok {
+			var spec specRecord
+			if err := avrocodec.Decode(r.Value, &spec); err != nil {
+				return fmt.Errorf("record %s: %w", r.Key, err)
+			}
+			specs[id] = spec
+		}
+	}
+	for _, r := range records {
+		id, ok := strings.CutPrefix(r.Key, jobPrefix)
+		spec, hasSpec := specs[id]
+		if !ok || !hasSpec {
+			continue
+		}
+		if err := s.restoreJob(now, id, spec, r.Value); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// restoreJob restores a job from its two records.
+func (s *Book) restoreJob(now time.Duration, id string, spec specRecord, value []byte) error {
+	job, err := parseJob(id, spec.Queue, spec.Body)
+	if err != nil {
+		return fmt.Errorf("job %s: %w", id, err)
+	}
+	if err := job.decode(value); err != nil {
+		return err
+	}
+	job.durable = true
+	job.durableState = job.State
+	s.jobs[id] = job
+	s.queue(job.Queue)
+	if job.hasEnded() {
+		job.endedAt = now
+		s.ended = append(s.ended, job)
+	} else {
+		s.countJob(job)
+		s.delayed[id] = job
+	}
+	for _, occurrence := range job.Occurrences {
+		occurrence.dueAt = now
+		for stageIndex := range occurrence.Stages {
+			s.restoreRuns(now, job, occurrence, stageIndex)
+		}
+		if job.hasEnded() || occurrence.Done {
+			continue
+		}
+		for stageIndex := range occurrence.Stages {
+			s.requeueStage(now, job, occurrence, stageIndex)
+		}
+	}
+	return nil
+}
+
+// restoreRuns restores the runs of a stage's assigned tasks, and their workers as far as they are not known yet.
+func (s *Book) restoreRuns(now time.Duration, job *Job, occurrence *Occurrence, stageIndex int) {
+	for index := range occurrence.Stages[stageIndex].Tasks {
+		task := &occurrence.Stages[stageIndex].Tasks[index]
+		if task.State != TaskAssigned {
+			continue
+		}
+		w := s.workers[task.Worker]
+		if w == nil {
+			w = s.restoreWorker(now, task.Worker)
+		}
+		run := newRun(now, taskPosition{job.ID, occurrence.Number, stageIndex, index}, job, task, s.queue(job.Queue))
+		run.durable = true
+		run.stopping = job.hasEnded()
+		w.add(run) // without a share: the worker's capacity is not known yet
+	}
+}
+
+// restoreWorker adds a worker that is known from records alone.
+func (s *Book) restoreWorker(now time.Duration, ref string) *Worker {
+	instance, agent, _ := strings.Cut(ref, "@")
+	w := newWorker(now, ref, instance, agent)
+	w.State = Unconfirmed
+	w.leaseExpiry = now + s.options.LapseAfter
+	s.addWorker(w)
+	return w
+}
--- /dev/null
+++ b/jobs/tick.go
@@ -0,0 +1,41 @@
+package jobs
+
+import "time"
+
+// failureRateDecay is the factor on a worker's failure rate in a tick, so that an avoided worker is tried again.
+const failureRateDecay = 0.98
+
+// Tick does what is due by time; the owner calls it at a fixed interval. It starts due occurrences, expires workers, updates
+// the limits of admission and deletes ended jobs.
+func (s *Book) Tick(now time.Duration, wallMS int64) {
+	for _, job := range s.delayed {
+		s.startDueOccurrences(now, wallMS, job)
+	}
+	for _, w := range s.workers {
+		w.failureRate *= failureRateDecay
+		if timedOut := now-w.lastReport >= agentTimeout; timedOut != w.agentTimedOut {
+			w.agentTimedOut = timedOut
+			if timedOut && w.State == Ready {
+				w.cutLimit()
+			}
+		}
+		if now >= w.leaseExpiry {
+			s.expireWorker(now, w)
+			s.removeWorker(w)
+			s.updateMeanCapacity()
+		}
+	}
+	s.updateLimits(now)
+	s.overdueCycle = true
+	s.needsCycle = true
+	s.deleteEndedJobs(now)
+}
+
+// expireWorker ends all runs of a worker whose lease has certainly expired.
+func (s *Book) expireWorker(now time.Duration, w *Worker) {
+	for key := range w.Runs {
+		s.finishRun(now, w, key, outcomeLapsed, "")
+	}
+	w.setState(Lapsed)
+	s.readyStale = true
+}
--- a/jobs/timeline_test.go
+++ b/jobs/timeline_test.go
@@ -11,27 +11,24 @@
 	"time"
 )
 
-// play runs a timeline against a Book. A line is a time in milliseconds, who acts (a client, an owner's disk, or a
-// worker by name) and what happens; lines with = tell what must be seen.
+// timeline plays a text against a scheduler. A line is a time in milliseconds, who acts (a client, an owner's disk, or a
+// worker by name) and what happens; lines with = say what must be seen.
 //
-//	worker a cpu=4000 gpu=8 mem=64000 kind=k rack=r1 [draining 500] [active T/1:50] [end N/T/1/done] [held T/1] [lapsed]
+//	worker a cpu=4000 gpu=8 mem=64000 kind=k rack=r1 [draining 500] [active T/1] [end N/T/1/done] [held T/1] [lapsed]
 //	client submit J spec | cancel J | J = running
 //	disk commit                 all changes so far are durable
 //	orders a = start T stop T noted 3
 //	tick
-//	pending q = 1               jobs of a queue of which no task has begun
-//	failover                    a new owner takes the durable records over
+//	pending q = 1               jobs of a queue of which no task has run
+//	failover                    a new owner takes over the durable records
 //
-// A spec is steps divided by |, each with words like 3x cpu=500 gang after=0 keep lasts near=r1 apart=1 est=900 gpu=2.
-type stage struct {
-	t       *testing.T
-	book    *Book
-	records map[string][]byte // durable
-	pending []Change
-	last    int64
-	noted   map[string]int64
-	ended   map[string][]EndedRun
-	configs []QueueConfig // that a new owner is told
+// A spec is stages divided by |, each with words like 3x cpu=500 gang after=0 keep lasts near=r1 apart=1 est=900 gpu=2.
+type timeline struct {
+	t                  *testing.T
+	scheduler          *Book
+	store              recordStore
+	durableCompletions map[string]int64
+	configs            []QueueConfig // of a new owner
 }
 
 var testQueues = []QueueConfig{
@@ -39,20 +36,22 @@
 	{Name: "low", Priority: 2, Retries: 2, Extension: 2, TargetLatencyMS: 1000},
 }
 
-func newStage(t *testing.T) *stage {
-	s := &stage{t: t, records: map[string][]byte{}, noted: map[string]int64{}, ended: map[string][]EndedRun{}, configs: testQueues}
-	s.fresh()
-	return s
+func newTimeline(t *testing.T) *timeline {
+	line := &timeline{
+		t: t, store: recordStore{records: map[string][]byte{}}, durableCompletions: map[string]int64{}, configs: testQueues,
+	}
+	line.newScheduler()
+	return line
 }
 
-func (s *stage) fresh() {
-	s.book = New(Options{LapseAfter: 13 * time.Second, KeepEnded: time.Minute, FarX: 1.5}, rand.New(rand.NewPCG(1, 2)))
-	s.book.Configure(s.configs)
+func (line *timeline) newScheduler() {
+	line.scheduler = newTestScheduler(13*time.Second, rand.New(rand.NewPCG(1, 2)), line.configs)
 }
 
-func play(t *testing.T, text string) *stage {
+// play plays a timeline and returns it.
+func play(t *testing.T, text string) *timeline {
 	t.Helper()
-	s := newStage(t)
+	line := newTimeline(t)
 	for _, row := range strings.Split(text, "\n") {
 		row = strings.TrimSpace(row)
 		if row == "" || strings.HasPrefix(row, "#") {
@@ -63,230 +62,164 @@
 		if err != nil {
 			t.Fatalf("%q: %v", row, err)
 		}
-		s.step(time.Duration(ms)*time.Millisecond, fields[1:], row)
+		line.step(time.Duration(ms)*time.Millisecond, fields[1:], row)
 	}
-	return s
+	return line
 }
 
-func (s *stage) step(now time.Duration, fields []string, row string) {
-	s.t.Helper()
+// step plays one row and then a scheduling cycle.
+func (line *timeline) step(now time.Duration, fields []string, row string) {
+	line.t.Helper()
 	switch fields[0] {
 	case "worker":
-		s.book.Report(now, s.report(fields[1:]))
+		line.scheduler.Report(now, line.report(fields[1:]))
 	case "client":
-		s.client(now, fields[1:], row)
+		line.client(now, fields[1:], row)
 	case "disk":
-		s.commit()
+		line.store.commit(line.scheduler)
 	case "tick":
-		s.book.Tick(now, now.Milliseconds())
+		line.scheduler.Tick(now, now.Milliseconds())
 	case "pending":
-		if got := strconv.Itoa(s.book.Pending(fields[1])); got != fields[3] {
-			s.t.Errorf("%q: got %s", row, got)
+		if got := strconv.Itoa(line.scheduler.Pending(fields[1])); got != fields[3] {
+			line.t.Errorf("%q: got %s", row, got)
 		}
 	case "orders":
-		s.orders(now, fields[1], strings.Join(fields[3:], " "), row)
+		line.orders(now, fields[1], strings.Join(fields[3:], " "), row)
 	case "failover":
-		s.pending = nil
-		s.fresh()
-		var records []Change
-		for key, value := range s.records {
-			records = append(records, Change{key, value})
-		}
-		if err := s.book.Restore(now, records, ""); err != nil {
-			s.t.Fatalf("%q: %v", row, err)
-		}
+		line.newScheduler()
+		line.store.restore(line.t, line.scheduler, now)
 	default:
-		s.t.Fatalf("%q is not understood", row)
-	}
-	s.book.Schedule(now)
-	s.flush()
-}
-
-func (s *stage) flush() {
-	last, err := s.book.Flush(func(c Change) int64 {
-		s.pending = append(s.pending, c)
-		s.last++
-		return s.last
-	}, s.last)
-	if err != nil {
-		s.t.Fatal(err)
+		line.t.Fatalf("%q is not understood", row)
 	}
-	s.last = last
+	line.scheduler.Schedule(now)
+	line.store.flush(line.t, line.scheduler)
 }
 
-// commit makes all changes so far durable.
-func (s *stage) commit() {
-	for _, c := range s.pending {
-		if c.Value == nil {
-			delete(s.records, c.Key)
-		} else {
-			s.records[c.Key] = c.Value
-		}
-	}
-	s.pending = nil
-	s.book.Committed(s.last)
-}
-
-func (s *stage) client(now time.Duration, fields []string, row string) {
-	s.t.Helper()
-	switch {
-	case fields[0] == "submit":
+func (line *timeline) client(now time.Duration, fields []string, row string) {
+	line.t.Helper()
+	switch fields[0] {
+	case "submit":
 		queue := "q"
 		if strings.HasPrefix(fields[1], "low") {
 			queue = "low"
 		}
-		if _, err := s.book.Submit(now, now.Milliseconds(), fields[1], queue, specText(fields[2:])); err != nil {
-			s.t.Errorf("%q: %v", row, err)
+		if _, err := line.scheduler.Submit(now, now.Milliseconds(), fields[1], queue, jobBody(fields[2:])); err != nil {
+			line.t.Errorf("%q: %v", row, err)
 		}
-	case fields[0] == "cancel":
-		s.book.Cancel(now, fields[1])
+	case "cancel":
+		line.scheduler.Cancel(now, fields[1])
 	default:
-		got, known := s.book.Status(fields[0])
+		got, known := line.scheduler.Status(fields[0])
 		if !known {
 			got = "unknown"
 		}
 		if string(got) != fields[2] {
-			s.t.Errorf("%q: got %s", row, got)
-		}
-	}
-}
-
-func specText(words []string) []byte {
-	var steps []string
-	step := map[string]string{}
-	job := ""
-	flush := func() {
-		var parts []string
-		for name, value := range step {
-			parts = append(parts, strconv.Quote(name)+":"+value)
+			line.t.Errorf("%q: got %s", row, got)
 		}
-		steps = append(steps, "{"+strings.Join(parts, ",")+"}")
-		step = map[string]string{}
 	}
-	for _, word := range words {
-		name, value, _ := strings.Cut(word, "=")
-		switch {
-		case word == "|":
-			flush()
-		case strings.HasSuffix(word, "x"):
-			step["count"] = strings.TrimSuffix(word, "x")
-		case name == "gang":
-			step["gang"] = "true"
-		case name == "tight":
-			step["rack_local"] = "true"
-		case name == "keep":
-			step["checkpoints"] = "true"
-		case name == "lasts":
-			step["long_running"] = "true"
-		case name == "after":
-			step["depends_on"] = "[" + value + "]"
-		case name == "near":
-			step["affinity_to"] = strconv.Quote(value)
-		case name == "label":
-			step["constraints"] = strconv.Quote(value)
-		case name == "mem":
-			step["mem_mb"] = value
-		case name == "apart":
-			step["anti_affinity"] = value
-		case name == "est":
-			step["estimate_ms"] = value
-		case name == "repeat":
-			job += `,"repeat":` + value
-		case name == "at":
-			job += `,"start_at_ms":` + value
-		case name == "every":
-			job += `,"interval_ms":` + value
-		default:
-			step[name] = value
-		}
-	}
-	flush()
-	return []byte(`{"spec":"text","stages":[` + strings.Join(steps, ",") + `]` + job + `}`)
 }
 
-func (s *stage) report(fields []string) *Report {
+// report parses a worker's report.
+func (line *timeline) report(fields []string) *Report {
+	line.t.Helper()
 	name := fields[0]
 	r := &Report{Side: "side-" + name, Life: "1", Instance: "i-" + name, State: string(Ready), Labels: []string{"k", "r1"}}
 	for i := 1; i < len(fields); i++ {
-		key, value, has := strings.Cut(fields[i], "=")
-		switch {
-		case has && key == "cpu":
-			r.Capacity.CPU, _ = strconv.ParseInt(value, 10, 64)
-		case has && key == "gpu":
-			r.Capacity.GPU, _ = strconv.ParseInt(value, 10, 64)
-		case has && key == "mem":
-			r.Capacity.MemMB, _ = strconv.ParseInt(value, 10, 64)
-		case has && key == "kind":
-			r.Labels[0] = value
-		case has && key == "rack":
-			r.Labels[1] = value
-		case has && key == "life":
-			r.Life = value
-		case has && key == "instance":
-			r.Instance = value
-		case fields[i] == "draining":
-			i++
-			r.State = string(Draining)
-			r.RemainingMS, _ = strconv.ParseInt(fields[i], 10, 64)
-		case fields[i] == "endall":
-			i++
-			s.endAll(r, fields[i])
-		case fields[i] == "lapsed":
+		if key, value, ok := strings.Cut(fields[i], "="); ok {
+			line.setAttribute(r, key, value)
+			continue
+		}
+		if fields[i] == "lapsed" {
 			r.State = string(Lapsed)
-		case fields[i] == "active":
-			i++
-			r.Active = append(r.Active, parseActive(fields[i]))
-		case fields[i] == "held":
-			i++
-			ref := parseActive(fields[i])
-			r.Held = append(r.Held, RunRef{ref.Task, ref.Attempt})
-		case fields[i] == "dropped":
-			i++
-			ref := parseActive(fields[i])
-			r.Dropped = append(r.Dropped, RunRef{ref.Task, ref.Attempt})
-		case fields[i] == "end":
-			i++
-			parts := strings.Split(fields[i], "/")
-			number, _ := strconv.ParseInt(parts[0], 10, 64)
-			attempt, _ := strconv.ParseInt(parts[2], 10, 64)
-			end := EndedRun{Number: number, Task: parts[1], Attempt: attempt, How: parts[3]}
-			if len(parts) > 4 {
-				end.Saved = parts[4]
-			}
-			r.Finished = append(r.Finished, end)
+			continue
 		}
+		line.addEvent(r, fields[i], fields[i+1])
+		i++
 	}
 	return r
 }
 
-// endAll has all runs of a reporting worker end in one way.
-func (s *stage) endAll(r *Report, how string) {
-	w := s.book.workers[RefOf(r.Instance, r.Side)]
+func (line *timeline) setAttribute(r *Report, key, value string) {
+	line.t.Helper()
+	switch key {
+	case "cpu":
+		r.Capacity.CPU = number(line.t, value)
+	case "gpu":
+		r.Capacity.GPU = number(line.t, value)
+	case "mem":
+		r.Capacity.MemMB = number(line.t, value)
+	case "kind":
+		r.Labels[0] = value
+	case "rack":
+		r.Labels[1] = value
+	case "life":
+		r.Life = value
+	case "instance":
+		r.Instance = value
+	default:
+		line.t.Fatalf("worker %s=%s is not understood", key, value)
+	}
+}
+
+func (line *timeline) addEvent(r *Report, event, value string) {
+	line.t.Helper()
+	switch event {
+	case "draining":
+		r.State = string(Draining)
+		r.RemainingMS = number(line.t, value)
+	case "endall":
+		line.endAll(r, value)
+	case "active":
+		run, checkpoint := parseRun(line.t, value)
+		r.Active = append(r.Active, ActiveRun{Task: run.Task, Attempt: run.Attempt, Saved: checkpoint})
+	case "held":
+		run, _ := parseRun(line.t, value)
+		r.Held = append(r.Held, run)
+	case "dropped":
+		run, _ := parseRun(line.t, value)
+		r.Dropped = append(r.Dropped, run)
+	case "end":
+		parts := strings.Split(value, "/")
+		end := finished(number(line.t, parts[0]), RunRef{parts[1], number(line.t, parts[2])}, parts[3])
+		if len(parts) > 4 {
+			end.Saved = parts[4]
+		}
+		r.Finished = append(r.Finished, end)
+	default:
+		line.t.Fatalf("worker %s is not understood", event)
+	}
+}
+
+// endAll has all runs of a reporting worker end with one outcome.
+func (line *timeline) endAll(r *Report, outcome string) {
+	w := line.scheduler.workers[WorkerRef(r.Instance, r.Side)]
 	if w == nil {
 		return
 	}
-	number := w.seen
-	for key := range w.Runs {
-		number++
-		r.Finished = append(r.Finished, EndedRun{Number: number, Task: key.Task, Attempt: key.Attempt, How: how})
+	n := w.appliedCompletions
+	for ref := range w.Runs {
+		n++
+		r.Finished = append(r.Finished, finished(n, ref, outcome))
 	}
 }
 
-func parseActive(text string) ActiveRun {
-	text, saved, _ := strings.Cut(text, "#")
+// parseRun parses a run and its checkpoint from T/attempt#checkpoint.
+func parseRun(t *testing.T, text string) (run RunRef, checkpoint string) {
+	t.Helper()
+	text, checkpoint, _ = strings.Cut(text, "#")
 	task, attempt, _ := strings.Cut(text, "/")
-	n, _ := strconv.ParseInt(attempt, 10, 64)
-	return ActiveRun{Task: task, Attempt: n, Saved: saved}
+	return RunRef{task, number(t, attempt)}, checkpoint
 }
 
-func (s *stage) orders(now time.Duration, name, want, row string) {
-	s.t.Helper()
+// orders compares a worker's orders with a pattern.
+func (line *timeline) orders(now time.Duration, name, want, row string) {
+	line.t.Helper()
 	var words []string
-	for _, w := range s.book.workers {
+	for _, w := range line.scheduler.workers {
 		if w.Instance != "i-"+name {
 			continue
 		}
-		orders := s.book.Orders(now, w, s.noted[name])
+		orders := line.scheduler.Orders(now, w, line.durableCompletions[name])
 		if orders == nil {
 			continue
 		}
@@ -300,8 +233,8 @@
 		for _, stop := range orders.Stops {
 			words = append(words, fmt.Sprintf("stop %s/%d", stop.Task, stop.Attempt))
 		}
-		if orders.Noted > s.noted[name] {
-			s.noted[name] = orders.Noted
+		if orders.Noted > line.durableCompletions[name] {
+			line.durableCompletions[name] = orders.Noted
 			words = append(words, fmt.Sprintf("noted %d", orders.Noted))
 		}
 	}
@@ -311,6 +244,6 @@
 		got = "nothing"
 	}
 	if matched, err := path.Match(want, got); err != nil || !matched {
-		s.t.Errorf("%q: got %q", row, got)
+		line.t.Errorf("%q: got %q", row, got)
 	}
 }
--- a/jobs/triage.go
+++ b/jobs/triage.go
@@ -5,41 +5,46 @@
 	"time"
 )
 
-// Under overload the first deadlines first make all work late. So each round sorts what waits in a queue by what it can
-// still reach, with the Moore-Hodgson algorithm: units are taken by deadline, and whenever one would be late, the largest
-// job of those taken so far is put off, which keeps the most jobs in time. Without overload nothing is put off.
+// Earliest deadline first makes all jobs tardy under overload. So each tick classifies the pending groups of a queue by what
+// they can still reach, with the algorithm of Moore and Hodgson (Management Science 15, 1968): groups are admitted by
+// deadline, and whenever one would be tardy, the largest admitted so far is deferred, which minimizes the number of tardy
+// jobs. Without overload none is deferred.
 
-// prospect is what a unit that waits can still reach.
-type prospect int
+// triageClass is what a pending group can still reach.
+type triageClass int
 
 const (
-	inTime   prospect = iota // its deadline
-	late                     // lateFactor times its objective, until which a late job is worth something
-	hopeless                 // neither
-	prospects
+	onTime        triageClass = iota // its deadline
+	tardy                            // tardyFactor times its latency objective; a job completed until then still has some value
+	missed                           // neither
+	triageClasses                    // their number
 )
 
 const (
-	lateFactor  = 3.0
-	triageMost  = 512  // units of a queue that are looked at in a round
-	servedGain  = 0.05 // weight of one round in how much of the workers a backlogged queue has
-	leastServed = 0.25 // of one worker, that is assumed at least
+	tardyFactor       = 3.0
+	maxTriagedGroups  = 512  // of a queue, in a tick
+	meanAllocatedGain = 0.05 // weight of one tick in Queue.meanAllocated
+	minMeanAllocated  = 0.25 // assumed rate of service at least, in workers
 )
 
-// candidate is a job's waiting unit and the work that it still wants, in seconds of whole workers.
-type candidate struct {
-	unit *unit
-	work float64
-	last float64 // seconds from the start of its last task to its end
+// triageCandidate is a pending group with the remaining work of its job.
+type triageCandidate struct {
+	group *taskGroup
+	work  float64 // in seconds of a whole worker
+	tail  float64 // seconds from the start of the group's last task to the end of the job
 }
 
-// largestFirst is a heap of candidates, the one with the most work on top.
-type largestFirst []candidate
+// largestFirst is a heap (container/heap) of candidates by descending work.
+type largestFirst []triageCandidate
+
+func (h largestFirst) Len() int { return len(h) }
 
-func (h largestFirst) Len() int           { return len(h) }
 func (h largestFirst) Less(i, j int) bool { return h[i].work > h[j].work }
-func (h largestFirst) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *largestFirst) Push(x any)        { *h = append(*h, x.(candidate)) }
+
+func (h largestFirst) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *largestFirst) Push(x any) { *h = append(*h, x.(triageCandidate)) }
+
 func (h *largestFirst) Pop() any {
 	old := *h
 	top := old[len(old)-1]
@@ -47,83 +52,84 @@
 	return top
 }
 
-// triage sorts a queue's waiting units by what they can still reach, at the rate at which it is served.
-func (b *Book) triage(now time.Duration, q *Queue, limit float64) {
-	if q.waiting.Len() == 0 {
-		q.served = limit
+// triage classifies a queue's pending groups by what they can still reach at the rate at which the queue is served. The
+// capacity is that of all ready workers.
+func (s *Book) triage(now time.Duration, q *Queue, capacity float64) {
+	if q.pending.Len() == 0 {
+		q.meanAllocated = capacity
 		return
 	}
-	q.served += servedGain * (q.held - q.served)
-	rate := max(q.served, q.held, leastServed)
-	var all []candidate
-	q.waiting.Ascend(func(u *unit) bool {
-		all = append(all, b.candidateOf(u))
-		return len(all) < triageMost
+	q.meanAllocated += meanAllocatedGain * (q.allocated - q.meanAllocated)
+	rate := max(q.meanAllocated, q.allocated, minMeanAllocated)
+	var all []triageCandidate
+	q.pending.Ascend(func(group *taskGroup) bool {
+		all = append(all, s.newTriageCandidate(group))
+		return len(all) < maxTriagedGroups
 	})
 	ahead := 0.0
-	for class := inTime; class < hopeless; class++ {
-		var putOff []candidate
-		ahead, putOff = keepMost(now, class, all, ahead, rate)
-		all = putOff
+	for class := onTime; class < missed; class++ {
+		ahead, all = classify(now, class, all, ahead, rate)
 	}
 	for _, c := range all {
-		c.unit.prospect = hopeless
+		c.group.class = missed
 	}
 }
 
-// keepMost gives units a prospect as far as they reach it, behind work that goes before them, and returns the work that
-// is before the next ones and those that were put off.
-func keepMost(now time.Duration, class prospect, all []candidate, before, rate float64) (ahead float64, putOff []candidate) {
-	var kept largestFirst
+// classify gives a class to as many candidates as reach it, behind the work that is ahead of them. It returns the work that
+// is then ahead of others, and the deferred candidates, which do not reach the class.
+func classify(
+	now time.Duration, class triageClass, all []triageCandidate, before, rate float64,
+) (ahead float64, deferred []triageCandidate) {
+	var admitted largestFirst
 	ahead = before
 	for _, c := range all {
-		heap.Push(&kept, c)
+		heap.Push(&admitted, c)
 		ahead += c.work
-		for kept.Len() > 0 && !c.reaches(now, class, ahead, rate) {
-			dropped := heap.Pop(&kept).(candidate)
-			ahead -= dropped.work
-			putOff = append(putOff, dropped)
-			if dropped.unit == c.unit {
+		for admitted.Len() > 0 && !c.reaches(now, class, ahead, rate) {
+			largest := heap.Pop(&admitted).(triageCandidate)
+			ahead -= largest.work
+			deferred = append(deferred, largest)
+			if largest.group == c.group {
 				break
 			}
 		}
 	}
-	for _, c := range kept {
-		c.unit.prospect = class
+	for _, c := range admitted {
+		c.group.class = class
 	}
-	return ahead, putOff
+	return ahead, deferred
 }
 
-// reaches reports whether a unit ends in time if so much work, its own included, is done at a rate.
-func (c candidate) reaches(now time.Duration, class prospect, ahead, rate float64) bool {
-	lastStart := max(0, ahead-c.work/float64(max(1, len(c.unit.tasks)))) / rate
-	end := now + time.Duration((lastStart+c.last)*float64(time.Second))
-	due := c.unit.time.due
-	if class == inTime {
-		return end <= c.unit.deadline
+// reaches reports whether a candidate's job completes within a class if the work ahead, its own included, is done at a rate.
+func (c triageCandidate) reaches(now time.Duration, class triageClass, ahead, rate float64) bool {
+	lastStart := max(0, ahead-c.work/float64(max(1, len(c.group.tasks)))) / rate
+	end := now + time.Duration((lastStart+c.tail)*float64(time.Second))
+	if class == onTime {
+		return end <= c.group.deadline
 	}
-	return end <= due+time.Duration(lateFactor*float64(c.unit.deadline-due))
+	due := c.group.occurrence.dueAt
+	return end <= due+time.Duration(tardyFactor*float64(c.group.deadline-due))
 }
 
-// candidateOf returns what a unit's job still wants, with all steps that come after the unit's.
-func (b *Book) candidateOf(u *unit) candidate {
-	c := candidate{unit: u}
-	stages := u.job.Spec.Stages
-	tail := make([]float64, len(stages)) // seconds from the start of a step to the end of all that depend on it
-	for stage := len(stages) - 1; stage >= u.stage; stage-- {
-		expected := u.queue.expected(&stages[stage]).Seconds()
-		for later := stage + 1; later < len(stages); later++ {
-			if dependsOn(u.job, later, stage) {
-				tail[stage] = max(tail[stage], tail[later])
+// newTriageCandidate returns a group with the remaining work of its job, all stages behind the group's included.
+func (s *Book) newTriageCandidate(group *taskGroup) triageCandidate {
+	c := triageCandidate{group: group}
+	stages := group.job.Spec.Stages
+	tail := make([]float64, len(stages)) // seconds from the start of a stage to the end of all that depend on it
+	for stageIndex := len(stages) - 1; stageIndex >= group.stage; stageIndex-- {
+		expected := group.queue.expectedRunTime(&stages[stageIndex]).Seconds()
+		for later := stageIndex + 1; later < len(stages); later++ {
+			if group.job.dependsOn(later, stageIndex) {
+				tail[stageIndex] = max(tail[stageIndex], tail[later])
 			}
 		}
-		tail[stage] += expected
-		tasks := len(u.tasks)
-		if stage > u.stage {
-			tasks = len(u.time.Stages[stage].Tasks) - u.time.Stages[stage].done
+		tail[stageIndex] += expected
+		tasks := len(group.tasks)
+		if stageIndex > group.stage {
+			tasks = len(group.occurrence.Stages[stageIndex].Tasks) - group.occurrence.Stages[stageIndex].completed
 		}
-		c.work += float64(tasks) * b.part(&stages[stage]) * expected
+		c.work += float64(tasks) * s.taskShare(&stages[stageIndex]) * expected
 	}
-	c.last = tail[u.stage]
+	c.tail = tail[group.stage]
 	return c
 }
--- /dev/null
+++ b/jobs/unschedulable.go
@@ -0,0 +1,104 @@
+package jobs
+
+import "time"
+
+// Reason is why a pending group was not placed although a worker has the free capacity for one of its tasks.
+type Reason string
+
+// The reasons. Their texts are label values of a metric.
+const (
+	ReasonQueueLimit  Reason = "queue limit"  // the queue has as much allocated as its limit allows
+	ReasonHeadroom    Reason = "headroom"     // the capacity is kept free for the first priority
+	ReasonCredit      Reason = "credit"       // the queue has no credit in deficit round robin
+	ReasonReservation Reason = "reservation"  // the workers with free capacity are reserved for other groups
+	ReasonWorkerLimit Reason = "worker limit" // the workers with free capacity are at their learned limits
+	ReasonNotChosen   Reason = "choice"       // anything else, such as a wait for a rack or for the next cycle
+)
+
+// Withheld is a pending group that was not placed although a worker has free capacity for one of its tasks.
+type Withheld struct {
+	Queue    string
+	Job      string // ID
+	Time     int    // number of the occurrence
+	Stage    int
+	Tasks    int // pending ones
+	WaitedMS int64
+	Reason   Reason
+	Worker   string // Ref of a worker with free capacity
+	Holder   string // ID of the job that the worker is reserved for, with ReasonReservation
+}
+
+// Bounds on the cost of a diagnosis.
+const (
+	maxDiagnosedGroups  = 8   // of a queue, those with the earliest deadlines
+	maxDiagnoses        = 64  // of a shard
+	maxDiagnosedWorkers = 256 // for a group
+)
+
+// Withheld returns the groups that have waited for longer than a time although a worker has free capacity for one of their
+// tasks, with the reason. Groups of jobs that have tasks assigned are left out, unless they are long-running, and gangs.
+func (s *Book) Withheld(now, longer time.Duration) []Withheld {
+	var found []Withheld
+	for _, q := range s.queueOrder {
+		diagnosed := 0
+		q.pending.Ascend(func(group *taskGroup) bool {
+			if now-group.queuedAt <= longer || group.gang || (group.job.assigned > 0 && !group.isLongRunning()) {
+				return true
+			}
+			diagnosed++
+			if diagnosis, ok := s.diagnose(now, group); ok {
+				found = append(found, diagnosis)
+			}
+			return diagnosed < maxDiagnosedGroups && len(found) < maxDiagnoses
+		})
+	}
+	return found
+}
+
+// diagnose reports whether a worker has free capacity for one of a group's tasks, and why the task is not there.
+func (s *Book) diagnose(now time.Duration, group *taskGroup) (Withheld, bool) {
+	demand := group.spec().demand()
+	diagnosis := Withheld{
+		Queue: group.queue.Name, Job: group.job.ID, Time: group.occurrence.Number, Stage: group.stage,
+		Tasks: len(group.tasks), WaitedMS: (now - group.queuedAt).Milliseconds(), Reason: ReasonNotChosen,
+	}
+	limited, reserved := 0, 0
+	for _, w := range s.readyWorkers[:min(len(s.readyWorkers), maxDiagnosedWorkers)] {
+		if !w.freeCapacity().Holds(demand) || !w.isFeasible(group, 0) {
+			continue
+		}
+		diagnosis.Worker = w.Ref
+		if r := s.reservations[w]; r != nil && r.holder != group && !r.spareCapacity().Holds(demand) {
+			diagnosis.Holder = r.holder.job.ID
+			reserved++
+			continue
+		}
+		if !w.fits(demand) {
+			limited++
+			continue
+		}
+		diagnosis.Reason = group.queue.limitingReason()
+		diagnosis.Holder = ""
+		return diagnosis, true
+	}
+	switch {
+	case reserved > 0:
+		diagnosis.Reason = ReasonReservation
+	case limited > 0:
+		diagnosis.Reason = ReasonWorkerLimit
+	}
+	return diagnosis, diagnosis.Worker != ""
+}
+
+// limitingReason returns what keeps the queue from placing tasks.
+func (q *Queue) limitingReason() Reason {
+	switch {
+	case q.allocated >= q.limit && q.allocated > 0:
+		return ReasonQueueLimit
+	case q.allocated >= q.turnLimit && q.allocated > 0:
+		return ReasonHeadroom
+	case q.deficit <= 0:
+		return ReasonCredit
+	}
+	return ReasonNotChosen
+}
--- /dev/null
+++ b/jobs/workerlimit.go
@@ -0,0 +1,45 @@
+package jobs
+
+import "sedgevale/admission"
+
+// limitTuning is the tuning of the learned limits on the load of workers.
+var limitTuning = admission.Tuning{CutFactor: 0.7, RiseStep: 0.1, Least: 0.1}
+
+const (
+	// minLimitRise is by how much a tick without a cut raises a limit at least. A limit that was cut below the present load
+	// would have no margin to rise by, and long-running tasks could keep it there for ever.
+	minLimitRise = 0.03
+	// minMeasuredLoad is the load from which on the ratio of allocated shares to load is measured.
+	minMeasuredLoad = 0.3
+)
+
+// load returns the fraction of the worker in use, in its scarcest resource.
+func (w *Worker) load() float64 { return w.Capacity.dominantShare(w.used) }
+
+// cutLimit lowers the worker's limit, at most once between two ticks.
+func (w *Worker) cutLimit() {
+	if w.limitCut {
+		return
+	}
+	w.limitCut = true
+	w.loadLimit = limitTuning.Cut(w.loadLimit, max(w.load(), limitTuning.Least))
+}
+
+// raiseLimit raises the limit, up to the whole capacity, if it was not cut since the last tick.
+func (w *Worker) raiseLimit() {
+	if !w.limitCut {
+		raised := limitTuning.Raise(w.loadLimit, w.loadLimit-w.load())
+		w.loadLimit = min(1, max(raised, w.loadLimit+minLimitRise))
+	}
+	w.limitCut = false
+}
+
+// allocationLimit returns the limit in the measure of allocated: the shares of tasks that want different resources may sum up
+// to more than the load.
+func (w *Worker) allocationLimit() float64 {
+	load := w.load()
+	if load < minMeasuredLoad {
+		return w.loadLimit
+	}
+	return w.loadLimit * max(1, w.allocated/load)
+}
