--- a/internal/system/core/admin.go
+++ b/internal/system/core/admin.go
@@ -64,7 +64,7 @@
 		return c.members(), nil
 	})
 	rpc.Handle(server, MethodQueues, func(context.Context, *QueuesRequest) (*QueuesResponse, error) {
-		return &QueuesResponse{Shards: c.shards()}, nil
+		return &QueuesResponse{Shards: c.shardInfos()}, nil
 	})
 }
 
@@ -80,17 +80,17 @@
 		if address == c.address {
 			continue
 		}
-		info := PeerInfo{Address: address, Zone: p.last.Zone, HeardMS: -1, Leaving: p.last.Leaving, Member: p.last.Member, Epoch: p.last.Membership.Epoch}
-		if !p.heard.IsZero() {
-			info.HeardMS = time.Since(p.heard).Milliseconds()
+		info := PeerInfo{Address: address, Zone: p.status.Zone, HeardMS: -1, Leaving: p.status.Draining, Member: p.status.Member, Epoch: p.status.Membership.Epoch}
+		if !p.lastHeartbeat.IsZero() {
+			info.HeardMS = time.Since(p.lastHeartbeat).Milliseconds()
 		}
 		answer.Peers = append(answer.Peers, info)
 	}
 	return answer
 }
 
-// shards tells how the shards stand that this scheduler owns.
-func (c *Core) shards() []ShardInfo {
+// shardInfos tells how the shards stand that this scheduler owns.
+func (c *Core) shardInfos() []ShardInfo {
 	c.mu.Lock()
 	owners := make([]*owner, 0, len(c.owners))
 	for _, o := range c.owners {
@@ -109,13 +109,13 @@
 func (o *owner) info() ShardInfo {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	info := ShardInfo{Shard: o.name, Token: o.token, Fresh: o.freshLocked(), Records: int64(o.primary.Set.Len())}
-	for i := range o.links {
+	info := ShardInfo{Shard: o.name, Token: o.token, Fresh: o.leaseValidLocked(), Records: int64(o.primary.Set.Len())}
+	for i := range o.replicators {
 		if o.primary.InStep(i) {
 			info.InStep++
 		}
 	}
-	info.Queues, info.Workers = o.book.Summary()
-	info.Waiting = o.book.Withheld(o.steady(), withheldAfter)
+	info.Queues, info.Workers = o.scheduler.Summary()
+	info.Waiting = o.scheduler.Withheld(o.monotonicNow(), unschedulableReportDelay)
 	return info
 }
--- a/internal/system/core/config.go
+++ b/internal/system/core/config.go
@@ -10,12 +10,12 @@
 	"sedgevale/internal/system/result"
 )
 
-// historyLength is how many changes are remembered, so that one that is sent again is told from a new one. An order that
+// maxHistory is how many changes are remembered, so that one that is sent again is told from a new one. An order that
 // builds on a version from before them is left without a clear answer: it may have been taken.
-const historyLength = 512
+const maxHistory = 512
 
-// pastConfigs is how many earlier configurations are kept, to tell subscribers just what differs.
-const pastConfigs = 8
+// maxPreviousConfigs is how many earlier configurations are kept, to tell subscribers just what differs.
+const maxPreviousConfigs = 8
 
 // configRecord is the value of the configuration's register.
 type configRecord struct {
@@ -41,10 +41,10 @@
 
 // operatorChange is an operator's order.
 type operatorChange struct {
-	patch  bool
-	match  int64 // the version that it builds on
-	body   []byte
-	digest int64
+	patch       bool
+	baseVersion int64 // the version that it builds on
+	body        []byte
+	digest      int64
 }
 
 func newOperatorChange(patch bool, match int64, body []byte) *operatorChange {
@@ -53,7 +53,7 @@
 		hash.Write([]byte("patch "))
 	}
 	hash.Write(body)
-	return &operatorChange{patch: patch, match: match, body: body, digest: int64(binary.LittleEndian.Uint64(hash.Sum(nil)))}
+	return &operatorChange{patch: patch, baseVersion: match, body: body, digest: int64(binary.LittleEndian.Uint64(hash.Sum(nil)))}
 }
 
 // apply is the compare-and-swap: it returns the register's next value, or why there is none. A change that
@@ -72,8 +72,8 @@
 	}
 	text := o.body
 	if o.patch {
-		if o.match != record.Version || record.Version == 0 {
-			return nil, o.conflict(&record)
+		if o.baseVersion != record.Version || record.Version == 0 {
+			return nil, o.conflictError(&record)
 		}
 		patched, err := clusterconfig.Apply(record.Text, o.body)
 		if err != nil {
@@ -88,45 +88,45 @@
 	if err != nil {
 		return nil, result.Errorf(result.Invalid, "configuration: %w", err)
 	}
-	if o.match != record.Version {
-		return nil, o.conflict(&record)
+	if o.baseVersion != record.Version {
+		return nil, o.conflictError(&record)
 	}
 	if config.Version <= record.Version {
 		return nil, result.Errorf(result.Invalid, "version: %d is not above %d", config.Version, record.Version)
 	}
-	history := append(record.History, appliedChange{o.match, o.digest})
-	if len(history) > historyLength {
-		history = history[len(history)-historyLength:]
+	history := append(record.History, appliedChange{o.baseVersion, o.digest})
+	if len(history) > maxHistory {
+		history = history[len(history)-maxHistory:]
 	}
 	return avrocodec.Encode(&configRecord{Version: config.Version, Text: text, History: history})
 }
 
-// conflict is the answer to an order that builds on another version than the current one. Of a version from before the
+// conflictError is the answer to an order that builds on another version than the current one. Of a version from before the
 // history it is not known which order was taken on it.
-func (o *operatorChange) conflict(record *configRecord) error {
-	if len(record.History) == historyLength && o.match < record.History[0].Base {
+func (o *operatorChange) conflictError(record *configRecord) error {
+	if len(record.History) == maxHistory && o.baseVersion < record.History[0].Base {
 		return result.Errorf(result.OutcomeUnknown, "If-Match: version %d is current; what was taken on %d is not known any more",
-			record.Version, o.match)
+			record.Version, o.baseVersion)
 	}
-	return result.Errorf(result.Conflict, "If-Match: version %d is current, %d came", record.Version, o.match)
+	return result.Errorf(result.Conflict, "If-Match: version %d is current, %d came", record.Version, o.baseVersion)
 }
 
-// useConfig takes a newer configuration. The lock is held.
-func (c *Core) useConfig(value []byte) {
+// applyConfig takes a newer configuration. The lock is held.
+func (c *Core) applyConfig(value []byte) {
 	state := &configState{patches: map[int64][]byte{}}
 	if err := avrocodec.Decode(value, &state.record); err != nil {
-		c.logger.Error(err, "configuration cannot be read")
+		c.logger.Error(err, "configuration cannot be decoded")
 		return
 	}
 	config, err := clusterconfig.Parse(state.record.Text)
 	if err != nil {
-		c.logger.Error(err, "configuration cannot be read", "version", state.record.Version)
+		c.logger.Error(err, "configuration cannot be decoded", "version", state.record.Version)
 		return
 	}
 	if c.config != nil {
-		c.past = append(c.past, c.config.record)
-		if len(c.past) > pastConfigs {
-			c.past = c.past[1:]
+		c.previousConfigs = append(c.previousConfigs, c.config.record)
+		if len(c.previousConfigs) > maxPreviousConfigs {
+			c.previousConfigs = c.previousConfigs[1:]
 		}
 	}
 	state.config = config
@@ -135,7 +135,7 @@
 	for _, o := range c.owners {
 		o.configure(state)
 	}
-	c.logger.V(1).Info("configuration in force", "version", state.record.Version)
+	c.logger.V(1).Info("configuration applied", "version", state.record.Version)
 }
 
 // currentConfig returns the newest configuration that is known, or nil.
@@ -145,7 +145,9 @@
 	return c.config
 }
 
-const freshFor = 700 * time.Millisecond // a quorum's word counts for so long
+const configFreshnessTTL = 700 * time.Millisecond // a quorum's word counts for so long
 
 // configFresh reports whether a quorum has confirmed the configuration a moment ago.
-func (c *Core) configFresh() bool { return time.Since(c.confirmedAt(registerName)) < freshFor }
+func (c *Core) configFresh() bool {
+	return time.Since(c.confirmedAt(configRegister)) < configFreshnessTTL
+}
--- a/internal/system/core/config_test.go
+++ b/internal/system/core/config_test.go
@@ -125,10 +125,10 @@
 }
 
 // Point 4: an order that is sent again is acknowledged again after hundreds of changes, and never refused after more.
-func TestOldOrdersAreNeverRefused(t *testing.T) {
+func TestOldChangesAreNeverRejected(t *testing.T) {
 	var current []byte
 	var orders []*operatorChange
-	for version := range historyLength + 100 {
+	for version := range maxHistory + 100 {
 		order := newOperatorChange(false, int64(version), []byte(whole(version+1, "")))
 		next, err := order.apply(current)
 		if err != nil {
@@ -147,7 +147,7 @@
 			t.Fatalf("order %d of %d, sent again: %v", i, len(orders), err)
 		}
 	}
-	rival := newOperatorChange(false, historyLength, []byte(whole(historyLength+1, route("a", "/a/"))))
+	rival := newOperatorChange(false, maxHistory, []byte(whole(maxHistory+1, route("a", "/a/"))))
 	if _, err := rival.apply(current); result.CodeOf(err) != result.Conflict {
 		t.Errorf("another order on a version that is remembered: %v", err)
 	}
--- a/internal/system/core/core.go
+++ b/internal/system/core/core.go
@@ -31,23 +31,23 @@
 	timing   workeragent.Timing
 	started  time.Time
 
-	mu       sync.Mutex
-	peers    map[string]*peerState
-	learned  map[string]chosen // registers as far as they are known to be chosen
-	config   *configState
-	past     []configRecord // the configurations before it, the oldest first
-	owners   map[string]*owner
-	changed  chan struct{} // closed when what watchers are told changes
-	counter  int64         // the highest ballot counter that was met
-	leaving  bool
-	reading  map[string]bool
-	takeover map[string]time.Time // when an attempt may be made again
+	mu                sync.Mutex
+	peers             map[string]*peerState
+	learned           map[string]chosenValue // registers as far as they are known to be chosen
+	config            *configState
+	previousConfigs   []configRecord // the configurations before it, the oldest first
+	owners            map[string]*owner
+	changed           chan struct{} // closed when what watchers are told changes
+	ballotCounter     int64         // the highest ballot counter that was met
+	draining          bool
+	readsInFlight     map[string]bool
+	takeoverNotBefore map[string]time.Time // when an attempt may be made again
 
-	leavingSince time.Time // when this scheduler was told to end
+	drainingSince time.Time // when this scheduler was told to end
 }
 
-// chosen is a register's value that a majority has accepted.
-type chosen struct {
+// chosenValue is a register's value that a majority has accepted.
+type chosenValue struct {
 	ballot register.Ballot
 	value  []byte
 }
@@ -64,9 +64,9 @@
 	c := &Core{
 		settings: s, logger: process.Logger, client: process.Client, store: store, address: s.InternalAddress(),
 		timing: node.Timing(s), started: time.Now(),
-		peers: map[string]*peerState{}, learned: map[string]chosen{}, owners: map[string]*owner{},
-		changed: make(chan struct{}), reading: map[string]bool{}, takeover: map[string]time.Time{},
-		proposer: store.proposer(), counter: store.highestBallot(),
+		peers: map[string]*peerState{}, learned: map[string]chosenValue{}, owners: map[string]*owner{},
+		changed: make(chan struct{}), readsInFlight: map[string]bool{}, takeoverNotBefore: map[string]time.Time{},
+		proposer: store.proposer(), ballotCounter: store.highestBallot(),
 		seeds: func() []string { return process.Current().SeedAddresses() },
 	}
 	server := rpc.NewServer()
@@ -88,14 +88,14 @@
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.pingLoop(running)
-	go c.ownLoop(running)
+	go c.ownershipLoop(running)
 	go c.joinLoop(running)
 	go c.followMembership(running)
 	<-ctx.Done()
 	c.closeOwners()
 	if context.Cause(ctx) != node.ErrKilled {
-		c.leave()
-		c.drain(operators)
+		c.drain()
+		c.shutdownOperatorServer(operators)
 	}
 	return nil
 }
@@ -106,15 +106,15 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.store.installed:
+		case <-c.store.membershipChanged:
 		}
 		m := c.store.currentMembership()
-		c.logger.Info("membership", "epoch", m.Epoch, "seats", m.Seats)
+		c.logger.Info("membership updated", "epoch", m.Epoch, "seats", m.Seats)
 		c.mu.Lock()
 		owners := slices.Collect(maps.Values(c.owners))
 		c.mu.Unlock()
 		for _, o := range owners {
-			o.pokeLinks()
+			o.wakeReplicators()
 		}
 	}
 }
@@ -133,8 +133,8 @@
 	return min(2*lost+1, 2*seeds-1)
 }
 
-// notify wakes those who wait for a change of what watchers are told. The lock is held.
-func (c *Core) notify() {
+// notifyWatchers wakes those who wait for a change of what watchers are told. The lock is held.
+func (c *Core) notifyWatchers() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
--- a/internal/system/core/inspect.go
+++ b/internal/system/core/inspect.go
@@ -15,7 +15,7 @@
 	if _, err := statefile.Replay(dir, s.replay); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "disk %s of %s, life %d, joined in epoch %d\n", s.identity.ID, s.identity.Address, s.identity.Life, s.identity.Joined)
+	fmt.Fprintf(out, "disk %s of %s, life %d, joined in epoch %d\n", s.identity.ID, s.identity.Address, s.identity.Incarnation, s.identity.Joined)
 	fmt.Fprintf(out, "epoch %d of deployment %s\n", s.membership.Epoch, s.membership.Deployment)
 	for i, member := range s.membership.Seats {
 		fmt.Fprintf(out, "seat %d: disk %s at %s since epoch %d, voter %t\n", i, member.ID, member.Address, member.Since, member.Voter)
@@ -34,7 +34,7 @@
 
 func versionOf(name string, value []byte) string {
 	var record configRecord
-	if name != registerName || avrocodec.Decode(value, &record) != nil {
+	if name != configRegister || avrocodec.Decode(value, &record) != nil {
 		return ""
 	}
 	return fmt.Sprintf(", configuration %d", record.Version)
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	joinAfter          = 2200 * time.Millisecond // a seat whose holder was silent for so long may be given away
-	joinEvery          = 120 * time.Millisecond
-	joinTimeout        = 1500 * time.Millisecond
-	copyTimeout        = 900 * time.Millisecond
-	membershipRegister = "membership"
+	silentMemberTimeout = 2200 * time.Millisecond // a seat whose holder was silent for so long may be given away
+	joinInterval        = 120 * time.Millisecond
+	joinTimeout         = 1500 * time.Millisecond
+	prefetchTimeout     = 900 * time.Millisecond
+	membershipRegister  = "membership"
 )
 
 func (c *Core) handleMembership(server *rpc.Server) {
 	rpc.Handle(server, methodState, c.store.state)
-	rpc.Handle(server, methodCopy, c.store.copyOut)
-	rpc.Handle(server, methodSilent, func(_ context.Context, r *silentRequest) (*silentResponse, error) {
-		return &silentResponse{Silent: c.memberSilent(r.Member, r.Address)}, nil
+	rpc.Handle(server, methodPrefetch, c.store.servePrefetch)
+	rpc.Handle(server, methodMemberTimedOut, func(_ context.Context, r *memberTimedOutRequest) (*memberTimedOutResponse, error) {
+		return &memberTimedOutResponse{TimedOut: c.memberTimedOut(r.Member, r.Address)}, nil
 	})
 }
 
-// memberSilent reports whether a member has not been heard here for so long that its seat may be given away.
-func (c *Core) memberSilent(id, address string) bool {
+// memberTimedOut reports whether a member has not been heard here for so long that its seat may be given away.
+func (c *Core) memberTimedOut(id, address string) bool {
 	if address == c.address {
 		own, _, _ := c.store.self()
 		return own != id
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.peer(address); time.Since(p.heard) <= joinAfter {
-		return p.last.Leaving
+	if p := c.peer(address); time.Since(p.lastHeartbeat) <= silentMemberTimeout {
+		return p.status.Draining
 	}
-	return time.Since(c.started) > joinAfter
+	return time.Since(c.started) > silentMemberTimeout
 }
 
 // joinLoop has this scheduler seek a seat that nobody holds, that its own lost disk held or whose holder is gone, and
 // become a voter there.
 func (c *Core) joinLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(joinEvery + jitter(joinEvery))
+		time.Sleep(joinInterval + jitter(joinInterval))
 		c.mu.Lock()
-		leaving := c.leaving
+		leaving := c.draining
 		c.mu.Unlock()
 		id, member, seated := c.store.self()
 		if leaving || member.Voter || c.store.currentMembership().Epoch == 0 {
@@ -60,7 +60,7 @@
 			err = c.takeSeat(ctx, seat, id)
 		}
 		if err != nil {
-			c.logger.V(1).Info("no voter yet", "error", err.Error())
+			c.logger.V(1).Info("join attempt failed", "error", err.Error())
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	}
 	var free []int
 	for i, member := range m.Seats {
-		if member.ID == "" || c.memberSilent(member.ID, member.Address) {
+		if member.ID == "" || c.memberTimedOut(member.ID, member.Address) {
 			free = append(free, i)
 		}
 	}
@@ -86,38 +86,38 @@
 // takeSeat has the voters agree that this disk is the learner of a seat. Before it takes the place of a voter it copies what
 // it will have to hold, so that it is a learner for a moment only.
 func (c *Core) takeSeat(ctx context.Context, seat int, id string) error {
-	ctx, cancel := context.WithTimeout(ctx, joinTimeout+copyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout+prefetchTimeout)
 	defer cancel()
 	m := c.store.currentMembership()
 	if _, err := membership.Admit(seat, id, c.address)(m); err != nil {
 		return err
 	}
 	holder := m.Seats[seat]
-	if holder.ID != "" && holder.Address != c.address && !c.leavingNow(holder.Address) {
-		if err := c.agreeSilent(ctx, m, holder); err != nil {
+	if holder.ID != "" && holder.Address != c.address && !c.isDraining(holder.Address) {
+		if err := c.confirmTimedOut(ctx, m, holder); err != nil {
 			return err
 		}
 	}
 	if holder.Voter {
-		c.copyShards(ctx, m)
+		c.prefetchShards(ctx, m)
 	}
 	if err := c.changeMembership(ctx, m.Epoch, membership.Admit(seat, id, c.address)); err != nil {
 		return err
 	}
-	c.logger.Info("learner of a seat", "seat", seat, "instead_of", holder.Address)
+	c.logger.Info("joined as learner", "seat", seat, "instead_of", holder.Address)
 	return nil
 }
 
-func (c *Core) leavingNow(address string) bool {
+func (c *Core) isDraining(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.peer(address)
-	return p.last.Leaving && time.Since(p.heard) <= joinAfter
+	return p.status.Draining && time.Since(p.lastHeartbeat) <= silentMemberTimeout
 }
 
-// agreeSilent asks whether a quorum of the voters have not heard a member either, so that a machine which one link has
+// confirmTimedOut asks whether a quorum of the voters have not heard a member either, so that a machine which one link has
 // cut from it does not take its seat.
-func (c *Core) agreeSilent(ctx context.Context, m membership.Membership, holder membership.Member) error {
+func (c *Core) confirmTimedOut(ctx context.Context, m membership.Membership, holder membership.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	answers := make(chan bool, len(m.Seats))
@@ -128,9 +128,9 @@
 		}
 		asked++
 		go func() {
-			response := &silentResponse{}
-			err := c.client.Call(ctx, voter.Address, methodSilent, &silentRequest{Member: holder.ID, Address: holder.Address}, response)
-			answers <- err == nil && response.Silent
+			response := &memberTimedOutResponse{}
+			err := c.client.Call(ctx, voter.Address, methodMemberTimedOut, &memberTimedOutRequest{Member: holder.ID, Address: holder.Address}, response)
+			answers <- err == nil && response.TimedOut
 		}()
 	}
 	agreed := 0
@@ -145,9 +145,9 @@
 	return nil
 }
 
-// copyShards copies what members store of the shards and this disk does not.
-func (c *Core) copyShards(ctx context.Context, m membership.Membership) {
-	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
+// prefetchShards copies what members store of the shards and this disk does not.
+func (c *Core) prefetchShards(ctx context.Context, m membership.Membership) {
+	ctx, cancel := context.WithTimeout(ctx, prefetchTimeout)
 	defer cancel()
 	state := c.currentConfig()
 	if state == nil {
@@ -155,11 +155,11 @@
 	}
 	for _, service := range state.config.Services {
 		for _, member := range m.Voters() {
-			response := &copyResponse{}
-			request := &copyRequest{Shard: service.Name, Digests: c.store.digests(service.Name)}
-			err := c.client.Call(ctx, member.Address, methodCopy, request, response)
+			response := &prefetchResponse{}
+			request := &prefetchRequest{Shard: service.Name, Digests: c.store.digests(service.Name)}
+			err := c.client.Call(ctx, member.Address, methodPrefetch, request, response)
 			if err == nil {
-				err = c.store.copyIn(ctx, service.Name, response.Ranges)
+				err = c.store.storePrefetched(ctx, service.Name, response.Ranges)
 			}
 			if err == nil {
 				break
@@ -230,10 +230,10 @@
 	if err := c.store.restore(ctx, m.Epoch, learned); err != nil {
 		return err
 	}
-	c.metBallot(c.store.highestBallot())
+	c.observeBallot(c.store.highestBallot())
 	if err := c.changeMembership(ctx, m.Epoch, membership.Promote(id)); err != nil {
 		return err
 	}
-	c.logger.Info("voter", "epoch", c.store.currentMembership().Epoch)
+	c.logger.Info("promoted to voter", "epoch", c.store.currentMembership().Epoch)
 	return nil
 }
--- a/internal/system/core/leaving_test.go
+++ b/internal/system/core/leaving_test.go
@@ -9,15 +9,17 @@
 )
 
 // A member that leaves waits for the word of an owner that knew of it: before, the owner counted the leaving one too.
-func TestLeavingMemberWaitsForNewWord(t *testing.T) {
+func TestDrainingMemberWaitsForAFreshClaim(t *testing.T) {
 	s := newSite(t)
 	since := time.Now().Add(-time.Second / 2)
-	c := &Core{address: "a", store: s.stores["a"], peers: map[string]*peerState{}, leaving: true, leavingSince: since}
+	c := &Core{address: "a", store: s.stores["a"], peers: map[string]*peerState{}, draining: true, drainingSince: since}
 	c.config = &configState{config: &clusterconfig.Config{Services: []clusterconfig.Service{{Name: "s"}}}}
-	hear := func(address string, after time.Duration, claims ...claim) {
-		c.peers[address] = &peerState{known: true, heard: since.Add(after), last: pingMessage{Address: address, Claims: claims}}
+	hear := func(address string, after time.Duration, claims ...ownershipClaim) {
+		c.peers[address] = &peerState{known: true, lastHeartbeat: since.Add(after), status: pingMessage{Address: address, Claims: claims}}
+	}
+	owned := func(inStep int64) ownershipClaim {
+		return ownershipClaim{Shard: "s", Token: 2, Fresh: true, InSync: inStep}
 	}
-	owned := func(inStep int64) claim { return claim{Shard: "s", Token: 2, Fresh: true, InStep: inStep} }
 	cases := []struct {
 		name  string
 		heard time.Duration
@@ -31,12 +33,12 @@
 	for _, one := range cases {
 		hear("b", one.heard, owned(one.in))
 		hear("c", one.heard)
-		if got := c.released(); got != one.want {
+		if got := c.safeToStop(); got != one.want {
 			t.Errorf("%s: released %t", one.name, got)
 		}
 	}
 	hear("d", 100*time.Millisecond)
-	if c.released() {
+	if c.safeToStop() {
 		t.Error("it ends before the machine that came for it has its seat")
 	}
 	d := s.stores["b"].currentMembership()
@@ -47,11 +49,11 @@
 	if err := c.store.learnMembership(next); err != nil {
 		t.Fatal(err)
 	}
-	if c.released() {
+	if c.safeToStop() {
 		t.Error("it ends before its successor is in step")
 	}
 	hear("b", 100*time.Millisecond, owned(3))
-	if !c.released() {
+	if !c.safeToStop() {
 		t.Error("it goes on though all that stay are in step")
 	}
 }
--- a/internal/system/core/messages.go
+++ b/internal/system/core/messages.go
@@ -10,18 +10,18 @@
 
 // The methods of the internal protocol that core schedulers serve.
 const (
-	methodPrepare = "register.prepare"
-	methodAccept  = "register.accept"
-	methodPeek    = "register.peek"
-	methodLearn   = "register.learn"
-	methodSeal    = "shard.seal"
-	methodFetch   = "shard.fetch"
-	methodCopy    = "shard.copy"
-	methodRepair  = "shard.repair"
-	methodWrite   = "shard.write"
-	methodState   = "membership.state"
-	methodSilent  = "membership.silent"
-	methodPing    = "core.ping"
+	methodPrepare        = "register.prepare"
+	methodAccept         = "register.accept"
+	methodReadAccepted   = "register.peek"
+	methodLearn          = "register.learn"
+	methodSeal           = "shard.seal"
+	methodFetch          = "shard.fetch"
+	methodPrefetch       = "shard.copy"
+	methodRepair         = "shard.repair"
+	methodWrite          = "shard.write"
+	methodState          = "membership.state"
+	methodMemberTimedOut = "membership.silent"
+	methodPing           = "core.ping"
 )
 
 // target says which replica a message is meant for, and under which membership. A replica answers just messages for
@@ -69,19 +69,19 @@
 
 func (r *acceptResponse) from() origin { return r.From }
 
-type peekRequest struct {
+type readAcceptedRequest struct {
 	To    target
 	Name  string
 	Known register.Ballot
 }
 
-type peekResponse struct {
+type readAcceptedResponse struct {
 	From     origin
 	Accepted register.Ballot
 	Value    []byte // left out where Accepted is known
 }
 
-func (r *peekResponse) from() origin { return r.From }
+func (r *readAcceptedResponse) from() origin { return r.From }
 
 type learnRequest struct {
 	Name   string
@@ -105,7 +105,7 @@
 type sealResponse struct {
 	From    origin
 	Voter   bool // it has not forgotten what its seat stored of the shard
-	InStep  int64
+	InSync  int64
 	Digests []int64
 }
 
@@ -124,14 +124,14 @@
 
 func (r *fetchResponse) from() origin { return r.From }
 
-// copyRequest asks any core scheduler for what it stores of a shard and the sender does not. The copy counts for nothing
+// prefetchRequest asks any core scheduler for what it stores of a shard and the sender does not. The copy counts for nothing
 // before an owner has repaired it; it only makes that short.
-type copyRequest struct {
+type prefetchRequest struct {
 	Shard   string
 	Digests []int64
 }
 
-type copyResponse struct {
+type prefetchResponse struct {
 	Ranges []shard.Range
 }
 
@@ -162,14 +162,14 @@
 
 func (r *stateResponse) from() origin { return r.From }
 
-// silentRequest asks whether the holder of a seat has not been heard for so long that the seat may be given away.
-type silentRequest struct {
+// memberTimedOutRequest asks whether the holder of a seat has not been heard for so long that the seat may be given away.
+type memberTimedOutRequest struct {
 	Member  string
 	Address string
 }
 
-type silentResponse struct {
-	Silent bool
+type memberTimedOutResponse struct {
+	TimedOut bool
 }
 
 // pingMessage is what core schedulers tell each other all the time, both as a call and as its answer.
@@ -179,15 +179,15 @@
 	Member     string // the disk of the sender
 	Membership membership.Membership
 	Known      []string // core schedulers that the sender has heard of lately
-	Claims     []claim
+	Claims     []ownershipClaim
 	Accepted   map[string]register.Ballot // what the sender's replica has accepted last
-	Leaving    bool
+	Draining   bool
 }
 
-// claim says that the sender owns a shard and had a quorum for it a moment ago.
-type claim struct {
+// ownershipClaim says that the sender owns a shard and had a quorum for it a moment ago.
+type ownershipClaim struct {
 	Shard  string
 	Token  int64
 	Fresh  bool
-	InStep int64 // replicas that hold all that was committed, without those that are about to leave
+	InSync int64 // replicas that hold all that was committed, without those that are about to leave
 }
--- a/internal/system/core/metrics.go
+++ b/internal/system/core/metrics.go
@@ -10,25 +10,25 @@
 type collector struct{ core *Core }
 
 var (
-	describeConfig  = prometheus.NewDesc("sedgevale_config_version", "Version of the configuration in force.", nil, nil)
-	describeRecords = prometheus.NewDesc("sedgevale_shard_records", "Records of an owned shard.", []string{"shard"}, nil)
-	describeInStep  = prometheus.NewDesc("sedgevale_shard_replicas_in_step", "Replicas that take writes.", []string{"shard"}, nil)
-	describePending = prometheus.NewDesc("sedgevale_queue_pending_jobs", "Jobs of which no task has begun.", []string{"shard", "queue"}, nil)
-	describeUnended = prometheus.NewDesc("sedgevale_queue_unended_jobs", "Jobs that have not ended.", []string{"shard", "queue"}, nil)
-	describeHeld    = prometheus.NewDesc("sedgevale_queue_held", "Parts of workers that run for the queue.", []string{"shard", "queue"}, nil)
-	describeWanted  = prometheus.NewDesc("sedgevale_queue_wanted", "Parts of workers that the queue waits for.", []string{"shard", "queue"}, nil)
-	describeSigma   = prometheus.NewDesc("sedgevale_queue_sigma", "Admission limit on what is held.", []string{"shard", "queue"}, nil)
-	describeWaiting = prometheus.NewDesc("sedgevale_queue_withheld", "Units that wait beside room for them.",
+	configVersionDesc      = prometheus.NewDesc("sedgevale_config_version", "Version of the configuration in force.", nil, nil)
+	shardRecordsDesc       = prometheus.NewDesc("sedgevale_shard_records", "Records of an owned shard.", []string{"shard"}, nil)
+	inSyncReplicasDesc     = prometheus.NewDesc("sedgevale_shard_replicas_in_step", "Replicas that take writes.", []string{"shard"}, nil)
+	pendingJobsDesc        = prometheus.NewDesc("sedgevale_queue_pending_jobs", "Jobs of which no task has begun.", []string{"shard", "queue"}, nil)
+	unfinishedJobsDesc     = prometheus.NewDesc("sedgevale_queue_unended_jobs", "Jobs that have not ended.", []string{"shard", "queue"}, nil)
+	queueUsedDesc          = prometheus.NewDesc("sedgevale_queue_held", "Parts of workers that run for the queue.", []string{"shard", "queue"}, nil)
+	queueDemandDesc        = prometheus.NewDesc("sedgevale_queue_wanted", "Parts of workers that the queue waits for.", []string{"shard", "queue"}, nil)
+	queueLimitDesc         = prometheus.NewDesc("sedgevale_queue_sigma", "Admission limit on what is held.", []string{"shard", "queue"}, nil)
+	unschedulableUnitsDesc = prometheus.NewDesc("sedgevale_queue_withheld", "Units that wait beside room for them.",
 		[]string{"shard", "queue", "reason"}, nil)
-	describeLoad  = prometheus.NewDesc("sedgevale_worker_held", "Part of the worker that runs take.", []string{"shard", "worker"}, nil)
-	describeLimit = prometheus.NewDesc("sedgevale_worker_sigma", "Learned limit of the worker.", []string{"shard", "worker"}, nil)
+	workerUsedDesc  = prometheus.NewDesc("sedgevale_worker_held", "Part of the worker that runs take.", []string{"shard", "worker"}, nil)
+	workerLimitDesc = prometheus.NewDesc("sedgevale_worker_sigma", "Learned limit of the worker.", []string{"shard", "worker"}, nil)
 )
 
 // Describe names the metrics.
 func (m collector) Describe(out chan<- *prometheus.Desc) {
 	for _, one := range []*prometheus.Desc{
-		describeConfig, describeRecords, describeInStep, describeUnended, describePending, describeHeld, describeWanted, describeSigma,
-		describeWaiting, describeLoad, describeLimit,
+		configVersionDesc, shardRecordsDesc, inSyncReplicasDesc, unfinishedJobsDesc, pendingJobsDesc, queueUsedDesc, queueDemandDesc, queueLimitDesc,
+		unschedulableUnitsDesc, workerUsedDesc, workerLimitDesc,
 	} {
 		out <- one
 	}
@@ -40,38 +40,38 @@
 		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
 	}
 	if state := m.core.currentConfig(); state != nil {
-		gauge(describeConfig, float64(state.record.Version))
+		gauge(configVersionDesc, float64(state.record.Version))
 	}
-	for _, shard := range m.core.shards() {
-		gauge(describeRecords, float64(shard.Records), shard.Shard)
-		gauge(describeInStep, float64(shard.InStep), shard.Shard)
+	for _, shard := range m.core.shardInfos() {
+		gauge(shardRecordsDesc, float64(shard.Records), shard.Shard)
+		gauge(inSyncReplicasDesc, float64(shard.InStep), shard.Shard)
 		for _, q := range shard.Queues {
-			gauge(describeUnended, float64(q.Unended), shard.Shard, q.Name)
-			gauge(describePending, float64(q.Pending), shard.Shard, q.Name)
-			gauge(describeHeld, q.Held, shard.Shard, q.Name)
-			gauge(describeWanted, q.Wanted, shard.Shard, q.Name)
-			gauge(describeSigma, q.Sigma, shard.Shard, q.Name)
+			gauge(unfinishedJobsDesc, float64(q.Unended), shard.Shard, q.Name)
+			gauge(pendingJobsDesc, float64(q.Pending), shard.Shard, q.Name)
+			gauge(queueUsedDesc, q.Held, shard.Shard, q.Name)
+			gauge(queueDemandDesc, q.Wanted, shard.Shard, q.Name)
+			gauge(queueLimitDesc, q.Sigma, shard.Shard, q.Name)
 		}
-		for key, units := range countWithheld(shard.Waiting) {
-			gauge(describeWaiting, float64(units), shard.Shard, key.queue, string(key.reason))
+		for key, units := range countUnschedulable(shard.Waiting) {
+			gauge(unschedulableUnitsDesc, float64(units), shard.Shard, key.queue, string(key.reason))
 		}
 		for _, w := range shard.Workers {
-			gauge(describeLoad, w.Held, shard.Shard, w.Ref)
-			gauge(describeLimit, w.Sigma, shard.Shard, w.Ref)
+			gauge(workerUsedDesc, w.Held, shard.Shard, w.Ref)
+			gauge(workerLimitDesc, w.Sigma, shard.Shard, w.Ref)
 		}
 	}
 }
 
-// withheldKey is what units that wait beside room are counted by.
-type withheldKey struct {
+// unschedulableKey is what units that wait beside room are counted by.
+type unschedulableKey struct {
 	queue  string
 	reason jobs.Reason
 }
 
-func countWithheld(waiting []jobs.Withheld) map[withheldKey]int {
-	counts := map[withheldKey]int{}
+func countUnschedulable(waiting []jobs.Withheld) map[unschedulableKey]int {
+	counts := map[unschedulableKey]int{}
 	for _, one := range waiting {
-		counts[withheldKey{one.Queue, one.Reason}]++
+		counts[unschedulableKey{one.Queue, one.Reason}]++
 	}
 	return counts
 }
--- a/internal/system/core/operator.go
+++ b/internal/system/core/operator.go
@@ -32,13 +32,13 @@
 func (c *Core) getConfig(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), readTimeout)
 	defer cancel()
-	if err := c.read(ctx, registerName); err != nil {
-		refuse(w, result.Errorf(result.Unavailable, "no quorum: %w", err))
+	if err := c.read(ctx, configRegister); err != nil {
+		writeError(w, result.Errorf(result.Unavailable, "no quorum: %w", err))
 		return
 	}
 	state := c.currentConfig()
 	if state == nil {
-		refuse(w, result.Errorf(result.NotReady, "no configuration yet"))
+		writeError(w, result.Errorf(result.NotReady, "no configuration yet"))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -54,26 +54,26 @@
 		return
 	}
 	if err != nil {
-		refuse(w, result.Errorf(result.Invalid, "body: %w", err))
+		writeError(w, result.Errorf(result.Invalid, "body: %w", err))
 		return
 	}
-	match, err := parseMatch(r.Header.Get("If-Match"))
+	match, err := parseIfMatch(r.Header.Get("If-Match"))
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	order := newOperatorChange(patch, match, body)
-	if _, err := c.propose(ctx, registerName, order.apply); err != nil {
-		c.logger.V(1).Info("configuration not taken", "error", err.Error())
-		refuse(w, err)
+	if _, err := c.propose(ctx, configRegister, order.apply); err != nil {
+		c.logger.V(1).Info("configuration change rejected", "error", err.Error())
+		writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-func parseMatch(text string) (int64, error) {
+func parseIfMatch(text string) (int64, error) {
 	text = strings.Trim(strings.TrimSpace(text), `"`)
 	if text == "" {
 		return 0, nil
@@ -85,8 +85,8 @@
 	return match, nil
 }
 
-// refuse answers an operator's call with an error.
-func refuse(w http.ResponseWriter, err error) {
+// writeError answers an operator's call with an error.
+func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch result.CodeOf(err) {
 	case result.Conflict:
--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -13,79 +13,79 @@
 )
 
 const (
-	tickEvery       = 100 * time.Millisecond
-	summaryRounds   = 10                      // between two summaries in the log
-	ownerFreshFor   = 1500 * time.Millisecond // how long an owner acts after a quorum's last word
-	replicaTimeout  = 900 * time.Millisecond
-	heartbeatEvery  = 250 * time.Millisecond
-	repairPause     = 120 * time.Millisecond
-	maxUnendedJobs  = 20000
-	endedJobsKeptBy = 1.25                    // times status_s
-	withheldAfter   = 2500 * time.Millisecond // a unit that waits beside room for longer is told of
-	withheldLogged  = 4                       // lines about such units in a round of the log, at most
+	tickInterval             = 100 * time.Millisecond
+	ticksPerSummary          = 10                      // between two summaries in the log
+	ownerLeaseTTL            = 1500 * time.Millisecond // how long an owner acts after a quorum's last word
+	replicaTimeout           = 900 * time.Millisecond
+	heartbeatInterval        = 250 * time.Millisecond
+	repairBackoff            = 120 * time.Millisecond
+	maxUnfinishedJobs        = 20000
+	endedJobRetentionFactor  = 1.25                    // times status_s
+	unschedulableReportDelay = 2500 * time.Millisecond // a unit that waits beside room for longer is told of
+	maxUnschedulableLogged   = 4                       // lines about such units in a round of the log, at most
 )
 
 // owner is a shard that this scheduler owns: its jobs, and the replication of their records.
 type owner struct {
-	core  *Core
-	name  string
-	token int64
-	stop  context.CancelFunc
-	done  context.Context
+	core   *Core
+	name   string
+	token  int64
+	cancel context.CancelFunc
+	ctx    context.Context
 
-	mu        sync.Mutex
-	primary   *shard.Primary
-	book      *jobs.Book
-	links     []*link
-	sides     map[string]*sideLink
-	sessions  sessions
-	committed int64
-	waiters   []waiter
-	deposed   bool
-	began     bool
-	config    *configState
-	stepped   chan struct{} // closed and made anew when a replica came in step
+	mu            sync.Mutex
+	primary       *shard.Primary
+	scheduler     *jobs.Book
+	replicators   []*replicator
+	orderSenders  map[string]*orderSender
+	sessions      sessions
+	committed     int64
+	commitWaiters []commitWaiter
+	deposed       bool
+	started       bool
+	config        *configState
+	inSyncChanged chan struct{} // closed and made anew when a replica came in step
 }
 
-// waiter waits until a change is durable.
-type waiter struct {
+// commitWaiter waits until a change is durable.
+type commitWaiter struct {
 	sequence int64
 	done     chan struct{}
 }
 
-// link is the owner's connection to one replica.
-type link struct {
-	seat      int
-	member    membership.Member
-	counts    bool // it was sealed under this token
-	ready     bool // it is in step, and has said so
-	confirmed time.Time
-	repairs   int64 // begun so far
-	wake      chan struct{}
+// replicator is the owner's connection to one replica.
+type replicator struct {
+	seat          int
+	member        membership.Member
+	sealed        bool // it was sealed under this token
+	inSync        bool // it is in step, and has said so
+	lastConfirmed time.Time
+	repairCount   int64 // begun so far
+	wake          chan struct{}
 }
 
 func newOwner(c *Core, name string, token int64, m membership.Membership, set *shard.Set) *owner {
 	done, stop := context.WithCancel(context.Background())
 	o := &owner{
-		core: c, name: name, token: token, stop: stop, done: done,
-		primary: shard.NewPrimary(token, set, len(m.Seats), m.Quorum()),
-		sides:   map[string]*sideLink{}, sessions: sessions{}, stepped: make(chan struct{}),
+		core: c, name: name, token: token, cancel: stop, ctx: done,
+		primary:      shard.NewPrimary(token, set, len(m.Seats), m.Quorum()),
+		orderSenders: map[string]*orderSender{}, sessions: sessions{}, inSyncChanged: make(chan struct{}),
 	}
 	options := jobs.Options{
-		LapseAfter: ownerFreshFor + c.timing.LapseAfter(),
-		KeepEnded:  time.Duration(c.settings.Bounds.StatusS * endedJobsKeptBy * float64(time.Second)),
+		LapseAfter: ownerLeaseTTL + c.timing.LapseAfter(),
+		KeepEnded:  time.Duration(c.settings.Bounds.StatusS * endedJobRetentionFactor * float64(time.Second)),
 		FarX:       c.settings.Bounds.FarX,
 	}
-	o.book = jobs.New(options, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	o.scheduler = jobs.New(options, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for i, member := range m.Seats {
-		o.links = append(o.links, &link{seat: i, member: member, wake: make(chan struct{}, 1)})
+		o.replicators = append(o.replicators, &replicator{seat: i, member: member, wake: make(chan struct{}, 1)})
 		o.primary.SetVoter(i, member.Voter)
 	}
 	return o
 }
 
 func (o *owner) close() {
-	o.stop()
+	o.cancel()
 	o.mu.Lock()
 	o.deposed = true
 	o.mu.Unlock()
@@ -101,46 +101,46 @@
 func (o *owner) active() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.began && !o.deposed
+	return o.started && !o.deposed
 }
 
-// fresh reports whether a quorum has confirmed the ownership a moment ago.
-func (o *owner) fresh() bool {
+// leaseValid reports whether a quorum has confirmed the ownership a moment ago.
+func (o *owner) leaseValid() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.freshLocked()
+	return o.leaseValidLocked()
 }
 
-func (o *owner) freshLocked() bool {
+func (o *owner) leaseValidLocked() bool {
 	var times []time.Time
-	for _, l := range o.links {
-		if l.member.Voter && !l.confirmed.IsZero() {
-			times = append(times, l.confirmed)
+	for _, l := range o.replicators {
+		if l.member.Voter && !l.lastConfirmed.IsZero() {
+			times = append(times, l.lastConfirmed)
 		}
 	}
-	return !o.deposed && time.Since(quorumTime(times, o.primary.Quorum())) < ownerFreshFor
+	return !o.deposed && time.Since(quorumTime(times, o.primary.Quorum())) < ownerLeaseTTL
 }
 
-// inStepWithout returns how many replicas hold all that was committed, without those at the addresses given.
-func (o *owner) inStepWithout(leaving map[string]bool) int64 {
+// inSyncWithout returns how many replicas hold all that was committed, without those at the addresses given.
+func (o *owner) inSyncWithout(leaving map[string]bool) int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := int64(0)
-	for _, l := range o.links {
-		if l.ready && l.member.Voter && !leaving[l.member.Address] && o.primary.Holds(l.seat, o.committed) {
+	for _, l := range o.replicators {
+		if l.inSync && l.member.Voter && !leaving[l.member.Address] && o.primary.Holds(l.seat, o.committed) {
 			n++
 		}
 	}
 	return n
 }
 
-// steady is the time that the book is told.
-func (o *owner) steady() time.Duration { return time.Since(o.core.started) }
+// monotonicNow is the time that the book is told.
+func (o *owner) monotonicNow() time.Duration { return time.Since(o.core.started) }
 
-func wallMS() int64 { return time.Now().UnixMilli() }
+func wallClockMS() int64 { return time.Now().UnixMilli() }
 
-// begin starts to decide over the records that were taken over.
-func (o *owner) begin(state *configState) error {
+// start starts to decide over the records that were taken over.
+func (o *owner) start(state *configState) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if state != nil {
@@ -150,10 +150,10 @@
 	for _, record := range o.primary.Set.All() {
 		records = append(records, jobs.Change{Key: record.Key, Value: record.Value})
 	}
-	if err := o.book.Restore(o.steady(), records, o.name); err != nil {
+	if err := o.scheduler.Restore(o.monotonicNow(), records, o.name); err != nil {
 		return err
 	}
-	o.began = true
+	o.started = true
 	go o.tickLoop()
 	return nil
 }
@@ -181,40 +181,40 @@
 			TargetLatencyMS: route.TargetLatencyMS,
 		})
 	}
-	o.book.Configure(queues)
+	o.scheduler.Configure(queues)
 }
 
 func (o *owner) tickLoop() {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for round := 0; ; round++ {
 		select {
-		case <-o.done.Done():
+		case <-o.ctx.Done():
 			return
 		case <-ticker.C:
 		}
 		o.mu.Lock()
-		if o.freshLocked() {
-			o.book.Tick(o.steady(), wallMS())
+		if o.leaseValidLocked() {
+			o.scheduler.Tick(o.monotonicNow(), wallClockMS())
 			o.flush()
 		}
-		if round%summaryRounds == 0 {
-			o.logWithheld()
+		if round%ticksPerSummary == 0 {
+			o.logUnschedulable()
 			o.logSummary()
 		}
-		for _, side := range o.sides {
-			side.poke()
+		for _, side := range o.orderSenders {
+			side.wakeUp()
 		}
 		o.mu.Unlock()
 	}
 }
 
-// logWithheld logs which units wait for long beside room for them, and why. It should never have anything to say. The
+// logUnschedulable logs which units wait for long beside room for them, and why. It should never have anything to say. The
 // lock is held.
-func (o *owner) logWithheld() {
-	waiting := o.book.Withheld(o.steady(), withheldAfter)
-	for _, one := range waiting[:min(len(waiting), withheldLogged)] {
-		o.core.logger.Info("work waits beside free room", "shard", o.name, "queue", one.Queue, "job", one.Job, "stage", one.Stage,
+func (o *owner) logUnschedulable() {
+	waiting := o.scheduler.Withheld(o.monotonicNow(), unschedulableReportDelay)
+	for _, one := range waiting[:min(len(waiting), maxUnschedulableLogged)] {
+		o.core.logger.Info("task unschedulable despite free capacity", "shard", o.name, "queue", one.Queue, "job", one.Job, "stage", one.Stage,
 			"tasks", one.Tasks, "waited_ms", one.WaitedMS, "reason", one.Reason, "worker", one.Worker, "kept_for", one.Holder)
 	}
 }
@@ -225,7 +225,7 @@
 	if !logger.Enabled() {
 		return
 	}
-	queues, workers := o.book.Summary()
+	queues, workers := o.scheduler.Summary()
 	for _, q := range queues {
 		logger.Info("queue", "shard", o.name, "name", q.Name, "priority", q.Priority, "unended", q.Unended, "pending", q.Pending,
 			"held", q.Held,
@@ -240,8 +240,8 @@
 // flush releases what may start, hands all changes to the replication and tells side agents what is
 // durable. It returns the number of the last change. The lock is held.
 func (o *owner) flush() int64 {
-	o.book.Schedule(o.steady())
-	last, err := o.book.Flush(func(change jobs.Change) int64 {
+	o.scheduler.Schedule(o.monotonicNow())
+	last, err := o.scheduler.Flush(func(change jobs.Change) int64 {
 		if change.Value == nil {
 			return o.primary.Delete(change.Key)
 		}
@@ -250,49 +250,49 @@
 	if err != nil {
 		o.core.logger.Error(err, "records cannot be encoded", "shard", o.name)
 	}
-	for _, l := range o.links {
+	for _, l := range o.replicators {
 		if o.primary.HasPending(l.seat) {
-			l.poke()
+			l.wakeUp()
 		}
 	}
-	o.advance()
+	o.onCommitAdvanced()
 	return last
 }
 
-// advance lets happen what has become durable. The lock is held.
-func (o *owner) advance() {
+// onCommitAdvanced lets happen what has become durable. The lock is held.
+func (o *owner) onCommitAdvanced() {
 	o.committed = max(o.committed, o.primary.Committed())
-	o.book.Committed(o.committed)
-	kept := o.waiters[:0]
-	for _, w := range o.waiters {
+	o.scheduler.Committed(o.committed)
+	kept := o.commitWaiters[:0]
+	for _, w := range o.commitWaiters {
 		if w.sequence <= o.committed {
 			close(w.done)
 		} else {
 			kept = append(kept, w)
 		}
 	}
-	o.waiters = kept
-	for _, w := range o.book.DirtyWorkers() {
-		o.side(w).poke()
+	o.commitWaiters = kept
+	for _, w := range o.scheduler.DirtyWorkers() {
+		o.orderSenderFor(w).wakeUp()
 	}
 }
 
-// waitDurable waits until a change is durable.
-func (o *owner) waitDurable(ctx context.Context, sequence int64) error {
+// waitCommitted waits until a change is durable.
+func (o *owner) waitCommitted(ctx context.Context, sequence int64) error {
 	o.mu.Lock()
 	if sequence <= o.committed {
 		o.mu.Unlock()
 		return nil
 	}
-	w := waiter{sequence, make(chan struct{})}
-	o.waiters = append(o.waiters, w)
+	w := commitWaiter{sequence, make(chan struct{})}
+	o.commitWaiters = append(o.commitWaiters, w)
 	o.mu.Unlock()
 	select {
 	case <-w.done:
 		return nil
 	case <-ctx.Done():
 		return result.Errorf(result.OutcomeUnknown, "shard %s: not durable in time", o.name)
-	case <-o.done.Done():
+	case <-o.ctx.Done():
 		return result.Errorf(result.OutcomeUnknown, "shard %s: deposed", o.name)
 	}
 }
--- a/internal/system/core/ownership.go
+++ b/internal/system/core/ownership.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	ownEvery        = 60 * time.Millisecond
-	firstOwnAfter   = 250 * time.Millisecond // after the start, for others to say what they own, if not all have said it
-	takeoverPause   = 400 * time.Millisecond
-	takeoverTimeout = 2500 * time.Millisecond
-	ownerPrefix     = "owner/"
+	ownershipCheckInterval = 60 * time.Millisecond
+	startupTakeoverDelay   = 250 * time.Millisecond // after the start, for others to say what they own, if not all have said it
+	takeoverBackoff        = 400 * time.Millisecond
+	takeoverTimeout        = 2500 * time.Millisecond
+	ownerPrefix            = "owner/"
 )
 
 // ownerRecord is the value of a shard's ownership register.
@@ -33,18 +33,18 @@
 	rpc.Handle(server, methodWrite, c.store.write)
 }
 
-// ownLoop takes over shards that nobody alive owns, where this scheduler is the one to do it.
-func (c *Core) ownLoop(ctx context.Context) {
+// ownershipLoop takes over shards that nobody alive owns, where this scheduler is the one to do it.
+func (c *Core) ownershipLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(ownEvery)
+		time.Sleep(ownershipCheckInterval)
 		state := c.currentConfig()
-		if state == nil || !c.quorumHeard() || (time.Since(c.started) < firstOwnAfter && !c.allHeard()) {
+		if state == nil || !c.quorumAlive() || (time.Since(c.started) < startupTakeoverDelay && !c.allPeersAlive()) {
 			continue
 		}
 		for _, service := range state.config.Services {
-			if c.shouldOwn(service.Name) {
+			if c.shouldTakeOver(service.Name) {
 				c.mu.Lock()
-				c.takeover[service.Name] = time.Now().Add(takeoverTimeout)
+				c.takeoverNotBefore[service.Name] = time.Now().Add(takeoverTimeout)
 				c.mu.Unlock()
 				go c.takeOver(ctx, service.Name)
 			}
@@ -53,11 +53,11 @@
 	}
 }
 
-// shouldOwn reports whether nobody owns a shard and this scheduler is the first of those alive to take it.
-func (c *Core) shouldOwn(name string) bool {
+// shouldTakeOver reports whether nobody owns a shard and this scheduler is the first of those alive to take it.
+func (c *Core) shouldTakeOver(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leaving || time.Now().Before(c.takeover[name]) {
+	if c.draining || time.Now().Before(c.takeoverNotBefore[name]) {
 		return false
 	}
 	if o := c.owners[name]; o != nil && !o.isDeposed() {
@@ -79,7 +79,7 @@
 	for name, o := range c.owners {
 		if o.isDeposed() {
 			delete(c.owners, name)
-			c.notify()
+			c.notifyWatchers()
 		}
 	}
 }
@@ -91,16 +91,16 @@
 	began := time.Now()
 	o, err := c.acquire(ctx, name)
 	c.mu.Lock()
-	c.takeover[name] = time.Now().Add(takeoverPause + jitter(takeoverPause))
-	if err == nil && c.leaving {
+	c.takeoverNotBefore[name] = time.Now().Add(takeoverBackoff + jitter(takeoverBackoff))
+	if err == nil && c.draining {
 		o.close()
 	} else if err == nil {
 		c.owners[name] = o
-		c.notify()
+		c.notifyWatchers()
 	}
 	c.mu.Unlock()
 	if err != nil {
-		c.logger.Info("shard not taken over", "shard", name, "error", err.Error())
+		c.logger.Info("shard takeover failed", "shard", name, "error", err.Error())
 		return
 	}
 	c.logger.Info("shard taken over", "shard", name, "token", o.token, "records", o.primary.Set.Len(),
@@ -114,24 +114,24 @@
 		return nil, err
 	}
 	m := c.store.currentMembership()
-	sealed, err := c.sealAll(m, name, token)
+	sealed, err := c.sealQuorum(m, name, token)
 	if err != nil {
 		return nil, err
 	}
-	set, err := c.collect(ctx, m, name, sealed)
+	set, err := c.mergeRecords(ctx, m, name, sealed)
 	if err != nil {
 		return nil, err
 	}
 	o := newOwner(c, name, token, m, set)
 	for seat := range sealed {
-		o.links[seat].counts = true
+		o.replicators[seat].sealed = true
 	}
-	o.startLinks()
-	if err := o.waitInStep(ctx); err != nil {
+	o.startReplicators()
+	if err := o.waitInSync(ctx); err != nil {
 		o.close()
 		return nil, err
 	}
-	if err := o.begin(c.currentConfig()); err != nil {
+	if err := o.start(c.currentConfig()); err != nil {
 		o.close()
 		return nil, err
 	}
@@ -157,8 +157,8 @@
 	return record.Token, err
 }
 
-// sealAll has a quorum of the voters that have forgotten nothing of the shard turn down all earlier owners.
-func (c *Core) sealAll(m membership.Membership, name string, token int64) (map[int]*sealResponse, error) {
+// sealQuorum has a quorum of the voters that have forgotten nothing of the shard turn down all earlier owners.
+func (c *Core) sealQuorum(m membership.Membership, name string, token int64) (map[int]*sealResponse, error) {
 	answers, count := broadcast(c, m, m.Voters(), methodSeal, c.store.seal, func(to target) *sealRequest {
 		return &sealRequest{To: to, Shard: name, Token: token}
 	})
@@ -181,11 +181,11 @@
 	return nil, result.Errorf(result.Unavailable, "shard %s: %d replicas sealed, last failure: %w", name, len(sealed), failed)
 }
 
-// collect merges the records of the sealed replicas that were in step with the newest owner before.
-func (c *Core) collect(ctx context.Context, m membership.Membership, name string, sealed map[int]*sealResponse) (*shard.Set, error) {
+// mergeRecords merges the records of the sealed replicas that were in step with the newest owner before.
+func (c *Core) mergeRecords(ctx context.Context, m membership.Membership, name string, sealed map[int]*sealResponse) (*shard.Set, error) {
 	answers := map[int]shard.Sealed{}
 	for seat, answer := range sealed {
-		answers[seat] = shard.Sealed{InStep: answer.InStep, Digests: answer.Digests}
+		answers[seat] = shard.Sealed{InStep: answer.InSync, Digests: answer.Digests}
 	}
 	set := shard.NewSet()
 	for _, seat := range shard.Newest(answers) {
--- a/internal/system/core/peers.go
+++ b/internal/system/core/peers.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	pingEvery    = 150 * time.Millisecond
-	firstPings   = 50 * time.Millisecond // until a quorum was heard
-	pingTimeout  = 450 * time.Millisecond
-	aliveFor     = 800 * time.Millisecond // after the last answer
-	forgetAfter  = 30 * time.Second       // a peer that was not heard for so long
-	registerName = "config"
+	pingInterval        = 150 * time.Millisecond
+	startupPingInterval = 50 * time.Millisecond // until a quorum was heard
+	pingTimeout         = 450 * time.Millisecond
+	peerLivenessTTL     = 800 * time.Millisecond // after the last answer
+	unseenPeerTTL       = 30 * time.Second       // a peer that was not heard for so long
+	configRegister      = "config"
 )
 
 // peerState is what is known of another core scheduler.
 type peerState struct {
-	known   bool      // it has answered, or another core scheduler hears it
-	heard   time.Time // when the last ping that it answered was sent
-	noticed time.Time // when it was last heard or first named
-	last    pingMessage
-	busy    bool
+	known         bool      // it has answered, or another core scheduler hears it
+	lastHeartbeat time.Time // when the last ping that it answered was sent
+	lastSeen      time.Time // when it was last heard or first named
+	status        pingMessage
+	pingInFlight  bool
 }
 
 // peer returns the state of a peer. The lock is held, or nothing runs yet.
 func (c *Core) peer(address string) *peerState {
 	p := c.peers[address]
 	if p == nil {
-		p = &peerState{noticed: time.Now()}
+		p = &peerState{lastSeen: time.Now()}
 		c.peers[address] = p
 	}
 	return p
@@ -55,22 +55,22 @@
 	m.Member, _, _ = c.store.self()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m.Leaving = c.leaving
+	m.Draining = c.draining
 	m.Known = c.aliveAddresses()
-	leaving := c.leavingAddresses()
+	leaving := c.drainingAddresses()
 	for name, o := range c.owners {
 		if o.active() {
-			m.Claims = append(m.Claims, claim{Shard: name, Token: o.token, Fresh: o.fresh(), InStep: o.inStepWithout(leaving)})
+			m.Claims = append(m.Claims, ownershipClaim{Shard: name, Token: o.token, Fresh: o.leaseValid(), InSync: o.inSyncWithout(leaving)})
 		}
 	}
 	return m
 }
 
-// leavingAddresses returns the core schedulers that are about to end. The lock is held.
-func (c *Core) leavingAddresses() map[string]bool {
-	leaving := map[string]bool{c.address: c.leaving}
+// drainingAddresses returns the core schedulers that are about to end. The lock is held.
+func (c *Core) drainingAddresses() map[string]bool {
+	leaving := map[string]bool{c.address: c.draining}
 	for address, p := range c.peers {
-		leaving[address] = leaving[address] || p.last.Leaving
+		leaving[address] = leaving[address] || p.status.Draining
 	}
 	return leaving
 }
@@ -88,13 +88,13 @@
 
 // freshClaims yields what living core schedulers say that they own by a quorum's word of a moment ago, with their
 // addresses. The lock is held.
-func (c *Core) freshClaims() iter.Seq2[string, claim] {
-	return func(yield func(string, claim) bool) {
+func (c *Core) freshClaims() iter.Seq2[string, ownershipClaim] {
+	return func(yield func(string, ownershipClaim) bool) {
 		for address, p := range c.peers {
 			if !p.alive() {
 				continue
 			}
-			for _, one := range p.last.Claims {
+			for _, one := range p.status.Claims {
 				if one.Fresh && !yield(address, one) {
 					return
 				}
@@ -103,7 +103,9 @@
 	}
 }
 
-func (p *peerState) alive() bool { return time.Since(p.heard) < aliveFor && !p.last.Leaving }
+func (p *peerState) alive() bool {
+	return time.Since(p.lastHeartbeat) < peerLivenessTTL && !p.status.Draining
+}
 
 // onPing takes a message. sentAt is when the ping was sent that it answers; zero for a ping itself.
 func (c *Core) onPing(m *pingMessage, sentAt time.Time) error {
@@ -115,35 +117,35 @@
 	now := time.Now()
 	p := c.peer(m.Address)
 	p.known = true
-	p.noticed = now
+	p.lastSeen = now
 	for _, address := range m.Known {
 		c.peer(address).known = true
-		c.peer(address).noticed = now
+		c.peer(address).lastSeen = now
 	}
 	if sentAt.IsZero() {
-		p.last.Leaving = m.Leaving
+		p.status.Draining = m.Draining
 		return nil
 	}
-	before := claimsOf(&p.last)
-	p.last = *m
-	p.heard = sentAt
+	before := claimsOf(&p.status)
+	p.status = *m
+	p.lastHeartbeat = sentAt
 	if !maps.Equal(before, claimsOf(m)) {
-		c.notify()
+		c.notifyWatchers()
 	}
 	for name, ballot := range m.Accepted {
-		c.counter = max(c.counter, ballot.Counter)
+		c.ballotCounter = max(c.ballotCounter, ballot.Counter)
 		if c.learned[name].ballot.Less(ballot) {
-			c.readSoon(name)
+			c.readAsync(name)
 		}
 	}
 	return nil
 }
 
 // claimsOf returns what watchers are told of a scheduler's claims.
-func claimsOf(m *pingMessage) map[string]claim {
-	claims := map[string]claim{}
+func claimsOf(m *pingMessage) map[string]ownershipClaim {
+	claims := map[string]ownershipClaim{}
 	for _, one := range m.Claims {
-		one.InStep = 0
+		one.InSync = 0
 		claims[one.Shard] = one
 	}
 	return claims
@@ -153,10 +155,10 @@
 func (c *Core) pingLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.pingAll(ctx)
-		if c.quorumHeard() {
-			time.Sleep(pingEvery)
+		if c.quorumAlive() {
+			time.Sleep(pingInterval)
 		} else {
-			time.Sleep(firstPings)
+			time.Sleep(startupPingInterval)
 		}
 	}
 }
@@ -173,7 +175,7 @@
 			c.ping(ctx, address, m)
 		}()
 	}
-	if m.Leaving {
+	if m.Draining {
 		done.Wait()
 	}
 }
@@ -191,14 +193,14 @@
 	}
 	var targets []string
 	for address, p := range c.peers {
-		if address == c.address || p.busy {
+		if address == c.address || p.pingInFlight {
 			continue
 		}
-		if time.Since(p.noticed) > forgetAfter && !slices.Contains(keep, address) {
+		if time.Since(p.lastSeen) > unseenPeerTTL && !slices.Contains(keep, address) {
 			delete(c.peers, address)
 			continue
 		}
-		p.busy = true
+		p.pingInFlight = true
 		targets = append(targets, address)
 	}
 	return targets
@@ -211,18 +213,18 @@
 	answer := &pingMessage{}
 	err := c.client.Call(call, address, methodPing, m, answer)
 	c.mu.Lock()
-	c.peer(address).busy = false
+	c.peer(address).pingInFlight = false
 	c.mu.Unlock()
 	if err != nil || answer.Address != address {
 		return
 	}
 	if err := c.onPing(answer, sentAt); err != nil {
-		c.logger.Info("core scheduler is not heeded", "address", address, "error", err.Error())
+		c.logger.Info("core scheduler message rejected", "address", address, "error", err.Error())
 	}
 }
 
-// quorumHeard reports whether a quorum of the voters, this one included, answered lately.
-func (c *Core) quorumHeard() bool {
+// quorumAlive reports whether a quorum of the voters, this one included, answered lately.
+func (c *Core) quorumAlive() bool {
 	m := c.store.currentMembership()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -235,9 +237,9 @@
 	return len(m.Seats) > 0 && n >= m.Quorum()
 }
 
-// allHeard reports whether all holders of seats, and all whom others hear, answered lately, so that nobody who owns a shard
+// allPeersAlive reports whether all holders of seats, and all whom others hear, answered lately, so that nobody who owns a shard
 // has yet to say so.
-func (c *Core) allHeard() bool {
+func (c *Core) allPeersAlive() bool {
 	m := c.store.currentMembership()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -254,21 +256,21 @@
 	return true
 }
 
-// readSoon has a register's chosen value read. The lock is held.
-func (c *Core) readSoon(name string) {
-	if c.reading[name] {
+// readAsync has a register's chosen value read. The lock is held.
+func (c *Core) readAsync(name string) {
+	if c.readsInFlight[name] {
 		return
 	}
-	c.reading[name] = true
+	c.readsInFlight[name] = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if err := c.read(ctx, name); err != nil {
-			c.logger.V(1).Info("register not read", "register", name, "error", err.Error())
+			c.logger.V(1).Info("register read failed", "register", name, "error", err.Error())
 		}
 		time.Sleep(20 * time.Millisecond)
 		c.mu.Lock()
-		c.reading[name] = false
+		c.readsInFlight[name] = false
 		c.mu.Unlock()
 	}()
 }
@@ -292,8 +294,8 @@
 			continue
 		}
 		p := c.peer(member.Address)
-		if p.last.Member == member.ID && p.last.Membership.Epoch == m.Epoch && !mine.Less(p.last.Accepted[name]) {
-			times = append(times, p.heard)
+		if p.status.Member == member.ID && p.status.Membership.Epoch == m.Epoch && !mine.Less(p.status.Accepted[name]) {
+			times = append(times, p.lastHeartbeat)
 		}
 	}
 	return quorumTime(times, m.Quorum())
--- a/internal/system/core/peers_test.go
+++ b/internal/system/core/peers_test.go
@@ -9,30 +9,30 @@
 
 // A scheduler that has just started waits with taking over shards until the others can have said what they own, but no
 // longer than until all have: those with seats, and those whom others hear.
-func TestAllAreHeardOnceNobodyIsMissing(t *testing.T) {
+func TestAllPeersAliveOnceNobodyIsMissing(t *testing.T) {
 	c := &Core{address: "a:1", store: newStore("a:1"), peers: map[string]*peerState{}}
 	for _, address := range []string{"a:1", "b:1", "c:1"} {
 		c.store.membership.Seats = append(c.store.membership.Seats, membership.Member{ID: "disk " + address, Address: address, Voter: true})
 	}
-	heard := func(address string) { c.peers[address] = &peerState{known: true, heard: time.Now()} }
-	if c.allHeard() {
+	heard := func(address string) { c.peers[address] = &peerState{known: true, lastHeartbeat: time.Now()} }
+	if c.allPeersAlive() {
 		t.Error("all are heard before anybody answered")
 	}
 	heard("b:1")
-	if c.allHeard() {
+	if c.allPeersAlive() {
 		t.Error("all are heard, and a holder of a seat is missing")
 	}
 	heard("c:1")
-	if !c.allHeard() {
+	if !c.allPeersAlive() {
 		t.Error("not all are heard, and nobody is missing")
 	}
 	c.peers["d:1"] = &peerState{known: true}
-	if c.allHeard() {
+	if c.allPeersAlive() {
 		t.Error("all are heard, and a spare that others hear, which may own a shard, is missing")
 	}
 	heard("d:1")
 	c.peers["e:1"] = &peerState{} // named by the settings alone
-	if !c.allHeard() {
+	if !c.allPeersAlive() {
 		t.Error("a machine that nobody hears is waited for")
 	}
 }
--- a/internal/system/core/proposer.go
+++ b/internal/system/core/proposer.go
@@ -14,18 +14,18 @@
 
 const (
 	roundTimeout = 700 * time.Millisecond
-	retryPause   = 40 * time.Millisecond
+	retryBackoff = 40 * time.Millisecond
 )
 
-// change works out a register's next value from the current one. An error leaves the value as it is.
-type change func(current []byte) ([]byte, error)
+// registerUpdate works out a register's next value from the current one. An error leaves the value as it is.
+type registerUpdate func(current []byte) ([]byte, error)
 
 func (c *Core) handleRegisters(server *rpc.Server) {
 	rpc.Handle(server, methodPrepare, c.store.prepare)
 	rpc.Handle(server, methodAccept, c.store.accept)
-	rpc.Handle(server, methodPeek, c.store.peek)
+	rpc.Handle(server, methodReadAccepted, c.store.readAccepted)
 	rpc.Handle(server, methodLearn, func(_ context.Context, r *learnRequest) (*empty, error) {
-		return &empty{}, c.onLearn(r)
+		return &empty{}, c.handleLearn(r)
 	})
 }
 
@@ -43,7 +43,7 @@
 		err = c.client.Call(ctx, address, method, request, response)
 	}
 	if err != nil {
-		c.onRefusal(address, err)
+		c.onRejected(address, err)
 		return nil, err
 	}
 	wanted := origin{Member: to.Member, Epoch: to.Membership.Epoch}
@@ -53,23 +53,23 @@
 	return response, nil
 }
 
-// onRefusal asks a replica that knows a newer membership for it.
-func (c *Core) onRefusal(address string, err error) {
+// onRejected asks a replica that knows a newer membership for it.
+func (c *Core) onRejected(address string, err error) {
 	if result.CodeOf(err) != result.EpochOutdated || address == c.address {
 		return
 	}
 	c.mu.Lock()
 	p := c.peer(address)
-	busy := p.busy
-	p.busy = true
+	busy := p.pingInFlight
+	p.pingInFlight = true
 	c.mu.Unlock()
 	if !busy {
 		go c.ping(context.Background(), address, c.pingMessage())
 	}
 }
 
-// answered is one replica's answer in a round.
-type answered[Response any] struct {
+// reply is one replica's answer in a round.
+type reply[Response any] struct {
 	member   membership.Member
 	response *Response
 	err      error
@@ -79,25 +79,25 @@
 // are told even after a majority has answered.
 func broadcast[Request, Response any](c *Core, m membership.Membership, members []membership.Member, method string,
 	local func(context.Context, *Request) (*Response, error), request func(target) *Request,
-) (<-chan answered[Response], int) {
-	answers := make(chan answered[Response], len(members))
+) (<-chan reply[Response], int) {
+	answers := make(chan reply[Response], len(members))
 	for _, member := range members {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), roundTimeout)
 			defer cancel()
 			to := target{Membership: m, Member: member.ID}
 			response, err := replicaCall(ctx, c, to, member.Address, method, local, request(to))
-			answers <- answered[Response]{member, response, err}
+			answers <- reply[Response]{member, response, err}
 		}()
 	}
 	return answers, len(members)
 }
 
 // propose changes a register and returns its new value. It tries again until the context ends.
-func (c *Core) propose(ctx context.Context, name string, next change) ([]byte, error) {
+func (c *Core) propose(ctx context.Context, name string, next registerUpdate) ([]byte, error) {
 	begun := false // a value may have been accepted somewhere
 	for {
-		value, err, retry := c.attempt(name, next, &begun)
+		value, err, retry := c.proposeOnce(name, next, &begun)
 		if !retry {
 			return value, err
 		}
@@ -107,20 +107,20 @@
 				return nil, result.Errorf(result.OutcomeUnknown, "register %s: %w", name, err)
 			}
 			return nil, result.Errorf(result.Unavailable, "register %s: %w", name, err)
-		case <-time.After(retryPause/2 + jitter(retryPause)):
+		case <-time.After(retryBackoff/2 + jitter(retryBackoff)):
 		}
 	}
 }
 
-// attempt is one round of a proposer. It reports whether another may succeed.
-func (c *Core) attempt(name string, next change, begun *bool) (value []byte, err error, retry bool) {
+// proposeOnce is one round of a proposer. It reports whether another may succeed.
+func (c *Core) proposeOnce(name string, next registerUpdate, begun *bool) (value []byte, err error, retry bool) {
 	m := c.store.currentMembership()
 	if m.Epoch == 0 {
 		return nil, errors.New("no membership of the core is known yet"), true
 	}
 	c.mu.Lock()
-	c.counter++
-	ballot := register.Ballot{Counter: c.counter, Proposer: c.proposer}
+	c.ballotCounter++
+	ballot := register.Ballot{Counter: c.ballotCounter, Proposer: c.proposer}
 	known := c.learned[name]
 	c.mu.Unlock()
 	round := register.NewRound(ballot, len(m.Voters()), m.Quorum(), known.ballot, known.value)
@@ -145,7 +145,7 @@
 	if err := c.learn(name, ballot, wanted); err != nil {
 		return nil, err, false
 	}
-	go c.tell(name, ballot, wanted)
+	go c.announce(name, ballot, wanted)
 	return wanted, refused, false
 }
 
@@ -153,11 +153,11 @@
 	answers, count := broadcast(c, m, m.Voters(), methodPrepare, c.store.prepare, func(to target) *prepareRequest {
 		return &prepareRequest{To: to, Name: name, Ballot: round.Ballot, Known: known}
 	})
-	err := collect(m, round, answers, count, func(seat int, response *prepareResponse) bool {
+	err := collectReplies(m, round, answers, count, func(seat int, response *prepareResponse) bool {
 		return round.OnPromise(seat, response.Promise)
 	})
 	if err != nil {
-		c.metBallot(round.Highest.Counter)
+		c.observeBallot(round.Highest.Counter)
 	}
 	return err
 }
@@ -166,13 +166,13 @@
 	answers, count := broadcast(c, m, m.Voters(), methodAccept, c.store.accept, func(to target) *acceptRequest {
 		return &acceptRequest{To: to, Name: name, Ballot: round.Ballot, Value: value}
 	})
-	return collect(m, round, answers, count, func(seat int, response *acceptResponse) bool {
+	return collectReplies(m, round, answers, count, func(seat int, response *acceptResponse) bool {
 		return round.OnAccepted(seat, response.Accepted)
 	})
 }
 
-// collect hands the answers of replicas to a round until a majority has agreed or can no longer be had.
-func collect[Response any](m membership.Membership, round *register.Round, answers <-chan answered[Response], count int,
+// collectReplies hands the answers of replicas to a round until a majority has agreed or can no longer be had.
+func collectReplies[Response any](m membership.Membership, round *register.Round, answers <-chan reply[Response], count int,
 	take func(seat int, response *Response) (enough bool),
 ) error {
 	phase := round.Phase
@@ -192,14 +192,14 @@
 	return result.Errorf(result.Unavailable, "no majority in phase %d, last failure: %w", phase, failed)
 }
 
-func (c *Core) metBallot(counter int64) {
+func (c *Core) observeBallot(counter int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counter = max(c.counter, counter)
+	c.ballotCounter = max(c.ballotCounter, counter)
 }
 
-// onLearn takes the word that a value was chosen. Voters that have accepted it know it, and are not told it again.
-func (c *Core) onLearn(r *learnRequest) error {
+// handleLearn takes the word that a value was chosen. Voters that have accepted it know it, and are not told it again.
+func (c *Core) handleLearn(r *learnRequest) error {
 	value := r.Value
 	if len(value) == 0 {
 		value = c.store.acceptedValue(r.Name, r.Ballot)
@@ -209,12 +209,12 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readSoon(r.Name) // the message that brought it here is late or lost
+	c.readAsync(r.Name) // the message that brought it here is late or lost
 	return nil
 }
 
-// tell lets the other core schedulers know a value that was chosen, those without it the value too.
-func (c *Core) tell(name string, ballot register.Ballot, value []byte) {
+// announce lets the other core schedulers know a value that was chosen, those without it the value too.
+func (c *Core) announce(name string, ballot register.Ballot, value []byte) {
 	m := c.store.currentMembership()
 	ctx, cancel := context.WithTimeout(context.Background(), roundTimeout)
 	defer cancel()
@@ -249,8 +249,8 @@
 	c.mu.Lock()
 	known := c.learned[name]
 	c.mu.Unlock()
-	answers, count := broadcast(c, m, m.Voters(), methodPeek, c.store.peek, func(to target) *peekRequest {
-		return &peekRequest{To: to, Name: name, Known: known.ballot}
+	answers, count := broadcast(c, m, m.Voters(), methodReadAccepted, c.store.readAccepted, func(to target) *readAcceptedRequest {
+		return &readAcceptedRequest{To: to, Name: name, Known: known.ballot}
 	})
 	votes := map[register.Ballot]int{}
 	for range count {
@@ -281,15 +281,15 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counter = max(c.counter, ballot.Counter)
+	c.ballotCounter = max(c.ballotCounter, ballot.Counter)
 	if !c.learned[name].ballot.Less(ballot) {
 		return nil
 	}
-	c.learned[name] = chosen{ballot, value}
-	if name == registerName {
-		c.useConfig(value)
+	c.learned[name] = chosenValue{ballot, value}
+	if name == configRegister {
+		c.applyConfig(value)
 	}
-	c.notify()
+	c.notifyWatchers()
 	return nil
 }
 
--- a/internal/system/core/replication.go
+++ b/internal/system/core/replication.go
@@ -8,34 +8,34 @@
 	"sedgevale/internal/system/result"
 )
 
-// poke wakes a link.
-func (l *link) poke() {
+// wakeUp wakes a link.
+func (l *replicator) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (o *owner) pokeLinks() {
-	for _, l := range o.links {
-		l.poke()
+func (o *owner) wakeReplicators() {
+	for _, l := range o.replicators {
+		l.wakeUp()
 	}
 }
 
-func (o *owner) startLinks() {
-	for _, l := range o.links {
-		go o.linkLoop(l)
+func (o *owner) startReplicators() {
+	for _, l := range o.replicators {
+		go o.replicate(l)
 	}
 }
 
-// waitInStep waits until a majority of the replicas that were sealed, with the same disks, hold the whole state.
-func (o *owner) waitInStep(ctx context.Context) error {
+// waitInSync waits until a majority of the replicas that were sealed, with the same disks, hold the whole state.
+func (o *owner) waitInSync(ctx context.Context) error {
 	for {
 		o.mu.Lock()
-		stepped := o.stepped
+		stepped := o.inSyncChanged
 		inStep := 0
-		for _, l := range o.links {
-			if l.counts && l.ready {
+		for _, l := range o.replicators {
+			if l.sealed && l.inSync {
 				inStep++
 			}
 		}
@@ -56,13 +56,13 @@
 	}
 }
 
-// linkLoop keeps one replica in step: repaired first, then told each change, and asked now and then whether the
+// replicate keeps one replica in step: repaired first, then told each change, and asked now and then whether the
 // owner's token still holds.
-func (o *owner) linkLoop(l *link) {
-	for o.done.Err() == nil {
+func (o *owner) replicate(l *replicator) {
+	for o.ctx.Err() == nil {
 		m := o.followMembership(l)
 		if l.member.ID == "" {
-			o.pause(heartbeatEvery)
+			o.sleep(heartbeatInterval)
 			continue
 		}
 		o.mu.Lock()
@@ -75,26 +75,26 @@
 			err = o.repair(m, l)
 		}
 		if err != nil {
-			o.linkFailed(l, err)
+			o.onReplicationFailure(l, err)
 			continue
 		}
 		select {
 		case <-l.wake:
-		case <-time.After(heartbeatEvery):
-		case <-o.done.Done():
+		case <-time.After(heartbeatInterval):
+		case <-o.ctx.Done():
 		}
 	}
 }
 
-func (o *owner) pause(d time.Duration) {
+func (o *owner) sleep(d time.Duration) {
 	select {
 	case <-time.After(d):
-	case <-o.done.Done():
+	case <-o.ctx.Done():
 	}
 }
 
 // followMembership notes that a seat has changed hands, and returns the membership.
-func (o *owner) followMembership(l *link) membership.Membership {
+func (o *owner) followMembership(l *replicator) membership.Membership {
 	m := o.core.store.currentMembership()
 	member := m.Seats[l.seat]
 	if member == l.member {
@@ -109,29 +109,29 @@
 		return m // a learner that votes by now; it is in step as it was
 	}
 	o.primary.Lost(l.seat)
-	l.counts, l.ready, l.confirmed = false, false, time.Time{}
+	l.sealed, l.inSync, l.lastConfirmed = false, false, time.Time{}
 	return m
 }
 
-func (o *owner) linkFailed(l *link, err error) {
+func (o *owner) onReplicationFailure(l *replicator, err error) {
 	code := result.CodeOf(err)
 	o.mu.Lock()
 	o.primary.Lost(l.seat)
-	l.ready = false
+	l.inSync = false
 	if code == result.Fenced && !o.deposed {
 		o.deposed = true
-		o.core.logger.Info("shard lost to a newer owner", "shard", o.name, "token", o.token)
-		o.stop()
-		close(o.stepped)
-		o.stepped = make(chan struct{})
+		o.core.logger.Info("shard lost to a newer fencing token", "shard", o.name, "token", o.token)
+		o.cancel()
+		close(o.inSyncChanged)
+		o.inSyncChanged = make(chan struct{})
 	}
 	o.mu.Unlock()
-	o.pause(repairPause)
+	o.sleep(repairBackoff)
 }
 
 // repair brings a replica to the owner's state by the digests of its key ranges.
-func (o *owner) repair(m membership.Membership, l *link) error {
-	ctx, cancel := context.WithTimeout(o.done, 2*replicaTimeout)
+func (o *owner) repair(m membership.Membership, l *replicator) error {
+	ctx, cancel := context.WithTimeout(o.ctx, 2*replicaTimeout)
 	defer cancel()
 	c := o.core
 	to := target{Membership: m, Member: l.member.ID}
@@ -142,20 +142,20 @@
 		return err
 	}
 	o.mu.Lock()
-	l.repairs++
+	l.repairCount++
 	ranges, upTo := o.primary.BeginRepair(l.seat, sealed.Digests)
 	o.mu.Unlock()
-	request := &repairRequest{To: to, Shard: o.name, Token: o.token, Number: l.repairs, Ranges: ranges, Last: true}
+	request := &repairRequest{To: to, Shard: o.name, Token: o.token, Number: l.repairCount, Ranges: ranges, Last: true}
 	if _, err := replicaCall(ctx, c, to, l.member.Address, methodRepair, c.store.repair, request); err != nil {
 		return err
 	}
-	o.acked(l, upTo, sentAt)
+	o.onReplicaAck(l, upTo, sentAt)
 	return nil
 }
 
 // writeChanges tells a replica what has changed, or nothing as a heartbeat.
-func (o *owner) writeChanges(m membership.Membership, l *link) error {
-	ctx, cancel := context.WithTimeout(o.done, replicaTimeout)
+func (o *owner) writeChanges(m membership.Membership, l *replicator) error {
+	ctx, cancel := context.WithTimeout(o.ctx, replicaTimeout)
 	defer cancel()
 	c := o.core
 	to := target{Membership: m, Member: l.member.ID}
@@ -167,22 +167,22 @@
 	if _, err := replicaCall(ctx, c, to, l.member.Address, methodWrite, c.store.write, request); err != nil {
 		return err
 	}
-	o.acked(l, upTo, sentAt)
+	o.onReplicaAck(l, upTo, sentAt)
 	return nil
 }
 
-func (o *owner) acked(l *link, upTo int64, sentAt time.Time) {
+func (o *owner) onReplicaAck(l *replicator, upTo int64, sentAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	l.confirmed = sentAt
-	l.ready = true
+	l.lastConfirmed = sentAt
+	l.inSync = true
 	o.primary.Acked(l.seat, upTo)
-	close(o.stepped)
-	o.stepped = make(chan struct{})
-	if o.began {
-		o.advance()
+	close(o.inSyncChanged)
+	o.inSyncChanged = make(chan struct{})
+	if o.started {
+		o.onCommitAdvanced()
 		if o.primary.HasPending(l.seat) {
-			l.poke()
+			l.wakeUp()
 		}
 	}
 }
--- a/internal/system/core/sessions.go
+++ b/internal/system/core/sessions.go
@@ -4,8 +4,8 @@
 // sender has long given up on, is of an earlier session or not above the last sequence number; it must not be taken
 // for news, since by it a worker that has crashed would seem to be there again in place of the one that is.
 type session struct {
-	name string
-	last int64
+	name         string
+	lastSequence int64
 }
 
 // sessions are an owner's conversations, by the address of the side scheduler.
@@ -19,9 +19,9 @@
 		s[side] = known
 		return known.name, false
 	}
-	if sequence <= known.last {
+	if sequence <= known.lastSequence {
 		return known.name, false
 	}
-	known.last = sequence
+	known.lastSequence = sequence
 	return known.name, true
 }
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -18,11 +18,11 @@
 
 // identity names the disk. It is written before the disk is used.
 type identity struct {
-	ID       string
-	Address  string // of the machine that the disk belongs to
-	Life     int64  // how often it was opened; part of the ballots of each life
-	Joined   int64  // the epoch in which it took the seat that it holds or held last
-	Restored bool   // it holds what a quorum of voters held after it had taken its seat
+	ID          string
+	Address     string // of the machine that the disk belongs to
+	Incarnation int64  // how often it was opened; part of the ballots of each life
+	Joined      int64  // the epoch in which it took the seat that it holds or held last
+	Restored    bool   // it holds what a quorum of voters held after it had taken its seat
 }
 
 // The kinds of entries in the state file.
@@ -36,7 +36,7 @@
 	entryWrite
 	entryRepair
 	entryReplica
-	entryCopy
+	entryPrefetch
 	entryTrust
 )
 
@@ -51,7 +51,7 @@
 	Value      []byte
 	Token      int64
 	Number     int64 // of a repair
-	InStep     int64
+	InSync     int64
 	Flag       bool
 	Records    []shard.Record
 	Ranges     []shard.Range
@@ -59,12 +59,12 @@
 
 // store is the durable state of a core scheduler: the membership, and its part of the registers and of the shards.
 type store struct {
-	address   string
-	installed chan struct{} // poked when a newer membership was installed
+	address           string
+	membershipChanged chan struct{} // poked when a newer membership was installed
 
 	mu         sync.Mutex
 	log        *statefile.Log
-	last       *statefile.Ticket // of the newest entry
+	lastTicket *statefile.Ticket // of the newest entry
 	identity   identity
 	membership membership.Membership
 	registers  map[string]*register.Acceptor
@@ -75,7 +75,7 @@
 // forgotten; only then the first membership is used.
 func openStore(dir, address string, first membership.Membership, bootstrap bool) (*store, error) {
 	s := newStore(address)
-	log, err := statefile.Open(dir, s.replay, s.snapshotFresh(first, bootstrap))
+	log, err := statefile.Open(dir, s.replay, s.snapshotFunc(first, bootstrap))
 	if err != nil {
 		return nil, err
 	}
@@ -85,20 +85,20 @@
 
 func newStore(address string) *store {
 	return &store{
-		address: address, installed: make(chan struct{}, 1),
+		address: address, membershipChanged: make(chan struct{}, 1),
 		registers: map[string]*register.Acceptor{}, replicas: map[string]*shard.Replica{},
 	}
 }
 
-// snapshotFresh returns the snapshot function. At its first call, before any entry was appended, a disk
+// snapshotFunc returns the snapshot function. At its first call, before any entry was appended, a disk
 // without an identity gets one, and each disk another life.
-func (s *store) snapshotFresh(first membership.Membership, bootstrap bool) func(func([]byte) error) error {
+func (s *store) snapshotFunc(first membership.Membership, bootstrap bool) func(func([]byte) error) error {
 	started := false
 	return func(emit func([]byte) error) error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !started {
-			if err := s.begin(first, bootstrap); err != nil {
+			if err := s.initIdentity(first, bootstrap); err != nil {
 				return err
 			}
 			started = true
@@ -107,22 +107,22 @@
 	}
 }
 
-func (s *store) begin(first membership.Membership, bootstrap bool) error {
+func (s *store) initIdentity(first membership.Membership, bootstrap bool) error {
 	if s.identity.ID == "" {
 		s.identity = identity{ID: newID(), Address: s.address}
 		if bootstrap {
-			s.beginFirst(first)
+			s.bootstrapMembership(first)
 		}
 	}
 	if s.identity.Address != s.address {
 		return result.Errorf(result.WrongDisk, "the disk is that of %s, this machine is %s", s.identity.Address, s.address)
 	}
-	s.identity.Life++
+	s.identity.Incarnation++
 	return nil
 }
 
-// beginFirst makes an empty disk one of the first start.
-func (s *store) beginFirst(first membership.Membership) {
+// bootstrapMembership makes an empty disk one of the first start.
+func (s *store) bootstrapMembership(first membership.Membership) {
 	s.membership = first.Clone()
 	if seat := first.SeatAt(s.address); seat >= 0 {
 		member := first.Seats[seat]
@@ -141,7 +141,7 @@
 func (s *store) proposer() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.identity.ID + "#" + strconv.FormatInt(s.identity.Life, 10)
+	return s.identity.ID + "#" + strconv.FormatInt(s.identity.Incarnation, 10)
 }
 
 // highestBallot returns the highest counter that this disk has met.
@@ -169,7 +169,7 @@
 	case entryIdentity:
 		s.identity = e.Identity
 	case entryMembership:
-		s.enter(e.Membership)
+		s.applyMembership(e.Membership)
 	case entryPromise:
 		s.acceptor(e.Name).Promised = e.Promised
 	case entryAccept:
@@ -182,7 +182,7 @@
 		s.replica(e.Name).Write(e.Token, e.Records)
 	case entryRepair:
 		s.replica(e.Name).Repair(e.Token, e.Number, e.Ranges, e.Flag)
-	case entryCopy:
+	case entryPrefetch:
 		s.replica(e.Name).Copy(e.Ranges)
 	case entryTrust:
 		s.replica(e.Name).Trust(e.Token)
@@ -198,7 +198,7 @@
 	replica := shard.NewReplica(trusted)
 	replica.Voter = e.Flag
 	replica.Sealed = e.Token
-	replica.InStep = e.InStep
+	replica.InStep = e.InSync
 	replica.Repairs = e.Number
 	for _, record := range e.Records {
 		replica.Set.Apply(record)
@@ -235,7 +235,7 @@
 func (s *store) replicaEntry(name string) *entry {
 	r := s.replicas[name]
 	return &entry{
-		Kind: entryReplica, Name: name, Token: r.Sealed, InStep: r.InStep, Number: r.Repairs, Flag: r.Voter, Records: r.Set.All(),
+		Kind: entryReplica, Name: name, Token: r.Sealed, InSync: r.InStep, Number: r.Repairs, Flag: r.Voter, Records: r.Set.All(),
 	}
 }
 
@@ -245,12 +245,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("core: %w", err)
 	}
-	s.last = s.log.Append(payload)
-	return s.last, nil
+	s.lastTicket = s.log.Append(payload)
+	return s.lastTicket, nil
 }
 
-// wait waits until a step is durable.
-func wait(ctx context.Context, ticket *statefile.Ticket, err error) error {
+// waitDurable waits until a step is durable.
+func waitDurable(ctx context.Context, ticket *statefile.Ticket, err error) error {
 	if err != nil {
 		return err
 	}
@@ -265,13 +265,13 @@
 	}
 }
 
-// waitSettled waits until all that was applied so far is durable, so that nothing is told which a loss of power undoes.
-func (s *store) waitSettled(ctx context.Context) error {
+// waitAllDurable waits until all that was applied so far is durable, so that nothing is told which a loss of power undoes.
+func (s *store) waitAllDurable(ctx context.Context) error {
 	s.mu.Lock()
-	last := s.last
+	last := s.lastTicket
 	s.mu.Unlock()
 	if last == nil {
 		return nil
 	}
-	return wait(ctx, last, nil)
+	return waitDurable(ctx, last, nil)
 }
--- a/internal/system/core/store_membership.go
+++ b/internal/system/core/store_membership.go
@@ -31,9 +31,9 @@
 	return from, err
 }
 
-// change takes a message that changes what this disk holds: it is admitted, applied, and answered once the entry that
+// commitChange takes a message that changes what this disk holds: it is admitted, applied, and answered once the entry that
 // apply returns is durable. Apply returns nil where there is nothing to store; the lock is held then.
-func (s *store) change(ctx context.Context, admit func(target) (origin, error), to target, apply func(origin) (*entry, error)) error {
+func (s *store) commitChange(ctx context.Context, admit func(target) (origin, error), to target, apply func(origin) (*entry, error)) error {
 	s.mu.Lock()
 	from, err := admit(to)
 	var change *entry
@@ -46,11 +46,11 @@
 	}
 	ticket, err := s.append(change)
 	s.mu.Unlock()
-	return wait(ctx, ticket, err)
+	return waitDurable(ctx, ticket, err)
 }
 
-// look answers from what this disk holds, once all of it is durable that was told.
-func (s *store) look(ctx context.Context, to target, answer func(origin)) error {
+// readDurable answers from what this disk holds, once all of it is durable that was told.
+func (s *store) readDurable(ctx context.Context, to target, answer func(origin)) error {
 	s.mu.Lock()
 	from, err := s.admitVoter(to)
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 	answer(from)
 	s.mu.Unlock()
-	return s.waitSettled(ctx)
+	return s.waitAllDurable(ctx)
 }
 
 // admitMembership takes over the membership that a message brings, or refuses the message. The lock is held.
@@ -89,18 +89,18 @@
 
 // install makes a newer membership, which was chosen, the one that counts here. The lock is held.
 func (s *store) install(m membership.Membership) error {
-	s.enter(m)
+	s.applyMembership(m)
 	_, err := s.append(&entry{Kind: entryMembership, Membership: m})
 	select {
-	case s.installed <- struct{}{}:
+	case s.membershipChanged <- struct{}{}:
 	default:
 	}
 	return err
 }
 
-// enter applies a membership to the state. A disk that takes a seat anew may have missed anything since it held one: it is
+// applyMembership applies a membership to the state. A disk that takes a seat anew may have missed anything since it held one: it is
 // no voter for its shards before an owner has repaired it. The lock is held.
-func (s *store) enter(m membership.Membership) {
+func (s *store) applyMembership(m membership.Membership) {
 	s.membership = m.Clone()
 	member, seated := m.Member(s.identity.ID)
 	if !seated || member.Since == s.identity.Joined {
--- a/internal/system/core/store_registers.go
+++ b/internal/system/core/store_registers.go
@@ -19,7 +19,7 @@
 
 func (s *store) prepare(ctx context.Context, r *prepareRequest) (*prepareResponse, error) {
 	answer := &prepareResponse{}
-	err := s.change(ctx, s.admitVoter, r.To, func(from origin) (*entry, error) {
+	err := s.commitChange(ctx, s.admitVoter, r.To, func(from origin) (*entry, error) {
 		*answer = prepareResponse{From: from, Promise: s.acceptor(r.Name).Prepare(r.Ballot, r.Known)}
 		if !answer.Promise.Granted {
 			return nil, nil
@@ -34,7 +34,7 @@
 
 func (s *store) accept(ctx context.Context, r *acceptRequest) (*acceptResponse, error) {
 	answer := &acceptResponse{}
-	err := s.change(ctx, s.admitVoter, r.To, func(from origin) (*entry, error) {
+	err := s.commitChange(ctx, s.admitVoter, r.To, func(from origin) (*entry, error) {
 		*answer = acceptResponse{From: from, Accepted: s.acceptor(r.Name).Accept(r.Ballot, r.Value)}
 		if !answer.Accepted {
 			return nil, nil
@@ -47,12 +47,12 @@
 	return answer, nil
 }
 
-// peek returns what was accepted last, without a promise.
-func (s *store) peek(ctx context.Context, r *peekRequest) (*peekResponse, error) {
-	answer := &peekResponse{}
-	err := s.look(ctx, r.To, func(from origin) {
+// readAccepted returns what was accepted last, without a promise.
+func (s *store) readAccepted(ctx context.Context, r *readAcceptedRequest) (*readAcceptedResponse, error) {
+	answer := &readAcceptedResponse{}
+	err := s.readDurable(ctx, r.To, func(from origin) {
 		a := s.acceptor(r.Name)
-		*answer = peekResponse{From: from, Accepted: a.Accepted}
+		*answer = readAcceptedResponse{From: from, Accepted: a.Accepted}
 		if a.Accepted != r.Known {
 			answer.Value = a.Value
 		}
@@ -66,7 +66,7 @@
 // state returns all that a learner has to hold before it votes.
 func (s *store) state(ctx context.Context, r *stateRequest) (*stateResponse, error) {
 	answer := &stateResponse{Registers: map[string]register.Acceptor{}, Shards: map[string]int64{}}
-	err := s.look(ctx, r.To, func(from origin) {
+	err := s.readDurable(ctx, r.To, func(from origin) {
 		answer.From = from
 		for name, a := range s.registers {
 			answer.Registers[name] = *a
@@ -81,8 +81,8 @@
 	return answer, nil
 }
 
-// voicesOf returns how many members told their state in an epoch.
-func voicesOf(epoch int64, learned []*stateResponse) int {
+// distinctVoters returns how many members told their state in an epoch.
+func distinctVoters(epoch int64, learned []*stateResponse) int {
 	members := map[string]bool{}
 	for _, one := range learned {
 		if one.From.Epoch == epoch {
@@ -99,7 +99,7 @@
 		s.mu.Unlock()
 		return result.Errorf(result.EpochOutdated, "the seat was lost since epoch %d", epoch)
 	}
-	if told := voicesOf(epoch, learned); told < s.membership.Quorum() {
+	if told := distinctVoters(epoch, learned); told < s.membership.Quorum() {
 		s.mu.Unlock()
 		return result.Errorf(result.Unavailable, "%d voters told their state in epoch %d, %d are a quorum", told, epoch, s.membership.Quorum())
 	}
@@ -133,7 +133,7 @@
 		}
 	}
 	s.mu.Unlock()
-	return wait(ctx, ticket, err)
+	return waitDurable(ctx, ticket, err)
 }
 
 // acceptedValue returns the value that this replica has accepted under a ballot, or nil.
--- a/internal/system/core/store_shards.go
+++ b/internal/system/core/store_shards.go
@@ -20,12 +20,12 @@
 
 func (s *store) seal(ctx context.Context, r *sealRequest) (*sealResponse, error) {
 	answer := &sealResponse{}
-	err := s.change(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
+	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		replica := s.replica(r.Shard)
 		if !replica.Seal(r.Token) {
 			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.Sealed, r.Token)
 		}
-		*answer = sealResponse{From: from, Voter: replica.Voter, InStep: replica.InStep, Digests: replica.Set.Digests()}
+		*answer = sealResponse{From: from, Voter: replica.Voter, InSync: replica.InStep, Digests: replica.Set.Digests()}
 		return &entry{Kind: entrySeal, Name: r.Shard, Token: r.Token}, nil
 	})
 	if err != nil {
@@ -55,28 +55,28 @@
 	return answer, nil
 }
 
-// copyOut returns what this disk stores of a shard where the digests of another differ.
-func (s *store) copyOut(_ context.Context, r *copyRequest) (*copyResponse, error) {
+// servePrefetch returns what this disk stores of a shard where the digests of another differ.
+func (s *store) servePrefetch(_ context.Context, r *prefetchRequest) (*prefetchResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	replica := s.replicas[r.Shard]
 	if replica == nil {
-		return &copyResponse{}, nil
+		return &prefetchResponse{}, nil
 	}
-	return &copyResponse{Ranges: shard.Ranges(replica.Set, r.Digests)}, nil
+	return &prefetchResponse{Ranges: shard.Ranges(replica.Set, r.Digests)}, nil
 }
 
-// copyIn stores a copy of key ranges ahead of a repair, as long as this disk holds no seat.
-func (s *store) copyIn(ctx context.Context, name string, ranges []shard.Range) error {
+// storePrefetched stores a copy of key ranges ahead of a repair, as long as this disk holds no seat.
+func (s *store) storePrefetched(ctx context.Context, name string, ranges []shard.Range) error {
 	s.mu.Lock()
 	if _, seated := s.membership.Member(s.identity.ID); seated || len(ranges) == 0 {
 		s.mu.Unlock()
 		return nil
 	}
 	s.replica(name).Copy(ranges)
-	ticket, err := s.append(&entry{Kind: entryCopy, Name: name, Ranges: ranges})
+	ticket, err := s.append(&entry{Kind: entryPrefetch, Name: name, Ranges: ranges})
 	s.mu.Unlock()
-	return wait(ctx, ticket, err)
+	return waitDurable(ctx, ticket, err)
 }
 
 // digests returns the digests of what this disk stores of a shard.
@@ -92,7 +92,7 @@
 
 func (s *store) repair(ctx context.Context, r *repairRequest) (*ackResponse, error) {
 	answer := &ackResponse{}
-	err := s.change(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
+	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		answer.From = from
 		if !s.replica(r.Shard).Repair(r.Token, r.Number, r.Ranges, r.Last) {
 			return nil, result.Errorf(result.Fenced, "shard %s: a token above %d or a later repair is known", r.Shard, r.Token)
@@ -104,7 +104,7 @@
 
 func (s *store) write(ctx context.Context, r *writeRequest) (*ackResponse, error) {
 	answer := &ackResponse{}
-	err := s.change(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
+	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		answer.From = from
 		replica := s.replica(r.Shard)
 		written := replica.Write(r.Token, r.Records)
--- a/internal/system/core/store_test.go
+++ b/internal/system/core/store_test.go
@@ -136,7 +136,7 @@
 }
 
 // Trap 2: what was acknowledged is there after a loss of power, with promises and fencing tokens.
-func TestStoreOutlivesALossOfPower(t *testing.T) {
+func TestStoreSurvivesPowerLoss(t *testing.T) {
 	s := newSite(t)
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "value"), result.OK)
 	s.wantCode(s.repair("a", 3), result.OK)
@@ -164,7 +164,7 @@
 		s.wantCode(err, want)
 		_, err = st.repair(s.ctx(), &repairRequest{To: *to, Shard: "s", Token: 9, Last: true})
 		s.wantCode(err, want)
-		_, err = st.peek(s.ctx(), &peekRequest{To: *to, Name: "config"})
+		_, err = st.readAccepted(s.ctx(), &readAcceptedRequest{To: *to, Name: "config"})
 		s.wantCode(err, want)
 		_, err = st.state(s.ctx(), &stateRequest{To: *to})
 		s.wantCode(err, want)
@@ -195,7 +195,7 @@
 	st := s.wipe("c")
 	s.change(membership.Admit(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
 	s.wantCode(s.accept("c", s.to("c", "c"), 5, "value"), result.NotRecovered)
-	_, err := st.peek(s.ctx(), &peekRequest{To: s.to("c", "c"), Name: "config"})
+	_, err := st.readAccepted(s.ctx(), &readAcceptedRequest{To: s.to("c", "c"), Name: "config"})
 	s.wantCode(err, result.NotRecovered)
 	_, err = st.state(s.ctx(), &stateRequest{To: s.to("c", "c")})
 	s.wantCode(err, result.NotRecovered)
@@ -283,7 +283,7 @@
 }
 
 // An owner that addresses the disk which was lost is told so.
-func TestWritesToALostDiskAreTurnedDown(t *testing.T) {
+func TestWritesToALostDiskAreRejected(t *testing.T) {
 	s := newSite(t)
 	s.wantCode(s.repair("c", 3), result.OK)
 	lost := s.stores["c"].identity.ID
@@ -324,15 +324,15 @@
 	s.wantCode(s.rejoin("d", 0, "b", "c"), result.OK)
 	s.wantCode(s.accept("d", s.to("d", "d"), 9, "new"), result.OK)
 	s.wantCode(s.accept("c", s.to("c", "d"), 9, "new"), result.OK)
-	if answer, err := s.stores["a"].peek(s.ctx(), &peekRequest{To: s.to("a", "a"), Name: "config"}); err != nil || string(answer.Value) != "old" {
+	if answer, err := s.stores["a"].readAccepted(s.ctx(), &readAcceptedRequest{To: s.to("a", "a"), Name: "config"}); err != nil || string(answer.Value) != "old" {
 		t.Errorf("the replaced replica has not heard of it yet: %v", err)
 	}
-	_, err := s.stores["b"].peek(s.ctx(), &peekRequest{To: toB, Name: "config"})
+	_, err := s.stores["b"].readAccepted(s.ctx(), &readAcceptedRequest{To: toB, Name: "config"})
 	s.wantCode(err, result.EpochOutdated)
 }
 
 // Finding 3: ballots of two lives of a disk, and of two disks at one address, differ, and the counter is restored.
-func TestBallotsAreUniqueOverLives(t *testing.T) {
+func TestBallotsAreUniqueAcrossIncarnations(t *testing.T) {
 	s := newSite(t)
 	to := s.to("a", "a")
 	first := s.stores["a"].proposer()
@@ -352,12 +352,12 @@
 }
 
 // What was applied and is not durable yet is told to nobody: a loss of power may undo it.
-func TestOnlyWhatIsDurableIsTold(t *testing.T) {
+func TestOnlyDurableStateIsAcknowledged(t *testing.T) {
 	s := newSite(t)
 	st := s.stores["a"]
 	st.log.Close()
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "value"), result.StorageFailed)
-	_, err := st.peek(s.ctx(), &peekRequest{To: s.to("a", "a"), Name: "config"})
+	_, err := st.readAccepted(s.ctx(), &readAcceptedRequest{To: s.to("a", "a"), Name: "config"})
 	s.wantCode(err, result.StorageFailed)
 	_, err = st.state(s.ctx(), &stateRequest{To: s.to("a", "a")})
 	s.wantCode(err, result.StorageFailed)
--- a/internal/system/core/watch.go
+++ b/internal/system/core/watch.go
@@ -59,7 +59,7 @@
 // else whole. Each patch is worked out once. The lock is held.
 func (c *Core) configSince(version int64) (text []byte, base int64) {
 	whole := c.config.record.Text
-	for _, past := range c.past {
+	for _, past := range c.previousConfigs {
 		if past.Version != version {
 			continue
 		}
@@ -84,7 +84,7 @@
 		}
 	}
 	for name, o := range c.owners {
-		if o.active() && o.fresh() {
+		if o.active() && o.leaseValid() {
 			consider(name, c.address, o.token)
 		}
 	}
--- a/internal/system/directory/directory.go
+++ b/internal/system/directory/directory.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	watchWait    = 500 * time.Millisecond
-	watchTimeout = watchWait + 400*time.Millisecond
-	retryPause   = 60 * time.Millisecond
+	longPollDuration = 500 * time.Millisecond
+	watchTimeout     = longPollDuration + 400*time.Millisecond
+	retryBackoff     = 60 * time.Millisecond
 )
 
 // Directory is what a scheduler knows of the system.
@@ -30,15 +30,15 @@
 	logger     logr.Logger
 	wantConfig bool
 
-	mu      sync.Mutex
-	cores   []string
-	owners  map[string]api.Owner
-	digest  int64
-	table   *clusterconfig.Table
-	text    []byte // the configuration as it came
-	version int64
-	fresh   time.Time // when the newest confirmed answer was asked for
-	changed chan struct{}
+	mu          sync.Mutex
+	cores       []string
+	owners      map[string]api.Owner
+	digest      int64
+	table       *clusterconfig.Table
+	text        []byte // the configuration as it came
+	version     int64
+	confirmedAt time.Time // when the newest confirmed answer was asked for
+	changed     chan struct{}
 }
 
 // New returns a Directory that knows the seeds. Configurations are told only where they are wanted.
@@ -61,7 +61,7 @@
 		next++
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryBackoff):
 		}
 	}
 }
@@ -84,9 +84,9 @@
 	d.mu.Lock()
 	request := &api.WatchRequest{
 		Node: d.process.Settings.Node, ConfigVersion: d.version, WantConfig: d.wantConfig, OwnersDigest: d.digest,
-		WaitMS: watchWait.Milliseconds(),
+		WaitMS: longPollDuration.Milliseconds(),
 	}
-	stale := time.Since(d.fresh) > watchTimeout
+	stale := time.Since(d.confirmedAt) > watchTimeout
 	d.mu.Unlock()
 	if stale {
 		request.WaitMS = 0
@@ -96,14 +96,14 @@
 	sentAt := time.Now()
 	answer := &api.WatchResponse{}
 	if err := d.process.Client.Call(call, home, api.MethodWatch, request, answer); err != nil {
-		d.logger.V(1).Info("core scheduler not heard", "address", home, "error", err.Error())
+		d.logger.V(1).Info("core scheduler unreachable", "address", home, "error", err.Error())
 		return false
 	}
-	d.take(answer, sentAt)
+	d.apply(answer, sentAt)
 	return answer.Fresh
 }
 
-func (d *Directory) take(answer *api.WatchResponse, sentAt time.Time) {
+func (d *Directory) apply(answer *api.WatchResponse, sentAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(answer.Cores) > 0 {
@@ -116,17 +116,17 @@
 	}
 	d.digest = answer.OwnersDigest
 	if answer.ConfigVersion > d.version {
-		d.useConfig(answer)
+		d.applyConfig(answer)
 	}
 	if answer.Fresh && answer.ConfigVersion >= d.version {
-		d.fresh = sentAt
+		d.confirmedAt = sentAt
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// useConfig takes a newer configuration, whole. The lock is held.
-func (d *Directory) useConfig(answer *api.WatchResponse) {
+// applyConfig takes a newer configuration, whole. The lock is held.
+func (d *Directory) applyConfig(answer *api.WatchResponse) {
 	if !d.wantConfig {
 		d.version = answer.ConfigVersion
 		return
@@ -134,24 +134,24 @@
 	if len(answer.Config) == 0 {
 		return
 	}
-	text, err := d.wholeText(answer)
+	text, err := d.completeText(answer)
 	var config *clusterconfig.Config
 	if err == nil {
 		config, err = clusterconfig.Parse(text)
 	}
 	if err != nil {
-		d.logger.Error(err, "configuration cannot be read", "version", answer.ConfigVersion)
+		d.logger.Error(err, "configuration cannot be decoded", "version", answer.ConfigVersion)
 		d.text, d.version = nil, 0 // the next answer brings it whole
 		return
 	}
 	d.text = text
 	d.table = clusterconfig.NewTable(config)
 	d.version = answer.ConfigVersion
-	d.logger.V(1).Info("configuration in force", "version", d.version)
+	d.logger.V(1).Info("configuration applied", "version", d.version)
 }
 
-// wholeText returns the whole configuration that an answer brings, as a text or as a patch on the one that is known.
-func (d *Directory) wholeText(answer *api.WatchResponse) ([]byte, error) {
+// completeText returns the whole configuration that an answer brings, as a text or as a patch on the one that is known.
+func (d *Directory) completeText(answer *api.WatchResponse) ([]byte, error) {
 	if answer.Base == 0 {
 		return answer.Config, nil
 	}
@@ -165,7 +165,7 @@
 func (d *Directory) Table() (table *clusterconfig.Table, version int64, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.table, d.version, time.Since(d.fresh)
+	return d.table, d.version, time.Since(d.confirmedAt)
 }
 
 // Owner returns the address of a shard's owner, or "", and a channel that is closed when anything changes.
--- a/internal/system/statefile/statefile.go
+++ b/internal/system/statefile/statefile.go
@@ -27,17 +27,17 @@
 	formatVersion  = 2 // of the layout; another one is refused, never taken for an empty disk
 	frameHeader    = 8
 	maxFrame       = 64 << 20
-	compactAfter   = 6 << 20  // bytes of log before a new generation
-	maxQueued      = 48 << 20 // bytes that wait for a slow disk
+	maxLogBytes    = 6 << 20  // bytes of log before a new generation
+	maxQueuedBytes = 48 << 20 // bytes that wait for a slow disk
 	snapshotPrefix = "state-"
 	logPrefix      = "log-"
-	asideSuffix    = ".aside"
+	tempSuffix     = ".aside"
 )
 
 var (
-	crcTable = crc32.MakeTable(crc32.Castagnoli)
-	magic    = []byte("sedgevale-state\x00")
-	endMark  = []byte("end")
+	crcTable  = crc32.MakeTable(crc32.Castagnoli)
+	magic     = []byte("sedgevale-state\x00")
+	endMarker = []byte("end")
 )
 
 // ErrQueueFull tells that the disk is too slow for more.
@@ -51,16 +51,16 @@
 	dir      string
 	snapshot func(emit func([]byte) error) error
 
-	mu     sync.Mutex
-	queue  []*Ticket
-	queued int
-	closed bool
-	wake   chan struct{}
+	mu          sync.Mutex
+	queue       []*Ticket
+	queuedBytes int
+	closed      bool
+	wake        chan struct{}
 
 	// Of the writer alone.
-	generation int64
-	file       *os.File
-	written    int64
+	generation   int64
+	file         *os.File
+	writtenBytes int64
 }
 
 // Ticket is an append under way.
@@ -104,13 +104,13 @@
 		close(t.done)
 		return t
 	}
-	if l.queued > maxQueued {
+	if l.queuedBytes > maxQueuedBytes {
 		t.err = ErrQueueFull
 		close(t.done)
 		return t
 	}
 	l.queue = append(l.queue, t)
-	l.queued += len(payload)
+	l.queuedBytes += len(payload)
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -133,7 +133,7 @@
 		l.mu.Lock()
 		batch := l.queue
 		l.queue = nil
-		l.queued = 0
+		l.queuedBytes = 0
 		l.mu.Unlock()
 		if len(batch) == 0 {
 			continue
@@ -148,7 +148,7 @@
 
 // commit makes a batch durable, by a new generation where the log is long or a write to it has failed.
 func (l *Log) commit(batch []*Ticket) error {
-	if l.file == nil || l.written > compactAfter {
+	if l.file == nil || l.writtenBytes > maxLogBytes {
 		return l.rotate()
 	}
 	var buffer []byte
@@ -164,7 +164,7 @@
 		l.file = nil
 		return fmt.Errorf("statefile: %w", err)
 	}
-	l.written += int64(len(buffer))
+	l.writtenBytes += int64(len(buffer))
 	return nil
 }
 
@@ -180,7 +180,7 @@
 	if err := l.writeSnapshot(next); err != nil {
 		return fmt.Errorf("statefile: snapshot %d: %w", next, err)
 	}
-	file, err := os.OpenFile(filepath.Join(l.dir, name(logPrefix, next)), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
+	file, err := os.OpenFile(filepath.Join(l.dir, fileName(logPrefix, next)), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 	if err == nil {
 		err = file.Sync()
 	}
@@ -195,13 +195,13 @@
 	}
 	l.file = file
 	l.generation = next
-	l.written = 0
+	l.writtenBytes = 0
 	l.removeBelow(next)
 	return nil
 }
 
 func (l *Log) writeSnapshot(generation int64) error {
-	aside := filepath.Join(l.dir, name(snapshotPrefix, generation)+asideSuffix)
+	aside := filepath.Join(l.dir, fileName(snapshotPrefix, generation)+tempSuffix)
 	file, err := os.Create(aside)
 	if err != nil {
 		return err
@@ -216,14 +216,14 @@
 	if err != nil {
 		return err
 	}
-	buffer = appendFrame(buffer, endMark)
+	buffer = appendFrame(buffer, endMarker)
 	if _, err := file.Write(buffer); err != nil {
 		return err
 	}
 	if err := file.Sync(); err != nil {
 		return err
 	}
-	if err := os.Rename(aside, strings.TrimSuffix(aside, asideSuffix)); err != nil {
+	if err := os.Rename(aside, strings.TrimSuffix(aside, tempSuffix)); err != nil {
 		return err
 	}
 	return syncDir(l.dir)
@@ -252,10 +252,12 @@
 	}
 }
 
-func name(prefix string, generation int64) string { return fmt.Sprintf("%s%08d", prefix, generation) }
+func fileName(prefix string, generation int64) string {
+	return fmt.Sprintf("%s%08d", prefix, generation)
+}
 
 func generationOf(file string) (int64, bool) {
-	file = strings.TrimSuffix(file, asideSuffix)
+	file = strings.TrimSuffix(file, tempSuffix)
 	for _, prefix := range []string{snapshotPrefix, logPrefix} {
 		if digits, ok := strings.CutPrefix(file, prefix); ok {
 			n, err := strconv.ParseInt(digits, 10, 64)
@@ -280,7 +282,7 @@
 		}
 		newest = max(newest, generation)
 		switch {
-		case strings.HasSuffix(entry.Name(), asideSuffix):
+		case strings.HasSuffix(entry.Name(), tempSuffix):
 		case strings.HasPrefix(entry.Name(), snapshotPrefix):
 			snapshots = append(snapshots, generation)
 		default:
@@ -291,7 +293,7 @@
 	sort.Slice(logs, func(i, j int) bool { return logs[i] < logs[j] })
 	from := int64(0)
 	for _, generation := range snapshots {
-		path := filepath.Join(dir, name(snapshotPrefix, generation))
+		path := filepath.Join(dir, fileName(snapshotPrefix, generation))
 		if err := checkLayout(path); err != nil {
 			return newest, err
 		}
@@ -314,7 +316,7 @@
 		if generation < from {
 			continue
 		}
-		payloads, _ := readFrames(filepath.Join(dir, name(logPrefix, generation)), 0)
+		payloads, _ := readFrames(filepath.Join(dir, fileName(logPrefix, generation)), 0)
 		for _, payload := range payloads {
 			if err := replay(payload); err != nil {
 				return newest, fmt.Errorf("statefile: log %d: %w", generation, err)
@@ -356,7 +358,7 @@
 		return nil, false
 	}
 	payloads, _ := readFrames(path, int64(len(head)))
-	if len(payloads) == 0 || string(payloads[len(payloads)-1]) != string(endMark) {
+	if len(payloads) == 0 || string(payloads[len(payloads)-1]) != string(endMarker) {
 		return nil, false
 	}
 	return payloads[:len(payloads)-1], true
@@ -409,7 +411,7 @@
 			continue
 		}
 		info := inspectFile(dir, entry.Name())
-		snapshot := strings.HasPrefix(entry.Name(), snapshotPrefix) && !strings.HasSuffix(entry.Name(), asideSuffix)
+		snapshot := strings.HasPrefix(entry.Name(), snapshotPrefix) && !strings.HasSuffix(entry.Name(), tempSuffix)
 		if snapshot && info.Whole {
 			newest = max(newest, generation)
 		}
@@ -435,7 +437,7 @@
 		return info
 	}
 	payloads, whole := readSnapshot(path)
-	info.Frames, info.Whole = len(payloads), whole && !strings.HasSuffix(file, asideSuffix)
+	info.Frames, info.Whole = len(payloads), whole && !strings.HasSuffix(file, tempSuffix)
 	if !whole {
 		info.Torn = info.Bytes
 	}
--- a/internal/system/statefile/statefile_test.go
+++ b/internal/system/statefile/statefile_test.go
@@ -124,7 +124,7 @@
 	m.append(t, l, "a")
 	m.append(t, l, "b")
 	generation := l.generation
-	half := filepath.Join(dir, name(snapshotPrefix, generation+1))
+	half := filepath.Join(dir, fileName(snapshotPrefix, generation+1))
 	if err := os.WriteFile(half, append(slices.Clone(magic), formatVersion, 9, 9), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 	m := &memory{}
 	l := m.open(t, dir)
 	m.append(t, l, "a")
-	snapshot := filepath.Join(dir, name(snapshotPrefix, l.generation))
+	snapshot := filepath.Join(dir, fileName(snapshotPrefix, l.generation))
 	if err := os.Truncate(snapshot, 20); err != nil {
 		t.Fatal(err)
 	}
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -32,15 +32,15 @@
 mutate "learners count in shards" coord/shard/primary.go 's/if one\.votes/if true/'
 mutate "a repair makes a voter at once" coord/shard/replica.go 's/r\.Voter = r\.Voter \|\| r\.Trusted/r.Voter = true/'
 mutate "a seat held anew is trusted" internal/system/core/store_membership.go 's/replica\.Forget\(\)/_ = replica/'
-mutate "lives share ballots" internal/system/core/store.go 's/s\.identity\.ID \+ "#" \+ strconv\.FormatInt\(s\.identity\.Life, 10\)/s.address + strconv.Itoa(0)/'
+mutate "lives share ballots" internal/system/core/store.go 's/s\.identity\.ID \+ "#" \+ strconv\.FormatInt\(s\.identity\.Incarnation, 10\)/s.address + strconv.Itoa(0)/'
 mutate "the counter starts at zero" internal/system/core/store.go 's/highest = max\(highest, a\.Promised/highest = min(highest, a.Promised/'
 mutate "what is not durable is told" internal/system/core/store.go 's/if last == nil \{/if true {/'
 mutate "a half-made change is finished by whoever overrides it" coord/membership/membership.go 's/current\.Epoch > installed\.Epoch && current\.Base != installed\.Epoch/current.Epoch > installed.Epoch/'
 mutate "two voters give way" coord/membership/membership.go 's/if left < m\.Quorum\(\)/if left < 1/'
-mutate "a late machine builds its membership" internal/system/core/store.go 's/if bootstrap \{\s+s\.beginFirst\(first\)\s+\}/s.membership = first.Clone()/'
-mutate "old orders are refused" internal/system/core/config.go 's/o\.match < record\.History\[0\]\.Base/false/'
+mutate "a late machine builds its membership" internal/system/core/store.go 's/if bootstrap \{\s+s\.bootstrapMembership\(first\)\s+\}/s.membership = first.Clone()/'
+mutate "old orders are refused" internal/system/core/config.go 's/o\.baseVersion < record\.History\[0\]\.Base/false/'
 mutate "a call is repeated by the library" internal/system/rpc/rpc.go 's/call\.GetBody = nil/call.Header.Set("Idempotency-Key", "x")/'
-mutate "accepted before it is durable" internal/system/core/jobsapi.go 's/sequence := o\.flush\(\)\n\to\.mu\.Unlock\(\)\n\treturn &api\.Empty\{\}, o\.waitIn\(ctx, sequence\)/o.flush()\n\to.mu.Unlock()\n\treturn &api.Empty{}, nil/'
+mutate "accepted before it is durable" internal/system/core/jobsapi.go 's/sequence := o\.flush\(\)\n\to\.mu\.Unlock\(\)\n\treturn &api\.Empty\{\}, o\.waitCommittedWithin\(ctx, sequence\)/o.flush()\n\to.mu.Unlock()\n\treturn &api.Empty{}, nil/'
 mutate "a change that was taken is refused when it comes again" internal/system/core/config.go 's/if taken\.Digest == o\.digest/if false && taken.Digest == o.digest/'
 mutate "nothing runs beside kept room" jobs/reserve.go 's/kept\.room\(\)\.Holds\(wanted\)/false/' ./jobs
 mutate "what is kept is kept without end" jobs/overdue.go 's/p\.unreserved = idle \|\| u\.job\.lasts\(u\.stage\)/p.unreserved = idle && false/' ./jobs
@@ -50,7 +50,7 @@
 mutate "what cannot run hides what can" jobs/place.go 's/q\.next = more/_ = more/' ./jobs
 mutate "a dropped queue takes jobs after a takeover" jobs/book.go 's/\t\tq\.removed = true\n\t\tb/\t\tb/' ./jobs
 mutate "a start that was ordered counts as begun" jobs/place.go 's/u\.job\.started = true/u.job.started = true; b.noteBegun(u.job)/' ./jobs
-mutate "operators are cut off at a planned end" internal/system/core/core.go 's/c\.drain\(operators\)/_ = operators/' ./internal/system/simulation
+mutate "operators are cut off at a planned end" internal/system/core/core.go 's/c\.shutdownOperatorServer\(operators\)/_ = operators/' ./internal/system/simulation
 mutate "no room is kept for the first priority" jobs/headroom.go 's/h\.others = max\(0, limit-h\.peak\)/h.others = limit/' ./jobs
 mutate "tasks that last wait behind kept room" jobs/headroom.go 's/if u\.job\.lasts\(u\.stage\)/if false/' ./jobs
 mutate "what cannot be in time goes before what can" jobs/queue.go 's/\t\tb\.triage\(now, q, limit\)\n//' ./jobs
