--- a/internal/system/core/admin.go
+++ b/internal/system/core/admin.go
@@ -16,47 +16,47 @@
 	MethodQueues  = "admin.queues"
 )
 
-// MembersRequest asks who is there.
+// MembersRequest asks for the core schedulers that one of them knows.
 type MembersRequest struct{}
 
-// MembersResponse tells it as one core scheduler sees it.
+// MembersResponse is the cluster as one core scheduler sees it.
 type MembersResponse struct {
 	Address       string
 	ConfigVersion int64
-	ConfigFresh   bool // a quorum has confirmed it a moment ago
+	ConfigFresh   bool // a quorum has confirmed it within the last 700 ms
 	Membership    membership.Membership
 	Peers         []PeerInfo
 	Owners        []api.Owner
 }
 
-// PeerInfo tells of another core scheduler.
+// PeerInfo describes another core scheduler.
 type PeerInfo struct {
 	Address string
 	Zone    string
-	HeardMS int64 // since it was last heard; -1 for never
-	Leaving bool
-	Member  string // its disk
+	HeardMS int64  // milliseconds since the last ping that it answered was sent; -1 for never
+	Leaving bool   // it drains
+	Member  string // the ID of its disk
 	Epoch   int64  // of the membership that it knows
 }
 
-// QueuesRequest asks how the shards that a core scheduler owns stand.
+// QueuesRequest asks for the shards that a core scheduler owns.
 type QueuesRequest struct{}
 
-// QueuesResponse tells it.
+// QueuesResponse describes them.
 type QueuesResponse struct {
 	Shards []ShardInfo
 }
 
-// ShardInfo tells of one shard.
+// ShardInfo describes one shard.
 type ShardInfo struct {
 	Shard   string
-	Token   int64
-	Fresh   bool
+	Token   int64 // the owner's fencing token
+	Fresh   bool  // the owner's lease is valid
 	Records int64
-	InStep  int64 // replicas that take writes
+	InStep  int64 // replicas in sync
 	Queues  []jobs.QueueSummary
 	Workers []jobs.WorkerSummary
-	Waiting []jobs.Withheld // units that wait beside room for them
+	Waiting []jobs.Withheld // units that wait despite free capacity
 }
 
 func (c *Core) handleAdmin(server *rpc.Server) {
@@ -68,6 +68,7 @@
 	})
 }
 
+// members describes the core as this scheduler sees it.
 func (c *Core) members() *MembersResponse {
 	answer := &MembersResponse{Address: c.address, ConfigFresh: c.configFresh(), Membership: c.store.currentMembership()}
 	c.mu.Lock()
@@ -80,7 +81,10 @@
 		if address == c.address {
 			continue
 		}
-		info := PeerInfo{Address: address, Zone: p.status.Zone, HeardMS: -1, Leaving: p.status.Draining, Member: p.status.Member, Epoch: p.status.Membership.Epoch}
+		info := PeerInfo{
+			Address: address, Zone: p.status.Zone, HeardMS: -1, Leaving: p.status.Draining, Member: p.status.Member,
+			Epoch: p.status.Membership.Epoch,
+		}
 		if !p.lastHeartbeat.IsZero() {
 			info.HeardMS = time.Since(p.lastHeartbeat).Milliseconds()
 		}
@@ -89,7 +93,7 @@
 	return answer
 }
 
-// shardInfos tells how the shards stand that this scheduler owns.
+// shardInfos describes the shards that this scheduler owns.
 func (c *Core) shardInfos() []ShardInfo {
 	c.mu.Lock()
 	owners := make([]*owner, 0, len(c.owners))
--- a/internal/system/core/config.go
+++ b/internal/system/core/config.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"context"
 	"crypto/sha256"
 	"encoding/binary"
 	"time"
@@ -10,54 +11,60 @@
 	"sedgevale/internal/system/result"
 )
 
-// maxHistory is how many changes are remembered, so that one that is sent again is told from a new one. An order that
-// builds on a version from before them is left without a clear answer: it may have been taken.
-const maxHistory = 512
+const (
+	configRegister = "config" // the name of the configuration's register
 
-// maxPreviousConfigs is how many earlier configurations are kept, to tell subscribers just what differs.
-const maxPreviousConfigs = 8
+	// maxHistory is how many changes are remembered, so that a retry is told from a new change. A change on a version from
+	// before them is answered with result.OutcomeUnknown: it may have been made.
+	maxHistory = 512
+
+	maxPreviousConfigs = 8                      // kept so that subscribers can be sent a patch
+	configFreshnessTTL = 700 * time.Millisecond // how long a quorum's confirmation counts
+)
 
 // configRecord is the value of the configuration's register.
 type configRecord struct {
 	Version int64
-	Text    []byte // as the operator sent it, or as patches made it
-	History []appliedChange
+	Text    []byte          // JSON, as the operator sent it, or with patches applied
+	History []appliedChange // the newest maxHistory changes, the oldest first
 }
 
-// appliedChange names a change that was taken.
+// appliedChange identifies a change that was made.
 type appliedChange struct {
-	Base   int64 // the version that it built on
-	Digest int64 // of the order
+	Base   int64 // the version that it was made on
+	Digest int64 // operatorChange.digest
 }
 
 // configState is the newest configuration that this scheduler knows to be chosen.
 type configState struct {
 	record configRecord
 	config *clusterconfig.Config
-	table  *clusterconfig.Table
 
-	patches map[int64][]byte // that make it of earlier versions, as far as anybody asked; nil for one that is not possible
+	patches map[int64][]byte // by the earlier version to which they apply, computed on demand; nil where there is no patch
 }
 
-// operatorChange is an operator's order.
+// operatorChange is an operator's change of the configuration.
 type operatorChange struct {
 	patch       bool
-	baseVersion int64 // the version that it builds on
-	body        []byte
-	digest      int64
+	baseVersion int64  // the version that it is made on
+	body        []byte // a whole configuration or a patch
+	digest      int64  // identifies it
 }
 
-func newOperatorChange(patch bool, match int64, body []byte) *operatorChange {
+func newOperatorChange(patch bool, baseVersion int64, body []byte) *operatorChange {
 	hash := sha256.New()
 	if patch {
 		hash.Write([]byte("patch "))
 	}
 	hash.Write(body)
-	return &operatorChange{patch: patch, baseVersion: match, body: body, digest: int64(binary.LittleEndian.Uint64(hash.Sum(nil)))}
+	return &operatorChange{
+		patch: patch, baseVersion: baseVersion, body: body, digest: int64(binary.LittleEndian.Uint64(hash.Sum(nil))),
+	}
 }
 
-// apply is the compare-and-swap: it returns the register's next value, or why there is none. A change that
-// was taken before leaves the value as it is and is no error.
+// apply is the compare-and-swap: it returns the register's next value for the current one. A change that was made before
+// leaves the value as it is and is no error. Errors have the codes result.Conflict, result.Invalid and
+// result.OutcomeUnknown, and result.Unavailable where the current value cannot be decoded.
 func (o *operatorChange) apply(current []byte) ([]byte, error) {
 	var record configRecord
 	if current != nil {
@@ -65,8 +72,8 @@
 			return nil, result.Errorf(result.Unavailable, "current configuration: %w", err)
 		}
 	}
-	for _, taken := range record.History {
-		if taken.Digest == o.digest {
+	for _, made := range record.History {
+		if made.Digest == o.digest {
 			return current, nil
 		}
 	}
@@ -101,8 +108,8 @@
 	return avrocodec.Encode(&configRecord{Version: config.Version, Text: text, History: history})
 }
 
-// conflictError is the answer to an order that builds on another version than the current one. Of a version from before the
-// history it is not known which order was taken on it.
+// conflictError is the answer to a change that is made on another version than the current one. Which change was made on a
+// version from before the history is not known.
 func (o *operatorChange) conflictError(record *configRecord) error {
 	if len(record.History) == maxHistory && o.baseVersion < record.History[0].Base {
 		return result.Errorf(result.OutcomeUnknown, "If-Match: version %d is current; what was taken on %d is not known any more",
@@ -111,7 +118,7 @@
 	return result.Errorf(result.Conflict, "If-Match: version %d is current, %d came", record.Version, o.baseVersion)
 }
 
-// applyConfig takes a newer configuration. The lock is held.
+// applyConfig puts a newer configuration in force. c.mu is held.
 func (c *Core) applyConfig(value []byte) {
 	state := &configState{patches: map[int64][]byte{}}
 	if err := avrocodec.Decode(value, &state.record); err != nil {
@@ -130,7 +137,6 @@
 		}
 	}
 	state.config = config
-	state.table = clusterconfig.NewTable(config)
 	c.config = state
 	for _, o := range c.owners {
 		o.configure(state)
@@ -145,9 +151,25 @@
 	return c.config
 }
 
-const configFreshnessTTL = 700 * time.Millisecond // a quorum's word counts for so long
+// ReadConfig implements controlplane.ConfigStore.
+func (c *Core) ReadConfig(ctx context.Context) ([]byte, error) {
+	if err := c.read(ctx, configRegister); err != nil {
+		return nil, result.Errorf(result.Unavailable, "no quorum: %w", err)
+	}
+	state := c.currentConfig()
+	if state == nil {
+		return nil, result.Errorf(result.NotReady, "no configuration yet")
+	}
+	return state.record.Text, nil
+}
+
+// ChangeConfig implements controlplane.ConfigStore.
+func (c *Core) ChangeConfig(ctx context.Context, patch bool, baseVersion int64, body []byte) error {
+	_, err := c.propose(ctx, configRegister, newOperatorChange(patch, baseVersion, body).apply)
+	return err
+}
 
-// configFresh reports whether a quorum has confirmed the configuration a moment ago.
+// configFresh reports whether a quorum has confirmed the configuration within configFreshnessTTL.
 func (c *Core) configFresh() bool {
 	return time.Since(c.confirmedAt(configRegister)) < configFreshnessTTL
 }
--- a/internal/system/core/core.go
+++ b/internal/system/core/core.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"maps"
 	"math/rand/v2"
 	"net/http"
@@ -13,6 +14,7 @@
 
 	"sedgevale/coord/membership"
 	"sedgevale/coord/register"
+	"sedgevale/internal/system/core/controlplane"
 	"sedgevale/internal/system/node"
 	"sedgevale/internal/system/rpc"
 	"sedgevale/internal/system/settings"
@@ -26,24 +28,24 @@
 	client   *rpc.Client
 	store    *store
 	address  string
-	proposer string // names this life of the disk in ballots
-	seeds    func() []string
+	proposer string          // names this incarnation of the disk in ballots
+	seeds    func() []string // the addresses of the seeds as the settings name them by now
 	timing   workeragent.Timing
 	started  time.Time
 
+	// mu guards the fields below and all of each peerState. It is taken before owner.mu and never held over a call.
 	mu                sync.Mutex
-	peers             map[string]*peerState
-	learned           map[string]chosenValue // registers as far as they are known to be chosen
-	config            *configState
-	previousConfigs   []configRecord // the configurations before it, the oldest first
-	owners            map[string]*owner
-	changed           chan struct{} // closed when what watchers are told changes
-	ballotCounter     int64         // the highest ballot counter that was met
-	draining          bool
-	readsInFlight     map[string]bool
-	takeoverNotBefore map[string]time.Time // when an attempt may be made again
-
-	drainingSince time.Time // when this scheduler was told to end
+	peers             map[string]*peerState  // by address
+	learned           map[string]chosenValue // by register, as far as values are known to be chosen; ballots only rise
+	config            *configState           // nil before the first configuration
+	previousConfigs   []configRecord         // those before config, the oldest first; at most maxPreviousConfigs
+	owners            map[string]*owner      // by shard
+	changed           chan struct{}          // closed and made anew when what watchers are sent changes
+	ballotCounter     int64                  // the highest ballot counter that was met; never falls
+	readsInFlight     map[string]bool        // by register
+	takeoverNotBefore map[string]time.Time   // by shard, when another attempt may be made
+	draining          bool                   // never reset
+	drainingSince     time.Time
 }
 
 // chosenValue is a register's value that a majority has accepted.
@@ -52,7 +54,8 @@
 	value  []byte
 }
 
-// Run serves until the context ends.
+// Run is the role of a core machine: it serves until the context ends, and then drains, unless the cause of the end is
+// node.ErrKilled. It returns an error where the disk cannot be opened or an address cannot be listened on.
 func Run(ctx context.Context, process *node.Process) error {
 	s := process.Settings
 	first := membership.First(seatsFor(s.FaultTolerance, len(s.Seeds)), s.SeedAddresses())
@@ -61,31 +64,16 @@
 		return err
 	}
 	defer store.log.Close()
-	c := &Core{
-		settings: s, logger: process.Logger, client: process.Client, store: store, address: s.InternalAddress(),
-		timing: node.Timing(s), started: time.Now(),
-		peers: map[string]*peerState{}, learned: map[string]chosenValue{}, owners: map[string]*owner{},
-		changed: make(chan struct{}), readsInFlight: map[string]bool{}, takeoverNotBefore: map[string]time.Time{},
-		proposer: store.proposer(), ballotCounter: store.highestBallot(),
-		seeds: func() []string { return process.Current().SeedAddresses() },
-	}
-	server := rpc.NewServer()
-	c.handleRegisters(server)
-	c.handleShards(server)
-	c.handlePeers(server)
-	c.handleMembership(server)
-	c.handleWatch(server)
-	c.handleJobs(server)
-	c.handleAdmin(server)
+	c := newCore(process, store)
 	process.Measure(collector{c})
-	if err := process.Listen(c.address, server.Handler()); err != nil {
+	if err := process.Listen(c.address, c.internalHandler()); err != nil {
 		return err
 	}
-	operators, err := process.ListenServer(s.BindAddrs.ControlPlane, &http.Server{Handler: c.operatorHandler()})
+	operators, err := process.ListenServer(s.BindAddrs.ControlPlane, &http.Server{Handler: controlplane.Handler(c, c.logger)})
 	if err != nil {
 		return err
 	}
-	running, stop := context.WithCancel(context.Background())
+	running, stop := context.WithCancel(context.WithoutCancel(ctx)) // the loops go on while this scheduler drains
 	defer stop()
 	go c.pingLoop(running)
 	go c.ownershipLoop(running)
@@ -93,14 +81,39 @@
 	go c.followMembership(running)
 	<-ctx.Done()
 	c.closeOwners()
-	if context.Cause(ctx) != node.ErrKilled {
-		c.drain()
-		c.shutdownOperatorServer(operators)
+	if !errors.Is(context.Cause(ctx), node.ErrKilled) {
+		c.drain(running)
+		c.shutdownOperatorServer(running, operators)
 	}
 	return nil
 }
 
-// followMembership has what depends on the membership look at a newer one at once.
+func newCore(process *node.Process, store *store) *Core {
+	s := process.Settings
+	return &Core{
+		settings: s, logger: process.Logger, client: process.Client, store: store, address: s.InternalAddress(),
+		timing: node.Timing(s), started: time.Now(),
+		peers: map[string]*peerState{}, learned: map[string]chosenValue{}, owners: map[string]*owner{},
+		changed: make(chan struct{}), readsInFlight: map[string]bool{}, takeoverNotBefore: map[string]time.Time{},
+		proposer: store.proposer(), ballotCounter: store.highestBallot(),
+		seeds: func() []string { return process.Current().SeedAddresses() },
+	}
+}
+
+// internalHandler serves the internal protocol.
+func (c *Core) internalHandler() http.Handler {
+	server := rpc.NewServer()
+	c.handleRegisters(server)
+	c.handleShards(server)
+	c.handlePeers(server)
+	c.handleMembership(server)
+	c.handleWatch(server)
+	c.handleJobs(server)
+	c.handleAdmin(server)
+	return server.Handler()
+}
+
+// followMembership has the replicators of all owned shards look at a newer membership at once.
 func (c *Core) followMembership(ctx context.Context) {
 	for {
 		select {
@@ -119,30 +132,24 @@
 	}
 }
 
-// currentSeeds returns the addresses of the seeds as the settings name them by now.
-func (c *Core) currentSeeds() []string { return c.seeds() }
-
-// seatsFor returns how many seats bear the losses that a deployment names. Where a zone or a region may go, three are the
-// least; that they stand in different ones is up to the seeds. The seeds of the first start are all that vote then, so
-// that there are no more seats than they make a quorum of.
+// seatsFor returns how many seats tolerate the failures that a deployment names. Where a zone or a region may fail, there
+// are at least three; that they stand in different ones is up to the seeds. Only the seeds of the first start vote at
+// first, so there are no more seats than they are a quorum of.
 func seatsFor(t settings.FaultTolerance, seeds int) int {
-	lost := t.Machines
+	failures := t.Machines
 	if t.Zones > 0 || t.Regions > 0 {
-		lost = max(lost, 1)
+		failures = max(failures, 1)
 	}
-	return min(2*lost+1, 2*seeds-1)
+	return min(2*failures+1, 2*seeds-1)
 }
 
-// notifyWatchers wakes those who wait for a change of what watchers are told. The lock is held.
+// notifyWatchers wakes those who wait for a change of what watchers are sent. c.mu is held.
 func (c *Core) notifyWatchers() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// jitter returns a random time of up to the given one.
-func jitter(most time.Duration) time.Duration { return time.Duration(rand.Int64N(int64(most) + 1)) }
-
-// coreAddresses returns all core schedulers that are known, sorted. The lock is held.
+// coreAddresses returns the addresses of all known core schedulers, sorted, this one's included. c.mu is held.
 func (c *Core) coreAddresses() []string {
 	addresses := []string{c.address}
 	for address, p := range c.peers {
@@ -153,3 +160,20 @@
 	slices.Sort(addresses)
 	return addresses
 }
+
+// jitter returns a random duration from 0 to the maximum.
+func jitter(maximum time.Duration) time.Duration {
+	return time.Duration(rand.Int64N(int64(maximum) + 1))
+}
+
+// sleep waits for a duration or until the context ends. It reports whether the context still lasts.
+func sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return ctx.Err() == nil
+	case <-ctx.Done():
+		return false
+	}
+}
--- a/internal/system/core/leaving_test.go
+++ b/internal/system/core/draining_test.go
@@ -8,7 +8,7 @@
 	"sedgevale/internal/system/clusterconfig"
 )
 
-// A member that leaves waits for the word of an owner that knew of it: before, the owner counted the leaving one too.
+// A member that drains waits for a claim of an owner that knew of it: before, the owner counted the draining one too.
 func TestDrainingMemberWaitsForAFreshClaim(t *testing.T) {
 	s := newSite(t)
 	since := time.Now().Add(-time.Second / 2)
@@ -17,8 +17,8 @@
 	hear := func(address string, after time.Duration, claims ...ownershipClaim) {
 		c.peers[address] = &peerState{known: true, lastHeartbeat: since.Add(after), status: pingMessage{Address: address, Claims: claims}}
 	}
-	owned := func(inStep int64) ownershipClaim {
-		return ownershipClaim{Shard: "s", Token: 2, Fresh: true, InSync: inStep}
+	owned := func(inSync int64) ownershipClaim {
+		return ownershipClaim{Shard: "s", Token: 2, Fresh: true, InSync: inSync}
 	}
 	cases := []struct {
 		name  string
@@ -26,9 +26,9 @@
 		in    int64
 		want  bool
 	}{
-		{"the owner's word is from before", -time.Millisecond, 2, false},
-		{"one that stays is not in step", 100 * time.Millisecond, 1, false},
-		{"all that stay are in step", 100 * time.Millisecond, 2, true},
+		{"the claim is from before", -time.Millisecond, 2, false},
+		{"one that stays is not in sync", 100 * time.Millisecond, 1, false},
+		{"all that stay are in sync", 100 * time.Millisecond, 2, true},
 	}
 	for _, one := range cases {
 		hear("b", one.heard, owned(one.in))
@@ -50,10 +50,10 @@
 		t.Fatal(err)
 	}
 	if c.safeToStop() {
-		t.Error("it ends before its successor is in step")
+		t.Error("it ends before its successor is in sync")
 	}
 	hear("b", 100*time.Millisecond, owned(3))
 	if !c.safeToStop() {
-		t.Error("it goes on though all that stay are in step")
+		t.Error("it goes on though all that stay are in sync")
 	}
 }
--- a/internal/system/core/inspect.go
+++ b/internal/system/core/inspect.go
@@ -4,34 +4,38 @@
 	"fmt"
 	"io"
 	"sort"
+	"strings"
 
 	"sedgevale/internal/avrocodec"
 	"sedgevale/internal/system/statefile"
 )
 
-// Describe writes what the state directory of a stopped core scheduler holds. It changes nothing there.
+// Describe writes what the state directory of a stopped core scheduler holds, in lines of text. It changes nothing there.
 func Describe(dir string, out io.Writer) error {
 	s := newStore("")
+	var text strings.Builder
 	if _, err := statefile.Replay(dir, s.replay); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "disk %s of %s, life %d, joined in epoch %d\n", s.identity.ID, s.identity.Address, s.identity.Incarnation, s.identity.Joined)
-	fmt.Fprintf(out, "epoch %d of deployment %s\n", s.membership.Epoch, s.membership.Deployment)
+	fmt.Fprintf(&text, "disk %s of %s, life %d, joined in epoch %d\n", s.identity.ID, s.identity.Address, s.identity.Incarnation, s.identity.Joined)
+	fmt.Fprintf(&text, "epoch %d of deployment %s\n", s.membership.Epoch, s.membership.Deployment)
 	for i, member := range s.membership.Seats {
-		fmt.Fprintf(out, "seat %d: disk %s at %s since epoch %d, voter %t\n", i, member.ID, member.Address, member.Since, member.Voter)
+		fmt.Fprintf(&text, "seat %d: disk %s at %s since epoch %d, voter %t\n", i, member.ID, member.Address, member.Since, member.Voter)
 	}
 	for _, name := range sortedKeys(s.registers) {
 		a := s.registers[name]
-		fmt.Fprintf(out, "register %s: promised %d, accepted %d by %s, %d bytes%s\n", name, a.Promised.Counter,
+		fmt.Fprintf(&text, "register %s: promised %d, accepted %d by %s, %d bytes%s\n", name, a.Promised.Counter,
 			a.Accepted.Counter, a.Accepted.Proposer, len(a.Value), versionOf(name, a.Value))
 	}
 	for _, name := range sortedKeys(s.replicas) {
 		r := s.replicas[name]
-		fmt.Fprintf(out, "shard %s: token %d, in step with %d, votes %t, %d records\n", name, r.Sealed, r.InStep, r.Voter, r.Set.Len())
+		fmt.Fprintf(&text, "shard %s: token %d, in step with %d, votes %t, %d records\n", name, r.Sealed, r.InStep, r.Voter, r.Set.Len())
 	}
-	return nil
+	_, err := io.WriteString(out, text.String())
+	return err
 }
 
+// versionOf returns the version in a value of the configuration's register, as text; nothing for other registers.
 func versionOf(name string, value []byte) string {
 	var record configRecord
 	if name != configRegister || avrocodec.Decode(value, &record) != nil {
--- a/internal/system/core/jobsapi.go
+++ b/internal/system/core/jobsapi.go
@@ -2,17 +2,10 @@
 
 import (
 	"context"
-	"time"
 
 	"sedgevale/internal/system/api"
 	"sedgevale/internal/system/result"
 	"sedgevale/internal/system/rpc"
-	"sedgevale/jobs"
-)
-
-const (
-	commitTimeout = 2500 * time.Millisecond
-	orderTimeout  = 700 * time.Millisecond
 )
 
 func (c *Core) handleJobs(server *rpc.Server) {
@@ -23,7 +16,8 @@
 	rpc.Handle(server, api.MethodReport, c.report)
 }
 
-// activeOwner returns the owner of a shard on this scheduler, if a quorum has confirmed it a moment ago.
+// activeOwner returns the owner of a shard on this scheduler, if its lease is valid. Its error has the code result.NotOwner
+// or result.NotReady.
 func (c *Core) activeOwner(name string) (*owner, error) {
 	c.mu.Lock()
 	o := c.owners[name]
@@ -37,7 +31,7 @@
 	return o, nil
 }
 
-// catchUp makes sure that the configuration here is not older than the caller's.
+// catchUp reads the configuration's register if the configuration here is older than the caller's.
 func (c *Core) catchUp(ctx context.Context, version int64) error {
 	state := c.currentConfig()
 	if state != nil && state.record.Version >= version {
@@ -49,6 +43,7 @@
 	return nil
 }
 
+// submit takes a job, and answers once it is committed. A job that is committed already is acknowledged again.
 func (c *Core) submit(ctx context.Context, r *api.SubmitRequest) (*api.Empty, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
@@ -77,16 +72,10 @@
 	}
 	sequence := o.flush()
 	o.mu.Unlock()
-	return &api.Empty{}, o.waitCommittedWithin(ctx, sequence)
-}
-
-// waitCommittedWithin waits for a change to be durable, with a bound of its own.
-func (o *owner) waitCommittedWithin(ctx context.Context, sequence int64) error {
-	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
-	defer cancel()
-	return o.waitCommitted(ctx, sequence)
+	return &api.Empty{}, o.waitCommitted(ctx, sequence)
 }
 
+// status returns a job's state. It waits for the commit of a state that is not yet durable.
 func (c *Core) status(ctx context.Context, r *api.JobRequest) (*api.JobResponse, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
@@ -97,7 +86,7 @@
 	sequence := o.primary.Sequence()
 	o.mu.Unlock()
 	if uncertain {
-		if err := o.waitCommittedWithin(ctx, sequence); err != nil {
+		if err := o.waitCommitted(ctx, sequence); err != nil {
 			return nil, err
 		}
 	}
@@ -110,6 +99,7 @@
 	return &api.JobResponse{State: string(state)}, nil
 }
 
+// cancel cancels a job, and answers once that is committed.
 func (c *Core) cancel(ctx context.Context, r *api.JobRequest) (*api.Empty, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
@@ -122,9 +112,10 @@
 	if !known {
 		return nil, result.Errorf(result.NoJob, "no job %s", r.ID)
 	}
-	return &api.Empty{}, o.waitCommittedWithin(ctx, sequence)
+	return &api.Empty{}, o.waitCommitted(ctx, sequence)
 }
 
+// pending returns how many jobs of a queue have no task at work yet.
 func (c *Core) pending(_ context.Context, r *api.PendingRequest) (*api.PendingResponse, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
@@ -135,7 +126,8 @@
 	return &api.PendingResponse{Pending: int64(o.scheduler.Pending(r.Queue))}, nil
 }
 
-// report takes what a side agent tells and grants it a lease.
+// report takes a side agent's heartbeat and renews its lease. A heartbeat outside the current session changes nothing, and
+// is answered with the session for the next.
 func (c *Core) report(_ context.Context, r *api.ReportRequest) (*api.ReportResponse, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
@@ -151,67 +143,3 @@
 	o.flush()
 	return &api.ReportResponse{Token: o.token, Noted: o.scheduler.Noted(w), Session: name, Accepted: true}, nil
 }
-
-// orderSender tells one side agent what to start and stop.
-type orderSender struct {
-	worker *jobs.Worker
-	wake   chan struct{}
-}
-
-func (s *orderSender) wakeUp() {
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
-}
-
-// orderSenderFor returns the link to a worker's side agent. The lock is held.
-func (o *owner) orderSenderFor(w *jobs.Worker) *orderSender {
-	s := o.orderSenders[w.Ref]
-	if s == nil || s.worker != w {
-		s = &orderSender{worker: w, wake: make(chan struct{}, 1)}
-		o.orderSenders[w.Ref] = s
-		go o.sendOrdersLoop(s)
-	}
-	return s
-}
-
-// sendOrdersLoop sends orders to a side agent, one call at a time, for as long as its worker is known.
-func (o *owner) sendOrdersLoop(s *orderSender) {
-	sentNoted := int64(0)
-	for {
-		select {
-		case <-s.wake:
-		case <-o.ctx.Done():
-			return
-		}
-		o.mu.Lock()
-		if o.scheduler.Worker(s.worker.Ref) != s.worker {
-			delete(o.orderSenders, s.worker.Ref)
-			o.mu.Unlock()
-			return
-		}
-		var orders *jobs.Orders
-		if o.leaseValidLocked() {
-			orders = o.scheduler.Orders(o.monotonicNow(), s.worker, sentNoted)
-		}
-		o.mu.Unlock()
-		if orders == nil {
-			continue
-		}
-		if o.sendOrders(s.worker.Side, orders) == nil {
-			sentNoted = orders.Noted
-		}
-	}
-}
-
-func (o *owner) sendOrders(address string, orders *jobs.Orders) error {
-	ctx, cancel := context.WithTimeout(o.ctx, orderTimeout)
-	defer cancel()
-	request := &api.OrdersRequest{Token: o.token, Orders: *orders}
-	err := o.core.client.Call(ctx, address, api.MethodOrders, request, &api.Empty{})
-	if err != nil {
-		o.core.logger.V(1).Info("sending orders failed", "side", address, "error", err.Error())
-	}
-	return err
-}
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	silentMemberTimeout = 2200 * time.Millisecond // a seat whose holder was silent for so long may be given away
+	silentMemberTimeout = 2200 * time.Millisecond // after which a member's seat may be given away
 	joinInterval        = 120 * time.Millisecond
 	joinTimeout         = 1500 * time.Millisecond
 	prefetchTimeout     = 900 * time.Millisecond
@@ -27,7 +27,7 @@
 	})
 }
 
-// memberTimedOut reports whether a member has not been heard here for so long that its seat may be given away.
+// memberTimedOut reports whether a member has not answered this scheduler for silentMemberTimeout, or drains.
 func (c *Core) memberTimedOut(id, address string) bool {
 	if address == c.address {
 		own, _, _ := c.store.self()
@@ -41,16 +41,15 @@
 	return time.Since(c.started) > silentMemberTimeout
 }
 
-// joinLoop has this scheduler seek a seat that nobody holds, that its own lost disk held or whose holder is gone, and
+// joinLoop has this scheduler take a seat that nobody holds, that its own lost disk held or whose holder has timed out, and
 // become a voter there.
 func (c *Core) joinLoop(ctx context.Context) {
-	for ctx.Err() == nil {
-		time.Sleep(joinInterval + jitter(joinInterval))
+	for sleep(ctx, joinInterval+jitter(joinInterval)) {
 		c.mu.Lock()
-		leaving := c.draining
+		draining := c.draining
 		c.mu.Unlock()
 		id, member, seated := c.store.self()
-		if leaving || member.Voter || c.store.currentMembership().Epoch == 0 {
+		if draining || member.Voter || c.store.currentMembership().Epoch == 0 {
 			continue
 		}
 		var err error
@@ -65,7 +64,7 @@
 	}
 }
 
-// freeSeat returns the seat that this scheduler should seek, or -1.
+// freeSeat returns the seat that this scheduler should take, or -1.
 func (c *Core) freeSeat() int {
 	m := c.store.currentMembership()
 	if seat := m.SeatAt(c.address); seat >= 0 {
@@ -83,8 +82,8 @@
 	return free[rand.IntN(len(free))]
 }
 
-// takeSeat has the voters agree that this disk is the learner of a seat. Before it takes the place of a voter it copies what
-// it will have to hold, so that it is a learner for a moment only.
+// takeSeat has the voters agree that this disk is the learner of a seat. Before it replaces a voter it prefetches the shards,
+// so that it is a learner for a short time only.
 func (c *Core) takeSeat(ctx context.Context, seat int, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout+prefetchTimeout)
 	defer cancel()
@@ -115,8 +114,8 @@
 	return p.status.Draining && time.Since(p.lastHeartbeat) <= silentMemberTimeout
 }
 
-// confirmTimedOut asks whether a quorum of the voters have not heard a member either, so that a machine which one link has
-// cut from it does not take its seat.
+// confirmTimedOut asks whether a member has timed out for a quorum of the voters too, so that a machine which a partition
+// separates from that member alone does not take its seat. Its error has the code result.Conflict.
 func (c *Core) confirmTimedOut(ctx context.Context, m membership.Membership, holder membership.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
@@ -140,12 +139,12 @@
 		}
 	}
 	if agreed < m.Quorum() {
-		return result.Errorf(result.Conflict, "%d of %d voters have not heard %s", agreed, asked, holder.Address)
+		return result.Errorf(result.Conflict, "%s has timed out for %d of %d voters", holder.Address, agreed, asked)
 	}
 	return nil
 }
 
-// prefetchShards copies what members store of the shards and this disk does not.
+// prefetchShards copies what voters store of the shards and this disk does not.
 func (c *Core) prefetchShards(ctx context.Context, m membership.Membership) {
 	ctx, cancel := context.WithTimeout(ctx, prefetchTimeout)
 	defer cancel()
@@ -168,7 +167,8 @@
 	}
 }
 
-// changeMembership has a quorum of the voters choose another membership, made on the one of the epoch given.
+// changeMembership has a quorum of the voters choose another membership, derived from that of the epoch given. Its error has
+// the code result.EpochOutdated where another epoch is known by now.
 func (c *Core) changeMembership(ctx context.Context, epoch int64, change membership.Change) error {
 	value, err := c.propose(ctx, membershipRegister, func(current []byte) ([]byte, error) {
 		installed := c.store.currentMembership()
@@ -201,33 +201,18 @@
 	return nil
 }
 
-// becomeVoter has a learner take over what a quorum of the voters hold, and then the voters agree that it is one of
-// them. The voters answer under the epoch that the learner knows, in which it holds its seat already; so nothing can have
-// been chosen without the learner hearing of it here or taking part.
+// becomeVoter has a learner restore what a quorum of the voters hold, and then the voters promote it. The voters answer
+// under the epoch that the learner knows, in which it holds its seat already; so nothing can have been chosen without the
+// learner hearing of it here or taking part.
 func (c *Core) becomeVoter(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	m := c.store.currentMembership()
-	answers, count := broadcast(c, m, m.Voters(), methodState, c.store.state, func(to target) *stateRequest {
-		return &stateRequest{To: to}
-	})
-	var learned []*stateResponse
-	var failed error
-	for range count {
-		a := <-answers
-		if a.err != nil {
-			failed = a.err
-			continue
-		}
-		learned = append(learned, a.response)
-		if len(learned) >= m.Quorum() {
-			break
-		}
-	}
-	if len(learned) < m.Quorum() {
-		return result.Errorf(result.Unavailable, "%d of %d voters told their state, last failure: %w", len(learned), count, failed)
+	states, err := c.quorumStates(ctx, m)
+	if err != nil {
+		return err
 	}
-	if err := c.store.restore(ctx, m.Epoch, learned); err != nil {
+	if err := c.store.restore(ctx, m.Epoch, states); err != nil {
 		return err
 	}
 	c.observeBallot(c.store.highestBallot())
@@ -237,3 +222,27 @@
 	c.logger.Info("promoted to voter", "epoch", c.store.currentMembership().Epoch)
 	return nil
 }
+
+// quorumStates asks the voters for their state until a quorum has answered.
+func (c *Core) quorumStates(ctx context.Context, m membership.Membership) ([]*stateResponse, error) {
+	replies, count := broadcast(ctx, c, m, m.Voters(), methodState, c.store.state, func(to target) *stateRequest {
+		return &stateRequest{To: to}
+	})
+	var states []*stateResponse
+	var lastErr error
+	for range count {
+		r := <-replies
+		if r.err != nil {
+			lastErr = r.err
+			continue
+		}
+		states = append(states, r.response)
+		if len(states) >= m.Quorum() {
+			break
+		}
+	}
+	if len(states) < m.Quorum() {
+		return nil, result.Errorf(result.Unavailable, "%d of %d voters sent their state, last failure: %w", len(states), count, lastErr)
+	}
+	return states, nil
+}
--- a/internal/system/core/metrics.go
+++ b/internal/system/core/metrics.go
@@ -6,7 +6,7 @@
 	"sedgevale/jobs"
 )
 
-// collector tells a metrics endpoint how this scheduler stands at the time of a scrape.
+// collector reports the state of this scheduler at the time of a scrape.
 type collector struct{ core *Core }
 
 var (
@@ -24,7 +24,7 @@
 	workerLimitDesc = prometheus.NewDesc("sedgevale_worker_sigma", "Learned limit of the worker.", []string{"shard", "worker"}, nil)
 )
 
-// Describe names the metrics.
+// Describe implements prometheus.Collector.
 func (m collector) Describe(out chan<- *prometheus.Desc) {
 	for _, one := range []*prometheus.Desc{
 		configVersionDesc, shardRecordsDesc, inSyncReplicasDesc, unfinishedJobsDesc, pendingJobsDesc, queueUsedDesc, queueDemandDesc, queueLimitDesc,
@@ -34,7 +34,7 @@
 	}
 }
 
-// Collect tells their values.
+// Collect implements prometheus.Collector.
 func (m collector) Collect(out chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, value float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
@@ -62,15 +62,15 @@
 	}
 }
 
-// unschedulableKey is what units that wait beside room are counted by.
+// unschedulableKey is what units that wait despite free capacity are counted by.
 type unschedulableKey struct {
 	queue  string
 	reason jobs.Reason
 }
 
-func countUnschedulable(waiting []jobs.Withheld) map[unschedulableKey]int {
+func countUnschedulable(units []jobs.Withheld) map[unschedulableKey]int {
 	counts := map[unschedulableKey]int{}
-	for _, one := range waiting {
+	for _, one := range units {
 		counts[unschedulableKey{one.Queue, one.Reason}]++
 	}
 	return counts
--- /dev/null
+++ b/internal/system/core/order_sender.go
@@ -0,0 +1,76 @@
+package core
+
+import (
+	"context"
+	"time"
+
+	"sedgevale/internal/system/api"
+	"sedgevale/jobs"
+)
+
+const orderTimeout = 700 * time.Millisecond
+
+// orderSender sends one side agent what to start and stop on a worker.
+type orderSender struct {
+	worker *jobs.Worker
+	wake   chan struct{} // holds at most one signal
+}
+
+// wakeUp has the sender look for orders.
+func (s *orderSender) wakeUp() {
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+// orderSenderFor returns the sender of a worker, started if there is none. o.mu is held.
+func (o *owner) orderSenderFor(w *jobs.Worker) *orderSender {
+	s := o.orderSenders[w.Ref]
+	if s == nil || s.worker != w {
+		s = &orderSender{worker: w, wake: make(chan struct{}, 1)}
+		o.orderSenders[w.Ref] = s
+		o.tasks.run(func(ctx context.Context) { o.sendOrdersLoop(ctx, s) })
+	}
+	return s
+}
+
+// sendOrdersLoop sends orders to a side agent, one call at a time, for as long as its worker is known.
+func (o *owner) sendOrdersLoop(ctx context.Context, s *orderSender) {
+	acknowledged := int64(0) // the highest Orders.Noted that the side agent has received
+	for {
+		select {
+		case <-s.wake:
+		case <-ctx.Done():
+			return
+		}
+		o.mu.Lock()
+		if o.scheduler.Worker(s.worker.Ref) != s.worker {
+			delete(o.orderSenders, s.worker.Ref)
+			o.mu.Unlock()
+			return
+		}
+		var orders *jobs.Orders
+		if o.leaseValidLocked() {
+			orders = o.scheduler.Orders(o.monotonicNow(), s.worker, acknowledged)
+		}
+		o.mu.Unlock()
+		if orders == nil {
+			continue
+		}
+		if o.sendOrders(ctx, s.worker.Side, orders) == nil {
+			acknowledged = orders.Noted
+		}
+	}
+}
+
+func (o *owner) sendOrders(ctx context.Context, address string, orders *jobs.Orders) error {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
+	request := &api.OrdersRequest{Token: o.token, Orders: *orders}
+	err := o.core.client.Call(ctx, address, api.MethodOrders, request, &api.Empty{})
+	if err != nil {
+		o.core.logger.V(1).Info("sending orders failed", "side", address, "error", err.Error())
+	}
+	return err
+}
--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -8,66 +8,58 @@
 
 	"sedgevale/coord/membership"
 	"sedgevale/coord/shard"
-	"sedgevale/internal/system/result"
 	"sedgevale/jobs"
 )
 
 const (
 	tickInterval             = 100 * time.Millisecond
 	ticksPerSummary          = 10                      // between two summaries in the log
-	ownerLeaseTTL            = 1500 * time.Millisecond // how long an owner acts after a quorum's last word
-	replicaTimeout           = 900 * time.Millisecond
-	heartbeatInterval        = 250 * time.Millisecond
-	repairBackoff            = 120 * time.Millisecond
-	maxUnfinishedJobs        = 20000
+	ownerLeaseTTL            = 1500 * time.Millisecond // how long an owner acts after a quorum's last acknowledgement
+	maxUnfinishedJobs        = 20000                   // of a shard; more are rejected
 	endedJobRetentionFactor  = 1.25                    // times status_s
-	unschedulableReportDelay = 2500 * time.Millisecond // a unit that waits beside room for longer is told of
-	maxUnschedulableLogged   = 4                       // lines about such units in a round of the log, at most
+	unschedulableReportDelay = 2500 * time.Millisecond // from which on a unit that waits despite free capacity is reported
+	maxUnschedulableLogged   = 4                       // lines about such units per summary
 )
 
 // owner is a shard that this scheduler owns: its jobs, and the replication of their records.
 type owner struct {
-	core   *Core
-	name   string
-	token  int64
-	cancel context.CancelFunc
-	ctx    context.Context
+	core  *Core
+	name  string // of the shard
+	token int64  // the fencing token of this ownership
+	tasks taskGroup
 
+	// mu guards the fields below and those of each replicator. Core.mu may be held when it is taken, not the other way.
 	mu            sync.Mutex
 	primary       *shard.Primary
 	scheduler     *jobs.Book
-	replicators   []*replicator
-	orderSenders  map[string]*orderSender
+	replicators   []*replicator           // by seat; the slice itself never changes
+	orderSenders  map[string]*orderSender // by the worker's reference
 	sessions      sessions
-	committed     int64
+	committed     int64 // the highest change that a quorum has stored; never falls
 	commitWaiters []commitWaiter
-	deposed       bool
-	started       bool
+	deposed       bool // closed, or a newer fencing token was met; never reset
+	started       bool // the jobs are restored, and the scheduler decides
 	config        *configState
-	inSyncChanged chan struct{} // closed and made anew when a replica came in step
+	inSyncChanged chan struct{} // closed and made anew when a replica has acknowledged something, or the owner is deposed
 }
 
-// commitWaiter waits until a change is durable.
-type commitWaiter struct {
-	sequence int64
-	done     chan struct{}
+// taskGroup starts goroutines under one context, whose end is theirs.
+type taskGroup struct {
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-// replicator is the owner's connection to one replica.
-type replicator struct {
-	seat          int
-	member        membership.Member
-	sealed        bool // it was sealed under this token
-	inSync        bool // it is in step, and has said so
-	lastConfirmed time.Time
-	repairCount   int64 // begun so far
-	wake          chan struct{}
-}
+// run starts a goroutine.
+func (g *taskGroup) run(task func(context.Context)) { go task(g.ctx) }
+
+// done is closed when the goroutines are to end.
+func (g *taskGroup) done() <-chan struct{} { return g.ctx.Done() }
 
-func newOwner(c *Core, name string, token int64, m membership.Membership, set *shard.Set) *owner {
-	done, stop := context.WithCancel(context.Background())
+// newOwner returns the owner of a shard over the merged records of a quorum. Its goroutines end with the context.
+func newOwner(ctx context.Context, c *Core, name string, token int64, m membership.Membership, set *shard.Set) *owner {
+	ctx, cancel := context.WithCancel(ctx)
 	o := &owner{
-		core: c, name: name, token: token, cancel: stop, ctx: done,
+		core: c, name: name, token: token, tasks: taskGroup{ctx, cancel},
 		primary:      shard.NewPrimary(token, set, len(m.Seats), m.Quorum()),
 		orderSenders: map[string]*orderSender{}, sessions: sessions{}, inSyncChanged: make(chan struct{}),
 	}
@@ -84,8 +76,9 @@
 	return o
 }
 
+// close ends the owner for good.
 func (o *owner) close() {
-	o.cancel()
+	o.tasks.cancel()
 	o.mu.Lock()
 	o.deposed = true
 	o.mu.Unlock()
@@ -104,42 +97,44 @@
 	return o.started && !o.deposed
 }
 
-// leaseValid reports whether a quorum has confirmed the ownership a moment ago.
+// leaseValid reports whether a quorum has acknowledged the ownership within ownerLeaseTTL.
 func (o *owner) leaseValid() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.leaseValidLocked()
 }
 
+// leaseValidLocked is leaseValid while o.mu is held.
 func (o *owner) leaseValidLocked() bool {
 	var times []time.Time
-	for _, l := range o.replicators {
-		if l.member.Voter && !l.lastConfirmed.IsZero() {
-			times = append(times, l.lastConfirmed)
+	for _, r := range o.replicators {
+		if r.member.Voter && !r.lastConfirmed.IsZero() {
+			times = append(times, r.lastConfirmed)
 		}
 	}
 	return !o.deposed && time.Since(quorumTime(times, o.primary.Quorum())) < ownerLeaseTTL
 }
 
-// inSyncWithout returns how many replicas hold all that was committed, without those at the addresses given.
-func (o *owner) inSyncWithout(leaving map[string]bool) int64 {
+// inSyncWithout returns how many voters hold all that was committed, without those at the addresses given.
+func (o *owner) inSyncWithout(excluded map[string]bool) int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := int64(0)
-	for _, l := range o.replicators {
-		if l.inSync && l.member.Voter && !leaving[l.member.Address] && o.primary.Holds(l.seat, o.committed) {
+	for _, r := range o.replicators {
+		if r.inSync && r.member.Voter && !excluded[r.member.Address] && o.primary.Holds(r.seat, o.committed) {
 			n++
 		}
 	}
 	return n
 }
 
-// monotonicNow is the time that the book is told.
+// monotonicNow is the clock of jobs.Book: the time since this process started.
 func (o *owner) monotonicNow() time.Duration { return time.Since(o.core.started) }
 
+// wallClockMS returns the time of day in milliseconds since 1970, for start times that users give.
 func wallClockMS() int64 { return time.Now().UnixMilli() }
 
-// start starts to decide over the records that were taken over.
+// start restores the jobs from the records that were taken over, and begins to schedule them.
 func (o *owner) start(state *configState) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -154,17 +149,18 @@
 		return err
 	}
 	o.started = true
-	go o.tickLoop()
+	o.tasks.run(o.tickLoop)
 	return nil
 }
 
-// configure takes a newer configuration.
+// configure applies a newer configuration.
 func (o *owner) configure(state *configState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.configureLocked(state)
 }
 
+// configureLocked is configure while o.mu is held.
 func (o *owner) configureLocked(state *configState) {
 	if o.config != nil && o.config.record.Version >= state.record.Version {
 		return
@@ -184,12 +180,13 @@
 	o.scheduler.Configure(queues)
 }
 
-func (o *owner) tickLoop() {
+// tickLoop runs the scheduler's timers, retries undelivered orders, and logs how the shard stands.
+func (o *owner) tickLoop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for round := 0; ; round++ {
 		select {
-		case <-o.ctx.Done():
+		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
@@ -202,24 +199,25 @@
 			o.logUnschedulable()
 			o.logSummary()
 		}
-		for _, side := range o.orderSenders {
-			side.wakeUp()
+		for _, sender := range o.orderSenders {
+			sender.wakeUp()
 		}
 		o.mu.Unlock()
 	}
 }
 
-// logUnschedulable logs which units wait for long beside room for them, and why. It should never have anything to say. The
-// lock is held.
+// logUnschedulable logs which units have waited for longer than unschedulableReportDelay though a worker has capacity for
+// them, and why. On a healthy system it logs nothing. o.mu is held.
 func (o *owner) logUnschedulable() {
-	waiting := o.scheduler.Withheld(o.monotonicNow(), unschedulableReportDelay)
-	for _, one := range waiting[:min(len(waiting), maxUnschedulableLogged)] {
-		o.core.logger.Info("task unschedulable despite free capacity", "shard", o.name, "queue", one.Queue, "job", one.Job, "stage", one.Stage,
-			"tasks", one.Tasks, "waited_ms", one.WaitedMS, "reason", one.Reason, "worker", one.Worker, "kept_for", one.Holder)
+	units := o.scheduler.Withheld(o.monotonicNow(), unschedulableReportDelay)
+	for _, unit := range units[:min(len(units), maxUnschedulableLogged)] {
+		o.core.logger.Info("task unschedulable despite free capacity", "shard", o.name, "queue", unit.Queue, "job", unit.Job,
+			"stage", unit.Stage, "tasks", unit.Tasks, "waited_ms", unit.WaitedMS, "reason", unit.Reason, "worker", unit.Worker,
+			"kept_for", unit.Holder)
 	}
 }
 
-// logSummary logs how the shard stands, at the verbose level. The lock is held.
+// logSummary logs how the shard stands, at the verbose level. o.mu is held.
 func (o *owner) logSummary() {
 	logger := o.core.logger.V(1)
 	if !logger.Enabled() {
@@ -228,71 +226,10 @@
 	queues, workers := o.scheduler.Summary()
 	for _, q := range queues {
 		logger.Info("queue", "shard", o.name, "name", q.Name, "priority", q.Priority, "unended", q.Unended, "pending", q.Pending,
-			"held", q.Held,
-			"wanted", q.Wanted, "sigma", q.Sigma, "usual_ms", q.UsualMS)
+			"held", q.Held, "wanted", q.Wanted, "sigma", q.Sigma, "usual_ms", q.UsualMS)
 	}
 	for _, w := range workers {
 		logger.Info("worker", "shard", o.name, "ref", w.Ref, "state", w.State, "runs", w.Runs, "held", w.Held,
 			"sigma", w.Sigma, "failing", w.Failing, "pace", w.Pace, "free", w.Free)
 	}
 }
-
-// flush releases what may start, hands all changes to the replication and tells side agents what is
-// durable. It returns the number of the last change. The lock is held.
-func (o *owner) flush() int64 {
-	o.scheduler.Schedule(o.monotonicNow())
-	last, err := o.scheduler.Flush(func(change jobs.Change) int64 {
-		if change.Value == nil {
-			return o.primary.Delete(change.Key)
-		}
-		return o.primary.Put(change.Key, change.Value)
-	}, o.primary.Sequence())
-	if err != nil {
-		o.core.logger.Error(err, "records cannot be encoded", "shard", o.name)
-	}
-	for _, l := range o.replicators {
-		if o.primary.HasPending(l.seat) {
-			l.wakeUp()
-		}
-	}
-	o.onCommitAdvanced()
-	return last
-}
-
-// onCommitAdvanced lets happen what has become durable. The lock is held.
-func (o *owner) onCommitAdvanced() {
-	o.committed = max(o.committed, o.primary.Committed())
-	o.scheduler.Committed(o.committed)
-	kept := o.commitWaiters[:0]
-	for _, w := range o.commitWaiters {
-		if w.sequence <= o.committed {
-			close(w.done)
-		} else {
-			kept = append(kept, w)
-		}
-	}
-	o.commitWaiters = kept
-	for _, w := range o.scheduler.DirtyWorkers() {
-		o.orderSenderFor(w).wakeUp()
-	}
-}
-
-// waitCommitted waits until a change is durable.
-func (o *owner) waitCommitted(ctx context.Context, sequence int64) error {
-	o.mu.Lock()
-	if sequence <= o.committed {
-		o.mu.Unlock()
-		return nil
-	}
-	w := commitWaiter{sequence, make(chan struct{})}
-	o.commitWaiters = append(o.commitWaiters, w)
-	o.mu.Unlock()
-	select {
-	case <-w.done:
-		return nil
-	case <-ctx.Done():
-		return result.Errorf(result.OutcomeUnknown, "shard %s: not durable in time", o.name)
-	case <-o.ctx.Done():
-		return result.Errorf(result.OutcomeUnknown, "shard %s: deposed", o.name)
-	}
-}
--- /dev/null
+++ b/internal/system/core/owner_commit.go
@@ -0,0 +1,81 @@
+package core
+
+import (
+	"context"
+	"time"
+
+	"sedgevale/internal/system/result"
+	"sedgevale/jobs"
+)
+
+const commitTimeout = 2500 * time.Millisecond // of a call's wait for a quorum
+
+// commitWaiter waits until a change is committed.
+type commitWaiter struct {
+	sequence int64         // of the change
+	done     chan struct{} // closed when it is committed
+}
+
+// flush runs a scheduling cycle, queues all changed records for replication and sends the orders of those that are
+// committed. It returns the sequence number of the last change. o.mu is held.
+func (o *owner) flush() int64 {
+	o.scheduler.Schedule(o.monotonicNow())
+	last, err := o.scheduler.Flush(func(change jobs.Change) int64 {
+		if change.Value == nil {
+			return o.primary.Delete(change.Key)
+		}
+		return o.primary.Put(change.Key, change.Value)
+	}, o.primary.Sequence())
+	if err != nil {
+		o.core.logger.Error(err, "records cannot be encoded", "shard", o.name)
+	}
+	for _, r := range o.replicators {
+		if o.primary.HasPending(r.seat) {
+			r.wakeUp()
+		}
+	}
+	o.onCommitAdvanced()
+	return last
+}
+
+// onCommitAdvanced releases what has become committed: the effects in the scheduler, the calls that wait, and the orders
+// to workers. o.mu is held.
+func (o *owner) onCommitAdvanced() {
+	o.committed = max(o.committed, o.primary.Committed())
+	o.scheduler.Committed(o.committed)
+	waiting := o.commitWaiters[:0]
+	for _, w := range o.commitWaiters {
+		if w.sequence <= o.committed {
+			close(w.done)
+		} else {
+			waiting = append(waiting, w)
+		}
+	}
+	o.commitWaiters = waiting
+	for _, w := range o.scheduler.DirtyWorkers() {
+		o.orderSenderFor(w).wakeUp()
+	}
+}
+
+// waitCommitted waits for at most commitTimeout until a change is committed. Its error has the code
+// result.OutcomeUnknown: the change may still be committed, by this owner or the next.
+func (o *owner) waitCommitted(ctx context.Context, sequence int64) error {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+	defer cancel()
+	o.mu.Lock()
+	if sequence <= o.committed {
+		o.mu.Unlock()
+		return nil
+	}
+	w := commitWaiter{sequence, make(chan struct{})}
+	o.commitWaiters = append(o.commitWaiters, w)
+	o.mu.Unlock()
+	select {
+	case <-w.done:
+		return nil
+	case <-ctx.Done():
+		return result.Errorf(result.OutcomeUnknown, "shard %s: not durable in time", o.name)
+	case <-o.tasks.done():
+		return result.Errorf(result.OutcomeUnknown, "shard %s: deposed", o.name)
+	}
+}
--- a/internal/system/core/peers_test.go
+++ b/internal/system/core/peers_test.go
@@ -7,8 +7,8 @@
 	"sedgevale/coord/membership"
 )
 
-// A scheduler that has just started waits with taking over shards until the others can have said what they own, but no
-// longer than until all have: those with seats, and those whom others hear.
+// A scheduler that has just started waits with taking over shards until the others can have claimed what they own, but no
+// longer than until all have: those with seats, and those whom others count as alive.
 func TestAllPeersAliveOnceNobodyIsMissing(t *testing.T) {
 	c := &Core{address: "a:1", store: newStore("a:1"), peers: map[string]*peerState{}}
 	for _, address := range []string{"a:1", "b:1", "c:1"} {
--- a/internal/system/core/replication.go
+++ b/internal/system/core/replication.go
@@ -8,23 +8,41 @@
 	"sedgevale/internal/system/result"
 )
 
-// wakeUp wakes a link.
-func (l *replicator) wakeUp() {
+const (
+	replicaTimeout    = 900 * time.Millisecond
+	heartbeatInterval = 250 * time.Millisecond
+	repairBackoff     = 120 * time.Millisecond
+)
+
+// replicator keeps the replica of one seat in sync. Its fields are guarded by owner.mu; member, sealed and repairCount
+// are written by its own goroutine alone, which reads them without the lock.
+type replicator struct {
+	seat          int               // index into the membership's seats; never changes
+	member        membership.Member // who holds the seat
+	sealed        bool              // the replica was sealed for this token in the takeover, and its disk is still the same
+	inSync        bool              // it takes writes, and has acknowledged one or a repair
+	lastConfirmed time.Time         // when the last call that it has acknowledged was sent
+	repairCount   int64             // repairs begun so far
+	wake          chan struct{}     // holds at most one signal
+}
+
+// wakeUp has the replicator look for changes to send and for a newer membership.
+func (r *replicator) wakeUp() {
 	select {
-	case l.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
 func (o *owner) wakeReplicators() {
-	for _, l := range o.replicators {
-		l.wakeUp()
+	for _, r := range o.replicators {
+		r.wakeUp()
 	}
 }
 
 func (o *owner) startReplicators() {
-	for _, l := range o.replicators {
-		go o.replicate(l)
+	for _, r := range o.replicators {
+		o.tasks.run(func(ctx context.Context) { o.replicate(ctx, r) })
 	}
 }
 
@@ -32,157 +50,159 @@
 func (o *owner) waitInSync(ctx context.Context) error {
 	for {
 		o.mu.Lock()
-		stepped := o.inSyncChanged
-		inStep := 0
-		for _, l := range o.replicators {
-			if l.sealed && l.inSync {
-				inStep++
+		changed := o.inSyncChanged
+		inSync := 0
+		for _, r := range o.replicators {
+			if r.sealed && r.inSync {
+				inSync++
 			}
 		}
-		enough := inStep >= o.primary.Quorum()
+		enough := inSync >= o.primary.Quorum()
 		deposed := o.deposed
 		o.mu.Unlock()
 		if enough {
 			return nil
 		}
 		if deposed {
-			return result.Errorf(result.Fenced, "shard %s: a newer owner is there", o.name)
+			return result.Errorf(result.Fenced, "shard %s: a newer fencing token is known", o.name)
 		}
 		select {
-		case <-stepped:
+		case <-changed:
 		case <-ctx.Done():
-			return result.Errorf(result.Unavailable, "shard %s: %d replicas came in step", o.name, inStep)
+			return result.Errorf(result.Unavailable, "shard %s: %d replicas are in sync", o.name, inSync)
 		}
 	}
 }
 
-// replicate keeps one replica in step: repaired first, then told each change, and asked now and then whether the
-// owner's token still holds.
-func (o *owner) replicate(l *replicator) {
-	for o.ctx.Err() == nil {
-		m := o.followMembership(l)
-		if l.member.ID == "" {
-			o.sleep(heartbeatInterval)
+// replicate keeps one replica in sync: it is repaired first, then sent each change, and a heartbeat every
+// heartbeatInterval, which also asks whether the owner's token still holds.
+func (o *owner) replicate(ctx context.Context, r *replicator) {
+	for ctx.Err() == nil {
+		m := o.followMembership(r)
+		if r.member.ID == "" {
+			sleep(ctx, heartbeatInterval)
 			continue
 		}
 		o.mu.Lock()
-		inStep := o.primary.InStep(l.seat)
+		inSync := o.primary.InStep(r.seat)
 		o.mu.Unlock()
 		var err error
-		if inStep {
-			err = o.writeChanges(m, l)
+		if inSync {
+			err = o.writeChanges(ctx, m, r)
 		} else {
-			err = o.repair(m, l)
+			err = o.repair(ctx, m, r)
 		}
 		if err != nil {
-			o.onReplicationFailure(l, err)
+			o.onReplicationFailure(r, err)
+			sleep(ctx, repairBackoff)
 			continue
 		}
+		heartbeat := time.NewTimer(heartbeatInterval)
 		select {
-		case <-l.wake:
-		case <-time.After(heartbeatInterval):
-		case <-o.ctx.Done():
+		case <-r.wake:
+		case <-heartbeat.C:
+		case <-ctx.Done():
 		}
+		heartbeat.Stop()
 	}
 }
 
-func (o *owner) sleep(d time.Duration) {
-	select {
-	case <-time.After(d):
-	case <-o.ctx.Done():
-	}
-}
-
-// followMembership notes that a seat has changed hands, and returns the membership.
-func (o *owner) followMembership(l *replicator) membership.Membership {
+// followMembership updates who holds the seat, and returns the membership.
+func (o *owner) followMembership(r *replicator) membership.Membership {
 	m := o.core.store.currentMembership()
-	member := m.Seats[l.seat]
-	if member == l.member {
+	member := m.Seats[r.seat]
+	if member == r.member {
 		return m
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	same := member.ID == l.member.ID && member.Since == l.member.Since
-	l.member = member
-	o.primary.SetVoter(l.seat, member.Voter)
-	if same {
-		return m // a learner that votes by now; it is in step as it was
+	sameDisk := member.ID == r.member.ID && member.Since == r.member.Since
+	r.member = member
+	o.primary.SetVoter(r.seat, member.Voter)
+	if sameDisk {
+		return m // a learner that was promoted; it is in sync as before
 	}
-	o.primary.Lost(l.seat)
-	l.sealed, l.inSync, l.lastConfirmed = false, false, time.Time{}
+	o.primary.Lost(r.seat)
+	r.sealed, r.inSync, r.lastConfirmed = false, false, time.Time{}
 	return m
 }
 
-func (o *owner) onReplicationFailure(l *replicator, err error) {
-	code := result.CodeOf(err)
+// onReplicationFailure has the replica repaired before it is sent more changes. A replica that knows a newer fencing token
+// deposes the owner.
+func (o *owner) onReplicationFailure(r *replicator, err error) {
 	o.mu.Lock()
-	o.primary.Lost(l.seat)
-	l.inSync = false
-	if code == result.Fenced && !o.deposed {
-		o.deposed = true
-		o.core.logger.Info("shard lost to a newer fencing token", "shard", o.name, "token", o.token)
-		o.cancel()
-		close(o.inSyncChanged)
-		o.inSyncChanged = make(chan struct{})
+	defer o.mu.Unlock()
+	o.primary.Lost(r.seat)
+	r.inSync = false
+	if result.CodeOf(err) != result.Fenced || o.deposed {
+		return
 	}
-	o.mu.Unlock()
-	o.sleep(repairBackoff)
+	o.deposed = true
+	o.core.logger.Info("shard lost to a newer fencing token", "shard", o.name, "token", o.token)
+	o.tasks.cancel()
+	o.notifyInSyncChanged()
 }
 
-// repair brings a replica to the owner's state by the digests of its key ranges.
-func (o *owner) repair(m membership.Membership, l *replicator) error {
-	ctx, cancel := context.WithTimeout(o.ctx, 2*replicaTimeout)
+// repair brings a replica to the owner's state, by the digests of its key ranges (anti-entropy).
+func (o *owner) repair(ctx context.Context, m membership.Membership, r *replicator) error {
+	ctx, cancel := context.WithTimeout(ctx, 2*replicaTimeout)
 	defer cancel()
 	c := o.core
-	to := target{Membership: m, Member: l.member.ID}
+	to := target{Membership: m, Member: r.member.ID}
 	sentAt := time.Now()
 	seal := &sealRequest{To: to, Shard: o.name, Token: o.token}
-	sealed, err := replicaCall(ctx, c, to, l.member.Address, methodSeal, c.store.seal, seal)
+	sealed, err := replicaCall(ctx, c, to, r.member.Address, methodSeal, c.store.seal, seal)
 	if err != nil {
 		return err
 	}
 	o.mu.Lock()
-	l.repairCount++
-	ranges, upTo := o.primary.BeginRepair(l.seat, sealed.Digests)
+	r.repairCount++
+	ranges, upTo := o.primary.BeginRepair(r.seat, sealed.Digests)
 	o.mu.Unlock()
-	request := &repairRequest{To: to, Shard: o.name, Token: o.token, Number: l.repairCount, Ranges: ranges, Last: true}
-	if _, err := replicaCall(ctx, c, to, l.member.Address, methodRepair, c.store.repair, request); err != nil {
+	request := &repairRequest{To: to, Shard: o.name, Token: o.token, Number: r.repairCount, Ranges: ranges, Last: true}
+	if _, err := replicaCall(ctx, c, to, r.member.Address, methodRepair, c.store.repair, request); err != nil {
 		return err
 	}
-	o.onReplicaAck(l, upTo, sentAt)
+	o.onReplicaAck(r, upTo, sentAt)
 	return nil
 }
 
-// writeChanges tells a replica what has changed, or nothing as a heartbeat.
-func (o *owner) writeChanges(m membership.Membership, l *replicator) error {
-	ctx, cancel := context.WithTimeout(o.ctx, replicaTimeout)
+// writeChanges sends a replica the pending changes; where there are none, the call is a heartbeat.
+func (o *owner) writeChanges(ctx context.Context, m membership.Membership, r *replicator) error {
+	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
 	c := o.core
-	to := target{Membership: m, Member: l.member.ID}
+	to := target{Membership: m, Member: r.member.ID}
 	o.mu.Lock()
-	records, upTo := o.primary.Next(l.seat)
+	records, upTo := o.primary.Next(r.seat)
 	o.mu.Unlock()
 	sentAt := time.Now()
 	request := &writeRequest{To: to, Shard: o.name, Token: o.token, Records: records}
-	if _, err := replicaCall(ctx, c, to, l.member.Address, methodWrite, c.store.write, request); err != nil {
+	if _, err := replicaCall(ctx, c, to, r.member.Address, methodWrite, c.store.write, request); err != nil {
 		return err
 	}
-	o.onReplicaAck(l, upTo, sentAt)
+	o.onReplicaAck(r, upTo, sentAt)
 	return nil
 }
 
-func (o *owner) onReplicaAck(l *replicator, upTo int64, sentAt time.Time) {
+// onReplicaAck records that a replica holds all changes up to a sequence number, by a call that was sent at the time given.
+func (o *owner) onReplicaAck(r *replicator, upTo int64, sentAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	l.lastConfirmed = sentAt
-	l.inSync = true
-	o.primary.Acked(l.seat, upTo)
-	close(o.inSyncChanged)
-	o.inSyncChanged = make(chan struct{})
+	r.lastConfirmed = sentAt
+	r.inSync = true
+	o.primary.Acked(r.seat, upTo)
+	o.notifyInSyncChanged()
 	if o.started {
 		o.onCommitAdvanced()
-		if o.primary.HasPending(l.seat) {
-			l.wakeUp()
+		if o.primary.HasPending(r.seat) {
+			r.wakeUp()
 		}
 	}
 }
+
+// notifyInSyncChanged wakes waitInSync. o.mu is held.
+func (o *owner) notifyInSyncChanged() {
+	close(o.inSyncChanged)
+	o.inSyncChanged = make(chan struct{})
+}
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -4,6 +4,7 @@
 	"context"
 	"crypto/rand"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"strconv"
 	"sync"
@@ -16,13 +17,13 @@
 	"sedgevale/internal/system/statefile"
 )
 
-// identity names the disk. It is written before the disk is used.
+// identity identifies the disk. It is written before the disk is used. It is part of an Avro record: fields are not moved.
 type identity struct {
 	ID          string
 	Address     string // of the machine that the disk belongs to
-	Incarnation int64  // how often it was opened; part of the ballots of each life
+	Incarnation int64  // how often it was opened; part of its ballots
 	Joined      int64  // the epoch in which it took the seat that it holds or held last
-	Restored    bool   // it holds what a quorum of voters held after it had taken its seat
+	Restored    bool   // it has restored what a quorum of voters held after it had taken its seat
 }
 
 // The kinds of entries in the state file.
@@ -40,7 +41,11 @@
 	entryTrust
 )
 
-// entry is one durable step of a core scheduler.
+// errUnknownEntry says that a newer release has written the disk.
+var errUnknownEntry = errors.New("core: entry of unknown kind")
+
+// entry is one record of the log and of snapshots: a change of the store. It is an Avro record, so that fields are read by
+// their order; which of them an entry uses depends on its kind.
 type entry struct {
 	Kind       int
 	Name       string // of a register or a shard
@@ -57,22 +62,25 @@
 	Ranges     []shard.Range
 }
 
-// store is the durable state of a core scheduler: the membership, and its part of the registers and of the shards.
+// store is the durable state of a core scheduler: the membership, its acceptors of the registers and its replicas of the
+// shards. Every change is in the log before it is acknowledged.
 type store struct {
 	address           string
-	membershipChanged chan struct{} // poked when a newer membership was installed
+	membershipChanged chan struct{} // holds a signal when a newer membership was installed
 
+	// mu guards the fields below. It is taken with no other lock held, and held while an entry is queued in the log, so that
+	// the entries are in the order of the changes; never while the disk writes.
 	mu         sync.Mutex
 	log        *statefile.Log
-	lastTicket *statefile.Ticket // of the newest entry
+	lastTicket *statefile.Ticket // of the newest entry; nil before the first
 	identity   identity
 	membership membership.Membership
 	registers  map[string]*register.Acceptor
 	replicas   map[string]*shard.Replica
 }
 
-// openStore reads the state of a disk. Bootstrap says that all disks are new, so that nothing can have been
-// forgotten; only then the first membership is used.
+// openStore opens the disk of the machine at an address. bootstrap says that the disks of all machines are new; only then
+// the first membership is installed on an empty disk. A disk of another machine is an error with the code result.WrongDisk.
 func openStore(dir, address string, first membership.Membership, bootstrap bool) (*store, error) {
 	s := newStore(address)
 	log, err := statefile.Open(dir, s.replay, s.snapshotFunc(first, bootstrap))
@@ -90,8 +98,8 @@
 	}
 }
 
-// snapshotFunc returns the snapshot function. At its first call, before any entry was appended, a disk
-// without an identity gets one, and each disk another life.
+// snapshotFunc returns what writes snapshots. Its first call, before any entry is appended, gives a new disk its identity,
+// and each disk its next incarnation.
 func (s *store) snapshotFunc(first membership.Membership, bootstrap bool) func(func([]byte) error) error {
 	started := false
 	return func(emit func([]byte) error) error {
@@ -107,6 +115,7 @@
 	}
 }
 
+// initIdentity gives a new disk its identity and counts the incarnation. s.mu is held.
 func (s *store) initIdentity(first membership.Membership, bootstrap bool) error {
 	if s.identity.ID == "" {
 		s.identity = identity{ID: newID(), Address: s.address}
@@ -121,7 +130,7 @@
 	return nil
 }
 
-// bootstrapMembership makes an empty disk one of the first start.
+// bootstrapMembership installs the first membership on an empty disk. s.mu is held.
 func (s *store) bootstrapMembership(first membership.Membership) {
 	s.membership = first.Clone()
 	if seat := first.SeatAt(s.address); seat >= 0 {
@@ -130,21 +139,22 @@
 	}
 }
 
-// newID returns a name that nothing else bears.
+// newID returns a unique name: 64 random bits in hexadecimal.
 func newID() string {
 	var random [8]byte
 	_, _ = rand.Read(random[:])
 	return hex.EncodeToString(random[:])
 }
 
-// proposer returns the name under which this life of the disk makes ballots: no two lives of any disk share one.
+// proposer returns the name under which this incarnation of the disk makes ballots: no two incarnations of any disk share
+// one.
 func (s *store) proposer() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.identity.ID + "#" + strconv.FormatInt(s.identity.Incarnation, 10)
 }
 
-// highestBallot returns the highest counter that this disk has met.
+// highestBallot returns the highest ballot counter that this disk has met.
 func (s *store) highestBallot() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,6 +165,7 @@
 	return highest
 }
 
+// replay applies an entry of the log or of a snapshot.
 func (s *store) replay(payload []byte) error {
 	e := &entry{}
 	if err := avrocodec.Decode(payload, e); err != nil {
@@ -163,7 +174,7 @@
 	return s.apply(e)
 }
 
-// apply repeats a step of an earlier run.
+// apply repeats a change of an earlier incarnation.
 func (s *store) apply(e *entry) error {
 	switch e.Kind {
 	case entryIdentity:
@@ -189,11 +200,12 @@
 	case entryReplica:
 		s.replicas[e.Name] = replicaOf(e, s.identity.Restored)
 	default:
-		return fmt.Errorf("core: entry of unknown kind %d", e.Kind)
+		return fmt.Errorf("%w %d", errUnknownEntry, e.Kind)
 	}
 	return nil
 }
 
+// replicaOf returns the replica in a snapshot's entry.
 func replicaOf(e *entry, trusted bool) *shard.Replica {
 	replica := shard.NewReplica(trusted)
 	replica.Voter = e.Flag
@@ -206,7 +218,7 @@
 	return replica
 }
 
-// snapshot emits the whole state. The lock is held.
+// snapshot emits the whole state. s.mu is held.
 func (s *store) snapshot(emit func([]byte) error) error {
 	entries := []*entry{{Kind: entryMembership, Membership: s.membership}, {Kind: entryIdentity, Identity: s.identity}}
 	for name := range s.registers {
@@ -239,7 +251,7 @@
 	}
 }
 
-// append queues a step that was applied to the state. The lock is held.
+// append queues the entry of a change that was applied. s.mu is held.
 func (s *store) append(e *entry) (*statefile.Ticket, error) {
 	payload, err := avrocodec.Encode(e)
 	if err != nil {
@@ -249,7 +261,7 @@
 	return s.lastTicket, nil
 }
 
-// waitDurable waits until a step is durable.
+// waitDurable waits until an entry is durable. Its error has the code result.StorageFailed.
 func waitDurable(ctx context.Context, ticket *statefile.Ticket, err error) error {
 	if err != nil {
 		return err
@@ -265,7 +277,7 @@
 	}
 }
 
-// waitAllDurable waits until all that was applied so far is durable, so that nothing is told which a loss of power undoes.
+// waitAllDurable waits until all that was applied so far is durable, so that nothing is answered which a power loss undoes.
 func (s *store) waitAllDurable(ctx context.Context) error {
 	s.mu.Lock()
 	last := s.lastTicket
--- a/internal/system/core/store_membership.go
+++ b/internal/system/core/store_membership.go
@@ -8,8 +8,8 @@
 	"sedgevale/internal/system/result"
 )
 
-// admit checks whom and which epoch a message is meant for. It takes over a newer membership, since just chosen ones are
-// sent. The lock is held.
+// admit checks whom and which epoch a message is meant for. It installs a newer membership, since only chosen ones are
+// sent. s.mu is held.
 func (s *store) admit(to target) (origin, membership.Member, error) {
 	none := membership.Member{}
 	if err := s.admitMembership(to.Membership); err != nil {
@@ -25,14 +25,14 @@
 	return origin{Member: s.identity.ID, Epoch: s.membership.Epoch}, member, nil
 }
 
-// admitSeated is admit for what voters and learners answer alike. The lock is held.
+// admitSeated is admit for what voters and learners answer alike. s.mu is held.
 func (s *store) admitSeated(to target) (origin, error) {
 	from, _, err := s.admit(to)
 	return from, err
 }
 
-// commitChange takes a message that changes what this disk holds: it is admitted, applied, and answered once the entry that
-// apply returns is durable. Apply returns nil where there is nothing to store; the lock is held then.
+// commitChange handles a message that changes what this disk holds: it is admitted, applied, and answered once the entry
+// that apply returns is durable. apply is called while s.mu is held, and returns nil where there is nothing to store.
 func (s *store) commitChange(ctx context.Context, admit func(target) (origin, error), to target, apply func(origin) (*entry, error)) error {
 	s.mu.Lock()
 	from, err := admit(to)
@@ -49,7 +49,7 @@
 	return waitDurable(ctx, ticket, err)
 }
 
-// readDurable answers from what this disk holds, once all of it is durable that was told.
+// readDurable answers from what this disk holds, once all that the answer may depend on is durable.
 func (s *store) readDurable(ctx context.Context, to target, answer func(origin)) error {
 	s.mu.Lock()
 	from, err := s.admitVoter(to)
@@ -62,7 +62,7 @@
 	return s.waitAllDurable(ctx)
 }
 
-// admitMembership takes over the membership that a message brings, or refuses the message. The lock is held.
+// admitMembership installs the membership that a message brings if it is newer, or rejects the message. s.mu is held.
 func (s *store) admitMembership(sent membership.Membership) error {
 	install, err := s.membership.Meet(sent)
 	switch {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// admitVoter is admit for what only voters answer. The lock is held.
+// admitVoter is admit for what only voters answer. s.mu is held.
 func (s *store) admitVoter(to target) (origin, error) {
 	from, member, err := s.admit(to)
 	if err == nil && !member.Voter {
@@ -87,7 +87,7 @@
 	return from, err
 }
 
-// install makes a newer membership, which was chosen, the one that counts here. The lock is held.
+// install puts a newer membership, which was chosen, in force and appends it to the log. s.mu is held.
 func (s *store) install(m membership.Membership) error {
 	s.applyMembership(m)
 	_, err := s.append(&entry{Kind: entryMembership, Membership: m})
@@ -98,8 +98,8 @@
 	return err
 }
 
-// applyMembership applies a membership to the state. A disk that takes a seat anew may have missed anything since it held one: it is
-// no voter for its shards before an owner has repaired it. The lock is held.
+// applyMembership applies a membership to the state. A disk that takes a seat anew may have missed anything since it held
+// one: it is no voter for its shards before an owner has repaired it. s.mu is held, or the log is being replayed.
 func (s *store) applyMembership(m membership.Membership) {
 	s.membership = m.Clone()
 	member, seated := m.Member(s.identity.ID)
@@ -113,7 +113,7 @@
 	}
 }
 
-// learnMembership takes over a newer membership that another scheduler told.
+// learnMembership installs a newer membership that another scheduler sent.
 func (s *store) learnMembership(m membership.Membership) error {
 	if m.Epoch == 0 {
 		return nil
@@ -133,7 +133,7 @@
 	return s.membership.Clone()
 }
 
-// self returns the name of this disk and its seat, if it holds one.
+// self returns the ID of this disk and its seat, if it holds one.
 func (s *store) self() (id string, member membership.Member, seated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/core/store_registers.go
+++ b/internal/system/core/store_registers.go
@@ -8,6 +8,7 @@
 	"sedgevale/internal/system/statefile"
 )
 
+// acceptor returns the acceptor of a register, a new one where there is none. s.mu is held.
 func (s *store) acceptor(name string) *register.Acceptor {
 	a := s.registers[name]
 	if a == nil {
@@ -17,6 +18,7 @@
 	return a
 }
 
+// prepare handles the prepare of a ballot: the promise is durable before it is sent.
 func (s *store) prepare(ctx context.Context, r *prepareRequest) (*prepareResponse, error) {
 	answer := &prepareResponse{}
 	err := s.commitChange(ctx, s.admitVoter, r.To, func(from origin) (*entry, error) {
@@ -32,6 +34,7 @@
 	return answer, nil
 }
 
+// accept handles the proposal of a value: the acceptance is durable before it is sent.
 func (s *store) accept(ctx context.Context, r *acceptRequest) (*acceptResponse, error) {
 	answer := &acceptResponse{}
 	err := s.commitChange(ctx, s.admitVoter, r.To, func(from origin) (*entry, error) {
@@ -47,7 +50,7 @@
 	return answer, nil
 }
 
-// readAccepted returns what was accepted last, without a promise.
+// readAccepted returns what was accepted last, without a promise, once that is durable.
 func (s *store) readAccepted(ctx context.Context, r *readAcceptedRequest) (*readAcceptedResponse, error) {
 	answer := &readAcceptedResponse{}
 	err := s.readDurable(ctx, r.To, func(from origin) {
@@ -81,35 +84,49 @@
 	return answer, nil
 }
 
-// distinctVoters returns how many members told their state in an epoch.
-func distinctVoters(epoch int64, learned []*stateResponse) int {
+// distinctVoters returns how many members sent their state in an epoch.
+func distinctVoters(epoch int64, states []*stateResponse) int {
 	members := map[string]bool{}
-	for _, one := range learned {
-		if one.From.Epoch == epoch {
-			members[one.From.Member] = true
+	for _, state := range states {
+		if state.From.Epoch == epoch {
+			members[state.From.Member] = true
 		}
 	}
 	return len(members)
 }
 
-// restore takes over what a quorum of voters told this learner after it had taken its seat.
-func (s *store) restore(ctx context.Context, epoch int64, learned []*stateResponse) error {
+// restore takes over the state of a quorum of voters, which they sent this learner after it had taken its seat. Its error
+// has the code result.EpochOutdated where the seat was lost meanwhile, result.Unavailable where they are no quorum.
+func (s *store) restore(ctx context.Context, epoch int64, states []*stateResponse) error {
 	s.mu.Lock()
 	if _, seated := s.membership.Member(s.identity.ID); !seated || s.identity.Joined > epoch {
 		s.mu.Unlock()
 		return result.Errorf(result.EpochOutdated, "the seat was lost since epoch %d", epoch)
 	}
-	if told := distinctVoters(epoch, learned); told < s.membership.Quorum() {
+	if voters := distinctVoters(epoch, states); voters < s.membership.Quorum() {
 		s.mu.Unlock()
-		return result.Errorf(result.Unavailable, "%d voters told their state in epoch %d, %d are a quorum", told, epoch, s.membership.Quorum())
+		return result.Errorf(result.Unavailable, "%d voters sent their state in epoch %d, %d are a quorum", voters, epoch, s.membership.Quorum())
 	}
+	var ticket *statefile.Ticket
+	var err error
+	for _, e := range s.mergeStates(states) {
+		if ticket, err = s.append(e); err != nil {
+			break
+		}
+	}
+	s.mu.Unlock()
+	return waitDurable(ctx, ticket, err)
+}
+
+// mergeStates merges the state of voters into this replica's and returns the entries of the change. s.mu is held.
+func (s *store) mergeStates(states []*stateResponse) []*entry {
 	var entries []*entry
 	tokens := map[string]int64{}
-	for _, one := range learned {
-		for name, a := range one.Registers {
+	for _, state := range states {
+		for name, a := range state.Registers {
 			s.acceptor(name).Restore(a)
 		}
-		for name, token := range one.Shards {
+		for name, token := range state.Shards {
 			tokens[name] = max(tokens[name], token)
 		}
 	}
@@ -124,16 +141,7 @@
 		entries = append(entries, s.registerEntry(name))
 	}
 	s.identity.Restored = true
-	entries = append(entries, &entry{Kind: entryIdentity, Identity: s.identity})
-	var ticket *statefile.Ticket
-	var err error
-	for _, e := range entries {
-		if ticket, err = s.append(e); err != nil {
-			break
-		}
-	}
-	s.mu.Unlock()
-	return waitDurable(ctx, ticket, err)
+	return append(entries, &entry{Kind: entryIdentity, Identity: s.identity})
 }
 
 // acceptedValue returns the value that this replica has accepted under a ballot, or nil.
@@ -147,7 +155,7 @@
 }
 
 // accepted returns the last accepted ballot of each register but the membership's: a membership that was accepted and
-// never chosen must not be finished by those who just look.
+// never chosen must not be completed by a read.
 func (s *store) accepted() map[string]register.Ballot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/core/store_shards.go
+++ b/internal/system/core/store_shards.go
@@ -7,8 +7,8 @@
 	"sedgevale/internal/system/result"
 )
 
-// replica returns the replica of a shard. On a disk that has held its seat from the start, or has heard from a quorum
-// which shards there are, a new one votes at once: there is nothing that it may have forgotten.
+// replica returns the replica of a shard, a new one where there is none. On a disk that has held its seat from the start, or
+// has restored a quorum's state, a new one votes at once: there is nothing that it may have lost. s.mu is held.
 func (s *store) replica(name string) *shard.Replica {
 	r := s.replicas[name]
 	if r == nil {
@@ -18,6 +18,7 @@
 	return r
 }
 
+// seal handles a sealRequest. Its error has the code result.Fenced where a higher fencing token is known.
 func (s *store) seal(ctx context.Context, r *sealRequest) (*sealResponse, error) {
 	answer := &sealResponse{}
 	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
@@ -34,6 +35,7 @@
 	return answer, nil
 }
 
+// fetch returns the records of key ranges.
 func (s *store) fetch(_ context.Context, r *fetchRequest) (*fetchResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +57,7 @@
 	return answer, nil
 }
 
-// servePrefetch returns what this disk stores of a shard where the digests of another differ.
+// servePrefetch returns the key ranges of a shard in which this replica differs from the sender's.
 func (s *store) servePrefetch(_ context.Context, r *prefetchRequest) (*prefetchResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +68,7 @@
 	return &prefetchResponse{Ranges: shard.Ranges(replica.Set, r.Digests)}, nil
 }
 
-// storePrefetched stores a copy of key ranges ahead of a repair, as long as this disk holds no seat.
+// storePrefetched stores key ranges ahead of a repair, as long as this disk holds no seat.
 func (s *store) storePrefetched(ctx context.Context, name string, ranges []shard.Range) error {
 	s.mu.Lock()
 	if _, seated := s.membership.Member(s.identity.ID); seated || len(ranges) == 0 {
@@ -79,7 +81,7 @@
 	return waitDurable(ctx, ticket, err)
 }
 
-// digests returns the digests of what this disk stores of a shard.
+// digests returns the digests of the key ranges of this replica of a shard.
 func (s *store) digests(name string) []int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,6 +92,8 @@
 	return replica.Set.Digests()
 }
 
+// repair handles a repairRequest. Its error has the code result.Fenced where a higher fencing token or a later repair is
+// known.
 func (s *store) repair(ctx context.Context, r *repairRequest) (*ackResponse, error) {
 	answer := &ackResponse{}
 	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
@@ -102,6 +106,8 @@
 	return answer, err
 }
 
+// write handles a writeRequest. Its error has the code result.Fenced where a higher fencing token is known, and
+// result.NotRecovered where the replica has to be repaired first.
 func (s *store) write(ctx context.Context, r *writeRequest) (*ackResponse, error) {
 	answer := &ackResponse{}
 	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
@@ -112,7 +118,7 @@
 		case !written && replica.Sealed > r.Token:
 			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.Sealed, r.Token)
 		case !written:
-			return nil, result.Errorf(result.NotRecovered, "shard %s: the replica is not in step", r.Shard)
+			return nil, result.Errorf(result.NotRecovered, "shard %s: the replica is not in sync", r.Shard)
 		case len(r.Records) == 0: // a heartbeat
 			return nil, nil
 		}
--- a/internal/system/core/store_test.go
+++ b/internal/system/core/store_test.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// start opens the disk of an address, as after a loss of power.
+// start opens the disk of an address, as after a power loss.
 func (s *site) start(address string, bootstrap bool) *store {
 	s.t.Helper()
 	opened, err := openStore(s.dirs[address], address, s.first, bootstrap)
@@ -58,8 +58,8 @@
 	return target{Membership: s.stores[by].currentMembership(), Member: s.stores[address].identity.ID}
 }
 
-// change has the stores named choose another membership, all of them, and told to them and to others.
-func (s *site) change(change membership.Change, by []string, told ...string) membership.Membership {
+// change has the stores named choose another membership, all of them, and sends it to them and to others.
+func (s *site) change(change membership.Change, by []string, others ...string) {
 	s.t.Helper()
 	installed := s.stores[by[0]].currentMembership()
 	next, err := membership.Next(installed, installed, change)
@@ -78,13 +78,12 @@
 			s.t.Fatalf("%s: %v", address, err)
 		}
 	}
-	for _, address := range append(by, told...) {
+	for _, address := range append(by, others...) {
 		s.wantCode(s.stores[address].learnMembership(next), result.OK)
 	}
-	return next
 }
 
-// rejoin has an address take a seat with what the others tell, and vote.
+// rejoin has an address take a seat with the state that the others send, and vote.
 func (s *site) rejoin(address string, seat int, from ...string) error {
 	s.t.Helper()
 	st := s.stores[address]
@@ -108,15 +107,18 @@
 	r := &acceptRequest{To: to, Name: "config", Ballot: register.Ballot{Counter: ballot, Proposer: "p"}, Value: []byte(value)}
 	answer, err := s.stores[address].accept(s.ctx(), r)
 	if err == nil && !answer.Accepted {
-		return result.Errorf(result.BallotOutdated, "turned down")
+		return result.Errorf(result.BallotOutdated, "rejected")
 	}
 	return err
 }
 
-func (s *site) write(address string, token int64, key string) error {
+// writeToken is the fencing token under which tests write.
+const writeToken = 3
+
+func (s *site) write(address, key string) error {
 	r := &writeRequest{
-		To: s.to(address, address), Shard: "s", Token: token,
-		Records: []shard.Record{{Key: key, Version: shard.Version{Token: token, Sequence: 1}, Value: []byte("v")}},
+		To: s.to(address, address), Shard: "s", Token: writeToken,
+		Records: []shard.Record{{Key: key, Version: shard.Version{Token: writeToken, Sequence: 1}, Value: []byte("v")}},
 	}
 	_, err := s.stores[address].write(s.ctx(), r)
 	return err
@@ -135,12 +137,12 @@
 	}
 }
 
-// Trap 2: what was acknowledged is there after a loss of power, with promises and fencing tokens.
+// Trap 2: what was acknowledged is there after a power loss, with promises and fencing tokens.
 func TestStoreSurvivesPowerLoss(t *testing.T) {
 	s := newSite(t)
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "value"), result.OK)
 	s.wantCode(s.repair("a", 3), result.OK)
-	s.wantCode(s.write("a", 3, "key"), result.OK)
+	s.wantCode(s.write("a", "key"), result.OK)
 	st := s.start("a", false)
 	if string(st.registers["config"].Value) != "value" || st.replicas["s"].Sealed != 3 || st.replicas["s"].Set.Len() != 1 {
 		t.Errorf("registers %+v, replicas %+v", st.registers["config"], st.replicas["s"])
@@ -202,7 +204,7 @@
 }
 
 // A disk that gave its seat up and takes one anew has missed what was written meanwhile, though the owner is still the one
-// that it was in step with: it votes about no shard before that owner has repaired it, also after a loss of power.
+// that it was in sync with: it votes about no shard before that owner has repaired it, also after a power loss.
 func TestSeatTakenAnewIsNoVoterForItsShards(t *testing.T) {
 	s := newSite(t)
 	for _, address := range []string{"a", "b", "c"} {
@@ -211,8 +213,8 @@
 	s.dirs["d"] = t.TempDir()
 	s.start("d", false)
 	s.wantCode(s.rejoin("d", 2, "a", "b"), result.OK)
-	s.wantCode(s.write("a", 3, "later"), result.OK)
-	s.wantCode(s.write("b", 3, "later"), result.OK)
+	s.wantCode(s.write("a", "later"), result.OK)
+	s.wantCode(s.write("b", "later"), result.OK)
 	s.wantCode(s.rejoin("c", 2, "a", "b"), result.OK)
 	votes := func() bool {
 		answer, err := s.stores["c"].seal(s.ctx(), &sealRequest{To: s.to("c", "c"), Shard: "s", Token: 3})
@@ -224,7 +226,7 @@
 	}
 	s.start("c", false)
 	if votes() {
-		t.Error("it votes about what it has missed, after a loss of power")
+		t.Error("it votes about what it has missed, after a power loss")
 	}
 	s.wantCode(s.repair("c", 3), result.OK)
 	if !votes() {
@@ -260,12 +262,12 @@
 }
 
 // A replica with a new disk may have forgotten records: it takes writes, but no part in a takeover before an owner has
-// brought it in step.
+// brought it in sync.
 func TestNewDiskIsNoVoterForItsShards(t *testing.T) {
 	s := newSite(t)
 	s.wantCode(s.repair("a", 3), result.OK)
 	s.wantCode(s.repair("c", 3), result.OK)
-	s.wantCode(s.write("c", 3, "key"), result.OK)
+	s.wantCode(s.write("c", "key"), result.OK)
 	s.wipe("c")
 	s.wantCode(s.rejoin("c", 2, "a", "b"), result.OK)
 	seal := func() *sealResponse {
@@ -282,7 +284,7 @@
 	}
 }
 
-// An owner that addresses the disk which was lost is told so.
+// Writes of an owner that addresses the disk which was lost are rejected.
 func TestWritesToALostDiskAreRejected(t *testing.T) {
 	s := newSite(t)
 	s.wantCode(s.repair("c", 3), result.OK)
@@ -331,7 +333,7 @@
 	s.wantCode(err, result.EpochOutdated)
 }
 
-// Finding 3: ballots of two lives of a disk, and of two disks at one address, differ, and the counter is restored.
+// Finding 3: ballots of two incarnations of a disk, and of two disks at one address, differ, and the counter is restored.
 func TestBallotsAreUniqueAcrossIncarnations(t *testing.T) {
 	s := newSite(t)
 	to := s.to("a", "a")
@@ -340,7 +342,7 @@
 	s.wantCode(err, result.OK)
 	st := s.start("a", false)
 	if second := st.proposer(); second == first {
-		t.Errorf("two lives propose as %s", second)
+		t.Errorf("two incarnations propose as %s", second)
 	}
 	if st.highestBallot() != 7 {
 		t.Errorf("the counter begins at %d, 7 was promised", st.highestBallot())
@@ -351,7 +353,7 @@
 	}
 }
 
-// What was applied and is not durable yet is told to nobody: a loss of power may undo it.
+// What was applied and is not durable yet is not acknowledged: a power loss may undo it.
 func TestOnlyDurableStateIsAcknowledged(t *testing.T) {
 	s := newSite(t)
 	st := s.stores["a"]
@@ -452,7 +454,7 @@
 	}
 }
 
-// A report that was held up behind a cut is of no session that counts: found by a hunt on fosse-sedgevale-grown
+// A report that was delayed by a partition is of no current session: found by a hunt on fosse-sedgevale-grown
 // (trouble-2 --seed 734137710468, TWICE), where one of a crashed worker arrived after its successor was at work.
 func TestLateReportIsNotTaken(t *testing.T) {
 	s := sessions{}
--- a/internal/system/core/watch.go
+++ b/internal/system/core/watch.go
@@ -13,15 +13,16 @@
 	"sedgevale/internal/system/rpc"
 )
 
-const maxWatchWait = time.Second
+const maxWatchWait = time.Second // of one long poll
 
 func (c *Core) handleWatch(server *rpc.Server) {
 	rpc.Handle(server, api.MethodWatch, c.watch)
 }
 
-// watch answers once something differs from what the caller knows, or after some time.
+// watch is a long poll: it answers once something differs from what the subscriber knows, or after the time that it asks for.
 func (c *Core) watch(ctx context.Context, r *api.WatchRequest) (*api.WatchResponse, error) {
-	until := time.After(min(time.Duration(r.WaitMS)*time.Millisecond, maxWatchWait))
+	timeout := time.NewTimer(min(time.Duration(r.WaitMS)*time.Millisecond, maxWatchWait))
+	defer timeout.Stop()
 	for {
 		c.mu.Lock()
 		changed := c.changed
@@ -33,7 +34,7 @@
 		}
 		select {
 		case <-changed:
-		case <-until:
+		case <-timeout.C:
 			return answer, nil
 		case <-ctx.Done():
 			return answer, nil
@@ -41,7 +42,7 @@
 	}
 }
 
-// watchResponse returns what is known now. The lock is held.
+// watchResponse returns what is known now. c.mu is held.
 func (c *Core) watchResponse(r *api.WatchRequest) *api.WatchResponse {
 	answer := &api.WatchResponse{Owners: c.knownOwners(), Cores: c.coreAddresses()}
 	answer.OwnersDigest = ownersDigest(answer)
@@ -56,7 +57,7 @@
 }
 
 // configSince returns the configuration as a patch on a version, where that is known here and the patch is shorter,
-// else whole. Each patch is worked out once. The lock is held.
+// else complete. Each patch is computed once. c.mu is held.
 func (c *Core) configSince(version int64) (text []byte, base int64) {
 	whole := c.config.record.Text
 	for _, past := range c.previousConfigs {
@@ -75,7 +76,7 @@
 	return whole, 0
 }
 
-// knownOwners returns the newest claim to each shard. The lock is held.
+// knownOwners returns the claim with the highest fencing token to each shard, sorted by shard. c.mu is held.
 func (c *Core) knownOwners() []api.Owner {
 	newest := map[string]api.Owner{}
 	consider := func(name, address string, token int64) {
@@ -99,7 +100,7 @@
 	return owners
 }
 
-// ownersDigest names the owners and core schedulers of an answer.
+// ownersDigest is a hash of the owners and core schedulers of an answer.
 func ownersDigest(r *api.WatchResponse) int64 {
 	hash := xxhash.New()
 	for _, o := range r.Owners {
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -28,7 +28,7 @@
 mutate "replicas take writes of older owners" coord/shard/replica.go 's/if token != r\.Sealed \|\| r\.InStep != token/if r.InStep == 0/'
 mutate "messages of older epochs are answered" coord/membership/membership.go 's/if sent\.Epoch < m\.Epoch \{/if false {/'
 mutate "a learner votes" internal/system/core/store_membership.go 's/err == nil && !member\.Voter/err == nil \&\& !member.Voter \&\& false/'
-mutate "a learner votes before it has read a quorum" internal/system/core/store_registers.go 's/told < s\.membership\.Quorum\(\)/told < 1/'
+mutate "a learner votes before it has read a quorum" internal/system/core/store_registers.go 's/voters < s\.membership\.Quorum\(\)/voters < 1/'
 mutate "learners count in shards" coord/shard/primary.go 's/if one\.votes/if true/'
 mutate "a repair makes a voter at once" coord/shard/replica.go 's/r\.Voter = r\.Voter \|\| r\.Trusted/r.Voter = true/'
 mutate "a seat held anew is trusted" internal/system/core/store_membership.go 's/replica\.Forget\(\)/_ = replica/'
@@ -40,8 +40,8 @@
 mutate "a late machine builds its membership" internal/system/core/store.go 's/if bootstrap \{\s+s\.bootstrapMembership\(first\)\s+\}/s.membership = first.Clone()/'
 mutate "old orders are refused" internal/system/core/config.go 's/o\.baseVersion < record\.History\[0\]\.Base/false/'
 mutate "a call is repeated by the library" internal/system/rpc/rpc.go 's/call\.GetBody = nil/call.Header.Set("Idempotency-Key", "x")/'
-mutate "accepted before it is durable" internal/system/core/jobsapi.go 's/sequence := o\.flush\(\)\n\to\.mu\.Unlock\(\)\n\treturn &api\.Empty\{\}, o\.waitCommittedWithin\(ctx, sequence\)/o.flush()\n\to.mu.Unlock()\n\treturn &api.Empty{}, nil/'
-mutate "a change that was taken is refused when it comes again" internal/system/core/config.go 's/if taken\.Digest == o\.digest/if false && taken.Digest == o.digest/'
+mutate "accepted before it is durable" internal/system/core/jobsapi.go 's/sequence := o\.flush\(\)\n\to\.mu\.Unlock\(\)\n\treturn &api\.Empty\{\}, o\.waitCommitted\(ctx, sequence\)/o.flush()\n\to.mu.Unlock()\n\treturn &api.Empty{}, nil/'
+mutate "a change that was taken is refused when it comes again" internal/system/core/config.go 's/if made\.Digest == o\.digest/if false \&\& made.Digest == o.digest/'
 mutate "nothing runs beside kept room" jobs/reserve.go 's/kept\.room\(\)\.Holds\(wanted\)/false/' ./jobs
 mutate "what is kept is kept without end" jobs/overdue.go 's/p\.unreserved = idle \|\| u\.job\.lasts\(u\.stage\)/p.unreserved = idle && false/' ./jobs
 mutate "limits hold back without end" jobs/place.go 's/if b\.overdueDue \{/if false {/' ./jobs
@@ -50,10 +50,10 @@
 mutate "what cannot run hides what can" jobs/place.go 's/q\.next = more/_ = more/' ./jobs
 mutate "a dropped queue takes jobs after a takeover" jobs/book.go 's/\t\tq\.removed = true\n\t\tb/\t\tb/' ./jobs
 mutate "a start that was ordered counts as begun" jobs/place.go 's/u\.job\.started = true/u.job.started = true; b.noteBegun(u.job)/' ./jobs
-mutate "operators are cut off at a planned end" internal/system/core/core.go 's/c\.shutdownOperatorServer\(operators\)/_ = operators/' ./internal/system/simulation
+mutate "operators are cut off at a planned end" internal/system/core/core.go 's/c\.shutdownOperatorServer\(running, operators\)/_ = operators/' ./internal/system/simulation
 mutate "no room is kept for the first priority" jobs/headroom.go 's/h\.others = max\(0, limit-h\.peak\)/h.others = limit/' ./jobs
 mutate "tasks that last wait behind kept room" jobs/headroom.go 's/if u\.job\.lasts\(u\.stage\)/if false/' ./jobs
 mutate "what cannot be in time goes before what can" jobs/queue.go 's/\t\tb\.triage\(now, q, limit\)\n//' ./jobs
-mutate "shards are taken before all have spoken" internal/system/core/peers.go 's/p\.known && !p\.alive\(\)/p.known \&\& false/' ./internal/system/core
+mutate "shards are taken before all have spoken" internal/system/core/liveness.go 's/p\.known && !p\.alive\(\)/p.known \&\& false/' ./internal/system/core
 mutate "a worker is kept that its holder may not use" jobs/reserve.go 's/!b\.suits\(w, u, 0\)/!w.Capacity.Holds(step.demand())/' ./jobs
 exit $missed
