--- a/internal/system/core/doc.go
+++ b/internal/system/core/doc.go
@@ -43,8 +43,9 @@
 //
 // # Goroutines
 //
-// Core.Run starts pingLoop, ownershipLoop, joinLoop and followMembership, which end with its context; at most one
-// takeOver a shard runs beside them, at most one ping a peer, and at most one readAsync a register. An owner runs one
+// Run starts pingLoop, ownershipLoop, joinLoop and followMembership, which end after it has drained. Beside them run a
+// takeOver, of about takeoverTimeout at most, for each shard that needs one, at most one ping a peer, and at most one
+// readAsync a register; calls that broadcast has begun go on for up to roundTimeout after their round. An owner runs one
 // tickLoop, one replicate a seat and one sendOrdersLoop a worker, all of which end when it is closed or deposed; calls of
 // the jobs API run beside them. The store has the log's writer. Calls of the internal protocol may all run at once.
 package core
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -4,7 +4,6 @@
 	"context"
 	"crypto/rand"
 	"encoding/hex"
-	"errors"
 	"fmt"
 	"strconv"
 	"sync"
@@ -41,9 +40,6 @@
 	entryTrust
 )
 
-// errUnknownEntry says that a newer release has written the disk.
-var errUnknownEntry = errors.New("core: entry of unknown kind")
-
 // entry is one record of the log and of snapshots: a change of the store. It is an Avro record, so that fields are read by
 // their order; which of them an entry uses depends on its kind.
 type entry struct {
@@ -200,7 +196,7 @@
 	case entryReplica:
 		s.replicas[e.Name] = replicaOf(e, s.identity.Restored)
 	default:
-		return fmt.Errorf("%w %d", errUnknownEntry, e.Kind)
+		return fmt.Errorf("core: entry of unknown kind %d", e.Kind)
 	}
 	return nil
 }
--- a/internal/system/directory/directory.go
+++ b/internal/system/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory keeps a scheduler on an edge or side machine informed: which core schedulers there are,
-// who owns which shard, and the newest configuration. It subscribes to one core scheduler, its home, and
-// goes on to another when that falls silent or has lost touch with the majority.
+// Package directory keeps a scheduler on an edge or side machine informed of the core: which core schedulers there are, who
+// owns which shard, and the newest configuration. It subscribes to one core scheduler by long polls, and fails over to
+// another when that times out or has lost its quorum.
 package directory
 
 import (
@@ -24,24 +24,25 @@
 	retryBackoff     = 60 * time.Millisecond
 )
 
-// Directory is what a scheduler knows of the system.
+// Directory is what a scheduler knows of the core. Its methods may be called concurrently.
 type Directory struct {
 	process    *node.Process
 	logger     logr.Logger
 	wantConfig bool
 
+	// mu guards the fields below. It is never held over a call.
 	mu          sync.Mutex
-	cores       []string
-	owners      map[string]api.Owner
-	digest      int64
-	table       *clusterconfig.Table
-	text        []byte // the configuration as it came
-	version     int64
-	confirmedAt time.Time // when the newest confirmed answer was asked for
-	changed     chan struct{}
+	cores       []string             // the addresses of the core schedulers, as named by the last answer that named any
+	owners      map[string]api.Owner // by shard; fencing tokens never fall
+	digest      int64                // of the owners and core schedulers in the last answer
+	table       *clusterconfig.Table // nil where no configuration is known or wanted
+	text        []byte               // of the configuration, as it came; nil where none is known
+	version     int64                // of the configuration; 0 where none is known
+	confirmedAt time.Time            // when the newest answer that a quorum had confirmed was asked for
+	changed     chan struct{}        // closed and made anew at each answer
 }
 
-// New returns a Directory that knows the seeds. Configurations are told only where they are wanted.
+// New returns a Directory that knows the seeds. Without wantConfig it receives versions of the configuration only.
 func New(p *node.Process, wantConfig bool) *Directory {
 	return &Directory{
 		process: p, logger: p.Logger, wantConfig: wantConfig, owners: map[string]api.Owner{},
@@ -49,20 +50,22 @@
 	}
 }
 
-// Run follows the system until the context ends.
+// Run keeps the directory up to date until the context ends.
 func (d *Directory) Run(ctx context.Context) {
 	next := 0
 	for ctx.Err() == nil {
 		candidates := d.candidates()
-		home := candidates[next%len(candidates)]
-		if d.watch(ctx, home) {
+		target := candidates[next%len(candidates)]
+		if d.watch(ctx, target) {
 			continue
 		}
 		next++
+		backoff := time.NewTimer(retryBackoff)
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryBackoff):
+		case <-backoff.C:
 		}
+		backoff.Stop()
 	}
 }
 
@@ -79,8 +82,8 @@
 	return rendezvous.Rank(d.process.Settings.Node, known)
 }
 
-// watch asks a core scheduler once. It reports whether its answer is of use.
-func (d *Directory) watch(ctx context.Context, home string) bool {
+// watch makes one long poll of a core scheduler. It reports whether the answer was confirmed by a quorum.
+func (d *Directory) watch(ctx context.Context, target string) bool {
 	d.mu.Lock()
 	request := &api.WatchRequest{
 		Node: d.process.Settings.Node, ConfigVersion: d.version, WantConfig: d.wantConfig, OwnersDigest: d.digest,
@@ -95,14 +98,15 @@
 	defer cancel()
 	sentAt := time.Now()
 	answer := &api.WatchResponse{}
-	if err := d.process.Client.Call(call, home, api.MethodWatch, request, answer); err != nil {
-		d.logger.V(1).Info("core scheduler unreachable", "address", home, "error", err.Error())
+	if err := d.process.Client.Call(call, target, api.MethodWatch, request, answer); err != nil {
+		d.logger.V(1).Info("core scheduler unreachable", "address", target, "error", err.Error())
 		return false
 	}
 	d.apply(answer, sentAt)
 	return answer.Fresh
 }
 
+// apply takes over what is newer in an answer to a request that was sent at the time given.
 func (d *Directory) apply(answer *api.WatchResponse, sentAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,7 +129,7 @@
 	d.changed = make(chan struct{})
 }
 
-// applyConfig takes a newer configuration, whole. The lock is held.
+// applyConfig takes a newer configuration. d.mu is held.
 func (d *Directory) applyConfig(answer *api.WatchResponse) {
 	if !d.wantConfig {
 		d.version = answer.ConfigVersion
@@ -141,7 +145,7 @@
 	}
 	if err != nil {
 		d.logger.Error(err, "configuration cannot be decoded", "version", answer.ConfigVersion)
-		d.text, d.version = nil, 0 // the next answer brings it whole
+		d.text, d.version = nil, 0 // the next answer brings all of it
 		return
 	}
 	d.text = text
@@ -150,7 +154,8 @@
 	d.logger.V(1).Info("configuration applied", "version", d.version)
 }
 
-// completeText returns the whole configuration that an answer brings, as a text or as a patch on the one that is known.
+// completeText returns the configuration that an answer brings, as its text or as a patch on the one that is known. d.mu is
+// held.
 func (d *Directory) completeText(answer *api.WatchResponse) ([]byte, error) {
 	if answer.Base == 0 {
 		return answer.Config, nil
@@ -168,7 +173,7 @@
 	return d.table, d.version, time.Since(d.confirmedAt)
 }
 
-// Owner returns the address of a shard's owner, or "", and a channel that is closed when anything changes.
+// Owner returns the address of a shard's owner, or "", and a channel that is closed at the next answer of a core scheduler.
 func (d *Directory) Owner(shard string) (string, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/system/statefile/statefile_test.go
+++ b/internal/system/statefile/statefile_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// A loss of power tears or drops what was written after the last sync; what was acknowledged stays, and what is
+// A power loss tears or drops what was written after the last sync; what was acknowledged stays, and what is
 // appended after the start does not end up behind the torn part.
 func TestTornEndIsCutOff(t *testing.T) {
 	for seed := range uint64(60) {
@@ -100,7 +100,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() {
+		if err := file.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	frame := appendFrame(nil, []byte("never acknowledged"))
 	switch seed % 3 {
 	case 0:
@@ -116,7 +120,7 @@
 	}
 }
 
-// A snapshot that is not whole is left out, and the generation before it counts.
+// An incomplete snapshot is ignored, and the generation before it counts.
 func TestHalfSnapshotIsLeftOut(t *testing.T) {
 	dir := t.TempDir()
 	m := &memory{}
@@ -160,7 +164,9 @@
 	m := &memory{}
 	l := m.open(t, dir)
 	m.append(t, l, "a")
-	l.file.Close() // the next write fails
+	if err := l.file.Close(); err != nil { // the next write fails
+		t.Fatal(err)
+	}
 	m.entries = append(m.entries, "b")
 	ticket := l.Append([]byte("b"))
 	<-ticket.Done()
