--- a/internal/system/core/config.go
+++ b/internal/system/core/config.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"context"
 	"crypto/sha256"
 	"encoding/binary"
 	"time"
@@ -10,54 +11,60 @@
 	"sedgevale/internal/system/result"
 )
 
-// historyLength is how many changes are remembered, so that one that is sent again is told from a new one. An order that
-// builds on a version from before them is left without a clear answer: it may have been taken.
-const historyLength = 512
+const (
+	configRegister = "config" // the name of the configuration's register
 
-// pastConfigs is how many earlier configurations are kept, to tell subscribers just what differs.
-const pastConfigs = 8
+	// maxHistory is how many changes are remembered, so that a retry is told from a new change. A change on a version from
+	// before them is answered with result.OutcomeUnknown: it may have been made.
+	maxHistory = 512
+
+	maxPreviousConfigs = 8                      // kept so that subscribers can be sent a patch
+	configFreshnessTTL = 700 * time.Millisecond // how long a quorum's confirmation counts
+)
 
 // configRecord is the value of the configuration's register.
 type configRecord struct {
 	Version int64
-	Text    []byte // as the operator sent it, or as patches made it
-	History []appliedChange
+	Text    []byte          // JSON, as the operator sent it, or with patches applied
+	History []appliedChange // the newest maxHistory changes, the oldest first
 }
 
-// appliedChange names a change that was taken.
+// appliedChange identifies a change that was made.
 type appliedChange struct {
-	Base   int64 // the version that it built on
-	Digest int64 // of the order
+	Base   int64 // the version that it was made on
+	Digest int64 // operatorChange.digest
 }
 
 // configState is the newest configuration that this scheduler knows to be chosen.
 type configState struct {
 	record configRecord
 	config *clusterconfig.Config
-	table  *clusterconfig.Table
 
-	patches map[int64][]byte // that make it of earlier versions, as far as anybody asked; nil for one that is not possible
+	patches map[int64][]byte // by the earlier version to which they apply, computed on demand; nil where there is no patch
 }
 
-// operatorChange is an operator's order.
+// operatorChange is an operator's change of the configuration.
 type operatorChange struct {
-	patch  bool
-	match  int64 // the version that it builds on
-	body   []byte
-	digest int64
+	patch       bool
+	baseVersion int64  // the version that it is made on
+	body        []byte // a whole configuration or a patch
+	digest      int64  // identifies it
 }
 
-func newOperatorChange(patch bool, match int64, body []byte) *operatorChange {
+func newOperatorChange(patch bool, baseVersion int64, body []byte) *operatorChange {
 	hash := sha256.New()
 	if patch {
 		hash.Write([]byte("patch "))
 	}
 	hash.Write(body)
-	return &operatorChange{patch: patch, match: match, body: body, digest: int64(binary.LittleEndian.Uint64(hash.Sum(nil)))}
+	return &operatorChange{
+		patch: patch, baseVersion: baseVersion, body: body, digest: int64(binary.LittleEndian.Uint64(hash.Sum(nil))),
+	}
 }
 
-// apply is the compare-and-swap: it returns the register's next value, or why there is none. A change that
-// was taken before leaves the value as it is and is no error.
+// apply is the compare-and-swap: it returns the register's next value for the current one. A change that was made before
+// leaves the value as it is and is no error. Errors have the codes result.Conflict, result.Invalid and
+// result.OutcomeUnknown, and result.Unavailable where the current value cannot be decoded.
 func (o *operatorChange) apply(current []byte) ([]byte, error) {
 	var record configRecord
 	if current != nil {
@@ -65,15 +72,15 @@
 			return nil, result.Errorf(result.Unavailable, "current configuration: %w", err)
 		}
 	}
-	for _, taken := range record.History {
-		if taken.Digest == o.digest {
+	for _, made := range record.History {
+		if made.Digest == o.digest {
 			return current, nil
 		}
 	}
 	text := o.body
 	if o.patch {
-		if o.match != record.Version || record.Version == 0 {
-			return nil, o.conflict(&record)
+		if o.baseVersion != record.Version || record.Version == 0 {
+			return nil, o.conflictError(&record)
 		}
 		patched, err := clusterconfig.Apply(record.Text, o.body)
 		if err != nil {
@@ -88,54 +95,53 @@
 	if err != nil {
 		return nil, result.Errorf(result.Invalid, "configuration: %w", err)
 	}
-	if o.match != record.Version {
-		return nil, o.conflict(&record)
+	if o.baseVersion != record.Version {
+		return nil, o.conflictError(&record)
 	}
 	if config.Version <= record.Version {
 		return nil, result.Errorf(result.Invalid, "version: %d is not above %d", config.Version, record.Version)
 	}
-	history := append(record.History, appliedChange{o.match, o.digest})
-	if len(history) > historyLength {
-		history = history[len(history)-historyLength:]
+	history := append(record.History, appliedChange{o.baseVersion, o.digest})
+	if len(history) > maxHistory {
+		history = history[len(history)-maxHistory:]
 	}
 	return avrocodec.Encode(&configRecord{Version: config.Version, Text: text, History: history})
 }
 
-// conflict is the answer to an order that builds on another version than the current one. Of a version from before the
-// history it is not known which order was taken on it.
-func (o *operatorChange) conflict(record *configRecord) error {
-	if len(record.History) == historyLength && o.match < record.History[0].Base {
+// conflictError is the answer to a change that is made on another version than the current one. Which change was made on a
+// version from before the history is not known.
+func (o *operatorChange) conflictError(record *configRecord) error {
+	if len(record.History) == maxHistory && o.baseVersion < record.History[0].Base {
 		return result.Errorf(result.OutcomeUnknown, "If-Match: version %d is current; what was taken on %d is not known any more",
-			record.Version, o.match)
+			record.Version, o.baseVersion)
 	}
-	return result.Errorf(result.Conflict, "If-Match: version %d is current, %d came", record.Version, o.match)
+	return result.Errorf(result.Conflict, "If-Match: version %d is current, %d came", record.Version, o.baseVersion)
 }
 
-// useConfig takes a newer configuration. The lock is held.
-func (c *Core) useConfig(value []byte) {
+// applyConfig puts a newer configuration in force. c.mu is held.
+func (c *Core) applyConfig(value []byte) {
 	state := &configState{patches: map[int64][]byte{}}
 	if err := avrocodec.Decode(value, &state.record); err != nil {
-		c.logger.Error(err, "configuration cannot be read")
+		c.logger.Error(err, "configuration cannot be decoded")
 		return
 	}
 	config, err := clusterconfig.Parse(state.record.Text)
 	if err != nil {
-		c.logger.Error(err, "configuration cannot be read", "version", state.record.Version)
+		c.logger.Error(err, "configuration cannot be decoded", "version", state.record.Version)
 		return
 	}
 	if c.config != nil {
-		c.past = append(c.past, c.config.record)
-		if len(c.past) > pastConfigs {
-			c.past = c.past[1:]
+		c.previousConfigs = append(c.previousConfigs, c.config.record)
+		if len(c.previousConfigs) > maxPreviousConfigs {
+			c.previousConfigs = c.previousConfigs[1:]
 		}
 	}
 	state.config = config
-	state.table = clusterconfig.NewTable(config)
 	c.config = state
 	for _, o := range c.owners {
 		o.configure(state)
 	}
-	c.logger.V(1).Info("configuration in force", "version", state.record.Version)
+	c.logger.V(1).Info("configuration applied", "version", state.record.Version)
 }
 
 // currentConfig returns the newest configuration that is known, or nil.
@@ -145,7 +151,25 @@
 	return c.config
 }
 
-const freshFor = 700 * time.Millisecond // a quorum's word counts for so long
+// ReadConfig implements controlplane.ConfigStore.
+func (c *Core) ReadConfig(ctx context.Context) ([]byte, error) {
+	if err := c.read(ctx, configRegister); err != nil {
+		return nil, result.Errorf(result.Unavailable, "no quorum: %w", err)
+	}
+	state := c.currentConfig()
+	if state == nil {
+		return nil, result.Errorf(result.NotReady, "no configuration yet")
+	}
+	return state.record.Text, nil
+}
+
+// ChangeConfig implements controlplane.ConfigStore.
+func (c *Core) ChangeConfig(ctx context.Context, patch bool, baseVersion int64, body []byte) error {
+	_, err := c.propose(ctx, configRegister, newOperatorChange(patch, baseVersion, body).apply)
+	return err
+}
 
-// configFresh reports whether a quorum has confirmed the configuration a moment ago.
-func (c *Core) configFresh() bool { return time.Since(c.confirmedAt(registerName)) < freshFor }
+// configFresh reports whether a quorum has confirmed the configuration within configFreshnessTTL.
+func (c *Core) configFresh() bool {
+	return time.Since(c.confirmedAt(configRegister)) < configFreshnessTTL
+}
--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -8,84 +8,77 @@
 
 	"sedgevale/coord/membership"
 	"sedgevale/coord/shard"
-	"sedgevale/internal/system/result"
 	"sedgevale/jobs"
 )
 
 const (
-	tickEvery       = 100 * time.Millisecond
-	summaryRounds   = 10                      // between two summaries in the log
-	ownerFreshFor   = 1500 * time.Millisecond // how long an owner acts after a quorum's last word
-	replicaTimeout  = 900 * time.Millisecond
-	heartbeatEvery  = 250 * time.Millisecond
-	repairPause     = 120 * time.Millisecond
-	maxUnendedJobs  = 20000
-	endedJobsKeptBy = 1.25                    // times status_s
-	withheldAfter   = 2500 * time.Millisecond // a unit that waits beside room for longer is told of
-	withheldLogged  = 4                       // lines about such units in a round of the log, at most
+	tickInterval             = 100 * time.Millisecond
+	ticksPerSummary          = 10                      // between two summaries in the log
+	ownerLeaseTTL            = 1500 * time.Millisecond // how long an owner acts after a quorum's last acknowledgement
+	maxUnfinishedJobs        = 20000                   // of a shard; more are rejected
+	endedJobRetentionFactor  = 1.25                    // times status_s
+	unschedulableReportDelay = 2500 * time.Millisecond // from which on a unit that waits despite free capacity is reported
+	maxUnschedulableLogged   = 4                       // lines about such units per summary
 )
 
 // owner is a shard that this scheduler owns: its jobs, and the replication of their records.
 type owner struct {
 	core  *Core
-	name  string
-	token int64
-	stop  context.CancelFunc
-	done  context.Context
-
-	mu        sync.Mutex
-	primary   *shard.Primary
-	book      *jobs.Book
-	links     []*link
-	sides     map[string]*sideLink
-	sessions  sessions
-	committed int64
-	waiters   []waiter
-	deposed   bool
-	began     bool
-	config    *configState
-	stepped   chan struct{} // closed and made anew when a replica came in step
-}
-
-// waiter waits until a change is durable.
-type waiter struct {
-	sequence int64
-	done     chan struct{}
-}
-
-// link is the owner's connection to one replica.
-type link struct {
-	seat      int
-	member    membership.Member
-	counts    bool // it was sealed under this token
-	ready     bool // it is in step, and has said so
-	confirmed time.Time
-	repairs   int64 // begun so far
-	wake      chan struct{}
-}
-
-func newOwner(c *Core, name string, token int64, m membership.Membership, set *shard.Set) *owner {
-	done, stop := context.WithCancel(context.Background())
+	name  string // of the shard
+	token int64  // the fencing token of this ownership
+	tasks taskGroup
+
+	// mu guards the fields below and those of each replicator. Core.mu may be held when it is taken, not the other way.
+	mu            sync.Mutex
+	primary       *shard.Primary
+	scheduler     *jobs.Book
+	replicators   []*replicator           // by seat; the slice itself never changes
+	orderSenders  map[string]*orderSender // by the worker's reference
+	sessions      sessions
+	committed     int64 // the highest change that a quorum has stored; never falls
+	commitWaiters []commitWaiter
+	deposed       bool // closed, or a newer fencing token was met; never reset
+	started       bool // the jobs are restored, and the scheduler decides
+	config        *configState
+	inSyncChanged chan struct{} // closed and made anew when a replica has acknowledged something, or the owner is deposed
+}
+
+// taskGroup starts goroutines under one context, whose end is theirs.
+type taskGroup struct {
+	ctx    context.Context
+	cancel context.CancelFunc
+}
+
+// run starts a goroutine.
+func (g *taskGroup) run(task func(context.Context)) { go task(g.ctx) }
+
+// done is closed when the goroutines are to end.
+func (g *taskGroup) done() <-chan struct{} { return g.ctx.Done() }
+
+// newOwner returns the owner of a shard over the merged records of a quorum. Its goroutines end with the context.
+func newOwner(ctx context.Context, c *Core, name string, token int64, m membership.Membership, set *shard.Set) *owner {
+	ctx, cancel := context.WithCancel(ctx)
 	o := &owner{
-		core: c, name: name, token: token, stop: stop, done: done,
-		primary: shard.NewPrimary(token, set, len(m.Seats), m.Quorum()),
-		sides:   map[string]*sideLink{}, sessions: sessions{}, stepped: make(chan struct{}),
+		core: c, name: name, token: token, tasks: taskGroup{ctx, cancel},
+		primary:      shard.NewPrimary(token, set, len(m.Seats), m.Quorum()),
+		orderSenders: map[string]*orderSender{}, sessions: sessions{}, inSyncChanged: make(chan struct{}),
 	}
 	options := jobs.Options{
-		LapseAfter: ownerFreshFor + c.timing.LapseAfter(),
-		KeepEnded:  time.Duration(c.settings.Bounds.StatusS * endedJobsKeptBy * float64(time.Second)),
+		LapseAfter: ownerLeaseTTL + c.timing.LapseAfter(),
+		KeepEnded:  time.Duration(c.settings.Bounds.StatusS * endedJobRetentionFactor * float64(time.Second)),
 		FarX:       c.settings.Bounds.FarX,
 	}
-	o.book = jobs.New(options, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	o.scheduler = jobs.New(options, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for i, member := range m.Seats {
-		o.links = append(o.links, &link{seat: i, member: member, wake: make(chan struct{}, 1)})
+		o.replicators = append(o.replicators, &replicator{seat: i, member: member, wake: make(chan struct{}, 1)})
 		o.primary.SetVoter(i, member.Voter)
 	}
 	return o
 }
 
+// close ends the owner for good.
 func (o *owner) close() {
-	o.stop()
+	o.tasks.cancel()
 	o.mu.Lock()
 	o.deposed = true
 	o.mu.Unlock()
@@ -101,46 +94,48 @@
 func (o *owner) active() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.began && !o.deposed
+	return o.started && !o.deposed
 }
 
-// fresh reports whether a quorum has confirmed the ownership a moment ago.
-func (o *owner) fresh() bool {
+// leaseValid reports whether a quorum has acknowledged the ownership within ownerLeaseTTL.
+func (o *owner) leaseValid() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.freshLocked()
+	return o.leaseValidLocked()
 }
 
-func (o *owner) freshLocked() bool {
+// leaseValidLocked is leaseValid while o.mu is held.
+func (o *owner) leaseValidLocked() bool {
 	var times []time.Time
-	for _, l := range o.links {
-		if l.member.Voter && !l.confirmed.IsZero() {
-			times = append(times, l.confirmed)
+	for _, r := range o.replicators {
+		if r.member.Voter && !r.lastConfirmed.IsZero() {
+			times = append(times, r.lastConfirmed)
 		}
 	}
-	return !o.deposed && time.Since(quorumTime(times, o.primary.Quorum())) < ownerFreshFor
+	return !o.deposed && time.Since(quorumTime(times, o.primary.Quorum())) < ownerLeaseTTL
 }
 
-// inStepWithout returns how many replicas hold all that was committed, without those at the addresses given.
-func (o *owner) inStepWithout(leaving map[string]bool) int64 {
+// inSyncWithout returns how many voters hold all that was committed, without those at the addresses given.
+func (o *owner) inSyncWithout(excluded map[string]bool) int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := int64(0)
-	for _, l := range o.links {
-		if l.ready && l.member.Voter && !leaving[l.member.Address] && o.primary.Holds(l.seat, o.committed) {
+	for _, r := range o.replicators {
+		if r.inSync && r.member.Voter && !excluded[r.member.Address] && o.primary.Holds(r.seat, o.committed) {
 			n++
 		}
 	}
 	return n
 }
 
-// steady is the time that the book is told.
-func (o *owner) steady() time.Duration { return time.Since(o.core.started) }
+// monotonicNow is the clock of jobs.Book: the time since this process started.
+func (o *owner) monotonicNow() time.Duration { return time.Since(o.core.started) }
 
-func wallMS() int64 { return time.Now().UnixMilli() }
+// wallClockMS returns the time of day in milliseconds since 1970, for start times that users give.
+func wallClockMS() int64 { return time.Now().UnixMilli() }
 
-// begin starts to decide over the records that were taken over.
-func (o *owner) begin(state *configState) error {
+// start restores the jobs from the records that were taken over, and begins to schedule them.
+func (o *owner) start(state *configState) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if state != nil {
@@ -150,21 +145,22 @@
 	for _, record := range o.primary.Set.All() {
 		records = append(records, jobs.Change{Key: record.Key, Value: record.Value})
 	}
-	if err := o.book.Restore(o.steady(), records); err != nil {
+	if err := o.scheduler.Restore(o.monotonicNow(), records); err != nil {
 		return err
 	}
-	o.began = true
-	go o.tickLoop()
+	o.started = true
+	o.tasks.run(o.tickLoop)
 	return nil
 }
 
-// configure takes a newer configuration.
+// configure applies a newer configuration.
 func (o *owner) configure(state *configState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.configureLocked(state)
 }
 
+// configureLocked is configure while o.mu is held.
 func (o *owner) configureLocked(state *configState) {
 	if o.config != nil && o.config.record.Version >= state.record.Version {
 		return
@@ -181,118 +177,59 @@
 			TargetLatencyMS: route.TargetLatencyMS,
 		})
 	}
-	o.book.Configure(queues)
+	o.scheduler.Configure(queues)
 }
 
-func (o *owner) tickLoop() {
-	ticker := time.NewTicker(tickEvery)
+// tickLoop runs the scheduler's timers, retries undelivered orders, and logs how the shard stands.
+func (o *owner) tickLoop(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for round := 0; ; round++ {
 		select {
-		case <-o.done.Done():
+		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
 		o.mu.Lock()
-		if o.freshLocked() {
-			o.book.Tick(o.steady(), wallMS())
+		if o.leaseValidLocked() {
+			o.scheduler.Tick(o.monotonicNow(), wallClockMS())
 			o.flush()
 		}
-		if round%summaryRounds == 0 {
-			o.logWithheld()
+		if round%ticksPerSummary == 0 {
+			o.logUnschedulable()
 			o.logSummary()
 		}
-		for _, side := range o.sides {
-			side.poke()
+		for _, sender := range o.orderSenders {
+			sender.wakeUp()
 		}
 		o.mu.Unlock()
 	}
 }
 
-// logWithheld logs which units wait for long beside room for them, and why. It should never have anything to say. The
-// lock is held.
-func (o *owner) logWithheld() {
-	waiting := o.book.Withheld(o.steady(), withheldAfter)
-	for _, one := range waiting[:min(len(waiting), withheldLogged)] {
-		o.core.logger.Info("work waits beside free room", "shard", o.name, "queue", one.Queue, "job", one.Job, "stage", one.Stage,
-			"tasks", one.Tasks, "waited_ms", one.WaitedMS, "reason", one.Reason, "worker", one.Worker, "kept_for", one.Holder)
+// logUnschedulable logs which units have waited for longer than unschedulableReportDelay though a worker has capacity for
+// them, and why. On a healthy system it logs nothing. o.mu is held.
+func (o *owner) logUnschedulable() {
+	units := o.scheduler.Withheld(o.monotonicNow(), unschedulableReportDelay)
+	for _, unit := range units[:min(len(units), maxUnschedulableLogged)] {
+		o.core.logger.Info("task unschedulable despite free capacity", "shard", o.name, "queue", unit.Queue, "job", unit.Job,
+			"stage", unit.Stage, "tasks", unit.Tasks, "waited_ms", unit.WaitedMS, "reason", unit.Reason, "worker", unit.Worker,
+			"kept_for", unit.Holder)
 	}
 }
 
-// logSummary logs how the shard stands, at the verbose level. The lock is held.
+// logSummary logs how the shard stands, at the verbose level. o.mu is held.
 func (o *owner) logSummary() {
 	logger := o.core.logger.V(1)
 	if !logger.Enabled() {
 		return
 	}
-	queues, workers := o.book.Summary()
+	queues, workers := o.scheduler.Summary()
 	for _, q := range queues {
 		logger.Info("queue", "shard", o.name, "name", q.Name, "priority", q.Priority, "unended", q.Unended, "pending", q.Pending,
-			"held", q.Held,
-			"wanted", q.Wanted, "sigma", q.Sigma, "usual_ms", q.UsualMS)
+			"held", q.Held, "wanted", q.Wanted, "sigma", q.Sigma, "usual_ms", q.UsualMS)
 	}
 	for _, w := range workers {
 		logger.Info("worker", "shard", o.name, "ref", w.Ref, "state", w.State, "runs", w.Runs, "held", w.Held,
 			"sigma", w.Sigma, "failing", w.Failing, "pace", w.Pace, "free", w.Free)
 	}
 }
-
-// flush releases what may start, hands all changes to the replication and tells side agents what is
-// durable. It returns the number of the last change. The lock is held.
-func (o *owner) flush() int64 {
-	o.book.Schedule(o.steady())
-	last, err := o.book.Flush(func(change jobs.Change) int64 {
-		if change.Value == nil {
-			return o.primary.Delete(change.Key)
-		}
-		return o.primary.Put(change.Key, change.Value)
-	}, o.primary.Sequence())
-	if err != nil {
-		o.core.logger.Error(err, "records cannot be encoded", "shard", o.name)
-	}
-	for _, l := range o.links {
-		if o.primary.HasPending(l.seat) {
-			l.poke()
-		}
-	}
-	o.advance()
-	return last
-}
-
-// advance lets happen what has become durable. The lock is held.
-func (o *owner) advance() {
-	o.committed = max(o.committed, o.primary.Committed())
-	o.book.Committed(o.committed)
-	kept := o.waiters[:0]
-	for _, w := range o.waiters {
-		if w.sequence <= o.committed {
-			close(w.done)
-		} else {
-			kept = append(kept, w)
-		}
-	}
-	o.waiters = kept
-	for _, w := range o.book.DirtyWorkers() {
-		o.side(w).poke()
-	}
-}
-
-// waitDurable waits until a change is durable.
-func (o *owner) waitDurable(ctx context.Context, sequence int64) error {
-	o.mu.Lock()
-	if sequence <= o.committed {
-		o.mu.Unlock()
-		return nil
-	}
-	w := waiter{sequence, make(chan struct{})}
-	o.waiters = append(o.waiters, w)
-	o.mu.Unlock()
-	select {
-	case <-w.done:
-		return nil
-	case <-ctx.Done():
-		return result.Errorf(result.OutcomeUnknown, "shard %s: not durable in time", o.name)
-	case <-o.done.Done():
-		return result.Errorf(result.OutcomeUnknown, "shard %s: deposed", o.name)
-	}
-}
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -16,13 +16,13 @@
 	"sedgevale/internal/system/statefile"
 )
 
-// identity names the disk. It is written before the disk is used.
+// identity identifies the disk. It is written before the disk is used. It is part of an Avro record: fields are not moved.
 type identity struct {
-	ID       string
-	Address  string // of the machine that the disk belongs to
-	Life     int64  // how often it was opened; part of the ballots of each life
-	Joined   int64  // the epoch in which it took the seat that it holds or held last
-	Restored bool   // it holds what a quorum of voters held after it had taken its seat
+	ID          string
+	Address     string // of the machine that the disk belongs to
+	Incarnation int64  // how often it was opened; part of its ballots
+	Joined      int64  // the epoch in which it took the seat that it holds or held last
+	Restored    bool   // it has restored what a quorum of voters held after it had taken its seat
 }
 
 // The kinds of entries in the state file.
@@ -36,11 +36,12 @@
 	entryWrite
 	entryRepair
 	entryReplica
-	entryCopy
+	entryPrefetch
 	entryTrust
 )
 
-// entry is one durable step of a core scheduler.
+// entry is one record of the log and of snapshots: a change of the store. It is an Avro record, so that fields are read by
+// their order; which of them an entry uses depends on its kind.
 type entry struct {
 	Kind       int
 	Name       string // of a register or a shard
@@ -51,31 +52,34 @@
 	Value      []byte
 	Token      int64
 	Number     int64 // of a repair
-	InStep     int64
+	InSync     int64
 	Flag       bool
 	Records    []shard.Record
 	Ranges     []shard.Range
 }
 
-// store is the durable state of a core scheduler: the membership, and its part of the registers and of the shards.
+// store is the durable state of a core scheduler: the membership, its acceptors of the registers and its replicas of the
+// shards. Every change is in the log before it is acknowledged.
 type store struct {
-	address   string
-	installed chan struct{} // poked when a newer membership was installed
+	address           string
+	membershipChanged chan struct{} // holds a signal when a newer membership was installed
 
+	// mu guards the fields below. It is taken with no other lock held, and held while an entry is queued in the log, so that
+	// the entries are in the order of the changes; never while the disk writes.
 	mu         sync.Mutex
 	log        *statefile.Log
-	last       *statefile.Ticket // of the newest entry
+	lastTicket *statefile.Ticket // of the newest entry; nil before the first
 	identity   identity
 	membership membership.Membership
 	registers  map[string]*register.Acceptor
 	replicas   map[string]*shard.Replica
 }
 
-// openStore reads the state of a disk. Bootstrap says that all disks are new, so that nothing can have been
-// forgotten; only then the first membership is used.
+// openStore opens the disk of the machine at an address. bootstrap says that the disks of all machines are new; only then
+// the first membership is installed on an empty disk. A disk of another machine is an error with the code result.WrongDisk.
 func openStore(dir, address string, first membership.Membership, bootstrap bool) (*store, error) {
 	s := newStore(address)
-	log, err := statefile.Open(dir, s.replay, s.snapshotFresh(first, bootstrap))
+	log, err := statefile.Open(dir, s.replay, s.snapshotFunc(first, bootstrap))
 	if err != nil {
 		return nil, err
 	}
@@ -85,20 +89,20 @@
 
 func newStore(address string) *store {
 	return &store{
-		address: address, installed: make(chan struct{}, 1),
+		address: address, membershipChanged: make(chan struct{}, 1),
 		registers: map[string]*register.Acceptor{}, replicas: map[string]*shard.Replica{},
 	}
 }
 
-// snapshotFresh returns the snapshot function. At its first call, before any entry was appended, a disk
-// without an identity gets one, and each disk another life.
-func (s *store) snapshotFresh(first membership.Membership, bootstrap bool) func(func([]byte) error) error {
+// snapshotFunc returns what writes snapshots. Its first call, before any entry is appended, gives a new disk its identity,
+// and each disk its next incarnation.
+func (s *store) snapshotFunc(first membership.Membership, bootstrap bool) func(func([]byte) error) error {
 	started := false
 	return func(emit func([]byte) error) error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !started {
-			if err := s.begin(first, bootstrap); err != nil {
+			if err := s.initIdentity(first, bootstrap); err != nil {
 				return err
 			}
 			started = true
@@ -107,22 +111,23 @@
 	}
 }
 
-func (s *store) begin(first membership.Membership, bootstrap bool) error {
+// initIdentity gives a new disk its identity and counts the incarnation. s.mu is held.
+func (s *store) initIdentity(first membership.Membership, bootstrap bool) error {
 	if s.identity.ID == "" {
 		s.identity = identity{ID: newID(), Address: s.address}
 		if bootstrap {
-			s.beginFirst(first)
+			s.bootstrapMembership(first)
 		}
 	}
 	if s.identity.Address != s.address {
 		return result.Errorf(result.WrongDisk, "the disk is that of %s, this machine is %s", s.identity.Address, s.address)
 	}
-	s.identity.Life++
+	s.identity.Incarnation++
 	return nil
 }
 
-// beginFirst makes an empty disk one of the first start.
-func (s *store) beginFirst(first membership.Membership) {
+// bootstrapMembership installs the first membership on an empty disk. s.mu is held.
+func (s *store) bootstrapMembership(first membership.Membership) {
 	s.membership = first.Clone()
 	if seat := first.SeatAt(s.address); seat >= 0 {
 		member := first.Seats[seat]
@@ -130,21 +135,22 @@
 	}
 }
 
-// newID returns a name that nothing else bears.
+// newID returns a unique name: 64 random bits in hexadecimal.
 func newID() string {
 	var random [8]byte
 	_, _ = rand.Read(random[:])
 	return hex.EncodeToString(random[:])
 }
 
-// proposer returns the name under which this life of the disk makes ballots: no two lives of any disk share one.
+// proposer returns the name under which this incarnation of the disk makes ballots: no two incarnations of any disk share
+// one.
 func (s *store) proposer() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.identity.ID + "#" + strconv.FormatInt(s.identity.Life, 10)
+	return s.identity.ID + "#" + strconv.FormatInt(s.identity.Incarnation, 10)
 }
 
-// highestBallot returns the highest counter that this disk has met.
+// highestBallot returns the highest ballot counter that this disk has met.
 func (s *store) highestBallot() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,6 +161,7 @@
 	return highest
 }
 
+// replay applies an entry of the log or of a snapshot.
 func (s *store) replay(payload []byte) error {
 	e := &entry{}
 	if err := avrocodec.Decode(payload, e); err != nil {
@@ -163,13 +170,13 @@
 	return s.apply(e)
 }
 
-// apply repeats a step of an earlier run.
+// apply repeats a change of an earlier incarnation.
 func (s *store) apply(e *entry) error {
 	switch e.Kind {
 	case entryIdentity:
 		s.identity = e.Identity
 	case entryMembership:
-		s.enter(e.Membership)
+		s.applyMembership(e.Membership)
 	case entryPromise:
 		s.acceptor(e.Name).Promised = e.Promised
 	case entryAccept:
@@ -182,7 +189,7 @@
 		s.replica(e.Name).Write(e.Token, e.Records)
 	case entryRepair:
 		s.replica(e.Name).Repair(e.Token, e.Number, e.Ranges, e.Flag)
-	case entryCopy:
+	case entryPrefetch:
 		s.replica(e.Name).Copy(e.Ranges)
 	case entryTrust:
 		s.replica(e.Name).Trust(e.Token)
@@ -194,11 +201,12 @@
 	return nil
 }
 
+// replicaOf returns the replica in a snapshot's entry.
 func replicaOf(e *entry, trusted bool) *shard.Replica {
 	replica := shard.NewReplica(trusted)
 	replica.Voter = e.Flag
 	replica.Sealed = e.Token
-	replica.InStep = e.InStep
+	replica.InStep = e.InSync
 	replica.Repairs = e.Number
 	for _, record := range e.Records {
 		replica.Set.Apply(record)
@@ -206,7 +214,7 @@
 	return replica
 }
 
-// snapshot emits the whole state. The lock is held.
+// snapshot emits the whole state. s.mu is held.
 func (s *store) snapshot(emit func([]byte) error) error {
 	entries := []*entry{{Kind: entryMembership, Membership: s.membership}, {Kind: entryIdentity, Identity: s.identity}}
 	for name := range s.registers {
@@ -235,22 +243,22 @@
 func (s *store) replicaEntry(name string) *entry {
 	r := s.replicas[name]
 	return &entry{
-		Kind: entryReplica, Name: name, Token: r.Sealed, InStep: r.InStep, Number: r.Repairs, Flag: r.Voter, Records: r.Set.All(),
+		Kind: entryReplica, Name: name, Token: r.Sealed, InSync: r.InStep, Number: r.Repairs, Flag: r.Voter, Records: r.Set.All(),
 	}
 }
 
-// append queues a step that was applied to the state. The lock is held.
+// append queues the entry of a change that was applied. s.mu is held.
 func (s *store) append(e *entry) (*statefile.Ticket, error) {
 	payload, err := avrocodec.Encode(e)
 	if err != nil {
 		return nil, fmt.Errorf("core: %w", err)
 	}
-	s.last = s.log.Append(payload)
-	return s.last, nil
+	s.lastTicket = s.log.Append(payload)
+	return s.lastTicket, nil
 }
 
-// wait waits until a step is durable.
-func wait(ctx context.Context, ticket *statefile.Ticket, err error) error {
+// waitDurable waits until an entry is durable. Its error has the code result.StorageFailed.
+func waitDurable(ctx context.Context, ticket *statefile.Ticket, err error) error {
 	if err != nil {
 		return err
 	}
@@ -265,13 +273,13 @@
 	}
 }
 
-// waitSettled waits until all that was applied so far is durable, so that nothing is told which a loss of power undoes.
-func (s *store) waitSettled(ctx context.Context) error {
+// waitAllDurable waits until all that was applied so far is durable, so that nothing is answered which a power loss undoes.
+func (s *store) waitAllDurable(ctx context.Context) error {
 	s.mu.Lock()
-	last := s.last
+	last := s.lastTicket
 	s.mu.Unlock()
 	if last == nil {
 		return nil
 	}
-	return wait(ctx, last, nil)
+	return waitDurable(ctx, last, nil)
 }
--- a/internal/system/core/store_shards.go
+++ b/internal/system/core/store_shards.go
@@ -7,8 +7,8 @@
 	"sedgevale/internal/system/result"
 )
 
-// replica returns the replica of a shard. On a disk that has held its seat from the start, or has heard from a quorum
-// which shards there are, a new one votes at once: there is nothing that it may have forgotten.
+// replica returns the replica of a shard, a new one where there is none. On a disk that has held its seat from the start, or
+// has restored a quorum's state, a new one votes at once: there is nothing that it may have lost. s.mu is held.
 func (s *store) replica(name string) *shard.Replica {
 	r := s.replicas[name]
 	if r == nil {
@@ -18,14 +18,15 @@
 	return r
 }
 
+// seal handles a sealRequest. Its error has the code result.Fenced where a higher fencing token is known.
 func (s *store) seal(ctx context.Context, r *sealRequest) (*sealResponse, error) {
 	answer := &sealResponse{}
-	err := s.change(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
+	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		replica := s.replica(r.Shard)
 		if !replica.Seal(r.Token) {
 			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.Sealed, r.Token)
 		}
-		*answer = sealResponse{From: from, Voter: replica.Voter, InStep: replica.InStep, Digests: replica.Set.Digests()}
+		*answer = sealResponse{From: from, Voter: replica.Voter, InSync: replica.InStep, Digests: replica.Set.Digests()}
 		return &entry{Kind: entrySeal, Name: r.Shard, Token: r.Token}, nil
 	})
 	if err != nil {
@@ -34,6 +35,7 @@
 	return answer, nil
 }
 
+// fetch returns the records of key ranges.
 func (s *store) fetch(_ context.Context, r *fetchRequest) (*fetchResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,31 +57,31 @@
 	return answer, nil
 }
 
-// copyOut returns what this disk stores of a shard where the digests of another differ.
-func (s *store) copyOut(_ context.Context, r *copyRequest) (*copyResponse, error) {
+// servePrefetch returns the key ranges of a shard in which this replica differs from the sender's.
+func (s *store) servePrefetch(_ context.Context, r *prefetchRequest) (*prefetchResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	replica := s.replicas[r.Shard]
 	if replica == nil {
-		return &copyResponse{}, nil
+		return &prefetchResponse{}, nil
 	}
-	return &copyResponse{Ranges: shard.Ranges(replica.Set, r.Digests)}, nil
+	return &prefetchResponse{Ranges: shard.Ranges(replica.Set, r.Digests)}, nil
 }
 
-// copyIn stores a copy of key ranges ahead of a repair, as long as this disk holds no seat.
-func (s *store) copyIn(ctx context.Context, name string, ranges []shard.Range) error {
+// storePrefetched stores key ranges ahead of a repair, as long as this disk holds no seat.
+func (s *store) storePrefetched(ctx context.Context, name string, ranges []shard.Range) error {
 	s.mu.Lock()
 	if _, seated := s.membership.Member(s.identity.ID); seated || len(ranges) == 0 {
 		s.mu.Unlock()
 		return nil
 	}
 	s.replica(name).Copy(ranges)
-	ticket, err := s.append(&entry{Kind: entryCopy, Name: name, Ranges: ranges})
+	ticket, err := s.append(&entry{Kind: entryPrefetch, Name: name, Ranges: ranges})
 	s.mu.Unlock()
-	return wait(ctx, ticket, err)
+	return waitDurable(ctx, ticket, err)
 }
 
-// digests returns the digests of what this disk stores of a shard.
+// digests returns the digests of the key ranges of this replica of a shard.
 func (s *store) digests(name string) []int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,9 +92,11 @@
 	return replica.Set.Digests()
 }
 
+// repair handles a repairRequest. Its error has the code result.Fenced where a higher fencing token or a later repair is
+// known.
 func (s *store) repair(ctx context.Context, r *repairRequest) (*ackResponse, error) {
 	answer := &ackResponse{}
-	err := s.change(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
+	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		answer.From = from
 		if !s.replica(r.Shard).Repair(r.Token, r.Number, r.Ranges, r.Last) {
 			return nil, result.Errorf(result.Fenced, "shard %s: a token above %d or a later repair is known", r.Shard, r.Token)
@@ -102,9 +106,11 @@
 	return answer, err
 }
 
+// write handles a writeRequest. Its error has the code result.Fenced where a higher fencing token is known, and
+// result.NotRecovered where the replica has to be repaired first.
 func (s *store) write(ctx context.Context, r *writeRequest) (*ackResponse, error) {
 	answer := &ackResponse{}
-	err := s.change(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
+	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		answer.From = from
 		replica := s.replica(r.Shard)
 		written := replica.Write(r.Token, r.Records)
@@ -112,7 +118,7 @@
 		case !written && replica.Sealed > r.Token:
 			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.Sealed, r.Token)
 		case !written:
-			return nil, result.Errorf(result.NotRecovered, "shard %s: the replica is not in step", r.Shard)
+			return nil, result.Errorf(result.NotRecovered, "shard %s: the replica is not in sync", r.Shard)
 		case len(r.Records) == 0: // a heartbeat
 			return nil, nil
 		}
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -28,20 +28,20 @@
 mutate "replicas take writes of older owners" coord/shard/replica.go 's/if token != r\.Sealed \|\| r\.InStep != token/if r.InStep == 0/'
 mutate "messages of older epochs are answered" coord/membership/membership.go 's/if sent\.Epoch < m\.Epoch \{/if false {/'
 mutate "a learner votes" internal/system/core/store_membership.go 's/err == nil && !member\.Voter/err == nil \&\& !member.Voter \&\& false/'
-mutate "a learner votes before it has read a quorum" internal/system/core/store_registers.go 's/told < s\.membership\.Quorum\(\)/told < 1/'
+mutate "a learner votes before it has read a quorum" internal/system/core/store_registers.go 's/voters < s\.membership\.Quorum\(\)/voters < 1/'
 mutate "learners count in shards" coord/shard/primary.go 's/if replica\.voter/if true/'
 mutate "a repair makes a voter at once" coord/shard/replica.go 's/r\.Voter = r\.Voter \|\| r\.Trusted/r.Voter = true/'
 mutate "a seat held anew is trusted" internal/system/core/store_membership.go 's/replica\.Forget\(\)/_ = replica/'
-mutate "lives share ballots" internal/system/core/store.go 's/s\.identity\.ID \+ "#" \+ strconv\.FormatInt\(s\.identity\.Life, 10\)/s.address + strconv.Itoa(0)/'
+mutate "lives share ballots" internal/system/core/store.go 's/s\.identity\.ID \+ "#" \+ strconv\.FormatInt\(s\.identity\.Incarnation, 10\)/s.address + strconv.Itoa(0)/'
 mutate "the counter starts at zero" internal/system/core/store.go 's/highest = max\(highest, a\.Promised/highest = min(highest, a.Promised/'
 mutate "what is not durable is told" internal/system/core/store.go 's/if last == nil \{/if true {/'
 mutate "a half-made change is finished by whoever overrides it" coord/membership/change.go 's/current\.Epoch > installed\.Epoch && current\.Base != installed\.Epoch/current.Epoch > installed.Epoch/'
 mutate "two voters give way" coord/membership/change.go 's/if left < m\.Quorum\(\)/if left < 1/'
-mutate "a late machine builds its membership" internal/system/core/store.go 's/if bootstrap \{\s+s\.beginFirst\(first\)\s+\}/s.membership = first.Clone()/'
-mutate "old orders are refused" internal/system/core/config.go 's/o\.match < record\.History\[0\]\.Base/false/'
+mutate "a late machine builds its membership" internal/system/core/store.go 's/if bootstrap \{\s+s\.bootstrapMembership\(first\)\s+\}/s.membership = first.Clone()/'
+mutate "old orders are refused" internal/system/core/config.go 's/o\.baseVersion < record\.History\[0\]\.Base/false/'
 mutate "a call is repeated by the library" internal/system/rpc/rpc.go 's/call\.GetBody = nil/call.Header.Set("Idempotency-Key", "x")/'
-mutate "accepted before it is durable" internal/system/core/jobsapi.go 's/sequence := o\.flush\(\)\n\to\.mu\.Unlock\(\)\n\treturn &api\.Empty\{\}, o\.waitIn\(ctx, sequence\)/o.flush()\n\to.mu.Unlock()\n\treturn &api.Empty{}, nil/'
-mutate "a change that was taken is refused when it comes again" internal/system/core/config.go 's/if taken\.Digest == o\.digest/if false && taken.Digest == o.digest/'
+mutate "accepted before it is durable" internal/system/core/jobsapi.go 's/sequence := o\.flush\(\)\n\to\.mu\.Unlock\(\)\n\treturn &api\.Empty\{\}, o\.waitCommitted\(ctx, sequence\)/o.flush()\n\to.mu.Unlock()\n\treturn &api.Empty{}, nil/'
+mutate "a change that was taken is refused when it comes again" internal/system/core/config.go 's/if made\.Digest == o\.digest/if false \&\& made.Digest == o.digest/'
 mutate "nothing runs beside kept room" jobs/reservation.go 's/reserved\.spareCapacity\(\)\.Holds\(demand\)/false/' ./jobs
 mutate "what is kept is kept without end" jobs/overdue.go 's/c\.ignoreReservations = idle \|\| group\.isLongRunning\(\)/c.ignoreReservations = idle && false/' ./jobs
 mutate "limits hold back without end" jobs/cycle.go 's/if s\.overdueCycle \{/if false {/' ./jobs
@@ -50,10 +50,10 @@
 mutate "what cannot run hides what can" jobs/cycle.go 's/q\.resumeAt = more/_ = more/' ./jobs
 mutate "a dropped queue takes jobs after a takeover" jobs/scheduler.go 's/\t\tq\.removed = true\n\t\ts/\t\ts/' ./jobs
 mutate "a start that was ordered counts as begun" jobs/assign.go 's/group\.job\.everAssigned = true/group.job.everAssigned = true; s.markRan(group.job)/' ./jobs
-mutate "operators are cut off at a planned end" internal/system/core/core.go 's/c\.drain\(operators\)/_ = operators/' ./internal/system/simulation
+mutate "operators are cut off at a planned end" internal/system/core/core.go 's/c\.shutdownOperatorServer\(running, operators\)/_ = operators/' ./internal/system/simulation
 mutate "no room is kept for the first priority" jobs/headroom.go 's/h\.othersLimit = max\(0, capacity-h\.peak\)/h.othersLimit = capacity/' ./jobs
 mutate "tasks that last wait behind kept room" jobs/queue.go 's/if group\.isLongRunning\(\)/if false/' ./jobs
 mutate "what cannot be in time goes before what can" jobs/queuelimit.go 's/\t\ts\.triage\(now, q, capacity\)\n//' ./jobs
-mutate "shards are taken before all have spoken" internal/system/core/peers.go 's/p\.known && !p\.alive\(\)/p.known \&\& false/' ./internal/system/core
+mutate "shards are taken before all have spoken" internal/system/core/liveness.go 's/p\.known && !p\.alive\(\)/p.known \&\& false/' ./internal/system/core
 mutate "a worker is kept that its holder may not use" jobs/reservation.go 's/!w\.isFeasible\(group, 0\)/!w.Capacity.Holds(group.spec().demand())/' ./jobs
 exit $missed
