--- a/internal/healthcheck/driver.go
+++ b/internal/healthcheck/driver.go
@@ -28,19 +28,19 @@
 // Driver checks members, each at its own times, spread out, and not too many at once.
 type Driver struct {
 	log   *slog.Logger
-	slots chan struct{}
+	slots chan struct{} // one held for each check in flight
 	rand  func() float64
 }
 
-// atOnce bounds the checks that are under way, and so their descriptors.
-const atOnce = 32
+// maxConcurrentChecks bounds the checks in flight, and so their descriptors.
+const maxConcurrentChecks = 32
 
-// maxAnswer bounds what is read of an answer.
-const maxAnswer = 64 << 10
+// maxResponseBody bounds what is read of a response's body, in bytes.
+const maxResponseBody = 64 << 10
 
 // NewDriver returns a Driver.
 func NewDriver(log *slog.Logger) *Driver {
-	return &Driver{log: log, slots: make(chan struct{}, atOnce), rand: rand.Float64}
+	return &Driver{log: log, slots: make(chan struct{}, maxConcurrentChecks), rand: rand.Float64}
 }
 
 // Run checks members until the context ends.
@@ -70,7 +70,7 @@
 		case <-ctx.Done():
 			return
 		}
-		err := c.ask(ctx)
+		err := c.probe(ctx)
 		<-d.slots
 		if ctx.Err() != nil {
 			return
@@ -87,8 +87,8 @@
 	}
 }
 
-// ask makes one check.
-func (c *Check) ask(ctx context.Context) error {
+// probe makes one check; nil: it passed.
+func (c *Check) probe(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, c.Spec.Timeout)
 	defer stop()
 	var dialer net.Dialer
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	if c.Spec.Kind == "tcp" {
 		return nil
 	}
@@ -105,7 +105,7 @@
 	if _, err := conn.Write(c.Spec.request()); err != nil {
 		return err
 	}
-	status, body, err := answer(conn)
+	status, body, err := readResponse(conn)
 	if err != nil {
 		return err
 	}
@@ -123,10 +123,10 @@
 	return append(b, "Connection: close\r\n\r\n"...)
 }
 
-var errCut = errors.New("the answer is cut short")
+var errTruncated = errors.New("the answer is cut short")
 
-// answer reads a response; of a long body only the beginning counts.
-func answer(r io.Reader) (status int, body []byte, err error) {
+// readResponse reads a response; of a long body only the first maxResponseBody bytes.
+func readResponse(r io.Reader) (status int, body []byte, err error) {
 	p := http1.NewParser(http1.Response)
 	buf := make([]byte, 0, 4096)
 	for {
@@ -134,12 +134,12 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		if ev == http1.Body && len(body) < maxAnswer {
+		if ev == http1.Body && len(body) < maxResponseBody {
 			body = append(body, part...)
 		}
 		buf = append(buf[:0], buf[n:]...)
 		switch {
-		case ev == http1.Ended && p.Head.Status >= 200, len(body) >= maxAnswer:
+		case ev == http1.Ended && p.Head.Status >= 200, len(body) >= maxResponseBody:
 			return p.Head.Status, bytes.Clone(body), nil
 		case ev != http1.More:
 			continue
@@ -147,13 +147,13 @@
 		chunk := make([]byte, 4096)
 		k, err := r.Read(chunk)
 		buf = append(buf, chunk[:k]...)
-		if err == io.EOF && k == 0 {
+		if errors.Is(err, io.EOF) && k == 0 {
 			if p.UntilClose() {
 				return p.Head.Status, body, nil
 			}
-			return 0, nil, errCut
+			return 0, nil, errTruncated
 		}
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return 0, nil, err
 		}
 	}
--- a/internal/healthcheck/healthcheck_test.go
+++ b/internal/healthcheck/healthcheck_test.go
@@ -74,7 +74,7 @@
 	mode.Store("good")
 	asked := make(chan string, 64)
 	addr := testkit.Accept(t, func(c net.Conn) {
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		b := make([]byte, 4096)
 		n, _ := c.Read(b)
 		select {
--- a/internal/healthcheck/state.go
+++ b/internal/healthcheck/state.go
@@ -4,6 +4,7 @@
 package healthcheck
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"regexp"
@@ -42,11 +43,11 @@
 }
 
 const (
-	everyDefault = 2 * time.Second
-	riseDefault  = 2
-	fallDefault  = 3
-	timeoutMost  = 10 * time.Second
-	everyLeast   = 10 * time.Millisecond
+	defaultInterval = 2 * time.Second
+	defaultRise     = 2
+	defaultFall     = 3
+	maxTimeout      = 10 * time.Second
+	minInterval     = 10 * time.Millisecond
 )
 
 // Fill sets what is left out, and returns an error for what makes no sense.
@@ -54,53 +55,51 @@
 	if s.Kind != "tcp" && s.Kind != "http" {
 		return fmt.Errorf("kind %q is neither tcp nor http", s.Kind)
 	}
-	for _, d := range []struct {
-		d      *time.Duration
-		absent time.Duration
-	}{{&s.Every, everyDefault}, {&s.Fast, 0}, {&s.Down, 0}, {&s.Timeout, 0}} {
-		if *d.d == 0 {
-			*d.d = d.absent
-		}
-		if *d.d == 0 {
-			*d.d = s.Every
-		}
-		if *d.d < everyLeast {
-			return fmt.Errorf("a time of %v, %v at least", *d.d, everyLeast)
-		}
-	}
-	s.Timeout = min(s.Timeout, timeoutMost)
-	if s.Rise == 0 {
-		s.Rise = riseDefault
-	}
-	if s.Fall == 0 {
-		s.Fall = fallDefault
+	if err := s.fillTimes(); err != nil {
+		return err
 	}
+	s.Rise = cmp.Or(s.Rise, defaultRise)
+	s.Fall = cmp.Or(s.Fall, defaultFall)
 	if s.Rise < 0 || s.Fall < 0 {
 		return errors.New("rise and fall must be positive")
 	}
-	if s.Method == "" {
-		s.Method = "OPTIONS"
+	if err := s.fillRequest(); err != nil {
+		return err
 	}
-	if s.URI == "" {
-		s.URI = "/"
+	for i := range s.Expect {
+		if err := s.Expect[i].compile(); err != nil {
+			return err
+		}
 	}
-	if s.Version == "" {
-		s.Version = "1.0"
+	return nil
+}
+
+// fillTimes sets the intervals and the time-out of a check.
+func (s *Spec) fillTimes() error {
+	s.Every = cmp.Or(s.Every, defaultInterval)
+	for _, d := range []*time.Duration{&s.Every, &s.Fast, &s.Down, &s.Timeout} {
+		if *d = cmp.Or(*d, s.Every); *d < minInterval {
+			return fmt.Errorf("a time of %v, %v at least", *d, minInterval)
+		}
 	}
-	for _, text := range append([]string{s.Method, s.URI, s.Version}, names(s.Headers)...) {
+	s.Timeout = min(s.Timeout, maxTimeout)
+	return nil
+}
+
+// fillRequest sets the request line of an http check.
+func (s *Spec) fillRequest() error {
+	s.Method = cmp.Or(s.Method, "OPTIONS")
+	s.URI = cmp.Or(s.URI, "/")
+	s.Version = cmp.Or(s.Version, "1.0")
+	for _, text := range append([]string{s.Method, s.URI, s.Version}, headerNames(s.Headers)...) {
 		if strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
 			return fmt.Errorf("%q cannot stand in a request", text)
 		}
 	}
-	for i := range s.Expect {
-		if err := s.Expect[i].compile(); err != nil {
-			return err
-		}
-	}
 	return nil
 }
 
-func names(all []Header) (out []string) {
+func headerNames(all []Header) (out []string) {
 	for _, h := range all {
 		out = append(out, h.Name)
 	}
@@ -110,7 +109,7 @@
 func (e *Expect) compile() (err error) {
 	switch e.What {
 	case "status":
-		_, err = spans(e.Value)
+		_, err = parseStatusRanges(e.Value)
 	case "rstatus", "rstring":
 		e.re, err = regexp.Compile(e.Value)
 	case "string":
@@ -120,8 +119,8 @@
 	return err
 }
 
-// spans reads 200-399,401.
-func spans(s string) (out [][2]int, err error) {
+// parseStatusRanges reads a list such as 200-399,401 into pairs of a first and a last status.
+func parseStatusRanges(s string) (out [][2]int, err error) {
 	for part := range strings.SplitSeq(s, ",") {
 		lo, hi, isRange := strings.Cut(strings.TrimSpace(part), "-")
 		if !isRange {
@@ -148,7 +147,7 @@
 func (e *Expect) holds(status int, body []byte) bool {
 	switch e.What {
 	case "status":
-		all, _ := spans(e.Value) // was checked
+		all, _ := parseStatusRanges(e.Value) // compile has checked it
 		return slices.ContainsFunc(all, func(p [2]int) bool { return status >= p[0] && status <= p[1] })
 	case "rstatus":
 		return e.re.MatchString(strconv.Itoa(status))
@@ -162,7 +161,9 @@
 type Target struct {
 	spec Spec
 	up   bool
-	run  int // checks on end that speak against its state
+	// against counts the latest checks on end whose result speaks against up; a check that
+	// agrees resets it.
+	against int
 }
 
 // NewTarget returns a Target that is up or down at first. The Spec must be filled.
@@ -174,25 +175,25 @@
 // Result takes in how a check went, and reports whether the member's state has changed.
 func (t *Target) Result(passed bool) (changed bool) {
 	if passed == t.up {
-		t.run = 0
+		t.against = 0
 		return false
 	}
-	t.run++
-	most := t.spec.Fall
+	t.against++
+	threshold := t.spec.Fall
 	if !t.up {
-		most = t.spec.Rise
+		threshold = t.spec.Rise
 	}
-	if t.run < most {
+	if t.against < threshold {
 		return false
 	}
-	t.up, t.run = passed, 0
+	t.up, t.against = passed, 0
 	return true
 }
 
 // Wait returns how long it is until the next check.
 func (t *Target) Wait() time.Duration {
 	switch {
-	case t.run > 0:
+	case t.against > 0:
 		return t.spec.Fast
 	case !t.up:
 		return t.spec.Down
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -63,15 +63,21 @@
 // maxWeight is HAProxy's.
 const maxWeight = 256
 
-// slowLeast is the part of its weight with which a member begins that comes up slowly.
-const slowLeast = 0.1
+// minSlowStart is the part of its weight with which a member begins its slow start.
+const minSlowStart = 0.1
+
+const (
+	defaultMaxQueue  = 1024
+	defaultQueueWait = 5 * time.Second
+)
 
 type member struct {
 	Member
 	state   State
 	since   time.Duration // when it came up; 0: long ago
 	current float64       // of smooth weighted round robin
-	busy    int
+	// inFlight counts the requests that the member has now: Begin adds, End subtracts.
+	inFlight int
 }
 
 // Pool is the members of a backend.
@@ -84,7 +90,8 @@
 type waiter struct {
 	token any
 	hint  Hint
-	until time.Duration
+	// deadline is when it has waited too long, on the clock of the caller's now.
+	deadline time.Duration
 }
 
 // Hint is what a request says of where it wants to go.
@@ -134,10 +141,10 @@
 		o.Balance = RoundRobin
 	}
 	if o.MaxQueue == 0 {
-		o.MaxQueue = 1024
+		o.MaxQueue = defaultMaxQueue
 	}
 	if o.QueueWait == 0 {
-		o.QueueWait = 5 * time.Second
+		o.QueueWait = defaultQueueWait
 	}
 	p := &Pool{opt: o}
 	for _, m := range o.Members {
@@ -160,7 +167,7 @@
 			continue
 		}
 		o := &old.members[j]
-		m.busy, m.current, m.since = o.busy, o.current, o.since
+		m.inFlight, m.current, m.since = o.inFlight, o.current, o.since
 		if !m.Disabled && !o.Disabled {
 			m.state = o.state
 		}
@@ -179,7 +186,7 @@
 }
 
 // State returns how a member stands, and what it has out.
-func (p *Pool) State(i int) (State, int) { return p.members[i].state, p.members[i].busy }
+func (p *Pool) State(i int) (State, int) { return p.members[i].state, p.members[i].inFlight }
 
 // Set says how a member stands from now on. One that comes up begins slowly.
 func (p *Pool) Set(i int, s State, now time.Duration) {
@@ -216,13 +223,19 @@
 	return backup
 }
 
-func (m *member) room() bool { return m.MaxConn == 0 || m.busy < m.MaxConn }
+// hasCapacity reports whether the member may have one more request in flight.
+func (m *member) hasCapacity() bool { return m.MaxConn == 0 || m.inFlight < m.MaxConn }
+
+// honours reports whether the member takes requests with that persistence cookie.
+func (m *member) honours(cookie string) bool {
+	return m.Cookie == cookie && (m.state == Up || m.state == Draining)
+}
 
 // weight is the member's weight as it counts now.
 func (p *Pool) weight(m *member, now time.Duration) float64 {
 	w := float64(m.Weight)
 	if up := now - m.since; m.since > 0 && up < p.opt.SlowStart {
-		w *= max(slowLeast, float64(up)/float64(p.opt.SlowStart))
+		w *= max(minSlowStart, float64(up)/float64(p.opt.SlowStart))
 	}
 	return w
 }
@@ -240,16 +253,8 @@
 // Pick says which member's turn it is for a request. It takes the turn; Begin takes the
 // room.
 func (p *Pool) Pick(now time.Duration, h Hint) (int, Verdict) {
-	if h.Cookie != "" {
-		for i := range p.members {
-			m := &p.members[i]
-			if m.Cookie == h.Cookie && (m.state == Up || m.state == Draining) && !slices.Contains(h.Not, i) {
-				if !m.room() {
-					return -1, Wait
-				}
-				return i, Go
-			}
-		}
+	if i := p.persistent(h); i >= 0 {
+		return p.ifFree(i)
 	}
 	all := p.eligible()
 	if len(all) == 0 {
@@ -259,13 +264,9 @@
 		all = rest
 	}
 	if p.opt.Balance == Hash && h.Key != "" {
-		i := p.home(all, h.Key, now)
-		if !p.members[i].room() {
-			return -1, Wait
-		}
-		return i, Go
+		return p.ifFree(p.rendezvous(all, h.Key, now))
 	}
-	free := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return !p.members[i].room() })
+	free := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return !p.members[i].hasCapacity() })
 	if len(free) == 0 {
 		return -1, Wait
 	}
@@ -273,28 +274,54 @@
 	case First:
 		return free[0], Go
 	case Random:
-		return p.draw(free, h.Rand, now), Go
+		return p.weightedRandom(free, h.Rand, now), Go
 	case LeastConn:
-		least := math.Inf(1)
-		var fewest []int
-		for _, i := range free {
-			m := &p.members[i]
-			load := float64(m.busy) / p.weight(m, now)
-			if load < least {
-				least, fewest = load, fewest[:0]
-			}
-			if load == least {
-				fewest = append(fewest, i)
-			}
+		free = p.leastLoaded(free, now)
+	}
+	return p.roundRobin(free, now), Go
+}
+
+// persistent returns the member that the request's persistence cookie names, if it takes
+// such requests and was not tried before, or -1.
+func (p *Pool) persistent(h Hint) int {
+	if h.Cookie == "" {
+		return -1
+	}
+	for i := range p.members {
+		if p.members[i].honours(h.Cookie) && !slices.Contains(h.Not, i) {
+			return i
+		}
+	}
+	return -1
+}
+
+// ifFree is the verdict on a request that only one member may have.
+func (p *Pool) ifFree(i int) (int, Verdict) {
+	if !p.members[i].hasCapacity() {
+		return -1, Wait
+	}
+	return i, Go
+}
+
+// leastLoaded returns the members of a list that have the fewest requests for their weight.
+func (p *Pool) leastLoaded(among []int, now time.Duration) (fewest []int) {
+	least := math.Inf(1)
+	for _, i := range among {
+		m := &p.members[i]
+		load := float64(m.inFlight) / p.weight(m, now)
+		if load < least {
+			least, fewest = load, fewest[:0]
+		}
+		if load == least {
+			fewest = append(fewest, i)
 		}
-		free = fewest
 	}
-	return p.turn(free, now), Go
+	return fewest
 }
 
-// turn is smooth weighted round robin: each member gains its weight, and the one that has
+// roundRobin is smooth weighted round robin: each member gains its weight, and the one that has
 // the most gives up the sum. In any run each has its share, evenly spread.
-func (p *Pool) turn(among []int, now time.Duration) int {
+func (p *Pool) roundRobin(among []int, now time.Duration) int {
 	best, sum := -1, 0.0
 	for _, i := range among {
 		m := &p.members[i]
@@ -309,7 +336,9 @@
 	return best
 }
 
-func (p *Pool) draw(among []int, r uint64, now time.Duration) int {
+// weightedRandom picks a member with a probability in proportion to its weight; r is the
+// request's random number.
+func (p *Pool) weightedRandom(among []int, r uint64, now time.Duration) int {
 	sum := 0.0
 	for _, i := range among {
 		sum += p.weight(&p.members[i], now)
@@ -323,9 +352,9 @@
 	return among[len(among)-1]
 }
 
-// home is weighted rendezvous hashing (Thaler and Ravishankar, 1998, with the weights of
+// rendezvous is weighted rendezvous hashing (Thaler and Ravishankar, 1998, with the weights of
 // Schindelhauer and Schomaker, 2005): when a member leaves, only what it had moves.
-func (p *Pool) home(among []int, key string, now time.Duration) int {
+func (p *Pool) rendezvous(among []int, key string, now time.Duration) int {
 	best, most := among[0], math.Inf(-1)
 	for _, i := range among {
 		m := &p.members[i]
@@ -341,13 +370,13 @@
 	return best
 }
 
-// Begin notes that a member has a request more, End that it has one less.
-func (p *Pool) Begin(i int) { p.members[i].busy++ }
+// Begin notes that a member has one more request in flight.
+func (p *Pool) Begin(i int) { p.members[i].inFlight++ }
 
-// End notes that a request at a member is over.
+// End notes that a member has one request in flight less.
 func (p *Pool) End(i int) {
-	if p.members[i].busy > 0 {
-		p.members[i].busy--
+	if p.members[i].inFlight > 0 {
+		p.members[i].inFlight--
 	}
 }
 
@@ -393,7 +422,7 @@
 func (p *Pool) Expire(now time.Duration) (tokens []any) {
 	none := len(p.queue) > 0 && len(p.eligible()) == 0
 	p.queue = slices.DeleteFunc(p.queue, func(w waiter) bool {
-		if now < w.until && !(none && !p.tied(w.hint)) {
+		if now < w.deadline && (!none || p.hasPersistent(w.hint)) {
 			return false
 		}
 		tokens = append(tokens, w.token)
@@ -402,18 +431,18 @@
 	return tokens
 }
 
-// tied reports whether a request's cookie leads to a member that takes it.
-func (p *Pool) tied(h Hint) bool {
+// hasPersistent reports whether a request's persistence cookie names a member that takes it.
+func (p *Pool) hasPersistent(h Hint) bool {
 	return h.Cookie != "" && slices.ContainsFunc(p.members, func(m member) bool {
-		return m.Cookie == h.Cookie && (m.state == Up || m.state == Draining)
+		return m.honours(h.Cookie)
 	})
 }
 
 // Until returns when the first of those that wait has waited too long; 0: nobody waits.
 func (p *Pool) Until() (first time.Duration) {
 	for _, w := range p.queue {
-		if first == 0 || w.until < first {
-			first = w.until
+		if first == 0 || w.deadline < first {
+			first = w.deadline
 		}
 	}
 	return first
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -229,6 +229,12 @@
 	if _, _, ok := p.Next(2 * second); ok {
 		t.Error("two went where one may")
 	}
+	testQueueExpiry(t, p)
+}
+
+// testQueueExpiry goes on where one request is in flight and "two" waits since second 2.
+func testQueueExpiry(t *testing.T, p *Pool) {
+	t.Helper()
 	if got := p.Expire(4 * second); len(got) != 0 {
 		t.Errorf("expired early: %v", got)
 	}
@@ -261,53 +267,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		busy, now := make([]int, len(o.Members)), time.Second
-		check := func(i int) {
-			m := o.Members[i]
-			if s, _ := p.State(i); s != Up || m.Weight == 0 {
-				t.Fatalf("sent to %d, which is %v with weight %d", i, s, m.Weight)
-			}
-			if busy[i]++; m.MaxConn > 0 && busy[i] > m.MaxConn {
-				t.Fatalf("member %d has %d, %d at most", i, busy[i], m.MaxConn)
-			}
-			if m.Backup {
-				for k := range o.Members {
-					if s, _ := p.State(k); s == Up && !o.Members[k].Backup && o.Members[k].Weight > 0 {
-						t.Fatalf("backup %d is used though %d serves", i, k)
-					}
-				}
-			}
-		}
+		m := &poolModel{opt: o, pool: p, inFlight: make([]int, len(o.Members)), now: time.Second}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			now += 10 * time.Millisecond
-			k := rapid.IntRange(0, len(o.Members)-1).Draw(t, "member")
-			switch rapid.IntRange(0, 3).Draw(t, "step") {
-			case 0:
-				if i, v := p.Pick(now, Hint{Rand: rapid.Uint64().Draw(t, "rand")}); v == Go {
-					p.Begin(i)
-					check(i)
-				} else if v == Wait {
-					p.Queue(now, new(int), Hint{})
-				}
-			case 1:
-				if busy[k] > 0 {
-					busy[k]--
-					p.End(k)
-				}
-			case 2:
-				p.Set(k, rapid.SampledFrom([]State{Up, Down, Draining}).Draw(t, "state"), now)
-			case 3:
-				for {
-					_, i, ok := p.Next(now)
-					if !ok {
-						break
-					}
-					check(i)
-				}
-				if _, v := p.Pick(now, Hint{}); v == Go && p.Waiting() > 0 {
-					t.Fatal("somebody waits though a member has room")
-				}
-			}
+			m.step(t)
 			if p.Waiting() > o.MaxQueue {
 				t.Fatalf("%d wait", p.Waiting())
 			}
@@ -315,6 +277,67 @@
 	})
 }
 
+// poolModel counts what each member has, beside the pool's own count.
+type poolModel struct {
+	opt      Options
+	pool     *Pool
+	inFlight []int
+	now      time.Duration
+}
+
+// step draws one event: a request, the end of one, a change of state, or a turn of the queue.
+func (m *poolModel) step(t *rapid.T) {
+	p := m.pool
+	m.now += 10 * time.Millisecond
+	k := rapid.IntRange(0, len(m.opt.Members)-1).Draw(t, "member")
+	switch rapid.IntRange(0, 3).Draw(t, "step") {
+	case 0:
+		if i, v := p.Pick(m.now, Hint{Rand: rapid.Uint64().Draw(t, "rand")}); v == Go {
+			p.Begin(i)
+			m.sent(t, i)
+		} else if v == Wait {
+			p.Queue(m.now, new(int), Hint{})
+		}
+	case 1:
+		if m.inFlight[k] > 0 {
+			m.inFlight[k]--
+			p.End(k)
+		}
+	case 2:
+		p.Set(k, rapid.SampledFrom([]State{Up, Down, Draining}).Draw(t, "state"), m.now)
+	case 3:
+		for {
+			_, i, ok := p.Next(m.now)
+			if !ok {
+				break
+			}
+			m.sent(t, i)
+		}
+		if _, v := p.Pick(m.now, Hint{}); v == Go && p.Waiting() > 0 {
+			t.Fatal("somebody waits though a member has room")
+		}
+	}
+}
+
+// sent checks that a request may go to a member.
+func (m *poolModel) sent(t *rapid.T, i int) {
+	to := m.opt.Members[i]
+	if s, _ := m.pool.State(i); s != Up || to.Weight == 0 {
+		t.Fatalf("sent to %d, which is %v with weight %d", i, s, to.Weight)
+	}
+	if m.inFlight[i]++; to.MaxConn > 0 && m.inFlight[i] > to.MaxConn {
+		t.Fatalf("member %d has %d, %d at most", i, m.inFlight[i], to.MaxConn)
+	}
+	if !to.Backup {
+		return
+	}
+	for k, other := range m.opt.Members {
+		if s, _ := m.pool.State(k); s == Up && !other.Backup && other.Weight > 0 {
+			t.Fatalf("backup %d is used though %d serves", i, k)
+		}
+	}
+}
+
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{4, 50} {
 		var o Options
