--- a/internal/route/acl.go
+++ b/internal/route/acl.go
@@ -1,6 +1,7 @@
 package route
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"strings"
@@ -12,10 +13,10 @@
 	match func(string) bool
 	found bool // it asks only whether there is a sample
 
-	// For the index: the sample must be one of these, or begin with one.
-	how      string // "str" or "beg", without flags; else ""
-	fold     bool
-	patterns []string
+	// For the index: the sample must be one of the patterns, or begin with one.
+	indexable string // "str" or "beg", the methods that the index answers; else ""
+	fold      bool   // case does not matter
+	patterns  []string
 }
 
 func (t *test) holds(q *Request) bool {
@@ -26,8 +27,11 @@
 	return slices.ContainsFunc(got, t.match)
 }
 
-// suffixes are the ways to match that a fetch's name may end with.
-var suffixes = map[string]string{"_beg": "beg", "_end": "end", "_sub": "sub", "_dir": "dir", "_dom": "dom", "_reg": "reg",
+// defaultMethods are the matching methods of samples where neither a flag nor a suffix names one.
+var defaultMethods = map[kind]string{kindStr: "str", kindInt: "int", kindIP: "ip", kindBool: "bool"}
+
+// methodSuffixes are the matching methods that a fetch's name may end with.
+var methodSuffixes = map[string]string{"_beg": "beg", "_end": "end", "_sub": "sub", "_dir": "dir", "_dom": "dom", "_reg": "reg",
 	"_len": "len", "_str": "str"}
 
 // parseTest reads the words of an access list: a fetch, flags, and patterns.
@@ -35,77 +39,87 @@
 	if len(words) == 0 {
 		return nil, fmt.Errorf("a condition without a sample")
 	}
-	expr := words[0]
-	how := ""
+	expr, method := cutMethod(words[0])
+	f, err := l.fetch(expr)
+	if err != nil {
+		return nil, err
+	}
+	t := &test{f: f}
+	method, rest, err := l.parseFlags(t, method, words[1:])
+	if err != nil {
+		return nil, err
+	}
+	t.patterns = append(t.patterns, rest...)
+	method = cmp.Or(method, defaultMethods[f.kind])
+	match, ok := methods[method]
+	if !ok {
+		return nil, unsupported("the method -m %s", method)
+	}
+	if len(t.patterns) == 0 && method != "found" && method != "bool" {
+		return nil, fmt.Errorf("%s has no pattern to match", words[0])
+	}
+	if t.match, err = match(t.patterns, t.fold); err != nil {
+		return nil, err
+	}
+	t.found = method == "found"
+	if method == "str" || method == "beg" {
+		t.indexable = method
+	}
+	return t, nil
+}
+
+// cutMethod takes the matching method that a fetch's name ends with, as in path_beg, off the
+// expression; "": none.
+func cutMethod(expr string) (fetch, method string) {
 	base, _, _ := strings.Cut(expr, "(")
 	if i := strings.IndexByte(base, ','); i >= 0 {
 		base = base[:i]
 	}
-	for suffix, m := range suffixes {
+	for suffix, method := range methodSuffixes {
 		if cut, ok := strings.CutSuffix(base, suffix); ok && cut != "" {
-			expr, how = cut+expr[len(base):], m
-			break
+			return cut + expr[len(base):], method
 		}
 	}
-	f, err := l.fetch(expr)
-	if err != nil {
-		return nil, err
-	}
-	t := &test{f: f}
-	rest := words[1:]
+	return expr, ""
+}
+
+// parseFlags reads the flags in front of the patterns into t. It returns the method that -m
+// names, the given one without it, and the words behind the flags.
+func (l *Lists) parseFlags(t *test, method string, words []string) (string, []string, error) {
+	rest := words
 	for len(rest) > 0 && strings.HasPrefix(rest[0], "-") && len(rest[0]) > 1 {
 		flag := rest[0]
-		rest = rest[1:]
-		if flag == "--" {
-			break
-		}
+		behind := rest[1:]
 		switch flag {
+		case "--":
+			return method, behind, nil
 		case "-i":
 			t.fold = true
 		case "-n": // names are not looked up anyway
 		case "-m":
-			if len(rest) == 0 {
-				return nil, fmt.Errorf("-m lacks its method")
+			if len(behind) == 0 {
+				return "", nil, fmt.Errorf("-m lacks its method")
 			}
-			how, rest = rest[0], rest[1:]
+			method, behind = behind[0], behind[1:]
 		case "-f":
-			if len(rest) == 0 {
-				return nil, fmt.Errorf("-f lacks its file")
+			if len(behind) == 0 {
+				return "", nil, fmt.Errorf("-f lacks its file")
 			}
-			b, err := l.files(rest[0])
+			b, err := l.files(behind[0])
 			if err != nil {
-				return nil, err
+				return "", nil, err
 			}
 			t.patterns = append(t.patterns, fileLines(b)...)
-			rest = rest[1:]
+			behind = behind[1:]
 		default:
-			if f.kind == kindInt { // a negative number
-				rest = append([]string{flag}, rest...)
-				goto patterns
+			if t.f.kind == kindInt { // a negative number: the patterns begin here
+				return method, rest, nil
 			}
-			return nil, unsupported("the flag %s", flag)
+			return "", nil, unsupported("the flag %s", flag)
 		}
+		rest = behind
 	}
-patterns:
-	t.patterns = append(t.patterns, rest...)
-	if how == "" {
-		how = map[kind]string{kindStr: "str", kindInt: "int", kindIP: "ip", kindBool: "bool"}[f.kind]
-	}
-	m, ok := methods[how]
-	if !ok {
-		return nil, unsupported("the method -m %s", how)
-	}
-	if len(t.patterns) == 0 && how != "found" && how != "bool" {
-		return nil, fmt.Errorf("%s has no pattern to match", words[0])
-	}
-	if t.match, err = m(t.patterns, t.fold); err != nil {
-		return nil, err
-	}
-	t.found = how == "found"
-	if how == "str" || how == "beg" {
-		t.how = how
-	}
-	return t, nil
+	return method, rest, nil
 }
 
 // predefined are the access lists that need not be declared.
@@ -183,41 +197,11 @@
 			c.any, all, open = append(c.any, all), nil, true
 			continue
 		}
-		var t term
-		for strings.HasPrefix(w, "!") {
-			t.not = !t.not
-			if w = w[1:]; w == "" {
-				if len(words) == 0 {
-					return nil, fmt.Errorf("nothing stands behind the last \"!\"")
-				}
-				w, words = words[0], words[1:]
-			}
-		}
-		if w == "{" {
-			end := slices.Index(words, "}")
-			if end < 0 {
-				return nil, fmt.Errorf("an anonymous condition lacks its \"}\"")
-			}
-			one, err := l.parseTest(words[:end])
-			if err != nil {
-				return nil, err
-			}
-			t.tests, words = []*test{one}, words[end+1:]
-		} else {
-			named := l.named[w]
-			if named == nil {
-				text, ok := predefined[w]
-				if !ok {
-					return nil, fmt.Errorf("no acl is called %q", w)
-				}
-				one, err := l.parseTest(strings.Fields(text))
-				if err != nil {
-					return nil, err
-				}
-				named = []*test{one}
-			}
-			t.tests = named
+		t, rest, err := l.parseTerm(w, words)
+		if err != nil {
+			return nil, err
 		}
+		words = rest
 		all, open = append(all, t), false
 	}
 	if open || len(all) == 0 {
@@ -227,6 +211,50 @@
 	return c, nil
 }
 
+// parseTerm reads one term, which begins with w and goes on in words: the name of an access list
+// or an anonymous one in braces, negated or not. It returns the words behind it.
+func (l *Lists) parseTerm(w string, words []string) (t term, rest []string, err error) {
+	for strings.HasPrefix(w, "!") {
+		t.not = !t.not
+		if w = w[1:]; w == "" {
+			if len(words) == 0 {
+				return t, nil, fmt.Errorf("nothing stands behind the last \"!\"")
+			}
+			w, words = words[0], words[1:]
+		}
+	}
+	if w != "{" {
+		t.tests, err = l.lookup(w)
+		return t, words, err
+	}
+	end := slices.Index(words, "}")
+	if end < 0 {
+		return t, nil, fmt.Errorf("an anonymous condition lacks its \"}\"")
+	}
+	anonymous, err := l.parseTest(words[:end])
+	if err != nil {
+		return t, nil, err
+	}
+	t.tests = []*test{anonymous}
+	return t, words[end+1:], nil
+}
+
+// lookup returns the tests of a declared or predefined access list.
+func (l *Lists) lookup(name string) ([]*test, error) {
+	if tests := l.named[name]; tests != nil {
+		return tests, nil
+	}
+	text, ok := predefined[name]
+	if !ok {
+		return nil, fmt.Errorf("no acl is called %q", name)
+	}
+	t, err := l.parseTest(strings.Fields(text))
+	if err != nil {
+		return nil, err
+	}
+	return []*test{t}, nil
+}
+
 // Holds reports whether a request meets the condition.
 func (c *Condition) Holds(q *Request) bool {
 	for _, all := range c.any {
--- a/internal/route/convert.go
+++ b/internal/route/convert.go
@@ -7,6 +7,7 @@
 	"strings"
 )
 
+// parseConverter returns the converter of a name, and the kind of sample that it makes.
 func parseConverter(name string, args []string, files Files) (converter, kind, error) {
 	switch name {
 	case "lower":
@@ -17,53 +18,73 @@
 		return func(s string) (string, bool) { return strconv.Itoa(len(s)), true }, kindInt, nil
 	case "host_only", "port_only":
 		return func(s string) (string, bool) {
-			host, port := s, ""
-			if i := strings.LastIndexByte(s, ':'); i >= 0 && !strings.HasSuffix(s, "]") {
-				host, port = s[:i], s[i+1:]
-			}
+			host, port := cutPort(s)
 			if name == "host_only" {
 				return host, true
 			}
 			return port, port != ""
 		}, kindStr, nil
 	case "field", "word":
-		if err := need(name, args, 2); err != nil {
-			return nil, 0, err
-		}
-		n, err := strconv.Atoi(args[0])
-		if err != nil || n == 0 || args[1] == "" {
-			return nil, 0, fmt.Errorf("%s(%s): want a number and delimiters", name, strings.Join(args, ","))
-		}
-		delimiters := args[1]
-		return func(s string) (string, bool) {
-			parts := strings.FieldsFunc(s, func(r rune) bool { return strings.ContainsRune(delimiters, r) })
-			if name == "field" {
-				parts = cutAll(s, delimiters)
-			}
-			i := n - 1
-			if n < 0 {
-				i = len(parts) + n
-			}
-			if i < 0 || i >= len(parts) {
-				return "", false
-			}
-			return parts[i], true
-		}, kindStr, nil
+		c, err := parseField(name, args)
+		return c, kindStr, err
 	case "regsub":
-		if err := need(name, args, 2); err != nil {
-			return nil, 0, err
+		c, err := parseRegsub(args)
+		return c, kindStr, err
+	}
+	if method, ok := strings.CutPrefix(name, "map"); ok {
+		c, err := parseMap(strings.TrimPrefix(method, "_"), args, files)
+		return c, kindStr, err
+	}
+	return nil, 0, unsupported("the converter %s", name)
+}
+
+// cutPort parts a host from its port; "": there is none.
+func cutPort(s string) (host, port string) {
+	if i := strings.LastIndexByte(s, ':'); i >= 0 && !strings.HasSuffix(s, "]") {
+		return s[:i], s[i+1:]
+	}
+	return s, ""
+}
+
+// parseField reads field(N,DELIMITERS) and word(N,DELIMITERS), which counts no empty parts. A
+// negative N counts from the end.
+func parseField(name string, args []string) (converter, error) {
+	if err := need(name, args, 2); err != nil {
+		return nil, err
+	}
+	n, err := strconv.Atoi(args[0])
+	if err != nil || n == 0 || args[1] == "" {
+		return nil, fmt.Errorf("%s(%s): want a number and delimiters", name, strings.Join(args, ","))
+	}
+	delimiters := args[1]
+	return func(s string) (string, bool) {
+		parts := strings.FieldsFunc(s, func(r rune) bool { return strings.ContainsRune(delimiters, r) })
+		if name == "field" {
+			parts = cutAll(s, delimiters)
 		}
-		re, err := compileRegexp(args[0], len(args) > 2 && strings.Contains(args[2], "i"))
-		if err != nil {
-			return nil, 0, err
+		i := n - 1
+		if n < 0 {
+			i = len(parts) + n
 		}
-		to, every := backrefs(args[1]), len(args) > 2 && strings.Contains(args[2], "g")
-		return func(s string) (string, bool) { return replace(re, s, to, every), true }, kindStr, nil
+		if i < 0 || i >= len(parts) {
+			return "", false
+		}
+		return parts[i], true
+	}, nil
+}
+
+// parseRegsub reads regsub(REGEX,REPLACEMENT[,FLAGS]); of the flags, i ignores case and g replaces
+// every match.
+func parseRegsub(args []string) (converter, error) {
+	if err := need("regsub", args, 2); err != nil {
+		return nil, err
 	}
-	if match, ok := strings.CutPrefix(name, "map"); ok {
-		return parseMap(strings.TrimPrefix(match, "_"), args, files)
+	re, err := compileRegexp(args[0], len(args) > 2 && strings.Contains(args[2], "i"))
+	if err != nil {
+		return nil, err
 	}
-	return nil, 0, unsupported("the converter %s", name)
+	to, all := backrefs(args[1]), len(args) > 2 && strings.Contains(args[2], "g")
+	return func(s string) (string, bool) { return replace(re, s, to, all), true }, nil
 }
 
 func cutAll(s, delimiters string) (parts []string) {
@@ -77,23 +98,20 @@
 }
 
 // parseMap reads map_MATCH(FILE[,DEFAULT]): lines of a key and a value.
-func parseMap(match string, args []string, files Files) (converter, kind, error) {
+func parseMap(method string, args []string, files Files) (converter, error) {
 	if err := need("map", args, 1); err != nil {
-		return nil, 0, err
-	}
-	if match == "" {
-		match = "str"
+		return nil, err
 	}
-	if match == "str_str" {
-		match = "str"
+	if method == "" || method == "str_str" {
+		method = "str"
 	}
-	m, ok := methods[match]
+	compile, ok := methods[method]
 	if !ok {
-		return nil, 0, unsupported("the converter map_%s", match)
+		return nil, unsupported("the converter map_%s", method)
 	}
 	b, err := files(args[0])
 	if err != nil {
-		return nil, 0, fmt.Errorf("map: %w", err)
+		return nil, fmt.Errorf("map: %w", err)
 	}
 	exact := map[string]string{}
 	type entry struct {
@@ -106,15 +124,15 @@
 		if i := strings.IndexAny(line, " \t"); i >= 0 {
 			key, value = line[:i], strings.TrimSpace(line[i:])
 		}
-		if match == "str" {
+		if method == "str" {
 			if _, twice := exact[key]; !twice { // the first counts
 				exact[key] = value
 			}
 			continue
 		}
-		test, err := m([]string{key}, false)
+		test, err := compile([]string{key}, false)
 		if err != nil {
-			return nil, 0, fmt.Errorf("map %s: %w", args[0], err)
+			return nil, fmt.Errorf("map %s: %w", args[0], err)
 		}
 		list = append(list, entry{test, value})
 	}
@@ -131,9 +149,10 @@
 			return args[1], true
 		}
 		return "", false
-	}, kindStr, nil
+	}, nil
 }
 
+// fileLines returns the lines of a file of patterns, without empty ones and comments.
 func fileLines(b []byte) (out []string) {
 	for line := range strings.Lines(string(b)) {
 		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
@@ -174,9 +193,9 @@
 	return b.String()
 }
 
-// replace replaces the first match, or every one.
-func replace(re *regexp.Regexp, s, to string, every bool) string {
-	if every {
+// replace replaces the first match, or all.
+func replace(re *regexp.Regexp, s, to string, all bool) string {
+	if all {
 		return re.ReplaceAllString(s, to)
 	}
 	at := re.FindStringSubmatchIndex(s)
--- a/internal/route/fetch.go
+++ b/internal/route/fetch.go
@@ -5,6 +5,8 @@
 	"os"
 	"strconv"
 	"strings"
+
+	"sedgevale/internal/http1"
 )
 
 // Files gives the content of a file that a pattern or a map names.
@@ -91,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := f.base(word, args); err != nil {
+	if err := f.sample(word, args); err != nil {
 		return nil, err
 	}
 	for rest != "" {
@@ -151,92 +153,105 @@
 	return nil
 }
 
-// base sets the fetch that a name stands for.
-func (f *fetch) base(name string, args []string) error {
-	switch name {
-	case "path", "pathq":
-		if name == "pathq" {
-			f.get = func(q *Request) []string { return one(q.Target) }
-		} else {
-			f.get = func(q *Request) []string { return one(q.Path()) }
-		}
-	case "url":
-		f.get = func(q *Request) []string { return one(q.Target) }
-	case "query":
-		f.get = func(q *Request) []string { return one(q.Query()) }
-	case "base":
-		f.get = func(q *Request) []string { return one(q.Header("Host") + q.Path()) }
-	case "method":
-		f.get = func(q *Request) []string { return one(q.Method) }
-	case "req.ver", "req_ver":
-		f.get = func(q *Request) []string { return one(q.Version) }
-	case "src":
-		f.kind = kindIP
-		f.get = func(q *Request) []string { return one(q.Src.Unmap().String()) }
-	case "dst_port", "fc_dst_port":
-		f.kind = kindInt
-		f.get = func(q *Request) []string { return one(strconv.Itoa(q.DstPort)) }
-	case "ssl_fc":
-		f.kind = kindBool
-		f.get = func(q *Request) []string { return flag(q.TLS) }
-	case "always_true", "always_false":
-		f.kind = kindBool
-		f.get = func(*Request) []string { return flag(name == "always_true") }
-	case "status":
-		f.kind = kindInt
-		f.get = func(q *Request) []string { return one(strconv.Itoa(q.Status)) }
-	case "hdr", "req.hdr", "req.fhdr", "hdr_cnt", "req.hdr_cnt", "res.hdr", "res.fhdr", "res.hdr_cnt":
-		return f.header(name, args)
-	case "url_param", "urlp":
-		if err := need(name, args, 1); err != nil {
-			return err
+// sample is a sample fetch without arguments.
+type sample struct {
+	kind kind
+	get  func(q *Request) []string
+}
+
+// plainSamples are the sample fetches that take no arguments, by name. Arguments that are given
+// all the same are not looked at.
+var plainSamples = map[string]sample{
+	"path":         {kindStr, func(q *Request) []string { return one(q.Path()) }},
+	"pathq":        {kindStr, func(q *Request) []string { return one(q.Target) }},
+	"url":          {kindStr, func(q *Request) []string { return one(q.Target) }},
+	"query":        {kindStr, func(q *Request) []string { return one(q.Query()) }},
+	"base":         {kindStr, func(q *Request) []string { return one(q.Header("Host") + q.Path()) }},
+	"method":       {kindStr, func(q *Request) []string { return one(q.Method) }},
+	"req.ver":      {kindStr, func(q *Request) []string { return one(q.Version) }},
+	"req_ver":      {kindStr, func(q *Request) []string { return one(q.Version) }},
+	"src":          {kindIP, func(q *Request) []string { return one(q.Src.Unmap().String()) }},
+	"dst_port":     {kindInt, func(q *Request) []string { return one(strconv.Itoa(q.DstPort)) }},
+	"fc_dst_port":  {kindInt, func(q *Request) []string { return one(strconv.Itoa(q.DstPort)) }},
+	"ssl_fc":       {kindBool, func(q *Request) []string { return flag(q.TLS) }},
+	"always_true":  {kindBool, func(*Request) []string { return flag(true) }},
+	"always_false": {kindBool, func(*Request) []string { return flag(false) }},
+	"status":       {kindInt, func(q *Request) []string { return one(strconv.Itoa(q.Status)) }},
+}
+
+// argumentSamples are the sample fetches that need one argument, by name.
+var argumentSamples = map[string]func(f *fetch, arg string){
+	"url_param": (*fetch).param,
+	"urlp":      (*fetch).param,
+	"cook":      (*fetch).cookie,
+	"req.cook":  (*fetch).cookie,
+	"var":       (*fetch).variable,
+	"nbsrv":     (*fetch).servers,
+	"str":       func(f *fetch, arg string) { f.get = func(*Request) []string { return one(arg) } },
+}
+
+func (f *fetch) param(name string) {
+	f.get = func(q *Request) []string { return q.param(name) }
+}
+
+func (f *fetch) cookie(name string) {
+	f.get = func(q *Request) []string { return q.cookie(name) }
+}
+
+func (f *fetch) variable(name string) {
+	f.get = func(q *Request) []string {
+		if v, ok := q.vars[name]; ok {
+			return one(v)
 		}
-		f.get = func(q *Request) []string { return q.param(args[0]) }
-	case "cook", "req.cook":
-		if err := need(name, args, 1); err != nil {
-			return err
+		return nil
+	}
+}
+
+// servers fetches how many servers of a backend serve.
+func (f *fetch) servers(backend string) {
+	f.kind = kindInt
+	f.get = func(q *Request) []string {
+		if q.Alive == nil {
+			return one("0")
 		}
-		f.get = func(q *Request) []string { return q.cookie(args[0]) }
-	case "var":
+		return one(strconv.Itoa(q.Alive(backend)))
+	}
+}
+
+// sample sets the sample fetch that a name stands for.
+func (f *fetch) sample(name string, args []string) error {
+	if s, ok := plainSamples[name]; ok {
+		f.kind, f.get = s.kind, s.get
+		return nil
+	}
+	if set, ok := argumentSamples[name]; ok {
 		if err := need(name, args, 1); err != nil {
 			return err
 		}
-		f.get = func(q *Request) []string {
-			if v, ok := q.vars[args[0]]; ok {
-				return one(v)
-			}
-			return nil
-		}
+		set(f, args[0])
+		return nil
+	}
+	switch name {
+	case "hdr", "req.hdr", "req.fhdr", "hdr_cnt", "req.hdr_cnt", "res.hdr", "res.fhdr", "res.hdr_cnt":
+		return f.header(name, args)
 	case "rand":
-		n := uint64(1 << 32)
-		if len(args) > 0 {
-			v, err := strconv.ParseUint(args[0], 10, 32)
-			if err != nil || v == 0 {
-				return fmt.Errorf("rand(%s): no positive number", args[0])
-			}
-			n = v
-		}
-		f.kind = kindInt
-		f.get = func(q *Request) []string { return one(strconv.FormatUint(q.Rand%n, 10)) }
-	case "nbsrv":
-		if err := need(name, args, 1); err != nil {
-			return err
-		}
-		f.kind = kindInt
-		f.get = func(q *Request) []string {
-			if q.Alive == nil {
-				return one("0")
-			}
-			return one(strconv.Itoa(q.Alive(args[0])))
-		}
-	case "str":
-		if err := need(name, args, 1); err != nil {
-			return err
+		return f.random(args)
+	}
+	return unsupported("the sample %s", name)
+}
+
+// random fetches a number from 0 up to an exclusive bound, 2^32 without an argument.
+func (f *fetch) random(args []string) error {
+	n := uint64(1 << 32)
+	if len(args) > 0 {
+		v, err := strconv.ParseUint(args[0], 10, 32)
+		if err != nil || v == 0 {
+			return fmt.Errorf("rand(%s): no positive number", args[0])
 		}
-		f.get = func(*Request) []string { return one(args[0]) }
-	default:
-		return unsupported("the sample %s", name)
+		n = v
 	}
+	f.kind = kindInt
+	f.get = func(q *Request) []string { return one(strconv.FormatUint(q.Rand%n, 10)) }
 	return nil
 }
 
@@ -254,25 +269,12 @@
 		}
 		at = n
 	}
-	whole, answer := strings.HasSuffix(name, "fhdr"), strings.HasPrefix(name, "res.")
-	values := func(q *Request) (out []string) {
-		fields := q.Fields
-		if answer {
-			fields = q.Response
+	whole, response := strings.HasSuffix(name, "fhdr"), strings.HasPrefix(name, "res.")
+	values := func(q *Request) []string {
+		if response {
+			return headerValues(q.Response, field, whole)
 		}
-		for i := range fields {
-			if !strings.EqualFold(fields[i].Name, field) {
-				continue
-			}
-			if whole || !strings.Contains(fields[i].Value, ",") {
-				out = append(out, fields[i].Value)
-				continue
-			}
-			for part := range strings.SplitSeq(fields[i].Value, ",") {
-				out = append(out, strings.TrimSpace(part))
-			}
-		}
-		return out
+		return headerValues(q.Fields, field, whole)
 	}
 	if strings.HasSuffix(name, "_cnt") {
 		f.kind = kindInt
@@ -294,6 +296,24 @@
 	return nil
 }
 
+// headerValues returns the values of the fields of a name, parted at commas unless they are wanted
+// whole.
+func headerValues(fields []http1.Field, name string, whole bool) (out []string) {
+	for i := range fields {
+		if !strings.EqualFold(fields[i].Name, name) {
+			continue
+		}
+		if whole || !strings.Contains(fields[i].Value, ",") {
+			out = append(out, fields[i].Value)
+			continue
+		}
+		for part := range strings.SplitSeq(fields[i].Value, ",") {
+			out = append(out, strings.TrimSpace(part))
+		}
+	}
+	return out
+}
+
 // methods are the ways to match a sample against patterns.
 var methods = map[string]func(patterns []string, fold bool) (func(string) bool, error){
 	"str": matchExact,
--- a/internal/route/frontend.go
+++ b/internal/route/frontend.go
@@ -19,14 +19,16 @@
 // Rules are a compiled Spec. They may be used by several goroutines.
 type Rules struct {
 	request, response []*Rule
-	use               []use
+	use               []UseRule
 	fallback          string
 
 	index  []index // of the use rules that ask for a certain text
 	always []int   // the other ones, in order
 }
 
-type use struct {
+// UseRule is a compiled use_backend rule: the backend, which may depend on the request, and when
+// the rule counts.
+type UseRule struct {
 	backend *Format
 	when    *Condition
 	text    string
@@ -41,8 +43,8 @@
 	lengths []int // of the prefixes
 }
 
-// indexFrom is the number of use rules from which an index pays.
-const indexFrom = 8
+// minIndexedRules is the number of use rules from which an index pays.
+const minIndexedRules = 8
 
 // Compile reads a Spec. Each error names the line.
 func Compile(s Spec, files Files) (*Rules, error) {
@@ -104,13 +106,13 @@
 
 // ParseUse reads the words of a use_backend rule: the backend, which may be a format, and
 // the condition.
-func (l *Lists) ParseUse(words []string) (use, error) {
+func (l *Lists) ParseUse(words []string) (UseRule, error) {
 	f, err := ParseFormat(words[0], l.files)
 	if err != nil {
-		return use{}, err
+		return UseRule{}, err
 	}
 	c, err := l.Compile(words[1:])
-	return use{f, c, Line(words)}, err
+	return UseRule{f, c, Line(words)}, err
 }
 
 // Backends returns the names that the rules can lead to, and whether some depend on the
@@ -132,7 +134,7 @@
 
 // build makes the index.
 func (r *Rules) build() {
-	if len(r.use) < indexFrom {
+	if len(r.use) < minIndexedRules {
 		for i := range r.use {
 			r.always = append(r.always, i)
 		}
@@ -154,7 +156,7 @@
 			if t.fold {
 				p = strings.ToLower(p)
 			}
-			if t.how == "str" {
+			if t.indexable == "str" {
 				x.exact[p] = append(x.exact[p], i)
 				continue
 			}
@@ -173,7 +175,7 @@
 		return nil
 	}
 	for i := range c.any[0] {
-		if t := &c.any[0][i]; !t.not && len(t.tests) == 1 && t.tests[0].how != "" {
+		if t := &c.any[0][i]; !t.not && len(t.tests) == 1 && t.tests[0].indexable != "" {
 			return t.tests[0]
 		}
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/netip"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -23,7 +24,11 @@
 		case strings.HasPrefix(w, "src="):
 			q.Src = netip.MustParseAddr(w[4:])
 		case strings.HasPrefix(w, "port="):
-			fmt.Sscan(w[5:], &q.DstPort)
+			port, err := strconv.Atoi(w[5:])
+			if err != nil {
+				panic(err)
+			}
+			q.DstPort = port
 		case w == "tls":
 			q.TLS = true
 		default:
@@ -118,35 +123,24 @@
 		if unless {
 			words[0] = "unless"
 		}
-		any := false
+		holds := false
 		for i := range rapid.IntRange(1, 3).Draw(t, "groups") {
 			if i > 0 {
 				words = append(words, rapid.SampledFrom([]string{"or", "||"}).Draw(t, "or"))
 			}
 			all := true
 			for range rapid.IntRange(1, 3).Draw(t, "terms") {
-				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
-				not := rapid.Bool().Draw(t, "not")
-				switch {
-				case rapid.Bool().Draw(t, "anonymous"):
-					if not {
-						words = append(words, "!")
-					}
-					words = append(words, "{", "hdr("+name+")", "1", "}")
-				case not:
-					words = append(words, "!"+name)
-				default:
-					words = append(words, name)
-				}
+				term, name, not := drawTerm(t)
+				words = append(words, term...)
 				all = all && value[name] != not
 			}
-			any = any || all
+			holds = holds || all
 		}
 		c, err := l.Compile(words)
 		if err != nil {
 			t.Fatalf("%v: %v", words, err)
 		}
-		if c.Holds(q) != (any != unless) {
+		if c.Holds(q) != (holds != unless) {
 			t.Fatalf("%v on %v is %v", words, value, c.Holds(q))
 		}
 	})
@@ -157,9 +151,28 @@
 	}
 }
 
+// drawTerm draws a term of a condition: a header field, by its list's name or anonymous, that is
+// or is not 1.
+func drawTerm(t *rapid.T) (words []string, name string, not bool) {
+	name = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
+	not = rapid.Bool().Draw(t, "not")
+	switch {
+	case rapid.Bool().Draw(t, "anonymous"):
+		if not {
+			words = append(words, "!")
+		}
+		words = append(words, "{", "hdr("+name+")", "1", "}")
+	case not:
+		words = append(words, "!"+name)
+	default:
+		words = append(words, name)
+	}
+	return words, name, not
+}
+
 // Guards rules on requests and responses, and the order in which they count.
 func TestRules(t *testing.T) {
-	files := func(path string) ([]byte, error) {
+	files := func(string) ([]byte, error) {
 		return []byte("a.example  app_a\nb.example app_b\na.example never\n"), nil
 	}
 	r, err := Compile(Spec{
@@ -189,10 +202,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run := func(line string) (q *Request, a *Answer) {
-		q = ask(line)
-		return q, r.Request(q)
+	testAnswers(t, r)
+	testEdits(t, r)
+	exists := func(name string) bool { return strings.HasPrefix(name, "app_") }
+	for line, want := range map[string]string{"GET /special/x": "special", "GET / Host:A.example": "app_a", "GET / Host:b.example": "app_b",
+		"GET / Host:c.example": "main"} {
+		if got, _ := r.Backend(ask(line), exists); got != want {
+			t.Errorf("%s goes to %q, not %q", line, got, want)
+		}
+	}
+	for _, bad := range []Spec{
+		{Request: []string{"deny deny_status 999"}}, {Request: []string{"redirect code 301"}}, {Request: []string{"set-header X"}},
+		{Request: []string{"no-such-thing"}}, {Request: []string{"set-header Content-Length 5"}}, {Request: []string{"set-header 'X Y' 5"}},
+		{ACL: []string{"a path_reg ("}}, {ACL: []string{"a no_such_sample x"}}, {ACL: []string{"a path"}}, {ACL: []string{"a src nowhere"}},
+		{ACL: []string{"a path -m maybe x"}}, {Use: []string{"b if nobody"}}, {Request: []string{"return string 'open"}},
+		{Request: []string{"redirect location %[path code 301"}}, {ACL: []string{""}},
+	} {
+		if _, err := Compile(bad, NoFiles); err == nil {
+			t.Errorf("taken: %+v", bad)
+		}
 	}
+}
+
+// testAnswers asks for what the rules of TestRules answer themselves.
+func testAnswers(t *testing.T, r *Rules) {
+	t.Helper()
 	for _, c := range []struct {
 		line, location string
 		status         int
@@ -204,14 +238,23 @@
 		{"GET /cdn/a?q=1 Host:h", "https://cdn.example/cdn/a", 302},
 		{"GET /hello", "", 200},
 	} {
-		_, a := run(c.line)
+		a := r.Request(ask(c.line))
 		if a == nil || a.Status != c.status || c.location != "" && a.Fields[0].Value != c.location {
 			t.Errorf("%s: %+v", c.line, a)
 		}
 	}
-	if _, a := run("GET /hello"); string(a.Body) != "hi 192.0.2.7" {
+	if a := r.Request(ask("GET /hello")); string(a.Body) != "hi 192.0.2.7" {
 		t.Errorf("body %q", a.Body)
 	}
+}
+
+// testEdits looks at what the rules of TestRules make of requests and of a response.
+func testEdits(t *testing.T, r *Rules) {
+	t.Helper()
+	run := func(line string) (q *Request, a *Answer) {
+		q = ask(line)
+		return q, r.Request(q)
+	}
 	q, a := run("GET /api/tag?x=1 X-Secret:1 x-secret:2 Cookie:'a=1; sid=123; b=2' X-Real:forged")
 	if a != nil || q.Target != "/tag?x=1" || q.Header("X-Secret") != "" || q.Header("X-Real") != "192.0.2.7" ||
 		q.Header("Cookie") != "a=1; sid=x; b=2" || q.Header("X-Kind") != "tag" || q.Header("X-Last") != "yes" {
@@ -223,29 +266,11 @@
 	if q, a := run("GET /admin src=10.1.1.1"); a != nil || q.Header("X-Last") != "" {
 		t.Errorf("after allow: %+v %+v", q.Fields, a)
 	}
-	exists := func(name string) bool { return strings.HasPrefix(name, "app_") }
-	for line, want := range map[string]string{"GET /special/x": "special", "GET / Host:A.example": "app_a", "GET / Host:b.example": "app_b",
-		"GET / Host:c.example": "main"} {
-		if got, _ := r.Backend(ask(line), exists); got != want {
-			t.Errorf("%s goes to %q, not %q", line, got, want)
-		}
-	}
 	q = ask("GET /")
 	q.Status, q.Response = 502, []http1.Field{{Name: "Server", Value: "x"}, {Name: "Content-Length", Value: "101"}}
 	if a := r.Response(q); a != nil || q.Status != 503 || len(q.Response) != 3 {
 		t.Errorf("%+v %d %v", a, q.Status, q.Response)
 	}
-	for _, bad := range []Spec{
-		{Request: []string{"deny deny_status 999"}}, {Request: []string{"redirect code 301"}}, {Request: []string{"set-header X"}},
-		{Request: []string{"no-such-thing"}}, {Request: []string{"set-header Content-Length 5"}}, {Request: []string{"set-header 'X Y' 5"}},
-		{ACL: []string{"a path_reg ("}}, {ACL: []string{"a no_such_sample x"}}, {ACL: []string{"a path"}}, {ACL: []string{"a src nowhere"}},
-		{ACL: []string{"a path -m maybe x"}}, {Use: []string{"b if nobody"}}, {Request: []string{"return string 'open"}},
-		{Request: []string{"redirect location %[path code 301"}}, {ACL: []string{""}},
-	} {
-		if _, err := Compile(bad, NoFiles); err == nil {
-			t.Errorf("taken: %+v", bad)
-		}
-	}
 }
 
 // A value from the request cannot end a field or a line.
@@ -269,7 +294,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var spec Spec
 		word := rapid.SampledFrom([]string{"a", "b", "ab", "abc", "B"})
-		for i := range rapid.IntRange(indexFrom, 30).Draw(t, "rules") {
+		for i := range rapid.IntRange(minIndexedRules, 30).Draw(t, "rules") {
 			kind := rapid.SampledFrom([]string{"hdr(host) -i", "hdr(host)", "path_beg", "path", "path_end", "path -i"}).Draw(t, "kind")
 			p := word.Draw(t, "pattern")
 			if strings.HasPrefix(kind, "path") {
@@ -303,7 +328,7 @@
 	f.Add("a path_beg /x", "deny if a", "b if { hdr(host) -m reg ^x }", "/x?y=%00")
 	f.Add("a hdr(x,-1),field(2,.) -i b", "redirect location %[path,regsub(a,\\1,g)] code 301", "%[hdr(host)] if TRUE", "*")
 	f.Add("a src 10.0.0.0/8", "set-var(txn.a) str(b)", "b unless !{ rand(100) lt 5 }", "http://h/p")
-	f.Fuzz(func(t *testing.T, acl, rule, use, target string) {
+	f.Fuzz(func(_ *testing.T, acl, rule, use, target string) {
 		r, err := Compile(Spec{ACL: []string{acl}, Request: []string{rule}, Use: []string{use}, Default: "d"}, NoFiles)
 		if err != nil {
 			return
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -146,10 +146,11 @@
 	return append(slices.Clip(fields), http1.Field{Name: name, Value: value})
 }
 
-func status(s string, least, most int) (int, error) {
+// status reads a status between two bounds, both included.
+func status(s string, minStatus, maxStatus int) (int, error) {
 	v, err := strconv.Atoi(s)
-	if err != nil || v < least || v > most {
-		return 0, fmt.Errorf("%q is no status between %d and %d", s, least, most)
+	if err != nil || v < minStatus || v > maxStatus {
+		return 0, fmt.Errorf("%q is no status between %d and %d", s, minStatus, maxStatus)
 	}
 	return v, nil
 }
@@ -178,78 +179,96 @@
 // parseRedirect reads location, prefix or scheme, code, and drop-query, append-slash,
 // set-cookie and clear-cookie.
 func parseRedirect(args []string, files Files) (func(*Request) (*Answer, bool), error) {
-	code, how := 302, ""
-	var to *Format
-	var drop, slash bool
-	var cookie string
+	r := &redirect{code: 302}
 	for len(args) > 0 {
 		word := args[0]
 		args = args[1:]
 		switch word {
 		case "drop-query":
-			drop = true
+			r.dropQuery = true
 			continue
 		case "append-slash":
-			slash = true
+			r.appendSlash = true
 			continue
 		}
 		if len(args) == 0 {
 			return nil, fmt.Errorf("%s lacks its value", word)
 		}
-		value := args[0]
-		args = args[1:]
-		var err error
-		switch word {
-		case "location", "prefix", "scheme":
-			how = word
-			to, err = ParseFormat(value, files)
-		case "code":
-			if code, err = status(value, 301, 308); err == nil && !slices.Contains([]int{301, 302, 303, 307, 308}, code) {
-				err = fmt.Errorf("%d is no redirection", code)
-			}
-		case "set-cookie":
-			cookie = value + "; path=/;"
-		case "clear-cookie":
-			cookie = value + "; path=/; Max-Age=0;"
-		default:
-			err = unsupported("the argument %s", word)
-		}
-		if err != nil {
+		if err := r.set(word, args[0], files); err != nil {
 			return nil, err
 		}
+		args = args[1:]
 	}
-	if how == "" {
+	if r.kind == "" {
 		return nil, fmt.Errorf("needs location, prefix or scheme")
 	}
-	return func(q *Request) (*Answer, bool) {
-		where := to.Of(q)
-		target := q.Target
-		if !strings.HasPrefix(target, "/") {
-			target = q.Path()
-		}
-		if path, _, _ := strings.Cut(target, "?"); drop {
-			target = path
-		}
-		if path, query, ok := strings.Cut(target, "?"); slash && !strings.HasSuffix(path, "/") {
-			if target = path + "/"; ok {
-				target += "?" + query
-			}
+	return r.answer, nil
+}
+
+// redirect is a compiled redirect rule.
+type redirect struct {
+	code        int     // status of the answer
+	kind        string  // "location", "prefix" or "scheme"
+	to          *Format // the location, the prefix or the scheme
+	dropQuery   bool
+	appendSlash bool
+	cookie      string // value of Set-Cookie; "": none
+}
+
+// set takes in an argument that has a value.
+func (r *redirect) set(word, value string, files Files) (err error) {
+	switch word {
+	case "location", "prefix", "scheme":
+		r.kind = word
+		r.to, err = ParseFormat(value, files)
+	case "code":
+		if r.code, err = status(value, 301, 308); err == nil && !slices.Contains([]int{301, 302, 303, 307, 308}, r.code) {
+			err = fmt.Errorf("%d is no redirection", r.code)
 		}
-		switch how {
-		case "prefix":
-			if where == "/" {
-				where = ""
-			}
-			where += target
-		case "scheme":
-			where += "://" + q.Header("Host") + target
+	case "set-cookie":
+		r.cookie = value + "; path=/;"
+	case "clear-cookie":
+		r.cookie = value + "; path=/; Max-Age=0;"
+	default:
+		err = unsupported("the argument %s", word)
+	}
+	return err
+}
+
+// answer is the rule's do.
+func (r *redirect) answer(q *Request) (*Answer, bool) {
+	location := r.to.Of(q)
+	switch r.kind {
+	case "prefix":
+		if location == "/" {
+			location = ""
 		}
-		fields := []http1.Field{{Name: "Location", Value: clean(where)}}
-		if cookie != "" {
-			fields = append(fields, http1.Field{Name: "Set-Cookie", Value: clean(cookie)})
+		location += r.target(q)
+	case "scheme":
+		location += "://" + q.Header("Host") + r.target(q)
+	}
+	fields := []http1.Field{{Name: "Location", Value: clean(location)}}
+	if r.cookie != "" {
+		fields = append(fields, http1.Field{Name: "Set-Cookie", Value: clean(r.cookie)})
+	}
+	return &Answer{Status: r.code, Fields: fields}, true
+}
+
+// target returns the request's path and query as they go into the location.
+func (r *redirect) target(q *Request) string {
+	target := q.Target
+	if !strings.HasPrefix(target, "/") {
+		target = q.Path()
+	}
+	if path, _, _ := strings.Cut(target, "?"); r.dropQuery {
+		target = path
+	}
+	if path, query, ok := strings.Cut(target, "?"); r.appendSlash && !strings.HasSuffix(path, "/") {
+		if target = path + "/"; ok {
+			target += "?" + query
 		}
-		return &Answer{Status: code, Fields: fields}, true
-	}, nil
+	}
+	return target
 }
 
 // clean takes away what would end a header field: what is put into one may come from
--- a/internal/route/words.go
+++ b/internal/route/words.go
@@ -25,57 +25,87 @@
 
 // Split cuts a line into words. With an error the words before the fault are returned.
 func (s Splitter) Split(line string) (words []string, err error) {
-	var word strings.Builder
-	in, quote := false, byte(0)
-	end := func() {
-		if in {
-			words = append(words, word.String())
+	p := splitting{}
+	for i := 0; i < len(line); {
+		n, done, err := s.step(&p, line[i:])
+		if err != nil || done {
+			return p.words, err
 		}
-		word.Reset()
-		in = false
+		i += n
 	}
-	for i := 0; i < len(line); i++ {
-		c := line[i]
-		switch {
-		case quote == '\'':
-			if c == '\'' {
-				quote = 0
-			} else {
-				word.WriteByte(c)
-			}
-		case c == '\\':
-			if i+1 == len(line) {
-				return words, errSlash
-			}
-			in = true
-			b, n := Unescape(line[i+1:])
-			word.WriteString(b)
-			i += n
-		case quote == '"' && c == '"':
-			quote = 0
-		case quote == '"' && c == '$' && s.Variable != nil:
-			value, n := s.Variable(line[i:])
-			word.WriteString(value)
-			i += n - 1
-		case quote == '"':
-			word.WriteByte(c)
-		case c == '"' || c == '\'':
-			quote, in = c, true
-		case c == '#' && s.Comments:
-			end()
-			return words, nil
-		case c == ' ' || c == '\t' || c == '\r':
-			end()
-		default:
-			in = true
-			word.WriteByte(c)
-		}
+	if p.quote != 0 {
+		return p.words, errQuote
+	}
+	p.end()
+	return p.words, nil
+}
+
+// splitting is the state of Split between two bytes.
+type splitting struct {
+	words []string        // those that have ended
+	word  strings.Builder // the one that has begun, without its quotes
+	begun bool            // also of an empty word in quotes
+	quote byte            // the one that is open; 0: none
+}
+
+// end ends the word that has begun, if any.
+func (p *splitting) end() {
+	if p.begun {
+		p.words = append(p.words, p.word.String())
 	}
-	if quote != 0 {
-		return words, errQuote
+	p.word.Reset()
+	p.begun = false
+}
+
+// step reads what rest begins with and returns how many bytes of it that was, and whether the
+// line ends with it.
+func (s Splitter) step(p *splitting, rest string) (n int, done bool, err error) {
+	c := rest[0]
+	switch {
+	case c == '\\' && p.quote != '\'':
+		n, err = p.escape(rest)
+		return n, false, err
+	case p.quote != 0:
+		return s.quoted(p, rest), false, nil
+	case c == '"' || c == '\'':
+		p.quote, p.begun = c, true
+	case c == '#' && s.Comments:
+		p.end()
+		return 1, true, nil
+	case c == ' ' || c == '\t' || c == '\r':
+		p.end()
+	default:
+		p.begun = true
+		p.word.WriteByte(c)
+	}
+	return 1, false, nil
+}
+
+// quoted reads what rest begins with within quotes, but for a backslash that is an escape, and
+// returns how many bytes that was.
+func (s Splitter) quoted(p *splitting, rest string) int {
+	switch c := rest[0]; {
+	case c == p.quote:
+		p.quote = 0
+	case c == '$' && p.quote == '"' && s.Variable != nil:
+		value, n := s.Variable(rest)
+		p.word.WriteString(value)
+		return n
+	default:
+		p.word.WriteByte(c)
+	}
+	return 1
+}
+
+// escape reads a backslash and what stands behind it.
+func (p *splitting) escape(rest string) (n int, err error) {
+	if len(rest) == 1 {
+		return 0, errSlash
 	}
-	end()
-	return words, nil
+	p.begun = true
+	text, n := Unescape(rest[1:])
+	p.word.WriteString(text)
+	return 1 + n, nil
 }
 
 // Unescape reads what stands behind a backslash, and how many bytes of it that are. What
