--- a/internal/dispatchconfig/config_test.go
+++ b/internal/dispatchconfig/config_test.go
@@ -45,6 +45,12 @@
 	if c, err := FromEnv(); err != nil || c.Discovery != "127.0.0.1:1" {
 		t.Errorf("without discovery in the file: %+v, error %v", c, err)
 	}
+	testModule(t, c)
+}
+
+// testModule looks at what the module is told of the platform's file.
+func testModule(t *testing.T, c *Config) {
+	t.Helper()
 	m, err := c.Settings.Module(3)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatchconfig/door.go
+++ b/internal/dispatchconfig/door.go
@@ -9,14 +9,17 @@
 	Clients     int `toml:"clients,omitzero"` // queues for clients, in each co-op; 0: 512
 }
 
-const doorMost = 1 << 16
+// maxAdmission bounds each number of an admission queue's settings.
+const maxAdmission = 1 << 16
 
-func (c *Config) checkDoor() error {
+func (c *Config) checkAdmission() error {
 	d := c.Door
 	switch {
-	case d.Concurrency <= 0 || d.Concurrency > doorMost:
+	case d == nil:
+		return nil
+	case d.Concurrency <= 0 || d.Concurrency > maxAdmission:
 		return errors.New("door.concurrency must be between 1 and 65536")
-	case d.Queue < 0 || d.Queue > doorMost || d.Clients < 0 || d.Clients > doorMost:
+	case d.Queue < 0 || d.Queue > maxAdmission || d.Clients < 0 || d.Clients > maxAdmission:
 		return errors.New("door.queue and door.clients must be between 0 and 65536")
 	case len(c.Settings.Realms) == 0:
 		return errors.New("door: there are no realms in the settings to share among")
--- a/internal/dispatchconfig/journal.go
+++ b/internal/dispatchconfig/journal.go
@@ -1,6 +1,7 @@
 package dispatchconfig
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"slices"
@@ -28,32 +29,25 @@
 )
 
 const (
-	journalKeep    = 7 * 24 * 3600
-	journalMax     = 256
-	journalReserve = 8
-	journalLeast   = 4
+	defaultJournalKeep      = 7 * 24 * 3600 // seconds
+	defaultJournalMaxMB     = 256
+	defaultJournalReserveMB = 8
+	minJournalMaxMB         = 4
 )
 
 func (j *Journal) defaults() {
-	if j.Keep == 0 {
-		j.Keep = journalKeep
-	}
-	if j.MaxMB == 0 {
-		j.MaxMB = journalMax
-	}
-	if j.ReserveMB == 0 {
-		j.ReserveMB = journalReserve
-	}
-	if j.Sync == "" {
-		j.Sync = SyncGroup
-	}
-	if j.OnFull == "" {
-		j.OnFull = RefuseOnFull
-	}
+	j.Keep = cmp.Or(j.Keep, defaultJournalKeep)
+	j.MaxMB = cmp.Or(j.MaxMB, defaultJournalMaxMB)
+	j.ReserveMB = cmp.Or(j.ReserveMB, defaultJournalReserveMB)
+	j.Sync = cmp.Or(j.Sync, SyncGroup)
+	j.OnFull = cmp.Or(j.OnFull, RefuseOnFull)
 }
 
 func (c *Config) checkJournal() error {
 	j := c.Journal
+	if j == nil {
+		return nil
+	}
 	j.defaults() // also for programs that embed a scheduler and set what they care for
 	switch {
 	case j.Dir == "":
@@ -64,12 +58,16 @@
 		return fmt.Errorf("journal.on_full is %q: %q or %q", j.OnFull, RefuseOnFull, ServeOnFull)
 	case j.Keep < 0 || j.Keep > 1e9:
 		return errors.New("journal.keep_s must be between 0 and 1e9")
-	case j.MaxMB < journalLeast || j.MaxMB > 1<<20:
-		return fmt.Errorf("journal.max_mb must be at least %d", journalLeast)
+	case j.MaxMB < minJournalMaxMB || j.MaxMB > 1<<20:
+		return fmt.Errorf("journal.max_mb must be at least %d", minJournalMaxMB)
 	case j.ReserveMB < 0 || j.ReserveMB > j.MaxMB/2:
 		return errors.New("journal.reserve_mb must be at most half of max_mb")
 	}
-	for _, name := range j.Classes {
+	return c.checkJournalClasses()
+}
+
+func (c *Config) checkJournalClasses() error {
+	for _, name := range c.Journal.Classes {
 		if !slices.ContainsFunc(c.Settings.Classes, func(k Class) bool { return k.Name == name }) {
 			return fmt.Errorf("journal.classes: no class %q in the settings", name)
 		}
--- a/internal/dispatchconfig/operator.go
+++ b/internal/dispatchconfig/operator.go
@@ -110,8 +110,9 @@
 	return e.Encode(f)
 }
 
-// address checks an address of ours.
-func address(what, addr string) error {
+// checkAddr returns an error, which begins with what, for an address that is not an IP address and
+// a port above 0.
+func checkAddr(what, addr string) error {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || ap.Port() == 0 {
 		return fmt.Errorf("%s %q is no IP address and port", what, addr)
@@ -119,65 +120,85 @@
 	return nil
 }
 
+// checkOperator checks what only an operator's file has, and the addresses. Of several faults the
+// first in the order of the checks is returned.
 func (c *Config) checkOperator() error {
-	if c.Listen != "" || c.Web == nil {
-		if err := address("the address to listen on,", c.Listen); err != nil {
+	for _, check := range []func() error{c.checkListen, c.checkWeb, c.checkOps, c.checkSSE, c.checkJournal, c.checkAdmission} {
+		if err := check(); err != nil {
 			return err
 		}
-	} else if c.SSE != nil || c.Journal != nil {
+	}
+	if c.Planners < 0 || c.Loops < 0 {
+		return errors.New("planners and loops must not be negative")
+	}
+	return c.checkWorkers()
+}
+
+func (c *Config) checkListen() error {
+	if c.Listen != "" || c.Web == nil {
+		return checkAddr("the address to listen on,", c.Listen)
+	}
+	if c.SSE != nil || c.Journal != nil {
 		return errors.New("sse and journal are for jobs, and there is no address to listen on for those")
 	}
-	if c.Web != nil {
-		if err := c.Web.Check(); err != nil {
-			return err
-		}
-		for _, f := range c.Web.Frontends {
-			for _, a := range f.Listen {
-				if a == c.Listen || a == c.Ops || c.SSE != nil && a == c.SSE.Listen {
-					return fmt.Errorf("web: frontend %q listens on %s, which is another front's", f.Name, a)
-				}
+	return nil
+}
+
+func (c *Config) checkWeb() error {
+	if c.Web == nil {
+		return nil
+	}
+	if err := c.Web.Check(); err != nil {
+		return err
+	}
+	for _, f := range c.Web.Frontends {
+		for _, a := range f.Listen {
+			if a == c.Listen || a == c.Ops || c.SSE != nil && a == c.SSE.Listen {
+				return fmt.Errorf("web: frontend %q listens on %s, which is another front's", f.Name, a)
 			}
 		}
 	}
-	if c.Ops != "" {
-		if err := address("ops", c.Ops); err != nil {
-			return err
-		}
-		if c.Ops == c.Listen || c.SSE != nil && c.Ops == c.SSE.Listen {
-			return errors.New("ops is an address of clients")
-		}
+	return nil
+}
+
+func (c *Config) checkOps() error {
+	if c.Ops == "" {
+		return nil
 	}
-	if c.SSE != nil {
-		if err := address("sse.listen", c.SSE.Listen); err != nil {
-			return err
-		}
-		if c.SSE.Listen == c.Listen {
-			return errors.New("sse.listen and listen are the same")
-		}
-		if c.SSE.Heartbeat < 0 || c.SSE.Retain < 0 {
-			return errors.New("times of sse must not be negative")
-		}
+	if err := checkAddr("ops", c.Ops); err != nil {
+		return err
 	}
-	if c.Journal != nil {
-		if err := c.checkJournal(); err != nil {
-			return err
-		}
+	if c.Ops == c.Listen || c.SSE != nil && c.Ops == c.SSE.Listen {
+		return errors.New("ops is an address of clients")
 	}
-	if c.Door != nil {
-		if err := c.checkDoor(); err != nil {
-			return err
-		}
+	return nil
+}
+
+func (c *Config) checkSSE() error {
+	if c.SSE == nil {
+		return nil
 	}
-	if c.Planners < 0 || c.Loops < 0 {
-		return errors.New("planners and loops must not be negative")
+	if err := checkAddr("sse.listen", c.SSE.Listen); err != nil {
+		return err
 	}
+	if c.SSE.Listen == c.Listen {
+		return errors.New("sse.listen and listen are the same")
+	}
+	if c.SSE.Heartbeat < 0 || c.SSE.Retain < 0 {
+		return errors.New("times of sse must not be negative")
+	}
+	return nil
+}
+
+// checkWorkers checks the addresses of the known workers, each of which must be listed once.
+func (c *Config) checkWorkers() error {
 	seen := map[string]bool{}
 	for _, m := range c.Known.Members {
 		if seen[m.ID] {
 			return fmt.Errorf("worker %q is listed twice", m.ID)
 		}
 		seen[m.ID] = true
-		if err := address("worker "+m.ID+":", m.HostPort); err != nil {
+		if err := checkAddr("worker "+m.ID+":", m.HostPort); err != nil {
 			return err
 		}
 	}
--- a/internal/dispatchconfig/peers.go
+++ b/internal/dispatchconfig/peers.go
@@ -11,8 +11,8 @@
 	"sedgevale/internal/peers"
 )
 
-// Most schedulers of a site.
-const mostPeers = 4096
+// maxPeers bounds the schedulers of a site.
+const maxPeers = 4096
 
 // PeerPlan is how a scheduler reaches the others of its site.
 type PeerPlan struct {
@@ -31,8 +31,8 @@
 	case c.PeerListen == "":
 		return nil, errors.New("peers without peer_listen, where their datagrams come in")
 	}
-	if len(c.Peers) > mostPeers {
-		return nil, fmt.Errorf("peers: %d addresses, %d at most", len(c.Peers), mostPeers)
+	if len(c.Peers) > maxPeers {
+		return nil, fmt.Errorf("peers: %d addresses, %d at most", len(c.Peers), maxPeers)
 	}
 	p := &PeerPlan{Self: c.Settings.SlotNo, Watch: c.PeerWatch}
 	var err error
@@ -63,7 +63,7 @@
 func (c *Config) site() uint64 {
 	h := fnv.New64a()
 	s := &c.Settings
-	fmt.Fprintf(h, "%d %d %q %q", len(c.Peers), s.Tier, s.Kinds, s.Zones)
+	_, _ = fmt.Fprintf(h, "%d %d %q %q", len(c.Peers), s.Tier, s.Kinds, s.Zones)
 	return h.Sum64()
 }
 
@@ -74,12 +74,13 @@
 	slices.SortFunc(teams, func(a, b Realm) int { return cmp.Compare(a.Name, b.Name) })
 	h := fnv.New32a()
 	for _, t := range teams {
-		fmt.Fprintf(h, "%q %v %v\n", t.Name, t.Share, t.Quota)
+		_, _ = fmt.Fprintf(h, "%q %v %v\n", t.Name, t.Share, t.Quota)
 	}
 	for _, k := range c.Settings.Classes {
-		on, in := k.RunsOn, k.RunsIn // as pointers they would be told by their addresses
-		k.RunsOn, k.RunsIn = nil, nil
-		fmt.Fprintf(h, "%+v %v %v\n", k, on, in)
+		// The format is that of the first version, with the names that the fields had then: schedulers of several versions
+		// compare digests.
+		_, _ = fmt.Fprintf(h, "{Name:%s Effect:%s Scope:%s Window:%v Promise:%v HardLimit:%v LateShare:%v Stream:%v AimStretch:%v RunsOn:<nil> RunsIn:<nil>} %v %v\n",
+			k.Name, k.Effect, k.Scope, k.Window, k.Promise, k.HardLimit, k.LateShare, k.Stream, k.AimStretch, k.RunsOn, k.RunsIn)
 	}
 	return peers.Revision{Number: c.Revision, Digest: h.Sum32()}
 }
--- a/internal/dispatchconfig/peers_test.go
+++ b/internal/dispatchconfig/peers_test.go
@@ -5,6 +5,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"sedgevale/internal/peers"
 )
 
 const hut = `name = "hut"
@@ -143,3 +145,20 @@
 		}
 	}
 }
+
+// Schedulers of several versions compare digests of what is in force: the names of Go fields must not get into them.
+func TestInForceDigestStaysOverVersions(t *testing.T) {
+	c, err := Parse([]byte(platform))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.Revision = 3
+	if got, want := c.InForce(), (peers.Revision{Number: 3, Digest: 0xa730df0}); got != want {
+		t.Errorf("platform's file: %#v, want %#v", got, want)
+	}
+	k := &c.Settings.Classes[0]
+	k.RunsOn, k.RunsIn, k.Stream = &[]int{1, 2}, &[]int{}, true
+	if got, want := c.InForce(), (peers.Revision{Number: 3, Digest: 0xee8e0aa8}); got != want {
+		t.Errorf("with runs_on and runs_in: %#v, want %#v", got, want)
+	}
+}
--- a/internal/dispatchconfig/settings.go
+++ b/internal/dispatchconfig/settings.go
@@ -91,60 +91,85 @@
 	}
 )
 
+// invalid returns the error for a field of the settings, by its path, that is not what is wanted.
+func invalid(path, want string, args ...any) error {
+	return fmt.Errorf("settings.%s: %s", path, fmt.Sprintf(want, args...))
+}
+
 // check returns an error that names the first field by which nobody can be served, and what was expected there.
 func (s *Settings) check() error {
-	wrong := func(path, want string, args ...any) error {
-		return fmt.Errorf("settings.%s: %s", path, fmt.Sprintf(want, args...))
-	}
 	if _, ok := weights[s.Weights]; !ok {
-		return wrong("weights", "%q is none of none, nominal, rough, live", s.Weights)
+		return invalid("weights", "%q is none of none, nominal, rough, live", s.Weights)
+	}
+	if err := s.checkClasses(); err != nil {
+		return err
+	}
+	if err := s.checkRealms(); err != nil {
+		return err
 	}
+	return s.checkRules()
+}
+
+// The comparisons of checkClasses, checkRealms and checkRules are negated so that they fail for NaN.
+
+func (s *Settings) checkClasses() error {
 	for i, c := range s.Classes {
 		at := func(field string) string { return fmt.Sprintf("classes[%d].%s", i, field) }
 		_, effect := effects[c.Effect]
 		_, scope := scopes[c.Scope]
 		switch {
 		case c.Name == "":
-			return wrong(at("name"), "missing")
+			return invalid(at("name"), "missing")
 		case slices.ContainsFunc(s.Classes[:i], func(other Class) bool { return other.Name == c.Name }):
-			return wrong(at("name"), "%q is there twice", c.Name)
+			return invalid(at("name"), "%q is there twice", c.Name)
 		case !effect:
-			return wrong(at("effect"), "%q is none of free, guarded, single_shot", c.Effect)
+			return invalid(at("effect"), "%q is none of free, guarded, single_shot", c.Effect)
 		case !scope:
-			return wrong(at("dedup_scope"), "%q is none of all, zone, cell", c.Scope)
+			return invalid(at("dedup_scope"), "%q is none of all, zone, cell", c.Scope)
 		case !(c.HardLimit > 0):
-			return wrong(at("hard_limit"), "missing, or not above 0 (seconds)")
+			return invalid(at("hard_limit"), "missing, or not above 0 (seconds)")
 		case !(c.Promise > 0):
-			return wrong(at("promise"), "missing, or not above 0 (seconds)")
+			return invalid(at("promise"), "missing, or not above 0 (seconds)")
 		case effects[c.Effect] == sedgevale.Keyed && !(c.Window > 0):
-			return wrong(at("window"), "missing, or not above 0 (seconds), though its effect is %s", c.Effect)
+			return invalid(at("window"), "missing, or not above 0 (seconds), though its effect is %s", c.Effect)
 		}
 	}
+	return nil
+}
+
+func (s *Settings) checkRealms() error {
 	realms := make(map[string]bool, len(s.Realms))
 	for i, r := range s.Realms {
 		at := func(field string) string { return fmt.Sprintf("realms[%d].%s", i, field) }
 		switch {
 		case r.Name == "":
-			return wrong(at("name"), "missing")
+			return invalid(at("name"), "missing")
 		case realms[r.Name]:
-			return wrong(at("name"), "%q is there twice", r.Name)
+			return invalid(at("name"), "%q is there twice", r.Name)
 		case !(r.Share > 0):
-			return wrong(at("share"), "missing, or not above 0")
+			return invalid(at("share"), "missing, or not above 0")
 		case math.IsInf(r.Share, 1):
-			return wrong(at("share"), "without end")
+			return invalid(at("share"), "without end")
 		case !(r.Quota >= 0) || math.IsInf(r.Quota, 1):
-			return wrong(at("quota_rps"), "want 0, for none, or a number above it (jobs a second)")
+			return invalid(at("quota_rps"), "want 0, for none, or a number above it (jobs a second)")
 		}
 		realms[r.Name] = true
 	}
-	if r := &s.Rules; r.WarmUp > 0 {
-		for _, f := range []struct {
-			name  string
-			value float64
-		}{{"start_capacity", r.StartCapacity}, {"fall_multiple", r.FallMultiple}, {"fall", r.Fall}} {
-			if !(f.value > 0) {
-				return wrong("rules."+f.name, "missing, or not above 0, though rules.warm_up is given")
-			}
+	return nil
+}
+
+// checkRules checks what slow start needs.
+func (s *Settings) checkRules() error {
+	r := &s.Rules
+	if !(r.WarmUp > 0) {
+		return nil
+	}
+	for _, f := range []struct {
+		name  string
+		value float64
+	}{{"start_capacity", r.StartCapacity}, {"fall_multiple", r.FallMultiple}, {"fall", r.Fall}} {
+		if !(f.value > 0) {
+			return invalid("rules."+f.name, "missing, or not above 0, though rules.warm_up is given")
 		}
 	}
 	return nil
@@ -180,38 +205,54 @@
 	if s.Bounds.RetryAfter {
 		m.MaxRetryAfter = Seconds(s.Bounds.MaxRetryAfter)
 	}
-	if r := &s.Rules; r.ExtraFree != nil || r.RepeatRatio != nil || r.RatioSpan != nil {
-		if r.RatioSpan == nil || *r.RatioSpan <= 0 {
-			return m, errors.New("a budget of attempts without rules.ratio_span")
-		}
-		m.Further.Span = Seconds(*r.RatioSpan)
-		if r.ExtraFree != nil {
-			m.Further.Free = *r.ExtraFree
-		}
-		if r.RepeatRatio != nil {
-			m.Further.Ratio = *r.RepeatRatio
-		}
+	if err := s.retryBudget(&m); err != nil {
+		return m, err
 	}
 	m.Weights = weights[s.Weights]
-	for i, c := range s.Classes {
-		k := sedgevale.Class{Name: c.Name, Window: Seconds(c.Window), Aim: Seconds(c.Promise),
-			Limit: Seconds(c.HardLimit), LateShare: c.LateShare, Stream: c.Stream, Stretch: c.AimStretch}
-		k.Effect, k.Scope = effects[c.Effect], scopes[c.Scope]
-		if k.Stretch == 0 && i < len(s.Family.ClassStretch) {
-			k.Stretch = s.Family.ClassStretch[i]
-		}
-		if c.RunsOn != nil {
-			k.Kinds = *c.RunsOn
-		} else if i < len(s.Family.ClassKind) && s.Family.ClassKind[i] >= 0 {
-			k.Kinds = []int{s.Family.ClassKind[i]}
-		}
-		if c.RunsIn != nil {
-			k.Zones = *c.RunsIn
-		}
-		m.Classes = append(m.Classes, k)
+	for i := range s.Classes {
+		m.Classes = append(m.Classes, s.moduleClass(i))
 	}
 	for _, r := range s.Realms {
 		m.Tenants = append(m.Tenants, sedgevale.Tenant{Name: r.Name, Share: r.Share, Quota: r.Quota})
 	}
 	return m, nil
 }
+
+// retryBudget sets the budget of further attempts, if the settings have one.
+func (s *Settings) retryBudget(m *sedgevale.Settings) error {
+	r := &s.Rules
+	if r.ExtraFree == nil && r.RepeatRatio == nil && r.RatioSpan == nil {
+		return nil
+	}
+	if r.RatioSpan == nil || *r.RatioSpan <= 0 {
+		return errors.New("a budget of attempts without rules.ratio_span")
+	}
+	m.Further.Span = Seconds(*r.RatioSpan)
+	if r.ExtraFree != nil {
+		m.Further.Free = *r.ExtraFree
+	}
+	if r.RepeatRatio != nil {
+		m.Further.Ratio = *r.RepeatRatio
+	}
+	return nil
+}
+
+// moduleClass returns the i-th class in the module's form.
+func (s *Settings) moduleClass(i int) sedgevale.Class {
+	c := &s.Classes[i]
+	k := sedgevale.Class{Name: c.Name, Window: Seconds(c.Window), Aim: Seconds(c.Promise),
+		Limit: Seconds(c.HardLimit), LateShare: c.LateShare, Stream: c.Stream, Stretch: c.AimStretch}
+	k.Effect, k.Scope = effects[c.Effect], scopes[c.Scope]
+	if k.Stretch == 0 && i < len(s.Family.ClassStretch) {
+		k.Stretch = s.Family.ClassStretch[i]
+	}
+	if c.RunsOn != nil {
+		k.Kinds = *c.RunsOn
+	} else if i < len(s.Family.ClassKind) && s.Family.ClassKind[i] >= 0 {
+		k.Kinds = []int{s.Family.ClassKind[i]}
+	}
+	if c.RunsIn != nil {
+		k.Zones = *c.RunsIn
+	}
+	return k
+}
--- a/internal/dispatchconfig/web.go
+++ b/internal/dispatchconfig/web.go
@@ -1,6 +1,7 @@
 package dispatchconfig
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"net/netip"
@@ -97,9 +98,9 @@
 
 // Defaults of a backend, as HAProxy has them.
 const (
-	webRetries = 3
-	webConnect = 5.0
-	webServer  = 60.0
+	defaultRetries        = 3
+	defaultConnectTimeout = 5.0  // seconds
+	defaultServerTimeout  = 60.0 // seconds
 )
 
 // RetryWords are the failures that retry_on can name.
@@ -108,24 +109,17 @@
 // Attempts returns how often a request may be sent, the first time included.
 func (b *WebBackend) Attempts() int {
 	if b.Retries == nil {
-		return 1 + webRetries
+		return 1 + defaultRetries
 	}
 	return 1 + *b.Retries
 }
 
 // Times returns how long to wait for a connection, and for the head of an answer.
 func (b *WebBackend) Times() (connect, server time.Duration) {
-	c, s := b.ConnectTimeout, b.ServerTimeout
-	if c == 0 {
-		c = webConnect
-	}
-	if s == 0 {
-		s = webServer
-	}
-	return Seconds(c), Seconds(s)
+	return Seconds(cmp.Or(b.ConnectTimeout, defaultConnectTimeout)), Seconds(cmp.Or(b.ServerTimeout, defaultServerTimeout))
 }
 
-// Retries reports whether a request that failed in that way may go out again.
+// RetriesOn reports whether a request that failed in that way, one of RetryWords, may be retried.
 func (b *WebBackend) RetriesOn(what string) bool {
 	if len(b.RetryOn) == 0 {
 		return what == "conn-failure"
@@ -160,16 +154,16 @@
 		c = *b.Check
 	}
 	if o := s.Check; o != nil {
-		over(&c.Kind, o.Kind)
-		over(&c.Method, o.Method)
-		over(&c.URI, o.URI)
-		over(&c.Version, o.Version)
-		over(&c.Every, o.Every)
-		over(&c.Fast, o.Fast)
-		over(&c.Down, o.Down)
-		over(&c.Rise, o.Rise)
-		over(&c.Fall, o.Fall)
-		over(&c.Timeout, o.Timeout)
+		override(&c.Kind, o.Kind)
+		override(&c.Method, o.Method)
+		override(&c.URI, o.URI)
+		override(&c.Version, o.Version)
+		override(&c.Every, o.Every)
+		override(&c.Fast, o.Fast)
+		override(&c.Down, o.Down)
+		override(&c.Rise, o.Rise)
+		override(&c.Fall, o.Fall)
+		override(&c.Timeout, o.Timeout)
 		if len(o.Headers) > 0 {
 			c.Headers = o.Headers
 		}
@@ -184,11 +178,9 @@
 	return spec, addr, true, err
 }
 
-func over[T comparable](to *T, from T) {
-	var zero T
-	if from != zero {
-		*to = from
-	}
+// override sets *to unless from is zero.
+func override[T comparable](to *T, from T) {
+	*to = cmp.Or(from, *to)
 }
 
 func (c *WebCheck) spec() (healthcheck.Spec, error) {
@@ -258,62 +250,88 @@
 	if len(w.Frontends) == 0 {
 		return errors.New("web: no frontend")
 	}
+	backends, err := w.checkBackends()
+	if err != nil {
+		return err
+	}
+	listening := map[string]string{} // the frontend of each address
+	names := map[string]bool{}
+	for i := range w.Frontends {
+		f := &w.Frontends[i]
+		if f.Name == "" || names[f.Name] {
+			return fmt.Errorf("web: frontend %q has no name or is there twice", f.Name)
+		}
+		names[f.Name] = true
+		if err := f.checkListen(listening); err != nil {
+			return err
+		}
+		if f.RequestTimeout < 0 || f.IdleTimeout < 0 {
+			return fmt.Errorf("web: frontend %q: times must not be negative", f.Name)
+		}
+		if err := w.checkRules(f, backends); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkBackends checks all backends and returns them by name.
+func (w *Web) checkBackends() (map[string]*WebBackend, error) {
 	backends := map[string]*WebBackend{}
 	for i := range w.Backends {
 		b := &w.Backends[i]
 		if b.Name == "" || backends[b.Name] != nil {
-			return fmt.Errorf("web: backend %q has no name or is there twice", b.Name)
+			return nil, fmt.Errorf("web: backend %q has no name or is there twice", b.Name)
 		}
 		backends[b.Name] = b
 		if err := w.checkBackend(b); err != nil {
-			return fmt.Errorf("web: backend %q: %w", b.Name, err)
+			return nil, fmt.Errorf("web: backend %q: %w", b.Name, err)
 		}
 	}
 	for _, b := range w.Backends {
 		for _, s := range b.Servers {
-			if s.Track != "" && !w.has(s.Track) {
-				return fmt.Errorf("web: backend %q: server %q tracks %q, which is not there", b.Name, s.Name, s.Track)
+			if s.Track != "" && !w.canTrack(s.Track) {
+				return nil, fmt.Errorf("web: backend %q: server %q tracks %q, which is not there", b.Name, s.Name, s.Track)
 			}
 		}
 	}
-	taken := map[string]string{}
-	names := map[string]bool{}
-	for i := range w.Frontends {
-		f := &w.Frontends[i]
-		if f.Name == "" || names[f.Name] {
-			return fmt.Errorf("web: frontend %q has no name or is there twice", f.Name)
-		}
-		names[f.Name] = true
-		if len(f.Listen) == 0 {
-			return fmt.Errorf("web: frontend %q listens nowhere", f.Name)
-		}
-		for _, a := range f.Listen {
-			if err := address("web: frontend "+f.Name+":", a); err != nil {
-				return err
-			}
-			if other := taken[a]; other != "" {
-				return fmt.Errorf("web: %s is the address of frontend %q and of %q", a, other, f.Name)
-			}
-			taken[a] = f.Name
-		}
-		if f.RequestTimeout < 0 || f.IdleTimeout < 0 {
-			return fmt.Errorf("web: frontend %q: times must not be negative", f.Name)
+	return backends, nil
+}
+
+// checkListen checks a frontend's addresses and adds them to those that are listened on.
+func (f *WebFrontend) checkListen(listening map[string]string) error {
+	if len(f.Listen) == 0 {
+		return fmt.Errorf("web: frontend %q listens nowhere", f.Name)
+	}
+	for _, a := range f.Listen {
+		if err := checkAddr("web: frontend "+f.Name+":", a); err != nil {
+			return err
 		}
-		rules, err := route.Compile(f.Spec, w.Files)
-		if err != nil {
-			return fmt.Errorf("web: frontend %q: %w", f.Name, err)
+		if other := listening[a]; other != "" {
+			return fmt.Errorf("web: %s is the address of frontend %q and of %q", a, other, f.Name)
 		}
-		to, _ := rules.Backends()
-		for _, name := range to {
-			if backends[name] == nil {
-				return fmt.Errorf("web: frontend %q leads to backend %q, which is not there", f.Name, name)
-			}
+		listening[a] = f.Name
+	}
+	return nil
+}
+
+// checkRules checks a frontend's rules, which may lead only to backends that are there.
+func (w *Web) checkRules(f *WebFrontend, backends map[string]*WebBackend) error {
+	rules, err := route.Compile(f.Spec, w.Files)
+	if err != nil {
+		return fmt.Errorf("web: frontend %q: %w", f.Name, err)
+	}
+	to, _ := rules.Backends()
+	for _, name := range to {
+		if backends[name] == nil {
+			return fmt.Errorf("web: frontend %q leads to backend %q, which is not there", f.Name, name)
 		}
 	}
 	return nil
 }
 
-func (w *Web) has(track string) bool {
+// canTrack reports whether there is a server of that name, BACKEND/SERVER, that tracks no other.
+func (w *Web) canTrack(track string) bool {
 	for _, b := range w.Backends {
 		for _, s := range b.Servers {
 			if b.Name+"/"+s.Name == track && s.Track == "" {
@@ -328,6 +346,29 @@
 	if len(b.Use) > 0 || b.Default != "" {
 		return errors.New("use and default are for frontends")
 	}
+	if err := w.checkBalance(b); err != nil {
+		return err
+	}
+	if err := b.checkRetries(); err != nil {
+		return err
+	}
+	if b.Cookie != nil && b.Cookie.Name == "" {
+		return errors.New("cookie: no name")
+	}
+	if _, err := route.Compile(b.Spec, w.Files); err != nil {
+		return err
+	}
+	for i := range b.Servers {
+		s := &b.Servers[i]
+		if err := b.checkServer(s); err != nil {
+			return fmt.Errorf("server %q: %w", s.Name, err)
+		}
+	}
+	return nil
+}
+
+// checkBalance checks the pool that the backend makes, and what is hashed.
+func (w *Web) checkBalance(b *WebBackend) error {
 	if len(b.Servers) > 0 {
 		o := b.Pool()
 		if err := o.Check(); err != nil {
@@ -342,6 +383,11 @@
 			return fmt.Errorf("hash_on: %w", err)
 		}
 	}
+	return nil
+}
+
+// checkRetries checks retries and time-outs.
+func (b *WebBackend) checkRetries() error {
 	if b.Attempts() < 1 || b.ConnectTimeout < 0 || b.ServerTimeout < 0 || b.QueueTimeout < 0 || b.RetryAfter < 0 {
 		return errors.New("retries and times must not be negative")
 	}
@@ -350,25 +396,19 @@
 			return fmt.Errorf("retry_on: %q is none of %v", word, RetryWords)
 		}
 	}
-	if b.Cookie != nil && b.Cookie.Name == "" {
-		return errors.New("cookie: no name")
-	}
-	if _, err := route.Compile(b.Spec, w.Files); err != nil {
-		return err
-	}
-	for i := range b.Servers {
-		s := &b.Servers[i]
-		if _, err := netip.ParseAddrPort(s.Addr); err != nil {
-			return fmt.Errorf("server %q: %q is no IP address and port", s.Name, s.Addr)
-		}
-		if s.CheckAt != "" {
-			if _, err := netip.ParseAddrPort(s.CheckAt); err != nil {
-				return fmt.Errorf("server %q: check_addr %q is no IP address and port", s.Name, s.CheckAt)
-			}
-		}
-		if _, _, _, err := b.CheckOf(s); err != nil {
-			return fmt.Errorf("server %q: %w", s.Name, err)
+	return nil
+}
+
+// checkServer checks a server's addresses and its health check.
+func (b *WebBackend) checkServer(s *WebServer) error {
+	if _, err := netip.ParseAddrPort(s.Addr); err != nil {
+		return fmt.Errorf("%q is no IP address and port", s.Addr)
+	}
+	if s.CheckAt != "" {
+		if _, err := netip.ParseAddrPort(s.CheckAt); err != nil {
+			return fmt.Errorf("check_addr %q is no IP address and port", s.CheckAt)
 		}
 	}
-	return nil
+	_, _, _, err := b.CheckOf(s)
+	return err
 }
