--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -13,16 +13,16 @@
 )
 
 // goldenLearned has another value in each field.
-func goldenLearned() sedgevale.Learned {
-	return sedgevale.Learned{
-		Classes: []sedgevale.LearnedClass{{Name: "c", Run: 1.5, Base: 2.5, Hint: 3.5, Complete: 4.5, Runs: 5.5}},
-		Tenants: []sedgevale.LearnedTenant{{Name: "t", Sigma: 6.5, Local: 7.5, Arrived: 8.5, Tokens: 9.5}},
+func goldenLearned() sedgevale.LearnedState {
+	return sedgevale.LearnedState{
+		Classes: []sedgevale.LearnedClass{{Name: "c", MeanRuntime: 1.5, BaseRuntime: 2.5, MeanHint: 3.5, MeanCompletion: 4.5, Samples: 5.5}},
+		Tenants: []sedgevale.LearnedTenant{{Name: "t", Limit: 6.5, LocalShare: 7.5, Arrivals: 8.5, Tokens: 9.5}},
 		Workers: []sedgevale.LearnedWorker{{
-			Worker: "w", Sigma: 10.5, Pace: 11.5, Bad: 12.5, Free: 13.5, FreeAge: 14.5, Cold: 15.5, Credit: 16.5, Suspect: 17.5,
-			Backoff: 18.5, Rest: 19.5, RestFor: 20.5,
+			Worker: "w", Limit: 10.5, Pace: 11.5, ErrorRate: 12.5, FreeSlots: 13.5, FreeSlotsAge: 14.5, WarmIn: 15.5, SlowStartCredit: 16.5, UnhealthyFor: 17.5,
+			UnhealthyBackoff: 18.5, EjectedFor: 19.5, EjectionBackoff: 20.5,
 		}},
-		Size: []float64{21.5}, Room: []float64{22.5}, Jobs: 23.5, Work: 24.5, Carry: 25.5, Arrived: 26.5, Prompt: 27.5, Silent: 28.5,
-		Metered: 29.5, Changes: 30.5,
+		MaxWeights: []float64{21.5}, MaxFreeSlots: []float64{22.5}, Capacity: 23.5, MeanWork: 24.5, WorkRate: 25.5, Arrivals: 26.5, PromptStartRate: 27.5,
+		SilentConnections: 28.5, MeteredSeconds: 29.5, ReportChanges: 30.5,
 	}
 }
 
--- a/internal/ops/golden_test.go
+++ b/internal/ops/golden_test.go
@@ -69,7 +69,7 @@
 		"/metrics": {Type: "text/plain; version=0.0.4", Read: func() []byte { return []byte("up 1\n") }},
 	})
 	s := httpd.New(addr, 1, front, fdlimit.New(0), slog.New(slog.DiscardHandler))
-	if err := s.Start(nil); err != nil {
+	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = s.Stop() })
--- a/internal/platformapi/golden_test.go
+++ b/internal/platformapi/golden_test.go
@@ -76,7 +76,7 @@
 	})
 	addr := testkit.FreeAddr(t)
 	s := httpd.New(addr, 1, platformapi.New(rules, goldenPlanners{}, ready.Load), fdlimit.New(0), slog.New(slog.DiscardHandler))
-	if err := s.Start(nil); err != nil {
+	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = s.Stop() })
--- a/internal/sse/golden_test.go
+++ b/internal/sse/golden_test.go
@@ -86,7 +86,7 @@
 	front := sse.New(sse.Options{Rules: rules, Planners: goldenPlanners{}, Ready: ready.Load, Log: slog.New(slog.DiscardHandler)})
 	addr := testkit.FreeAddr(t)
 	s := httpd.New(addr, 1, front, fdlimit.New(0), slog.New(slog.DiscardHandler))
-	if err := s.Start(nil); err != nil {
+	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = s.Stop() })
--- a/internal/system/simulation/golden_test.go
+++ b/internal/system/simulation/golden_test.go
@@ -16,9 +16,9 @@
 type exchange struct{ method, url, match, body, want string }
 
 // answerTo makes a call and returns all of the answer that says anything: status, header fields but the date, and body.
-func (w *world) answerTo(t *testing.T, one exchange) string {
+func (c *cluster) answerTo(t *testing.T, one exchange) string {
 	t.Helper()
-	h := w.fabric.host("10.9.9.9")
+	h := c.network.host("10.9.9.9")
 	client := &http.Client{Transport: &http.Transport{DialContext: h.dial, DisableKeepAlives: true}}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -51,10 +51,10 @@
 	return fmt.Sprintf("%d|%s|%s", response.StatusCode, strings.Join(fields, "|"), body)
 }
 
-func (w *world) checkAnswers(t *testing.T, calls []exchange) {
+func (c *cluster) checkAnswers(t *testing.T, calls []exchange) {
 	t.Helper()
 	for _, one := range calls {
-		if got := w.answerTo(t, one); got != one.want {
+		if got := c.answerTo(t, one); got != one.want {
 			t.Errorf("%s %s %s %s: got\n%q\nwant\n%q", one.method, one.url, one.match, one.body, got, one.want)
 		}
 	}
@@ -77,12 +77,12 @@
 // The answers of all daemons to operators, clients, workers and those who ask whether they are ready, byte by byte.
 func TestAnswersOfTheDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newShapedWorld(t, 1, shape{cores: 3, tolerance: 1})
-		for i := range sides {
-			w.workers[fmt.Sprint("side", i)]()
+		c := newClusterOf(t, 1, topology{cores: 3, tolerance: 1})
+		for i := range sideCount {
+			c.workers[fmt.Sprint("side", i)]()
 		}
 		time.Sleep(3 * time.Second)
-		w.checkAnswers(t, []exchange{
+		c.checkAnswers(t, []exchange{
 			{"GET", configURL, "", "", "503|Content-Length: 28|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|[1003] no configuration yet\n"},
 			{"GET", "10.0.1.1:91/sedgevale/readyz", "", "", "503|Content-Length: 0|"},
 			{"GET", jobURL, "", "", "503|Content-Length: 21|Content-Type: text/plain; charset=utf-8|Retry-After: 1|X-Content-Type-Options: nosniff|no configuration yet\n"},
@@ -90,11 +90,11 @@
 			{"PUT", configURL, "0", configText(1), "200|Content-Length: 0|"},
 		})
 		time.Sleep(3 * time.Second)
-		w.checkAnswers(t, operatorExchanges)
+		c.checkAnswers(t, operatorExchanges)
 		time.Sleep(3 * time.Second)
-		w.checkAnswers(t, clientExchanges)
-		w.checkAnswers(t, workerExchanges)
-		w.stop()
+		c.checkAnswers(t, clientExchanges)
+		c.checkAnswers(t, workerExchanges)
+		c.stop()
 		time.Sleep(10 * time.Second)
 	})
 }
--- a/internal/system/simulation/stored_data_test.go
+++ b/internal/system/simulation/stored_data_test.go
@@ -44,7 +44,7 @@
 // those of "fail" fail, those of "save" report a checkpoint and go on, but for the first attempt of the second, which fails
 // then; all others go on.
 type scriptedWorker struct {
-	world    *world
+	cluster  *cluster
 	client   *http.Client
 	sequence int64
 	number   int64
@@ -69,12 +69,12 @@
 	}
 	text, err := beat.MarshalJSON()
 	if err != nil {
-		s.world.fail("heartbeat: %v", err)
+		s.cluster.violation("heartbeat: %v", err)
 		return
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://10.0.2.1:80/sedgevale/instances/stored-1", bytes.NewReader(text))
 	if err != nil {
-		s.world.fail("heartbeat: %v", err)
+		s.cluster.violation("heartbeat: %v", err)
 		return
 	}
 	response, err := s.client.Do(request)
@@ -83,7 +83,7 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	if failed := response.Body.Close(); failed != nil {
-		s.world.fail("heartbeat: %v", failed)
+		s.cluster.violation("heartbeat: %v", failed)
 	}
 	answer := workeragent.Answer{}
 	if err != nil || response.StatusCode != http.StatusOK || len(body) == 0 || answer.UnmarshalJSON(body) != nil {
@@ -132,94 +132,94 @@
 // shard, the loss of a disk and the start of a new generation. With -update its directories become the stored data that
 // other tests read.
 func TestCoreDirectoryHoldsTheWholeState(t *testing.T) {
-	playControl(t, shape{cores: 3, tolerance: 1}, func(t *testing.T, w *world) {
-		defer w.startScripted()()
-		w.submitStored(t)
-		first := w.coreNames()
-		owner := ownerAmong(w, first)
+	runScenario(t, topology{cores: 3, tolerance: 1}, func(t *testing.T, c *cluster) {
+		defer c.startScripted()()
+		c.submitStored(t)
+		first := c.coreNames()
+		owner := ownerAmong(c, first)
 		var others []string
 		for _, name := range first {
 			if name != owner {
 				others = append(others, name)
 			}
 		}
-		w.kill(owner)
+		c.kill(owner)
 		time.Sleep(5 * time.Second)
-		w.kill(others[0])
-		w.checkDirectory(t, others[0], "takeover", "epoch 1 of", "shard svc: token 2,", "configuration 2\n")
-		w.start(others[0])
+		c.kill(others[0])
+		c.checkDirectory(t, others[0], "takeover", "epoch 1 of", "shard svc: token 2,", "configuration 2\n")
+		c.start(others[0])
 		time.Sleep(4 * time.Second)
-		w.wipe(owner)
-		w.start(owner)
-		time.Sleep(catchUp)
-		w.putStored(t, 3)
-		w.handIn(t, "/r/00000000000000b2", storedJobs[4].body)
-		w.kill(others[0])
-		w.start(others[0])
+		c.wipeDisk(owner)
+		c.start(owner)
+		time.Sleep(catchUpTimeout)
+		c.putStored(t, 3)
+		c.handIn(t, "/r/00000000000000b2", storedJobs[4].body)
+		c.kill(others[0])
+		c.start(others[0])
 		time.Sleep(4 * time.Second)
-		w.handIn(t, "/q/00000000000000b3", storedJobs[4].body)
+		c.handIn(t, "/q/00000000000000b3", storedJobs[4].body)
 		time.Sleep(time.Second)
-		w.kill(others[0])
-		w.checkDirectory(t, others[0], "generation", "epoch 3 of", "life 3,", "shard svc: token 2,", "configuration 3\n")
-		w.kill(owner)
-		w.checkDirectory(t, owner, "rejoined", "epoch 3 of", "joined in epoch 2\n", "votes true,", "configuration 3\n")
+		c.kill(others[0])
+		c.checkDirectory(t, others[0], "generation", "epoch 3 of", "life 3,", "shard svc: token 2,", "configuration 3\n")
+		c.kill(owner)
+		c.checkDirectory(t, owner, "rejoined", "epoch 3 of", "joined in epoch 2\n", "votes true,", "configuration 3\n")
 	})
 }
 
 // startScripted puts a scripted worker in the place of the others and returns what ends it.
-func (w *world) startScripted() context.CancelFunc {
-	for i := range sides {
-		w.workers[fmt.Sprint("side", i)]()
+func (c *cluster) startScripted() context.CancelFunc {
+	for i := range sideCount {
+		c.workers[fmt.Sprint("side", i)]()
 	}
-	h := w.fabric.host("w10.0.2.1")
+	h := c.network.host("w10.0.2.1")
 	worker := &scriptedWorker{
-		world: w, client: &http.Client{Transport: &http.Transport{DialContext: h.dial}, Timeout: 2 * time.Second}, text: map[string]string{},
+		cluster: c, client: &http.Client{Transport: &http.Transport{DialContext: h.dial}, Timeout: 2 * time.Second}, text: map[string]string{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	w.running.Add(1)
+	c.background.Add(1)
 	go func() {
-		defer w.running.Done()
+		defer c.background.Done()
 		worker.run(ctx)
 	}()
 	return cancel
 }
 
 // submitStored hands the stored jobs in and cancels one of them.
-func (w *world) submitStored(t *testing.T) {
+func (c *cluster) submitStored(t *testing.T) {
 	t.Helper()
-	w.putStored(t, 2)
+	c.putStored(t, 2)
 	time.Sleep(2 * time.Second)
 	for _, job := range storedJobs {
-		w.handIn(t, job.path, job.body)
+		c.handIn(t, job.path, job.body)
 	}
 	time.Sleep(6 * time.Second)
-	if status, _ := w.call(http.MethodDelete, "10.0.1.1:90", storedJobs[3].path, "h", "", ""); status != http.StatusOK {
+	if status, _ := c.call(http.MethodDelete, "10.0.1.1:90", storedJobs[3].path, "h", "", ""); status != http.StatusOK {
 		t.Fatalf("cancelling: status %d", status)
 	}
 	time.Sleep(2 * time.Second)
 }
 
-func (w *world) putStored(t *testing.T, version int64) {
+func (c *cluster) putStored(t *testing.T, version int64) {
 	t.Helper()
-	status, text := w.call(http.MethodPut, "10.0.0.2:80", "/sedgevale/config", "", fmt.Sprint(version-1), fmt.Sprintf(storedConfiguration, version))
+	status, text := c.call(http.MethodPut, "10.0.0.2:80", "/sedgevale/config", "", fmt.Sprint(version-1), fmt.Sprintf(storedConfiguration, version))
 	if status != http.StatusOK {
 		t.Fatalf("configuration %d: %d %s", version, status, text)
 	}
 }
 
-func (w *world) handIn(t *testing.T, path, body string) {
+func (c *cluster) handIn(t *testing.T, path, body string) {
 	t.Helper()
-	if status, text := w.call(http.MethodPost, "10.0.1.1:90", path, "h", "", body); status != http.StatusOK {
+	if status, text := c.call(http.MethodPost, "10.0.1.1:90", path, "h", "", body); status != http.StatusOK {
 		t.Fatalf("%s: %d %s", path, status, text)
 	}
 }
 
 // ownerAmong returns the core machine that owns the shard as long as all are up.
-func ownerAmong(w *world, names []string) string {
+func ownerAmong(c *cluster, names []string) string {
 	var addresses []string
 	byAddress := map[string]string{}
 	for _, name := range names {
-		address := w.machine(name).ip + ":7000"
+		address := c.machine(name).ip + ":7000"
 		addresses = append(addresses, address)
 		byAddress[address] = name
 	}
@@ -227,9 +227,9 @@
 }
 
 // checkDirectory checks what the directory of a dead core machine says, and stores a copy where that was asked for.
-func (w *world) checkDirectory(t *testing.T, name, stored string, parts ...string) {
+func (c *cluster) checkDirectory(t *testing.T, name, stored string, parts ...string) {
 	t.Helper()
-	dir := w.machine(name).dir
+	dir := c.machine(name).dir
 	var text strings.Builder
 	if err := core.Describe(dir, &text); err != nil {
 		t.Fatal(err)
--- a/jobs/golden_test.go
+++ b/jobs/golden_test.go
@@ -34,16 +34,16 @@
 	for got, want := range map[string]string{
 		string(jobs.Queued): "queued", string(jobs.Running): "running", string(jobs.Completed): "completed", string(jobs.Failed): "failed",
 		string(jobs.Cancelled): "cancelled", string(jobs.Ready): "ready", string(jobs.Draining): "draining", string(jobs.Gone): "gone",
-		string(jobs.Silent): "silent", string(jobs.Lapsed): "lapsed", string(jobs.Unheard): "unheard",
-		string(jobs.ByQueueLimit): "queue limit", string(jobs.ByHeadroom): "headroom", string(jobs.ByCredit): "credit",
-		string(jobs.ByReservation): "reservation", string(jobs.ByWorkerLimit): "worker limit", string(jobs.ByChoice): "choice",
-		jobs.TaskName("0123", 1, 2, 3): "0123.1.2.3", jobs.RefOf("i", "a:1"): "i@a:1",
+		string(jobs.Unresponsive): "silent", string(jobs.Lapsed): "lapsed", string(jobs.Unconfirmed): "unheard",
+		string(jobs.ReasonQueueLimit): "queue limit", string(jobs.ReasonHeadroom): "headroom", string(jobs.ReasonCredit): "credit",
+		string(jobs.ReasonReservation): "reservation", string(jobs.ReasonWorkerLimit): "worker limit", string(jobs.ReasonNotChosen): "choice",
+		jobs.TaskName("0123", 1, 2, 3): "0123.1.2.3", jobs.WorkerRef("i", "a:1"): "i@a:1",
 	} {
 		if got != want {
 			t.Errorf("%q is written, want %q", got, want)
 		}
 	}
-	if jobs.Waiting != 0 || jobs.Assigned != 1 || jobs.Done != 2 {
+	if jobs.TaskPending != 0 || jobs.TaskAssigned != 1 || jobs.TaskCompleted != 2 {
 		t.Error("a task's state has another number")
 	}
 }
--- a/jobs/stored_data_test.go
+++ b/jobs/stored_data_test.go
@@ -71,13 +71,13 @@
 // describeJob writes all that is durable of a job.
 func describeJob(job *Job) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s in %s is %s, next %d, spec %q", job.ID, job.Queue, job.State, job.Next, job.Spec.Text)
-	for _, run := range job.Times {
+	fmt.Fprintf(&text, "%s in %s is %s, next %d, spec %q", job.ID, job.Queue, job.State, job.NextOccurrence, job.Spec.Text)
+	for _, run := range job.Occurrences {
 		fmt.Fprintf(&text, "\n time %d, done %t", run.Number, run.Done)
 		for stage := range run.Stages {
 			for i, task := range run.Stages[stage].Tasks {
 				fmt.Fprintf(&text, "\n  task %d.%d: state %d, attempt %d, fails %d, failed %d, worker %q, saved %q", stage, i,
-					task.State, task.Attempt, task.Fails, task.Failed, task.Worker, task.Saved)
+					task.State, task.Attempt, task.Failures, task.LastFailure, task.Worker, task.Checkpoint)
 			}
 		}
 	}
@@ -89,7 +89,7 @@
 	for name, want := range storedJobs {
 		t.Run(name, func(t *testing.T) {
 			restored := New(Options{LapseAfter: time.Second, KeepEnded: time.Minute, FarX: 1.5}, rand.New(rand.NewPCG(1, 2)))
-			if err := restored.Restore(0, storedRecords(t, name), "svc"); err != nil {
+			if err := restored.Restore(0, storedRecords(t, name)); err != nil {
 				t.Fatal(err)
 			}
 			if len(restored.jobs) != len(want) {
--- a/settings.go
+++ b/settings.go
@@ -29,29 +29,29 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name   string
-	Effect Effect
+	Name   string `json:"Name"`
+	Effect Effect `json:"Effect"`
 
 	// Where repeats are dropped by key: the group of workers that does so, and for
 	// how long, from the first send that may have run.
-	Scope  Scope
-	Window time.Duration
+	Scope  Scope         `json:"Scope"`
+	Window time.Duration `json:"Window"`
 
 	// An answer earns its full value within the latency target, to which the stretch
-	// adds so many times the request's own running time. A later answer earns the
-	// given part of it, 0 to 1.
-	Aim       time.Duration
-	Stretch   float64
-	LateShare float64
+	// adds so many times the request's own running time. A later answer earns LateShare
+	// of it, 0 to 1. Limit is how long a client waits in all, over all its attempts.
+	Aim       time.Duration `json:"Aim"`
+	Stretch   float64       `json:"Stretch"`
+	Limit     time.Duration `json:"Limit"`
+	LateShare float64       `json:"LateShare"`
 
-	Limit  time.Duration // how long a client waits in all, over all its tries
-	Stream bool          // the answer is streamed; see [Dispatcher.StreamStarted]
+	Stream bool `json:"Stream"` // the answer is streamed; see [Dispatcher.StreamStarted]
 
 	// The only machine kinds and the only zones whose workers the class may be
 	// sent to. Nil means any; an empty list that is not nil means none at all,
 	// and such a class is only ever rejected.
-	Kinds []int
-	Zones []int
+	Kinds []int `json:"Kinds"`
+	Zones []int `json:"Zones"`
 }
 
 // Budget bounds the attempts of one Dispatcher beyond each request's first. In any
