--- a/jobs/recovery_test.go
+++ b/jobs/recovery_test.go
@@ -31,6 +31,27 @@
 	50  orders a = start j.0.0.0/1`)
 }
 
+// The same as long as ticks and commits go on: nothing may start on another worker before the lease has expired.
+func TestRestoredRunKeepsItsTaskUntilItsLeaseExpires(t *testing.T) {
+	play(t, `
+	0     worker a cpu=4000
+	10    client submit j 1x cpu=500 est=100
+	20    disk commit
+	30    failover
+	40    worker b cpu=4000
+	100   tick
+	110   disk commit
+	120   orders b = nothing
+	12000 worker b cpu=4000
+	12010 tick
+	12020 disk commit
+	12030 orders b = nothing
+	13020 worker b cpu=4000
+	13040 tick
+	13050 disk commit
+	13060 orders b = start j.0.0.0/2`)
+}
+
 // A start that was not committed when the owner died was never sent; the next owner decides anew.
 func TestUncommittedStartIsDiscarded(t *testing.T) {
 	play(t, `
