--- a/internal/system/core/broadcast.go
+++ b/internal/system/core/broadcast.go
@@ -35,6 +35,25 @@
 	return replies, len(members)
 }
 
+// awaitQuorum takes replies until a quorum of them is accepted. It returns those, and the last error of a replica.
+func awaitQuorum[Response any](replies <-chan reply[Response], count, quorum int, accept func(*Response) bool) (accepted []reply[Response], lastErr error) {
+	for range count {
+		r := <-replies
+		if r.err != nil {
+			lastErr = r.err
+			continue
+		}
+		if !accept(r.response) {
+			continue
+		}
+		accepted = append(accepted, r)
+		if len(accepted) >= quorum {
+			break
+		}
+	}
+	return accepted, lastErr
+}
+
 // replicaCall has one replica answer a call, the own one without the network. An answer of another replica or another
 // epoch than was asked has the code result.WrongReplica.
 func replicaCall[Request, Response any](ctx context.Context, c *Core, to target, address, method string,
--- a/internal/system/core/config.go
+++ b/internal/system/core/config.go
@@ -14,7 +14,7 @@
 const (
 	configRegister = "config" // the name of the configuration's register
 
-	// maxHistory is how many changes are remembered, so that a retry is told from a new change. A change on a version from
+	// maxHistory is how many changes are remembered, so that a retry is distinguished from a new change. A change on a version from
 	// before them is answered with result.OutcomeUnknown: it may have been made.
 	maxHistory = 512
 
@@ -47,7 +47,7 @@
 type operatorChange struct {
 	patch       bool
 	baseVersion int64  // the version that it is made on
-	body        []byte // a whole configuration or a patch
+	body        []byte // a configuration or a patch
 	digest      int64  // identifies it
 }
 
--- a/internal/system/core/core.go
+++ b/internal/system/core/core.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"maps"
-	"math/rand/v2"
 	"net/http"
 	"slices"
 	"sync"
@@ -133,7 +132,7 @@
 }
 
 // seatsFor returns how many seats tolerate the failures that a deployment names. Where a zone or a region may fail, there
-// are at least three; that they stand in different ones is up to the seeds. Only the seeds of the first start vote at
+// are at least three; that they are in different ones is up to the seeds. Only the seeds of the first start vote at
 // first, so there are no more seats than they are a quorum of.
 func seatsFor(t settings.FaultTolerance, seeds int) int {
 	failures := t.Machines
@@ -160,20 +159,3 @@
 	slices.Sort(addresses)
 	return addresses
 }
-
-// jitter returns a random duration from 0 to the maximum.
-func jitter(maximum time.Duration) time.Duration {
-	return time.Duration(rand.Int64N(int64(maximum) + 1))
-}
-
-// sleep waits for a duration or until the context ends. It reports whether the context still lasts.
-func sleep(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return ctx.Err() == nil
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/system/core/draining.go
+++ b/internal/system/core/draining.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// drain tells the others that this scheduler ends, and goes on as a replica until nothing depends on its disk: another
+// drain announces to the peers that this scheduler ends, and goes on as a replica until nothing depends on its disk: another
 // machine holds its seat, where there is one for that, and all members that stay hold what was committed. It takes at most
 // half of the grace period, so that the process ends within it.
 func (c *Core) drain(ctx context.Context) {
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -228,21 +228,13 @@
 	replies, count := broadcast(ctx, c, m, m.Voters(), methodState, c.store.state, func(to target) *stateRequest {
 		return &stateRequest{To: to}
 	})
+	answered, lastErr := awaitQuorum(replies, count, m.Quorum(), func(*stateResponse) bool { return true })
+	if len(answered) < m.Quorum() {
+		return nil, result.Errorf(result.Unavailable, "%d of %d voters sent their state, last failure: %w", len(answered), count, lastErr)
+	}
 	var states []*stateResponse
-	var lastErr error
-	for range count {
-		r := <-replies
-		if r.err != nil {
-			lastErr = r.err
-			continue
-		}
+	for _, r := range answered {
 		states = append(states, r.response)
-		if len(states) >= m.Quorum() {
-			break
-		}
-	}
-	if len(states) < m.Quorum() {
-		return nil, result.Errorf(result.Unavailable, "%d of %d voters sent their state, last failure: %w", len(states), count, lastErr)
 	}
 	return states, nil
 }
--- a/internal/system/core/order_sender.go
+++ b/internal/system/core/order_sender.go
@@ -13,22 +13,14 @@
 // orderSender sends one side agent what to start and stop on a worker.
 type orderSender struct {
 	worker *jobs.Worker
-	wake   chan struct{} // holds at most one signal
-}
-
-// wakeUp has the sender look for orders.
-func (s *orderSender) wakeUp() {
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
+	wake   signal // has it look for orders
 }
 
 // orderSenderFor returns the sender of a worker, started if there is none. o.mu is held.
 func (o *owner) orderSenderFor(w *jobs.Worker) *orderSender {
 	s := o.orderSenders[w.Ref]
 	if s == nil || s.worker != w {
-		s = &orderSender{worker: w, wake: make(chan struct{}, 1)}
+		s = &orderSender{worker: w, wake: newSignal()}
 		o.orderSenders[w.Ref] = s
 		o.tasks.run(func(ctx context.Context) { o.sendOrdersLoop(ctx, s) })
 	}
--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -70,7 +70,7 @@
 	}
 	o.scheduler = jobs.New(options, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for i, member := range m.Seats {
-		o.replicators = append(o.replicators, &replicator{seat: i, member: member, wake: make(chan struct{}, 1)})
+		o.replicators = append(o.replicators, &replicator{seat: i, member: member, wake: newSignal()})
 		o.primary.SetVoter(i, member.Voter)
 	}
 	return o
@@ -180,7 +180,7 @@
 	o.scheduler.Configure(queues)
 }
 
-// tickLoop runs the scheduler's timers, retries undelivered orders, and logs how the shard stands.
+// tickLoop runs the scheduler's timers, retries undelivered orders, and logs the state of the shard.
 func (o *owner) tickLoop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -200,7 +200,7 @@
 			o.logSummary()
 		}
 		for _, sender := range o.orderSenders {
-			sender.wakeUp()
+			sender.wake.notify()
 		}
 		o.mu.Unlock()
 	}
@@ -217,7 +217,7 @@
 	}
 }
 
-// logSummary logs how the shard stands, at the verbose level. o.mu is held.
+// logSummary logs the state of queues and workers, at the verbose level. o.mu is held.
 func (o *owner) logSummary() {
 	logger := o.core.logger.V(1)
 	if !logger.Enabled() {
--- a/internal/system/core/owner_commit.go
+++ b/internal/system/core/owner_commit.go
@@ -31,7 +31,7 @@
 	}
 	for _, r := range o.replicators {
 		if o.primary.HasPending(r.seat) {
-			r.wakeUp()
+			r.wake.notify()
 		}
 	}
 	o.onCommitAdvanced()
@@ -53,7 +53,7 @@
 	}
 	o.commitWaiters = waiting
 	for _, w := range o.scheduler.DirtyWorkers() {
-		o.orderSenderFor(w).wakeUp()
+		o.orderSenderFor(w).wake.notify()
 	}
 }
 
--- a/internal/system/core/peers.go
+++ b/internal/system/core/peers.go
@@ -47,7 +47,7 @@
 	})
 }
 
-// pingMessage returns what this scheduler tells its peers.
+// pingMessage returns this scheduler's heartbeat.
 func (c *Core) pingMessage() *pingMessage {
 	m := &pingMessage{Address: c.address, Zone: c.settings.Zone, Accepted: c.store.accepted()}
 	m.Membership = c.store.currentMembership()
--- a/internal/system/core/proposer.go
+++ b/internal/system/core/proposer.go
@@ -13,7 +13,7 @@
 
 const retryBackoff = 40 * time.Millisecond // between two attempts: from half of it to one and a half, at random
 
-// errNoMembership says that this scheduler has not yet heard of the members of the core.
+// errNoMembership says that no message has yet brought this scheduler the membership.
 var errNoMembership = errors.New("no membership of the core is known yet")
 
 // registerUpdate returns a register's next value for the current one. An error leaves the value as it is.
--- a/internal/system/core/replication.go
+++ b/internal/system/core/replication.go
@@ -23,20 +23,13 @@
 	inSync        bool              // it takes writes, and has acknowledged one or a repair
 	lastConfirmed time.Time         // when the last call that it has acknowledged was sent
 	repairCount   int64             // repairs begun so far
-	wake          chan struct{}     // holds at most one signal
-}
-
-// wakeUp has the replicator look for changes to send and for a newer membership.
-func (r *replicator) wakeUp() {
-	select {
-	case r.wake <- struct{}{}:
-	default:
-	}
+	wake          signal            // has it look for changes to send and for a newer membership
 }
 
+// wakeReplicators has all replicators look at the membership.
 func (o *owner) wakeReplicators() {
 	for _, r := range o.replicators {
-		r.wakeUp()
+		r.wake.notify()
 	}
 }
 
@@ -46,7 +39,7 @@
 	}
 }
 
-// waitInSync waits until a majority of the replicas that were sealed, with the same disks, hold the whole state.
+// waitInSync waits until a majority of the replicas that were sealed, with the same disks, hold the complete state.
 func (o *owner) waitInSync(ctx context.Context) error {
 	for {
 		o.mu.Lock()
@@ -196,7 +189,7 @@
 	if o.started {
 		o.onCommitAdvanced()
 		if o.primary.HasPending(r.seat) {
-			r.wakeUp()
+			r.wake.notify()
 		}
 	}
 }
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -62,7 +62,7 @@
 // shards. Every change is in the log before it is acknowledged.
 type store struct {
 	address           string
-	membershipChanged chan struct{} // holds a signal when a newer membership was installed
+	membershipChanged signal // sent when a newer membership was installed
 
 	// mu guards the fields below. It is taken with no other lock held, and held while an entry is queued in the log, so that
 	// the entries are in the order of the changes; never while the disk writes.
@@ -89,7 +89,7 @@
 
 func newStore(address string) *store {
 	return &store{
-		address: address, membershipChanged: make(chan struct{}, 1),
+		address: address, membershipChanged: newSignal(),
 		registers: map[string]*register.Acceptor{}, replicas: map[string]*shard.Replica{},
 	}
 }
@@ -214,7 +214,7 @@
 	return replica
 }
 
-// snapshot emits the whole state. s.mu is held.
+// snapshot emits the complete state. s.mu is held.
 func (s *store) snapshot(emit func([]byte) error) error {
 	entries := []*entry{{Kind: entryMembership, Membership: s.membership}, {Kind: entryIdentity, Identity: s.identity}}
 	for name := range s.registers {
--- a/internal/system/core/store_membership.go
+++ b/internal/system/core/store_membership.go
@@ -91,10 +91,7 @@
 func (s *store) install(m membership.Membership) error {
 	s.applyMembership(m)
 	_, err := s.append(&entry{Kind: entryMembership, Membership: m})
-	select {
-	case s.membershipChanged <- struct{}{}:
-	default:
-	}
+	s.membershipChanged.notify()
 	return err
 }
 
--- a/internal/system/core/takeover.go
+++ b/internal/system/core/takeover.go
@@ -103,23 +103,15 @@
 	replies, count := broadcast(ctx, c, m, m.Voters(), methodSeal, c.store.seal, func(to target) *sealRequest {
 		return &sealRequest{To: to, Shard: name, Token: token}
 	})
+	complete, lastErr := awaitQuorum(replies, count, m.Quorum(), func(r *sealResponse) bool { return r.Voter })
+	if len(complete) < m.Quorum() {
+		return nil, result.Errorf(result.Unavailable, "shard %s: %d replicas sealed, last failure: %w", name, len(complete), lastErr)
+	}
 	sealed := map[int]*sealResponse{}
-	var lastErr error
-	for range count {
-		r := <-replies
-		if r.err != nil {
-			lastErr = r.err
-			continue
-		}
-		if !r.response.Voter {
-			continue
-		}
+	for _, r := range complete {
 		sealed[m.SeatOf(r.member.ID)] = r.response
-		if len(sealed) >= m.Quorum() {
-			return sealed, nil
-		}
 	}
-	return nil, result.Errorf(result.Unavailable, "shard %s: %d replicas sealed, last failure: %w", name, len(sealed), lastErr)
+	return sealed, nil
 }
 
 // mergeRecords merges the records of the sealed replicas that were in sync with the newest owner before.
--- /dev/null
+++ b/internal/system/core/wait.go
@@ -0,0 +1,37 @@
+package core
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+)
+
+// jitter returns a random duration from 0 to the maximum.
+func jitter(maximum time.Duration) time.Duration {
+	return time.Duration(rand.Int64N(int64(maximum) + 1))
+}
+
+// sleep waits for a duration or until the context ends. It reports whether the context still lasts.
+func sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return ctx.Err() == nil
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// signal wakes the goroutine that receives from it. Signals that come before it receives are one.
+type signal chan struct{}
+
+func newSignal() signal { return make(signal, 1) }
+
+// notify sends the signal and never blocks.
+func (s signal) notify() {
+	select {
+	case s <- struct{}{}:
+	default:
+	}
+}
--- a/internal/system/core/watch.go
+++ b/internal/system/core/watch.go
@@ -59,21 +59,21 @@
 // configSince returns the configuration as a patch on a version, where that is known here and the patch is shorter,
 // else complete. Each patch is computed once. c.mu is held.
 func (c *Core) configSince(version int64) (text []byte, base int64) {
-	whole := c.config.record.Text
+	complete := c.config.record.Text
 	for _, past := range c.previousConfigs {
 		if past.Version != version {
 			continue
 		}
 		patch, known := c.config.patches[version]
 		if !known {
-			patch, _ = clusterconfig.Difference(past.Text, whole)
+			patch, _ = clusterconfig.Difference(past.Text, complete)
 			c.config.patches[version] = patch
 		}
-		if len(patch) > 0 && len(patch) < len(whole) {
+		if len(patch) > 0 && len(patch) < len(complete) {
 			return patch, version
 		}
 	}
-	return whole, 0
+	return complete, 0
 }
 
 // knownOwners returns the claim with the highest fencing token to each shard, sorted by shard. c.mu is held.
--- a/internal/system/statefile/snapshot.go
+++ b/internal/system/statefile/snapshot.go
@@ -19,7 +19,7 @@
 	endMarker = []byte("end") // the payload of a snapshot's last frame
 )
 
-// writeSnapshot writes a snapshot of the whole state under a temporary name, syncs and renames it.
+// writeSnapshot writes a snapshot of the complete state under a temporary name, syncs and renames it.
 func (l *Log) writeSnapshot(generation int64) error {
 	temp := filepath.Join(l.dir, fileName(snapshotPrefix, generation)+tempSuffix)
 	file, err := os.Create(temp)
