--- a/Makefile
+++ b/Makefile
@@ -10,7 +10,7 @@
 	test -z "$$(gofmt -l .)"
 	go vet ./...
 
-# Stand-in boxes and a scheduler with a journal, until Ctrl-C; both end together.
+# Fake workers and a scheduler with a journal, until Ctrl-C; both end together.
 run: build
 	@mkdir -p logs
 	@{ cat deploy/operator.toml; printf '\n[journal]\ndir = "logs/journal"\n'; } > logs/run.toml
@@ -55,7 +55,7 @@
 mutations:
 	scripts/mutations.sh
 
-# A small system on loopback with stand-in workers and a stand-in client, until Ctrl-C.
+# A small system on loopback with fake workers and a client, until Ctrl-C.
 system: build
 	bin/sedgevale local
 
--- a/cmd/sedgevale/import.go
+++ b/cmd/sedgevale/import.go
@@ -14,7 +14,7 @@
 	Config   []string          `arg:"positional,required" help:"HAProxy's configuration; several files are read as one."`
 	Out      string            `arg:"-o,--out" help:"The file to write; standard output without it."`
 	Report   string            `arg:"--report" default:"text" help:"The report on standard error: text for people, json with a line for each directive."`
-	All      bool              `arg:"--all" help:"With --report text: a line for every directive, not only for those that ask for attention."`
+	All      bool              `arg:"--all" help:"With --report text: a line for every directive, not only for those that need attention."`
 	Strict   bool              `arg:"--strict" help:"Exit with 3 if anything is not carried over."`
 	Env      map[string]string `arg:"separate,--env" placeholder:"NAME=VALUE" help:"Environment variables that the configuration uses."`
 	Define   []string          `arg:"separate,--define" placeholder:"NAME" help:"Names for which .if defined(NAME) holds."`
@@ -89,11 +89,11 @@
 
 // explain prints where a request would be routed.
 func (c importCmd) explain(imported *haproxy.Result, files func(string) ([]byte, error)) error {
-	way, err := haproxy.Explain(imported.File.Web, files, haproxy.Ask{
+	route, err := haproxy.Explain(imported.File.Web, files, haproxy.Ask{
 		Frontend: c.Frontend, Line: c.Explain, Headers: c.Header, Source: c.Source,
 	})
 	if err == nil {
-		way.Text(os.Stdout)
+		route.Text(os.Stdout)
 	}
 	return err
 }
--- a/cmd/sedgevale/members.go
+++ b/cmd/sedgevale/members.go
@@ -7,7 +7,7 @@
 	"sedgevale/internal/system/core"
 )
 
-// membersCmd shows the core as one of its schedulers sees it.
+// membersCmd shows the core from the view of one of its schedulers.
 type membersCmd struct{ coreFlags }
 
 // Run prints the membership, the peers and the owners of shards.
--- a/cmd/sedgevale/peers_test.go
+++ b/cmd/sedgevale/peers_test.go
@@ -7,12 +7,12 @@
 	"sedgevale/internal/peers"
 )
 
-// member is one of a table.
+// member returns a row of the table.
 func member(number int, state string, revision uint32, digest string, behind int64, differs bool) peers.MemberStatus {
 	return peers.MemberStatus{Number: number, State: state, HeardMS: 12, Revision: revision, Digest: digest, BehindMS: behind, Differs: differs}
 }
 
-// Guards what operators go by after a change: who is behind, for how long, and that it is in force everywhere else.
+// After a change, operators must see which members are behind, for how long, and that all others have applied it.
 func TestPeersAreShown(t *testing.T) {
 	s := peers.Status{Self: 0, Watched: true, Newest: 41, Members: []peers.MemberStatus{
 		member(0, "self", 41, "1a2b3c4d", -1, false), member(1, "alive", 41, "1a2b3c4d", -1, false),
--- a/cmd/sedgevale/queues.go
+++ b/cmd/sedgevale/queues.go
@@ -27,15 +27,15 @@
 	for _, s := range q.Shards {
 		t.row("shard %s, token %d, %d records, %d replicas in step", s.Shard, s.Token, s.Records, s.InStep)
 		t.row("QUEUE\tPRIORITY\tUNENDED\tPENDING\tHELD\tWAITING\tSIGMA\tUSUAL RUN")
-		for _, one := range s.Queues {
-			t.row("%s\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.0f ms", one.Name, one.Priority, one.Unended, one.Pending, one.Held, one.Wanted,
-				one.Sigma, one.UsualMS)
+		for _, queue := range s.Queues {
+			t.row("%s\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.0f ms", queue.Name, queue.Priority, queue.Unended, queue.Pending, queue.Held, queue.Wanted,
+				queue.Sigma, queue.UsualMS)
 		}
 		if len(s.Waiting) > 0 {
 			t.row("WAITS BESIDE ROOM\tQUEUE\tTASKS\tFOR\tREASON\tWORKER\tKEPT FOR")
 		}
-		for _, one := range s.Waiting {
-			t.row("%s\t%s\t%d\t%d ms\t%s\t%s\t%s", one.Job, one.Queue, one.Tasks, one.WaitedMS, one.Reason, one.Worker, one.Holder)
+		for _, job := range s.Waiting {
+			t.row("%s\t%s\t%d\t%d ms\t%s\t%s\t%s", job.Job, job.Queue, job.Tasks, job.WaitedMS, job.Reason, job.Worker, job.Holder)
 		}
 		if !c.Workers {
 			continue
--- a/internal/system/clusterconfig/patch_test.go
+++ b/internal/system/clusterconfig/patch_test.go
@@ -59,17 +59,17 @@
 		gotRoutes, gotRest := routesByName(t, got)
 		wantRoutes, wantRest := routesByName(t, after)
 		if !reflect.DeepEqual(gotRoutes, wantRoutes) || !reflect.DeepEqual(gotRest, wantRest) {
-			t.Fatalf("from %s by %s came %s, wanted %s", before, patch, got, after)
+			t.Fatalf("%s with %s makes %s, want %s", before, patch, got, after)
 		}
 	}
 }
 
 func TestDifferenceRejectsUnpatchableKeys(t *testing.T) {
 	if _, ok := Difference([]byte(`{"version":1,"routes":[],"other":1}`), []byte(`{"version":2,"routes":[]}`)); ok {
-		t.Error("a key that goes away cannot be told by a patch")
+		t.Error("a removed key cannot be expressed by a patch")
 	}
 	if _, ok := Difference([]byte(`{"version":1,"other":1}`), []byte(`{"version":2,"other":2}`)); ok {
-		t.Error("a key that is no list of named items cannot be told by a patch")
+		t.Error("a change of a key that is no list of named items cannot be expressed by a patch")
 	}
 }
 
@@ -120,8 +120,8 @@
 			t.Fatalf("%s: %v", text, err)
 		}
 		byName := map[string]any{}
-		for _, one := range config["routes"].([]any) {
-			byName[one.(map[string]any)["name"].(string)] = one
+		for _, route := range config["routes"].([]any) {
+			byName[route.(map[string]any)["name"].(string)] = route
 		}
 		config["routes"] = byName
 		return config
--- a/internal/system/edge/edge.go
+++ b/internal/system/edge/edge.go
@@ -30,7 +30,7 @@
 type Scheduler struct {
 	client    *rpc.Client
 	directory *directory.Directory
-	draining  chan struct{} // closed once the process was told to end
+	draining  chan struct{} // closed when the shutdown begins
 	responses *prometheus.CounterVec
 }
 
@@ -74,7 +74,7 @@
 	return nil // the grace is over; what is in flight is cut off
 }
 
-// isDraining reports whether the process was told to end.
+// isDraining reports whether the shutdown has begun.
 func (s *Scheduler) isDraining() bool {
 	select {
 	case <-s.draining:
--- a/internal/system/side/heartbeat.go
+++ b/internal/system/side/heartbeat.go
@@ -57,7 +57,7 @@
 	heartbeatReplaced                  // another incarnation has taken the worker's place
 )
 
-// applyHeartbeat updates the state of an incarnation and has the owner told if it has changed.
+// applyHeartbeat updates the state of an incarnation and has a report sent if it has changed.
 func (s *Scheduler) applyHeartbeat(instance string, heartbeat workeragent.Heartbeat) (*worker, heartbeatOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/side/side.go
+++ b/internal/system/side/side.go
@@ -57,8 +57,8 @@
 	agent       *workeragent.Agent
 	service     string
 	ordersReady chan struct{} // signalled when there are orders for the worker
-	reportDue   chan struct{} // signalled when the owner has to be told of a change at once
-	reported    uint64        // digest of the agent's state that the owner was last to be told of
+	reportDue   chan struct{} // signalled when a report must be sent at once
+	reported    uint64        // digest of the agent's state when reportDue was last signalled
 	expiredAt   time.Duration // since the start of the process; 0 before the worker's lease has expired
 	replaced    bool          // another incarnation has taken its place
 	confirmed   bool
@@ -178,7 +178,7 @@
 	}
 }
 
-// expire has the owner told of leases that have expired, and forgets incarnations whose lease expired long ago.
+// expire has expired leases reported to the owner, and forgets incarnations whose lease expired long ago.
 func (s *Scheduler) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/simulation/checker_test.go
+++ b/internal/system/simulation/checker_test.go
@@ -35,7 +35,7 @@
 	if other := c.running[task]; other != "" {
 		c.violation("TWICE: %s starts at %s and runs at %s", task, worker, other)
 	}
-	if at, noted := c.acknowledged[task]; noted {
+	if at, acknowledged := c.acknowledged[task]; acknowledged {
 		c.violation("TWICE: %s starts at %s after its completion was acknowledged at %.2f s", task, worker, at.Seconds())
 	}
 	if !c.submitted[task[:16]] {
@@ -97,8 +97,8 @@
 	}
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
-	for _, wrong := range c.checker.violations {
-		t.Error(wrong)
+	for _, violation := range c.checker.violations {
+		t.Error(violation)
 	}
 	t.Logf("%d jobs completed, %d tasks started, version %d", done, len(c.checker.starts), c.acknowledgedVersion)
 }
--- a/internal/system/simulation/control_test.go
+++ b/internal/system/simulation/control_test.go
@@ -23,13 +23,13 @@
 		}()
 		time.Sleep(3 * time.Second)
 		if !c.putConfiguration(1, 0) {
-			t.Error("the first configuration was not taken")
+			t.Error("the first configuration was not applied")
 		}
 		time.Sleep(2 * time.Second)
 		scenario(t, c)
 		c.checker.mu.Lock()
-		for _, wrong := range c.checker.violations {
-			t.Error(wrong)
+		for _, violation := range c.checker.violations {
+			t.Error(violation)
 		}
 		c.checker.mu.Unlock()
 		c.stop()
@@ -82,7 +82,7 @@
 	runScenario(t, topology{cores: 4, tolerance: 1}, func(t *testing.T, c *cluster) {
 		for round := range 12 {
 			version := c.acknowledgedVersion
-			taken := make(chan string, 40)
+			acknowledged := make(chan string, 40)
 			var sent sync.WaitGroup
 			for _, marker := range []string{"one", "two"} {
 				for core := range 4 {
@@ -92,16 +92,16 @@
 						for range 3 {
 							status := c.putConfigurationTo(fmt.Sprint("core", core), version, version+1, marker)
 							if status == http.StatusOK {
-								taken <- marker
+								acknowledged <- marker
 							}
 						}
 					}()
 				}
 			}
 			sent.Wait()
-			close(taken)
+			close(acknowledged)
 			notes := map[string]int{}
-			for marker := range taken {
+			for marker := range acknowledged {
 				notes[marker]++
 			}
 			if len(notes) != 1 {
--- a/internal/system/simulation/core_faults_test.go
+++ b/internal/system/simulation/core_faults_test.go
@@ -121,6 +121,7 @@
 	}
 }
 
+// loseDisk kills a core machine and starts it again with an empty disk.
 func (c *cluster) loseDisk(name string) {
 	c.kill(name)
 	c.wipeDisk(name)
@@ -150,6 +151,7 @@
 	c.terminate(name)
 }
 
+// decommission takes a core machine out of coreNames for good.
 func (c *cluster) decommission(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/system/simulation/edge_test.go
+++ b/internal/system/simulation/edge_test.go
@@ -105,12 +105,12 @@
 		{"a commit with unknown outcome", result.Errorf(result.OutcomeUnknown, "no"), http.StatusGatewayTimeout},
 		{"a removed route", result.Errorf(result.NoRoute, "no"), http.StatusNotFound},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
-			stub := &stubCore{submit: func() error { return one.fail }}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			stub := &stubCore{submit: func() error { return tc.fail }}
 			runEdge(t, stub, func(c *cluster) {
-				if got, _ := c.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob); got != one.want {
-					t.Errorf("status %d, %d wanted", got, one.want)
+				if got, _ := c.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob); got != tc.want {
+					t.Errorf("status %d, %d wanted", got, tc.want)
 				}
 			})
 		})
@@ -206,10 +206,10 @@
 	}
 	stub := &stubCore{submit: func() error { return nil }}
 	runEdge(t, stub, func(c *cluster) {
-		for _, one := range cases {
-			got, text := c.call(http.MethodPost, edgeAddr, one.path, "h", "", one.body)
-			if got/100 != 4 || !strings.Contains(text, one.want) {
-				t.Errorf("%s: %d %s", one.name, got, text)
+		for _, tc := range cases {
+			got, text := c.call(http.MethodPost, edgeAddr, tc.path, "h", "", tc.body)
+			if got/100 != 4 || !strings.Contains(text, tc.want) {
+				t.Errorf("%s: %d %s", tc.name, got, text)
 			}
 		}
 	})
--- a/internal/system/simulation/faults_test.go
+++ b/internal/system/simulation/faults_test.go
@@ -35,7 +35,7 @@
 	}()
 	time.Sleep(2 * time.Second)
 	if !c.putConfiguration(1, 0) {
-		t.Error("the first configuration was not taken")
+		t.Error("the first configuration was not applied")
 	}
 	ids := c.submitJobs(60)
 	for round := range 5 {
--- a/internal/system/simulation/network_test.go
+++ b/internal/system/simulation/network_test.go
@@ -60,8 +60,8 @@
 		}
 	}
 	n.mu.Unlock()
-	for _, one := range closing {
-		_ = one.Close()
+	for _, closer := range closing {
+		_ = closer.Close()
 	}
 }
 
@@ -75,8 +75,8 @@
 		}
 	}
 	n.mu.Unlock()
-	for _, one := range closing {
-		_ = one.Close()
+	for _, c := range closing {
+		_ = c.Close()
 	}
 }
 
--- a/internal/system/simulation/operators_test.go
+++ b/internal/system/simulation/operators_test.go
@@ -23,7 +23,7 @@
 	read        bool
 	baseVersion int64
 	version     int64
-	marker      string // tells two changes of one version apart
+	marker      string // distinguishes two changes of one version
 }
 
 type changeResult struct {
--- a/internal/system/simulation/overlap_test.go
+++ b/internal/system/simulation/overlap_test.go
@@ -40,7 +40,7 @@
 	time.Sleep(2 * time.Second)
 	h := &history{started: time.Now()}
 	if c.putUntilClear(0, configChange{version: 1}, h) != changeApplied {
-		t.Error("the first configuration was not taken")
+		t.Error("the first configuration was not applied")
 	}
 	ids := c.submitJobs(overlapJobCount)
 	stop := make(chan struct{})
--- a/internal/system/simulation/partition_test.go
+++ b/internal/system/simulation/partition_test.go
@@ -20,7 +20,7 @@
 		c := newCluster(t, 1)
 		time.Sleep(2 * time.Second)
 		if !c.putConfiguration(1, 0) {
-			t.Error("the first configuration was not taken")
+			t.Error("the first configuration was not applied")
 		}
 		time.Sleep(3 * time.Second)
 		before := runtime.NumGoroutine()
