--- a/internal/journal/recorder/recorder.go
+++ b/internal/journal/recorder/recorder.go
@@ -1,5 +1,5 @@
-// Package recorder joins the planners to the journal of one-shot jobs: it decides which
-// jobs are recorded, and puts what the planners tell into records.
+// Package recorder writes the journal of one-shot jobs for the planners: it decides which jobs are recorded, and makes records
+// of the planners' events.
 package recorder
 
 import (
@@ -21,17 +21,18 @@
 	"sedgevale/internal/journal/store"
 )
 
-// Recorder is a core.Journal.
+// Recorder is a dispatch.Journal. Its methods are safe for concurrent use.
 type Recorder struct {
-	store      *store.Store
-	opt        store.Options
-	classes    map[string]bool
-	serve      bool // while the journal is full, jobs are served without a record
-	unrecorded atomic.Uint64
-	reading    chan struct{} // held by who reads the files
+	store       *store.Store
+	options     store.Options
+	classes     map[string]bool // that are recorded
+	serveOnFull bool            // while the journal is full, jobs are served without a record
+	unrecorded  atomic.Uint64
+	reading     chan struct{} // a semaphore: one question at a time reads the files
 }
 
-// Open opens the journal that a configuration asks for.
+// Open opens the journal that a configuration asks for, and creates its directory and key where they are missing. The caller has
+// to call Close.
 func Open(c *dispatchconfig.Config, log *slog.Logger) (*Recorder, error) {
 	j := c.Journal
 	fsys := store.OS{}
@@ -42,34 +43,35 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{classes: map[string]bool{}, serve: j.OnFull == dispatchconfig.ServeOnFull, reading: make(chan struct{}, 1)}
+	r := &Recorder{classes: map[string]bool{}, serveOnFull: j.OnFull == dispatchconfig.ServeOnFull, reading: make(chan struct{}, 1)}
 	for _, name := range c.JournalClasses() {
 		r.classes[name] = true
 	}
-	r.opt = store.Options{FS: fsys, Dir: j.Dir, Secret: secret, Log: log, Sync: j.Sync != dispatchconfig.SyncNone,
-		Owner: store.Owner{PID: os.Getpid(), Name: c.Name, Ops: c.Ops}, Keep: dispatchconfig.Seconds(j.Keep),
-		MaxBytes: int64(j.MaxMB) << 20, Reserve: int64(j.ReserveMB) << 20}
-	if r.store, err = store.Open(r.opt); err != nil {
+	r.options = store.Options{FS: fsys, Dir: j.Dir, Secret: secret, Log: log, Sync: j.Sync != dispatchconfig.SyncNone,
+		Owner: store.Owner{PID: os.Getpid(), Name: c.Name, Ops: c.Ops}, Retention: dispatchconfig.Seconds(j.Keep),
+		MaxBytes: int64(j.MaxMB) << 20, ReservedBytes: int64(j.ReserveMB) << 20}
+	if r.store, err = store.Open(r.options); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-// Close writes what there is and ends the journal. It waits for the disk.
+// Close writes what is queued and ends the journal. It waits for the disk.
 func (r *Recorder) Close() { r.store.Close() }
 
 func now() int64 { return time.Now().UnixMicro() }
 
-// Take is the core's.
+// Take implements dispatch.Journal: it records the acceptance of a job of a class that is recorded. The number is 0 for a job
+// without a record; ok is false where the job must be rejected, since the journal is full.
 func (r *Recorder) Take(j *dispatch.Job) (uint64, bool) {
 	if !r.classes[j.Class.Name] {
 		return 0, true
 	}
 	if r.store.Full() {
-		if r.serve {
+		if r.serveOnFull {
 			r.unrecorded.Add(1)
 		}
-		return 0, r.serve
+		return 0, r.serveOnFull
 	}
 	sum := sha256.Sum256(j.Body)
 	number := r.store.Serial()
@@ -79,23 +81,24 @@
 	return number, true
 }
 
-// Intent is the core's.
+// Intent implements dispatch.Journal: it records that an attempt is about to be sent, and calls done once that is durable, or
+// cannot be.
 func (r *Recorder) Intent(number uint64, attempt int, id, worker string, done func(ok bool)) {
 	r.store.Put(journal.Record{Kind: journal.Intent, Serial: number, At: now(), JobID: id, Attempt: attempt, Worker: worker},
 		func(err error) { done(err == nil) })
 }
 
-// Sent is the core's.
+// Sent implements dispatch.Journal: it records that an attempt was sent.
 func (r *Recorder) Sent(number uint64, attempt int) {
 	r.store.Put(journal.Record{Kind: journal.Sent, Serial: number, At: now(), Attempt: attempt}, nil)
 }
 
-// Started is the core's.
+// Started implements dispatch.Journal: it records that a worker has begun an attempt.
 func (r *Recorder) Started(number uint64, attempt int) {
 	r.store.Put(journal.Record{Kind: journal.Started, Serial: number, At: now(), Attempt: attempt}, nil)
 }
 
-// Ended is the core's.
+// Ended implements dispatch.Journal: it records how an attempt ended, and whether it certainly never ran.
 func (r *Recorder) Ended(number uint64, attempt int, o sedgevale.Outcome, unseen bool) {
 	r.store.Put(journal.Record{Kind: journal.Ended, Serial: number, At: now(), Attempt: attempt,
 		Code: uint8(journal.OutcomeOf(o)), NeverRan: unseen}, nil)
@@ -105,21 +108,21 @@
 	dispatch.Served: journal.Served, dispatch.Refused: journal.Refused, dispatch.Failed: journal.Failed,
 }
 
-// Answered is the core's.
+// Answered implements dispatch.Journal: it records the final answer to the client.
 func (r *Recorder) Answered(number uint64, a dispatch.Answer) {
 	r.store.Put(journal.Record{Kind: journal.Answered, Serial: number, At: now(), Code: uint8(kinds[a.Kind]), Text: a.Reason}, nil)
 }
 
-// Gone is the core's.
+// Gone implements dispatch.Journal: it records that the client left before its answer.
 func (r *Recorder) Gone(number uint64) {
 	r.store.Put(journal.Record{Kind: journal.ClientGone, Serial: number, At: now()}, nil)
 }
 
-// ErrBusy says that another question is being answered.
+// ErrBusy is returned while another question is being answered.
 var ErrBusy = errors.New("another question is being answered, ask again")
 
-// Ask returns what is known of the jobs of an id, a line of JSON each, the oldest first.
-// It reads the files and waits for the disk, until the context ends.
+// Ask returns the reports of the jobs of an id, a line of JSON each, by the time of their acceptance. It reads the files and waits
+// for the disk until the context ends. The error is ErrBusy while another call reads, and store.ErrNotFound for an unknown id.
 func (r *Recorder) Ask(ctx context.Context, id string) ([]byte, error) {
 	select {
 	case r.reading <- struct{}{}:
@@ -130,14 +133,14 @@
 		view *store.View
 		err  error
 	}
-	got := make(chan result, 1)
+	results := make(chan result, 1)
 	go func() {
 		defer func() { <-r.reading }()
-		v, err := store.Read(r.opt.FS, r.opt.Dir, r.opt.Secret, id)
-		got <- result{v, err}
+		view, err := store.Read(r.options.FS, r.options.Dir, r.options.Secret, id)
+		results <- result{view, err}
 	}()
 	select {
-	case out := <-got:
+	case out := <-results:
 		if out.err != nil {
 			return nil, out.err
 		}
@@ -147,7 +150,7 @@
 	}
 }
 
-// Lines writes the jobs of an id as lines of JSON.
+// Lines returns the reports of the jobs of an id as lines of JSON. The error is store.ErrNotFound where there are none.
 func Lines(jobs []store.Found, id string) ([]byte, error) {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
@@ -164,7 +167,7 @@
 	return b.Bytes(), nil
 }
 
-// Settle records an operator's verdict on the jobs of an id.
+// Settle records an operator's verdict on the unresolved jobs of an id and returns their number; see store.Store.Settle.
 func (r *Recorder) Settle(_ context.Context, id, verdict, by, why string) (int, error) {
 	v, err := journal.ParseVerdict(verdict)
 	if err != nil {
@@ -173,7 +176,7 @@
 	return r.store.Settle(id, v, by, why)
 }
 
-// Stats returns the counts of the journal as a line of JSON.
+// Stats returns the journal's counts as a line of JSON.
 func (r *Recorder) Stats() []byte {
 	s := r.store.Stats()
 	b, _ := json.Marshal(struct { // has no value that cannot be written
@@ -185,6 +188,6 @@
 		Jobs       int    `json:"open_or_to_settle"`
 		Held       int    `json:"records_held"`
 		Unrecorded uint64 `json:"jobs_unrecorded"`
-	}{r.store.Full(), s.Records, s.Syncs, s.Failures, s.Bytes, s.Kept, s.Held, r.unrecorded.Load()})
+	}{r.store.Full(), s.Records, s.Syncs, s.Failures, s.Bytes, s.Unresolved, s.Buffered, r.unrecorded.Load()})
 	return append(b, '\n')
 }
--- a/internal/journal/store/bench_test.go
+++ b/internal/journal/store/bench_test.go
@@ -13,7 +13,7 @@
 
 func openReal(b *testing.B, dir string) *store.Store {
 	b.Helper()
-	s, err := store.Open(store.Options{Dir: dir, Secret: secret, Sync: true, Keep: time.Hour, MaxBytes: 1 << 30, Reserve: 1 << 20})
+	s, err := store.Open(store.Options{Dir: dir, Secret: secret, Sync: true, Retention: time.Hour, MaxBytes: 1 << 30, ReservedBytes: 1 << 20})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if n := s.Known(); n != open {
+				if n := s.UnresolvedJobs(); n != open {
 					b.Fatalf("%d jobs recovered", n)
 				}
 				b.StopTimer()
@@ -95,7 +95,7 @@
 		return float64(m.HeapAlloc) / (1 << 20)
 	}
 	for b.Loop() {
-		s, err := store.Open(store.Options{Dir: b.TempDir(), Secret: secret, Sync: true, Keep: time.Hour, MaxBytes: 64 << 20, Reserve: 1 << 20})
+		s, err := store.Open(store.Options{Dir: b.TempDir(), Secret: secret, Sync: true, Retention: time.Hour, MaxBytes: 64 << 20, ReservedBytes: 1 << 20})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/journal/store/background_test.go
+++ b/internal/journal/store/diskcall_test.go
@@ -58,8 +58,8 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-second:
-		t.Error("a record counts as durable by a sync that began before it was written")
+	case err := <-second:
+		t.Errorf("a record counts as durable by a sync that began before it was written, error %v", err)
 	default:
 	}
 	let()
--- a/internal/journal/store/export_test.go
+++ b/internal/journal/store/export_test.go
@@ -3,50 +3,50 @@
 // OpenStepped opens a Store whose steps the test takes one by one.
 func OpenStepped(o Options) (*Store, error) { return open(o) }
 
-// Beside has calls of the disk that run beside the loop begun by the test.
-func (s *Store) Beside(spawn func(func())) { s.spawn = spawn }
+// StartCallsWith has the test start disk calls.
+func (s *Store) StartCallsWith(start func(func())) { s.startCall = start }
 
-// BeginSync begins to make durable what was written, unless a call of the disk is under way.
+// BeginSync begins to make durable what was written, unless a disk call is in flight.
 func (s *Store) BeginSync() {
-	if s.under == nil && (len(s.waiting) > 0 || !s.dirty.IsZero()) {
+	if s.inFlight == nil && (len(s.waiters) > 0 || !s.unsyncedSince.IsZero()) {
 		s.sync()
 	}
 }
 
-// EndCall goes on after the call of the disk that was begun, if one was. It reports whether one was; another may follow.
-func (s *Store) EndCall() bool {
-	if s.under == nil {
+// FinishCall waits for the disk call in flight and takes its result. It reports whether there was one; it may start another.
+func (s *Store) FinishCall() bool {
+	if s.inFlight == nil {
 		return false
 	}
-	s.endCall(<-s.under.result)
+	s.finishCall(<-s.inFlight.result)
 	return true
 }
 
-// Batch writes what has come in.
-func (s *Store) Batch() { s.batch(s.box.Take()) }
+// WriteBatch writes what has come in.
+func (s *Store) WriteBatch() { s.writeBatch(s.queue.Take()) }
 
 // Sync makes what was written durable.
 func (s *Store) Sync() {
-	if len(s.waiting) > 0 || !s.dirty.IsZero() {
+	if len(s.waiters) > 0 || !s.unsyncedSince.IsZero() {
 		s.sync()
-		s.await()
+		s.awaitCall()
 	}
 }
 
-// BeginTend begins to look after the room. No call of the disk may be under way.
-func (s *Store) BeginTend() { s.tend(s.opt.Now()) }
+// BeginMaintenance begins the maintenance of the log. No disk call may be in flight.
+func (s *Store) BeginMaintenance() { s.maintain(s.options.Now()) }
 
-// Tend looks after the room.
-func (s *Store) Tend() {
-	s.tend(s.opt.Now())
-	s.await()
+// Maintain maintains the log and waits for its disk calls.
+func (s *Store) Maintain() {
+	s.maintain(s.options.Now())
+	s.awaitCall()
 }
 
-// Finish ends the Store.
-func (s *Store) Finish() { s.finish() }
+// ShutDown ends the Store.
+func (s *Store) ShutDown() { s.shutDown() }
 
-// Known returns how many jobs the Store has in memory.
-func (s *Store) Known() int { return len(s.lane.book.Jobs) }
+// UnresolvedJobs returns how many jobs the Store has in memory.
+func (s *Store) UnresolvedJobs() int { return len(s.log.table.Jobs) }
 
-// Unlock gives the lane back without ending it, as a kill does.
+// Unlock releases the lock of the log without ending it, as a kill does.
 func (s *Store) Unlock() { _ = s.lock.Close() }
--- a/internal/journal/store/fs.go
+++ b/internal/journal/store/fs.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// File is a file that is appended to.
+// File is a file that is open for appending.
 type File interface {
-	io.Writer // at the end, wherever that is
+	io.Writer // at the end of the file
 	Sync() error
 	Close() error
 }
 
-// FS is what a journal needs of a file system. Tests put one in its place that fails.
+// FS is what a journal needs of a file system. Tests use one that fails.
 type FS interface {
 	MkdirAll(dir string) error
 	Create(path string) (File, error) // fails if it is there
@@ -25,24 +25,24 @@
 	Rename(from, to string) error
 	Remove(path string) error
 	SyncDir(dir string) error
-	Free(dir string) (bytes int64, err error) // for who has no privileges
-	// Lock takes a file for this process until it is closed and writes who has it there.
-	// Where another has it, the error is ErrLocked and owner says who.
+	Free(dir string) (bytes int64, err error) // for unprivileged processes
+	// Lock locks a file for this process until release is closed, and writes me to it. Where another process has the lock,
+	// the error is ErrLocked and owner is what that has written.
 	Lock(path, me string) (release io.Closer, owner string, err error)
-	// Locked reports whether a process has that lock.
+	// Locked reports whether a process has the lock of a file, and what that has written to it.
 	Locked(path string) (owner string, locked bool)
 }
 
-// ErrLocked is returned where another process has a lock.
+// ErrLocked is returned where another process has the lock.
 var ErrLocked = errors.New("in use by another process")
 
-// OS is the operating system's files.
+// OS is the file system of the operating system.
 type OS struct{}
 
-// MkdirAll makes a directory, for its owner alone.
+// MkdirAll creates a directory that only its owner may use.
 func (OS) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
-// Create makes a file, for its owner alone.
+// Create creates a file that only its owner may read and write.
 func (OS) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 }
@@ -60,13 +60,13 @@
 	return names, err
 }
 
-// Rename gives a file another name.
+// Rename renames a file.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
 func (OS) Remove(path string) error { return os.Remove(path) }
 
-// SyncDir makes the names in a directory durable.
+// SyncDir makes the entries of a directory durable.
 func (OS) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Free returns the bytes that are free.
+// Free returns how many bytes are free for unprivileged processes.
 func (OS) Free(dir string) (int64, error) {
 	var st unix.Statfs_t
 	if err := unix.Statfs(dir, &st); err != nil {
@@ -84,7 +84,7 @@
 	return int64(st.Bavail) * st.Bsize, nil
 }
 
-// Lock takes a lock that the kernel gives back when the process ends, however it ends.
+// Lock takes a lock that the kernel releases when the process ends, however it ends (flock).
 func (OS) Lock(path, me string) (io.Closer, string, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -92,27 +92,26 @@
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		owner, _ := io.ReadAll(io.LimitReader(f, 4096))
-		f.Close()
+		_ = f.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
 			err = ErrLocked
 		}
 		return nil, string(owner), err
 	}
-	// A lock that cannot say whose it is still holds.
+	// The lock holds also where its owner cannot be written to it.
 	if f.Truncate(0) == nil {
 		_, _ = f.WriteAt([]byte(me), 0)
 	}
 	return f, "", nil
 }
 
-// Locked asks without taking the lock for longer than a moment, and shared, so that two
-// who ask do not meet.
+// Locked tries a shared lock, which is released at once, so that two callers do not see each other.
 func (OS) Locked(path string) (string, bool) {
 	f, err := os.Open(path)
 	if err != nil {
 		return "", false
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB); err == nil {
 		return "", false
 	}
--- a/internal/journal/store/key.go
+++ b/internal/journal/store/key.go
@@ -11,10 +11,10 @@
 	"sedgevale/internal/journal"
 )
 
-// KeyFile is the name of the key in a journal's directory, where no other is named.
+// KeyFile is the name of the key's file in a journal's directory, unless the settings name another file.
 const KeyFile = "key"
 
-// KeyPath returns where the key of a journal is.
+// KeyPath returns the path of a journal's key: keyFile, or KeyFile in dir where that is empty.
 func KeyPath(dir, keyFile string) string {
 	if keyFile != "" {
 		return keyFile
@@ -22,14 +22,14 @@
 	return join(dir, KeyFile)
 }
 
-// ReadKey reads a key: hexadecimal digits of at least 32 bytes, in a file that nobody
-// but its owner may read.
+// ReadKey reads a key: at least 64 hexadecimal digits in a file that only its owner may read or write. The error is
+// os.ErrNotExist where there is none.
 func ReadKey(path string) (secret []byte, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("the journal's key: %w", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	info, err := f.Stat()
 	if err != nil {
 		return nil, fmt.Errorf("the journal's key: %w", err)
@@ -47,8 +47,8 @@
 	return secret, nil
 }
 
-// MakeKey reads a key and makes it first if there is none, but not for a journal that
-// has records: those were written with the one that is missing.
+// MakeKey reads a key, and creates it first where there is none. For a journal that is used already that is an error: its records
+// were written with the key that is missing.
 func MakeKey(path string, used bool) ([]byte, error) {
 	secret, err := ReadKey(path)
 	if !errors.Is(err, os.ErrNotExist) {
--- a/internal/journal/store/powercut_test.go
+++ b/internal/journal/store/powercut_test.go
@@ -39,14 +39,14 @@
 }
 
 func (w *world) open(t *testing.T) {
-	s, err := store.OpenStepped(store.Options{FS: w.disk, Dir: "j", Secret: secret, Sync: true, Keep: time.Minute,
-		MaxBytes: 64 << 10, Reserve: 4 << 10, Segment: 2 << 10, Now: func() time.Time { return w.now }})
+	s, err := store.OpenStepped(store.Options{FS: w.disk, Dir: "j", Secret: secret, Sync: true, Retention: time.Minute,
+		MaxBytes: 64 << 10, ReservedBytes: 4 << 10, SegmentBytes: 2 << 10, Now: func() time.Time { return w.now }})
 	if err != nil {
 		t.Fatalf("a journal that does not open: %v", err)
 	}
 	w.store = s
 	w.call = nil
-	s.Beside(func(do func()) {
+	s.StartCallsWith(func(do func()) {
 		if w.r.IntN(2) == 0 { // done at once, but its end is heard of later
 			do()
 			return
@@ -62,7 +62,7 @@
 			w.call()
 			w.call = nil
 		}
-		if !w.store.EndCall() {
+		if !w.store.FinishCall() {
 			return
 		}
 	}
@@ -75,14 +75,14 @@
 	case n < 5:
 		w.take()
 	case n < 9:
-		w.store.Batch()
+		w.store.WriteBatch()
 	case n < 11:
 		w.store.BeginSync()
 	case n < 13:
 		w.await()
 	case n < 14:
 		w.await()
-		w.store.BeginTend()
+		w.store.BeginMaintenance()
 	case n < 15 && w.r.IntN(10) == 0:
 		w.now = w.now.Add(40 * time.Second) // segments grow old
 	default:
@@ -99,12 +99,12 @@
 	w.store.Put(journal.Record{Kind: journal.Accepted, Serial: f.serial, At: w.now.UnixMicro(), JobID: f.id, Class: "once"}, nil)
 	begin := func(err error) {
 		if err != nil {
-			w.put(f, journal.Answered, uint8(journal.Refused), false)
+			w.put(f, journal.Answered, uint8(journal.Refused))
 			return
 		}
 		f.begun = true
 		w.ledger.Begin(f.id, "once", f.box, time.Now())
-		w.put(f, journal.Sent, 0, false)
+		w.put(f, journal.Sent, 0)
 		w.out = append(w.out, f)
 	}
 	intent := journal.Record{Kind: journal.Intent, Serial: f.serial, At: w.now.UnixMicro(), JobID: f.id, Worker: f.box}
@@ -116,8 +116,8 @@
 	w.store.Put(intent, begin)
 }
 
-func (w *world) put(f *flight, kind journal.Kind, code uint8, unseen bool) {
-	w.store.Put(journal.Record{Kind: kind, Serial: f.serial, At: w.now.UnixMicro(), Code: code, NeverRan: unseen}, nil)
+func (w *world) put(f *flight, kind journal.Kind, code uint8) {
+	w.store.Put(journal.Record{Kind: kind, Serial: f.serial, At: w.now.UnixMicro(), Code: code}, nil)
 }
 
 // progress has one of the jobs that are out go on.
@@ -130,15 +130,15 @@
 	w.out = append(w.out[:i], w.out[i+1:]...)
 	switch w.r.IntN(8) {
 	case 0:
-		w.put(f, journal.Ended, uint8(journal.OutcomeTimedOut), false)
-		w.put(f, journal.Answered, uint8(journal.Failed), false)
+		w.put(f, journal.Ended, uint8(journal.OutcomeTimedOut))
+		w.put(f, journal.Answered, uint8(journal.Failed))
 	case 1:
-		w.put(f, journal.Started, 0, false)
+		w.put(f, journal.Started, 0)
 		w.out = append(w.out, f)
 	default:
 		w.ledger.Finish(f.id, f.box)
-		w.put(f, journal.Ended, uint8(journal.OutcomeServed), false)
-		w.put(f, journal.Answered, uint8(journal.Served), false)
+		w.put(f, journal.Ended, uint8(journal.OutcomeServed))
+		w.put(f, journal.Answered, uint8(journal.Served))
 		w.over[f.id] = true
 	}
 }
@@ -174,7 +174,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		var dropped func(string) bool
-		if len(view.Lanes) > 0 && view.Lanes[0].Pruned > 0 {
+		if len(view.Lanes) > 0 && view.Lanes[0].PrunedThrough > 0 {
 			dropped = func(id string) bool { return w.over[id] }
 		}
 		breaches = append(breaches, fake.Audit(w.ledger, view.Jobs, all, all, all, dropped)...)
--- a/internal/journal/store/query.go
+++ b/internal/journal/store/query.go
@@ -11,53 +11,54 @@
 	"sedgevale/internal/journal"
 )
 
-// Found is a job that a question has found.
+// Found is a job of a View.
 type Found struct {
 	*journal.Job
-	Lane string
-	Live bool // the process that has the lane lives
+	LogDir string
+	Live   bool // a process has the log
 }
 
-// View is a journal as it was read.
+// View is the content of a journal.
 type View struct {
-	Jobs     []Found // by the time of their taking
+	Jobs     []Found // by the time of their acceptance
 	Problems []Problem
-	Lanes    []LaneView
+	Lanes    []LogView
 }
 
-// LaneView is a lane as it was read.
-type LaneView struct {
-	Dir      string
-	Owner    Owner // if it is live
-	Live     bool
-	Closed   bool // it ended in order
-	Segments int
-	Pruned   uint64 // records dropped by retention
-	Records  uint64
+// LogView is the content of a log, but for its jobs.
+type LogView struct {
+	Dir           string
+	Owner         Owner // where it is live
+	Live          bool
+	Closed        bool // it ended gracefully
+	Segments      int
+	PrunedThrough uint64 // records dropped by retention
+	Records       uint64
 }
 
-// Damaged reports whether anything is not as it was written.
+// Damaged reports whether there is a problem that neither a crash nor a power failure can leave.
 func (v *View) Damaged() bool {
 	return slices.ContainsFunc(v.Problems, func(p Problem) bool { return !p.Torn })
 }
 
-// readTries is how often a lane is read that changes under the reader.
-const readTries = 5
+// maxReadAttempts is how often a log is read at most while its files change.
+const maxReadAttempts = 5
 
-// Read reads a journal whole, whether a scheduler writes it or not. It changes nothing.
-// With id only jobs of that id are kept. It waits for the disk.
+// Read reads a whole journal, whether a scheduler writes it or not, and changes nothing. With an id, only the jobs of that id
+// are in the View. It waits for the disk. The error is journal.ErrKey or journal.ErrVersion where a log cannot be read with the
+// secret or by this version; what is damaged is in View.Problems.
 func Read(fsys FS, dir string, secret []byte, id string) (*View, error) {
-	all, err := lanes(fsys, dir)
+	all, err := logDirs(fsys, dir)
 	if err != nil {
 		return nil, fmt.Errorf("journal %s: %w", dir, err)
 	}
 	out := &View{}
-	for _, lane := range all {
+	for _, logDir := range all {
 		var one *View
-		for range readTries {
+		for range maxReadAttempts {
 			one = &View{}
-			// Retention may drop a file between the listing and the reading.
-			if err = one.read(fsys, lane, secret, id); !missing(err) {
+			// Retention may remove a file between the listing and the reading.
+			if err = one.read(fsys, logDir, secret, id); !notExist(err) {
 				break
 			}
 		}
@@ -72,22 +73,23 @@
 	return out, nil
 }
 
-func (v *View) read(fsys FS, lane string, secret []byte, id string) error {
+// read reads one log.
+func (v *View) read(fsys FS, logDir string, secret []byte, id string) error {
 	key, err := journal.NewKey(secret)
 	if err != nil {
 		return err
 	}
-	owner, live := fsys.Locked(join(lane, lockName)) // before: what it ends while we read has ended
+	owner, live := fsys.Locked(join(logDir, lockName)) // first: a process that ends meanwhile counts as live
 	book := journal.NewJobTable()
-	odd := Problem{File: lane}
-	got, err := readLane(fsys, lane, key, visitor{
+	inconsistency := Problem{File: logDir}
+	got, err := readSegments(fsys, logDir, key, visitor{
 		run: func() { book.EndProcess() },
 		record: func(r *journal.Record, number uint64) {
 			if id != "" && !concerns(r, id, book) {
 				return
 			}
 			if _, err := book.Apply(r); err != nil && !errors.Is(err, journal.ErrUnknownJob) {
-				odd.What = fmt.Sprintf("segment %d: %v", number, err)
+				inconsistency.What = fmt.Sprintf("segment %d: %v", number, err)
 			}
 		},
 		gap:  book.MarkMissingRecords,
@@ -100,17 +102,17 @@
 		book.EndProcess()
 	}
 	v.Problems = got.problems
-	if odd.What != "" {
-		v.Problems = append(v.Problems, odd)
+	if inconsistency.What != "" {
+		v.Problems = append(v.Problems, inconsistency)
 	}
-	v.Lanes = []LaneView{{lane, parseOwner(owner), live, got.closed, len(got.segments), got.pruned, got.records}}
+	v.Lanes = []LogView{{logDir, decodeOwner(owner), live, got.closed, len(got.segments), got.prunedThrough, got.records}}
 	for _, j := range book.Jobs {
-		v.Jobs = append(v.Jobs, Found{j, lane, live})
+		v.Jobs = append(v.Jobs, Found{j, logDir, live})
 	}
 	return nil
 }
 
-// concerns reports whether a record is of a job of that id, or of none.
+// concerns reports whether a record is about a job of that id, or about none.
 func concerns(r *journal.Record, id string, book *journal.JobTable) bool {
 	switch r.Kind {
 	case journal.Accepted:
@@ -120,87 +122,87 @@
 	case journal.CarriedOver:
 		return r.CarriedJob.ID == id
 	}
-	return true // of an unknown job it is ignored
+	return true // the table ignores one of a job that it does not know
 }
 
-// skipOthers spares decoding the takings and intents of other jobs, which are most of
-// a journal's bytes.
+// skipOthers returns a visitor's skip that spares decoding acceptances, intents and copies of other jobs, which are most of a
+// journal's bytes.
 func skipOthers(id string) func([]byte) bool {
 	if id == "" {
 		return nil
 	}
-	want := []byte(id)
+	wanted := []byte(id)
 	return func(b []byte) bool {
-		// A MessagePack array of up to 65,535, then the kind as a small number.
+		// The head of a MessagePack array of up to 65,535 elements, and the kind as a small number.
 		if len(b) > 4 && b[0] == 0xdc && (b[3] == byte(journal.Accepted) || b[3] == byte(journal.Intent) || b[3] == byte(journal.CarriedOver)) {
-			return !bytes.Contains(b, want)
+			return !bytes.Contains(b, wanted)
 		}
 		return false
 	}
 }
 
 var (
-	// ErrNotFound is returned for an id that the journal does not have.
+	// ErrNotFound is returned for an id that no job in the journal has.
 	ErrNotFound = errors.New("no such job in the journal")
-	// ErrNothingToSettle is returned where every job of an id is known or under way.
+	// ErrNothingToSettle is returned where each job of an id is open or resolved.
 	ErrNothingToSettle = errors.New("no job of that id waits for a verdict")
 )
 
-// Settle writes an operator's verdict on each job of an id that waits for one, in this
-// lane and in those that no process has, and returns how many those were. It waits for
-// the disk.
+// Settle records an operator's verdict on each unresolved job of an id, in this log and in those without an owner, and returns
+// the number of those jobs. The error is ErrNothingToSettle where there are none, and ErrClosed after Close. It waits for the
+// disk.
 func (s *Store) Settle(id string, v journal.Verdict, by, why string) (int, error) {
 	type result struct {
-		n   int
-		err error
+		settled int
+		err     error
 	}
-	got := make(chan result, 1)
-	s.box.Put(entry{call: func() {
-		n, err := s.lane.settle(s.opt.Now(), id, v, by, why)
-		got <- result{n, err}
+	results := make(chan result, 1)
+	s.queue.Put(request{call: func() {
+		n, err := s.log.settle(s.options.Now(), id, v, by, why)
+		results <- result{n, err}
 	}})
 	var r result
 	select {
-	case r = <-got:
+	case r = <-results:
 	case <-s.ended:
-		return 0, ErrEnded
+		return 0, ErrClosed
 	}
 	if r.err != nil {
-		return r.n, r.err
+		return r.settled, r.err
 	}
-	n, err := SettleIn(s.opt, id, v, by, why)
-	if errors.Is(err, ErrNothingToSettle) && r.n > 0 {
+	n, err := SettleIn(s.options, id, v, by, why)
+	if errors.Is(err, ErrNothingToSettle) && r.settled > 0 {
 		err = nil
 	}
-	return r.n + n, err
+	return r.settled + n, err
 }
 
-// settle writes a verdict on each job of an id that waits for one.
-func (l *lane) settle(now time.Time, id string, v journal.Verdict, by, why string) (int, error) {
-	var recs []journal.Record
-	for serial, j := range l.book.Jobs {
+// settle records a verdict on each unresolved job of an id.
+func (l *segmentLog) settle(now time.Time, id string, v journal.Verdict, by, why string) (int, error) {
+	var records []journal.Record
+	for serial, j := range l.table.Jobs {
 		if j.ID == id && !j.Open() {
 			r := journal.Record{Kind: journal.Settled, Serial: serial, At: now.UnixMicro(), JobID: id, Code: uint8(v), Text: why, Operator: by}
 			r.Truncate()
-			recs = append(recs, r)
+			records = append(records, r)
 		}
 	}
-	if len(recs) == 0 {
+	if len(records) == 0 {
 		return 0, nil
 	}
-	if err := l.write(recs); err != nil {
+	if err := l.write(records); err != nil {
 		return 0, err
 	}
-	return len(recs), l.sync()
+	return len(records), l.sync()
 }
 
-// SettleIn does the same in the lanes that no process writes. Where there is none to
-// settle in those, but a scheduler has another, the error is a *BusyError.
+// SettleIn records an operator's verdict on each unresolved job of an id in the logs without an owner. Where there are none in
+// those, but a scheduler has another log, the error is a *BusyError.
 func SettleIn(o Options, id string, v journal.Verdict, by, why string) (n int, err error) {
 	if o.FS == nil {
 		o.FS = OS{}
 	}
-	all, err := lanes(o.FS, o.Dir)
+	all, err := logDirs(o.FS, o.Dir)
 	if err != nil {
 		return 0, fmt.Errorf("journal %s: %w", o.Dir, err)
 	}
@@ -210,7 +212,7 @@
 	}
 	var busy *BusyError
 	for _, dir := range all {
-		k, err := settleLane(o, dir, key, id, v, by, why)
+		k, err := settleLog(o, dir, key, id, v, by, why)
 		if n += k; err != nil && !errors.As(err, &busy) {
 			return n, fmt.Errorf("journal %s: %w", dir, err)
 		}
@@ -224,16 +226,16 @@
 	return 0, ErrNothingToSettle
 }
 
-func settleLane(o Options, dir string, key *journal.Key, id string, v journal.Verdict, by, why string) (n int, err error) {
+func settleLog(o Options, dir string, key *journal.Key, id string, v journal.Verdict, by, why string) (n int, err error) {
 	lock, text, err := o.FS.Lock(join(dir, lockName), fmt.Sprintf(`{"pid":%d,"name":"journal settle"}`, o.Owner.PID))
 	if err != nil {
 		if errors.Is(err, ErrLocked) {
-			return 0, &BusyError{parseOwner(text)}
+			return 0, &BusyError{decodeOwner(text)}
 		}
 		return 0, err
 	}
-	defer lock.Close()
-	l, _, err := openLane(o.FS, dir, key, ledgerMax, func(Problem) {})
+	defer func() { _ = lock.Close() }()
+	l, _, err := openSegmentLog(o.FS, dir, key, maxSegmentSize, func(Problem) {})
 	if err != nil {
 		return 0, err
 	}
@@ -244,10 +246,10 @@
 	return n, l.close(time.Now())
 }
 
-// BusyError says that a scheduler writes the journal, which must be asked itself.
+// BusyError is returned where a scheduler writes the journal, so that only that can settle jobs.
 type BusyError struct{ Owner Owner }
 
 func (e *BusyError) Error() string { return ErrLocked.Error() + ", " + e.Owner.String() }
 
-// Unwrap makes it ErrLocked.
+// Unwrap returns ErrLocked.
 func (e *BusyError) Unwrap() error { return ErrLocked }
--- a/internal/journal/store/store.go
+++ b/internal/journal/store/store.go
@@ -1,16 +1,15 @@
-// Package store keeps a journal of one-shot jobs on a disk: in append-only segments
-// whose records are chained by a keyed hash, written by one goroutine that commits in
-// groups. Nobody who hands a record in ever waits for the disk.
+// Package store keeps the journal of one-shot jobs on a disk: append-only segments whose records are chained by a keyed hash,
+// written by one goroutine that commits in groups. Put never waits for the disk.
+//
+// The directory of a journal has a log for each process that writes it (lane-0, lane-1, ...): the two processes of an upgrade
+// have one each. A log is a sequence of segment files, and a lock that names its owner.
 package store
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"log/slog"
-	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -18,93 +17,94 @@
 	"sedgevale/internal/unbounded"
 )
 
-// Options set a Store up.
+// Options configure a Store.
 type Options struct {
-	FS       FS // nil: the operating system's
-	Dir      string
-	Secret   []byte        // of the key
-	Owner    Owner         // who writes
-	Sync     bool          // false: what was written counts as durable, though the machine's end can take it
-	Keep     time.Duration // jobs that are over are dropped after so long
-	MaxBytes int64         // of the journal; 0: no bound
-	Reserve  int64         // bytes kept for records that close open jobs
-	Log      *slog.Logger
-	Segment  int64 // bytes; 0: a sixteenth of MaxBytes, 1 to 16 MiB
-	Now      func() time.Time
-}
-
-// Owner is the process that writes a lane, as others find it in the lock.
+	FS            FS // nil: the operating system's
+	Dir           string
+	Secret        []byte        // of the key, journal.MinKeySize bytes at least
+	Owner         Owner         // the process that writes
+	Sync          bool          // false: what was written counts as durable, though a power failure can lose it
+	Retention     time.Duration // resolved jobs are dropped after so long; 0: never by age
+	MaxBytes      int64         // of the journal; 0: unlimited
+	ReservedBytes int64         // reserved on the disk for records that close open jobs
+	Log           *slog.Logger  // nil: none
+	SegmentBytes  int64         // of a segment; 0: a sixteenth of MaxBytes, 1 to 16 MiB
+	Now           func() time.Time
+}
+
+// Owner is the process that writes a log, as the lock names it for others.
 type Owner struct {
 	PID  int    `json:"pid"`
 	Name string `json:"name"`          // of the scheduler: the two processes of an upgrade share it
-	Ops  string `json:"ops,omitempty"` // where it takes operators' calls
+	Ops  string `json:"ops,omitempty"` // the address of its operators' calls; empty: none
 }
 
 func (o Owner) String() string { return fmt.Sprintf("scheduler %q (process %d)", o.Name, o.PID) }
 
 const (
-	maxLanes   = 8
-	tickEvery  = 100 * time.Millisecond
-	lazySync   = 20 * time.Millisecond // records that nobody waits for are durable after so long
-	tendLate   = 3 * tickEvery         // from then on looking after the room goes before a sync
-	sweepEvery = time.Minute
-	pruneMost  = 16      // segments dropped at a time
-	heldMost   = 1 << 16 // records kept in memory while the disk takes none
-	ledgerMin  = 1 << 20
-	ledgerMax  = 16 << 20
+	maxLogs             = 8 // of one journal
+	maintenanceInterval = 100 * time.Millisecond
+	lazySyncInterval    = 20 * time.Millisecond   // records that nobody waits for are durable after so long
+	maxMaintenanceDelay = 3 * maintenanceInterval // from then on maintenance goes before a sync
+	sweepInterval       = time.Minute             // between two looks at logs without an owner
+	maxPrunedSegments   = 16                      // dropped at a time
+	maxBufferedRecords  = 1 << 16                 // kept in memory while the disk takes none
+	minSegmentSize      = 1 << 20                 // bytes
+	maxSegmentSize      = 16 << 20                // bytes
 )
 
-// ErrNoRoom is told to who waits for a record that cannot be written.
+// ErrNoRoom is passed to the callback of a record that could not be written.
 var ErrNoRoom = errors.New("the journal has no room")
 
-// ErrEnded is told to who waits when the Store closes.
-var ErrEnded = errors.New("the journal is closed")
+// ErrClosed is passed to callbacks that still wait when the Store closes.
+var ErrClosed = errors.New("the journal is closed")
 
-type entry struct {
-	rec  journal.Record
-	done func(error) // once the record is durable, or cannot be; may be nil
-	call func()      // in place of a record
+// request is what the Store's goroutine is asked for: a record to write, a call, or, without both, to shut down.
+type request struct {
+	record journal.Record
+	done   func(error) // called once the record is durable, or cannot be; may be nil
+	call   func()
 }
 
-// Store is a journal that is written. Its methods do not wait for the disk unless they
-// say so.
+// Store writes one log of a journal. Its methods are safe for concurrent use and do not wait for the disk unless they say so.
 type Store struct {
-	opt   Options
-	lock  io.Closer
-	box   *unbounded.Box[entry]
-	wake  chan struct{}
-	ended chan struct{}
-	lane  *lane
-
-	mu      sync.Mutex
-	serial  uint64
-	full    bool
-	stats   Stats
-	closing bool
-
-	// For the loop alone.
-	space   journal.DiskSpace
-	held    []journal.Record
-	dropped uint64
-	waiting []func(error)
-	swept   time.Time
-	dirty   time.Time // since when something is written and not durable
-	reserve bool      // the reserved file is there
-	failing bool      // the last write or sync failed
-	under   *diskCall // the call of the disk that is under way, if one is
-	spawn   func(func())
+	options Options
+	lock    io.Closer // of the log
+	queue   *unbounded.Box[request]
+	wake    chan struct{} // has an element where queue may have some
+	ended   chan struct{} // closed when run has returned
+
+	mu         sync.Mutex // guards the fields up to the next empty line
+	lastSerial uint64
+	full       bool
+	stats      Stats
+	closing    bool
+
+	// For run's goroutine alone.
+	log           *segmentLog
+	space         journal.DiskSpace
+	buffered      []journal.Record // could not be written yet
+	dropped       uint64           // records that were lost since the last successful write
+	waiters       []func(error)    // of records that are written and not durable yet
+	sweptAt       time.Time
+	unsyncedSince time.Time    // since when some record is written and not durable; zero: none is
+	reserved      bool         // the reserve file is there
+	failing       bool         // the last write or sync failed
+	inFlight      *diskCall    // nil: none
+	startCall     func(func()) // runs a disk call concurrently; tests put another one in its place
 }
 
 // Stats are counts since the start.
 type Stats struct {
 	Records, Syncs, Failures, Dropped uint64
 	Bytes                             int64 // on the disk
-	Kept                              int   // jobs open or waiting for an operator
-	Held                              int   // records that could not be written yet
+	Unresolved                        int   // jobs that are open or wait for an operator's verdict
+	Buffered                          int   // records that could not be written yet
 }
 
-// Open opens a journal and takes a lane of it. Two processes of the same scheduler have
-// a lane each; a directory that another scheduler uses is an error.
+// Open opens a journal, acquires a log of it and replays that. The error is ErrLocked where another scheduler uses the
+// directory, and journal.ErrKey or journal.ErrVersion where the log cannot be read with the secret or by this version. The
+// caller has to call Close.
 func Open(o Options) (*Store, error) {
 	s, err := open(o)
 	if err == nil {
@@ -113,8 +113,8 @@
 	return s, err
 }
 
-// open does all of that but run.
-func open(o Options) (*Store, error) {
+// withDefaults fills in what was left out.
+func (o Options) withDefaults() Options {
 	if o.FS == nil {
 		o.FS = OS{}
 	}
@@ -124,26 +124,31 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Segment <= 0 {
-		o.Segment = min(max(o.MaxBytes/16, ledgerMin), ledgerMax)
+	if o.SegmentBytes <= 0 {
+		o.SegmentBytes = min(max(o.MaxBytes/16, minSegmentSize), maxSegmentSize)
 	}
+	return o
+}
+
+// open is Open without the goroutine.
+func open(o Options) (*Store, error) {
+	o = o.withDefaults()
 	key, err := journal.NewKey(o.Secret)
 	if err != nil {
 		return nil, fmt.Errorf("journal %s: %w", o.Dir, err)
 	}
-	dir, lock, err := takeLane(o)
+	dir, lock, err := acquireLog(o)
 	if err != nil {
 		return nil, fmt.Errorf("journal %s: %w", o.Dir, err)
 	}
-	s := &Store{opt: o, lock: lock, wake: make(chan struct{}, 1), ended: make(chan struct{}),
-		space: journal.DiskSpace{ReservedBytes: o.Reserve, MaxBytes: o.MaxBytes}, spawn: func(do func()) { go do() }}
+	s := &Store{options: o, lock: lock, wake: make(chan struct{}, 1), ended: make(chan struct{}),
+		space: journal.DiskSpace{ReservedBytes: o.ReservedBytes, MaxBytes: o.MaxBytes}, startCall: func(do func()) { go do() }}
 	var rec recovery
-	if s.lane, rec, err = openLane(o.FS, dir, key, o.Segment, s.doubt); err != nil {
-		lock.Close()
-		return nil, fmt.Errorf("journal %s: %w", o.Dir, err)
+	if s.log, rec, err = openSegmentLog(o.FS, dir, key, o.SegmentBytes, s.logProblem); err != nil {
+		return nil, fmt.Errorf("journal %s: %w", o.Dir, errors.Join(err, lock.Close()))
 	}
-	s.serial = s.lane.book.HighestSerial
-	s.box = unbounded.New[entry](func() {
+	s.lastSerial = s.log.table.HighestSerial
+	s.queue = unbounded.New[request](func() {
 		select {
 		case s.wake <- struct{}{}:
 		default:
@@ -155,299 +160,52 @@
 		}
 	}
 	o.Log.Info("journal open", "dir", dir, "after_crash", !rec.clean, "open_ran", rec.open[journal.Ran],
-		"open_did_not_run", rec.open[journal.DidNotRun], "open_unknown", rec.open[journal.Unknown], "to_settle", rec.kept)
-	s.measure()
+		"open_did_not_run", rec.open[journal.DidNotRun], "open_unknown", rec.open[journal.Unknown], "to_settle", rec.unresolved)
+	s.measureSpace()
 	return s, nil
 }
 
-// takeLane takes the first lane that no process has.
-func takeLane(o Options) (dir string, lock io.Closer, err error) {
-	me, err := json.Marshal(o.Owner)
-	if err != nil {
-		return "", nil, err
-	}
-	for i := range maxLanes {
-		dir = join(o.Dir, laneName(i))
-		if err := o.FS.MkdirAll(dir); err != nil {
-			return "", nil, err
-		}
-		lock, text, err := o.FS.Lock(join(dir, lockName), string(me))
-		if err == nil {
-			return dir, lock, nil
-		}
-		if !errors.Is(err, ErrLocked) {
-			return "", nil, err
-		}
-		owner := parseOwner(text)
-		if owner.Name != o.Owner.Name || owner.PID == o.Owner.PID {
-			return "", nil, fmt.Errorf("%w, %s: give each scheduler a directory of its own", ErrLocked, owner)
-		}
-	}
-	return "", nil, fmt.Errorf("%w: all %d lanes are taken", ErrLocked, maxLanes)
+func (s *Store) logProblem(p Problem) {
+	s.options.Log.Error("the journal is damaged", "at", p.String())
 }
 
-func parseOwner(text string) (o Owner) {
-	_ = json.Unmarshal([]byte(text), &o) // who wrote it may not have finished: then nobody is named
-	return o
-}
-
-func laneName(i int) string { return fmt.Sprintf("lane-%d", i) }
-
-// lanes returns the lanes that are there, in order.
-func lanes(fsys FS, dir string) (out []string, err error) {
-	names, err := fsys.ReadDir(dir)
-	if err != nil {
-		return nil, err
-	}
-	for _, n := range names {
-		if strings.HasPrefix(n, "lane-") {
-			out = append(out, join(dir, n))
-		}
-	}
-	slices.Sort(out)
-	return out, nil
-}
-
-// Used reports whether a directory has a journal's records.
-func Used(fsys FS, dir string) bool {
-	all, err := lanes(fsys, dir)
-	if err != nil {
-		return false
-	}
-	for _, lane := range all {
-		names, _ := fsys.ReadDir(lane)
-		if slices.ContainsFunc(names, func(n string) bool { _, ok := segmentNumber(n); return ok }) {
-			return true
-		}
-	}
-	return false
-}
-
-func (s *Store) doubt(p Problem) { s.opt.Log.Error("the journal is damaged", "at", p.String()) }
-
-// Serial returns a number for a job, which no other job of this lane has or had.
+// Serial returns a number for a job that no other job of this log has or had.
 func (s *Store) Serial() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.serial++
-	return s.serial
+	s.lastSerial++
+	return s.lastSerial
 }
 
-// Full reports whether no new job should be taken.
+// Full reports whether no new job should be recorded, for lack of space.
 func (s *Store) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.full
 }
 
-// Put hands a record in. Done, which may be nil, is called from the Store's goroutine
-// once the record is durable, or with an error once it cannot be.
+// Put queues a record, whose texts are truncated to their bounds. Done, which may be nil, is called from the Store's goroutine:
+// with nil once the record is durable, with ErrNoRoom or ErrClosed once it cannot be.
 func (s *Store) Put(r journal.Record, done func(error)) {
 	r.Truncate()
-	s.box.Put(entry{rec: r, done: done})
+	s.queue.Put(request{record: r, done: done})
 }
 
-// Stats returns the counts.
+// Stats returns the counts up to now.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// Close writes what there is and ends the lane. It waits for the disk.
+// Close writes what is queued, ends the log and releases it. It waits for the disk.
 func (s *Store) Close() {
 	s.mu.Lock()
-	was := s.closing
+	first := !s.closing
 	s.closing = true
 	s.mu.Unlock()
-	if !was {
-		s.box.Put(entry{})
+	if first {
+		s.queue.Put(request{})
 	}
 	<-s.ended
 }
-
-func (s *Store) run() {
-	defer close(s.ended)
-	tick := time.NewTimer(tickEvery)
-	defer tick.Stop()
-	checked := time.Time{}
-	for {
-		tick.Reset(s.pause())
-		failed := false
-		select {
-		case <-s.wake:
-		case <-tick.C:
-		case err := <-s.returned():
-			s.endCall(err)
-			failed = err != nil
-		}
-		end := s.batch(s.box.Take())
-		now := s.opt.Now()
-		since := now.Sub(checked)
-		due := since >= tickEvery || since < 0
-		if !failed && s.wantsSync(now) && (!due || since < tendLate) {
-			s.sync()
-		}
-		if due && s.under == nil {
-			checked = now
-			s.tend(now)
-		}
-		if end {
-			s.await()
-			s.finish()
-			return
-		}
-	}
-}
-
-// pause is how long the loop waits at most.
-func (s *Store) pause() time.Duration {
-	if s.dirty.IsZero() {
-		return tickEvery
-	}
-	return min(tickEvery, lazySync)
-}
-
-// wantsSync reports whether what was written should be made durable now.
-func (s *Store) wantsSync(now time.Time) bool {
-	if s.under != nil {
-		return false
-	}
-	return len(s.waiting) > 0 || !s.dirty.IsZero() && (now.Sub(s.dirty) >= lazySync || now.Before(s.dirty))
-}
-
-// batch writes what has come in, and reports whether the end was asked for.
-func (s *Store) batch(items []entry) (end bool) {
-	if len(items) == 0 && len(s.held) == 0 {
-		return false
-	}
-	recs := s.held
-	s.held = nil
-	var done []func(error)
-	for i := range items {
-		e := &items[i]
-		switch {
-		case e.call != nil:
-			defer func() {
-				s.await()
-				e.call()
-			}()
-		case e.rec.Kind == 0:
-			end = true
-		default:
-			recs = append(recs, e.rec)
-			if e.done != nil {
-				done = append(done, e.done)
-			}
-		}
-	}
-	if len(recs) == 0 {
-		return end
-	}
-	if s.dropped > 0 {
-		recs = append([]journal.Record{{Kind: journal.RecordsLost, At: s.opt.Now().UnixMicro(), Count: s.dropped}}, recs...)
-	}
-	err := s.lane.write(recs)
-	if err != nil && s.reserve { // what closes open jobs may use what was reserved for it
-		s.release()
-		err = s.lane.write(recs)
-	}
-	if err != nil {
-		s.failed(err)
-		s.hold(recs)
-		for _, f := range done {
-			f(fmt.Errorf("%w: %w", ErrNoRoom, err))
-		}
-		return end
-	}
-	s.works()
-	s.dropped = 0
-	s.waiting = append(s.waiting, done...)
-	if s.dirty.IsZero() {
-		s.dirty = s.opt.Now()
-	}
-	s.mu.Lock()
-	s.stats.Records += uint64(len(recs))
-	s.mu.Unlock()
-	return end
-}
-
-// hold keeps what could not be written, but for intents, whose attempts are not made,
-// and beyond the bound.
-func (s *Store) hold(recs []journal.Record) {
-	for _, r := range recs {
-		switch {
-		case r.Kind == journal.Intent, r.Kind == journal.RecordsLost:
-		case len(s.held) >= heldMost:
-			s.dropped++
-		default:
-			s.held = append(s.held, r)
-		}
-	}
-}
-
-// failed notes that a write or sync failed.
-func (s *Store) failed(err error) {
-	s.mu.Lock()
-	s.stats.Failures++
-	s.mu.Unlock()
-	if !s.failing {
-		s.failing = true
-		s.opt.Log.Error("the journal cannot be written", "dir", s.lane.dir, "err", err)
-	}
-	s.space.WriteFailed(s.opt.Now())
-	s.tellFull()
-}
-
-// works notes that the disk takes what is written.
-func (s *Store) works() {
-	if s.failing {
-		s.failing = false
-		s.opt.Log.Info("the journal is written again", "dir", s.lane.dir, "missing", s.dropped)
-	}
-}
-
-// sync has what was written made durable, and tells those who wait for that. With a disk it goes on beside the loop.
-func (s *Store) sync() {
-	if s.opt.Sync {
-		s.makeDurable(nil)
-		return
-	}
-	s.lane.synced()
-	s.dirty = time.Time{}
-	s.tellDurable(s.waiting)
-	s.waiting = s.waiting[:0]
-}
-
-func (s *Store) tellDurable(waiting []func(error)) {
-	for i, done := range waiting {
-		done(nil)
-		waiting[i] = nil
-	}
-}
-
-// finish ends the lane.
-func (s *Store) finish() {
-	s.batch(s.box.Take())
-	if len(s.held) == 0 && s.dropped == 0 {
-		if err := s.lane.close(s.opt.Now()); err != nil {
-			s.failed(err)
-		} else {
-			for _, f := range s.waiting {
-				f(nil)
-			}
-			s.waiting = nil
-		}
-	} else {
-		s.opt.Log.Error("the journal ends with records unwritten", "records", uint64(len(s.held))+s.dropped)
-	}
-	for _, f := range s.waiting {
-		f(ErrEnded)
-	}
-	if s.reserve {
-		s.release()
-	}
-	if err := s.lock.Close(); err != nil {
-		s.opt.Log.Error("the journal's lock", "err", err)
-	}
-}
--- a/internal/journal/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -31,7 +31,7 @@
 
 func newDesk(t *testing.T, room int64, change func(*store.Options)) *desk {
 	d := &desk{t: t, disk: fake.NewDisk(1, room), now: time.UnixMicro(1e15)}
-	d.opt = store.Options{FS: d.disk, Dir: "j", Secret: secret, Sync: true, Keep: time.Hour, Reserve: 4 << 10, Segment: 4 << 10,
+	d.opt = store.Options{FS: d.disk, Dir: "j", Secret: secret, Sync: true, Retention: time.Hour, ReservedBytes: 4 << 10, SegmentBytes: 4 << 10,
 		Owner: store.Owner{PID: 1, Name: "a"}, Now: func() time.Time { return d.now }, Log: slog.New(slog.NewTextHandler(&d.log, nil))}
 	if change != nil {
 		change(&d.opt)
@@ -52,9 +52,15 @@
 // step does all that a Store does in a turn.
 func (d *desk) step() {
 	d.now = d.now.Add(50 * time.Millisecond)
-	d.s.Batch()
+	d.s.WriteBatch()
 	d.s.Sync()
-	d.s.Tend()
+	d.s.Maintain()
+}
+
+func (d *desk) steps(n int) {
+	for range n {
+		d.step()
+	}
 }
 
 // begin hands in a job with an intent and returns what becomes of that.
@@ -116,18 +122,14 @@
 		t.Errorf("an intent with no room: %v", err)
 	}
 	d.s.Put(journal.Record{Kind: journal.Answered, Serial: late, At: 1, Code: uint8(journal.Refused)}, nil)
-	for range 5 {
-		d.step()
-	}
-	if !d.s.Full() || d.s.Stats().Held == 0 {
-		t.Errorf("full %v, held %d", d.s.Full(), d.s.Stats().Held)
+	d.steps(5)
+	if !d.s.Full() || d.s.Stats().Buffered == 0 {
+		t.Errorf("full %v, held %d", d.s.Full(), d.s.Stats().Buffered)
 	}
 	d.disk.Room(4 << 20)
-	for range 30 {
-		d.step()
-	}
-	if d.s.Full() || d.s.Stats().Held != 0 {
-		t.Errorf("with room again: full %v, held %d", d.s.Full(), d.s.Stats().Held)
+	d.steps(30)
+	if d.s.Full() || d.s.Stats().Buffered != 0 {
+		t.Errorf("with room again: full %v, held %d", d.s.Full(), d.s.Stats().Buffered)
 	}
 	if _, got := d.begin("next"); got() == nil {
 		t.Error("done at once")
@@ -152,7 +154,7 @@
 	free, _ := d.disk.Free("j")
 	d.disk.WriteFile("other", make([]byte, free))
 	d.end(open)
-	d.s.Batch()
+	d.s.WriteBatch()
 	d.s.Sync()
 	if got := d.verdict("open"); got != "ran" {
 		t.Errorf("with the disk full the job's end is not on record: %s", got)
@@ -191,7 +193,7 @@
 // Guards retention: old jobs go, open ones and those of unknown fate stay until they are
 // settled, memory stays flat, and what is dropped on purpose is no damage.
 func TestRetention(t *testing.T) {
-	d := newDesk(t, 8<<20, func(o *store.Options) { o.Keep, o.MaxBytes = time.Minute, 1<<20 })
+	d := newDesk(t, 8<<20, func(o *store.Options) { o.Retention, o.MaxBytes = time.Minute, 1<<20 })
 	doubt, _ := d.begin("doubt")
 	d.s.Put(journal.Record{Kind: journal.Ended, Serial: doubt, At: 1, Code: uint8(journal.OutcomeConnectionLost)}, nil)
 	d.s.Put(journal.Record{Kind: journal.Answered, Serial: doubt, At: 1, Code: uint8(journal.Failed)}, nil)
@@ -200,7 +202,7 @@
 		serial, _ := d.begin(fmt.Sprint("many-", i))
 		d.end(serial)
 		d.step()
-		if n := d.s.Known(); n > 2 {
+		if n := d.s.UnresolvedJobs(); n > 2 {
 			t.Fatalf("%d jobs are in memory after %d", n, i)
 		}
 	}
@@ -220,7 +222,7 @@
 	if got := d.verdict("open"); got != "ran" {
 		t.Errorf("carried on and ended: %s", got)
 	}
-	d.s.Finish()
+	d.s.ShutDown()
 	n, err := store.SettleIn(d.opt, "doubt", journal.Ran, "ann", "seen on the box")
 	if n != 1 || err != nil {
 		t.Fatalf("settled %d, %v", n, err)
@@ -232,7 +234,7 @@
 		t.Errorf("settled twice: %v", err)
 	}
 	d.open()
-	if n := d.s.Known(); n != 0 {
+	if n := d.s.UnresolvedJobs(); n != 0 {
 		t.Errorf("%d jobs wait after all were settled", n)
 	}
 }
@@ -247,7 +249,7 @@
 			d.end(serial)
 			d.step()
 		}
-		d.s.Finish()
+		d.s.ShutDown()
 		return d
 	}
 	names := func(d *desk) (out []string) {
@@ -302,8 +304,8 @@
 }
 
 // Guards against two schedulers in one directory; the two processes of an upgrade have a
-// lane each, and a question finds the jobs of both.
-func TestLanes(t *testing.T) {
+// log each, and a question finds the jobs of both.
+func TestLogs(t *testing.T) {
 	d := newDesk(t, 8<<20, nil)
 	other := d.opt
 	other.Owner = store.Owner{PID: 2, Name: "b"}
@@ -324,10 +326,10 @@
 	d.step()
 	v := d.view()
 	if len(v.Jobs) != 2 || len(v.Lanes) != 2 || v.Lanes[0].Dir == v.Lanes[1].Dir {
-		t.Errorf("%d jobs, lanes %+v", len(v.Jobs), v.Lanes)
+		t.Errorf("%d jobs, logs %+v", len(v.Jobs), v.Lanes)
 	}
-	s.Finish()
-	d.s.Finish()
+	s.ShutDown()
+	d.s.ShutDown()
 	d.opt.Owner = store.Owner{PID: 3, Name: "b"}
 	d.open() // free again
 }
@@ -355,6 +357,10 @@
 	if _, err := store.ReadKey(path); err == nil || !strings.Contains(err.Error(), "chmod 600") {
 		t.Errorf("readable by all: %v", err)
 	}
+}
+
+// Guards against a key that is cut off or none, and against one that is shown.
+func TestBadKeyFiles(t *testing.T) {
 	for _, bad := range []string{"", "zz", "00ff", strings.Repeat("0", 63)} {
 		p := filepath.Join(t.TempDir(), "key")
 		if err := os.WriteFile(p, []byte(bad), 0o600); err != nil {
@@ -364,6 +370,10 @@
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
+}
+
+// Guards against a journal that is read or written with another key than its own, and against a key in the log.
+func TestAnotherKey(t *testing.T) {
 	d := newDesk(t, 1<<20, nil)
 	d.begin("j")
 	d.step()
@@ -381,26 +391,32 @@
 	}
 }
 
-// A question about one id finds it as a reading of all does, also on a real disk that is
-// written meanwhile, and a Store that is closed in order says so.
-func TestAskOnDisk(t *testing.T) {
-	dir := t.TempDir()
-	s, err := store.Open(store.Options{Dir: dir, Secret: secret, Sync: true, MaxBytes: 64 << 20, Reserve: 1 << 20})
-	if err != nil {
-		t.Fatal(err)
-	}
-	done := make(chan error, 300)
-	for i := range 300 {
+// putIntents puts so many jobs with an intent each, and waits until those are durable.
+func putIntents(t *testing.T, s *store.Store, n int) {
+	t.Helper()
+	done := make(chan error, n)
+	for i := range n {
 		serial := s.Serial()
 		s.Put(journal.Record{Kind: journal.Accepted, Serial: serial, At: int64(i + 1), JobID: fmt.Sprint("job-", i), Class: "once"}, nil)
 		s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: int64(i + 1), JobID: fmt.Sprint("job-", i), Worker: "box"},
 			func(err error) { done <- err })
 	}
-	for range 300 {
+	for range n {
 		if err := testkit.Await(t, "an intent", done); err != nil {
 			t.Fatal(err)
 		}
 	}
+}
+
+// A question about one id finds it as a reading of all does, also on a real disk that is
+// written meanwhile, and a Store that is closed in order says so.
+func TestAskOnDisk(t *testing.T) {
+	dir := t.TempDir()
+	s, err := store.Open(store.Options{Dir: dir, Secret: secret, Sync: true, MaxBytes: 64 << 20, ReservedBytes: 1 << 20})
+	if err != nil {
+		t.Fatal(err)
+	}
+	putIntents(t, s, 300)
 	v, err := store.Read(store.OS{}, dir, secret, "job-77")
 	if err != nil || len(v.Jobs) != 1 || v.Jobs[0].ID != "job-77" || !v.Jobs[0].Live || len(v.Jobs[0].Attempts) != 1 {
 		t.Fatalf("%+v, %v", v, err)
--- a/internal/journal/store/stored_data_test.go
+++ b/internal/journal/store/stored_data_test.go
@@ -22,7 +22,7 @@
 // storedOptions are those under which the stored journal was written, with segments that are as short as possible.
 func storedOptions(dir string, pid int, now func() time.Time) store.Options {
 	return store.Options{
-		Dir: dir, Secret: secret, Sync: true, Keep: time.Hour, Segment: 600, Now: now, Owner: store.Owner{PID: pid, Name: "n0", Ops: "127.0.0.1:9"},
+		Dir: dir, Secret: secret, Sync: true, Retention: time.Hour, SegmentBytes: 600, Now: now, Owner: store.Owner{PID: pid, Name: "n0", Ops: "127.0.0.1:9"},
 	}
 }
 
@@ -54,9 +54,9 @@
 			}
 		})
 	}
-	w.s.Batch()
+	w.s.WriteBatch()
 	w.s.Sync()
-	w.s.Tend()
+	w.s.Maintain()
 }
 
 // begin puts that a job was taken and is about to go to a worker.
@@ -106,8 +106,8 @@
 		journal.Record{Kind: journal.Ended, Serial: retried, Attempt: 1, Code: uint8(journal.OutcomeServed)},
 		journal.Record{Kind: journal.Answered, Serial: retried, Code: uint8(journal.Served)},
 	)
-	w.s.Tend()
-	w.s.Finish()
+	w.s.Maintain()
+	w.s.ShutDown()
 
 	w = newWriter(t, dir, 2, w.now.Add(time.Second))
 	finish(w.begin("finished-2"))
@@ -143,7 +143,7 @@
 		fmt.Fprintf(&text, "problem %s\n", p)
 	}
 	for _, l := range v.Lanes {
-		fmt.Fprintf(&text, "%s live %t, closed %t, %d segments, pruned to %d, %d records\n", filepath.Base(l.Dir), l.Live, l.Closed, l.Segments, l.Pruned, l.Records)
+		fmt.Fprintf(&text, "%s live %t, closed %t, %d segments, pruned to %d, %d records\n", filepath.Base(l.Dir), l.Live, l.Closed, l.Segments, l.PrunedThrough, l.Records)
 	}
 	return text.String()
 }
@@ -193,7 +193,7 @@
 	return dir
 }
 
-// As long as its process lives, the jobs of a lane are open.
+// As long as its process lives, the jobs of a log are open.
 func TestStoredJournalOfALivingProcess(t *testing.T) {
 	dir := copyStored(t)
 	lock, _, err := store.OS{}.Lock(filepath.Join(dir, "lane-0", "lock"), `{"pid":2,"name":"n0","ops":"127.0.0.1:9"}`)
@@ -210,7 +210,7 @@
 		t.Fatal(err)
 	}
 	if want := (store.Owner{PID: 2, Name: "n0", Ops: "127.0.0.1:9"}); view.Lanes[0].Owner != want {
-		t.Errorf("the lane is of %+v, want %+v", view.Lanes[0].Owner, want)
+		t.Errorf("the log is of %+v, want %+v", view.Lanes[0].Owner, want)
 	}
 	checkText(t, describeView(view), "testdata/live.txt")
 }
@@ -220,13 +220,13 @@
 func TestStoredJournalGoesOn(t *testing.T) {
 	dir := copyStored(t)
 	w := newWriter(t, dir, 3, time.UnixMicro(1_700_007_300_000_000))
-	if got := w.s.Known(); got != 3 {
+	if got := w.s.UnresolvedJobs(); got != 3 {
 		t.Errorf("%d jobs wait for a verdict, want 3", got)
 	}
 	if got := w.s.Serial(); got != 13 {
 		t.Errorf("the next serial is %d, want 13", got)
 	}
-	w.s.Finish()
+	w.s.ShutDown()
 	if n, err := store.SettleIn(storedOptions(dir, 4, time.Now), "lost", journal.DidNotRun, "bob", "asked"); n != 1 || err != nil {
 		t.Errorf("%d jobs settled, error %v", n, err)
 	}
