--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -1,6 +1,8 @@
-// Package dispatch stands between those who bring requests and those who carry
-// attempts to workers. It deals in requests, attempts and outcomes and knows
-// no wire. All decisions are the Dispatcher's.
+// Package dispatch drives the decision module: a [Planner] owns a
+// [sedgevale.Dispatcher] and its timers, an [Exchange] is one request with its
+// attempts and its one final answer, a [Set] is the planners of a program. The
+// package stands between the fronts, which bring requests, and the carriers, which
+// send attempts to workers; it knows no wire and decides nothing.
 package dispatch
 
 import (
@@ -12,20 +14,20 @@
 // Job is what a client asks for.
 type Job struct {
 	ID         string
-	Class      *sedgevale.Class // as it was when the job came; it is not changed
-	Tenant     int
+	Class      *sedgevale.Class // as it was when the job came; immutable
+	Tenant     int              // index into the settings by which the job was parsed; -1: there were no tenants
 	TenantName string
-	Client     string // of the tenant; may be empty
-	Key        string // what the job is about; may be empty
-	Slots      float64
-	Hint       time.Duration
-	Retry      bool
+	Client     string        // of the tenant; may be empty
+	Key        string        // affinity key; may be empty
+	Slots      float64       // that it takes at a worker
+	Hint       time.Duration // an estimate of its running time; 0: none
+	Retry      bool          // the client has tried before
 
-	// Handed to the worker as they are; the core does not look into them.
+	// Passed to the worker as they are.
 	Method, Target string
 	Once           string // the key by which workers drop repeats; may be empty
 	Body           []byte
-	Load           any // of a front that has a carrier of its own
+	Load           any // of a front that has its own carrier
 }
 
 // AnswerKind tells the final answers apart.
@@ -34,7 +36,7 @@
 // The kinds of final answers.
 const (
 	Served  AnswerKind = iota // a worker's result
-	Refused                   // not served; to try again is harmless
+	Refused                   // not served; the client may safely try again
 	Failed                    // not served; it may have run
 )
 
@@ -42,39 +44,40 @@
 type Answer struct {
 	Kind   AnswerKind
 	Result []byte        // Served
-	After  time.Duration // Refused: when to come again; 0: no advice
-	Reason string        // Refused and Failed, for a person
+	After  time.Duration // when to try again, if it may safely; 0: no advice
+	Reason string        // why it was not served, for a person
 	Ran    bool          // Failed: an attempt may have run
 }
 
-// Client is the client side of an Exchange. The calls come from a Planner's
-// goroutine and must not block. Answer comes once, as the last.
+// Client is the client side of an Exchange. The calls come from [Planner.Run] and must
+// not block.
 type Client interface {
-	Started()
-	Progress(share float64)
-	Answer(Answer)
+	Started()               // a worker has begun an attempt; may come again
+	Progress(share float64) // done, 0 to 1
+	Answer(Answer)          // comes once, as the last call
 }
 
-// Exchange is where the client side and the server side of one request meet.
-// It belongs to its Planner from the moment it is handed in.
+// Exchange is one request between its client side and its server side. It belongs to
+// its Planner once it has been submitted.
 type Exchange struct {
 	Job
 	client       Client
-	deadline     time.Duration // on the Planner's clock
+	deadline     time.Duration // on the Clock
 	attempts     []*Attempt
-	inFlight     int
-	answered     bool
+	inFlight     int               // attempts that have not ended
+	answered     bool              // or the client has disconnected
 	lastOutcome  sedgevale.Outcome // of the attempt that ended last
 	journal      Journal           // nil: the job is not recorded
-	recordNumber uint64            // its number there
+	recordNumber uint64            // in the journal; 0: not recorded
 }
 
-// NewExchange returns an Exchange for a job whose client waits up to the
-// deadline, a time of the Clock.
+// NewExchange returns an Exchange for a job whose client waits until the deadline, a
+// time on the [Clock].
 func NewExchange(job Job, deadline time.Duration, client Client) *Exchange {
 	return &Exchange{Job: job, deadline: deadline, client: client}
 }
 
+// answer gives the client its one final answer.
 func (x *Exchange) answer(a Answer) {
 	if !x.answered {
 		x.answered = true
@@ -93,46 +96,51 @@
 	*Exchange
 	Worker   string
 	Number   int
-	Deadline time.Duration // when it is no longer waited for, on the Clock
-	Planner  *Planner      // to be told what comes of it
-	Single   bool          // it must not run twice, so nothing can mend a connection that breaks
+	Deadline time.Duration // on the Clock: when it is no longer waited for
+	Planner  *Planner      // what becomes of the attempt is reported to it
+	Single   bool          // it must not run twice, so there is no retry after a broken connection
 
 	timer        *timer
 	attemptTally               //lint:ignore U1000 it is empty in builds without the tally tag
-	dispatchedAt time.Duration // on the Clock: when it was given out
+	dispatchedAt time.Duration // on the Clock: when the Dispatcher sent it
 	expiry       time.Duration // on the Clock: not to be sent from then on; 0: its Deadline alone
-	awaitsIntent bool          // not given to the carrier yet: its intent is not on record
+	awaitsIntent bool          // not given to the carrier yet: its intent is not durable
 	ended        bool
-	neverRan     bool // over, and it never ran
+	neverRan     bool // ended, and no worker began it
 }
 
-// Expired reports whether the time is over in which an attempt may begin: that in which
-// workers still drop a repeat of an earlier one that may have run.
+// Expired reports whether the attempt must not be sent any more, because workers may
+// no longer drop it as a repeat of an earlier one that may have run.
 func (a *Attempt) Expired(now time.Duration) bool { return a.expiry > 0 && now >= a.expiry }
 
-// Carrier is the server side: it carries attempts to workers. Its methods must
-// not block. What comes of an attempt goes to the attempt's Planner.
+// Carrier is the server side: it carries attempts to workers. Its methods must not
+// block. What becomes of an attempt is reported to the attempt's Planner.
 type Carrier interface {
+	// Send sends an attempt to its worker.
 	Send(*Attempt)
-	Cancel(*Attempt) // ends as Cancelled, unless it has ended by then
-	// Withdraw ends an attempt as NotSent whose request is not on its way yet; any other goes on.
+	// Cancel ends an attempt as cancelled, unless it has ended by then.
+	Cancel(*Attempt)
+	// Withdraw ends an attempt as not sent if no byte of it is on its way yet; any
+	// other goes on.
 	Withdraw(*Attempt)
+	// Probe asks a worker for its load, and reports the answer to p.
 	Probe(worker string, p *Planner)
+	// CloseIdle closes the connections to a worker that carry no attempt.
 	CloseIdle(worker string)
 }
 
-// Clock is the one clock of the program: it never jumps, and Unix times can be
-// found on it.
+// Clock is the one clock of the program. It is monotonic, and Unix times can be
+// converted to it.
 type Clock struct {
 	start     time.Time
 	startUnix time.Duration
 }
 
-// clockOrigin is how far the Clock's zero lies before its start, so that what
-// happened not long before has a time of its own. Zero means long ago.
+// clockOrigin is how far the Clock's zero lies before its start, so that what happened
+// not long before has a time of its own. Zero means long ago.
 const clockOrigin = 24 * time.Hour
 
-// NewClock returns a Clock.
+// NewClock returns a Clock that starts now.
 func NewClock() Clock {
 	now := time.Now()
 	return Clock{now, time.Duration(now.UnixNano())}
@@ -144,8 +152,8 @@
 // At returns the time at which time.Now gave t.
 func (c Clock) At(t time.Time) time.Duration { return t.Sub(c.start) + clockOrigin }
 
-// FromUnixMilli returns the time of a Unix time; 0 and what lies before the
-// Clock's own zero are long ago.
+// FromUnixMilli returns the time on the Clock of a Unix time in milliseconds. Values of
+// 0 or less, and times before the Clock's zero, give 0.
 func (c Clock) FromUnixMilli(ms int64) time.Duration {
 	if ms <= 0 || ms > 1<<50 {
 		return 0
@@ -153,14 +161,14 @@
 	return max(0, time.Duration(ms)*time.Millisecond-c.startUnix+clockOrigin)
 }
 
-// Left returns how long the client still waits.
+// Left returns how long the client still waits. It may be negative.
 func (x *Exchange) Left(now time.Duration) time.Duration { return x.deadline - now }
 
-// Intercept puts another client in the place of an Exchange's. It must be called before
-// the Exchange is handed in.
+// Intercept wraps an Exchange's client. It must be called before the Exchange is
+// submitted.
 func (x *Exchange) Intercept(f func(Client) Client) { x.client = f(x.client) }
 
-// TurnAway refuses an Exchange that no Planner has.
+// TurnAway rejects an Exchange that has not been submitted.
 func (x *Exchange) TurnAway(after time.Duration, reason string) {
 	x.answer(Answer{Kind: Refused, After: after, Reason: reason})
 }
--- a/internal/dispatch/journal.go
+++ b/internal/dispatch/journal.go
@@ -7,11 +7,11 @@
 )
 
 // Journal keeps a durable record of jobs that must not run twice. Its methods must not
-// block. A job is known to it by a number.
+// block; they are called from a Planner's Run. A job is known to it by a number.
 type Journal interface {
-	// Take is asked of each job that is about to be taken in. Number 0 says that the
+	// Take registers a job that is about to be accepted. Number 0 says that the
 	// journal does not keep this job; not ok, that it should but cannot, and that the job
-	// must not be taken in.
+	// must not be accepted.
 	Take(j *Job) (number uint64, ok bool)
 	// Intent records that an attempt is about to go to a worker. Done is called, from any
 	// goroutine, once that is durable, or with false once it cannot be.
@@ -19,27 +19,28 @@
 	Sent(number uint64, attempt int)
 	Started(number uint64, attempt int)
 	// Ended records how an attempt ended, and whether it surely never ran.
-	Ended(number uint64, attempt int, o sedgevale.Outcome, unseen bool)
+	Ended(number uint64, attempt int, o sedgevale.Outcome, neverRan bool)
 	Answered(number uint64, a Answer)
 	Gone(number uint64)
 }
 
-// unrecordedRetryAfter is when a client may come again whose job cannot be recorded, where the
-// settings allow to say so.
+// unrecordedRetryAfter is the advice to a client whose job cannot be recorded, where
+// the settings allow advice.
 const unrecordedRetryAfter = time.Second
 
-// Record has jobs recorded in a journal. It must be called before Run.
+// Record sets the journal that jobs are recorded in. It must be called before Run.
 func (p *Planner) Record(j Journal) { p.journal = j }
 
-// Recorded reports whether the attempt's job is kept in a journal, which then wants to
-// hear of its sending.
+// Recorded reports whether the attempt's job is in a journal. If so, [Planner.Sent]
+// must be called.
 func (a *Attempt) Recorded() bool { return a.recordNumber != 0 }
 
-// Sent tells that an attempt's bytes were written to its worker's connection. Only a
-// Recorded attempt's need be told.
+// Sent reports that an attempt's bytes were written to its worker's connection, which
+// only a journal needs.
 func (p *Planner) Sent(a *Attempt) { p.queue.Put(event{kind: eventSent, attempt: a}) }
 
-// registerInJournal asks the journal for a job, and reports whether it may be taken in.
+// registerInJournal registers a job in the journal, if there is one, and reports
+// whether it may be accepted.
 func (p *Planner) registerInJournal(x *Exchange) bool {
 	if p.journal == nil {
 		return true
@@ -51,7 +52,8 @@
 	return ok
 }
 
-// sendAttempt sends an attempt, once its intent is on record if it is to be.
+// sendAttempt sends an attempt: where a journal keeps the job, once the intent is
+// durable.
 func (p *Planner) sendAttempt(a *Attempt) {
 	if a.recordNumber == 0 {
 		p.carrier.Send(a)
@@ -63,8 +65,8 @@
 	})
 }
 
-// intentRecorded is told what became of an intent. The worker may have begun to drain since,
-// which the carrier checks.
+// intentRecorded sends an attempt whose intent is durable, or rejects it. The worker may
+// have begun to drain since, which the carrier checks.
 func (p *Planner) intentRecorded(a *Attempt, ok bool) {
 	if !a.awaitsIntent || a.ended {
 		return
@@ -77,8 +79,8 @@
 	p.carrier.Send(a)
 }
 
-// rejectUnrecorded refuses the job of an attempt that was not sent, since that could not be
-// recorded in time. What was sent of the job before stands.
+// rejectUnrecorded rejects the job of an attempt that was not sent because its intent
+// could not be recorded in time. Earlier attempts go on.
 func (p *Planner) rejectUnrecorded(a *Attempt) {
 	if x := a.Exchange; !x.answered {
 		if x.mayHaveRunBesides(a) {
@@ -90,10 +92,10 @@
 	p.endAttempt(a, sedgevale.NotSent, nil, nil)
 }
 
-// mayHaveRunBesides reports whether an attempt but this one may have run.
-func (x *Exchange) mayHaveRunBesides(but *Attempt) bool {
+// mayHaveRunBesides reports whether an attempt other than the given one may have run.
+func (x *Exchange) mayHaveRunBesides(other *Attempt) bool {
 	for _, a := range x.attempts {
-		if a != but && (!a.ended || !a.neverRan) {
+		if a != other && (!a.ended || !a.neverRan) {
 			return true
 		}
 	}
--- a/internal/dispatch/journal_test.go
+++ b/internal/dispatch/journal_test.go
@@ -45,8 +45,8 @@
 }
 func (b *book) Sent(uint64, int)    { b.note("sent") }
 func (b *book) Started(uint64, int) { b.note("started") }
-func (b *book) Ended(_ uint64, _ int, o sedgevale.Outcome, unseen bool) {
-	if unseen {
+func (b *book) Ended(_ uint64, _ int, _ sedgevale.Outcome, neverRan bool) {
+	if neverRan {
 		b.note("ended unseen")
 	} else {
 		b.note("ended")
--- a/internal/dispatch/sharing.go
+++ b/internal/dispatch/partners.go
@@ -6,64 +6,64 @@
 	"sedgevale"
 )
 
-// shareInterval is the least time between two tellings of a partner.
+// shareInterval is the least time between two messages to a partner.
 const shareInterval = 10 * time.Millisecond
 
-// Shared is what a planner tells its counterpart in the other process of an
-// upgrade: the two are one scheduler. It is not changed any more.
+// Shared is what a planner sends to its partner in the other process of an upgrade:
+// the two are one scheduler. It is immutable once it has been sent.
 type Shared struct {
-	Out    map[string]sedgevale.Load `json:"out"`              // at each worker, now
-	Opened []string                  `json:"opened,omitempty"` // ids of jobs
-	Ended  []string                  `json:"ended,omitempty"`
+	Out    map[string]sedgevale.Load `json:"out"`              // load by worker, now
+	Opened []string                  `json:"opened,omitempty"` // IDs of jobs, since the last message
+	Ended  []string                  `json:"ended,omitempty"`  // the same
 }
 
-// Estate is what a planner hands over to a new process.
+// Estate is the state that a planner hands over to a new process.
 type Estate struct {
 	Shared  Shared                 `json:"shared"`
 	Learned sedgevale.LearnedState `json:"learned"`
 }
 
-// partner is the planners of another process.
+// partner is another process of the same scheduler, as a planner knows it.
 type partner struct {
 	send  func(Shared)
-	open  map[string]struct{}
-	loads map[int]map[string]sedgevale.Load // by planner
+	open  map[string]struct{}               // IDs of jobs
+	loads map[int]map[string]sedgevale.Load // by planner and worker
 }
 
-func newPartner(tell func(Shared)) *partner {
-	return &partner{tell, map[string]struct{}{}, map[int]map[string]sedgevale.Load{}}
+func newPartner(send func(Shared)) *partner {
+	return &partner{send, map[string]struct{}{}, map[int]map[string]sedgevale.Load{}}
 }
 
 // sharing is what a Planner keeps of its partners. Without any it costs nothing.
 type sharing struct {
-	partners    map[int]*partner
-	next        Shared
-	loadChanged bool
-	sentAt      time.Duration
+	partners    map[int]*partner // by number
+	next        Shared           // opened and ended since the last message
+	loadChanged bool             // since the last message
+	sentAt      time.Duration    // of the last message
 }
 
-// Share begins to tell a partner, known by a number, what is done here. Got is
-// given all there is up to now.
-func (p *Planner) Share(number int, tell func(Shared), got func(Estate)) {
+// Share adds a partner, known by a number: from here on send is called with what
+// changes, from Run. Got is called with all state up to now.
+func (p *Planner) Share(number int, send func(Shared), got func(Estate)) {
 	p.enqueueCall(func() {
 		e := Estate{Shared{Out: p.dispatcher.LoadByWorker()}, p.dispatcher.LearnedState(p.now)}
 		for id := range p.exchanges {
 			e.Shared.Opened = append(e.Shared.Opened, id)
 		}
-		p.partners[number] = newPartner(tell)
+		p.partners[number] = newPartner(send)
 		got(e)
 	})
 }
 
-// Adopt takes over what a partner has learned, and begins to tell it.
-func (p *Planner) Adopt(number int, tell func(Shared), learned sedgevale.LearnedState) {
+// Adopt takes over what a partner has learned, and adds the partner.
+func (p *Planner) Adopt(number int, send func(Shared), learned sedgevale.LearnedState) {
 	p.enqueueCall(func() {
 		p.dispatcher.RestoreLearnedState(p.now, learned)
-		p.partners[number] = newPartner(tell)
+		p.partners[number] = newPartner(send)
 	})
 }
 
-// Beside brings what one of a partner's planners does.
+// Beside brings a message from one of a partner's planners.
 func (p *Planner) Beside(number, planner int, s Shared) {
 	p.enqueueCall(func() {
 		other := p.partners[number]
@@ -81,7 +81,7 @@
 	})
 }
 
-// Part ends the sharing with a partner that is gone.
+// Part removes a partner whose process has ended.
 func (p *Planner) Part(number int) {
 	p.enqueueCall(func() {
 		delete(p.partners, number)
@@ -89,15 +89,16 @@
 	})
 }
 
-// enqueueCall has f called among the events: what came before, as a list of workers, counts.
+// enqueueCall has Run call f in the order of events: what came before, like a list of
+// workers, has been handled by then.
 func (p *Planner) enqueueCall(f func()) { p.queue.Put(event{kind: eventCall, call: f}) }
 
-// updateSiblingLoad tells the module what all partners have out.
+// updateSiblingLoad gives the Dispatcher the load of all partners.
 func (p *Planner) updateSiblingLoad() {
 	sum := map[string]sedgevale.Load{}
 	for _, other := range p.partners {
-		for _, out := range other.loads {
-			for worker, l := range out {
+		for _, loads := range other.loads {
+			for worker, l := range loads {
 				sum[worker] = sum[worker].Plus(l)
 			}
 		}
@@ -105,7 +106,7 @@
 	p.dispatcher.SetSiblingLoad(p.now, sum)
 }
 
-// openAtPartner reports whether a partner has an open job of that id.
+// openAtPartner reports whether a partner has an open job of that ID.
 func (p *Planner) openAtPartner(id string) bool {
 	for _, other := range p.partners {
 		if _, open := other.open[id]; open {
@@ -129,7 +130,8 @@
 	}
 }
 
-// notifyPartners tells the partners what has changed, and returns when it wants to again.
+// notifyPartners sends what has changed to the partners, and returns after which time
+// it must be called again.
 func (p *Planner) notifyPartners() time.Duration {
 	if len(p.partners) == 0 || !p.loadChanged {
 		return time.Hour
--- a/internal/dispatch/signals.go
+++ b/internal/dispatch/peer_load.go
@@ -6,34 +6,36 @@
 	"sedgevale"
 )
 
-// peerSignals is what joins a Planner with other schedulers. Without it nothing is kept or told.
+// peerSignals is what a Planner exchanges with other schedulers of the site.
 type peerSignals struct {
-	onLoadChange  func([]sedgevale.Told) // nil: nobody wants to know
+	onLoadChange  func([]sedgevale.Told) // nil: load changes are not tracked
 	loadChanges   []sedgevale.Told
 	subset        []string
 	subsetSharers int
 
-	peerLoadMu   sync.Mutex
-	peerLoad     []sedgevale.Told // of other schedulers, not read yet
-	peerLoadRead []sedgevale.Told
+	peerLoadMu   sync.Mutex       // guards peerLoad
+	peerLoad     []sedgevale.Told // of other schedulers, not read by Run yet
+	peerLoadRead []sedgevale.Told // swapped with peerLoad by Run
 }
 
-// Signal has tell called with what the planner has out at each worker where that has changed: from the
-// planner's goroutine, so it must not block, nor keep the slice. It must be called before Run.
-func (p *Planner) Signal(tell func([]sedgevale.Told)) {
-	p.onLoadChange = tell
+// Signal has f called with the planner's load at each worker where that has changed.
+// The calls come from Run; f must not block, nor keep the slice. Signal must be called
+// before Run.
+func (p *Planner) Signal(f func([]sedgevale.Told)) {
+	p.onLoadChange = f
 	p.dispatcher.TrackLoadChanges()
 }
 
-// Others brings what other schedulers have out at some workers. The slice is not kept.
-func (p *Planner) Others(told []sedgevale.Told) {
+// Others brings the load of other schedulers at some workers. The slice is not kept.
+func (p *Planner) Others(loads []sedgevale.Told) {
 	p.peerLoadMu.Lock()
-	p.peerLoad = append(p.peerLoad, told...)
+	p.peerLoad = append(p.peerLoad, loads...)
 	p.peerLoadMu.Unlock()
 	p.wakeUp()
 }
 
-// Near makes some workers the planner's part of the fleet; see sedgevale.Dispatcher.Part.
+// Near sets the planner's subset of the workers; see
+// [sedgevale.Dispatcher.SetSubset].
 func (p *Planner) Near(workers []string, sharers int) {
 	p.enqueueCall(func() {
 		p.subset, p.subsetSharers = workers, sharers
@@ -41,7 +43,7 @@
 	})
 }
 
-// readPeerLoad gives the module what has come of others.
+// readPeerLoad gives the Dispatcher the load of other schedulers that has come.
 func (p *Planner) readPeerLoad() {
 	p.peerLoadMu.Lock()
 	p.peerLoadRead, p.peerLoad = p.peerLoad, p.peerLoadRead[:0]
@@ -52,7 +54,7 @@
 	}
 }
 
-// publishLoadChanges tells others what has changed here.
+// publishLoadChanges publishes the load that has changed here.
 func (p *Planner) publishLoadChanges() {
 	if p.onLoadChange == nil {
 		return
@@ -62,8 +64,8 @@
 	}
 }
 
-// republishLoad goes on with a fresh Dispatcher, which has nothing out anywhere. What others have out it hears as
-// that changes.
+// republishLoad publishes the load of a fresh Dispatcher, which is none at all workers.
+// The load of others comes to it as that changes.
 func (p *Planner) republishLoad() {
 	if p.onLoadChange == nil {
 		return
--- a/internal/dispatch/planner.go
+++ b/internal/dispatch/planner.go
@@ -14,8 +14,10 @@
 	"sedgevale/internal/unbounded"
 )
 
-// Planner owns one Dispatcher. All that happens comes in through its inbox and
-// is read by one goroutine, which also keeps the timers.
+// Planner owns one Dispatcher and is its Host. All events come in through its queue
+// and are read by one goroutine, that of Run, which also keeps the timers. Exported
+// methods may be called from any goroutine unless they say otherwise; those of the
+// Host come from Run.
 type Planner struct {
 	clock    Clock
 	carrier  Carrier
@@ -26,20 +28,21 @@
 
 	dispatcher *sedgevale.Dispatcher
 	queue      *unbounded.Box[event]
-	commands   *unbounded.Box[func()] // of operators: taken before each event
-	wake       chan struct{}
+	commands   *unbounded.Box[func()] // of operators: run before each event
+	wake       chan struct{}          // holds a token while something waits in queue or commands
 	timers     timers
-	lastTimer  uint64
-	now        time.Duration
-	exchanges  map[string]*Exchange
-	workers    map[string]sedgevale.WorkerInfo // for a fresh Dispatcher
-	cordoned   map[string]bool                 // cordoned, for the same
+	lastTimer  uint64                          // serial number
+	now        time.Duration                   // of the event that is handled
+	exchanges  map[string]*Exchange            // by ID: not answered, or with attempts in flight
+	workers    map[string]sedgevale.WorkerInfo // the list, for a fresh Dispatcher
+	cordoned   map[string]bool                 // workers by name, for the same
 	journal    Journal                         // nil: none
 	tally      tally                           // counts for a log line, with -tags tally
 	sharing
 	peerSignals
 }
 
+// eventKind says what an event is.
 type eventKind uint8
 
 const (
@@ -55,6 +58,7 @@
 	eventCall
 )
 
+// event is an entry of the planner's queue. Only the fields of its kind are set.
 type event struct {
 	kind     eventKind
 	exchange *Exchange
@@ -70,19 +74,30 @@
 	call     func()
 }
 
-// NewPlanner returns a Planner. Watch is called when the Dispatcher asks for
-// the list of workers.
+// NewPlanner returns a Planner. Watch is called when the Dispatcher asks for the list
+// of workers. The error is that of the settings.
 func NewPlanner(set sedgevale.Settings, seed uint64, clock Clock, carrier Carrier, watch func(),
 	log *slog.Logger) (*Planner, error) {
-	p := &Planner{clock: clock, carrier: carrier, watch: watch, log: log, settings: set, seed: seed,
-		wake: make(chan struct{}, 1), exchanges: map[string]*Exchange{}, workers: map[string]sedgevale.WorkerInfo{}, cordoned: map[string]bool{}, sharing: sharing{partners: map[int]*partner{}}}
+	p := &Planner{
+		clock:     clock,
+		carrier:   carrier,
+		watch:     watch,
+		log:       log,
+		settings:  set,
+		seed:      seed,
+		wake:      make(chan struct{}, 1),
+		exchanges: map[string]*Exchange{},
+		workers:   map[string]sedgevale.WorkerInfo{},
+		cordoned:  map[string]bool{},
+		sharing:   sharing{partners: map[int]*partner{}},
+	}
 	p.queue, p.commands = unbounded.New[event](p.wakeUp), unbounded.New[func()](p.wakeUp)
 	var err error
 	p.dispatcher, err = sedgevale.New(set, seed, p)
 	return p, err
 }
 
-// wakeUp has the planner look for what has come.
+// wakeUp has Run look at its queues.
 func (p *Planner) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
@@ -90,37 +105,37 @@
 	}
 }
 
-// Request hands in an Exchange.
+// Request submits an Exchange, which belongs to the Planner from here on.
 func (p *Planner) Request(x *Exchange) { p.queue.Put(event{kind: eventRequest, exchange: x}) }
 
-// Gone tells that the client has left; nobody waits for an answer any more.
+// Gone reports that the client has disconnected: nobody waits for an answer any more.
 func (p *Planner) Gone(x *Exchange) { p.queue.Put(event{kind: eventClientDisconnected, exchange: x}) }
 
-// Started tells that the worker has begun.
+// Started reports that the worker has begun the attempt.
 func (p *Planner) Started(a *Attempt) { p.queue.Put(event{kind: eventStarted, attempt: a}) }
 
-// Progress tells what share of the job is done.
+// Progress reports the share of the job that is done, 0 to 1.
 func (p *Planner) Progress(a *Attempt, share float64) {
 	p.queue.Put(event{kind: eventProgress, attempt: a, progress: share})
 }
 
-// Ended tells how an attempt ended. Result is that of a Served one.
+// Ended reports how an attempt ended. Result is the worker's answer if it was served.
 func (p *Planner) Ended(a *Attempt, o sedgevale.Outcome, result []byte, report *sedgevale.Report) {
 	p.queue.Put(event{kind: eventEnded, attempt: a, outcome: o, result: result, report: report})
 }
 
-// Probed brings the answer to a probe, or nil.
+// Probed brings the answer to a probe, or nil where none came in time.
 func (p *Planner) Probed(worker string, report *sedgevale.Report) {
 	p.queue.Put(event{kind: eventProbeResult, worker: worker, report: report})
 }
 
-// Members brings the list of workers. The Planner keeps the entries.
+// Members brings an update of the list of workers. The Planner keeps the entries.
 func (p *Planner) Members(list sedgevale.ListKind, entries []sedgevale.WorkerInfo) {
 	p.queue.Put(event{kind: eventWorkersUpdated, listKind: list, entries: entries})
 }
 
-// Cordon takes a worker out or puts it back, before any event that waits to be
-// read. Done is told whether the worker is known.
+// Cordon cordons a worker (out is true) or uncordons it, before any event that waits
+// to be read. Done is called with whether the worker is known, from Run.
 func (p *Planner) Cordon(worker string, out bool, done func(known bool)) {
 	p.putCommand(func() {
 		known := p.dispatcher.Cordon(p.now, worker, out)
@@ -131,7 +146,8 @@
 	})
 }
 
-// Keep has a worker out from the start, also one that no list has named yet.
+// Keep cordons a worker as it was in an earlier run, also one that no list has named
+// yet.
 func (p *Planner) Keep(worker string) {
 	p.putCommand(func() {
 		p.cordoned[worker] = true
@@ -139,12 +155,12 @@
 	})
 }
 
-// Alive calls f from the Planner's goroutine, to show that it has its turns.
+// Alive calls f from Run, which shows that it is alive.
 func (p *Planner) Alive(f func()) { p.putCommand(f) }
 
 func (p *Planner) putCommand(f func()) { p.commands.Put(f) }
 
-// runCommands carries out what operators have ordered.
+// runCommands runs the operators' commands.
 func (p *Planner) runCommands() {
 	p.now = p.clock.Now()
 	for _, f := range p.commands.Take() {
@@ -152,13 +168,13 @@
 	}
 }
 
-// Open calls f with the number of exchanges that are not over, once all that
-// was handed in before has been read.
+// Open calls f with the number of exchanges that are not over, once all that was
+// submitted before has been read.
 func (p *Planner) Open(f func(int)) {
 	p.enqueueCall(func() { f(len(p.exchanges)) })
 }
 
-// Abandon answers what is open as failed and calls f with the number of those.
+// Abandon answers all open exchanges as failed and calls f with the number of those.
 func (p *Planner) Abandon(f func(int)) {
 	p.enqueueCall(func() {
 		n := 0
@@ -172,7 +188,7 @@
 	})
 }
 
-// Run works until the context ends.
+// Run handles events until the context ends.
 func (p *Planner) Run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -202,7 +218,7 @@
 	}
 }
 
-// recoverPanics keeps the program up when the decisions panic: what is open fails, and
+// recoverPanics calls f and keeps the program up if it panics: what is open fails, and
 // a fresh Dispatcher begins with the list as it stands.
 func (p *Planner) recoverPanics(f func()) {
 	defer func() {
@@ -252,39 +268,10 @@
 	case eventRequest:
 		p.submit(e.exchange)
 	case eventClientDisconnected:
-		if !e.exchange.answered {
-			e.exchange.answered = true
-			if e.exchange.journal != nil {
-				e.exchange.journal.Gone(e.exchange.recordNumber)
-			}
-			p.dispatcher.ClientDisconnected(p.now, e.exchange.ID)
-			p.withdrawUnsent(e.exchange)
-			p.forgetIfDone(e.exchange)
-		}
-	case eventIntentRecorded:
-		p.intentRecorded(e.attempt, e.ok)
-	case eventSent:
-		if !e.attempt.ended {
-			p.journal.Sent(e.attempt.recordNumber, e.attempt.Number)
-		}
-	case eventStarted:
+		p.clientDisconnected(e.exchange)
+	case eventIntentRecorded, eventSent, eventStarted, eventProgress:
 		if !e.attempt.ended {
-			p.tally.started(e.attempt, p.now)
-			if e.attempt.recordNumber != 0 {
-				p.journal.Started(e.attempt.recordNumber, e.attempt.Number)
-			}
-			if !e.attempt.answered {
-				e.attempt.client.Started()
-			}
-			p.loadChanged = true
-			p.logUnexpected(p.dispatcher.AttemptStarted(p.now, e.attempt.ID, e.attempt.Number))
-		}
-	case eventProgress:
-		if !e.attempt.ended {
-			if !e.attempt.answered {
-				e.attempt.client.Progress(e.progress)
-			}
-			p.logUnexpected(p.dispatcher.AttemptProgressed(p.now, e.attempt.ID, e.attempt.Number, e.progress))
+			p.handleAttemptEvent(e, e.attempt)
 		}
 	case eventEnded:
 		p.endAttempt(e.attempt, e.outcome, e.result, e.report)
@@ -297,6 +284,46 @@
 	}
 }
 
+// handleAttemptEvent handles an event of an attempt that has not ended.
+func (p *Planner) handleAttemptEvent(e *event, a *Attempt) {
+	switch e.kind {
+	case eventIntentRecorded:
+		p.intentRecorded(a, e.ok)
+	case eventSent:
+		p.journal.Sent(a.recordNumber, a.Number)
+	case eventStarted:
+		p.tally.started(a, p.now)
+		if a.recordNumber != 0 {
+			p.journal.Started(a.recordNumber, a.Number)
+		}
+		if !a.answered {
+			a.client.Started()
+		}
+		p.loadChanged = true
+		p.logUnexpected(p.dispatcher.AttemptStarted(p.now, a.ID, a.Number))
+	case eventProgress:
+		if !a.answered {
+			a.client.Progress(e.progress)
+		}
+		p.logUnexpected(p.dispatcher.AttemptProgressed(p.now, a.ID, a.Number, e.progress))
+	}
+}
+
+func (p *Planner) clientDisconnected(x *Exchange) {
+	if x.answered {
+		return
+	}
+	x.answered = true
+	if x.journal != nil {
+		x.journal.Gone(x.recordNumber)
+	}
+	p.dispatcher.ClientDisconnected(p.now, x.ID)
+	p.withdrawUnsent(x)
+	p.forgetIfDone(x)
+}
+
+// submit passes a request on to the Dispatcher, or answers it where that is not
+// possible.
 func (p *Planner) submit(x *Exchange) {
 	left := x.deadline - p.now
 	if p.exchanges[x.ID] != nil || p.openAtPartner(x.ID) {
@@ -328,14 +355,15 @@
 	p.forgetIfDone(x)
 }
 
-// classOf returns the index of a job's class in the settings, or -1: a job can
-// cross new settings, by which its class is another or none.
+// classOf returns the index of a job's class in the settings, or -1. While the job
+// was on its way here the settings may have changed, and its class with them.
 func (p *Planner) classOf(x *Exchange) int {
 	return slices.IndexFunc(p.settings.Classes, func(c sedgevale.Class) bool { return x.Class != nil && c.Name == x.Class.Name })
 }
 
-// tenantOf returns the module's number of a job's tenant, or -1. The number that the job brings is of the
-// settings by which it was read; a job that was taken before its tenant went keeps its rights.
+// tenantOf returns the Dispatcher's index of a job's tenant, or -1. The index that the
+// job brings is of the settings by which it was parsed; a job that was taken before
+// its tenant was removed is still served.
 func (p *Planner) tenantOf(x *Exchange) int {
 	if x.Tenant >= 0 && x.Tenant < len(p.settings.Tenants) && p.settings.Tenants[x.Tenant].Name == x.TenantName ||
 		x.Tenant < 0 && len(p.settings.Tenants) == 0 {
@@ -344,7 +372,7 @@
 	return p.dispatcher.TenantIndex(x.TenantName)
 }
 
-// Retune goes on by new settings, which are not changed any more. Jobs under way
+// Retune takes over new settings, which must not be changed any more. Jobs in flight
 // keep their class.
 func (p *Planner) Retune(set sedgevale.Settings) {
 	p.enqueueCall(func() {
@@ -363,7 +391,7 @@
 	}
 	a.ended = true
 	p.tally.ended(o)
-	if a.timer.index >= 0 { // else it would keep the request's body until the deadline
+	if a.timer.index >= 0 { // it would keep the request's body in memory until the deadline
 		heap.Remove(&p.timers, a.timer.index)
 	}
 	a.neverRan = a.awaitsIntent || o == sedgevale.ConnectFailed || o == sedgevale.NotSent ||
@@ -396,7 +424,7 @@
 	p.dispatcher.WorkersUpdated(p.now, list, entries)
 }
 
-// forgetIfDone drops what is over: answered, and no attempt out.
+// forgetIfDone forgets an exchange that is answered and has no attempt in flight.
 func (p *Planner) forgetIfDone(x *Exchange) {
 	if x.answered && x.inFlight == 0 && p.exchanges[x.ID] == x {
 		delete(p.exchanges, x.ID)
@@ -404,6 +432,8 @@
 	}
 }
 
+// logUnexpected logs an error of the Dispatcher, unless it is about a request or an
+// attempt that has ended meanwhile.
 func (p *Planner) logUnexpected(err error) {
 	if err != nil && !errors.Is(err, sedgevale.ErrUnknownRequest) && !errors.Is(err, sedgevale.ErrUnknownAttempt) {
 		p.log.Error("decision module refused an event", "err", err)
--- a/internal/dispatch/planner_host.go
+++ b/internal/dispatch/planner_host.go
@@ -6,7 +6,7 @@
 	"sedgevale"
 )
 
-// Send is called by the Dispatcher.
+// Send implements [sedgevale.Host].
 func (p *Planner) Send(id, worker string, timeout time.Duration) {
 	x := p.exchanges[id]
 	if x == nil {
@@ -27,7 +27,7 @@
 	p.sendAttempt(a)
 }
 
-// Reject is called by the Dispatcher.
+// Reject implements [sedgevale.Host].
 func (p *Planner) Reject(id string, after time.Duration) {
 	if x := p.exchanges[id]; x != nil {
 		p.tally.refuse()
@@ -37,7 +37,7 @@
 	}
 }
 
-// Fail is called by the Dispatcher.
+// Fail implements [sedgevale.Host].
 func (p *Planner) Fail(id string) {
 	if x := p.exchanges[id]; x != nil {
 		p.tally.fail()
@@ -47,9 +47,9 @@
 	}
 }
 
-// withdrawUnsent sees to it that nothing more begins for an exchange that is answered, or whose
-// client has gone, also where the Dispatcher may call nothing off: what is being dialled, or
-// waits to be recorded.
+// withdrawUnsent withdraws the attempts of an exchange that is answered, or whose
+// client has disconnected, while they are being dialled or wait to be recorded. That
+// is allowed also where the Dispatcher may not cancel attempts.
 func (p *Planner) withdrawUnsent(x *Exchange) {
 	for _, a := range x.attempts {
 		switch {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Cancel is called by the Dispatcher.
+// Cancel implements [sedgevale.Host].
 func (p *Planner) Cancel(id string, attempt int) {
 	x := p.exchanges[id]
 	if x == nil || attempt >= len(x.attempts) || x.attempts[attempt].ended {
@@ -76,28 +76,30 @@
 	}
 }
 
-// SetTimer is called by the Dispatcher.
+// SetTimer implements [sedgevale.Host].
 func (p *Planner) SetTimer(after time.Duration, token uint64) {
 	p.setTimer(&timer{due: p.now + after, token: token})
 }
 
-// Probe is called by the Dispatcher.
+// Probe implements [sedgevale.Host].
 func (p *Planner) Probe(worker string) { p.carrier.Probe(worker, p) }
 
-// CloseIdleConnections is called by the Dispatcher.
+// CloseIdleConnections implements [sedgevale.Host].
 func (p *Planner) CloseIdleConnections(worker string) { p.carrier.CloseIdle(worker) }
 
-// WatchWorkers is called by the Dispatcher.
+// WatchWorkers implements [sedgevale.Host].
 func (p *Planner) WatchWorkers() { p.watch() }
 
-// Log is called by the Dispatcher.
+// Log implements [sedgevale.Host].
 func (p *Planner) Log(text string) { p.log.Warn(text) }
 
-// dedupWindowMargin is kept of the window in which workers drop repeats, for the way to them.
+// dedupWindowMargin is kept of the window in which workers drop repeats, for the time
+// that an attempt takes to reach them.
 const dedupWindowMargin = 10 * time.Millisecond
 
-// retryExpiry returns until when a further attempt may begin, or 0: until the end of the window
-// of the first that may have run, where workers drop repeats at all.
+// retryExpiry returns until when a retry may be sent, or 0 for no bound: the end of the
+// window in which workers drop repeats, counted from the first attempt that may have
+// run.
 func (x *Exchange) retryExpiry() time.Duration {
 	if x.Class.Effect != sedgevale.Keyed {
 		return 0
@@ -110,6 +112,7 @@
 	return 0
 }
 
+// failureReason says, for a person, why the exchange failed.
 func (x *Exchange) failureReason() string {
 	if x.inFlight > 0 {
 		return "no answer in time"
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -31,8 +31,8 @@
 		c.withdrawn <- a
 	}
 }
-func (c *carrier) Probe(string, *Planner)  {}
-func (c *carrier) CloseIdle(worker string) {}
+func (c *carrier) Probe(string, *Planner) {}
+func (c *carrier) CloseIdle(string)       {}
 
 // client notes its answers.
 type client struct {
--- a/internal/dispatch/planner_timers.go
+++ b/internal/dispatch/planner_timers.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
+// timer is a timer of the Dispatcher, or the time-out of an attempt.
 type timer struct {
 	due     time.Duration
 	serial  uint64
-	token   uint64
-	attempt *Attempt // its time-out; else the timer is the Dispatcher's
+	token   uint64   // of the Dispatcher
+	attempt *Attempt // whose time-out it is; nil: the timer is the Dispatcher's
 	index   int      // in the heap; -1: not in it
 }
 
@@ -19,8 +20,9 @@
 	heap.Push(&p.timers, t)
 }
 
-// timers is a heap. Of those due at once an attempt's time-out comes first: it
-// is news to the Dispatcher, whose own timers come in the order of their setting.
+// timers is a heap. Of those due at the same time the time-outs of attempts come
+// first, since the Dispatcher does not know of them yet; its own timers come in the
+// order in which they were set.
 type timers []*timer
 
 func (t timers) Len() int { return len(t) }
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -8,8 +8,8 @@
 	"sedgevale"
 )
 
-// Set is the planners of one program. A request belongs to one of them by its
-// id; the list of workers goes to all.
+// Set is the planners of one program. A request belongs to one of them by its ID; the
+// list of workers goes to all. Its methods may be called from any goroutine.
 type Set struct {
 	planners []*Planner
 	seed     maphash.Seed
@@ -18,7 +18,7 @@
 // NewSet returns a Set of planners.
 func NewSet(planners ...*Planner) *Set { return &Set{planners, maphash.MakeSeed()} }
 
-// Run works until the context ends.
+// Run runs all planners and returns once they have stopped, after the context ended.
 func (s *Set) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, p := range s.planners {
@@ -34,56 +34,57 @@
 	return s.planners[maphash.String(s.seed, id)%uint64(len(s.planners))]
 }
 
-// Request hands in an Exchange.
+// Request submits an Exchange.
 func (s *Set) Request(x *Exchange) { s.plannerOf(x.ID).Request(x) }
 
-// Gone tells that an Exchange's client has left.
+// Gone reports that an Exchange's client has disconnected.
 func (s *Set) Gone(x *Exchange) { s.plannerOf(x.ID).Gone(x) }
 
-// Members brings the list of workers to all planners, each with a copy of its own.
+// Members brings an update of the list of workers to all planners, each with a copy of
+// its own.
 func (s *Set) Members(list sedgevale.ListKind, entries []sedgevale.WorkerInfo) {
 	for _, p := range s.planners {
 		p.Members(list, append([]sedgevale.WorkerInfo(nil), entries...))
 	}
 }
 
-// Cordon takes a worker out at all planners, or puts it back, and reports whether
-// it is known.
+// Cordon cordons a worker at all planners (out is true), or uncordons it, and reports
+// whether it is known. The error is that of the context.
 func (s *Set) Cordon(ctx context.Context, worker string, out bool) (bool, error) {
-	n, err := s.sumOverPlanners(ctx, func(p *Planner, tell func(int)) {
+	n, err := s.sumOverPlanners(ctx, func(p *Planner, reply func(int)) {
 		p.Cordon(worker, out, func(known bool) {
 			if known {
-				tell(1)
+				reply(1)
 			} else {
-				tell(0)
+				reply(0)
 			}
 		})
 	})
 	return n > 0, err
 }
 
-// Keep has a worker out at all planners from the start.
+// Keep cordons a worker at all planners as it was in an earlier run.
 func (s *Set) Keep(worker string) {
 	for _, p := range s.planners {
 		p.Keep(worker)
 	}
 }
 
-// Alive returns once each planner has had a turn.
+// Alive returns once each planner has had a turn, or with the context's error.
 func (s *Set) Alive(ctx context.Context) error {
-	_, err := s.sumOverPlanners(ctx, func(p *Planner, tell func(int)) { p.Alive(func() { tell(0) }) })
+	_, err := s.sumOverPlanners(ctx, func(p *Planner, reply func(int)) { p.Alive(func() { reply(0) }) })
 	return err
 }
 
-// Share begins to tell a partner in another process what each planner does, and
-// returns what all of them hand over.
-func (s *Set) Share(ctx context.Context, number int, tell func(planner int, s Shared)) ([]Estate, error) {
+// Share adds a partner in another process at all planners, and returns the state that
+// they hand over, by planner.
+func (s *Set) Share(ctx context.Context, number int, send func(planner int, s Shared)) ([]Estate, error) {
 	estates := make([]Estate, len(s.planners))
 	at := 0
 	_, err := s.sumOverPlanners(ctx, func(p *Planner, done func(int)) {
 		i := at
 		at++
-		p.Share(number, func(s Shared) { tell(i, s) }, func(e Estate) {
+		p.Share(number, func(s Shared) { send(i, s) }, func(e Estate) {
 			estates[i] = e
 			done(0)
 		})
@@ -91,51 +92,51 @@
 	return estates, err
 }
 
-// Adopt takes over what a partner's planners have handed over, and begins to tell
-// it. Where it has fewer or more of them, each here goes on from one there.
-func (s *Set) Adopt(number int, tell func(planner int, s Shared), estates []Estate) {
+// Adopt takes over what a partner's planners have handed over, and adds the partner.
+// Where it has fewer or more planners, each here goes on from one there.
+func (s *Set) Adopt(number int, send func(planner int, s Shared), estates []Estate) {
 	for i, p := range s.planners {
 		var learned sedgevale.LearnedState
 		if len(estates) > 0 {
 			learned = estates[i%len(estates)].Learned
 		}
-		p.Adopt(number, func(s Shared) { tell(i, s) }, learned)
+		p.Adopt(number, func(s Shared) { send(i, s) }, learned)
 	}
 	for i, e := range estates {
 		s.Beside(number, i, e.Shared)
 	}
 }
 
-// Beside brings what a partner's planner does.
+// Beside brings a message from one of a partner's planners.
 func (s *Set) Beside(number, planner int, shared Shared) {
 	for _, p := range s.planners {
 		p.Beside(number, planner, shared)
 	}
 }
 
-// Part ends the sharing with a partner that is gone.
+// Part removes a partner whose process has ended.
 func (s *Set) Part(number int) {
 	for _, p := range s.planners {
 		p.Part(number)
 	}
 }
 
-// Retune has all planners go on by new settings.
+// Retune has all planners take over new settings.
 func (s *Set) Retune(set sedgevale.Settings) {
 	for _, p := range s.planners {
 		p.Retune(set)
 	}
 }
 
-// Open returns how many exchanges are not over.
+// Open returns how many exchanges are not over, or the context's error.
 func (s *Set) Open(ctx context.Context) (int, error) { return s.sumOverPlanners(ctx, (*Planner).Open) }
 
-// Abandon has all exchanges answered that are not yet, as failed, and returns
-// how many those were.
+// Abandon answers all open exchanges as failed, and returns how many those were.
 func (s *Set) Abandon(ctx context.Context) (int, error) {
 	return s.sumOverPlanners(ctx, (*Planner).Abandon)
 }
 
+// sumOverPlanners asks each planner for a number and returns the sum.
 func (s *Set) sumOverPlanners(ctx context.Context, ask func(*Planner, func(int))) (sum int, err error) {
 	counts := make(chan int, len(s.planners))
 	for _, p := range s.planners {
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -9,7 +9,7 @@
 	"sedgevale"
 )
 
-// tally counts what a planner did, for one log line every tallyEvery, so that
+// tally counts what a planner did, for one log line every tallyInterval, so that
 // a day's logs can be summed across a fleet. It is built only with -tags
 // tally: without the tag these methods are empty and cost nothing.
 type tally struct {
@@ -24,7 +24,7 @@
 // tallyInterval is how often the line is written, on the planner's clock.
 const tallyInterval = 5 * time.Second
 
-// lateStartThreshold is the delay from send to start note that counts as late.
+// lateStartThreshold is the delay from send to start notice that counts as late.
 const lateStartThreshold = 100 * time.Millisecond
 
 func (t *tally) sent(a *Attempt, now time.Duration) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// out writes the line once tallyEvery has passed since the last, if anything
+// out writes the line once tallyInterval has passed since the last, if anything
 // was counted, and begins the next.
 func (t *tally) out(log *slog.Logger, now time.Duration) {
 	if now-t.since < tallyInterval {
