--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Benchlink hosts sedgevale dispatchers on the bench's wire, on standard input
-// and output.
+// Benchlink hosts instances of the decision module on the simulator's wire, on standard
+// input and output.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	link := &link{instances: map[string]*sedgevale.Dispatcher{}}
 	for {
 		seq, err := reader.Batch()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -36,7 +36,7 @@
 			if !errors.As(err, &syntax) && !errors.Is(err, errFatal) {
 				return err
 			}
-			link.out.About(reader.Instance())
+			link.out.SetInstance(reader.Instance())
 			link.out.Fatal(err.Error())
 			if err := reader.Skip(); err != nil {
 				return err
@@ -48,23 +48,25 @@
 	}
 }
 
-// errFatal marks errors that end the day, but not the program.
+// errFatal marks errors that end the simulated day, but not the program.
 var errFatal = errors.New("event not acted on")
 
+// link is the instances of a program and the reply to the current batch.
 type link struct {
 	out       wire.Writer
 	instances map[string]*sedgevale.Dispatcher
 }
 
+// batch passes on the events of a batch.
 func (l *link) batch(reader *wire.Reader) error {
 	for {
 		e, err := reader.Next()
 		if e == nil || err != nil {
 			return err
 		}
-		l.out.About(e.Instance)
+		l.out.SetInstance(e.Instance)
 		if err := l.event(e); err != nil {
-			return fmt.Errorf("%w: %s: %v", errFatal, e.Instance, err)
+			return fmt.Errorf("%w: %s: %w", errFatal, e.Instance, err)
 		}
 	}
 }
@@ -77,14 +79,14 @@
 		}
 	}()
 	switch e.Kind {
-	case wire.Begin:
+	case wire.InstanceStarted:
 		d, err := sedgevale.New(e.Settings, e.Seed, &l.out)
 		if err != nil {
 			return err
 		}
 		l.instances[e.Instance] = d
 		return nil
-	case wire.Kill:
+	case wire.InstanceKilled:
 		delete(l.instances, e.Instance)
 		return nil
 	}
@@ -95,27 +97,28 @@
 	return deliver(d, e)
 }
 
+// deliver passes an event on to its instance.
 func deliver(d *sedgevale.Dispatcher, e *wire.Event) error {
 	id, n := e.Result.ID, e.Result.Attempt
 	switch e.Kind {
-	case wire.Members:
-		d.WorkersUpdated(e.Now, e.List, e.Entries)
-	case wire.Knock:
+	case wire.WorkersUpdated:
+		d.WorkersUpdated(e.Now, e.ListKind, e.Entries)
+	case wire.RequestArrived:
 		return d.SubmitRequest(e.Now, e.Request)
-	case wire.Answer:
+	case wire.AttemptEnded:
 		return d.AttemptEnded(e.Now, e.Result)
-	case wire.Note:
+	case wire.AttemptNotice:
 		if e.Started {
 			return d.AttemptStarted(e.Now, id, n)
 		}
-		return d.AttemptProgressed(e.Now, id, n, e.Share)
-	case wire.Headers:
+		return d.AttemptProgressed(e.Now, id, n, e.Progress)
+	case wire.StreamStarted:
 		return d.StreamStarted(e.Now, id, n)
-	case wire.Echo:
+	case wire.ProbeResult:
 		d.ProbeResult(e.Now, e.Worker, e.Result.Report)
-	case wire.Gone:
+	case wire.ClientDisconnected:
 		d.ClientDisconnected(e.Now, id)
-	case wire.Wake:
+	case wire.TimerFired:
 		d.TimerFired(e.Now, e.Token)
 	}
 	return nil
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,10 +1,12 @@
-// Package wire speaks zinc-4b3b, the text protocol of the bench: batches of
-// events in, replies of actions out.
+// Package wire implements zinc-4b3b, the text protocol of the simulator: batches of
+// events in, replies with actions out. Its keywords are the protocol's; the package's
+// names are those of the decision module.
 package wire
 
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"strconv"
@@ -13,41 +15,41 @@
 	"sedgevale"
 )
 
-// Kind tells what an Event is.
+// Kind says what an Event is.
 type Kind uint8
 
 // The kinds of events.
 const (
-	Begin Kind = iota + 1
-	Kill
-	Members
-	Knock
-	Headers
-	Note
-	Answer
-	Gone
-	Wake
-	Echo
-	Message
+	InstanceStarted Kind = iota + 1
+	InstanceKilled
+	WorkersUpdated
+	RequestArrived
+	StreamStarted
+	AttemptNotice
+	AttemptEnded
+	ClientDisconnected
+	TimerFired
+	ProbeResult
+	PeerMessage
 )
 
-// Event is one event for one instance. Only the fields of its kind are set.
-// Entries and Report are reused by the next event.
+// Event is one event for one instance of the decision module. Only the fields of its
+// kind are set. Entries and Report are reused by the next event.
 type Event struct {
 	Kind     Kind
 	Instance string
 	Now      time.Duration
 
-	Seed     uint64                 // Begin
-	Settings sedgevale.Settings     // Begin
-	List     sedgevale.ListKind     // Members
-	Entries  []sedgevale.WorkerInfo // Members
-	Request  sedgevale.Request      // Knock
-	Result   sedgevale.Result       // Answer; ID and Attempt also of Headers, Note and Gone; Report of Echo
-	Worker   string                 // Echo
-	Started  bool                   // Note: started, else progress
-	Share    float64                // Note: share done
-	Token    uint64                 // Wake
+	Seed     uint64                 // InstanceStarted
+	Settings sedgevale.Settings     // InstanceStarted
+	ListKind sedgevale.ListKind     // WorkersUpdated
+	Entries  []sedgevale.WorkerInfo // WorkersUpdated
+	Request  sedgevale.Request      // RequestArrived
+	Result   sedgevale.Result       // AttemptEnded; ID and Attempt of all events of an attempt; Report of ProbeResult
+	Worker   string                 // ProbeResult
+	Started  bool                   // AttemptNotice: the attempt has started, else it has progressed
+	Progress float64                // AttemptNotice: share done, 0 to 1
+	Token    uint64                 // TimerFired
 }
 
 // SyntaxError is a line that does not follow the protocol.
@@ -64,21 +66,21 @@
 	return fmt.Sprintf("%s in line %q", e.What, line)
 }
 
-// lists is how many numbered lists of workers there are.
-const lists = 16
+// maxLists is how many numbered lists of workers there may be.
+const maxLists = 16
 
-// Reader reads batches.
+// Reader reads batches of events.
 type Reader struct {
 	in       *bufio.Reader
-	long     []byte
-	line     []byte
-	rest     []byte
+	longLine []byte // buffer of a line that is longer than in's
+	line     []byte // the current line
+	rest     []byte // of it, what has not been read; nil: nothing is left
 	now      time.Duration
 	instance string
 	names    map[string]string // instances and workers, interned
-	lists    [lists][]sedgevale.WorkerInfo
-	known    [lists]bool
-	event    Event
+	lists    [maxLists][]sedgevale.WorkerInfo
+	known    [maxLists]bool // lists that were sent
+	event    Event          // the last one, reused
 	report   sedgevale.Report
 }
 
@@ -87,51 +89,52 @@
 	return &Reader{in: bufio.NewReaderSize(in, 1<<18), names: map[string]string{}}
 }
 
-// Batch reads the line that opens a batch and returns the batch's number, or
-// io.EOF where the input has ended.
+// Batch reads the line that opens a batch and returns the batch's number. The error is
+// io.EOF where the input has ended, or a [*SyntaxError].
 func (r *Reader) Batch() (seq string, err error) {
 	if err := r.readLine(); err != nil {
 		return "", err
 	}
 	r.instance = ""
-	if word := r.word(); string(word) != "MARK" {
-		return "", r.bad("a batch must open with MARK")
+	if word := r.nextField(); string(word) != "MARK" {
+		return "", r.syntaxError("a batch must open with MARK")
 	}
 	now, err := r.seconds()
 	if err != nil {
 		return "", err
 	}
 	if _, err := strconv.ParseUint(string(r.rest), 10, 64); err != nil {
-		return "", r.bad("bad batch number")
+		return "", r.syntaxError("bad batch number")
 	}
 	r.now = now
 	return string(r.rest), nil
 }
 
-// Next returns the batch's next event, or nil after its last. The event is
-// valid until the next call.
+// Next returns the batch's next event, or nil after its last. The event is valid until
+// the next call. The error may be a [*SyntaxError], after which [Reader.Skip] leads to
+// the next batch.
 func (r *Reader) Next() (*Event, error) {
 	for {
 		if err := r.readLine(); err != nil {
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
 		}
-		switch word := r.word(); string(word) {
+		switch word := r.nextField(); string(word) {
 		case "GO":
-			return nil, r.done()
+			return nil, r.endOfLine()
 		case "ABOUT":
 			name, err := r.text("instance")
 			if err != nil {
 				return nil, err
 			}
 			r.instance = r.intern(name)
-			if err := r.done(); err != nil {
+			if err := r.endOfLine(); err != nil {
 				return nil, err
 			}
 		case "SNAPSHOT_ROWS":
-			if err := r.list(); err != nil {
+			if err := r.readList(); err != nil {
 				return nil, err
 			}
 		default:
@@ -139,7 +142,7 @@
 				return nil, err
 			}
 			if r.instance == "" {
-				return nil, r.bad("event before any ABOUT")
+				return nil, r.syntaxError("event before any ABOUT")
 			}
 			return &r.event, nil
 		}
@@ -159,6 +162,7 @@
 	return nil
 }
 
+// parse reads the event of a line that begins with the keyword.
 func (r *Reader) parse(word string) error {
 	e := &r.event
 	entries := e.Entries
@@ -166,60 +170,59 @@
 	var err error
 	switch word {
 	case "KNOCK":
-		e.Kind, err = Knock, r.knock(&e.Request)
+		e.Kind, err = RequestArrived, r.readRequest(&e.Request)
 	case "ANSWER":
-		e.Kind, err = Answer, r.answer(&e.Result)
+		e.Kind, err = AttemptEnded, r.readResult(&e.Result)
 	case "STATUS_NOTE":
-		e.Kind, err = Note, r.note(e)
+		e.Kind, err = AttemptNotice, r.readNotice(e)
 	case "WAKE":
-		e.Kind = Wake
+		e.Kind = TimerFired
 		e.Token, err = r.unsigned("token")
 	case "MEMBERS":
-		e.Kind, err = Members, r.members(e)
+		e.Kind, err = WorkersUpdated, r.readUpdate(e)
 	case "HEADERS":
-		e.Kind, err = Headers, r.headers(e)
+		e.Kind, err = StreamStarted, r.readStreamStart(e)
 	case "CLIENT_GONE":
-		e.Kind = Gone
-		e.Result.ID, err = r.copied("request id")
+		e.Kind = ClientDisconnected
+		e.Result.ID, err = r.requestID()
 	case "BEGIN":
-		e.Kind = Begin
+		e.Kind = InstanceStarted
 		if e.Seed, err = r.seed(); err == nil {
-			var what string
-			if e.Settings, what = ParseSettings(string(r.rest)); what != "" {
-				err = r.bad(what)
+			if e.Settings, err = ParseSettings(string(r.rest)); err != nil {
+				err = r.syntaxError(err.Error())
 			}
 			r.rest = nil
 		}
 	case "KILL":
-		e.Kind = Kill
+		e.Kind = InstanceKilled
 	case "ECHO":
-		e.Kind, err = Echo, r.echo(e)
+		e.Kind, err = ProbeResult, r.readProbeResult(e)
 	case "MESSAGE":
-		e.Kind, err = Message, r.skip(2)
+		e.Kind, err = PeerMessage, r.skip(2)
 	default:
-		return r.bad("unknown message")
+		return r.syntaxError("unknown message")
 	}
 	if err != nil {
 		return err
 	}
-	return r.done()
+	return r.endOfLine()
 }
 
-func (r *Reader) knock(q *sedgevale.Request) (err error) {
-	if q.ID, err = r.copied("request id"); err != nil {
+func (r *Reader) readRequest(q *sedgevale.Request) (err error) {
+	if q.ID, err = r.requestID(); err != nil {
 		return err
 	}
 	if q.Class, err = r.index("class"); err != nil {
 		return err
 	}
-	tenant := r.word()
+	tenant := r.nextField()
 	q.Tenant = -1
 	if !absent(tenant) {
 		if q.Tenant, err = r.number(tenant, "tenant"); err != nil {
 			return err
 		}
 	}
-	if key := r.word(); !absent(key) {
+	if key := r.nextField(); !absent(key) {
 		q.Key = string(key)
 	}
 	if q.Left, err = r.seconds(); err != nil {
@@ -245,18 +248,18 @@
 	return nil
 }
 
-func (r *Reader) answer(a *sedgevale.Result) (err error) {
-	if a.ID, err = r.copied("request id"); err != nil {
+func (r *Reader) readResult(a *sedgevale.Result) (err error) {
+	if a.ID, err = r.requestID(); err != nil {
 		return err
 	}
 	if a.Attempt, err = r.index("attempt"); err != nil {
 		return err
 	}
-	r.word() // the worker: the attempt tells it
-	status := r.word()
+	r.nextField() // the worker: the attempt tells it
+	status := r.nextField()
 	o, ok := outcomes[string(status)]
 	if !ok {
-		return r.bad("unknown outcome")
+		return r.syntaxError("unknown outcome")
 	}
 	a.Outcome = o
 	if _, err = r.seconds(); err != nil {
@@ -265,8 +268,8 @@
 	if a.Closed, err = r.bool(); err != nil {
 		return err
 	}
-	r.word() // family note
-	return r.load(a)
+	r.nextField() // family note
+	return r.readReport(a)
 }
 
 var outcomes = map[string]sedgevale.Outcome{
@@ -275,8 +278,8 @@
 	"undone": sedgevale.Cancelled, "stale_send": sedgevale.NotSent,
 }
 
-func (r *Reader) load(a *sedgevale.Result) error {
-	rest := r.word()
+func (r *Reader) readReport(a *sedgevale.Result) error {
+	rest := r.nextField()
 	if absent(rest) {
 		return nil
 	}
@@ -290,11 +293,11 @@
 		}
 		i := bytes.IndexByte(pair, ':')
 		if i < 0 {
-			return r.bad("load report without a colon")
+			return r.syntaxError("load report without a colon")
 		}
 		v, err := parseFloat(pair[i+1:])
 		if err != nil {
-			return r.bad("bad load report value")
+			return r.syntaxError("bad load report value")
 		}
 		switch string(pair[:i]) {
 		case "x0":
@@ -307,43 +310,43 @@
 	return nil
 }
 
-func (r *Reader) note(e *Event) (err error) {
-	if e.Result.ID, err = r.copied("request id"); err != nil {
+func (r *Reader) readNotice(e *Event) (err error) {
+	if e.Result.ID, err = r.requestID(); err != nil {
 		return err
 	}
 	if e.Result.Attempt, err = r.index("attempt"); err != nil {
 		return err
 	}
-	r.word() // the worker
+	r.nextField() // the worker
 	sort, err := r.unsigned("note")
 	if err != nil {
 		return err
 	}
 	e.Started = sort == 1
-	e.Share, err = r.float("share done")
+	e.Progress, err = r.float("share done")
 	return err
 }
 
-func (r *Reader) echo(e *Event) error {
+func (r *Reader) readProbeResult(e *Event) error {
 	name, err := r.text("worker")
 	if err != nil {
 		return err
 	}
 	e.Worker = r.intern(name)
-	if _, ok := outcomes[string(r.word())]; !ok {
-		return r.bad("unknown outcome")
+	if _, ok := outcomes[string(r.nextField())]; !ok {
+		return r.syntaxError("unknown outcome")
 	}
 	if _, err := r.seconds(); err != nil {
 		return err
 	}
-	return r.load(&e.Result)
+	return r.readReport(&e.Result)
 }
 
-func (r *Reader) headers(e *Event) (err error) {
-	if e.Result.ID, err = r.copied("request id"); err != nil {
+func (r *Reader) readStreamStart(e *Event) (err error) {
+	if e.Result.ID, err = r.requestID(); err != nil {
 		return err
 	}
-	r.word() // the worker
+	r.nextField() // the worker
 	if e.Result.Attempt, err = r.index("attempt"); err != nil {
 		return err
 	}
@@ -351,36 +354,36 @@
 	return err
 }
 
-func (r *Reader) members(e *Event) error {
+func (r *Reader) readUpdate(e *Event) error {
 	if _, err := r.unsigned("version"); err != nil {
 		return err
 	}
-	slot := r.word()
-	switch mode := r.word(); string(mode) {
+	slot := r.nextField()
+	switch mode := r.nextField(); string(mode) {
 	case "patch":
-		e.List = sedgevale.ListPatch
+		e.ListKind = sedgevale.ListPatch
 	case "whole":
-		e.List = sedgevale.ListWhole
+		e.ListKind = sedgevale.ListWhole
 	case "stale_copy":
-		e.List = sedgevale.ListStale
+		e.ListKind = sedgevale.ListStale
 	case "broken":
-		e.List = sedgevale.ListBroken
+		e.ListKind = sedgevale.ListBroken
 		return nil
 	default:
-		return r.bad("unknown list mode")
+		return r.syntaxError("unknown list mode")
 	}
 	n, err := r.number(slot, "list number")
 	if err != nil {
 		return err
 	}
-	if n >= lists || !r.known[n] {
-		return r.bad("list number never sent")
+	if n >= maxLists || !r.known[n] {
+		return r.syntaxError("list number never sent")
 	}
 	e.Entries = r.lists[n]
 	return nil
 }
 
-func (r *Reader) list() error {
+func (r *Reader) readList() error {
 	head := string(r.line)
 	n, err := r.index("list number")
 	if err != nil {
@@ -390,22 +393,22 @@
 	if err != nil {
 		return err
 	}
-	if err := r.done(); err != nil {
+	if err := r.endOfLine(); err != nil {
 		return err
 	}
-	if n >= lists {
-		return r.bad("list number over 15")
+	if n >= maxLists {
+		return r.syntaxError("list number over 15")
 	}
 	rows := make([]sedgevale.WorkerInfo, 0, min(count, 4096))
 	for range count {
 		if err := r.readLine(); err != nil {
 			return err
 		}
-		if word := r.word(); string(word) != "ITEM" {
+		if word := r.nextField(); string(word) != "ITEM" {
 			return &SyntaxError{head, fmt.Sprintf("%d entries announced, %d found", count, len(rows))}
 		}
 		var w sedgevale.WorkerInfo
-		if err := r.item(&w); err != nil {
+		if err := r.readWorker(&w); err != nil {
 			return err
 		}
 		rows = append(rows, w)
@@ -414,7 +417,7 @@
 	return nil
 }
 
-func (r *Reader) item(w *sedgevale.WorkerInfo) (err error) {
+func (r *Reader) readWorker(w *sedgevale.WorkerInfo) (err error) {
 	name, err := r.text("worker")
 	if err != nil {
 		return err
@@ -429,7 +432,7 @@
 	if w.Cell, err = r.index("group"); err != nil {
 		return err
 	}
-	switch state := r.word(); string(state) {
+	switch state := r.nextField(); string(state) {
 	case "active":
 		w.State = sedgevale.Active
 	case "leaving":
@@ -437,7 +440,7 @@
 	case "left":
 		w.State = sedgevale.Left
 	default:
-		return r.bad("unknown state")
+		return r.syntaxError("unknown state")
 	}
 	if w.Weight, err = r.float("weight"); err != nil {
 		return err
@@ -445,5 +448,5 @@
 	if w.StartedAt, err = r.seconds(); err != nil {
 		return err
 	}
-	return r.done()
+	return r.endOfLine()
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -1,7 +1,9 @@
 package wire
 
 import (
+	"errors"
 	"fmt"
+	"math"
 	"strconv"
 	"strings"
 	"time"
@@ -9,16 +11,16 @@
 	"sedgevale"
 )
 
-// ParseSettings reads the path=value pairs of BEGIN. Unknown keys are skipped.
-// A non-empty text says what is wrong.
-func ParseSettings(info string) (sedgevale.Settings, string) {
-	p := pairs{m: map[string]string{}}
+// ParseSettings reads the path=value pairs of BEGIN. Unknown keys are skipped. The
+// error names the first setting that is wrong.
+func ParseSettings(info string) (sedgevale.Settings, error) {
+	p := settingsReader{values: map[string]string{}}
 	for _, pair := range strings.Fields(info) {
 		path, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return sedgevale.Settings{}, fmt.Sprintf("setting %q has no value", pair)
+			return sedgevale.Settings{}, fmt.Errorf("setting %q has no value", pair)
 		}
-		p.m[path] = value
+		p.values[path] = value
 	}
 	s := sedgevale.Settings{
 		Zone:          p.int("zone"),
@@ -26,49 +28,64 @@
 		MaxAttempts:   p.int("bounds.max_attempts"),
 		ParallelTries: p.bool("bounds.parallel_tries"),
 		MayCancel:     p.bool("bounds.cancel"),
-		AskForList:    p.m["discovery"] == "ask",
+		AskForList:    p.values["discovery"] == "ask",
 		TellsStart:    p.bool("family_info.tells_start"),
-		InOrder:       p.m["family_info.queue_order"] == "fifo",
+		InOrder:       p.values["family_info.queue_order"] == "fifo",
 		StartCapacity: p.float("rules.start_capacity"),
 		WarmUp:        p.seconds("rules.warm_up"),
 		FallMultiple:  p.float("rules.fall_multiple"),
 		Fall:          p.seconds("rules.fall"),
 
-		MustProbe:      p.bool("bounds.may_probe") && p.m["report.via"] == "probe",
+		MustProbe:      p.bool("bounds.may_probe") && p.values["report.via"] == "probe",
 		FullMayHaveRun: p.bool("rules.full_may_have_run"),
 		CloseOnDrain:   p.seconds("rules.close_on_drain_within"),
 	}
-	if what := p.budget(&s.Further); what != "" {
-		return s, what
+	if err := p.retryBudget(&s.Further); err != nil {
+		return s, err
 	}
 	if p.bool("bounds.retry_after") {
 		s.MaxRetryAfter = p.seconds("bounds.max_retry_after")
 	}
-	switch p.m["weights"] {
+	switch p.values["weights"] {
 	case "nominal", "rough":
 		s.Weights = sedgevale.WeightSize
 	case "live":
 		s.Weights = sedgevale.WeightLive
 	}
+	if err := p.classes(&s); err != nil {
+		return s, err
+	}
+	for i := range min(p.int("realms.count"), maxEntries) {
+		at := fmt.Sprintf("realms.%d.", i)
+		s.Tenants = append(s.Tenants, sedgevale.Tenant{
+			Name: p.values[at+"name"], Share: p.float(at + "share"), Quota: p.float(at + "quota_rps")})
+	}
+	return s, p.err
+}
+
+// maxEntries bounds the classes and the tenants of a message.
+const maxEntries = 1 << 16
+
+func (p *settingsReader) classes(s *sedgevale.Settings) error {
 	kinds := p.list("family_info.class_kind")
 	stretch := p.list("family_info.class_stretch")
-	for i := range min(p.int("classes.count"), 1<<16) {
+	for i := range min(p.int("classes.count"), maxEntries) {
 		at := fmt.Sprintf("classes.%d.", i)
 		c := sedgevale.Class{
-			Name:      p.m[at+"name"],
-			Effect:    effects[p.m[at+"effect"]],
-			Scope:     scopes[p.m[at+"dedup_scope"]],
+			Name:      p.values[at+"name"],
+			Effect:    effects[p.values[at+"effect"]],
+			Scope:     scopes[p.values[at+"dedup_scope"]],
 			Window:    p.seconds(at + "window"),
 			Aim:       p.seconds(at + "promise"),
 			Limit:     p.seconds(at + "hard_limit"),
 			LateShare: p.float(at + "late_share"),
 			Stream:    p.bool(at + "stream"),
 			Stretch:   p.float(at + "aim_stretch"),
-			Kinds:     p.places(at+"runs_on", "kinds"),
-			Zones:     p.places(at+"runs_in", "zones"),
+			Kinds:     p.indexes(at+"runs_on", "kinds"),
+			Zones:     p.indexes(at+"runs_in", "zones"),
 		}
-		if _, ok := effects[p.m[at+"effect"]]; !ok {
-			return s, fmt.Sprintf("unknown effect %q of class %d", p.m[at+"effect"], i)
+		if _, ok := effects[p.values[at+"effect"]]; !ok {
+			return fmt.Errorf("unknown effect %q of class %d", p.values[at+"effect"], i)
 		}
 		if c.Stretch == 0 && i < len(stretch) {
 			c.Stretch = p.parse("family_info.class_stretch", stretch[i])
@@ -80,12 +97,7 @@
 		}
 		s.Classes = append(s.Classes, c)
 	}
-	for i := range min(p.int("realms.count"), 1<<16) {
-		at := fmt.Sprintf("realms.%d.", i)
-		s.Tenants = append(s.Tenants, sedgevale.Tenant{
-			Name: p.m[at+"name"], Share: p.float(at + "share"), Quota: p.float(at + "quota_rps")})
-	}
-	return s, p.wrong
+	return nil
 }
 
 var effects = map[string]sedgevale.Effect{
@@ -96,77 +108,87 @@
 	"all": sedgevale.ScopeAll, "zone": sedgevale.ScopeZone, "cell": sedgevale.ScopeCell,
 }
 
-// pairs looks settings up; it keeps the first that is malformed.
-type pairs struct {
-	m     map[string]string
-	wrong string
+// settingsReader looks settings up by their paths. It keeps the error of the first that
+// is malformed, and reads that as 0.
+type settingsReader struct {
+	values map[string]string
+	err    error
 }
 
-func (p *pairs) parse(path, value string) float64 {
+// fail keeps an error, unless there is one before.
+func (p *settingsReader) fail(err error) {
+	if p.err == nil {
+		p.err = err
+	}
+}
+
+func (p *settingsReader) parse(path, value string) float64 {
 	v, err := strconv.ParseFloat(value, 64)
-	if (err != nil || v != v || v > maxSeconds || v < -maxSeconds) && p.wrong == "" {
-		p.wrong = fmt.Sprintf("setting %s=%s is no number", path, value)
+	if (err != nil || math.IsNaN(v) || v > maxSeconds || v < -maxSeconds) && p.err == nil {
+		p.fail(fmt.Errorf("setting %s=%s is no number", path, value))
 		return 0
 	}
 	return v
 }
 
-func (p *pairs) float(path string) float64 {
-	value, ok := p.m[path]
+func (p *settingsReader) float(path string) float64 {
+	value, ok := p.values[path]
 	if !ok || value == "-" || value == "" {
 		return 0
 	}
 	return p.parse(path, value)
 }
 
-func (p *pairs) int(path string) int { return max(0, int(p.float(path))) }
+func (p *settingsReader) int(path string) int { return max(0, int(p.float(path))) }
 
-func (p *pairs) seconds(path string) time.Duration {
+func (p *settingsReader) seconds(path string) time.Duration {
 	return time.Duration(p.float(path) * float64(time.Second))
 }
 
-func (p *pairs) bool(path string) bool { return p.m[path] == "true" || p.m[path] == "1" }
+func (p *settingsReader) bool(path string) bool {
+	return p.values[path] == "true" || p.values[path] == "1"
+}
 
-func (p *pairs) list(path string) []string {
-	if p.m[path] == "" {
+func (p *settingsReader) list(path string) []string {
+	if p.values[path] == "" {
 		return nil
 	}
-	return strings.Split(p.m[path], ",")
+	return strings.Split(p.values[path], ",")
 }
 
-// budget reads the budget of further attempts. It binds where any of its keys
-// is there, and then needs a span.
-func (p *pairs) budget(b *sedgevale.Budget) string {
-	_, free := p.m["rules.extra_free"]
-	_, ratio := p.m["rules.repeat_ratio"]
-	_, span := p.m["rules.ratio_span"]
+// retryBudget reads the budget of retries. It binds where any of its keys is present,
+// and then needs a window.
+func (p *settingsReader) retryBudget(b *sedgevale.Budget) error {
+	_, free := p.values["rules.extra_free"]
+	_, ratio := p.values["rules.repeat_ratio"]
+	_, span := p.values["rules.ratio_span"]
 	if !free && !ratio && !span {
-		return ""
+		return nil
 	}
 	for _, path := range []string{"rules.extra_free", "rules.repeat_ratio", "rules.ratio_span"} {
 		if p.float(path) < 0 {
-			return fmt.Sprintf("setting %s=%s is negative", path, p.m[path])
+			return fmt.Errorf("setting %s=%s is negative", path, p.values[path])
 		}
 	}
 	b.Free, b.Ratio, b.Span = p.int("rules.extra_free"), p.float("rules.repeat_ratio"), p.seconds("rules.ratio_span")
-	if b.Span == 0 && p.wrong == "" {
-		return "a budget of attempts without rules.ratio_span"
+	if b.Span == 0 && p.err == nil {
+		return errors.New("a budget of attempts without rules.ratio_span")
 	}
-	return ""
+	return nil
 }
 
-// places reads a list of indexes into the list named by of. An absent key
+// indexes reads a list of indexes into the list named by of. An absent key
 // gives nil, which means any; one that allows nothing gives an empty list.
-func (p *pairs) places(path, of string) []int {
-	if _, ok := p.m[path]; !ok {
+func (p *settingsReader) indexes(path, of string) []int {
+	if _, ok := p.values[path]; !ok {
 		return nil
 	}
 	all := []int{}
 	known := len(p.list(of))
 	for _, value := range p.list(path) {
 		i, err := strconv.ParseUint(value, 10, 31)
-		if (err != nil || known > 0 && int(i) >= known) && p.wrong == "" {
-			p.wrong = fmt.Sprintf("setting %s=%s names none of the %d %s", path, p.m[path], known, of)
+		if err != nil || known > 0 && int(i) >= known {
+			p.fail(fmt.Errorf("setting %s=%s names none of the %d %s", path, p.values[path], known, of))
 		}
 		all = append(all, int(i))
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -43,28 +43,28 @@
 		line string
 		want Event
 	}{
-		{"KNOCK rq_b 1 2 data/k 0.24 0.012 2 0.5 3", Event{Kind: Knock, Request: sedgevale.Request{
+		{"KNOCK rq_b 1 2 data/k 0.24 0.012 2 0.5 3", Event{Kind: RequestArrived, Request: sedgevale.Request{
 			ID: "rq_b", Class: 1, Tenant: 2, Key: "data/k", Left: 240 * ms, Hint: 12 * ms, Slots: 2,
 			Retry: true}}},
-		{"KNOCK rq_b 0 - - 0.24 0.012 - - 0", Event{Kind: Knock, Request: sedgevale.Request{
+		{"KNOCK rq_b 0 - - 0.24 0.012 - - 0", Event{Kind: RequestArrived, Request: sedgevale.Request{
 			ID: "rq_b", Tenant: -1, Left: 240 * ms}}},
-		{"ANSWER rq_b 1 10.0.0.1:5 no_room 0.0185 0 - -", Event{Kind: Answer, Result: sedgevale.Result{
+		{"ANSWER rq_b 1 10.0.0.1:5 no_room 0.0185 0 - -", Event{Kind: AttemptEnded, Result: sedgevale.Result{
 			ID: "rq_b", Attempt: 1, Outcome: sedgevale.Full}}},
-		{"ANSWER rq_b 0 10.0.0.1:5 pass 0.0185 1 - busy:0.62,x0:0.4,rif:3,new:7", Event{Kind: Answer, Result: sedgevale.Result{
+		{"ANSWER rq_b 0 10.0.0.1:5 pass 0.0185 1 - busy:0.62,x0:0.4,rif:3,new:7", Event{Kind: AttemptEnded, Result: sedgevale.Result{
 			ID: "rq_b", Closed: true, Report: &sedgevale.Report{HasFree: true, Free: 0.4, HasHeld: true, Held: 3}}}},
-		{"STATUS_NOTE rq_b 0 10.0.0.1:5 1 0.5", Event{Kind: Note, Started: true, Share: 0.5,
+		{"STATUS_NOTE rq_b 0 10.0.0.1:5 1 0.5", Event{Kind: AttemptNotice, Started: true, Progress: 0.5,
 			Result: sedgevale.Result{ID: "rq_b"}}},
-		{"STATUS_NOTE rq_b 2 10.0.0.1:5 2 0.25", Event{Kind: Note, Share: 0.25,
+		{"STATUS_NOTE rq_b 2 10.0.0.1:5 2 0.25", Event{Kind: AttemptNotice, Progress: 0.25,
 			Result: sedgevale.Result{ID: "rq_b", Attempt: 2}}},
-		{"HEADERS rq_b 10.0.0.1:5 3 0.009", Event{Kind: Headers, Result: sedgevale.Result{ID: "rq_b", Attempt: 3}}},
-		{"CLIENT_GONE rq_b", Event{Kind: Gone, Result: sedgevale.Result{ID: "rq_b"}}},
-		{"WAKE 9223372036854775808", Event{Kind: Wake, Token: 1 << 63}},
-		{"KILL", Event{Kind: Kill}},
-		{"ECHO 10.0.0.1:5 pass 0.001 x0:1.5,rif:2", Event{Kind: Echo, Worker: "10.0.0.1:5", Result: sedgevale.Result{
+		{"HEADERS rq_b 10.0.0.1:5 3 0.009", Event{Kind: StreamStarted, Result: sedgevale.Result{ID: "rq_b", Attempt: 3}}},
+		{"CLIENT_GONE rq_b", Event{Kind: ClientDisconnected, Result: sedgevale.Result{ID: "rq_b"}}},
+		{"WAKE 9223372036854775808", Event{Kind: TimerFired, Token: 1 << 63}},
+		{"KILL", Event{Kind: InstanceKilled}},
+		{"ECHO 10.0.0.1:5 pass 0.001 x0:1.5,rif:2", Event{Kind: ProbeResult, Worker: "10.0.0.1:5", Result: sedgevale.Result{
 			Report: &sedgevale.Report{HasFree: true, Free: 1.5, HasHeld: true, Held: 2}}}},
-		{"ECHO 10.0.0.1:5 too_slow 0.5 -", Event{Kind: Echo, Worker: "10.0.0.1:5"}},
-		{"MESSAGE 2 68692037", Event{Kind: Message}},
-		{"MEMBERS 4 - broken", Event{Kind: Members, List: sedgevale.ListBroken}},
+		{"ECHO 10.0.0.1:5 too_slow 0.5 -", Event{Kind: ProbeResult, Worker: "10.0.0.1:5"}},
+		{"MESSAGE 2 68692037", Event{Kind: PeerMessage}},
+		{"MEMBERS 4 - broken", Event{Kind: WorkersUpdated, ListKind: sedgevale.ListBroken}},
 	} {
 		got, err := read(t, "MARK 8.41225 1", "ABOUT d/1", c.line, "GO")
 		if err != nil || len(got) != 1 {
@@ -91,10 +91,10 @@
 	}
 	want := []sedgevale.WorkerInfo{{Worker: "a:1", Kind: 1, Cell: 2, Weight: 1.5},
 		{Worker: "b:1", Zone: 1, State: sedgevale.Leaving, Weight: 1, StartedAt: 6100 * ms}}
-	if !reflect.DeepEqual(got[0].Entries, want) || got[0].List != sedgevale.ListStale {
+	if !reflect.DeepEqual(got[0].Entries, want) || got[0].ListKind != sedgevale.ListStale {
 		t.Errorf("first list: %+v", got[0])
 	}
-	if len(got[1].Entries) != 0 || got[1].List != sedgevale.ListWhole {
+	if len(got[1].Entries) != 0 || got[1].ListKind != sedgevale.ListWhole {
 		t.Errorf("second list: %+v", got[1])
 	}
 	if len(got[2].Entries) != 1 || got[2].Entries[0].State != sedgevale.Left {
@@ -155,7 +155,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, what := ParseSettings("bounds.cancel=true bounds.max_attempts=6 bounds.max_retry_after=2.0 " +
+	s, err := ParseSettings("bounds.cancel=true bounds.max_attempts=6 bounds.max_retry_after=2.0 " +
 		"bounds.parallel_tries=true bounds.retry_after=true classes.count=2 classes.0.dedup_scope=all " +
 		"classes.0.effect=free classes.0.hard_limit=5.0 classes.0.late_share=0.5 classes.0.name=a " +
 		"classes.0.promise=0.08 classes.0.window=5.0 classes.1.dedup_scope=zone classes.1.effect=guarded " +
@@ -164,8 +164,8 @@
 		"family_info.queue_order=fifo family_info.tells_start=true peers_total=2 realms.count=1 realms.0.name=t realms.0.quota_rps=14.0 " +
 		"realms.0.share=0.4 rules.fall=1.5 rules.fall_multiple=2.5 rules.start_capacity=0.3 " +
 		"rules.warm_up=8.7 weights=live zone=1 some.new.key=x")
-	if what != "" {
-		t.Fatal(what)
+	if err != nil {
+		t.Fatal(err)
 	}
 	want := sedgevale.Settings{Zone: 1, Peers: 2, Weights: sedgevale.WeightLive, MaxAttempts: 6, ParallelTries: true,
 		MayCancel: true, AskForList: true, TellsStart: true, InOrder: true, MaxRetryAfter: 2 * time.Second, StartCapacity: 0.3,
@@ -181,12 +181,12 @@
 }
 
 func TestSettingsOfFurtherRules(t *testing.T) {
-	s, what := ParseSettings("bounds.may_probe=true report.via=probe kinds=a,b zones=x,y rules.extra_free=3 " +
+	s, err := ParseSettings("bounds.may_probe=true report.via=probe kinds=a,b zones=x,y rules.extra_free=3 " +
 		"rules.repeat_ratio=0.03 rules.ratio_span=5.0 rules.close_on_drain_within=1.5 rules.full_may_have_run=true " +
 		"classes.count=3 classes.0.effect=free classes.0.runs_on=1 classes.1.effect=free classes.1.runs_in=0,1 " +
 		"classes.2.effect=free classes.2.runs_on=")
-	if what != "" {
-		t.Fatal(what)
+	if err != nil {
+		t.Fatal(err)
 	}
 	want := sedgevale.Settings{MustProbe: true, FullMayHaveRun: true, CloseOnDrain: 1500 * ms,
 		Further: sedgevale.Budget{Free: 3, Ratio: 0.03, Span: 5 * time.Second},
@@ -194,18 +194,18 @@
 	if !reflect.DeepEqual(s, want) {
 		t.Errorf("\n got %+v\nwant %+v", s, want)
 	}
-	if s, what := ParseSettings("classes.count=0"); what != "" || s.Further != (sedgevale.Budget{}) {
-		t.Errorf("no budget set: %+v, %q", s.Further, what)
+	if s, err := ParseSettings("classes.count=0"); err != nil || s.Further != (sedgevale.Budget{}) {
+		t.Errorf("no budget set: %+v, %v", s.Further, err)
 	}
 }
 
 func TestReply(t *testing.T) {
 	var w Writer
-	w.About("d/1")
-	w.About("d/2") // an instance that does nothing is not named
+	w.SetInstance("d/1")
+	w.SetInstance("d/2") // an instance that does nothing is not named
 	w.Send("r1", "a:1", 80*ms)
 	w.SetTimer(1500*ms, 77)
-	w.About("d/1")
+	w.SetInstance("d/1")
 	w.Reject("r2", 0)
 	w.Fail("r3")
 	w.Cancel("r4", 2)
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// Writer builds the reply to a batch.
+// Writer builds the reply to a batch. It implements [sedgevale.Host]: each call adds an
+// action.
 type Writer struct {
 	buf      []byte
-	instance string // to which the next actions belong
-	said     bool   // it has been named in the reply
+	instance string // of the next actions
+	named    bool   // the reply has named it
 }
 
-// About names the instance of the actions that follow.
-func (w *Writer) About(instance string) {
+// SetInstance sets the instance of the actions that follow.
+func (w *Writer) SetInstance(instance string) {
 	if w.instance != instance {
-		w.instance, w.said = instance, false
+		w.instance, w.named = instance, false
 	}
 }
 
 func (w *Writer) start(name string) {
-	if !w.said {
+	if !w.named {
 		w.buf = append(append(append(w.buf, "AT "...), w.instance...), '\n')
-		w.said = true
+		w.named = true
 	}
 	w.buf = append(w.buf, name...)
 }
@@ -46,7 +47,7 @@
 
 func (w *Writer) end() { w.buf = append(w.buf, '\n') }
 
-// Send adds an attempt.
+// Send adds the send of an attempt.
 func (w *Writer) Send(id, worker string, timeout time.Duration) {
 	w.start("ISSUE")
 	w.text(id)
@@ -55,7 +56,7 @@
 	w.end()
 }
 
-// Reject ends a request unserved.
+// Reject adds the rejection of a request.
 func (w *Writer) Reject(id string, after time.Duration) {
 	w.start("OVERLOAD_REPLY")
 	w.text(id)
@@ -63,14 +64,14 @@
 	w.end()
 }
 
-// Fail ends a request with an error.
+// Fail adds the failure of a request.
 func (w *Writer) Fail(id string) {
 	w.start("FINISH_ERROR")
 	w.text(id)
 	w.end()
 }
 
-// Cancel calls an attempt off.
+// Cancel adds the cancellation of an attempt.
 func (w *Writer) Cancel(id string, attempt int) {
 	w.start("WITHDRAW")
 	w.text(id)
@@ -78,7 +79,7 @@
 	w.end()
 }
 
-// SetTimer asks for a wake-up.
+// SetTimer adds a timer.
 func (w *Writer) SetTimer(after time.Duration, token uint64) {
 	w.start("WAKE_ME")
 	w.seconds(after)
@@ -86,35 +87,35 @@
 	w.end()
 }
 
-// Probe asks a worker for its load.
+// Probe adds a probe of a worker's load.
 func (w *Writer) Probe(worker string) {
 	w.start("SOUND_OUT")
 	w.text(worker)
 	w.end()
 }
 
-// CloseIdleConnections gives back the connections that carry nothing.
+// CloseIdleConnections adds the closing of idle connections to a worker.
 func (w *Writer) CloseIdleConnections(worker string) {
 	w.start("RELEASE")
 	w.text(worker)
 	w.end()
 }
 
-// WatchWorkers subscribes to the list of workers.
+// WatchWorkers adds a subscription to the list of workers.
 func (w *Writer) WatchWorkers() {
 	w.start("SUBSCRIBE")
 	w.number(1)
 	w.end()
 }
 
-// Log adds a line for the report.
+// Log adds a line to the simulator's report.
 func (w *Writer) Log(text string) {
 	w.start("WRITE_LOG")
 	w.text(oneLine(text))
 	w.end()
 }
 
-// Fatal declares that the decision code has failed.
+// Fatal adds that the decision module has failed.
 func (w *Writer) Fatal(text string) {
 	w.start("FATAL")
 	w.text(oneLine(text))
@@ -123,12 +124,11 @@
 
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
 
-// Finish closes the reply to the batch and returns it; it is valid until the
-// next action.
+// Finish ends the reply to the batch and returns it; it is valid until the next action.
 func (w *Writer) Finish(seq string) []byte {
 	w.buf = append(w.buf, "FINISHED "...)
 	w.buf = append(append(w.buf, seq...), '\n')
 	out := w.buf
-	w.buf, w.instance, w.said = w.buf[:0], "", false
+	w.buf, w.instance, w.named = w.buf[:0], "", false
 	return out
 }
