--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Benchlink hosts sedgevale dispatchers for the bench: it reads events from standard input and writes the dispatchers'
-// actions to standard output, in the protocol of package wire.
+// Benchlink hosts instances of the decision module on the simulator's wire, on standard
+// input and output.
 package main
 
 import (
@@ -19,11 +19,10 @@
 	}
 }
 
-// run answers batches until the input ends. An event that cannot be applied is reported as fatal, and the rest of its
-// batch is skipped.
+// run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
-	h := &host{instances: map[string]*sedgevale.Dispatcher{}}
+	link := &link{instances: map[string]*sedgevale.Dispatcher{}}
 	for {
 		seq, err := reader.Batch()
 		if errors.Is(err, io.EOF) {
@@ -32,94 +31,94 @@
 		if err != nil {
 			return err
 		}
-		if err := h.applyBatch(reader); err != nil {
+		if err := link.batch(reader); err != nil {
 			var syntax *wire.SyntaxError
-			if !errors.As(err, &syntax) && !errors.Is(err, errNotApplied) {
+			if !errors.As(err, &syntax) && !errors.Is(err, errFatal) {
 				return err
 			}
-			h.out.About(reader.Instance())
-			h.out.Fatal(err.Error())
+			link.out.SetInstance(reader.Instance())
+			link.out.Fatal(err.Error())
 			if err := reader.Skip(); err != nil {
 				return err
 			}
 		}
-		if _, err := out.Write(h.out.Finish(seq)); err != nil {
+		if _, err := out.Write(link.out.Finish(seq)); err != nil {
 			return err
 		}
 	}
 }
 
-// errNotApplied marks errors of one event, after which the program goes on with the next batch.
-var errNotApplied = errors.New("event not acted on")
+// errFatal marks errors that end the simulated day, but not the program.
+var errFatal = errors.New("event not acted on")
 
-// host holds the dispatchers.
-type host struct {
-	out       wire.Writer // the reply to the present batch
+// link is the instances of a program and the reply to the current batch.
+type link struct {
+	out       wire.Writer
 	instances map[string]*sedgevale.Dispatcher
 }
 
-// applyBatch applies the events of a batch.
-func (h *host) applyBatch(reader *wire.Reader) error {
+// batch passes on the events of a batch.
+func (l *link) batch(reader *wire.Reader) error {
 	for {
 		e, err := reader.Next()
 		if e == nil || err != nil {
 			return err
 		}
-		h.out.About(e.Instance)
-		if err := h.applyEvent(e); err != nil {
-			return fmt.Errorf("%w: %s: %w", errNotApplied, e.Instance, err)
+		l.out.SetInstance(e.Instance)
+		if err := l.event(e); err != nil {
+			return fmt.Errorf("%w: %s: %w", errFatal, e.Instance, err)
 		}
 	}
 }
 
-// applyEvent applies an event to its instance. A panic becomes an error.
-func (h *host) applyEvent(e *wire.Event) (err error) {
+// event passes an event on; a panic becomes an error.
+func (l *link) event(e *wire.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
 		}
 	}()
 	switch e.Kind {
-	case wire.Begin:
-		d, err := sedgevale.New(e.Settings, e.Seed, &h.out)
+	case wire.InstanceStarted:
+		d, err := sedgevale.New(e.Settings, e.Seed, &l.out)
 		if err != nil {
 			return err
 		}
-		h.instances[e.Instance] = d
+		l.instances[e.Instance] = d
 		return nil
-	case wire.Kill:
-		delete(h.instances, e.Instance)
+	case wire.InstanceKilled:
+		delete(l.instances, e.Instance)
 		return nil
 	}
-	d := h.instances[e.Instance]
+	d := l.instances[e.Instance]
 	if d == nil {
 		return errors.New("no such instance")
 	}
 	return deliver(d, e)
 }
 
-// deliver calls the method of a dispatcher that an event stands for.
+// deliver passes an event on to its instance.
 func deliver(d *sedgevale.Dispatcher, e *wire.Event) error {
 	id, n := e.Result.ID, e.Result.Attempt
 	switch e.Kind {
-	case wire.Members:
-		d.WorkersUpdated(e.Now, e.List, e.Entries)
-	case wire.Knock:
+	case wire.WorkersUpdated:
+		d.WorkersUpdated(e.Now, e.ListKind, e.Entries)
+	case wire.RequestArrived:
 		return d.SubmitRequest(e.Now, e.Request)
-	case wire.Answer:
+	case wire.AttemptEnded:
 		return d.AttemptEnded(e.Now, e.Result)
-	case wire.Note:
+	case wire.AttemptNotice:
 		if e.Started {
 			return d.AttemptStarted(e.Now, id, n)
 		}
-		return d.AttemptProgressed(e.Now, id, n, e.Share)
-	case wire.Headers:
+		return d.AttemptProgressed(e.Now, id, n, e.Progress)
+	case wire.StreamStarted:
 		return d.StreamStarted(e.Now, id, n)
-	case wire.Echo:
+	case wire.ProbeResult:
 		d.ProbeResult(e.Now, e.Worker, e.Result.Report)
-	case wire.Gone:
+	case wire.ClientDisconnected:
 		d.ClientDisconnected(e.Now, id)
-	case wire.Wake:
+	case wire.TimerFired:
 		d.TimerFired(e.Now, e.Token)
 	}
 	return nil
