--- a/internal/crashtest/kill_test.go
+++ b/internal/crashtest/kill_test.go
@@ -1,5 +1,5 @@
-// Package crashtest kills a real scheduler again and again and holds what its journal
-// says against what the boxes say. It has tests alone.
+// Package crashtest kills a real scheduler again and again and compares its journal with the
+// workers' ledgers. It has tests alone.
 package crashtest
 
 import (
@@ -34,7 +34,7 @@
 }
 
 const operatorFile = `
-name = "tortured"
+name = "crashtest"
 listen = %q
 discovery = %q
 [journal]
@@ -44,24 +44,24 @@
 reserve_mb = 1
 `
 
-// arena is the boxes and the journal, which outlive each scheduler.
-type arena struct {
-	t      *testing.T
-	rand   *rand.Rand
-	boxes  []*fake.Box
-	ledger *fake.Ledger
-	file   string
-	dir    string
-	listen string
-	log    *bytes.Buffer
-	cycle  int
+// harness is the workers and the journal, which outlive each scheduler.
+type harness struct {
+	t       *testing.T
+	rand    *rand.Rand
+	workers []*fake.Box
+	ledger  *fake.Ledger
+	file    string
+	dir     string
+	listen  string
+	log     *bytes.Buffer
+	cycle   int
 
-	jobs, recorded, died, failed, settled int
-	verdicts                              [journal.Unknown + 1]int
+	jobs, recorded, unknownByKill, unknownByFault, settled int
+	verdicts                                               [journal.Unknown + 1]int
 }
 
-func newArena(t *testing.T) *arena {
-	a := &arena{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), ledger: fake.NewLedger(), dir: filepath.Join(t.TempDir(), "journal"),
+func newHarness(t *testing.T) *harness {
+	a := &harness{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), ledger: fake.NewLedger(), dir: filepath.Join(t.TempDir(), "journal"),
 		listen: testkit.FreeAddr(t), log: &bytes.Buffer{}}
 	shelf := fake.NewShelf(0)
 	var members []fake.Member
@@ -80,8 +80,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { b.Close() })
-		a.boxes = append(a.boxes, b)
+		t.Cleanup(func() {
+			if err := b.Close(); err != nil {
+				t.Error(err)
+			}
+		})
+		a.workers = append(a.workers, b)
 		members = append(members, fake.Member{ID: fmt.Sprintf("box-%d", i), HostPort: addr, Locality: "hut", Flavor: "box",
 			Phase: "ready", Size: 8})
 	}
@@ -90,7 +94,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Close() })
+	t.Cleanup(func() {
+		if err := d.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	a.file = filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(a.file, append(fmt.Appendf(nil, operatorFile, a.listen, addr, a.dir), faultinjection.Settings...), 0o600); err != nil {
 		t.Fatal(err)
@@ -99,7 +107,7 @@
 }
 
 // start starts a scheduler.
-func (a *arena) start() *exec.Cmd {
+func (a *harness) start() *exec.Cmd {
 	a.log.Reset()
 	c := faultinjection.Command(a.file, filepath.Dir(a.file), a.log)
 	if err := c.Start(); err != nil {
@@ -108,16 +116,16 @@
 	return c
 }
 
-// ready waits until the scheduler serves.
-func (a *arena) ready() {
+// awaitReady waits until the scheduler serves.
+func (a *harness) awaitReady() {
 	if err := faultinjection.AwaitReady(a.listen); err != nil {
 		a.t.Fatalf("cycle %d: %v:\n%s", a.cycle, err, a.log)
 	}
 }
 
-// round starts a scheduler, loads it, and kills it at a random moment. Now and then that
-// moment comes before it serves.
-func (a *arena) round() {
+// runCycle starts a scheduler, loads it, and kills it at a random moment, now and then before it
+// serves.
+func (a *harness) runCycle() {
 	a.cycle++
 	prefix := fmt.Sprintf("c%d", a.cycle)
 	c := a.start()
@@ -132,7 +140,7 @@
 		time.Sleep(time.Duration(a.rand.IntN(40)) * time.Millisecond)
 		kill()
 	} else {
-		a.ready()
+		a.awaitReady()
 		ctx, stop := context.WithCancel(context.Background())
 		time.AfterFunc(time.Duration(30+a.rand.IntN(370))*time.Millisecond, func() {
 			kill()
@@ -142,7 +150,7 @@
 			Timeout: 2 * time.Second, Prefix: prefix, Seed: a.rand.Uint64(),
 			Mix: faultinjection.Mix}.Run(ctx)
 	}
-	for _, b := range a.boxes {
+	for _, b := range a.workers {
 		b.Quiet()
 	}
 	a.check(prefix+"-", told, killed)
@@ -152,12 +160,12 @@
 	}
 }
 
-// check holds the journal against the ledgers and against what clients were told.
-func (a *arena) check(prefix string, told []fake.Told, killed time.Time) {
+// check compares the journal with the ledgers and with the responses that clients got.
+func (a *harness) check(prefix string, told []fake.Told, killed time.Time) {
 	a.jobs += len(told)
 	if !store.Used(store.OS{}, a.dir) { // killed before it ever wrote
 		if len(a.ledger.Jobs()) > 0 {
-			a.t.Errorf("cycle %d: there is no journal, and boxes have begun jobs", a.cycle)
+			a.t.Errorf("cycle %d: there is no journal, and workers have begun jobs", a.cycle)
 		}
 		return
 	}
@@ -185,9 +193,9 @@
 			continue
 		}
 		if strings.Contains(reason, "the scheduler died") {
-			a.died++
+			a.unknownByKill++
 		} else {
-			a.failed++
+			a.unknownByFault++
 		}
 		if t := answered[j.ID]; t.Status == http.StatusOK && killed.Sub(t.At) > 100*time.Millisecond {
 			a.t.Errorf("cycle %d: job %s is unknown (%s), but it was answered %v before the kill", a.cycle, j.ID, reason, killed.Sub(t.At))
@@ -195,7 +203,7 @@
 	}
 }
 
-func (a *arena) read() *store.View {
+func (a *harness) read() *store.View {
 	secret, err := store.ReadKey(store.KeyPath(a.dir, ""))
 	if err != nil {
 		a.t.Fatal(err)
@@ -207,8 +215,8 @@
 	return view
 }
 
-// settle does what operators do with jobs of unknown fate.
-func (a *arena) settle() {
+// settle settles some jobs whose outcome is unknown, as operators do.
+func (a *harness) settle() {
 	secret, err := store.ReadKey(store.KeyPath(a.dir, ""))
 	if err != nil {
 		a.t.Fatal(err)
@@ -230,14 +238,14 @@
 	}
 }
 
-// Guards the journal's word over kills at any moment: no box has begun a job for which no
-// durable intent names that box, what did not run was begun by none, what ran was
-// finished by one, what must not run twice was begun once, and what was answered more
-// than 100 ms before is known.
+// Guards the journal over kills at any moment: no worker has begun a job for which no durable
+// intent names that worker, what did not run was begun by none, what ran was finished by one,
+// what must not run twice was begun once, and the outcome of what was answered more than
+// 100 ms before the kill is known.
 func TestKills(t *testing.T) {
-	a := newArena(t)
+	a := newHarness(t)
 	for range *kills {
-		a.round()
+		a.runCycle()
 		if a.cycle%100 == 0 {
 			fmt.Fprintf(os.Stderr, "%d kills\n", a.cycle)
 		}
@@ -247,5 +255,5 @@
 	}
 	t.Logf("%d kills, seed %d: %d jobs sent, %d on record: %d ran, %d did not run, %d unknown (%d by the kill, %.2f%%; %d since their box failed); %d settled; 0 violations",
 		*kills, *seed, a.jobs, a.recorded, a.verdicts[journal.Ran], a.verdicts[journal.DidNotRun], a.verdicts[journal.Unknown],
-		a.died, 100*float64(a.died)/float64(max(1, a.recorded)), a.failed, a.settled)
+		a.unknownByKill, 100*float64(a.unknownByKill)/float64(max(1, a.recorded)), a.unknownByFault, a.settled)
 }
--- a/internal/fake/box.go
+++ b/internal/fake/box.go
@@ -1,8 +1,7 @@
-// Package fake has stand-ins for the outside systems that a scheduler meets: worker
-// boxes with ledgers of their own, a discovery, clients, and a file system that fails.
-// They are written from the public descriptions alone, know nothing of how the
-// scheduler works, and stay on loopback. Tests, the torture run and `sedgevale standin`
-// share them.
+// Package fake has fakes of the outside systems that a scheduler meets: workers that record what
+// they run, a discovery, clients, and a file system that fails. They are written from the
+// public descriptions alone, know nothing of how the scheduler works, and stay on loopback.
+// Tests, the crash test and `sedgevale standin` share them.
 package fake
 
 import (
@@ -18,17 +17,17 @@
 	"time"
 )
 
-// Point is a place in the course of a job at which a Box can be made to fail.
+// Point is a point in the course of a job at which a Box can be made to fail.
 type Point string
 
 // The points, in the order of a job's course.
 const (
-	TurnAway Point = "turn-away" // refused unstarted: 503 with Not-Started
+	TurnAway Point = "turn-away" // rejected unstarted: 503 with Not-Started
 	CutEarly Point = "cut-early" // the connection breaks, the job is dropped before it begins
 	Error500 Point = "error"     // an answer of 500
 	CutBegun Point = "cut-begun" // the connection breaks when it has begun; it is finished all the same
 	Garbage  Point = "garbage"   // a line that is no JSON, in place of progress
-	Hang     Point = "hang"      // it begins and is never heard of again, nor finished
+	Hang     Point = "hang"      // it begins and is neither reported on again nor finished
 	CutDone  Point = "cut-done"  // it is finished, and the connection breaks before that is said
 	Failed   Point = "failed"    // it ends in failure after it has begun
 )
@@ -36,7 +35,7 @@
 // Points are all of them.
 var Points = []Point{TurnAway, CutEarly, Error500, CutBegun, Garbage, Hang, CutDone, Failed}
 
-// Faults says how often a Box fails at which point: shares of its jobs, from 0 to 1.
+// Faults are the shares of a Box's jobs, from 0 to 1, that fail at a point.
 type Faults map[Point]float64
 
 // ParseFault reads POINT=SHARE.
@@ -55,7 +54,7 @@
 	return fmt.Errorf("fault %q: the points are %v", s, Points)
 }
 
-// BoxOptions set a Box up.
+// BoxOptions are a Box's bounds, faults and stores.
 type BoxOptions struct {
 	ID    string
 	Slots int // jobs at a time; 0: 4
@@ -68,16 +67,16 @@
 	Ledger *Ledger // nil: one of its own
 }
 
-// Box is a worker: it takes jobs by the platform's protocol, and notes in its Ledger
-// what it began and finished.
+// Box is a worker: it takes jobs by the platform's protocol, and records in its Ledger which it
+// began and finished.
 type Box struct {
-	opt    BoxOptions
-	ledger *Ledger
-	slots  chan struct{}
-	server *http.Server
+	options BoxOptions
+	ledger  *Ledger
+	slots   chan struct{}
+	server  *http.Server
 
-	mu      sync.Mutex
-	rand    *rand.Rand
+	mu      sync.Mutex // guards all below
+	random  *rand.Rand
 	waiting int
 	busy    int           // jobs under way; not a WaitGroup, for jobs come while Quiet waits
 	quiet   chan struct{} // closed when none is; nil: nobody waits
@@ -102,17 +101,17 @@
 	if o.Ledger == nil {
 		o.Ledger = NewLedger()
 	}
-	b := &Box{opt: o, ledger: o.Ledger, slots: make(chan struct{}, o.Slots), rand: rand.New(rand.NewPCG(o.Seed, 0xb0c5))}
+	b := &Box{options: o, ledger: o.Ledger, slots: make(chan struct{}, o.Slots), random: rand.New(rand.NewPCG(o.Seed, 0xb0c5))}
 	b.server = &http.Server{Handler: b}
 	return b
 }
 
-// Ledger returns what the box has noted.
+// Ledger returns the record of the worker's jobs.
 func (b *Box) Ledger() *Ledger { return b.ledger }
 
 // Listen serves on an address, "127.0.0.1:0" for any, and returns it.
 func (b *Box) Listen(addr string) (string, error) {
-	l, err := net.Listen("tcp", addr)
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return "", err
 	}
@@ -120,7 +119,7 @@
 	return l.Addr().String(), nil
 }
 
-// Close ends the box at once.
+// Close closes all connections at once.
 func (b *Box) Close() error { return b.server.Close() }
 
 // Quiet returns once no job is under way but those that hang.
@@ -138,8 +137,8 @@
 	<-quiet
 }
 
-// leave gives a job's slot back.
-func (b *Box) leave() {
+// release gives a job's slot back.
+func (b *Box) release() {
 	<-b.slots
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -153,10 +152,10 @@
 func (b *Box) draw(class string) (Point, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	work := b.opt.Work(class, b.rand)
-	at := b.rand.Float64()
+	work := b.options.Work(class, b.random)
+	at := b.random.Float64()
 	for _, p := range Points {
-		if at -= b.opt.Faults[p]; at < 0 {
+		if at -= b.options.Faults[p]; at < 0 {
 			return p, work
 		}
 	}
@@ -174,6 +173,7 @@
 	return fmt.Sprintf("x0=%g,queue=%g", l["x0"], l["queue"])
 }
 
+// line is a line of a job's response.
 type line struct {
 	ID     string             `json:"id"`
 	From   string             `json:"from"`
@@ -183,7 +183,17 @@
 	Load   map[string]float64 `json:"load,omitempty"`
 }
 
-// ServeHTTP answers a probe or carries out a job.
+// boxJob is a job at a Box.
+type boxJob struct {
+	id, class, key string
+	received       time.Time
+	fault          Point // empty: none
+	work           time.Duration
+	result         string // if it is finished
+	out            *lineWriter
+}
+
+// ServeHTTP answers a health check or carries out a job.
 func (b *Box) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.Method == http.MethodGet {
 		w.Header().Set("Server-Load", b.loadText())
@@ -191,124 +201,144 @@
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(q.Body, 1<<20))
-	id, key := q.Header.Get("Request-Id"), q.Header.Get("Idempotency-Key")
-	if err != nil || id == "" {
+	j := &boxJob{id: q.Header.Get("Request-Id"), key: q.Header.Get("Idempotency-Key"), received: time.Now()}
+	if err != nil || j.id == "" {
 		http.Error(w, "no whole request with an id", http.StatusNotFound)
 		return
 	}
-	came := time.Now()
-	class, _, _ := strings.Cut(strings.TrimPrefix(q.URL.Path, "/"), "/")
-	point, work := b.draw(class)
-	switch point {
+	j.class, _, _ = strings.Cut(strings.TrimPrefix(q.URL.Path, "/"), "/")
+	j.result = fmt.Sprintf("%s %s: %d bytes by %s", j.class, j.id, len(body), b.options.ID)
+	j.fault, j.work = b.draw(j.class)
+	switch j.fault {
 	case CutEarly:
 		panic(http.ErrAbortHandler)
 	case Error500:
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
-	b.mu.Lock()
-	full := b.waiting >= b.opt.Queue
-	if !full && point != TurnAway {
-		b.waiting++
-		b.busy++
-	}
-	b.mu.Unlock()
-	if full || point == TurnAway {
+	if j.fault == TurnAway || !b.enqueue() {
 		w.Header().Set("Not-Started", "1")
 		w.Header().Set("Server-Load", b.loadText())
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
 	}
-	say := newSpeaker(w, id, b.opt.ID)
+	j.out = newLineWriter(w, j.id, b.options.ID)
 	b.slots <- struct{}{}
 	b.mu.Lock()
 	b.waiting--
 	b.mu.Unlock()
-	result := fmt.Sprintf("%s %s: %d bytes by %s", class, id, len(body), b.opt.ID)
-	if key != "" {
-		old, repeat, ok := b.opt.Shelf.Take(q.Context(), key)
-		if !ok || repeat {
-			b.leave()
-			if repeat {
-				say.line(line{State: "done", Result: &old, Load: b.load()})
-			}
-			return
-		}
+	if j.key != "" && b.repeated(q.Context(), j) {
+		return
+	}
+	b.run(q.Context(), j)
+}
+
+// enqueue counts a job as waiting, unless the queue is full.
+func (b *Box) enqueue() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.waiting >= b.options.Queue {
+		return false
+	}
+	b.waiting++
+	b.busy++
+	return true
+}
+
+// repeated answers a job whose key was used before by the former result, and reports whether the
+// job is over by that or by the end of its context.
+func (b *Box) repeated(ctx context.Context, j *boxJob) bool {
+	former, repeat, ok := b.options.Shelf.Take(ctx, j.key)
+	if ok && !repeat {
+		return false
 	}
-	b.ledger.Begin(id, class, b.opt.ID, came)
-	say.line(line{State: "started"})
-	switch point {
+	b.release()
+	if repeat {
+		j.out.line(line{State: "done", Result: &former, Load: b.load()})
+	}
+	return true
+}
+
+// run carries out a job that has a slot.
+func (b *Box) run(ctx context.Context, j *boxJob) {
+	b.ledger.Begin(j.id, j.class, b.options.ID, j.received)
+	j.out.line(line{State: "started"})
+	switch j.fault {
 	case Hang:
-		b.leave()
-		<-q.Context().Done()
+		b.release()
+		<-ctx.Done()
 		return
 	case CutBegun:
 		go func() {
-			time.Sleep(work)
-			b.ledger.Finish(id, b.opt.ID)
-			b.opt.Shelf.End(key, result, true)
-			b.leave()
+			time.Sleep(j.work)
+			b.finish(j)
 		}()
 		panic(http.ErrAbortHandler)
 	}
-	time.Sleep(work / 2)
-	if point == Garbage {
-		say.raw("{not a line\n")
+	time.Sleep(j.work / 2)
+	if j.fault == Garbage {
+		j.out.raw("{not a line\n")
 	} else {
-		say.line(line{State: "running", Share: 0.5})
+		j.out.line(line{State: "running", Share: 0.5})
 	}
-	time.Sleep(work - work/2)
-	if point == Failed {
-		b.opt.Shelf.End(key, "", false)
-		b.leave()
-		say.line(line{State: "failed", Load: b.load()})
+	time.Sleep(j.work - j.work/2)
+	if j.fault == Failed {
+		b.options.Shelf.End(j.key, "", false)
+		b.release()
+		j.out.line(line{State: "failed", Load: b.load()})
 		return
 	}
-	b.ledger.Finish(id, b.opt.ID)
-	b.opt.Shelf.End(key, result, true)
-	b.leave()
-	if point == CutDone {
+	b.finish(j)
+	if j.fault == CutDone {
 		panic(http.ErrAbortHandler)
 	}
-	say.line(line{State: "done", Result: &result, Load: b.load()})
+	j.out.line(line{State: "done", Result: &j.result, Load: b.load()})
+}
+
+// finish notes that a job is finished and gives its slot back.
+func (b *Box) finish(j *boxJob) {
+	b.ledger.Finish(j.id, b.options.ID)
+	b.options.Shelf.End(j.key, j.result, true)
+	b.release()
 }
 
-// speaker writes the lines of a job's answer. A scheduler that is gone does not hear
-// them; the job goes on.
-type speaker struct {
+// lineWriter writes the lines of a job's response. Errors are ignored: the job goes on without
+// its scheduler.
+type lineWriter struct {
 	w        http.ResponseWriter
 	rc       *http.ResponseController
 	id, from string
 }
 
-func newSpeaker(w http.ResponseWriter, id, from string) *speaker {
-	s := &speaker{w, http.NewResponseController(w), id, from}
+func newLineWriter(w http.ResponseWriter, id, from string) *lineWriter {
+	s := &lineWriter{w, http.NewResponseController(w), id, from}
 	w.WriteHeader(http.StatusOK)
 	_ = s.rc.Flush()
 	return s
 }
 
-func (s *speaker) line(l line) {
+func (s *lineWriter) line(l line) {
 	l.ID, l.From = s.id, s.from
-	b, _ := json.Marshal(l) // has no value that cannot be written
+	b, _ := json.Marshal(l) // every value of its type can be encoded
 	s.raw(string(b) + "\n")
 }
 
-func (s *speaker) raw(text string) {
+func (s *lineWriter) raw(text string) {
 	_, _ = io.WriteString(s.w, text)
 	_ = s.rc.Flush()
 }
 
-// Shelf drops repeats: a key within its window is not run again.
+// Shelf stores the results of jobs by their idempotency keys: a key is not run again within the
+// window.
 type Shelf struct {
 	window time.Duration
-	mu     sync.Mutex
-	seen   map[string]*shelved
+	mu     sync.Mutex // guards seen
+	seen   map[string]*shelfEntry
 }
 
-type shelved struct {
-	at     time.Time
-	over   chan struct{} // closed when the job has ended
+type shelfEntry struct {
+	began  time.Time
+	done   chan struct{} // closed when the job has ended
 	result string
 	ok     bool // it ended well
 }
@@ -318,7 +348,7 @@
 	if window <= 0 {
 		window = 7500 * time.Millisecond
 	}
-	return &Shelf{window: window, seen: map[string]*shelved{}}
+	return &Shelf{window: window, seen: map[string]*shelfEntry{}}
 }
 
 // Take notes that a job with a key begins; End must be told how it ends. If one with that
@@ -329,14 +359,14 @@
 		s.mu.Lock()
 		now := time.Now()
 		before := s.seen[key]
-		if before == nil || now.Sub(before.at) >= s.window {
-			s.seen[key] = &shelved{at: now, over: make(chan struct{})}
+		if before == nil || now.Sub(before.began) >= s.window {
+			s.seen[key] = &shelfEntry{began: now, done: make(chan struct{})}
 			s.mu.Unlock()
 			return "", false, true
 		}
 		s.mu.Unlock()
 		select {
-		case <-before.over:
+		case <-before.done:
 		case <-ctx.Done():
 			return "", false, false
 		}
@@ -358,10 +388,10 @@
 	defer s.mu.Unlock()
 	if e := s.seen[key]; e != nil && !e.ok {
 		select {
-		case <-e.over:
+		case <-e.done:
 		default:
 			e.result, e.ok = result, ok
-			close(e.over)
+			close(e.done)
 		}
 	}
 }
--- a/internal/fake/box_test.go
+++ b/internal/fake/box_test.go
@@ -17,7 +17,7 @@
 	var clients sync.WaitGroup
 	for i := range 50 {
 		clients.Go(func() {
-			q := httptest.NewRequest(http.MethodPost, "/usage-view", strings.NewReader("x"))
+			q := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/usage-view", strings.NewReader("x"))
 			q.Header.Set("Request-Id", strconv.Itoa(i))
 			b.ServeHTTP(httptest.NewRecorder(), q)
 		})
--- a/internal/fake/clients.go
+++ b/internal/fake/clients.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Mix is a class of jobs and how much of the load it is.
+// Mix is a class of jobs and its part of the load.
 type Mix struct {
 	Class string
 	Part  float64 // of the sum of all parts
@@ -26,20 +26,20 @@
 	Mix     []Mix
 	Tenants []string
 	Think   time.Duration // on average
-	Timeout time.Duration // as the client tells it
+	Timeout time.Duration // in the request
 	Prefix  string        // of the jobs' ids
 	Seed    uint64
 }
 
-// Told is what a client was told of a job.
+// Told is a job and the response that its client got.
 type Told struct {
 	Job, Class string
 	Asked, At  time.Time
-	Status     int // 0: no whole answer
+	Status     int // 0: no whole response
 	Body       string
 }
 
-// Run sends jobs until the context ends and returns what was told of each.
+// Run sends jobs until the context ends and returns each with its response.
 func (c Clients) Run(ctx context.Context) []Told {
 	var mu sync.Mutex
 	var all []Told
@@ -51,7 +51,7 @@
 			defer transport.CloseIdleConnections()
 			h := &http.Client{Transport: transport}
 			for k := 0; ctx.Err() == nil; k++ {
-				t := c.one(h, r, fmt.Sprintf("%s-%d-%d", c.Prefix, n, k))
+				t := c.send(context.WithoutCancel(ctx), h, r, fmt.Sprintf("%s-%d-%d", c.Prefix, n, k))
 				mu.Lock()
 				all = append(all, t)
 				mu.Unlock()
@@ -66,7 +66,9 @@
 	return all
 }
 
-func (c Clients) one(h *http.Client, r *rand.Rand, id string) Told {
+// send sends a job of a class that is drawn by the mix. The context is not that of the run: what
+// was sent is not called off.
+func (c Clients) send(ctx context.Context, h *http.Client, r *rand.Rand, id string) Told {
 	sum := 0.0
 	for _, m := range c.Mix {
 		sum += m.Part
@@ -79,8 +81,7 @@
 		at -= m.Part
 	}
 	t := Told{Job: id, Class: kind.Class, Asked: time.Now()}
-	// What was sent stays sent: the context of the run does not end it.
-	q, err := http.NewRequest(http.MethodPost, "http://"+c.Target+"/"+kind.Class, bytes.NewReader([]byte("job "+id)))
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Target+"/"+kind.Class, bytes.NewReader([]byte("job "+id)))
 	if err != nil {
 		return t
 	}
@@ -95,14 +96,15 @@
 	return t.Do(h, q)
 }
 
-// Do sends a job's request and returns what was told of it: a status only with a whole answer.
+// Do sends a job's request and returns the job with its response. The status is set only if the
+// response came whole.
 func (t Told) Do(h *http.Client, q *http.Request) Told {
 	a, err := h.Do(q)
 	if err != nil {
 		t.At = time.Now()
 		return t
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }() // it is read to its end
 	body, err := io.ReadAll(a.Body)
 	if t.At = time.Now(); err == nil {
 		t.Status, t.Body = a.StatusCode, string(body)
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -1,6 +1,7 @@
 package fake
 
 import (
+	"context"
 	"encoding/json"
 	"net"
 	"net/http"
@@ -10,7 +11,7 @@
 	"time"
 )
 
-// Member is an entry of the list of workers, as discovery tells it.
+// Member is a worker in the list, as discovery serves it.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -22,22 +23,22 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Discovery tells schedulers the list of workers: whole, or as a watch on changes.
+// Discovery serves the list of workers: complete, or as a watch on changes.
 type Discovery struct {
-	mu       sync.Mutex
-	revision int64
-	members  []Member
-	changed  map[string]int64 // the revision of a member's last change
-	newer    chan struct{}    // closed at the next change
-	server   *http.Server
+	mu         sync.Mutex // guards all below but server
+	revision   int64
+	members    []Member
+	changed    map[string]int64 // the revision of a member's last change
+	nextChange chan struct{}    // closed at the next change
+	server     *http.Server
 }
 
-// maxWatch is how long a watch may wait at most.
+// maxWatch is how long a watch may wait.
 const maxWatch = time.Minute
 
 // NewDiscovery returns a Discovery that does not listen yet.
 func NewDiscovery(members ...Member) *Discovery {
-	d := &Discovery{revision: 1, members: members, changed: map[string]int64{}, newer: make(chan struct{})}
+	d := &Discovery{revision: 1, members: members, changed: map[string]int64{}, nextChange: make(chan struct{})}
 	for _, m := range members {
 		d.changed[m.ID] = 1
 	}
@@ -47,7 +48,7 @@
 
 // Listen serves on an address, "127.0.0.1:0" for any, and returns it.
 func (d *Discovery) Listen(addr string) (string, error) {
-	l, err := net.Listen("tcp", addr)
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return "", err
 	}
@@ -55,7 +56,7 @@
 	return l.Addr().String(), nil
 }
 
-// Close ends it at once, as when it goes down: watches break.
+// Close closes all connections at once, as when discovery goes down: watches break.
 func (d *Discovery) Close() error { return d.server.Close() }
 
 // Set changes a member, adds one, or, with the phase "gone", removes one.
@@ -69,8 +70,8 @@
 	} else {
 		d.members = append(d.members, m)
 	}
-	close(d.newer)
-	d.newer = make(chan struct{})
+	close(d.nextChange)
+	d.nextChange = make(chan struct{})
 }
 
 // Members returns the list as it stands.
@@ -90,7 +91,7 @@
 	whole := err != nil
 	wait, _ := strconv.Atoi(q.FormValue("timeout_ms")) // 0 where it is missing: no wait
 	d.mu.Lock()
-	newer, current := d.newer, d.revision
+	newer, current := d.nextChange, d.revision
 	d.mu.Unlock()
 	if !whole && current <= since {
 		timer := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWatch))
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -21,13 +21,13 @@
 // or not. After a failed sync the writes that it was for are never on the disk, though
 // they can still be read, as on Linux.
 type Disk struct {
-	mu    sync.Mutex
-	rand  *rand.Rand
-	names map[string]*inode // as a process sees them
-	disk  map[string]*inode // durable
-	locks map[string]string
-	room  int64
-	fail  map[Op]float64
+	mu       sync.Mutex
+	random   *rand.Rand
+	names    map[string]*inode // as a process sees them
+	durable  map[string]*inode // durable
+	locks    map[string]string
+	capacity int64
+	failures map[Op]float64
 }
 
 // Op is an operation that can be made to fail.
@@ -45,46 +45,46 @@
 )
 
 type inode struct {
-	data []byte // as a process sees it
-	disk []byte // durable
-	wait []change
+	data     []byte // as a process sees it
+	durable  []byte // durable
+	unsynced []write
 }
 
-// change is a write.
-type change struct {
-	at   int
-	data []byte
+// write is a write.
+type write struct {
+	offset int
+	data   []byte
 }
 
-func (c change) apply(b []byte) []byte {
-	for len(b) < c.at+len(c.data) {
+func (c write) apply(b []byte) []byte {
+	for len(b) < c.offset+len(c.data) {
 		b = append(b, 0)
 	}
-	copy(b[c.at:], c.data)
+	copy(b[c.offset:], c.data)
 	return b
 }
 
 // NewDisk returns an empty Disk with so much room, in bytes.
 func NewDisk(seed uint64, room int64) *Disk {
-	return &Disk{rand: rand.New(rand.NewPCG(seed, 0xd15c)), names: map[string]*inode{}, disk: map[string]*inode{},
-		locks: map[string]string{}, room: room, fail: map[Op]float64{}}
+	return &Disk{random: rand.New(rand.NewPCG(seed, 0xd15c)), names: map[string]*inode{}, durable: map[string]*inode{},
+		locks: map[string]string{}, capacity: room, failures: map[Op]float64{}}
 }
 
 // Fail makes an operation fail that often, from 0 to 1.
 func (d *Disk) Fail(op Op, share float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fail[op] = share
+	d.failures[op] = share
 }
 
 // Room sets how many bytes the disk holds.
 func (d *Disk) Room(n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.room = n
+	d.capacity = n
 }
 
-func (d *Disk) fails(op Op) bool { return d.fail[op] > 0 && d.rand.Float64() < d.fail[op] }
+func (d *Disk) fails(op Op) bool { return d.failures[op] > 0 && d.random.Float64() < d.failures[op] }
 
 func (d *Disk) used() (n int64) {
 	for _, f := range d.names {
@@ -98,13 +98,13 @@
 func (d *Disk) Cut() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	after := &Disk{rand: d.rand, names: map[string]*inode{}, disk: map[string]*inode{}, locks: map[string]string{},
-		room: d.room, fail: map[Op]float64{}}
+	after := &Disk{random: d.random, names: map[string]*inode{}, durable: map[string]*inode{}, locks: map[string]string{},
+		capacity: d.capacity, failures: map[Op]float64{}}
 	paths := map[string]bool{}
 	for p := range d.names {
 		paths[p] = true
 	}
-	for p := range d.disk {
+	for p := range d.durable {
 		paths[p] = true
 	}
 	var sorted []string
@@ -113,40 +113,40 @@
 	}
 	slices.Sort(sorted) // or the seed would not tell the outcome
 	for _, p := range sorted {
-		f := d.disk[p]
-		if now := d.names[p]; now != f && d.rand.IntN(2) == 0 {
+		f := d.durable[p]
+		if now := d.names[p]; now != f && d.random.IntN(2) == 0 {
 			f = now
 		}
 		if f == nil {
 			continue
 		}
-		b := d.left(f)
-		g := &inode{data: b, disk: slices.Clone(b)}
-		after.names[p], after.disk[p] = g, g
+		b := d.surviving(f)
+		g := &inode{data: b, durable: slices.Clone(b)}
+		after.names[p], after.durable[p] = g, g
 	}
 	return after
 }
 
-// sector is what a disk writes whole or not at all.
-const sector = 512
+// sectorSize is what a disk writes whole or not at all.
+const sectorSize = 512
 
-// left draws what is left of a file: of each sector the content after some number of the
+// surviving draws what is left of a file: of each sector the content after some number of the
 // writes that wait, and likewise the file's length.
-func (d *Disk) left(f *inode) []byte {
-	versions := [][]byte{slices.Clone(f.disk)}
-	for _, c := range f.wait {
+func (d *Disk) surviving(f *inode) []byte {
+	versions := [][]byte{slices.Clone(f.durable)}
+	for _, c := range f.unsynced {
 		versions = append(versions, c.apply(slices.Clone(versions[len(versions)-1])))
 	}
 	draw := func() []byte {
-		if d.rand.IntN(2) == 0 {
+		if d.random.IntN(2) == 0 {
 			return versions[len(versions)-1]
 		}
-		return versions[d.rand.IntN(len(versions))]
+		return versions[d.random.IntN(len(versions))]
 	}
 	b := make([]byte, len(draw()))
-	for at := 0; at < len(b); at += sector {
+	for at := 0; at < len(b); at += sectorSize {
 		if v := draw(); at < len(v) {
-			copy(b[at:min(at+sector, len(b))], v[at:])
+			copy(b[at:min(at+sectorSize, len(b))], v[at:])
 		}
 	}
 	return b
@@ -156,7 +156,7 @@
 func (d *Disk) Kill() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return &Disk{rand: d.rand, names: d.names, disk: d.disk, locks: map[string]string{}, room: d.room, fail: map[Op]float64{}}
+	return &Disk{random: d.random, names: d.names, durable: d.durable, locks: map[string]string{}, capacity: d.capacity, failures: map[Op]float64{}}
 }
 
 // MkdirAll does nothing: directories are made by what is in them.
@@ -192,8 +192,8 @@
 func (d *Disk) WriteFile(path string, b []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := &inode{data: b, disk: slices.Clone(b)}
-	d.names[path], d.disk[path] = f, f
+	f := &inode{data: b, durable: slices.Clone(b)}
+	d.names[path], d.durable[path] = f, f
 }
 
 // ReadDir is store.FS's.
@@ -248,14 +248,14 @@
 	if d.fails(OpSyncDir) {
 		return &fs.PathError{Op: "sync", Path: dir, Err: syscall.EIO}
 	}
-	for p := range d.disk {
+	for p := range d.durable {
 		if filepath.Dir(p) == dir && d.names[p] == nil {
-			delete(d.disk, p)
+			delete(d.durable, p)
 		}
 	}
 	for p, f := range d.names {
 		if filepath.Dir(p) == dir {
-			d.disk[p] = f
+			d.durable[p] = f
 		}
 	}
 	return nil
@@ -265,7 +265,7 @@
 func (d *Disk) Free(string) (int64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(0, d.room-d.used()), nil
+	return max(0, d.capacity-d.used()), nil
 }
 
 // Lock is store.FS's.
@@ -316,16 +316,16 @@
 		return 0, fmt.Errorf("write: %w", syscall.EIO)
 	}
 	n, err := len(b), error(nil)
-	if free := h.d.room - h.d.used(); int64(n) > free {
+	if free := h.d.capacity - h.d.used(); int64(n) > free {
 		n, err = int(max(0, free)), fmt.Errorf("write: %w", syscall.ENOSPC)
 	}
 	if h.d.fails(OpShort) {
-		n, err = h.d.rand.IntN(n+1), fmt.Errorf("write: %w", syscall.ENOSPC)
+		n, err = h.d.random.IntN(n+1), fmt.Errorf("write: %w", syscall.ENOSPC)
 	}
-	c := change{len(h.f.data), slices.Clone(b[:n])}
+	c := write{len(h.f.data), slices.Clone(b[:n])}
 	if n > 0 {
 		h.f.data = c.apply(h.f.data)
-		h.f.wait = append(h.f.wait, c)
+		h.f.unsynced = append(h.f.unsynced, c)
 	}
 	return n, err
 }
@@ -333,13 +333,13 @@
 func (h *handle) Sync() error {
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
-	wait := h.f.wait
-	h.f.wait = nil
+	wait := h.f.unsynced
+	h.f.unsynced = nil
 	if h.d.fails(OpSync) {
 		return fmt.Errorf("sync: %w", syscall.EIO) // the writes are lost, and marked as done
 	}
 	for _, c := range wait {
-		h.f.disk = c.apply(h.f.disk)
+		h.f.durable = c.apply(h.f.durable)
 	}
 	return nil
 }
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -10,31 +10,31 @@
 	"sedgevale/internal/journal/store"
 )
 
-// Run is one beginning of a job at a box.
+// Run is a run of a job at a worker.
 type Run struct {
 	Job, Class, Box string
-	Came            time.Time // when the box had the whole of it
+	Came            time.Time // when the worker had received it whole
 	Began, Finished time.Time // Finished is zero until then
 }
 
-// Ledger is what boxes say of themselves. It is the truth that a journal is held
-// against. Several boxes may share one.
+// Ledger records the runs of jobs at workers. It is the truth that a journal is compared with.
+// Several workers may share one.
 type Ledger struct {
-	mu   sync.Mutex
+	mu   sync.Mutex        // guards runs
 	runs map[string][]*Run // by job
 }
 
 // NewLedger returns an empty Ledger.
 func NewLedger() *Ledger { return &Ledger{runs: map[string][]*Run{}} }
 
-// Begin notes that a box begins a job that came then.
+// Begin records that a worker begins a job, and when that was received.
 func (l *Ledger) Begin(job, class, box string, came time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[job] = append(l.runs[job], &Run{Job: job, Class: class, Box: box, Came: came, Began: time.Now()})
 }
 
-// Finish notes that a box has finished a job.
+// Finish records that a worker has finished a job.
 func (l *Ledger) Finish(job, box string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Runs returns what was begun of a job.
+// Runs returns the runs of a job.
 func (l *Ledger) Runs(job string) (out []Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +56,7 @@
 	return out
 }
 
-// Jobs returns the jobs that were begun.
+// Jobs returns the ids of the jobs that were begun, in order.
 func (l *Ledger) Jobs() (out []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,18 +67,17 @@
 	return out
 }
 
-// Forget drops all, for long runs.
+// Forget drops all runs, for long tests.
 func (l *Ledger) Forget() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.runs)
 }
 
-// Audit holds a journal against a ledger and returns each breach in words. Recorded says
-// which classes the journal keeps and single which must not run twice. It looks only at
-// jobs that the ledger has, and at those of the journal that keep returns true for.
-// Dropped says of a job that the journal does not have whether retention may have
-// dropped it; nil: none was.
+// Audit compares a journal with a ledger and returns each breach in words. Recorded says which
+// classes the journal keeps and single which must not run twice. It looks only at jobs that
+// the ledger has, and at those of the journal that keep returns true for. Dropped says of a
+// job that the journal does not have whether retention may have dropped it; nil: none was.
 func Audit(l *Ledger, jobs []store.Found, recorded, single, keep, dropped func(string) bool) (breaches []string) {
 	byID := map[string][]store.Found{}
 	for _, j := range jobs {
@@ -102,23 +101,28 @@
 		}
 	}
 	for id, found := range byID {
-		if !keep(id) {
-			continue
+		if keep(id) {
+			breaches = append(breaches, auditVerdicts(l.Runs(id), id, found)...)
 		}
-		runs := l.Runs(id)
-		finished := slices.ContainsFunc(runs, func(r Run) bool { return !r.Finished.IsZero() })
-		for _, j := range found {
-			switch v, reason, _ := j.Verdict(); {
-			case v == journal.DidNotRun && len(found) == 1 && len(runs) > 0:
-				breaches = append(breaches, fmt.Sprintf("job %s did not run (%s), but box %s began it", id, reason, runs[0].Box))
-			case v == journal.Ran && !finished:
-				breaches = append(breaches, fmt.Sprintf("job %s ran (%s), but no box has finished it", id, reason))
-			}
+	}
+	return breaches
+}
+
+// auditVerdicts compares a journal's verdicts on a job with its runs.
+func auditVerdicts(runs []Run, id string, found []store.Found) (breaches []string) {
+	finished := slices.ContainsFunc(runs, func(r Run) bool { return !r.Finished.IsZero() })
+	for _, j := range found {
+		switch v, reason, _ := j.Verdict(); {
+		case v == journal.DidNotRun && len(found) == 1 && len(runs) > 0:
+			breaches = append(breaches, fmt.Sprintf("job %s did not run (%s), but box %s began it", id, reason, runs[0].Box))
+		case v == journal.Ran && !finished:
+			breaches = append(breaches, fmt.Sprintf("job %s ran (%s), but no box has finished it", id, reason))
 		}
 	}
 	return breaches
 }
 
+// intended reports whether an attempt at a worker is on record.
 func intended(found []store.Found, box string) bool {
 	return slices.ContainsFunc(found, func(j store.Found) bool {
 		return slices.ContainsFunc(j.Attempts, func(a journal.Attempt) bool { return a.Worker == box })
