--- a/internal/fake/box.go
+++ b/internal/fake/box.go
@@ -111,11 +111,16 @@
 
 // Listen serves on an address, "127.0.0.1:0" for any, and returns it.
 func (b *Box) Listen(addr string) (string, error) {
+	return listen(b.server, addr)
+}
+
+// listen has a server serve on an address until it is closed, and returns the address.
+func listen(server *http.Server, addr string) (string, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return "", err
 	}
-	go func() { _ = b.server.Serve(l) }() // ends with Close
+	go func() { _ = server.Serve(l) }()
 	return l.Addr().String(), nil
 }
 
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -1,9 +1,7 @@
 package fake
 
 import (
-	"context"
 	"encoding/json"
-	"net"
 	"net/http"
 	"slices"
 	"strconv"
@@ -48,12 +46,7 @@
 
 // Listen serves on an address, "127.0.0.1:0" for any, and returns it.
 func (d *Discovery) Listen(addr string) (string, error) {
-	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
-	if err != nil {
-		return "", err
-	}
-	go func() { _ = d.server.Serve(l) }() // ends with Close
-	return l.Addr().String(), nil
+	return listen(d.server, addr)
 }
 
 // Close closes all connections at once, as when discovery goes down: watches break.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -63,7 +63,8 @@
 	admission    *driver.Driver     // nil without a [door] section
 	peerLink     *peerlink.Link     // nil without peers
 
-	siblings siblingSet
+	background sync.WaitGroup // what Run has started; it ends with Run
+	siblings   siblingSet
 
 	workersMu sync.Mutex // guards workers
 	workers   discovery.List
@@ -74,15 +75,16 @@
 // error if a server cannot listen or the drain fails.
 func (s *Scheduler) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	defer s.background.Wait()
 	defer stop()
-	defer func() { _ = s.workerLoop.Stop() }() // the process is about to end; nothing waits for the loop
+	defer func() { _ = s.workerLoop.Stop() }() // an error would come too late for anybody
 	predecessor, sockets := s.takeOver(work)
 	s.startBackground(work)
 	if err := s.listen(work, sockets); err != nil {
 		return err
 	}
 	if s.eventStreams != nil {
-		go s.eventStreams.Run(work)
+		s.background.Go(func() { s.eventStreams.Run(work) })
 	}
 	s.ready.Store(true)
 	if predecessor != nil {
@@ -97,15 +99,15 @@
 
 // startBackground starts what runs beside the servers until the context ends.
 func (s *Scheduler) startBackground(ctx context.Context) {
-	go s.planners.Run(ctx)
+	s.background.Go(func() { s.planners.Run(ctx) })
 	if s.reverseProxy != nil {
-		go s.reverseProxy.Run(ctx)
+		s.background.Go(func() { s.reverseProxy.Run(ctx) })
 	}
 	if s.peerLink != nil {
-		go s.peerLink.Run(ctx)
+		s.background.Go(func() { s.peerLink.Run(ctx) })
 	}
-	go s.pool.Run(ctx)
-	go s.reportDescriptors(ctx)
+	s.background.Go(func() { s.pool.Run(ctx) })
+	s.background.Go(func() { s.reportDescriptors(ctx) })
 }
 
 // listen starts the servers, the operators' first, on the listening sockets that the
