--- a/cmd/sedgevale/import.go
+++ b/cmd/sedgevale/import.go
@@ -61,7 +61,7 @@
 	if c.Explain != "" && err == nil {
 		way, err := haproxy.Explain(got.File.Web, opt.Files, haproxy.Ask{Frontend: c.Frontend, Line: c.Explain, Headers: c.Header, Source: c.Source})
 		if err == nil {
-			way.Text(os.Stdout)
+			fmt.Print(way)
 		}
 		return err
 	}
--- a/internal/haproxy/backend.go
+++ b/internal/haproxy/backend.go
@@ -9,108 +9,98 @@
 	"sedgevale/internal/route"
 )
 
-// backend deals with a directive of a backend, and reports whether it is one.
-func (b *builder) backend(w []string) bool {
-	k := b.back
-	two := w[0]
-	if len(w) > 1 {
-		two += " " + w[1]
+// backendDirectives deal with the directives of a backend, by their first two words or the first.
+var backendDirectives = map[string]handler{
+	"server":               (*builder).server,
+	"server-template":      (*builder).template,
+	"default-server":       (*builder).defaultServer,
+	"balance":              (*builder).balance,
+	"hash-type":            (*builder).hashType,
+	"http-request":         (*builder).requestRule,
+	"http-response":        (*builder).responseRule,
+	"redirect":             (*builder).redirectRule,
+	"cookie":               (*builder).cookie,
+	"option httpchk":       (*builder).optionHTTPCheck,
+	"http-check":           (*builder).httpCheck,
+	"option tcp-check":     (*builder).tcpCheck,
+	"option ssl-hello-chk": (*builder).connectCheck,
+	"option mysql-check":   (*builder).connectCheck,
+	"option pgsql-check":   (*builder).connectCheck,
+	"option redis-check":   (*builder).connectCheck,
+	"option smtpchk":       (*builder).connectCheck,
+	"option ldap-check":    (*builder).connectCheck,
+	"option spop-check":    (*builder).connectCheck,
+	"option allbackups":    (*builder).allBackups,
+	"option forwardfor":    (*builder).forwardFor,
+	"option redispatch":    says(Differently, "always so: each further try goes to another server"),
+	"retries":              (*builder).retries,
+	"retry-on":             (*builder).retryOn,
+	"timeout connect":      func(b *builder, w []string) { b.timeout(w, &b.back.ConnectTimeout, "") },
+	"timeout server": func(b *builder, w []string) {
+		b.timeout(w, &b.back.ServerTimeout, "until the head of an answer; a body may pause longer")
+	},
+	"timeout queue": func(b *builder, w []string) { b.timeout(w, &b.back.QueueTimeout, "") },
+	"timeout check": (*builder).checkTimeout,
+	"fullconn":      says(NotNeeded, "only for minconn, which is not carried over"),
+}
+
+func (b *builder) defaultServer(w []string) {
+	b.defaults = append(b.defaults, w[1:]...)
+	if without, err := (&options{}).read(w[1:]); err != nil {
+		b.fail("%v", err)
+	} else {
+		b.noteOptions(without, "for the servers that follow")
 	}
-	time := func(to *float64, reason string) {
-		if s, ok := b.seconds(w, 2); ok {
-			*to = s
-			b.note(Carried, "%s", reason)
-		}
+}
+
+func (b *builder) hashType(w []string) {
+	if len(w) > 1 && w[1] == "consistent" {
+		b.note(Carried, "rendezvous hashing")
+	} else {
+		b.note(Differently, "by rendezvous hashing: a server that leaves moves only its own")
 	}
-	switch {
-	case w[0] == "server":
-		b.server(w)
-	case w[0] == "server-template":
-		b.template(w)
-	case w[0] == "default-server":
-		b.base = append(b.base, w[1:]...)
-		if without, err := (&options{}).read(b, w[1:]); err != nil {
-			b.fail("%v", err)
-		} else {
-			b.options(without, "for the servers that follow")
-		}
-	case w[0] == "balance":
-		b.balance(w)
-	case w[0] == "hash-type":
-		if len(w) > 1 && w[1] == "consistent" {
-			b.note(Carried, "rendezvous hashing")
-		} else {
-			b.note(Differently, "by rendezvous hashing: a server that leaves moves only its own")
-		}
-	case w[0] == "http-request":
-		b.rule(w[1:], b.lists.ParseRequestRule, &k.Request, how(w))
-	case w[0] == "http-response":
-		b.rule(w[1:], b.lists.ParseResponseRule, &k.Response, "")
-	case w[0] == "redirect":
-		b.rule(w, b.lists.ParseRequestRule, &b.redirect, "")
-	case w[0] == "cookie":
-		b.cookie(w)
-	case two == "option httpchk":
-		b.httpchk(w[2:])
-	case w[0] == "http-check":
-		b.httpCheck(w[1:])
-	case two == "option tcp-check":
-		b.inter = true
-		b.kind("tcp")
-		b.note(Carried, "a check that connects")
-	case slices.Contains([]string{"option ssl-hello-chk", "option mysql-check", "option pgsql-check", "option redis-check", "option smtpchk",
-		"option ldap-check", "option spop-check"}, two):
-		b.inter = true
-		b.kind("tcp")
-		b.note(Differently, "a check that only connects")
-	case two == "option allbackups":
-		k.AllBackups = true
-		b.note(Carried, "")
-	case two == "option forwardfor":
-		k.ForwardFor = true
-		if len(w) > 2 {
-			b.note(Differently, "always added, without %s", strings.Join(w[2:], " "))
-		} else {
-			b.note(Carried, "")
-		}
-	case two == "option redispatch":
-		b.note(Differently, "always so: each further try goes to another server")
-	case w[0] == "retries":
-		if len(w) != 2 {
-			b.fail("retries takes a number")
-			break
-		}
-		n, err := strconv.Atoi(w[1])
-		if err != nil || n < 0 || n > 100 {
-			b.fail("retries: %q is no number between 0 and 100", w[1])
-			break
-		}
-		k.Retries = &n
+}
+
+func (b *builder) tcpCheck([]string) {
+	b.ensureCheck("tcp")
+	b.note(Carried, "a check that connects")
+}
+
+// connectCheck deals with checks in protocols that are not spoken here.
+func (b *builder) connectCheck([]string) {
+	b.ensureCheck("tcp")
+	b.note(Differently, "a check that only connects")
+}
+
+func (b *builder) allBackups([]string) {
+	b.back.AllBackups = true
+	b.note(Carried, "")
+}
+
+func (b *builder) retries(w []string) {
+	if len(w) != 2 {
+		b.fail("retries takes a number")
+		return
+	}
+	n, err := strconv.Atoi(w[1])
+	if err != nil || n < 0 || n > 100 {
+		b.fail("retries: %q is no number between 0 and 100", w[1])
+		return
+	}
+	b.back.Retries = &n
+	b.note(Carried, "")
+}
+
+func (b *builder) checkTimeout(w []string) {
+	if s, ok := b.seconds(w); ok {
+		b.ensureCheck("")
+		b.check.Timeout = s
 		b.note(Carried, "")
-	case w[0] == "retry-on":
-		b.retryOn(w[1:])
-	case two == "timeout connect":
-		time(&k.ConnectTimeout, "")
-	case two == "timeout server":
-		time(&k.ServerTimeout, "until the head of an answer; a body may pause longer")
-	case two == "timeout queue":
-		time(&k.QueueTimeout, "")
-	case two == "timeout check":
-		if s, ok := b.seconds(w, 2); ok {
-			b.kind("")
-			b.check.Timeout = s
-			b.note(Carried, "")
-		}
-	case w[0] == "fullconn":
-		b.note(NotNeeded, "only for minconn, which is not carried over")
-	default:
-		return false
 	}
-	return true
 }
 
-// kind makes sure that there is a check, and says of which kind unless that is "".
-func (b *builder) kind(kind string) {
+// ensureCheck makes sure that there is a check, and says of which kind unless that is "".
+func (b *builder) ensureCheck(kind string) {
 	if b.check == nil {
 		b.check = &dispatchconfig.WebCheck{Kind: "tcp"}
 	}
@@ -127,55 +117,58 @@
 	}
 	k.Balance, k.HashOn = "", ""
 	name, arg, _ := strings.Cut(w[1], "(")
-	hash := func(on, how string) {
-		k.Balance, k.HashOn = "hash", on
-		b.note(Differently, "by rendezvous hashing of %s%s: other servers than HAProxy's table has, one and the same for each value", on, how)
-	}
 	switch name {
 	case "roundrobin":
 		b.note(Carried, "")
 	case "static-rr":
 		b.note(Differently, "roundrobin")
-	case "leastconn":
-		k.Balance = "leastconn"
-		b.note(Carried, "")
-	case "first":
-		k.Balance = "first"
+	case "leastconn", "first":
+		k.Balance = name
 		b.note(Carried, "")
 	case "random":
 		k.Balance = "random"
 		b.note(Differently, "by weight alone, without a second draw")
 	case "source":
-		hash("src", "")
+		b.hash("src", "")
 	case "uri":
+		how := ""
 		if len(w) > 2 {
-			hash("path", ", without "+strings.Join(w[2:], " "))
-		} else {
-			hash("path", "")
+			how = ", without " + strings.Join(w[2:], " ")
 		}
+		b.hash("path", how)
 	case "url_param":
 		if len(w) < 3 {
 			b.fail("balance url_param takes a name")
 			return
 		}
-		hash("urlp("+w[2]+")", "")
+		b.hash("urlp("+w[2]+")", "")
 	case "hdr":
-		hash("hdr("+strings.TrimSuffix(arg, ")")+")", "")
+		b.hash("hdr("+strings.TrimSuffix(arg, ")")+")", "")
 	case "hash":
-		if len(w) < 3 {
-			b.fail("balance hash takes an expression")
-			return
-		}
-		if _, err := route.ParseFormat("%["+w[2]+"]", b.im.opt.Files); err != nil {
-			b.took(err, "")
-			return
-		}
-		hash(w[2], "")
+		b.hashExpression(w[2:])
 	default:
 		b.note(NotCarried, "balance %s: by turns instead", w[1])
 	}
 }
 
+// hash balances by hashing an expression. How is said behind it in the report.
+func (b *builder) hash(on, how string) {
+	b.back.Balance, b.back.HashOn = "hash", on
+	b.note(Differently, "by rendezvous hashing of %s%s: other servers than HAProxy's table has, one and the same for each value", on, how)
+}
+
+func (b *builder) hashExpression(w []string) {
+	if len(w) == 0 {
+		b.fail("balance hash takes an expression")
+		return
+	}
+	if _, err := route.ParseFormat("%["+w[0]+"]", b.im.opt.Files); err != nil {
+		b.noteOutcome(err, "")
+		return
+	}
+	b.hash(w[0], "")
+}
+
 func (b *builder) cookie(w []string) {
 	if len(w) < 2 {
 		b.fail("cookie takes a name")
@@ -216,14 +209,11 @@
 		return
 	}
 	b.back.Cookie = c
-	if len(without) > 0 {
-		b.note(Differently, "without %s", strings.Join(without, ", "))
-	} else {
-		b.note(Carried, "")
-	}
+	b.noteOptions(without, "")
 }
 
-func (b *builder) retryOn(words []string) {
+func (b *builder) retryOn(w []string) {
+	words := w[1:]
 	var without []string
 	var on []string
 	for _, w := range words {
@@ -252,11 +242,11 @@
 	}
 }
 
-// httpchk reads option httpchk: [METHOD] [URI] [VERSION], and the fields that some put
+// optionHTTPCheck reads option httpchk: [METHOD] [URI] [VERSION], and the fields that some put
 // behind the version.
-func (b *builder) httpchk(w []string) {
-	b.inter = true
-	b.kind("http")
+func (b *builder) optionHTTPCheck(w []string) {
+	w = w[2:]
+	b.ensureCheck("http")
 	c := b.check
 	switch len(w) {
 	case 0:
@@ -279,12 +269,12 @@
 
 // httpCheck reads http-check expect and send; other rules are not carried over.
 func (b *builder) httpCheck(w []string) {
+	w = w[1:]
 	if len(w) == 0 {
 		b.fail("http-check lacks its rule")
 		return
 	}
-	b.kind("http")
-	c := b.check
+	b.ensureCheck("http")
 	rest := w[1:]
 	switch w[0] {
 	case "disable-on-404":
@@ -298,45 +288,62 @@
 			b.note(NotCarried, "a check connects once, to the server's address: see port and addr of the server")
 		}
 	case "send":
-		for len(rest) > 0 {
-			n := 2
-			switch {
-			case rest[0] == "meth" && len(rest) > 1:
-				c.Method = rest[1]
-			case rest[0] == "uri" && len(rest) > 1:
-				c.URI = rest[1]
-			case rest[0] == "ver" && len(rest) > 1:
-				c.Version = strings.TrimPrefix(rest[1], "HTTP/")
-			case rest[0] == "hdr" && len(rest) > 2:
-				c.Headers = append(c.Headers, rest[1]+": "+rest[2])
-				n = 3
-			default:
-				b.note(NotCarried, "%s of a check", rest[0])
-				return
-			}
-			rest = rest[n:]
-		}
-		b.note(Carried, "")
+		b.checkSend(rest)
 	case "expect":
-		for len(rest) > 1 && slices.Contains([]string{"min-recv", "comment", "ok-status", "error-status", "tout-status", "on-success", "on-error", "status-code"}, rest[0]) {
-			rest = rest[2:]
-		}
-		not := ""
-		if len(rest) > 0 && rest[0] == "!" {
-			not, rest = "! ", rest[1:]
-		}
-		if len(rest) < 2 {
-			b.fail("http-check expect takes what and a value")
-			return
-		}
-		value := strings.Join(rest[1:], " ")
-		if !slices.Contains([]string{"status", "rstatus", "string", "rstring"}, rest[0]) {
-			b.note(NotCarried, "expect %s", rest[0])
-			return
-		}
-		c.Expect = append(c.Expect, not+route.Line([]string{rest[0], value}))
-		b.note(Carried, "")
+		b.checkExpect(rest)
 	default:
 		b.note(NotCarried, "http-check %s", w[0])
 	}
 }
+
+// checkSend reads what stands behind http-check send.
+func (b *builder) checkSend(rest []string) {
+	c := b.check
+	for len(rest) > 0 {
+		n := 2
+		switch {
+		case rest[0] == "meth" && len(rest) > 1:
+			c.Method = rest[1]
+		case rest[0] == "uri" && len(rest) > 1:
+			c.URI = rest[1]
+		case rest[0] == "ver" && len(rest) > 1:
+			c.Version = strings.TrimPrefix(rest[1], "HTTP/")
+		case rest[0] == "hdr" && len(rest) > 2:
+			c.Headers = append(c.Headers, rest[1]+": "+rest[2])
+			n = 3
+		default:
+			b.note(NotCarried, "%s of a check", rest[0])
+			return
+		}
+		rest = rest[n:]
+	}
+	b.note(Carried, "")
+}
+
+// Words of http-check expect: options that are left out, each with its value, and what is expected.
+var (
+	expectOptions = []string{"min-recv", "comment", "ok-status", "error-status", "tout-status", "on-success", "on-error", "status-code"}
+	expectations  = []string{"status", "rstatus", "string", "rstring"}
+)
+
+// checkExpect reads what stands behind http-check expect.
+func (b *builder) checkExpect(rest []string) {
+	for len(rest) > 1 && slices.Contains(expectOptions, rest[0]) {
+		rest = rest[2:]
+	}
+	not := ""
+	if len(rest) > 0 && rest[0] == "!" {
+		not, rest = "! ", rest[1:]
+	}
+	if len(rest) < 2 {
+		b.fail("http-check expect takes what and a value")
+		return
+	}
+	if !slices.Contains(expectations, rest[0]) {
+		b.note(NotCarried, "expect %s", rest[0])
+		return
+	}
+	value := strings.Join(rest[1:], " ")
+	b.check.Expect = append(b.check.Expect, not+route.Line([]string{rest[0], value}))
+	b.note(Carried, "")
+}
--- a/internal/haproxy/explain.go
+++ b/internal/haproxy/explain.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net/netip"
 	"strings"
 
@@ -31,18 +30,53 @@
 // Explain says which frontend, rule, backend and server a request would take, while all
 // servers serve. Of several whose turn it may be the first is named.
 func Explain(w *dispatchconfig.Web, files route.Files, ask Ask) (*Way, error) {
-	f := &w.Frontends[0]
-	if ask.Frontend != "" {
-		f = nil
-		for i := range w.Frontends {
-			if w.Frontends[i].Name == ask.Frontend {
-				f = &w.Frontends[i]
-			}
+	f, err := findFrontend(w, ask.Frontend)
+	if err != nil {
+		return nil, err
+	}
+	q, err := ask.request(f)
+	if err != nil {
+		return nil, err
+	}
+	backends := map[string]*dispatchconfig.WebBackend{}
+	for i := range w.Backends {
+		backends[w.Backends[i].Name] = &w.Backends[i]
+	}
+	q.Alive = func(name string) int {
+		if b := backends[name]; b != nil {
+			return len(b.Servers)
 		}
-		if f == nil {
-			return nil, fmt.Errorf("no frontend is called %q", ask.Frontend)
+		return 0
+	}
+	way := &Way{Frontend: f.Name}
+	answered, err := way.throughFrontend(f, files, q, backends)
+	if err != nil {
+		return nil, err
+	}
+	if answered {
+		return way, nil
+	}
+	if err := way.throughBackend(backends[way.Backend], files, q); err != nil {
+		return nil, err
+	}
+	return way, nil
+}
+
+// findFrontend returns the frontend of a name, or the first for "".
+func findFrontend(w *dispatchconfig.Web, name string) (*dispatchconfig.WebFrontend, error) {
+	if name == "" {
+		return &w.Frontends[0], nil
+	}
+	for i := range w.Frontends {
+		if w.Frontends[i].Name == name {
+			return &w.Frontends[i], nil
 		}
 	}
+	return nil, fmt.Errorf("no frontend is called %q", name)
+}
+
+// request makes the request as it comes to a frontend.
+func (ask *Ask) request(f *dispatchconfig.WebFrontend) (*route.Request, error) {
 	method, target, ok := strings.Cut(strings.TrimSpace(ask.Line), " ")
 	target, _, _ = strings.Cut(target, " ") // the version does not matter
 	if !ok || target == "" {
@@ -66,89 +100,105 @@
 		}
 		q.Fields = append(q.Fields, http1.Field{Name: strings.TrimSpace(name), Value: strings.TrimSpace(value)})
 	}
-	backends := map[string]*dispatchconfig.WebBackend{}
-	for i := range w.Backends {
-		backends[w.Backends[i].Name] = &w.Backends[i]
-	}
-	q.Alive = func(name string) int {
-		if b := backends[name]; b != nil {
-			return len(b.Servers)
-		}
-		return 0
-	}
-	way := &Way{Frontend: f.Name}
+	return q, nil
+}
+
+// throughFrontend finds the backend by the frontend's rules. It reports whether the request is
+// answered without one.
+func (w *Way) throughFrontend(f *dispatchconfig.WebFrontend, files route.Files, q *route.Request, backends map[string]*dispatchconfig.WebBackend) (answered bool, err error) {
 	rules, err := route.Compile(f.Spec, files)
 	if err != nil {
-		return nil, err
+		return false, err
 	}
-	if way.Answer = rules.Request(q); way.Answer != nil {
-		way.Rule = way.Answer.Why
-		return way, nil
+	if w.answer(rules, q) {
+		return true, nil
 	}
-	way.Backend, way.Rule = rules.Backend(q, func(n string) bool { return backends[n] != nil })
-	if way.Rule == "" {
-		way.Rule = "default"
+	w.Backend, w.Rule = rules.Backend(q, func(n string) bool { return backends[n] != nil })
+	if w.Rule == "" {
+		w.Rule = "default"
 	}
-	b := backends[way.Backend]
-	if b == nil {
-		way.Answer = &route.Answer{Status: 503, Why: "no backend serves this request"}
-		return way, nil
+	if backends[w.Backend] == nil {
+		w.Answer = &route.Answer{Status: 503, Why: "no backend serves this request"}
+		return true, nil
 	}
-	rules, err = route.Compile(b.Spec, files)
+	return false, nil
+}
+
+// throughBackend finds the server by the backend's rules and its pool.
+func (w *Way) throughBackend(b *dispatchconfig.WebBackend, files route.Files, q *route.Request) error {
+	rules, err := route.Compile(b.Spec, files)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	if way.Answer = rules.Request(q); way.Answer != nil {
-		way.Rule = way.Answer.Why
-		return way, nil
+	if w.answer(rules, q) {
+		return nil
 	}
-	way.Target = q.Target
+	w.Target = q.Target
 	if len(b.Servers) == 0 {
-		way.Answer = &route.Answer{Status: 503, Why: "the backend has no servers"}
-		return way, nil
+		w.Answer = &route.Answer{Status: 503, Why: "the backend has no servers"}
+		return nil
 	}
 	p, err := pool.New(b.Pool())
 	if err != nil {
-		return nil, err
+		return err
+	}
+	hint, err := poolHint(b, files, q)
+	if err != nil {
+		return err
+	}
+	if i, v := p.Pick(1, hint); v == pool.Go {
+		w.Server = p.Name(i)
+	} else {
+		w.Answer = &route.Answer{Status: 503, Why: "no server of the backend serves"}
 	}
-	var h pool.Hint
+	return nil
+}
+
+// answer reports whether one of the rules answers the request.
+func (w *Way) answer(rules *route.Rules, q *route.Request) bool {
+	if w.Answer = rules.Request(q); w.Answer == nil {
+		return false
+	}
+	w.Rule = w.Answer.Why
+	return true
+}
+
+// poolHint says what of the request counts in the choice of a server.
+func poolHint(b *dispatchconfig.WebBackend, files route.Files, q *route.Request) (h pool.Hint, err error) {
 	if b.HashOn != "" {
 		on, err := route.ParseFormat("%["+b.HashOn+"]", files)
 		if err != nil {
-			return nil, err
+			return h, err
 		}
 		h.Key = on.Of(q)
 	}
 	if b.Cookie != nil {
-		tied, err := route.ParseFormat("%[cook("+b.Cookie.Name+")]", files)
+		persistence, err := route.ParseFormat("%[cook("+b.Cookie.Name+")]", files)
 		if err == nil {
-			h.Cookie = tied.Of(q)
+			h.Cookie = persistence.Of(q)
 		}
 	}
-	if i, v := p.Pick(1, h); v == pool.Go {
-		way.Server = p.Name(i)
-	} else {
-		way.Answer = &route.Answer{Status: 503, Why: "no server of the backend serves"}
-	}
-	return way, nil
+	return h, nil
 }
 
-// Text writes a way for a person.
-func (w *Way) Text(out io.Writer) {
-	fmt.Fprintf(out, "frontend %s\n", w.Frontend)
+// String says a way for a person, in lines.
+func (w *Way) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "frontend %s\n", w.Frontend)
 	if w.Rule != "" {
-		fmt.Fprintf(out, "rule     %s\n", w.Rule)
+		fmt.Fprintf(&b, "rule     %s\n", w.Rule)
 	}
 	if w.Backend != "" {
-		fmt.Fprintf(out, "backend  %s\n", w.Backend)
+		fmt.Fprintf(&b, "backend  %s\n", w.Backend)
 	}
 	if w.Server != "" {
-		fmt.Fprintf(out, "server   %s, as %s\n", w.Server, w.Target)
+		fmt.Fprintf(&b, "server   %s, as %s\n", w.Server, w.Target)
 	}
 	if w.Answer != nil {
-		fmt.Fprintf(out, "answer   %d %s\n", w.Answer.Status, w.Answer.Why)
+		fmt.Fprintf(&b, "answer   %d %s\n", w.Answer.Status, w.Answer.Why)
 		for _, f := range w.Answer.Fields {
-			fmt.Fprintf(out, "         %s: %s\n", f.Name, f.Value)
+			fmt.Fprintf(&b, "         %s: %s\n", f.Name, f.Value)
 		}
 	}
+	return b.String()
 }
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -34,19 +34,20 @@
 	all      []*section
 	result   *Result
 	errs     []error
-	verdicts map[place]Entry // of directives that several sections inherit: the worst
-	order    []place
+	verdicts map[position]Entry // of directives that several sections inherit: the worst
+	order    []position         // of verdicts, as they came
 	web      dispatchconfig.Web
 	sockets  int
 }
 
-type place struct {
+// position is where a directive stands.
+type position struct {
 	file string
 	line int
 }
 
-// rank orders verdicts, the worst last.
-var rank = map[Verdict]int{NotNeeded: 1, Carried: 2, Differently: 3, NotCarried: 4}
+// severity orders verdicts, the worst last.
+var severity = map[Verdict]int{NotNeeded: 1, Carried: 2, Differently: 3, NotCarried: 4}
 
 // Import maps a configuration. What is malformed is an error, with all others joined; what
 // cannot be carried over is in the report.
@@ -58,21 +59,50 @@
 	for _, s := range sources {
 		r.read(s)
 	}
-	im := &importer{opt: opt, all: r.sections, result: &Result{origin: map[string]string{}}, verdicts: map[place]Entry{}, errs: r.errs}
+	im := &importer{opt: opt, all: r.sections, result: &Result{origin: map[string]string{}}, verdicts: map[position]Entry{}, errs: r.errs}
+	im.settingsSections()
+	im.proxySections()
+	im.unusedDefaults()
+	if len(im.errs) > 0 {
+		return nil, errors.Join(im.errs...)
+	}
+	res := im.result
+	for _, p := range im.order {
+		res.Report = append(res.Report, im.verdicts[p])
+	}
+	res.Report = append(res.Report, r.notes...)
+	res.Report.sorted(sources)
+	if len(im.web.Frontends) == 0 {
+		return res, ErrNothing
+	}
+	res.File.Web = &im.web
+	res.File.Limits.Sockets = im.sockets
+	if res.File.Name = opt.Name; res.File.Name == "" {
+		res.File.Name = im.web.Frontends[0].Name
+	}
+	return res, nil
+}
+
+// settingsSections deals with all sections that stand for no traffic.
+func (im *importer) settingsSections() {
 	for _, s := range im.all {
 		switch {
 		case s.kind == "global":
 			im.global(s)
 		case s.kind == "defaults":
 			im.note(s.directive, s, NotNeeded, "what it says counts for the sections that follow")
-		case others[s.kind]:
+		case unsupportedSections[s.kind]:
 			im.note(s.directive, s, NotCarried, "there is nothing that corresponds to a section "+s.kind)
 			for _, d := range s.body {
 				im.note(d, s, NotCarried, "of a section that has no counterpart")
 			}
 		}
 	}
-	// Backends first: rules that lead to one that is not carried over are not either.
+}
+
+// proxySections maps the sections that stand for traffic. Backends come first: rules that lead to
+// one that is not carried over are not either.
+func (im *importer) proxySections() {
 	backends := map[string]bool{}
 	for _, kind := range []string{"backend", "listen", "frontend"} {
 		for _, s := range im.all {
@@ -81,44 +111,31 @@
 			}
 		}
 	}
-	for _, s := range im.all { // of defaults that nobody uses
-		if s.kind == "defaults" {
-			for _, d := range s.body {
-				if _, ok := im.verdicts[place{d.file, d.line}]; !ok {
-					im.note(d, s, NotNeeded, "no section that it counts for uses it")
-				}
+}
+
+// unusedDefaults notes directives of defaults sections that no section has inherited.
+func (im *importer) unusedDefaults() {
+	for _, s := range im.all {
+		if s.kind != "defaults" {
+			continue
+		}
+		for _, d := range s.body {
+			if _, ok := im.verdicts[position{d.file, d.line}]; !ok {
+				im.note(d, s, NotNeeded, "no section that it counts for uses it")
 			}
 		}
 	}
-	if len(im.errs) > 0 {
-		return nil, errors.Join(im.errs...)
-	}
-	res := im.result
-	for _, p := range im.order {
-		res.Report = append(res.Report, im.verdicts[p])
-	}
-	res.Report = append(res.Report, r.notes...)
-	res.Report.sorted(sources)
-	if len(im.web.Frontends) == 0 {
-		return res, ErrNothing
-	}
-	res.File.Web = &im.web
-	res.File.Limits.Sockets = im.sockets
-	if res.File.Name = opt.Name; res.File.Name == "" {
-		res.File.Name = im.web.Frontends[0].Name
-	}
-	return res, nil
 }
 
 // note says what became of a directive. Of several verdicts on one, which several
 // sections inherit, the worst counts.
 func (im *importer) note(d directive, s *section, v Verdict, reason string) {
-	p := place{d.file, d.line}
+	p := position{d.file, d.line}
 	old, ok := im.verdicts[p]
 	if !ok {
 		im.order = append(im.order, p)
 	}
-	if !ok || rank[v] > rank[old.Verdict] {
+	if !ok || severity[v] > severity[old.Verdict] {
 		title := s.title()
 		if ok {
 			title = old.Section
@@ -127,8 +144,9 @@
 	}
 }
 
+// fail notes a malformed directive.
 func (im *importer) fail(d directive, format string, args ...any) {
-	err := wrong(d, format, args...)
+	err := malformed(d, format, args...)
 	if !slices.ContainsFunc(im.errs, func(e error) bool { return e.Error() == err.Error() }) { // inherited ones come again
 		im.errs = append(im.errs, err)
 	}
@@ -173,6 +191,7 @@
 	return all
 }
 
+// item is a directive and the section that it stands in, which may be a defaults section.
 type item struct {
 	directive
 	in *section
@@ -204,14 +223,14 @@
 			}
 			im.note(d, s, Differently, "limits.sockets bounds descriptors, two for each connection")
 		default:
-			v, reason := lookup(globals, w)
+			v, reason := lookup(globalDirectives, w)
 			im.note(d, s, v, reason)
 		}
 	}
 }
 
 // lookup finds what is said of a directive by its first two words, or the first.
-func lookup(table map[string]fate, words []string) (Verdict, string) {
+func lookup(table map[string]disposition, words []string) (Verdict, string) {
 	if len(words) > 1 {
 		if f, ok := table[words[0]+" "+words[1]]; ok {
 			return f.verdict, f.reason
@@ -225,10 +244,14 @@
 			return f.verdict, f.reason
 		}
 	}
-	return NotCarried, "not known here"
+	return NotCarried, unknownDirective
 }
 
-type fate struct {
+// unknownDirective is the reason for a directive that no table has.
+const unknownDirective = "not known here"
+
+// disposition is what becomes of each directive of a name.
+type disposition struct {
 	verdict Verdict
 	reason  string
 }
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -39,16 +39,17 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
-func wrong(d directive, format string, args ...any) error {
+// malformed returns the Error of a directive.
+func malformed(d directive, format string, args ...any) error {
 	return &Error{d.file, d.line, fmt.Sprintf(format, args...)}
 }
 
 // Sections that stand for traffic, those that hold settings, and those that nothing here
 // corresponds to.
 var (
-	proxies = map[string]bool{"frontend": true, "backend": true, "listen": true}
-	holders = map[string]bool{"global": true, "defaults": true}
-	others  = map[string]bool{"userlist": true, "peers": true, "mailers": true, "resolvers": true, "cache": true,
+	proxySections       = map[string]bool{"frontend": true, "backend": true, "listen": true}
+	settingsSections    = map[string]bool{"global": true, "defaults": true}
+	unsupportedSections = map[string]bool{"userlist": true, "peers": true, "mailers": true, "resolvers": true, "cache": true,
 		"program": true, "ring": true, "http-errors": true, "fcgi-app": true, "log-forward": true, "crt-store": true,
 		"traces": true, "acme": true, "log-profile": true}
 )
@@ -82,9 +83,9 @@
 type blockState uint8
 
 const (
-	taken   blockState = iota // what stands here counts
-	skipped                   // it does not
-	doubted                   // nobody can tell
+	taken         blockState = iota // what stands here counts
+	skippedBranch                   // it does not
+	doubted                         // nobody can tell
 )
 
 func (r *reader) read(s Source) {
@@ -93,7 +94,7 @@
 		text := strings.TrimSuffix(lines[i], "\r")
 		d := directive{file: s.Name, line: i + 1, text: strings.TrimSpace(text)}
 		if len(text) > maxLine {
-			r.errs = append(r.errs, wrong(d, "a line of %d bytes, %d at most", len(text), maxLine))
+			r.fail(d, "a line of %d bytes, %d at most", len(text), maxLine)
 			continue
 		}
 		words, missing, err := r.split(text)
@@ -105,16 +106,16 @@
 		case len(words) > 0 && strings.HasPrefix(words[0], "."):
 			r.conditional(d, err)
 			continue
-		case !r.counts(d):
+		case !r.inForce(d):
 			continue
 		case err != nil:
-			r.errs = append(r.errs, wrong(d, "%v", err))
+			r.fail(d, "%v", err)
 			continue
 		}
 		r.add(d, missing)
 	}
 	for _, b := range r.blocks {
-		r.errs = append(r.errs, wrong(b.directive, ".if without .endif"))
+		r.fail(b.directive, ".if without .endif")
 	}
 	r.blocks = nil
 }
@@ -122,26 +123,12 @@
 // add puts a directive into its section.
 func (r *reader) add(d directive, missing []string) {
 	kind := d.words[0]
-	if proxies[kind] || holders[kind] || others[kind] {
-		s := &section{directive: d, kind: kind}
-		rest := d.words[1:]
-		if len(rest) > 0 && rest[0] != "from" {
-			s.name, rest = rest[0], rest[1:]
-		}
-		if len(rest) == 2 && rest[0] == "from" && kind != "global" {
-			s.from, rest = rest[1], nil
-		}
-		switch {
-		case len(rest) > 0:
-			r.errs = append(r.errs, wrong(d, "unexpected %q behind the name of the section", rest[0]))
-		case proxies[kind] && s.name == "":
-			r.errs = append(r.errs, wrong(d, "a %s needs a name", kind))
-		}
-		r.sections = append(r.sections, s)
+	if proxySections[kind] || settingsSections[kind] || unsupportedSections[kind] {
+		r.begin(d)
 		return
 	}
 	if len(r.sections) == 0 {
-		r.errs = append(r.errs, wrong(d, "%q stands before any section", kind))
+		r.fail(d, "%q stands before any section", kind)
 		return
 	}
 	s := r.sections[len(r.sections)-1]
@@ -153,23 +140,57 @@
 	s.body = append(s.body, d)
 }
 
+// begin begins a section.
+func (r *reader) begin(d directive) {
+	kind := d.words[0]
+	s := &section{directive: d, kind: kind}
+	rest := d.words[1:]
+	if len(rest) > 0 && rest[0] != "from" {
+		s.name, rest = rest[0], rest[1:]
+	}
+	if len(rest) == 2 && rest[0] == "from" && kind != "global" {
+		s.from, rest = rest[1], nil
+	}
+	switch {
+	case len(rest) > 0:
+		r.fail(d, "unexpected %q behind the name of the section", rest[0])
+	case proxySections[kind] && s.name == "":
+		r.fail(d, "a %s needs a name", kind)
+	}
+	r.sections = append(r.sections, s)
+}
+
+// fail notes a malformed directive.
+func (r *reader) fail(d directive, format string, args ...any) {
+	r.errs = append(r.errs, malformed(d, format, args...))
+}
+
+// note says what became of a directive that belongs to no section's body.
+func (r *reader) note(d directive, v Verdict, reason string) {
+	r.notes = append(r.notes, entry(d, r.here(), v, reason))
+}
+
 func (s *section) title() string { return strings.TrimSpace(s.kind + " " + s.name) }
 
-// counts reports whether a directive stands where it counts, and notes it if not.
-func (r *reader) counts(d directive) bool {
+// origin says where the section stands, for a comment in the operator's file.
+func (s *section) origin() string { return fmt.Sprintf("%s, %s:%d", s.title(), s.file, s.line) }
+
+// inForce reports whether a directive stands where it counts, and notes it if not.
+func (r *reader) inForce(d directive) bool {
 	for _, b := range r.blocks {
 		switch b.state {
-		case skipped:
-			r.notes = append(r.notes, entry(d, r.here(), NotNeeded, "its condition does not hold"))
+		case skippedBranch:
+			r.note(d, NotNeeded, "its condition does not hold")
 			return false
 		case doubted:
-			r.notes = append(r.notes, entry(d, r.here(), NotCarried, "its condition ("+b.file+":"+strconv.Itoa(b.line)+") cannot be told here: give --define or --env"))
+			r.note(d, NotCarried, "its condition ("+b.file+":"+strconv.Itoa(b.line)+") cannot be told here: give --define or --env")
 			return false
 		}
 	}
 	return true
 }
 
+// here returns the title of the section that is being read.
 func (r *reader) here() string {
 	if len(r.sections) == 0 {
 		return ""
@@ -179,83 +200,89 @@
 
 // conditional deals with .if and its like, and with .notice and its like.
 func (r *reader) conditional(d directive, bad error) {
-	note := func(v Verdict, why string) { r.notes = append(r.notes, entry(d, r.here(), v, why)) }
-	fail := func(text string) { r.errs = append(r.errs, wrong(d, "%s", text)) }
-	evaluate := func() blockState {
-		holds, known := r.condition(strings.Join(d.words[1:], " "))
-		switch {
-		case !known:
-			note(NotCarried, "the condition cannot be told here: give --define or --env")
-			return doubted
-		case holds:
-			note(NotNeeded, "evaluated: it holds")
-			return taken
-		}
-		note(NotNeeded, "evaluated: it does not hold")
-		return skipped
-	}
-	last := len(r.blocks) - 1
 	switch d.words[0] {
 	case ".if":
 		if bad != nil {
-			fail(bad.Error())
-		}
-		if len(r.blocks) > 0 && r.blocks[last].state != taken {
-			note(NotNeeded, "it stands in a block that does not count")
-			r.blocks = append(r.blocks, block{directive: d, state: skipped, done: true})
-			return
+			r.fail(d, "%s", bad.Error())
 		}
-		s := evaluate()
-		r.blocks = append(r.blocks, block{directive: d, state: s, done: s == taken, unknown: s == doubted})
+		r.beginBlock(d)
 	case ".elif", ".else":
-		if last < 0 || r.blocks[last].elseAt {
-			fail(d.words[0] + " without .if")
-			return
-		}
-		b := &r.blocks[last]
-		switch {
-		case b.done:
-			note(NotNeeded, "an earlier branch counts")
-			b.state = skipped
-		case b.unknown:
-			note(NotCarried, "whether it counts cannot be told: an earlier condition is not known")
-			b.state = doubted
-		case d.words[0] == ".else":
-			note(NotNeeded, "evaluated: it holds")
-			b.state, b.done = taken, true
-		default:
-			b.state = evaluate()
-			b.done, b.unknown = b.state == taken, b.state == doubted
-		}
-		b.elseAt = d.words[0] == ".else"
+		r.nextBranch(d)
 	case ".endif":
-		if last < 0 {
-			fail(".endif without .if")
+		if len(r.blocks) == 0 {
+			r.fail(d, ".endif without .if")
 			return
 		}
-		note(NotNeeded, "the end of a condition")
-		r.blocks = r.blocks[:last]
+		r.note(d, NotNeeded, "the end of a condition")
+		r.blocks = r.blocks[:len(r.blocks)-1]
 	case ".notice", ".warning", ".diag", ".alert":
-		if r.counts(d) {
-			note(NotNeeded, "a message for whoever starts HAProxy")
+		if r.inForce(d) {
+			r.note(d, NotNeeded, "a message for whoever starts HAProxy")
 		}
 	default:
-		fail(d.words[0] + " is unknown")
+		r.fail(d, "%s is unknown", d.words[0])
+	}
+}
+
+// beginBlock deals with .if.
+func (r *reader) beginBlock(d directive) {
+	if n := len(r.blocks); n > 0 && r.blocks[n-1].state != taken {
+		r.note(d, NotNeeded, "it stands in a block that does not count")
+		r.blocks = append(r.blocks, block{directive: d, state: skippedBranch, done: true})
+		return
+	}
+	s := r.evaluate(d)
+	r.blocks = append(r.blocks, block{directive: d, state: s, done: s == taken, unknown: s == doubted})
+}
+
+// nextBranch deals with .elif and .else.
+func (r *reader) nextBranch(d directive) {
+	last := len(r.blocks) - 1
+	if last < 0 || r.blocks[last].elseAt {
+		r.fail(d, "%s without .if", d.words[0])
+		return
+	}
+	b := &r.blocks[last]
+	switch {
+	case b.done:
+		r.note(d, NotNeeded, "an earlier branch counts")
+		b.state = skippedBranch
+	case b.unknown:
+		r.note(d, NotCarried, "whether it counts cannot be told: an earlier condition is not known")
+		b.state = doubted
+	case d.words[0] == ".else":
+		r.note(d, NotNeeded, "evaluated: it holds")
+		b.state, b.done = taken, true
+	default:
+		b.state = r.evaluate(d)
+		b.done, b.unknown = b.state == taken, b.state == doubted
 	}
+	b.elseAt = d.words[0] == ".else"
 }
 
-// condition evaluates what .if asks.
+// evaluate evaluates the condition of .if or .elif, and notes what it is.
+func (r *reader) evaluate(d directive) blockState {
+	holds, known := r.condition(strings.Join(d.words[1:], " "))
+	switch {
+	case !known:
+		r.note(d, NotCarried, "the condition cannot be told here: give --define or --env")
+		return doubted
+	case holds:
+		r.note(d, NotNeeded, "evaluated: it holds")
+		return taken
+	}
+	r.note(d, NotNeeded, "evaluated: it does not hold")
+	return skippedBranch
+}
+
+// condition evaluates what .if asks: whether it holds, and whether that can be told here.
 func (r *reader) condition(text string) (holds, known bool) {
 	text = strings.TrimSpace(text)
 	if a, b, ok := cutOutside(text, "||"); ok {
-		h1, k1 := r.condition(a)
-		h2, k2 := r.condition(b)
-		return h1 && k1 || h2 && k2, k1 && k2 || h1 && k1 || h2 && k2
+		return r.either(a, b)
 	}
 	if a, b, ok := cutOutside(text, "&&"); ok {
-		h1, k1 := r.condition(a)
-		h2, k2 := r.condition(b)
-		return h1 && h2, k1 && k2 || k1 && !h1 || k2 && !h2
+		return r.both(a, b)
 	}
 	if rest, ok := strings.CutPrefix(text, "!"); ok {
 		h, k := r.condition(rest)
@@ -267,6 +294,11 @@
 	if n, err := strconv.Atoi(text); err == nil {
 		return n != 0, true
 	}
+	return r.predicate(text)
+}
+
+// predicate evaluates defined(NAME), streq(A,B) and strneq(A,B).
+func (r *reader) predicate(text string) (holds, known bool) {
 	name, rest, ok := strings.Cut(text, "(")
 	args := strings.Split(strings.TrimSuffix(rest, ")"), ",")
 	for i := range args {
@@ -288,6 +320,20 @@
 	return false, false
 }
 
+// either evaluates A || B, which one that is known to hold settles.
+func (r *reader) either(a, b string) (holds, known bool) {
+	h1, k1 := r.condition(a)
+	h2, k2 := r.condition(b)
+	return h1 && k1 || h2 && k2, k1 && k2 || h1 && k1 || h2 && k2
+}
+
+// both evaluates A && B, which one that is known not to hold settles.
+func (r *reader) both(a, b string) (holds, known bool) {
+	h1, k1 := r.condition(a)
+	h2, k2 := r.condition(b)
+	return h1 && h2, k1 && k2 || k1 && !h1 || k2 && !h2
+}
+
 // cutOutside cuts at the first separator that is not within parentheses.
 func cutOutside(s, sep string) (a, b string, ok bool) {
 	depth := 0
@@ -319,18 +365,19 @@
 
 // variable reads $NAME, ${NAME} or ${NAME-DEFAULT} at the start of s.
 func (r *reader) variable(s string) (value string, n int, missing string) {
-	name, fallback, has := "", "", false
+	var name, fallback string
+	var hasFallback bool
 	if strings.HasPrefix(s, "${") {
 		end := strings.IndexByte(s, '}')
 		if end < 0 {
 			return "$", 1, ""
 		}
-		name, fallback, has = strings.Cut(s[2:end], "-")
+		name, fallback, hasFallback = strings.Cut(s[2:end], "-")
 		name = strings.TrimSuffix(name, "[*]")
 		n = end + 1
 	} else {
 		n = 1
-		for n < len(s) && (s[n] == '_' || s[n] >= '0' && s[n] <= '9' || s[n] >= 'A' && s[n] <= 'Z' || s[n] >= 'a' && s[n] <= 'z') {
+		for n < len(s) && isNameByte(s[n]) {
 			n++
 		}
 		name = s[1:n]
@@ -341,12 +388,18 @@
 	if v, ok := r.opt.Env[name]; ok {
 		return v, n, ""
 	}
-	if has {
+	if hasFallback {
 		return fallback, n, ""
 	}
 	return "", n, name
 }
 
+// isNameByte reports whether a byte may stand in the name of an environment variable.
+func isNameByte(c byte) bool {
+	return c == '_' || c >= '0' && c <= '9' || c >= 'A' && c <= 'Z' || c >= 'a' && c <= 'z'
+}
+
+// units are the units of a time. Each suffix stands before those that it ends with.
 var units = []struct {
 	suffix string
 	is     time.Duration
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -19,35 +19,44 @@
 	backends map[string]bool // those carried over
 	lists    *route.Lists
 	dropped  map[string]bool // access lists that are not carried over
-	base     []string        // options of default-server
+	defaults []string        // options of default-server, which come before each server's own
 	check    *dispatchconfig.WebCheck
-	inter    bool     // option httpchk or tcp-check was given
 	redirect []string // redirect rules, which count behind http-request rules
-	cur      item
+	cur      item     // the directive that is dealt with
+}
+
+// handler deals with one directive of a section.
+type handler func(b *builder, words []string)
+
+// says returns a handler that only notes a verdict.
+func says(v Verdict, reason string) handler {
+	return func(b *builder, _ []string) { b.note(v, "%s", reason) }
+}
+
+// handle deals with a directive by its first two words or the first, and reports whether the table
+// has it.
+func (b *builder) handle(table map[string]handler, words []string) bool {
+	var h handler
+	if len(words) > 1 {
+		h = table[words[0]+" "+words[1]]
+	}
+	if h == nil {
+		h = table[words[0]]
+	}
+	if h == nil {
+		return false
+	}
+	h(b, words)
+	return true
 }
 
 // proxy maps a frontend, backend or listen section.
 func (im *importer) proxy(s *section, backends map[string]bool) {
 	items := im.inherited(s)
-	mode := "tcp"
-	for _, it := range items {
-		if it.words[0] == "mode" && len(it.words) == 2 {
-			mode = it.words[1]
-		}
-	}
-	off := slices.ContainsFunc(items, func(it item) bool { return it.in == s && len(it.words) == 1 && it.words[0] == "disabled" })
-	if mode != "http" || off {
-		why := "in mode " + mode + ": only HTTP is relayed"
-		if off {
-			why = "the section is disabled"
-		}
-		v := NotCarried
-		if off {
-			v = NotNeeded
-		}
-		im.note(s.directive, s, v, why)
+	if v, reason, skip := skipped(s, items); skip {
+		im.note(s.directive, s, v, reason)
 		for _, d := range s.body {
-			im.note(d, s, v, why)
+			im.note(d, s, v, reason)
 		}
 		return
 	}
@@ -73,10 +82,26 @@
 	b.finish()
 }
 
+// skipped says why a whole section is left out, if it is.
+func skipped(s *section, items []item) (v Verdict, reason string, skip bool) {
+	mode := "tcp"
+	for _, it := range items {
+		if it.in == s && len(it.words) == 1 && it.words[0] == "disabled" {
+			return NotNeeded, "the section is disabled", true
+		}
+		if it.words[0] == "mode" && len(it.words) == 2 {
+			mode = it.words[1]
+		}
+	}
+	return NotCarried, "in mode " + mode + ": only HTTP is relayed", mode != "http"
+}
+
+// note says what becomes of the directive that is dealt with.
 func (b *builder) note(v Verdict, format string, args ...any) {
 	b.im.note(b.cur.directive, b.cur.in, v, fmt.Sprintf(format, args...))
 }
 
+// fail notes that the directive that is dealt with is malformed.
 func (b *builder) fail(format string, args ...any) { b.im.fail(b.cur.directive, format, args...) }
 
 // spec is where the section's rules go: a listen section's to its frontend, in which they
@@ -88,14 +113,15 @@
 	return &b.back.Spec
 }
 
-// took notes how a rule fared: carried over, not supported, or malformed.
-func (b *builder) took(err error, how string) bool {
-	var no *route.ErrUnsupported
+// noteOutcome notes how reading a rule ended: carried over, not supported, or malformed. It reports
+// whether it is carried over.
+func (b *builder) noteOutcome(err error, how string) bool {
+	var unsupported *route.ErrUnsupported
 	switch {
 	case err == nil:
 		b.note(Carried, "%s", how)
-	case errors.As(err, &no):
-		b.note(NotCarried, "%s", no.Error())
+	case errors.As(err, &unsupported):
+		b.note(NotCarried, "%s", unsupported.Error())
 	case isMissing(err):
 		b.note(NotCarried, "%v", err)
 	default:
@@ -109,7 +135,7 @@
 		b.fail("acl takes a name and a condition")
 		return
 	}
-	if b.took(b.lists.Add(words[1], words[2:]), "") {
+	if b.noteOutcome(b.lists.Add(words[1], words[2:]), "") {
 		spec := b.spec()
 		spec.ACL = append(spec.ACL, route.Line(words[1:]))
 	} else {
@@ -117,8 +143,9 @@
 	}
 }
 
-// uses reports whether a condition names an access list that is not carried over.
-func (b *builder) uses(words []string) string {
+// droppedACL returns the first access list that a condition names and that is not carried over, ""
+// for none.
+func (b *builder) droppedACL(words []string) string {
 	at := slices.IndexFunc(words, func(w string) bool { return w == "if" || w == "unless" })
 	if at < 0 {
 		return ""
@@ -144,33 +171,32 @@
 		b.fail("%s lacks its action", b.cur.words[0])
 		return
 	}
-	if name := b.uses(words); name != "" {
+	if name := b.droppedACL(words); name != "" {
 		b.note(NotCarried, "it asks acl %s, which is not carried over", name)
 		return
 	}
-	if _, err := parse(words); b.took(err, how) {
+	if _, err := parse(words); b.noteOutcome(err, how) {
 		*to = append(*to, route.Line(words))
 	}
 }
 
 func (b *builder) directive(w []string) {
-	if b.front != nil && b.frontend(w) || b.back != nil && b.backend(w) {
+	if b.front != nil && b.handle(frontendDirectives, w) || b.back != nil && b.handle(backendDirectives, w) {
 		return
 	}
-	table := shared
-	if v, reason := lookup(table, w); reason != "not known here" {
+	if v, reason := lookup(sharedDirectives, w); reason != unknownDirective {
 		b.note(v, "%s", reason)
 		return
 	}
 	// In defaults stand also lines for sections of the other kind.
-	if b.cur.in != b.s {
-		if b.front == nil && frontOnly(w) || b.back == nil && backOnly(w) {
-			return
-		}
+	if b.cur.in != b.s && (b.front == nil && among(frontWords, w) || b.back == nil && among(backWords, w)) {
+		return
 	}
-	b.note(NotCarried, "not known here")
+	b.note(NotCarried, unknownDirective)
 }
 
+// frontWords and backWords are the directives that count only for frontends and only for backends, by
+// their first two words or the first.
 var frontWords = []string{"bind", "use_backend", "default_backend", "monitor-uri", "monitor", "maxconn", "timeout client", "timeout client-fin",
 	"timeout http-request", "timeout http-keep-alive", "capture", "unique-id-format", "unique-id-header", "declare"}
 
@@ -180,101 +206,112 @@
 	"option abortonclose", "option persist", "option prefer-last-server", "option log-health-checks", "option http-server-close",
 	"load-server-state-from-file", "source", "http-send-name-header", "email-alert"}
 
-func frontOnly(w []string) bool { return among(frontWords, w) }
-func backOnly(w []string) bool  { return among(backWords, w) }
-
 func among(all, w []string) bool {
 	return slices.Contains(all, w[0]) || len(w) > 1 && slices.Contains(all, w[0]+" "+w[1])
 }
 
-// seconds reads the time of a directive.
-func (b *builder) seconds(w []string, at int) (float64, bool) {
-	if len(w) != at+1 {
-		b.fail("%s takes a time", strings.Join(w[:min(at, len(w))], " "))
+// seconds reads the time of a directive of two words, such as timeout connect.
+func (b *builder) seconds(w []string) (float64, bool) {
+	name := strings.Join(w[:min(2, len(w))], " ")
+	if len(w) != 3 {
+		b.fail("%s takes a time", name)
 		return 0, false
 	}
-	d, err := duration(w[at])
+	d, err := duration(w[2])
 	if err != nil {
-		b.fail("%s: %v", strings.Join(w[:at], " "), err)
+		b.fail("%s: %v", name, err)
 		return 0, false
 	}
 	return d.Seconds(), true
 }
 
-// frontend deals with a directive of a frontend, and reports whether it is one.
-func (b *builder) frontend(w []string) bool {
-	f := b.front
-	two := w[0]
-	if len(w) > 1 {
-		two += " " + w[1]
+// timeout reads a time-out, which is carried over as it is.
+func (b *builder) timeout(w []string, to *float64, reason string) {
+	if s, ok := b.seconds(w); ok {
+		*to = s
+		b.note(Carried, "%s", reason)
 	}
-	switch {
-	case w[0] == "bind":
-		b.bind(w)
-	case w[0] == "default_backend":
-		if len(w) != 2 {
-			b.fail("default_backend takes a name")
-		} else if b.leads(w[1]) {
-			f.Default = w[1]
-			b.note(Carried, "")
-		}
-	case w[0] == "use_backend":
-		b.use(w[1:])
-	case w[0] == "http-request":
-		b.rule(w[1:], b.lists.ParseRequestRule, &f.Request, how(w))
-	case w[0] == "http-response":
-		b.rule(w[1:], b.lists.ParseResponseRule, &f.Response, "")
-	case w[0] == "redirect":
-		b.rule(w, b.lists.ParseRequestRule, &b.redirect, "")
-	case two == "option forwardfor":
-		f.ForwardFor = true
-		if len(w) > 2 {
-			b.note(Differently, "always added, without %s", strings.Join(w[2:], " "))
-		} else {
-			b.note(Carried, "")
-		}
-	case two == "timeout http-request":
-		if s, ok := b.seconds(w, 2); ok {
-			f.RequestTimeout = s
-			b.note(Carried, "request_timeout, for the head and for a body of up to 64 KiB")
-		}
-	case two == "timeout http-keep-alive":
-		if s, ok := b.seconds(w, 2); ok {
-			f.IdleTimeout = s
-			b.note(Carried, "idle_timeout")
-		}
-	case two == "timeout client":
-		if s, ok := b.seconds(w, 2); ok {
-			if f.IdleTimeout == 0 {
-				f.IdleTimeout = s
-			}
-			b.note(Differently, "idle_timeout; a body may pause for 60 s")
-		}
-	case w[0] == "monitor-uri":
-		if len(w) != 2 {
-			b.fail("monitor-uri takes a path")
-			break
-		}
-		line := route.Line([]string{"return", "status", "200", "content-type", "text/plain", "string", "OK", "if", "{", "path", w[1], "}"})
-		f.Request = append([]string{line}, f.Request...)
-		b.note(Differently, "a rule that returns 200")
-	case w[0] == "maxconn":
-		b.note(Differently, "connections are bounded for all frontends together, by limits.sockets")
-	default:
-		return false
-	}
-	return true
 }
 
-func how(w []string) string {
+// frontendDirectives deal with the directives of a frontend, by their first two words or the first.
+var frontendDirectives = map[string]handler{
+	"bind":              (*builder).bind,
+	"default_backend":   (*builder).defaultBackend,
+	"use_backend":       (*builder).useBackend,
+	"http-request":      (*builder).requestRule,
+	"http-response":     (*builder).responseRule,
+	"redirect":          (*builder).redirectRule,
+	"option forwardfor": (*builder).forwardFor,
+	"timeout http-request": func(b *builder, w []string) {
+		b.timeout(w, &b.front.RequestTimeout, "request_timeout, for the head and for a body of up to 64 KiB")
+	},
+	"timeout http-keep-alive": func(b *builder, w []string) { b.timeout(w, &b.front.IdleTimeout, "idle_timeout") },
+	"timeout client":          (*builder).clientTimeout,
+	"monitor-uri":             (*builder).monitorURI,
+	"maxconn":                 says(Differently, "connections are bounded for all frontends together, by limits.sockets"),
+}
+
+func (b *builder) requestRule(w []string) {
+	reason := ""
 	if len(w) > 1 && w[1] == "tarpit" {
-		return "answered at once, not held back"
+		reason = "answered at once, not held back"
 	}
-	return ""
+	b.rule(w[1:], b.lists.ParseRequestRule, &b.spec().Request, reason)
+}
+
+func (b *builder) responseRule(w []string) {
+	b.rule(w[1:], b.lists.ParseResponseRule, &b.spec().Response, "")
 }
 
-// leads reports whether a backend is carried over, and notes it if not.
-func (b *builder) leads(name string) bool {
+func (b *builder) redirectRule(w []string) {
+	b.rule(w, b.lists.ParseRequestRule, &b.redirect, "")
+}
+
+func (b *builder) forwardFor(w []string) {
+	if b.front != nil {
+		b.front.ForwardFor = true
+	} else {
+		b.back.ForwardFor = true
+	}
+	if len(w) > 2 {
+		b.note(Differently, "always added, without %s", strings.Join(w[2:], " "))
+	} else {
+		b.note(Carried, "")
+	}
+}
+
+func (b *builder) clientTimeout(w []string) {
+	s, ok := b.seconds(w)
+	if !ok {
+		return
+	}
+	if b.front.IdleTimeout == 0 {
+		b.front.IdleTimeout = s
+	}
+	b.note(Differently, "idle_timeout; a body may pause for 60 s")
+}
+
+func (b *builder) monitorURI(w []string) {
+	if len(w) != 2 {
+		b.fail("monitor-uri takes a path")
+		return
+	}
+	line := route.Line([]string{"return", "status", "200", "content-type", "text/plain", "string", "OK", "if", "{", "path", w[1], "}"})
+	b.front.Request = append([]string{line}, b.front.Request...)
+	b.note(Differently, "a rule that returns 200")
+}
+
+func (b *builder) defaultBackend(w []string) {
+	if len(w) != 2 {
+		b.fail("default_backend takes a name")
+	} else if b.isCarried(w[1]) {
+		b.front.Default = w[1]
+		b.note(Carried, "")
+	}
+}
+
+// isCarried reports whether a backend is carried over, and notes it if not.
+func (b *builder) isCarried(name string) bool {
 	if b.backends[name] {
 		return true
 	}
@@ -286,19 +323,20 @@
 	return false
 }
 
-func (b *builder) use(w []string) {
+func (b *builder) useBackend(w []string) {
+	w = w[1:]
 	if len(w) < 1 {
 		b.fail("use_backend takes a name and a condition")
 		return
 	}
-	if name := b.uses(w); name != "" {
+	if name := b.droppedACL(w); name != "" {
 		b.note(NotCarried, "it asks acl %s, which is not carried over", name)
 		return
 	}
-	if !strings.Contains(w[0], "%") && !b.leads(w[0]) {
+	if !strings.Contains(w[0], "%") && !b.isCarried(w[0]) {
 		return
 	}
-	if _, err := b.lists.ParseUse(w); b.took(err, "") {
+	if _, err := b.lists.ParseUse(w); b.noteOutcome(err, "") {
 		b.front.Use = append(b.front.Use, route.Line(w))
 	}
 }
@@ -308,46 +346,61 @@
 	im, s := b.im, b.s
 	spec := b.spec()
 	spec.Request = append(spec.Request, b.redirect...)
+	if b.back != nil {
+		b.finishBackend()
+	}
+	v, reason := b.verdict()
+	im.note(s.directive, s, v, reason)
+	if b.front != nil && len(b.front.Listen) > 0 {
+		im.web.Frontends = append(im.web.Frontends, *b.front)
+		im.result.origin["f "+s.name] = s.origin()
+	}
+}
+
+// finishBackend adds the backend to the result, unless it is that of a listen section without
+// servers.
+func (b *builder) finishBackend() {
+	if b.front != nil { // its rules stand with the frontend
+		b.back.Spec = route.Spec{}
+		if b.front.Default == "" && len(b.back.Servers) > 0 {
+			b.front.Default = b.back.Name
+		}
+	}
+	b.finishCheck()
+	b.back.Servers = slices.Clip(b.back.Servers)
+	if b.back.Cookie != nil && !slices.ContainsFunc(b.back.Servers, func(x dispatchconfig.WebServer) bool { return x.Cookie != "" }) {
+		b.back.Cookie = nil
+	}
+	if b.front == nil || len(b.back.Servers) > 0 {
+		b.im.web.Backends = append(b.im.web.Backends, *b.back)
+		b.backends[b.s.name] = true
+		b.im.result.origin["b "+b.s.name] = b.s.origin()
+	}
+}
+
+// finishCheck sets the backend's check, if any of its servers is checked by it.
+func (b *builder) finishCheck() {
 	if b.check != nil && b.check.Kind == "http" && b.check.Version == "" && len(b.check.Headers) > 0 {
 		b.check.Version = "1.1"
 	}
-	if b.back != nil {
-		if b.front != nil { // its rules stand with the frontend
-			b.back.Spec = route.Spec{}
-			if b.front.Default == "" && len(b.back.Servers) > 0 {
-				b.front.Default = b.back.Name
-			}
-		}
-		if b.check != nil && slices.ContainsFunc(b.back.Servers, func(x dispatchconfig.WebServer) bool { return !x.NoCheck && x.Track == "" }) {
-			b.back.Check = b.check
-		} else {
-			for i := range b.back.Servers {
-				b.back.Servers[i].NoCheck = false
-			}
-		}
-		b.back.Servers = slices.Clip(b.back.Servers)
-		if b.back.Cookie != nil && !slices.ContainsFunc(b.back.Servers, func(x dispatchconfig.WebServer) bool { return x.Cookie != "" }) {
-			b.back.Cookie = nil
-		}
-		if b.front == nil || len(b.back.Servers) > 0 {
-			im.web.Backends = append(im.web.Backends, *b.back)
-			b.backends[s.name] = true
-			im.result.origin["b "+s.name] = fmt.Sprintf("%s, %s:%d", s.title(), s.file, s.line)
-		}
+	if b.check != nil && slices.ContainsFunc(b.back.Servers, func(x dispatchconfig.WebServer) bool { return !x.NoCheck && x.Track == "" }) {
+		b.back.Check = b.check
+		return
+	}
+	for i := range b.back.Servers {
+		b.back.Servers[i].NoCheck = false
 	}
-	why := ""
-	v := Carried
+}
+
+// verdict says what becomes of the section itself.
+func (b *builder) verdict() (Verdict, string) {
 	switch {
 	case b.front == nil && len(b.back.Servers) == 0:
-		v, why = Differently, "without servers it answers 503"
+		return Differently, "without servers it answers 503"
 	case b.front != nil && len(b.front.Listen) == 0 && b.back != nil && len(b.back.Servers) > 0:
-		v, why = Differently, "as a backend: it listens nowhere"
+		return Differently, "as a backend: it listens nowhere"
 	case b.front != nil && len(b.front.Listen) == 0:
-		v, why = NotCarried, "none of its addresses can be listened on"
-	}
-	im.note(s.directive, s, v, why)
-	if b.front != nil && len(b.front.Listen) > 0 {
-		im.web.Frontends = append(im.web.Frontends, *b.front)
-		im.result.origin["f "+s.name] = fmt.Sprintf("%s, %s:%d", s.title(), s.file, s.line)
+		return NotCarried, "none of its addresses can be listened on"
 	}
+	return Carried, ""
 }
--- a/internal/haproxy/report.go
+++ b/internal/haproxy/report.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 	"slices"
+	"strings"
 )
 
 // Verdict says what became of a directive.
@@ -61,21 +62,22 @@
 // Text writes the report for a person: what asks for attention line by line, then counts.
 // With all, it has a line for every directive.
 func (r Report) Text(w io.Writer, all bool) error {
-	out := bufio.NewWriter(w)
+	var out strings.Builder
 	for _, e := range r {
 		if all || e.Verdict == Differently || e.Verdict == NotCarried {
-			fmt.Fprintln(out, e)
+			fmt.Fprintln(&out, e)
 		}
 	}
-	fmt.Fprintf(out, "%d directives:", len(r))
+	fmt.Fprintf(&out, "%d directives:", len(r))
 	for i, v := range Verdicts {
 		if i > 0 {
-			fmt.Fprint(out, ",")
+			out.WriteByte(',')
 		}
-		fmt.Fprintf(out, " %d %s", r.Count(v), v)
+		fmt.Fprintf(&out, " %d %s", r.Count(v), v)
 	}
-	fmt.Fprintln(out)
-	return out.Flush()
+	out.WriteByte('\n')
+	_, err := io.WriteString(w, out.String())
+	return err
 }
 
 // JSON writes a line of JSON for every directive.
--- a/internal/haproxy/server.go
+++ b/internal/haproxy/server.go
@@ -12,10 +12,12 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
+// isMissing reports whether a file that a rule names cannot be read.
 func isMissing(err error) bool {
 	return errors.Is(err, fs.ErrNotExist) || errors.Is(err, fs.ErrPermission)
 }
 
+// positive reads a whole number from 1 to 2^30.
 func positive(s string) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil || n <= 0 || n > 1<<30 {
@@ -26,26 +28,26 @@
 
 // options are what a server's line says behind its address.
 type options struct {
-	weight   *int
-	backup   bool
-	disabled bool
-	maxConn  int
-	cookie   string
-	check    bool
-	over     dispatchconfig.WebCheck
-	port     int
-	addr     string
-	track    string
-	slow     float64
+	weight    *int // nil: not given
+	backup    bool
+	disabled  bool
+	maxConn   int
+	cookie    string
+	check     bool
+	override  dispatchconfig.WebCheck // times and thresholds of this server's check
+	port      int                     // where to check; 0: the server's
+	addr      string                  // where to check; "": the server's
+	track     string
+	slowStart float64 // seconds
 }
 
 // read reads options and returns those that are not carried over, each with its reason.
-func (o *options) read(b *builder, w []string) (without []string, err error) {
+func (o *options) read(w []string) (without []string, err error) {
 	for i := 0; i < len(w); i++ {
 		name := w[i]
 		takes, known := serverOptions[name]
 		if !known {
-			without = append(without, name+" (not known here)")
+			without = append(without, name+" ("+unknownDirective+")")
 			continue
 		}
 		value := ""
@@ -55,63 +57,62 @@
 			}
 			value = w[i]
 		}
-		number := func(least, most int) int {
-			n, e := strconv.Atoi(value)
-			if e != nil || n < least || n > most {
-				err = errors.Join(err, fmt.Errorf("%s: %q is no number between %d and %d", name, value, least, most))
-			}
-			return n
-		}
-		time := func() float64 {
-			d, e := duration(value)
-			if e != nil {
+		if set := setOptions[name]; set != nil {
+			if e := set(o, value); e != nil {
 				err = errors.Join(err, fmt.Errorf("%s: %w", name, e))
 			}
-			return d.Seconds()
-		}
-		switch name {
-		case "weight":
-			n := number(0, 256)
-			o.weight = &n
-		case "backup", "no-backup":
-			o.backup = name == "backup"
-		case "disabled", "enabled":
-			o.disabled = name == "disabled"
-		case "maxconn":
-			o.maxConn = number(0, 1<<30)
-		case "cookie":
-			o.cookie = value
-		case "check", "no-check":
-			o.check = name == "check"
-		case "inter":
-			o.over.Every = time()
-		case "fastinter":
-			o.over.Fast = time()
-		case "downinter":
-			o.over.Down = time()
-		case "rise":
-			o.over.Rise = number(1, 1000)
-		case "fall":
-			o.over.Fall = number(1, 1000)
-		case "port":
-			o.port = number(1, 65535)
-		case "addr":
-			o.addr = value
-		case "track":
-			o.track = value
-		case "slowstart":
-			o.slow = time()
-		default:
-			if reason := optionReasons[name]; reason != "" {
-				without = append(without, name+" ("+reason+")")
-			}
+		} else if reason := optionReasons[name]; reason != "" {
+			without = append(without, name+" ("+reason+")")
 		}
 	}
 	return without, err
 }
 
-// options notes a line that is carried over but for some of its options.
-func (b *builder) options(without []string, how string) {
+// setOptions take the value of an option in, by the option's name; "": it takes none.
+var setOptions = map[string]func(o *options, value string) error{
+	"weight": func(o *options, v string) error {
+		o.weight = new(int)
+		return setNumber(o.weight, v, 0, 256)
+	},
+	"backup":    func(o *options, _ string) error { o.backup = true; return nil },
+	"no-backup": func(o *options, _ string) error { o.backup = false; return nil },
+	"disabled":  func(o *options, _ string) error { o.disabled = true; return nil },
+	"enabled":   func(o *options, _ string) error { o.disabled = false; return nil },
+	"check":     func(o *options, _ string) error { o.check = true; return nil },
+	"no-check":  func(o *options, _ string) error { o.check = false; return nil },
+	"cookie":    func(o *options, v string) error { o.cookie = v; return nil },
+	"addr":      func(o *options, v string) error { o.addr = v; return nil },
+	"track":     func(o *options, v string) error { o.track = v; return nil },
+	"maxconn":   func(o *options, v string) error { return setNumber(&o.maxConn, v, 0, 1<<30) },
+	"rise":      func(o *options, v string) error { return setNumber(&o.override.Rise, v, 1, 1000) },
+	"fall":      func(o *options, v string) error { return setNumber(&o.override.Fall, v, 1, 1000) },
+	"port":      func(o *options, v string) error { return setNumber(&o.port, v, 1, 65535) },
+	"inter":     func(o *options, v string) error { return setSeconds(&o.override.Every, v) },
+	"fastinter": func(o *options, v string) error { return setSeconds(&o.override.Fast, v) },
+	"downinter": func(o *options, v string) error { return setSeconds(&o.override.Down, v) },
+	"slowstart": func(o *options, v string) error { return setSeconds(&o.slowStart, v) },
+}
+
+func setNumber(to *int, value string, minValue, maxValue int) error {
+	n, err := strconv.Atoi(value)
+	if err != nil || n < minValue || n > maxValue {
+		return fmt.Errorf("%q is no number between %d and %d", value, minValue, maxValue)
+	}
+	*to = n
+	return nil
+}
+
+func setSeconds(to *float64, value string) error {
+	d, err := duration(value)
+	if err != nil {
+		return err
+	}
+	*to = d.Seconds()
+	return nil
+}
+
+// noteOptions notes a line that is carried over but for some of its options.
+func (b *builder) noteOptions(without []string, how string) {
 	if len(without) > 0 {
 		b.note(Differently, "without %s", strings.Join(without, ", "))
 	} else {
@@ -119,8 +120,9 @@
 	}
 }
 
-// fatal are options without which a server cannot be spoken to.
-var fatal = map[string]string{"ssl": "servers are spoken to without TLS", "send-proxy": "the PROXY protocol is not spoken",
+// unsupportedTransports are options without which a server cannot be spoken to, and why they are
+// not carried over. Of proto, h1 is none of them.
+var unsupportedTransports = map[string]string{"ssl": "servers are spoken to without TLS", "send-proxy": "the PROXY protocol is not spoken",
 	"send-proxy-v2": "the PROXY protocol is not spoken", "send-proxy-v2-ssl": "the PROXY protocol is not spoken",
 	"proto": "servers are spoken to in HTTP/1.1"}
 
@@ -144,19 +146,16 @@
 // add adds a server, unless a reason speaks against it.
 func (b *builder) add(name, addr, reason string, rest []string) {
 	o := &options{}
-	if _, err := o.read(b, b.base); err != nil {
+	if _, err := o.read(b.defaults); err != nil {
 		return // said where default-server stands
 	}
-	without, err := o.read(b, rest)
+	without, err := o.read(rest)
 	if err != nil {
 		b.fail("server %s: %v", name, err)
 		return
 	}
-	all := slices.Concat(b.base, rest)
-	for option, why := range fatal {
-		if i := slices.Index(all, option); i >= 0 && reason == "" && (option != "proto" || i+1 < len(all) && all[i+1] != "h1") {
-			reason = why
-		}
+	if reason == "" {
+		reason = unsupportedTransport(slices.Concat(b.defaults, rest))
 	}
 	if reason != "" {
 		b.note(NotCarried, "%s", reason)
@@ -166,30 +165,45 @@
 	if o.weight != nil && *o.weight != 1 {
 		s.Weight = o.weight
 	}
-	if o.track != "" {
+	b.setCheck(&s, o)
+	if o.slowStart > 0 {
+		b.back.SlowStart = max(b.back.SlowStart, o.slowStart)
+	}
+	b.back.Servers = append(b.back.Servers, s)
+	b.noteOptions(without, "")
+}
+
+// unsupportedTransport returns why a server with such options cannot be spoken to, "" if it can.
+func unsupportedTransport(options []string) string {
+	for option, reason := range unsupportedTransports {
+		if i := slices.Index(options, option); i >= 0 && (option != "proto" || i+1 < len(options) && options[i+1] != "h1") {
+			return reason
+		}
+	}
+	return ""
+}
+
+// setCheck says how a server's health is found out: as that of another, by checks, or not at all.
+func (b *builder) setCheck(s *dispatchconfig.WebServer, o *options) {
+	switch {
+	case o.track != "":
 		s.Track = o.track
 		if !strings.Contains(s.Track, "/") {
 			s.Track = b.back.Name + "/" + s.Track
 		}
-	} else if o.check {
-		if b.check == nil {
-			b.kind("tcp")
-		}
-		if o.over.Every != 0 || o.over.Fast != 0 || o.over.Down != 0 || o.over.Rise != 0 || o.over.Fall != 0 {
-			s.Check = &o.over
+	case o.check:
+		b.ensureCheck("")
+		if c := &o.override; c.Every != 0 || c.Fast != 0 || c.Down != 0 || c.Rise != 0 || c.Fall != 0 {
+			s.Check = c
 		}
-		s.CheckAt = checkAt(addr, o)
-	} else {
+		s.CheckAt = checkAddr(s.Addr, o)
+	default:
 		s.NoCheck = true
 	}
-	if o.slow > 0 {
-		b.back.SlowStart = max(b.back.SlowStart, o.slow)
-	}
-	b.back.Servers = append(b.back.Servers, s)
-	b.options(without, "")
 }
 
-func checkAt(addr string, o *options) string {
+// checkAddr returns where a server is checked, "" for its own address.
+func checkAddr(addr string, o *options) string {
 	if o.port == 0 && o.addr == "" {
 		return ""
 	}
@@ -235,10 +249,7 @@
 // address reads the address of a server. A reason says why it cannot be used although it
 // is well formed.
 func (b *builder) address(s string) (addr, reason string, err error) {
-	family, rest, ok := strings.Cut(s, "@")
-	if !ok {
-		family, rest = "", s
-	}
+	family, rest := cutFamily(s)
 	switch family {
 	case "", "ipv4", "ipv6", "tcp", "tcp4", "tcp6":
 	case "unix", "abns", "abnsz", "fd", "sockpair", "udp", "udp4", "udp6", "quic4", "quic6", "uxst", "uxdg", "rhttp", "mptcp", "mptcp4", "mptcp6":
@@ -261,49 +272,59 @@
 	if err != nil || n == 0 {
 		return "", "", fmt.Errorf("%q has no port that can be used", s)
 	}
-	ip, err := netip.ParseAddr(host)
-	if err != nil {
-		if known, ok := b.im.opt.Hosts[host]; ok {
-			if ip, err = netip.ParseAddr(known); err != nil {
-				return "", "", fmt.Errorf("--host %s=%s is no address", host, known)
-			}
-		} else if host == "" || strings.Trim(host, "0123456789.") == "" || strings.ContainsAny(host, " :/") {
-			return "", "", fmt.Errorf("%q is no address", s)
-		} else {
-			return "", "names are not looked up: give --host " + host + "=ADDRESS", nil
-		}
+	ip, reason, err := b.host(s, host)
+	if err != nil || reason != "" {
+		return "", reason, err
 	}
 	return netip.AddrPortFrom(ip, uint16(n)).String(), "", nil
 }
 
+// host reads the host of an address, which may be a name whose address is given. A reason says why
+// it cannot be used although it is well formed.
+func (b *builder) host(address, host string) (ip netip.Addr, reason string, err error) {
+	if ip, err := netip.ParseAddr(host); err == nil {
+		return ip, "", nil
+	}
+	if known, ok := b.im.opt.Hosts[host]; ok {
+		if ip, err = netip.ParseAddr(known); err != nil {
+			return ip, "", fmt.Errorf("--host %s=%s is no address", host, known)
+		}
+		return ip, "", nil
+	}
+	if host == "" || strings.Trim(host, "0123456789.") == "" || strings.ContainsAny(host, " :/") {
+		return ip, "", fmt.Errorf("%q is no address", address)
+	}
+	return ip, "names are not looked up: give --host " + host + "=ADDRESS", nil
+}
+
+// cutFamily parts the family of an address, "" for none, from the rest.
+func cutFamily(s string) (family, rest string) {
+	if family, rest, ok := strings.Cut(s, "@"); ok {
+		return family, rest
+	}
+	return "", s
+}
+
+// parsePorts reads a port or a range of ports, FROM-TO.
+func parsePorts(s string) (from, to uint64, ok bool) {
+	lo, hi, isRange := strings.Cut(s, "-")
+	if !isRange {
+		hi = lo
+	}
+	from, err1 := strconv.ParseUint(lo, 10, 16)
+	to, err2 := strconv.ParseUint(hi, 10, 16)
+	return from, to, err1 == nil && err2 == nil && from > 0 && to >= from
+}
+
 // bind reads the addresses of a frontend.
 func (b *builder) bind(w []string) {
 	if len(w) < 2 {
 		b.fail("bind takes an address")
 		return
 	}
-	var without []string
-	for i := 2; i < len(w); i++ {
-		takes, known := bindOptions[w[i]]
-		switch {
-		case w[i] == "ssl":
-			b.note(NotCarried, "TLS is not spoken: put it in front, or bind another port")
-			return
-		case w[i] == "accept-proxy" || w[i] == "accept-netscaler-cip":
-			b.note(NotCarried, "the PROXY protocol is not spoken")
-			return
-		case w[i] == "proto" && i+1 < len(w) && w[i+1] != "h1":
-			b.note(NotCarried, "clients are spoken to in HTTP/1.1")
-			return
-		case !known:
-			without = append(without, w[i]+" (not known here)")
-		}
-		if takes {
-			if i++; i == len(w) {
-				b.fail("bind: %s lacks its value", w[i-1])
-				return
-			}
-		}
+	without, ok := b.readBindOptions(w[2:])
+	if !ok {
+		return
 	}
 	var listen []string
 	for _, a := range strings.Split(w[1], ",") {
@@ -326,15 +347,43 @@
 			b.front.Listen = append(b.front.Listen, a)
 		}
 	}
-	b.options(without, "")
+	b.noteOptions(without, "")
+}
+
+// readBindOptions returns the options of a bind that are not carried over. It reports whether the
+// bind can be carried over without them, and notes why if not.
+func (b *builder) readBindOptions(w []string) (without []string, ok bool) {
+	for i := 0; i < len(w); i++ {
+		takes, known := bindOptions[w[i]]
+		switch {
+		case w[i] == "ssl":
+			b.note(NotCarried, "TLS is not spoken: put it in front, or bind another port")
+			return nil, false
+		case w[i] == "accept-proxy" || w[i] == "accept-netscaler-cip":
+			b.note(NotCarried, "the PROXY protocol is not spoken")
+			return nil, false
+		case w[i] == "proto" && i+1 < len(w) && w[i+1] != "h1":
+			b.note(NotCarried, "clients are spoken to in HTTP/1.1")
+			return nil, false
+		case !known:
+			without = append(without, w[i]+" ("+unknownDirective+")")
+		}
+		if takes {
+			if i++; i == len(w) {
+				b.fail("bind: %s lacks its value", w[i-1])
+				return nil, false
+			}
+		}
+	}
+	return without, true
 }
 
+// maxBindPorts bounds a range of ports to listen on.
+const maxBindPorts = 64
+
 // bindAddress reads an address to listen on, or a range of ports.
 func bindAddress(s string) (listen []string, reason string, err error) {
-	family, rest, ok := strings.Cut(s, "@")
-	if !ok {
-		family, rest = "", s
-	}
+	family, rest := cutFamily(s)
 	if strings.HasPrefix(rest, "/") || !slices.Contains([]string{"", "ipv4", "ipv6", "tcp", "tcp4", "tcp6"}, family) {
 		return nil, "only TCP addresses are listened on", nil
 	}
@@ -353,16 +402,11 @@
 	if err != nil {
 		return nil, "", fmt.Errorf("%q is no address to listen on", s)
 	}
-	lo, hi, isRange := strings.Cut(port, "-")
-	if !isRange {
-		hi = lo
-	}
-	from, err1 := strconv.ParseUint(lo, 10, 16)
-	to, err2 := strconv.ParseUint(hi, 10, 16)
-	if err1 != nil || err2 != nil || from == 0 || to < from {
+	from, to, ok := parsePorts(port)
+	if !ok {
 		return nil, "", fmt.Errorf("%q has no port that can be used", s)
 	}
-	if to-from >= 64 {
+	if to-from >= maxBindPorts {
 		return nil, "more than 64 ports", nil
 	}
 	for p := from; p <= to; p++ {
--- a/internal/haproxy/tables.go
+++ b/internal/haproxy/tables.go
@@ -1,8 +1,8 @@
 package haproxy
 
-// shared says what becomes of directives of a frontend or backend that need no code of
+// sharedDirectives says what becomes of directives of a frontend or backend that need no code of
 // their own, by their first two words or the first; a * stands for any ending.
-var shared = map[string]fate{
+var sharedDirectives = map[string]disposition{
 	"mode":                                {Carried, ""},
 	"enabled":                             {NotNeeded, "always so"},
 	"description":                         {NotNeeded, "a remark"},
@@ -105,8 +105,8 @@
 	"tune*":                                           {NotNeeded, "a matter of tuning"},
 }
 
-// globals says the same of directives of the global section.
-var globals = map[string]fate{
+// globalDirectives says the same of directives of the global section.
+var globalDirectives = map[string]disposition{
 	"daemon":                         {NotNeeded, "the program stays in the foreground; whoever starts it puts it elsewhere"},
 	"master-worker":                  {NotNeeded, "the program stays in the foreground"},
 	"user":                           {NotNeeded, "whoever starts the program chooses its user"},
