--- a/internal/haproxy/reference_test.go
+++ b/internal/haproxy/reference_test.go
@@ -179,21 +179,9 @@
 	case "hdr_cnt":
 		out = []string{strconv.Itoa(len(q.values(arg)))}
 	case "cook":
-		for _, v := range q.headers {
-			if strings.EqualFold(v[0], "cookie") {
-				for _, p := range strings.Split(v[1], ";") {
-					if k, x, _ := strings.Cut(strings.TrimSpace(p), "="); k == arg {
-						out = append(out, x)
-					}
-				}
-			}
-		}
+		out = q.cookies(arg)
 	case "url_param", "urlp":
-		for _, p := range strings.Split(q.query, "&") {
-			if k, x, _ := strings.Cut(p, "="); k == arg && p != "" {
-				out = append(out, x)
-			}
-		}
+		out = q.params(arg)
 	case "always_true":
 		out = []string{"1"}
 	case "ssl_fc", "sc_http_req_rate": // no TLS here, and no client asks that often
@@ -209,20 +197,45 @@
 				out[i] = strings.ToLower(out[i])
 			case "map":
 				file, fallback, _ := strings.Cut(arg, ",")
-				found := fallback
-				for _, l := range strings.Split(c.files[file], "\n") {
-					if f := strings.Fields(l); len(f) == 2 && f[0] == out[i] {
-						found = f[1]
-						break
-					}
-				}
-				out[i] = found
+				out[i] = c.lookup(file, out[i], fallback)
 			}
 		}
 	}
 	return out, true
 }
 
+func (q *refRequest) cookies(name string) (out []string) {
+	for _, v := range q.headers {
+		if strings.EqualFold(v[0], "cookie") {
+			for _, p := range strings.Split(v[1], ";") {
+				if k, x, _ := strings.Cut(strings.TrimSpace(p), "="); k == name {
+					out = append(out, x)
+				}
+			}
+		}
+	}
+	return out
+}
+
+func (q *refRequest) params(name string) (out []string) {
+	for _, p := range strings.Split(q.query, "&") {
+		if k, x, _ := strings.Cut(p, "="); k == name && p != "" {
+			out = append(out, x)
+		}
+	}
+	return out
+}
+
+// lookup finds a key in a map file.
+func (c *refConf) lookup(file, key, fallback string) string {
+	for _, l := range strings.Split(c.files[file], "\n") {
+		if f := strings.Fields(l); len(f) == 2 && f[0] == key {
+			return f[1]
+		}
+	}
+	return fallback
+}
+
 func refSplit(s string) (out []string) {
 	depth, from := 0, 0
 	for i, r := range s {
@@ -241,25 +254,8 @@
 
 // test evaluates a criterion with its flags and patterns.
 func (c *refConf) test(t []string, q *refRequest) bool {
-	expr, how, fold := t[0], "", false
-	name, _, _ := strings.Cut(expr, "(")
-	for _, m := range []string{"_beg", "_end", "_reg", "_dir", "_sub", "_dom"} {
-		if strings.HasSuffix(name, m) {
-			how = m[1:]
-			expr = strings.Replace(expr, m, "", 1)
-		}
-	}
-	rest := t[1:]
-	for len(rest) > 0 && strings.HasPrefix(rest[0], "-") {
-		if rest[0] == "-i" {
-			fold = true
-		}
-		if rest[0] == "-m" {
-			how = rest[1]
-			rest = rest[1:]
-		}
-		rest = rest[1:]
-	}
+	expr, how := refMethod(t[0])
+	how, fold, rest := refFlags(how, t[1:])
 	got, ok := c.sample(expr, q)
 	if !ok {
 		return false
@@ -278,33 +274,7 @@
 			if fold {
 				a, b = strings.ToLower(a), strings.ToLower(b)
 			}
-			hit := false
-			switch {
-			case op != "":
-				x, _ := strconv.Atoi(a)
-				y, _ := strconv.Atoi(b)
-				hit = op == "ge" && x >= y || op == "gt" && x > y || op == "le" && x <= y || op == "lt" && x < y || op == "eq" && x == y
-			case expr == "src":
-				ip := net.ParseIP(a)
-				if _, n, err := net.ParseCIDR(b); err == nil {
-					hit = n.Contains(ip)
-				} else {
-					hit = ip.Equal(net.ParseIP(b))
-				}
-			case how == "beg":
-				hit = strings.HasPrefix(a, b)
-			case how == "end":
-				hit = strings.HasSuffix(a, b)
-			case how == "sub":
-				hit = strings.Contains(a, b)
-			case how == "reg":
-				hit = regexp.MustCompile(b).MatchString(a)
-			case how == "dir":
-				hit = slices.Contains(strings.Split(a, "/"), b)
-			default:
-				hit = a == b
-			}
-			if hit {
+			if op != "" && refCompare(op, a, b) || op == "" && refMatch(expr, how, a, b) {
 				return true
 			}
 		}
@@ -312,17 +282,74 @@
 	return false
 }
 
+// refMethod takes the way to match off a sample's name.
+func refMethod(sample string) (expr, how string) {
+	expr = sample
+	name, _, _ := strings.Cut(expr, "(")
+	for _, m := range []string{"_beg", "_end", "_reg", "_dir", "_sub", "_dom"} {
+		if strings.HasSuffix(name, m) {
+			how = m[1:]
+			expr = strings.Replace(expr, m, "", 1)
+		}
+	}
+	return expr, how
+}
+
+// refFlags reads the flags in front of the patterns.
+func refFlags(method string, words []string) (how string, fold bool, rest []string) {
+	how, rest = method, words
+	for len(rest) > 0 && strings.HasPrefix(rest[0], "-") {
+		if rest[0] == "-i" {
+			fold = true
+		}
+		if rest[0] == "-m" {
+			how = rest[1]
+			rest = rest[1:]
+		}
+		rest = rest[1:]
+	}
+	return how, fold, rest
+}
+
+func refCompare(op, a, b string) bool {
+	x, _ := strconv.Atoi(a)
+	y, _ := strconv.Atoi(b)
+	return op == "ge" && x >= y || op == "gt" && x > y || op == "le" && x <= y || op == "lt" && x < y || op == "eq" && x == y
+}
+
+func refMatch(expr, how, a, b string) bool {
+	switch {
+	case expr == "src":
+		ip := net.ParseIP(a)
+		if _, n, err := net.ParseCIDR(b); err == nil {
+			return n.Contains(ip)
+		}
+		return ip.Equal(net.ParseIP(b))
+	case how == "beg":
+		return strings.HasPrefix(a, b)
+	case how == "end":
+		return strings.HasSuffix(a, b)
+	case how == "sub":
+		return strings.Contains(a, b)
+	case how == "reg":
+		return regexp.MustCompile(b).MatchString(a)
+	case how == "dir":
+		return slices.Contains(strings.Split(a, "/"), b)
+	}
+	return a == b
+}
+
 // holds evaluates the words from if or unless on.
 func (c *refConf) holds(s *refSection, words []string, q *refRequest) bool {
 	if len(words) == 0 {
 		return true
 	}
-	any := false
+	holds := false
 	all := true
 	for i := 1; i < len(words); i++ {
 		w := words[i]
 		if w == "or" || w == "||" {
-			any = any || all
+			holds = holds || all
 			all = true
 			continue
 		}
@@ -349,8 +376,8 @@
 			all = false
 		}
 	}
-	any = any || all
-	return any == (words[0] == "if")
+	holds = holds || all
+	return holds == (words[0] == "if")
 }
 
 func refCut(words []string) (act, cond []string) {
@@ -414,22 +441,31 @@
 		case "del-header":
 			q.drop(act[1])
 		case "replace-header":
-			for i, h := range q.headers {
-				if strings.EqualFold(h[0], act[1]) {
-					q.headers[i][1] = regexp.MustCompile(act[2]).ReplaceAllString(h[1], regexp.MustCompile(`\\(\d)`).ReplaceAllString(act[3], "$${$1}"))
-				}
-			}
+			q.replaceHeader(act[1], act[2], act[3])
 		case "set-path":
 			q.path = c.format(act[1], q)
 		case "set-query":
 			q.query = c.format(act[1], q)
 		case "replace-path":
-			q.path = regexp.MustCompile(act[1]).ReplaceAllString(q.path, regexp.MustCompile(`\\(\d)`).ReplaceAllString(act[2], "$${$1}"))
+			q.path = refReplace(act[1], q.path, act[2])
 		}
 	}
 	return nil
 }
 
+func (q *refRequest) replaceHeader(name, pattern, to string) {
+	for i, h := range q.headers {
+		if strings.EqualFold(h[0], name) {
+			q.headers[i][1] = refReplace(pattern, h[1], to)
+		}
+	}
+}
+
+// refReplace replaces all matches; \1 to \9 stand for groups.
+func refReplace(pattern, s, to string) string {
+	return regexp.MustCompile(pattern).ReplaceAllString(s, regexp.MustCompile(`\\(\d)`).ReplaceAllString(to, "$${$1}"))
+}
+
 func (c *refConf) redirect(act []string, q *refRequest) *refAnswer {
 	a := &refAnswer{status: 302}
 	for i := 1; i+1 < len(act); i += 2 {
@@ -465,6 +501,31 @@
 			return c.redirect(act, &q)
 		}
 	}
+	name := c.backendOf(s, &q)
+	b := c.find("backend listen", name)
+	if b == nil {
+		return &refAnswer{status: 503}
+	}
+	if b != s {
+		if a := c.rules(b, &q); a != nil {
+			return a
+		}
+	}
+	a := &refAnswer{backend: name, path: q.target(), headers: q.joined(), edits: s}
+	for _, l := range append(c.lines(s, "option"), c.lines(b, "option")...) {
+		if l[1] == "forwardfor" {
+			a.headers["x-forwarded-for"] = q.src
+		}
+	}
+	a.servers = c.servers(b, &q, nil)
+	if len(a.servers) == 0 {
+		a.status = 503
+	}
+	return a
+}
+
+// backendOf returns the name of the backend that a frontend or listen section sends a request to.
+func (c *refConf) backendOf(s *refSection, q *refRequest) string {
 	name := ""
 	if s.kind == "listen" {
 		name = s.name
@@ -474,52 +535,34 @@
 	}
 	for _, l := range c.lines(s, "use_backend") {
 		act, cond := refCut(l[1:])
-		if !c.holds(s, cond, &q) {
+		if !c.holds(s, cond, q) {
 			continue
 		}
-		to := c.format(act[0], &q)
+		to := c.format(act[0], q)
 		if c.find("backend listen", to) != nil {
 			name = to
 		}
 		break
 	}
-	b := c.find("backend listen", name)
-	if b == nil {
-		return &refAnswer{status: 503}
-	}
-	if b != s {
-		if a := c.rules(b, &q); a != nil {
-			return a
-		}
-	}
-	a := &refAnswer{backend: name, path: q.target(), headers: map[string]string{}, edits: s}
+	return name
+}
+
+// joined returns the header fields by their names in lower case, those of one name joined.
+func (q *refRequest) joined() map[string]string {
+	out := map[string]string{}
 	for _, h := range q.headers {
-		if old, ok := a.headers[strings.ToLower(h[0])]; ok {
+		if old, ok := out[strings.ToLower(h[0])]; ok {
 			h[1] = old + "," + h[1]
 		}
-		a.headers[strings.ToLower(h[0])] = h[1]
-	}
-	for _, l := range append(c.lines(s, "option"), c.lines(b, "option")...) {
-		if l[1] == "forwardfor" {
-			a.headers["x-forwarded-for"] = q.src
-		}
-	}
-	a.servers = c.servers(b, &q, nil)
-	if len(a.servers) == 0 {
-		a.status = 503
+		out[strings.ToLower(h[0])] = h[1]
 	}
-	return a
+	return out
 }
 
 // servers returns the addresses that a request may go to, with those that are down left out.
 func (c *refConf) servers(b *refSection, q *refRequest, down map[string]bool) (out []string) {
 	var backups []string
-	cookie := ""
-	for _, l := range c.lines(b, "cookie") {
-		if got, _ := c.sample("cook("+l[1]+")", q); len(got) > 0 {
-			cookie = got[0]
-		}
-	}
+	cookie := c.persistence(b, q)
 	for _, l := range c.lines(b, "server") {
 		if slices.Contains(l, "disabled") || down[l[2]] || !strings.Contains(l[2], ":") || strings.HasPrefix(l[2], ":") {
 			continue
@@ -544,6 +587,16 @@
 	return out
 }
 
+// persistence returns the value of the cookie that ties a request to a server, "" for none.
+func (c *refConf) persistence(b *refSection, q *refRequest) (cookie string) {
+	for _, l := range c.lines(b, "cookie") {
+		if got, _ := c.sample("cook("+l[1]+")", q); len(got) > 0 {
+			cookie = got[0]
+		}
+	}
+	return cookie
+}
+
 // weights returns each address's part of a backend's turns.
 func (c *refConf) weights(b *refSection) map[string]float64 {
 	base := 1.0
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -101,7 +101,9 @@
 	if err := got.Write(w); err != nil {
 		t.Fatal(err)
 	}
-	w.Close()
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
 	if err := os.WriteFile(filepath.Join(filepath.Dir(out), "hosts.map"), maps, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -142,20 +144,26 @@
 }
 
 func freePort(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	l := listen(t)
+	defer func() { _ = l.Close() }()
+	return l.Addr().String()
+}
+
+// listen listens on a free port; whoever calls it closes the listener.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	var lc net.ListenConfig
+	l, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	return l
 }
 
 // server runs a stand-in for a server of the sample and returns where it listens.
 func (s *stand) server(name string) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		s.t.Fatal(err)
-	}
+	l := listen(s.t)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		s.mu.Lock()
 		down := s.down[name]
@@ -171,7 +179,7 @@
 		_ = json.NewEncoder(w).Encode(seen{name, q.RequestURI, q.Header})
 	})}
 	go func() { _ = srv.Serve(l) }()
-	s.t.Cleanup(func() { srv.Close() })
+	s.t.Cleanup(func() { _ = srv.Close() })
 	return l.Addr().String()
 }
 
@@ -181,7 +189,7 @@
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(q.src)}}
 	h := &http.Transport{DialContext: d.DialContext, DisableCompression: true, DisableKeepAlives: true}
 	url := "http://" + s.front[front] + q.target()
-	r, err := http.NewRequest(q.method, url, nil)
+	r, err := http.NewRequestWithContext(s.t.Context(), q.method, url, nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -194,7 +202,7 @@
 	if err != nil {
 		s.t.Fatalf("%s: %s %s: %v", s.name, q.method, url, err)
 	}
-	defer got.Body.Close()
+	defer func() { _ = got.Body.Close() }()
 	b, _ := io.ReadAll(got.Body)
 	by = &seen{}
 	if json.Unmarshal(b, by) != nil || by.Addr == "" {
@@ -292,7 +300,7 @@
 			all++
 			want := s.ref.ask(front, q)
 			status, location, body, by, header := s.send(front, q)
-			if why := s.differs(want, q, status, location, body, by, header); why != "" {
+			if why := s.differs(want, status, location, body, by, header); why != "" {
 				s.t.Errorf("%s: %s %s%s from %s %v: %s", front, q.method, q.host, q.target(), q.src, q.headers, why)
 				continue
 			}
@@ -311,7 +319,7 @@
 }
 
 // differs says in what a result is not what the model says.
-func (s *stand) differs(want *refAnswer, q refRequest, status int, location, body string, by *seen, header http.Header) string {
+func (s *stand) differs(want *refAnswer, status int, location, body string, by *seen, header http.Header) string {
 	if want.status != 0 {
 		if by != nil || status != want.status || location != want.location {
 			return fmt.Sprintf("got %d %q by %v, want %d %q", status, location, by, want.status, want.location)
@@ -327,6 +335,27 @@
 	if by.Target != want.path {
 		return fmt.Sprintf("the server saw %q, want %q", by.Target, want.path)
 	}
+	if why := headersDiffer(want, by); why != "" {
+		return why
+	}
+	served := 200
+	if strings.Contains(by.Target, "soft") {
+		served = 404
+	}
+	code, set := s.ref.response(want.edits, served, served == 404)
+	if status != code {
+		return fmt.Sprintf("status %d, want %d", status, code)
+	}
+	for name, value := range set {
+		if header.Get(name) != value {
+			return fmt.Sprintf("answer with %s: %q, want %q", name, header.Get(name), value)
+		}
+	}
+	return ""
+}
+
+// headersDiffer says in what the header fields that a server saw are not what the model says.
+func headersDiffer(want *refAnswer, by *seen) string {
 	for name, value := range want.headers {
 		if name == "cookie" {
 			continue // see the sticky test
@@ -340,19 +369,6 @@
 			return fmt.Sprintf("the server saw %s, which was not to be there", name)
 		}
 	}
-	real := 200
-	if strings.Contains(by.Target, "soft") {
-		real = 404
-	}
-	code, set := s.ref.response(want.edits, real, real == 404)
-	if status != code {
-		return fmt.Sprintf("status %d, want %d", status, code)
-	}
-	for name, value := range set {
-		if header.Get(name) != value {
-			return fmt.Sprintf("answer with %s: %q, want %q", name, header.Get(name), value)
-		}
-	}
 	return ""
 }
 
