--- a/cmd/sedgevale/import.go
+++ b/cmd/sedgevale/import.go
@@ -93,7 +93,7 @@
 		Frontend: c.Frontend, Line: c.Explain, Headers: c.Header, Source: c.Source,
 	})
 	if err == nil {
-		route.Text(os.Stdout)
+		fmt.Print(route)
 	}
 	return err
 }
