--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -152,8 +152,8 @@
 	if c.watcher.timer != nil {
 		c.watcher.timer.Stop()
 	}
+	c.deadline = time.Now().Add(timeout) // before the timer: one that fires with the deadline still ahead is lost
 	c.watcher.timer = time.AfterFunc(timeout, func() { c.watcher.loop.Do(c.checkTimeout) })
-	c.deadline = time.Now().Add(timeout)
 	out := http1.AppendRequest(nil, "GET", target)
 	out = http1.AppendField(out, "Host", c.watcher.addr)
 	_, _ = c.raw.Write(append(out, "\r\n"...)) // a failure closes the connection, which calls Closed
