--- a/internal/system/core/admin.go
+++ b/internal/system/core/admin.go
@@ -52,7 +52,7 @@
 	Shard   string
 	Token   int64 // the owner's fencing token
 	Fresh   bool  // the owner's lease is valid
-	Records int64
+	Records int64 // how many the shard has
 	InStep  int64 // replicas in sync
 	Queues  []jobs.QueueSummary
 	Workers []jobs.WorkerSummary
--- a/internal/system/core/config.go
+++ b/internal/system/core/config.go
@@ -14,8 +14,8 @@
 const (
 	configRegister = "config" // the name of the configuration's register
 
-	// maxHistory is how many changes are remembered, so that a retry is distinguished from a new change. A change on a version from
-	// before them is answered with result.OutcomeUnknown: it may have been made.
+	// maxHistory is how many changes are remembered, so that a retry is distinguished from a new change. A change on a version
+	// from before them is answered with result.OutcomeUnknown: it may have been made.
 	maxHistory = 512
 
 	maxPreviousConfigs = 8                      // kept so that subscribers can be sent a patch
@@ -51,6 +51,8 @@
 	digest      int64  // identifies it
 }
 
+// newOperatorChange returns a change whose digest is the first 8 bytes, little endian, of the SHA-256 of its body, for a patch
+// after "patch ".
 func newOperatorChange(patch bool, baseVersion int64, body []byte) *operatorChange {
 	hash := sha256.New()
 	if patch {
--- a/internal/system/core/inspect.go
+++ b/internal/system/core/describe.go
@@ -3,7 +3,8 @@
 import (
 	"fmt"
 	"io"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 
 	"sedgevale/internal/avrocodec"
@@ -22,12 +23,12 @@
 	for i, member := range s.membership.Seats {
 		fmt.Fprintf(&text, "seat %d: disk %s at %s since epoch %d, voter %t\n", i, member.ID, member.Address, member.Since, member.Voter)
 	}
-	for _, name := range sortedKeys(s.registers) {
+	for _, name := range slices.Sorted(maps.Keys(s.registers)) {
 		a := s.registers[name]
 		fmt.Fprintf(&text, "register %s: promised %d, accepted %d by %s, %d bytes%s\n", name, a.Promised.Counter,
 			a.Accepted.Counter, a.Accepted.Proposer, len(a.Value), versionOf(name, a.Value))
 	}
-	for _, name := range sortedKeys(s.replicas) {
+	for _, name := range slices.Sorted(maps.Keys(s.replicas)) {
 		r := s.replicas[name]
 		fmt.Fprintf(&text, "shard %s: token %d, in step with %d, votes %t, %d records\n", name, r.Sealed, r.InStep, r.Voter, r.Set.Len())
 	}
@@ -43,12 +44,3 @@
 	}
 	return fmt.Sprintf(", configuration %d", record.Version)
 }
-
-func sortedKeys[Value any](m map[string]Value) []string {
-	keys := make([]string, 0, len(m))
-	for key := range m {
-		keys = append(keys, key)
-	}
-	sort.Strings(keys)
-	return keys
-}
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -107,6 +107,7 @@
 	return nil
 }
 
+// isDraining reports whether a peer that answered lately drains.
 func (c *Core) isDraining(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -128,6 +128,13 @@
 	return n
 }
 
+// recordCount returns how many records the shard has.
+func (o *owner) recordCount() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.primary.Set.Len()
+}
+
 // monotonicNow is the clock of jobs.Book: the time since this process started.
 func (o *owner) monotonicNow() time.Duration { return time.Since(o.core.started) }
 
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -25,34 +25,34 @@
 	Restored    bool   // it has restored what a quorum of voters held after it had taken its seat
 }
 
-// The kinds of entries in the state file.
+// The kinds of entries, with the fields that each uses. The numbers are stored: they are never reused.
 const (
-	entryIdentity = iota + 1
-	entryMembership
-	entryPromise
-	entryAccept
-	entryRegister
-	entrySeal
-	entryWrite
-	entryRepair
-	entryReplica
-	entryPrefetch
-	entryTrust
+	entryIdentity   = iota + 1 // Identity
+	entryMembership            // Membership
+	entryPromise               // Name, Promised
+	entryAccept                // Name, Ballot, Value
+	entryRegister              // a complete acceptor: Name, Promised, Ballot, Value
+	entrySeal                  // Name, Token
+	entryWrite                 // Name, Token, Records
+	entryRepair                // Name, Token, Number, Ranges; Flag for the last part
+	entryReplica               // a complete replica: Name, Token, InSync, Number, Records; Flag for a voter
+	entryPrefetch              // Name, Ranges
+	entryTrust                 // Name, Token
 )
 
 // entry is one record of the log and of snapshots: a change of the store. It is an Avro record, so that fields are read by
-// their order; which of them an entry uses depends on its kind.
+// their order, and must be neither moved nor retyped.
 type entry struct {
 	Kind       int
 	Name       string // of a register or a shard
 	Identity   identity
 	Membership membership.Membership
-	Ballot     register.Ballot
+	Ballot     register.Ballot // under which Value was accepted
 	Promised   register.Ballot
 	Value      []byte
-	Token      int64
-	Number     int64 // of a repair
-	InSync     int64
+	Token      int64 // the fencing token of an owner
+	Number     int64 // of an owner's repairs of this replica
+	InSync     int64 // the fencing token of the owner with which the replica was in sync last
 	Flag       bool
 	Records    []shard.Record
 	Ranges     []shard.Range
@@ -71,8 +71,8 @@
 	lastTicket *statefile.Ticket // of the newest entry; nil before the first
 	identity   identity
 	membership membership.Membership
-	registers  map[string]*register.Acceptor
-	replicas   map[string]*shard.Replica
+	registers  map[string]*register.Acceptor // by name
+	replicas   map[string]*shard.Replica     // by shard
 }
 
 // openStore opens the disk of the machine at an address. bootstrap says that the disks of all machines are new; only then
--- a/internal/system/core/takeover.go
+++ b/internal/system/core/takeover.go
@@ -41,7 +41,7 @@
 		c.logger.Info("shard takeover failed", "shard", name, "error", err.Error())
 		return
 	}
-	c.logger.Info("shard taken over", "shard", name, "token", o.token, "records", o.primary.Set.Len(),
+	c.logger.Info("shard taken over", "shard", name, "token", o.token, "records", o.recordCount(),
 		"took_ms", time.Since(startedAt).Milliseconds())
 	go c.pingAll(context.WithoutCancel(ctx))
 }
