--- a/internal/system/core/peers_test.go
+++ b/internal/system/core/liveness_test.go
@@ -36,3 +36,14 @@
 		t.Error("a machine that nobody hears is waited for")
 	}
 }
+
+func TestQuorumTime(t *testing.T) {
+	base := time.Unix(100, 0)
+	times := []time.Time{base, base.Add(2 * time.Second), base.Add(time.Second)}
+	if got := quorumTime(times, 2); !got.Equal(base.Add(time.Second)) {
+		t.Errorf("majority at %v", got)
+	}
+	if got := quorumTime(times[:1], 2); !got.IsZero() {
+		t.Errorf("one of three at %v", got)
+	}
+}
--- /dev/null
+++ b/internal/system/core/sessions_test.go
@@ -0,0 +1,23 @@
+package core
+
+import "testing"
+
+// A report that was delayed by a partition is of no current session: found by a hunt on fosse-sedgevale-grown
+// (trouble-2 --seed 734137710468, TWICE), where one of a crashed worker arrived after its successor was at work.
+func TestLateReportIsNotTaken(t *testing.T) {
+	s := sessions{}
+	first, ok := s.admit("side", "", 1)
+	if ok {
+		t.Error("a report without a session was taken")
+	}
+	if _, ok := s.admit("side", first, 3); !ok {
+		t.Error("the next report was not taken")
+	}
+	if _, ok := s.admit("side", first, 2); ok {
+		t.Error("an earlier report of the session was taken")
+	}
+	second, _ := s.admit("side", "of an earlier owner", 9)
+	if _, ok := s.admit("side", first, 10); ok || second == first {
+		t.Error("a session went on beside a newer one")
+	}
+}
