--- a/internal/system/core/jobsapi.go
+++ b/internal/system/core/jobsapi.go
@@ -115,7 +115,7 @@
 	return &api.Empty{}, o.waitCommitted(ctx, sequence)
 }
 
-// pending returns how many jobs of a queue have no task at work yet.
+// pending returns how many unfinished jobs of a queue have no task that a worker has started.
 func (c *Core) pending(_ context.Context, r *api.PendingRequest) (*api.PendingResponse, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
--- a/internal/system/core/messages.go
+++ b/internal/system/core/messages.go
@@ -111,7 +111,7 @@
 type sealResponse struct {
 	From    origin
 	Voter   bool    // it holds all that its seat has acknowledged of the shard
-	InSync  int64   // the fencing token of the owner with which the replica was in sync last
+	InSync  int64   // the fencing token of the owner with which the replica was in sync last; 0 for none
 	Digests []int64 // of its key ranges
 }
 
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -52,7 +52,7 @@
 	Value      []byte
 	Token      int64 // the fencing token of an owner
 	Number     int64 // of an owner's repairs of this replica
-	InSync     int64 // the fencing token of the owner with which the replica was in sync last
+	InSync     int64 // the fencing token of the owner with which the replica was in sync last; 0 for none
 	Flag       bool
 	Records    []shard.Record
 	Ranges     []shard.Range
