--- a/internal/system/edge/forward.go
+++ b/internal/system/edge/forward.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	attemptTimeout  = 900 * time.Millisecond
-	minAttemptTime  = 200 * time.Millisecond // no attempt is begun with less time left
-	retryBackoff    = 40 * time.Millisecond
-	ownerBackoff    = retryBackoff / 4 // after news of owners
-	retryAfter      = "1"              // seconds
-	maxRequestTime  = 2600 * time.Millisecond
-	minRequestTime  = 300 * time.Millisecond
-	responseReserve = 150 * time.Millisecond // a response needs so long to reach the client
+	attemptTimeout    = 900 * time.Millisecond
+	minAttemptTime    = 200 * time.Millisecond // no attempt is begun with less time left
+	retryBackoff      = 40 * time.Millisecond
+	ownerBackoff      = retryBackoff / 4 // after news of owners
+	retryAfterSeconds = "1"              // of the Retry-After header
+	maxRequestTime    = 2600 * time.Millisecond
+	minRequestTime    = 300 * time.Millisecond
+	responseReserve   = 150 * time.Millisecond // a response needs so long to reach the client
 )
 
 // request is a client's request that is forwarded to the owner of its route's shard.
@@ -103,7 +103,7 @@
 	}
 	switch result.CodeOf(err) {
 	case result.Overloaded:
-		w.Header().Set("Retry-After", retryAfter)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 		http.Error(w, err.Error(), http.StatusTooManyRequests)
 	case result.Invalid, result.BadRequest:
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -114,6 +114,6 @@
 
 // unavailable answers with 503 and asks the client to retry.
 func unavailable(w http.ResponseWriter, text string) {
-	w.Header().Set("Retry-After", retryAfter)
+	w.Header().Set("Retry-After", retryAfterSeconds)
 	http.Error(w, text, http.StatusServiceUnavailable)
 }
--- a/internal/system/simulation/partition_test.go
+++ b/internal/system/simulation/partition_test.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	partitionPhase      = 40 * time.Second
-	maxGoroutinesDuring = 600 // above those at rest, of eight processes, during the partition
-	maxGoroutinesAfter  = 150 // and after it
+	partitionPhase           = 40 * time.Second
+	maxGoroutinesInPartition = 600 // above those at rest, of eight processes, during the partition
+	maxGoroutinesAfterHeal   = 150 // and after it
 )
 
 // Requirement 12: during a partition everything waits with a timeout, so that no goroutine and no connection leaks.
@@ -43,7 +43,7 @@
 		time.Sleep(30 * time.Second)
 		after := runtime.NumGoroutine() - before
 		t.Logf("at rest %d goroutines, %d more at the end of the partition, %d more after it", before, during, after)
-		if during > maxGoroutinesDuring || after > maxGoroutinesAfter {
+		if during > maxGoroutinesInPartition || after > maxGoroutinesAfterHeal {
 			t.Errorf("%d goroutines more during the partition, %d after it", during, after)
 		}
 		if status, _ := c.call("GET", "10.0.1.1:91", "/sedgevale/readyz", "", "", ""); status != 200 {
