--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -71,7 +71,7 @@
 	of := peers.Options{Self: o.Self, Members: len(o.Peers), Site: o.Site, Hearers: o.Hearers, Least: o.Least, Revision: o.Revision,
 		Incarnation: uint16(time.Now().UnixMilli() / 128)}
 	if o.Watch {
-		of.Watch = rand.New(rand.NewPCG(o.Seed, uint64(o.Self)))
+		of.DetectorRand = rand.New(rand.NewPCG(o.Seed, uint64(o.Self)))
 	}
 	l.node = peers.New(of)
 	for i, p := range o.Planners {
@@ -165,7 +165,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opt.Clock.Now()
-	l.node.Revise(now, r)
+	l.node.SetRevision(now, r)
 	l.node.Flush(now, l.send)
 }
 
@@ -196,11 +196,11 @@
 	l.changes = l.changes[:0]
 	l.node.Changes(func(c peers.Change) { l.changes = append(l.changes, c) })
 	if len(l.changes) > fewChanges {
-		var to [peers.Gone + 1]int
+		var to [peers.Dead + 1]int
 		for _, c := range l.changes {
 			to[c.To]++
 		}
-		l.opt.Log.Info("many other schedulers changed", "alive", to[peers.Alive], "doubted", to[peers.Doubted], "gone", to[peers.Gone])
+		l.opt.Log.Info("many other schedulers changed", "alive", to[peers.Alive], "doubted", to[peers.Suspect], "gone", to[peers.Dead])
 		return
 	}
 	for _, c := range l.changes {
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -74,7 +74,7 @@
 func (s *one) heard() int {
 	s.link.mu.Lock()
 	defer s.link.mu.Unlock()
-	return s.link.node.Counts.Heard
+	return s.link.node.Counts.ActiveMembers
 }
 
 func addresses(t *testing.T, n int) (out []netip.AddrPort) {
--- a/internal/peers/members_test.go
+++ b/internal/peers/failuredetector_test.go
@@ -21,19 +21,19 @@
 
 func (n *net) restart(m int, run uint16) {
 	o := options(m, len(n.nodes))
-	o.Incarnation, o.Watch = run, rand.New(rand.NewPCG(uint64(m), uint64(run)))
+	o.Incarnation, o.DetectorRand = run, rand.New(rand.NewPCG(uint64(m), uint64(run)))
 	n.nodes[m], n.down[m] = New(o), false
 }
 
 // seen counts at all live nodes in which state they have those for which which is true.
-func (n *net) seen(which func(m int) bool) (c [Gone + 1]int) {
+func (n *net) seen(which func(m int) bool) (c [Dead + 1]int) {
 	for i, node := range n.nodes {
 		if n.down[i] {
 			continue
 		}
 		for m := range n.nodes {
 			if m != i && which(m) {
-				c[node.watch.views[m].state]++
+				c[node.detector.views[m].state]++
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 	n := crowd(20, 5)
 	n.down[4] = true
 	n.run(10 * time.Second)
-	if s := n.seen(func(m int) bool { return m == 4 }); s[Gone] != 19 {
+	if s := n.seen(func(m int) bool { return m == 4 }); s[Dead] != 19 {
 		t.Fatalf("frozen for 10 s: %v, want gone at all", s)
 	}
 	n.down[4] = false
@@ -105,7 +105,7 @@
 	n.cut = func(from, to int) bool { return from == 2 && to == 3 }
 	for range 40 {
 		n.run(500 * ms)
-		if s := n.seen(n.up); s[Gone] > 0 || s[Alive] < 24*23-2*24 {
+		if s := n.seen(n.up); s[Dead] > 0 || s[Alive] < 24*23-2*24 {
 			t.Fatalf("with one link cut one way: %v", s)
 		}
 	}
@@ -167,11 +167,11 @@
 	for _, c := range []struct {
 		kind kind
 		want int
-	}{{kindAck, 1}, {kindTold, 0}} {
-		a.watch.probes = []probe{{number: 2, at: now, helped: true}}
-		a.control(now, 1, head{kind: c.kind, incarnation: 1}, appendClaim([]byte{0}, claim{2, Alive, 1, 0}))
-		if len(a.watch.probes) != c.want {
-			t.Errorf("kind %d: %d questions are open, want %d", c.kind, len(a.watch.probes), c.want)
+	}{{kindAck, 1}, {kindIndirectAck, 0}} {
+		a.detector.probes = []probe{{number: 2, at: now, indirect: true}}
+		a.receiveDetectorMessage(now, 1, head{kind: c.kind, generation: 1}, appendClaim([]byte{0}, claim{2, Alive, 1, 0}))
+		if len(a.detector.probes) != c.want {
+			t.Errorf("kind %d: %d questions are open, want %d", c.kind, len(a.detector.probes), c.want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/peers/loads.go
@@ -0,0 +1,126 @@
+package peers
+
+import (
+	"slices"
+	"time"
+)
+
+// Boxes sets the complete list of workers. Workers that it lacks are kept until their loads are withdrawn or expired.
+func (n *Node) Boxes(ids []string) {
+	for _, w := range n.order {
+		w.listed = false
+	}
+	hashes := make([]uint64, len(ids))
+	for i, id := range ids {
+		w := n.worker(id)
+		w.listed = true
+		hashes[i] = w.hash
+	}
+	n.order = slices.DeleteFunc(n.order, func(w *workerState) bool {
+		old := !w.listed && w.load == (Out{}) && w.advertised == (Out{}) && len(w.reports) == 0 && !w.unsent && !w.changed
+		if old {
+			delete(n.workers, w.id)
+			if n.workersByKey[w.key] == w {
+				delete(n.workersByKey, w.key)
+			}
+		}
+		return old
+	})
+	n.subset, n.sharers = n.subset[:0], 0
+	for i, a := range assignSubscribers(n.options.Members, hashes, n.options.Hearers, n.options.Least) {
+		w := n.workers[ids[i]]
+		w.subscribers = a
+		if slices.Contains(a, uint16(n.options.Self)) {
+			n.subset = append(n.subset, w.id)
+			n.sharers = max(n.sharers, len(a))
+		}
+	}
+	n.Counts.Boxes, n.Counts.Part, n.Counts.Shares = len(ids), len(n.subset), n.sharers
+	n.subsetChanged = n.subsetChanged || n.anyHeard
+}
+
+// Parted calls f with the subset if that may have changed since the last call. While no member is heard there is none: all
+// workers are equal, as without other schedulers. The slice is valid until the next call of Boxes.
+func (n *Node) Parted(f func(workers []string, sharers int)) {
+	if !n.subsetChanged {
+		return
+	}
+	n.subsetChanged = false
+	if n.anyHeard {
+		f(n.Part())
+	} else {
+		f(nil, 0)
+	}
+}
+
+// Part returns this scheduler's subset of the workers and the maximum number of schedulers that share one of them. It is nil
+// where the subset is the complete list. The slice is valid until the next call of Boxes.
+func (n *Node) Part() (workers []string, sharers int) {
+	if len(n.subset) == n.Counts.Boxes {
+		return nil, n.options.Members
+	}
+	return n.subset, n.sharers
+}
+
+// worker returns the state of a worker, made where it is new.
+func (n *Node) worker(id string) *workerState {
+	if w := n.workers[id]; w != nil {
+		return w
+	}
+	h := hashOf(id)
+	w := &workerState{id: id, hash: h, key: uint32(h) & 0xffffff}
+	n.workers[id], n.order = w, append(n.order, w)
+	if n.workersByKey[w.key] == nil { // of two workers with one key only the first is advertised
+		n.workersByKey[w.key] = w
+	}
+	return w
+}
+
+// Out sets this scheduler's load on a worker, to be sent by the next Flush. Most attempts at a worker that is not full start at
+// once, so that they count as waiting only after waitingGracePeriod.
+func (n *Node) Out(now time.Duration, id string, o Out, full bool) {
+	w := n.workers[id]
+	if w == nil || n.workersByKey[w.key] != w {
+		return
+	}
+	o = o.clamped()
+	switch {
+	case full:
+		w.waitingSince = now - waitingGracePeriod
+	case o.Waiting > w.load.Waiting:
+		w.waitingSince = now
+	}
+	if w.load = o; o.Slots != w.advertised.Slots || o.Waiting < w.advertised.Waiting || full && o != w.advertised {
+		n.markUnsent(w)
+	}
+}
+
+// markUnsent has the next Flush send the load of a worker.
+func (n *Node) markUnsent(w *workerState) {
+	if !w.unsent {
+		w.unsent = true
+		n.unsent = append(n.unsent, w)
+	}
+}
+
+// markChanged has the next call of News tell the load that others put on a worker.
+func (n *Node) markChanged(w *workerState) {
+	if !w.changed {
+		w.changed = true
+		n.changed = append(n.changed, w)
+	}
+}
+
+// News calls f with the sum of what all others have on each worker where that has changed since the last call.
+func (n *Node) News(f func(id string, slots, waiting int)) {
+	for i, w := range n.changed {
+		n.changed[i], w.changed = nil, false
+		slots, waiting := 0, 0
+		for _, r := range w.reports {
+			slots += r.load.Slots
+			waiting += r.load.Waiting
+		}
+		f(w.id, slots, waiting)
+	}
+	n.changed = n.changed[:0]
+}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,14 +1,13 @@
-// Package peers decides what schedulers of one site tell each other of the jobs that they have out at boxes:
-// who hears of which box, what goes into the next datagram, and what to believe of what comes. It does no
-// input or output and takes the time as an argument. It is for a driver that owns a socket (internal/peerlink)
-// and for experiments in virtual time.
+// Package peers is the protocol by which the schedulers of one site share what load each of them puts on the workers: who is
+// told of which worker, what the next datagram contains, and which received datagrams count. It does no input or output and
+// takes the time as an argument, for a driver that owns a socket (internal/peerlink) and for simulations in virtual time.
 //
-// Each box has an audience: some schedulers for which it is one of the few boxes that they look at first, their
-// part. Whoever has jobs out at a box tells its audience, in absolute values and as soon as they change, and the
-// audience counts them like its own. Nothing is acknowledged: what is lost is mended by the next telling,
-// repeated each second while there is something to tell, and what was told is forgotten after two seconds.
+// Each worker has subscribers: some schedulers that have it in their subset, the few workers that they try first. A scheduler
+// with load on a worker sends it to the subscribers, in absolute values and as soon as it changes, and they count it like their
+// own. Nothing is acknowledged: a lost datagram is repaired by the next, sent each second while there is load, and a report
+// expires after two seconds.
 //
-// Where they also watch who is there (members.go), they tell each other which revision of the configuration each has in force
+// With failure detection (failuredetector.go), members also gossip which revision of the configuration each has in force
 // (revisions.go).
 package peers
 
@@ -19,122 +18,133 @@
 )
 
 const (
-	// Repeat is how often something out is told again though it has not changed, so that losses heal.
-	Repeat = time.Second
-	// Forget is how long what was told counts.
-	Forget = 2 * time.Second
-	// TickEvery is how often Tick wants to be called.
+	// RepeatInterval is how often a load that has not changed is sent again, to repair losses.
+	RepeatInterval = time.Second
+	// LoadTTL is how long a received load counts.
+	LoadTTL = 2 * time.Second
+	// TickEvery is the interval at which Tick should be called.
 	TickEvery = 50 * time.Millisecond
-	// silentFor is after how long an incarnation that says nothing any more may give way to an earlier one:
-	// a machine's clock can be set back.
-	silentFor = 3 * time.Second
-	// window is how late a datagram may come, by those that its sender has sent since.
-	window = time.Second
-	// waitGrace is for how long an attempt has waited at least when that is told.
-	waitGrace = 40 * time.Millisecond
-	lossGain  = 0.25
-	// firstBack is by how many numbers one may come behind the first that is heard.
-	firstBack = 16
+	// minGenerationSilence is how long a run of a process must be silent before datagrams of an earlier generation are accepted: a
+	// machine's clock may be set back.
+	minGenerationSilence = 3 * time.Second
+	// sequenceWindow is the time within which datagrams may arrive out of order.
+	sequenceWindow = time.Second
+	// waitingGracePeriod is how long an attempt must have been waiting before it is sent as waiting.
+	waitingGracePeriod = 40 * time.Millisecond
+	// lossGain is the weight of one sequenceWindow in the moving average of a member's loss rate.
+	lossGain = 0.25
+	// initialSequenceSlack is by how much a sequence number may be below the first one that is received.
+	initialSequenceSlack = 16
 )
 
-// Options are the choices for a Node.
+// Options configure a Node.
 type Options struct {
-	Self, Members int    // its number and how many there are
-	Site          uint64 // a fingerprint of the site and its settings: only who has the same is believed
-	Incarnation   uint16 // of this run: later than that of the run before, by at most half of what there are
-	Hearers       int    // least size of an audience
-	Least         int    // least boxes in a part
-
-	// Watch is for what the watch on who is there draws at random; nil: nobody is watched.
-	Watch *rand.Rand
-	// Revision is the configuration that is in force at the start. It is told where there is a watch.
+	Self, Members int    // its number, and how many members there are
+	Site          uint64 // a fingerprint of the site and its settings: datagrams with another one are rejected
+	Incarnation   uint16 // the generation of this run: higher than that of the run before, by at most half of the range
+	Hearers       int    // minimum number of subscribers of a worker
+	Least         int    // minimum number of workers in a subset
+
+	// DetectorRand is the source of the failure detector's random choices; nil: no failure detection.
+	DetectorRand *rand.Rand
+	// Revision is the configuration in force at the start. It is gossiped where there is failure detection.
 	Revision Revision
 }
 
-// Node is what one scheduler tells and hears. It is not safe for concurrent use.
+// Node is one scheduler's side of the protocol. It is not safe for concurrent use.
 type Node struct {
-	opt     Options
-	codec   codec
-	members []member
-	watch   watch
-	table   table
-	boxes   map[string]*box
-	order   []*box // the same, in the order in which they were named: what is told must not hang on a map's
-	keys    map[uint32]*box
-	part    []string
-	sharers int
-	heard   bool      // somebody has told something within Forget
-	parted  bool      // the part in force has changed
-	dirty   []*box    // to be told
-	news    []*box    // what others have out there has changed
-	busy    []*box    // with words of others
-	pending []pending // by member
-	sending []uint16  // those with something pending
-	buf     []byte
-	Counts  Counts
-}
-
-// Counts are what a Node has seen.
+	options       Options
+	codec         codec
+	members       []member // by number
+	detector      failureDetector
+	revisionTable revisionTable
+
+	workers       map[string]*workerState
+	order         []*workerState // the same in a fixed order, which what is sent must depend on, not on a map's
+	workersByKey  map[uint32]*workerState
+	subset        []string // of the workers
+	sharers       int      // maximum number of members that share a worker of the subset
+	anyHeard      bool     // some member was heard within LoadTTL
+	subsetChanged bool     // since the last call of Parted
+
+	unsent    []*workerState  // whose load is to be sent
+	changed   []*workerState  // whose load by others has changed since the last call of News
+	reported  []*workerState  // with reports of others
+	pending   []outgoingLoads // by member
+	receivers []uint16        // members with pending loads
+	buf       []byte          // the datagram that is being made
+	Counts    Counts
+}
+
+// Counts are the counters and gauges of a Node.
 type Counts struct {
-	Sent      uint64 `json:"sent"`
-	SentBytes uint64 `json:"sent_bytes"`
-	Received  uint64 `json:"received"`
-	Refused   uint64 `json:"refused"` // of no use: garbage, another version or site, late, of strangers
-	Unknown   uint64 `json:"unknown"` // entries of boxes that no list has named here
-	Expired   uint64 `json:"expired"` // words forgotten though they said that something was out
-	Heard     int    `json:"heard"`   // members that have told something within Forget
-	Boxes     int    `json:"boxes"`
-	Part      int    `json:"part"`
-	Shares    int    `json:"shares"` // members that share a box of the part at most
-}
-
+	Sent           uint64 `json:"sent"` // datagrams
+	SentBytes      uint64 `json:"sent_bytes"`
+	Received       uint64 `json:"received"`
+	Refused        uint64 `json:"refused"` // invalid, of another version or site, stale, or of a sender that is no member
+	UnknownWorkers uint64 `json:"unknown"` // loads of workers that no list has named here
+	Expired        uint64 `json:"expired"` // reports of a load that expired before they were withdrawn
+	ActiveMembers  int    `json:"heard"`   // members that were heard within LoadTTL
+	Boxes          int    `json:"boxes"`   // workers in the list
+	Part           int    `json:"part"`    // workers in the subset
+	Shares         int    `json:"shares"`  // maximum number of members that share a worker of the subset
+}
+
+// member is what is known of the datagrams of a member.
 type member struct {
-	incarnation uint16
-	known       bool
-	heardAt     time.Duration
-	high, floor uint16 // the newest sequence number, and one that was the newest a window ago
-	before      uint16 // the newest when the window began
-	turned      time.Duration
-	sent        uint16 // the last number sent to it
-	got         uint16 // datagrams since the window began
-	loss        float64
-}
-
-type pending struct {
-	entries [heldRoom * heldSize]byte
-	n       int
-}
-
-type box struct {
-	id       string
-	hash     uint64
-	key      uint32
-	audience []uint16
-	listed   bool
-	out      Out
-	said     Out           // the last that was told
-	told     time.Duration // when
-	raised   time.Duration // when more began to wait, of which nobody knows whether it goes on
-	dirty    bool
-	news     bool
-	busy     bool
-	words    []word
-}
-
-// word is the last that a member has told of a box.
-type word struct {
-	member uint16
-	seq    uint16
-	out    Out
-	at     time.Duration
-}
-
-// New returns a Node.
+	generation          uint16
+	known               bool // it was heard
+	heardAt             time.Duration
+	highestSequence     uint16 // received
+	lowestSequence      uint16 // the highest one a window ago; lower ones are rejected
+	windowStart         time.Duration
+	windowStartSequence uint16 // the highest when the window began
+	receivedInWindow    uint16 // datagrams
+	lossRate            float64
+	lastSentSequence    uint16 // to it
+}
+
+// outgoingLoads are the loads in the next datagram to a member.
+type outgoingLoads struct {
+	entries [maxLoadsPerDatagram * loadSize]byte
+	count   int
+}
+
+// workerState is what is known of a worker.
+type workerState struct {
+	id           string
+	hash         uint64
+	key          uint32   // names it in datagrams
+	subscribers  []uint16 // sorted
+	listed       bool     // it is in the newest list
+	load         Out      // of this scheduler
+	advertised   Out      // what was sent last
+	advertisedAt time.Duration
+	waitingSince time.Duration // when Waiting last rose
+	unsent       bool          // it is in Node.unsent
+	changed      bool          // it is in Node.changed
+	reported     bool          // it is in Node.reported
+	reports      []report
+}
+
+// report is the last load of a worker that a member has sent.
+type report struct {
+	member   uint16
+	sequence uint16
+	load     Out
+	at       time.Duration
+}
+
+// New returns a Node that knows no workers yet.
 func New(o Options) *Node {
-	return &Node{opt: o, codec: newCodec(o.Site), members: make([]member, o.Members), watch: newWatch(o), table: newTable(o), boxes: map[string]*box{},
-		keys: map[uint32]*box{}, pending: make([]pending, o.Members), buf: make([]byte, 0, MaxDatagram)}
+	return &Node{
+		options: o, codec: newCodec(o.Site), members: make([]member, o.Members), detector: newFailureDetector(o),
+		revisionTable: newRevisionTable(o), workers: map[string]*workerState{}, workersByKey: map[uint32]*workerState{},
+		pending: make([]outgoingLoads, o.Members), buf: make([]byte, 0, MaxDatagram),
+	}
 }
 
+// hashOf is FNV-1a with its bits mixed.
 func hashOf(id string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(id) {
@@ -143,318 +153,95 @@
 	return mix(h)
 }
 
-// Boxes brings the whole list of boxes. Boxes that it lacks keep what was told of them for a while.
-func (n *Node) Boxes(ids []string) {
-	for _, b := range n.order {
-		b.listed = false
-	}
-	hashes := make([]uint64, len(ids))
-	for i, id := range ids {
-		b := n.box(id)
-		b.listed = true
-		hashes[i] = b.hash
-	}
-	n.order = slices.DeleteFunc(n.order, func(b *box) bool {
-		old := !b.listed && b.out == (Out{}) && b.said == (Out{}) && len(b.words) == 0 && !b.dirty && !b.news
-		if old {
-			delete(n.boxes, b.id)
-			if n.keys[b.key] == b {
-				delete(n.keys, b.key)
-			}
-		}
-		return old
-	})
-	n.part, n.sharers = n.part[:0], 0
-	for i, a := range audiences(n.opt.Members, hashes, n.opt.Hearers, n.opt.Least) {
-		b := n.boxes[ids[i]]
-		b.audience = a
-		if slices.Contains(a, uint16(n.opt.Self)) {
-			n.part = append(n.part, b.id)
-			n.sharers = max(n.sharers, len(a))
-		}
-	}
-	n.Counts.Boxes, n.Counts.Part, n.Counts.Shares = len(ids), len(n.part), n.sharers
-	n.parted = n.parted || n.heard
-}
-
-// Parted calls f with the part in force if that may have changed since the last call. While nobody is heard it is none:
-// all boxes are alike then, as without others. The slice is valid until the next call of Boxes.
-func (n *Node) Parted(f func(boxes []string, sharers int)) {
-	if !n.parted {
-		return
-	}
-	n.parted = false
-	if n.heard {
-		f(n.Part())
-	} else {
-		f(nil, 0)
-	}
-}
-
-// Part returns the boxes of this scheduler's part and how many schedulers share one of them at most. Where
-// the part is the whole list it is nil. It is valid until the next call of Boxes.
-func (n *Node) Part() (boxes []string, sharers int) {
-	if len(n.part) == n.Counts.Boxes {
-		return nil, n.opt.Members
-	}
-	return n.part, n.sharers
-}
-
-func (n *Node) box(id string) *box {
-	if b := n.boxes[id]; b != nil {
-		return b
-	}
-	h := hashOf(id)
-	b := &box{id: id, hash: h, key: uint32(h) & 0xffffff}
-	n.boxes[id], n.order = b, append(n.order, b)
-	if n.keys[b.key] == nil { // two boxes of one key: only the first is told of
-		n.keys[b.key] = b
-	}
-	return b
-}
-
-// Out brings what this scheduler has out at a box. The next Flush tells it; but where the box is not full most attempts
-// start at once, and that they wait is told only once they have done so for a while.
-func (n *Node) Out(now time.Duration, id string, o Out, full bool) {
-	b := n.boxes[id]
-	if b == nil || n.keys[b.key] != b {
-		return
-	}
-	o = o.bound()
-	switch {
-	case full:
-		b.raised = now - waitGrace
-	case o.Waiting > b.out.Waiting:
-		b.raised = now
-	}
-	if b.out = o; o.Slots != b.said.Slots || o.Waiting < b.said.Waiting || full && o != b.said {
-		n.mark(b)
-	}
-}
-
-func (n *Node) mark(b *box) {
-	if !b.dirty {
-		b.dirty = true
-		n.dirty = append(n.dirty, b)
-	}
-}
-
-// Flush sends what is to be told. The bytes are valid during the call of send only.
+// Flush sends what is due. A datagram is valid only during the call of send.
 func (n *Node) Flush(now time.Duration, send func(to int, datagram []byte)) {
-	for i, b := range n.dirty {
-		n.dirty[i], b.dirty = nil, false
-		say := b.out
-		if now-b.raised < waitGrace {
-			say.Waiting = min(say.Waiting, b.said.Waiting)
+	for i, w := range n.unsent {
+		n.unsent[i], w.unsent = nil, false
+		load := w.load
+		if now-w.waitingSince < waitingGracePeriod {
+			load.Waiting = min(load.Waiting, w.advertised.Waiting)
 		}
-		if say == b.said && now-b.told < Repeat {
-			continue // it is as it was before anybody was told
+		if load == w.advertised && now-w.advertisedAt < RepeatInterval {
+			continue // it has changed back before it was sent
 		}
-		b.said, b.told = say, now
-		for _, m := range b.audience {
-			n.tell(m, b, send)
+		w.advertised, w.advertisedAt = load, now
+		for _, m := range w.subscribers {
+			n.queueLoad(m, w, send)
 		}
-		for i := range b.words { // others that use it though it is not in their part
-			if m := b.words[i].member; !slices.Contains(b.audience, m) {
-				n.tell(m, b, send)
+		for i := range w.reports { // members with load on it that do not subscribe
+			if m := w.reports[i].member; !slices.Contains(w.subscribers, m) {
+				n.queueLoad(m, w, send)
 			}
 		}
 	}
-	n.dirty = n.dirty[:0]
-	for _, m := range n.sending {
-		n.send(m, send)
+	n.unsent = n.unsent[:0]
+	for _, m := range n.receivers {
+		n.sendLoads(m, send)
 	}
-	n.sending = n.sending[:0]
-	n.post(send)
-	n.publish(send)
+	n.receivers = n.receivers[:0]
+	n.sendDetectorMessages(send)
+	n.sendRevisionMessages(send)
 }
 
-func (n *Node) tell(m uint16, b *box, send func(int, []byte)) {
-	if int(m) == n.opt.Self {
+// queueLoad adds the load of a worker to the next datagram to a member.
+func (n *Node) queueLoad(m uint16, w *workerState, send func(int, []byte)) {
+	if int(m) == n.options.Self {
 		return
 	}
 	p := &n.pending[m]
-	if p.n == heldRoom {
-		n.send(m, send)
+	if p.count == maxLoadsPerDatagram {
+		n.sendLoads(m, send)
 	}
-	if p.n == 0 && !slices.Contains(n.sending, m) {
-		n.sending = append(n.sending, m)
+	if p.count == 0 && !slices.Contains(n.receivers, m) {
+		n.receivers = append(n.receivers, m)
 	}
-	appendHeld(p.entries[:p.n*heldSize], b.key, b.said)
-	p.n++
+	appendLoad(p.entries[:p.count*loadSize], w.key, w.advertised)
+	p.count++
 }
 
-func (n *Node) send(m uint16, send func(int, []byte)) {
+// sendLoads sends the pending loads of a member.
+func (n *Node) sendLoads(m uint16, send func(int, []byte)) {
 	p := &n.pending[m]
-	if p.n == 0 {
+	if p.count == 0 {
 		return
 	}
 	to := &n.members[m]
-	to.sent++
-	n.buf = n.codec.begin(n.buf, head{kindHeld, n.opt.Incarnation, to.sent})
-	n.buf = append(n.buf, p.entries[:p.n*heldSize]...)
-	p.n = 0
-	n.close(m, send)
+	to.lastSentSequence++
+	n.buf = n.codec.begin(n.buf, head{kindLoads, n.options.Incarnation, to.lastSentSequence})
+	n.buf = append(n.buf, p.entries[:p.count*loadSize]...)
+	p.count = 0
+	n.finishDatagram(m, send)
 }
 
-// Tick forgets what is old and marks what is to be told again; Flush is to be called after it. It wants to
-// be called every TickEvery.
+// Tick drops reports that have expired and does what is due; Flush has to be called after it. It should be called every
+// TickEvery.
 func (n *Node) Tick(now time.Duration) {
-	for _, b := range n.order {
-		if b.out != b.said || b.out != (Out{}) && now-b.told >= Repeat {
-			n.mark(b)
+	for _, w := range n.order {
+		if w.load != w.advertised || w.load != (Out{}) && now-w.advertisedAt >= RepeatInterval {
+			n.markUnsent(w)
 		}
 	}
-	n.busy = slices.DeleteFunc(n.busy, func(b *box) bool {
-		b.words = slices.DeleteFunc(b.words, func(w word) bool {
-			old := now-w.at >= Forget
-			if old && w.out != (Out{}) {
+	n.reported = slices.DeleteFunc(n.reported, func(w *workerState) bool {
+		w.reports = slices.DeleteFunc(w.reports, func(r report) bool {
+			old := now-r.at >= LoadTTL
+			if old && r.load != (Out{}) {
 				n.Counts.Expired++
-				n.changed(b)
+				n.markChanged(w)
 			}
 			return old
 		})
-		b.busy = len(b.words) > 0
-		return !b.busy
+		w.reported = len(w.reports) > 0
+		return !w.reported
 	})
-	n.Counts.Heard = 0
+	n.Counts.ActiveMembers = 0
 	for i := range n.members {
-		if m := &n.members[i]; m.known && now-m.heardAt < Forget {
-			n.Counts.Heard++
-		}
-	}
-	if heard := n.Counts.Heard > 0; heard != n.heard {
-		n.heard, n.parted = heard, true
-	}
-	n.look(now)
-	n.compare(now)
-}
-
-func (n *Node) changed(b *box) {
-	if !b.news {
-		b.news = true
-		n.news = append(n.news, b)
-	}
-}
-
-// Receive takes in a datagram that came from a member. An error says why it was refused; it has changed
-// nothing then.
-func (n *Node) Receive(now time.Duration, from int, datagram []byte) error {
-	err := n.receive(now, from, datagram)
-	if n.Counts.Received++; err != nil {
-		n.Counts.Refused++
-	}
-	return err
-}
-
-func (n *Node) receive(now time.Duration, from int, datagram []byte) error {
-	if from < 0 || from >= len(n.members) || from == n.opt.Self {
-		return ErrSender
-	}
-	h, body, err := n.codec.open(datagram)
-	if err != nil {
-		return err
-	}
-	if !n.members[from].admits(now, h) {
-		return ErrOld
-	}
-	if m := &n.members[from]; !m.known || m.incarnation != h.incarnation {
-		if m.known {
-			n.forget(from)
-		}
-		*m = member{incarnation: h.incarnation, known: true, high: h.seq, before: h.seq - firstBack,
-			floor: h.seq - firstBack, turned: now, sent: m.sent, loss: m.loss, got: firstBack - 1}
-	}
-	n.members[from].heard(now, h.seq)
-	switch h.kind {
-	case kindPing, kindAck, kindAsk, kindTold:
-		n.control(now, from, h, body)
-		return nil
-	}
-	n.present(now, from, h.incarnation, 0, false)
-	if h.kind == kindWords || h.kind == kindHashes {
-		n.revisions(now, from, h, body)
-		return nil
-	}
-	for ; len(body) > 0; body = body[heldSize:] {
-		key, o := heldAt(body)
-		n.word(now, uint16(from), h.seq, key, o)
-	}
-	return nil
-}
-
-// admits reports whether a datagram is of the run that is known or a later one, and not too late.
-func (m *member) admits(now time.Duration, h head) bool {
-	switch {
-	case !m.known:
-		return true
-	case h.incarnation == m.incarnation:
-		return newer(h.seq, m.floor)
-	}
-	return newer(h.incarnation, m.incarnation) || now-m.heardAt >= silentFor
-}
-
-func (m *member) heard(now time.Duration, seq uint16) {
-	if now-m.turned >= window {
-		if sent := m.high - m.before; sent > 0 && now-m.turned < 4*window {
-			m.loss += lossGain * (max(0, 1-float64(m.got)/float64(sent)) - m.loss)
+		if m := &n.members[i]; m.known && now-m.heardAt < LoadTTL {
+			n.Counts.ActiveMembers++
 		}
-		m.floor, m.before, m.turned, m.got = m.before, m.high, now, 0
-	}
-	m.got++
-	if newer(seq, m.high) {
-		m.high = seq
 	}
-	m.heardAt = now
-}
-
-// forget drops what a member has told: it has started anew.
-func (n *Node) forget(from int) {
-	for _, b := range n.busy {
-		b.words = slices.DeleteFunc(b.words, func(w word) bool {
-			if int(w.member) == from && w.out != (Out{}) {
-				n.changed(b)
-			}
-			return int(w.member) == from
-		})
-	}
-}
-
-func (n *Node) word(now time.Duration, from, seq uint16, key uint32, o Out) {
-	b := n.keys[key]
-	if b == nil {
-		n.Counts.Unknown++
-		return
-	}
-	i := slices.IndexFunc(b.words, func(w word) bool { return w.member == from })
-	if i < 0 {
-		i = len(b.words)
-		b.words = append(b.words, word{member: from, seq: seq - 1})
-		if !b.busy {
-			b.busy = true
-			n.busy = append(n.busy, b)
-		}
-	}
-	w := &b.words[i]
-	if !newer(seq, w.seq) {
-		return // a repeat, or overtaken by a later word
-	}
-	if o != w.out {
-		n.changed(b)
-	}
-	*w = word{from, seq, o, now}
-}
-
-// News calls f with what all others together have out at each box where that has changed since the last call.
-func (n *Node) News(f func(id string, slots, waiting int)) {
-	for i, b := range n.news {
-		n.news[i], b.news = nil, false
-		slots, waiting := 0, 0
-		for _, w := range b.words {
-			slots += w.out.Slots
-			waiting += w.out.Waiting
-		}
-		f(b.id, slots, waiting)
+	if heard := n.Counts.ActiveMembers > 0; heard != n.anyHeard {
+		n.anyHeard, n.subsetChanged = heard, true
 	}
-	n.news = n.news[:0]
+	n.tickDetector(now)
+	n.tickRevisions(now)
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -108,10 +108,10 @@
 
 // heard returns what a node knows of others at a box.
 func (n *net) heard(m int, box string) (o Out) {
-	if b := n.nodes[m].boxes[box]; b != nil {
-		for _, w := range b.words {
-			o.Slots += w.out.Slots
-			o.Waiting += w.out.Waiting
+	if b := n.nodes[m].workers[box]; b != nil {
+		for _, w := range b.reports {
+			o.Slots += w.load.Slots
+			o.Waiting += w.load.Waiting
 		}
 	}
 	return o
@@ -119,13 +119,13 @@
 
 // wrong returns what the members of audiences know that is not so.
 func (n *net) wrong() (wrong []string) {
-	for id, b := range n.nodes[0].boxes {
-		for _, m := range b.audience {
+	for id, b := range n.nodes[0].workers {
+		for _, m := range b.subscribers {
 			var want Out
 			for other, node := range n.nodes {
 				if other != int(m) && !n.down[other] {
-					want.Slots += node.boxes[id].out.Slots
-					want.Waiting += node.boxes[id].out.Waiting
+					want.Slots += node.workers[id].load.Slots
+					want.Waiting += node.workers[id].load.Waiting
 				}
 			}
 			if got := n.heard(int(m), id); got != want && !n.down[int(m)] {
@@ -148,7 +148,7 @@
 			m := rapid.IntRange(0, members-1).Draw(t, "member")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0: // it starts anew, with nothing out
-				o := n.nodes[m].opt
+				o := n.nodes[m].options
 				o.Incarnation++
 				n.nodes[m] = New(o)
 				n.nodes[m].Boxes(boxes)
@@ -182,7 +182,7 @@
 		t.Fatalf("after ten quiet seconds %v is known, want 5 and 1", got)
 	}
 	n.down[0] = true
-	n.run(Forget + 200*ms)
+	n.run(LoadTTL + 200*ms)
 	if got := n.heard(1, boxes[0]); got != (Out{}) {
 		t.Errorf("%v is known still, 2.2 s after its last word", got)
 	}
@@ -214,22 +214,22 @@
 				t.Fatal(err)
 			}
 		})
-		if got := b.boxes[boxes[0]].words; sent != total || len(got) > 0 && got[0].out != known {
+		if got := b.workers[boxes[0]].reports; sent != total || len(got) > 0 && got[0].load != known {
 			t.Errorf("at %v: %d sent, want %d; known %v, want %v", now, sent, total, got, known)
 		}
 	}
-	step(0, Out{1, 1}, false, false, 1, Out{1, 0})         // it should start at once
-	step(9*ms, Out{1, 0}, false, false, 1, Out{1, 0})      // and has
-	step(100*ms, Out{2, 1}, true, false, 2, Out{2, 1})     // where the box is full it will wait
-	step(120*ms, Out{2, 0}, false, false, 3, Out{2, 0})    // until it starts
-	step(200*ms, Out{3, 1}, false, false, 4, Out{3, 0})    // one that should start
-	step(230*ms, Out{}, false, true, 4, Out{3, 0})         // does not yet
-	step(250*ms, Out{}, false, true, 5, Out{3, 1})         // and waits for long
-	step(260*ms, Out{3, 1}, false, false, 5, Out{3, 1})    // nothing new
-	step(250*ms+Repeat, Out{}, false, true, 6, Out{3, 1})  // told again, for what was lost
-	step(270*ms+Repeat, Out{0, 0}, false, false, 7, Out{}) // nothing is out
-	step(270*ms+2*Repeat, Out{}, false, true, 7, Out{})    // which needs no repeating
-	step(270*ms+Forget+2*Repeat, Out{}, false, true, 7, Out{})
+	step(0, Out{1, 1}, false, false, 1, Out{1, 0})                 // it should start at once
+	step(9*ms, Out{1, 0}, false, false, 1, Out{1, 0})              // and has
+	step(100*ms, Out{2, 1}, true, false, 2, Out{2, 1})             // where the box is full it will wait
+	step(120*ms, Out{2, 0}, false, false, 3, Out{2, 0})            // until it starts
+	step(200*ms, Out{3, 1}, false, false, 4, Out{3, 0})            // one that should start
+	step(230*ms, Out{}, false, true, 4, Out{3, 0})                 // does not yet
+	step(250*ms, Out{}, false, true, 5, Out{3, 1})                 // and waits for long
+	step(260*ms, Out{3, 1}, false, false, 5, Out{3, 1})            // nothing new
+	step(250*ms+RepeatInterval, Out{}, false, true, 6, Out{3, 1})  // told again, for what was lost
+	step(270*ms+RepeatInterval, Out{0, 0}, false, false, 7, Out{}) // nothing is out
+	step(270*ms+2*RepeatInterval, Out{}, false, true, 7, Out{})    // which needs no repeating
+	step(270*ms+LoadTTL+2*RepeatInterval, Out{}, false, true, 7, Out{})
 }
 
 // Guards against old news told as new: of an earlier run, from before a freeze, or repeated.
@@ -247,7 +247,7 @@
 	say(1)
 	say(2)
 	say(3)
-	known := func() int { return b.boxes[boxes[0]].words[0].out.Slots }
+	known := func() int { return b.workers[boxes[0]].reports[0].load.Slots }
 	for _, i := range []int{1, 0, 1, 2, 0, 1, 2} {
 		if err := b.Receive(time.Second, 0, told[i]); err != nil {
 			t.Fatal(err)
@@ -262,7 +262,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := b.Receive(6*time.Second, 0, told[2]); !errors.Is(err, ErrOld) {
+	if err := b.Receive(6*time.Second, 0, told[2]); !errors.Is(err, ErrStale) {
 		t.Errorf("a datagram that is seconds late: %v", err)
 	}
 	o := options(0, 2)
@@ -273,10 +273,10 @@
 	if err := b.Receive(6*time.Second, 0, told[6]); err != nil || known() != 1 {
 		t.Errorf("the new run's word: %v, %d is known", err, known())
 	}
-	if err := b.Receive(6*time.Second, 0, told[5]); !errors.Is(err, ErrOld) {
+	if err := b.Receive(6*time.Second, 0, told[5]); !errors.Is(err, ErrStale) {
 		t.Errorf("a word of the run before: %v", err)
 	}
-	if err := b.Receive(6*time.Second+silentFor, 0, told[5]); err != nil {
+	if err := b.Receive(6*time.Second+minGenerationSilence, 0, told[5]); err != nil {
 		t.Errorf("a run that seems earlier, when nobody else has spoken for long: %v", err)
 	}
 }
@@ -295,7 +295,7 @@
 	good, other := sealed(options(0, 2)), options(0, 2)
 	other.Site++
 	kinds := newCodec(7).begin(make([]byte, 0, MaxDatagram), head{9, 1, 1})
-	odd := append(newCodec(7).begin(make([]byte, 0, MaxDatagram), head{kindHeld, 1, 1}), 1, 2)
+	odd := append(newCodec(7).begin(make([]byte, 0, MaxDatagram), head{kindLoads, 1, 1}), 1, 2)
 	next := bytes.Clone(good)
 	next[0] += 1 << 4
 	for _, c := range []struct {
@@ -321,7 +321,7 @@
 		if err := b.Receive(time.Second, c.from, c.data); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
-		if len(b.busy) > 0 || b.members[0].known || b.Counts.Refused != 1 {
+		if len(b.reported) > 0 || b.members[0].known || b.Counts.Refused != 1 {
 			t.Errorf("%s has changed something", c.name)
 		}
 	}
@@ -345,7 +345,7 @@
 			hashes[i] = hashOf(id)
 		}
 		parts := make([]int, c.members)
-		lists := audiences(c.members, hashes, 12, 6)
+		lists := assignSubscribers(c.members, hashes, 12, 6)
 		least, most := c.members, 0
 		for _, a := range lists {
 			least, most = min(least, len(a)), max(most, len(a))
@@ -362,7 +362,7 @@
 		}
 		other := slices.Clone(hashes)
 		slices.Reverse(other)
-		for i, a := range audiences(c.members, other, 12, 6) {
+		for i, a := range assignSubscribers(c.members, other, 12, 6) {
 			if !slices.Equal(a, lists[c.boxes-1-i]) {
 				t.Fatalf("%v: box %d has another audience in another order", c, i)
 			}
@@ -382,10 +382,10 @@
 		b := New(options(1, 2))
 		b.Boxes(boxes)
 		_ = b.Receive(time.Second, 0, data)
-		_ = b.Receive(time.Second, 0, b.codec.seal(append(b.codec.begin(make([]byte, 0, MaxDatagram), head{kindHeld, 1, 1}),
+		_ = b.Receive(time.Second, 0, b.codec.seal(append(b.codec.begin(make([]byte, 0, MaxDatagram), head{kindLoads, 1, 1}),
 			data[:min(len(data), MaxDatagram-headSize-checkSize)]...)))
 		b.News(func(id string, slots, waiting int) {
-			if !slices.Contains(boxes, id) || slots > mostSlots || waiting > mostWaiting {
+			if !slices.Contains(boxes, id) || slots > maxSlots || waiting > maxWaiting {
 				t.Errorf("%s: %d and %d", id, slots, waiting)
 			}
 		})
--- /dev/null
+++ b/internal/peers/receive.go
@@ -0,0 +1,119 @@
+package peers
+
+import (
+	"slices"
+	"time"
+)
+
+// Receive handles a datagram from a member, given by its number. After an error, which is one of the Err values of this package,
+// nothing has changed.
+func (n *Node) Receive(now time.Duration, from int, datagram []byte) error {
+	err := n.receive(now, from, datagram)
+	if n.Counts.Received++; err != nil {
+		n.Counts.Refused++
+	}
+	return err
+}
+
+func (n *Node) receive(now time.Duration, from int, datagram []byte) error {
+	if from < 0 || from >= len(n.members) || from == n.options.Self {
+		return ErrSender
+	}
+	h, body, err := n.codec.open(datagram)
+	if err != nil {
+		return err
+	}
+	if !n.members[from].accepts(now, h) {
+		return ErrStale
+	}
+	if m := &n.members[from]; !m.known || m.generation != h.generation {
+		if m.known {
+			n.dropReports(from)
+		}
+		*m = member{
+			generation: h.generation, known: true, highestSequence: h.sequence, lowestSequence: h.sequence - initialSequenceSlack,
+			windowStart: now, windowStartSequence: h.sequence - initialSequenceSlack, receivedInWindow: initialSequenceSlack - 1,
+			lossRate: m.lossRate, lastSentSequence: m.lastSentSequence,
+		}
+	}
+	n.members[from].noteReceived(now, h.sequence)
+	switch h.kind {
+	case kindPing, kindAck, kindPingRequest, kindIndirectAck:
+		n.receiveDetectorMessage(now, from, h, body)
+		return nil
+	}
+	n.noteAlive(now, from, h.generation, 0, false)
+	if h.kind == kindEntries || h.kind == kindDigests {
+		n.receiveRevisionMessage(now, from, h, body)
+		return nil
+	}
+	for ; len(body) > 0; body = body[loadSize:] {
+		key, load := decodeLoad(body)
+		n.takeReport(now, uint16(from), h.sequence, key, load)
+	}
+	return nil
+}
+
+// accepts reports whether a datagram is of the known generation or a later one, and not stale.
+func (m *member) accepts(now time.Duration, h head) bool {
+	switch {
+	case !m.known:
+		return true
+	case h.generation == m.generation:
+		return newer(h.sequence, m.lowestSequence)
+	}
+	return newer(h.generation, m.generation) || now-m.heardAt >= minGenerationSilence
+}
+
+// noteReceived updates the sequence numbers and the loss rate.
+func (m *member) noteReceived(now time.Duration, sequence uint16) {
+	if now-m.windowStart >= sequenceWindow {
+		if sent := m.highestSequence - m.windowStartSequence; sent > 0 && now-m.windowStart < 4*sequenceWindow {
+			m.lossRate += lossGain * (max(0, 1-float64(m.receivedInWindow)/float64(sent)) - m.lossRate)
+		}
+		m.lowestSequence, m.windowStartSequence, m.windowStart, m.receivedInWindow = m.windowStartSequence, m.highestSequence, now, 0
+	}
+	m.receivedInWindow++
+	if newer(sequence, m.highestSequence) {
+		m.highestSequence = sequence
+	}
+	m.heardAt = now
+}
+
+// dropReports drops the reports of a member, which has restarted.
+func (n *Node) dropReports(from int) {
+	for _, w := range n.reported {
+		w.reports = slices.DeleteFunc(w.reports, func(r report) bool {
+			if int(r.member) == from && r.load != (Out{}) {
+				n.markChanged(w)
+			}
+			return int(r.member) == from
+		})
+	}
+}
+
+// takeReport takes the load of a worker that a member has sent.
+func (n *Node) takeReport(now time.Duration, from, sequence uint16, key uint32, load Out) {
+	w := n.workersByKey[key]
+	if w == nil {
+		n.Counts.UnknownWorkers++
+		return
+	}
+	i := slices.IndexFunc(w.reports, func(r report) bool { return r.member == from })
+	if i < 0 {
+		i = len(w.reports)
+		w.reports = append(w.reports, report{member: from, sequence: sequence - 1})
+		if !w.reported {
+			w.reported = true
+			n.reported = append(n.reported, w)
+		}
+	}
+	r := &w.reports[i]
+	if !newer(sequence, r.sequence) {
+		return // a duplicate, or overtaken by a later one
+	}
+	if load != r.load {
+		n.markChanged(w)
+	}
+	*r = report{from, sequence, load, now}
+}
--- a/internal/peers/revisions.go
+++ b/internal/peers/revisions.go
@@ -7,337 +7,340 @@
 	"time"
 )
 
-// Which revision of the configuration each member has in force spreads in two ways (Demers and others, 1987). Rumour
-// mongering: what is new here is pushed to members drawn at random, a bounded number of times each. Anti-entropy: once a
-// second a member drawn at random is sent a hash of each part of the table; where its own differ, it answers with what
-// it has there and with its own hashes, so that both end up with the later of each. That heals losses and brings a
-// newcomer all. At rest only the hashes are sent.
+// Which revision of the configuration each member has in force spreads in two ways (Demers and others, 1987). Rumour mongering:
+// an update is pushed to members drawn at random, a bounded number of times each. Anti-entropy: once a second a member drawn at
+// random is sent a digest of each bucket of the table; where its own differ, it replies with its entries of those buckets and
+// with its own digests, so that both end up with the later entries. That repairs losses and brings a new member everything. At
+// rest only digests are sent.
 //
-// A member alone says what it has in force; with each change it counts up a serial number, so that its later word outweighs an
-// earlier one also where the revision goes back. A word is of one run of its member and counts only while the watch holds just
-// that run for there: nothing outlives its sender. The words of those that are gone are kept and compared, though they do not count,
-// so that a watch that wavers under loss costs nothing.
+// A member alone states what it has in force; with each change it raises a serial number, so that a later entry supersedes an
+// earlier one also where the revision goes back. An entry is of one generation of its member and counts only while the failure
+// detector holds just that one for present: no entry outlives its sender. The entries of dead members are kept and compared,
+// though they do not count, so that a failure detector that flaps under loss costs nothing.
 const (
-	compareEvery = time.Second
-	compareSoon  = 250 * time.Millisecond // for a while after something new, as more may have been lost
-	hurryFor     = 8                      // comparisons that follow soon, after something new
-	hurryIf      = 4                      // and after hashes that differ
-	bucketSize   = 32                     // members in a part of the table: the words of all fit into a datagram
-	answerMost   = 4                      // parts of the table in an answer
-	rumourExtra  = 3                      // times that something new is pushed, besides log2 of the members
-	rumoursATick = 2                      // datagrams of news a tick
-
-	// LagAfter is after how long a member that is behind is worth a line in the log. A change is to be in force everywhere
-	// within that time.
-	LagAfter = 15 * time.Second
-	// lagSeen is for how long it must have been seen behind: after a split its former word counts until its new one comes.
-	lagSeen = 3 * time.Second
-	// mostSteps bounds what is kept of when which revision was first in force.
-	mostSteps = 256
+	antiEntropyInterval     = time.Second
+	fastAntiEntropyInterval = 250 * time.Millisecond // for some rounds after an update, as more may have been lost
+	fastRoundsAfterUpdate   = 8
+	fastRoundsAfterMismatch = 4  // after digests that differ
+	membersPerBucket        = 32 // so that the entries of a bucket fit into a datagram
+	maxBucketsPerReply      = 4
+	extraTransmits          = 3 // times that an update is pushed, besides log2 of the members
+	maxGossipPerTick        = 2 // datagrams with updates
+
+	// LagThreshold is how long a member may be behind before that is reported: a change should be in force everywhere by then.
+	LagThreshold = 15 * time.Second
+	// minLagObservation is how long a member must have been seen behind: after a partition its former entry counts until a newer
+	// one arrives.
+	minLagObservation = 3 * time.Second
+	// maxHistory bounds the steps of revisionTable.history.
+	maxHistory = 256
 )
 
-// Revision is a state of the configuration.
+// Revision identifies a state of the configuration.
 type Revision struct {
-	Number uint32 // the operator's, counted up with each change; 0: none was given
-	Digest uint32 // of what must be the same for all
+	Number uint32 // given by the operator, raised with each change; 0: none
+	Digest uint32 // of the parts that must be the same at all members
 }
 
-// inForce is a member's word on what it has in force.
-type inForce struct {
-	run, serial uint16
+// revisionEntry is the revision that a member has in force, as it has stated itself.
+type revisionEntry struct {
+	generation, serial uint16
 	Revision
-	known bool
-	tell  int           // how often it is still to be pushed
-	seen  time.Duration // since when the member is seen behind; -1: it is not
-	lags  bool          // that was reported
+	known         bool
+	transmitsLeft int           // how often it is still to be pushed
+	behindSince   time.Duration // since when the member is seen behind; -1: it is not
+	lagReported   bool
 }
 
-// step is a revision of which we know since when it, or a later one, has been in force somewhere.
-type step struct {
+// historyStep is a revision and the time since when it, or a later one, has been in force at some member.
+type historyStep struct {
 	number uint32
 	since  time.Duration
 }
 
-// Lag is a member that is behind, or no longer is.
+// Lag is a member that is behind with the configuration, or no longer is.
 type Lag struct {
-	Number           int
+	Number           int // of the member
 	Revision, Newest uint32
-	For              time.Duration
-	Over             bool
+	For              time.Duration // how long it is behind; 0 with Over
+	Over             bool          // it has caught up
 }
 
-// table is what a Node knows of the revisions in force.
-type table struct {
-	words    []inForce // by number, our own among them
-	news     []uint16  // to be pushed; the newest last
-	due      time.Duration
-	from     int // the bucket at which the next comparison begins
-	hurry    int // comparisons that are to follow soon
-	steps    []step
-	lags     []Lag
-	pushes   int // datagrams of news that are due
-	compares []compareWith
-	answers  []answerTo
+// revisionTable is what a Node knows of the revisions in force.
+type revisionTable struct {
+	entries        []revisionEntry // by number, its own among them
+	gossip         []uint16        // members whose entries are to be pushed, the newest last
+	gossipDue      int             // datagrams with updates that may be sent now
+	nextExchangeAt time.Duration
+	nextBucket     int           // the first of the next exchange
+	fastRounds     int           // exchanges that are to follow at the fast interval
+	history        []historyStep // by number and time
+	lags           []Lag         // since the last call of Lags
+	digestMessages []digestMessage
+	bucketReplies  []bucketReply
 }
 
-// compareWith is a datagram of hashes that is to be sent.
-type compareWith struct {
-	to     uint16
-	from   int
-	answer bool
+// digestMessage is a datagram of digests that is to be sent.
+type digestMessage struct {
+	to          uint16
+	firstBucket int
+	isReply     bool
 }
 
-// answerTo is a part of the table that is to be sent.
-type answerTo struct {
+// bucketReply is a bucket whose entries are to be sent.
+type bucketReply struct {
 	to     uint16
 	bucket int
 }
 
-func newTable(o Options) table {
-	t := table{words: make([]inForce, o.Members)}
-	for i := range t.words {
-		t.words[i].seen = -1
+func newRevisionTable(o Options) revisionTable {
+	t := revisionTable{entries: make([]revisionEntry, o.Members)}
+	for i := range t.entries {
+		t.entries[i].behindSince = -1
 	}
-	t.words[o.Self] = inForce{run: o.Incarnation, Revision: o.Revision, known: true, seen: -1}
-	if o.Watch != nil {
-		t.due = time.Duration(o.Watch.Int64N(int64(compareEvery))) // they do not all start at once
-		t.tell(uint16(o.Self))
+	t.entries[o.Self] = revisionEntry{generation: o.Incarnation, Revision: o.Revision, known: true, behindSince: -1}
+	if o.DetectorRand != nil {
+		t.nextExchangeAt = time.Duration(o.DetectorRand.Int64N(int64(antiEntropyInterval))) // members should not start in step
+		t.gossipAbout(uint16(o.Self))
 	}
 	return t
 }
 
-// tell has a member's word pushed as news.
-func (t *table) tell(m uint16) {
-	if t.words[m].tell > 0 {
-		t.news = slices.DeleteFunc(t.news, func(other uint16) bool { return other == m })
+// gossipAbout has a member's entry pushed.
+func (t *revisionTable) gossipAbout(m uint16) {
+	if t.entries[m].transmitsLeft > 0 {
+		t.gossip = slices.DeleteFunc(t.gossip, func(other uint16) bool { return other == m })
 	}
-	t.news = append(t.news, m)
-	t.words[m].tell = bits.Len(uint(len(t.words))) + rumourExtra
+	t.gossip = append(t.gossip, m)
+	t.entries[m].transmitsLeft = bits.Len(uint(len(t.entries))) + extraTransmits
 }
 
-// Revise brings the revision that this scheduler has in force from now on. Flush is to be called after it.
-func (n *Node) Revise(now time.Duration, r Revision) {
-	me := &n.table.words[n.opt.Self]
+// SetRevision sets the revision that this scheduler has in force from now on. Flush has to be called after it.
+func (n *Node) SetRevision(now time.Duration, r Revision) {
+	me := &n.revisionTable.entries[n.options.Self]
 	if me.Revision == r {
 		return
 	}
 	me.Revision = r
 	me.serial++
-	if n.watch.rand != nil {
-		n.table.tell(uint16(n.opt.Self))
-		n.table.pushes = 1
-		n.table.hasten(now, hurryFor)
+	if n.detector.rand != nil {
+		n.revisionTable.gossipAbout(uint16(n.options.Self))
+		n.revisionTable.gossipDue = 1
+		n.revisionTable.speedUp(now, fastRoundsAfterUpdate)
 	}
 }
 
-// hasten has some comparisons follow soon.
-func (t *table) hasten(now time.Duration, times int) {
-	t.hurry, t.due = max(t.hurry, times), min(t.due, now+compareSoon)
+// speedUp has some exchanges follow at the fast interval.
+func (t *revisionTable) speedUp(now time.Duration, times int) {
+	t.fastRounds, t.nextExchangeAt = max(t.fastRounds, times), min(t.nextExchangeAt, now+fastAntiEntropyInterval)
 }
 
-// there reports whether a member counts as there.
-func (n *Node) there(m int) bool {
-	s := n.watch.views[m].state
-	return m == n.opt.Self || s == Alive || s == Doubted
+// isPresent reports whether a member is alive or merely suspected.
+func (n *Node) isPresent(m int) bool {
+	s := n.detector.views[m].state
+	return m == n.options.Self || s == Alive || s == Suspect
 }
 
-// inForce returns a member's word, or nil if there is none that counts.
-func (n *Node) inForce(m int) *inForce {
-	w := &n.table.words[m]
-	if n.there(m) && n.worded(m) {
-		return w
+// activeEntry returns the entry of a member that is present; nil where there is none.
+func (n *Node) activeEntry(m int) *revisionEntry {
+	e := &n.revisionTable.entries[m]
+	if n.isPresent(m) && n.entryValid(m) {
+		return e
 	}
 	return nil
 }
 
-// worded reports whether a member's word is of the run that the watch knows, be that there or gone.
-func (n *Node) worded(m int) bool {
-	w, v := &n.table.words[m], &n.watch.views[m]
-	return w.known && (m == n.opt.Self || v.state != Unknown && w.run == v.run)
+// entryValid reports whether a member's entry is of the generation that the failure detector knows, present or dead.
+func (n *Node) entryValid(m int) bool {
+	e, v := &n.revisionTable.entries[m], &n.detector.views[m]
+	return e.known && (m == n.options.Self || v.state != Unknown && e.generation == v.generation)
 }
 
-// A datagram of words has one revision and its digest, in four bytes each, and the members that have it in force: number, run
-// and serial number, in two bytes each. One of hashes has the number of the first bucket, with the highest bit set in an answer,
-// and a hash of four bytes for each bucket from there on.
+// A datagram of entries has one revision and its digest, in four bytes each, and the members that have it in force: number,
+// generation and serial number, in two bytes each. One of digests has the number of the first bucket, with the highest bit set
+// in a reply, and a digest of four bytes for each bucket from there on. Sizes are in bytes.
 const (
-	wordsHead  = 8
-	wordSize   = 6
-	hashesHead = 2
-	hashSize   = 4
-	hashRoom   = (MaxDatagram - headSize - checkSize - hashesHead) / hashSize
-	answerBit  = 1 << 15
+	entriesHeadSize       = 8
+	entrySize             = 6
+	digestsHeadSize       = 2
+	digestSize            = 4
+	maxDigestsPerDatagram = (MaxDatagram - headSize - checkSize - digestsHeadSize) / digestSize
+	replyBit              = 1 << 15
 )
 
-// revisions takes in a datagram of the table.
-func (n *Node) revisions(now time.Duration, from int, h head, body []byte) {
+// receiveRevisionMessage handles a datagram of the revision table.
+func (n *Node) receiveRevisionMessage(now time.Duration, from int, h head, body []byte) {
 	switch {
-	case n.watch.rand == nil:
-	case h.kind == kindWords:
-		n.words(now, body)
+	case n.detector.rand == nil:
+	case h.kind == kindEntries:
+		n.applyEntries(now, body)
 	default:
-		n.hashes(now, from, body)
+		n.compareDigests(now, from, body)
 	}
 }
 
-// words takes in what a member tells of revisions.
-func (n *Node) words(now time.Duration, body []byte) {
+// applyEntries merges entries into the table.
+func (n *Node) applyEntries(now time.Duration, body []byte) {
 	r := Revision{binary.BigEndian.Uint32(body), binary.BigEndian.Uint32(body[4:])}
-	for body = body[wordsHead:]; len(body) > 0; body = body[wordSize:] {
+	for body = body[entriesHeadSize:]; len(body) > 0; body = body[entrySize:] {
 		m := int(binary.BigEndian.Uint16(body))
-		run, serial := binary.BigEndian.Uint16(body[2:]), binary.BigEndian.Uint16(body[4:])
-		if m >= len(n.table.words) || m == n.opt.Self {
+		generation, serial := binary.BigEndian.Uint16(body[2:]), binary.BigEndian.Uint16(body[4:])
+		if m >= len(n.revisionTable.entries) || m == n.options.Self {
 			continue
 		}
-		w, of := &n.table.words[m], n.watch.views[m].run
+		e, known := &n.revisionTable.entries[m], n.detector.views[m].generation
 		switch {
-		case !w.known || w.run != run && (run == of || w.run != of && newer(run, w.run)):
-		case w.run == run && newer(serial, w.serial):
-		case w.run == of && newer(run, of): // the watch will hear of that run
+		case !e.known || e.generation != generation && (generation == known || e.generation != known && newer(generation, e.generation)):
+		case e.generation == generation && newer(serial, e.serial):
+		case e.generation == known && newer(generation, known): // the failure detector will hear of that generation
 		default:
 			continue
 		}
-		w.known, w.run, w.serial, w.Revision = true, run, serial, r
-		n.table.tell(uint16(m))
-		n.table.hasten(now, hurryFor)
+		e.known, e.generation, e.serial, e.Revision = true, generation, serial, r
+		n.revisionTable.gossipAbout(uint16(m))
+		n.revisionTable.speedUp(now, fastRoundsAfterUpdate)
 	}
 }
 
-// hashes takes in a member's hashes of its table and has it sent what differs.
-func (n *Node) hashes(now time.Duration, from int, body []byte) {
+// compareDigests compares a member's digests with its own, and has the member sent the entries of some buckets that differ.
+func (n *Node) compareDigests(now time.Duration, from int, body []byte) {
 	first := binary.BigEndian.Uint16(body)
-	bucket, answers := int(first&^answerBit), 0
-	differ := 0
-	for body = body[hashesHead:]; len(body) > 0 && bucket < n.buckets(); body = body[hashSize:] {
-		if binary.BigEndian.Uint32(body) != n.hash(bucket) {
-			if differ++; answers < answerMost {
-				n.table.answers = append(n.table.answers, answerTo{uint16(from), bucket})
-				answers++
-			} else if at := n.watch.rand.IntN(differ); at < answerMost { // each is as likely to be answered
-				n.table.answers[len(n.table.answers)-1-at].bucket = bucket
+	bucket, replies, differing := int(first&^replyBit), 0, 0
+	for body = body[digestsHeadSize:]; len(body) > 0 && bucket < n.buckets(); body = body[digestSize:] {
+		if binary.BigEndian.Uint32(body) != n.bucketDigest(bucket) {
+			if differing++; replies < maxBucketsPerReply {
+				n.revisionTable.bucketReplies = append(n.revisionTable.bucketReplies, bucketReply{uint16(from), bucket})
+				replies++
+			} else if at := n.detector.rand.IntN(differing); at < maxBucketsPerReply { // reservoir sampling: each is as likely to be sent
+				n.revisionTable.bucketReplies[len(n.revisionTable.bucketReplies)-1-at].bucket = bucket
 			}
 		}
 		bucket++
 	}
-	if differ > 0 {
-		n.table.hasten(now, hurryIf)
-		if first&answerBit == 0 {
-			n.table.compares = append(n.table.compares, compareWith{uint16(from), int(first), true})
+	if differing > 0 {
+		n.revisionTable.speedUp(now, fastRoundsAfterMismatch)
+		if first&replyBit == 0 {
+			n.revisionTable.digestMessages = append(n.revisionTable.digestMessages, digestMessage{uint16(from), int(first), true})
 		}
 	}
 }
 
-func (n *Node) buckets() int { return (len(n.table.words) + bucketSize - 1) / bucketSize }
+// buckets returns how many buckets the table has.
+func (n *Node) buckets() int {
+	return (len(n.revisionTable.entries) + membersPerBucket - 1) / membersPerBucket
+}
 
-// bucket calls f for each word of a part of the table.
-func (n *Node) bucket(b int, f func(m int, w *inForce)) {
-	for m := b * bucketSize; m < min((b+1)*bucketSize, len(n.table.words)); m++ {
-		if n.worded(m) {
-			f(m, &n.table.words[m])
+// eachEntry calls f for each valid entry of a bucket.
+func (n *Node) eachEntry(b int, f func(m int, e *revisionEntry)) {
+	for m := b * membersPerBucket; m < min((b+1)*membersPerBucket, len(n.revisionTable.entries)); m++ {
+		if n.entryValid(m) {
+			f(m, &n.revisionTable.entries[m])
 		}
 	}
 }
 
-// hash is the sum over what is known of a bucket's members, so that their order does not count.
-func (n *Node) hash(b int) uint32 {
+// bucketDigest returns a digest of a bucket's valid entries.
+func (n *Node) bucketDigest(b int) uint32 {
 	sum := uint64(0)
-	n.bucket(b, func(m int, w *inForce) {
-		sum += mix(mix(uint64(m)<<32|uint64(w.run)<<16|uint64(w.serial)) ^ uint64(w.Number)<<32 ^ uint64(w.Digest))
+	n.eachEntry(b, func(m int, e *revisionEntry) {
+		sum += mix(mix(uint64(m)<<32|uint64(e.generation)<<16|uint64(e.serial)) ^ uint64(e.Number)<<32 ^ uint64(e.Digest))
 	})
 	return uint32(sum >> 32)
 }
 
-// compare is the table's part of Tick.
-func (n *Node) compare(now time.Duration) {
-	t := &n.table
-	if n.watch.rand == nil {
+// tickRevisions is the revision table's part of Tick.
+func (n *Node) tickRevisions(now time.Duration) {
+	t := &n.revisionTable
+	if n.detector.rand == nil {
 		return
 	}
-	if len(t.news) > 0 {
-		t.pushes = rumoursATick
+	if len(t.gossip) > 0 {
+		t.gossipDue = maxGossipPerTick
 	}
-	if now >= t.due {
-		t.due = now + compareEvery
-		if t.hurry > 0 {
-			t.hurry--
-			t.due = now + compareSoon
+	if now >= t.nextExchangeAt {
+		t.nextExchangeAt = now + antiEntropyInterval
+		if t.fastRounds > 0 {
+			t.fastRounds--
+			t.nextExchangeAt = now + fastAntiEntropyInterval
 		}
-		if to, ok := n.anyAlive(); ok {
-			t.compares = append(t.compares, compareWith{to: to, from: t.from})
+		if to, ok := n.randomAlive(); ok {
+			t.digestMessages = append(t.digestMessages, digestMessage{to: to, firstBucket: t.nextBucket})
 		}
-		if t.from += hashRoom; t.from >= n.buckets() {
-			t.from = 0
+		if t.nextBucket += maxDigestsPerDatagram; t.nextBucket >= n.buckets() {
+			t.nextBucket = 0
 		}
 	}
-	n.judge(now)
+	n.findLagging(now)
 }
 
-// anyAlive draws one of the others that are there.
-func (n *Node) anyAlive() (uint16, bool) {
-	w := &n.watch
-	for range w.order {
-		if m := w.order[w.rand.IntN(len(w.order))]; w.views[m].state == Alive {
+// randomAlive returns one of the other members that are alive, drawn at random.
+func (n *Node) randomAlive() (uint16, bool) {
+	d := &n.detector
+	for range d.pingOrder {
+		if m := d.pingOrder[d.rand.IntN(len(d.pingOrder))]; d.views[m].state == Alive {
 			return m, true
 		}
 	}
 	return 0, false
 }
 
-// publish sends what is to be told of revisions.
-func (n *Node) publish(send func(int, []byte)) {
-	t := &n.table
-	for _, a := range t.answers {
-		var words []uint16
-		n.bucket(a.bucket, func(m int, _ *inForce) { words = append(words, uint16(m)) })
-		for len(words) > 0 {
-			words = n.sendWords(a.to, words, nil, send)
+// sendRevisionMessages sends what is due of the revision table.
+func (n *Node) sendRevisionMessages(send func(int, []byte)) {
+	t := &n.revisionTable
+	for _, a := range t.bucketReplies {
+		var members []uint16
+		n.eachEntry(a.bucket, func(m int, _ *revisionEntry) { members = append(members, uint16(m)) })
+		for len(members) > 0 {
+			members = n.sendEntries(a.to, members, nil, send)
 		}
 	}
-	t.answers = t.answers[:0]
-	for _, c := range t.compares {
-		first := uint16(c.from)
-		if c.answer {
-			first |= answerBit
+	t.bucketReplies = t.bucketReplies[:0]
+	for _, c := range t.digestMessages {
+		first := uint16(c.firstBucket)
+		if c.isReply {
+			first |= replyBit
 		}
-		n.start(kindHashes, c.to)
+		n.beginDatagram(kindDigests, c.to)
 		n.buf = binary.BigEndian.AppendUint16(n.buf, first)
-		for b := c.from; b < min(n.buckets(), c.from+hashRoom); b++ {
-			n.buf = binary.BigEndian.AppendUint32(n.buf, n.hash(b))
+		for b := c.firstBucket; b < min(n.buckets(), c.firstBucket+maxDigestsPerDatagram); b++ {
+			n.buf = binary.BigEndian.AppendUint32(n.buf, n.bucketDigest(b))
 		}
-		n.close(c.to, send)
+		n.finishDatagram(c.to, send)
 	}
-	t.compares = t.compares[:0]
-	for ; t.pushes > 0 && len(t.news) > 0; t.pushes-- {
-		to, ok := n.anyAlive()
+	t.digestMessages = t.digestMessages[:0]
+	for ; t.gossipDue > 0 && len(t.gossip) > 0; t.gossipDue-- {
+		to, ok := n.randomAlive()
 		if !ok {
 			break
 		}
-		words := slices.Clone(t.news)
-		slices.Reverse(words)
-		n.sendWords(to, words, func(m uint16) { t.words[m].tell-- }, send)
-		t.news = slices.DeleteFunc(t.news, func(m uint16) bool { return t.words[m].tell <= 0 })
+		members := slices.Clone(t.gossip)
+		slices.Reverse(members)
+		n.sendEntries(to, members, func(m uint16) { t.entries[m].transmitsLeft-- }, send)
+		t.gossip = slices.DeleteFunc(t.gossip, func(m uint16) bool { return t.entries[m].transmitsLeft <= 0 })
 	}
-	t.pushes = 0
+	t.gossipDue = 0
 }
 
-// sendWords sends one datagram: the first member's word and those of others that have the same in force. It returns the rest.
-func (n *Node) sendWords(to uint16, of []uint16, sent func(m uint16), send func(int, []byte)) (rest []uint16) {
+// sendEntries sends one datagram with the entry of the first member and those of others that have the same revision in force. It
+// calls sent, which may be nil, for each of them and returns the rest.
+func (n *Node) sendEntries(to uint16, of []uint16, sent func(m uint16), send func(int, []byte)) (rest []uint16) {
 	var r Revision
 	some := false
 	for _, m := range of {
-		w := &n.table.words[m]
+		e := &n.revisionTable.entries[m]
 		switch {
-		case !n.worded(int(m)):
-			w.tell = 0 // the watch knows nothing of that run yet, or a later one: comparing will bring it
+		case !n.entryValid(int(m)):
+			e.transmitsLeft = 0 // the failure detector does not know that generation yet, or knows a later one: anti-entropy will repair it
 			continue
 		case !some:
-			some, r = true, w.Revision
-			n.start(kindWords, to)
+			some, r = true, e.Revision
+			n.beginDatagram(kindEntries, to)
 			n.buf = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(n.buf, r.Number), r.Digest)
-		case w.Revision != r || len(n.buf)+wordSize+checkSize > MaxDatagram:
+		case e.Revision != r || len(n.buf)+entrySize+checkSize > MaxDatagram:
 			rest = append(rest, m)
 			continue
 		}
-		for _, v := range [3]uint16{m, w.run, w.serial} {
+		for _, v := range [3]uint16{m, e.generation, e.serial} {
 			n.buf = binary.BigEndian.AppendUint16(n.buf, v)
 		}
 		if sent != nil {
@@ -345,70 +348,70 @@
 		}
 	}
 	if some {
-		n.close(to, send)
+		n.finishDatagram(to, send)
 	}
 	return rest
 }
 
-// start begins a datagram to a member.
-func (n *Node) start(k kind, to uint16) {
+// beginDatagram begins a datagram of a kind to a member.
+func (n *Node) beginDatagram(k kind, to uint16) {
 	m := &n.members[to]
-	m.sent++
-	n.buf = n.codec.begin(n.buf, head{k, n.opt.Incarnation, m.sent})
+	m.lastSentSequence++
+	n.buf = n.codec.begin(n.buf, head{k, n.options.Incarnation, m.lastSentSequence})
 }
 
-// newest is the highest revision in force at a member that is there.
-func (n *Node) newest() (number uint32) {
-	for m := range n.table.words {
-		if w := n.inForce(m); w != nil {
-			number = max(number, w.Number)
+// newestRevision returns the highest revision in force at a member that is present.
+func (n *Node) newestRevision() (number uint32) {
+	for m := range n.revisionTable.entries {
+		if e := n.activeEntry(m); e != nil {
+			number = max(number, e.Number)
 		}
 	}
 	return number
 }
 
-// judge finds out who is behind.
-func (n *Node) judge(now time.Duration) {
-	t, newest := &n.table, n.newest()
-	t.climb(now, newest)
-	for m := range t.words {
-		s := &t.words[m]
-		w := n.inForce(m)
-		if w == nil || w.Number >= newest {
-			if s.lags && w != nil {
-				t.lags = append(t.lags, Lag{Number: m, Revision: w.Number, Newest: newest, Over: true})
+// findLagging updates which members are behind.
+func (n *Node) findLagging(now time.Duration) {
+	t, newest := &n.revisionTable, n.newestRevision()
+	t.updateHistory(now, newest)
+	for m := range t.entries {
+		s := &t.entries[m]
+		e := n.activeEntry(m)
+		if e == nil || e.Number >= newest {
+			if s.lagReported && e != nil {
+				t.lags = append(t.lags, Lag{Number: m, Revision: e.Number, Newest: newest, Over: true})
 			}
-			s.seen, s.lags = -1, false
+			s.behindSince, s.lagReported = -1, false
 			continue
 		}
-		if s.seen < 0 {
-			s.seen = now
+		if s.behindSince < 0 {
+			s.behindSince = now
 		}
-		if behind := t.behind(now, w.Number); !s.lags && behind > LagAfter && now-s.seen >= lagSeen {
-			s.lags = true
-			t.lags = append(t.lags, Lag{Number: m, Revision: w.Number, Newest: newest, For: behind})
+		if behind := t.lagOf(now, e.Number); !s.lagReported && behind > LagThreshold && now-s.behindSince >= minLagObservation {
+			s.lagReported = true
+			t.lags = append(t.lags, Lag{Number: m, Revision: e.Number, Newest: newest, For: behind})
 		}
 	}
 }
 
-// climb keeps the steps true: by number and by time, the last is the newest revision.
-func (t *table) climb(now time.Duration, newest uint32) {
+// updateHistory keeps the history ordered by number and time, with the newest revision as its last step.
+func (t *revisionTable) updateHistory(now time.Duration, newest uint32) {
 	since := now
-	for len(t.steps) > 0 && t.steps[len(t.steps)-1].number > newest { // taken back, or gone with its member
-		since = t.steps[len(t.steps)-1].since
-		t.steps = t.steps[:len(t.steps)-1]
+	for len(t.history) > 0 && t.history[len(t.history)-1].number > newest { // reverted, or its members are dead
+		since = t.history[len(t.history)-1].since
+		t.history = t.history[:len(t.history)-1]
 	}
-	if len(t.steps) == 0 || t.steps[len(t.steps)-1].number < newest {
-		t.steps = append(t.steps, step{newest, since})
+	if len(t.history) == 0 || t.history[len(t.history)-1].number < newest {
+		t.history = append(t.history, historyStep{newest, since})
 	}
-	if len(t.steps) > mostSteps { // the first stays, for who is behind for long
-		t.steps = slices.Delete(t.steps, 1, 2)
+	if len(t.history) > maxHistory { // the first step is kept, for members that are behind for long
+		t.history = slices.Delete(t.history, 1, 2)
 	}
 }
 
-// behind returns for how long a later revision than this has been in force somewhere.
-func (t *table) behind(now time.Duration, number uint32) time.Duration {
-	for _, s := range t.steps {
+// lagOf returns for how long a later revision has been in force at some member.
+func (t *revisionTable) lagOf(now time.Duration, number uint32) time.Duration {
+	for _, s := range t.history {
 		if s.number > number {
 			return now - s.since
 		}
@@ -416,15 +419,15 @@
 	return 0
 }
 
-// differing returns, of those that have the newest revision in force, whose digest is not that of most; where two are of as many,
-// not that of the lowest number among them.
-func (n *Node) differing(newest uint32) (differ []bool) {
+// differingDigests returns, by number, which of the members with the newest revision in force have another digest than most of
+// them; of two digests that are as frequent, the one of the lowest member counts.
+func (n *Node) differingDigests(newest uint32) (differ []bool) {
 	counts, first := map[uint32]int{}, map[uint32]int{}
 	best, found := uint32(0), false
-	for m := range n.table.words {
-		if w := n.inForce(m); w != nil && w.Number == newest {
-			if counts[w.Digest]++; counts[w.Digest] == 1 {
-				first[w.Digest] = m
+	for m := range n.revisionTable.entries {
+		if e := n.activeEntry(m); e != nil && e.Number == newest {
+			if counts[e.Digest]++; counts[e.Digest] == 1 {
+				first[e.Digest] = m
 			}
 		}
 	}
@@ -433,19 +436,19 @@
 			best, found = d, true
 		}
 	}
-	differ = make([]bool, len(n.table.words))
+	differ = make([]bool, len(n.revisionTable.entries))
 	for m := range differ {
-		w := n.inForce(m)
-		differ[m] = w != nil && w.Number == newest && w.Digest != best
+		e := n.activeEntry(m)
+		differ[m] = e != nil && e.Number == newest && e.Digest != best
 	}
 	return differ
 }
 
-// Lags calls f for each member that since the last call has been found behind for longer than LagAfter, or is no longer behind
-// after that was said.
+// Lags calls f for each member that since the last call has been found behind for longer than LagThreshold, or has caught up
+// after that.
 func (n *Node) Lags(f func(Lag)) {
-	for _, l := range n.table.lags {
+	for _, l := range n.revisionTable.lags {
 		f(l)
 	}
-	n.table.lags = n.table.lags[:0]
+	n.revisionTable.lags = n.revisionTable.lags[:0]
 }
--- a/internal/peers/revisions_test.go
+++ b/internal/peers/revisions_test.go
@@ -17,7 +17,7 @@
 // begin starts a member's run with a configuration.
 func (n *net) begin(m int, run uint16, r Revision) {
 	o := options(m, len(n.nodes))
-	o.Incarnation, o.Watch, o.Revision = run, rand.New(rand.NewPCG(uint64(m), uint64(run))), r
+	o.Incarnation, o.DetectorRand, o.Revision = run, rand.New(rand.NewPCG(uint64(m), uint64(run))), r
 	n.nodes[m], n.down[m] = New(o), false
 }
 
@@ -36,18 +36,18 @@
 	n := &net{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
 	for m := range members {
 		n.begin(m, 1, Revision{41, 0xa1})
-		w, k := &n.nodes[m].watch, &n.nodes[m].table
+		w, k := &n.nodes[m].detector, &n.nodes[m].revisionTable
 		for other := range members {
-			w.views[other].claim, w.views[other].tell = claim{uint16(other), Alive, 1, 0}, 0
-			k.words[other] = inForce{run: 1, Revision: Revision{41, 0xa1}, known: true, seen: -1}
+			w.views[other].claim, w.views[other].transmitsLeft = claim{uint16(other), Alive, 1, 0}, 0
+			k.entries[other] = revisionEntry{generation: 1, Revision: Revision{41, 0xa1}, known: true, behindSince: -1}
 		}
-		w.news, w.pings, k.news = nil, askAllFor, nil
+		w.gossip, w.pingCount, k.gossip = nil, initialFullSyncs, nil
 	}
 	return n
 }
 
 func (n *net) revise(m int, r Revision) {
-	n.nodes[m].Revise(n.now, r)
+	n.nodes[m].SetRevision(n.now, r)
 	n.nodes[m].Flush(n.now, n.post(m))
 }
 
@@ -56,7 +56,7 @@
 func (n *net) untold() (pairs int) {
 	for i, node := range n.nodes {
 		for m := range n.nodes {
-			if w := node.inForce(m); !n.down[i] && node.there(m) && (w == nil || w.Revision != n.nodes[m].table.words[m].Revision) {
+			if w := node.activeEntry(m); !n.down[i] && node.isPresent(m) && (w == nil || w.Revision != n.nodes[m].revisionTable.entries[m].Revision) {
 				pairs++
 			}
 		}
@@ -73,14 +73,19 @@
 	return n.now - start
 }
 
-// untrue compares what all that are up tell of the others with what is so; empty: nothing is wrong.
-func (n *net) untrue() string {
-	var newest uint32
+// newest returns the highest revision in force at one that is up.
+func (n *net) newest() (newest uint32) {
 	for m, node := range n.nodes {
 		if n.up(m) {
-			newest = max(newest, node.table.words[m].Number)
+			newest = max(newest, node.revisionTable.entries[m].Number)
 		}
 	}
+	return newest
+}
+
+// untrue compares what all that are up tell of the others with what is so; empty: nothing is wrong.
+func (n *net) untrue() string {
+	newest := n.newest()
 	for i, node := range n.nodes {
 		if n.down[i] {
 			continue
@@ -90,20 +95,28 @@
 			return fmt.Sprintf("%d takes %d for the newest, it is %d", i, s.Newest, newest)
 		}
 		for m, got := range s.Members {
-			is := n.nodes[m].table.words[m].Revision
-			switch behind := got.BehindMS >= 0; {
-			case n.down[m] && (got.Digest != "" || behind || got.Differs):
-				return fmt.Sprintf("%d still tells of %d, which is gone: %+v", i, m, got)
-			case !n.down[m] && (got.Revision != is.Number || got.Digest != fmt.Sprintf("%08x", is.Digest)):
-				return fmt.Sprintf("%d says of %d %+v, it has %+v", i, m, got, is)
-			case !n.down[m] && behind != (is.Number < newest):
-				return fmt.Sprintf("%d says of %d, of newest %d, %+v", i, m, newest, got)
+			if wrong := n.untrueOf(i, m, newest, got); wrong != "" {
+				return wrong
 			}
 		}
 	}
 	return ""
 }
 
+// untrueOf compares what one tells of another with what is so.
+func (n *net) untrueOf(i, m int, newest uint32, got MemberStatus) string {
+	is := n.nodes[m].revisionTable.entries[m].Revision
+	switch behind := got.BehindMS >= 0; {
+	case n.down[m] && (got.Digest != "" || behind || got.Differs):
+		return fmt.Sprintf("%d still tells of %d, which is gone: %+v", i, m, got)
+	case !n.down[m] && (got.Revision != is.Number || got.Digest != fmt.Sprintf("%08x", is.Digest)):
+		return fmt.Sprintf("%d says of %d %+v, it has %+v", i, m, got, is)
+	case !n.down[m] && behind != (is.Number < newest):
+		return fmt.Sprintf("%d says of %d, of newest %d, %+v", i, m, newest, got)
+	}
+	return ""
+}
+
 // behind returns whom a member names as behind.
 func (n *net) behind(i int) (who []int) {
 	for _, m := range n.nodes[i].Status(n.now).Members {
@@ -174,41 +187,54 @@
 	}
 }
 
-// Guards against a scheduler that lost its operator's calls and counts as good: it is named for as long as the first of the changes
-// that it lacks is in force, reported once, and once again when it is level.
-func TestOneThatMissedThreeChanges(t *testing.T) {
-	n := site(14, 5)
-	from := n.now
+// lagsOf returns what a member reports of lags since it was asked last.
+func (n *net) lagsOf(i int) (lags []Lag) {
+	n.nodes[i].Lags(func(l Lag) { lags = append(lags, l) })
+	return lags
+}
+
+// checkLags checks that each member reports one lag, and the right one.
+func (n *net) checkLags(t *testing.T, want string, right func(Lag) bool) {
+	t.Helper()
+	for i := range n.nodes {
+		if lags := n.lagsOf(i); len(lags) != 1 || !right(lags[0]) {
+			t.Errorf("%d reports %+v, want that %s", i, lags, want)
+		}
+	}
+}
+
+// missThree has a member miss three changes, two seconds apart.
+func (n *net) missThree(misses int) {
 	for number := uint32(42); number <= 44; number++ {
 		for m := range n.nodes {
-			if m != 5 {
+			if m != misses {
 				n.revise(m, Revision{number, number})
 			}
 		}
 		n.run(2 * time.Second)
 	}
+}
+
+// Guards against a scheduler that lost its operator's calls and counts as good: it is named for as long as the first of the changes
+// that it lacks is in force, reported once, and once again when it is level.
+func TestOneThatMissedThreeChanges(t *testing.T) {
+	n := site(14, 5)
+	from := n.now
+	n.missThree(5)
 	if w := n.untrue(); w != "" {
 		t.Fatal(w)
 	}
-	var lags []Lag
-	keep := func(l Lag) { lags = append(lags, l) }
 	for i, node := range n.nodes {
 		b := node.Status(n.now).Members[5].BehindMS
 		if late := n.now - from - time.Duration(b)*ms; !slices.Equal(n.behind(i), []int{5}) || late < 0 || late > 500*ms {
 			t.Errorf("%d names %v; 5 as %d ms behind, %v after the first change", i, n.behind(i), b, n.now-from)
 		}
-		node.Lags(keep)
-	}
-	if len(lags) > 0 {
-		t.Errorf("reported before it was behind for %v: %+v", LagAfter, lags)
-	}
-	n.run(LagAfter - 5*time.Second)
-	for i, node := range n.nodes {
-		lags = nil
-		if node.Lags(keep); len(lags) != 1 || lags[0].Number != 5 || lags[0].Revision != 41 || lags[0].Newest != 44 || lags[0].For <= LagAfter {
-			t.Errorf("%d reports %+v, want that 5 is behind", i, lags)
+		if lags := n.lagsOf(i); len(lags) > 0 {
+			t.Errorf("reported before it was behind for %v: %+v", LagThreshold, lags)
 		}
 	}
+	n.run(LagThreshold - 5*time.Second)
+	n.checkLags(t, "5 is behind", func(l Lag) bool { return l.Number == 5 && l.Revision == 41 && l.Newest == 44 && l.For > LagThreshold })
 	n.revise(5, Revision{43, 43})
 	n.run(2 * time.Second)
 	if b := n.nodes[0].Status(n.now).Members[5].BehindMS; time.Duration(b)*ms > n.now-from-3500*ms {
@@ -216,10 +242,10 @@
 	}
 	n.revise(5, Revision{44, 44})
 	n.run(2 * time.Second)
-	for i, node := range n.nodes {
-		lags = nil
-		if node.Lags(keep); len(lags) != 1 || !lags[0].Over || lags[0].Number != 5 || len(n.behind(i)) > 0 {
-			t.Errorf("%d reports %+v and names %v, want that 5 is level again", i, lags, n.behind(i))
+	n.checkLags(t, "5 is level again", func(l Lag) bool { return l.Over && l.Number == 5 })
+	for i := range n.nodes {
+		if len(n.behind(i)) > 0 {
+			t.Errorf("%d names %v as behind, want that 5 is level again", i, n.behind(i))
 		}
 	}
 }
@@ -267,7 +293,7 @@
 			t.Errorf("%d names %v though all took it back", i, b)
 		}
 	}
-	n.run(LagAfter + lagSeen)
+	n.run(LagThreshold + minLagObservation)
 	for i, node := range n.nodes {
 		node.Lags(func(l Lag) { t.Errorf("%d reports %+v though all took it back", i, l) })
 	}
@@ -349,11 +375,11 @@
 // Guards against what a run said that is over, while nothing is heard of what the next has in force.
 func TestARestartVoidsTheWordOfTheRunBefore(t *testing.T) {
 	b := hearer()
-	b.table.words[2] = inForce{run: 3, Revision: Revision{99, 0xff}, known: true, seen: -1}
+	b.revisionTable.entries[2] = revisionEntry{generation: 3, Revision: Revision{99, 0xff}, known: true, behindSince: -1}
 	if s := b.Status(time.Second); s.Newest != 99 || s.Members[2].Revision != 99 || s.Members[1].BehindMS < 0 {
 		t.Fatalf("before: newest %d, %+v", s.Newest, s.Members[1:3])
 	}
-	b.present(time.Second, 2, 4, 0, true)
+	b.noteAlive(time.Second, 2, 4, 0, true)
 	if s := b.Status(time.Second); s.Newest != 40 || s.Members[2].Digest != "" || s.Members[1].BehindMS >= 0 {
 		t.Errorf("after the restart: newest %d, %+v", s.Newest, s.Members[1:3])
 	}
@@ -397,7 +423,7 @@
 
 // Guards how long one is behind: since the first that it lacks, not since the last; and what was taken back counts for nothing.
 func TestForHowLong(t *testing.T) {
-	var k table
+	var k revisionTable
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for _, c := range []struct {
 		at       float64
@@ -417,16 +443,16 @@
 		{31, 44, 42, 1, "those that skipped go back by one: since 45 came"},
 		{32, 40, 40, 0, "all is taken back"},
 	} {
-		k.climb(at(c.at), c.newest)
-		if got := k.behind(at(c.at), c.of); got != at(c.behind) {
+		k.updateHistory(at(c.at), c.newest)
+		if got := k.lagOf(at(c.at), c.of); got != at(c.behind) {
 			t.Errorf("%s: %v behind, want %v", c.whatever, got, at(c.behind))
 		}
 	}
-	for i := range uint32(5 * mostSteps) {
-		k.climb(at(100), 50+i)
+	for i := range uint32(5 * maxHistory) {
+		k.updateHistory(at(100), 50+i)
 	}
-	if got := k.behind(at(101), 40); len(k.steps) > mostSteps || got != at(1) {
-		t.Errorf("after many changes: %d steps, %v behind", len(k.steps), got)
+	if got := k.lagOf(at(101), 40); len(k.history) > maxHistory || got != at(1) {
+		t.Errorf("after many changes: %d steps, %v behind", len(k.history), got)
 	}
 }
 
@@ -445,8 +471,8 @@
 		}
 		log := map[said]bool{}
 		note := func(m int) {
-			w := n.nodes[m].table.words[m]
-			log[said{m, w.run, w.serial, w.Revision}] = true
+			w := n.nodes[m].revisionTable.entries[m]
+			log[said{m, w.generation, w.serial, w.Revision}] = true
 		}
 		for m := range members {
 			note(m)
@@ -454,7 +480,7 @@
 		runs := make([]uint16, members)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			m := rapid.IntRange(0, members-1).Draw(t, "member")
-			r := n.nodes[m].table.words[m].Revision
+			r := n.nodes[m].revisionTable.entries[m].Revision
 			switch what := rapid.IntRange(0, 7).Draw(t, "what"); what {
 			case 0, 1, 2: // a change, one taken back, other content
 				r = Revision{max(1, r.Number+[]uint32{1, ^uint32(0), 0}[what]), uint32(rapid.IntRange(1, 3).Draw(t, "digest"))}
@@ -479,7 +505,7 @@
 			n.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "for")) * 50 * ms)
 			for i, node := range n.nodes {
 				for m := range n.nodes {
-					if w := node.inForce(m); w != nil && !log[said{m, w.run, w.serial, w.Revision}] {
+					if w := node.activeEntry(m); w != nil && !log[said{m, w.generation, w.serial, w.Revision}] {
 						t.Fatalf("%d holds of %d what that run never said: %+v", i, m, *w)
 					}
 				}
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -7,85 +7,86 @@
 	"github.com/dchest/siphash"
 )
 
-// MaxDatagram is the most bytes that a datagram between schedulers may have.
+// MaxDatagram is the maximum size of a datagram in bytes.
 const MaxDatagram = 256
 
-// A datagram is a head, entries and a check:
+// A datagram is a head, entries and a checksum. All numbers are big endian.
 //
 //	byte 0     version in the high four bits, kind in the low ones
-//	byte 1-2   incarnation of the sender, big endian as all numbers
+//	byte 1-2   generation of the sender
 //	byte 3-4   sequence number, of this sender to this receiver
 //	...        entries of the kind
 //	last 3     the low 24 bits of SipHash-2-4 over all before, keyed by the site's fingerprint
 //
-// Of the kinds of the watch the first entry byte is the sender's life; an ask then has the number of a member in two
-// bytes; claims of five bytes follow.
+// In the kinds of the failure detector the first byte behind the head is the sender's incarnation; a ping request then has the
+// number of a member in two bytes; claims of five bytes follow.
 //
-// An entry of kind held is the box (24 bits of a hash of its id) and a byte: slots in the high five bits,
-// attempts that have not started in the low three. Both stop at the most that fits.
+// An entry of kind loads is the worker (24 bits of a hash of its id) and a byte: slots in the high five bits, attempts that have
+// not started in the low three. Both are clamped to what fits. The entries of revisions.go are described there.
 const (
 	version   = 1
 	headSize  = 5
 	checkSize = 3
-	heldSize  = 4
+	loadSize  = 4
 
-	mostSlots   = 31
-	mostWaiting = 7
+	maxSlots   = 31
+	maxWaiting = 7
 )
 
 type kind uint8
 
-// The kinds of datagrams. A reader refuses those that it does not know.
+// The kinds of datagrams. A receiver rejects unknown ones.
 const (
-	kindHeld kind = 1 // absolute values of what the sender has out at some boxes
-	kindPing kind = 2 // asks for a sign of life
-	kindAck  kind = 3 // is one
-	kindAsk  kind = 4 // asks for one of another member, or, of the sender's own number, for all that is known
-	kindTold kind = 5 // answers an ask: the first claim's member has given one
-
-	kindWords  kind = 6 // who has a revision of the configuration in force
-	kindHashes kind = 7 // hashes of parts of the table of those
+	kindLoads       kind = 1 // the sender's load on some workers, in absolute values
+	kindPing        kind = 2 // asks for an acknowledgement
+	kindAck         kind = 3 // acknowledges a ping
+	kindPingRequest kind = 4 // asks to ping another member or, with the sender's own number, for all that is known
+	kindIndirectAck kind = 5 // acknowledges for the member of the first claim, which was pinged on request
+
+	kindEntries kind = 6 // members that have a revision of the configuration in force
+	kindDigests kind = 7 // digests of parts of the table of those
 )
 
-// Why a datagram is refused.
+// Why a datagram is rejected.
 var (
-	ErrLength  = errors.New("peers: a datagram of no possible length")
-	ErrVersion = errors.New("peers: a datagram of another version")
-	ErrCheck   = errors.New("peers: a datagram that is damaged, or of another site")
-	ErrKind    = errors.New("peers: a datagram of an unknown kind")
-	ErrSender  = errors.New("peers: a datagram of nobody we know")
-	ErrOld     = errors.New("peers: a datagram that is late or of an earlier run")
+	ErrLength  = errors.New("peers: datagram of invalid length")
+	ErrVersion = errors.New("peers: datagram of another version")
+	ErrCheck   = errors.New("peers: datagram corrupt or of another site")
+	ErrKind    = errors.New("peers: datagram of unknown kind")
+	ErrSender  = errors.New("peers: datagram of unknown sender")
+	ErrStale   = errors.New("peers: datagram stale or of an earlier generation")
 )
 
-// Out is what somebody has out at a box.
+// Out is the load that a scheduler puts on a worker.
 type Out struct {
-	Slots   int `json:"slots"`   // 0 to 31; more counts as 31
+	Slots   int `json:"slots"`   // in use, 0 to 31; more counts as 31
 	Waiting int `json:"waiting"` // attempts that have not started, 0 to 7
 }
 
-func (o Out) bound() Out {
-	return Out{min(max(0, o.Slots), mostSlots), min(max(0, o.Waiting), mostWaiting)}
+func (o Out) clamped() Out {
+	return Out{min(max(0, o.Slots), maxSlots), min(max(0, o.Waiting), maxWaiting)}
 }
 
-// codec seals and opens datagrams of one site.
+// codec encodes and verifies datagrams of one site.
 type codec struct{ k0, k1 uint64 }
 
 func newCodec(site uint64) codec { return codec{site, mix(site)} }
 
+// head is the head of a datagram.
 type head struct {
-	kind        kind
-	incarnation uint16
-	seq         uint16
+	kind       kind
+	generation uint16
+	sequence   uint16
 }
 
-// begin starts a datagram in buf, which is at least MaxDatagram long.
+// begin begins a datagram in buf, whose capacity is MaxDatagram at least.
 func (c codec) begin(buf []byte, h head) []byte {
 	buf = append(buf[:0], version<<4|byte(h.kind))
-	buf = binary.BigEndian.AppendUint16(buf, h.incarnation)
-	return binary.BigEndian.AppendUint16(buf, h.seq)
+	buf = binary.BigEndian.AppendUint16(buf, h.generation)
+	return binary.BigEndian.AppendUint16(buf, h.sequence)
 }
 
-// seal ends a datagram.
+// seal appends the checksum.
 func (c codec) seal(buf []byte) []byte {
 	sum := c.sum(buf)
 	return append(buf, byte(sum>>16), byte(sum>>8), byte(sum))
@@ -93,7 +94,7 @@
 
 func (c codec) sum(b []byte) uint32 { return uint32(siphash.Hash(c.k0, c.k1, b)) & 0xffffff }
 
-// open checks a datagram and returns its head and the bytes of its entries.
+// open verifies a datagram and returns its head and the bytes of its entries.
 func (c codec) open(b []byte) (h head, body []byte, err error) {
 	switch {
 	case len(b) < headSize+checkSize || len(b) > MaxDatagram:
@@ -109,40 +110,40 @@
 	body = b[headSize:end]
 	entries, size := len(body), claimSize
 	switch h.kind {
-	case kindHeld:
-		size = heldSize
-	case kindPing, kindAck, kindTold:
+	case kindLoads:
+		size = loadSize
+	case kindPing, kindAck, kindIndirectAck:
 		entries--
-	case kindAsk:
+	case kindPingRequest:
 		entries -= 3
-	case kindWords:
-		entries, size = entries-wordsHead, wordSize
-	case kindHashes:
-		entries, size = entries-hashesHead, hashSize
+	case kindEntries:
+		entries, size = entries-entriesHeadSize, entrySize
+	case kindDigests:
+		entries, size = entries-digestsHeadSize, digestSize
 	default:
 		return h, nil, ErrKind
 	}
-	if entries < 0 || entries%size != 0 || entries == 0 && (h.kind == kindWords || h.kind == kindHashes) {
+	if entries < 0 || entries%size != 0 || entries == 0 && (h.kind == kindEntries || h.kind == kindDigests) {
 		return h, nil, ErrLength
 	}
 	return h, body, nil
 }
 
-// heldRoom is how many entries of kind held fit into a datagram.
-const heldRoom = (MaxDatagram - headSize - checkSize) / heldSize
+// maxLoadsPerDatagram is how many loads fit into a datagram.
+const maxLoadsPerDatagram = (MaxDatagram - headSize - checkSize) / loadSize
 
-func appendHeld(buf []byte, key uint32, o Out) []byte {
+func appendLoad(buf []byte, key uint32, o Out) []byte {
 	return append(buf, byte(key>>16), byte(key>>8), byte(key), byte(o.Slots)<<3|byte(o.Waiting))
 }
 
-func heldAt(b []byte) (key uint32, o Out) {
+func decodeLoad(b []byte) (key uint32, o Out) {
 	return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]), Out{int(b[3] >> 3), int(b[3] & 7)}
 }
 
-// newer reports whether a is after b, of numbers that wrap.
+// newer reports whether a is after b in serial number arithmetic (RFC 1982).
 func newer(a, b uint16) bool { return int16(a-b) > 0 }
 
-// mix spreads the bits of a number.
+// mix is the finalizer of MurmurHash3.
 func mix(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
