--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -1,6 +1,5 @@
-// Package peerlink joins the planners of a scheduler with those of the other schedulers of its site: it owns the
-// UDP socket by which they tell each other what they have out. What is told and believed is decided by
-// internal/peers.
+// Package peerlink connects the planners of a scheduler with the other schedulers of its site: it owns the UDP socket on which they
+// exchange the loads that they put on workers. The protocol is that of internal/peers.
 package peerlink
 
 import (
@@ -21,234 +20,241 @@
 )
 
 const (
-	// bindEvery is how often the address is tried that another process may hold still: the one that this
-	// one takes over from.
-	bindEvery = 100 * time.Millisecond
-	// fewChanges is how many others may change at a time and be logged one by one.
-	fewChanges = 4
+	// bindRetryInterval is the time between two attempts to bind the address, which the process that this one takes over from
+	// may still have.
+	bindRetryInterval = 100 * time.Millisecond
+	// maxSeparateLines is how many members may change at a time and be logged one by one.
+	maxSeparateLines = 4
 )
 
-// Options are the choices for a Link.
+// Options configure a Link.
 type Options struct {
 	Listen   netip.AddrPort
 	Peers    []netip.AddrPort // by number, its own included
-	Self     int
-	Site     uint64
-	Watch    bool           // they watch who is there
-	Seed     uint64         // for what that draws at random
-	Revision peers.Revision // of the configuration that is in force at the start; told where they watch
-	Hearers  int
-	Least    int
+	Self     int              // its own number
+	Site     uint64           // see peers.Options
+	Watch    bool             // there is failure detection, by all members alike
+	Seed     uint64           // of its random choices
+	Revision peers.Revision   // in force at the start; gossiped where there is failure detection
+	Hearers  int              // minimum number of subscribers of a worker
+	Least    int              // minimum number of workers in a subset
 	Planners []*dispatch.Planner
 	Clock    dispatch.Clock
 	Log      *slog.Logger
 }
 
-// Link tells the other schedulers what the planners have out, and the planners what the others have.
+// Link sends the other schedulers the load that its planners put on workers, and passes on the load of the others to the planners.
+// Its methods are safe for concurrent use.
 type Link struct {
-	opt     Options
-	numbers map[netip.AddrPort]int
-	wanted  chan struct{} // holds a token when the address is to be bound
+	options         Options
+	numberByAddress map[netip.AddrPort]int
+	bindRequested   chan struct{} // has an element where the address is to be bound
 
-	mu     sync.Mutex
-	conn   *net.UDPConn // nil: not bound
-	paused bool
-	node   *peers.Node
-	out    []map[string]sedgevale.Load // by planner, where there are several
-	news   []sedgevale.Told
+	mu          sync.Mutex   // guards the fields below
+	conn        *net.UDPConn // nil: not bound
+	paused      bool
+	node        *peers.Node
+	loads       []map[string]sedgevale.Load // by planner, where there are several
 
-	changes []peers.Change
-	lags    []peers.Lag
+	// Buffers, reused.
+	loadChanges  []sedgevale.Told
+	stateChanges []peers.Change
+	lags         []peers.Lag
 }
 
-// New returns a Link that does nothing yet.
+// New returns a Link that has no socket yet, and has the planners report their loads to it.
 func New(o Options) *Link {
-	l := &Link{opt: o, numbers: map[netip.AddrPort]int{}, wanted: make(chan struct{}, 1)}
-	l.wanted <- struct{}{}
+	l := &Link{options: o, numberByAddress: map[netip.AddrPort]int{}, bindRequested: make(chan struct{}, 1)}
+	l.bindRequested <- struct{}{}
 	for i, a := range o.Peers {
-		l.numbers[a] = i
+		l.numberByAddress[a] = i
 	}
-	of := peers.Options{Self: o.Self, Members: len(o.Peers), Site: o.Site, Hearers: o.Hearers, Least: o.Least, Revision: o.Revision,
+	nodeOptions := peers.Options{Self: o.Self, Members: len(o.Peers), Site: o.Site, Hearers: o.Hearers, Least: o.Least, Revision: o.Revision,
 		Incarnation: uint16(time.Now().UnixMilli() / 128)}
 	if o.Watch {
-		of.DetectorRand = rand.New(rand.NewPCG(o.Seed, uint64(o.Self)))
+		nodeOptions.DetectorRand = rand.New(rand.NewPCG(o.Seed, uint64(o.Self)))
 	}
-	l.node = peers.New(of)
+	l.node = peers.New(nodeOptions)
 	for i, p := range o.Planners {
-		l.out = append(l.out, map[string]sedgevale.Load{})
-		p.Signal(func(changed []sedgevale.Told) { l.told(i, changed) })
+		l.loads = append(l.loads, map[string]sedgevale.Load{})
+		p.Signal(func(changed []sedgevale.Told) { l.updateLoads(i, changed) })
 	}
 	return l
 }
 
-// Run works until the context ends.
+// Run sends and receives until the context ends.
 func (l *Link) Run(ctx context.Context) {
-	go l.tick(ctx)
+	var ticking sync.WaitGroup
+	ticking.Go(func() { l.tickLoop(ctx) })
+	defer ticking.Wait()
 	stop := context.AfterFunc(ctx, l.Pause)
 	defer stop()
 	for ctx.Err() == nil {
 		select {
-		case <-l.wanted:
+		case <-l.bindRequested:
 		case <-ctx.Done():
 			return
 		}
 		if conn := l.bind(ctx); conn != nil {
-			l.read(conn)
+			l.readLoop(conn)
 		}
 	}
 }
 
-func (l *Link) read(conn *net.UDPConn) {
+// readLoop receives datagrams until the socket is closed.
+func (l *Link) readLoop(conn *net.UDPConn) {
 	buf := make([]byte, peers.MaxDatagram+1)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // as of a peer whose port is closed: it concerns no datagram that could be read
+		if err != nil { // as for a peer whose port is closed; no datagram was lost
 			continue
 		}
 		l.receive(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
 	}
 }
 
-// bind returns a socket on our address, or nil once nobody wants it any more.
+// bind returns a socket on the address, or nil once the Link is paused or the context has ended.
 func (l *Link) bind(ctx context.Context) *net.UDPConn {
-	for told := false; ctx.Err() == nil; {
+	for logged := false; ctx.Err() == nil; {
 		l.mu.Lock()
 		if l.paused {
 			l.mu.Unlock()
 			return nil
 		}
-		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(l.opt.Listen))
+		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(l.options.Listen))
 		l.conn = conn
 		l.mu.Unlock()
 		if err == nil {
 			return conn
 		}
-		if !told {
-			told = true
-			l.opt.Log.Warn("the address for other schedulers is not to be had, trying on", "addr", l.opt.Listen, "err", err)
+		if !logged {
+			logged = true
+			l.options.Log.Warn("cannot listen for other schedulers, retrying", "addr", l.options.Listen, "err", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(bindEvery):
+		case <-time.After(bindRetryInterval):
 		}
 	}
 	return nil
 }
 
-// Pause gives the address up: another process goes on as this scheduler.
+// Pause closes the socket, since another process goes on as this scheduler.
 func (l *Link) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.paused = true
 	if l.conn != nil {
-		l.conn.Close()
+		_ = l.conn.Close()
 		l.conn = nil
 	}
 }
 
-// Resume takes the address up again.
+// Resume binds the address again.
 func (l *Link) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.paused = false
 	select {
-	case l.wanted <- struct{}{}:
+	case l.bindRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Revise tells the others which revision of the configuration is in force here from now on.
+// Revise sets the revision of the configuration that is in force here, and sends it to the others.
 func (l *Link) Revise(r peers.Revision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.opt.Clock.Now()
+	now := l.options.Clock.Now()
 	l.node.SetRevision(now, r)
 	l.node.Flush(now, l.send)
 }
 
+// receive handles a datagram.
 func (l *Link) receive(from netip.AddrPort, datagram []byte) {
-	number, known := l.numbers[from]
+	number, known := l.numberByAddress[from]
 	if !known {
 		number = -1
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.opt.Clock.Now()
+	now := l.options.Clock.Now()
 	if err := l.node.Receive(now, number, datagram); err != nil {
 		return
 	}
-	l.node.Flush(now, l.send) // it may have to be answered
-	l.deliver()
+	l.node.Flush(now, l.send) // it may require an answer
+	l.deliverLoads()
 }
 
-// Status returns what is believed of the others and told of boxes.
+// Status returns the state of the members and the loads of workers.
 func (l *Link) Status() peers.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.node.Status(l.opt.Clock.Now())
+	return l.node.Status(l.options.Clock.Now())
 }
 
-// report logs who has come and gone: one line each, or one for all where they are many.
-func (l *Link) report() {
-	l.changes = l.changes[:0]
-	l.node.Changes(func(c peers.Change) { l.changes = append(l.changes, c) })
-	if len(l.changes) > fewChanges {
+// logStateChanges logs members whose state has changed: a line each, or one for all where they are many. The lock is held.
+func (l *Link) logStateChanges() {
+	l.stateChanges = l.stateChanges[:0]
+	l.node.Changes(func(c peers.Change) { l.stateChanges = append(l.stateChanges, c) })
+	if len(l.stateChanges) > maxSeparateLines {
 		var to [peers.Dead + 1]int
-		for _, c := range l.changes {
+		for _, c := range l.stateChanges {
 			to[c.To]++
 		}
-		l.opt.Log.Info("many other schedulers changed", "alive", to[peers.Alive], "doubted", to[peers.Suspect], "gone", to[peers.Dead])
+		l.options.Log.Info("many other schedulers changed", "alive", to[peers.Alive], "doubted", to[peers.Suspect], "gone", to[peers.Dead])
 		return
 	}
-	for _, c := range l.changes {
-		l.opt.Log.Info("another scheduler changed", "number", c.Number, "addr", l.opt.Peers[c.Number], "from", c.From, "to", c.To)
+	for _, c := range l.stateChanges {
+		l.options.Log.Info("another scheduler changed", "number", c.Number, "addr", l.options.Peers[c.Number], "from", c.From, "to", c.To)
 	}
 }
 
-// lagging logs who is behind with the configuration for long, and who no longer is: one line each, or one for all.
-func (l *Link) lagging(lags []peers.Lag) {
-	if len(lags) > fewChanges {
-		level := 0
+// logLags logs members that are behind with the configuration, or have caught up: a line each, or one for all where they are
+// many.
+func (l *Link) logLags(lags []peers.Lag) {
+	if len(lags) > maxSeparateLines {
+		caughtUp := 0
 		for _, lag := range lags {
 			if lag.Over {
-				level++
+				caughtUp++
 			}
 		}
-		l.opt.Log.Warn("many schedulers are behind or level again", "behind", len(lags)-level, "level", level, "newest", lags[0].Newest)
+		l.options.Log.Warn("many schedulers are behind or have caught up", "behind", len(lags)-caughtUp, "level", caughtUp, "newest", lags[0].Newest)
 		return
 	}
 	for _, lag := range lags {
 		who := "another scheduler"
-		if lag.Number == l.opt.Self {
+		if lag.Number == l.options.Self {
 			who = "this scheduler"
 		}
-		attrs := []any{"number", lag.Number, "addr", l.opt.Peers[lag.Number], "revision", lag.Revision, "newest", lag.Newest}
+		attrs := []any{"number", lag.Number, "addr", l.options.Peers[lag.Number], "revision", lag.Revision, "newest", lag.Newest}
 		if lag.Over {
-			l.opt.Log.Info(who+" is level again", attrs...)
+			l.options.Log.Info(who+" has caught up", attrs...)
 		} else {
-			l.opt.Log.Warn(who+" is behind", append(attrs, "for", lag.For.Truncate(time.Second))...)
+			l.options.Log.Warn(who+" is behind", append(attrs, "for", lag.For.Truncate(time.Second))...)
 		}
 	}
 }
 
-// told takes in what a planner has out, in its goroutine.
-func (l *Link) told(planner int, changed []sedgevale.Told) {
+// updateLoads takes the changed loads of a planner, in whose goroutine it is called.
+func (l *Link) updateLoads(planner int, changed []sedgevale.Told) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.opt.Clock.Now()
+	now := l.options.Clock.Now()
 	for _, t := range changed {
-		if len(l.out) > 1 {
-			if t.Held == 0 && t.Waiting == 0 { // workers come and go for ever
-				delete(l.out[planner], t.Worker)
+		if len(l.loads) > 1 {
+			if t.Held == 0 && t.Waiting == 0 { // so that the map does not grow with workers that are gone
+				delete(l.loads[planner], t.Worker)
 			} else {
-				l.out[planner][t.Worker] = t.Load
+				l.loads[planner][t.Worker] = t.Load
 			}
 			t.Load = sedgevale.Load{}
-			for _, out := range l.out {
-				t.Load = t.Load.Plus(out[t.Worker])
+			for _, out := range l.loads {
+				t.Load = t.Plus(out[t.Worker])
 			}
 		}
 		l.node.Out(now, t.Worker, peers.Out{Slots: int(t.Held + 0.5), Waiting: t.Waiting}, t.Full)
@@ -256,13 +262,14 @@
 	l.node.Flush(now, l.send)
 }
 
+// send sends a datagram to a member. The lock is held.
 func (l *Link) send(to int, datagram []byte) {
 	if l.conn != nil {
-		_, _ = l.conn.WriteToUDPAddrPort(datagram, l.opt.Peers[to]) // what is lost is told again
+		_, _ = l.conn.WriteToUDPAddrPort(datagram, l.options.Peers[to]) // the protocol repairs losses
 	}
 }
 
-// Members brings the list of workers as it stands.
+// Members sets the complete list of workers.
 func (l *Link) Members(list discovery.List) {
 	workers := make([]string, len(list.Members))
 	for i, m := range list.Members {
@@ -271,20 +278,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.node.Boxes(workers)
-	l.parted()
+	l.deliverSubset()
 }
 
-// parted tells the planners their part of the fleet, if that has changed.
-func (l *Link) parted() {
+// deliverSubset passes the subset of the workers on to the planners, if it has changed. The lock is held.
+func (l *Link) deliverSubset() {
 	l.node.Parted(func(part []string, sharers int) {
 		part = slices.Clone(part)
-		for _, p := range l.opt.Planners {
+		for _, p := range l.options.Planners {
 			p.Near(part, sharers)
 		}
 	})
 }
 
-func (l *Link) tick(ctx context.Context) {
+// tickLoop has the protocol do what is due until the context ends.
+func (l *Link) tickLoop(ctx context.Context) {
 	t := time.NewTicker(peers.TickEvery)
 	defer t.Stop()
 	for {
@@ -294,29 +302,29 @@
 		case <-t.C:
 		}
 		l.mu.Lock()
-		now := l.opt.Clock.Now()
+		now := l.options.Clock.Now()
 		l.node.Tick(now)
 		l.node.Flush(now, l.send)
-		l.parted()
-		l.deliver()
-		l.report()
+		l.deliverSubset()
+		l.deliverLoads()
+		l.logStateChanges()
 		l.lags = l.lags[:0]
 		l.node.Lags(func(lag peers.Lag) { l.lags = append(l.lags, lag) })
-		l.lagging(l.lags)
+		l.logLags(l.lags)
 		l.mu.Unlock()
 	}
 }
 
-// deliver tells the planners what others have out.
-func (l *Link) deliver() {
-	l.news = l.news[:0]
+// deliverLoads passes changed loads of the other schedulers on to the planners. The lock is held.
+func (l *Link) deliverLoads() {
+	l.loadChanges = l.loadChanges[:0]
 	l.node.News(func(id string, slots, waiting int) {
-		l.news = append(l.news, sedgevale.Told{Worker: id, Load: sedgevale.Load{Held: float64(slots), Waiting: waiting}})
+		l.loadChanges = append(l.loadChanges, sedgevale.Told{Worker: id, Load: sedgevale.Load{Held: float64(slots), Waiting: waiting}})
 	})
-	if len(l.news) == 0 {
+	if len(l.loadChanges) == 0 {
 		return
 	}
-	for _, p := range l.opt.Planners {
-		p.Others(l.news)
+	for _, p := range l.options.Planners {
+		p.Others(l.loadChanges)
 	}
 }
