--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -50,11 +50,11 @@
 	numberByAddress map[netip.AddrPort]int
 	bindRequested   chan struct{} // has an element where the address is to be bound
 
-	mu          sync.Mutex   // guards the fields below
-	conn        *net.UDPConn // nil: not bound
-	paused      bool
-	node        *peers.Node
-	loads       []map[string]sedgevale.Load // by planner, where there are several
+	mu     sync.Mutex   // guards the fields below
+	conn   *net.UDPConn // nil: not bound
+	paused bool
+	node   *peers.Node
+	loads  []map[string]sedgevale.Load // by planner, where there are several
 
 	// Buffers, reused.
 	loadChanges  []sedgevale.Told
