--- /dev/null
+++ b/internal/faultinjection/checker_test.go
@@ -0,0 +1,61 @@
+package faultinjection
+
+import (
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"sedgevale/internal/fake"
+)
+
+func TestMain(m *testing.M) {
+	ServeIfAsked()
+	os.Exit(m.Run())
+}
+
+// Guards against a checker that sees nothing: each planted fault is found, with request, box and rule, and a sound
+// course of things has none.
+func TestCheckerFindsPlantedFaults(t *testing.T) {
+	at := time.Now()
+	for _, c := range []struct {
+		rule  string
+		plant func(e *Observations)
+	}{
+		{"", func(*Observations) {}},
+		{"one answer in time", func(e *Observations) { e.Answers[0].Status = 0 }},
+		{"one answer in time", func(e *Observations) { e.Answers[0].At = at.Add(6 * time.Second) }},
+		{"", func(e *Observations) {
+			e.Answers[0].At, e.Outages["n0"] = at.Add(5*time.Second), []Interval{{From: at.Add(time.Second)}}
+		}},
+		{"one answer in time", func(e *Observations) {
+			e.Answers[0].Status, e.Outages["n0"] = 0, []Interval{{at.Add(-2 * time.Second), at.Add(-time.Second)}}
+		}},
+		{"a refusal is harmless", func(e *Observations) { e.Answers[0].Status = 429 }},
+		{"no job is begun", func(e *Observations) { e.Answers[0].Status = 400 }},
+		{"served by a box", func(e *Observations) { e.Answers[0].Body = "plan-change n0-0-0: 3 bytes by box-2" }},
+		{"asked for", func(e *Observations) { e.Answers = e.Answers[1:] }},
+		{"once", func(e *Observations) { e.Ledger.Begin("n0-0-0", "plan-change", "box-2", at) }},
+		{"", func(e *Observations) { e.Ledger.Begin("n1-0-0", "bill-pay", "box-2", at) }},
+		{"once a shelf", func(e *Observations) { e.Ledger.Begin("n1-0-0", "bill-pay", "box-3", at) }},
+		{"drains kept", func(e *Observations) { e.Drained["box-1"][0].From = at.Add(-2 * time.Second) }},
+	} {
+		e := Observations{Ledger: fake.NewLedger(), CellOf: map[string]int{"box-1": 1, "box-2": 1, "box-3": 2}, Timeout: 2 * time.Second,
+			Outages: map[string][]Interval{}, Drained: map[string][]Interval{"box-1": {{From: at.Add(-100 * time.Millisecond)}, {at.Add(-time.Hour), at.Add(-time.Minute)}}}}
+		for _, job := range []struct{ id, class string }{{"n0-0-0", "plan-change"}, {"n1-0-0", "bill-pay"}} {
+			e.Ledger.Begin(job.id, job.class, "box-1", at)
+			e.Ledger.Finish(job.id, "box-1")
+			e.Answers = append(e.Answers, fake.Told{Job: job.id, Class: job.class, Asked: at, At: at.Add(time.Second), Status: 200,
+				Body: job.class + " " + job.id + ": 3 bytes by box-1"})
+		}
+		c.plant(&e)
+		violations := e.Violations()
+		if c.rule == "" && len(violations) > 0 {
+			t.Errorf("a violation was made up: %v", violations[0])
+		}
+		if c.rule != "" && (len(violations) == 0 || violations[0].Rule != c.rule || !strings.HasPrefix(violations[0].Request, "n") ||
+			violations[0].At.IsZero()) {
+			t.Errorf("planted %q, found %v", c.rule, violations)
+		}
+	}
+}
--- a/internal/faultinjection/harness_test.go
+++ b/internal/faultinjection/cluster_test.go
@@ -14,7 +14,7 @@
 )
 
 var (
-	rounds = flag.Int("rounds", Kinds+1, "faults to inject")
+	rounds = flag.Int("rounds", FaultKinds+1, "faults to inject")
 	seed   = flag.Uint64("seed", 1, "for what is drawn at random")
 )
 
@@ -25,24 +25,24 @@
 )
 
 // begin sets up a fleet: two boxes are slow and one fails most jobs.
-func begin(t *testing.T, schedulers, boxes int, alone bool) *Rig {
+func begin(t *testing.T, schedulers, boxes int, alone bool) *Cluster {
 	t.Helper()
-	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: schedulers, Alone: alone}
+	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: schedulers, Isolated: alone}
 	for i := range boxes {
-		b := BoxOptions{Cell: i / 4, Slots: 2, Work: 60 * time.Millisecond}
+		b := WorkerOptions{Cell: i / 4, Slots: 2, Work: 60 * time.Millisecond}
 		switch i {
 		case 3, 11:
 			b.Work *= 6
 		case 7:
 			b.Faults = fake.Faults{fake.Error500: 0.8}
 		}
-		o.Boxes = append(o.Boxes, b)
+		o.Workers = append(o.Workers, b)
 	}
 	return run(t, o)
 }
 
 // run starts a rig until the test ends.
-func run(t *testing.T, o Options) *Rig {
+func run(t *testing.T, o Options) *Cluster {
 	t.Helper()
 	r, err := New(o)
 	t.Cleanup(r.Close)
@@ -55,19 +55,19 @@
 	return r
 }
 
-// judge reports what the referee has found.
-func (r *Rig) judge(t *testing.T, told []fake.Told) {
+// checkRules reports what the referee has found.
+func (r *Cluster) checkRules(t *testing.T, told []fake.Told) {
 	t.Helper()
-	e := r.Evidence(told, timeout)
-	for i, b := range e.Judge() {
+	e := r.Observations(told, timeout)
+	for i, b := range e.Violations() {
 		if t.Error(b); i == 10 {
 			t.Fatal("and more")
 		}
 	}
 }
 
-// atBad returns which share of the runs that came since a moment were at the slow and failing boxes.
-func (r *Rig) atBad(since time.Time) float64 {
+// shareAtBadWorkers returns which share of the runs that came since a moment were at the slow and failing boxes.
+func (r *Cluster) shareAtBadWorkers(since time.Time) float64 {
 	bad, all := 0, 0
 	for _, id := range r.Ledger.Jobs() {
 		for _, run := range r.Ledger.Runs(id) {
@@ -90,12 +90,12 @@
 		r := begin(t, 8, 24, alone)
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		since := time.Now().Add(time.Second)
-		told := r.Load(ctx, 8, 10*time.Millisecond, timeout)
+		told := r.RunAllClients(ctx, 8, 10*time.Millisecond, timeout)
 		stop()
-		r.judge(t, told)
+		r.checkRules(t, told)
 		s := Summarize(told, since, aim)
 		inTime[i] = float64(s.InTime) / float64(s.Asked)
-		t.Logf("alone %v: %+v, in time %.3f, at bad boxes %.3f, %d datagrams", alone, s, inTime[i], r.atBad(since), r.Net.Passed())
+		t.Logf("alone %v: %+v, in time %.3f, at bad boxes %.3f, %d datagrams", alone, s, inTime[i], r.shareAtBadWorkers(since), r.Network.Delivered())
 		if s.Asked < 100 {
 			t.Errorf("only %d jobs were asked for", s.Asked)
 		}
@@ -106,6 +106,29 @@
 	}
 }
 
+// awaitJobs waits until so many jobs have run.
+func (r *Cluster) awaitJobs(t *testing.T, n int) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); len(r.Ledger.Jobs()) < n; time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%d jobs have run, want %d", len(r.Ledger.Jobs()), n)
+		}
+	}
+}
+
+// arrivals returns for each worker how long after a moment attempts came to it.
+func (r *Cluster) arrivals(began time.Time) map[string][]time.Duration {
+	came := map[string][]time.Duration{}
+	for _, id := range r.Ledger.Jobs() {
+		for _, run := range r.Ledger.Runs(id) {
+			if at := run.Came.Sub(began); at > 0 {
+				came[run.Box] = append(came[run.Box], at)
+			}
+		}
+	}
+	return came
+}
+
 // Guards against cold boxes that fall under the sum of what twenty processes send: six of them have just come back with
 // nothing learned, and half of them hear nothing of the other half.
 func TestColdBoxesBearTwentyProcesses(t *testing.T) {
@@ -118,23 +141,15 @@
 	)
 	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: 20}
 	for i := range boxes {
-		o.Boxes = append(o.Boxes, BoxOptions{Cell: i / 4, Slots: slots, Work: work})
+		o.Workers = append(o.Workers, WorkerOptions{Cell: i / 4, Slots: slots, Work: work})
 	}
 	r := run(t, o)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	answers := make(chan []fake.Told, 1)
-	go func() { answers <- r.Load(ctx, 2, 120*time.Millisecond, timeout) }()
-	served := func(n int) {
-		t.Helper()
-		for end := time.Now().Add(20 * time.Second); len(r.Ledger.Jobs()) < n; time.Sleep(20 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%d jobs have run, want %d", len(r.Ledger.Jobs()), n)
-			}
-		}
-	}
-	served(500) // they have learned what boxes do
-	(&Torment{Rig: r}).between(func(i, j int) (Fault, bool) { return Fault{Cut: true}, i%2 != j%2 })
+	go func() { answers <- r.RunAllClients(ctx, 2, 120*time.Millisecond, timeout) }()
+	r.awaitJobs(t, 500) // they have learned what boxes do
+	(&FaultScript{Cluster: r}).setLinkFaults(func(i, j int) (LinkFault, bool) { return LinkFault{Cut: true}, i%2 != j%2 })
 	back := make(chan error, 6)
 	for _, s := range r.Schedulers[:cap(back)] {
 		s.Kill()
@@ -149,19 +164,12 @@
 			t.Fatal(err)
 		}
 	}
-	served(2000)
+	r.awaitJobs(t, 2000)
 	stop()
-	r.judge(t, <-answers)
-	came := map[string][]time.Duration{}
-	for _, id := range r.Ledger.Jobs() {
-		for _, run := range r.Ledger.Runs(id) {
-			if at := run.Came.Sub(began); at > 0 {
-				came[run.Box] = append(came[run.Box], at)
-			}
-		}
-	}
+	r.checkRules(t, <-answers)
+	came := r.arrivals(began)
 	for i := range cold {
-		all := came[boxName(i)]
+		all := came[workerName(i)]
 		slices.Sort(all)
 		worst := 0.0
 		for first, at := range all {
@@ -170,21 +178,21 @@
 			budget := multiple * capacity * fall.Seconds()
 			worst = max(worst, float64(n)/(budget+2*math.Sqrt(budget)+2))
 		}
-		t.Logf("%s: %d jobs while cold, at the most %.2f of what it bears in %v", boxName(i), len(all), worst, fall)
+		t.Logf("%s: %d jobs while cold, at the most %.2f of what it bears in %v", workerName(i), len(all), worst, fall)
 		if worst > 1 {
-			t.Errorf("%s got %.2f times what it bears", boxName(i), worst)
+			t.Errorf("%s got %.2f times what it bears", workerName(i), worst)
 		}
 	}
 }
 
-// agree returns nil once every scheduler has every other for alive.
-func (r *Rig) agree(within time.Duration) error {
+// awaitAllAlive returns nil once every scheduler has every other for alive.
+func (r *Cluster) awaitAllAlive() error {
 	var wrong string
-	for end := time.Now().Add(within); ; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(maxAgreementTime); ; time.Sleep(20 * time.Millisecond) {
 		wrong = ""
 		for _, s := range r.Schedulers {
 			var st peers.Status
-			if err := s.Read("/admin/peers", &st); err != nil {
+			if err := s.GetJSON("/admin/peers", &st); err != nil {
 				wrong = err.Error()
 				break
 			}
@@ -199,14 +207,14 @@
 		}
 	}
 	if wrong != "" {
-		return fmt.Errorf("after %v %s", within, wrong)
+		return fmt.Errorf("after %v %s", maxAgreementTime, wrong)
 	}
 	return nil
 }
 
-// agreeWithin is what members have to be right again after a fault, with room for a machine that does much else: that it
+// maxAgreementTime is what members have to be right again after a fault, with room for a machine that does much else: that it
 // takes three seconds at most is shown in virtual time (internal/peers).
-const agreeWithin = 15 * time.Second
+const maxAgreementTime = 15 * time.Second
 
 // Guards the rules and the members through kills, freezes, cuts in one or both directions, loss, delay and repeats
 // between eight processes: nothing is lost, run twice or sent to a box that leaves, and all know again who is there.
@@ -215,14 +223,14 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	answers := make(chan []fake.Told, 1)
-	go func() { answers <- r.Load(ctx, 4, 30*time.Millisecond, timeout) }()
-	if err := r.agree(agreeWithin); err != nil {
+	go func() { answers <- r.RunAllClients(ctx, 4, 30*time.Millisecond, timeout) }()
+	if err := r.awaitAllAlive(); err != nil {
 		t.Fatal(err)
 	}
 	var slowest time.Duration
-	counts, err := (&Torment{Rig: r, Rounds: *rounds, Seed: *seed, Boxes: true, Log: t.Logf, Settled: func(fault string) error {
+	counts, err := (&FaultScript{Cluster: r, Rounds: *rounds, Seed: *seed, DrainWorkers: true, Log: t.Logf, AwaitRecovery: func(fault string) error {
 		began := time.Now()
-		if err := r.agree(agreeWithin); err != nil {
+		if err := r.awaitAllAlive(); err != nil {
 			return fmt.Errorf("%s: %w", fault, err)
 		}
 		slowest = max(slowest, time.Since(began))
@@ -233,9 +241,9 @@
 	}
 	stop()
 	told := <-answers
-	r.judge(t, told)
+	r.checkRules(t, told)
 	s := Summarize(told, time.Time{}, aim)
-	t.Logf("faults %v; %+v; members right again within %v; %d datagrams", counts, s, slowest, r.Net.Passed())
+	t.Logf("faults %v; %+v; members right again within %v; %d datagrams", counts, s, slowest, r.Network.Delivered())
 	if s.Served*3 < s.Asked {
 		t.Errorf("under a third was served: %+v", s)
 	}
--- a/internal/faultinjection/network.go
+++ b/internal/faultinjection/network.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-// Fault is what is wrong with one direction between two parties. The zero value is a sound network. Loss and
-// Repeat are shares of datagrams, from 0 to 1; on streams they do nothing.
-type Fault struct {
-	Cut          bool // nothing arrives; streams stay open and say nothing
+// LinkFault is what is wrong with one direction between two parties; zero for nothing. Loss and Repeat are probabilities for each
+// datagram; streams do not have them.
+type LinkFault struct {
+	Cut          bool // nothing arrives; streams stay open
 	Loss, Repeat float64
 	Delay        time.Duration // of each datagram or piece of a stream
-	Jitter       time.Duration // up to so much more: datagrams overtake each other
+	Jitter       time.Duration // a random delay on top, so that datagrams overtake each other
 }
 
-// Network is all that leads from one party to another: a relay on loopback between any two that talk. Parties go by
-// names. What it does at random comes from its seed.
+// Network is relays on loopback between parties, which go by their names. Its random choices depend on a seed. It is safe for
+// concurrent use.
 type Network struct {
-	ctx  context.Context
+	ctx  context.Context // until Close
 	stop context.CancelFunc
 
-	mu      sync.Mutex
-	rand    *rand.Rand
-	faults  map[[2]string]Fault
-	healed  chan struct{} // closed at the next change
-	closers []io.Closer
-	passed  uint64 // datagrams that arrived
+	mu        sync.Mutex
+	rand      *rand.Rand
+	faults    map[[2]string]LinkFault
+	changed   chan struct{} // closed at the next change of a fault
+	closers   []io.Closer
+	delivered uint64 // datagrams
 }
 
-// NewNetwork returns a Network with nobody on it.
+// NewNetwork returns a Network without parties. It has to be closed.
 func NewNetwork(seed uint64) *Network {
 	ctx, stop := context.WithCancel(context.Background())
-	return &Network{ctx: ctx, stop: stop, rand: rand.New(rand.NewPCG(seed, 0x4e7)), faults: map[[2]string]Fault{}, healed: make(chan struct{})}
+	return &Network{ctx: ctx, stop: stop, rand: rand.New(rand.NewPCG(seed, 0x4e7)), faults: map[[2]string]LinkFault{}, changed: make(chan struct{})}
 }
 
 // Close ends all relays.
@@ -47,50 +47,51 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.closers {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
-// Set makes one direction faulty, or sound again.
-func (n *Network) Set(from, to string, f Fault) {
+// SetFault sets the fault of one direction.
+func (n *Network) SetFault(from, to string, f LinkFault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults[[2]string{from, to}] = f
-	close(n.healed)
-	n.healed = make(chan struct{})
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// Heal makes all sound again.
+// Heal removes all faults.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.faults)
-	close(n.healed)
-	n.healed = make(chan struct{})
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// Passed returns how many datagrams have arrived.
-func (n *Network) Passed() uint64 {
+// Delivered returns the number of datagrams that were delivered.
+func (n *Network) Delivered() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.passed
+	return n.delivered
 }
 
-func (n *Network) look(from, to string) (Fault, <-chan struct{}) {
+// faultOf returns the fault of a direction and a channel that is closed at the next change of any.
+func (n *Network) faultOf(from, to string) (LinkFault, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.faults[[2]string{from, to}], n.healed
+	return n.faults[[2]string{from, to}], n.changed
 }
 
-func (n *Network) keep(c io.Closer) {
+func (n *Network) addCloser(c io.Closer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closers = append(n.closers, c)
 }
 
-// Datagrams joins parties that send each other datagrams. Each has the address on which it listens; the result
-// is for each the addresses by which it reaches the others, in the order of the names, its own among them. A
-// datagram comes from the address by which its receiver reaches the sender.
+// Datagrams connects parties that send each other datagrams. Listen has the addresses on which they receive; the result has for
+// each of them the addresses to which it sends to the others, in the order of the names, its own among them. A datagram comes
+// from the address to which its receiver sends to the sender.
 func (n *Network) Datagrams(names []string, listen []netip.AddrPort) ([][]netip.AddrPort, error) {
 	sockets := make([][]*net.UDPConn, len(names))
 	known := make([][]netip.AddrPort, len(names))
@@ -105,7 +106,7 @@
 			if err != nil {
 				return nil, err
 			}
-			n.keep(c)
+			n.addCloser(c)
 			sockets[i][j], known[i][j] = c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 		}
 	}
@@ -126,7 +127,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // a party that is down has its port closed
+		if err != nil { // the port of a party that is down is closed
 			continue
 		}
 		n.mu.Lock()
@@ -137,7 +138,7 @@
 		} else if n.rand.Float64() < f.Repeat {
 			copies = 2
 		}
-		n.passed += uint64(copies)
+		n.delivered += uint64(copies)
 		waits := [2]time.Duration{f.Delay, f.Delay}
 		for i := range copies {
 			if f.Jitter > 0 {
@@ -147,7 +148,7 @@
 		n.mu.Unlock()
 		for _, wait := range waits[:copies] {
 			if wait == 0 {
-				_, _ = out.WriteToUDPAddrPort(buf[:size], dest) // a loss like others
+				_, _ = out.WriteToUDPAddrPort(buf[:size], dest) // a datagram may be lost
 				continue
 			}
 			data := append([]byte(nil), buf[:size]...)
@@ -156,13 +157,13 @@
 	}
 }
 
-// Stream returns an address by which one party opens streams to another, which listens at dest.
+// Stream returns an address at which one party opens streams to another one, which listens at dest.
 func (n *Network) Stream(from, to, dest string) (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := (&net.ListenConfig{}).Listen(n.ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("a relay from %s to %s: %w", from, to, err)
+		return "", fmt.Errorf("relay from %s to %s: %w", from, to, err)
 	}
-	n.keep(l)
+	n.addCloser(l)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -176,19 +177,22 @@
 }
 
 func (n *Network) relayStream(from, to string, in *net.TCPConn, dest string) {
-	defer in.Close()
-	if !n.passable(from, to) || n.ctx.Err() != nil {
+	defer func() { _ = in.Close() }()
+	if !n.awaitLink(from, to) || n.ctx.Err() != nil {
 		reset(in)
 		return
 	}
-	c, err := net.Dial("tcp", dest)
+	c, err := (&net.Dialer{}).DialContext(n.ctx, "tcp", dest)
 	if err != nil {
 		reset(in)
 		return
 	}
 	out := c.(*net.TCPConn)
-	defer out.Close()
-	end := context.AfterFunc(n.ctx, func() { in.Close(); out.Close() })
+	defer func() { _ = out.Close() }()
+	end := context.AfterFunc(n.ctx, func() {
+		_ = in.Close()
+		_ = out.Close()
+	})
 	defer end()
 	back := make(chan struct{})
 	go func() {
@@ -199,12 +203,12 @@
 	<-back
 }
 
-// passable waits out a cut and reports whether there was none.
-func (n *Network) passable(from, to string) bool {
-	for sound := true; ; sound = false {
-		f, healed := n.look(from, to)
+// awaitLink waits until a direction is not cut, and reports whether it never was.
+func (n *Network) awaitLink(from, to string) bool {
+	for neverCut := true; ; neverCut = false {
+		f, healed := n.faultOf(from, to)
 		if !f.Cut {
-			return sound
+			return neverCut
 		}
 		select {
 		case <-healed:
@@ -214,16 +218,16 @@
 	}
 }
 
-// copyStream passes bytes on one way. What meets a cut is held, and once that is over the stream is reset.
+// copyStream copies one direction of a stream. A stream that a cut interrupts is reset once that is over.
 func (n *Network) copyStream(from, to string, src, dst *net.TCPConn) {
 	buf := make([]byte, 32<<10)
 	for {
 		size, err := src.Read(buf)
-		f, _ := n.look(from, to)
+		f, _ := n.faultOf(from, to)
 		if f.Delay > 0 {
 			time.Sleep(f.Delay)
 		}
-		if !n.passable(from, to) {
+		if !n.awaitLink(from, to) {
 			reset(src)
 			reset(dst)
 			return
@@ -245,7 +249,8 @@
 	}
 }
 
+// reset closes a connection so that its peer gets a reset.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
-	c.Close()
+	_ = c.Close()
 }
--- /dev/null
+++ b/internal/faultinjection/settings.go
@@ -0,0 +1,107 @@
+package faultinjection
+
+import (
+	"fmt"
+	"net/netip"
+	"strings"
+
+	"sedgevale/internal/fake"
+)
+
+// Settings is the part of an operator's file with three classes of jobs and two tenants.
+const Settings = settingsWithoutTenants + `[[settings.realms]]
+name = "valley"
+share = 0.6
+[[settings.realms]]
+name = "east"
+share = 0.4
+`
+
+// settingsWithoutTenants is the same without the tenants.
+const settingsWithoutTenants = `
+[settings]
+discovery = "ask"
+kinds = ["box"]
+zones = ["hut"]
+weights = "rough"
+[settings.bounds]
+cancel = true
+dial_timeout = 0.3
+idle_close = 15
+max_attempts = 4
+max_retry_after = 2
+parallel_tries = true
+retry_after = true
+[settings.family_info]
+class_stretch = [2, 2, 2]
+queue_order = "fifo"
+tells_start = true
+[settings.report]
+via = "answers"
+[settings.rules]
+start_capacity = 0.13
+warm_up = 22
+fall_multiple = 3
+fall = 2
+[[settings.classes]]
+name = "usage-view"
+effect = "free"
+promise = 0.3
+hard_limit = 2
+[[settings.classes]]
+name = "plan-change"
+effect = "single_shot"
+promise = 0.3
+hard_limit = 2
+[[settings.classes]]
+name = "bill-pay"
+effect = "guarded"
+dedup_scope = "cell"
+window = 7.5
+promise = 0.3
+hard_limit = 2
+`
+
+// Mix is the mix of the classes in clients' jobs.
+var Mix = []fake.Mix{{Class: "usage-view", Part: 0.44}, {Class: "plan-change", Part: 0.31},
+	{Class: "bill-pay", Part: 0.25, Keyed: true}}
+
+// Tenant is a tenant of the workers, a realm in the settings.
+type Tenant struct {
+	Name  string
+	Share float64
+	Quota float64 // jobs a second; 0: none
+}
+
+// Configuration is the part of the operators' files that changes while schedulers serve.
+type Configuration struct {
+	Revision int // 0: none
+	Tenants  []Tenant
+}
+
+// operatorFile returns the content of a scheduler's file. Without peers the scheduler is one of several that do not exchange their
+// loads.
+func operatorFile(s *Scheduler, discovery string, number, schedulers int, peers []netip.AddrPort, workers []fake.Member, c Configuration) []byte {
+	b := fmt.Appendf(nil, "name = %q\nlisten = %q\nops = %q\ndiscovery = %q\n", s.Name, s.Listen, s.Ops, discovery)
+	if c.Revision > 0 {
+		b = fmt.Appendf(b, "revision = %d\n", c.Revision)
+	}
+	if peers == nil {
+		b = append(b, strings.Replace(settingsWithoutTenants, "[settings]",
+			fmt.Sprintf("[settings]\npeers_total = %d\nslot_no = %d", schedulers, number), 1)...)
+	} else {
+		b = fmt.Appendf(b, "peer_listen = %q\npeers = [", peers[number])
+		for _, a := range peers {
+			b = fmt.Appendf(b, "%q, ", a)
+		}
+		b = append(b, "]\n"+settingsWithoutTenants...)
+	}
+	for _, tenant := range c.Tenants {
+		b = fmt.Appendf(b, "[[settings.realms]]\nname = %q\nshare = %g\nquota_rps = %g\n", tenant.Name, tenant.Share, tenant.Quota)
+	}
+	for _, m := range workers {
+		b = fmt.Appendf(b, "[[workers]]\nid = %q\nhost_port = %q\nlocality = %q\nflavor = %q\ncell = %d\nsize = %g\n",
+			m.ID, m.HostPort, m.Locality, m.Flavor, m.Cell, m.Size)
+	}
+	return b
+}
--- a/internal/faultinjection/teams_test.go
+++ b/internal/faultinjection/teams_test.go
@@ -23,67 +23,93 @@
 // back with the newest file: who stays is served throughout, who is new is served in time at each scheduler, and of who
 // goes new jobs are none while those under way have their results.
 func TestTeamsChangeWhileServing(t *testing.T) {
-	f := try(t, 4, Configuration{1, []Team{{"valley", 0.5, 60}, {"east", 0.3, 40}, {"west", 0.2, 20}}})
+	f := startTrial(t, 4, Configuration{1, []Tenant{{"valley", 0.5, 60}, {"east", 0.3, 40}, {"west", 0.2, 20}}})
 	all, restarted := f.Schedulers, f.Schedulers[1]
-	f.crowd("valley", 2, 40*time.Millisecond, all...)
-	f.crowd("east", 2, 40*time.Millisecond, all...)
-	f.crowd("west", 3, 10*time.Millisecond, all...)
-	f.served("west", all...)
-	f.lossy(0.5)
+	f.startClients("valley", 2, 40*time.Millisecond, all...)
+	f.startClients("east", 2, 40*time.Millisecond, all...)
+	f.startClients("west", 3, 10*time.Millisecond, all...)
+	f.awaitServed("west", all...)
+	f.loseDatagrams(0.5)
 
-	f.reconfigure(Configuration{2, []Team{{"valley", 0.2, 30}, {"north", 0.3, 10}, {"west", 0.2, 20}, {"east", 0.15, 20}}}, all...)
-	f.served("north", all...)
-	f.crowd("north", 1, 100*time.Millisecond, all...)
+	f.reconfigure(Configuration{2, []Tenant{{"valley", 0.2, 30}, {"north", 0.3, 10}, {"west", 0.2, 20}, {"east", 0.15, 20}}}, all...)
+	f.awaitServed("north", all...)
+	f.startClients("north", 1, 100*time.Millisecond, all...)
 
 	// The one that is killed reads the newest at its start, and is told once more when it is up.
-	third := Configuration{3, []Team{{"north", 0.1, 10}, {"south", 0.5, 0}, {"east", 0.3, 20}, {"valley", 0.2, 30}}}
+	third := Configuration{3, []Tenant{{"north", 0.1, 10}, {"south", 0.5, 0}, {"east", 0.3, 20}, {"valley", 0.2, 30}}}
 	restarted.Kill()
 	back := make(chan error, 1)
 	up := slices.DeleteFunc(slices.Clone(all), func(s *Scheduler) bool { return s == restarted })
 	gone := time.Now()
 	f.reconfigure(third, all...)
 	go func() { back <- f.Start(restarted) }()
-	f.stranger("west", up...)
-	f.served("south", up...)
+	f.awaitUnknownTenant("west", up...)
+	f.awaitServed("south", up...)
 	if err := <-back; err != nil {
 		t.Fatal(err)
 	}
-	f.served("south", restarted)
-	f.stranger("west", restarted)
-	f.crowd("south", 1, 100*time.Millisecond, all...)
+	f.awaitServed("south", restarted)
+	f.awaitUnknownTenant("west", restarted)
+	f.startClients("south", 1, 100*time.Millisecond, all...)
 
-	f.reconfigure(Configuration{4, []Team{{"south", 0.2, 5}, {"west", 0.3, 20}, {"east", 0.3, 20}, {"valley", 0.2, 30}, {"north", 0.3, 10}}}, all...)
-	f.served("west", all...)
-	f.Net.Heal()
-	f.level(4, all...)
-	if err := f.agree(agreeWithin); err != nil {
+	f.reconfigure(Configuration{4, []Tenant{{"south", 0.2, 5}, {"west", 0.3, 20}, {"east", 0.3, 20}, {"valley", 0.2, 30}, {"north", 0.3, 10}}}, all...)
+	f.awaitServed("west", all...)
+	f.Network.Heal()
+	f.awaitLevel(4, all...)
+	if err := f.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
 	f.finish()
 	for _, team := range []string{"valley", "east"} {
-		f.stayed(team)
+		f.checkStayingTenant(team)
 	}
-	f.changing("north", gone)
-	f.changing("south", gone)
-	if under := f.changing("west", gone); under == 0 {
+	f.checkChangingTenant("north", gone)
+	f.checkChangingTenant("south", gone)
+	if under := f.checkChangingTenant("west", gone); under == 0 {
 		t.Error("no job of west was under way when it went")
 	} else {
 		t.Logf("%d jobs of west were under way when it went", under)
 	}
 }
 
+// oldOnesBehind returns what says whether of so many schedulers just those from a number on are behind.
+func oldOnesBehind(schedulers, from int) func(*peerPage) error {
+	return func(a *peerPage) error {
+		for j := range schedulers {
+			if late, err := a.behind(j); err != nil || late != (j >= from) {
+				return fmt.Errorf("%d behind: %v, error %w", j, late, err)
+			}
+		}
+		return nil
+	}
+}
+
+// believesAllOthers returns what says whether what each of the others tells is believed.
+func believesAllOthers(schedulers int) func(*peerPage) error {
+	return func(a *peerPage) error {
+		most := 0
+		for _, b := range a.Boxes {
+			most = max(most, b.Tellers)
+		}
+		if most < schedulers-1 {
+			return fmt.Errorf("no box has more than %d tellers", most)
+		}
+		return nil
+	}
+}
+
 // Guards schedulers of which half have new teams, one of them since its start: they hear and believe each other, each knows
 // who is behind, and one that has missed three changes catches up by one signal.
 func TestHalfOnTheOldTeams(t *testing.T) {
-	first := Configuration{1, []Team{{"valley", 0.6, 0}, {"east", 0.4, 0}}}
-	f := try(t, 4, first)
+	first := Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}}
+	f := startTrial(t, 4, first)
 	young, old := f.Schedulers[:2], f.Schedulers[2:]
-	newest := Configuration{4, []Team{{"south", 0.5, 30}, {"valley", 0.3, 20}, {"north", 0.2, 10}}}
+	newest := Configuration{4, []Tenant{{"south", 0.5, 30}, {"valley", 0.3, 20}, {"north", 0.2, 10}}}
 	for _, c := range []Configuration{
-		{2, []Team{{"valley", 0.3, 20}, {"east", 0.4, 0}, {"north", 0.3, 0}}},
-		{3, []Team{{"valley", 0.3, 20}, {"north", 0.7, 0}}}, newest} {
+		{2, []Tenant{{"valley", 0.3, 20}, {"east", 0.4, 0}, {"north", 0.3, 0}}},
+		{3, []Tenant{{"valley", 0.3, 20}, {"north", 0.7, 0}}}, newest} {
 		f.reconfigure(c, young[0])
-		f.awaitAccount(young[0], fmt.Sprintf("%d is in force", c.Revision), func(a *account) error {
+		f.awaitPage(young[0], fmt.Sprintf("%d is in force", c.Revision), func(a *peerPage) error {
 			if got := a.Members[a.Self].Revision; got != c.Revision {
 				return fmt.Errorf("it has %d in force", got)
 			}
@@ -91,45 +117,29 @@
 		})
 	}
 	young[1].Kill()
-	if err := young[1].Replace(young[1].File(newest)); err != nil {
+	if err := young[1].ReplaceFile(young[1].ConfigurationFile(newest)); err != nil {
 		t.Fatal(err)
 	}
 	if err := f.Start(young[1]); err != nil {
 		t.Fatal(err)
 	}
-	f.served("south", young...)
-	f.stranger("south", old...)
-	f.served("east", old...)
-	if err := f.agree(agreeWithin); err != nil {
+	f.awaitServed("south", young...)
+	f.awaitUnknownTenant("south", old...)
+	f.awaitServed("east", old...)
+	if err := f.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
-	var before [4]account
+	var before [4]peerPage
 	for i, s := range f.Schedulers {
-		before[i] = f.awaitAccount(s, "the old ones are behind", func(a *account) error {
-			for j := range f.Schedulers {
-				if late, err := a.behind(j); err != nil || late != (j >= len(young)) {
-					return fmt.Errorf("%d behind: %v, error %v", j, late, err)
-				}
-			}
-			return nil
-		})
+		before[i] = f.awaitPage(s, "the old ones are behind", oldOnesBehind(len(f.Schedulers), len(young)))
 	}
-	stop := f.crowd("valley", 6, time.Millisecond, f.Schedulers...)
-	for _, s := range f.Schedulers { // what each of the three others tells is believed
-		f.awaitAccount(s, "believes all others", func(a *account) error {
-			most := 0
-			for _, b := range a.Boxes {
-				most = max(most, b.Tellers)
-			}
-			if most < len(f.Schedulers)-1 {
-				return fmt.Errorf("no box has more than %d tellers", most)
-			}
-			return nil
-		})
+	stop := f.startClients("valley", 6, time.Millisecond, f.Schedulers...)
+	for _, s := range f.Schedulers {
+		f.awaitPage(s, "believes all others", believesAllOthers(len(f.Schedulers)))
 	}
 	stop()
 	for i, s := range f.Schedulers {
-		f.awaitAccount(s, "no datagram is refused", func(a *account) error {
+		f.awaitPage(s, "no datagram is refused", func(a *peerPage) error {
 			if a.Counts.Refused != before[i].Counts.Refused || a.Counts.Received < before[i].Counts.Received+20 {
 				return fmt.Errorf("refused %d, before %d; received %d, before %d", a.Counts.Refused, before[i].Counts.Refused,
 					a.Counts.Received, before[i].Counts.Received)
@@ -138,45 +148,45 @@
 		})
 	}
 	f.reconfigure(newest, old...)
-	f.served("south", old...)
-	f.stranger("east", old...)
-	f.level(newest.Revision, f.Schedulers...)
+	f.awaitServed("south", old...)
+	f.awaitUnknownTenant("east", old...)
+	f.awaitLevel(newest.Revision, f.Schedulers...)
 	f.finish()
-	f.stayed("valley")
+	f.checkStayingTenant("valley")
 }
 
 // Guards the last of two files when signals come at once: whatever was read of the first, the second is in force.
 func TestTwoChangesInOneSecond(t *testing.T) {
-	f := try(t, 2, Configuration{1, []Team{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
-	f.crowd("valley", 2, 20*time.Millisecond, f.Schedulers...)
+	f := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
+	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
 	for revision := 2; revision < 12; revision += 2 {
 		passing, last := fmt.Sprint("passing", revision), fmt.Sprint("last", revision)
-		f.reconfigure(Configuration{revision, []Team{{passing, 0.5, 0}, {"valley", 0.5, 10}}}, f.Schedulers...)
-		f.reconfigure(Configuration{revision + 1, []Team{{"valley", 0.1, 0}, {last, 0.9, 5}}}, f.Schedulers...)
-		f.served(last, f.Schedulers...)
+		f.reconfigure(Configuration{revision, []Tenant{{passing, 0.5, 0}, {"valley", 0.5, 10}}}, f.Schedulers...)
+		f.reconfigure(Configuration{revision + 1, []Tenant{{"valley", 0.1, 0}, {last, 0.9, 5}}}, f.Schedulers...)
+		f.awaitServed(last, f.Schedulers...)
 		for _, s := range f.Schedulers {
-			if told := f.ask(s, passing); told.Status != http.StatusBadRequest {
+			if told := f.submit(s, passing); told.Status != http.StatusBadRequest {
 				t.Errorf("%s: a job of %s, which the last file has not, was told %d", s.Name, passing, told.Status)
 			}
 		}
-		f.level(revision+1, f.Schedulers...)
+		f.awaitLevel(revision+1, f.Schedulers...)
 	}
 	f.finish()
-	f.stayed("valley")
+	f.checkStayingTenant("valley")
 }
 
 // Guards a change that is taken back by the former file: the first state is in force again, with its revision, everywhere,
 // whether the change was in force meanwhile or not, and no job is lost.
 func TestChangeTakenBack(t *testing.T) {
-	first := Configuration{1, []Team{{"valley", 0.6, 40}, {"east", 0.4, 0}}}
-	second := Configuration{2, []Team{{"north", 0.7, 0}, {"valley", 0.3, 20}}}
-	f := try(t, 3, first)
-	f.crowd("valley", 2, 20*time.Millisecond, f.Schedulers...)
-	f.crowd("east", 3, 5*time.Millisecond, f.Schedulers...)
-	f.served("east", f.Schedulers...)
+	first := Configuration{1, []Tenant{{"valley", 0.6, 40}, {"east", 0.4, 0}}}
+	second := Configuration{2, []Tenant{{"north", 0.7, 0}, {"valley", 0.3, 20}}}
+	f := startTrial(t, 3, first)
+	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
+	f.startClients("east", 3, 5*time.Millisecond, f.Schedulers...)
+	f.awaitServed("east", f.Schedulers...)
 	digest := ""
-	f.level(1, f.Schedulers...)
-	f.awaitAccount(f.Schedulers[0], "has a digest", func(a *account) error {
+	f.awaitLevel(1, f.Schedulers...)
+	f.awaitPage(f.Schedulers[0], "has a digest", func(a *peerPage) error {
 		if digest = a.Members[0].Digest; digest == "" {
 			return fmt.Errorf("none")
 		}
@@ -185,20 +195,20 @@
 	changed := time.Now()
 	f.reconfigure(second, f.Schedulers[:2]...)
 	f.reconfigure(first, f.Schedulers[1])
-	f.served("north", f.Schedulers[0])
-	f.stranger("east", f.Schedulers[0])
-	f.awaitAccount(f.Schedulers[2], "it is behind itself", func(a *account) error {
+	f.awaitServed("north", f.Schedulers[0])
+	f.awaitUnknownTenant("east", f.Schedulers[0])
+	f.awaitPage(f.Schedulers[2], "it is behind itself", func(a *peerPage) error {
 		if late, err := a.behind(2); err != nil || !late {
-			return fmt.Errorf("behind %v, error %v", late, err)
+			return fmt.Errorf("behind %v, error %w", late, err)
 		}
 		return nil
 	})
 	f.reconfigure(first, f.Schedulers[0])
-	f.served("east", f.Schedulers...)
-	f.stranger("north", f.Schedulers...)
-	f.level(1, f.Schedulers...)
+	f.awaitServed("east", f.Schedulers...)
+	f.awaitUnknownTenant("north", f.Schedulers...)
+	f.awaitLevel(1, f.Schedulers...)
 	for _, s := range f.Schedulers {
-		f.awaitAccount(s, "has the first digest", func(a *account) error {
+		f.awaitPage(s, "has the first digest", func(a *peerPage) error {
 			for _, m := range a.Members {
 				if m.Digest != digest {
 					return fmt.Errorf("%d has %s, and at first it was %s", m.Number, m.Digest, digest)
@@ -208,22 +218,22 @@
 		})
 	}
 	f.finish()
-	f.stayed("valley")
-	if under := f.changing("east", changed); under == 0 {
+	f.checkStayingTenant("valley")
+	if under := f.checkChangingTenant("east", changed); under == 0 {
 		t.Error("no job of east was under way at the change")
 	}
-	f.changing("north", changed)
+	f.checkChangingTenant("north", changed)
 }
 
 // Guards a scheduler that is frozen while teams change: others tell that it is behind, and after the thaw it has the newest
 // in force in time.
 func TestFrozenThroughAChange(t *testing.T) {
-	f := try(t, 3, Configuration{1, []Team{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
+	f := startTrial(t, 3, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
 	frozen, others := f.Schedulers[2], f.Schedulers[:2]
-	f.crowd("valley", 2, 20*time.Millisecond, f.Schedulers...)
-	f.crowd("east", 2, 20*time.Millisecond, f.Schedulers...)
-	f.served("east", f.Schedulers...)
-	f.level(1, f.Schedulers...)
+	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
+	f.startClients("east", 2, 20*time.Millisecond, f.Schedulers...)
+	f.awaitServed("east", f.Schedulers...)
+	f.awaitLevel(1, f.Schedulers...)
 	span := 2 * time.Second
 	if *long {
 		span = 10 * time.Second
@@ -232,16 +242,16 @@
 		t.Fatal(err)
 	}
 	thaw := time.After(span)
-	f.reconfigure(Configuration{2, []Team{{"valley", 0.6, 0}, {"passing", 0.4, 0}}}, f.Schedulers...)
-	f.served("passing", others...)
-	f.reconfigure(Configuration{3, []Team{{"north", 0.2, 0}, {"valley", 0.6, 10}}}, f.Schedulers...)
-	f.served("north", others...)
-	f.stranger("passing", others...)
+	f.reconfigure(Configuration{2, []Tenant{{"valley", 0.6, 0}, {"passing", 0.4, 0}}}, f.Schedulers...)
+	f.awaitServed("passing", others...)
+	f.reconfigure(Configuration{3, []Tenant{{"north", 0.2, 0}, {"valley", 0.6, 10}}}, f.Schedulers...)
+	f.awaitServed("north", others...)
+	f.awaitUnknownTenant("passing", others...)
 	for _, s := range others {
-		f.awaitAccount(s, "the frozen one is behind", func(a *account) error {
+		f.awaitPage(s, "the frozen one is behind", func(a *peerPage) error {
 			for i, want := range []bool{false, false, true} {
 				if late, err := a.behind(i); err != nil || late != want {
-					return fmt.Errorf("%d behind %v, error %v", i, late, err)
+					return fmt.Errorf("%d behind %v, error %w", i, late, err)
 				}
 			}
 			return nil
@@ -251,121 +261,150 @@
 	if err := frozen.Thaw(); err != nil {
 		t.Fatal(err)
 	}
-	f.served("north", frozen)
+	f.awaitServed("north", frozen)
 	for _, team := range []string{"east", "passing"} {
-		f.stranger(team, f.Schedulers...)
+		f.awaitUnknownTenant(team, f.Schedulers...)
 	}
-	f.level(3, f.Schedulers...)
-	if err := f.agree(agreeWithin); err != nil {
+	f.awaitLevel(3, f.Schedulers...)
+	if err := f.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
 	f.finish()
-	f.stayed("valley")
-	f.changing("east", time.Now())
+	f.checkStayingTenant("valley")
+	f.checkChangingTenant("east", time.Now())
 }
 
-// Guards against a bad file of which anything is taken over: the log names it, and teams, revision and jobs are as before.
-func TestBadTeamsChangeNothing(t *testing.T) {
-	f := try(t, 2, Configuration{1, []Team{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
-	f.crowd("valley", 2, 20*time.Millisecond, f.Schedulers...)
-	f.crowd("east", 2, 20*time.Millisecond, f.Schedulers...)
-	f.level(1, f.Schedulers...)
-	good := Configuration{2, []Team{{"north", 0.5, 10}, {"valley", 0.5, 0}}}
-	for _, bad := range []struct {
-		what  string
-		teams []Team
-		spoil func(text []byte) []byte
-	}{
-		{"share 0", []Team{{"north", 0, 10}, {"valley", 0.5, 0}}, nil},
-		{"share below 0", []Team{{"north", -1, 10}, {"valley", 0.5, 0}}, nil},
-		{"quota below 0", []Team{{"north", 0.5, -10}, {"valley", 0.5, 0}}, nil},
-		{"no name", []Team{{"", 0.5, 10}, {"valley", 0.5, 0}}, nil},
-		{"a name twice", []Team{{"north", 0.5, 10}, {"valley", 0.2, 0}, {"north", 0.3, 0}}, nil},
-		{"cut in a name", good.Teams, func(text []byte) []byte { return text[:bytes.Index(text, []byte("valley"))+3] }},
-		{"empty", good.Teams, func([]byte) []byte { return nil }},
-		{"an unknown key", good.Teams, func(text []byte) []byte {
-			return bytes.Replace(text, []byte("name = \"north\"\n"), []byte("name = \"north\"\nquota = 3\n"), 1)
-		}},
-		{"a share that is no number", good.Teams, func(text []byte) []byte {
-			return bytes.Replace(text, []byte("share = 0.5"), []byte("share = nan"), 1)
-		}},
-		{"a share without end", good.Teams, func(text []byte) []byte {
-			return bytes.Replace(text, []byte("share = 0.5"), []byte("share = inf"), 1)
-		}},
-	} {
-		for _, s := range f.Schedulers {
-			after, err := s.Logged()
-			if err != nil {
-				t.Fatal(err)
-			}
-			text := s.File(Configuration{good.Revision, bad.teams})
-			if bad.spoil != nil {
-				text = bad.spoil(text)
-			}
-			if err := errors.Join(s.Replace(text), s.Hangup()); err != nil {
-				t.Fatal(err)
-			}
-			line, err := s.AwaitLog(after, "configuration", inForceWithin)
-			if err != nil {
-				t.Fatalf("%s: %v", bad.what, err)
-			}
-			if !strings.Contains(line, "the new configuration is bad") {
-				t.Errorf("%s: %s", bad.what, line)
-			}
+// badFile is a file with an error: of its tenants, or of what spoil makes of its text.
+type badFile struct {
+	what    string
+	tenants []Tenant
+	spoil   func(text []byte) []byte
+}
+
+var goodTenants = []Tenant{{"north", 0.5, 10}, {"valley", 0.5, 0}}
+
+var badFiles = []badFile{
+	{"share 0", []Tenant{{"north", 0, 10}, {"valley", 0.5, 0}}, nil},
+	{"share below 0", []Tenant{{"north", -1, 10}, {"valley", 0.5, 0}}, nil},
+	{"quota below 0", []Tenant{{"north", 0.5, -10}, {"valley", 0.5, 0}}, nil},
+	{"no name", []Tenant{{"", 0.5, 10}, {"valley", 0.5, 0}}, nil},
+	{"a name twice", []Tenant{{"north", 0.5, 10}, {"valley", 0.2, 0}, {"north", 0.3, 0}}, nil},
+	{"cut in a name", goodTenants, func(text []byte) []byte { return text[:bytes.Index(text, []byte("valley"))+3] }},
+	{"empty", goodTenants, func([]byte) []byte { return nil }},
+	{"an unknown key", goodTenants, func(text []byte) []byte {
+		return bytes.Replace(text, []byte("name = \"north\"\n"), []byte("name = \"north\"\nquota = 3\n"), 1)
+	}},
+	{"a share that is no number", goodTenants, func(text []byte) []byte {
+		return bytes.Replace(text, []byte("share = 0.5"), []byte("share = nan"), 1)
+	}},
+	{"a share without end", goodTenants, func(text []byte) []byte {
+		return bytes.Replace(text, []byte("share = 0.5"), []byte("share = inf"), 1)
+	}},
+}
+
+// checkBadFile has all schedulers read a bad file in place of a good one, and checks that their logs say so and that the first
+// configuration is still in force.
+func (f *trial) checkBadFile(good Configuration, bad badFile) {
+	f.t.Helper()
+	for _, s := range f.Schedulers {
+		after, err := s.LogSize()
+		if err != nil {
+			f.t.Fatal(err)
 		}
-		var asked sync.WaitGroup
-		for team, want := range map[string]int{"valley": 200, "east": 200, "north": 400} {
-			for _, s := range f.Schedulers {
-				asked.Go(func() {
-					if told := f.ask(s, team); told.Status != want {
-						t.Errorf("%s: a job of %s was told %d, want %d", bad.what, team, told.Status, want)
-					}
-				})
-			}
+		text := s.ConfigurationFile(Configuration{good.Revision, bad.tenants})
+		if bad.spoil != nil {
+			text = bad.spoil(text)
+		}
+		if err := errors.Join(s.ReplaceFile(text), s.Hangup()); err != nil {
+			f.t.Fatal(err)
+		}
+		line, err := s.AwaitLog(after, "configuration", maxApplyTime)
+		if err != nil {
+			f.t.Fatalf("%s: %v", bad.what, err)
+		}
+		if !strings.Contains(line, "the new configuration is bad") {
+			f.t.Errorf("%s: %s", bad.what, line)
+		}
+	}
+	var asked sync.WaitGroup
+	for team, want := range map[string]int{"valley": 200, "east": 200, "north": 400} {
+		for _, s := range f.Schedulers {
+			asked.Go(func() {
+				if told := f.submit(s, team); told.Status != want {
+					f.t.Errorf("%s: a job of %s was told %d, want %d", bad.what, team, told.Status, want)
+				}
+			})
 		}
-		asked.Wait()
 	}
-	f.level(1, f.Schedulers...)
+	asked.Wait()
+}
+
+// Guards against a bad file of which anything is taken over: the log names it, and teams, revision and jobs are as before.
+func TestBadTeamsChangeNothing(t *testing.T) {
+	f := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
+	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
+	f.startClients("east", 2, 20*time.Millisecond, f.Schedulers...)
+	f.awaitLevel(1, f.Schedulers...)
+	good := Configuration{2, goodTenants}
+	for _, bad := range badFiles {
+		f.checkBadFile(good, bad)
+	}
+	f.awaitLevel(1, f.Schedulers...)
 	f.reconfigure(good, f.Schedulers...)
-	f.served("north", f.Schedulers...)
-	f.stranger("east", f.Schedulers...)
-	f.level(2, f.Schedulers...)
+	f.awaitServed("north", f.Schedulers...)
+	f.awaitUnknownTenant("east", f.Schedulers...)
+	f.awaitLevel(2, f.Schedulers...)
 	f.finish()
-	f.stayed("valley")
+	f.checkStayingTenant("valley")
+}
+
+// guests are tenants that come and go.
+var guests = []string{"north", "south", "west", "delta", "ridge", "plain"}
+
+// drawConfiguration returns a configuration with some of the guests, and which those are.
+func drawConfiguration(r *rand.Rand, revision int) (c Configuration, there map[string]bool) {
+	c.Revision, there = revision, map[string]bool{}
+	c.Tenants = append(c.Tenants, Tenant{"valley", 0.05 + r.Float64(), float64(r.IntN(40))})
+	for _, name := range guests {
+		if there[name] = r.IntN(2) == 0; there[name] {
+			c.Tenants = append(c.Tenants, Tenant{name, 0.05 + r.Float64(), float64(r.IntN(20))})
+		}
+	}
+	r.Shuffle(len(c.Tenants), func(i, j int) { c.Tenants[i], c.Tenants[j] = c.Tenants[j], c.Tenants[i] })
+	return c, there
+}
+
+// awaitGuests waits until each of the guests that are there is served at all schedulers, or each of the others unknown.
+func (f *trial) awaitGuests(there map[string]bool, served bool) {
+	f.t.Helper()
+	for _, name := range guests {
+		switch {
+		case there[name] != served:
+		case served:
+			f.awaitServed(name, f.Schedulers...)
+		default:
+			f.awaitUnknownTenant(name, f.Schedulers...)
+		}
+	}
 }
 
 // Guards a course of changes drawn at random, each for some of the schedulers, while words are lost, one of them freezes and
 // one is killed: nobody who stays is refused, no job is lost, and in the end all have the last in force.
 func TestTeamsChangeAgainAndAgain(t *testing.T) {
 	r := rand.New(rand.NewPCG(*seed, 0x7ea))
-	guests := []string{"north", "south", "west", "delta", "ridge", "plain"}
-	draw := func(revision int) (c Configuration, there map[string]bool) {
-		c.Revision, there = revision, map[string]bool{}
-		c.Teams = append(c.Teams, Team{"valley", 0.05 + r.Float64(), float64(r.IntN(40))})
-		for _, name := range guests {
-			if there[name] = r.IntN(2) == 0; there[name] {
-				c.Teams = append(c.Teams, Team{name, 0.05 + r.Float64(), float64(r.IntN(20))})
-			}
-		}
-		r.Shuffle(len(c.Teams), func(i, j int) { c.Teams[i], c.Teams[j] = c.Teams[j], c.Teams[i] })
-		return c, there
-	}
-	first, _ := draw(1)
-	f := try(t, 4, first)
-	f.crowd("valley", 2, 40*time.Millisecond, f.Schedulers...)
-	f.served("valley", f.Schedulers...)
+	first, _ := drawConfiguration(r, 1)
+	f := startTrial(t, 4, first)
+	f.startClients("valley", 2, 40*time.Millisecond, f.Schedulers...)
+	f.awaitServed("valley", f.Schedulers...)
 	for _, name := range guests {
-		f.crowd(name, 1, 40*time.Millisecond, f.Schedulers...)
+		f.startClients(name, 1, 40*time.Millisecond, f.Schedulers...)
 	}
-	f.lossy(0.5)
+	f.loseDatagrams(0.5)
 	began, revision, back := time.Now(), 1, make(chan error, 1)
 	freeze, kill := f.Schedulers[r.IntN(2)], f.Schedulers[2+r.IntN(2)]
-	pause := func() { // between changes; what is judged does not depend on it
-		time.Sleep(time.Duration(r.Int64N(int64(120 * time.Millisecond))))
-	}
 	for n := range *changes {
 		revision++
-		c, _ := draw(revision)
+		c, _ := drawConfiguration(r, revision)
 		var some []*Scheduler
 		for _, i := range r.Perm(len(f.Schedulers))[:1+r.IntN(len(f.Schedulers))] {
 			some = append(some, f.Schedulers[i])
@@ -385,31 +424,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		pause()
+		time.Sleep(time.Duration(r.Int64N(int64(120 * time.Millisecond)))) // what is judged does not depend on it
 	}
 	if err := <-back; err != nil {
 		t.Fatal(err)
 	}
-	last, there := draw(revision + 1)
+	last, there := drawConfiguration(r, revision+1)
 	f.reconfigure(last, f.Schedulers...)
-	for _, name := range guests {
-		if there[name] {
-			f.served(name, f.Schedulers...)
-		}
-	}
-	f.level(last.Revision, f.Schedulers...) // half of the words are lost still
-	for _, name := range guests {
-		if !there[name] {
-			f.stranger(name, f.Schedulers...)
-		}
-	}
-	f.Net.Heal()
-	if err := f.agree(agreeWithin); err != nil {
+	f.awaitGuests(there, true)
+	f.awaitLevel(last.Revision, f.Schedulers...) // half of the words are lost still
+	f.awaitGuests(there, false)
+	f.Network.Heal()
+	if err := f.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
 	f.finish()
-	f.stayed("valley")
+	f.checkStayingTenant("valley")
 	for _, name := range guests {
-		f.changing(name, began)
+		f.checkChangingTenant(name, began)
 	}
 }
--- a/internal/faultinjection/trial_test.go
+++ b/internal/faultinjection/trial_test.go
@@ -13,73 +13,76 @@
 	"sedgevale/internal/fake"
 )
 
-// inForceWithin is what a change may take until it is in force at a scheduler that has been told.
-const inForceWithin = 15 * time.Second
+// maxApplyTime is what a change may take until it is in force at a scheduler that has been told.
+const maxApplyTime = 15 * time.Second
 
-// trial is a rig with clients of several teams, and all that they were told.
+// trial is a cluster with clients of several tenants, and all answers to them.
 type trial struct {
-	*Rig
-	t    *testing.T
-	ctx  context.Context
-	stop context.CancelFunc
-	busy sync.WaitGroup
+	*Cluster
+	t       *testing.T
+	ctx     context.Context
+	stop    context.CancelFunc
+	clients sync.WaitGroup
 
-	mu     sync.Mutex
-	told   []fake.Told
-	probes int
-	since  time.Time // of the last change, or the beginning
+	mu      sync.Mutex
+	answers []fake.Told
+	probes  int
+	since   time.Time // of the last change, or the beginning
 }
 
-// try starts a rig of sound boxes that begins with a configuration.
-func try(t *testing.T, schedulers int, c Configuration) *trial {
+// startTrial starts a cluster of sound workers that begins with a configuration.
+func startTrial(t *testing.T, schedulers int, c Configuration) *trial {
 	t.Helper()
-	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: schedulers, Start: c}
+	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: schedulers, Initial: c}
 	for i := range 8 {
-		o.Boxes = append(o.Boxes, BoxOptions{Cell: i / 4, Slots: 4, Work: 60 * time.Millisecond})
+		o.Workers = append(o.Workers, WorkerOptions{Cell: i / 4, Slots: 4, Work: 60 * time.Millisecond})
 	}
-	f := &trial{Rig: run(t, o), t: t, since: time.Now()}
+	f := &trial{Cluster: run(t, o), t: t, since: time.Now()}
 	f.ctx, f.stop = context.WithCancel(t.Context())
-	t.Cleanup(func() { f.stop(); f.busy.Wait() })
-	if err := f.agree(agreeWithin); err != nil {
+	t.Cleanup(func() { f.stop(); f.clients.Wait() })
+	if err := f.awaitAllAlive(); err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-// crowd runs clients of one team at some schedulers until they are stopped, at the latest at the end.
-func (f *trial) crowd(team string, clients int, think time.Duration, at ...*Scheduler) (stop func()) {
+// startClients runs clients of one team at some schedulers until they are stopped, at the latest at the end.
+func (f *trial) startClients(team string, clients int, think time.Duration, at ...*Scheduler) (stop func()) {
 	ctx, stop := context.WithCancel(f.ctx)
-	f.busy.Go(func() {
-		told := f.Run(ctx, Crowd{Schedulers: at, Teams: []string{team}, Label: "-" + team, Clients: clients, Think: think, Timeout: timeout})
+	f.clients.Go(func() {
+		told := f.RunClients(ctx, ClientLoad{Schedulers: at, Tenants: []string{team}, IDSuffix: "-" + team, Clients: clients, ThinkTime: think, Timeout: timeout})
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.told = append(f.told, told...)
+		f.answers = append(f.answers, told...)
 	})
 	return stop
 }
 
-// ask hands one job of a team in and returns what was told of it.
-func (f *trial) ask(s *Scheduler, team string) fake.Told {
+// submit hands one job of a team in and returns what was told of it.
+func (f *trial) submit(s *Scheduler, team string) fake.Told {
 	f.mu.Lock()
 	f.probes++
 	id := fmt.Sprintf("%s-%s-probe-%d", s.Name, team, f.probes)
 	f.mu.Unlock()
-	told := s.Post(f.t.Context(), id, "usage-view", team, timeout)
+	told := s.Submit(f.t.Context(), id, "usage-view", team, timeout)
 	f.mu.Lock()
-	f.told = append(f.told, told)
+	f.answers = append(f.answers, told)
 	f.mu.Unlock()
 	return told
 }
 
-// served asks at some schedulers with jobs of a team until one is served at each; stranger until one is told that its team
+// awaitServed asks at some schedulers with jobs of a team until one is served at each; stranger until one is told that its team
 // is not known.
-func (f *trial) served(team string, at ...*Scheduler) { f.t.Helper(); f.each(team, http.StatusOK, at) }
-func (f *trial) stranger(team string, at ...*Scheduler) {
+func (f *trial) awaitServed(team string, at ...*Scheduler) {
 	f.t.Helper()
-	f.each(team, http.StatusBadRequest, at)
+	f.awaitStatus(team, http.StatusOK, at)
+}
+func (f *trial) awaitUnknownTenant(team string, at ...*Scheduler) {
+	f.t.Helper()
+	f.awaitStatus(team, http.StatusBadRequest, at)
 }
 
-func (f *trial) each(team string, status int, at []*Scheduler) {
+func (f *trial) awaitStatus(team string, status int, at []*Scheduler) {
 	f.t.Helper()
 	type answer struct {
 		fake.Told
@@ -89,8 +92,8 @@
 	for _, s := range at {
 		go func() {
 			for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-				told := f.ask(s, team)
-				if told.Status == status || time.Since(began) > inForceWithin {
+				told := f.submit(s, team)
+				if told.Status == status || time.Since(began) > maxApplyTime {
 					answers <- answer{told, told.At.Sub(f.since)}
 					return
 				}
@@ -117,17 +120,16 @@
 }
 
 // finish ends all clients and judges what they were told.
-func (f *trial) finish() []fake.Told {
+func (f *trial) finish() {
 	f.t.Helper()
 	f.stop()
-	f.busy.Wait()
-	f.judge(f.t, f.told)
-	return f.told
+	f.clients.Wait()
+	f.checkRules(f.t, f.answers)
 }
 
-// of returns the answers to a team's jobs.
-func (f *trial) of(team string) (out []fake.Told) {
-	for _, t := range f.told {
+// answersOf returns the answers to a team's jobs.
+func (f *trial) answersOf(team string) (out []fake.Told) {
+	for _, t := range f.answers {
 		if strings.Contains(t.Job, "-"+team+"-") {
 			out = append(out, t)
 		}
@@ -135,19 +137,19 @@
 	return out
 }
 
-// stayed reports what was told of the jobs of a team that stayed: each has its result but where its scheduler was out, and but
+// checkStayingTenant reports what was told of the jobs of a team that stayed: each has its result but where its scheduler was out, and but
 // for want of time, which a loaded machine brings about: a change must not make refusals for that many, nor more than a few
 // that were out when their time ended.
-func (f *trial) stayed(team string) {
+func (f *trial) checkStayingTenant(team string) {
 	f.t.Helper()
-	f.ended(team, func(t fake.Told) bool { return t.Status == http.StatusOK })
+	f.checkAnswers(team, func(t fake.Told) bool { return t.Status == http.StatusOK })
 }
 
-// changing does so for a team that comes and goes, whose jobs may also be told that it is not known, and returns how many
+// checkChangingTenant does so for a team that comes and goes, whose jobs may also be told that it is not known, and returns how many
 // of its jobs were under way when a moment came.
-func (f *trial) changing(team string, at time.Time) (under int) {
+func (f *trial) checkChangingTenant(team string, at time.Time) (under int) {
 	f.t.Helper()
-	f.ended(team, func(t fake.Told) bool {
+	f.checkAnswers(team, func(t fake.Told) bool {
 		if t.Status == http.StatusOK && t.Asked.Before(at) && t.At.After(at) {
 			under++
 		}
@@ -156,31 +158,31 @@
 	return under
 }
 
-// onTheWay is what an answer may need from a box to its client on a machine that does much else.
-const onTheWay = 300 * time.Millisecond
+// answerTransitTime is what an answer may need from a box to its client on a machine that does much else.
+const answerTransitTime = 300 * time.Millisecond
 
-// late reports whether the boxes' ledger bears out that a job was still at a box when its time ended: it came to one, and none
+// lateByLedger reports whether the boxes' ledger bears out that a job was still at a box when its time ended: it came to one, and none
 // had finished it in time for its answer. Else its scheduler has lost it, or kept it until it was too late.
-func (f *trial) late(t fake.Told) bool {
+func (f *trial) lateByLedger(t fake.Told) bool {
 	runs := f.Ledger.Runs(t.Job)
 	return len(runs) > 0 && !slices.ContainsFunc(runs, func(r fake.Run) bool {
-		return !r.Finished.IsZero() && r.Finished.Before(t.At.Add(-onTheWay))
+		return !r.Finished.IsZero() && r.Finished.Before(t.At.Add(-answerTransitTime))
 	})
 }
 
-func (f *trial) ended(team string, well func(fake.Told) bool) {
+func (f *trial) checkAnswers(team string, well func(fake.Told) bool) {
 	f.t.Helper()
-	e := f.Evidence(nil, timeout)
-	all, refused, late := f.of(team), 0, 0
+	e := f.Observations(nil, timeout)
+	all, refused, late := f.answersOf(team), 0, 0
 	for _, t := range all {
 		scheduler, _, _ := strings.Cut(t.Job, "-")
 		switch {
 		case well(t):
-		case t.Status == 0 && e.outage(scheduler, t.Asked, t.At): // else the referee finds it
+		case t.Status == 0 && e.hadOutage(scheduler, t.Asked, t.At): // else checkRules finds it
 		case t.Status == http.StatusServiceUnavailable && strings.HasPrefix(t.Body, "cannot be in time"):
 			refused++
-		case t.Status == http.StatusInternalServerError && strings.HasPrefix(t.Body, "no answer in time") && (e.outage(scheduler, t.Asked, t.At) || f.late(t)):
-			if !e.outage(scheduler, t.Asked, t.At) { // else its time ended while nobody could answer
+		case t.Status == http.StatusInternalServerError && strings.HasPrefix(t.Body, "no answer in time") && (e.hadOutage(scheduler, t.Asked, t.At) || f.lateByLedger(t)):
+			if !e.hadOutage(scheduler, t.Asked, t.At) { // else its time ended while nobody could answer
 				f.t.Logf("late: %s, %s, asked %s, told after %v; outages %v; its runs %+v", t.Job, t.Class, t.Asked.Format("05.000"),
 					t.At.Sub(t.Asked), e.Outages[scheduler], f.Ledger.Runs(t.Job))
 				late++
@@ -196,8 +198,8 @@
 	}
 }
 
-// account is what a scheduler's page says of the configurations in force.
-type account struct {
+// peerPage is what a scheduler's page says of the configurations in force.
+type peerPage struct {
 	Self    int `json:"self"`
 	Newest  int `json:"newest"`
 	Members []struct {
@@ -218,42 +220,42 @@
 }
 
 // behind returns whether a member is told to be behind; it fails where nothing is told.
-func (a *account) behind(i int) (bool, error) {
+func (a *peerPage) behind(i int) (bool, error) {
 	if i >= len(a.Members) || a.Members[i].BehindMS == nil {
 		return false, fmt.Errorf("nothing is told of whether %d is behind", i)
 	}
 	return *a.Members[i].BehindMS >= 0, nil
 }
 
-// awaitAccount asks for a scheduler's page until nothing is wrong with it.
-func (f *trial) awaitAccount(s *Scheduler, what string, wrong func(*account) error) account {
+// awaitPage asks for a scheduler's page until nothing is wrong with it.
+func (f *trial) awaitPage(s *Scheduler, what string, wrong func(*peerPage) error) peerPage {
 	f.t.Helper()
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		var a account
-		err := s.Read("/admin/peers", &a)
+		var a peerPage
+		err := s.GetJSON("/admin/peers", &a)
 		if err == nil {
 			if err = wrong(&a); err == nil {
 				f.t.Logf("%s: %s after %v", s.Name, what, time.Since(began).Round(time.Millisecond))
 				return a
 			}
 		}
-		if time.Since(began) > inForceWithin {
+		if time.Since(began) > maxApplyTime {
 			f.t.Fatalf("%s: %s: not after %v: %v", s.Name, what, time.Since(began), err)
 		}
 	}
 }
 
-// level awaits that each of some schedulers has all for level at a revision, by the same digest.
-func (f *trial) level(revision int, at ...*Scheduler) {
+// awaitLevel awaits that each of some schedulers has all for level at a revision, by the same digest.
+func (f *trial) awaitLevel(revision int, at ...*Scheduler) {
 	f.t.Helper()
 	for _, s := range at {
-		f.awaitAccount(s, fmt.Sprintf("all are level at %d", revision), func(a *account) error {
+		f.awaitPage(s, fmt.Sprintf("all are level at %d", revision), func(a *peerPage) error {
 			if a.Newest != revision {
 				return fmt.Errorf("the newest is %d", a.Newest)
 			}
 			for i, m := range a.Members {
 				if late, err := a.behind(i); err != nil || late || m.Differs || m.Revision != revision {
-					return fmt.Errorf("%+v, behind %v: %v", m, late, err)
+					return fmt.Errorf("%+v, behind %v: %w", m, late, err)
 				}
 			}
 			return nil
@@ -261,7 +263,7 @@
 	}
 }
 
-// lossy has every datagram between schedulers lost by a chance.
-func (f *trial) lossy(share float64) {
-	(&Torment{Rig: f.Rig}).between(func(int, int) (Fault, bool) { return Fault{Loss: share}, true })
+// loseDatagrams has every datagram between schedulers lost by a chance.
+func (f *trial) loseDatagrams(share float64) {
+	(&FaultScript{Cluster: f.Cluster}).setLinkFaults(func(int, int) (LinkFault, bool) { return LinkFault{Loss: share}, true })
 }
