--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-const maxDrainWait = 20 * time.Second // for what must come; no test waits that long when all is well
+const startTimeout = 20 * time.Second // for what must come; no test waits that long when all is well
 
 // attempt is a job at a worker. The test decides what becomes of it.
 type attempt struct {
@@ -307,7 +307,7 @@
 func (c *child) start() {
 	c.t.Helper()
 	c.launch()
-	for until := time.Now().Add(maxDrainWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if a, err := testkit.Get(c.t, "http://"+c.sse+"/ready"); err == nil && a.Status == 200 {
 			return
 		}
--- a/scheduler/tenants_test.go
+++ b/scheduler/tenants_test.go
@@ -57,27 +57,27 @@
 	return c
 }
 
-func jobOfTenant(team, id string) []string { return job(id, "Tenant", team) }
+func jobOfTenant(tenantName, id string) []string { return job(id, "Tenant", tenantName) }
 
 // checkRejected checks that jobs of a tenant are rejected, by both protocols.
-func (c *child) checkRejected(team, id string) {
+func (c *child) checkRejected(tenantName, id string) {
 	c.t.Helper()
-	if a := testkit.Await(c.t, "the answer", post(c.addr, "/usage-view", jobOfTenant(team, id)...)); a.status != 400 {
-		c.t.Errorf("a job of %s: %+v", team, a)
+	if a := testkit.Await(c.t, "the answer", post(c.addr, "/usage-view", jobOfTenant(tenantName, id)...)); a.status != 400 {
+		c.t.Errorf("a job of %s: %+v", tenantName, a)
 	}
-	if s := subscribe(c.t, "POST", c.sse, "usage-view", "Tenant", team, "Request-Id", id+"-stream"); s.status != 400 {
-		c.t.Errorf("a stream of %s: %d", team, s.status)
+	if s := subscribe(c.t, "POST", c.sse, "usage-view", "Tenant", tenantName, "Request-Id", id+"-stream"); s.status != 400 {
+		c.t.Errorf("a stream of %s: %d", tenantName, s.status)
 	}
 }
 
-// checkRecorded asks the journal of a job, again while its disk is slow, and reports whether it ran once for a team.
-func (c *child) checkRecorded(id, team string) {
+// checkRecorded asks the journal of a job, again while its disk is slow, and reports whether it ran once for a tenant.
+func (c *child) checkRecorded(id, tenantName string) {
 	c.t.Helper()
 	status, r := c.askJournal("?job=" + id)
-	for until := time.Now().Add(maxDrainWait); status == 503 && time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(startTimeout); status == 503 && time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		status, r = c.askJournal("?job=" + id)
 	}
-	if status != 200 || r.Verdict != "ran" || r.Tenant != team || len(r.Attempts) != 1 {
+	if status != 200 || r.Verdict != "ran" || r.Tenant != tenantName || len(r.Attempts) != 1 {
 		c.t.Errorf("the journal of %s: %d %+v", id, status, r)
 	}
 }
@@ -99,35 +99,36 @@
 	}
 }
 
-// checkEndedAs checks the answer of a team's job that was out while the teams changed, and
+// checkEndedAs checks the answer of a tenant's job that was out while the tenants changed, and
 // what the journal says of all its jobs.
-func checkEndedAs(t *testing.T, c *child, team string, answer <-chan reply) {
+func checkEndedAs(t *testing.T, c *child, tenantName string, answer <-chan reply) {
 	t.Helper()
-	if a := testkit.Await(t, "the answer", answer); a.status != 200 || a.body != "plain-"+team {
-		t.Errorf("out at %s: %+v", team, a)
+	if a := testkit.Await(t, "the answer", answer); a.status != 200 || a.body != "plain-"+tenantName {
+		t.Errorf("out at %s: %+v", tenantName, a)
 	}
-	for _, id := range []string{"out-" + team, "plain-" + team, "held-" + team} {
-		c.checkRecorded(id, team)
+	for _, id := range []string{"out-" + tenantName, "plain-" + tenantName, "held-" + tenantName} {
+		c.checkRecorded(id, tenantName)
 	}
 }
 
-// beginAt sends a team's jobs "out-TEAM", as a stream, and "plain-TEAM", and waits until both
+// beginAt sends a tenant's jobs "out-TEAM", as a stream, and "plain-TEAM", and waits until both
 // have started at a worker.
-func beginAt(t *testing.T, f *fleet, c *child, team string) (s *stream, answer <-chan reply, runs []*attempt) {
+func beginAt(t *testing.T, f *fleet, c *child, tenantName string) (s *stream, answer <-chan reply, runs []*attempt) {
 	t.Helper()
-	s = subscribe(t, "POST", c.sse, "plan-change", "Tenant", team, "Request-Id", "out-"+team)
+	s = subscribe(t, "POST", c.sse, "plan-change", "Tenant", tenantName, "Request-Id", "out-"+tenantName)
 	streamed := f.next()
 	streamed.write(`"state":"started"`)
 	s.until("started")
-	answer = post(c.addr, "/plan-change", jobOfTenant(team, "plain-"+team)...)
+	answer = post(c.addr, "/plan-change", jobOfTenant(tenantName, "plain-"+tenantName)...)
 	plain := f.next()
 	plain.write(`"state":"started"`)
 	return s, answer, []*attempt{streamed, plain}
 }
 
-// Guards jobs of a team that goes while they are out, or held for want of workers: each ends with its one answer under its
-// own team's name, though that team's place in the list is another's by then; so do those of a team that stays. It may come back.
-func TestTeamGoesWithJobsUnderWay(t *testing.T) {
+// Guards jobs of a tenant that is removed while they are in flight, or queued for want of workers: each ends with its one
+// answer under its own tenant's name, though that tenant's index is another's by then; so do those of a tenant that stays. It
+// may come back.
+func TestTenantRemovedWithJobsInFlight(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, func(file *dispatchconfig.File) {
 		file.Journal = &dispatchconfig.Journal{Dir: filepath.Join(t.TempDir(), "journal"), ReserveMB: 1, MaxMB: 16}
@@ -170,7 +171,7 @@
 	back := post(c.addr, "/plan-change", jobOfTenant("leaver", "back")...)
 	f.serveNext()
 	if a := testkit.Await(t, "the answer", back); a.status != 200 {
-		t.Errorf("a job of the team that came back: %+v", a)
+		t.Errorf("a job of the tenant that came back: %+v", a)
 	}
 	c.reloadTenants(tenant{"newcomer", 1, 0})
 	for id, r := range out {
@@ -184,16 +185,16 @@
 	if n := f.count("plan-change"); n != 8 {
 		t.Errorf("%d runs of 8 jobs", n)
 	}
-	again := subscribe(t, "GET", c.sse, "plan-change", "Request-Id", "out-leaver") // of a team that is gone
+	again := subscribe(t, "GET", c.sse, "plan-change", "Request-Id", "out-leaver") // of a tenant that is gone
 	again.result("out-leaver")
 	c.kill()
 	c.start()
 	c.checkRecorded("out-leaver", "leaver")
 }
 
-// Guards a scheduler that loses all its teams and gets some again: jobs of theirs that are held keep their rights, and without
-// teams any job is served, as by a file that never had any.
-func TestAllTeamsGoAndOthersCome(t *testing.T) {
+// Guards a scheduler that loses all its tenants and gets some again: their queued jobs are served, and without
+// tenants any job is served, as by a file that never had any.
+func TestAllTenantsReplaced(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, nil, tenant{"leaver", 0.3, 20}, tenant{"co-op", 0.7, 0})
 	streams := map[string]*stream{}
@@ -226,9 +227,9 @@
 	}
 }
 
-// Guards a team whose share and quota are halved while more of its jobs are out and held than its quota lets through: none of
-// them is refused or lost, nor is any of another team's.
-func TestTeamHalvedAtItsQuota(t *testing.T) {
+// Guards a tenant whose share and quota are halved while more of its jobs are in flight and queued than its quota lets through: none of
+// them is refused or lost, nor is any of another tenant's.
+func TestTenantHalvedAtItsQuota(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, nil, tenant{"heavy", 0.6, 8}, tenant{"co-op", 0.4, 8})
 	busy := subscribe(t, "POST", c.sse, "plan-change", "Tenant", "heavy", "Request-Id", "busy")
@@ -271,9 +272,9 @@
 	}
 }
 
-// Guards changes of teams in the middle of an upgrade: each process has the file that it has read last, jobs of teams that
+// Guards changes of tenants in the middle of an upgrade: each process has the file that it has read last, jobs of tenants that
 // came, went and stayed end well at both, and the new process goes on with the newest.
-func TestTeamsChangeDuringUpgrade(t *testing.T) {
+func TestTenantsChangeDuringUpgrade(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, nil, tenant{"leaver", 0.3, 20}, tenant{"co-op", 0.4, 0}, tenant{"stays", 0.3, 5})
 	streams, runs := map[string]*stream{}, map[string]*attempt{}
@@ -296,9 +297,9 @@
 	next.checkRejected("leaver", "late")
 	begin("newcomer", "new-newcomer")
 	begin("co-op", "new-co-op")
-	c.reloadTenants(newest...) // the old one is told later, and has jobs of a team that is gone
+	c.reloadTenants(newest...) // the old one is told later, and has jobs of a tenant that is gone
 	begin("newcomer", "newer-newcomer")
-	moved := streams["old-leaver"] // its client comes back to the new process, to a stream of a team that this does not have
+	moved := streams["old-leaver"] // its client comes back to the new process, to a stream of a tenant that this does not have
 	moved.leave()
 	streams["old-leaver"] = subscribe(t, "GET", next.sse, "plan-change", "Request-Id", "old-leaver")
 	streams["old-leaver"].until("started")
@@ -323,8 +324,8 @@
 	}
 }
 
-// Guards an upgrade to a file with other teams than the old process has: what that one learned goes over by the teams' names.
-func TestUpgradeToOtherTeams(t *testing.T) {
+// Guards an upgrade to a file with other tenants than the old process has: what that one learned goes over by the tenants' names.
+func TestUpgradeToOtherTenants(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, nil, tenant{"leaver", 0.3, 20}, tenant{"co-op", 0.7, 0})
 	old := subscribe(t, "POST", c.sse, "plan-change", "Tenant", "leaver", "Request-Id", "old")
@@ -350,8 +351,8 @@
 	next.logged("continuing alone")
 }
 
-// Guards the newest teams over an upgrade by a file that has become bad since: the new process has those of the one that serves.
-func TestUpgradeKeepsTheNewestTeams(t *testing.T) {
+// Guards the newest tenants over an upgrade by a file that has become bad since: the new process has those of the one that serves.
+func TestUpgradeKeepsTheNewestTenants(t *testing.T) {
 	f := newFleet(t, "w")
 	c := &child{t: t, file: filepath.Join(t.TempDir(), "config.json"), addr: testkit.FreeAddr(t)}
 	c.sse = c.addr // asked for /ready
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -23,7 +23,7 @@
 	next.write()
 	next.launch()
 	c.t.Cleanup(next.kill)
-	for until := time.Now().Add(maxDrainWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if conn, err := new(net.Dialer).DialContext(c.t.Context(), "tcp", next.config.Ops); err == nil {
 			_ = conn.Close()
 			if next.callOps("GET", "health", "") == 200 {
