--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -81,12 +81,12 @@
 		return
 	}
 	since, err := strconv.ParseInt(q.FormValue("since"), 10, 64)
-	whole := err != nil
+	complete := err != nil
 	wait, _ := strconv.Atoi(q.FormValue("timeout_ms")) // 0 where it is missing: no wait
 	d.mu.Lock()
 	newer, current := d.nextChange, d.revision
 	d.mu.Unlock()
-	if !whole && current <= since {
+	if !complete && current <= since {
 		timer := time.NewTimer(min(time.Duration(wait)*time.Millisecond, maxWatch))
 		defer timer.Stop()
 		select {
@@ -101,13 +101,13 @@
 		Revision int64    `json:"revision"`
 		Complete bool     `json:"complete"`
 		Members  []Member `json:"members"`
-	}{d.revision, whole, []Member{}}
+	}{d.revision, complete, []Member{}}
 	for _, m := range d.members {
-		if whole && m.Phase != "gone" || !whole && d.changed[m.ID] > since {
+		if complete && m.Phase != "gone" || !complete && d.changed[m.ID] > since {
 			out.Members = append(out.Members, m)
 		}
 	}
 	d.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // a scheduler that is gone does not hear it
+	_ = json.NewEncoder(w).Encode(out) // an error is of a scheduler that has disconnected
 }
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -15,19 +15,19 @@
 	"sedgevale/internal/journal/store"
 )
 
-// Disk is a file system in memory that fails as real ones do. It is a store.FS. A power
-// cut takes what was not synced: each such write may be there, or not, or in part, in
-// any order, by sectors; names that were made or removed since the directory was synced may be so
-// or not. After a failed sync the writes that it was for are never on the disk, though
-// they can still be read, as on Linux.
+// Disk is a file system in memory that fails as real ones do. It is a store.FS. After a power
+// cut each write that was not synced may be there, or not, or in part, in any order, by
+// sectors; names that were made or removed since the directory was synced may be so or not.
+// After a failed sync the writes that it was for are never durable, though they can still be
+// read, as on Linux.
 type Disk struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards all below, and the files
 	random   *rand.Rand
 	names    map[string]*inode // as a process sees them
-	durable  map[string]*inode // durable
-	locks    map[string]string
-	capacity int64
-	failures map[Op]float64
+	durable  map[string]*inode // after a power cut, by synced directories
+	locks    map[string]string // owners, by path
+	capacity int64             // bytes
+	failures map[Op]float64    // shares of operations that fail, from 0 to 1
 }
 
 // Op is an operation that can be made to fail.
@@ -44,13 +44,14 @@
 	OpRemove  Op = "remove"  // fails with EIO
 )
 
+// inode is a file.
 type inode struct {
 	data     []byte // as a process sees it
-	durable  []byte // durable
+	durable  []byte // synced
 	unsynced []write
 }
 
-// write is a write.
+// write is a write to a file.
 type write struct {
 	offset int
 	data   []byte
@@ -64,20 +65,20 @@
 	return b
 }
 
-// NewDisk returns an empty Disk with so much room, in bytes.
-func NewDisk(seed uint64, room int64) *Disk {
+// NewDisk returns an empty Disk with a capacity in bytes. The seed is of what is drawn at random.
+func NewDisk(seed uint64, capacity int64) *Disk {
 	return &Disk{random: rand.New(rand.NewPCG(seed, 0xd15c)), names: map[string]*inode{}, durable: map[string]*inode{},
-		locks: map[string]string{}, capacity: room, failures: map[Op]float64{}}
+		locks: map[string]string{}, capacity: capacity, failures: map[Op]float64{}}
 }
 
-// Fail makes an operation fail that often, from 0 to 1.
+// Fail sets the share of an operation's calls that fail, from 0 to 1.
 func (d *Disk) Fail(op Op, share float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failures[op] = share
 }
 
-// Room sets how many bytes the disk holds.
+// Room sets the capacity in bytes.
 func (d *Disk) Room(n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,8 +94,7 @@
 	return n
 }
 
-// Cut returns the disk as it is after a power cut, without faults. The old one must not
-// be used any more.
+// Cut returns the disk after a power cut, without faults. The old one must not be used any more.
 func (d *Disk) Cut() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,7 +111,7 @@
 	for p := range paths {
 		sorted = append(sorted, p)
 	}
-	slices.Sort(sorted) // or the seed would not tell the outcome
+	slices.Sort(sorted) // else the outcome would not depend on the seed alone
 	for _, p := range sorted {
 		f := d.durable[p]
 		if now := d.names[p]; now != f && d.random.IntN(2) == 0 {
@@ -127,11 +127,11 @@
 	return after
 }
 
-// sectorSize is what a disk writes whole or not at all.
+// sectorSize is how many bytes a disk writes atomically.
 const sectorSize = 512
 
-// surviving draws what is left of a file: of each sector the content after some number of the
-// writes that wait, and likewise the file's length.
+// surviving draws what is left of a file: the content of each sector, and the file's length, are
+// those after some number of the unsynced writes.
 func (d *Disk) surviving(f *inode) []byte {
 	versions := [][]byte{slices.Clone(f.durable)}
 	for _, c := range f.unsynced {
@@ -152,7 +152,7 @@
 	return b
 }
 
-// Kill returns the disk as the next process sees it after this one was killed.
+// Kill returns the disk as the next process sees it after this one was killed, without faults.
 func (d *Disk) Kill() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -287,6 +287,7 @@
 	return owner, ok
 }
 
+// unlock releases a lock.
 type unlock struct {
 	d    *Disk
 	path string
@@ -299,6 +300,7 @@
 	return nil
 }
 
+// handle is an open file.
 type handle struct {
 	d *Disk
 	f *inode
--- a/internal/fake/box.go
+++ b/internal/fake/worker.go
@@ -188,8 +188,8 @@
 	Load   map[string]float64 `json:"load,omitempty"`
 }
 
-// boxJob is a job at a Box.
-type boxJob struct {
+// workerJob is a job at a Box.
+type workerJob struct {
 	id, class, key string
 	received       time.Time
 	fault          Point // empty: none
@@ -206,7 +206,7 @@
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(q.Body, 1<<20))
-	j := &boxJob{id: q.Header.Get("Request-Id"), key: q.Header.Get("Idempotency-Key"), received: time.Now()}
+	j := &workerJob{id: q.Header.Get("Request-Id"), key: q.Header.Get("Idempotency-Key"), received: time.Now()}
 	if err != nil || j.id == "" {
 		http.Error(w, "no whole request with an id", http.StatusNotFound)
 		return
@@ -252,7 +252,7 @@
 
 // repeated answers a job whose key was used before by the former result, and reports whether the
 // job is over by that or by the end of its context.
-func (b *Box) repeated(ctx context.Context, j *boxJob) bool {
+func (b *Box) repeated(ctx context.Context, j *workerJob) bool {
 	former, repeat, ok := b.options.Shelf.Take(ctx, j.key)
 	if ok && !repeat {
 		return false
@@ -265,7 +265,7 @@
 }
 
 // run carries out a job that has a slot.
-func (b *Box) run(ctx context.Context, j *boxJob) {
+func (b *Box) run(ctx context.Context, j *workerJob) {
 	b.ledger.Begin(j.id, j.class, b.options.ID, j.received)
 	j.out.line(line{State: "started"})
 	switch j.fault {
@@ -301,7 +301,7 @@
 }
 
 // finish notes that a job is finished and gives its slot back.
-func (b *Box) finish(j *boxJob) {
+func (b *Box) finish(j *workerJob) {
 	b.ledger.Finish(j.id, b.options.ID)
 	b.options.Shelf.End(j.key, j.result, true)
 	b.release()
