--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -43,9 +43,9 @@
 
 // work is work that arrived, or was admitted.
 type work struct {
-	at   time.Duration
-	coop int
-	cost float64
+	at     time.Duration
+	tenant int
+	cost   float64
 }
 
 // simulation is a fleet with a number of slots behind a Queue, in virtual time.
@@ -167,7 +167,7 @@
 	out = make([]float64, len(testTenants))
 	for _, x := range all {
 		if x.at >= from && x.at < to {
-			out[x.coop] += x.cost
+			out[x.tenant] += x.cost
 			sum += x.cost
 		}
 	}
--- a/internal/httpd/eventloop.go
+++ b/internal/httpd/eventloop.go
@@ -37,7 +37,7 @@
 	for _, silent := range []*connList{&l.idle, &l.fresh} {
 		for c := silent.first; n > 0 && c != nil; {
 			next := c.next
-			if silent == &l.fresh && now.Sub(c.opened) <= minUnheardAge {
+			if silent == &l.fresh && now.Sub(c.opened) <= minSilentAge {
 				return
 			}
 			if !c.hasUnread() {
--- a/internal/platformapi/platformapi.go
+++ b/internal/platformapi/platformapi.go
@@ -41,7 +41,7 @@
 		Reject(c, err)
 		return
 	}
-	x := dispatch.NewExchange(job, deadline, waiter{c})
+	x := dispatch.NewExchange(job, deadline, responder{c})
 	c.State = x
 	h.planners.Request(x)
 }
@@ -80,13 +80,13 @@
 	c.RespondLast(status, fields, []byte(err.Error()+"\n"))
 }
 
-// waiter is the dispatch.Client of an exchange whose client waits for the response.
-type waiter struct{ c *httpd.Conn }
+// responder is the dispatch.Client of an exchange whose client waits for the response.
+type responder struct{ c *httpd.Conn }
 
-func (waiter) Started()         {}
-func (waiter) Progress(float64) {}
+func (responder) Started()         {}
+func (responder) Progress(float64) {}
 
-func (w waiter) Answer(a dispatch.Answer) {
+func (w responder) Answer(a dispatch.Answer) {
 	w.c.Post(func(c *httpd.Conn) {
 		c.State = nil
 		switch a.Kind {
--- a/scheduler/platformapi_test.go
+++ b/scheduler/platformapi_test.go
@@ -124,7 +124,7 @@
 }
 
 // A client that leaves has its job called off.
-func TestPlainGone(t *testing.T) {
+func TestPlainClientDisconnects(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
 	conn := testkit.Dial(t, c.addr)
