--- a/cmd/sedgevale/config.go
+++ b/cmd/sedgevale/config.go
@@ -66,7 +66,7 @@
 	}
 	config, err := clusterconfig.Parse(text)
 	if err == nil {
-		err = config.Check()
+		err = config.Validate()
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", inputName(c.File), err)
--- a/cmd/sedgevale/members.go
+++ b/cmd/sedgevale/members.go
@@ -20,15 +20,15 @@
 	t := newTable(os.Stdout)
 	t.row("EPOCH %d\nSEAT\tDISK\tADDRESS\tSINCE\tVOTER", m.Membership.Epoch)
 	for i, member := range m.Membership.Seats {
-		t.row("%d\t%s\t%s\t%d\t%t", i, member.ID, member.Address, member.Since, member.Voter)
+		t.row("%d\t%s\t%s\t%d\t%t", i, member.ID, member.Address, member.JoinEpoch, member.Voter)
 	}
 	t.row("\nPEER\tZONE\tHEARD\tDISK\tEPOCH\tLEAVING")
 	for _, p := range m.Peers {
 		heard := "never"
-		if p.HeardMS >= 0 {
-			heard = fmt.Sprintf("%d ms ago", p.HeardMS)
+		if p.LastHeartbeatAgeMS >= 0 {
+			heard = fmt.Sprintf("%d ms ago", p.LastHeartbeatAgeMS)
 		}
-		t.row("%s\t%s\t%s\t%s\t%d\t%t", p.Address, p.Zone, heard, p.Member, p.Epoch, p.Leaving)
+		t.row("%s\t%s\t%s\t%s\t%d\t%t", p.Address, p.Zone, heard, p.Member, p.Epoch, p.Draining)
 	}
 	t.row("\nSHARD\tOWNER\tTOKEN")
 	for _, o := range m.Owners {
--- a/cmd/sedgevale/queues.go
+++ b/cmd/sedgevale/queues.go
@@ -25,24 +25,24 @@
 	}
 	t := newTable(os.Stdout)
 	for _, s := range q.Shards {
-		t.row("shard %s, token %d, %d records, %d replicas in step", s.Shard, s.Token, s.Records, s.InStep)
+		t.row("shard %s, token %d, %d records, %d replicas in step", s.Shard, s.Token, s.Records, s.InSync)
 		t.row("QUEUE\tPRIORITY\tUNENDED\tPENDING\tHELD\tWAITING\tSIGMA\tUSUAL RUN")
 		for _, queue := range s.Queues {
-			t.row("%s\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.0f ms", queue.Name, queue.Priority, queue.Unended, queue.Pending, queue.Held, queue.Wanted,
-				queue.Sigma, queue.UsualMS)
+			t.row("%s\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.0f ms", queue.Name, queue.Priority, queue.Active, queue.Pending, queue.Allocated, queue.PendingDemand,
+				queue.Limit, queue.MeanRunMS)
 		}
-		if len(s.Waiting) > 0 {
+		if len(s.Unschedulable) > 0 {
 			t.row("WAITS BESIDE ROOM\tQUEUE\tTASKS\tFOR\tREASON\tWORKER\tKEPT FOR")
 		}
-		for _, job := range s.Waiting {
-			t.row("%s\t%s\t%d\t%d ms\t%s\t%s\t%s", job.Job, job.Queue, job.Tasks, job.WaitedMS, job.Reason, job.Worker, job.Holder)
+		for _, job := range s.Unschedulable {
+			t.row("%s\t%s\t%d\t%d ms\t%s\t%s\t%s", job.Job, job.Queue, job.Tasks, job.WaitedMS, job.Reason, job.Worker, job.ReservedFor)
 		}
 		if !c.Workers {
 			continue
 		}
 		t.row("WORKER\tSTATE\tRUNS\tHELD\tSIGMA\tFAILING\tPACE")
 		for _, w := range s.Workers {
-			t.row("%s\t%s\t%d\t%.2f\t%.2f\t%.2f\t%.1f", w.Ref, w.State, w.Runs, w.Held, w.Sigma, w.Failing, w.Pace)
+			t.row("%s\t%s\t%d\t%.2f\t%.2f\t%.2f\t%.1f", w.Ref, w.State, w.Runs, w.Allocated, w.LoadLimit, w.FailureRate, w.Slowdown)
 		}
 	}
 	return t.flush()
--- a/cmd/sedgevale/state.go
+++ b/cmd/sedgevale/state.go
@@ -28,7 +28,7 @@
 	for _, f := range files {
 		state := "older, not read"
 		switch {
-		case !f.Whole:
+		case !f.Complete:
 			state = "not whole, not read"
 		case f.Live:
 			state = "read at a start"
--- a/coord/membership/change.go
+++ b/coord/membership/change.go
@@ -14,12 +14,12 @@
 	ErrNotLearner    = errors.New("membership: the disk is not a learner")
 )
 
-// Change computes the membership that follows another one. Next sets the epochs.
+// Change computes the membership that follows another one. NextProposal sets the epochs.
 type Change func(Membership) (Membership, error)
 
-// Admit returns the change that gives a seat to the replica on another disk, as a learner. The holder of the seat loses
+// AddLearner returns the change that gives a seat to the replica on another disk, as a learner. The holder of the seat loses
 // its vote at once, so the change is refused with ErrNoQuorum unless the other voters form a quorum.
-func Admit(seat int, id, address string) Change {
+func AddLearner(seat int, id, address string) Change {
 	return func(m Membership) (Membership, error) {
 		if seat < 0 || seat >= len(m.Seats) {
 			return m, fmt.Errorf("%w: %d of %d", ErrUnknownSeat, seat, len(m.Seats))
@@ -55,26 +55,26 @@
 	}
 }
 
-// Next returns the value that a proposer writes to the membership's register.
+// NextProposal returns the value that a proposer writes to the membership's register.
 //
 // Installed is the membership under which the proposer prepared; current is the newest value among the promises, the zero
 // value if there was none. If current is based on the installed membership it may or may not have been chosen; a value
 // that is based on the installed membership as well may replace it, since the quorums of all memberships with one base
 // intersect. If current is newer and has another base it may already be in effect elsewhere: it is proposed again as it
 // is, and the change has to wait.
-func Next(installed, current Membership, change Change) (Membership, error) {
-	if current.Epoch > installed.Epoch && current.Base != installed.Epoch {
+func NextProposal(installed, current Membership, change Change) (Membership, error) {
+	if current.Epoch > installed.Epoch && current.BaseEpoch != installed.Epoch {
 		return current, nil
 	}
 	next, err := change(installed)
 	if err != nil {
 		return installed, err
 	}
-	next.Base = installed.Epoch
+	next.BaseEpoch = installed.Epoch
 	next.Epoch = max(installed.Epoch, current.Epoch) + 1
 	for i := range next.Seats {
-		if next.Seats[i].ID != "" && next.Seats[i].Since == 0 {
-			next.Seats[i].Since = next.Epoch
+		if next.Seats[i].ID != "" && next.Seats[i].JoinEpoch == 0 {
+			next.Seats[i].JoinEpoch = next.Epoch
 		}
 	}
 	if current.Epoch > installed.Epoch && sameMembers(current, next) {
--- a/coord/membership/membership.go
+++ b/coord/membership/membership.go
@@ -31,37 +31,37 @@
 
 // Errors of a message that was sent under another membership than the one that its receiver knows.
 var (
-	ErrInvalid    = errors.New("membership: invalid")
-	ErrDeployment = errors.New("membership: of another deployment")
-	ErrOutdated   = errors.New("membership: outdated epoch")
+	ErrInvalid         = errors.New("membership: invalid")
+	ErrWrongDeployment = errors.New("membership: of another deployment")
+	ErrOutdatedEpoch   = errors.New("membership: outdated epoch")
 )
 
 // Member is the holder of a seat. The zero Member stands for an empty seat.
 type Member struct {
-	ID      string // identifies a disk from its first use until it is lost
-	Address string // host:port at which other schedulers reach the replica
-	Since   int64  // the epoch in which the replica joined; at most the epoch of the membership
-	Voter   bool   // false for a learner
+	ID        string // identifies a disk from its first use until it is lost
+	Address   string // host:port at which other schedulers reach the replica
+	JoinEpoch int64  // the epoch in which the replica joined; at most the epoch of the membership
+	Voter     bool   // false for a learner
 }
 
 // Membership is the assignment of seats under one epoch. The zero Membership has no seats and stands for an unknown one.
 type Membership struct {
 	Deployment string   // identifies the system; memberships of two deployments are never compared
 	Epoch      int64    // positive; rises with each proposed change
-	Base       int64    // the epoch of the membership from which this one differs by one seat; below Epoch
+	BaseEpoch  int64    // the epoch of the membership from which this one differs by one seat; below Epoch
 	Seats      []Member // an odd number, the same in all memberships of a deployment
 }
 
-// First returns the membership of a cluster whose disks are all empty: the machines at the given addresses hold the first
+// Bootstrap returns the membership of a cluster whose disks are all empty: the machines at the given addresses hold the first
 // seats as voters. It does not depend on the order of the addresses, so machines with the same list agree.
-func First(seats int, addresses []string) Membership {
+func Bootstrap(seats int, addresses []string) Membership {
 	m := Membership{Epoch: 1, Seats: make([]Member, seats)}
 	hash := xxhash.New()
 	sorted := slices.Clone(addresses)
 	slices.Sort(sorted)
 	sorted = slices.Compact(sorted)
 	for i := range min(seats, len(sorted)) {
-		m.Seats[i] = Member{ID: BootstrapID(sorted[i]), Address: sorted[i], Since: 1, Voter: true}
+		m.Seats[i] = Member{ID: BootstrapID(sorted[i]), Address: sorted[i], JoinEpoch: 1, Voter: true}
 	}
 	for _, address := range sorted {
 		_, _ = hash.WriteString(address + "\n")
@@ -87,8 +87,8 @@
 	return voters
 }
 
-// Filled returns the holders of all seats, voters and learners.
-func (m Membership) Filled() []Member {
+// Members returns the holders of all seats, voters and learners.
+func (m Membership) Members() []Member {
 	var members []Member
 	for _, member := range m.Seats {
 		if member.ID != "" {
@@ -125,16 +125,16 @@
 
 // Equal reports whether two memberships are identical.
 func (m Membership) Equal(other Membership) bool {
-	return m.Deployment == other.Deployment && m.Epoch == other.Epoch && m.Base == other.Base && slices.Equal(m.Seats, other.Seats)
+	return m.Deployment == other.Deployment && m.Epoch == other.Epoch && m.BaseEpoch == other.BaseEpoch && slices.Equal(m.Seats, other.Seats)
 }
 
-// Check validates a membership. The error wraps ErrInvalid.
-func (m Membership) Check() error {
+// Validate validates a membership. The error wraps ErrInvalid.
+func (m Membership) Validate() error {
 	if len(m.Seats) == 0 || len(m.Seats) > MaxSeats || len(m.Seats)%2 == 0 {
 		return fmt.Errorf("%w: %d seats, want an odd number up to %d", ErrInvalid, len(m.Seats), MaxSeats)
 	}
-	if m.Epoch < 1 || m.Base < 0 || m.Base >= m.Epoch {
-		return fmt.Errorf("%w: epoch %d based on %d", ErrInvalid, m.Epoch, m.Base)
+	if m.Epoch < 1 || m.BaseEpoch < 0 || m.BaseEpoch >= m.Epoch {
+		return fmt.Errorf("%w: epoch %d based on %d", ErrInvalid, m.Epoch, m.BaseEpoch)
 	}
 	for i, member := range m.Seats {
 		if member.ID == "" {
@@ -143,7 +143,7 @@
 			}
 			continue
 		}
-		if member.Address == "" || member.Since < 1 || member.Since > m.Epoch {
+		if member.Address == "" || member.JoinEpoch < 1 || member.JoinEpoch > m.Epoch {
 			return fmt.Errorf("%w: seats[%d]: %+v in epoch %d", ErrInvalid, i, member, m.Epoch)
 		}
 		if m.SeatOf(member.ID) != i || m.SeatAt(member.Address) != i {
@@ -153,24 +153,24 @@
 	return nil
 }
 
-// Meet checks the membership of a message's sender against that of its receiver. With install the sent membership is
+// CheckSender checks the membership of a message's sender against that of its receiver. With install the sent membership is
 // newer and the receiver has to install it before it answers: a membership is sent only after it was chosen. The error
-// wraps ErrInvalid, ErrDeployment or, for an older epoch, ErrOutdated.
-func (m Membership) Meet(sent Membership) (install bool, err error) {
-	if err := sent.Check(); err != nil {
+// wraps ErrInvalid, ErrWrongDeployment or, for an older epoch, ErrOutdatedEpoch.
+func (m Membership) CheckSender(sent Membership) (install bool, err error) {
+	if err := sent.Validate(); err != nil {
 		return false, err
 	}
 	if m.Epoch == 0 {
 		return true, nil
 	}
 	if sent.Deployment != m.Deployment {
-		return false, fmt.Errorf("%w: %s was sent, %s is known", ErrDeployment, sent.Deployment, m.Deployment)
+		return false, fmt.Errorf("%w: %s was sent, %s is known", ErrWrongDeployment, sent.Deployment, m.Deployment)
 	}
 	if len(sent.Seats) != len(m.Seats) {
 		return false, fmt.Errorf("%w: %d seats were sent, %d are known", ErrInvalid, len(sent.Seats), len(m.Seats))
 	}
 	if sent.Epoch < m.Epoch {
-		return false, fmt.Errorf("%w: %d was sent, %d is known", ErrOutdated, sent.Epoch, m.Epoch)
+		return false, fmt.Errorf("%w: %d was sent, %d is known", ErrOutdatedEpoch, sent.Epoch, m.Epoch)
 	}
 	if sent.Epoch == m.Epoch && !sent.Equal(m) {
 		return false, fmt.Errorf("%w: a different membership of epoch %d is known", ErrInvalid, m.Epoch)
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -8,8 +8,8 @@
 
 func first(t *testing.T) Membership {
 	t.Helper()
-	m := First(3, []string{"c", "a", "b"})
-	if err := m.Check(); err != nil {
+	m := Bootstrap(3, []string{"c", "a", "b"})
+	if err := m.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	return m
@@ -18,63 +18,63 @@
 // next applies a change to a membership without rival proposals.
 func next(t *testing.T, m Membership, change Change) Membership {
 	t.Helper()
-	changed, err := Next(m, m, change)
+	changed, err := NextProposal(m, m, change)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := changed.Check(); err != nil {
+	if err := changed.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	return changed
 }
 
 func TestFirstMembershipIsTheSameForAll(t *testing.T) {
-	one, two := First(5, []string{"a", "b", "c"}), First(5, []string{"c", "b", "a", "b"})
+	one, two := Bootstrap(5, []string{"a", "b", "c"}), Bootstrap(5, []string{"c", "b", "a", "b"})
 	if !one.Equal(two) || len(one.Voters()) != 3 || one.Quorum() != 3 || one.SeatAt("d") != -1 {
 		t.Errorf("%+v and %+v", one, two)
 	}
-	if other := First(5, []string{"a", "b", "d"}); other.Deployment == one.Deployment {
+	if other := Bootstrap(5, []string{"a", "b", "d"}); other.Deployment == one.Deployment {
 		t.Error("another deployment has the same name")
 	}
 }
 
 func TestSeatIsReplacedThroughALearner(t *testing.T) {
 	m := first(t)
-	learner := next(t, m, Admit(0, "x", "d"))
-	if got, _ := learner.Member("x"); got != (Member{ID: "x", Address: "d", Since: 2}) || len(learner.Voters()) != 2 {
+	learner := next(t, m, AddLearner(0, "x", "d"))
+	if got, _ := learner.Member("x"); got != (Member{ID: "x", Address: "d", JoinEpoch: 2}) || len(learner.Voters()) != 2 {
 		t.Errorf("%+v", learner)
 	}
 	voter := next(t, learner, Promote("x"))
-	if got, _ := voter.Member("x"); !got.Voter || got.Since != 2 || voter.Epoch != 3 || voter.Base != 2 {
+	if got, _ := voter.Member("x"); !got.Voter || got.JoinEpoch != 2 || voter.Epoch != 3 || voter.BaseEpoch != 2 {
 		t.Errorf("%+v", voter)
 	}
-	if _, err := Next(voter, voter, Promote("x")); !errors.Is(err, ErrNotLearner) {
+	if _, err := NextProposal(voter, voter, Promote("x")); !errors.Is(err, ErrNotLearner) {
 		t.Errorf("promoted twice: %v", err)
 	}
 }
 
 func TestNoChangeLeavesTooFewVoters(t *testing.T) {
-	m := next(t, first(t), Admit(0, "x", "d"))
-	if _, err := Next(m, m, Admit(1, "y", "e")); !errors.Is(err, ErrNoQuorum) {
+	m := next(t, first(t), AddLearner(0, "x", "d"))
+	if _, err := NextProposal(m, m, AddLearner(1, "y", "e")); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("a second voter was replaced before the first learner was promoted: %v", err)
 	}
-	if replaced := next(t, m, Admit(0, "y", "e")); replaced.SeatOf("y") != 0 {
+	if replaced := next(t, m, AddLearner(0, "y", "e")); replaced.SeatOf("y") != 0 {
 		t.Errorf("a learner that was lost is not replaced: %+v", replaced)
 	}
-	one := First(1, []string{"a"})
-	if _, err := Next(one, one, Admit(0, "x", "d")); !errors.Is(err, ErrNoQuorum) {
+	one := Bootstrap(1, []string{"a"})
+	if _, err := NextProposal(one, one, AddLearner(0, "x", "d")); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("the only voter was replaced: %v", err)
 	}
 }
 
 func TestNoDiskHoldsTwoSeats(t *testing.T) {
 	m := first(t)
-	for _, change := range []Change{Admit(1, BootstrapID("a"), "a"), Admit(1, "x", "a"), Admit(3, "x", "d"), Admit(-1, "x", "d")} {
-		if changed, err := Next(m, m, change); err == nil {
+	for _, change := range []Change{AddLearner(1, BootstrapID("a"), "a"), AddLearner(1, "x", "a"), AddLearner(3, "x", "d"), AddLearner(-1, "x", "d")} {
+		if changed, err := NextProposal(m, m, change); err == nil {
 			t.Errorf("%+v", changed)
 		}
 	}
-	if again := next(t, m, Admit(0, "x", "a")); again.SeatOf("x") != 0 {
+	if again := next(t, m, AddLearner(0, "x", "a")); again.SeatOf("x") != 0 {
 		t.Errorf("a machine with a new disk does not take its own seat: %+v", again)
 	}
 }
@@ -83,26 +83,26 @@
 // higher epoch.
 func TestUncommittedChangeIsReplaced(t *testing.T) {
 	m := first(t)
-	half := next(t, m, Admit(0, "x", "d"))
-	other, err := Next(m, half, Admit(2, "y", "e"))
-	if err != nil || other.Epoch != 3 || other.Base != 1 || other.SeatOf(BootstrapID("a")) != 0 || other.SeatOf("y") != 2 {
+	half := next(t, m, AddLearner(0, "x", "d"))
+	other, err := NextProposal(m, half, AddLearner(2, "y", "e"))
+	if err != nil || other.Epoch != 3 || other.BaseEpoch != 1 || other.SeatOf(BootstrapID("a")) != 0 || other.SeatOf("y") != 2 {
 		t.Errorf("%+v, %v", other, err)
 	}
-	if again, err := Next(m, half, Admit(0, "x", "d")); err != nil || !again.Equal(half) {
+	if again, err := NextProposal(m, half, AddLearner(0, "x", "d")); err != nil || !again.Equal(half) {
 		t.Errorf("the same change is not completed: %+v, %v", again, err)
 	}
 	// A proposer that has installed one of them first completes the other, which may have been chosen.
-	if finished, err := Next(half, other, Promote("x")); err != nil || !finished.Equal(other) {
+	if finished, err := NextProposal(half, other, Promote("x")); err != nil || !finished.Equal(other) {
 		t.Errorf("%+v, %v", finished, err)
 	}
 }
 
 // The quorums of all memberships with one base share a voter pairwise.
 func TestQuorumsOfRivalsShareAVoter(t *testing.T) {
-	base := next(t, First(5, []string{"a", "b", "c", "d", "e"}), Admit(0, "x", "f"))
+	base := next(t, Bootstrap(5, []string{"a", "b", "c", "d", "e"}), AddLearner(0, "x", "f"))
 	rivals := []Membership{base, next(t, base, Promote("x"))}
 	for seat := range 5 {
-		if changed, err := Next(base, base, Admit(seat, "y", "g")); err == nil {
+		if changed, err := NextProposal(base, base, AddLearner(seat, "y", "g")); err == nil {
 			rivals = append(rivals, changed)
 		}
 	}
--- a/coord/membership/model_test.go
+++ b/coord/membership/model_test.go
@@ -112,7 +112,7 @@
 
 func newModel(kinds []roundKind, ballots []int8, wipeable bool, faults injectedFaults) (*model, modelState) {
 	m := &model{kinds: kinds, ballots: ballots, wipeable: wipeable, faults: faults}
-	m.memberships = []Membership{First(3, []string{"a", "b", "c"})}
+	m.memberships = []Membership{Bootstrap(3, []string{"a", "b", "c"})}
 	var s modelState
 	for i := range s.replicas {
 		s.replicas[i] = modelReplica{up: true, restored: i < 3, joinEpoch: int64(1)}
@@ -153,8 +153,8 @@
 func (m *model) enter(d *modelReplica, disk int, index int8) {
 	d.installed = index
 	member, seated := m.memberships[index].Member(diskNames[disk])
-	if seated && member.Since != d.joinEpoch {
-		d.joinEpoch = member.Since
+	if seated && member.JoinEpoch != d.joinEpoch {
+		d.joinEpoch = member.JoinEpoch
 		d.restored = false
 		d.restoredFrom = [disks]bool{}
 		d.merged = [2]acceptor{}
@@ -168,7 +168,7 @@
 		return false
 	}
 	if !m.faults.epochsIgnored {
-		install, err := m.memberships[d.installed].Meet(m.memberships[base])
+		install, err := m.memberships[d.installed].CheckSender(m.memberships[base])
 		if err != nil {
 			return false
 		}
@@ -232,11 +232,11 @@
 func (m *model) change(r *modelRound) Change {
 	switch r.kind {
 	case addLearnerX:
-		return Admit(0, "x", "dx")
+		return AddLearner(0, "x", "dx")
 	case addLearnerY:
-		return Admit(2, "y", "dy")
+		return AddLearner(2, "y", "dy")
 	case addLearnerYAtA:
-		return Admit(0, "y", "dy")
+		return AddLearner(0, "y", "dy")
 	case promoteX:
 		return Promote("x")
 	default:
@@ -295,9 +295,9 @@
 	}
 	installed := m.memberships[r.base]
 	if m.faults.pendingChangeIgnored && current.Epoch > installed.Epoch {
-		current.Base = installed.Epoch
+		current.BaseEpoch = installed.Epoch
 	}
-	next, err := Next(installed, current, m.change(r))
+	next, err := NextProposal(installed, current, m.change(r))
 	if err != nil {
 		r.phase = failed
 		return
@@ -394,7 +394,7 @@
 	if !d.up || !s.chosen[index] {
 		return false
 	}
-	install, err := m.memberships[d.installed].Meet(m.memberships[index])
+	install, err := m.memberships[d.installed].CheckSender(m.memberships[index])
 	if err != nil || !install {
 		return false
 	}
@@ -418,7 +418,7 @@
 	}
 	for i, a := range []acceptor{s.replicas[from].config, s.replicas[from].members} {
 		merged := toAcceptor(d.merged[i])
-		merged.Restore(toAcceptor(a))
+		merged.Merge(toAcceptor(a))
 		d.merged[i] = fromAcceptor(merged)
 	}
 	d.restoredFrom[from] = true
@@ -427,7 +427,7 @@
 	}
 	for i, a := range []*acceptor{&d.config, &d.members} {
 		merged := toAcceptor(*a)
-		merged.Restore(toAcceptor(d.merged[i]))
+		merged.Merge(toAcceptor(d.merged[i]))
 		*a = fromAcceptor(merged)
 	}
 	d.restored = true
--- a/coord/register/acceptor.go
+++ b/coord/register/acceptor.go
@@ -2,7 +2,7 @@
 // of which needs a quorum of replicas, without a log and without a leader.
 //
 // It implements D. Rystsov, "CASPaxos: Replicated State Machines without logs" (2018), section 2.2, with the optimisation
-// that a promise leaves out a value that the proposer knows. An Acceptor is the part of a replica and a Round one attempt
+// that a promise leaves out a value that the proposer knows. An Acceptor is the part of a replica and a Proposal one attempt
 // of a proposer. Both are pure state machines without clock and I/O: the caller carries the messages and makes an
 // Acceptor's state durable before it sends its answer.
 package register
@@ -64,9 +64,9 @@
 	return true
 }
 
-// Restore merges the state of another acceptor of the same register into a: the higher promise, and the value with the
+// Merge merges the state of another acceptor of the same register into a: the higher promise, and the value with the
 // higher ballot.
-func (a *Acceptor) Restore(other Acceptor) {
+func (a *Acceptor) Merge(other Acceptor) {
 	if a.Promised.Less(other.Promised) {
 		a.Promised = other.Promised
 	}
--- a/coord/register/round.go
+++ b/coord/register/proposal.go
@@ -1,21 +1,21 @@
 package register
 
-// Phase is the state of a Round.
+// Phase is the state of a Proposal.
 type Phase int
 
-// The phases of a Round.
+// The phases of a Proposal.
 const (
 	Preparing Phase = iota // waits for promises
-	Accepting              // waits for acceptances; entered by Propose
+	Accepting              // waits for acceptances; entered by BeginAccept
 	Committed              // a quorum has accepted the value
 	Failed                 // a quorum is out of reach; a round with a higher ballot may succeed
 )
 
-// Round is one attempt of a proposer to change a register: the pure part of the proposer.
-type Round struct {
-	Ballot  Ballot
-	Phase   Phase
-	Highest Ballot // the highest ballot seen in an answer; the next attempt has to exceed it
+// Proposal is one attempt of a proposer to change a register: the pure part of the proposer.
+type Proposal struct {
+	Ballot        Ballot
+	Phase         Phase
+	HighestBallot Ballot // the highest ballot seen in an answer; the next attempt has to exceed it
 
 	latestBallot Ballot // of latestValue
 	latestValue  []byte // the value with the highest ballot among the promises and what the proposer knew
@@ -25,24 +25,24 @@
 	rejected     map[int]bool // replicas that have rejected the ballot, or failed, in this phase
 }
 
-// NewRound begins an attempt among the given number of replicas, of which quorum have to agree. Known and value are the
+// NewProposal begins an attempt among the given number of replicas, of which quorum have to agree. Known and value are the
 // newest accepted ballot that the proposer knows and its value.
-func NewRound(ballot Ballot, replicas, quorum int, known Ballot, value []byte) *Round {
-	return &Round{
-		Ballot: ballot, Highest: ballot, latestBallot: known, latestValue: value, quorum: quorum, replicas: replicas,
+func NewProposal(ballot Ballot, replicas, quorum int, known Ballot, value []byte) *Proposal {
+	return &Proposal{
+		Ballot: ballot, HighestBallot: ballot, latestBallot: known, latestValue: value, quorum: quorum, replicas: replicas,
 		acked: map[int]bool{}, rejected: map[int]bool{},
 	}
 }
 
 // OnPromise handles a replica's answer to a prepare message. It reports whether a quorum has promised: the proposer then
-// derives the next value from Value and calls Propose.
-func (r *Round) OnPromise(replica int, p Promise) bool {
+// derives the next value from Value and calls BeginAccept.
+func (r *Proposal) OnPromise(replica int, p Promise) bool {
 	if r.Phase != Preparing {
 		return false
 	}
 	if !p.Granted {
-		if r.Highest.Less(p.Promised) {
-			r.Highest = p.Promised
+		if r.HighestBallot.Less(p.Promised) {
+			r.HighestBallot = p.Promised
 		}
 		r.reject(replica)
 		return false
@@ -56,17 +56,17 @@
 }
 
 // Value returns the newest value among the promises, and its ballot.
-func (r *Round) Value() ([]byte, Ballot) { return r.latestValue, r.latestBallot }
+func (r *Proposal) Value() ([]byte, Ballot) { return r.latestValue, r.latestBallot }
 
-// Propose begins the accept phase.
-func (r *Round) Propose() {
+// BeginAccept begins the accept phase.
+func (r *Proposal) BeginAccept() {
 	r.Phase = Accepting
 	clear(r.acked)
 	clear(r.rejected)
 }
 
 // OnAccepted handles a replica's answer to an accept message and reports whether the value is committed.
-func (r *Round) OnAccepted(replica int, accepted bool) bool {
+func (r *Proposal) OnAccepted(replica int, accepted bool) bool {
 	if r.Phase != Accepting {
 		return r.Phase == Committed
 	}
@@ -82,9 +82,9 @@
 }
 
 // OnFailure records that a replica does not answer.
-func (r *Round) OnFailure(replica int) { r.reject(replica) }
+func (r *Proposal) OnFailure(replica int) { r.reject(replica) }
 
-func (r *Round) reject(replica int) {
+func (r *Proposal) reject(replica int) {
 	r.rejected[replica] = true
 	if r.replicas-len(r.rejected) < r.quorum && r.Phase != Committed {
 		r.Phase = Failed
--- a/coord/register/register_test.go
+++ b/coord/register/register_test.go
@@ -39,16 +39,16 @@
 }
 
 func TestRoundFailsWithoutAMajority(t *testing.T) {
-	r := NewRound(Ballot{1, "p"}, 3, 2, Ballot{}, nil)
+	r := NewProposal(Ballot{1, "p"}, 3, 2, Ballot{}, nil)
 	r.OnPromise(0, Promise{Promised: Ballot{9, "q"}})
 	r.OnFailure(1)
-	if r.Phase != Failed || r.Highest != (Ballot{9, "q"}) {
-		t.Errorf("phase %d, highest %+v", r.Phase, r.Highest)
+	if r.Phase != Failed || r.HighestBallot != (Ballot{9, "q"}) {
+		t.Errorf("phase %d, highest %+v", r.Phase, r.HighestBallot)
 	}
 }
 
 func TestRoundTakesTheNewestValue(t *testing.T) {
-	r := NewRound(Ballot{5, "p"}, 3, 2, Ballot{}, nil)
+	r := NewProposal(Ballot{5, "p"}, 3, 2, Ballot{}, nil)
 	if r.OnPromise(0, Promise{Granted: true, Accepted: Ballot{2, "a"}, Value: []byte("old")}) {
 		t.Error("one promise of three is no majority")
 	}
@@ -84,7 +84,7 @@
 	random := rand.New(rand.NewPCG(seed, 1))
 	acceptors := []*Acceptor{{}, {}, {}}
 	type attempt struct {
-		round *Round
+		round *Proposal
 		next  byte
 	}
 	var running []*attempt
@@ -94,7 +94,7 @@
 		if len(running) < 3 {
 			counter++
 			ballot := Ballot{counter, string(rune('a' + random.IntN(3)))}
-			running = append(running, &attempt{round: NewRound(ballot, 3, quorum, Ballot{}, nil)})
+			running = append(running, &attempt{round: NewProposal(ballot, 3, quorum, Ballot{}, nil)})
 		}
 		which := random.IntN(len(running))
 		a := running[which]
@@ -108,7 +108,7 @@
 					a.next = value[0]
 				}
 				a.next++
-				a.round.Propose()
+				a.round.BeginAccept()
 			}
 		} else if a.round.OnAccepted(replica, acceptors[replica].Accept(a.round.Ballot, []byte{a.next})) {
 			if seen[a.next] {
--- a/coord/rendezvous/rendezvous.go
+++ b/coord/rendezvous/rendezvous.go
@@ -28,8 +28,8 @@
 	return ranked
 }
 
-// First returns the member with the highest weight for a key, or "" if there are no members.
-func First(key string, members []string) string {
+// Highest returns the member with the highest weight for a key, or "" if there are no members.
+func Highest(key string, members []string) string {
 	if len(members) == 0 {
 		return ""
 	}
--- a/coord/rendezvous/rendezvous_test.go
+++ b/coord/rendezvous/rendezvous_test.go
@@ -10,8 +10,8 @@
 	members := []string{"a", "b", "c", "d"}
 	for i := range 200 {
 		key := fmt.Sprint("key", i)
-		before := First(key, members)
-		after := First(key, []string{"a", "b", "c"})
+		before := Highest(key, members)
+		after := Highest(key, []string{"a", "b", "c"})
 		if before != "d" && before != after {
 			t.Errorf("%s moved from %s to %s though d was lost", key, before, after)
 		}
@@ -30,7 +30,7 @@
 			watched[one]++
 		}
 	}
-	if First("x", nil) != "" || len(Monitors("a", []string{"a"}, 3)) != 0 {
+	if Highest("x", nil) != "" || len(Monitors("a", []string{"a"}, 3)) != 0 {
 		t.Error("nobody to choose from")
 	}
 }
--- a/coord/shard/primary.go
+++ b/coord/shard/primary.go
@@ -6,7 +6,7 @@
 // which a quorum has acknowledged. It is a pure state machine; the caller carries the writes.
 type Primary struct {
 	Token    int64 // the owner's fencing token
-	Set      *Set
+	Records  *RecordSet
 	sequence int64 // the number of the last change; the first has 1
 	quorum   int
 	replicas []replicaProgress
@@ -21,8 +21,8 @@
 }
 
 // NewPrimary returns the owner's state over a merged set of records. All replicas are voters, and none is in sync.
-func NewPrimary(token int64, set *Set, replicas, quorum int) *Primary {
-	p := &Primary{Token: token, Set: set, quorum: quorum, replicas: make([]replicaProgress, replicas)}
+func NewPrimary(token int64, set *RecordSet, replicas, quorum int) *Primary {
+	p := &Primary{Token: token, Records: set, quorum: quorum, replicas: make([]replicaProgress, replicas)}
 	for i := range p.replicas {
 		p.replicas[i].pending = map[string]bool{}
 		p.replicas[i].voter = true
@@ -39,7 +39,7 @@
 func (p *Primary) write(key string, value []byte, deleted bool) int64 {
 	p.sequence++
 	version := Version{Token: p.Token, Sequence: p.sequence}
-	p.Set.Apply(Record{Key: key, Version: version, Value: value, Deleted: deleted})
+	p.Records.Apply(Record{Key: key, Version: version, Value: value, Deleted: deleted})
 	for i := range p.replicas {
 		if p.replicas[i].inSync {
 			p.replicas[i].pending[key] = true
@@ -54,32 +54,32 @@
 // Quorum returns the number of voters that have to acknowledge a change.
 func (p *Primary) Quorum() int { return p.quorum }
 
-// InStep reports whether a replica is in sync, so that it is sent changes.
-func (p *Primary) InStep(replica int) bool { return p.replicas[replica].inSync }
+// InSync reports whether a replica is in sync, so that it is sent changes.
+func (p *Primary) InSync(replica int) bool { return p.replicas[replica].inSync }
 
 // BeginRepair returns the key ranges, with their records, in which a replica with the given digests differs from the
 // owner, and the number of the last change that they contain. Later changes are pending for the replica.
 func (p *Primary) BeginRepair(replica int, digests []int64) ([]Range, int64) {
-	ranges := Ranges(p.Set, digests)
+	ranges := DifferingRanges(p.Records, digests)
 	p.replicas[replica].inSync = true
 	clear(p.replicas[replica].pending)
 	return ranges, p.sequence
 }
 
-// Lost records that a replica is out of sync: it has to be repaired before it counts again.
-func (p *Primary) Lost(replica int) {
+// MarkOutOfSync records that a replica is out of sync: it has to be repaired before it counts again.
+func (p *Primary) MarkOutOfSync(replica int) {
 	p.replicas[replica].inSync = false
 	p.replicas[replica].acked = 0
 	clear(p.replicas[replica].pending)
 }
 
-// Next returns the records that are pending for a replica, which are no longer pending then, and the number of the change
+// TakePending returns the records that are pending for a replica, which are no longer pending then, and the number of the change
 // up to which the replica is once it stores them.
-func (p *Primary) Next(replica int) ([]Record, int64) {
+func (p *Primary) TakePending(replica int) ([]Record, int64) {
 	pending := p.replicas[replica].pending
 	records := make([]Record, 0, len(pending))
 	for key := range pending {
-		record, ok := p.Set.Get(key)
+		record, ok := p.Records.Get(key)
 		if !ok {
 			record = Record{Key: key, Version: Version{Token: p.Token, Sequence: p.sequence}, Deleted: true}
 		}
@@ -92,16 +92,16 @@
 // HasPending reports whether changes are pending for a replica.
 func (p *Primary) HasPending(replica int) bool { return len(p.replicas[replica].pending) > 0 }
 
-// Acked records that a replica stores all changes up to one.
-func (p *Primary) Acked(replica int, sequence int64) {
+// Acknowledge records that a replica stores all changes up to one.
+func (p *Primary) Acknowledge(replica int, sequence int64) {
 	p.replicas[replica].acked = max(p.replicas[replica].acked, sequence)
 }
 
 // SetVoter sets whether a replica's acknowledgements count. A learner is kept in sync and counts for no quorum.
 func (p *Primary) SetVoter(replica int, voter bool) { p.replicas[replica].voter = voter }
 
-// Holds reports whether a replica is in sync and has acknowledged all changes up to one.
-func (p *Primary) Holds(replica int, sequence int64) bool {
+// HasAcknowledged reports whether a replica is in sync and has acknowledged all changes up to one.
+func (p *Primary) HasAcknowledged(replica int, sequence int64) bool {
 	return p.replicas[replica].inSync && p.replicas[replica].acked >= sequence
 }
 
@@ -130,22 +130,22 @@
 	return lowest
 }
 
-// Sealed is a replica's answer to a new owner's fencing message.
-type Sealed struct {
-	InStep  int64 // as Replica.InStep
-	Digests []int64
+// FenceResponse is a replica's answer to a new owner's fencing message.
+type FenceResponse struct {
+	InSyncToken int64 // as Replica.InSyncToken
+	Digests     []int64
 }
 
-// Newest returns, in ascending order, the replicas that were in sync with the newest owner among all that answered. Only
+// NewestInSync returns, in ascending order, the replicas that were in sync with the newest owner among all that answered. Only
 // their records are merged: each committed change is at one of them, and others may have records that never committed.
-func Newest(answers map[int]Sealed) []int {
+func NewestInSync(answers map[int]FenceResponse) []int {
 	newest := int64(0)
 	for _, a := range answers {
-		newest = max(newest, a.InStep)
+		newest = max(newest, a.InSyncToken)
 	}
 	var found []int
 	for replica, a := range answers {
-		if a.InStep == newest {
+		if a.InSyncToken == newest {
 			found = append(found, replica)
 		}
 	}
--- a/coord/shard/record.go
+++ b/coord/shard/record.go
@@ -52,26 +52,26 @@
 	return int64(hash.Sum64())
 }
 
-// Set is a set of records, one for each key, with a digest for each key range.
-type Set struct {
+// RecordSet is a set of records, one for each key, with a digest for each key range.
+type RecordSet struct {
 	records map[string]Record
 	digests [Buckets]int64 // the exclusive or of the recordDigests of a range; independent of their order
 }
 
-// NewSet returns an empty set.
-func NewSet() *Set { return &Set{records: map[string]Record{}} }
+// NewRecordSet returns an empty set.
+func NewRecordSet() *RecordSet { return &RecordSet{records: map[string]Record{}} }
 
 // Get returns the record of a key and whether there is one.
-func (s *Set) Get(key string) (Record, bool) {
+func (s *RecordSet) Get(key string) (Record, bool) {
 	r, ok := s.records[key]
 	return r, ok
 }
 
 // Len returns the number of records.
-func (s *Set) Len() int { return len(s.records) }
+func (s *RecordSet) Len() int { return len(s.records) }
 
 // Apply takes a record unless the set has the same version or a newer one, and reports whether it took it.
-func (s *Set) Apply(r Record) bool {
+func (s *RecordSet) Apply(r Record) bool {
 	old, known := s.records[r.Key]
 	if known && old.Version.Compare(r.Version) >= 0 {
 		return false
@@ -90,10 +90,10 @@
 }
 
 // Digests returns the digest of each key range.
-func (s *Set) Digests() []int64 { return slices.Clone(s.digests[:]) }
+func (s *RecordSet) Digests() []int64 { return slices.Clone(s.digests[:]) }
 
 // InBucket returns the records of a key range, unordered.
-func (s *Set) InBucket(bucket int) []Record {
+func (s *RecordSet) InBucket(bucket int) []Record {
 	var found []Record
 	for key, r := range s.records {
 		if BucketOf(key) == bucket {
@@ -104,7 +104,7 @@
 }
 
 // All returns all records, unordered.
-func (s *Set) All() []Record {
+func (s *RecordSet) All() []Record {
 	all := make([]Record, 0, len(s.records))
 	for _, r := range s.records {
 		all = append(all, r)
@@ -113,7 +113,7 @@
 }
 
 // ReplaceBucket replaces the content of a key range.
-func (s *Set) ReplaceBucket(bucket int, records []Record) {
+func (s *RecordSet) ReplaceBucket(bucket int, records []Record) {
 	for _, r := range s.InBucket(bucket) {
 		delete(s.records, r.Key)
 	}
@@ -124,17 +124,17 @@
 	}
 }
 
-// Ranges returns the key ranges of a set whose digests differ from those given.
-func Ranges(set *Set, digests []int64) []Range {
+// DifferingRanges returns the key ranges of a set whose digests differ from those given.
+func DifferingRanges(set *RecordSet, digests []int64) []Range {
 	var ranges []Range
-	for _, bucket := range Differing(set.Digests(), digests) {
+	for _, bucket := range DifferingBuckets(set.Digests(), digests) {
 		ranges = append(ranges, Range{Bucket: int64(bucket), Records: set.InBucket(bucket)})
 	}
 	return ranges
 }
 
-// Differing returns the key ranges in which two lists of digests differ. A digest that is missing differs.
-func Differing(a, b []int64) []int {
+// DifferingBuckets returns the key ranges in which two lists of digests differ. A digest that is missing differs.
+func DifferingBuckets(a, b []int64) []int {
 	var buckets []int
 	for i := range Buckets {
 		if i >= len(a) || i >= len(b) || a[i] != b[i] {
--- a/coord/shard/shard_test.go
+++ b/coord/shard/shard_test.go
@@ -13,7 +13,7 @@
 }
 
 func TestSetKeepsTheNewestVersion(t *testing.T) {
-	s := NewSet()
+	s := NewRecordSet()
 	if !s.Apply(record("a", 1, 2)) || s.Apply(record("a", 1, 1)) || s.Apply(record("a", 1, 2)) || !s.Apply(record("a", 2, 1)) {
 		t.Error("a set takes just newer versions")
 	}
@@ -27,46 +27,46 @@
 func TestDigestsDifferWithVersions(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
 	properties.Property("order does not matter, versions do", prop.ForAll(func(keys []string) bool {
-		one, two := NewSet(), NewSet()
+		one, two := NewRecordSet(), NewRecordSet()
 		for i, key := range keys {
 			one.Apply(record(key, 1, int64(i+1)))
 		}
 		for i := len(keys) - 1; i >= 0; i-- {
 			two.Apply(record(keys[i], 1, int64(i+1)))
 		}
-		if len(Differing(one.Digests(), two.Digests())) != 0 {
+		if len(DifferingBuckets(one.Digests(), two.Digests())) != 0 {
 			return false
 		}
 		if len(keys) == 0 {
 			return true
 		}
 		two.Apply(record(keys[0], 2, 1))
-		return len(Differing(one.Digests(), two.Digests())) == 1
+		return len(DifferingBuckets(one.Digests(), two.Digests())) == 1
 	}, gen.SliceOf(gen.Identifier())))
 	properties.TestingRun(t)
 }
 
 func TestRepairBringsReplicaInSync(t *testing.T) {
-	set := NewSet()
+	set := NewRecordSet()
 	for i, key := range []string{"a", "b", "c", "d"} {
 		set.Apply(record(key, 1, int64(i+1)))
 	}
 	p := NewPrimary(2, set, 3, 2)
 	replica := NewReplica(false)
-	replica.Trust(1)
-	replica.Set.Apply(record("a", 1, 1))
-	replica.Set.Apply(record("stale", 1, 9)) // was never acknowledged by a majority
-	ranges, upTo := p.BeginRepair(0, replica.Set.Digests())
-	if !replica.Repair(2, 1, ranges, true) || !replica.Voter || replica.InStep != 2 {
+	replica.LearnToken(1)
+	replica.Records.Apply(record("a", 1, 1))
+	replica.Records.Apply(record("stale", 1, 9)) // was never acknowledged by a majority
+	ranges, upTo := p.BeginRepair(0, replica.Records.Digests())
+	if !replica.Repair(2, 1, ranges, true) || !replica.Voter || replica.InSyncToken != 2 {
 		t.Fatalf("replica %+v", replica)
 	}
-	if len(Differing(set.Digests(), replica.Set.Digests())) != 0 {
+	if len(DifferingBuckets(set.Digests(), replica.Records.Digests())) != 0 {
 		t.Error("the replica differs after the repair")
 	}
-	if _, there := replica.Set.Get("stale"); there {
+	if _, there := replica.Records.Get("stale"); there {
 		t.Error("a record that the owner does not have stayed")
 	}
-	p.Acked(0, upTo)
+	p.Acknowledge(0, upTo)
 }
 
 func TestOlderOwnerIsFenced(t *testing.T) {
@@ -75,8 +75,8 @@
 	if !replica.Write(3, []Record{record("a", 3, 1)}) {
 		t.Error("the owner's write was rejected")
 	}
-	replica.Seal(4)
-	if replica.Write(3, []Record{record("a", 3, 2)}) || replica.Seal(3) || replica.Repair(3, 1, nil, true) {
+	replica.Fence(4)
+	if replica.Write(3, []Record{record("a", 3, 2)}) || replica.Fence(3) || replica.Repair(3, 1, nil, true) {
 		t.Error("an older token still works")
 	}
 	if replica.Write(4, nil) {
@@ -85,39 +85,39 @@
 }
 
 func TestCommittedNeedsAMajority(t *testing.T) {
-	p := NewPrimary(1, NewSet(), 3, 2)
+	p := NewPrimary(1, NewRecordSet(), 3, 2)
 	for i := range 3 {
-		p.BeginRepair(i, p.Set.Digests())
+		p.BeginRepair(i, p.Records.Digests())
 	}
 	n := p.Put("a", []byte("x"))
-	p.Acked(0, n)
+	p.Acknowledge(0, n)
 	if p.Committed() >= n {
 		t.Error("one replica of three is no majority")
 	}
-	p.Acked(2, n)
+	p.Acknowledge(2, n)
 	if p.Committed() != n || p.AckedByAll() >= n {
 		t.Errorf("committed %d, acknowledged by all %d", p.Committed(), p.AckedByAll())
 	}
-	p.Lost(2)
+	p.MarkOutOfSync(2)
 	if p.Committed() >= n {
 		t.Error("a replica that is out of sync still counts")
 	}
 }
 
 func TestNextReturnsEachChangeOnce(t *testing.T) {
-	p := NewPrimary(1, NewSet(), 3, 2)
-	p.BeginRepair(1, p.Set.Digests())
+	p := NewPrimary(1, NewRecordSet(), 3, 2)
+	p.BeginRepair(1, p.Records.Digests())
 	p.Put("a", []byte("x"))
 	p.Put("a", []byte("y"))
 	p.Delete("b")
-	records, upTo := p.Next(1)
+	records, upTo := p.TakePending(1)
 	if len(records) != 2 || upTo != 3 || p.HasPending(1) || p.HasPending(0) {
 		t.Errorf("records %+v up to %d", records, upTo)
 	}
 }
 
 func TestNewestAreInSyncWithTheLastOwner(t *testing.T) {
-	got := Newest(map[int]Sealed{0: {InStep: 3}, 1: {InStep: 5}, 2: {InStep: 5}})
+	got := NewestInSync(map[int]FenceResponse{0: {InSyncToken: 3}, 1: {InSyncToken: 5}, 2: {InSyncToken: 5}})
 	if len(got) != 2 || got[0] != 1 || got[1] != 2 {
 		t.Errorf("newest %v", got)
 	}
@@ -132,7 +132,7 @@
 	if replica.Repair(3, 1, old, true) {
 		t.Error("an earlier repair was taken")
 	}
-	if got, _ := replica.Set.Get("a"); got.Version.Sequence != 7 {
+	if got, _ := replica.Records.Get("a"); got.Version.Sequence != 7 {
 		t.Errorf("record %+v", got)
 	}
 	if !replica.Repair(4, 1, nil, true) {
@@ -142,15 +142,15 @@
 
 // A learner is kept in sync and counts for no quorum: a rival membership may be chosen that lacks it.
 func TestLearnerCountsForNoQuorum(t *testing.T) {
-	p := NewPrimary(1, NewSet(), 3, 2)
+	p := NewPrimary(1, NewRecordSet(), 3, 2)
 	p.SetVoter(0, false)
 	for replica := range 3 {
-		p.BeginRepair(replica, NewSet().Digests())
+		p.BeginRepair(replica, NewRecordSet().Digests())
 	}
 	n := p.Put("key", []byte("v"))
-	p.Acked(0, n)
-	p.Acked(1, n)
-	if p.Committed() >= n || !p.Holds(0, n) {
+	p.Acknowledge(0, n)
+	p.Acknowledge(1, n)
+	if p.Committed() >= n || !p.HasAcknowledged(0, n) {
 		t.Error("a learner's acknowledgement made a quorum")
 	}
 	p.SetVoter(0, true)
@@ -163,11 +163,11 @@
 // from a quorum: the records of that repair may lack what the newer owner committed.
 func TestRepairByADeposedOwnerMakesNoVoter(t *testing.T) {
 	replica := NewReplica(true)
-	replica.Forget()
+	replica.Invalidate()
 	if !replica.Repair(3, 1, nil, true) || replica.Voter {
 		t.Error("a repair made a voter of a replica whose disk has not learnt the tokens of a quorum")
 	}
-	replica.Trust(4)
+	replica.LearnToken(4)
 	if replica.Voter || replica.Repair(3, 2, nil, true) {
 		t.Error("it votes with the state of a deposed owner")
 	}
@@ -176,7 +176,7 @@
 	}
 	again := NewReplica(false)
 	again.Repair(3, 1, nil, true)
-	again.Trust(3)
+	again.LearnToken(3)
 	if !again.Voter {
 		t.Error("a repair by the newest owner is not remembered")
 	}
--- a/internal/system/api/api.go
+++ b/internal/system/api/api.go
@@ -27,10 +27,10 @@
 
 // WatchResponse holds the newest configuration, the owners of the shards and the addresses of the core schedulers.
 type WatchResponse struct {
-	Fresh         bool // a quorum has confirmed the state recently
+	Confirmed     bool // a quorum has confirmed the state recently
 	ConfigVersion int64
 	Config        []byte // empty if the sender has this version
-	Base          int64  // if not 0, Config is a patch on this version
+	ConfigBase    int64  // if not 0, Config is a patch on this version
 	Owners        []Owner
 	OwnersDigest  int64
 	Cores         []string
@@ -85,10 +85,10 @@
 
 // ReportResponse grants the side agent another lease (workeragent.Timing).
 type ReportResponse struct {
-	Token    int64
-	Noted    int64  // the owner has stored all ends of runs up to this number
-	Session  string // for the next report
-	Accepted bool   // false if the report was in no valid session and was ignored
+	Token        int64
+	Acknowledged int64  // the owner has stored all ends of runs up to this number
+	Session      string // for the next report
+	Accepted     bool   // false if the report was in no valid session and was ignored
 }
 
 // OrdersRequest tells a side agent which runs to start and stop.
--- a/internal/system/api/golden_test.go
+++ b/internal/system/api/golden_test.go
@@ -13,18 +13,18 @@
 // goldenReport and goldenOrders have another value in each field.
 var (
 	goldenReport = jobs.Report{
-		Side: "side", Life: "life", Service: "svc", Instance: "i-1", State: "ready", RemainingMS: 11,
+		AgentAddress: "side", AgentIncarnation: "life", Service: "svc", Instance: "i-1", State: "ready", DrainRemainingMS: 11,
 		Capacity: jobs.Resources{CPU: 12, MemMB: 13, GPU: 14}, Labels: []string{"k", "r"},
-		Active:   []jobs.ActiveRun{{Task: "a", Attempt: 15, Saved: "sa", Percent: 16}},
-		Finished: []jobs.EndedRun{{Number: 17, Task: "f", Attempt: 18, How: "done", Saved: "sf"}},
-		Held:     []jobs.RunRef{{Task: "h", Attempt: 19}}, Dropped: []jobs.RunRef{{Task: "d", Attempt: 20}},
-		Missed: 21, SinceBeatMS: 22, Unknown: 23, LapsesInMS: 24,
+		Active:   []jobs.ActiveRun{{Task: "a", Attempt: 15, Checkpoint: "sa", Percent: 16}},
+		Finished: []jobs.FinishedRun{{Number: 17, Task: "f", Attempt: 18, Outcome: "done", Checkpoint: "sf"}},
+		InFlight: []jobs.RunRef{{Task: "h", Attempt: 19}}, Dropped: []jobs.RunRef{{Task: "d", Attempt: 20}},
+		MissedMessages: 21, HeartbeatAgeMS: 22, UnknownDemands: 23, LeaseRemainingMS: 24,
 	}
 	goldenOrders = jobs.Orders{
-		Instance: "i-1", Life: "life",
-		Known:  []jobs.Start{{Task: "k", Attempt: 1, Text: "tk", Saved: "sk", Demand: jobs.Resources{CPU: 2, MemMB: 3, GPU: 4}}},
-		Starts: []jobs.Start{{Task: "s", Attempt: 5, Text: "ts", Saved: "ss", Demand: jobs.Resources{CPU: 6, MemMB: 7, GPU: 8}}},
-		Stops:  []jobs.RunRef{{Task: "x", Attempt: 9}}, Noted: 10,
+		Instance: "i-1", AgentIncarnation: "life",
+		KnownDemands: []jobs.Start{{Task: "k", Attempt: 1, Text: "tk", Checkpoint: "sk", Demand: jobs.Resources{CPU: 2, MemMB: 3, GPU: 4}}},
+		Starts:       []jobs.Start{{Task: "s", Attempt: 5, Text: "ts", Checkpoint: "ss", Demand: jobs.Resources{CPU: 6, MemMB: 7, GPU: 8}}},
+		Stops:        []jobs.RunRef{{Task: "x", Attempt: 9}}, DurableCompletions: 10,
 	}
 )
 
@@ -36,7 +36,7 @@
 }{
 	{&api.WatchRequest{Node: "n", ConfigVersion: 1, WantConfig: true, OwnersDigest: 2, WaitMS: 3}, "026e02010406"},
 	{&api.WatchResponse{
-		Fresh: true, ConfigVersion: 1, Config: []byte("c"), Base: 2, Owners: []api.Owner{{Shard: "s", Address: "a", Token: 3}},
+		Confirmed: true, ConfigVersion: 1, Config: []byte("c"), ConfigBase: 2, Owners: []api.Owner{{Shard: "s", Address: "a", Token: 3}},
 		OwnersDigest: 4, Cores: []string{"x", "y"},
 	}, "0102026304010a0273026106000803080278027900"},
 	{&api.SubmitRequest{Shard: "s", ConfigVersion: 1, Queue: "q", ID: "i", Body: []byte("b")}, "027302027102690262"},
@@ -45,7 +45,7 @@
 	{&api.PendingRequest{Shard: "s", Queue: "q"}, "02730271"},
 	{&api.PendingResponse{Pending: 300}, "d804"},
 	{&api.ReportRequest{Shard: "s", Session: "se", Sequence: 1, Report: goldenReport}, "0273047365020873696465086c6966650673766306692d310a726561647916181a1c0308026b027200010e02611e047361200001182202662408646f6e65047366000106026826000106026428002a2c2e30"},
-	{&api.ReportResponse{Token: 1, Noted: 2, Session: "se", Accepted: true}, "020404736501"},
+	{&api.ReportResponse{Token: 1, Acknowledged: 2, Session: "se", Accepted: true}, "020404736501"},
 	{&api.OrdersRequest{Token: 1, Orders: goldenOrders}, "0206692d31086c6966650118026b0204746b04736b04060800011802730a0474730473730c0e100001060278120014"},
 	{&api.Empty{}, ""},
 }
--- a/internal/system/clusterconfig/diff.go
+++ b/internal/system/clusterconfig/diff.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Difference returns a patch that turns the configuration before into the one after, or false if they differ in more
+// Diff returns a patch that turns the configuration before into the one after, or false if they differ in more
 // than their lists of named items, version and limits.
-func Difference(before, after []byte) ([]byte, bool) {
+func Diff(before, after []byte) ([]byte, bool) {
 	old, err := splitObject(before)
 	if err != nil {
 		return nil, false
--- a/internal/system/clusterconfig/patch_test.go
+++ b/internal/system/clusterconfig/patch_test.go
@@ -48,7 +48,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 300 {
 		before, after := randomConfig(random, i+1), randomConfig(random, i+2)
-		patch, ok := Difference(before, after)
+		patch, ok := Diff(before, after)
 		if !ok {
 			t.Fatalf("no difference of %s and %s", before, after)
 		}
@@ -65,10 +65,10 @@
 }
 
 func TestDifferenceRejectsUnpatchableKeys(t *testing.T) {
-	if _, ok := Difference([]byte(`{"version":1,"routes":[],"other":1}`), []byte(`{"version":2,"routes":[]}`)); ok {
+	if _, ok := Diff([]byte(`{"version":1,"routes":[],"other":1}`), []byte(`{"version":2,"routes":[]}`)); ok {
 		t.Error("a removed key cannot be expressed by a patch")
 	}
-	if _, ok := Difference([]byte(`{"version":1,"other":1}`), []byte(`{"version":2,"other":2}`)); ok {
+	if _, ok := Diff([]byte(`{"version":1,"other":1}`), []byte(`{"version":2,"other":2}`)); ok {
 		t.Error("a change of a key that is no list of named items cannot be expressed by a patch")
 	}
 }
@@ -96,7 +96,7 @@
 			}
 		}
 		after := text(version, items)
-		patch, ok := Difference(before, after)
+		patch, ok := Diff(before, after)
 		if !ok {
 			t.Fatalf("no patch from %s to %s", before, after)
 		}
--- a/internal/system/clusterconfig/validate.go
+++ b/internal/system/clusterconfig/validate.go
@@ -26,8 +26,8 @@
 	return c, nil
 }
 
-// Check returns an error that names the invalid item and key, or nil if the configuration is valid.
-func (c *Config) Check() error {
+// Validate returns an error that names the invalid item and key, or nil if the configuration is valid.
+func (c *Config) Validate() error {
 	if c.Version <= 0 {
 		return fmt.Errorf("version: %d is not above 0", c.Version)
 	}
--- a/internal/system/core/admin.go
+++ b/internal/system/core/admin.go
@@ -31,12 +31,12 @@
 
 // PeerInfo describes another core scheduler.
 type PeerInfo struct {
-	Address string
-	Zone    string
-	HeardMS int64  // milliseconds since the last ping that it answered was sent; -1 for never
-	Leaving bool   // it drains
-	Member  string // the ID of its disk
-	Epoch   int64  // of the membership that it knows
+	Address            string
+	Zone               string
+	LastHeartbeatAgeMS int64  // milliseconds since the last ping that it answered was sent; -1 for never
+	Draining           bool   // it drains
+	Member             string // the ID of its disk
+	Epoch              int64  // of the membership that it knows
 }
 
 // QueuesRequest asks for the shards that a core scheduler owns.
@@ -49,14 +49,14 @@
 
 // ShardInfo describes one shard.
 type ShardInfo struct {
-	Shard   string
-	Token   int64 // the owner's fencing token
-	Fresh   bool  // the owner's lease is valid
-	Records int64 // how many the shard has
-	InStep  int64 // replicas in sync
-	Queues  []jobs.QueueSummary
-	Workers []jobs.WorkerSummary
-	Waiting []jobs.Withheld // units that wait despite free capacity
+	Shard         string
+	Token         int64 // the owner's fencing token
+	LeaseValid    bool  // the owner's lease is valid
+	Records       int64 // how many the shard has
+	InSync        int64 // replicas in sync
+	Queues        []jobs.QueueSummary
+	Workers       []jobs.WorkerSummary
+	Unschedulable []jobs.UnschedulableGroup // units that wait despite free capacity
 }
 
 func (c *Core) handleAdmin(server *rpc.Server) {
@@ -82,11 +82,11 @@
 			continue
 		}
 		info := PeerInfo{
-			Address: address, Zone: p.status.Zone, HeardMS: -1, Leaving: p.status.Draining, Member: p.status.Member,
+			Address: address, Zone: p.status.Zone, LastHeartbeatAgeMS: -1, Draining: p.status.Draining, Member: p.status.Member,
 			Epoch: p.status.Membership.Epoch,
 		}
 		if !p.lastHeartbeat.IsZero() {
-			info.HeardMS = time.Since(p.lastHeartbeat).Milliseconds()
+			info.LastHeartbeatAgeMS = time.Since(p.lastHeartbeat).Milliseconds()
 		}
 		answer.Peers = append(answer.Peers, info)
 	}
@@ -113,13 +113,13 @@
 func (o *owner) info() ShardInfo {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	info := ShardInfo{Shard: o.name, Token: o.token, Fresh: o.leaseValidLocked(), Records: int64(o.primary.Set.Len())}
+	info := ShardInfo{Shard: o.name, Token: o.token, LeaseValid: o.leaseValidLocked(), Records: int64(o.primary.Records.Len())}
 	for i := range o.replicators {
-		if o.primary.InStep(i) {
-			info.InStep++
+		if o.primary.InSync(i) {
+			info.InSync++
 		}
 	}
 	info.Queues, info.Workers = o.scheduler.Summary()
-	info.Waiting = o.scheduler.Withheld(o.monotonicNow(), unschedulableReportDelay)
+	info.Unschedulable = o.scheduler.UnschedulableGroups(o.monotonicNow(), unschedulableReportDelay)
 	return info
 }
--- a/internal/system/core/config.go
+++ b/internal/system/core/config.go
@@ -92,7 +92,7 @@
 	}
 	config, err := clusterconfig.Parse(text)
 	if err == nil {
-		err = config.Check()
+		err = config.Validate()
 	}
 	if err != nil {
 		return nil, result.Errorf(result.Invalid, "configuration: %w", err)
--- a/internal/system/core/core.go
+++ b/internal/system/core/core.go
@@ -57,14 +57,14 @@
 // node.ErrKilled. It returns an error where the disk cannot be opened or an address cannot be listened on.
 func Run(ctx context.Context, process *node.Process) error {
 	s := process.Settings
-	first := membership.First(seatsFor(s.FaultTolerance, len(s.Seeds)), s.SeedAddresses())
+	first := membership.Bootstrap(seatsFor(s.FaultTolerance, len(s.Seeds)), s.SeedAddresses())
 	store, err := openStore(s.DataDir, s.InternalAddress(), first, s.Bootstrap)
 	if err != nil {
 		return err
 	}
 	defer store.log.Close()
 	c := newCore(process, store)
-	process.Measure(collector{c})
+	process.RegisterMetrics(collector{c})
 	if err := process.Listen(ctx, c.address, c.internalHandler()); err != nil {
 		return err
 	}
@@ -91,11 +91,11 @@
 	s := process.Settings
 	return &Core{
 		settings: s, logger: process.Logger, client: process.Client, store: store, address: s.InternalAddress(),
-		timing: node.Timing(s), started: time.Now(),
+		timing: node.LeaseTiming(s), started: time.Now(),
 		peers: map[string]*peerState{}, learned: map[string]chosenValue{}, owners: map[string]*owner{},
 		changed: make(chan struct{}), readsInFlight: map[string]bool{}, takeoverNotBefore: map[string]time.Time{},
 		proposer: store.proposer(), ballotCounter: store.highestBallot(),
-		seeds: func() []string { return process.Current().SeedAddresses() },
+		seeds: func() []string { return process.CurrentSettings().SeedAddresses() },
 	}
 }
 
--- a/internal/system/core/core_test.go
+++ b/internal/system/core/core_test.go
@@ -22,8 +22,8 @@
 func TestSeedsMakeAQuorum(t *testing.T) {
 	for seeds := 1; seeds <= 3; seeds++ {
 		for lost := range 5 {
-			m := membership.First(seatsFor(settings.FaultTolerance{Machines: lost}, seeds), []string{"a", "b", "c"}[:seeds])
-			if err := m.Check(); err != nil || len(m.Voters()) < m.Quorum() {
+			m := membership.Bootstrap(seatsFor(settings.FaultTolerance{Machines: lost}, seeds), []string{"a", "b", "c"}[:seeds])
+			if err := m.Validate(); err != nil || len(m.Voters()) < m.Quorum() {
 				t.Errorf("%d seeds, %d losses: %d voters, a quorum is %d, %v", seeds, lost, len(m.Voters()), m.Quorum(), err)
 			}
 		}
--- a/internal/system/core/describe.go
+++ b/internal/system/core/describe.go
@@ -21,7 +21,7 @@
 	fmt.Fprintf(&text, "disk %s of %s, life %d, joined in epoch %d\n", s.identity.ID, s.identity.Address, s.identity.Incarnation, s.identity.Joined)
 	fmt.Fprintf(&text, "epoch %d of deployment %s\n", s.membership.Epoch, s.membership.Deployment)
 	for i, member := range s.membership.Seats {
-		fmt.Fprintf(&text, "seat %d: disk %s at %s since epoch %d, voter %t\n", i, member.ID, member.Address, member.Since, member.Voter)
+		fmt.Fprintf(&text, "seat %d: disk %s at %s since epoch %d, voter %t\n", i, member.ID, member.Address, member.JoinEpoch, member.Voter)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.registers)) {
 		a := s.registers[name]
@@ -30,7 +30,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.replicas)) {
 		r := s.replicas[name]
-		fmt.Fprintf(&text, "shard %s: token %d, in step with %d, votes %t, %d records\n", name, r.Sealed, r.InStep, r.Voter, r.Set.Len())
+		fmt.Fprintf(&text, "shard %s: token %d, in step with %d, votes %t, %d records\n", name, r.FencingToken, r.InSyncToken, r.Voter, r.Records.Len())
 	}
 	_, err := io.WriteString(out, text.String())
 	return err
--- a/internal/system/core/doc.go
+++ b/internal/system/core/doc.go
@@ -13,7 +13,7 @@
 //   - peers.go, pinger.go and liveness.go exchange pings with the other core schedulers and judge who is alive.
 //   - ownership.go and takeover.go decide who owns a shard and make this scheduler the owner under the next fencing token.
 //   - owner (owner.go, owner_commit.go, replication.go, order_sender.go) is an owned shard: it replicates the records of
-//     its jobs.Book and sends orders to the side schedulers.
+//     its jobs.Scheduler and sends orders to the side schedulers.
 //   - joining.go and draining.go take a seat in the membership and give it up.
 //   - config.go, watch.go, jobsapi.go, admin.go and metrics.go serve configuration, subscriptions, jobs, operators'
 //     commands and Prometheus. Package controlplane serves operators' HTTP requests.
@@ -31,8 +31,8 @@
 //   - Core.mu guards the fields below it in Core and all of each peerState. It is held for computations in memory only,
 //     never over a call, a wait or a write to disk. Core.applyConfig, Core.closeOwners, Core.pingMessage and
 //     Core.knownOwners take owner.mu under it.
-//   - owner.mu guards the fields below it in owner, the jobs.Book and the shard.Primary included, and the fields of each
-//     replicator. Callbacks of jobs.Book.Flush run under it. No two owners' mutexes are held at once.
+//   - owner.mu guards the fields below it in owner, the jobs.Scheduler and the shard.Primary included, and the fields of each
+//     replicator. Callbacks of jobs.Scheduler.Flush run under it. No two owners' mutexes are held at once.
 //   - store.mu guards the fields below it in store. A message is admitted, applied and appended to the log under it, so
 //     that the order of the log is that of the changes; the wait for the disk comes after it is released.
 //   - statefile.Log.mu guards the queue of appends. The log's writer holds it for no write; it takes store.mu alone when
--- a/internal/system/core/draining.go
+++ b/internal/system/core/draining.go
@@ -61,7 +61,7 @@
 		return true // there is no peer to wait for
 	}
 	staying := 0 // members that are alive and do not drain
-	for _, member := range m.Filled() {
+	for _, member := range m.Members() {
 		if member.Address != c.address && c.peer(member.Address).alive() {
 			staying++
 		}
--- a/internal/system/core/draining_test.go
+++ b/internal/system/core/draining_test.go
@@ -42,7 +42,7 @@
 		t.Error("it ends before the machine that came for it has its seat")
 	}
 	d := s.stores["b"].currentMembership()
-	next, err := membership.Next(d, d, membership.Admit(d.SeatAt("a"), "x", "d"))
+	next, err := membership.NextProposal(d, d, membership.AddLearner(d.SeatAt("a"), "x", "d"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/core/golden_test.go
+++ b/internal/system/core/golden_test.go
@@ -20,7 +20,7 @@
 // Values with another content in each field, of which the messages below are made.
 var (
 	goldenMembership = membership.Membership{
-		Deployment: "d", Epoch: 3, Base: 2, Seats: []membership.Member{{ID: "i", Address: "a", Since: 1, Voter: true}, {}},
+		Deployment: "d", Epoch: 3, BaseEpoch: 2, Seats: []membership.Member{{ID: "i", Address: "a", JoinEpoch: 1, Voter: true}, {}},
 	}
 	goldenTarget  = target{Membership: goldenMembership, Member: "m"}
 	goldenOrigin  = origin{Member: "m", Epoch: 3}
@@ -69,17 +69,17 @@
 	{&MembersRequest{}, ""},
 	{&MembersResponse{
 		Address: "a", ConfigVersion: 25, ConfigFresh: true, Membership: goldenMembership,
-		Peers:  []PeerInfo{{Address: "p", Zone: "z", HeardMS: 26, Leaving: true, Member: "m", Epoch: 27}},
+		Peers:  []PeerInfo{{Address: "p", Zone: "z", LastHeartbeatAgeMS: 26, Draining: true, Member: "m", Epoch: 27}},
 		Owners: []api.Owner{{Shard: "s", Address: "o", Token: 28}},
 	}, "02613201026406040314026902610201000000000001120270027a3401026d3600010a0273026f3800"},
 	{&QueuesRequest{}, ""},
 	{&QueuesResponse{Shards: []ShardInfo{{
-		Shard: "s", Token: 29, Fresh: true, Records: 30, InStep: 31,
-		Queues: []jobs.QueueSummary{{Name: "q", Priority: 32, Unended: 33, Pending: 34, Held: 0.5, Wanted: 1.5, Sigma: 2.5, UsualMS: 3.5}},
+		Shard: "s", Token: 29, LeaseValid: true, Records: 30, InSync: 31,
+		Queues: []jobs.QueueSummary{{Name: "q", Priority: 32, Active: 33, Pending: 34, Allocated: 0.5, PendingDemand: 1.5, Limit: 2.5, MeanRunMS: 3.5}},
 		Workers: []jobs.WorkerSummary{{
-			Ref: "r", State: "ready", Runs: 35, Held: 4.5, Sigma: 5.5, Failing: 6.5, Pace: 7.5, Free: jobs.Resources{CPU: 36, MemMB: 37, GPU: 38},
+			Ref: "r", State: "ready", Runs: 35, Allocated: 4.5, LoadLimit: 5.5, FailureRate: 6.5, Slowdown: 7.5, Free: jobs.Resources{CPU: 36, MemMB: 37, GPU: 38},
 		}},
-		Waiting: []jobs.Withheld{{Queue: "wq", Job: "wj", Time: 42, Stage: 39, Tasks: 40, WaitedMS: 41, Reason: "why", Worker: "ww", Holder: "wh"}},
+		Unschedulable: []jobs.UnschedulableGroup{{Queue: "wq", Job: "wj", Occurrence: 42, Stage: 39, Tasks: 40, WaitedMS: 41, Reason: "why", Worker: "ww", ReservedFor: "wh"}},
 	}}}, "01e80102733a013c3e014a0271404244000000000000e03f000000000000f83f00000000000004400000000000000c4000015802720a726561647946000000000000124000000000000016400000000000001a400000000000001e40484a4c00012804777104776a544e5052067768790477770477680000"},
 }
 
--- a/internal/system/core/jobsapi.go
+++ b/internal/system/core/jobsapi.go
@@ -53,11 +53,11 @@
 		return nil, err
 	}
 	o.mu.Lock()
-	if !o.scheduler.Knows(r.Queue) {
+	if !o.scheduler.HasQueue(r.Queue) {
 		o.mu.Unlock()
 		return nil, result.Errorf(result.NoRoute, "queue %s is not in the newest configuration", r.Queue)
 	}
-	if o.scheduler.Unended() > maxUnfinishedJobs {
+	if o.scheduler.ActiveJobs() > maxUnfinishedJobs {
 		o.mu.Unlock()
 		return nil, result.Errorf(result.Overloaded, "shard %s: %d jobs have not ended", r.Shard, maxUnfinishedJobs)
 	}
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	o.mu.Lock()
-	uncertain := o.scheduler.Uncertain(r.ID)
+	uncertain := o.scheduler.CommitPending(r.ID)
 	sequence := o.primary.Sequence()
 	o.mu.Unlock()
 	if uncertain {
@@ -123,7 +123,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return &api.PendingResponse{Pending: int64(o.scheduler.Pending(r.Queue))}, nil
+	return &api.PendingResponse{Pending: int64(o.scheduler.PendingJobs(r.Queue))}, nil
 }
 
 // report takes a side agent's heartbeat and renews its lease. A heartbeat outside the current session changes nothing, and
@@ -135,11 +135,11 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	name, admitted := o.sessions.admit(r.Report.Side, r.Session, r.Sequence)
+	name, admitted := o.sessions.admit(r.Report.AgentAddress, r.Session, r.Sequence)
 	if !admitted {
 		return &api.ReportResponse{Token: o.token, Session: name}, nil
 	}
-	w := o.scheduler.Report(o.monotonicNow(), &r.Report)
+	w := o.scheduler.HandleReport(o.monotonicNow(), &r.Report)
 	o.flush()
-	return &api.ReportResponse{Token: o.token, Noted: o.scheduler.Noted(w), Session: name, Accepted: true}, nil
+	return &api.ReportResponse{Token: o.token, Acknowledged: o.scheduler.DurableCompletions(w), Session: name, Accepted: true}, nil
 }
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout+prefetchTimeout)
 	defer cancel()
 	m := c.store.currentMembership()
-	if _, err := membership.Admit(seat, id, c.address)(m); err != nil {
+	if _, err := membership.AddLearner(seat, id, c.address)(m); err != nil {
 		return err
 	}
 	holder := m.Seats[seat]
@@ -100,7 +100,7 @@
 	if holder.Voter {
 		c.prefetchShards(ctx, m)
 	}
-	if err := c.changeMembership(ctx, m.Epoch, membership.Admit(seat, id, c.address)); err != nil {
+	if err := c.changeMembership(ctx, m.Epoch, membership.AddLearner(seat, id, c.address)); err != nil {
 		return err
 	}
 	c.logger.Info("joined as learner", "seat", seat, "instead_of", holder.Address)
@@ -182,7 +182,7 @@
 				return nil, err
 			}
 		}
-		next, err := membership.Next(installed, newest, change)
+		next, err := membership.NextProposal(installed, newest, change)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/system/core/liveness.go
+++ b/internal/system/core/liveness.go
@@ -25,7 +25,7 @@
 	m := c.store.currentMembership()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, member := range m.Filled() {
+	for _, member := range m.Members() {
 		if member.Address != c.address && !c.peer(member.Address).alive() {
 			return false
 		}
--- a/internal/system/core/metrics.go
+++ b/internal/system/core/metrics.go
@@ -44,20 +44,20 @@
 	}
 	for _, shard := range m.core.shardInfos() {
 		gauge(shardRecordsDesc, float64(shard.Records), shard.Shard)
-		gauge(inSyncReplicasDesc, float64(shard.InStep), shard.Shard)
+		gauge(inSyncReplicasDesc, float64(shard.InSync), shard.Shard)
 		for _, q := range shard.Queues {
-			gauge(unfinishedJobsDesc, float64(q.Unended), shard.Shard, q.Name)
+			gauge(unfinishedJobsDesc, float64(q.Active), shard.Shard, q.Name)
 			gauge(pendingJobsDesc, float64(q.Pending), shard.Shard, q.Name)
-			gauge(queueUsedDesc, q.Held, shard.Shard, q.Name)
-			gauge(queueDemandDesc, q.Wanted, shard.Shard, q.Name)
-			gauge(queueLimitDesc, q.Sigma, shard.Shard, q.Name)
+			gauge(queueUsedDesc, q.Allocated, shard.Shard, q.Name)
+			gauge(queueDemandDesc, q.PendingDemand, shard.Shard, q.Name)
+			gauge(queueLimitDesc, q.Limit, shard.Shard, q.Name)
 		}
-		for key, units := range countUnschedulable(shard.Waiting) {
+		for key, units := range countUnschedulable(shard.Unschedulable) {
 			gauge(unschedulableUnitsDesc, float64(units), shard.Shard, key.queue, string(key.reason))
 		}
 		for _, w := range shard.Workers {
-			gauge(workerUsedDesc, w.Held, shard.Shard, w.Ref)
-			gauge(workerLimitDesc, w.Sigma, shard.Shard, w.Ref)
+			gauge(workerUsedDesc, w.Allocated, shard.Shard, w.Ref)
+			gauge(workerLimitDesc, w.LoadLimit, shard.Shard, w.Ref)
 		}
 	}
 }
@@ -65,10 +65,10 @@
 // unschedulableKey is what units that wait despite free capacity are counted by.
 type unschedulableKey struct {
 	queue  string
-	reason jobs.Reason
+	reason jobs.UnschedulableReason
 }
 
-func countUnschedulable(units []jobs.Withheld) map[unschedulableKey]int {
+func countUnschedulable(units []jobs.UnschedulableGroup) map[unschedulableKey]int {
 	counts := map[unschedulableKey]int{}
 	for _, one := range units {
 		counts[unschedulableKey{one.Queue, one.Reason}]++
--- a/internal/system/core/order_sender.go
+++ b/internal/system/core/order_sender.go
@@ -50,8 +50,8 @@
 		if orders == nil {
 			continue
 		}
-		if o.sendOrders(ctx, s.worker.Side, orders) == nil {
-			acknowledged = orders.Noted
+		if o.sendOrders(ctx, s.worker.AgentAddress, orders) == nil {
+			acknowledged = orders.DurableCompletions
 		}
 	}
 }
--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -31,7 +31,7 @@
 	// mu guards the fields below and those of each replicator. Core.mu may be held when it is taken, not the other way.
 	mu            sync.Mutex
 	primary       *shard.Primary
-	scheduler     *jobs.Book
+	scheduler     *jobs.Scheduler
 	replicators   []*replicator           // by seat; the slice itself never changes
 	orderSenders  map[string]*orderSender // by the worker's reference
 	sessions      sessions
@@ -56,7 +56,7 @@
 func (g *taskGroup) done() <-chan struct{} { return g.ctx.Done() }
 
 // newOwner returns the owner of a shard over the merged records of a quorum. Its goroutines end with the context.
-func newOwner(ctx context.Context, c *Core, name string, token int64, m membership.Membership, set *shard.Set) *owner {
+func newOwner(ctx context.Context, c *Core, name string, token int64, m membership.Membership, set *shard.RecordSet) *owner {
 	ctx, cancel := context.WithCancel(ctx)
 	o := &owner{
 		core: c, name: name, token: token, tasks: taskGroup{ctx, cancel},
@@ -64,9 +64,9 @@
 		orderSenders: map[string]*orderSender{}, sessions: sessions{}, inSyncChanged: make(chan struct{}),
 	}
 	options := jobs.Options{
-		LapseAfter: ownerLeaseTTL + c.timing.LapseAfter(),
-		KeepEnded:  time.Duration(c.settings.Bounds.StatusS * endedJobRetentionFactor * float64(time.Second)),
-		FarX:       c.settings.Bounds.FarX,
+		LeaseTimeout:   ownerLeaseTTL + c.timing.RunsExpireAfter(),
+		EndedJobTTL:    time.Duration(c.settings.Bounds.StatusS * endedJobRetentionFactor * float64(time.Second)),
+		RemoteSlowdown: c.settings.Bounds.FarX,
 	}
 	o.scheduler = jobs.New(options, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for i, member := range m.Seats {
@@ -121,7 +121,7 @@
 	defer o.mu.Unlock()
 	n := int64(0)
 	for _, r := range o.replicators {
-		if r.inSync && r.member.Voter && !excluded[r.member.Address] && o.primary.Holds(r.seat, o.committed) {
+		if r.inSync && r.member.Voter && !excluded[r.member.Address] && o.primary.HasAcknowledged(r.seat, o.committed) {
 			n++
 		}
 	}
@@ -132,10 +132,10 @@
 func (o *owner) recordCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.primary.Set.Len()
+	return o.primary.Records.Len()
 }
 
-// monotonicNow is the clock of jobs.Book: the time since this process started.
+// monotonicNow is the clock of jobs.Scheduler: the time since this process started.
 func (o *owner) monotonicNow() time.Duration { return time.Since(o.core.started) }
 
 // wallClockMS returns the time of day in milliseconds since 1970, for start times that users give.
@@ -149,7 +149,7 @@
 		o.configureLocked(state)
 	}
 	var records []jobs.Change
-	for _, record := range o.primary.Set.All() {
+	for _, record := range o.primary.Records.All() {
 		records = append(records, jobs.Change{Key: record.Key, Value: record.Value})
 	}
 	if err := o.scheduler.Restore(o.monotonicNow(), records); err != nil {
@@ -216,11 +216,11 @@
 // logUnschedulable logs which units have waited for longer than unschedulableReportDelay though a worker has capacity for
 // them, and why. On a healthy system it logs nothing. o.mu is held.
 func (o *owner) logUnschedulable() {
-	units := o.scheduler.Withheld(o.monotonicNow(), unschedulableReportDelay)
+	units := o.scheduler.UnschedulableGroups(o.monotonicNow(), unschedulableReportDelay)
 	for _, unit := range units[:min(len(units), maxUnschedulableLogged)] {
 		o.core.logger.Info("task unschedulable despite free capacity", "shard", o.name, "queue", unit.Queue, "job", unit.Job,
 			"stage", unit.Stage, "tasks", unit.Tasks, "waited_ms", unit.WaitedMS, "reason", unit.Reason, "worker", unit.Worker,
-			"kept_for", unit.Holder)
+			"kept_for", unit.ReservedFor)
 	}
 }
 
@@ -232,11 +232,11 @@
 	}
 	queues, workers := o.scheduler.Summary()
 	for _, q := range queues {
-		logger.Info("queue", "shard", o.name, "name", q.Name, "priority", q.Priority, "unended", q.Unended, "pending", q.Pending,
-			"held", q.Held, "wanted", q.Wanted, "sigma", q.Sigma, "usual_ms", q.UsualMS)
+		logger.Info("queue", "shard", o.name, "name", q.Name, "priority", q.Priority, "unended", q.Active, "pending", q.Pending,
+			"held", q.Allocated, "wanted", q.PendingDemand, "sigma", q.Limit, "usual_ms", q.MeanRunMS)
 	}
 	for _, w := range workers {
-		logger.Info("worker", "shard", o.name, "ref", w.Ref, "state", w.State, "runs", w.Runs, "held", w.Held,
-			"sigma", w.Sigma, "failing", w.Failing, "pace", w.Pace, "free", w.Free)
+		logger.Info("worker", "shard", o.name, "ref", w.Ref, "state", w.State, "runs", w.Runs, "held", w.Allocated,
+			"sigma", w.LoadLimit, "failing", w.FailureRate, "pace", w.Slowdown, "free", w.Free)
 	}
 }
--- a/internal/system/core/owner_commit.go
+++ b/internal/system/core/owner_commit.go
@@ -52,7 +52,7 @@
 		}
 	}
 	o.commitWaiters = waiting
-	for _, w := range o.scheduler.DirtyWorkers() {
+	for _, w := range o.scheduler.WorkersWithOrders() {
 		o.orderSenderFor(w).wake.notify()
 	}
 }
--- a/internal/system/core/owner_test.go
+++ b/internal/system/core/owner_test.go
@@ -26,11 +26,11 @@
 			address: "a", logger: logr.Discard(), store: newStore("a"), settings: &settings.Settings{}, started: time.Now(),
 			config: &configState{record: configRecord{Version: 1}, config: config}, owners: map[string]*owner{},
 		}
-		o := newOwner(t.Context(), c, "s", 2, membership.First(3, []string{"a", "b", "c"}), shard.NewSet())
+		o := newOwner(t.Context(), c, "s", 2, membership.Bootstrap(3, []string{"a", "b", "c"}), shard.NewRecordSet())
 		defer o.close()
 		c.owners["s"] = o
 		for _, r := range o.replicators {
-			_, upTo := o.primary.BeginRepair(r.seat, shard.NewSet().Digests())
+			_, upTo := o.primary.BeginRepair(r.seat, shard.NewRecordSet().Digests())
 			o.onReplicaAck(r, upTo, time.Now())
 		}
 		if err := o.start(c.currentConfig()); err != nil {
@@ -71,7 +71,7 @@
 func TestOwnerWithoutALeaseAnswersNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &Core{address: "a", logger: logr.Discard(), store: newStore("a"), settings: &settings.Settings{}, owners: map[string]*owner{}}
-		o := newOwner(t.Context(), c, "s", 2, membership.First(3, []string{"a", "b", "c"}), shard.NewSet())
+		o := newOwner(t.Context(), c, "s", 2, membership.Bootstrap(3, []string{"a", "b", "c"}), shard.NewRecordSet())
 		defer o.close()
 		c.owners["s"] = o
 		code := func() result.Code {
--- a/internal/system/core/ownership.go
+++ b/internal/system/core/ownership.go
@@ -55,7 +55,7 @@
 		}
 	}
 	candidates := append(c.aliveAddresses(), c.address)
-	return rendezvous.First(name, candidates) == c.address
+	return rendezvous.Highest(name, candidates) == c.address
 }
 
 // dropDeposed removes the owners that were deposed.
--- a/internal/system/core/pinger.go
+++ b/internal/system/core/pinger.go
@@ -47,7 +47,7 @@
 // them as being pinged.
 func (c *Core) pingTargets() []string {
 	always := c.seeds()
-	for _, member := range c.store.currentMembership().Filled() {
+	for _, member := range c.store.currentMembership().Members() {
 		always = append(always, member.Address)
 	}
 	c.mu.Lock()
--- a/internal/system/core/proposer.go
+++ b/internal/system/core/proposer.go
@@ -61,7 +61,7 @@
 	ballot := register.Ballot{Counter: c.ballotCounter, Proposer: c.proposer}
 	known := c.learned[name]
 	c.mu.Unlock()
-	round := register.NewRound(ballot, len(m.Voters()), m.Quorum(), known.ballot, known.value)
+	round := register.NewProposal(ballot, len(m.Voters()), m.Quorum(), known.ballot, known.value)
 	if err := c.prepareRound(ctx, name, m, round, known.ballot); err != nil {
 		return nil, true, err
 	}
@@ -73,7 +73,7 @@
 	if proposal == nil || rejected != nil && name == membershipRegister {
 		return nil, false, rejected // reading a membership must not complete one that was accepted and never chosen
 	}
-	round.Propose()
+	round.BeginAccept()
 	if rejected == nil {
 		*begun = true
 	}
@@ -88,7 +88,7 @@
 }
 
 // prepareRound runs the prepare phase.
-func (c *Core) prepareRound(ctx context.Context, name string, m membership.Membership, round *register.Round, known register.Ballot) error {
+func (c *Core) prepareRound(ctx context.Context, name string, m membership.Membership, round *register.Proposal, known register.Ballot) error {
 	replies, count := broadcast(ctx, c, m, m.Voters(), methodPrepare, c.store.prepare, func(to target) *prepareRequest {
 		return &prepareRequest{To: to, Name: name, Ballot: round.Ballot, Known: known}
 	})
@@ -96,13 +96,13 @@
 		return round.OnPromise(seat, response.Promise)
 	})
 	if err != nil {
-		c.observeBallot(round.Highest.Counter)
+		c.observeBallot(round.HighestBallot.Counter)
 	}
 	return err
 }
 
 // acceptRound runs the accept phase.
-func (c *Core) acceptRound(ctx context.Context, name string, m membership.Membership, round *register.Round, value []byte) error {
+func (c *Core) acceptRound(ctx context.Context, name string, m membership.Membership, round *register.Proposal, value []byte) error {
 	replies, count := broadcast(ctx, c, m, m.Voters(), methodAccept, c.store.accept, func(to target) *acceptRequest {
 		return &acceptRequest{To: to, Name: name, Ballot: round.Ballot, Value: value}
 	})
@@ -112,7 +112,7 @@
 }
 
 // collectReplies hands the replies of replicas to a round until a majority has agreed or can no longer be had.
-func collectReplies[Response any](m membership.Membership, round *register.Round, replies <-chan reply[Response], count int,
+func collectReplies[Response any](m membership.Membership, round *register.Proposal, replies <-chan reply[Response], count int,
 	take func(seat int, response *Response) (enough bool),
 ) error {
 	phase := round.Phase
--- a/internal/system/core/replication.go
+++ b/internal/system/core/replication.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		o.mu.Lock()
-		inSync := o.primary.InStep(r.seat)
+		inSync := o.primary.InSync(r.seat)
 		o.mu.Unlock()
 		var err error
 		if inSync {
@@ -109,13 +109,13 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	sameDisk := member.ID == r.member.ID && member.Since == r.member.Since
+	sameDisk := member.ID == r.member.ID && member.JoinEpoch == r.member.JoinEpoch
 	r.member = member
 	o.primary.SetVoter(r.seat, member.Voter)
 	if sameDisk {
 		return m // a learner that was promoted; it is in sync as before
 	}
-	o.primary.Lost(r.seat)
+	o.primary.MarkOutOfSync(r.seat)
 	r.sealed, r.inSync, r.lastConfirmed = false, false, time.Time{}
 	return m
 }
@@ -125,7 +125,7 @@
 func (o *owner) onReplicationFailure(r *replicator, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.primary.Lost(r.seat)
+	o.primary.MarkOutOfSync(r.seat)
 	r.inSync = false
 	if result.CodeOf(err) != result.Fenced || o.deposed {
 		return
@@ -167,7 +167,7 @@
 	c := o.core
 	to := target{Membership: m, Member: r.member.ID}
 	o.mu.Lock()
-	records, upTo := o.primary.Next(r.seat)
+	records, upTo := o.primary.TakePending(r.seat)
 	o.mu.Unlock()
 	sentAt := time.Now()
 	request := &writeRequest{To: to, Shard: o.name, Token: o.token, Records: records}
@@ -184,7 +184,7 @@
 	defer o.mu.Unlock()
 	r.lastConfirmed = sentAt
 	r.inSync = true
-	o.primary.Acked(r.seat, upTo)
+	o.primary.Acknowledge(r.seat, upTo)
 	o.notifyInSyncChanged()
 	if o.started {
 		o.onCommitAdvanced()
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -131,7 +131,7 @@
 	s.membership = first.Clone()
 	if seat := first.SeatAt(s.address); seat >= 0 {
 		member := first.Seats[seat]
-		s.identity.ID, s.identity.Joined, s.identity.Restored = member.ID, member.Since, true
+		s.identity.ID, s.identity.Joined, s.identity.Restored = member.ID, member.JoinEpoch, true
 	}
 }
 
@@ -184,15 +184,15 @@
 	case entryRegister:
 		s.registers[e.Name] = &register.Acceptor{Promised: e.Promised, Accepted: e.Ballot, Value: e.Value}
 	case entrySeal:
-		s.replica(e.Name).Seal(e.Token)
+		s.replica(e.Name).Fence(e.Token)
 	case entryWrite:
 		s.replica(e.Name).Write(e.Token, e.Records)
 	case entryRepair:
 		s.replica(e.Name).Repair(e.Token, e.Number, e.Ranges, e.Flag)
 	case entryPrefetch:
-		s.replica(e.Name).Copy(e.Ranges)
+		s.replica(e.Name).ReplaceRanges(e.Ranges)
 	case entryTrust:
-		s.replica(e.Name).Trust(e.Token)
+		s.replica(e.Name).LearnToken(e.Token)
 	case entryReplica:
 		s.replicas[e.Name] = replicaOf(e, s.identity.Restored)
 	default:
@@ -205,11 +205,11 @@
 func replicaOf(e *entry, trusted bool) *shard.Replica {
 	replica := shard.NewReplica(trusted)
 	replica.Voter = e.Flag
-	replica.Sealed = e.Token
-	replica.InStep = e.InSync
-	replica.Repairs = e.Number
+	replica.FencingToken = e.Token
+	replica.InSyncToken = e.InSync
+	replica.LastRepair = e.Number
 	for _, record := range e.Records {
-		replica.Set.Apply(record)
+		replica.Records.Apply(record)
 	}
 	return replica
 }
@@ -243,7 +243,7 @@
 func (s *store) replicaEntry(name string) *entry {
 	r := s.replicas[name]
 	return &entry{
-		Kind: entryReplica, Name: name, Token: r.Sealed, InSync: r.InStep, Number: r.Repairs, Flag: r.Voter, Records: r.Set.All(),
+		Kind: entryReplica, Name: name, Token: r.FencingToken, InSync: r.InSyncToken, Number: r.LastRepair, Flag: r.Voter, Records: r.Records.All(),
 	}
 }
 
--- a/internal/system/core/store_membership.go
+++ b/internal/system/core/store_membership.go
@@ -64,11 +64,11 @@
 
 // admitMembership installs the membership that a message brings if it is newer, or rejects the message. s.mu is held.
 func (s *store) admitMembership(sent membership.Membership) error {
-	install, err := s.membership.Meet(sent)
+	install, err := s.membership.CheckSender(sent)
 	switch {
-	case errors.Is(err, membership.ErrOutdated):
+	case errors.Is(err, membership.ErrOutdatedEpoch):
 		return result.Errorf(result.EpochOutdated, "%w", err)
-	case errors.Is(err, membership.ErrDeployment):
+	case errors.Is(err, membership.ErrWrongDeployment):
 		return result.Errorf(result.WrongDeployment, "%w", err)
 	case err != nil:
 		return result.Errorf(result.MembershipInvalid, "%w", err)
@@ -100,13 +100,13 @@
 func (s *store) applyMembership(m membership.Membership) {
 	s.membership = m.Clone()
 	member, seated := m.Member(s.identity.ID)
-	if !seated || member.Since == s.identity.Joined {
+	if !seated || member.JoinEpoch == s.identity.Joined {
 		return
 	}
-	s.identity.Joined = member.Since
+	s.identity.Joined = member.JoinEpoch
 	s.identity.Restored = false
 	for _, replica := range s.replicas {
-		replica.Forget()
+		replica.Invalidate()
 	}
 }
 
--- a/internal/system/core/store_registers.go
+++ b/internal/system/core/store_registers.go
@@ -75,7 +75,7 @@
 			answer.Registers[name] = *a
 		}
 		for name, replica := range s.replicas {
-			answer.Shards[name] = replica.Sealed
+			answer.Shards[name] = replica.FencingToken
 		}
 	})
 	if err != nil {
@@ -124,7 +124,7 @@
 	tokens := map[string]int64{}
 	for _, state := range states {
 		for name, a := range state.Registers {
-			s.acceptor(name).Restore(a)
+			s.acceptor(name).Merge(a)
 		}
 		for name, token := range state.Shards {
 			tokens[name] = max(tokens[name], token)
@@ -134,7 +134,7 @@
 		tokens[name] = max(tokens[name], 0)
 	}
 	for name, token := range tokens {
-		s.replica(name).Trust(token)
+		s.replica(name).LearnToken(token)
 		entries = append(entries, &entry{Kind: entryTrust, Name: name, Token: token})
 	}
 	for name := range s.registers {
--- a/internal/system/core/store_shards.go
+++ b/internal/system/core/store_shards.go
@@ -23,10 +23,10 @@
 	answer := &sealResponse{}
 	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		replica := s.replica(r.Shard)
-		if !replica.Seal(r.Token) {
-			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.Sealed, r.Token)
+		if !replica.Fence(r.Token) {
+			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.FencingToken, r.Token)
 		}
-		*answer = sealResponse{From: from, Voter: replica.Voter, InSync: replica.InStep, Digests: replica.Set.Digests()}
+		*answer = sealResponse{From: from, Voter: replica.Voter, InSync: replica.InSyncToken, Digests: replica.Records.Digests()}
 		return &entry{Kind: entrySeal, Name: r.Shard, Token: r.Token}, nil
 	})
 	if err != nil {
@@ -44,9 +44,9 @@
 		return nil, err
 	}
 	answer := &fetchResponse{From: from}
-	set := shard.NewSet()
+	set := shard.NewRecordSet()
 	if replica := s.replicas[r.Shard]; replica != nil {
-		set = replica.Set
+		set = replica.Records
 	}
 	for _, bucket := range r.Buckets {
 		if bucket < 0 || bucket >= shard.Buckets {
@@ -65,7 +65,7 @@
 	if replica == nil {
 		return &prefetchResponse{}, nil
 	}
-	return &prefetchResponse{Ranges: shard.Ranges(replica.Set, r.Digests)}, nil
+	return &prefetchResponse{Ranges: shard.DifferingRanges(replica.Records, r.Digests)}, nil
 }
 
 // storePrefetched stores key ranges ahead of a repair, as long as this disk holds no seat.
@@ -75,7 +75,7 @@
 		s.mu.Unlock()
 		return nil
 	}
-	s.replica(name).Copy(ranges)
+	s.replica(name).ReplaceRanges(ranges)
 	ticket, err := s.append(&entry{Kind: entryPrefetch, Name: name, Ranges: ranges})
 	s.mu.Unlock()
 	return waitDurable(ctx, ticket, err)
@@ -87,9 +87,9 @@
 	defer s.mu.Unlock()
 	replica := s.replicas[name]
 	if replica == nil {
-		return shard.NewSet().Digests()
+		return shard.NewRecordSet().Digests()
 	}
-	return replica.Set.Digests()
+	return replica.Records.Digests()
 }
 
 // repair handles a repairRequest. Its error has the code result.Fenced where a higher fencing token or a later repair is
@@ -115,8 +115,8 @@
 		replica := s.replica(r.Shard)
 		written := replica.Write(r.Token, r.Records)
 		switch {
-		case !written && replica.Sealed > r.Token:
-			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.Sealed, r.Token)
+		case !written && replica.FencingToken > r.Token:
+			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.FencingToken, r.Token)
 		case !written:
 			return nil, result.Errorf(result.NotRecovered, "shard %s: the replica is not in sync", r.Shard)
 		case len(r.Records) == 0: // a heartbeat
--- a/internal/system/core/store_test.go
+++ b/internal/system/core/store_test.go
@@ -21,7 +21,7 @@
 }
 
 func newSite(t *testing.T) *site {
-	s := &site{t: t, first: membership.First(3, []string{"a", "b", "c"}), stores: map[string]*store{}, dirs: map[string]string{}}
+	s := &site{t: t, first: membership.Bootstrap(3, []string{"a", "b", "c"}), stores: map[string]*store{}, dirs: map[string]string{}}
 	for _, address := range []string{"a", "b", "c"} {
 		s.dirs[address] = t.TempDir()
 		s.start(address, true)
@@ -61,7 +61,7 @@
 func (s *site) change(change membership.Change, by []string, others ...string) {
 	s.t.Helper()
 	installed := s.stores[by[0]].currentMembership()
-	next, err := membership.Next(installed, installed, change)
+	next, err := membership.NextProposal(installed, installed, change)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 func (s *site) rejoin(address string, seat int, from ...string) error {
 	s.t.Helper()
 	st := s.stores[address]
-	s.change(membership.Admit(seat, st.identity.ID, address), from, address)
+	s.change(membership.AddLearner(seat, st.identity.ID, address), from, address)
 	var learned []*stateResponse
 	for _, other := range from {
 		response, err := s.stores[other].state(s.ctx(), &stateRequest{To: s.to(other, address)})
@@ -143,7 +143,7 @@
 	s.wantCode(s.repair("a", 3), result.OK)
 	s.wantCode(s.write("a", "key"), result.OK)
 	st := s.start("a", false)
-	if string(st.registers["config"].Value) != "value" || st.replicas["s"].Sealed != 3 || st.replicas["s"].Set.Len() != 1 {
+	if string(st.registers["config"].Value) != "value" || st.replicas["s"].FencingToken != 3 || st.replicas["s"].Records.Len() != 1 {
 		t.Errorf("registers %+v, replicas %+v", st.registers["config"], st.replicas["s"])
 	}
 	s.wantCode(s.accept("a", s.to("a", "a"), 4, "older"), result.BallotOutdated)
@@ -194,7 +194,7 @@
 func TestLearnerDoesNotVote(t *testing.T) {
 	s := newSite(t)
 	st := s.wipe("c")
-	s.change(membership.Admit(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
+	s.change(membership.AddLearner(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
 	s.wantCode(s.accept("c", s.to("c", "c"), 5, "value"), result.NotRecovered)
 	_, err := st.readAccepted(s.ctx(), &readAcceptedRequest{To: s.to("c", "c"), Name: "config"})
 	s.wantCode(err, result.NotRecovered)
@@ -241,7 +241,7 @@
 	st := s.wipe("c")
 	before, err := s.stores["a"].state(s.ctx(), &stateRequest{To: s.to("a", "a")})
 	s.wantCode(err, result.OK)
-	s.change(membership.Admit(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
+	s.change(membership.AddLearner(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
 	told := map[string]*stateResponse{}
 	for _, other := range []string{"a", "b"} {
 		told[other], err = s.stores[other].state(s.ctx(), &stateRequest{To: s.to(other, "c")})
@@ -367,7 +367,7 @@
 // A machine that comes after the first start takes the membership from those that are there, not from its list of seeds.
 func TestLateMachineBuildsNoMembership(t *testing.T) {
 	s := newSite(t)
-	s.first = membership.First(3, []string{"b", "c", "d"})
+	s.first = membership.Bootstrap(3, []string{"b", "c", "d"})
 	s.dirs["d"] = t.TempDir()
 	st := s.start("d", false)
 	if m := st.currentMembership(); m.Epoch != 0 {
@@ -400,7 +400,7 @@
 		"two of one disk":      {bad(func(m *membership.Membership) { m.Seats[1].ID = m.Seats[0].ID }), result.MembershipInvalid},
 		"two at one address":   {bad(func(m *membership.Membership) { m.Seats[1].Address = m.Seats[0].Address }), result.MembershipInvalid},
 		"epoch zero":           {bad(func(m *membership.Membership) { m.Epoch = 0 }), result.MembershipInvalid},
-		"made on a later one":  {bad(func(m *membership.Membership) { m.Base = 9 }), result.MembershipInvalid},
+		"made on a later one":  {bad(func(m *membership.Membership) { m.BaseEpoch = 9 }), result.MembershipInvalid},
 		"another of one epoch": {bad(func(m *membership.Membership) { m.Seats[2].Address = "x" }), result.MembershipInvalid},
 		"another deployment":   {bad(func(m *membership.Membership) { m.Deployment = "x"; m.Epoch = 9 }), result.WrongDeployment},
 		"another replica":      {target{good.Membership, "x"}, result.WrongReplica},
--- a/internal/system/core/stored_data_test.go
+++ b/internal/system/core/stored_data_test.go
@@ -57,7 +57,7 @@
 			if err := os.CopyFS(dir, os.DirFS(storedDirectory+name)); err != nil {
 				t.Fatal(err)
 			}
-			opened, err := openStore(dir, want.address, membership.First(3, []string{"elsewhere"}), false)
+			opened, err := openStore(dir, want.address, membership.Bootstrap(3, []string{"elsewhere"}), false)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/system/core/takeover.go
+++ b/internal/system/core/takeover.go
@@ -115,17 +115,17 @@
 }
 
 // mergeRecords merges the records of the sealed replicas that were in sync with the newest owner before.
-func (c *Core) mergeRecords(ctx context.Context, m membership.Membership, name string, sealed map[int]*sealResponse) (*shard.Set, error) {
-	answers := map[int]shard.Sealed{}
+func (c *Core) mergeRecords(ctx context.Context, m membership.Membership, name string, sealed map[int]*sealResponse) (*shard.RecordSet, error) {
+	answers := map[int]shard.FenceResponse{}
 	for seat, answer := range sealed {
-		answers[seat] = shard.Sealed{InStep: answer.InSync, Digests: answer.Digests}
+		answers[seat] = shard.FenceResponse{InSyncToken: answer.InSync, Digests: answer.Digests}
 	}
-	set := shard.NewSet()
-	for _, seat := range shard.Newest(answers) {
+	set := shard.NewRecordSet()
+	for _, seat := range shard.NewestInSync(answers) {
 		member := m.Seats[seat]
 		to := target{Membership: m, Member: member.ID}
 		request := &fetchRequest{To: to, Shard: name}
-		for _, bucket := range shard.Differing(set.Digests(), answers[seat].Digests) {
+		for _, bucket := range shard.DifferingBuckets(set.Digests(), answers[seat].Digests) {
 			request.Buckets = append(request.Buckets, int64(bucket))
 		}
 		response, err := replicaCall(ctx, c, to, member.Address, methodFetch, c.store.fetch, request)
--- a/internal/system/core/watch.go
+++ b/internal/system/core/watch.go
@@ -28,8 +28,8 @@
 		changed := c.changed
 		answer := c.watchResponse(r)
 		c.mu.Unlock()
-		answer.Fresh = c.configFresh()
-		if !answer.Fresh || answer.ConfigVersion != r.ConfigVersion || answer.OwnersDigest != r.OwnersDigest {
+		answer.Confirmed = c.configFresh()
+		if !answer.Confirmed || answer.ConfigVersion != r.ConfigVersion || answer.OwnersDigest != r.OwnersDigest {
 			return answer, nil
 		}
 		select {
@@ -51,7 +51,7 @@
 	}
 	answer.ConfigVersion = c.config.record.Version
 	if r.WantConfig && answer.ConfigVersion > r.ConfigVersion {
-		answer.Config, answer.Base = c.configSince(r.ConfigVersion)
+		answer.Config, answer.ConfigBase = c.configSince(r.ConfigVersion)
 	}
 	return answer
 }
@@ -66,7 +66,7 @@
 		}
 		patch, known := c.config.patches[version]
 		if !known {
-			patch, _ = clusterconfig.Difference(past.Text, complete)
+			patch, _ = clusterconfig.Diff(past.Text, complete)
 			c.config.patches[version] = patch
 		}
 		if len(patch) > 0 && len(patch) < len(complete) {
--- a/internal/system/directory/directory.go
+++ b/internal/system/directory/directory.go
@@ -74,7 +74,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known := slices.Clone(d.cores)
-	for _, seed := range d.process.Current().SeedAddresses() {
+	for _, seed := range d.process.CurrentSettings().SeedAddresses() {
 		if !slices.Contains(known, seed) {
 			known = append(known, seed)
 		}
@@ -103,7 +103,7 @@
 		return false
 	}
 	d.apply(answer, sentAt)
-	return answer.Fresh
+	return answer.Confirmed
 }
 
 // apply takes over what is newer in an answer to a request that was sent at the time given.
@@ -122,7 +122,7 @@
 	if answer.ConfigVersion > d.version {
 		d.applyConfig(answer)
 	}
-	if answer.Fresh && answer.ConfigVersion >= d.version {
+	if answer.Confirmed && answer.ConfigVersion >= d.version {
 		d.confirmedAt = sentAt
 	}
 	close(d.changed)
@@ -157,11 +157,11 @@
 // completeText returns the configuration that an answer brings, as its text or as a patch on the one that is known. d.mu is
 // held.
 func (d *Directory) completeText(answer *api.WatchResponse) ([]byte, error) {
-	if answer.Base == 0 {
+	if answer.ConfigBase == 0 {
 		return answer.Config, nil
 	}
-	if answer.Base != d.version || d.text == nil {
-		return nil, fmt.Errorf("a patch on version %d came, %d is known", answer.Base, d.version)
+	if answer.ConfigBase != d.version || d.text == nil {
+		return nil, fmt.Errorf("a patch on version %d came, %d is known", answer.ConfigBase, d.version)
 	}
 	return clusterconfig.Apply(d.text, answer.Config)
 }
--- a/internal/system/edge/edge.go
+++ b/internal/system/edge/edge.go
@@ -39,7 +39,7 @@
 	s := &Scheduler{
 		client: p.Client, directory: directory.New(p, true), draining: make(chan struct{}), responses: newResponseCounter(),
 	}
-	p.Measure(s.responses)
+	p.RegisterMetrics(s.responses)
 	following, stop := context.WithCancel(context.WithoutCancel(ctx)) // requests in flight need the owners after ctx's end
 	var background sync.WaitGroup
 	defer background.Wait()
--- a/internal/system/fakeworker/worker.go
+++ b/internal/system/fakeworker/worker.go
@@ -59,9 +59,9 @@
 	lastEnd        int64      // number of the last end
 	expiredUpTo    int64      // ends up to this number came before the lease expired
 	active         map[string]*attempt
-	unacknowledged []workeragent.Finished // ends that heartbeats repeat
-	lastAttempt    map[string]int64       // by task: the highest attempt that ended here
-	leaseUntil     time.Time              // zero before the first lease
+	unacknowledged []workeragent.FinishedRun // ends that heartbeats repeat
+	lastAttempt    map[string]int64          // by task: the highest attempt that ended here
+	leaseUntil     time.Time                 // zero before the first lease
 }
 
 // attempt is a running attempt of a task.
@@ -118,7 +118,7 @@
 	delete(w.active, task)
 	w.lastAttempt[task] = max(w.lastAttempt[task], attempt)
 	w.lastEnd++
-	w.unacknowledged = append(w.unacknowledged, workeragent.Finished{Number: w.lastEnd, Task: task, Attempt: attempt, How: how})
+	w.unacknowledged = append(w.unacknowledged, workeragent.FinishedRun{Number: w.lastEnd, Task: task, Attempt: attempt, Outcome: how})
 	w.Observer.TaskEnded(task, w.ID)
 }
 
@@ -167,7 +167,7 @@
 		Service: w.Service, State: "ready", Sequence: w.sequence, Capacity: w.Capacity, Labels: w.Labels, Finished: w.unacknowledged,
 	}
 	for task, running := range w.active {
-		heartbeat.Active = append(heartbeat.Active, workeragent.Active{Task: task, Attempt: running.number})
+		heartbeat.Active = append(heartbeat.Active, workeragent.ActiveRun{Task: task, Attempt: running.number})
 	}
 	return heartbeat
 }
@@ -188,10 +188,10 @@
 		}
 		w.lastAttempt[ref.Task] = max(w.lastAttempt[ref.Task], ref.Attempt)
 	}
-	if a.HoldMS == 0 {
+	if a.LeaseMS == 0 {
 		return
 	}
-	lease := time.Duration(float64(a.HoldMS) / (1 - w.ClockDrift) * float64(time.Millisecond))
+	lease := time.Duration(float64(a.LeaseMS) / (1 - w.ClockDrift) * float64(time.Millisecond))
 	if until := sentAt.Add(lease); until.After(w.leaseUntil) {
 		w.leaseUntil = until
 	}
@@ -215,7 +215,7 @@
 // its task may have been started elsewhere by then. The lock is held.
 func (w *Worker) acknowledge(upTo int64) {
 	for len(w.unacknowledged) > 0 && w.unacknowledged[0].Number <= upTo {
-		if w.unacknowledged[0].How == "done" && w.unacknowledged[0].Number > w.expiredUpTo {
+		if w.unacknowledged[0].Outcome == "done" && w.unacknowledged[0].Number > w.expiredUpTo {
 			w.Observer.EndAcknowledged(w.unacknowledged[0].Task)
 		}
 		w.unacknowledged = w.unacknowledged[1:]
--- a/internal/system/node/metrics.go
+++ b/internal/system/node/metrics.go
@@ -17,14 +17,14 @@
 		port = p.Settings.PortRange[1]
 	}
 	p.metrics = prometheus.NewRegistry()
-	p.Measure(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	p.RegisterMetrics(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(p.metrics, promhttp.HandlerOpts{}))
 	return p.Listen(ctx, net.JoinHostPort(p.Settings.IP, strconv.Itoa(port)), mux)
 }
 
-// Measure registers collectors with the metrics endpoint, if there is one.
-func (p *Process) Measure(collectors ...prometheus.Collector) {
+// RegisterMetrics registers collectors with the metrics endpoint, if there is one.
+func (p *Process) RegisterMetrics(collectors ...prometheus.Collector) {
 	if p.metrics == nil {
 		return
 	}
--- a/internal/system/node/node.go
+++ b/internal/system/node/node.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// Current returns the newest settings. Only the seeds take effect after the start.
-func (p *Process) Current() *settings.Settings { return p.current.Load() }
+// CurrentSettings returns the newest settings. Only the seeds take effect after the start.
+func (p *Process) CurrentSettings() *settings.Settings { return p.current.Load() }
 
 // Listen serves HTTP at an address in the background, until Close. It retries for 2 s while the address is in use.
 func (p *Process) Listen(ctx context.Context, address string, handler http.Handler) error {
@@ -189,8 +189,8 @@
 	return nil, err
 }
 
-// Timing returns the leases of workers and their agents, within hold_max_ms.
-func Timing(s *settings.Settings) workeragent.Timing {
+// LeaseTiming returns the leases of workers and their agents, within hold_max_ms.
+func LeaseTiming(s *settings.Settings) workeragent.Timing {
 	bound := time.Duration(s.Bounds.HoldMaxMS) * time.Millisecond
-	return workeragent.Timing{Hold: min(maxWorkerLease, bound), Lease: agentLease}
+	return workeragent.Timing{WorkerLease: min(maxWorkerLease, bound), AgentLease: agentLease}
 }
--- a/internal/system/node/node_test.go
+++ b/internal/system/node/node_test.go
@@ -62,10 +62,10 @@
 func TestWorkerLeaseIsBounded(t *testing.T) {
 	short, long := &settings.Settings{}, &settings.Settings{}
 	short.Bounds.HoldMaxMS, long.Bounds.HoldMaxMS = 1000, 60_000
-	if got := Timing(short).Hold; got != time.Second {
+	if got := LeaseTiming(short).WorkerLease; got != time.Second {
 		t.Errorf("lease %v", got)
 	}
-	if got := Timing(long).Hold; got != maxWorkerLease {
+	if got := LeaseTiming(long).WorkerLease; got != maxWorkerLease {
 		t.Errorf("lease %v", got)
 	}
 }
--- a/internal/system/side/heartbeat.go
+++ b/internal/system/side/heartbeat.go
@@ -63,15 +63,15 @@
 	defer s.mu.Unlock()
 	from := s.workerOf(instance)
 	from.service = heartbeat.Service
-	if !from.agent.OnBeat(s.now(), heartbeat) {
+	if !from.agent.OnHeartbeat(s.now(), heartbeat) {
 		return from, heartbeatOutdated
 	}
 	if from.replaced {
 		return from, heartbeatReplaced
 	}
 	s.confirm(from)
-	idle := from.confirmed && from.agent.Idle() && !from.agent.Pending(s.now())
-	if state := from.agent.News(); state != from.reported {
+	idle := from.confirmed && from.agent.Idle() && !from.agent.HasOrders(s.now())
+	if state := from.agent.StateDigest(); state != from.reported {
 		from.reported = state
 		signal(from.reportDue)
 	}
@@ -106,7 +106,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if leaving := s.workers[r.PathValue("id")]; leaving != nil {
-		leaving.agent.OnLeave(s.now())
+		leaving.agent.OnDeregister(s.now())
 		signal(leaving.reportDue)
 	}
 	w.WriteHeader(http.StatusOK)
--- a/internal/system/side/report.go
+++ b/internal/system/side/report.go
@@ -68,7 +68,7 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	report := w.agent.Report(now)
-	report.Side = s.settings.InternalAddress()
+	report.AgentAddress = s.settings.InternalAddress()
 	owner, _ = s.directory.Owner(w.service)
 	if owner != s.owner {
 		s.owner, s.session = owner, ""
@@ -90,11 +90,11 @@
 		signal(w.reportDue)
 		return
 	}
-	if err := w.agent.OnLease(sentAt, response.Token, response.Noted); err != nil {
+	if err := w.agent.OnLease(sentAt, response.Token, response.Acknowledged); err != nil {
 		s.logger.V(1).Info("owner has an outdated fencing token", "owner", owner, "error", err.Error())
 		return
 	}
-	if w.agent.Pending(s.now()) {
+	if w.agent.HasOrders(s.now()) {
 		signal(w.ordersReady)
 	}
 }
--- a/internal/system/side/side.go
+++ b/internal/system/side/side.go
@@ -99,7 +99,7 @@
 	_, _ = rand.Read(random[:]) // never fails
 	return &Scheduler{
 		settings: p.Settings, logger: p.Logger, client: p.Client, directory: directory.New(p, false),
-		timing: node.Timing(p.Settings), incarnation: hex.EncodeToString(random[:]), started: time.Now(),
+		timing: node.LeaseTiming(p.Settings), incarnation: hex.EncodeToString(random[:]), started: time.Now(),
 		workers: map[string]*worker{}, ctx: ctx,
 	}
 }
@@ -132,7 +132,7 @@
 // confirm takes an incarnation for the present one after enough heartbeats. A worker that crashed comes back under
 // another name, so this replaces all others, except those that are draining and may still run tasks. The lock is held.
 func (s *Scheduler) confirm(w *worker) {
-	if w.confirmed || w.agent.Beats() < minConfirmingHeartbeats {
+	if w.confirmed || w.agent.Heartbeats() < minConfirmingHeartbeats {
 		return
 	}
 	w.confirmed = true
@@ -158,7 +158,7 @@
 	if err := w.agent.OnOrders(s.now(), r.Token, &r.Orders); err != nil {
 		return nil, err
 	}
-	if w.agent.Pending(s.now()) {
+	if w.agent.HasOrders(s.now()) {
 		signal(w.ordersReady)
 	}
 	return &api.Empty{}, nil
@@ -184,12 +184,12 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	for instance, w := range s.workers {
-		if w.agent.Check(now) {
+		if w.agent.CheckExpiry(now) {
 			s.logger.V(1).Info("worker lease expired", "instance", instance)
 			w.expiredAt = now
 			signal(w.reportDue)
 		}
-		if instance != s.newestInstance && w.agent.SafelyDead() && now-w.expiredAt > expiredRetention {
+		if instance != s.newestInstance && w.agent.RunsExpired() && now-w.expiredAt > expiredRetention {
 			w.replaced = true
 			delete(s.workers, instance)
 		}
--- a/internal/system/simulation/edge_test.go
+++ b/internal/system/simulation/edge_test.go
@@ -38,12 +38,12 @@
 	server := rpc.NewServer()
 	rpc.Handle(server, api.MethodWatch, func(ctx context.Context, r *api.WatchRequest) (*api.WatchResponse, error) {
 		answer := &api.WatchResponse{
-			Fresh: !s.noQuorum.Load(), ConfigVersion: 1, Owners: []api.Owner{{Shard: service, Address: "10.0.0.1:7000", Token: 1}},
+			Confirmed: !s.noQuorum.Load(), ConfigVersion: 1, Owners: []api.Owner{{Shard: service, Address: "10.0.0.1:7000", Token: 1}},
 			OwnersDigest: 1, Cores: []string{"10.0.0.1:7000"},
 		}
 		if s.noConfiguration.Load() {
 			time.Sleep(time.Duration(r.WaitMS) * time.Millisecond)
-			return &api.WatchResponse{Fresh: true, Cores: answer.Cores}, nil
+			return &api.WatchResponse{Confirmed: true, Cores: answer.Cores}, nil
 		}
 		if r.ConfigVersion < 1 {
 			answer.Config = []byte(`{"version":1,"routes":[{"name":"q","host":"h","path_prefix":"/q/","timeout_ms":3000,` +
--- a/internal/system/simulation/stored_data_test.go
+++ b/internal/system/simulation/stored_data_test.go
@@ -48,9 +48,9 @@
 	client   *http.Client
 	sequence int64
 	number   int64
-	active   []workeragent.Active
+	active   []workeragent.ActiveRun
 	text     map[string]string
-	finished []workeragent.Finished
+	finished []workeragent.FinishedRun
 }
 
 func (s *scriptedWorker) run(ctx context.Context) {
@@ -108,24 +108,24 @@
 			s.end(one, "stopped")
 		case s.text[one.Task] == "short":
 			s.end(one, "done")
-		case s.text[one.Task] == "fail", one.Saved != "" && one.Attempt == 1 && strings.HasSuffix(one.Task, ".1"):
+		case s.text[one.Task] == "fail", one.Checkpoint != "" && one.Attempt == 1 && strings.HasSuffix(one.Task, ".1"):
 			s.end(one, "failed")
 		default:
 			if s.text[one.Task] == "save" {
-				one.Saved, one.Percent = fmt.Sprintf("saved/%s/%d", one.Task, one.Attempt), 40
+				one.Checkpoint, one.Percent = fmt.Sprintf("saved/%s/%d", one.Task, one.Attempt), 40
 			}
 			s.active = append(s.active, one)
 		}
 	}
 	for _, start := range answer.Started {
-		s.text[start.Task] = start.Text
-		s.active = append(s.active, workeragent.Active{Task: start.Task, Attempt: start.Attempt, Saved: start.Saved})
+		s.text[start.Task] = start.Spec
+		s.active = append(s.active, workeragent.ActiveRun{Task: start.Task, Attempt: start.Attempt, Checkpoint: start.Checkpoint})
 	}
 }
 
-func (s *scriptedWorker) end(one workeragent.Active, how string) {
+func (s *scriptedWorker) end(one workeragent.ActiveRun, how string) {
 	s.number++
-	s.finished = append(s.finished, workeragent.Finished{Number: s.number, Task: one.Task, Attempt: one.Attempt, How: how, Saved: one.Saved})
+	s.finished = append(s.finished, workeragent.FinishedRun{Number: s.number, Task: one.Task, Attempt: one.Attempt, Outcome: how, Checkpoint: one.Checkpoint})
 }
 
 // A whole system writes what a core machine keeps: registers, seats, shards and jobs, before and after the takeover of a
@@ -223,7 +223,7 @@
 		addresses = append(addresses, address)
 		byAddress[address] = name
 	}
-	return byAddress[rendezvous.First(service, addresses)]
+	return byAddress[rendezvous.Highest(service, addresses)]
 }
 
 // checkDirectory checks what the directory of a dead core machine says, and stores a copy where that was asked for.
@@ -240,7 +240,7 @@
 		}
 	}
 	files, err := statefile.Inspect(dir)
-	if err != nil || len(files) != 2 || !files[0].Whole || !files[1].Whole {
+	if err != nil || len(files) != 2 || !files[0].Complete || !files[1].Complete {
 		t.Errorf("%s: files %+v, error %v", stored, files, err)
 	}
 	if !*updateStored {
--- a/internal/system/statefile/inspect.go
+++ b/internal/system/statefile/inspect.go
@@ -9,12 +9,12 @@
 
 // FileInfo describes one file of a state directory.
 type FileInfo struct {
-	Name   string
-	Bytes  int64
-	Frames int   // complete frames
-	Torn   int64 // bytes at the end that are no complete frame
-	Whole  bool  // a snapshot with its end marker; always true for a log
-	Live   bool  // it is read at a start
+	Name     string
+	Bytes    int64
+	Frames   int   // complete frames
+	Torn     int64 // bytes at the end that are no complete frame
+	Complete bool  // a snapshot with its end marker; always true for a log
+	Live     bool  // it is read at a start
 }
 
 // Inspect describes the files of a state directory. It changes nothing.
@@ -32,7 +32,7 @@
 		}
 		info := inspectFile(dir, entry.Name())
 		snapshot := strings.HasPrefix(entry.Name(), snapshotPrefix) && !strings.HasSuffix(entry.Name(), tempSuffix)
-		if snapshot && info.Whole {
+		if snapshot && info.Complete {
 			newest = max(newest, generation)
 		}
 		infos = append(infos, info)
@@ -40,7 +40,7 @@
 	for i := range infos {
 		generation, _ := generationOf(infos[i].Name)
 		isLog := strings.HasPrefix(infos[i].Name, logPrefix)
-		infos[i].Live = newest >= 0 && infos[i].Whole && (isLog && generation >= newest || !isLog && generation == newest)
+		infos[i].Live = newest >= 0 && infos[i].Complete && (isLog && generation >= newest || !isLog && generation == newest)
 	}
 	return infos, nil
 }
@@ -54,11 +54,11 @@
 	}
 	if strings.HasPrefix(file, logPrefix) {
 		payloads, torn := readFrames(path, 0)
-		info.Frames, info.Torn, info.Whole = len(payloads), torn, true
+		info.Frames, info.Torn, info.Complete = len(payloads), torn, true
 		return info
 	}
 	payloads, complete := readSnapshot(path)
-	info.Frames, info.Whole = len(payloads), complete && !strings.HasSuffix(file, tempSuffix)
+	info.Frames, info.Complete = len(payloads), complete && !strings.HasSuffix(file, tempSuffix)
 	if !complete {
 		info.Torn = info.Bytes
 	}
--- a/internal/system/statefile/stored_data_test.go
+++ b/internal/system/statefile/stored_data_test.go
@@ -26,24 +26,24 @@
 	{
 		name: "takeover", generation: 1, digest: "c8c22faaabc52441",
 		files: []statefile.FileInfo{
-			{Name: "log-00000001", Bytes: 4382, Frames: 33, Whole: true, Live: true},
-			{Name: "state-00000001", Bytes: 247, Frames: 2, Whole: true, Live: true},
+			{Name: "log-00000001", Bytes: 4382, Frames: 33, Complete: true, Live: true},
+			{Name: "state-00000001", Bytes: 247, Frames: 2, Complete: true, Live: true},
 		},
 		kinds: map[int64]int{1: 1, 2: 1, 3: 4, 4: 4, 6: 4, 7: 19, 8: 2},
 	},
 	{
 		name: "generation", generation: 3, digest: "1f8f0b99aa516e30",
 		files: []statefile.FileInfo{
-			{Name: "log-00000003", Bytes: 369, Frames: 3, Whole: true, Live: true},
-			{Name: "state-00000003", Bytes: 2295, Frames: 6, Whole: true, Live: true},
+			{Name: "log-00000003", Bytes: 369, Frames: 3, Complete: true, Live: true},
+			{Name: "state-00000003", Bytes: 2295, Frames: 6, Complete: true, Live: true},
 		},
 		kinds: map[int64]int{1: 1, 2: 1, 5: 3, 7: 3, 9: 1},
 	},
 	{
 		name: "rejoined", generation: 1, digest: "c66d21971f40f99f",
 		files: []statefile.FileInfo{
-			{Name: "log-00000001", Bytes: 3813, Frames: 19, Whole: true, Live: true},
-			{Name: "state-00000001", Bytes: 117, Frames: 2, Whole: true, Live: true},
+			{Name: "log-00000001", Bytes: 3813, Frames: 19, Complete: true, Live: true},
+			{Name: "state-00000001", Bytes: 117, Frames: 2, Complete: true, Live: true},
 		},
 		kinds: map[int64]int{1: 2, 2: 4, 3: 1, 4: 1, 5: 3, 6: 1, 7: 6, 8: 1, 10: 1, 11: 1},
 	},
--- a/jobs/assign.go
+++ b/jobs/assign.go
@@ -1,7 +1,7 @@
 package jobs
 
 // placeTasks places the tasks of a group one by one. It reports whether the queue still has credit.
-func (s *Book) placeTasks(c *cycle, group *taskGroup) bool {
+func (s *Scheduler) placeTasks(c *cycle, group *taskGroup) bool {
 	for len(group.tasks) > 0 {
 		if group.queue.isAtLimit(group) {
 			return true
@@ -19,7 +19,7 @@
 }
 
 // assignNext assigns the next task of a group to a worker. It reports whether the queue still has credit.
-func (s *Book) assignNext(c *cycle, group *taskGroup, w *Worker) bool {
+func (s *Scheduler) assignNext(c *cycle, group *taskGroup, w *Worker) bool {
 	work := group.estimatedWork()
 	index := group.tasks[0]
 	s.dequeue(group, 1)
@@ -28,7 +28,7 @@
 }
 
 // assign assigns a task to a worker. The start may be sent once the assignment is committed.
-func (s *Book) assign(c *cycle, group *taskGroup, w *Worker, index int) {
+func (s *Scheduler) assign(c *cycle, group *taskGroup, w *Worker, index int) {
 	task := &group.occurrence.Stages[group.stage].Tasks[index]
 	group.job.setTaskState(task, TaskAssigned)
 	task.Attempt++
@@ -52,7 +52,7 @@
 
 // markUnschedulable leaves a group out of the rest of the cycle. If no worker is feasible for it, it claims no share of the
 // capacity; otherwise it may reserve workers for its members.
-func (s *Book) markUnschedulable(c *cycle, group *taskGroup, members int) {
+func (s *Scheduler) markUnschedulable(c *cycle, group *taskGroup, members int) {
 	c.unschedulable[group] = true
 	if !c.feasibleAnywhere(group) {
 		group.queue.unschedulableDemand += float64(len(group.tasks)) * s.taskShare(group.spec())
--- a/jobs/backlog.go
+++ b/jobs/backlog.go
@@ -32,7 +32,7 @@
 }
 
 // enqueueStage enqueues the pending tasks of a stage once its dependencies are completed.
-func (s *Book) enqueueStage(now time.Duration, job *Job, occurrence *Occurrence, stageIndex int) {
+func (s *Scheduler) enqueueStage(now time.Duration, job *Job, occurrence *Occurrence, stageIndex int) {
 	if !job.dependenciesCompleted(occurrence, stageIndex) {
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // requeueStage enqueues the pending tasks of a stage; those of a gang only once none of its members is assigned.
-func (s *Book) requeueStage(now time.Duration, job *Job, occurrence *Occurrence, stageIndex int) {
+func (s *Scheduler) requeueStage(now time.Duration, job *Job, occurrence *Occurrence, stageIndex int) {
 	if job.Spec.Stages[stageIndex].Gang {
 		for index := range occurrence.Stages[stageIndex].Tasks {
 			if occurrence.Stages[stageIndex].Tasks[index].State == TaskAssigned {
@@ -56,7 +56,7 @@
 }
 
 // enqueue adds a task to its stage's group, and the group to its queue if it is new.
-func (s *Book) enqueue(now time.Duration, job *Job, occurrence *Occurrence, stageIndex, index int) {
+func (s *Scheduler) enqueue(now time.Duration, job *Job, occurrence *Occurrence, stageIndex, index int) {
 	stage := &job.Spec.Stages[stageIndex]
 	for _, group := range job.pending {
 		if group.occurrence == occurrence && group.stage == stageIndex {
@@ -79,7 +79,7 @@
 }
 
 // dequeue removes the first tasks from a group, and an empty group from its queue and job.
-func (s *Book) dequeue(group *taskGroup, count int) {
+func (s *Scheduler) dequeue(group *taskGroup, count int) {
 	q := group.queue
 	group.tasks = group.tasks[count:]
 	q.pendingDemand = max(0, q.pendingDemand-float64(count)*s.taskShare(group.spec()))
@@ -99,7 +99,7 @@
 }
 
 // withdraw removes the task with an index from a group.
-func (s *Book) withdraw(group *taskGroup, index int) {
+func (s *Scheduler) withdraw(group *taskGroup, index int) {
 	for i, other := range group.tasks {
 		if other == index {
 			group.tasks[0], group.tasks[i] = group.tasks[i], group.tasks[0]
@@ -127,7 +127,7 @@
 }
 
 // taskShare returns a task's dominant share of a mean worker, 1 at most, and 0 while no worker is known.
-func (s *Book) taskShare(stage *Stage) float64 {
+func (s *Scheduler) taskShare(stage *Stage) float64 {
 	if s.meanCapacity.CPU == 0 {
 		return 0
 	}
@@ -135,7 +135,7 @@
 }
 
 // recountPendingDemand computes the pending demand of all queues after the mean worker has changed.
-func (s *Book) recountPendingDemand() {
+func (s *Scheduler) recountPendingDemand() {
 	for _, q := range s.queues {
 		q.pendingDemand = 0
 		q.pending.Ascend(func(group *taskGroup) bool {
@@ -146,7 +146,7 @@
 }
 
 // updateMeanCapacity computes the mean capacity of ready workers, the unit of demand. Without one the last value stays.
-func (s *Book) updateMeanCapacity() {
+func (s *Scheduler) updateMeanCapacity() {
 	var sum Resources
 	n := int64(0)
 	for _, w := range s.workers {
--- a/jobs/changes.go
+++ b/jobs/changes.go
@@ -13,7 +13,7 @@
 }
 
 // markDirty has the next Flush write a job's record.
-func (s *Book) markDirty(job *Job) {
+func (s *Scheduler) markDirty(job *Job) {
 	if !job.dirty {
 		job.dirty = true
 		s.dirtyJobs = append(s.dirtyJobs, job)
@@ -21,11 +21,11 @@
 }
 
 // onDurable defers a step until all changes up to the next Flush are committed.
-func (s *Book) onDurable(run func()) { s.newEffects = append(s.newEffects, run) }
+func (s *Scheduler) onDurable(run func()) { s.newEffects = append(s.newEffects, run) }
 
 // Flush passes all changes since the last call to put, which returns their sequence numbers. It returns the last of these,
 // or the given one where nothing changed.
-func (s *Book) Flush(put func(Change) int64, last int64) (int64, error) {
+func (s *Scheduler) Flush(put func(Change) int64, last int64) (int64, error) {
 	for _, change := range s.newSpecs {
 		last = put(change)
 	}
@@ -51,7 +51,7 @@
 }
 
 // Committed runs the steps that waited for changes up to a sequence number.
-func (s *Book) Committed(sequence int64) {
+func (s *Scheduler) Committed(sequence int64) {
 	n := 0
 	for n < len(s.unconfirmedEffects) && s.unconfirmedEffects[n].sequence <= sequence {
 		s.unconfirmedEffects[n].run()
--- a/jobs/completion.go
+++ b/jobs/completion.go
@@ -10,14 +10,14 @@
 
 // applyFinished applies the finished runs of a report that were not applied before. They are acknowledged to the worker once
 // that is committed.
-func (s *Book) applyFinished(now time.Duration, w *Worker, r *Report) {
+func (s *Scheduler) applyFinished(now time.Duration, w *Worker, r *Report) {
 	last := w.appliedCompletions
 	for _, end := range r.Finished {
 		if end.Number <= w.appliedCompletions {
 			continue
 		}
 		last = max(last, end.Number)
-		s.finishRun(now, w, RunRef{end.Task, end.Attempt}, end.How, end.Saved)
+		s.finishRun(now, w, RunRef{end.Task, end.Attempt}, end.Outcome, end.Checkpoint)
 	}
 	if last == w.appliedCompletions {
 		return
@@ -30,7 +30,7 @@
 }
 
 // finishRun applies the end of a run, with its last checkpoint.
-func (s *Book) finishRun(now time.Duration, w *Worker, key RunRef, outcome, checkpoint string) {
+func (s *Scheduler) finishRun(now time.Duration, w *Worker, key RunRef, outcome, checkpoint string) {
 	s.needsCycle = true
 	run := w.Runs[key]
 	if run == nil {
@@ -51,7 +51,7 @@
 }
 
 // applyLateSuccess applies the success of a run that had been given up, as long as its task was not assigned again.
-func (s *Book) applyLateSuccess(now time.Duration, w *Worker, key RunRef, outcome string) {
+func (s *Scheduler) applyLateSuccess(now time.Duration, w *Worker, key RunRef, outcome string) {
 	position, ok := parseTaskName(key.Task)
 	if outcome != outcomeDone || !ok {
 		return
@@ -71,7 +71,7 @@
 }
 
 // pendingTask returns the job and occurrence of a task, or nils unless the task is pending after an attempt on a worker.
-func (s *Book) pendingTask(position taskPosition, attempt int64, worker string) (*Job, *Occurrence) {
+func (s *Scheduler) pendingTask(position taskPosition, attempt int64, worker string) (*Job, *Occurrence) {
 	job := s.jobs[position.id]
 	if job == nil || job.hasEnded() {
 		return nil, nil
@@ -120,7 +120,7 @@
 }
 
 // advanceTask moves an assigned task on after the end of its run: it is completed, enqueued again, or fails its job.
-func (s *Book) advanceTask(now time.Duration, job *Job, occurrence *Occurrence, position taskPosition, outcome string) {
+func (s *Scheduler) advanceTask(now time.Duration, job *Job, occurrence *Occurrence, position taskPosition, outcome string) {
 	progress := &occurrence.Stages[position.stage]
 	s.markDirty(job)
 	longRunning := job.isLongRunning(position.stage)
@@ -147,7 +147,7 @@
 }
 
 // countFailure counts a failed run, once for all members of a gang, and reports whether the queue's retries are used up.
-func (s *Book) countFailure(job *Job, progress *StageProgress, position taskPosition) bool {
+func (s *Scheduler) countFailure(job *Job, progress *StageProgress, position taskPosition) bool {
 	attempt := progress.Tasks[position.index].Attempt
 	counter := &progress.Tasks[position.index]
 	if job.Spec.Stages[position.stage].Gang {
@@ -162,7 +162,7 @@
 
 // completeTask completes a task, or a whole gang after the success of one member, and what that completes in turn: the stage,
 // the occurrence, the job.
-func (s *Book) completeTask(now time.Duration, job *Job, occurrence *Occurrence, position taskPosition) {
+func (s *Scheduler) completeTask(now time.Duration, job *Job, occurrence *Occurrence, position taskPosition) {
 	progress := &occurrence.Stages[position.stage]
 	if job.Spec.Stages[position.stage].Gang {
 		for index := range progress.Tasks {
--- a/jobs/cost_test.go
+++ b/jobs/cost_test.go
@@ -42,7 +42,7 @@
 func measureScheduler(t *testing.T, s size) (m measured) {
 	t.Helper()
 	before := heapMB()
-	scheduler := New(Options{LapseAfter: time.Minute, KeepEnded: time.Minute, FarX: 1.5}, rand.New(rand.NewPCG(1, 1)))
+	scheduler := New(Options{LeaseTimeout: time.Minute, EndedJobTTL: time.Minute, RemoteSlowdown: 1.5}, rand.New(rand.NewPCG(1, 1)))
 	var queues []QueueConfig
 	for i := range s.queues {
 		queues = append(queues, QueueConfig{Name: fmt.Sprint("q", i), Priority: int64(i % 3), Retries: 3, Extension: 2, TargetLatencyMS: 1000})
@@ -51,10 +51,10 @@
 	reports := make([]*Report, s.workers)
 	for i := range reports {
 		reports[i] = &Report{
-			Side: fmt.Sprint("10.0.0.", i), Life: "1", Instance: fmt.Sprint("i-", i), State: string(Ready),
+			AgentAddress: fmt.Sprint("10.0.0.", i), AgentIncarnation: "1", Instance: fmt.Sprint("i-", i), State: string(Ready),
 			Capacity: Resources{CPU: 16000, MemMB: 64000, GPU: 8}, Labels: []string{"a", fmt.Sprint("r", i/16)},
 		}
-		scheduler.Report(0, reports[i])
+		scheduler.HandleReport(0, reports[i])
 	}
 	began := time.Now()
 	now, bytes := fill(t, scheduler, queues, s.running)
@@ -70,7 +70,7 @@
 	reportRuns(scheduler, reports)
 	began = time.Now()
 	for _, r := range reports {
-		scheduler.Report(now, r)
+		scheduler.HandleReport(now, r)
 	}
 	m.report = float64(time.Since(began).Microseconds()) / float64(len(reports))
 	m.heap = heapMB() - before
@@ -80,7 +80,7 @@
 }
 
 // fill submits jobs of 16 tasks, has them assigned, and returns the time and the bytes of all records written.
-func fill(t *testing.T, scheduler *Book, queues []QueueConfig, running int) (now time.Duration, bytes int) {
+func fill(t *testing.T, scheduler *Scheduler, queues []QueueConfig, running int) (now time.Duration, bytes int) {
 	t.Helper()
 	body := []byte(`{"spec":"0123456789012345678901234567890123456789","stages":[{"count":16,"cpu":800,"mem_mb":3000,"estimate_ms":60000}]}`)
 	put := func(c Change) int64 { bytes += len(c.Value); return 1 }
@@ -107,11 +107,11 @@
 }
 
 // reportRuns adds the workers' runs to their reports as active.
-func reportRuns(scheduler *Book, reports []*Report) {
+func reportRuns(scheduler *Scheduler, reports []*Report) {
 	for ref, w := range scheduler.workers {
 		r := reports[0]
 		for i := range reports {
-			if WorkerRef(reports[i].Instance, reports[i].Side) == ref {
+			if WorkerRef(reports[i].Instance, reports[i].AgentAddress) == ref {
 				r = reports[i]
 				break
 			}
--- a/jobs/cycle.go
+++ b/jobs/cycle.go
@@ -29,7 +29,7 @@
 // Schedule runs one scheduling cycle, if anything has changed since the last. Queues are served by strict priority, and those
 // of one priority by deficit round robin (Shreedhar and Varghese, SIGCOMM 1995) over estimated work, each up to its limit.
 // Then overdue groups are placed, once a tick, and runs are preempted for what is still pending in the first priority.
-func (s *Book) Schedule(now time.Duration) {
+func (s *Scheduler) Schedule(now time.Duration) {
 	if !s.needsCycle {
 		return
 	}
@@ -61,7 +61,7 @@
 
 // refreshReady lists the ready workers: at once when one comes, leaves or changes its state, otherwise once an interval, so
 // that the cost of a cycle does not grow with the number of workers.
-func (s *Book) refreshReady(now time.Duration) {
+func (s *Scheduler) refreshReady(now time.Duration) {
 	if !s.readyStale && now-s.readyListedAt < readyListInterval {
 		return
 	}
@@ -79,7 +79,7 @@
 }
 
 // serveQueues serves the queues of one priority in turns until none can place more.
-func (s *Book) serveQueues(c *cycle, queues []*Queue) {
+func (s *Scheduler) serveQueues(c *cycle, queues []*Queue) {
 	for range maxTurns {
 		before := c.assigned
 		more := false
@@ -116,7 +116,7 @@
 }
 
 // serveQueue places groups of a queue while it has credit. It reports whether another turn may place more.
-func (s *Book) serveQueue(c *cycle, q *Queue) bool {
+func (s *Scheduler) serveQueue(c *cycle, q *Queue) bool {
 	if q.deficit <= 0 {
 		return true
 	}
--- a/jobs/drain.go
+++ b/jobs/drain.go
@@ -7,7 +7,7 @@
 
 // evacuate stops those runs of a worker that would not end before it leaves. They resume elsewhere, from their checkpoints if
 // they have any.
-func (s *Book) evacuate(now time.Duration, w *Worker) {
+func (s *Scheduler) evacuate(now time.Duration, w *Worker) {
 	for _, run := range w.Runs {
 		if run.stopping || run.job == nil || run.job.hasEnded() || run.queue == nil {
 			continue
--- a/jobs/filter.go
+++ b/jobs/filter.go
@@ -10,7 +10,7 @@
 // findFitting returns workers that can take a task of a group now, beside what a plan has given them already. In a large
 // shard it looks for a sample, from a random worker on, so that the cost of a placement is bounded; workers in the rack of
 // the data come first there.
-func (s *Book) findFitting(c *cycle, group *taskGroup, plan *gangPlan) []*Worker {
+func (s *Scheduler) findFitting(c *cycle, group *taskGroup, plan *gangPlan) []*Worker {
 	if len(c.ready) <= maxFullScanWorkers {
 		return c.filterWorkers(group, plan, c.ready, len(c.ready))
 	}
--- a/jobs/gang.go
+++ b/jobs/gang.go
@@ -10,7 +10,7 @@
 }
 
 // placeGang places all members of a gang or none. It reports whether the queue still has credit.
-func (s *Book) placeGang(c *cycle, group *taskGroup) bool {
+func (s *Scheduler) placeGang(c *cycle, group *taskGroup) bool {
 	members := group.spec().Count
 	if len(group.tasks) < members {
 		c.unschedulable[group] = true
@@ -30,7 +30,7 @@
 }
 
 // planGang returns a worker for each member, or nil. A rack-local gang prefers one rack, and waits a little for it.
-func (s *Book) planGang(c *cycle, group *taskGroup) []*Worker {
+func (s *Scheduler) planGang(c *cycle, group *taskGroup) []*Worker {
 	if group.spec().RackLocal {
 		racks := map[string]bool{}
 		for _, w := range c.ready {
@@ -49,7 +49,7 @@
 }
 
 // planGangIn returns a worker for each member, or nil, in one rack if it is named.
-func (s *Book) planGangIn(c *cycle, group *taskGroup, rack string) []*Worker {
+func (s *Scheduler) planGangIn(c *cycle, group *taskGroup, rack string) []*Worker {
 	plan := &gangPlan{rack: rack, demand: map[*Worker]Resources{}, tasks: map[*Worker]int{}}
 	demand := group.spec().demand()
 	var workers []*Worker
--- a/jobs/golden_test.go
+++ b/jobs/golden_test.go
@@ -33,8 +33,8 @@
 func TestWords(t *testing.T) {
 	for got, want := range map[string]string{
 		string(jobs.Queued): "queued", string(jobs.Running): "running", string(jobs.Completed): "completed", string(jobs.Failed): "failed",
-		string(jobs.Cancelled): "cancelled", string(jobs.Ready): "ready", string(jobs.Draining): "draining", string(jobs.Gone): "gone",
-		string(jobs.Unresponsive): "silent", string(jobs.Lapsed): "lapsed", string(jobs.Unconfirmed): "unheard",
+		string(jobs.Cancelled): "cancelled", string(jobs.Ready): "ready", string(jobs.Draining): "draining", string(jobs.Departed): "gone",
+		string(jobs.Unresponsive): "silent", string(jobs.LeaseExpired): "lapsed", string(jobs.Unconfirmed): "unheard",
 		string(jobs.ReasonQueueLimit): "queue limit", string(jobs.ReasonHeadroom): "headroom", string(jobs.ReasonCredit): "credit",
 		string(jobs.ReasonReservation): "reservation", string(jobs.ReasonWorkerLimit): "worker limit", string(jobs.ReasonNotChosen): "choice",
 		jobs.TaskName("0123", 1, 2, 3): "0123.1.2.3", jobs.WorkerRef("i", "a:1"): "i@a:1",
--- a/jobs/headroom.go
+++ b/jobs/headroom.go
@@ -21,7 +21,7 @@
 
 // limitWithHeadroom returns what a queue may have allocated in its turn: its limit, cut to what the headroom leaves, but not below
 // its guaranteed share.
-func (s *Book) limitWithHeadroom(q *Queue) float64 {
+func (s *Scheduler) limitWithHeadroom(q *Queue) float64 {
 	if q.Priority == 0 || s.headroom.peak == 0 {
 		return q.limit
 	}
--- a/jobs/helpers_test.go
+++ b/jobs/helpers_test.go
@@ -9,8 +9,8 @@
 )
 
 // newTestScheduler returns a scheduler with some queues, with leases of a length.
-func newTestScheduler(lease time.Duration, random *rand.Rand, queues []QueueConfig) *Book {
-	s := New(Options{LapseAfter: lease, KeepEnded: time.Minute, FarX: 1.5}, random)
+func newTestScheduler(lease time.Duration, random *rand.Rand, queues []QueueConfig) *Scheduler {
+	s := New(Options{LeaseTimeout: lease, EndedJobTTL: time.Minute, RemoteSlowdown: 1.5}, random)
 	s.Configure(queues)
 	return s
 }
@@ -23,7 +23,7 @@
 }
 
 // flush takes the scheduler's changes.
-func (r *recordStore) flush(t *testing.T, s *Book) {
+func (r *recordStore) flush(t *testing.T, s *Scheduler) {
 	t.Helper()
 	last, err := s.Flush(func(c Change) int64 {
 		r.pending = append(r.pending, c)
@@ -39,7 +39,7 @@
 }
 
 // commit makes all changes so far durable.
-func (r *recordStore) commit(s *Book) {
+func (r *recordStore) commit(s *Scheduler) {
 	for _, c := range r.pending {
 		if c.Value == nil {
 			delete(r.records, c.Key)
@@ -52,7 +52,7 @@
 }
 
 // restore has a new owner's scheduler take over the committed records.
-func (r *recordStore) restore(t *testing.T, s *Book, now time.Duration) {
+func (r *recordStore) restore(t *testing.T, s *Scheduler, now time.Duration) {
 	t.Helper()
 	r.pending = nil
 	var records []Change
@@ -65,12 +65,12 @@
 }
 
 // finished returns a finished run as a worker reports it.
-func finished(number int64, ref RunRef, outcome string) EndedRun {
-	return EndedRun{Number: number, Task: ref.Task, Attempt: ref.Attempt, How: outcome}
+func finished(number int64, ref RunRef, outcome string) FinishedRun {
+	return FinishedRun{Number: number, Task: ref.Task, Attempt: ref.Attempt, Outcome: outcome}
 }
 
 // runsByJob counts the runs at some workers by a key, which is given the job's ID.
-func runsByJob(s *Book, key func(id string, w *Worker) string) map[string]int {
+func runsByJob(s *Scheduler, key func(id string, w *Worker) string) map[string]int {
 	counts := map[string]int{}
 	for _, w := range s.workers {
 		for ref := range w.Runs {
--- a/jobs/lifecycle.go
+++ b/jobs/lifecycle.go
@@ -9,7 +9,7 @@
 
 // Submit accepts a job; it is idempotent by the job's ID. Durable reports whether the job's record is already committed;
 // otherwise it is once all changes up to the next Flush are. The error says why a body is invalid.
-func (s *Book) Submit(now time.Duration, wallMS int64, id, queue string, body []byte) (durable bool, err error) {
+func (s *Scheduler) Submit(now time.Duration, wallMS int64, id, queue string, body []byte) (durable bool, err error) {
 	if known := s.jobs[id]; known != nil {
 		return known.durable, nil
 	}
@@ -44,7 +44,7 @@
 
 // startDueOccurrences enqueues the occurrences of a job that are due. StartAtMS is the only time that is compared with the
 // wall clock.
-func (s *Book) startDueOccurrences(now time.Duration, wallMS int64, job *Job) {
+func (s *Scheduler) startDueOccurrences(now time.Duration, wallMS int64, job *Job) {
 	for job.NextOccurrence < job.occurrenceCount() && !job.hasEnded() {
 		due := job.Spec.StartAtMS + int64(job.NextOccurrence)*job.Spec.IntervalMS
 		if job.Spec.StartAtMS > 0 && wallMS < due {
@@ -62,7 +62,7 @@
 }
 
 // Cancel ends a job and reports whether it is known. The cancellation is durable with all changes up to the next Flush.
-func (s *Book) Cancel(now time.Duration, id string) (known bool) {
+func (s *Scheduler) Cancel(now time.Duration, id string) (known bool) {
 	job := s.jobs[id]
 	if job == nil {
 		return false
@@ -74,7 +74,7 @@
 }
 
 // endJob moves a job to its final state and dequeues and stops what is left of it.
-func (s *Book) endJob(now time.Duration, job *Job, state State) {
+func (s *Scheduler) endJob(now time.Duration, job *Job, state State) {
 	job.State = state
 	job.endedAt = now
 	s.ended = append(s.ended, job)
@@ -92,7 +92,7 @@
 }
 
 // completeJobIfDone completes a job after its last occurrence.
-func (s *Book) completeJobIfDone(now time.Duration, job *Job) {
+func (s *Scheduler) completeJobIfDone(now time.Duration, job *Job) {
 	if job.NextOccurrence < job.occurrenceCount() {
 		return
 	}
@@ -105,7 +105,7 @@
 }
 
 // stopRuns stops all runs of a job.
-func (s *Book) stopRuns(job *Job) {
+func (s *Scheduler) stopRuns(job *Job) {
 	for _, occurrence := range job.Occurrences {
 		for stageIndex := range occurrence.Stages {
 			for index := range occurrence.Stages[stageIndex].Tasks {
@@ -116,7 +116,7 @@
 }
 
 // stopTask stops the run of a task, if it has one.
-func (s *Book) stopTask(job *Job, occurrence *Occurrence, stageIndex, index int) {
+func (s *Scheduler) stopTask(job *Job, occurrence *Occurrence, stageIndex, index int) {
 	task := &occurrence.Stages[stageIndex].Tasks[index]
 	w := s.workers[task.Worker]
 	if task.State != TaskAssigned || w == nil {
@@ -130,9 +130,9 @@
 }
 
 // deleteEndedJobs deletes the records of ended jobs whose TTL is over.
-func (s *Book) deleteEndedJobs(now time.Duration) {
+func (s *Scheduler) deleteEndedJobs(now time.Duration) {
 	n := 0
-	for n < len(s.ended) && now-s.ended[n].endedAt > s.options.KeepEnded {
+	for n < len(s.ended) && now-s.ended[n].endedAt > s.options.EndedJobTTL {
 		job := s.ended[n]
 		delete(s.jobs, job.ID)
 		s.deletedKeys = append(s.deletedKeys, specPrefix+job.ID, jobPrefix+job.ID)
--- a/jobs/orders.go
+++ b/jobs/orders.go
@@ -7,8 +7,8 @@
 	maxStartsPerCall = 1000                   // a few megabytes with the longest texts
 )
 
-// DirtyWorkers returns the workers whose agents have orders due, and resets which these are.
-func (s *Book) DirtyWorkers() []*Worker {
+// WorkersWithOrders returns the workers whose agents have orders due, and resets which these are.
+func (s *Scheduler) WorkersWithOrders() []*Worker {
 	var dirty []*Worker
 	for _, w := range s.workers {
 		if w.ordersDue {
@@ -21,13 +21,13 @@
 
 // Orders returns what is to be sent to a worker's agent now, or nil for nothing; starts above maxStartsPerCall are left for
 // the next call. Acknowledged is the number of committed finished runs that the agent knows of.
-func (s *Book) Orders(now time.Duration, w *Worker, acknowledged int64) *Orders {
-	if w.State == Unconfirmed || w.State == Lapsed {
+func (s *Scheduler) Orders(now time.Duration, w *Worker, acknowledged int64) *Orders {
+	if w.State == Unconfirmed || w.State == LeaseExpired {
 		return nil
 	}
-	orders := &Orders{Instance: w.Instance, Life: w.AgentIncarnation, Noted: w.durableCompletions}
+	orders := &Orders{Instance: w.Instance, AgentIncarnation: w.AgentIncarnation, DurableCompletions: w.durableCompletions}
 	if w.demandsUnknown {
-		orders.Known = w.runDemands()
+		orders.KnownDemands = w.runDemands()
 		w.demandsUnknown = false
 	}
 	for key, run := range w.Runs {
@@ -43,7 +43,7 @@
 			orders.Starts = append(orders.Starts, run.startOrder())
 		}
 	}
-	if len(orders.Starts)+len(orders.Stops)+len(orders.Known) == 0 && w.durableCompletions == acknowledged {
+	if len(orders.Starts)+len(orders.Stops)+len(orders.KnownDemands) == 0 && w.durableCompletions == acknowledged {
 		return nil
 	}
 	return orders
@@ -62,9 +62,9 @@
 func (r *Run) startOrder() Start {
 	_, _, task := r.task()
 	return Start{
-		Task: r.Key.Task, Attempt: r.Key.Attempt, Text: r.job.Spec.Text, Saved: task.Checkpoint, Demand: r.demand,
+		Task: r.Key.Task, Attempt: r.Key.Attempt, Text: r.job.Spec.Text, Checkpoint: task.Checkpoint, Demand: r.demand,
 	}
 }
 
-// Noted returns the number up to which a worker's finished runs are committed.
-func (s *Book) Noted(w *Worker) int64 { return w.durableCompletions }
+// DurableCompletions returns the number up to which a worker's finished runs are committed.
+func (s *Scheduler) DurableCompletions(w *Worker) int64 { return w.durableCompletions }
--- a/jobs/overdue.go
+++ b/jobs/overdue.go
@@ -15,7 +15,7 @@
 
 // placeOverdueGroups places overdue groups in the capacity that the queues within their limits have left in this cycle: one
 // task of each job, or all long-running ones, each of which has to run all the time.
-func (s *Book) placeOverdueGroups(c *cycle) {
+func (s *Scheduler) placeOverdueGroups(c *cycle) {
 	idle := c.coreUtilization() < maxIdleUtilization
 	for _, group := range s.overdueGroups(c, idle) {
 		c.ignoreReservations = idle || group.isLongRunning()
@@ -35,7 +35,7 @@
 
 // overdueGroups returns overdue groups among those that one tick scans; the next scan resumes behind them. A group that was
 // found unschedulable in this cycle is tried again only if it may now ignore reservations.
-func (s *Book) overdueGroups(c *cycle, idle bool) []*taskGroup {
+func (s *Scheduler) overdueGroups(c *cycle, idle bool) []*taskGroup {
 	var found []*taskGroup
 	budget := maxOverdueScan
 	for range s.queueOrder {
@@ -66,7 +66,7 @@
 }
 
 // placeOverdueGroup places a gang as a whole, all tasks of a long-running stage, or one task of another.
-func (s *Book) placeOverdueGroup(c *cycle, group *taskGroup) {
+func (s *Scheduler) placeOverdueGroup(c *cycle, group *taskGroup) {
 	if group.gang {
 		s.placeGang(c, group)
 		return
--- a/jobs/pick.go
+++ b/jobs/pick.go
@@ -16,7 +16,7 @@
 
 // pickWorker returns a worker for one task of a group, or nil: a random one of those that fit and are not above the mean by
 // more than a margin. Tasks with accelerators are packed instead, so that whole workers remain for gangs.
-func (s *Book) pickWorker(c *cycle, group *taskGroup, plan *gangPlan) *Worker {
+func (s *Scheduler) pickWorker(c *cycle, group *taskGroup, plan *gangPlan) *Worker {
 	stage := group.spec()
 	fitting := s.findFitting(c, group, plan)
 	fitting = prefer(fitting, func(w *Worker) bool { return w.failureRate < maxFailureRate })
@@ -42,7 +42,7 @@
 }
 
 // pickPacked returns the worker with the fewest free accelerators, a random one among equals.
-func (s *Book) pickPacked(fitting []*Worker, plan *gangPlan) *Worker {
+func (s *Scheduler) pickPacked(fitting []*Worker, plan *gangPlan) *Worker {
 	var best *Worker
 	least, equal := int64(0), 0
 	for _, w := range fitting {
@@ -66,9 +66,9 @@
 // shouldWaitForRack reports whether a group should wait for free capacity in the rack of its data, or in one rack for a gang,
 // rather than run elsewhere: until the wait costs a fraction of what a run elsewhere would, and only if the rack has a worker
 // that could run it.
-func (s *Book) shouldWaitForRack(c *cycle, group *taskGroup) bool {
+func (s *Scheduler) shouldWaitForRack(c *cycle, group *taskGroup) bool {
 	stage := group.spec()
-	maxWait := time.Duration((s.options.FarX - 1) * rackWaitFraction * float64(group.queue.expectedRunTime(stage)))
+	maxWait := time.Duration((s.options.RemoteSlowdown - 1) * rackWaitFraction * float64(group.queue.expectedRunTime(stage)))
 	if c.now-group.queuedAt >= min(maxWait, maxRackWait) {
 		return false
 	}
--- a/jobs/preemption.go
+++ b/jobs/preemption.go
@@ -14,7 +14,7 @@
 
 // preempt stops runs of lower priorities while the first priority waits for capacity. Victims are tasks that save
 // checkpoints, the latest assigned first, so that little work is lost.
-func (s *Book) preempt(c *cycle) {
+func (s *Scheduler) preempt(c *cycle) {
 	if c.now < s.nextPreemption {
 		return
 	}
@@ -36,7 +36,7 @@
 
 // preemptingDemand returns the demand of the groups of the first priority that wait for capacity and can still meet their
 // deadlines, up to maxPreemptedShare, and the constraints of the first of them.
-func (s *Book) preemptingDemand(c *cycle) (demand float64, labels Labels) {
+func (s *Scheduler) preemptingDemand(c *cycle) (demand float64, labels Labels) {
 	for _, q := range s.queueOrder {
 		if q.Priority != 0 {
 			break
@@ -62,7 +62,7 @@
 }
 
 // shareBeingFreed returns the sum of the shares of runs that are being stopped on ready workers.
-func (s *Book) shareBeingFreed() float64 {
+func (s *Scheduler) shareBeingFreed() float64 {
 	sum := 0.0
 	for _, w := range s.workers {
 		if w.State != Ready {
@@ -79,7 +79,7 @@
 
 // preemptionVictims returns the runs that may be preempted on ready workers with some labels, those of the lowest priority
 // first and of these the latest.
-func (s *Book) preemptionVictims(labels Labels) []*Run {
+func (s *Scheduler) preemptionVictims(labels Labels) []*Run {
 	var victims []*Run
 	for _, w := range s.workers {
 		if w.State != Ready || !w.hasLabels(labels) {
--- a/jobs/queuelimit.go
+++ b/jobs/queuelimit.go
@@ -23,7 +23,7 @@
 
 // updateLimits sets the admission limits of workers and queues once a tick: each queue's is the lower one of its fair share
 // and of what its workers' limits let it use.
-func (s *Book) updateLimits(now time.Duration) {
+func (s *Scheduler) updateLimits(now time.Duration) {
 	capacity, allocated := 0.0, 0.0
 	for _, w := range s.workers {
 		w.raiseLimit()
@@ -60,7 +60,7 @@
 }
 
 // updateClaimants sets the queues' demands and weights, in the order of queueOrder, and returns the sum of the demands.
-func (s *Book) updateClaimants() (demand float64) {
+func (s *Scheduler) updateClaimants() (demand float64) {
 	weights := 0.0
 	for _, q := range s.queueOrder {
 		weights += priorityWeight(q.Priority)
--- a/jobs/recovery.go
+++ b/jobs/recovery.go
@@ -11,7 +11,7 @@
 // Restore sets the state of a new scheduler from the records of its shard. Runs whose starts the former owner may have sent
 // are assumed to be active until their workers report or their leases have certainly expired. An error names the record that
 // cannot be decoded.
-func (s *Book) Restore(now time.Duration, records []Change) error {
+func (s *Scheduler) Restore(now time.Duration, records []Change) error {
 	specs := map[string]specRecord{}
 	for _, r := range records {
 		if id, ok := strings.CutPrefix(r.Key, specPrefix); ok {
@@ -36,7 +36,7 @@
 }
 
 // restoreJob restores a job from its two records.
-func (s *Book) restoreJob(now time.Duration, id string, spec specRecord, value []byte) error {
+func (s *Scheduler) restoreJob(now time.Duration, id string, spec specRecord, value []byte) error {
 	job, err := parseJob(id, spec.Queue, spec.Body)
 	if err != nil {
 		return fmt.Errorf("job %s: %w", id, err)
@@ -71,7 +71,7 @@
 }
 
 // restoreRuns restores the runs of a stage's assigned tasks, and their workers as far as they are not known yet.
-func (s *Book) restoreRuns(now time.Duration, job *Job, occurrence *Occurrence, stageIndex int) {
+func (s *Scheduler) restoreRuns(now time.Duration, job *Job, occurrence *Occurrence, stageIndex int) {
 	for index := range occurrence.Stages[stageIndex].Tasks {
 		task := &occurrence.Stages[stageIndex].Tasks[index]
 		if task.State != TaskAssigned {
@@ -89,11 +89,11 @@
 }
 
 // restoreWorker adds a worker that is known from records alone.
-func (s *Book) restoreWorker(now time.Duration, ref string) *Worker {
+func (s *Scheduler) restoreWorker(now time.Duration, ref string) *Worker {
 	instance, agent, _ := strings.Cut(ref, "@")
 	w := newWorker(now, ref, instance, agent)
 	w.State = Unconfirmed
-	w.leaseExpiry = now + s.options.LapseAfter
+	w.leaseExpiry = now + s.options.LeaseTimeout
 	s.addWorker(w)
 	return w
 }
--- a/jobs/recovery_test.go
+++ b/jobs/recovery_test.go
@@ -87,7 +87,7 @@
 	20 disk commit`)
 	testQueues, all := testQueues[:1], testQueues
 	line.scheduler.Configure(testQueues)
-	if line.scheduler.Knows("low") {
+	if line.scheduler.HasQueue("low") {
 		t.Error("a queue that was dropped is known")
 	}
 	line.configs = testQueues
@@ -95,11 +95,11 @@
 		"disk commit", "client low1 = completed"} {
 		line.step(time.Duration(30+now)*time.Millisecond, strings.Fields(row), row)
 	}
-	if line.scheduler.Knows("low") {
+	if line.scheduler.HasQueue("low") {
 		t.Error("a queue that was dropped is known again after a takeover")
 	}
 	line.scheduler.Configure(all)
-	if !line.scheduler.Knows("low") {
+	if !line.scheduler.HasQueue("low") {
 		t.Error("a queue that a configuration names is not known")
 	}
 }
--- a/jobs/report.go
+++ b/jobs/report.go
@@ -5,18 +5,18 @@
 // heartbeatTimeoutMS is the age of a worker's last heartbeat from which on it gets no starts.
 const heartbeatTimeoutMS = 2500
 
-// Report applies a report of an agent and returns the worker that it is about.
-func (s *Book) Report(now time.Duration, r *Report) *Worker {
+// HandleReport applies a report of an agent and returns the worker that it is about.
+func (s *Scheduler) HandleReport(now time.Duration, r *Report) *Worker {
 	w := s.reportingWorker(now, r)
 	if now-w.lastReport >= agentTimeout {
 		s.readyStale = true
 	}
 	w.lastReport = now
-	w.leaseExpiry = now + s.options.LapseAfter
+	w.leaseExpiry = now + s.options.LeaseTimeout
 	s.supersede(now, r)
 	s.updateWorker(now, w, r)
-	if w.AgentIncarnation != r.Life {
-		w.AgentIncarnation = r.Life
+	if w.AgentIncarnation != r.AgentIncarnation {
+		w.AgentIncarnation = r.AgentIncarnation
 		for _, run := range w.Runs {
 			run.lastSent = 0
 		}
@@ -25,7 +25,7 @@
 		run.reported = false
 	}
 	s.applyActive(now, w, r)
-	for _, key := range r.Held {
+	for _, key := range r.InFlight {
 		if run := w.Runs[key]; run != nil {
 			run.reported = true
 		}
@@ -34,41 +34,41 @@
 	for _, key := range r.Dropped {
 		s.finishRun(now, w, key, outcomeDropped, "")
 	}
-	if w.State == Lapsed {
+	if w.State == LeaseExpired {
 		s.expireWorker(now, w)
 	}
-	w.demandsUnknown = r.Unknown > 0
+	w.demandsUnknown = r.UnknownDemands > 0
 	w.ordersDue = true
 	return w
 }
 
 // reportingWorker returns the worker of a report, which may be new.
-func (s *Book) reportingWorker(now time.Duration, r *Report) *Worker {
-	ref := WorkerRef(r.Instance, r.Side)
+func (s *Scheduler) reportingWorker(now time.Duration, r *Report) *Worker {
+	ref := WorkerRef(r.Instance, r.AgentAddress)
 	w := s.workers[ref]
 	if w == nil {
-		w = newWorker(now, ref, r.Instance, r.Side)
+		w = newWorker(now, ref, r.Instance, r.AgentAddress)
 		s.addWorker(w)
 	}
 	return w
 }
 
 // addWorker makes a worker known.
-func (s *Book) addWorker(w *Worker) {
+func (s *Scheduler) addWorker(w *Worker) {
 	s.workers[w.Ref] = w
-	if s.workersByAgent[w.Side] == nil {
-		s.workersByAgent[w.Side] = map[string]*Worker{}
+	if s.workersByAgent[w.AgentAddress] == nil {
+		s.workersByAgent[w.AgentAddress] = map[string]*Worker{}
 	}
-	s.workersByAgent[w.Side][w.Ref] = w
+	s.workersByAgent[w.AgentAddress][w.Ref] = w
 	s.readyStale = true
 }
 
 // removeWorker forgets a worker, which must have no runs.
-func (s *Book) removeWorker(w *Worker) {
+func (s *Scheduler) removeWorker(w *Worker) {
 	delete(s.workers, w.Ref)
-	delete(s.workersByAgent[w.Side], w.Ref)
-	if len(s.workersByAgent[w.Side]) == 0 {
-		delete(s.workersByAgent, w.Side)
+	delete(s.workersByAgent[w.AgentAddress], w.Ref)
+	if len(s.workersByAgent[w.AgentAddress]) == 0 {
+		delete(s.workersByAgent, w.AgentAddress)
 	}
 	for _, q := range s.queueOrder {
 		delete(q.workerShares, w.Ref)
@@ -78,9 +78,9 @@
 
 // supersede expires the other incarnations at the agent of a report. An agent serves one worker, so a new incarnation has
 // replaced one that crashed; only one that is draining or has left may have active runs beside it.
-func (s *Book) supersede(now time.Duration, r *Report) {
-	for _, old := range s.workersByAgent[r.Side] {
-		if old.Instance == r.Instance || old.State == Draining || old.State == Gone {
+func (s *Scheduler) supersede(now time.Duration, r *Report) {
+	for _, old := range s.workersByAgent[r.AgentAddress] {
+		if old.Instance == r.Instance || old.State == Draining || old.State == Departed {
 			continue
 		}
 		if WorkerState(r.State) == Ready {
@@ -91,19 +91,19 @@
 }
 
 // updateWorker applies the worker's reported state, capacity and labels.
-func (s *Book) updateWorker(now time.Duration, w *Worker, r *Report) {
+func (s *Scheduler) updateWorker(now time.Duration, w *Worker, r *Report) {
 	state := WorkerState(r.State)
-	if state == Ready && r.SinceBeatMS > heartbeatTimeoutMS {
+	if state == Ready && r.HeartbeatAgeMS > heartbeatTimeoutMS {
 		state = Unresponsive
 	}
 	if state == Unresponsive && w.State != Unresponsive {
 		w.cutLimit()
 	}
 	if state == Draining {
-		w.DrainDeadline = now + time.Duration(r.RemainingMS)*time.Millisecond
+		w.DrainDeadline = now + time.Duration(r.DrainRemainingMS)*time.Millisecond
 	}
-	if r.LapsesInMS > 0 {
-		w.leaseExpiry = min(w.leaseExpiry, now+time.Duration(r.LapsesInMS)*time.Millisecond)
+	if r.LeaseRemainingMS > 0 {
+		w.leaseExpiry = min(w.leaseExpiry, now+time.Duration(r.LeaseRemainingMS)*time.Millisecond)
 	}
 	if w.State != state || w.Capacity != r.Capacity {
 		w.setState(state)
@@ -116,13 +116,13 @@
 		s.readyStale = true
 	}
 	w.Labels = r.Labels
-	if state == Draining || state == Gone {
+	if state == Draining || state == Departed {
 		s.evacuate(now, w)
 	}
 }
 
 // applyActive applies the active runs of a report.
-func (s *Book) applyActive(now time.Duration, w *Worker, r *Report) {
+func (s *Scheduler) applyActive(now time.Duration, w *Worker, r *Report) {
 	for _, active := range r.Active {
 		key := RunRef{active.Task, active.Attempt}
 		run := w.Runs[key]
@@ -136,12 +136,12 @@
 			s.markRan(run.job)
 		}
 		run.percent = max(run.percent, active.Percent)
-		run.saveCheckpoint(active.Saved)
+		run.saveCheckpoint(active.Checkpoint)
 	}
 }
 
 // strayRun returns a run for one that is active without an assignment, which is to be stopped.
-func (s *Book) strayRun(key RunRef) *Run {
+func (s *Scheduler) strayRun(key RunRef) *Run {
 	run := &Run{Key: key, durable: true, stopping: true}
 	position, ok := parseTaskName(key.Task)
 	if !ok {
--- a/jobs/reservation.go
+++ b/jobs/reservation.go
@@ -38,7 +38,7 @@
 
 // reserve reserves workers for the members of a group of large tasks that has waited for some time: the least allocated ones
 // that are feasible. At most half of the ready workers are reserved in all.
-func (s *Book) reserve(c *cycle, group *taskGroup, members int) {
+func (s *Scheduler) reserve(c *cycle, group *taskGroup, members int) {
 	if c.now-group.queuedAt < minReservationWait || s.taskShare(group.spec()) < minReservationShare {
 		return
 	}
@@ -55,7 +55,7 @@
 }
 
 // leastAllocatedFirst returns the ready workers, sorted by what they had allocated at the first call since they were listed.
-func (s *Book) leastAllocatedFirst() []*Worker {
+func (s *Scheduler) leastAllocatedFirst() []*Worker {
 	if len(s.leastAllocated) != len(s.readyWorkers) {
 		s.leastAllocated = slices.Clone(s.readyWorkers)
 		slices.SortStableFunc(s.leastAllocated, func(a, b *Worker) int { return cmp.Compare(a.allocated, b.allocated) })
--- a/jobs/scheduler.go
+++ b/jobs/scheduler.go
@@ -10,18 +10,18 @@
 
 // Options are the settings of a scheduler.
 type Options struct {
-	// LapseAfter is the time since the last report of a worker's agent after which the leases of all its runs have
+	// LeaseTimeout is the time since the last report of a worker's agent after which the leases of all its runs have
 	// certainly expired: the agent's own lease, the longest run lease on a clock that runs slow, and a margin.
-	LapseAfter time.Duration
-	// KeepEnded is how long the state of a job can be queried after the job has ended.
-	KeepEnded time.Duration
-	// FarX is the factor by which a task runs longer outside the rack of its data.
-	FarX float64
+	LeaseTimeout time.Duration
+	// EndedJobTTL is how long the state of a job can be queried after the job has ended.
+	EndedJobTTL time.Duration
+	// RemoteSlowdown is the factor by which a task runs longer outside the rack of its data.
+	RemoteSlowdown float64
 }
 
-// Book is the scheduler of one shard: its jobs, queues and workers, and all decisions about them. It is not safe for
+// Scheduler is the scheduler of one shard: its jobs, queues and workers, and all decisions about them. It is not safe for
 // concurrent use. Times are offsets on the owner's monotonic clock, except wallMS, which is Unix time in milliseconds.
-type Book struct {
+type Scheduler struct {
 	options Options
 	random  *rand.Rand
 
@@ -63,8 +63,8 @@
 }
 
 // New returns a scheduler without jobs, queues and workers. All its random draws come from random.
-func New(options Options, random *rand.Rand) *Book {
-	return &Book{
+func New(options Options, random *rand.Rand) *Scheduler {
+	return &Scheduler{
 		options: options, random: random,
 		jobs: map[string]*Job{}, queues: map[string]*Queue{}, workers: map[string]*Worker{}, delayed: map[string]*Job{},
 		workersByAgent: map[string]map[string]*Worker{}, readyStale: true,
@@ -73,7 +73,7 @@
 
 // Configure replaces the queues by those of a configuration. A queue that was removed accepts no more jobs; its present
 // jobs still run.
-func (s *Book) Configure(configs []QueueConfig) {
+func (s *Scheduler) Configure(configs []QueueConfig) {
 	for _, q := range s.queues {
 		q.removed = true
 	}
@@ -102,7 +102,7 @@
 
 // queue returns the queue of a name. One that no configuration names belongs to jobs that were accepted under an earlier
 // configuration; it is created with conservative settings and marked as removed.
-func (s *Book) queue(name string) *Queue {
+func (s *Scheduler) queue(name string) *Queue {
 	q := s.queues[name]
 	if q == nil {
 		q = newQueue(QueueConfig{Name: name, Priority: 3, Retries: 3, Extension: 2, TargetLatencyMS: 3000})
@@ -113,11 +113,11 @@
 	return q
 }
 
-// Knows reports whether the present configuration has a queue.
-func (s *Book) Knows(queue string) bool {
+// HasQueue reports whether the present configuration has a queue.
+func (s *Scheduler) HasQueue(queue string) bool {
 	q := s.queues[queue]
 	return q != nil && !q.removed
 }
 
 // Worker returns the worker with a Ref, or nil.
-func (s *Book) Worker(ref string) *Worker { return s.workers[ref] }
+func (s *Scheduler) Worker(ref string) *Worker { return s.workers[ref] }
--- a/jobs/status.go
+++ b/jobs/status.go
@@ -1,7 +1,7 @@
 package jobs
 
 // Status returns the committed state of a job, and whether the job is known and committed.
-func (s *Book) Status(id string) (State, bool) {
+func (s *Scheduler) Status(id string) (State, bool) {
 	job := s.jobs[id]
 	if job == nil || !job.durable {
 		return "", false
@@ -9,25 +9,25 @@
 	return job.visibleState(), true
 }
 
-// Uncertain reports whether a job was accepted but its record is not committed yet.
-func (s *Book) Uncertain(id string) bool {
+// CommitPending reports whether a job was accepted but its record is not committed yet.
+func (s *Scheduler) CommitPending(id string) bool {
 	job := s.jobs[id]
 	return job != nil && !job.durable
 }
 
-// Pending returns how many jobs of a queue have not ended and have no task that ever ran.
-func (s *Book) Pending(queue string) int {
+// PendingJobs returns how many jobs of a queue have not ended and have no task that ever ran.
+func (s *Scheduler) PendingJobs(queue string) int {
 	if q := s.queues[queue]; q != nil {
 		return q.pendingJobs
 	}
 	return 0
 }
 
-// Unended returns the number of jobs that have not ended.
-func (s *Book) Unended() int { return len(s.jobs) - len(s.ended) }
+// ActiveJobs returns the number of jobs that have not ended.
+func (s *Scheduler) ActiveJobs() int { return len(s.jobs) - len(s.ended) }
 
 // countJob counts a job as active.
-func (s *Book) countJob(job *Job) {
+func (s *Scheduler) countJob(job *Job) {
 	q := s.queue(job.Queue)
 	q.activeJobs++
 	if !job.everRan {
@@ -36,7 +36,7 @@
 }
 
 // uncountJob removes a job that ends from the counts.
-func (s *Book) uncountJob(job *Job) {
+func (s *Scheduler) uncountJob(job *Job) {
 	q := s.queue(job.Queue)
 	q.activeJobs--
 	if !job.everRan {
@@ -45,7 +45,7 @@
 }
 
 // markRan records that a worker has run a task of a job; job may be nil.
-func (s *Book) markRan(job *Job) {
+func (s *Scheduler) markRan(job *Job) {
 	if job == nil || job.everRan {
 		return
 	}
--- a/jobs/stored_data_test.go
+++ b/jobs/stored_data_test.go
@@ -42,7 +42,7 @@
 // storedRecords returns the records of the one shard in a stored directory.
 func storedRecords(t *testing.T, name string) []Change {
 	t.Helper()
-	set := shard.NewSet()
+	set := shard.NewRecordSet()
 	_, err := statefile.Replay("../internal/system/statefile/testdata/"+name, func(payload []byte) error {
 		var one storedEntry
 		if err := avrocodec.Decode(payload, &one); err != nil {
@@ -88,7 +88,7 @@
 func TestStoredJobsAreRestored(t *testing.T) {
 	for name, want := range storedJobs {
 		t.Run(name, func(t *testing.T) {
-			restored := New(Options{LapseAfter: time.Second, KeepEnded: time.Minute, FarX: 1.5}, rand.New(rand.NewPCG(1, 2)))
+			restored := New(Options{LeaseTimeout: time.Second, EndedJobTTL: time.Minute, RemoteSlowdown: 1.5}, rand.New(rand.NewPCG(1, 2)))
 			if err := restored.Restore(0, storedRecords(t, name)); err != nil {
 				t.Fatal(err)
 			}
--- a/jobs/tick.go
+++ b/jobs/tick.go
@@ -7,7 +7,7 @@
 
 // Tick does what is due by time; the owner calls it at a fixed interval. It starts due occurrences, expires workers, updates
 // the limits of admission and deletes ended jobs.
-func (s *Book) Tick(now time.Duration, wallMS int64) {
+func (s *Scheduler) Tick(now time.Duration, wallMS int64) {
 	for _, job := range s.delayed {
 		s.startDueOccurrences(now, wallMS, job)
 	}
@@ -32,10 +32,10 @@
 }
 
 // expireWorker ends all runs of a worker whose lease has certainly expired.
-func (s *Book) expireWorker(now time.Duration, w *Worker) {
+func (s *Scheduler) expireWorker(now time.Duration, w *Worker) {
 	for key := range w.Runs {
 		s.finishRun(now, w, key, outcomeLapsed, "")
 	}
-	w.setState(Lapsed)
+	w.setState(LeaseExpired)
 	s.readyStale = true
 }
--- a/jobs/timeline_test.go
+++ b/jobs/timeline_test.go
@@ -25,7 +25,7 @@
 // A spec is stages divided by |, each with words like 3x cpu=500 gang after=0 keep lasts near=r1 apart=1 est=900 gpu=2.
 type timeline struct {
 	t                  *testing.T
-	scheduler          *Book
+	scheduler          *Scheduler
 	store              recordStore
 	durableCompletions map[string]int64
 	configs            []QueueConfig // of a new owner
@@ -72,7 +72,7 @@
 	line.t.Helper()
 	switch fields[0] {
 	case "worker":
-		line.scheduler.Report(now, line.report(fields[1:]))
+		line.scheduler.HandleReport(now, line.report(fields[1:]))
 	case "client":
 		line.client(now, fields[1:], row)
 	case "disk":
@@ -80,7 +80,7 @@
 	case "tick":
 		line.scheduler.Tick(now, now.Milliseconds())
 	case "pending":
-		if got := strconv.Itoa(line.scheduler.Pending(fields[1])); got != fields[3] {
+		if got := strconv.Itoa(line.scheduler.PendingJobs(fields[1])); got != fields[3] {
 			line.t.Errorf("%q: got %s", row, got)
 		}
 	case "orders":
@@ -123,14 +123,14 @@
 func (line *timeline) report(fields []string) *Report {
 	line.t.Helper()
 	name := fields[0]
-	r := &Report{Side: "side-" + name, Life: "1", Instance: "i-" + name, State: string(Ready), Labels: []string{"k", "r1"}}
+	r := &Report{AgentAddress: "side-" + name, AgentIncarnation: "1", Instance: "i-" + name, State: string(Ready), Labels: []string{"k", "r1"}}
 	for i := 1; i < len(fields); i++ {
 		if key, value, ok := strings.Cut(fields[i], "="); ok {
 			line.setAttribute(r, key, value)
 			continue
 		}
 		if fields[i] == "lapsed" {
-			r.State = string(Lapsed)
+			r.State = string(LeaseExpired)
 			continue
 		}
 		line.addEvent(r, fields[i], fields[i+1])
@@ -153,7 +153,7 @@
 	case "rack":
 		r.Labels[1] = value
 	case "life":
-		r.Life = value
+		r.AgentIncarnation = value
 	case "instance":
 		r.Instance = value
 	default:
@@ -166,15 +166,15 @@
 	switch event {
 	case "draining":
 		r.State = string(Draining)
-		r.RemainingMS = number(line.t, value)
+		r.DrainRemainingMS = number(line.t, value)
 	case "endall":
 		line.endAll(r, value)
 	case "active":
 		run, checkpoint := parseRun(line.t, value)
-		r.Active = append(r.Active, ActiveRun{Task: run.Task, Attempt: run.Attempt, Saved: checkpoint})
+		r.Active = append(r.Active, ActiveRun{Task: run.Task, Attempt: run.Attempt, Checkpoint: checkpoint})
 	case "held":
 		run, _ := parseRun(line.t, value)
-		r.Held = append(r.Held, run)
+		r.InFlight = append(r.InFlight, run)
 	case "dropped":
 		run, _ := parseRun(line.t, value)
 		r.Dropped = append(r.Dropped, run)
@@ -182,7 +182,7 @@
 		parts := strings.Split(value, "/")
 		end := finished(number(line.t, parts[0]), RunRef{parts[1], number(line.t, parts[2])}, parts[3])
 		if len(parts) > 4 {
-			end.Saved = parts[4]
+			end.Checkpoint = parts[4]
 		}
 		r.Finished = append(r.Finished, end)
 	default:
@@ -192,7 +192,7 @@
 
 // endAll has all runs of a reporting worker end with one outcome.
 func (line *timeline) endAll(r *Report, outcome string) {
-	w := line.scheduler.workers[WorkerRef(r.Instance, r.Side)]
+	w := line.scheduler.workers[WorkerRef(r.Instance, r.AgentAddress)]
 	if w == nil {
 		return
 	}
@@ -225,17 +225,17 @@
 		}
 		for _, start := range orders.Starts {
 			word := fmt.Sprintf("start %s/%d", start.Task, start.Attempt)
-			if start.Saved != "" {
-				word += "#" + start.Saved
+			if start.Checkpoint != "" {
+				word += "#" + start.Checkpoint
 			}
 			words = append(words, word)
 		}
 		for _, stop := range orders.Stops {
 			words = append(words, fmt.Sprintf("stop %s/%d", stop.Task, stop.Attempt))
 		}
-		if orders.Noted > line.durableCompletions[name] {
-			line.durableCompletions[name] = orders.Noted
-			words = append(words, fmt.Sprintf("noted %d", orders.Noted))
+		if orders.DurableCompletions > line.durableCompletions[name] {
+			line.durableCompletions[name] = orders.DurableCompletions
+			words = append(words, fmt.Sprintf("noted %d", orders.DurableCompletions))
 		}
 	}
 	sort.Strings(words)
--- a/jobs/triage.go
+++ b/jobs/triage.go
@@ -54,7 +54,7 @@
 
 // triage classifies a queue's pending groups by what they can still reach at the rate at which the queue is served. The
 // capacity is that of all ready workers.
-func (s *Book) triage(now time.Duration, q *Queue, capacity float64) {
+func (s *Scheduler) triage(now time.Duration, q *Queue, capacity float64) {
 	if q.pending.Len() == 0 {
 		q.meanAllocated = capacity
 		return
@@ -112,7 +112,7 @@
 }
 
 // newTriageCandidate returns a group with the remaining work of its job, all stages behind the group's included.
-func (s *Book) newTriageCandidate(group *taskGroup) triageCandidate {
+func (s *Scheduler) newTriageCandidate(group *taskGroup) triageCandidate {
 	c := triageCandidate{group: group}
 	stages := group.job.Spec.Stages
 	tail := make([]float64, len(stages)) // seconds from the start of a stage to the end of all that depend on it
--- a/jobs/unschedulable.go
+++ b/jobs/unschedulable.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Reason is why a pending group was not placed although a worker has the free capacity for one of its tasks.
-type Reason string
+// UnschedulableReason is why a pending group was not placed although a worker has the free capacity for one of its tasks.
+type UnschedulableReason string
 
 // The reasons. Their texts are label values of a metric.
 const (
-	ReasonQueueLimit  Reason = "queue limit"  // the queue has as much allocated as its limit allows
-	ReasonHeadroom    Reason = "headroom"     // the capacity is kept free for the first priority
-	ReasonCredit      Reason = "credit"       // the queue has no credit in deficit round robin
-	ReasonReservation Reason = "reservation"  // the workers with free capacity are reserved for other groups
-	ReasonWorkerLimit Reason = "worker limit" // the workers with free capacity are at their learned limits
-	ReasonNotChosen   Reason = "choice"       // anything else, such as a wait for a rack or for the next cycle
+	ReasonQueueLimit  UnschedulableReason = "queue limit"  // the queue has as much allocated as its limit allows
+	ReasonHeadroom    UnschedulableReason = "headroom"     // the capacity is kept free for the first priority
+	ReasonCredit      UnschedulableReason = "credit"       // the queue has no credit in deficit round robin
+	ReasonReservation UnschedulableReason = "reservation"  // the workers with free capacity are reserved for other groups
+	ReasonWorkerLimit UnschedulableReason = "worker limit" // the workers with free capacity are at their learned limits
+	ReasonNotChosen   UnschedulableReason = "choice"       // anything else, such as a wait for a rack or for the next cycle
 )
 
-// Withheld is a pending group that was not placed although a worker has free capacity for one of its tasks.
-type Withheld struct {
-	Queue    string
-	Job      string // ID
-	Time     int    // number of the occurrence
-	Stage    int
-	Tasks    int // pending ones
-	WaitedMS int64
-	Reason   Reason
-	Worker   string // Ref of a worker with free capacity
-	Holder   string // ID of the job that the worker is reserved for, with ReasonReservation
+// UnschedulableGroup is a pending group that was not placed although a worker has free capacity for one of its tasks.
+type UnschedulableGroup struct {
+	Queue       string
+	Job         string // ID
+	Occurrence  int    // number of the occurrence
+	Stage       int
+	Tasks       int // pending ones
+	WaitedMS    int64
+	Reason      UnschedulableReason
+	Worker      string // Ref of a worker with free capacity
+	ReservedFor string // ID of the job that the worker is reserved for, with ReasonReservation
 }
 
 // Bounds on the cost of a diagnosis.
@@ -35,10 +35,10 @@
 	maxDiagnosedWorkers = 256 // for a group
 )
 
-// Withheld returns the groups that have waited for longer than a time although a worker has free capacity for one of their
+// UnschedulableGroups returns the groups that have waited for longer than a time although a worker has free capacity for one of their
 // tasks, with the reason. Groups of jobs that have tasks assigned are left out, unless they are long-running, and gangs.
-func (s *Book) Withheld(now, longer time.Duration) []Withheld {
-	var found []Withheld
+func (s *Scheduler) UnschedulableGroups(now, longer time.Duration) []UnschedulableGroup {
+	var found []UnschedulableGroup
 	for _, q := range s.queueOrder {
 		diagnosed := 0
 		q.pending.Ascend(func(group *taskGroup) bool {
@@ -56,10 +56,10 @@
 }
 
 // diagnose reports whether a worker has free capacity for one of a group's tasks, and why the task is not there.
-func (s *Book) diagnose(now time.Duration, group *taskGroup) (Withheld, bool) {
+func (s *Scheduler) diagnose(now time.Duration, group *taskGroup) (UnschedulableGroup, bool) {
 	demand := group.spec().demand()
-	diagnosis := Withheld{
-		Queue: group.queue.Name, Job: group.job.ID, Time: group.occurrence.Number, Stage: group.stage,
+	diagnosis := UnschedulableGroup{
+		Queue: group.queue.Name, Job: group.job.ID, Occurrence: group.occurrence.Number, Stage: group.stage,
 		Tasks: len(group.tasks), WaitedMS: (now - group.queuedAt).Milliseconds(), Reason: ReasonNotChosen,
 	}
 	limited, reserved := 0, 0
@@ -69,7 +69,7 @@
 		}
 		diagnosis.Worker = w.Ref
 		if r := s.reservations[w]; r != nil && r.holder != group && !r.spareCapacity().Holds(demand) {
-			diagnosis.Holder = r.holder.job.ID
+			diagnosis.ReservedFor = r.holder.job.ID
 			reserved++
 			continue
 		}
@@ -78,7 +78,7 @@
 			continue
 		}
 		diagnosis.Reason = group.queue.limitingReason()
-		diagnosis.Holder = ""
+		diagnosis.ReservedFor = ""
 		return diagnosis, true
 	}
 	switch {
@@ -91,7 +91,7 @@
 }
 
 // limitingReason returns what keeps the queue from placing tasks.
-func (q *Queue) limitingReason() Reason {
+func (q *Queue) limitingReason() UnschedulableReason {
 	switch {
 	case q.allocated >= q.limit && q.allocated > 0:
 		return ReasonQueueLimit
--- a/jobs/workconserving_test.go
+++ b/jobs/workconserving_test.go
@@ -40,7 +40,7 @@
 type world struct {
 	t            *testing.T
 	random       *rand.Rand
-	scheduler    *Book
+	scheduler    *Scheduler
 	workers      []*worldWorker
 	store        recordStore
 	jobs         int
@@ -55,7 +55,7 @@
 	for i := range 1 + random.IntN(6) {
 		kind := []string{"a", "b"}[i%2]
 		s.workers = append(s.workers, &worldWorker{report: Report{
-			Side: fmt.Sprint("side-", i), Life: "1", Instance: fmt.Sprint("i-", i), State: string(Ready),
+			AgentAddress: fmt.Sprint("side-", i), AgentIncarnation: "1", Instance: fmt.Sprint("i-", i), State: string(Ready),
 			Capacity: Resources{CPU: 32000, MemMB: 131072, GPU: 8}, Labels: []string{kind, fmt.Sprint("r", i/3)},
 		}})
 	}
@@ -119,7 +119,7 @@
 func (s *world) step(now time.Duration) {
 	for _, w := range s.workers {
 		s.runTasks(now, w)
-		s.scheduler.Report(now, &w.report)
+		s.scheduler.HandleReport(now, &w.report)
 	}
 	if now%(2*worldStep) == 0 {
 		s.scheduler.Tick(now, now.Milliseconds())
@@ -154,13 +154,13 @@
 
 // executeOrders executes a worker's orders.
 func (s *world) executeOrders(now time.Duration, w *worldWorker) {
-	orders := s.scheduler.Orders(now, s.scheduler.Worker(WorkerRef(w.report.Instance, w.report.Side)), 0)
+	orders := s.scheduler.Orders(now, s.scheduler.Worker(WorkerRef(w.report.Instance, w.report.AgentAddress)), 0)
 	if orders == nil {
 		return
 	}
 	left := w.report.Finished[:0]
 	for _, end := range w.report.Finished {
-		if end.Number > orders.Noted {
+		if end.Number > orders.DurableCompletions {
 			left = append(left, end)
 		}
 	}
@@ -200,7 +200,7 @@
 				s.waitingSince[name] = now
 			}
 			if waited := now - s.waitingSince[name]; waited > maxWait && s.worst == "" {
-				s.worst = fmt.Sprintf("%s waits for %v at %v: %v", name, waited, now, s.scheduler.Withheld(now, maxWait))
+				s.worst = fmt.Sprintf("%s waits for %v at %v: %v", name, waited, now, s.scheduler.UnschedulableGroups(now, maxWait))
 			}
 		}
 	}
@@ -237,7 +237,7 @@
 	stage := &group.job.Spec.Stages[group.stage]
 	slots := 0
 	for _, w := range s.workers {
-		known := s.scheduler.Worker(WorkerRef(w.report.Instance, w.report.Side))
+		known := s.scheduler.Worker(WorkerRef(w.report.Instance, w.report.AgentAddress))
 		if known == nil || !known.hasLabels(stage.Constraints) {
 			continue
 		}
--- a/jobs/worker.go
+++ b/jobs/worker.go
@@ -13,9 +13,9 @@
 const (
 	Ready        WorkerState = "ready"
 	Draining     WorkerState = "draining" // it leaves at its DrainDeadline
-	Gone         WorkerState = "gone"     // it has announced its end
+	Departed     WorkerState = "gone"     // it has announced its end
 	Unresponsive WorkerState = "silent"   // no heartbeat reached the agent for heartbeatTimeoutMS
-	Lapsed       WorkerState = "lapsed"   // its lease has certainly expired: no run of this shard is active there
+	LeaseExpired WorkerState = "lapsed"   // its lease has certainly expired: no run of this shard is active there
 	Unconfirmed  WorkerState = "unheard"  // known from restored records, not reported yet
 )
 
@@ -23,7 +23,7 @@
 type Worker struct {
 	Ref              string // WorkerRef
 	Instance         string // the worker's incarnation
-	Side             string // address of its agent
+	AgentAddress     string // address of its agent
 	AgentIncarnation string // of the agent's process
 	Capacity         Resources
 	Labels           []string // the last one is the rack
@@ -51,7 +51,7 @@
 // newWorker returns a worker without runs, with its whole capacity as the limit. Its capacity and state come with a report.
 func newWorker(now time.Duration, ref, instance, agent string) *Worker {
 	return &Worker{
-		Ref: ref, Instance: instance, Side: agent, loadLimit: 1, slowdown: 1, Runs: map[RunRef]*Run{}, lastReport: now,
+		Ref: ref, Instance: instance, AgentAddress: agent, loadLimit: 1, slowdown: 1, Runs: map[RunRef]*Run{}, lastReport: now,
 	}
 }
 
--- a/workeragent/agent.go
+++ b/workeragent/agent.go
@@ -9,8 +9,8 @@
 
 // Timing holds the durations of the two leases.
 type Timing struct {
-	Hold  time.Duration // the lease that each answer grants to the worker: its runs end when it expires
-	Lease time.Duration // the lease that an owner's answer grants to the agent: only while it lasts the agent renews the worker's
+	WorkerLease time.Duration // the lease that each answer grants to the worker: its runs end when it expires
+	AgentLease  time.Duration // the lease that an owner's answer grants to the agent: only while it lasts the agent renews the worker's
 }
 
 const (
@@ -24,9 +24,11 @@
 	rejectedTTL = time.Minute     // how long orders for a dropped run are rejected
 )
 
-// LapseAfter returns the time after the owner's last grant of a lease to the agent by which the lease of the worker has
+// RunsExpireAfter returns the time after the owner's last grant of a lease to the agent by which the lease of the worker has
 // expired, so that none of its runs can be active.
-func (t Timing) LapseAfter() time.Duration { return t.Lease + stretch(t.Hold) + 2*pollSlack }
+func (t Timing) RunsExpireAfter() time.Duration {
+	return t.AgentLease + stretch(t.WorkerLease) + 2*pollSlack
+}
 
 // stretch returns how long a duration on the worker's clock may take on the agent's.
 func stretch(d time.Duration) time.Duration { return time.Duration(float64(d) * maxClockDrift) }
@@ -72,15 +74,15 @@
 func New(now time.Duration, instance, process string, timing Timing) *Agent {
 	return &Agent{
 		Instance: instance, timing: timing, process: process, heartbeatAt: now,
-		runsExpireAt: now + stretch(timing.Hold) + pollSlack,
+		runsExpireAt: now + stretch(timing.WorkerLease) + pollSlack,
 		starts:       map[jobs.RunRef]*pendingStart{}, demands: map[jobs.RunRef]jobs.Resources{}, stops: map[jobs.RunRef]bool{},
 		dropped: map[jobs.RunRef]time.Duration{}, rejected: map[jobs.RunRef]time.Duration{},
 		active: map[jobs.RunRef]bool{}, finished: map[jobs.RunRef]bool{},
 	}
 }
 
-// OnBeat handles a heartbeat. It reports false, and changes nothing, if a later one has come before.
-func (a *Agent) OnBeat(now time.Duration, heartbeat Heartbeat) bool {
+// OnHeartbeat handles a heartbeat. It reports false, and changes nothing, if a later one has come before.
+func (a *Agent) OnHeartbeat(now time.Duration, heartbeat Heartbeat) bool {
 	if a.heartbeats > 0 && heartbeat.Sequence <= a.heartbeat.Sequence {
 		return false
 	}
@@ -137,8 +139,8 @@
 // acceptsRuns reports whether the worker takes new runs.
 func (a *Agent) acceptsRuns() bool { return a.heartbeat.State == string(jobs.Ready) && !a.left }
 
-// OnLeave handles the worker's deregistration. Runs that are active may still end, and be reported.
-func (a *Agent) OnLeave(now time.Duration) {
+// OnDeregister handles the worker's deregistration. Runs that are active may still end, and be reported.
+func (a *Agent) OnDeregister(now time.Duration) {
 	a.left = true
 	for ref, o := range a.starts {
 		if !o.inFlight {
@@ -147,8 +149,8 @@
 	}
 }
 
-// Check checks whether the worker's lease has expired. It reports true once for each expiry.
-func (a *Agent) Check(now time.Duration) bool {
+// CheckExpiry checks whether the worker's lease has expired. It reports true once for each expiry.
+func (a *Agent) CheckExpiry(now time.Duration) bool {
 	for ref, at := range a.dropped {
 		if now-at > droppedTTL {
 			delete(a.dropped, ref)
@@ -172,12 +174,12 @@
 	return true
 }
 
-// Life returns the incarnation: the agent's process and how often the worker's lease has expired in it. Orders for an
+// Incarnation returns the incarnation: the agent's process and how often the worker's lease has expired in it. Orders for an
 // earlier incarnation are void.
-func (a *Agent) Life() string { return a.process + "/" + strconv.FormatInt(a.expiries, 10) }
+func (a *Agent) Incarnation() string { return a.process + "/" + strconv.FormatInt(a.expiries, 10) }
 
-// SafelyDead reports whether the worker's lease has expired, so that no run of this incarnation can be active.
-func (a *Agent) SafelyDead() bool { return a.expired }
+// RunsExpired reports whether the worker's lease has expired, so that no run of this incarnation can be active.
+func (a *Agent) RunsExpired() bool { return a.expired }
 
 // Idle reports whether the worker accepts runs and has none, active or ordered: its next heartbeat may wait for an order.
 func (a *Agent) Idle() bool {
@@ -190,5 +192,5 @@
 // IsNewest reports whether no heartbeat has come after the one with a sequence number.
 func (a *Agent) IsNewest(sequence int64) bool { return a.heartbeat.Sequence == sequence }
 
-// Beats returns how many heartbeats have come.
-func (a *Agent) Beats() int64 { return a.heartbeats }
+// Heartbeats returns how many heartbeats have come.
+func (a *Agent) Heartbeats() int64 { return a.heartbeats }
--- a/workeragent/agent_test.go
+++ b/workeragent/agent_test.go
@@ -25,7 +25,7 @@
 	incarnations int
 }
 
-var testTiming = Timing{Hold: 4 * time.Second, Lease: 8 * time.Second}
+var testTiming = Timing{WorkerLease: 4 * time.Second, AgentLease: 8 * time.Second}
 
 func play(t *testing.T, text string) *Agent {
 	t.Helper()
@@ -55,11 +55,11 @@
 	switch {
 	case what == "restart":
 	case fields[0] == "beat":
-		l.agent.OnBeat(now, parseBeat(fields[1:]))
+		l.agent.OnHeartbeat(now, parseBeat(fields[1:]))
 	case fields[0] == "check":
-		l.expect(row, fmt.Sprint(l.agent.Check(now)), fields[1])
+		l.expect(row, fmt.Sprint(l.agent.CheckExpiry(now)), fields[1])
 	case fields[0] == "leave":
-		l.agent.OnLeave(now)
+		l.agent.OnDeregister(now)
 	case fields[0] == "=>":
 		l.expect(row, describe(l.agent.Answer(now)), strings.Join(fields[1:], " "))
 	case fields[0] == "dropped":
@@ -75,7 +75,7 @@
 
 func (l *timeline) owner(now time.Duration, token int64, fields []string, row string) {
 	l.t.Helper()
-	orders := &jobs.Orders{Instance: "i-1", Life: l.agent.Life()}
+	orders := &jobs.Orders{Instance: "i-1", AgentIncarnation: l.agent.Incarnation()}
 	refused := fields[len(fields)-1] == "refused"
 	if refused {
 		fields = fields[:len(fields)-1]
@@ -85,13 +85,13 @@
 	case "lease":
 		err = l.agent.OnLease(now, token, 0)
 	case "noted":
-		orders.Noted, _ = strconv.ParseInt(fields[1], 10, 64)
+		orders.DurableCompletions, _ = strconv.ParseInt(fields[1], 10, 64)
 		err = l.agent.OnOrders(now, token, orders)
 	case "start", "known":
 		start := jobs.Start{Task: fields[1], Attempt: 1, Text: "text"}
 		start.Demand.CPU, _ = strconv.ParseInt(fields[2], 10, 64)
 		if fields[0] == "known" {
-			orders.Known = []jobs.Start{start}
+			orders.KnownDemands = []jobs.Start{start}
 		} else {
 			orders.Starts = []jobs.Start{start}
 		}
@@ -100,7 +100,7 @@
 		orders.Stops = []jobs.RunRef{{Task: fields[1], Attempt: 1}}
 		err = l.agent.OnOrders(now, token, orders)
 	case "old-life":
-		orders.Life = "life0/0"
+		orders.AgentIncarnation = "life0/0"
 		err = l.agent.OnOrders(now, token, orders)
 	}
 	if (err != nil) != refused {
@@ -124,11 +124,11 @@
 		name, value, _ := strings.Cut(field, ":")
 		switch name {
 		case "a":
-			beat.Active = append(beat.Active, Active{Task: value, Attempt: 1})
+			beat.Active = append(beat.Active, ActiveRun{Task: value, Attempt: 1})
 		case "f":
 			parts := strings.Split(value, "/")
 			number, _ := strconv.ParseInt(parts[0], 10, 64)
-			beat.Finished = append(beat.Finished, Finished{Number: number, Task: parts[1], Attempt: 1, How: parts[2]})
+			beat.Finished = append(beat.Finished, FinishedRun{Number: number, Task: parts[1], Attempt: 1, Outcome: parts[2]})
 		case "S":
 			beat.Sequence, _ = strconv.ParseInt(value, 10, 64)
 		default:
@@ -140,7 +140,7 @@
 
 func describe(a Answer) string {
 	var words []string
-	if a.HoldMS > 0 {
+	if a.LeaseMS > 0 {
 		words = append(words, "hold")
 	}
 	if a.LastSeen > 0 {
@@ -272,7 +272,7 @@
 	5170 check false
 	5190 check true
 	5200 check false`)
-	if a.State() != jobs.Lapsed || len(a.Report(0).Active) != 0 {
+	if a.State() != jobs.LeaseExpired || len(a.Report(0).Active) != 0 {
 		t.Errorf("state %s", a.State())
 	}
 }
@@ -282,8 +282,8 @@
 	if stretch(4*time.Second) < 4*time.Second*100/98 {
 		t.Errorf("%v for a clock that runs 2%% slow", stretch(4*time.Second))
 	}
-	if testTiming.LapseAfter() < testTiming.Lease+testTiming.Hold*100/98 {
-		t.Errorf("an owner waits only %v", testTiming.LapseAfter())
+	if testTiming.RunsExpireAfter() < testTiming.AgentLease+testTiming.WorkerLease*100/98 {
+		t.Errorf("an owner waits only %v", testTiming.RunsExpireAfter())
 	}
 }
 
@@ -328,7 +328,7 @@
 	40   7: start t2 500
 	50   beat S:2 a:t1
 	60   => nothing`)
-	if r := a.Report(60 * time.Millisecond); r.LapsesInMS <= 0 || r.State != string(jobs.Gone) {
+	if r := a.Report(60 * time.Millisecond); r.LeaseRemainingMS <= 0 || r.State != string(jobs.Departed) {
 		t.Errorf("report %+v", r)
 	}
 }
@@ -364,10 +364,10 @@
 	if err := beat.UnmarshalJSON([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
-	if beat.Active[0] != (Active{"j.0.1.17", 2, "0bb8", 41.5}) || beat.Finished[0] != (Finished{58, "j.0.1.9", 1, "done", ""}) {
+	if beat.Active[0] != (ActiveRun{"j.0.1.17", 2, "0bb8", 41.5}) || beat.Finished[0] != (FinishedRun{58, "j.0.1.9", 1, "done", ""}) {
 		t.Errorf("beat %+v", beat)
 	}
-	answer := Answer{HoldMS: 4, Started: []Start{{"t", 1, "x", ""}}, Stopped: []RunRef{{"u", 2}}}
+	answer := Answer{LeaseMS: 4, Started: []Start{{"t", 1, "x", ""}}, Stopped: []RunRef{{"u", 2}}}
 	out, _ := answer.MarshalJSON()
 	if string(out) != `{"hold_ms":4,"started":[["t",1,"x",""]],"stopped":[["u",2]]}` {
 		t.Errorf("answer %s", out)
@@ -382,9 +382,9 @@
 	a := play(t, `
 	0    7: lease
 	10   beat S:1 a:t1`)
-	first := a.News()
-	a.OnBeat(0, parseBeat([]string{"S:2", "a:t1"}))
-	if a.News() != first {
+	first := a.StateDigest()
+	a.OnHeartbeat(0, parseBeat([]string{"S:2", "a:t1"}))
+	if a.StateDigest() != first {
 		t.Error("a heartbeat like the last one changes the digest")
 	}
 	changes := map[string][]string{
@@ -392,8 +392,8 @@
 	}
 	for name, beat := range changes {
 		b := play(t, "0 7: lease")
-		b.OnBeat(0, parseBeat(beat))
-		if b.News() == first {
+		b.OnHeartbeat(0, parseBeat(beat))
+		if b.StateDigest() == first {
 			t.Errorf("%s does not change the digest", name)
 		}
 	}
@@ -404,7 +404,7 @@
 	cases := map[string]bool{"S:1": true, "S:1 a:t1": false, "S:1 f:1/t1/done": false, "S:1 draining": false}
 	for beat, want := range cases {
 		a := play(t, "0 7: lease")
-		a.OnBeat(0, parseBeat(strings.Fields(beat)))
+		a.OnHeartbeat(0, parseBeat(strings.Fields(beat)))
 		if a.Idle() != want {
 			t.Errorf("%s: idle %t", beat, a.Idle())
 		}
@@ -417,8 +417,8 @@
 	now := time.Second
 	agent := New(now, "i-1", "life1", testTiming)
 	beat := Heartbeat{State: string(jobs.Ready), Sequence: 1, Capacity: Capacity{CPU: 64000, MemMB: 1 << 20}}
-	agent.OnBeat(now, beat)
-	orders := &jobs.Orders{Instance: "i-1", Life: agent.Life()}
+	agent.OnHeartbeat(now, beat)
+	orders := &jobs.Orders{Instance: "i-1", AgentIncarnation: agent.Incarnation()}
 	text := strings.Repeat("<\x01\"", 1333)
 	for i := range 2500 {
 		orders.Starts = append(orders.Starts, jobs.Start{Task: fmt.Sprint("0123456789abcdef.0.0.", i), Attempt: 1, Text: text, Demand: jobs.Resources{CPU: 10}})
@@ -441,9 +441,9 @@
 		}
 		started += len(answer.Started)
 		for _, start := range answer.Started {
-			beat.Active = append(beat.Active, Active{Task: start.Task, Attempt: start.Attempt})
+			beat.Active = append(beat.Active, ActiveRun{Task: start.Task, Attempt: start.Attempt})
 		}
 		beat.Sequence++
-		agent.OnBeat(now, beat)
+		agent.OnHeartbeat(now, beat)
 	}
 }
--- a/workeragent/answer.go
+++ b/workeragent/answer.go
@@ -24,8 +24,8 @@
 	if now >= a.leaseUntil || a.left {
 		return answer
 	}
-	answer.HoldMS = a.timing.Hold.Milliseconds()
-	a.runsExpireAt = max(a.runsExpireAt, a.heartbeatAt+stretch(a.timing.Hold)+pollSlack)
+	answer.LeaseMS = a.timing.WorkerLease.Milliseconds()
+	a.runsExpireAt = max(a.runsExpireAt, a.heartbeatAt+stretch(a.timing.WorkerLease)+pollSlack)
 	answer.Started = a.nextStarts()
 	return answer
 }
@@ -46,7 +46,7 @@
 		if o.inFlight || !free.Holds(demand) {
 			continue
 		}
-		size := maxJSONSize(ref.Task) + maxJSONSize(o.start.Text) + maxJSONSize(o.start.Saved) + startOverhead
+		size := maxJSONSize(ref.Task) + maxJSONSize(o.start.Text) + maxJSONSize(o.start.Checkpoint) + startOverhead
 		if size > bytesLeft && len(starts) > 0 {
 			continue
 		}
@@ -55,7 +55,7 @@
 		free.MemMB -= demand.MemMB
 		free.GPU -= demand.GPU
 		o.inFlight = true
-		starts = append(starts, Start{ref.Task, ref.Attempt, o.start.Text, o.start.Saved})
+		starts = append(starts, Start{ref.Task, ref.Attempt, o.start.Text, o.start.Checkpoint})
 	}
 	return starts
 }
@@ -84,8 +84,8 @@
 	return free, known
 }
 
-// Pending reports whether an answer at this time would carry an order. It doesn't consider the free capacity.
-func (a *Agent) Pending(now time.Duration) bool {
+// HasOrders reports whether an answer at this time would carry an order. It doesn't consider the free capacity.
+func (a *Agent) HasOrders(now time.Duration) bool {
 	if len(a.stops) > 0 {
 		return true
 	}
--- a/workeragent/golden_test.go
+++ b/workeragent/golden_test.go
@@ -15,8 +15,8 @@
 	want := workeragent.Heartbeat{
 		Service: "svc", Address: "a:1", Zone: "z", Version: "v", Slots: 1, State: "draining", WarmupLeftMS: 2, RemainingMS: 3,
 		Capacity: workeragent.Capacity{CPU: 4, MemMB: 5, GPU: 6}, Labels: []string{"k", "r"}, ClockMS: 7, Sequence: 8,
-		Active:   []workeragent.Active{{Task: "t", Attempt: 9, Saved: "s", Percent: 10.5}},
-		Finished: []workeragent.Finished{{Number: 11, Task: "f", Attempt: 12, How: "done", Saved: "sf"}},
+		Active:   []workeragent.ActiveRun{{Task: "t", Attempt: 9, Checkpoint: "s", Percent: 10.5}},
+		Finished: []workeragent.FinishedRun{{Number: 11, Task: "f", Attempt: 12, Outcome: "done", Checkpoint: "sf"}},
 	}
 	var beat workeragent.Heartbeat
 	if err := beat.UnmarshalJSON([]byte(text)); err != nil || !reflect.DeepEqual(beat, want) {
@@ -36,7 +36,7 @@
 // The answer to a heartbeat, with each key and with none.
 func TestAnswerBytes(t *testing.T) {
 	answer := workeragent.Answer{
-		HoldMS: 1, LastSeen: 2, FenceToken: 3, Started: []workeragent.Start{{Task: "t", Attempt: 4, Text: "x<y", Saved: "s"}},
+		LeaseMS: 1, LastSeen: 2, FenceToken: 3, Started: []workeragent.Start{{Task: "t", Attempt: 4, Spec: "x<y", Checkpoint: "s"}},
 		Stopped: []workeragent.RunRef{{Task: "u", Attempt: 5}}, RetryAfterMS: 6,
 	}
 	const text = `{"hold_ms":1,"last_seen":2,"fence_token":3,"started":[["t",4,"x\u003cy","s"]],"stopped":[["u",5]],"retry_after_ms":6}`
--- a/workeragent/message.go
+++ b/workeragent/message.go
@@ -24,20 +24,20 @@
 //
 //easyjson:json
 type Heartbeat struct {
-	Service      string     `json:"service"`
-	Address      string     `json:"address"`
-	Zone         string     `json:"zone"`
-	Version      string     `json:"version"`
-	Slots        int64      `json:"slots"`
-	State        string     `json:"state"`
-	WarmupLeftMS int64      `json:"warmup_left_ms"`
-	RemainingMS  int64      `json:"remaining_ms"`
-	Capacity     Capacity   `json:"capacity"`
-	Labels       []string   `json:"labels"`
-	ClockMS      int64      `json:"clock_ms"`
-	Sequence     int64      `json:"sequence"`
-	Active       []Active   `json:"active"`
-	Finished     []Finished `json:"finished"`
+	Service      string        `json:"service"`
+	Address      string        `json:"address"`
+	Zone         string        `json:"zone"`
+	Version      string        `json:"version"`
+	Slots        int64         `json:"slots"`
+	State        string        `json:"state"`
+	WarmupLeftMS int64         `json:"warmup_left_ms"`
+	RemainingMS  int64         `json:"remaining_ms"`
+	Capacity     Capacity      `json:"capacity"`
+	Labels       []string      `json:"labels"`
+	ClockMS      int64         `json:"clock_ms"`
+	Sequence     int64         `json:"sequence"`
+	Active       []ActiveRun   `json:"active"`
+	Finished     []FinishedRun `json:"finished"`
 }
 
 // Capacity is the resources of a worker: CPU in thousandths of a core, memory in MiB, GPUs in whole ones.
@@ -53,7 +53,7 @@
 //
 //easyjson:json
 type Answer struct {
-	HoldMS       int64    `json:"hold_ms,omitempty"`
+	LeaseMS      int64    `json:"hold_ms,omitempty"`
 	LastSeen     int64    `json:"last_seen,omitempty"`
 	FenceToken   int64    `json:"fence_token,omitempty"`
 	Started      []Start  `json:"started,omitempty"`
@@ -61,29 +61,29 @@
 	RetryAfterMS int64    `json:"retry_after_ms,omitempty"`
 }
 
-// Active is a run that has not ended: [task, run, saved, percent]. Saved is its last checkpoint, Percent its progress.
-type Active struct {
-	Task    string
-	Attempt int64
-	Saved   string
-	Percent float64
+// ActiveRun is a run that has not ended: [task, run, saved, percent]. Percent is its progress.
+type ActiveRun struct {
+	Task       string
+	Attempt    int64
+	Checkpoint string
+	Percent    float64
 }
 
-// Finished is a run that has ended: [N, task, run, how, saved]. N numbers the ends at the worker.
-type Finished struct {
-	Number  int64
-	Task    string
-	Attempt int64
-	How     string
-	Saved   string
+// FinishedRun is a run that has ended: [N, task, run, how, saved]. N numbers the ends at the worker.
+type FinishedRun struct {
+	Number     int64
+	Task       string
+	Attempt    int64
+	Outcome    string
+	Checkpoint string
 }
 
-// Start is the order to start a run: [task, run, spec, saved]. Saved is the checkpoint to start from, if any.
+// Start is the order to start a run: [task, run, spec, saved]. Checkpoint is where to start from, if any.
 type Start struct {
-	Task    string
-	Attempt int64
-	Text    string
-	Saved   string
+	Task       string
+	Attempt    int64
+	Spec       string
+	Checkpoint string
 }
 
 // RunRef identifies a run, an attempt of a task: [task, run].
@@ -93,33 +93,33 @@
 }
 
 // UnmarshalEasyJSON reads [task, run, saved, percent].
-func (a *Active) UnmarshalEasyJSON(in *jlexer.Lexer) {
-	readTuple(in, &a.Task, &a.Attempt, &a.Saved, &a.Percent)
+func (a *ActiveRun) UnmarshalEasyJSON(in *jlexer.Lexer) {
+	readTuple(in, &a.Task, &a.Attempt, &a.Checkpoint, &a.Percent)
 }
 
 // MarshalEasyJSON writes [task, run, saved, percent].
-func (a Active) MarshalEasyJSON(out *jwriter.Writer) {
-	writeTuple(out, a.Task, a.Attempt, a.Saved, a.Percent)
+func (a ActiveRun) MarshalEasyJSON(out *jwriter.Writer) {
+	writeTuple(out, a.Task, a.Attempt, a.Checkpoint, a.Percent)
 }
 
 // UnmarshalEasyJSON reads [N, task, run, how, saved].
-func (f *Finished) UnmarshalEasyJSON(in *jlexer.Lexer) {
-	readTuple(in, &f.Number, &f.Task, &f.Attempt, &f.How, &f.Saved)
+func (f *FinishedRun) UnmarshalEasyJSON(in *jlexer.Lexer) {
+	readTuple(in, &f.Number, &f.Task, &f.Attempt, &f.Outcome, &f.Checkpoint)
 }
 
 // MarshalEasyJSON writes [N, task, run, how, saved].
-func (f Finished) MarshalEasyJSON(out *jwriter.Writer) {
-	writeTuple(out, f.Number, f.Task, f.Attempt, f.How, f.Saved)
+func (f FinishedRun) MarshalEasyJSON(out *jwriter.Writer) {
+	writeTuple(out, f.Number, f.Task, f.Attempt, f.Outcome, f.Checkpoint)
 }
 
 // UnmarshalEasyJSON reads [task, run, spec, saved].
 func (s *Start) UnmarshalEasyJSON(in *jlexer.Lexer) {
-	readTuple(in, &s.Task, &s.Attempt, &s.Text, &s.Saved)
+	readTuple(in, &s.Task, &s.Attempt, &s.Spec, &s.Checkpoint)
 }
 
 // MarshalEasyJSON writes [task, run, spec, saved].
 func (s Start) MarshalEasyJSON(out *jwriter.Writer) {
-	writeTuple(out, s.Task, s.Attempt, s.Text, s.Saved)
+	writeTuple(out, s.Task, s.Attempt, s.Spec, s.Checkpoint)
 }
 
 // UnmarshalEasyJSON reads [task, run].
--- a/workeragent/message_easyjson.go
+++ b/workeragent/message_easyjson.go
@@ -132,15 +132,15 @@
 				in.Delim('[')
 				if out.Active == nil {
 					if !in.IsDelim(']') {
-						out.Active = make([]Active, 0, 1)
+						out.Active = make([]ActiveRun, 0, 1)
 					} else {
-						out.Active = []Active{}
+						out.Active = []ActiveRun{}
 					}
 				} else {
 					out.Active = (out.Active)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v2 Active
+					var v2 ActiveRun
 					if in.IsNull() {
 						in.Skip()
 					} else {
@@ -159,15 +159,15 @@
 				in.Delim('[')
 				if out.Finished == nil {
 					if !in.IsDelim(']') {
-						out.Finished = make([]Finished, 0, 1)
+						out.Finished = make([]FinishedRun, 0, 1)
 					} else {
-						out.Finished = []Finished{}
+						out.Finished = []FinishedRun{}
 					}
 				} else {
 					out.Finished = (out.Finished)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v3 Finished
+					var v3 FinishedRun
 					if in.IsNull() {
 						in.Skip()
 					} else {
@@ -426,7 +426,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.HoldMS = int64(in.Int64())
+				out.LeaseMS = int64(in.Int64())
 			}
 		case "last_seen":
 			if in.IsNull() {
@@ -514,11 +514,11 @@
 	out.RawByte('{')
 	first := true
 	_ = first
-	if in.HoldMS != 0 {
+	if in.LeaseMS != 0 {
 		const prefix string = ",\"hold_ms\":"
 		first = false
 		out.RawString(prefix[1:])
-		out.Int64(int64(in.HoldMS))
+		out.Int64(int64(in.LeaseMS))
 	}
 	if in.LastSeen != 0 {
 		const prefix string = ",\"last_seen\":"
--- a/workeragent/orders.go
+++ b/workeragent/orders.go
@@ -14,12 +14,12 @@
 		return a.fenced(token)
 	}
 	a.token = token
-	if orders.Instance != a.Instance || orders.Life != a.Life() {
-		return result.Errorf(result.WrongInstance, "this is %s %s, orders are for %s %s", a.Instance, a.Life(),
-			orders.Instance, orders.Life)
+	if orders.Instance != a.Instance || orders.AgentIncarnation != a.Incarnation() {
+		return result.Errorf(result.WrongInstance, "this is %s %s, orders are for %s %s", a.Instance, a.Incarnation(),
+			orders.Instance, orders.AgentIncarnation)
 	}
-	a.acknowledged = max(a.acknowledged, orders.Noted)
-	for _, known := range orders.Known {
+	a.acknowledged = max(a.acknowledged, orders.DurableCompletions)
+	for _, known := range orders.KnownDemands {
 		a.demands[jobs.RunRef{Task: known.Task, Attempt: known.Attempt}] = known.Demand
 	}
 	for _, ref := range orders.Stops {
@@ -39,7 +39,7 @@
 	}
 	a.token = token
 	a.acknowledged = max(a.acknowledged, acknowledged)
-	a.leaseUntil = max(a.leaseUntil, sentAt+a.timing.Lease)
+	a.leaseUntil = max(a.leaseUntil, sentAt+a.timing.AgentLease)
 	return nil
 }
 
--- a/workeragent/report.go
+++ b/workeragent/report.go
@@ -13,9 +13,9 @@
 func (a *Agent) State() jobs.WorkerState {
 	switch {
 	case a.expired:
-		return jobs.Lapsed
+		return jobs.LeaseExpired
 	case a.left:
-		return jobs.Gone
+		return jobs.Departed
 	case a.heartbeat.State == string(jobs.Ready):
 		return jobs.Ready
 	default:
@@ -23,12 +23,12 @@
 	}
 }
 
-// News returns a digest of what the owner should learn soon: the state, which runs are active, which ends are not
+// StateDigest returns a digest of what the owner should learn soon: the state, which runs are active, which ends are not
 // acknowledged, and what became of orders. While it stays the same, progress and checkpoints can wait for the next regular
 // report.
-func (a *Agent) News() uint64 {
+func (a *Agent) StateDigest() uint64 {
 	hash := xxhash.New()
-	_, _ = hash.WriteString(string(a.State()) + a.Life())
+	_, _ = hash.WriteString(string(a.State()) + a.Incarnation())
 	sum := hash.Sum64()
 	add := func(kind string, ref jobs.RunRef) {
 		sum ^= xxhash.Sum64String(kind + ref.Task + "/" + strconv.FormatInt(ref.Attempt, 10))
@@ -54,34 +54,34 @@
 func (a *Agent) Report(now time.Duration) *jobs.Report {
 	c := a.heartbeat.Capacity
 	r := &jobs.Report{
-		Life: a.Life(), Service: a.heartbeat.Service, Instance: a.Instance, State: string(a.State()),
-		RemainingMS: max(0, a.heartbeat.RemainingMS-(now-a.heartbeatAt).Milliseconds()),
-		Capacity:    jobs.Resources{CPU: c.CPU, MemMB: c.MemMB, GPU: c.GPU}, Labels: a.heartbeat.Labels,
-		Missed: a.missedAnswers, SinceBeatMS: (now - a.heartbeatAt).Milliseconds(),
+		AgentIncarnation: a.Incarnation(), Service: a.heartbeat.Service, Instance: a.Instance, State: string(a.State()),
+		DrainRemainingMS: max(0, a.heartbeat.RemainingMS-(now-a.heartbeatAt).Milliseconds()),
+		Capacity:         jobs.Resources{CPU: c.CPU, MemMB: c.MemMB, GPU: c.GPU}, Labels: a.heartbeat.Labels,
+		MissedMessages: a.missedAnswers, HeartbeatAgeMS: (now - a.heartbeatAt).Milliseconds(),
 	}
 	if a.expired {
 		return r
 	}
 	if a.left {
-		r.LapsesInMS = max(1, (a.runsExpireAt - now).Milliseconds())
+		r.LeaseRemainingMS = max(1, (a.runsExpireAt - now).Milliseconds())
 	}
 	for _, run := range a.heartbeat.Active {
 		r.Active = append(r.Active, jobs.ActiveRun{
-			Task: run.Task, Attempt: run.Attempt, Saved: run.Saved, Percent: int64(run.Percent),
+			Task: run.Task, Attempt: run.Attempt, Checkpoint: run.Checkpoint, Percent: int64(run.Percent),
 		})
 		if _, known := a.demands[jobs.RunRef{Task: run.Task, Attempt: run.Attempt}]; !known {
-			r.Unknown++
+			r.UnknownDemands++
 		}
 	}
 	for _, run := range a.heartbeat.Finished {
 		if run.Number > a.acknowledged {
-			r.Finished = append(r.Finished, jobs.EndedRun{
-				Number: run.Number, Task: run.Task, Attempt: run.Attempt, How: run.How, Saved: run.Saved,
+			r.Finished = append(r.Finished, jobs.FinishedRun{
+				Number: run.Number, Task: run.Task, Attempt: run.Attempt, Outcome: run.Outcome, Checkpoint: run.Checkpoint,
 			})
 		}
 	}
 	for ref := range a.starts {
-		r.Held = append(r.Held, ref)
+		r.InFlight = append(r.InFlight, ref)
 	}
 	for ref := range a.dropped {
 		r.Dropped = append(r.Dropped, ref)
