--- a/internal/faultinjection/cluster_test.go
+++ b/internal/faultinjection/cluster_test.go
@@ -41,7 +41,7 @@
 	return run(t, o)
 }
 
-// run starts a rig until the test ends.
+// run starts a cluster until the test ends.
 func run(t *testing.T, o Options) *Cluster {
 	t.Helper()
 	r, err := New(o)
@@ -55,7 +55,7 @@
 	return r
 }
 
-// checkRules reports what the referee has found.
+// checkRules reports all violations of the rules.
 func (r *Cluster) checkRules(t *testing.T, told []fake.Told) {
 	t.Helper()
 	e := r.Observations(told, timeout)
