--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -40,7 +40,7 @@
 }
 
 // Parted calls f with the subset if that may have changed since the last call. While no member is heard there is none: all
-// workers are equal, as without other schedulers. The slice is valid until the next call of Boxes.
+// workers are equal, as without other schedulers. The slice is valid until the list of workers is set again.
 func (n *Node) Parted(f func(workers []string, sharers int)) {
 	if !n.subsetChanged {
 		return
@@ -54,7 +54,7 @@
 }
 
 // Part returns this scheduler's subset of the workers and the maximum number of schedulers that share one of them. It is nil
-// where the subset is the complete list. The slice is valid until the next call of Boxes.
+// where the subset is the complete list. The slice is valid until the list of workers is set again.
 func (n *Node) Part() (workers []string, sharers int) {
 	if len(n.subset) == n.Counts.Boxes {
 		return nil, n.options.Members
@@ -103,7 +103,7 @@
 	}
 }
 
-// markChanged has the next call of News tell the load that others put on a worker.
+// markChanged has the next call for changed loads return the load that others put on a worker.
 func (n *Node) markChanged(w *workerState) {
 	if !w.changed {
 		w.changed = true
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -65,10 +65,10 @@
 	subset        []string // of the workers
 	sharers       int      // maximum number of members that share a worker of the subset
 	anyHeard      bool     // some member was heard within LoadTTL
-	subsetChanged bool     // since the last call of Parted
+	subsetChanged bool     // since it was last taken
 
 	unsent    []*workerState  // whose load is to be sent
-	changed   []*workerState  // whose load by others has changed since the last call of News
+	changed   []*workerState  // whose load by others has changed since that was last taken
 	reported  []*workerState  // with reports of others
 	pending   []outgoingLoads // by member
 	receivers []uint16        // members with pending loads
@@ -213,8 +213,8 @@
 	n.finishDatagram(m, send)
 }
 
-// Tick drops reports that have expired and does what is due; Flush has to be called after it. It should be called every
-// TickEvery.
+// Tick drops reports that have expired and does what is due; Flush has to be called after it. It should be called at the
+// tick interval.
 func (n *Node) Tick(now time.Duration) {
 	for _, w := range n.order {
 		if w.load != w.advertised || w.load != (Out{}) && now-w.advertisedAt >= RepeatInterval {
--- a/internal/peers/revisions_wire_test.go
+++ b/internal/peers/revisions_wire_test.go
@@ -190,3 +190,23 @@
 		}
 	})
 }
+
+// The bytes of the kinds of datagrams that carry loads and revisions: members of two releases exchange them.
+func TestDatagramBytes(t *testing.T) {
+	words, hashes := newKinds(t)
+	if got, want := fmt.Sprintf("%x", words), "160001000100000029000000a1000000010000000200030009000300030009000400030009000500030009000600030009000700030009000800030009000900030009000a00030009000b00030009000c00030009000d00030009000e00030009000f00030009001000030009001100030009001200030009001300030009001400030009001500030009001600030009001700030009001800030009001900030009001a00030009001b00030009001c00030009001d00030009001e00030009001f0003000930d1a2"; got != want {
+		t.Errorf("entries are got\n%q\nwant\n%q", got, want)
+	}
+	if got, want := fmt.Sprintf("%x", hashes), "17000100020000fd10b58d0000000081f6fd"; got != want {
+		t.Errorf("digests are got\n%q\nwant\n%q", got, want)
+	}
+	n := New(Options{Self: 0, Members: 2, Site: 7, Incarnation: 0x0102, Hearers: 2, Least: 1})
+	n.Boxes([]string{"box-1", "box-2"})
+	n.Out(time.Second, "box-1", Out{Slots: 5, Waiting: 3}, true)
+	n.Out(time.Second, "box-2", Out{Slots: 99, Waiting: 99}, true)
+	var got []string
+	n.Flush(time.Second, func(to int, datagram []byte) { got = append(got, fmt.Sprintf("%d %x", to, datagram)) })
+	if got, want := fmt.Sprint(got), "[1 110102000186376f2b880281ff08f3ad]"; got != want {
+		t.Errorf("loads are got\n%q\nwant\n%q", got, want)
+	}
+}
