--- a/internal/reverseproxy/backend.go
+++ b/internal/reverseproxy/backend.go
@@ -7,16 +7,16 @@
 	"sedgevale/internal/pool"
 )
 
-// pick takes a server for a call. The call waits, and is told later, where none has room.
-func (b *backend) pick(c *call) (server int, v pool.Verdict) {
+// pickServer takes a server for a call. The call waits, and is told later, where none has room.
+func (b *backend) pickServer(r *proxyRequest) (server int, v pool.Verdict) {
 	now := b.site.opt.Clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.pool == nil {
 		return -1, pool.Nobody
 	}
-	h := c.hint
-	for i, until := range b.shun {
+	h := r.hint
+	for i, until := range b.avoidUntil {
 		if now < until {
 			h.Not = append(slices.Clip(h.Not), i)
 		}
@@ -26,29 +26,29 @@
 	case pool.Go:
 		b.pool.Begin(i)
 	case pool.Wait:
-		if !b.pool.Queue(now, c, c.hint) {
+		if !b.pool.Queue(now, r, r.hint) {
 			return -1, pool.Nobody
 		}
-		b.arm(now)
+		b.armTimer(now)
 	}
 	return i, v
 }
 
-// arm sets the timer of the queue. The lock is held.
-func (b *backend) arm(now time.Duration) {
-	if until := b.pool.Until(); until > 0 && !b.timer {
-		b.timer = true
+// armTimer sets the timer of the queue. The lock is held.
+func (b *backend) armTimer(now time.Duration) {
+	if until := b.pool.Until(); until > 0 && !b.timerArmed {
+		b.timerArmed = true
 		time.AfterFunc(max(time.Millisecond, until-now), func() {
 			b.mu.Lock()
-			b.timer = false
+			b.timerArmed = false
 			b.mu.Unlock()
-			b.advance()
+			b.dispatchQueue()
 		})
 	}
 }
 
-// end gives a server's room back, by name: the pool may have been replaced since.
-func (b *backend) end(server string) {
+// release gives a server's room back, by name: the pool may have been replaced since.
+func (b *backend) release(server string) {
 	b.mu.Lock()
 	if i := b.index(server); i >= 0 {
 		b.pool.End(i)
@@ -56,23 +56,23 @@
 	waiting := b.pool != nil && b.pool.Waiting() > 0
 	b.mu.Unlock()
 	if waiting {
-		b.advance()
+		b.dispatchQueue()
 	}
 }
 
-// failed notes that no connection to a server came up.
-func (b *backend) failed(server string) {
+// noteConnectFailure notes that no connection to a server came up.
+func (b *backend) noteConnectFailure(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if i := b.index(server); i >= 0 {
-		b.shun[i] = b.site.opt.Clock.Now() + shunFor
+		b.avoidUntil[i] = b.site.opt.Clock.Now() + connectFailureBackoff
 	}
 }
 
-// advance has those go who can, and tells those who have waited in vain.
-func (b *backend) advance() {
+// dispatchQueue has those go who can, and tells those who have waited in vain.
+func (b *backend) dispatchQueue() {
 	type going struct {
-		c *call
+		c *proxyRequest
 		i int
 	}
 	var ready []going
@@ -86,24 +86,24 @@
 			if !ok {
 				break
 			}
-			ready = append(ready, going{token.(*call), i})
+			ready = append(ready, going{token.(*proxyRequest), i})
 		}
-		b.arm(now)
+		b.armTimer(now)
 	}
 	b.mu.Unlock()
 	for _, c := range late {
-		c.(*call).nobody()
+		c.(*proxyRequest).noServer()
 	}
 	for _, g := range ready {
-		g.c.start(g.i)
+		g.c.submit(g.i)
 	}
 }
 
-// leave takes a call out of the queue.
-func (b *backend) leave(c *call) {
+// leaveQueue takes a call out of the queue.
+func (b *backend) leaveQueue(r *proxyRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.pool != nil {
-		b.pool.Leave(c)
+		b.pool.Leave(r)
 	}
 }
--- a/internal/reverseproxy/bench_test.go
+++ b/internal/reverseproxy/bench_test.go
@@ -54,8 +54,8 @@
 	select {}
 }
 
-// plain is a server that does as little as can be.
-func plain(b *testing.B) string {
+// minimalServer is a server that does as little as can be.
+func minimalServer(b *testing.B) string {
 	l := listen(b)
 	b.Cleanup(func() { _ = l.Close() })
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 100\r\n\r\n" + strings.Repeat("x", 100))
@@ -88,8 +88,8 @@
 	return l.Addr().String()
 }
 
-// ticks returns the processor time of a process.
-func ticks(b *testing.B, pid int) time.Duration {
+// cpuTime returns the processor time of a process.
+func cpuTime(b *testing.B, pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Fatal(err)
@@ -143,7 +143,7 @@
 }
 
 func benchProxy(b *testing.B, conns int, role string) {
-	addr, server := freeAddr(b), plain(b)
+	addr, server := freeAddr(b), minimalServer(b)
 	name, rules, _ := strings.Cut(role, " ")
 	pid := proxy(b, fmt.Sprintf("%s %s %s %s", name, addr, server, rules), addr)
 	var next atomic.Int64
@@ -189,11 +189,11 @@
 	}
 	run(int64(conns) * 4) // connections are up, code is warm
 	hist.Reset()
-	before := ticks(b, pid)
+	before := cpuTime(b, pid)
 	b.ResetTimer()
 	run(int64(b.N))
 	b.StopTimer()
-	b.ReportMetric(float64((ticks(b, pid)-before).Microseconds())/float64(b.N), "cpu-µs/req")
+	b.ReportMetric(float64((cpuTime(b, pid)-before).Microseconds())/float64(b.N), "cpu-µs/req")
 	b.ReportMetric(float64(hist.ValueAtQuantile(50)), "p50-µs")
 	b.ReportMetric(float64(hist.ValueAtQuantile(99)), "p99-µs")
 	b.ReportMetric(memory(pid), "MB")
--- a/internal/reverseproxy/failure_test.go
+++ b/internal/reverseproxy/failure_test.go
@@ -16,8 +16,8 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// box is a server that can be made to fail, and notes what it began.
-type box struct {
+// faultyServer is a server that can be made to fail, and notes what it began.
+type faultyServer struct {
 	addr string
 	mode atomic.Value // "good", "sick" (its checks fail), "cut" (answers break off), "hang"
 	mu   sync.Mutex
@@ -26,8 +26,8 @@
 	srv  *http.Server
 }
 
-func newBox(t *testing.T) *box {
-	b := &box{runs: map[string]int{}}
+func newFaultyServer(t *testing.T) *faultyServer {
+	b := &faultyServer{runs: map[string]int{}}
 	b.mode.Store("good")
 	l := listen(t)
 	b.addr = l.Addr().String()
@@ -36,15 +36,15 @@
 	return b
 }
 
-func (b *box) up(l net.Listener) {
+func (b *faultyServer) up(l net.Listener) {
 	b.srv = &http.Server{Handler: b}
 	go func(s *http.Server) { _ = s.Serve(l) }(b.srv)
 }
 
 // kill ends the box with all its connections; revive brings it back.
-func (b *box) kill() { _ = b.srv.Close() }
+func (b *faultyServer) kill() { _ = b.srv.Close() }
 
-func (b *box) revive(t *testing.T) {
+func (b *faultyServer) revive(t *testing.T) {
 	t.Helper()
 	for range 100 {
 		l, err := tryListen(t, b.addr)
@@ -57,7 +57,7 @@
 	t.Fatal("the address is not given back")
 }
 
-func (b *box) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (b *faultyServer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	mode := b.mode.Load().(string)
 	if q.URL.Path == "/up" {
 		if mode == "sick" || mode == "hang" {
@@ -86,7 +86,7 @@
 	_, _ = fmt.Fprintf(w, "%s %d", id, len(body))
 }
 
-func (b *box) since() time.Time {
+func (b *faultyServer) since() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last
@@ -97,10 +97,10 @@
 // unless its method allows it, and a server that fails gets nothing new after fall x inter.
 func TestFailuresUnderLoad(t *testing.T) {
 	const inter, fall = 50 * time.Millisecond, 2
-	boxes := make([]*box, 4)
+	boxes := make([]*faultyServer, 4)
 	var servers []dispatchconfig.WebServer
 	for i := range boxes {
-		boxes[i] = newBox(t)
+		boxes[i] = newFaultyServer(t)
 		servers = append(servers, dispatchconfig.WebServer{Addr: boxes[i].addr})
 	}
 	c := site(t, servers...)
@@ -206,7 +206,7 @@
 
 // failAndRecover has the i-th server fail in a way and come back. Once it fails its last new request
 // may come most later.
-func failAndRecover(t *testing.T, s *Site, b *box, i int, how string, most time.Duration) (report []string) {
+func failAndRecover(t *testing.T, s *Site, b *faultyServer, i int, how string, most time.Duration) (report []string) {
 	t.Helper()
 	began := time.Now()
 	if how == "kill" {
@@ -243,7 +243,7 @@
 }
 
 // countRepeats returns how many requests ran more than once. None may whose method forbids it.
-func countRepeats(t *testing.T, boxes []*box) (repeats int) {
+func countRepeats(t *testing.T, boxes []*faultyServer) (repeats int) {
 	t.Helper()
 	again := map[string]int{}
 	for _, b := range boxes {
--- a/internal/reverseproxy/health.go
+++ b/internal/reverseproxy/health.go
@@ -10,40 +10,40 @@
 	"sedgevale/internal/pool"
 )
 
-// adopt has a new pool's members stand as checks and operators say; the list that is told
+// applyStates has a new pool's members stand as checks and operators say; the list that is told
 // next has them so.
-func (b *backend) adopt() {
+func (b *backend) applyStates() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, m := range b.spec.Servers {
 		switch {
-		case m.Disabled || b.out[m.Name]:
+		case m.Disabled || b.cordoned[m.Name]:
 			b.pool.Set(i, pool.Maintenance, b.site.opt.Clock.Now())
-		case b.sick[m.Name] && !m.NoCheck:
+		case b.unhealthy[m.Name] && !m.NoCheck:
 			b.pool.Set(i, pool.Down, b.site.opt.Clock.Now())
 		}
 	}
 }
 
-// stateOf is a member's state as the module knows it. What is tied to a draining server
+// workerState is a member's state as the module knows it. What is tied to a draining server
 // still goes there, so only one that is down or in maintenance has left the pick.
-func stateOf(p pool.State) sedgevale.WorkerState {
+func workerState(p pool.State) sedgevale.WorkerState {
 	if p == pool.Up || p == pool.Draining {
 		return sedgevale.Active
 	}
 	return sedgevale.Leaving
 }
 
-// check starts the health checks of the tables in force, which end with the context or with the
+// startChecks starts the health checks of the tables in force, which end with the context or with the
 // next call. The lock is held.
-func (s *Site) check(work context.Context) {
-	if s.checking != nil {
-		s.checking()
+func (s *Site) startChecks(work context.Context) {
+	if s.stopChecks != nil {
+		s.stopChecks()
 	}
 	ctx, stop := context.WithCancel(work)
-	s.checking = stop
+	s.stopChecks = stop
 	var all []healthcheck.Check
-	t := s.tables.Load()
+	t := s.active.Load()
 	for _, spec := range t.web.Backends {
 		for i := range spec.Servers {
 			if c, ok := t.checkOf(ctx, &spec, &spec.Servers[i]); ok {
@@ -55,23 +55,23 @@
 }
 
 // checkOf returns the health check of a server, if it has one of its own.
-func (t *tables) checkOf(ctx context.Context, spec *dispatchconfig.WebBackend, m *dispatchconfig.WebServer) (healthcheck.Check, bool) {
+func (t *activeConfig) checkOf(ctx context.Context, spec *dispatchconfig.WebBackend, m *dispatchconfig.WebServer) (healthcheck.Check, bool) {
 	c, addr, ok, err := spec.CheckOf(m)
 	if !ok || err != nil || m.Disabled {
 		return healthcheck.Check{}, false
 	}
 	b := t.backends[spec.Name]
 	b.mu.Lock()
-	down := b.sick[m.Name]
+	down := b.unhealthy[m.Name]
 	b.mu.Unlock()
 	followers := t.tracking(b.id(m.Name))
 	return healthcheck.Check{Name: b.id(m.Name), Addr: addr, Spec: c, Down: down, Tell: func(up bool, _ string) {
 		if ctx.Err() != nil { // newer checks have taken over
 			return
 		}
-		b.set(m.Name, up)
+		b.setHealth(m.Name, up)
 		for _, f := range followers {
-			f.backend.set(f.server, up)
+			f.backend.setHealth(f.server, up)
 		}
 	}}, true
 }
@@ -81,7 +81,7 @@
 	server  string
 }
 
-func (t *tables) tracking(id string) (out []follower) {
+func (t *activeConfig) tracking(id string) (out []follower) {
 	for _, spec := range t.web.Backends {
 		for _, m := range spec.Servers {
 			if m.Track == id {
@@ -92,18 +92,18 @@
 	return out
 }
 
-// set takes in that a server serves or does not: the module and the carrier hear of it as
+// setHealth takes in that a server serves or does not: the module and the carrier hear of it as
 // of a drain and a return.
-func (b *backend) set(server string, up bool) {
+func (b *backend) setHealth(server string, up bool) {
 	b.mu.Lock()
 	i := b.index(server)
 	if i < 0 {
 		b.mu.Unlock()
 		return
 	}
-	b.sick[server] = !up
-	b.shun[i] = 0
-	b.settle(i)
+	b.unhealthy[server] = !up
+	b.avoidUntil[i] = 0
+	b.publishState(i)
 }
 
 // index returns the member of the pool that a server is, or -1. The lock is held.
@@ -114,15 +114,15 @@
 	return b.pool.Index(server)
 }
 
-// settle has pool, carrier and module know how a server stands. It gives the lock back.
-func (b *backend) settle(i int) {
+// publishState has pool, carrier and module know how a server stands. It gives the lock back.
+func (b *backend) publishState(i int) {
 	s := b.site
 	m := &b.spec.Servers[i]
 	to := pool.Up
 	switch {
-	case m.Disabled || b.out[m.Name]:
+	case m.Disabled || b.cordoned[m.Name]:
 		to = pool.Maintenance
-	case b.sick[m.Name]:
+	case b.unhealthy[m.Name]:
 		to = pool.Down
 	}
 	if was, _ := b.pool.State(i); was != to {
@@ -131,16 +131,16 @@
 	connect, _ := b.spec.Times()
 	id, addr := b.id(m.Name), m.Addr
 	b.mu.Unlock()
-	s.relay.members(false, []member{{id, addr, connect, to == pool.Up}})
-	s.planners.Members(sedgevale.ListPatch, []sedgevale.WorkerInfo{{Worker: id, Kind: s.kind(id), State: stateOf(to)}})
-	b.advance()
+	s.transport.update(false, []serverInfo{{id, addr, connect, to == pool.Up}})
+	s.planners.Members(sedgevale.ListPatch, []sedgevale.WorkerInfo{{Worker: id, Kind: s.kind(id), State: workerState(to)}})
+	b.dispatchQueue()
 }
 
 // Cordon takes a server, BACKEND/SERVER, out or puts it back, and reports whether it is
 // one of the site's. What is under way there goes on to its end.
 func (s *Site) Cordon(host string, out bool) (known bool) {
 	name, server, _ := strings.Cut(host, "/")
-	b := s.tables.Load().backends[name]
+	b := s.active.Load().backends[name]
 	if b == nil {
 		return false
 	}
@@ -150,8 +150,8 @@
 		b.mu.Unlock()
 		return false
 	}
-	b.out[server] = out
-	b.settle(i)
+	b.cordoned[server] = out
+	b.publishState(i)
 	return true
 }
 
@@ -161,9 +161,9 @@
 	return s.kinds[id]
 }
 
-// alive returns how many servers of a backend serve.
-func (s *Site) alive(name string) int {
-	b := s.tables.Load().backends[name]
+// servingServers returns how many servers of a backend serve.
+func (s *Site) servingServers(name string) int {
+	b := s.active.Load().backends[name]
 	if b == nil {
 		return 0
 	}
@@ -185,7 +185,7 @@
 
 // Status returns how all servers stand.
 func (s *Site) Status() (out []Status) {
-	t := s.tables.Load()
+	t := s.active.Load()
 	for _, spec := range t.web.Backends {
 		b := t.backends[spec.Name]
 		b.mu.Lock()
--- a/internal/reverseproxy/message.go
+++ b/internal/reverseproxy/message.go
@@ -8,8 +8,8 @@
 	"sedgevale/internal/httpd"
 )
 
-// listed returns the fields that a message's Connection names.
-func listed(fields []http1.Field) (names []string) {
+// connectionOptions returns the fields that a message's Connection names.
+func connectionOptions(fields []http1.Field) (names []string) {
 	for i := range fields {
 		if strings.EqualFold(fields[i].Name, "Connection") {
 			for part := range strings.SplitSeq(fields[i].Value, ",") {
@@ -22,7 +22,7 @@
 	return names
 }
 
-func has(names []string, name string) bool {
+func containsFold(names []string, name string) bool {
 	for _, n := range names {
 		if strings.EqualFold(n, name) {
 			return true
@@ -31,24 +31,24 @@
 	return false
 }
 
-// upgradeOf returns the protocol that a request wants to go on with, "" for none.
-func upgradeOf(h *http1.Head) string {
-	if h.Old || !has(listed(h.Fields), "upgrade") {
+// requestedUpgrade returns the protocol that a request wants to go on with, "" for none.
+func requestedUpgrade(h *http1.Head) string {
+	if h.Old || !containsFold(connectionOptions(h.Fields), "upgrade") {
 		return ""
 	}
 	return h.Get("Upgrade")
 }
 
-// requestHead writes the head of a request to a server. Length is that of the body, -1 if
+// appendRequestHead writes the head of a request to a server. Length is that of the body, -1 if
 // it comes in chunks, -2 if there is none.
-func requestHead(b []byte, method, target string, fields []http1.Field, length int64, client net.Addr, forward bool, upgrade string) []byte {
+func appendRequestHead(b []byte, method, target string, fields []http1.Field, length int64, client net.Addr, forward bool, upgrade string) []byte {
 	b = http1.AppendRequest(b, method, originForm(target))
-	own := listed(fields)
+	own := connectionOptions(fields)
 	from, host := "", false
 	for i := range fields {
 		f := &fields[i]
 		switch {
-		case hopByHop(f.Name), has(own, f.Name), strings.EqualFold(f.Name, "Content-Length"), strings.EqualFold(f.Name, "Expect"):
+		case hopByHop(f.Name), containsFold(own, f.Name), strings.EqualFold(f.Name, "Content-Length"), strings.EqualFold(f.Name, "Expect"):
 		case forward && strings.EqualFold(f.Name, "X-Forwarded-For"):
 			if from != "" {
 				from += ", "
@@ -119,14 +119,14 @@
 	return http1.AppendField(b, "Content-Length", string(digits[i:]))
 }
 
-// answerFields returns the fields of a server's answer that pass on, and how its body
+// responseFields returns the fields of a server's answer that pass on, and how its body
 // will be framed towards the client.
-func answerFields(h *http1.Head, head, old bool) (fields []http1.Field, framing httpd.Framing) {
-	own := listed(h.Fields)
+func responseFields(h *http1.Head, head, old bool) (fields []http1.Field, framing httpd.Framing) {
+	own := connectionOptions(h.Fields)
 	none := head || h.Status < 200 || h.Status == 204 || h.Status == 304
 	for _, f := range h.Fields {
 		switch {
-		case hopByHop(f.Name), has(own, f.Name):
+		case hopByHop(f.Name), containsFold(own, f.Name):
 		case strings.EqualFold(f.Name, "Content-Length") && (h.Chunked || h.Status == 204):
 		default:
 			fields = append(fields, f)
--- a/internal/reverseproxy/site.go
+++ b/internal/reverseproxy/proxy.go
@@ -39,21 +39,21 @@
 
 // Site is all frontends and backends.
 type Site struct {
-	opt      Options
-	planners *dispatch.Set
-	relay    *relay
-	servers  []*httpd.Server
-	next     atomic.Uint64 // of requests
+	opt         Options
+	planners    *dispatch.Set
+	transport   *transport
+	servers     []*httpd.Server
+	nextRequest atomic.Uint64 // of requests
 
-	mu       sync.Mutex // for changes, not for requests
-	tables   atomic.Pointer[tables]
-	kinds    map[string]int // by worker id; never given to another
-	checking context.CancelFunc
-	work     context.Context
+	mu         sync.Mutex // for changes, not for requests
+	active     atomic.Pointer[activeConfig]
+	kinds      map[string]int // by worker id; never given to another
+	stopChecks context.CancelFunc
+	runCtx     context.Context
 }
 
-// tables are what requests are dealt with by. They are not changed, only replaced.
-type tables struct {
+// activeConfig are what requests are dealt with by. They are not changed, only replaced.
+type activeConfig struct {
 	web       *dispatchconfig.Web
 	frontends map[string]*frontend
 	backends  map[string]*backend
@@ -69,31 +69,31 @@
 	name string
 	site *Site
 
-	mu     sync.Mutex
-	spec   dispatchconfig.WebBackend
-	rules  *route.Rules
-	pool   *pool.Pool
-	hash   *route.Format
-	safe   []*sedgevale.Class // by member, for requests that may be sent again
-	unsafe []*sedgevale.Class
-	sick   map[string]bool // by server: its checks fail
-	out    map[string]bool // an operator has taken it out
-	shun   []time.Duration // by member: since its connections fail, it is sent others' turns until then
-	timer  bool            // of the queue
+	mu            sync.Mutex
+	spec          dispatchconfig.WebBackend
+	rules         *route.Rules
+	pool          *pool.Pool
+	hash          *route.Format
+	safeClasses   []*sedgevale.Class // by member, for requests that may be sent again
+	unsafeClasses []*sedgevale.Class
+	unhealthy     map[string]bool // by server: its checks fail
+	cordoned      map[string]bool // an operator has taken it out
+	avoidUntil    []time.Duration // by member: since its connections fail, it is sent others' turns until then
+	timerArmed    bool            // of the queue
 }
 
-// shunFor is how long a server whose connection failed gets nothing while others serve.
-const shunFor = time.Second
+// connectFailureBackoff is how long a server whose connection failed gets nothing while others serve.
+const connectFailureBackoff = time.Second
 
 // New returns a Site that does not serve yet.
 func New(o Options) (*Site, error) {
 	s := &Site{opt: o, kinds: map[string]int{}}
-	s.relay = newRelay(s)
+	s.transport = newTransport(s)
 	t, err := s.build(o.Config)
 	if err != nil {
 		return nil, err
 	}
-	p, err := dispatch.NewPlanner(s.settings(t), o.Seed, o.Clock, s.relay, func() {}, o.Log)
+	p, err := dispatch.NewPlanner(s.moduleSettings(t), o.Seed, o.Clock, s.transport, func() {}, o.Log)
 	if err != nil {
 		return nil, err
 	}
@@ -102,19 +102,19 @@
 	for _, f := range o.Config.Frontends {
 		timeout := dispatchconfig.Seconds(f.RequestTimeout)
 		if f.RequestTimeout == 0 {
-			timeout = requestWait
+			timeout = defaultRequestTimeout
 		}
 		limits := httpd.Limits{First: timeout, Slow: timeout, Read: timeout, Idle: dispatchconfig.Seconds(f.IdleTimeout)}
 		for _, addr := range f.Listen {
-			s.servers = append(s.servers, httpd.NewLimited(addr, o.Loops, &door{s, f.Name}, limits, o.Budget, o.Log))
+			s.servers = append(s.servers, httpd.NewLimited(addr, o.Loops, &frontendHandler{s, f.Name}, limits, o.Budget, o.Log))
 		}
 	}
 	return s, nil
 }
 
-// requestWait is how long a request's head, and a body that is carried on the event loop,
+// defaultRequestTimeout is how long a request's head, and a body that is carried on the event loop,
 // may take to come, where the frontend does not say.
-const requestWait = 10 * time.Second
+const defaultRequestTimeout = 10 * time.Second
 
 // Servers are what listens, for who starts and stops them.
 func (s *Site) Servers() []*httpd.Server { return s.servers }
@@ -122,11 +122,11 @@
 // Run works until the context ends.
 func (s *Site) Run(ctx context.Context) {
 	s.mu.Lock()
-	s.work = ctx
-	s.check(ctx)
+	s.runCtx = ctx
+	s.startChecks(ctx)
 	s.mu.Unlock()
 	var background sync.WaitGroup
-	background.Go(func() { s.relay.sweep(ctx) })
+	background.Go(func() { s.transport.closeIdleConns(ctx) })
 	s.planners.Run(ctx)
 	background.Wait()
 }
@@ -147,10 +147,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s.planners.Retune(s.settings(t))
+	s.planners.Retune(s.moduleSettings(t))
 	s.install(t)
-	if s.work != nil {
-		s.check(s.work)
+	if s.runCtx != nil {
+		s.startChecks(s.runCtx)
 	}
 	old := s.opt.Config
 	for _, f := range w.Frontends {
@@ -163,11 +163,11 @@
 }
 
 // build compiles a configuration. It changes nothing that is in use.
-func (s *Site) build(w *dispatchconfig.Web) (*tables, error) {
+func (s *Site) build(w *dispatchconfig.Web) (*activeConfig, error) {
 	if err := w.Check(); err != nil {
 		return nil, err
 	}
-	t := &tables{web: w, frontends: map[string]*frontend{}, backends: map[string]*backend{}}
+	t := &activeConfig{web: w, frontends: map[string]*frontend{}, backends: map[string]*backend{}}
 	for _, f := range w.Frontends {
 		rules, err := route.Compile(f.Spec, w.Files)
 		if err != nil {
@@ -188,7 +188,7 @@
 // buildBackend compiles a backend: its rules, its pool and, for each server, the module's classes
 // of requests that may and may not be sent again.
 func (s *Site) buildBackend(w *dispatchconfig.Web, spec dispatchconfig.WebBackend) (b *backend, err error) {
-	b = &backend{name: spec.Name, site: s, spec: spec, sick: map[string]bool{}, out: map[string]bool{}}
+	b = &backend{name: spec.Name, site: s, spec: spec, unhealthy: map[string]bool{}, cordoned: map[string]bool{}}
 	if b.rules, err = route.Compile(spec.Spec, w.Files); err != nil {
 		return nil, err
 	}
@@ -214,21 +214,21 @@
 		class := sedgevale.Class{Name: id, Effect: sedgevale.Safe, Aim: limit, Limit: limit, LateShare: 1, Kinds: []int{kind}}
 		once := class
 		once.Name, once.Effect = id+"!", sedgevale.Unsafe
-		b.safe, b.unsafe = append(b.safe, &class), append(b.unsafe, &once)
+		b.safeClasses, b.unsafeClasses = append(b.safeClasses, &class), append(b.unsafeClasses, &once)
 	}
-	b.shun = make([]time.Duration, len(spec.Servers))
+	b.avoidUntil = make([]time.Duration, len(spec.Servers))
 	return b, nil
 }
 
 func (b *backend) id(server string) string { return b.name + "/" + server }
 
-// settings are the module's: a class for each server, since the pool says whose turn it
+// moduleSettings are the module's: a class for each server, since the pool says whose turn it
 // is, and one attempt for each request, since after a failure the pool says who is next.
-func (s *Site) settings(t *tables) sedgevale.Settings {
+func (s *Site) moduleSettings(t *activeConfig) sedgevale.Settings {
 	set := sedgevale.Settings{MaxAttempts: 1, MayCancel: true, Peers: 1}
 	for _, b := range t.web.Backends {
-		for i := range t.backends[b.Name].safe {
-			set.Classes = append(set.Classes, *t.backends[b.Name].safe[i], *t.backends[b.Name].unsafe[i])
+		for i := range t.backends[b.Name].safeClasses {
+			set.Classes = append(set.Classes, *t.backends[b.Name].safeClasses[i], *t.backends[b.Name].unsafeClasses[i])
 		}
 	}
 	if len(set.Classes) == 0 { // no backend has servers; the module wants one class all the same
@@ -238,21 +238,21 @@
 }
 
 // install puts tables in force. Backends that stay take the new settings over.
-func (s *Site) install(t *tables) {
-	old := s.tables.Load()
+func (s *Site) install(t *activeConfig) {
+	old := s.active.Load()
 	for name, b := range t.backends {
 		if old == nil || old.backends[name] == nil {
 			continue
 		}
 		was := old.backends[name]
 		for _, c := range was.replace(b) {
-			c.(*call).nobody()
+			c.(*proxyRequest).noServer()
 		}
 		t.backends[name] = was
-		was.adopt()
+		was.applyStates()
 	}
-	s.tables.Store(t)
-	s.list(t)
+	s.active.Store(t)
+	s.publish(t)
 }
 
 // replace has a backend go on by the settings of another, which is not in use yet. It returns the
@@ -265,19 +265,19 @@
 			by.pool.Adopt(b.pool)
 		}
 		for _, c := range b.pool.Drain() {
-			if by.pool == nil || !by.pool.Queue(b.site.opt.Clock.Now(), c, c.(*call).hint) {
+			if by.pool == nil || !by.pool.Queue(b.site.opt.Clock.Now(), c, c.(*proxyRequest).hint) {
 				lost = append(lost, c)
 			}
 		}
 	}
-	b.spec, b.rules, b.pool, b.hash, b.safe, b.unsafe, b.shun = by.spec, by.rules, by.pool, by.hash, by.safe, by.unsafe, by.shun
+	b.spec, b.rules, b.pool, b.hash, b.safeClasses, b.unsafeClasses, b.avoidUntil = by.spec, by.rules, by.pool, by.hash, by.safeClasses, by.unsafeClasses, by.avoidUntil
 	return lost
 }
 
-// list tells planner and relay all servers, as they stand.
-func (s *Site) list(t *tables) {
+// publish tells planner and relay all servers, as they stand.
+func (s *Site) publish(t *activeConfig) {
 	var entries []sedgevale.WorkerInfo
-	var members []member
+	var members []serverInfo
 	for _, b := range t.web.Backends {
 		be := t.backends[b.Name]
 		connect, _ := b.Times()
@@ -285,12 +285,12 @@
 		for i, m := range b.Servers {
 			id := be.id(m.Name)
 			state, _ := be.pool.State(i)
-			entries = append(entries, sedgevale.WorkerInfo{Worker: id, Kind: s.kinds[id], State: stateOf(state)})
-			members = append(members, member{id, m.Addr, connect, state == pool.Up || state == pool.Draining})
+			entries = append(entries, sedgevale.WorkerInfo{Worker: id, Kind: s.kinds[id], State: workerState(state)})
+			members = append(members, serverInfo{id, m.Addr, connect, state == pool.Up || state == pool.Draining})
 		}
 		be.mu.Unlock()
 	}
-	s.relay.members(true, members)
+	s.transport.update(true, members)
 	s.planners.Members(sedgevale.ListWhole, entries)
 }
 
@@ -303,7 +303,7 @@
 }
 
 func (s *Site) requestID() string {
-	return "web-" + strconv.FormatUint(s.next.Add(1), 36)
+	return "web-" + strconv.FormatUint(s.nextRequest.Add(1), 36)
 }
 
 // retryAfter returns what a 503 says, "" for nothing.
--- /dev/null
+++ b/internal/reverseproxy/request.go
@@ -0,0 +1,472 @@
+package reverseproxy
+
+import (
+	"math/rand/v2"
+	"net/netip"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"sedgevale"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/http1"
+	"sedgevale/internal/httpd"
+	"sedgevale/internal/pool"
+	"sedgevale/internal/route"
+)
+
+// frontendHandler is a frontend's httpd.Handler.
+type frontendHandler struct {
+	site *Site
+	name string
+}
+
+// proxyRequest is one request, from its head to the end of its answer. It is the client side of
+// its Exchanges, one for each server that is tried. What it does towards the client is
+// done by its out.
+type proxyRequest struct {
+	site          *Site
+	backend       *backend
+	parsed        route.Request
+	head          *http1.Head
+	body          []byte // whole, or for a pump the beginning
+	responder     responder
+	transfer      *transfer // nil: the body is here whole
+	upgrade       string
+	responseRules []*route.Rules // whose rules on responses count, the backend's first
+	forwardFor    bool
+
+	mu         sync.Mutex
+	hint       pool.Hint
+	attempts   int
+	server     string // has it now; "": none
+	member     int
+	exchange   *dispatch.Exchange
+	cause      string // of the last failure, as retry_on names it
+	sent       bool   // it is out at the server
+	responding bool   // the head of an answer has gone to the client
+	finished   bool
+}
+
+// responder is the way to a client. Its methods may be called from anywhere and in their order.
+type responder interface {
+	// reply gives a whole answer.
+	reply(status int, fields []http1.Field, body []byte, last bool)
+	// deliver passes on a part of a server's answer.
+	deliver(part *responsePart)
+	// abort tells that a server's answer breaks off.
+	abort()
+}
+
+// responsePart is a part of a server's answer: its head, bytes of its body, its end.
+type responsePart struct {
+	head    *http1.Head
+	parts   [][]byte
+	size    int
+	end     bool
+	trailer []http1.Field
+}
+
+// Serve is called with each request whose body is here.
+func (d *frontendHandler) Serve(c *httpd.Conn, q *httpd.Request) {
+	up := requestedUpgrade(q.Head)
+	r := &proxyRequest{site: d.site, head: q.Head, body: q.Body, upgrade: up}
+	lr := &loopResponder{conn: c, request: r}
+	r.responder = lr
+	c.State = r
+	r.route(d.name, c.Remote().String(), portOf(c.Local()))
+}
+
+// Gone is called when the client has left.
+func (d *frontendHandler) Gone(c *httpd.Conn) {
+	if r, ok := c.State.(*proxyRequest); ok {
+		r.clientGone()
+	}
+}
+
+// Overflow is called with a request whose body is too long for the event loop.
+func (d *frontendHandler) Overflow(q *httpd.Request, conn *httpd.Detached) {
+	r := &proxyRequest{site: d.site, head: q.Head, body: q.Body}
+	r.transfer = newTransfer(r, conn)
+	r.responder = r.transfer
+	go r.transfer.run(func() { r.route(d.name, conn.RemoteAddr().String(), portOf(conn.LocalAddr())) })
+}
+
+// route finds out where a request goes, and begins.
+func (r *proxyRequest) route(front, client string, port int) {
+	t := r.site.active.Load()
+	f := t.frontends[front]
+	if f == nil { // gone with new settings; its address is still listened on
+		r.replyUnavailable(nil, "this address serves nothing any more")
+		return
+	}
+	r.parse(client, port)
+	if a := f.rules.Request(&r.parsed); a != nil {
+		r.replyByRule(a)
+		return
+	}
+	name, _ := f.rules.Backend(&r.parsed, func(name string) bool { return t.backends[name] != nil })
+	b := t.backends[name]
+	if b == nil {
+		r.replyUnavailable(nil, "no backend serves this request")
+		return
+	}
+	r.backend = b
+	b.mu.Lock()
+	rules, hash, cookie := b.rules, b.hash, b.spec.Cookie
+	r.forwardFor = f.spec.ForwardFor || b.spec.ForwardFor
+	b.mu.Unlock()
+	if a := rules.Request(&r.parsed); a != nil {
+		r.replyByRule(a)
+		return
+	}
+	for _, compiled := range []*route.Rules{rules, f.rules} {
+		if compiled.EditsResponse() {
+			r.responseRules = append(r.responseRules, compiled)
+		}
+	}
+	r.hint.Rand = r.parsed.Rand
+	if hash != nil {
+		r.hint.Key = hash.Of(&r.parsed)
+	}
+	if cookie != nil {
+		r.hint.Cookie = r.takeCookie(cookie.Name, cookie.Indirect)
+	}
+	r.pickServer()
+}
+
+// parse makes of the request's head what rules can ask of.
+func (r *proxyRequest) parse(client string, port int) {
+	version := "1.1"
+	if r.head.Old {
+		version = "1.0"
+	}
+	r.parsed = route.Request{Method: r.head.Method, Target: r.head.Target, Version: version, Fields: r.head.Fields, DstPort: port,
+		Rand: rand.Uint64(), Alive: r.site.servingServers}
+	if a, err := netip.ParseAddrPort(client); err == nil {
+		r.parsed.Src = a.Addr().Unmap()
+	}
+}
+
+// takeCookie returns the value of the cookie that ties clients to servers, and takes it
+// out of the request where servers are not to see it.
+func (r *proxyRequest) takeCookie(name string, hide bool) (value string) {
+	fields := slices.Clone(r.parsed.Fields)
+	for i := 0; i < len(fields); i++ {
+		if !strings.EqualFold(fields[i].Name, "Cookie") {
+			continue
+		}
+		var rest []string
+		for part := range strings.SplitSeq(fields[i].Value, ";") {
+			n, v, ok := strings.Cut(strings.TrimSpace(part), "=")
+			if ok && n == name {
+				value = v
+				if hide {
+					continue
+				}
+			}
+			rest = append(rest, strings.TrimSpace(part))
+		}
+		if fields[i].Value = strings.Join(rest, "; "); fields[i].Value == "" {
+			fields = slices.Delete(fields, i, i+1)
+			i--
+		}
+	}
+	if hide && value != "" {
+		r.parsed.Fields = fields
+	}
+	return value
+}
+
+// replyByRule gives an answer that a rule has made.
+func (r *proxyRequest) replyByRule(a *route.Answer) {
+	r.finish()
+	r.responder.reply(a.Status, a.Fields, a.Body, false)
+}
+
+// replyUnavailable answers that nobody serves the request.
+func (r *proxyRequest) replyUnavailable(b *backend, why string) {
+	var fields []http1.Field
+	if b != nil {
+		if after := b.retryAfter(); after != "" {
+			fields = []http1.Field{{Name: "Retry-After", Value: after}}
+		}
+	}
+	r.finish()
+	r.responder.reply(503, append(fields, http1.Field{Name: "Content-Type", Value: "text/plain"}), []byte(why+"\n"), false)
+}
+
+// finish ends the call, once, and reports whether this was the end.
+func (r *proxyRequest) finish() bool {
+	r.mu.Lock()
+	was, server := r.finished, r.server
+	r.finished, r.server = true, ""
+	r.mu.Unlock()
+	if server != "" {
+		r.backend.release(server)
+	}
+	return !was
+}
+
+// clientGone is told when the client has left.
+func (r *proxyRequest) clientGone() {
+	r.mu.Lock()
+	x, waits := r.exchange, r.server == "" && !r.finished
+	r.mu.Unlock()
+	if r.backend != nil && waits {
+		r.backend.leaveQueue(r)
+	}
+	if r.finish() && x != nil {
+		r.site.planners.Gone(x)
+		r.site.transport.cancelRequest(r)
+	}
+}
+
+// pickServer asks the pool for a server.
+func (r *proxyRequest) pickServer() {
+	i, v := r.backend.pickServer(r)
+	switch v {
+	case pool.Go:
+		r.submit(i)
+	case pool.Nobody:
+		r.noServer()
+	}
+}
+
+func (r *proxyRequest) noServer() {
+	r.mu.Lock()
+	over := r.finished
+	r.mu.Unlock()
+	if over {
+		return
+	}
+	r.replyUnavailable(r.backend, "no server is free or serves at present")
+}
+
+// idempotent reports whether a method may be carried out twice (RFC 9110, section 9.2.2).
+func idempotent(method string) bool {
+	switch method {
+	case "GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE":
+		return true
+	}
+	return false
+}
+
+// maxTransferTime is how long a request may take whose body is long, until the head of its answer.
+const maxTransferTime = 6 * time.Hour
+
+// submit hands the request to the planner, for a server whose room is taken.
+func (r *proxyRequest) submit(i int) {
+	b := r.backend
+	b.mu.Lock()
+	if i >= len(b.spec.Servers) { // new settings came between
+		b.mu.Unlock()
+		r.noServer()
+		return
+	}
+	class, name := b.unsafeClasses[i], b.spec.Servers[i].Name
+	if idempotent(r.parsed.Method) && r.transfer == nil && r.upgrade == "" {
+		class = b.safeClasses[i]
+	}
+	b.mu.Unlock()
+	r.mu.Lock()
+	if r.finished { // the client left as it waited
+		r.mu.Unlock()
+		b.release(name)
+		return
+	}
+	r.attempts++
+	r.server, r.member, r.cause, r.sent = name, i, "", false
+	now := r.site.opt.Clock.Now()
+	limit := class.Limit
+	if r.transfer != nil { // its body takes as long as the client does; the pump keeps the times
+		limit = maxTransferTime
+	}
+	r.exchange = dispatch.NewExchange(dispatch.Job{ID: r.site.requestID(), Class: class, Tenant: -1, Slots: 1, Load: r}, now+limit, &exchangeClient{r})
+	x := r.exchange
+	r.mu.Unlock()
+	r.site.planners.Request(x)
+}
+
+// exchangeClient is the client side of an exchange.
+type exchangeClient struct{ request *proxyRequest }
+
+func (*exchangeClient) Started()         {}
+func (*exchangeClient) Progress(float64) {}
+
+// Answer comes from the planner's goroutine. Served means that the head of an answer has
+// come, which the relay passes on by itself. After a refusal the request may go to another
+// server: the module says by it that nothing of it can have run, or may run again.
+func (s *exchangeClient) Answer(a dispatch.Answer) {
+	r := s.request
+	if a.Kind == dispatch.Served {
+		return
+	}
+	r.mu.Lock()
+	cause, server, over, begun, sent := r.cause, r.server, r.finished, r.responding, r.sent
+	if !over {
+		r.server = ""
+	}
+	r.mu.Unlock()
+	if over {
+		return
+	}
+	if server != "" {
+		r.backend.release(server)
+	}
+	if begun {
+		r.finish()
+		r.responder.abort()
+		return
+	}
+	if cause == "" && sent { // the planner has heard of its end before the carrier
+		cause = "response-timeout"
+	}
+	again := a.Kind == dispatch.Refused && r.mayRetry(cause)
+	if cause == "conn-failure" && server != "" {
+		r.backend.noteConnectFailure(server)
+	}
+	if again {
+		r.mu.Lock()
+		r.hint.Not = append(r.hint.Not, r.member)
+		r.mu.Unlock()
+		r.pickServer()
+		return
+	}
+	switch cause {
+	case "conn-failure", "":
+		r.replyUnavailable(r.backend, "no server took the request")
+	case "response-timeout":
+		r.replyFailure(504, "the server did not answer in time")
+	default:
+		r.replyFailure(502, "the server's answer broke off or was malformed")
+	}
+}
+
+// mayRetry reports whether the request may go to another server after a failure of that cause.
+func (r *proxyRequest) mayRetry(cause string) bool {
+	r.mu.Lock()
+	tries := r.attempts
+	r.mu.Unlock()
+	b := r.backend
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return cause != "" && b.spec.RetriesOn(cause) && tries < b.spec.Attempts() && (r.transfer == nil || !r.transfer.hasSentBody())
+}
+
+func (r *proxyRequest) replyFailure(status int, why string) {
+	r.finish()
+	r.responder.reply(status, []http1.Field{{Name: "Content-Type", Value: "text/plain"}}, []byte(why+"\n"), true)
+}
+
+// retryCauses are outcomes of attempts as retry_on names them.
+var retryCauses = map[sedgevale.Outcome]string{sedgevale.ConnectFailed: "conn-failure", sedgevale.NotSent: "conn-failure",
+	sedgevale.Full: "conn-failure", sedgevale.Lost: "empty-response", sedgevale.TimedOut: "response-timeout",
+	sedgevale.Errored: "junk-response"}
+
+// noteCause notes why an attempt ends, before the planner hears of it.
+func (r *proxyRequest) noteCause(cause string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cause = cause
+}
+
+// noteSent notes that the request is written to a server.
+func (r *proxyRequest) noteSent() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sent = true
+}
+
+// mayRetryStatus reports whether an answer of that status is to be dropped and the request
+// sent elsewhere.
+func (r *proxyRequest) mayRetryStatus(status int) bool {
+	if status < 500 || status > 504 || r.transfer != nil {
+		return false
+	}
+	b := r.backend
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.attempts < b.spec.Attempts() && len(b.spec.RetryOn) > 0 && b.spec.RetriesOn(strconv.Itoa(status)) && idempotent(r.parsed.Method)
+}
+
+// beginResponse notes that the head of an answer has come, and reports whether the client still
+// wants it.
+func (r *proxyRequest) beginResponse() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.finished {
+		return false
+	}
+	r.responding = true
+	return true
+}
+
+// respond edits the head of a server's answer and returns what goes to the client.
+func (r *proxyRequest) respond(h *http1.Head) (status int, fields []http1.Field, framing httpd.Framing, own *route.Answer) {
+	fields, framing = responseFields(h, r.head.Method == "HEAD", r.head.Old)
+	status = h.Status
+	if len(r.responseRules) > 0 {
+		r.parsed.Status, r.parsed.Response = status, fields
+		for _, compiled := range r.responseRules {
+			if a := compiled.Response(&r.parsed); a != nil {
+				return 0, nil, 0, a
+			}
+		}
+		status, fields = r.parsed.Status, r.parsed.Response
+	}
+	b := r.backend
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	c := b.spec.Cookie
+	r.mu.Lock()
+	member := r.member
+	r.mu.Unlock()
+	if c == nil || !c.Insert || member >= len(b.spec.Servers) || b.spec.Servers[member].Cookie == "" || r.hint.Cookie == b.spec.Servers[member].Cookie {
+		return status, fields, framing, nil
+	}
+	fields = append(slices.Clip(fields), http1.Field{Name: "Set-Cookie", Value: setCookie(c, b.spec.Servers[member].Cookie)})
+	if c.NoCache {
+		fields = append(fields, http1.Field{Name: "Cache-Control", Value: "private"})
+	}
+	return status, fields, framing, nil
+}
+
+// setCookie returns the value of Set-Cookie that ties a client to a server.
+func setCookie(c *dispatchconfig.WebCookie, server string) string {
+	value := c.Name + "=" + server + "; path=/"
+	if c.Domain != "" {
+		value += "; domain=" + c.Domain
+	}
+	if c.HTTPOnly {
+		value += "; HttpOnly"
+	}
+	if c.Secure {
+		value += "; Secure"
+	}
+	return value
+}
+
+// appendWire returns the bytes of the request to a server, with the body if it is here.
+func (r *proxyRequest) appendWire(b []byte, length int64) []byte {
+	b = appendRequestHead(b, r.parsed.Method, r.parsed.Target, r.parsed.Fields, length, addrOf(r.parsed.Src), r.forwardFor, r.upgrade)
+	return append(b, r.body...)
+}
+
+// bodyLength is that of the body, for a request whose body is here.
+func (r *proxyRequest) bodyLength() int64 {
+	if len(r.body) == 0 && r.head.Length < 0 && !r.head.Chunked {
+		return -2
+	}
+	return int64(len(r.body))
+}
+
+type addrOf netip.Addr
+
+func (addrOf) Network() string  { return "tcp" }
+func (a addrOf) String() string { return netip.AddrPortFrom(netip.Addr(a), 0).String() }
--- /dev/null
+++ b/internal/reverseproxy/responder.go
@@ -0,0 +1,98 @@
+package reverseproxy
+
+import (
+	"slices"
+	"strconv"
+	"sync"
+	"time"
+
+	"sedgevale/internal/http1"
+	"sedgevale/internal/httpd"
+)
+
+// loopResponder is a client on an event loop.
+type loopResponder struct {
+	conn    *httpd.Conn
+	request *proxyRequest
+	mu      sync.Mutex
+	pending int // bytes delivered and not written to the kernel
+}
+
+func (lr *loopResponder) reply(status int, fields []http1.Field, body []byte, last bool) {
+	lr.conn.Post(func(c *httpd.Conn) {
+		c.State = nil
+		if last {
+			c.CloseAfter()
+		}
+		if lr.request.head.Method == "HEAD" || status == 304 {
+			fields = append(slices.Clip(fields), http1.Field{Name: "Content-Length", Value: strconv.Itoa(len(body))})
+			c.Begin(status, fields, httpd.ByLength)
+			c.EndBody(nil)
+			return
+		}
+		c.Respond(status, fields, body)
+	})
+}
+
+func (lr *loopResponder) deliver(part *responsePart) {
+	lr.mu.Lock()
+	lr.pending += part.size
+	lr.mu.Unlock()
+	lr.conn.Post(func(c *httpd.Conn) {
+		r := lr.request
+		if part.head != nil {
+			status, fields, framing, own := r.respond(part.head)
+			if own != nil {
+				r.finish()
+				r.site.transport.cancelRequest(r)
+				c.State = nil
+				c.Respond(own.Status, own.Fields, own.Body)
+				return
+			}
+			c.Begin(status, fields, framing)
+		}
+		for _, p := range part.parts {
+			c.Part(p)
+		}
+		lr.mu.Lock()
+		lr.pending -= part.size
+		lr.mu.Unlock()
+		if part.end {
+			r.finish()
+			c.State = nil
+			c.EndBody(part.trailer)
+		}
+	})
+}
+
+func (lr *loopResponder) abort() {
+	lr.conn.Post(func(c *httpd.Conn) { c.Abort() })
+}
+
+// awaitDrained returns once little of what was delivered is unsent, or false if the client has
+// gone. It is for goroutines of their own.
+func (lr *loopResponder) awaitDrained() bool {
+	for pause := 200 * time.Microsecond; ; pause = min(2*pause, 5*time.Millisecond) {
+		got := make(chan int, 1)
+		lr.conn.Post(func(c *httpd.Conn) { got <- c.Unsent() })
+		select {
+		case n := <-got:
+			if n <= unsentLowWatermark {
+				return true
+			}
+		case <-time.After(unsentTimeout): // closed connections are not called
+		}
+		lr.request.mu.Lock()
+		over := lr.request.finished
+		lr.request.mu.Unlock()
+		if over {
+			return false
+		}
+		time.Sleep(pause)
+	}
+}
+
+const (
+	unsentLowWatermark = 128 << 10
+	unsentTimeout      = time.Second
+)
--- /dev/null
+++ b/internal/reverseproxy/server_conn.go
@@ -0,0 +1,327 @@
+package reverseproxy
+
+import (
+	"errors"
+	"net"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"sedgevale"
+	"sedgevale/internal/evloop"
+	"sedgevale/internal/http1"
+)
+
+// serverConn is a connection to a server. It belongs to the loop.
+type serverConn struct {
+	transport *transport
+	loopConn  evloop.Conn
+	server    *server
+	attempt   *upstreamAttempt
+	parser    *http1.Parser
+	closed    bool
+	writing   bool
+	complete  bool // the answer has come whole
+	detached  bool // a goroutine has it
+	idleSince time.Time
+	out       []byte
+}
+
+// Opened is the loop's.
+func (sc *serverConn) Opened(gc evloop.Conn) bool {
+	sc.loopConn = gc
+	ua := sc.attempt
+	if ua.done { // the server was taken out or the client left meanwhile
+		sc.closed = true
+		return false
+	}
+	delete(sc.server.dialing, ua)
+	sc.send(ua)
+	return true
+}
+
+// Closed is the loop's.
+func (sc *serverConn) Closed(evloop.Conn) {
+	if sc.detached {
+		return
+	}
+	sc.transport.site.opt.Budget.Release()
+	sc.closed = true
+	sc.server.forget(sc)
+	ua := sc.attempt
+	if ua == nil || ua.done {
+		return
+	}
+	switch {
+	case sc.parser.UntilClose(): // the end of the connection is that of the body
+		sc.finish(&responsePart{end: true})
+	case ua.reported: // its answer has begun
+		sc.transport.end(ua, sedgevale.Lost)
+		if ua.request.finish() {
+			ua.request.responder.abort()
+		}
+	case sc.writing || sc.loopConn.OutboundBuffered() > 0:
+		sc.transport.end(ua, sedgevale.ConnectFailed)
+	default:
+		sc.transport.end(ua, sedgevale.Lost)
+	}
+}
+
+func (sc *serverConn) isQuiet() bool {
+	var b [1]byte
+	_, _, err := unix.Recvfrom(sc.loopConn.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	return errors.Is(err, unix.EAGAIN)
+}
+
+func (sc *serverConn) send(ua *upstreamAttempt) {
+	sc.attempt, ua.conn = ua, sc
+	sc.complete = false
+	sc.parser.NoBody = ua.request.head.Method == "HEAD"
+	ua.request.noteSent()
+	sc.out = ua.request.appendWire(sc.out[:0], ua.request.bodyLength())
+	sc.writing = true
+	if _, err := sc.loopConn.Write(sc.out); err != nil {
+		sc.transport.end(ua, sedgevale.ConnectFailed)
+		return
+	}
+	sc.writing = false
+	if cap(sc.out) > 16<<10 {
+		sc.out = nil
+	}
+}
+
+var errUnsolicited = errors.New("an answer that nothing was asked for")
+
+// Traffic is the loop's. What one reading brings goes to the client in one delivery.
+func (sc *serverConn) Traffic(evloop.Conn) bool {
+	part := &responsePart{}
+	more := true
+	for more && !sc.closed && !sc.detached {
+		more = sc.read(part)
+	}
+	return true
+}
+
+// read takes in one event of the answer, and reports whether to go on with this reading.
+func (sc *serverConn) read(part *responsePart) (more bool) {
+	buf, _ := sc.loopConn.Peek(-1)
+	n, ev, body, err := sc.parser.Next(buf)
+	if err == nil && sc.attempt == nil {
+		err = errUnsolicited
+	}
+	if err == nil && ev == http1.Body && !sc.attempt.done {
+		part.parts = append(part.parts, append([]byte(nil), body...))
+		part.size += len(body)
+	}
+	evloop.Take(sc.loopConn, n)
+	switch {
+	case err != nil:
+		sc.failMalformed(err)
+		return false
+	case ev == http1.More:
+		sc.deliver(part)
+		return false
+	case ev == http1.Headed && !sc.takeHead(part):
+		return false
+	case ev == http1.Ended && sc.parser.Head.Status >= 200:
+		part.end, part.trailer = true, sc.parser.Head.Trailer
+		sc.finish(part)
+		return false
+	}
+	if sc.isClientSlow(part) {
+		sc.detachToGoroutine(part)
+		return false
+	}
+	return true
+}
+
+// takeHead takes in a head. It returns false if nothing more is wanted of the answer here.
+func (sc *serverConn) takeHead(part *responsePart) bool {
+	ua := sc.attempt
+	h := sc.parser.Head
+	if h.Status == 101 {
+		sc.tunnel()
+		return false
+	}
+	if h.Status < 200 {
+		return true
+	}
+	if ua.done {
+		sc.transport.closeConn(sc)
+		return false
+	}
+	if ua.request.mayRetryStatus(h.Status) {
+		ua.request.noteCause(statusText(h.Status))
+		ua.done, ua.reported = true, true
+		delete(sc.transport.attempts, ua.attempt)
+		delete(sc.transport.byRequest, ua.request)
+		sc.transport.closeConn(sc)
+		ua.attempt.Planner.Ended(ua.attempt, sedgevale.Lost, nil, nil)
+		return false
+	}
+	if !ua.request.beginResponse() {
+		sc.transport.end(ua, sedgevale.Cancelled)
+		return false
+	}
+	part.head = &h
+	// To the module the head is the answer: how long a body takes is the client's affair.
+	sc.transport.report(ua, sedgevale.Served)
+	return true
+}
+
+func statusText(s int) string {
+	return string([]byte{byte('0' + s/100), byte('0' + s/10%10), byte('0' + s%10)})
+}
+
+// deliver delivers what has come.
+func (sc *serverConn) deliver(part *responsePart) {
+	if sc.attempt != nil && !sc.attempt.done && (part.head != nil || len(part.parts) > 0) {
+		sc.attempt.request.responder.deliver(part)
+	}
+}
+
+// isClientSlow reports whether the client does not keep up, or will not, with this answer.
+func (sc *serverConn) isClientSlow(part *responsePart) bool {
+	ua := sc.attempt
+	if ua == nil || ua.done || !ua.reported {
+		return false
+	}
+	if sc.parser.Head.Length > maxBufferedBody && part.head != nil && !sc.parser.NoBody && sc.attempt.request.head.Method != "HEAD" {
+		return true
+	}
+	lr, ok := ua.request.responder.(*loopResponder)
+	if !ok {
+		return false
+	}
+	lr.mu.Lock()
+	defer lr.mu.Unlock()
+	return lr.pending+part.size > maxBufferedBody
+}
+
+// finish ends an answer that has come whole. The connection serves the next request.
+func (sc *serverConn) finish(part *responsePart) {
+	ua := sc.attempt
+	sc.complete = true
+	if ua != nil && !ua.done {
+		ua.done = true
+		delete(sc.transport.byRequest, ua.request)
+		ua.request.responder.deliver(part)
+	}
+	sc.attempt = nil
+	if sc.closed {
+		return
+	}
+	if sc.parser.Head.Close || !sc.server.ready || len(sc.server.idle) >= maxIdleConns {
+		sc.transport.closeConn(sc)
+		return
+	}
+	sc.idleSince = time.Now()
+	sc.server.idle = append(sc.server.idle, sc)
+}
+
+// failMalformed ends what a server's malformed answer was for.
+func (sc *serverConn) failMalformed(err error) {
+	ua := sc.attempt
+	sc.transport.site.opt.Log.Warn("a server's answer is malformed", "server", sc.server.id, "err", err)
+	sc.transport.closeConn(sc)
+	if ua == nil || ua.done {
+		return
+	}
+	begun := ua.reported
+	sc.transport.end(ua, sedgevale.Errored)
+	if begun && ua.request.finish() {
+		ua.request.responder.abort()
+	}
+}
+
+// detachToGoroutine has a goroutine read the rest of an answer, no faster than the client takes it.
+func (sc *serverConn) detachToGoroutine(part *responsePart) {
+	ua := sc.attempt
+	lr, ok := ua.request.responder.(*loopResponder)
+	if !ok {
+		return
+	}
+	sc.deliver(part)
+	sc.detached = true
+	nc, rest, err := sc.transport.loop.Detach(sc.loopConn)
+	if err != nil {
+		sc.detached = false
+		sc.failMalformed(err)
+		return
+	}
+	go func() {
+		defer sc.transport.site.opt.Budget.Release()
+		defer func() { _ = nc.Close() }()
+		sc.streamRest(ua, lr, nc, rest)
+		sc.transport.loop.Do(func() {
+			ua.done, sc.closed = true, true
+			if sc.transport.byRequest[ua.request] == ua {
+				delete(sc.transport.byRequest, ua.request)
+			}
+		})
+	}()
+}
+
+// streamRest reads an answer to its end.
+func (sc *serverConn) streamRest(ua *upstreamAttempt, lr *loopResponder, nc net.Conn, buf []byte) {
+	r := &bodyReader{conn: nc, parser: sc.parser, buf: buf, chunk: make([]byte, 64<<10)}
+	for {
+		if !lr.awaitDrained() {
+			return
+		}
+		body, end, err := r.next()
+		if err != nil {
+			if ua.request.finish() {
+				ua.request.responder.abort()
+			}
+			return
+		}
+		part := &responsePart{size: len(body), end: end}
+		if len(body) > 0 {
+			part.parts = [][]byte{append([]byte(nil), body...)}
+		}
+		if end {
+			part.trailer = sc.parser.Head.Trailer
+		}
+		lr.deliver(part)
+		if end {
+			return
+		}
+	}
+}
+
+// bodyReader reads a body from a connection, by waiting.
+type bodyReader struct {
+	conn   net.Conn
+	parser *http1.Parser
+	buf    []byte // read and not parsed
+	chunk  []byte
+}
+
+// next returns the next bytes of the body, which are good until the next call, or its end.
+func (r *bodyReader) next() (body []byte, end bool, err error) {
+	for {
+		n, ev, part, err := r.parser.Next(r.buf)
+		if err != nil {
+			return nil, false, err
+		}
+		r.buf = r.buf[n:]
+		switch ev {
+		case http1.Body:
+			return part, false, nil
+		case http1.Ended:
+			return nil, true, nil
+		case http1.Headed:
+			continue
+		}
+		left := copy(r.chunk, r.buf)
+		k, err := r.conn.Read(r.chunk[left:])
+		r.buf = r.chunk[:left+k]
+		if k == 0 && err != nil {
+			if r.parser.UntilClose() && isEOF(err) {
+				return nil, true, nil
+			}
+			return nil, false, err
+		}
+	}
+}
--- /dev/null
+++ b/internal/reverseproxy/transfer.go
@@ -0,0 +1,399 @@
+package reverseproxy
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"sedgevale"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/http1"
+	"sedgevale/internal/httpd"
+)
+
+const (
+	transferChunk     = 64 << 10
+	bodyIdleTimeout   = 60 * time.Second // without a byte, a body or tunnel ends
+	tunnelIdleTimeout = time.Hour
+	replyTimeout      = 10 * time.Second // for a client to take an answer of our own
+	maxLingerBytes    = 1 << 20
+)
+
+func isEOF(err error) bool { return errors.Is(err, io.EOF) }
+
+// transfer carries a request whose body is too long for an event loop: a goroutine reads it
+// no faster than the server takes it, another passes the answer on. It is a call's out.
+type transfer struct {
+	request  *proxyRequest
+	client   *httpd.Detached
+	attempts chan *dispatch.Attempt // the module has sent it
+	replies  chan localReply        // an answer of ours
+	stopped  chan struct{}
+	stopOnce sync.Once
+
+	mu           sync.Mutex
+	server       net.Conn
+	bodySent     bool // something of the body was passed on
+	headReceived bool // the head of the answer has come
+	uploaded     bool // the server has been sent, or is being sent, the last of the request
+}
+
+type localReply struct {
+	status int
+	fields []http1.Field
+	body   []byte
+	abort  bool
+}
+
+func newTransfer(r *proxyRequest, c *httpd.Detached) *transfer {
+	return &transfer{request: r, client: c, attempts: make(chan *dispatch.Attempt, 1), replies: make(chan localReply, 1), stopped: make(chan struct{})}
+}
+
+func (t *transfer) reply(status int, fields []http1.Field, body []byte, _ bool) {
+	select {
+	case t.replies <- localReply{status: status, fields: fields, body: body}:
+	default:
+	}
+}
+
+func (t *transfer) deliver(*responsePart) {} // answers to a pump come by its own connection
+
+func (t *transfer) abort() {
+	select {
+	case t.replies <- localReply{abort: true}:
+	default:
+	}
+}
+
+// hasSentBody reports whether something of the body has gone to a server, so that it cannot go
+// to another.
+func (t *transfer) hasSentBody() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.bodySent
+}
+
+// stop ends the pump, as when time is up.
+func (t *transfer) stop() {
+	t.stopOnce.Do(func() { close(t.stopped) })
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.server != nil {
+		_ = t.server.SetDeadline(time.Unix(1, 0))
+	}
+}
+
+// run carries the request out. Begin routes it.
+func (t *transfer) run(begin func()) {
+	defer func() { _ = t.client.Close() }()
+	if t.request.head.Get("Expect") != "" && !t.request.head.Old {
+		_ = t.client.SetWriteDeadline(time.Now().Add(replyTimeout))
+		if _, err := io.WriteString(t.client, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+			return
+		}
+	}
+	begin()
+	for {
+		select {
+		case a := <-t.replies:
+			t.writeReply(a)
+			return
+		case attempt := <-t.attempts:
+			if !t.attempt(attempt) {
+				return
+			}
+		}
+	}
+}
+
+// writeReply gives the client an answer of ours. The rest of its body is not read to the end, so
+// the connection ends.
+func (t *transfer) writeReply(a localReply) {
+	if a.abort {
+		return
+	}
+	b := http1.AppendStatus(nil, a.status)
+	for _, f := range a.fields {
+		b = http1.AppendField(b, f.Name, f.Value)
+	}
+	b = http1.AppendField(b, "Connection", "close")
+	_ = t.client.SetDeadline(time.Now().Add(replyTimeout))
+	if _, err := t.client.Write(http1.AppendBody(b, a.body)); err != nil {
+		return
+	}
+	t.linger()
+}
+
+// linger leaves the client time to read: closing with unread bytes about would reset the
+// connection under the answer.
+func (t *transfer) linger() {
+	if c, ok := t.client.Conn.(*net.TCPConn); ok && c.CloseWrite() == nil {
+		_ = t.client.SetReadDeadline(time.Now().Add(2 * time.Second))
+		_, _ = io.CopyN(io.Discard, t.client.Conn, maxLingerBytes)
+	}
+}
+
+// attempt carries the request to a server. It returns true if another may be tried.
+func (t *transfer) attempt(attempt *dispatch.Attempt) (again bool) {
+	r := t.request
+	addr, connect, wait := t.target()
+	if !r.site.opt.Budget.Take() {
+		r.site.opt.Budget.Release()
+		t.ended(attempt, sedgevale.NotSent)
+		return true
+	}
+	defer r.site.opt.Budget.Release()
+	dialer := net.Dialer{Timeout: connect}
+	server, err := dialer.DialContext(context.Background(), "tcp", addr)
+	if err != nil {
+		t.ended(attempt, sedgevale.ConnectFailed)
+		return true
+	}
+	defer func() { _ = server.Close() }()
+	if !r.site.transport.isReady(attempt.Worker) { // it was taken out meanwhile
+		t.ended(attempt, sedgevale.NotSent)
+		return true
+	}
+	t.connected(server)
+	up := make(chan bool, 1) // whether the request has been passed on whole
+	go func() { up <- t.upload(server, wait) == nil }()
+	in, head, err := t.awaitHead(server)
+	if err != nil {
+		t.ended(attempt, sedgevale.Lost)
+		_ = server.Close()
+		_ = t.client.SetReadDeadline(time.Unix(1, 0))
+		<-up
+		return true // the module gives it up, and an answer comes by told
+	}
+	if !r.beginResponse() {
+		t.ended(attempt, sedgevale.Cancelled)
+		return false
+	}
+	t.ended(attempt, sedgevale.Served)
+	whole := t.download(in, head)
+	r.finish()
+	uploaded := t.awaitUpload(up)
+	if whole {
+		t.release(uploaded)
+	}
+	return false
+}
+
+// ended tells the planner how an attempt ended.
+func (t *transfer) ended(attempt *dispatch.Attempt, o sedgevale.Outcome) {
+	if cause := retryCauses[o]; cause != "" {
+		t.request.noteCause(cause)
+	}
+	tr := t.request.site.transport
+	tr.loop.Do(func() { delete(tr.attempts, attempt) })
+	attempt.Planner.Ended(attempt, o, nil, nil)
+}
+
+// target returns the address of the call's server, "" if new settings have taken it away, and how
+// long to wait for a connection and for the head of an answer.
+func (t *transfer) target() (addr string, connect, wait time.Duration) {
+	r := t.request
+	b := r.backend
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	connect, wait = b.spec.Times()
+	if r.member < len(b.spec.Servers) {
+		addr = b.spec.Servers[r.member].Addr
+	}
+	return addr, connect, wait
+}
+
+// connected notes the connection to a server, so that stop ends it.
+func (t *transfer) connected(server net.Conn) {
+	t.mu.Lock()
+	t.server, t.bodySent, t.headReceived, t.uploaded = server, true, false, false
+	t.mu.Unlock()
+	select {
+	case <-t.stopped:
+		_ = server.SetDeadline(time.Unix(1, 0))
+	default:
+	}
+}
+
+// awaitHead reads the head of an answer. The reader goes on with its body.
+func (t *transfer) awaitHead(server net.Conn) (*bodyReader, *http1.Head, error) {
+	parser := http1.NewParser(http1.Response)
+	parser.KeepTrailer = true
+	parser.NoBody = t.request.head.Method == "HEAD"
+	in := &bodyReader{conn: server, parser: parser, chunk: make([]byte, transferChunk)}
+	head, err := in.head()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.headReceived = true; err == nil {
+		_ = server.SetReadDeadline(time.Time{})
+	}
+	return in, head, err
+}
+
+// release gives the client's connection back to the event loop after a whole answer, or lets the
+// client read it and ends the connection where the request was not uploaded or nothing may follow.
+func (t *transfer) release(uploaded bool) {
+	h := t.request.head
+	if uploaded && !h.Close && !h.Old && !t.client.Draining() && len(t.client.Rest) == 0 {
+		t.client.GiveBack()
+		return
+	}
+	_ = t.client.SetDeadline(time.Now().Add(replyTimeout))
+	t.linger()
+}
+
+// awaitUpload reports whether the request was passed on whole, once the answer has been passed on. A server that was sent the last of the
+// request may answer before the uploading goroutine has said so; the connection to the client is good all the same.
+// Of a request that is not whole by now the rest is not wanted.
+func (t *transfer) awaitUpload(up <-chan bool) bool {
+	t.mu.Lock()
+	whole := t.uploaded
+	t.mu.Unlock()
+	if whole {
+		return <-up
+	}
+	select {
+	case uploaded := <-up:
+		return uploaded
+	default:
+		_ = t.client.SetReadDeadline(time.Unix(1, 0))
+		<-up
+		return false
+	}
+}
+
+// markUploaded notes, before it is sent, that the last of the request goes to the server.
+func (t *transfer) markUploaded() {
+	t.mu.Lock()
+	t.uploaded = true
+	t.mu.Unlock()
+}
+
+// head reads the head of an answer; those before the final one say nothing here.
+func (r *bodyReader) head() (*http1.Head, error) {
+	for {
+		n, ev, _, err := r.parser.Next(r.buf)
+		if err != nil {
+			return nil, err
+		}
+		r.buf = r.buf[n:]
+		if ev == http1.Headed && r.parser.Head.Status >= 200 {
+			h := r.parser.Head
+			return &h, nil
+		}
+		if ev != http1.More {
+			continue
+		}
+		left := copy(r.chunk, r.buf)
+		k, err := r.conn.Read(r.chunk[left:])
+		r.buf = r.chunk[:left+k]
+		if k == 0 && err != nil {
+			return nil, err
+		}
+	}
+}
+
+// upload passes the request on.
+func (t *transfer) upload(server net.Conn, wait time.Duration) error {
+	r := t.request
+	length := r.head.Length
+	body := r.body
+	r.body = nil
+	sent := int64(len(body))
+	out := r.appendWire(nil, length)
+	chunked := r.head.Chunked
+	if chunked {
+		out = http1.AppendChunk(out, body)
+	} else {
+		out = append(out, body...)
+	}
+	if !chunked && sent >= length {
+		t.markUploaded()
+	}
+	if _, err := server.Write(out); err != nil {
+		return err
+	}
+	in := &bodyReader{conn: t.client.Conn, parser: t.client.Parser, buf: t.client.Rest, chunk: make([]byte, transferChunk)}
+	t.client.Parser.KeepTrailer = true
+	out = nil
+	for {
+		_ = t.client.SetReadDeadline(time.Now().Add(bodyIdleTimeout))
+		part, end, err := in.next()
+		if err != nil {
+			_ = server.Close() // the client has gone half-way: the server must not take this for the whole
+			return err
+		}
+		if end {
+			t.client.Rest = in.buf
+			t.markUploaded()
+			if chunked {
+				_, err = server.Write(http1.AppendLastChunk(nil, t.client.Parser.Head.Trailer))
+			}
+			t.mu.Lock()
+			if !t.headReceived { // from here on the server has its time
+				_ = server.SetReadDeadline(time.Now().Add(wait))
+			}
+			t.mu.Unlock()
+			return err
+		}
+		_ = server.SetWriteDeadline(time.Now().Add(bodyIdleTimeout))
+		sent += int64(len(part))
+		if !chunked && sent >= length {
+			t.markUploaded()
+		}
+		if chunked {
+			out = http1.AppendChunk(out[:0], part)
+			part = out
+		}
+		if _, err := server.Write(part); err != nil {
+			return err
+		}
+	}
+}
+
+// download passes an answer on and reports whether it was whole.
+func (t *transfer) download(in *bodyReader, h *http1.Head) bool {
+	r := t.request
+	status, fields, framing, own := r.respond(h)
+	if own != nil {
+		t.writeReply(localReply{status: own.Status, fields: own.Fields, body: own.Body})
+		return false
+	}
+	b := http1.AppendStatus(nil, status)
+	for _, f := range fields {
+		b = http1.AppendField(b, f.Name, f.Value)
+	}
+	switch framing {
+	case httpd.ByChunks:
+		b = http1.AppendField(b, "Transfer-Encoding", "chunked")
+	case httpd.ByClose:
+		b = http1.AppendField(b, "Connection", "close")
+	}
+	b = append(b, "\r\n"...)
+	for {
+		_ = t.client.SetWriteDeadline(time.Now().Add(bodyIdleTimeout))
+		if _, err := t.client.Write(b); err != nil {
+			return false
+		}
+		part, end, err := in.next()
+		if err != nil {
+			return false
+		}
+		if end {
+			if framing == httpd.ByChunks {
+				_, err = t.client.Write(http1.AppendLastChunk(b[:0], in.parser.Head.Trailer))
+			}
+			return err == nil && framing != httpd.ByClose
+		}
+		if framing == httpd.ByChunks {
+			b = http1.AppendChunk(b[:0], part)
+		} else {
+			b = append(b[:0], part...)
+		}
+	}
+}
--- /dev/null
+++ b/internal/reverseproxy/transport.go
@@ -0,0 +1,285 @@
+package reverseproxy
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"sedgevale"
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/evloop"
+	"sedgevale/internal/http1"
+)
+
+const (
+	idleConnTimeout = 5 * time.Second // a connection to a server is kept that long
+	maxIdleConns    = 256             // to one server
+	maxBufferedBody = 256 << 10       // bodies from which on, and unsent bytes from which on, an answer is read by a goroutine
+	sweepInterval   = 500 * time.Millisecond
+)
+
+// serverInfo is a server as the carrier knows it.
+type serverInfo struct {
+	id, addr       string
+	connectTimeout time.Duration
+	ready          bool
+}
+
+// transport is the server side: it carries requests to servers, as a core.Carrier.
+type transport struct {
+	site *Site
+	loop *evloop.Loop
+
+	// For the loop alone.
+	servers   map[string]*server
+	attempts  map[*dispatch.Attempt]*upstreamAttempt
+	byRequest map[*proxyRequest]*upstreamAttempt
+
+	mu    sync.Mutex
+	ready map[string]bool // the same as servers' ready, for goroutines
+}
+
+type server struct {
+	serverInfo
+	idle    []*serverConn // the most recently used last
+	dialing map[*upstreamAttempt]struct{}
+}
+
+type upstreamAttempt struct {
+	attempt  *dispatch.Attempt
+	request  *proxyRequest
+	server   *server
+	conn     *serverConn
+	reported bool // the planner has heard of its end
+	done     bool // nothing more comes of it
+}
+
+func newTransport(s *Site) *transport {
+	return &transport{site: s, loop: s.opt.Loop, servers: map[string]*server{}, attempts: map[*dispatch.Attempt]*upstreamAttempt{},
+		byRequest: map[*proxyRequest]*upstreamAttempt{}, ready: map[string]bool{}}
+}
+
+// update brings the list, or what has changed in it.
+func (tr *transport) update(whole bool, all []serverInfo) {
+	tr.mu.Lock()
+	if whole {
+		clear(tr.ready)
+	}
+	for _, m := range all {
+		tr.ready[m.id] = m.ready
+	}
+	tr.mu.Unlock()
+	tr.loop.Do(func() {
+		named := map[string]bool{}
+		for _, m := range all {
+			named[m.id] = true
+			srv := tr.servers[m.id]
+			if srv == nil {
+				srv = &server{dialing: map[*upstreamAttempt]struct{}{}}
+				tr.servers[m.id] = srv
+			}
+			moved := srv.addr != m.addr
+			if srv.serverInfo = m; moved || !m.ready {
+				tr.closeUnsent(srv)
+			}
+		}
+		if whole {
+			for id, srv := range tr.servers {
+				if !named[id] {
+					srv.ready = false
+					tr.closeUnsent(srv)
+					delete(tr.servers, id)
+				}
+			}
+		}
+	})
+}
+
+func (tr *transport) isReady(id string) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.ready[id]
+}
+
+// closeUnsent ends what has not been sent to a server, and its idle connections.
+func (tr *transport) closeUnsent(srv *server) {
+	for ua := range srv.dialing {
+		tr.end(ua, sedgevale.NotSent)
+	}
+	for len(srv.idle) > 0 {
+		tr.closeConn(srv.idle[len(srv.idle)-1])
+	}
+}
+
+// Send carries out an attempt.
+func (tr *transport) Send(attempt *dispatch.Attempt) {
+	r := attempt.Load.(*proxyRequest)
+	tr.loop.Do(func() {
+		ua := &upstreamAttempt{attempt: attempt, request: r, server: tr.servers[attempt.Worker]}
+		tr.attempts[attempt] = ua
+		tr.byRequest[r] = ua
+		switch {
+		case ua.server == nil || !ua.server.ready:
+			tr.end(ua, sedgevale.NotSent)
+		case r.transfer != nil:
+			ua.done = true // from here on it is the pump's
+			delete(tr.byRequest, r)
+			r.transfer.attempts <- attempt
+		default:
+			tr.start(ua)
+		}
+	})
+}
+
+// Cancel gives an attempt up by closing its connection.
+func (tr *transport) Cancel(attempt *dispatch.Attempt) {
+	tr.loop.Do(func() {
+		if ua := tr.attempts[attempt]; ua != nil {
+			if ua.request.transfer != nil && ua.done {
+				delete(tr.attempts, attempt)
+				ua.request.transfer.stop()
+				return
+			}
+			ua.request.noteCause("response-timeout")
+			tr.end(ua, sedgevale.Cancelled)
+		}
+	})
+}
+
+// Withdraw gives an attempt up unless its request is on its way already.
+func (tr *transport) Withdraw(attempt *dispatch.Attempt) {
+	tr.loop.Do(func() {
+		if ua := tr.attempts[attempt]; ua != nil && ua.conn == nil && ua.request.transfer == nil {
+			tr.end(ua, sedgevale.NotSent)
+		}
+	})
+}
+
+// Probe is the core's; there are no load reports here.
+func (tr *transport) Probe(worker string, p *dispatch.Planner) { p.Probed(worker, nil) }
+
+// CloseIdle is the core's.
+func (tr *transport) CloseIdle(id string) {
+	tr.loop.Do(func() {
+		if srv := tr.servers[id]; srv != nil {
+			for len(srv.idle) > 0 {
+				tr.closeConn(srv.idle[len(srv.idle)-1])
+			}
+		}
+	})
+}
+
+// cancelRequest ends what goes on for a call whose client has gone.
+func (tr *transport) cancelRequest(r *proxyRequest) {
+	tr.loop.Do(func() {
+		if ua := tr.byRequest[r]; ua != nil {
+			tr.end(ua, sedgevale.Cancelled)
+		}
+	})
+	if r.transfer != nil {
+		r.transfer.stop()
+	}
+}
+
+func (tr *transport) start(ua *upstreamAttempt) {
+	srv := ua.server
+	for n := len(srv.idle); n > 0; n = len(srv.idle) {
+		sc := srv.idle[n-1]
+		srv.idle = srv.idle[:n-1]
+		if sc.isQuiet() {
+			sc.send(ua)
+			return
+		}
+		tr.closeConn(sc)
+	}
+	if !tr.site.opt.Budget.Take() {
+		tr.site.opt.Budget.Release()
+		tr.end(ua, sedgevale.NotSent)
+		return
+	}
+	srv.dialing[ua] = struct{}{}
+	p := http1.NewParser(http1.Response)
+	p.KeepTrailer = true
+	sc := &serverConn{transport: tr, attempt: ua, server: srv, parser: p}
+	tr.loop.Dial(srv.addr, srv.connectTimeout, sc, func(error) {
+		tr.site.opt.Budget.Release()
+		tr.end(ua, sedgevale.ConnectFailed)
+	})
+}
+
+// end ends a flight. Unless its answer has come whole, its connection ends too.
+func (tr *transport) end(ua *upstreamAttempt, o sedgevale.Outcome) {
+	if ua.done {
+		return
+	}
+	ua.done = true
+	delete(ua.serverOrNone().dialing, ua)
+	if tr.byRequest[ua.request] == ua {
+		delete(tr.byRequest, ua.request)
+	}
+	if sc := ua.conn; sc != nil && !sc.closed && !sc.complete {
+		tr.closeConn(sc)
+	}
+	tr.report(ua, o)
+}
+
+var noServer = &server{}
+
+func (ua *upstreamAttempt) serverOrNone() *server {
+	if ua.server == nil {
+		return noServer
+	}
+	return ua.server
+}
+
+// report tells the planner how an attempt ended, once.
+func (tr *transport) report(ua *upstreamAttempt, o sedgevale.Outcome) {
+	if ua.reported {
+		return
+	}
+	ua.reported = true
+	delete(tr.attempts, ua.attempt)
+	if cause := retryCauses[o]; cause != "" {
+		ua.request.noteCause(cause)
+	}
+	ua.attempt.Planner.Ended(ua.attempt, o, nil, nil)
+}
+
+func (tr *transport) closeConn(sc *serverConn) {
+	if sc.closed {
+		return
+	}
+	sc.closed = true
+	sc.server.forget(sc)
+	tr.loop.Close(sc.loopConn)
+}
+
+func (srv *server) forget(sc *serverConn) {
+	for i := range srv.idle {
+		if srv.idle[i] == sc {
+			srv.idle = append(srv.idle[:i], srv.idle[i+1:]...)
+			return
+		}
+	}
+}
+
+// closeIdleConns closes connections that are idle for too long, until the context ends.
+func (tr *transport) closeIdleConns(ctx context.Context) {
+	tick := time.NewTicker(sweepInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+			tr.loop.Do(func() {
+				last := time.Now().Add(-idleConnTimeout)
+				for _, srv := range tr.servers {
+					for len(srv.idle) > 0 && srv.idle[0].idleSince.Before(last) {
+						tr.closeConn(srv.idle[0])
+					}
+				}
+			})
+		case <-ctx.Done():
+			return
+		}
+	}
+}
--- a/internal/reverseproxy/tunnel.go
+++ b/internal/reverseproxy/tunnel.go
@@ -12,53 +12,53 @@
 
 // tunnel joins client and server once the server has agreed to go on with another
 // protocol (RFC 9110, section 7.8).
-func (c *rconn) tunnel() {
-	f := c.f
-	o, ok := f.call.out.(*loopOut)
-	h := c.parser.Head
-	if f.over || !ok || f.call.upgrade == "" || !f.call.begin() {
-		c.junk(errUnasked)
+func (sc *serverConn) tunnel() {
+	ua := sc.attempt
+	lr, ok := ua.request.responder.(*loopResponder)
+	h := sc.parser.Head
+	if ua.done || !ok || ua.request.upgrade == "" || !ua.request.beginResponse() {
+		sc.failMalformed(errUnsolicited)
 		return
 	}
-	c.relay.tell(f, sedgevale.Served)
-	c.moved = true
-	server, rest, err := c.relay.loop.Detach(c.gc)
+	sc.transport.report(ua, sedgevale.Served)
+	sc.detached = true
+	server, rest, err := sc.transport.loop.Detach(sc.loopConn)
 	if err != nil {
-		c.moved = false
-		c.junk(err)
+		sc.detached = false
+		sc.failMalformed(err)
 		return
 	}
-	f.over = true
-	delete(c.relay.calls, f.call)
+	ua.done = true
+	delete(sc.transport.byRequest, ua.request)
 	release := func() {
 		_ = server.Close()
-		c.relay.site.opt.Budget.Release()
+		sc.transport.site.opt.Budget.Release()
 	}
 	posted := make(chan struct{})
-	o.c.Post(func(hc *httpd.Conn) {
+	lr.conn.Post(func(hc *httpd.Conn) {
 		close(posted)
 		hc.State = nil
 		client, err := hc.Detach()
 		if err != nil {
 			release()
-			f.call.finish()
+			ua.request.finish()
 			hc.Abort()
 			return
 		}
 		go func() {
-			defer f.call.finish()
+			defer ua.request.finish()
 			defer release()
 			defer func() { _ = client.Close() }()
-			join(client, server, upgraded(h), rest)
+			join(client, server, upgradeHead(h), rest)
 		}()
 	})
 	go func() { // a client that is closed by now is not called
 		select {
 		case <-posted:
-		case <-time.After(unsentPatience):
-			f.call.mu.Lock()
-			over := f.call.over
-			f.call.mu.Unlock()
+		case <-time.After(unsentTimeout):
+			ua.request.mu.Lock()
+			over := ua.request.finished
+			ua.request.mu.Unlock()
 			if over {
 				release()
 			}
@@ -66,8 +66,8 @@
 	}()
 }
 
-// upgraded writes the head by which a server agrees.
-func upgraded(h http1.Head) []byte {
+// upgradeHead writes the head by which a server agrees.
+func upgradeHead(h http1.Head) []byte {
 	b := http1.AppendStatus(nil, 101)
 	for _, f := range h.Fields {
 		if !hopByHop(f.Name) {
@@ -99,10 +99,10 @@
 func copyOneWay(to, from net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
-		_ = from.SetReadDeadline(time.Now().Add(tunnelIdle))
+		_ = from.SetReadDeadline(time.Now().Add(tunnelIdleTimeout))
 		n, err := from.Read(buf)
 		if n > 0 {
-			_ = to.SetWriteDeadline(time.Now().Add(pumpIdle))
+			_ = to.SetWriteDeadline(time.Now().Add(bodyIdleTimeout))
 			if _, err := to.Write(buf[:n]); err != nil {
 				_ = from.Close()
 				return
