--- a/internal/reverseproxy/backend.go
+++ b/internal/reverseproxy/backend.go
@@ -7,7 +7,8 @@
 	"sedgevale/internal/pool"
 )
 
-// pickServer takes a server for a call. The call waits, and is told later, where none has room.
+// pickServer takes a server for a request. Where none has capacity the request is queued, and
+// dispatchQueue goes on with it.
 func (b *backend) pickServer(r *proxyRequest) (server int, v pool.Verdict) {
 	now := b.site.opt.Clock.Now()
 	b.mu.Lock()
@@ -34,7 +35,7 @@
 	return i, v
 }
 
-// armTimer sets the timer of the queue. The lock is held.
+// armTimer sets the timer for the queue's next time-out. The lock is held.
 func (b *backend) armTimer(now time.Duration) {
 	if until := b.pool.Until(); until > 0 && !b.timerArmed {
 		b.timerArmed = true
@@ -47,7 +48,7 @@
 	}
 }
 
-// release gives a server's room back, by name: the pool may have been replaced since.
+// release gives a server's capacity back, by name: the pool may have been replaced since.
 func (b *backend) release(server string) {
 	b.mu.Lock()
 	if i := b.index(server); i >= 0 {
@@ -60,7 +61,7 @@
 	}
 }
 
-// noteConnectFailure notes that no connection to a server came up.
+// noteConnectFailure notes that a connection to a server has failed.
 func (b *backend) noteConnectFailure(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,37 +70,38 @@
 	}
 }
 
-// dispatchQueue has those go who can, and tells those who have waited in vain.
+// dispatchQueue submits the queued requests for which a server has capacity, and rejects those that
+// have waited too long.
 func (b *backend) dispatchQueue() {
-	type going struct {
-		c *proxyRequest
-		i int
+	type assignment struct {
+		request *proxyRequest
+		member  int
 	}
-	var ready []going
-	var late []any
+	var ready []assignment
+	var expired []any
 	now := b.site.opt.Clock.Now()
 	b.mu.Lock()
 	if b.pool != nil {
-		late = b.pool.Expire(now)
+		expired = b.pool.Expire(now)
 		for {
 			token, i, ok := b.pool.Next(now)
 			if !ok {
 				break
 			}
-			ready = append(ready, going{token.(*proxyRequest), i})
+			ready = append(ready, assignment{token.(*proxyRequest), i})
 		}
 		b.armTimer(now)
 	}
 	b.mu.Unlock()
-	for _, c := range late {
-		c.(*proxyRequest).noServer()
+	for _, token := range expired {
+		token.(*proxyRequest).noServer()
 	}
-	for _, g := range ready {
-		g.c.submit(g.i)
+	for _, a := range ready {
+		a.request.submit(a.member)
 	}
 }
 
-// leaveQueue takes a call out of the queue.
+// leaveQueue takes a request out of the queue.
 func (b *backend) leaveQueue(r *proxyRequest) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/reverseproxy/health.go
+++ b/internal/reverseproxy/health.go
@@ -10,8 +10,8 @@
 	"sedgevale/internal/pool"
 )
 
-// applyStates has a new pool's members stand as checks and operators say; the list that is told
-// next has them so.
+// applyStates sets the states of a new pool's members by what checks and operators have said. The
+// caller publishes the list next.
 func (b *backend) applyStates() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -25,8 +25,8 @@
 	}
 }
 
-// workerState is a member's state as the module knows it. What is tied to a draining server
-// still goes there, so only one that is down or in maintenance has left the pick.
+// workerState is a member's state as the module knows it. A draining server still gets requests by
+// affinity, so only one that is down or in maintenance is not picked.
 func workerState(p pool.State) sedgevale.WorkerState {
 	if p == pool.Up || p == pool.Draining {
 		return sedgevale.Active
@@ -34,7 +34,7 @@
 	return sedgevale.Leaving
 }
 
-// startChecks starts the health checks of the tables in force, which end with the context or with the
+// startChecks starts the health checks of the active configuration, which end with the context or with the
 // next call. The lock is held.
 func (s *Site) startChecks(work context.Context) {
 	if s.stopChecks != nil {
@@ -76,11 +76,13 @@
 	}}, true
 }
 
+// follower is a server whose state is that of another.
 type follower struct {
 	backend *backend
 	server  string
 }
 
+// tracking returns the servers that track one of that id.
 func (t *activeConfig) tracking(id string) (out []follower) {
 	for _, spec := range t.web.Backends {
 		for _, m := range spec.Servers {
@@ -92,8 +94,7 @@
 	return out
 }
 
-// setHealth takes in that a server serves or does not: the module and the carrier hear of it as
-// of a drain and a return.
+// setHealth takes in that a server's checks have begun to pass or to fail.
 func (b *backend) setHealth(server string, up bool) {
 	b.mu.Lock()
 	i := b.index(server)
@@ -114,7 +115,8 @@
 	return b.pool.Index(server)
 }
 
-// publishState has pool, carrier and module know how a server stands. It gives the lock back.
+// publishState works out a server's state and gives it to pool, transport and planner. The lock is
+// held when it is called, and released when it returns.
 func (b *backend) publishState(i int) {
 	s := b.site
 	m := &b.spec.Servers[i]
@@ -136,8 +138,8 @@
 	b.dispatchQueue()
 }
 
-// Cordon takes a server, BACKEND/SERVER, out or puts it back, and reports whether it is
-// one of the site's. What is under way there goes on to its end.
+// Cordon cordons a server, BACKEND/SERVER, or lifts that, and reports whether there is such a server.
+// Requests in flight there go on to their end.
 func (s *Site) Cordon(host string, out bool) (known bool) {
 	name, server, _ := strings.Cut(host, "/")
 	b := s.active.Load().backends[name]
@@ -155,13 +157,14 @@
 	return true
 }
 
+// kind returns the module's kind of a worker.
 func (s *Site) kind(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.kinds[id]
 }
 
-// servingServers returns how many servers of a backend serve.
+// servingServers returns how many servers of a backend take new requests.
 func (s *Site) servingServers(name string) int {
 	b := s.active.Load().backends[name]
 	if b == nil {
@@ -175,7 +178,7 @@
 	return b.pool.Serving()
 }
 
-// Status is how a server stands, for operators.
+// Status is the state of a server, for operators. Busy counts the requests in flight there.
 type Status struct {
 	Server string `json:"server"`
 	Addr   string `json:"addr"`
@@ -183,7 +186,7 @@
 	Busy   int    `json:"busy"`
 }
 
-// Status returns how all servers stand.
+// Status returns the states of all servers, in the order of the configuration.
 func (s *Site) Status() (out []Status) {
 	t := s.active.Load()
 	for _, spec := range t.web.Backends {
--- a/internal/reverseproxy/message.go
+++ b/internal/reverseproxy/message.go
@@ -22,6 +22,7 @@
 	return names
 }
 
+// containsFold reports whether a name is among others, whatever the case.
 func containsFold(names []string, name string) bool {
 	for _, n := range names {
 		if strings.EqualFold(n, name) {
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -1,8 +1,8 @@
-// Package reverseproxy is the third front: a plain HTTP/1.1 reverse proxy for any method, path and
-// answer, on the same event loops, Exchange and decision module as the others. Routes say
-// which backend a request goes to, the backend's pool which of its servers may have it,
-// and the module whether and when it goes. Bodies of up to 64 KiB are carried on the event
-// loops; longer ones, and tunnels, in goroutines that read no faster than they write.
+// Package reverseproxy is a plain HTTP/1.1 reverse proxy for any method, path and response, on the
+// same event loops, Exchange and decision module as the job frontends. Rules say which backend a
+// request goes to, the backend's pool which of its servers may have it, and the module whether and
+// when it is sent. Bodies of up to 64 KiB are carried on the event loops; longer ones, and tunnels,
+// by goroutines that read no faster than they write.
 package reverseproxy
 
 import (
@@ -29,11 +29,11 @@
 // Options set a Site up.
 type Options struct {
 	Config *dispatchconfig.Web
-	Loops  int
-	Loop   *evloop.Loop
-	Clock  dispatch.Clock
-	Seed   uint64
-	Budget *fdlimit.Budget
+	Loops  int             // event loops of each listener
+	Loop   *evloop.Loop    // for connections to servers
+	Clock  dispatch.Clock  // of the planner and the pools
+	Seed   uint64          // of the planner's random draws
+	Budget *fdlimit.Budget // of descriptors
 	Log    *slog.Logger
 }
 
@@ -43,20 +43,23 @@
 	planners    *dispatch.Set
 	transport   *transport
 	servers     []*httpd.Server
-	nextRequest atomic.Uint64 // of requests
+	nextRequest atomic.Uint64 // number of the last request
 
-	mu         sync.Mutex // for changes, not for requests
-	active     atomic.Pointer[activeConfig]
-	kinds      map[string]int // by worker id; never given to another
-	stopChecks context.CancelFunc
-	runCtx     context.Context
+	active atomic.Pointer[activeConfig]
+
+	// mu serialises changes of the configuration and guards the fields below. Requests do not take it.
+	mu         sync.Mutex
+	kinds      map[string]int     // by worker id; a number is never given to another worker
+	stopChecks context.CancelFunc // of the health checks that run; nil: none
+	runCtx     context.Context    // of Run; nil: not called yet
 }
 
-// activeConfig are what requests are dealt with by. They are not changed, only replaced.
+// activeConfig is the configuration that requests are dealt with by. It is not changed, only
+// replaced; its backends are kept over the change.
 type activeConfig struct {
 	web       *dispatchconfig.Web
-	frontends map[string]*frontend
-	backends  map[string]*backend
+	frontends map[string]*frontend // by name
+	backends  map[string]*backend  // by name
 }
 
 type frontend struct {
@@ -64,28 +67,29 @@
 	rules *route.Rules
 }
 
-// backend lives on over new settings, since requests under way are counted in it.
+// backend is kept over new settings, since the requests in flight are counted in it.
 type backend struct {
 	name string
 	site *Site
 
+	// mu guards the fields below.
 	mu            sync.Mutex
 	spec          dispatchconfig.WebBackend
 	rules         *route.Rules
-	pool          *pool.Pool
-	hash          *route.Format
+	pool          *pool.Pool         // nil: it has no servers
+	hash          *route.Format      // nil: nothing is hashed
 	safeClasses   []*sedgevale.Class // by member, for requests that may be sent again
-	unsafeClasses []*sedgevale.Class
-	unhealthy     map[string]bool // by server: its checks fail
-	cordoned      map[string]bool // an operator has taken it out
-	avoidUntil    []time.Duration // by member: since its connections fail, it is sent others' turns until then
-	timerArmed    bool            // of the queue
+	unsafeClasses []*sedgevale.Class // by member, for others
+	unhealthy     map[string]bool    // by server: its checks fail
+	cordoned      map[string]bool    // by server: an operator has cordoned it
+	avoidUntil    []time.Duration    // by member, on Clock: a connection failed, so others are preferred
+	timerArmed    bool               // for the queue's next time-out
 }
 
-// connectFailureBackoff is how long a server whose connection failed gets nothing while others serve.
+// connectFailureBackoff is how long a server is avoided after a connection to it has failed.
 const connectFailureBackoff = time.Second
 
-// New returns a Site that does not serve yet.
+// New returns a Site that does not serve yet. It fails if the configuration does not hold.
 func New(o Options) (*Site, error) {
 	s := &Site{opt: o, kinds: map[string]int{}}
 	s.transport = newTransport(s)
@@ -113,13 +117,14 @@
 }
 
 // defaultRequestTimeout is how long a request's head, and a body that is carried on the event loop,
-// may take to come, where the frontend does not say.
+// may take to arrive, where the frontend's request_timeout is 0.
 const defaultRequestTimeout = 10 * time.Second
 
-// Servers are what listens, for who starts and stops them.
+// Servers returns the listeners. Whoever runs the Site starts and stops them.
 func (s *Site) Servers() []*httpd.Server { return s.servers }
 
-// Run works until the context ends.
+// Run plans requests, checks servers and closes idle connections until the context ends. It is
+// called once.
 func (s *Site) Run(ctx context.Context) {
 	s.mu.Lock()
 	s.runCtx = ctx
@@ -131,15 +136,15 @@
 	background.Wait()
 }
 
-// Open returns how many requests wait for the head of an answer.
+// Open returns how many requests wait for the head of a response.
 func (s *Site) Open(ctx context.Context) (int, error) { return s.planners.Open(ctx) }
 
 // Alive returns once the planner has had a turn.
 func (s *Site) Alive(ctx context.Context) error { return s.planners.Alive(ctx) }
 
-// Reload goes on by other frontends and backends. Requests under way go on by the old
-// ones; servers that stay keep their state. New addresses to listen on wait for a new
-// start; they are returned. An error changes nothing.
+// Reload replaces frontends and backends. Requests in flight go on by the old ones; servers that stay
+// keep their state. Changed addresses to listen on take effect at the next start only: the names of
+// their settings are returned. An error changes nothing.
 func (s *Site) Reload(w *dispatchconfig.Web) (waits []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,9 +225,10 @@
 	return b, nil
 }
 
+// id returns the worker id of a server, BACKEND/SERVER.
 func (b *backend) id(server string) string { return b.name + "/" + server }
 
-// moduleSettings are the module's: a class for each server, since the pool says whose turn it
+// moduleSettings returns the decision module's settings: a class for each server, since the pool says whose turn it
 // is, and one attempt for each request, since after a failure the pool says who is next.
 func (s *Site) moduleSettings(t *activeConfig) sedgevale.Settings {
 	set := sedgevale.Settings{MaxAttempts: 1, MayCancel: true, Peers: 1}
@@ -237,7 +243,7 @@
 	return set
 }
 
-// install puts tables in force. Backends that stay take the new settings over.
+// install puts a configuration in force. Backends that stay take the new settings over.
 func (s *Site) install(t *activeConfig) {
 	old := s.active.Load()
 	for name, b := range t.backends {
@@ -256,8 +262,8 @@
 }
 
 // replace has a backend go on by the settings of another, which is not in use yet. It returns the
-// calls that waited and for which the new queue has no room; the others go on waiting in it.
-func (b *backend) replace(by *backend) (lost []any) {
+// requests that were queued and for which the new queue has no place; the others stay queued.
+func (b *backend) replace(by *backend) (rejected []any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.pool != nil {
@@ -266,15 +272,15 @@
 		}
 		for _, c := range b.pool.Drain() {
 			if by.pool == nil || !by.pool.Queue(b.site.opt.Clock.Now(), c, c.(*proxyRequest).hint) {
-				lost = append(lost, c)
+				rejected = append(rejected, c)
 			}
 		}
 	}
 	b.spec, b.rules, b.pool, b.hash, b.safeClasses, b.unsafeClasses, b.avoidUntil = by.spec, by.rules, by.pool, by.hash, by.safeClasses, by.unsafeClasses, by.avoidUntil
-	return lost
+	return rejected
 }
 
-// publish tells planner and relay all servers, as they stand.
+// publish gives planner and transport the whole list of servers and their states.
 func (s *Site) publish(t *activeConfig) {
 	var entries []sedgevale.WorkerInfo
 	var members []serverInfo
@@ -302,11 +308,12 @@
 	return 0
 }
 
+// requestID returns the id of the next request.
 func (s *Site) requestID() string {
 	return "web-" + strconv.FormatUint(s.nextRequest.Add(1), 36)
 }
 
-// retryAfter returns what a 503 says, "" for nothing.
+// retryAfter returns the value of Retry-After for a 503, in seconds; "": there is none.
 func (b *backend) retryAfter() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -316,7 +323,7 @@
 	return strconv.FormatFloat(b.spec.RetryAfter, 'f', -1, 64)
 }
 
-// hopByHop are fields that are for one connection alone (RFC 9110, section 7.6.1).
+// hopByHop reports whether a field is for one connection alone (RFC 9110, section 7.6.1).
 func hopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-connection", "te", "transfer-encoding", "upgrade", "trailer":
--- a/internal/reverseproxy/request.go
+++ b/internal/reverseproxy/request.go
@@ -24,50 +24,52 @@
 	name string
 }
 
-// proxyRequest is one request, from its head to the end of its answer. It is the client side of
-// its Exchanges, one for each server that is tried. What it does towards the client is
-// done by its out.
+// proxyRequest is one request, from its head to the end of its response. It has an Exchange for
+// each server that is tried. What it does towards the client is done by its responder.
+//
+// Where its lock and a backend's are both held, the backend's is taken first.
 type proxyRequest struct {
 	site          *Site
 	backend       *backend
 	parsed        route.Request
 	head          *http1.Head
-	body          []byte // whole, or for a pump the beginning
+	body          []byte // complete, or with a transfer the beginning
 	responder     responder
-	transfer      *transfer // nil: the body is here whole
-	upgrade       string
-	responseRules []*route.Rules // whose rules on responses count, the backend's first
-	forwardFor    bool
+	transfer      *transfer      // nil: body is complete
+	upgrade       string         // the protocol that it wants to go on with; "": none
+	responseRules []*route.Rules // those that edit responses, the backend's first
+	forwardFor    bool           // X-Forwarded-For is added
 
+	// mu guards the fields below.
 	mu         sync.Mutex
 	hint       pool.Hint
 	attempts   int
-	server     string // has it now; "": none
-	member     int
+	server     string // the one whose capacity it holds; "": none
+	member     int    // of the pool, for the last attempt
 	exchange   *dispatch.Exchange
 	cause      string // of the last failure, as retry_on names it
-	sent       bool   // it is out at the server
-	responding bool   // the head of an answer has gone to the client
-	finished   bool
+	sent       bool   // it has been written to the server
+	responding bool   // the head of a response has gone to the client
+	finished   bool   // its capacity is given back; nothing more goes to the client
 }
 
 // responder is the way to a client. Its methods may be called from anywhere and in their order.
 type responder interface {
-	// reply gives a whole answer.
+	// reply gives a complete response of our own. With last the connection ends behind it.
 	reply(status int, fields []http1.Field, body []byte, last bool)
-	// deliver passes on a part of a server's answer.
+	// deliver passes on a part of a server's response.
 	deliver(part *responsePart)
-	// abort tells that a server's answer breaks off.
+	// abort ends the connection within a server's response.
 	abort()
 }
 
-// responsePart is a part of a server's answer: its head, bytes of its body, its end.
+// responsePart is a part of a server's response: its head, bytes of its body, its end.
 type responsePart struct {
-	head    *http1.Head
+	head    *http1.Head // nil: has been delivered
 	parts   [][]byte
-	size    int
+	size    int // of the parts together, in bytes
 	end     bool
-	trailer []http1.Field
+	trailer []http1.Field // with end
 }
 
 // Serve is called with each request whose body is here.
@@ -199,7 +201,7 @@
 	r.responder.reply(503, append(fields, http1.Field{Name: "Content-Type", Value: "text/plain"}), []byte(why+"\n"), false)
 }
 
-// finish ends the call, once, and reports whether this was the end.
+// finish ends the request, once, and gives its capacity back. It reports whether this was the end.
 func (r *proxyRequest) finish() bool {
 	r.mu.Lock()
 	was, server := r.finished, r.server
@@ -211,7 +213,7 @@
 	return !was
 }
 
-// clientGone is told when the client has left.
+// clientGone ends the request after its client has disconnected.
 func (r *proxyRequest) clientGone() {
 	r.mu.Lock()
 	x, waits := r.exchange, r.server == "" && !r.finished
@@ -225,7 +227,7 @@
 	}
 }
 
-// pickServer asks the pool for a server.
+// pickServer asks the pool for a server, and submits the request unless it has to wait.
 func (r *proxyRequest) pickServer() {
 	i, v := r.backend.pickServer(r)
 	switch v {
@@ -236,11 +238,12 @@
 	}
 }
 
+// noServer replies that no server takes the request.
 func (r *proxyRequest) noServer() {
 	r.mu.Lock()
-	over := r.finished
+	finished := r.finished
 	r.mu.Unlock()
-	if over {
+	if finished {
 		return
 	}
 	r.replyUnavailable(r.backend, "no server is free or serves at present")
@@ -255,10 +258,10 @@
 	return false
 }
 
-// maxTransferTime is how long a request may take whose body is long, until the head of its answer.
+// maxTransferTime is how long a request with a long body may take until the head of its response.
 const maxTransferTime = 6 * time.Hour
 
-// submit hands the request to the planner, for a server whose room is taken.
+// submit hands the request to the planner, for a server whose capacity is taken.
 func (r *proxyRequest) submit(i int) {
 	b := r.backend
 	b.mu.Lock()
@@ -282,7 +285,7 @@
 	r.server, r.member, r.cause, r.sent = name, i, "", false
 	now := r.site.opt.Clock.Now()
 	limit := class.Limit
-	if r.transfer != nil { // its body takes as long as the client does; the pump keeps the times
+	if r.transfer != nil { // its body takes as long as the client does; the transfer keeps the time-outs
 		limit = maxTransferTime
 	}
 	r.exchange = dispatch.NewExchange(dispatch.Job{ID: r.site.requestID(), Class: class, Tenant: -1, Slots: 1, Load: r}, now+limit, &exchangeClient{r})
@@ -291,14 +294,14 @@
 	r.site.planners.Request(x)
 }
 
-// exchangeClient is the client side of an exchange.
+// exchangeClient is the client side of an Exchange.
 type exchangeClient struct{ request *proxyRequest }
 
 func (*exchangeClient) Started()         {}
 func (*exchangeClient) Progress(float64) {}
 
 // Answer comes from the planner's goroutine. Served means that the head of an answer has
-// come, which the relay passes on by itself. After a refusal the request may go to another
+// come, which the transport passes on by itself. After a refusal the request may go to another
 // server: the module says by it that nothing of it can have run, or may run again.
 func (s *exchangeClient) Answer(a dispatch.Answer) {
 	r := s.request
@@ -306,23 +309,23 @@
 		return
 	}
 	r.mu.Lock()
-	cause, server, over, begun, sent := r.cause, r.server, r.finished, r.responding, r.sent
-	if !over {
+	cause, server, finished, responding, sent := r.cause, r.server, r.finished, r.responding, r.sent
+	if !finished {
 		r.server = ""
 	}
 	r.mu.Unlock()
-	if over {
+	if finished {
 		return
 	}
 	if server != "" {
 		r.backend.release(server)
 	}
-	if begun {
+	if responding {
 		r.finish()
 		r.responder.abort()
 		return
 	}
-	if cause == "" && sent { // the planner has heard of its end before the carrier
+	if cause == "" && sent { // the planner has heard of its end before the transport
 		cause = "response-timeout"
 	}
 	again := a.Kind == dispatch.Refused && r.mayRetry(cause)
@@ -349,14 +352,15 @@
 // mayRetry reports whether the request may go to another server after a failure of that cause.
 func (r *proxyRequest) mayRetry(cause string) bool {
 	r.mu.Lock()
-	tries := r.attempts
+	attempts := r.attempts
 	r.mu.Unlock()
 	b := r.backend
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return cause != "" && b.spec.RetriesOn(cause) && tries < b.spec.Attempts() && (r.transfer == nil || !r.transfer.hasSentBody())
+	return cause != "" && b.spec.RetriesOn(cause) && attempts < b.spec.Attempts() && (r.transfer == nil || !r.transfer.hasSentBody())
 }
 
+// replyFailure replies that an attempt has failed and none follows.
 func (r *proxyRequest) replyFailure(status int, why string) {
 	r.finish()
 	r.responder.reply(status, []http1.Field{{Name: "Content-Type", Value: "text/plain"}}, []byte(why+"\n"), true)
@@ -407,7 +411,8 @@
 	return true
 }
 
-// respond edits the head of a server's answer and returns what goes to the client.
+// respond edits the head of a server's response and returns what goes to the client. Own is a
+// response that a rule makes in its place.
 func (r *proxyRequest) respond(h *http1.Head) (status int, fields []http1.Field, framing httpd.Framing, own *route.Answer) {
 	fields, framing = responseFields(h, r.head.Method == "HEAD", r.head.Old)
 	status = h.Status
@@ -452,13 +457,14 @@
 	return value
 }
 
-// appendWire returns the bytes of the request to a server, with the body if it is here.
+// appendWire appends the bytes of the request to a server, with what of its body is here. Length is
+// that of appendRequestHead.
 func (r *proxyRequest) appendWire(b []byte, length int64) []byte {
 	b = appendRequestHead(b, r.parsed.Method, r.parsed.Target, r.parsed.Fields, length, addrOf(r.parsed.Src), r.forwardFor, r.upgrade)
 	return append(b, r.body...)
 }
 
-// bodyLength is that of the body, for a request whose body is here.
+// bodyLength returns the length of a complete body in bytes, -2 if there is none.
 func (r *proxyRequest) bodyLength() int64 {
 	if len(r.body) == 0 && r.head.Length < 0 && !r.head.Chunked {
 		return -2
@@ -466,6 +472,7 @@
 	return int64(len(r.body))
 }
 
+// addrOf is an address as a net.Addr, with port 0.
 type addrOf netip.Addr
 
 func (addrOf) Network() string  { return "tcp" }
--- a/internal/reverseproxy/responder.go
+++ b/internal/reverseproxy/responder.go
@@ -14,8 +14,9 @@
 type loopResponder struct {
 	conn    *httpd.Conn
 	request *proxyRequest
-	mu      sync.Mutex
-	pending int // bytes delivered and not written to the kernel
+
+	mu      sync.Mutex // guards pending
+	pending int        // bytes delivered that the loop has not taken yet
 }
 
 func (lr *loopResponder) reply(status int, fields []http1.Field, body []byte, last bool) {
@@ -69,10 +70,10 @@
 	lr.conn.Post(func(c *httpd.Conn) { c.Abort() })
 }
 
-// awaitDrained returns once little of what was delivered is unsent, or false if the client has
-// gone. It is for goroutines of their own.
+// awaitDrained returns true once no more than unsentLowWatermark bytes are unsent, or false if the
+// client has disconnected. It blocks, so it is not for the loop.
 func (lr *loopResponder) awaitDrained() bool {
-	for pause := 200 * time.Microsecond; ; pause = min(2*pause, 5*time.Millisecond) {
+	for backoff := minDrainBackoff; ; backoff = min(2*backoff, maxDrainBackoff) {
 		got := make(chan int, 1)
 		lr.conn.Post(func(c *httpd.Conn) { got <- c.Unsent() })
 		select {
@@ -83,16 +84,18 @@
 		case <-time.After(unsentTimeout): // closed connections are not called
 		}
 		lr.request.mu.Lock()
-		over := lr.request.finished
+		finished := lr.request.finished
 		lr.request.mu.Unlock()
-		if over {
+		if finished {
 			return false
 		}
-		time.Sleep(pause)
+		time.Sleep(backoff)
 	}
 }
 
 const (
-	unsentLowWatermark = 128 << 10
-	unsentTimeout      = time.Second
+	unsentLowWatermark = 128 << 10   // bytes
+	unsentTimeout      = time.Second // for the loop to call back
+	minDrainBackoff    = 200 * time.Microsecond
+	maxDrainBackoff    = 5 * time.Millisecond
 )
--- a/internal/reverseproxy/server_conn.go
+++ b/internal/reverseproxy/server_conn.go
@@ -17,17 +17,17 @@
 	transport *transport
 	loopConn  evloop.Conn
 	server    *server
-	attempt   *upstreamAttempt
+	attempt   *upstreamAttempt // nil: idle
 	parser    *http1.Parser
 	closed    bool
-	writing   bool
-	complete  bool // the answer has come whole
-	detached  bool // a goroutine has it
+	writing   bool // the request is being written; set still when that has failed
+	complete  bool // the response is complete
+	detached  bool // a goroutine has the connection
 	idleSince time.Time
-	out       []byte
+	out       []byte // of the last request, kept for its capacity
 }
 
-// Opened is the loop's.
+// Opened is called by the loop when the connection is up.
 func (sc *serverConn) Opened(gc evloop.Conn) bool {
 	sc.loopConn = gc
 	ua := sc.attempt
@@ -40,7 +40,7 @@
 	return true
 }
 
-// Closed is the loop's.
+// Closed is called by the loop when the connection has ended.
 func (sc *serverConn) Closed(evloop.Conn) {
 	if sc.detached {
 		return
@@ -55,7 +55,7 @@
 	switch {
 	case sc.parser.UntilClose(): // the end of the connection is that of the body
 		sc.finish(&responsePart{end: true})
-	case ua.reported: // its answer has begun
+	case ua.reported: // its response has begun
 		sc.transport.end(ua, sedgevale.Lost)
 		if ua.request.finish() {
 			ua.request.responder.abort()
@@ -67,12 +67,14 @@
 	}
 }
 
+// isQuiet reports whether the idle connection is still up and has nothing to read.
 func (sc *serverConn) isQuiet() bool {
 	var b [1]byte
 	_, _, err := unix.Recvfrom(sc.loopConn.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return errors.Is(err, unix.EAGAIN)
 }
 
+// send writes an attempt's request.
 func (sc *serverConn) send(ua *upstreamAttempt) {
 	sc.attempt, ua.conn = ua, sc
 	sc.complete = false
@@ -85,14 +87,18 @@
 		return
 	}
 	sc.writing = false
-	if cap(sc.out) > 16<<10 {
+	if cap(sc.out) > maxKeptBuffer {
 		sc.out = nil
 	}
 }
 
+// maxKeptBuffer bounds a buffer that is kept for the next request, in bytes.
+const maxKeptBuffer = 16 << 10
+
 var errUnsolicited = errors.New("an answer that nothing was asked for")
 
-// Traffic is the loop's. What one reading brings goes to the client in one delivery.
+// Traffic is called by the loop when there is something to read. What one call reads goes to the
+// client in one part.
 func (sc *serverConn) Traffic(evloop.Conn) bool {
 	part := &responsePart{}
 	more := true
@@ -102,7 +108,7 @@
 	return true
 }
 
-// read takes in one event of the answer, and reports whether to go on with this reading.
+// read takes in one event of the response, and reports whether to go on reading.
 func (sc *serverConn) read(part *responsePart) (more bool) {
 	buf, _ := sc.loopConn.Peek(-1)
 	n, ev, body, err := sc.parser.Next(buf)
@@ -135,7 +141,7 @@
 	return true
 }
 
-// takeHead takes in a head. It returns false if nothing more is wanted of the answer here.
+// takeHead takes in a head. It returns false if nothing more of the response is wanted here.
 func (sc *serverConn) takeHead(part *responsePart) bool {
 	ua := sc.attempt
 	h := sc.parser.Head
@@ -164,23 +170,24 @@
 		return false
 	}
 	part.head = &h
-	// To the module the head is the answer: how long a body takes is the client's affair.
+	// To the module the head is the response: how long a body takes depends on the client.
 	sc.transport.report(ua, sedgevale.Served)
 	return true
 }
 
+// statusText returns a status in digits.
 func statusText(s int) string {
 	return string([]byte{byte('0' + s/100), byte('0' + s/10%10), byte('0' + s%10)})
 }
 
-// deliver delivers what has come.
+// deliver passes on what has come, unless nobody wants it any more.
 func (sc *serverConn) deliver(part *responsePart) {
 	if sc.attempt != nil && !sc.attempt.done && (part.head != nil || len(part.parts) > 0) {
 		sc.attempt.request.responder.deliver(part)
 	}
 }
 
-// isClientSlow reports whether the client does not keep up, or will not, with this answer.
+// isClientSlow reports whether the client does not keep up, or will not, with this response.
 func (sc *serverConn) isClientSlow(part *responsePart) bool {
 	ua := sc.attempt
 	if ua == nil || ua.done || !ua.reported {
@@ -198,7 +205,7 @@
 	return lr.pending+part.size > maxBufferedBody
 }
 
-// finish ends an answer that has come whole. The connection serves the next request.
+// finish ends a complete response. The connection is kept for the next request if it may be.
 func (sc *serverConn) finish(part *responsePart) {
 	ua := sc.attempt
 	sc.complete = true
@@ -219,7 +226,7 @@
 	sc.server.idle = append(sc.server.idle, sc)
 }
 
-// failMalformed ends what a server's malformed answer was for.
+// failMalformed ends the attempt and the connection after a malformed response.
 func (sc *serverConn) failMalformed(err error) {
 	ua := sc.attempt
 	sc.transport.site.opt.Log.Warn("a server's answer is malformed", "server", sc.server.id, "err", err)
@@ -234,7 +241,7 @@
 	}
 }
 
-// detachToGoroutine has a goroutine read the rest of an answer, no faster than the client takes it.
+// detachToGoroutine has a goroutine read the rest of a response, no faster than the client takes it.
 func (sc *serverConn) detachToGoroutine(part *responsePart) {
 	ua := sc.attempt
 	lr, ok := ua.request.responder.(*loopResponder)
@@ -262,7 +269,7 @@
 	}()
 }
 
-// streamRest reads an answer to its end.
+// streamRest passes a response on to its end.
 func (sc *serverConn) streamRest(ua *upstreamAttempt, lr *loopResponder, nc net.Conn, buf []byte) {
 	r := &bodyReader{conn: nc, parser: sc.parser, buf: buf, chunk: make([]byte, 64<<10)}
 	for {
@@ -290,7 +297,7 @@
 	}
 }
 
-// bodyReader reads a body from a connection, by waiting.
+// bodyReader reads a message from a connection that blocks.
 type bodyReader struct {
 	conn   net.Conn
 	parser *http1.Parser
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -15,37 +15,40 @@
 )
 
 const (
-	transferChunk     = 64 << 10
-	bodyIdleTimeout   = 60 * time.Second // without a byte, a body or tunnel ends
-	tunnelIdleTimeout = time.Hour
-	replyTimeout      = 10 * time.Second // for a client to take an answer of our own
+	transferChunk     = 64 << 10         // bytes of one read
+	bodyIdleTimeout   = 60 * time.Second // for the next byte of a body, and for a write
+	tunnelIdleTimeout = time.Hour        // for the next byte of a tunnel
+	replyTimeout      = 10 * time.Second // for a client to take a response of our own
+	lingerTimeout     = 2 * time.Second
 	maxLingerBytes    = 1 << 20
 )
 
 func isEOF(err error) bool { return errors.Is(err, io.EOF) }
 
 // transfer carries a request whose body is too long for an event loop: a goroutine reads it
-// no faster than the server takes it, another passes the answer on. It is a call's out.
+// no faster than the server takes it, another passes the response on. It is the request's responder.
 type transfer struct {
 	request  *proxyRequest
 	client   *httpd.Detached
-	attempts chan *dispatch.Attempt // the module has sent it
-	replies  chan localReply        // an answer of ours
-	stopped  chan struct{}
+	attempts chan *dispatch.Attempt // that the module has sent
+	replies  chan localReply        // of ours, one at most
+	stopped  chan struct{}          // closed by stop
 	stopOnce sync.Once
 
+	// mu guards the fields below.
 	mu           sync.Mutex
-	server       net.Conn
-	bodySent     bool // something of the body was passed on
-	headReceived bool // the head of the answer has come
-	uploaded     bool // the server has been sent, or is being sent, the last of the request
+	server       net.Conn // of the current attempt
+	bodySent     bool     // something of the body may have been passed on
+	headReceived bool     // the head of the response has come, or none comes
+	uploaded     bool     // the server has been sent, or is being sent, the last of the request
 }
 
+// localReply is a response of our own.
 type localReply struct {
 	status int
 	fields []http1.Field
 	body   []byte
-	abort  bool
+	abort  bool // there is none: the connection ends
 }
 
 func newTransfer(r *proxyRequest, c *httpd.Detached) *transfer {
@@ -59,7 +62,8 @@
 	}
 }
 
-func (t *transfer) deliver(*responsePart) {} // answers to a pump come by its own connection
+// deliver does nothing: responses to a transfer come by its own connection.
+func (t *transfer) deliver(*responsePart) {}
 
 func (t *transfer) abort() {
 	select {
@@ -76,7 +80,7 @@
 	return t.bodySent
 }
 
-// stop ends the pump, as when time is up.
+// stop ends the current attempt, as when time is up.
 func (t *transfer) stop() {
 	t.stopOnce.Do(func() { close(t.stopped) })
 	t.mu.Lock()
@@ -86,7 +90,8 @@
 	}
 }
 
-// run carries the request out. Begin routes it.
+// run carries the request out, by one attempt after another, until it has a response. Begin routes
+// the request, so that attempts or a reply come.
 func (t *transfer) run(begin func()) {
 	defer func() { _ = t.client.Close() }()
 	if t.request.head.Get("Expect") != "" && !t.request.head.Old {
@@ -109,8 +114,8 @@
 	}
 }
 
-// writeReply gives the client an answer of ours. The rest of its body is not read to the end, so
-// the connection ends.
+// writeReply gives the client a response of ours. The rest of the request is not read, so the
+// connection ends.
 func (t *transfer) writeReply(a localReply) {
 	if a.abort {
 		return
@@ -127,11 +132,11 @@
 	t.linger()
 }
 
-// linger leaves the client time to read: closing with unread bytes about would reset the
-// connection under the answer.
+// linger leaves the client time to read: closing with unread bytes would reset the connection
+// before the client has read the response.
 func (t *transfer) linger() {
 	if c, ok := t.client.Conn.(*net.TCPConn); ok && c.CloseWrite() == nil {
-		_ = t.client.SetReadDeadline(time.Now().Add(2 * time.Second))
+		_ = t.client.SetReadDeadline(time.Now().Add(lingerTimeout))
 		_, _ = io.CopyN(io.Discard, t.client.Conn, maxLingerBytes)
 	}
 }
@@ -153,7 +158,7 @@
 		return true
 	}
 	defer func() { _ = server.Close() }()
-	if !r.site.transport.isReady(attempt.Worker) { // it was taken out meanwhile
+	if !r.site.transport.isReady(attempt.Worker) { // it was cordoned or became unhealthy meanwhile
 		t.ended(attempt, sedgevale.NotSent)
 		return true
 	}
@@ -166,23 +171,23 @@
 		_ = server.Close()
 		_ = t.client.SetReadDeadline(time.Unix(1, 0))
 		<-up
-		return true // the module gives it up, and an answer comes by told
+		return true // the module gives the attempt up, and a reply or another attempt follows
 	}
 	if !r.beginResponse() {
 		t.ended(attempt, sedgevale.Cancelled)
 		return false
 	}
 	t.ended(attempt, sedgevale.Served)
-	whole := t.download(in, head)
+	complete := t.download(in, head)
 	r.finish()
 	uploaded := t.awaitUpload(up)
-	if whole {
+	if complete {
 		t.release(uploaded)
 	}
 	return false
 }
 
-// ended tells the planner how an attempt ended.
+// ended tells the planner the outcome of an attempt.
 func (t *transfer) ended(attempt *dispatch.Attempt, o sedgevale.Outcome) {
 	if cause := retryCauses[o]; cause != "" {
 		t.request.noteCause(cause)
@@ -192,7 +197,7 @@
 	attempt.Planner.Ended(attempt, o, nil, nil)
 }
 
-// target returns the address of the call's server, "" if new settings have taken it away, and how
+// target returns the address of the request's server, "" if new settings have taken it away, and how
 // long to wait for a connection and for the head of an answer.
 func (t *transfer) target() (addr string, connect, wait time.Duration) {
 	r := t.request
@@ -220,7 +225,7 @@
 	}
 }
 
-// awaitHead reads the head of an answer. The reader goes on with its body.
+// awaitHead reads the head of a response. The reader goes on with its body.
 func (t *transfer) awaitHead(server net.Conn) (*bodyReader, *http1.Head, error) {
 	parser := http1.NewParser(http1.Response)
 	parser.KeepTrailer = true
@@ -235,8 +240,8 @@
 	return in, head, err
 }
 
-// release gives the client's connection back to the event loop after a whole answer, or lets the
-// client read it and ends the connection where the request was not uploaded or nothing may follow.
+// release gives the client's connection back to the event loop after a complete response. Where the
+// request was not uploaded, or no other may follow, the connection ends once the client has read it.
 func (t *transfer) release(uploaded bool) {
 	h := t.request.head
 	if uploaded && !h.Close && !h.Old && !t.client.Draining() && len(t.client.Rest) == 0 {
@@ -247,14 +252,15 @@
 	t.linger()
 }
 
-// awaitUpload reports whether the request was passed on whole, once the answer has been passed on. A server that was sent the last of the
-// request may answer before the uploading goroutine has said so; the connection to the client is good all the same.
-// Of a request that is not whole by now the rest is not wanted.
+// awaitUpload waits for the uploading goroutine once the response has been passed on, and reports
+// whether the request was passed on whole. A server that was sent the last of the request may respond
+// before that goroutine has said so; the connection to the client is good all the same. Of a request
+// that is not complete by now the rest is not read.
 func (t *transfer) awaitUpload(up <-chan bool) bool {
 	t.mu.Lock()
-	whole := t.uploaded
+	complete := t.uploaded
 	t.mu.Unlock()
-	if whole {
+	if complete {
 		return <-up
 	}
 	select {
@@ -274,7 +280,7 @@
 	t.mu.Unlock()
 }
 
-// head reads the head of an answer; those before the final one say nothing here.
+// head reads the head of a response, and passes over interim ones.
 func (r *bodyReader) head() (*http1.Head, error) {
 	for {
 		n, ev, _, err := r.parser.Next(r.buf)
@@ -298,7 +304,8 @@
 	}
 }
 
-// upload passes the request on.
+// upload passes the request on. From its end on, the server has the given time until the head of its
+// response.
 func (t *transfer) upload(server net.Conn, wait time.Duration) error {
 	r := t.request
 	length := r.head.Length
@@ -356,7 +363,8 @@
 	}
 }
 
-// download passes an answer on and reports whether it was whole.
+// download passes a response on. It reports whether it was complete and the client's connection may
+// go on.
 func (t *transfer) download(in *bodyReader, h *http1.Head) bool {
 	r := t.request
 	status, fields, framing, own := r.respond(h)
--- a/internal/reverseproxy/transport.go
+++ b/internal/reverseproxy/transport.go
@@ -14,44 +14,46 @@
 const (
 	idleConnTimeout = 5 * time.Second // a connection to a server is kept that long
 	maxIdleConns    = 256             // to one server
-	maxBufferedBody = 256 << 10       // bodies from which on, and unsent bytes from which on, an answer is read by a goroutine
+	maxBufferedBody = 256 << 10       // bytes of a body, or delivered and unsent, beyond which a goroutine reads a response
 	sweepInterval   = 500 * time.Millisecond
 )
 
-// serverInfo is a server as the carrier knows it.
+// serverInfo is what the transport is told of a server.
 type serverInfo struct {
 	id, addr       string
 	connectTimeout time.Duration
-	ready          bool
+	ready          bool // it may be sent requests
 }
 
-// transport is the server side: it carries requests to servers, as a core.Carrier.
+// transport carries requests to servers. It is the planner's dispatch.Carrier.
 type transport struct {
 	site *Site
 	loop *evloop.Loop
 
-	// For the loop alone.
-	servers   map[string]*server
+	// The maps are for the loop alone.
+	servers   map[string]*server // by serverInfo.id
 	attempts  map[*dispatch.Attempt]*upstreamAttempt
-	byRequest map[*proxyRequest]*upstreamAttempt
+	byRequest map[*proxyRequest]*upstreamAttempt // those that a transfer has not taken over
 
-	mu    sync.Mutex
-	ready map[string]bool // the same as servers' ready, for goroutines
+	mu    sync.Mutex      // guards ready
+	ready map[string]bool // the same as the servers' ready, for goroutines
 }
 
+// server is a server and its connections. It belongs to the loop.
 type server struct {
 	serverInfo
 	idle    []*serverConn // the most recently used last
 	dialing map[*upstreamAttempt]struct{}
 }
 
+// upstreamAttempt is an attempt on its way to a server and back. It belongs to the loop.
 type upstreamAttempt struct {
 	attempt  *dispatch.Attempt
 	request  *proxyRequest
-	server   *server
-	conn     *serverConn
-	reported bool // the planner has heard of its end
-	done     bool // nothing more comes of it
+	server   *server     // nil: not known any more
+	conn     *serverConn // nil: not sent
+	reported bool        // the planner has been told its outcome
+	done     bool        // nothing more comes of it
 }
 
 func newTransport(s *Site) *transport {
@@ -59,7 +61,7 @@
 		byRequest: map[*proxyRequest]*upstreamAttempt{}, ready: map[string]bool{}}
 }
 
-// update brings the list, or what has changed in it.
+// update takes in all servers, or with whole false those that have changed.
 func (tr *transport) update(whole bool, all []serverInfo) {
 	tr.mu.Lock()
 	if whole {
@@ -95,20 +97,19 @@
 	})
 }
 
+// isReady reports whether a server may be sent requests. Any goroutine may ask.
 func (tr *transport) isReady(id string) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return tr.ready[id]
 }
 
-// closeUnsent ends what has not been sent to a server, and its idle connections.
+// closeUnsent ends attempts that have not been sent to a server, and its idle connections.
 func (tr *transport) closeUnsent(srv *server) {
 	for ua := range srv.dialing {
 		tr.end(ua, sedgevale.NotSent)
 	}
-	for len(srv.idle) > 0 {
-		tr.closeConn(srv.idle[len(srv.idle)-1])
-	}
+	tr.closeIdle(srv)
 }
 
 // Send carries out an attempt.
@@ -122,7 +123,7 @@
 		case ua.server == nil || !ua.server.ready:
 			tr.end(ua, sedgevale.NotSent)
 		case r.transfer != nil:
-			ua.done = true // from here on it is the pump's
+			ua.done = true // from here on it is the transfer's
 			delete(tr.byRequest, r)
 			r.transfer.attempts <- attempt
 		default:
@@ -155,21 +156,25 @@
 	})
 }
 
-// Probe is the core's; there are no load reports here.
+// Probe answers at once: servers report no load here.
 func (tr *transport) Probe(worker string, p *dispatch.Planner) { p.Probed(worker, nil) }
 
-// CloseIdle is the core's.
+// CloseIdle closes a server's idle connections.
 func (tr *transport) CloseIdle(id string) {
 	tr.loop.Do(func() {
 		if srv := tr.servers[id]; srv != nil {
-			for len(srv.idle) > 0 {
-				tr.closeConn(srv.idle[len(srv.idle)-1])
-			}
+			tr.closeIdle(srv)
 		}
 	})
 }
 
-// cancelRequest ends what goes on for a call whose client has gone.
+func (tr *transport) closeIdle(srv *server) {
+	for len(srv.idle) > 0 {
+		tr.closeConn(srv.idle[len(srv.idle)-1])
+	}
+}
+
+// cancelRequest ends the attempt of a request whose client has disconnected.
 func (tr *transport) cancelRequest(r *proxyRequest) {
 	tr.loop.Do(func() {
 		if ua := tr.byRequest[r]; ua != nil {
@@ -181,6 +186,7 @@
 	}
 }
 
+// start sends an attempt on an idle connection, or dials one.
 func (tr *transport) start(ua *upstreamAttempt) {
 	srv := ua.server
 	for n := len(srv.idle); n > 0; n = len(srv.idle) {
@@ -207,13 +213,15 @@
 	})
 }
 
-// end ends a flight. Unless its answer has come whole, its connection ends too.
+// end ends an attempt. Unless its response is complete, its connection ends too.
 func (tr *transport) end(ua *upstreamAttempt, o sedgevale.Outcome) {
 	if ua.done {
 		return
 	}
 	ua.done = true
-	delete(ua.serverOrNone().dialing, ua)
+	if ua.server != nil {
+		delete(ua.server.dialing, ua)
+	}
 	if tr.byRequest[ua.request] == ua {
 		delete(tr.byRequest, ua.request)
 	}
@@ -223,16 +231,7 @@
 	tr.report(ua, o)
 }
 
-var noServer = &server{}
-
-func (ua *upstreamAttempt) serverOrNone() *server {
-	if ua.server == nil {
-		return noServer
-	}
-	return ua.server
-}
-
-// report tells the planner how an attempt ended, once.
+// report tells the planner the outcome of an attempt, once.
 func (tr *transport) report(ua *upstreamAttempt, o sedgevale.Outcome) {
 	if ua.reported {
 		return
@@ -254,6 +253,7 @@
 	tr.loop.Close(sc.loopConn)
 }
 
+// forget takes a connection out of the idle ones.
 func (srv *server) forget(sc *serverConn) {
 	for i := range srv.idle {
 		if srv.idle[i] == sc {
--- a/internal/reverseproxy/tunnel.go
+++ b/internal/reverseproxy/tunnel.go
@@ -52,21 +52,21 @@
 			join(client, server, upgradeHead(h), rest)
 		}()
 	})
-	go func() { // a client that is closed by now is not called
+	go func() { // a connection that is closed by now is not called back
 		select {
 		case <-posted:
 		case <-time.After(unsentTimeout):
 			ua.request.mu.Lock()
-			over := ua.request.finished
+			finished := ua.request.finished
 			ua.request.mu.Unlock()
-			if over {
+			if finished {
 				release()
 			}
 		}
 	}()
 }
 
-// upgradeHead writes the head by which a server agrees.
+// upgradeHead returns the head by which a server agrees to go on with another protocol.
 func upgradeHead(h http1.Head) []byte {
 	b := http1.AppendStatus(nil, 101)
 	for _, f := range h.Fields {
@@ -79,7 +79,8 @@
 	return append(b, "\r\n"...)
 }
 
-// join copies both ways until both have ended, or nothing has come for long.
+// join writes the response's head and what came behind it, then copies both ways until both have
+// ended or are idle for too long.
 func join(client *httpd.Detached, server net.Conn, head, rest []byte) {
 	if _, err := client.Write(append(head, rest...)); err != nil {
 		return
@@ -95,7 +96,7 @@
 	wg.Wait()
 }
 
-// copyOneWay copies until the source ends, nothing has come for long, or either side fails.
+// copyOneWay copies until the source ends, is idle for tunnelIdleTimeout, or either side fails.
 func copyOneWay(to, from net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
