--- a/internal/dispatchconfig/config.go
+++ b/internal/dispatchconfig/config.go
@@ -104,24 +104,24 @@
 		return nil, err
 	}
 	c.keys = map[string]bool{}
-	keysOf(tree, "", c.keys)
+	collectKeys(tree, "", c.keys)
 	return &c, nil
 }
 
-// keysOf collects the paths of an object's keys. Of a list it has those which all
+// collectKeys collects the paths of an object's keys. Of a list it has those which all
 // of its objects share.
-func keysOf(v any, path string, into map[string]bool) {
+func collectKeys(v any, path string, into map[string]bool) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, inner := range v {
 			into[path+k] = true
-			keysOf(inner, path+k+".", into)
+			collectKeys(inner, path+k+".", into)
 		}
 	case []any:
 		counts := map[string]int{}
 		for _, inner := range v {
 			one := map[string]bool{}
-			keysOf(inner, path, one)
+			collectKeys(inner, path, one)
 			for k := range one {
 				counts[k]++
 			}
--- a/internal/dispatchconfig/web.go
+++ b/internal/dispatchconfig/web.go
@@ -67,33 +67,33 @@
 
 // WebCheck says how a backend's servers are checked.
 type WebCheck struct {
-	Kind    string   `toml:"kind,omitempty"` // "tcp" or "http"
-	Method  string   `toml:"method,omitempty"`
-	URI     string   `toml:"uri,omitempty"`
-	Version string   `toml:"version,omitempty"`
-	Headers []string `toml:"headers,omitempty"` // NAME: VALUE
-	Expect  []string `toml:"expect,omitempty"`  // [!] status|rstatus|string|rstring VALUE
-	Every   float64  `toml:"inter,omitzero"`
-	Fast    float64  `toml:"fastinter,omitzero"`
-	Down    float64  `toml:"downinter,omitzero"`
-	Rise    int      `toml:"rise,omitzero"`
-	Fall    int      `toml:"fall,omitzero"`
-	Timeout float64  `toml:"timeout,omitzero"`
+	Kind         string   `toml:"kind,omitempty"` // "tcp" or "http"
+	Method       string   `toml:"method,omitempty"`
+	URI          string   `toml:"uri,omitempty"`
+	Version      string   `toml:"version,omitempty"`
+	Headers      []string `toml:"headers,omitempty"` // NAME: VALUE
+	Expect       []string `toml:"expect,omitempty"`  // [!] status|rstatus|string|rstring VALUE
+	Interval     float64  `toml:"inter,omitzero"`
+	FastInterval float64  `toml:"fastinter,omitzero"`
+	DownInterval float64  `toml:"downinter,omitzero"`
+	Rise         int      `toml:"rise,omitzero"`
+	Fall         int      `toml:"fall,omitzero"`
+	Timeout      float64  `toml:"timeout,omitzero"`
 }
 
 // WebServer is a server of a backend.
 type WebServer struct {
-	Name     string    `toml:"name"`
-	Addr     string    `toml:"addr"`
-	Weight   *int      `toml:"weight,omitempty"` // none: 1
-	Backup   bool      `toml:"backup,omitempty"`
-	Disabled bool      `toml:"disabled,omitempty"`
-	MaxConn  int       `toml:"maxconn,omitzero"`
-	Cookie   string    `toml:"cookie,omitempty"`
-	Check    *WebCheck `toml:"check,omitempty"`      // over the backend's, part by part
-	NoCheck  bool      `toml:"no_check,omitempty"`   // though the backend has one
-	CheckAt  string    `toml:"check_addr,omitempty"` // where, if not at addr
-	Track    string    `toml:"track,omitempty"`      // BACKEND/SERVER: it stands as that does
+	Name      string    `toml:"name"`
+	Addr      string    `toml:"addr"`
+	Weight    *int      `toml:"weight,omitempty"` // none: 1
+	Backup    bool      `toml:"backup,omitempty"`
+	Disabled  bool      `toml:"disabled,omitempty"`
+	MaxConn   int       `toml:"maxconn,omitzero"`
+	Cookie    string    `toml:"cookie,omitempty"`
+	Check     *WebCheck `toml:"check,omitempty"`      // over the backend's, part by part
+	NoCheck   bool      `toml:"no_check,omitempty"`   // though the backend has one
+	CheckAddr string    `toml:"check_addr,omitempty"` // where, if not at addr
+	Track     string    `toml:"track,omitempty"`      // BACKEND/SERVER: it stands as that does
 }
 
 // Defaults of a backend, as HAProxy has them.
@@ -103,8 +103,8 @@
 	defaultServerTimeout  = 60.0 // seconds
 )
 
-// RetryWords are the failures that retry_on can name.
-var RetryWords = []string{"conn-failure", "empty-response", "response-timeout", "junk-response", "500", "502", "503", "504", "none"}
+// RetryConditions are the failures that retry_on can name.
+var RetryConditions = []string{"conn-failure", "empty-response", "response-timeout", "junk-response", "500", "502", "503", "504", "none"}
 
 // Attempts returns how often a request may be sent, the first time included.
 func (b *WebBackend) Attempts() int {
@@ -114,8 +114,8 @@
 	return 1 + *b.Retries
 }
 
-// Times returns how long to wait for a connection, and for the head of an answer.
-func (b *WebBackend) Times() (connect, server time.Duration) {
+// Timeouts returns how long to wait for a connection, and for the head of an answer.
+func (b *WebBackend) Timeouts() (connect, server time.Duration) {
 	return Seconds(cmp.Or(b.ConnectTimeout, defaultConnectTimeout)), Seconds(cmp.Or(b.ServerTimeout, defaultServerTimeout))
 }
 
@@ -127,12 +127,12 @@
 	return slices.Contains(b.RetryOn, what)
 }
 
-// Pool returns the options of the backend's pool.
-func (b *WebBackend) Pool() pool.Options {
+// PoolOptions returns the options of the backend's pool.
+func (b *WebBackend) PoolOptions() pool.Options {
 	o := pool.Options{Balance: pool.Balance(b.Balance), AllBackups: b.AllBackups, MaxQueue: b.MaxQueue,
-		QueueWait: Seconds(b.QueueTimeout), SlowStart: Seconds(b.SlowStart)}
-	if o.QueueWait == 0 {
-		o.QueueWait, _ = b.Times() // as HAProxy does
+		QueueTimeout: Seconds(b.QueueTimeout), SlowStart: Seconds(b.SlowStart)}
+	if o.QueueTimeout == 0 {
+		o.QueueTimeout, _ = b.Timeouts() // as HAProxy does
 	}
 	for _, s := range b.Servers {
 		m := pool.Member{Name: s.Name, Weight: 1, Backup: s.Backup, Disabled: s.Disabled, MaxConn: s.MaxConn, Cookie: s.Cookie}
@@ -144,8 +144,8 @@
 	return o
 }
 
-// CheckOf returns how a server is checked; ok is false where it is not.
-func (b *WebBackend) CheckOf(s *WebServer) (spec healthcheck.Spec, addr string, ok bool, err error) {
+// HealthCheck returns how a server is checked; ok is false where it is not.
+func (b *WebBackend) HealthCheck(s *WebServer) (spec healthcheck.Spec, addr string, ok bool, err error) {
 	if s.NoCheck || b.Check == nil && s.Check == nil || s.Track != "" {
 		return spec, "", false, nil
 	}
@@ -158,9 +158,9 @@
 		override(&c.Method, o.Method)
 		override(&c.URI, o.URI)
 		override(&c.Version, o.Version)
-		override(&c.Every, o.Every)
-		override(&c.Fast, o.Fast)
-		override(&c.Down, o.Down)
+		override(&c.Interval, o.Interval)
+		override(&c.FastInterval, o.FastInterval)
+		override(&c.DownInterval, o.DownInterval)
 		override(&c.Rise, o.Rise)
 		override(&c.Fall, o.Fall)
 		override(&c.Timeout, o.Timeout)
@@ -171,7 +171,7 @@
 			c.Expect = o.Expect
 		}
 	}
-	if addr = s.CheckAt; addr == "" {
+	if addr = s.CheckAddr; addr == "" {
 		addr = s.Addr
 	}
 	spec, err = c.spec()
@@ -184,8 +184,8 @@
 }
 
 func (c *WebCheck) spec() (healthcheck.Spec, error) {
-	s := healthcheck.Spec{Kind: c.Kind, Method: c.Method, URI: c.URI, Version: c.Version, Every: Seconds(c.Every), Fast: Seconds(c.Fast),
-		Down: Seconds(c.Down), Rise: c.Rise, Fall: c.Fall, Timeout: Seconds(c.Timeout)}
+	s := healthcheck.Spec{Kind: c.Kind, Method: c.Method, URI: c.URI, Version: c.Version, Interval: Seconds(c.Interval), FastInterval: Seconds(c.FastInterval),
+		DownInterval: Seconds(c.DownInterval), Rise: c.Rise, Fall: c.Fall, Timeout: Seconds(c.Timeout)}
 	for _, h := range c.Headers {
 		name, value, ok := cutField(h)
 		if !ok {
@@ -194,7 +194,7 @@
 		s.Headers = append(s.Headers, healthcheck.Header{Name: name, Value: value})
 	}
 	for _, e := range c.Expect {
-		words, err := route.Words(e)
+		words, err := route.SplitWords(e)
 		if err != nil {
 			return s, fmt.Errorf("check: expect %q: %w", e, err)
 		}
@@ -205,10 +205,10 @@
 		if len(words) != 2 {
 			return s, fmt.Errorf("check: expect %q: want what and a value", e)
 		}
-		x.What, x.Value = words[0], words[1]
+		x.Kind, x.Value = words[0], words[1]
 		s.Expect = append(s.Expect, x)
 	}
-	if err := s.Fill(); err != nil {
+	if err := s.SetDefaults(); err != nil {
 		return s, fmt.Errorf("check: %w", err)
 	}
 	return s, nil
@@ -230,8 +230,8 @@
 // maxRuleFile bounds a file that a rule names.
 const maxRuleFile = 64 << 20
 
-// Files reads the files that rules name.
-func (w *Web) Files(path string) ([]byte, error) {
+// ReadFile reads the files that rules name.
+func (w *Web) ReadFile(path string) ([]byte, error) {
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(w.dir, path)
 	}
@@ -317,7 +317,7 @@
 
 // checkRules checks a frontend's rules, which may lead only to backends that are there.
 func (w *Web) checkRules(f *WebFrontend, backends map[string]*WebBackend) error {
-	rules, err := route.Compile(f.Spec, w.Files)
+	rules, err := route.Compile(f.Spec, w.ReadFile)
 	if err != nil {
 		return fmt.Errorf("web: frontend %q: %w", f.Name, err)
 	}
@@ -355,7 +355,7 @@
 	if b.Cookie != nil && b.Cookie.Name == "" {
 		return errors.New("cookie: no name")
 	}
-	if _, err := route.Compile(b.Spec, w.Files); err != nil {
+	if _, err := route.Compile(b.Spec, w.ReadFile); err != nil {
 		return err
 	}
 	for i := range b.Servers {
@@ -370,7 +370,7 @@
 // checkBalance checks the pool that the backend makes, and what is hashed.
 func (w *Web) checkBalance(b *WebBackend) error {
 	if len(b.Servers) > 0 {
-		o := b.Pool()
+		o := b.PoolOptions()
 		if err := o.Check(); err != nil {
 			return err
 		}
@@ -379,7 +379,7 @@
 		return errors.New(`balance "hash" and hash_on belong together`)
 	}
 	if b.HashOn != "" {
-		if _, err := route.ParseFormat("%["+b.HashOn+"]", w.Files); err != nil {
+		if _, err := route.ParseFormat("%["+b.HashOn+"]", w.ReadFile); err != nil {
 			return fmt.Errorf("hash_on: %w", err)
 		}
 	}
@@ -392,8 +392,8 @@
 		return errors.New("retries and times must not be negative")
 	}
 	for _, word := range b.RetryOn {
-		if !slices.Contains(RetryWords, word) {
-			return fmt.Errorf("retry_on: %q is none of %v", word, RetryWords)
+		if !slices.Contains(RetryConditions, word) {
+			return fmt.Errorf("retry_on: %q is none of %v", word, RetryConditions)
 		}
 	}
 	return nil
@@ -404,11 +404,11 @@
 	if _, err := netip.ParseAddrPort(s.Addr); err != nil {
 		return fmt.Errorf("%q is no IP address and port", s.Addr)
 	}
-	if s.CheckAt != "" {
-		if _, err := netip.ParseAddrPort(s.CheckAt); err != nil {
-			return fmt.Errorf("check_addr %q is no IP address and port", s.CheckAt)
+	if s.CheckAddr != "" {
+		if _, err := netip.ParseAddrPort(s.CheckAddr); err != nil {
+			return fmt.Errorf("check_addr %q is no IP address and port", s.CheckAddr)
 		}
 	}
-	_, _, _, err := b.CheckOf(s)
+	_, _, _, err := b.HealthCheck(s)
 	return err
 }
--- a/internal/haproxy/backend.go
+++ b/internal/haproxy/backend.go
@@ -35,11 +35,11 @@
 	"option redispatch":    says(Differently, "always so: each further try goes to another server"),
 	"retries":              (*builder).retries,
 	"retry-on":             (*builder).retryOn,
-	"timeout connect":      func(b *builder, w []string) { b.timeout(w, &b.back.ConnectTimeout, "") },
+	"timeout connect":      func(b *builder, w []string) { b.timeout(w, &b.backend.ConnectTimeout, "") },
 	"timeout server": func(b *builder, w []string) {
-		b.timeout(w, &b.back.ServerTimeout, "until the head of an answer; a body may pause longer")
+		b.timeout(w, &b.backend.ServerTimeout, "until the head of an answer; a body may pause longer")
 	},
-	"timeout queue": func(b *builder, w []string) { b.timeout(w, &b.back.QueueTimeout, "") },
+	"timeout queue": func(b *builder, w []string) { b.timeout(w, &b.backend.QueueTimeout, "") },
 	"timeout check": (*builder).checkTimeout,
 	"fullconn":      says(NotNeeded, "only for minconn, which is not carried over"),
 }
@@ -73,7 +73,7 @@
 }
 
 func (b *builder) allBackups([]string) {
-	b.back.AllBackups = true
+	b.backend.AllBackups = true
 	b.note(Carried, "")
 }
 
@@ -87,7 +87,7 @@
 		b.fail("retries: %q is no number between 0 and 100", w[1])
 		return
 	}
-	b.back.Retries = &n
+	b.backend.Retries = &n
 	b.note(Carried, "")
 }
 
@@ -110,7 +110,7 @@
 }
 
 func (b *builder) balance(w []string) {
-	k := b.back
+	k := b.backend
 	if len(w) < 2 {
 		b.fail("balance takes an algorithm")
 		return
@@ -153,7 +153,7 @@
 
 // hash balances by hashing an expression. How is said behind it in the report.
 func (b *builder) hash(on, how string) {
-	b.back.Balance, b.back.HashOn = "hash", on
+	b.backend.Balance, b.backend.HashOn = "hash", on
 	b.note(Differently, "by rendezvous hashing of %s%s: other servers than HAProxy's table has, one and the same for each value", on, how)
 }
 
@@ -162,7 +162,7 @@
 		b.fail("balance hash takes an expression")
 		return
 	}
-	if _, err := route.ParseFormat("%["+w[0]+"]", b.im.opt.Files); err != nil {
+	if _, err := route.ParseFormat("%["+w[0]+"]", b.importer.opt.Files); err != nil {
 		b.noteOutcome(err, "")
 		return
 	}
@@ -208,7 +208,7 @@
 		b.note(NotCarried, "only a cookie that is inserted ties clients to servers")
 		return
 	}
-	b.back.Cookie = c
+	b.backend.Cookie = c
 	b.noteOptions(without, "")
 }
 
@@ -218,7 +218,7 @@
 	var on []string
 	for _, w := range words {
 		switch {
-		case slices.Contains(dispatchconfig.RetryWords, w):
+		case slices.Contains(dispatchconfig.RetryConditions, w):
 			on = append(on, w)
 		case w == "all-retryable-errors":
 			on = append(on, "conn-failure", "empty-response", "junk-response", "response-timeout", "500", "502", "503", "504")
@@ -231,7 +231,7 @@
 		return
 	}
 	slices.Sort(on)
-	b.back.RetryOn = slices.Compact(on)
+	b.backend.RetryOn = slices.Compact(on)
 	switch {
 	case len(on) == 0:
 		b.note(NotCarried, "%s: connections that fail are retried", strings.Join(without, ", "))
@@ -344,6 +344,6 @@
 		return
 	}
 	value := strings.Join(rest[1:], " ")
-	b.check.Expect = append(b.check.Expect, not+route.Line([]string{rest[0], value}))
+	b.check.Expect = append(b.check.Expect, not+route.JoinWords([]string{rest[0], value}))
 	b.note(Carried, "")
 }
--- a/internal/haproxy/explain.go
+++ b/internal/haproxy/explain.go
@@ -20,8 +20,8 @@
 	TLS      bool
 }
 
-// Way is where a request goes.
-type Way struct {
+// Explanation is where a request goes.
+type Explanation struct {
 	Frontend, Rule, Backend, Server string
 	Answer                          *route.Answer // in place of a server
 	Target                          string        // as the server sees it
@@ -29,7 +29,7 @@
 
 // Explain says which frontend, rule, backend and server a request would take, while all
 // servers serve. Of several whose turn it may be the first is named.
-func Explain(w *dispatchconfig.Web, files route.Files, ask Ask) (*Way, error) {
+func Explain(w *dispatchconfig.Web, files route.Files, ask Ask) (*Explanation, error) {
 	f, err := findFrontend(w, ask.Frontend)
 	if err != nil {
 		return nil, err
@@ -42,13 +42,13 @@
 	for i := range w.Backends {
 		backends[w.Backends[i].Name] = &w.Backends[i]
 	}
-	q.Alive = func(name string) int {
+	q.ServingServers = func(name string) int {
 		if b := backends[name]; b != nil {
 			return len(b.Servers)
 		}
 		return 0
 	}
-	way := &Way{Frontend: f.Name}
+	way := &Explanation{Frontend: f.Name}
 	answered, err := way.throughFrontend(f, files, q, backends)
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 
 // throughFrontend finds the backend by the frontend's rules. It reports whether the request is
 // answered without one.
-func (w *Way) throughFrontend(f *dispatchconfig.WebFrontend, files route.Files, q *route.Request, backends map[string]*dispatchconfig.WebBackend) (answered bool, err error) {
+func (w *Explanation) throughFrontend(f *dispatchconfig.WebFrontend, files route.Files, q *route.Request, backends map[string]*dispatchconfig.WebBackend) (answered bool, err error) {
 	rules, err := route.Compile(f.Spec, files)
 	if err != nil {
 		return false, err
@@ -113,19 +113,19 @@
 	if w.answer(rules, q) {
 		return true, nil
 	}
-	w.Backend, w.Rule = rules.Backend(q, func(n string) bool { return backends[n] != nil })
+	w.Backend, w.Rule = rules.SelectBackend(q, func(n string) bool { return backends[n] != nil })
 	if w.Rule == "" {
 		w.Rule = "default"
 	}
 	if backends[w.Backend] == nil {
-		w.Answer = &route.Answer{Status: 503, Why: "no backend serves this request"}
+		w.Answer = &route.Answer{Status: 503, Reason: "no backend serves this request"}
 		return true, nil
 	}
 	return false, nil
 }
 
 // throughBackend finds the server by the backend's rules and its pool.
-func (w *Way) throughBackend(b *dispatchconfig.WebBackend, files route.Files, q *route.Request) error {
+func (w *Explanation) throughBackend(b *dispatchconfig.WebBackend, files route.Files, q *route.Request) error {
 	rules, err := route.Compile(b.Spec, files)
 	if err != nil {
 		return err
@@ -135,10 +135,10 @@
 	}
 	w.Target = q.Target
 	if len(b.Servers) == 0 {
-		w.Answer = &route.Answer{Status: 503, Why: "the backend has no servers"}
+		w.Answer = &route.Answer{Status: 503, Reason: "the backend has no servers"}
 		return nil
 	}
-	p, err := pool.New(b.Pool())
+	p, err := pool.New(b.PoolOptions())
 	if err != nil {
 		return err
 	}
@@ -146,20 +146,20 @@
 	if err != nil {
 		return err
 	}
-	if i, v := p.Pick(1, hint); v == pool.Go {
+	if i, v := p.Pick(1, hint); v == pool.Assigned {
 		w.Server = p.Name(i)
 	} else {
-		w.Answer = &route.Answer{Status: 503, Why: "no server of the backend serves"}
+		w.Answer = &route.Answer{Status: 503, Reason: "no server of the backend serves"}
 	}
 	return nil
 }
 
 // answer reports whether one of the rules answers the request.
-func (w *Way) answer(rules *route.Rules, q *route.Request) bool {
-	if w.Answer = rules.Request(q); w.Answer == nil {
+func (w *Explanation) answer(rules *route.Rules, q *route.Request) bool {
+	if w.Answer = rules.ApplyRequest(q); w.Answer == nil {
 		return false
 	}
-	w.Rule = w.Answer.Why
+	w.Rule = w.Answer.Reason
 	return true
 }
 
@@ -170,19 +170,19 @@
 		if err != nil {
 			return h, err
 		}
-		h.Key = on.Of(q)
+		h.Key = on.Expand(q)
 	}
 	if b.Cookie != nil {
 		persistence, err := route.ParseFormat("%[cook("+b.Cookie.Name+")]", files)
 		if err == nil {
-			h.Cookie = persistence.Of(q)
+			h.Cookie = persistence.Expand(q)
 		}
 	}
 	return h, nil
 }
 
 // String says a way for a person, in lines.
-func (w *Way) String() string {
+func (w *Explanation) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "frontend %s\n", w.Frontend)
 	if w.Rule != "" {
@@ -195,7 +195,7 @@
 		fmt.Fprintf(&b, "server   %s, as %s\n", w.Server, w.Target)
 	}
 	if w.Answer != nil {
-		fmt.Fprintf(&b, "answer   %d %s\n", w.Answer.Status, w.Answer.Why)
+		fmt.Fprintf(&b, "answer   %d %s\n", w.Answer.Status, w.Answer.Reason)
 		for _, f := range w.Answer.Fields {
 			fmt.Fprintf(&b, "         %s: %s\n", f.Name, f.Value)
 		}
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -31,7 +31,7 @@
 // importer maps sections.
 type importer struct {
 	opt      Options
-	all      []*section
+	sections []*section
 	result   *Result
 	errs     []error
 	verdicts map[position]Entry // of directives that several sections inherit: the worst
@@ -55,11 +55,11 @@
 	if opt.Files == nil {
 		opt.Files = route.NoFiles
 	}
-	r := &reader{opt: &opt}
+	r := &sectionReader{opt: &opt}
 	for _, s := range sources {
 		r.read(s)
 	}
-	im := &importer{opt: opt, all: r.sections, result: &Result{origin: map[string]string{}}, verdicts: map[position]Entry{}, errs: r.errs}
+	im := &importer{opt: opt, sections: r.sections, result: &Result{origin: map[string]string{}}, verdicts: map[position]Entry{}, errs: r.errs}
 	im.settingsSections()
 	im.proxySections()
 	im.unusedDefaults()
@@ -85,7 +85,7 @@
 
 // settingsSections deals with all sections that stand for no traffic.
 func (im *importer) settingsSections() {
-	for _, s := range im.all {
+	for _, s := range im.sections {
 		switch {
 		case s.kind == "global":
 			im.global(s)
@@ -105,7 +105,7 @@
 func (im *importer) proxySections() {
 	backends := map[string]bool{}
 	for _, kind := range []string{"backend", "listen", "frontend"} {
-		for _, s := range im.all {
+		for _, s := range im.sections {
 			if s.kind == kind {
 				im.proxy(s, backends)
 			}
@@ -115,7 +115,7 @@
 
 // unusedDefaults notes directives of defaults sections that no section has inherited.
 func (im *importer) unusedDefaults() {
-	for _, s := range im.all {
+	for _, s := range im.sections {
 		if s.kind != "defaults" {
 			continue
 		}
@@ -155,7 +155,7 @@
 // defaultsOf returns the defaults that count for a section: those it names, or the last
 // before it.
 func (im *importer) defaultsOf(s *section) (found *section) {
-	for _, d := range im.all {
+	for _, d := range im.sections {
 		if s.from == "" && d == s {
 			break
 		}
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -63,8 +63,8 @@
 // maxLine is HAProxy's own bound.
 const maxLine = 16 << 10
 
-// reader cuts sources into sections, and notes what it leaves out.
-type reader struct {
+// sectionReader cuts sources into sections, and notes what it leaves out.
+type sectionReader struct {
 	opt      *Options
 	sections []*section
 	notes    []Entry
@@ -74,21 +74,21 @@
 
 type block struct {
 	directive
-	state   blockState
-	done    bool // a branch was taken
-	unknown bool // a condition could not be told
-	elseAt  bool
+	state    blockState
+	anyTaken bool // a branch was taken
+	unknown  bool // a condition could not be told
+	sawElse  bool
 }
 
 type blockState uint8
 
 const (
-	taken         blockState = iota // what stands here counts
+	takenBranch   blockState = iota // what stands here counts
 	skippedBranch                   // it does not
-	doubted                         // nobody can tell
+	unknownBranch                   // nobody can tell
 )
 
-func (r *reader) read(s Source) {
+func (r *sectionReader) read(s Source) {
 	lines := strings.Split(string(s.Text), "\n")
 	for i := 0; i < len(lines); i++ {
 		text := strings.TrimSuffix(lines[i], "\r")
@@ -121,7 +121,7 @@
 }
 
 // add puts a directive into its section.
-func (r *reader) add(d directive, missing []string) {
+func (r *sectionReader) add(d directive, missing []string) {
 	kind := d.words[0]
 	if proxySections[kind] || settingsSections[kind] || unsupportedSections[kind] {
 		r.begin(d)
@@ -141,7 +141,7 @@
 }
 
 // begin begins a section.
-func (r *reader) begin(d directive) {
+func (r *sectionReader) begin(d directive) {
 	kind := d.words[0]
 	s := &section{directive: d, kind: kind}
 	rest := d.words[1:]
@@ -161,12 +161,12 @@
 }
 
 // fail notes a malformed directive.
-func (r *reader) fail(d directive, format string, args ...any) {
+func (r *sectionReader) fail(d directive, format string, args ...any) {
 	r.errs = append(r.errs, malformed(d, format, args...))
 }
 
 // note says what became of a directive that belongs to no section's body.
-func (r *reader) note(d directive, v Verdict, reason string) {
+func (r *sectionReader) note(d directive, v Verdict, reason string) {
 	r.notes = append(r.notes, entry(d, r.here(), v, reason))
 }
 
@@ -176,13 +176,13 @@
 func (s *section) origin() string { return fmt.Sprintf("%s, %s:%d", s.title(), s.file, s.line) }
 
 // inForce reports whether a directive stands where it counts, and notes it if not.
-func (r *reader) inForce(d directive) bool {
+func (r *sectionReader) inForce(d directive) bool {
 	for _, b := range r.blocks {
 		switch b.state {
 		case skippedBranch:
 			r.note(d, NotNeeded, "its condition does not hold")
 			return false
-		case doubted:
+		case unknownBranch:
 			r.note(d, NotCarried, "its condition ("+b.file+":"+strconv.Itoa(b.line)+") cannot be told here: give --define or --env")
 			return false
 		}
@@ -191,7 +191,7 @@
 }
 
 // here returns the title of the section that is being read.
-func (r *reader) here() string {
+func (r *sectionReader) here() string {
 	if len(r.sections) == 0 {
 		return ""
 	}
@@ -199,7 +199,7 @@
 }
 
 // conditional deals with .if and its like, and with .notice and its like.
-func (r *reader) conditional(d directive, bad error) {
+func (r *sectionReader) conditional(d directive, bad error) {
 	switch d.words[0] {
 	case ".if":
 		if bad != nil {
@@ -225,58 +225,58 @@
 }
 
 // beginBlock deals with .if.
-func (r *reader) beginBlock(d directive) {
-	if n := len(r.blocks); n > 0 && r.blocks[n-1].state != taken {
+func (r *sectionReader) beginBlock(d directive) {
+	if n := len(r.blocks); n > 0 && r.blocks[n-1].state != takenBranch {
 		r.note(d, NotNeeded, "it stands in a block that does not count")
-		r.blocks = append(r.blocks, block{directive: d, state: skippedBranch, done: true})
+		r.blocks = append(r.blocks, block{directive: d, state: skippedBranch, anyTaken: true})
 		return
 	}
 	s := r.evaluate(d)
-	r.blocks = append(r.blocks, block{directive: d, state: s, done: s == taken, unknown: s == doubted})
+	r.blocks = append(r.blocks, block{directive: d, state: s, anyTaken: s == takenBranch, unknown: s == unknownBranch})
 }
 
 // nextBranch deals with .elif and .else.
-func (r *reader) nextBranch(d directive) {
+func (r *sectionReader) nextBranch(d directive) {
 	last := len(r.blocks) - 1
-	if last < 0 || r.blocks[last].elseAt {
+	if last < 0 || r.blocks[last].sawElse {
 		r.fail(d, "%s without .if", d.words[0])
 		return
 	}
 	b := &r.blocks[last]
 	switch {
-	case b.done:
+	case b.anyTaken:
 		r.note(d, NotNeeded, "an earlier branch counts")
 		b.state = skippedBranch
 	case b.unknown:
 		r.note(d, NotCarried, "whether it counts cannot be told: an earlier condition is not known")
-		b.state = doubted
+		b.state = unknownBranch
 	case d.words[0] == ".else":
 		r.note(d, NotNeeded, "evaluated: it holds")
-		b.state, b.done = taken, true
+		b.state, b.anyTaken = takenBranch, true
 	default:
 		b.state = r.evaluate(d)
-		b.done, b.unknown = b.state == taken, b.state == doubted
+		b.anyTaken, b.unknown = b.state == takenBranch, b.state == unknownBranch
 	}
-	b.elseAt = d.words[0] == ".else"
+	b.sawElse = d.words[0] == ".else"
 }
 
 // evaluate evaluates the condition of .if or .elif, and notes what it is.
-func (r *reader) evaluate(d directive) blockState {
+func (r *sectionReader) evaluate(d directive) blockState {
 	holds, known := r.condition(strings.Join(d.words[1:], " "))
 	switch {
 	case !known:
 		r.note(d, NotCarried, "the condition cannot be told here: give --define or --env")
-		return doubted
+		return unknownBranch
 	case holds:
 		r.note(d, NotNeeded, "evaluated: it holds")
-		return taken
+		return takenBranch
 	}
 	r.note(d, NotNeeded, "evaluated: it does not hold")
 	return skippedBranch
 }
 
 // condition evaluates what .if asks: whether it holds, and whether that can be told here.
-func (r *reader) condition(text string) (holds, known bool) {
+func (r *sectionReader) condition(text string) (holds, known bool) {
 	text = strings.TrimSpace(text)
 	if a, b, ok := cutOutside(text, "||"); ok {
 		return r.either(a, b)
@@ -298,7 +298,7 @@
 }
 
 // predicate evaluates defined(NAME), streq(A,B) and strneq(A,B).
-func (r *reader) predicate(text string) (holds, known bool) {
+func (r *sectionReader) predicate(text string) (holds, known bool) {
 	name, rest, ok := strings.Cut(text, "(")
 	args := strings.Split(strings.TrimSuffix(rest, ")"), ",")
 	for i := range args {
@@ -321,14 +321,14 @@
 }
 
 // either evaluates A || B, which one that is known to hold settles.
-func (r *reader) either(a, b string) (holds, known bool) {
+func (r *sectionReader) either(a, b string) (holds, known bool) {
 	h1, k1 := r.condition(a)
 	h2, k2 := r.condition(b)
 	return h1 && k1 || h2 && k2, k1 && k2 || h1 && k1 || h2 && k2
 }
 
 // both evaluates A && B, which one that is known not to hold settles.
-func (r *reader) both(a, b string) (holds, known bool) {
+func (r *sectionReader) both(a, b string) (holds, known bool) {
 	h1, k1 := r.condition(a)
 	h2, k2 := r.condition(b)
 	return h1 && h2, k1 && k2 || k1 && !h1 || k2 && !h2
@@ -352,7 +352,7 @@
 }
 
 // split cuts a line into words. Missing names environment variables that are not known.
-func (r *reader) split(line string) (words, missing []string, err error) {
+func (r *sectionReader) split(line string) (words, missing []string, err error) {
 	words, err = route.Splitter{Comments: true, Variable: func(s string) (string, int) {
 		value, n, name := r.variable(s)
 		if name != "" {
@@ -364,7 +364,7 @@
 }
 
 // variable reads $NAME, ${NAME} or ${NAME-DEFAULT} at the start of s.
-func (r *reader) variable(s string) (value string, n int, missing string) {
+func (r *sectionReader) variable(s string) (value string, n int, missing string) {
 	var name, fallback string
 	var hasFallback bool
 	if strings.HasPrefix(s, "${") {
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -12,17 +12,17 @@
 
 // builder makes a frontend, a backend, or, of a listen section, both.
 type builder struct {
-	im       *importer
-	s        *section
-	front    *dispatchconfig.WebFrontend // nil: not one
-	back     *dispatchconfig.WebBackend
+	importer *importer
+	section  *section
+	frontend *dispatchconfig.WebFrontend // nil: not one
+	backend  *dispatchconfig.WebBackend
 	backends map[string]bool // those carried over
-	lists    *route.Lists
+	lists    *route.ACLSet
 	dropped  map[string]bool // access lists that are not carried over
 	defaults []string        // options of default-server, which come before each server's own
 	check    *dispatchconfig.WebCheck
 	redirect []string // redirect rules, which count behind http-request rules
-	cur      item     // the directive that is dealt with
+	current  item     // the directive that is dealt with
 }
 
 // handler deals with one directive of a section.
@@ -60,22 +60,22 @@
 		}
 		return
 	}
-	b := &builder{im: im, s: s, backends: backends, lists: route.NewLists(im.opt.Files), dropped: map[string]bool{}}
+	b := &builder{importer: im, section: s, backends: backends, lists: route.NewACLSet(im.opt.Files), dropped: map[string]bool{}}
 	if s.kind != "backend" {
-		b.front = &dispatchconfig.WebFrontend{Name: s.name}
+		b.frontend = &dispatchconfig.WebFrontend{Name: s.name}
 	}
 	if s.kind != "frontend" {
-		b.back = &dispatchconfig.WebBackend{Name: s.name}
+		b.backend = &dispatchconfig.WebBackend{Name: s.name}
 	}
 	for _, it := range items { // rules may name an access list that stands behind them
 		if it.words[0] == "acl" {
-			b.cur = it
+			b.current = it
 			b.acl(it.words)
 		}
 	}
 	for _, it := range items {
 		if it.words[0] != "acl" {
-			b.cur = it
+			b.current = it
 			b.directive(it.words)
 		}
 	}
@@ -98,25 +98,27 @@
 
 // note says what becomes of the directive that is dealt with.
 func (b *builder) note(v Verdict, format string, args ...any) {
-	b.im.note(b.cur.directive, b.cur.in, v, fmt.Sprintf(format, args...))
+	b.importer.note(b.current.directive, b.current.in, v, fmt.Sprintf(format, args...))
 }
 
 // fail notes that the directive that is dealt with is malformed.
-func (b *builder) fail(format string, args ...any) { b.im.fail(b.cur.directive, format, args...) }
+func (b *builder) fail(format string, args ...any) {
+	b.importer.fail(b.current.directive, format, args...)
+}
 
 // spec is where the section's rules go: a listen section's to its frontend, in which they
 // count for the same requests.
 func (b *builder) spec() *route.Spec {
-	if b.front != nil {
-		return &b.front.Spec
+	if b.frontend != nil {
+		return &b.frontend.Spec
 	}
-	return &b.back.Spec
+	return &b.backend.Spec
 }
 
 // noteOutcome notes how reading a rule ended: carried over, not supported, or malformed. It reports
 // whether it is carried over.
 func (b *builder) noteOutcome(err error, how string) bool {
-	var unsupported *route.ErrUnsupported
+	var unsupported *route.UnsupportedError
 	switch {
 	case err == nil:
 		b.note(Carried, "%s", how)
@@ -137,7 +139,7 @@
 	}
 	if b.noteOutcome(b.lists.Add(words[1], words[2:]), "") {
 		spec := b.spec()
-		spec.ACL = append(spec.ACL, route.Line(words[1:]))
+		spec.ACL = append(spec.ACL, route.JoinWords(words[1:]))
 	} else {
 		b.dropped[words[1]] = true
 	}
@@ -168,7 +170,7 @@
 // rule notes a rule and adds it to a list, unless it is not carried over.
 func (b *builder) rule(words []string, parse func([]string) (*route.Rule, error), to *[]string, how string) {
 	if len(words) == 0 {
-		b.fail("%s lacks its action", b.cur.words[0])
+		b.fail("%s lacks its action", b.current.words[0])
 		return
 	}
 	if name := b.droppedACL(words); name != "" {
@@ -176,12 +178,12 @@
 		return
 	}
 	if _, err := parse(words); b.noteOutcome(err, how) {
-		*to = append(*to, route.Line(words))
+		*to = append(*to, route.JoinWords(words))
 	}
 }
 
 func (b *builder) directive(w []string) {
-	if b.front != nil && b.handle(frontendDirectives, w) || b.back != nil && b.handle(backendDirectives, w) {
+	if b.frontend != nil && b.handle(frontendDirectives, w) || b.backend != nil && b.handle(backendDirectives, w) {
 		return
 	}
 	if v, reason := lookup(sharedDirectives, w); reason != unknownDirective {
@@ -189,7 +191,7 @@
 		return
 	}
 	// In defaults stand also lines for sections of the other kind.
-	if b.cur.in != b.s && (b.front == nil && among(frontWords, w) || b.back == nil && among(backWords, w)) {
+	if b.current.in != b.section && (b.frontend == nil && among(frontWords, w) || b.backend == nil && among(backWords, w)) {
 		return
 	}
 	b.note(NotCarried, unknownDirective)
@@ -243,9 +245,9 @@
 	"redirect":          (*builder).redirectRule,
 	"option forwardfor": (*builder).forwardFor,
 	"timeout http-request": func(b *builder, w []string) {
-		b.timeout(w, &b.front.RequestTimeout, "request_timeout, for the head and for a body of up to 64 KiB")
+		b.timeout(w, &b.frontend.RequestTimeout, "request_timeout, for the head and for a body of up to 64 KiB")
 	},
-	"timeout http-keep-alive": func(b *builder, w []string) { b.timeout(w, &b.front.IdleTimeout, "idle_timeout") },
+	"timeout http-keep-alive": func(b *builder, w []string) { b.timeout(w, &b.frontend.IdleTimeout, "idle_timeout") },
 	"timeout client":          (*builder).clientTimeout,
 	"monitor-uri":             (*builder).monitorURI,
 	"maxconn":                 says(Differently, "connections are bounded for all frontends together, by limits.sockets"),
@@ -268,10 +270,10 @@
 }
 
 func (b *builder) forwardFor(w []string) {
-	if b.front != nil {
-		b.front.ForwardFor = true
+	if b.frontend != nil {
+		b.frontend.ForwardFor = true
 	} else {
-		b.back.ForwardFor = true
+		b.backend.ForwardFor = true
 	}
 	if len(w) > 2 {
 		b.note(Differently, "always added, without %s", strings.Join(w[2:], " "))
@@ -285,8 +287,8 @@
 	if !ok {
 		return
 	}
-	if b.front.IdleTimeout == 0 {
-		b.front.IdleTimeout = s
+	if b.frontend.IdleTimeout == 0 {
+		b.frontend.IdleTimeout = s
 	}
 	b.note(Differently, "idle_timeout; a body may pause for 60 s")
 }
@@ -296,8 +298,8 @@
 		b.fail("monitor-uri takes a path")
 		return
 	}
-	line := route.Line([]string{"return", "status", "200", "content-type", "text/plain", "string", "OK", "if", "{", "path", w[1], "}"})
-	b.front.Request = append([]string{line}, b.front.Request...)
+	line := route.JoinWords([]string{"return", "status", "200", "content-type", "text/plain", "string", "OK", "if", "{", "path", w[1], "}"})
+	b.frontend.Request = append([]string{line}, b.frontend.Request...)
 	b.note(Differently, "a rule that returns 200")
 }
 
@@ -305,7 +307,7 @@
 	if len(w) != 2 {
 		b.fail("default_backend takes a name")
 	} else if b.isCarried(w[1]) {
-		b.front.Default = w[1]
+		b.frontend.Default = w[1]
 		b.note(Carried, "")
 	}
 }
@@ -315,7 +317,7 @@
 	if b.backends[name] {
 		return true
 	}
-	if !slices.ContainsFunc(b.im.all, func(s *section) bool { return (s.kind == "backend" || s.kind == "listen") && s.name == name }) {
+	if !slices.ContainsFunc(b.importer.sections, func(s *section) bool { return (s.kind == "backend" || s.kind == "listen") && s.name == name }) {
 		b.fail("no backend is called %q", name)
 		return false
 	}
@@ -337,22 +339,22 @@
 		return
 	}
 	if _, err := b.lists.ParseUse(w); b.noteOutcome(err, "") {
-		b.front.Use = append(b.front.Use, route.Line(w))
+		b.frontend.Use = append(b.frontend.Use, route.JoinWords(w))
 	}
 }
 
 // finish adds what was made to the result.
 func (b *builder) finish() {
-	im, s := b.im, b.s
+	im, s := b.importer, b.section
 	spec := b.spec()
 	spec.Request = append(spec.Request, b.redirect...)
-	if b.back != nil {
+	if b.backend != nil {
 		b.finishBackend()
 	}
 	v, reason := b.verdict()
 	im.note(s.directive, s, v, reason)
-	if b.front != nil && len(b.front.Listen) > 0 {
-		im.web.Frontends = append(im.web.Frontends, *b.front)
+	if b.frontend != nil && len(b.frontend.Listen) > 0 {
+		im.web.Frontends = append(im.web.Frontends, *b.frontend)
 		im.result.origin["f "+s.name] = s.origin()
 	}
 }
@@ -360,21 +362,21 @@
 // finishBackend adds the backend to the result, unless it is that of a listen section without
 // servers.
 func (b *builder) finishBackend() {
-	if b.front != nil { // its rules stand with the frontend
-		b.back.Spec = route.Spec{}
-		if b.front.Default == "" && len(b.back.Servers) > 0 {
-			b.front.Default = b.back.Name
+	if b.frontend != nil { // its rules stand with the frontend
+		b.backend.Spec = route.Spec{}
+		if b.frontend.Default == "" && len(b.backend.Servers) > 0 {
+			b.frontend.Default = b.backend.Name
 		}
 	}
 	b.finishCheck()
-	b.back.Servers = slices.Clip(b.back.Servers)
-	if b.back.Cookie != nil && !slices.ContainsFunc(b.back.Servers, func(x dispatchconfig.WebServer) bool { return x.Cookie != "" }) {
-		b.back.Cookie = nil
+	b.backend.Servers = slices.Clip(b.backend.Servers)
+	if b.backend.Cookie != nil && !slices.ContainsFunc(b.backend.Servers, func(x dispatchconfig.WebServer) bool { return x.Cookie != "" }) {
+		b.backend.Cookie = nil
 	}
-	if b.front == nil || len(b.back.Servers) > 0 {
-		b.im.web.Backends = append(b.im.web.Backends, *b.back)
-		b.backends[b.s.name] = true
-		b.im.result.origin["b "+b.s.name] = b.s.origin()
+	if b.frontend == nil || len(b.backend.Servers) > 0 {
+		b.importer.web.Backends = append(b.importer.web.Backends, *b.backend)
+		b.backends[b.section.name] = true
+		b.importer.result.origin["b "+b.section.name] = b.section.origin()
 	}
 }
 
@@ -383,23 +385,23 @@
 	if b.check != nil && b.check.Kind == "http" && b.check.Version == "" && len(b.check.Headers) > 0 {
 		b.check.Version = "1.1"
 	}
-	if b.check != nil && slices.ContainsFunc(b.back.Servers, func(x dispatchconfig.WebServer) bool { return !x.NoCheck && x.Track == "" }) {
-		b.back.Check = b.check
+	if b.check != nil && slices.ContainsFunc(b.backend.Servers, func(x dispatchconfig.WebServer) bool { return !x.NoCheck && x.Track == "" }) {
+		b.backend.Check = b.check
 		return
 	}
-	for i := range b.back.Servers {
-		b.back.Servers[i].NoCheck = false
+	for i := range b.backend.Servers {
+		b.backend.Servers[i].NoCheck = false
 	}
 }
 
 // verdict says what becomes of the section itself.
 func (b *builder) verdict() (Verdict, string) {
 	switch {
-	case b.front == nil && len(b.back.Servers) == 0:
+	case b.frontend == nil && len(b.backend.Servers) == 0:
 		return Differently, "without servers it answers 503"
-	case b.front != nil && len(b.front.Listen) == 0 && b.back != nil && len(b.back.Servers) > 0:
+	case b.frontend != nil && len(b.frontend.Listen) == 0 && b.backend != nil && len(b.backend.Servers) > 0:
 		return Differently, "as a backend: it listens nowhere"
-	case b.front != nil && len(b.front.Listen) == 0:
+	case b.frontend != nil && len(b.frontend.Listen) == 0:
 		return NotCarried, "none of its addresses can be listened on"
 	}
 	return Carried, ""
--- a/internal/haproxy/server.go
+++ b/internal/haproxy/server.go
@@ -87,9 +87,9 @@
 	"rise":      func(o *options, v string) error { return setNumber(&o.override.Rise, v, 1, 1000) },
 	"fall":      func(o *options, v string) error { return setNumber(&o.override.Fall, v, 1, 1000) },
 	"port":      func(o *options, v string) error { return setNumber(&o.port, v, 1, 65535) },
-	"inter":     func(o *options, v string) error { return setSeconds(&o.override.Every, v) },
-	"fastinter": func(o *options, v string) error { return setSeconds(&o.override.Fast, v) },
-	"downinter": func(o *options, v string) error { return setSeconds(&o.override.Down, v) },
+	"inter":     func(o *options, v string) error { return setSeconds(&o.override.Interval, v) },
+	"fastinter": func(o *options, v string) error { return setSeconds(&o.override.FastInterval, v) },
+	"downinter": func(o *options, v string) error { return setSeconds(&o.override.DownInterval, v) },
 	"slowstart": func(o *options, v string) error { return setSeconds(&o.slowStart, v) },
 }
 
@@ -131,7 +131,7 @@
 		b.fail("server takes a name and an address")
 		return
 	}
-	if slices.ContainsFunc(b.back.Servers, func(s dispatchconfig.WebServer) bool { return s.Name == w[1] }) {
+	if slices.ContainsFunc(b.backend.Servers, func(s dispatchconfig.WebServer) bool { return s.Name == w[1] }) {
 		b.fail("server %q is there twice", w[1])
 		return
 	}
@@ -167,9 +167,9 @@
 	}
 	b.setCheck(&s, o)
 	if o.slowStart > 0 {
-		b.back.SlowStart = max(b.back.SlowStart, o.slowStart)
+		b.backend.SlowStart = max(b.backend.SlowStart, o.slowStart)
 	}
-	b.back.Servers = append(b.back.Servers, s)
+	b.backend.Servers = append(b.backend.Servers, s)
 	b.noteOptions(without, "")
 }
 
@@ -189,14 +189,14 @@
 	case o.track != "":
 		s.Track = o.track
 		if !strings.Contains(s.Track, "/") {
-			s.Track = b.back.Name + "/" + s.Track
+			s.Track = b.backend.Name + "/" + s.Track
 		}
 	case o.check:
 		b.ensureCheck("")
-		if c := &o.override; c.Every != 0 || c.Fast != 0 || c.Down != 0 || c.Rise != 0 || c.Fall != 0 {
+		if c := &o.override; c.Interval != 0 || c.FastInterval != 0 || c.DownInterval != 0 || c.Rise != 0 || c.Fall != 0 {
 			s.Check = c
 		}
-		s.CheckAt = checkAddr(s.Addr, o)
+		s.CheckAddr = checkAddr(s.Addr, o)
 	default:
 		s.NoCheck = true
 	}
@@ -285,7 +285,7 @@
 	if ip, err := netip.ParseAddr(host); err == nil {
 		return ip, "", nil
 	}
-	if known, ok := b.im.opt.Hosts[host]; ok {
+	if known, ok := b.importer.opt.Hosts[host]; ok {
 		if ip, err = netip.ParseAddr(known); err != nil {
 			return ip, "", fmt.Errorf("--host %s=%s is no address", host, known)
 		}
@@ -343,8 +343,8 @@
 		return
 	}
 	for _, a := range listen {
-		if !slices.Contains(b.front.Listen, a) {
-			b.front.Listen = append(b.front.Listen, a)
+		if !slices.Contains(b.frontend.Listen, a) {
+			b.frontend.Listen = append(b.frontend.Listen, a)
 		}
 	}
 	b.noteOptions(without, "")
--- a/internal/haproxy/write.go
+++ b/internal/haproxy/write.go
@@ -20,12 +20,12 @@
 		fmt.Fprintf(&b, "\n[limits]\nsockets = %d\n", r.File.Limits.Sockets)
 	}
 	for _, f := range r.File.Web.Frontends {
-		if err := part(&b, r.origin["f "+f.Name], map[string][]dispatchconfig.WebFrontend{"frontends": {f}}); err != nil {
+		if err := writeTable(&b, r.origin["f "+f.Name], map[string][]dispatchconfig.WebFrontend{"frontends": {f}}); err != nil {
 			return err
 		}
 	}
 	for _, k := range r.File.Web.Backends {
-		if err := part(&b, r.origin["b "+k.Name], map[string][]dispatchconfig.WebBackend{"backends": {k}}); err != nil {
+		if err := writeTable(&b, r.origin["b "+k.Name], map[string][]dispatchconfig.WebBackend{"backends": {k}}); err != nil {
 			return err
 		}
 	}
@@ -33,11 +33,11 @@
 	return err
 }
 
-// longLine is how long a list may be that stands on one line.
-const longLine = 80
+// maxInlineList is how long a list may be that stands on one line.
+const maxInlineList = 80
 
-// part writes one table of an array.
-func part(b *bytes.Buffer, origin string, v any) error {
+// writeTable writes one table of an array.
+func writeTable(b *bytes.Buffer, origin string, v any) error {
 	var text bytes.Buffer
 	e := toml.NewEncoder(&text)
 	e.Indent = ""
@@ -47,7 +47,7 @@
 	fmt.Fprintf(b, "\n# %s\n", strings.ReplaceAll(origin, "\n", " "))
 	for line := range strings.Lines(text.String()) {
 		if t := strings.TrimSpace(line); t != "[web]" && t != "" {
-			if strings.Contains(line, " = [\"") && len(line) > longLine { // a rule a line
+			if strings.Contains(line, " = [\"") && len(line) > maxInlineList { // a rule a line
 				// Quotes within a text are escaped, so this parts texts alone.
 				line = strings.Replace(strings.ReplaceAll(line, `", "`, "\",\n    \""), `["`, "[\n    \"", 1)
 				line = strings.TrimSuffix(line, "]\n") + ",\n]\n"
--- a/internal/healthcheck/driver.go
+++ b/internal/healthcheck/driver.go
@@ -17,12 +17,12 @@
 
 // Check is a member that is to be checked.
 type Check struct {
-	Name string // for the log: BACKEND/MEMBER
-	Addr string // where to ask
-	Spec Spec   // filled
-	Down bool   // how it stands at first
-	// Tell is called from a goroutine of its own when the member's state changes.
-	Tell func(up bool, why string)
+	Name          string // for the log: BACKEND/MEMBER
+	Addr          string // where to ask
+	Spec          Spec   // filled
+	InitiallyDown bool   // how it stands at first
+	// OnChange is called from a goroutine of its own when the member's state changes.
+	OnChange func(up bool, why string)
 }
 
 // Driver checks members, each at its own times, spread out, and not too many at once.
@@ -49,14 +49,14 @@
 	for i, c := range all {
 		wg.Go(func() {
 			// The first checks are spread over their interval, so that they never come in step.
-			d.watch(ctx, c, time.Duration(float64(c.Spec.Every)*float64(i)/float64(len(all))))
+			d.watch(ctx, c, time.Duration(float64(c.Spec.Interval)*float64(i)/float64(len(all))))
 		})
 	}
 	wg.Wait()
 }
 
 func (d *Driver) watch(ctx context.Context, c Check, first time.Duration) {
-	t := NewTarget(c.Spec, !c.Down)
+	t := NewTarget(c.Spec, !c.InitiallyDown)
 	timer := time.NewTimer(first)
 	defer timer.Stop()
 	for {
@@ -75,15 +75,15 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if t.Result(err == nil) {
+		if t.Record(err == nil) {
 			why := "its checks pass"
 			if err != nil {
 				why = err.Error()
 			}
 			d.log.Warn("a server's state has changed", "server", c.Name, "up", t.Up(), "why", why)
-			c.Tell(t.Up(), why)
+			c.OnChange(t.Up(), why)
 		}
-		timer.Reset(time.Duration(float64(t.Wait()) * (0.95 + 0.1*d.rand())))
+		timer.Reset(time.Duration(float64(t.NextInterval()) * (0.95 + 0.1*d.rand())))
 	}
 }
 
--- a/internal/healthcheck/healthcheck_test.go
+++ b/internal/healthcheck/healthcheck_test.go
@@ -16,8 +16,8 @@
 // Guards against a member that goes up and down with each single check, and the times
 // between checks.
 func TestRiseAndFall(t *testing.T) {
-	s := Spec{Kind: "tcp", Every: 4 * time.Second, Fast: time.Second, Down: 2 * time.Second, Rise: 2, Fall: 3}
-	if err := s.Fill(); err != nil {
+	s := Spec{Kind: "tcp", Interval: 4 * time.Second, FastInterval: time.Second, DownInterval: 2 * time.Second, Rise: 2, Fall: 3}
+	if err := s.SetDefaults(); err != nil {
 		t.Fatal(err)
 	}
 	g := NewTarget(s, true)
@@ -30,8 +30,8 @@
 		{false, true, false, 2 * time.Second}, {false, false, false, 2 * time.Second}, {true, false, false, time.Second},
 		{false, false, false, 2 * time.Second}, {true, false, false, time.Second}, {true, true, true, 4 * time.Second},
 	} {
-		if changed := g.Result(step.passed); changed != step.changed || g.Up() != step.up || g.Wait() != step.wait {
-			t.Errorf("step %d: changed %v, up %v, wait %v", i, changed, g.Up(), g.Wait())
+		if changed := g.Record(step.passed); changed != step.changed || g.Up() != step.up || g.NextInterval() != step.wait {
+			t.Errorf("step %d: changed %v, up %v, wait %v", i, changed, g.Up(), g.NextInterval())
 		}
 	}
 }
@@ -44,24 +44,24 @@
 		code int
 		bad  int
 	}{
-		{e: Expect{What: "status", Value: "200-204,301"}, code: 301, bad: 302},
-		{e: Expect{What: "rstatus", Value: "^2"}, code: 204, bad: 500},
-		{e: Expect{What: "string", Value: "OK"}, code: 200, yes: "all OK", bad: 200, not: "no"},
-		{e: Expect{What: "rstring", Value: "O+K"}, code: 200, yes: "OOK", bad: 200, not: "K"},
-		{e: Expect{What: "string", Value: "bad", Not: true}, code: 200, yes: "good", bad: 200, not: "bad"},
+		{e: Expect{Kind: "status", Value: "200-204,301"}, code: 301, bad: 302},
+		{e: Expect{Kind: "rstatus", Value: "^2"}, code: 204, bad: 500},
+		{e: Expect{Kind: "string", Value: "OK"}, code: 200, yes: "all OK", bad: 200, not: "no"},
+		{e: Expect{Kind: "rstring", Value: "O+K"}, code: 200, yes: "OOK", bad: 200, not: "K"},
+		{e: Expect{Kind: "string", Value: "bad", Not: true}, code: 200, yes: "good", bad: 200, not: "bad"},
 	} {
 		s := Spec{Kind: "http", Expect: []Expect{c.e}}
-		if err := s.Fill(); err != nil {
+		if err := s.SetDefaults(); err != nil {
 			t.Fatal(err)
 		}
 		if !s.Holds(c.code, []byte(c.yes)) || s.Holds(c.bad, []byte(c.not)) {
 			t.Errorf("%+v", c.e)
 		}
 	}
-	for _, bad := range []Spec{{}, {Kind: "udp"}, {Kind: "tcp", Every: time.Nanosecond}, {Kind: "http", URI: "/a b"}, {Kind: "tcp", Fall: -1},
-		{Kind: "http", Expect: []Expect{{What: "status", Value: "abc"}}}, {Kind: "http", Expect: []Expect{{What: "rstring", Value: "("}}},
-		{Kind: "http", Expect: []Expect{{What: "ssl"}}}} {
-		if bad.Fill() == nil {
+	for _, bad := range []Spec{{}, {Kind: "udp"}, {Kind: "tcp", Interval: time.Nanosecond}, {Kind: "http", URI: "/a b"}, {Kind: "tcp", Fall: -1},
+		{Kind: "http", Expect: []Expect{{Kind: "status", Value: "abc"}}}, {Kind: "http", Expect: []Expect{{Kind: "rstring", Value: "("}}},
+		{Kind: "http", Expect: []Expect{{Kind: "ssl"}}}} {
+		if bad.SetDefaults() == nil {
 			t.Errorf("taken: %+v", bad)
 		}
 	}
@@ -95,15 +95,15 @@
 		}
 	})
 	s := Spec{Kind: "http", Method: "GET", URI: "/up", Version: "1.1", Headers: []Header{{"Host", "app"}},
-		Expect: []Expect{{What: "string", Value: "ready"}}, Every: 10 * time.Millisecond, Rise: 2, Fall: 2, Timeout: 50 * time.Millisecond}
-	if err := s.Fill(); err != nil {
+		Expect: []Expect{{Kind: "string", Value: "ready"}}, Interval: 10 * time.Millisecond, Rise: 2, Fall: 2, Timeout: 50 * time.Millisecond}
+	if err := s.SetDefaults(); err != nil {
 		t.Fatal(err)
 	}
 	told := make(chan bool, 16)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		NewDriver(slog.New(slog.DiscardHandler)).Run(ctx, []Check{{Name: "b/m", Addr: addr, Spec: s, Tell: func(up bool, _ string) { told <- up }}})
+		NewDriver(slog.New(slog.DiscardHandler)).Run(ctx, []Check{{Name: "b/m", Addr: addr, Spec: s, OnChange: func(up bool, _ string) { told <- up }}})
 		close(done)
 	}()
 	if got := testkit.Await(t, "a check", asked); !strings.HasPrefix(got, "GET /up HTTP/1.1\r\nHost: app\r\n") {
--- a/internal/healthcheck/state.go
+++ b/internal/healthcheck/state.go
@@ -16,18 +16,18 @@
 
 // Spec says how a member is checked.
 type Spec struct {
-	Kind    string        // "tcp" or "http"
-	Method  string        // of an http check; "": OPTIONS, as HAProxy has it
-	URI     string        // "": "/"
-	Version string        // "1.0" or "1.1"; "": "1.0"
-	Headers []Header      // besides Host of version 1.1, which must be here
-	Expect  []Expect      // all must hold; none: a status of 2xx or 3xx
-	Every   time.Duration // while it is up; 0: 2 s
-	Fast    time.Duration // while it changes; 0: as Every
-	Down    time.Duration // while it is down; 0: as Every
-	Rise    int           // checks that pass until it is up; 0: 2
-	Fall    int           // checks that fail until it is down; 0: 3
-	Timeout time.Duration // of a check; 0: as Every, 10 s at most
+	Kind         string        // "tcp" or "http"
+	Method       string        // of an http check; "": OPTIONS, as HAProxy has it
+	URI          string        // "": "/"
+	Version      string        // "1.0" or "1.1"; "": "1.0"
+	Headers      []Header      // besides Host of version 1.1, which must be here
+	Expect       []Expect      // all must hold; none: a status of 2xx or 3xx
+	Interval     time.Duration // while it is up; 0: 2 s
+	FastInterval time.Duration // while it changes; 0: as Every
+	DownInterval time.Duration // while it is down; 0: as Every
+	Rise         int           // checks that pass until it is up; 0: 2
+	Fall         int           // checks that fail until it is down; 0: 3
+	Timeout      time.Duration // of a check; 0: as Every, 10 s at most
 }
 
 // Header is a header field of a check.
@@ -35,7 +35,7 @@
 
 // Expect is what an answer must be.
 type Expect struct {
-	What  string // "status", "rstatus", "string", "rstring"
+	Kind  string // "status", "rstatus", "string", "rstring"
 	Not   bool
 	Value string
 
@@ -50,12 +50,12 @@
 	minInterval     = 10 * time.Millisecond
 )
 
-// Fill sets what is left out, and returns an error for what makes no sense.
-func (s *Spec) Fill() error {
+// SetDefaults sets what is left out, and returns an error for what makes no sense.
+func (s *Spec) SetDefaults() error {
 	if s.Kind != "tcp" && s.Kind != "http" {
 		return fmt.Errorf("kind %q is neither tcp nor http", s.Kind)
 	}
-	if err := s.fillTimes(); err != nil {
+	if err := s.setDefaultTimes(); err != nil {
 		return err
 	}
 	s.Rise = cmp.Or(s.Rise, defaultRise)
@@ -63,7 +63,7 @@
 	if s.Rise < 0 || s.Fall < 0 {
 		return errors.New("rise and fall must be positive")
 	}
-	if err := s.fillRequest(); err != nil {
+	if err := s.setDefaultRequest(); err != nil {
 		return err
 	}
 	for i := range s.Expect {
@@ -74,11 +74,11 @@
 	return nil
 }
 
-// fillTimes sets the intervals and the time-out of a check.
-func (s *Spec) fillTimes() error {
-	s.Every = cmp.Or(s.Every, defaultInterval)
-	for _, d := range []*time.Duration{&s.Every, &s.Fast, &s.Down, &s.Timeout} {
-		if *d = cmp.Or(*d, s.Every); *d < minInterval {
+// setDefaultTimes sets the intervals and the time-out of a check.
+func (s *Spec) setDefaultTimes() error {
+	s.Interval = cmp.Or(s.Interval, defaultInterval)
+	for _, d := range []*time.Duration{&s.Interval, &s.FastInterval, &s.DownInterval, &s.Timeout} {
+		if *d = cmp.Or(*d, s.Interval); *d < minInterval {
 			return fmt.Errorf("a time of %v, %v at least", *d, minInterval)
 		}
 	}
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// fillRequest sets the request line of an http check.
-func (s *Spec) fillRequest() error {
+// setDefaultRequest sets the request line of an http check.
+func (s *Spec) setDefaultRequest() error {
 	s.Method = cmp.Or(s.Method, "OPTIONS")
 	s.URI = cmp.Or(s.URI, "/")
 	s.Version = cmp.Or(s.Version, "1.0")
@@ -107,14 +107,14 @@
 }
 
 func (e *Expect) compile() (err error) {
-	switch e.What {
+	switch e.Kind {
 	case "status":
 		_, err = parseStatusRanges(e.Value)
 	case "rstatus", "rstring":
 		e.re, err = regexp.Compile(e.Value)
 	case "string":
 	default:
-		err = fmt.Errorf("an answer's %q cannot be expected", e.What)
+		err = fmt.Errorf("an answer's %q cannot be expected", e.Kind)
 	}
 	return err
 }
@@ -145,7 +145,7 @@
 }
 
 func (e *Expect) holds(status int, body []byte) bool {
-	switch e.What {
+	switch e.Kind {
 	case "status":
 		all, _ := parseStatusRanges(e.Value) // compile has checked it
 		return slices.ContainsFunc(all, func(p [2]int) bool { return status >= p[0] && status <= p[1] })
@@ -172,8 +172,8 @@
 // Up reports whether it serves.
 func (t *Target) Up() bool { return t.up }
 
-// Result takes in how a check went, and reports whether the member's state has changed.
-func (t *Target) Result(passed bool) (changed bool) {
+// Record takes in how a check went, and reports whether the member's state has changed.
+func (t *Target) Record(passed bool) (changed bool) {
 	if passed == t.up {
 		t.against = 0
 		return false
@@ -190,13 +190,13 @@
 	return true
 }
 
-// Wait returns how long it is until the next check.
-func (t *Target) Wait() time.Duration {
+// NextInterval returns how long it is until the next check.
+func (t *Target) NextInterval() time.Duration {
 	switch {
 	case t.against > 0:
-		return t.spec.Fast
+		return t.spec.FastInterval
 	case !t.up:
-		return t.spec.Down
+		return t.spec.DownInterval
 	}
-	return t.spec.Every
+	return t.spec.Interval
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -39,12 +39,12 @@
 
 // Options set a Pool up.
 type Options struct {
-	Members    []Member
-	Balance    Balance       // "": RoundRobin
-	AllBackups bool          // all backups at once, not the first that serves
-	MaxQueue   int           // requests that may wait; 0: 1024
-	QueueWait  time.Duration // how long; 0: 5 s
-	SlowStart  time.Duration // in which a member that returns comes up to its weight
+	Members      []Member
+	Balance      Balance       // "": RoundRobin
+	AllBackups   bool          // all backups at once, not the first that serves
+	MaxQueue     int           // requests that may wait; 0: 1024
+	QueueTimeout time.Duration // how long; 0: 5 s
+	SlowStart    time.Duration // in which a member that returns comes up to its weight
 }
 
 // State is how a member stands.
@@ -84,10 +84,10 @@
 type Pool struct {
 	opt     Options
 	members []member
-	queue   []waiter
+	queue   []queuedRequest
 }
 
-type waiter struct {
+type queuedRequest struct {
 	token any
 	hint  Hint
 	// deadline is when it has waited too long, on the clock of the caller's now.
@@ -99,7 +99,7 @@
 	Cookie string // of persistence; "": none
 	Key    string // what is hashed, with Balance Hash
 	Rand   uint64 // drawn for this request, with Balance Random
-	Not    []int  // members that were tried, and whose turn it is not while there is another
+	Tried  []int  // members that were tried, and whose turn it is not while there is another
 }
 
 // Check returns an error for options that make no sense.
@@ -110,7 +110,7 @@
 	if !slices.Contains([]Balance{"", RoundRobin, LeastConn, First, Random, Hash}, o.Balance) {
 		return fmt.Errorf("balance %q is unknown", o.Balance)
 	}
-	if o.MaxQueue < 0 || o.QueueWait < 0 || o.SlowStart < 0 {
+	if o.MaxQueue < 0 || o.QueueTimeout < 0 || o.SlowStart < 0 {
 		return errors.New("queue and times must not be negative")
 	}
 	seen, cookies := map[string]bool{}, map[string]bool{}
@@ -143,8 +143,8 @@
 	if o.MaxQueue == 0 {
 		o.MaxQueue = defaultMaxQueue
 	}
-	if o.QueueWait == 0 {
-		o.QueueWait = defaultQueueWait
+	if o.QueueTimeout == 0 {
+		o.QueueTimeout = defaultQueueWait
 	}
 	p := &Pool{opt: o}
 	for _, m := range o.Members {
@@ -157,9 +157,9 @@
 	return p, nil
 }
 
-// Adopt takes over what an older Pool of the same backend knows of members that stay:
+// InheritState takes over what an older Pool of the same backend knows of members that stay:
 // their state but for maintenance by the file, what they have out, and their turns.
-func (p *Pool) Adopt(old *Pool) {
+func (p *Pool) InheritState(old *Pool) {
 	for i := range p.members {
 		m := &p.members[i]
 		j := slices.IndexFunc(old.members, func(o member) bool { return o.Name == m.Name })
@@ -174,9 +174,6 @@
 	}
 }
 
-// Len returns how many members there are.
-func (p *Pool) Len() int { return len(p.members) }
-
 // Name returns a member's name.
 func (p *Pool) Name(i int) string { return p.members[i].Name }
 
@@ -188,8 +185,8 @@
 // State returns how a member stands, and what it has out.
 func (p *Pool) State(i int) (State, int) { return p.members[i].state, p.members[i].inFlight }
 
-// Set says how a member stands from now on. One that comes up begins slowly.
-func (p *Pool) Set(i int, s State, now time.Duration) {
+// SetState says how a member stands from now on. One that comes up begins slowly.
+func (p *Pool) SetState(i int, s State, now time.Duration) {
 	m := &p.members[i]
 	if m.state != Up && s == Up {
 		m.since, m.current = now, 0
@@ -245,9 +242,9 @@
 
 // The verdicts.
 const (
-	Go     Verdict = iota // to that member
-	Wait                  // none has room; it may be queued
-	Nobody                // no member serves
+	Assigned    Verdict = iota // to that member
+	Busy                       // none has room; it may be queued
+	Unavailable                // no member serves
 )
 
 // Pick says which member's turn it is for a request. It takes the turn; Begin takes the
@@ -258,9 +255,9 @@
 	}
 	all := p.eligible()
 	if len(all) == 0 {
-		return -1, Nobody
+		return -1, Unavailable
 	}
-	if rest := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return slices.Contains(h.Not, i) }); len(rest) > 0 {
+	if rest := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return slices.Contains(h.Tried, i) }); len(rest) > 0 {
 		all = rest
 	}
 	if p.opt.Balance == Hash && h.Key != "" {
@@ -268,17 +265,17 @@
 	}
 	free := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return !p.members[i].hasCapacity() })
 	if len(free) == 0 {
-		return -1, Wait
+		return -1, Busy
 	}
 	switch p.opt.Balance {
 	case First:
-		return free[0], Go
+		return free[0], Assigned
 	case Random:
-		return p.weightedRandom(free, h.Rand, now), Go
+		return p.weightedRandom(free, h.Rand, now), Assigned
 	case LeastConn:
 		free = p.leastLoaded(free, now)
 	}
-	return p.roundRobin(free, now), Go
+	return p.roundRobin(free, now), Assigned
 }
 
 // persistent returns the member that the request's persistence cookie names, if it takes
@@ -288,7 +285,7 @@
 		return -1
 	}
 	for i := range p.members {
-		if p.members[i].honours(h.Cookie) && !slices.Contains(h.Not, i) {
+		if p.members[i].honours(h.Cookie) && !slices.Contains(h.Tried, i) {
 			return i
 		}
 	}
@@ -298,9 +295,9 @@
 // ifFree is the verdict on a request that only one member may have.
 func (p *Pool) ifFree(i int) (int, Verdict) {
 	if !p.members[i].hasCapacity() {
-		return -1, Wait
+		return -1, Busy
 	}
-	return i, Go
+	return i, Assigned
 }
 
 // leastLoaded returns the members of a list that have the fewest requests for their weight.
@@ -370,37 +367,37 @@
 	return best
 }
 
-// Begin notes that a member has one more request in flight.
-func (p *Pool) Begin(i int) { p.members[i].inFlight++ }
+// Acquire notes that a member has one more request in flight.
+func (p *Pool) Acquire(i int) { p.members[i].inFlight++ }
 
-// End notes that a member has one request in flight less.
-func (p *Pool) End(i int) {
+// Release notes that a member has one request in flight less.
+func (p *Pool) Release(i int) {
 	if p.members[i].inFlight > 0 {
 		p.members[i].inFlight--
 	}
 }
 
-// Queue has a request wait for room, up to the queue's bound, and reports whether it may.
-func (p *Pool) Queue(now time.Duration, token any, h Hint) bool {
+// Enqueue has a request wait for room, up to the queue's bound, and reports whether it may.
+func (p *Pool) Enqueue(now time.Duration, token any, h Hint) bool {
 	if len(p.queue) >= p.opt.MaxQueue {
 		return false
 	}
-	p.queue = append(p.queue, waiter{token, h, now + p.opt.QueueWait})
+	p.queue = append(p.queue, queuedRequest{token, h, now + p.opt.QueueTimeout})
 	return true
 }
 
-// Waiting returns how many requests wait.
-func (p *Pool) Waiting() int { return len(p.queue) }
+// QueueLen returns how many requests wait.
+func (p *Pool) QueueLen() int { return len(p.queue) }
 
-// Next returns the request that has waited the longest of those that can go now, and the
+// NextQueued returns the request that has waited the longest of those that can go now, and the
 // member that it goes to. It takes the turn and the room.
-func (p *Pool) Next(now time.Duration) (token any, i int, ok bool) {
+func (p *Pool) NextQueued(now time.Duration) (token any, i int, ok bool) {
 	for k, w := range p.queue {
-		if i, v := p.Pick(now, w.hint); v == Go {
+		if i, v := p.Pick(now, w.hint); v == Assigned {
 			p.queue = slices.Delete(p.queue, k, k+1)
-			p.Begin(i)
+			p.Acquire(i)
 			return w.token, i, true
-		} else if v == Nobody {
+		} else if v == Unavailable {
 			break
 		} else if w.hint.Cookie == "" && p.opt.Balance != Hash {
 			break // nor can anybody behind it, unless it is tied to another
@@ -409,9 +406,9 @@
 	return nil, -1, false
 }
 
-// Leave takes a request out of the queue, and reports whether it was there.
-func (p *Pool) Leave(token any) bool {
-	k := slices.IndexFunc(p.queue, func(w waiter) bool { return w.token == token })
+// Dequeue takes a request out of the queue, and reports whether it was there.
+func (p *Pool) Dequeue(token any) bool {
+	k := slices.IndexFunc(p.queue, func(w queuedRequest) bool { return w.token == token })
 	if k >= 0 {
 		p.queue = slices.Delete(p.queue, k, k+1)
 	}
@@ -421,7 +418,7 @@
 // Expire returns the requests that have waited too long, or for whom no member is left.
 func (p *Pool) Expire(now time.Duration) (tokens []any) {
 	none := len(p.queue) > 0 && len(p.eligible()) == 0
-	p.queue = slices.DeleteFunc(p.queue, func(w waiter) bool {
+	p.queue = slices.DeleteFunc(p.queue, func(w queuedRequest) bool {
 		if now < w.deadline && (!none || p.hasPersistent(w.hint)) {
 			return false
 		}
@@ -438,8 +435,8 @@
 	})
 }
 
-// Until returns when the first of those that wait has waited too long; 0: nobody waits.
-func (p *Pool) Until() (first time.Duration) {
+// NextDeadline returns when the first of those that wait has waited too long; 0: nobody waits.
+func (p *Pool) NextDeadline() (first time.Duration) {
 	for _, w := range p.queue {
 		if first == 0 || w.deadline < first {
 			first = w.deadline
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, v := p.Pick(0, Hint{}); (v == Nobody) != (sum == 0) {
+		if _, v := p.Pick(0, Hint{}); (v == Unavailable) != (sum == 0) {
 			t.Fatalf("%v with a sum of %d", v, sum)
 		}
 		if sum == 0 {
@@ -74,7 +74,7 @@
 		used := func() (names string) {
 			seen := map[int]bool{}
 			for range 20 {
-				if i, v := p.Pick(second, Hint{}); v == Go {
+				if i, v := p.Pick(second, Hint{}); v == Assigned {
 					seen[i] = true
 				}
 			}
@@ -85,8 +85,8 @@
 			}
 			return names
 		}
-		down := func(name string) { p.Set(p.Index(name), Down, second) }
-		up := func(name string) { p.Set(p.Index(name), Up, second) }
+		down := func(name string) { p.SetState(p.Index(name), Down, second) }
+		up := func(name string) { p.SetState(p.Index(name), Up, second) }
 		backups := "x"
 		if every {
 			backups = "xy"
@@ -114,7 +114,7 @@
 	p := mustNew(t, Options{Members: []Member{{Name: "a", Weight: 1, Cookie: "A"}, {Name: "b", Weight: 0, Cookie: "B"}}})
 	pick := func(h Hint) string {
 		i, v := p.Pick(second, h)
-		if v != Go {
+		if v != Assigned {
 			return fmt.Sprint(v)
 		}
 		return p.Name(i)
@@ -125,14 +125,14 @@
 	if got := pick(Hint{Cookie: "C"}); got != "a" {
 		t.Errorf("an unknown cookie leads to %s", got)
 	}
-	p.Set(1, Draining, second)
+	p.SetState(1, Draining, second)
 	if got := pick(Hint{Cookie: "B"}); got != "b" {
 		t.Errorf("draining, its cookie leads to %s", got)
 	}
-	if got := pick(Hint{Cookie: "B", Not: []int{1}}); got != "a" {
+	if got := pick(Hint{Cookie: "B", Tried: []int{1}}); got != "a" {
 		t.Errorf("tried before, its cookie leads to %s", got)
 	}
-	p.Set(1, Down, second)
+	p.SetState(1, Down, second)
 	if got := pick(Hint{Cookie: "B"}); got != "a" {
 		t.Errorf("down, its cookie leads to %s", got)
 	}
@@ -153,7 +153,7 @@
 			t.Errorf("member %d has %.3f, weight %.3f", i, got, want)
 		}
 	}
-	p.Set(1, Down, second)
+	p.SetState(1, Down, second)
 	for k := range n {
 		if now, _ := p.Pick(second, Hint{Key: fmt.Sprint("key-", k)}); home[k] != 1 && now != home[k] {
 			t.Fatalf("key %d moved from %d to %d", k, home[k], now)
@@ -166,14 +166,14 @@
 	p := mustNew(t, Options{Balance: First, Members: []Member{{Name: "a", Weight: 1, MaxConn: 2}, {Name: "b", Weight: 1}}})
 	for i, want := range []int{0, 0, 1, 1} {
 		got, _ := p.Pick(second, Hint{})
-		if p.Begin(got); got != want {
+		if p.Acquire(got); got != want {
 			t.Errorf("first: request %d went to %d", i, got)
 		}
 	}
 	p = mustNew(t, Options{Balance: LeastConn, Members: []Member{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}}})
 	for range 40 {
 		i, _ := p.Pick(second, Hint{})
-		p.Begin(i)
+		p.Acquire(i)
 	}
 	if _, a := p.State(0); a != 10 {
 		t.Errorf("leastconn: %d of 40 at a quarter of the weight", a)
@@ -189,8 +189,8 @@
 		t.Errorf("random: %d of 10000 at a quarter of the weight", got)
 	}
 	p = mustNew(t, Options{SlowStart: 10 * second, Members: []Member{{Name: "a", Weight: 10}, {Name: "b", Weight: 10}}})
-	p.Set(0, Down, 100*second)
-	p.Set(0, Up, 100*second)
+	p.SetState(0, Down, 100*second)
+	p.SetState(0, Up, 100*second)
 	share := func(now time.Duration) (n int) {
 		for range 1000 {
 			if i, _ := p.Pick(now, Hint{}); i == 0 {
@@ -207,26 +207,26 @@
 // Guards the bound of each member and of the queue, the order in it, and that nobody waits
 // for ever.
 func TestQueue(t *testing.T) {
-	p := mustNew(t, Options{MaxQueue: 2, QueueWait: 3 * second, Members: []Member{{Name: "a", Weight: 1, MaxConn: 1}}})
+	p := mustNew(t, Options{MaxQueue: 2, QueueTimeout: 3 * second, Members: []Member{{Name: "a", Weight: 1, MaxConn: 1}}})
 	i, v := p.Pick(second, Hint{})
-	if v != Go {
+	if v != Assigned {
 		t.Fatal(v)
 	}
-	p.Begin(i)
-	if _, v := p.Pick(second, Hint{}); v != Wait {
+	p.Acquire(i)
+	if _, v := p.Pick(second, Hint{}); v != Busy {
 		t.Fatalf("full: %v", v)
 	}
-	if !p.Queue(second, "one", Hint{}) || !p.Queue(2*second, "two", Hint{}) || p.Queue(2*second, "three", Hint{}) {
+	if !p.Enqueue(second, "one", Hint{}) || !p.Enqueue(2*second, "two", Hint{}) || p.Enqueue(2*second, "three", Hint{}) {
 		t.Error("the queue's bound")
 	}
-	if _, _, ok := p.Next(2 * second); ok {
+	if _, _, ok := p.NextQueued(2 * second); ok {
 		t.Error("somebody went while it was full")
 	}
-	p.End(i)
-	if token, _, ok := p.Next(2 * second); !ok || token != "one" {
+	p.Release(i)
+	if token, _, ok := p.NextQueued(2 * second); !ok || token != "one" {
 		t.Errorf("next is %v", token)
 	}
-	if _, _, ok := p.Next(2 * second); ok {
+	if _, _, ok := p.NextQueued(2 * second); ok {
 		t.Error("two went where one may")
 	}
 	testQueueExpiry(t, p)
@@ -238,16 +238,16 @@
 	if got := p.Expire(4 * second); len(got) != 0 {
 		t.Errorf("expired early: %v", got)
 	}
-	if got := p.Expire(5 * second); !slices.Equal(got, []any{"two"}) || p.Until() != 0 {
-		t.Errorf("expired: %v, until %v", got, p.Until())
+	if got := p.Expire(5 * second); !slices.Equal(got, []any{"two"}) || p.NextDeadline() != 0 {
+		t.Errorf("expired: %v, until %v", got, p.NextDeadline())
 	}
-	p.Queue(6*second, "last", Hint{})
-	p.Set(0, Down, 6*second)
+	p.Enqueue(6*second, "last", Hint{})
+	p.SetState(0, Down, 6*second)
 	if got := p.Expire(6 * second); !slices.Equal(got, []any{"last"}) {
 		t.Errorf("with nobody left: %v", got)
 	}
-	p.Queue(7*second, "gone", Hint{})
-	if !p.Leave("gone") || p.Leave("gone") {
+	p.Enqueue(7*second, "gone", Hint{})
+	if !p.Dequeue("gone") || p.Dequeue("gone") {
 		t.Error("leaving")
 	}
 }
@@ -270,8 +270,8 @@
 		m := &poolModel{opt: o, pool: p, inFlight: make([]int, len(o.Members)), now: time.Second}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			m.step(t)
-			if p.Waiting() > o.MaxQueue {
-				t.Fatalf("%d wait", p.Waiting())
+			if p.QueueLen() > o.MaxQueue {
+				t.Fatalf("%d wait", p.QueueLen())
 			}
 		}
 	})
@@ -292,28 +292,28 @@
 	k := rapid.IntRange(0, len(m.opt.Members)-1).Draw(t, "member")
 	switch rapid.IntRange(0, 3).Draw(t, "step") {
 	case 0:
-		if i, v := p.Pick(m.now, Hint{Rand: rapid.Uint64().Draw(t, "rand")}); v == Go {
-			p.Begin(i)
+		if i, v := p.Pick(m.now, Hint{Rand: rapid.Uint64().Draw(t, "rand")}); v == Assigned {
+			p.Acquire(i)
 			m.sent(t, i)
-		} else if v == Wait {
-			p.Queue(m.now, new(int), Hint{})
+		} else if v == Busy {
+			p.Enqueue(m.now, new(int), Hint{})
 		}
 	case 1:
 		if m.inFlight[k] > 0 {
 			m.inFlight[k]--
-			p.End(k)
+			p.Release(k)
 		}
 	case 2:
-		p.Set(k, rapid.SampledFrom([]State{Up, Down, Draining}).Draw(t, "state"), m.now)
+		p.SetState(k, rapid.SampledFrom([]State{Up, Down, Draining}).Draw(t, "state"), m.now)
 	case 3:
 		for {
-			_, i, ok := p.Next(m.now)
+			_, i, ok := p.NextQueued(m.now)
 			if !ok {
 				break
 			}
 			m.sent(t, i)
 		}
-		if _, v := p.Pick(m.now, Hint{}); v == Go && p.Waiting() > 0 {
+		if _, v := p.Pick(m.now, Hint{}); v == Assigned && p.QueueLen() > 0 {
 			t.Fatal("somebody waits though a member has room")
 		}
 	}
--- a/internal/reverseproxy/backend.go
+++ b/internal/reverseproxy/backend.go
@@ -14,21 +14,21 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.pool == nil {
-		return -1, pool.Nobody
+		return -1, pool.Unavailable
 	}
 	h := r.hint
 	for i, until := range b.avoidUntil {
 		if now < until {
-			h.Not = append(slices.Clip(h.Not), i)
+			h.Tried = append(slices.Clip(h.Tried), i)
 		}
 	}
 	i, v := b.pool.Pick(now, h)
 	switch v {
-	case pool.Go:
-		b.pool.Begin(i)
-	case pool.Wait:
-		if !b.pool.Queue(now, r, r.hint) {
-			return -1, pool.Nobody
+	case pool.Assigned:
+		b.pool.Acquire(i)
+	case pool.Busy:
+		if !b.pool.Enqueue(now, r, r.hint) {
+			return -1, pool.Unavailable
 		}
 		b.armTimer(now)
 	}
@@ -37,7 +37,7 @@
 
 // armTimer sets the timer for the queue's next time-out. The lock is held.
 func (b *backend) armTimer(now time.Duration) {
-	if until := b.pool.Until(); until > 0 && !b.timerArmed {
+	if until := b.pool.NextDeadline(); until > 0 && !b.timerArmed {
 		b.timerArmed = true
 		time.AfterFunc(max(time.Millisecond, until-now), func() {
 			b.mu.Lock()
@@ -52,9 +52,9 @@
 func (b *backend) release(server string) {
 	b.mu.Lock()
 	if i := b.index(server); i >= 0 {
-		b.pool.End(i)
+		b.pool.Release(i)
 	}
-	waiting := b.pool != nil && b.pool.Waiting() > 0
+	waiting := b.pool != nil && b.pool.QueueLen() > 0
 	b.mu.Unlock()
 	if waiting {
 		b.dispatchQueue()
@@ -84,7 +84,7 @@
 	if b.pool != nil {
 		expired = b.pool.Expire(now)
 		for {
-			token, i, ok := b.pool.Next(now)
+			token, i, ok := b.pool.NextQueued(now)
 			if !ok {
 				break
 			}
@@ -106,6 +106,6 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.pool != nil {
-		b.pool.Leave(r)
+		b.pool.Dequeue(r)
 	}
 }
--- a/internal/reverseproxy/failure_test.go
+++ b/internal/reverseproxy/failure_test.go
@@ -106,7 +106,7 @@
 	c := site(t, servers...)
 	c.Backends[0].ServerTimeout, c.Backends[0].ConnectTimeout = 0.8, 0.3
 	c.Backends[0].RetryOn = []string{"conn-failure", "empty-response"}
-	c.Backends[0].Check = &dispatchconfig.WebCheck{Kind: "http", Method: "GET", URI: "/up", Every: inter.Seconds(), Rise: 2, Fall: fall}
+	c.Backends[0].Check = &dispatchconfig.WebCheck{Kind: "http", Method: "GET", URI: "/up", Interval: inter.Seconds(), Rise: 2, Fall: fall}
 	s, front := serve(t, c)
 
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/reverseproxy/health.go
+++ b/internal/reverseproxy/health.go
@@ -18,9 +18,9 @@
 	for i, m := range b.spec.Servers {
 		switch {
 		case m.Disabled || b.cordoned[m.Name]:
-			b.pool.Set(i, pool.Maintenance, b.site.opt.Clock.Now())
+			b.pool.SetState(i, pool.Maintenance, b.site.opt.Clock.Now())
 		case b.unhealthy[m.Name] && !m.NoCheck:
-			b.pool.Set(i, pool.Down, b.site.opt.Clock.Now())
+			b.pool.SetState(i, pool.Down, b.site.opt.Clock.Now())
 		}
 	}
 }
@@ -56,7 +56,7 @@
 
 // checkOf returns the health check of a server, if it has one of its own.
 func (t *activeConfig) checkOf(ctx context.Context, spec *dispatchconfig.WebBackend, m *dispatchconfig.WebServer) (healthcheck.Check, bool) {
-	c, addr, ok, err := spec.CheckOf(m)
+	c, addr, ok, err := spec.HealthCheck(m)
 	if !ok || err != nil || m.Disabled {
 		return healthcheck.Check{}, false
 	}
@@ -65,7 +65,7 @@
 	down := b.unhealthy[m.Name]
 	b.mu.Unlock()
 	followers := t.tracking(b.id(m.Name))
-	return healthcheck.Check{Name: b.id(m.Name), Addr: addr, Spec: c, Down: down, Tell: func(up bool, _ string) {
+	return healthcheck.Check{Name: b.id(m.Name), Addr: addr, Spec: c, InitiallyDown: down, OnChange: func(up bool, _ string) {
 		if ctx.Err() != nil { // newer checks have taken over
 			return
 		}
@@ -128,9 +128,9 @@
 		to = pool.Down
 	}
 	if was, _ := b.pool.State(i); was != to {
-		b.pool.Set(i, to, s.opt.Clock.Now())
+		b.pool.SetState(i, to, s.opt.Clock.Now())
 	}
-	connect, _ := b.spec.Times()
+	connect, _ := b.spec.Timeouts()
 	id, addr := b.id(m.Name), m.Addr
 	b.mu.Unlock()
 	s.transport.update(false, []serverInfo{{id, addr, connect, to == pool.Up}})
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -174,7 +174,7 @@
 	}
 	t := &activeConfig{web: w, frontends: map[string]*frontend{}, backends: map[string]*backend{}}
 	for _, f := range w.Frontends {
-		rules, err := route.Compile(f.Spec, w.Files)
+		rules, err := route.Compile(f.Spec, w.ReadFile)
 		if err != nil {
 			return nil, err
 		}
@@ -194,20 +194,20 @@
 // of requests that may and may not be sent again.
 func (s *Site) buildBackend(w *dispatchconfig.Web, spec dispatchconfig.WebBackend) (b *backend, err error) {
 	b = &backend{name: spec.Name, site: s, spec: spec, unhealthy: map[string]bool{}, cordoned: map[string]bool{}}
-	if b.rules, err = route.Compile(spec.Spec, w.Files); err != nil {
+	if b.rules, err = route.Compile(spec.Spec, w.ReadFile); err != nil {
 		return nil, err
 	}
 	if spec.HashOn != "" {
-		if b.hash, err = route.ParseFormat("%["+spec.HashOn+"]", w.Files); err != nil {
+		if b.hash, err = route.ParseFormat("%["+spec.HashOn+"]", w.ReadFile); err != nil {
 			return nil, err
 		}
 	}
 	if len(spec.Servers) > 0 {
-		if b.pool, err = pool.New(spec.Pool()); err != nil {
+		if b.pool, err = pool.New(spec.PoolOptions()); err != nil {
 			return nil, err
 		}
 	}
-	connect, server := spec.Times()
+	connect, server := spec.Timeouts()
 	limit := connect + server
 	for _, m := range spec.Servers {
 		id := b.id(m.Name)
@@ -268,10 +268,10 @@
 	defer b.mu.Unlock()
 	if b.pool != nil {
 		if by.pool != nil {
-			by.pool.Adopt(b.pool)
+			by.pool.InheritState(b.pool)
 		}
 		for _, c := range b.pool.Drain() {
-			if by.pool == nil || !by.pool.Queue(b.site.opt.Clock.Now(), c, c.(*proxyRequest).hint) {
+			if by.pool == nil || !by.pool.Enqueue(b.site.opt.Clock.Now(), c, c.(*proxyRequest).hint) {
 				rejected = append(rejected, c)
 			}
 		}
@@ -286,7 +286,7 @@
 	var members []serverInfo
 	for _, b := range t.web.Backends {
 		be := t.backends[b.Name]
-		connect, _ := b.Times()
+		connect, _ := b.Timeouts()
 		be.mu.Lock()
 		for i, m := range b.Servers {
 			id := be.id(m.Name)
--- a/internal/reverseproxy/request.go
+++ b/internal/reverseproxy/request.go
@@ -106,11 +106,11 @@
 		return
 	}
 	r.parse(client, port)
-	if a := f.rules.Request(&r.parsed); a != nil {
+	if a := f.rules.ApplyRequest(&r.parsed); a != nil {
 		r.replyByRule(a)
 		return
 	}
-	name, _ := f.rules.Backend(&r.parsed, func(name string) bool { return t.backends[name] != nil })
+	name, _ := f.rules.SelectBackend(&r.parsed, func(name string) bool { return t.backends[name] != nil })
 	b := t.backends[name]
 	if b == nil {
 		r.replyUnavailable(nil, "no backend serves this request")
@@ -121,7 +121,7 @@
 	rules, hash, cookie := b.rules, b.hash, b.spec.Cookie
 	r.forwardFor = f.spec.ForwardFor || b.spec.ForwardFor
 	b.mu.Unlock()
-	if a := rules.Request(&r.parsed); a != nil {
+	if a := rules.ApplyRequest(&r.parsed); a != nil {
 		r.replyByRule(a)
 		return
 	}
@@ -132,7 +132,7 @@
 	}
 	r.hint.Rand = r.parsed.Rand
 	if hash != nil {
-		r.hint.Key = hash.Of(&r.parsed)
+		r.hint.Key = hash.Expand(&r.parsed)
 	}
 	if cookie != nil {
 		r.hint.Cookie = r.takeCookie(cookie.Name, cookie.Indirect)
@@ -147,7 +147,7 @@
 		version = "1.0"
 	}
 	r.parsed = route.Request{Method: r.head.Method, Target: r.head.Target, Version: version, Fields: r.head.Fields, DstPort: port,
-		Rand: rand.Uint64(), Alive: r.site.servingServers}
+		Rand: rand.Uint64(), ServingServers: r.site.servingServers}
 	if a, err := netip.ParseAddrPort(client); err == nil {
 		r.parsed.Src = a.Addr().Unmap()
 	}
@@ -231,9 +231,9 @@
 func (r *proxyRequest) pickServer() {
 	i, v := r.backend.pickServer(r)
 	switch v {
-	case pool.Go:
+	case pool.Assigned:
 		r.submit(i)
-	case pool.Nobody:
+	case pool.Unavailable:
 		r.noServer()
 	}
 }
@@ -334,7 +334,7 @@
 	}
 	if again {
 		r.mu.Lock()
-		r.hint.Not = append(r.hint.Not, r.member)
+		r.hint.Tried = append(r.hint.Tried, r.member)
 		r.mu.Unlock()
 		r.pickServer()
 		return
@@ -419,7 +419,7 @@
 	if len(r.responseRules) > 0 {
 		r.parsed.Status, r.parsed.Response = status, fields
 		for _, compiled := range r.responseRules {
-			if a := compiled.Response(&r.parsed); a != nil {
+			if a := compiled.ApplyResponse(&r.parsed); a != nil {
 				return 0, nil, 0, a
 			}
 		}
--- a/internal/reverseproxy/reverseproxy_test.go
+++ b/internal/reverseproxy/reverseproxy_test.go
@@ -633,7 +633,7 @@
 		Request: []string{"deny if { path_beg /secret }", "redirect location /new code 301 if { path /old }", "set-header X-A b"},
 		Use:     []string{"api if api"}, Response: []string{"set-header X-Frame DENY"}}
 	c.Backends[0].Cookie = &dispatchconfig.WebCookie{Name: "SRV", Insert: true, Indirect: true, NoCache: true}
-	c.Backends[0].Check = &dispatchconfig.WebCheck{Kind: "http", Method: "GET", URI: "/up", Every: 0.02, Timeout: 5, Rise: 1, Fall: 1}
+	c.Backends[0].Check = &dispatchconfig.WebCheck{Kind: "http", Method: "GET", URI: "/up", Interval: 0.02, Timeout: 5, Rise: 1, Fall: 1}
 	c.Backends = append(c.Backends, dispatchconfig.WebBackend{Name: "api", Spec: route.Spec{Request: []string{`replace-path ^/api/(.*) /\1`}},
 		Servers: []dispatchconfig.WebServer{{Name: "s0", Addr: servers[0].Addr}}})
 	s, front := serve(t, c)
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -206,7 +206,7 @@
 	defer b.mu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	connect, wait = b.spec.Times()
+	connect, wait = b.spec.Timeouts()
 	if r.member < len(b.spec.Servers) {
 		addr = b.spec.Servers[r.member].Addr
 	}
--- a/internal/route/acl.go
+++ b/internal/route/acl.go
@@ -9,18 +9,18 @@
 
 // test is one question about a request.
 type test struct {
-	f     *fetch
+	fetch *fetch
 	match func(string) bool
 	found bool // it asks only whether there is a sample
 
 	// For the index: the sample must be one of the patterns, or begin with one.
-	indexable string // "str" or "beg", the methods that the index answers; else ""
-	fold      bool   // case does not matter
-	patterns  []string
+	indexable  string // "str" or "beg", the methods that the index answers; else ""
+	ignoreCase bool   // case does not matter
+	patterns   []string
 }
 
 func (t *test) holds(q *Request) bool {
-	got := t.f.samples(q)
+	got := t.fetch.samples(q)
 	if t.found {
 		return len(got) > 0
 	}
@@ -35,7 +35,7 @@
 	"_len": "len", "_str": "str"}
 
 // parseTest reads the words of an access list: a fetch, flags, and patterns.
-func (l *Lists) parseTest(words []string) (*test, error) {
+func (l *ACLSet) parseTest(words []string) (*test, error) {
 	if len(words) == 0 {
 		return nil, fmt.Errorf("a condition without a sample")
 	}
@@ -44,21 +44,21 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &test{f: f}
+	t := &test{fetch: f}
 	method, rest, err := l.parseFlags(t, method, words[1:])
 	if err != nil {
 		return nil, err
 	}
 	t.patterns = append(t.patterns, rest...)
 	method = cmp.Or(method, defaultMethods[f.kind])
-	match, ok := methods[method]
+	match, ok := matchers[method]
 	if !ok {
 		return nil, unsupported("the method -m %s", method)
 	}
 	if len(t.patterns) == 0 && method != "found" && method != "bool" {
 		return nil, fmt.Errorf("%s has no pattern to match", words[0])
 	}
-	if t.match, err = match(t.patterns, t.fold); err != nil {
+	if t.match, err = match(t.patterns, t.ignoreCase); err != nil {
 		return nil, err
 	}
 	t.found = method == "found"
@@ -85,7 +85,7 @@
 
 // parseFlags reads the flags in front of the patterns into t. It returns the method that -m
 // names, the given one without it, and the words behind the flags.
-func (l *Lists) parseFlags(t *test, method string, words []string) (string, []string, error) {
+func (l *ACLSet) parseFlags(t *test, method string, words []string) (string, []string, error) {
 	rest := words
 	for len(rest) > 0 && strings.HasPrefix(rest[0], "-") && len(rest[0]) > 1 {
 		flag := rest[0]
@@ -94,7 +94,7 @@
 		case "--":
 			return method, behind, nil
 		case "-i":
-			t.fold = true
+			t.ignoreCase = true
 		case "-n": // names are not looked up anyway
 		case "-m":
 			if len(behind) == 0 {
@@ -112,7 +112,7 @@
 			t.patterns = append(t.patterns, fileLines(b)...)
 			behind = behind[1:]
 		default:
-			if t.f.kind == kindInt { // a negative number: the patterns begin here
+			if t.fetch.kind == kindInt { // a negative number: the patterns begin here
 				return method, rest, nil
 			}
 			return "", nil, unsupported("the flag %s", flag)
@@ -132,18 +132,18 @@
 	"HTTP_CONTENT": "hdr_len(content-length) gt 0",
 }
 
-// Lists are named access lists; several of one name hold if any does.
-type Lists struct {
+// ACLSet are named access lists; several of one name hold if any does.
+type ACLSet struct {
 	files   Files
 	named   map[string][]*test
 	fetches map[string]*fetch // by their text: rules that ask for the same share what was found
 }
 
-// NewLists returns Lists without any but those that need not be declared.
-func NewLists(files Files) *Lists { return &Lists{files, map[string][]*test{}, map[string]*fetch{}} }
+// NewACLSet returns Lists without any but those that need not be declared.
+func NewACLSet(files Files) *ACLSet { return &ACLSet{files, map[string][]*test{}, map[string]*fetch{}} }
 
 // fetch returns the fetch of a text, the same one each time.
-func (l *Lists) fetch(text string) (*fetch, error) {
+func (l *ACLSet) fetch(text string) (*fetch, error) {
 	if f := l.fetches[text]; f != nil {
 		return f, nil
 	}
@@ -155,7 +155,7 @@
 }
 
 // Add declares an access list: its name, and the words behind it.
-func (l *Lists) Add(name string, words []string) error {
+func (l *ACLSet) Add(name string, words []string) error {
 	t, err := l.parseTest(words)
 	if err != nil {
 		return fmt.Errorf("acl %s: %w", name, err)
@@ -166,19 +166,19 @@
 
 // Condition is a compiled condition.
 type Condition struct {
-	any    [][]term // one of these holds, all of whose terms hold
-	unless bool
+	alternatives [][]term // one of these holds, all of whose terms hold
+	unless       bool
 }
 
 type term struct {
-	tests []*test // any of these
-	not   bool
+	tests   []*test // any of these
+	negated bool
 }
 
-// Compile reads a condition: "if" or "unless" and what follows. No words: it always holds.
-func (l *Lists) Compile(words []string) (*Condition, error) {
+// CompileCondition reads a condition: "if" or "unless" and what follows. No words: it always holds.
+func (l *ACLSet) CompileCondition(words []string) (*Condition, error) {
 	if len(words) == 0 {
-		return &Condition{any: [][]term{{}}}, nil
+		return &Condition{alternatives: [][]term{{}}}, nil
 	}
 	c := &Condition{unless: words[0] == "unless"}
 	if words[0] != "if" && words[0] != "unless" {
@@ -194,7 +194,7 @@
 			if len(all) == 0 {
 				return nil, fmt.Errorf("nothing stands before %q", w)
 			}
-			c.any, all, open = append(c.any, all), nil, true
+			c.alternatives, all, open = append(c.alternatives, all), nil, true
 			continue
 		}
 		t, rest, err := l.parseTerm(w, words)
@@ -207,15 +207,15 @@
 	if open || len(all) == 0 {
 		return nil, fmt.Errorf("the condition ends where something must follow")
 	}
-	c.any = append(c.any, all)
+	c.alternatives = append(c.alternatives, all)
 	return c, nil
 }
 
 // parseTerm reads one term, which begins with w and goes on in words: the name of an access list
 // or an anonymous one in braces, negated or not. It returns the words behind it.
-func (l *Lists) parseTerm(w string, words []string) (t term, rest []string, err error) {
+func (l *ACLSet) parseTerm(w string, words []string) (t term, rest []string, err error) {
 	for strings.HasPrefix(w, "!") {
-		t.not = !t.not
+		t.negated = !t.negated
 		if w = w[1:]; w == "" {
 			if len(words) == 0 {
 				return t, nil, fmt.Errorf("nothing stands behind the last \"!\"")
@@ -240,7 +240,7 @@
 }
 
 // lookup returns the tests of a declared or predefined access list.
-func (l *Lists) lookup(name string) ([]*test, error) {
+func (l *ACLSet) lookup(name string) ([]*test, error) {
 	if tests := l.named[name]; tests != nil {
 		return tests, nil
 	}
@@ -257,10 +257,10 @@
 
 // Holds reports whether a request meets the condition.
 func (c *Condition) Holds(q *Request) bool {
-	for _, all := range c.any {
+	for _, all := range c.alternatives {
 		holds := true
 		for i := range all {
-			if all[i].holds(q) == all[i].not {
+			if all[i].holds(q) == all[i].negated {
 				holds = false
 				break
 			}
@@ -280,6 +280,3 @@
 	}
 	return false
 }
-
-// Always reports whether the condition is none.
-func (c *Condition) Always() bool { return !c.unless && len(c.any) == 1 && len(c.any[0]) == 0 }
--- a/internal/route/convert.go
+++ b/internal/route/convert.go
@@ -49,7 +49,7 @@
 // parseField reads field(N,DELIMITERS) and word(N,DELIMITERS), which counts no empty parts. A
 // negative N counts from the end.
 func parseField(name string, args []string) (converter, error) {
-	if err := need(name, args, 2); err != nil {
+	if err := requireArgs(name, args, 2); err != nil {
 		return nil, err
 	}
 	n, err := strconv.Atoi(args[0])
@@ -76,7 +76,7 @@
 // parseRegsub reads regsub(REGEX,REPLACEMENT[,FLAGS]); of the flags, i ignores case and g replaces
 // every match.
 func parseRegsub(args []string) (converter, error) {
-	if err := need("regsub", args, 2); err != nil {
+	if err := requireArgs("regsub", args, 2); err != nil {
 		return nil, err
 	}
 	re, err := compileRegexp(args[0], len(args) > 2 && strings.Contains(args[2], "i"))
@@ -99,13 +99,13 @@
 
 // parseMap reads map_MATCH(FILE[,DEFAULT]): lines of a key and a value.
 func parseMap(method string, args []string, files Files) (converter, error) {
-	if err := need("map", args, 1); err != nil {
+	if err := requireArgs("map", args, 1); err != nil {
 		return nil, err
 	}
 	if method == "" || method == "str_str" {
 		method = "str"
 	}
-	compile, ok := methods[method]
+	compile, ok := matchers[method]
 	if !ok {
 		return nil, unsupported("the converter map_%s", method)
 	}
--- a/internal/route/fetch.go
+++ b/internal/route/fetch.go
@@ -17,10 +17,10 @@
 
 // fetch gives samples of a request: none, one, or several, as a header that comes twice.
 type fetch struct {
-	text  string // as it was written, for index and messages
-	kind  kind
-	get   func(q *Request) []string
-	after []converter
+	text       string // as it was written, for index and messages
+	kind       kind
+	get        func(q *Request) []string
+	converters []converter
 }
 
 // kind is what samples are.
@@ -37,15 +37,15 @@
 
 // samples returns what a fetch finds, and keeps it until the request is edited.
 func (f *fetch) samples(q *Request) []string {
-	if got, ok := q.memo[f]; ok {
+	if got, ok := q.fetched[f]; ok {
 		return got
 	}
 	got := f.get(q)
-	if len(f.after) > 0 {
+	if len(f.converters) > 0 {
 		out := make([]string, 0, len(got))
 		for _, s := range got {
 			ok := true
-			for _, c := range f.after {
+			for _, c := range f.converters {
 				if s, ok = c(s); !ok {
 					break
 				}
@@ -56,30 +56,30 @@
 		}
 		got = out
 	}
-	if q.memo == nil {
-		q.memo = map[*fetch][]string{}
+	if q.fetched == nil {
+		q.fetched = map[*fetch][]string{}
 	}
-	q.memo[f] = got
+	q.fetched[f] = got
 	return got
 }
 
-func one(s string) []string { return []string{s} }
+func single(s string) []string { return []string{s} }
 
 func flag(b bool) []string {
 	if b {
-		return one("1")
+		return single("1")
 	}
-	return one("0")
+	return single("0")
 }
 
-// ErrUnsupported is wrapped by errors that say what is not known here though it may be
+// UnsupportedError is wrapped by errors that say what is not known here though it may be
 // well formed.
-type ErrUnsupported struct{ What string }
+type UnsupportedError struct{ What string }
 
-func (e *ErrUnsupported) Error() string { return e.What + " is not supported" }
+func (e *UnsupportedError) Error() string { return e.What + " is not supported" }
 
 func unsupported(format string, args ...any) error {
-	return &ErrUnsupported{fmt.Sprintf(format, args...)}
+	return &UnsupportedError{fmt.Sprintf(format, args...)}
 }
 
 // parseFetch reads an expression: a fetch with its arguments, and converters behind commas.
@@ -89,7 +89,7 @@
 		name, rest = text[:i], text[i:]
 	}
 	f := &fetch{text: text}
-	word, args, err := call(name)
+	word, args, err := parseCall(name)
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 	for rest != "" {
 		rest = rest[1:] // the comma
 		i := endOfCall(rest)
-		word, args, err := call(rest[:i])
+		word, args, err := parseCall(rest[:i])
 		if err != nil {
 			return nil, err
 		}
@@ -107,7 +107,7 @@
 		if err != nil {
 			return nil, err
 		}
-		f.after, f.kind = append(f.after, c), k
+		f.converters, f.kind = append(f.converters, c), k
 		rest = rest[i:]
 	}
 	return f, nil
@@ -131,8 +131,8 @@
 	return len(s)
 }
 
-// call reads name(a,b).
-func call(s string) (name string, args []string, err error) {
+// parseCall reads name(a,b).
+func parseCall(s string) (name string, args []string, err error) {
 	name, rest, ok := strings.Cut(s, "(")
 	if !ok {
 		return s, nil, nil
@@ -146,7 +146,7 @@
 	return name, strings.Split(rest, ","), nil
 }
 
-func need(name string, args []string, n int) error {
+func requireArgs(name string, args []string, n int) error {
 	if len(args) < n {
 		return fmt.Errorf("%s needs %d arguments in parentheses", name, n)
 	}
@@ -162,21 +162,21 @@
 // plainSamples are the sample fetches that take no arguments, by name. Arguments that are given
 // all the same are not looked at.
 var plainSamples = map[string]sample{
-	"path":         {kindStr, func(q *Request) []string { return one(q.Path()) }},
-	"pathq":        {kindStr, func(q *Request) []string { return one(q.Target) }},
-	"url":          {kindStr, func(q *Request) []string { return one(q.Target) }},
-	"query":        {kindStr, func(q *Request) []string { return one(q.Query()) }},
-	"base":         {kindStr, func(q *Request) []string { return one(q.Header("Host") + q.Path()) }},
-	"method":       {kindStr, func(q *Request) []string { return one(q.Method) }},
-	"req.ver":      {kindStr, func(q *Request) []string { return one(q.Version) }},
-	"req_ver":      {kindStr, func(q *Request) []string { return one(q.Version) }},
-	"src":          {kindIP, func(q *Request) []string { return one(q.Src.Unmap().String()) }},
-	"dst_port":     {kindInt, func(q *Request) []string { return one(strconv.Itoa(q.DstPort)) }},
-	"fc_dst_port":  {kindInt, func(q *Request) []string { return one(strconv.Itoa(q.DstPort)) }},
+	"path":         {kindStr, func(q *Request) []string { return single(q.Path()) }},
+	"pathq":        {kindStr, func(q *Request) []string { return single(q.Target) }},
+	"url":          {kindStr, func(q *Request) []string { return single(q.Target) }},
+	"query":        {kindStr, func(q *Request) []string { return single(q.Query()) }},
+	"base":         {kindStr, func(q *Request) []string { return single(q.Header("Host") + q.Path()) }},
+	"method":       {kindStr, func(q *Request) []string { return single(q.Method) }},
+	"req.ver":      {kindStr, func(q *Request) []string { return single(q.Version) }},
+	"req_ver":      {kindStr, func(q *Request) []string { return single(q.Version) }},
+	"src":          {kindIP, func(q *Request) []string { return single(q.Src.Unmap().String()) }},
+	"dst_port":     {kindInt, func(q *Request) []string { return single(strconv.Itoa(q.DstPort)) }},
+	"fc_dst_port":  {kindInt, func(q *Request) []string { return single(strconv.Itoa(q.DstPort)) }},
 	"ssl_fc":       {kindBool, func(q *Request) []string { return flag(q.TLS) }},
 	"always_true":  {kindBool, func(*Request) []string { return flag(true) }},
 	"always_false": {kindBool, func(*Request) []string { return flag(false) }},
-	"status":       {kindInt, func(q *Request) []string { return one(strconv.Itoa(q.Status)) }},
+	"status":       {kindInt, func(q *Request) []string { return single(strconv.Itoa(q.Status)) }},
 }
 
 // argumentSamples are the sample fetches that need one argument, by name.
@@ -187,7 +187,7 @@
 	"req.cook":  (*fetch).cookie,
 	"var":       (*fetch).variable,
 	"nbsrv":     (*fetch).servers,
-	"str":       func(f *fetch, arg string) { f.get = func(*Request) []string { return one(arg) } },
+	"str":       func(f *fetch, arg string) { f.get = func(*Request) []string { return single(arg) } },
 }
 
 func (f *fetch) param(name string) {
@@ -201,7 +201,7 @@
 func (f *fetch) variable(name string) {
 	f.get = func(q *Request) []string {
 		if v, ok := q.vars[name]; ok {
-			return one(v)
+			return single(v)
 		}
 		return nil
 	}
@@ -211,10 +211,10 @@
 func (f *fetch) servers(backend string) {
 	f.kind = kindInt
 	f.get = func(q *Request) []string {
-		if q.Alive == nil {
-			return one("0")
+		if q.ServingServers == nil {
+			return single("0")
 		}
-		return one(strconv.Itoa(q.Alive(backend)))
+		return single(strconv.Itoa(q.ServingServers(backend)))
 	}
 }
 
@@ -225,7 +225,7 @@
 		return nil
 	}
 	if set, ok := argumentSamples[name]; ok {
-		if err := need(name, args, 1); err != nil {
+		if err := requireArgs(name, args, 1); err != nil {
 			return err
 		}
 		set(f, args[0])
@@ -251,14 +251,14 @@
 		n = v
 	}
 	f.kind = kindInt
-	f.get = func(q *Request) []string { return one(strconv.FormatUint(q.Rand%n, 10)) }
+	f.get = func(q *Request) []string { return single(strconv.FormatUint(q.Rand%n, 10)) }
 	return nil
 }
 
 // header fetches header fields: the values parted at commas, or, with fhdr, whole; all,
 // or the one of a number, from the end if that is negative.
 func (f *fetch) header(name string, args []string) error {
-	if err := need(name, args, 1); err != nil {
+	if err := requireArgs(name, args, 1); err != nil {
 		return err
 	}
 	field, at := args[0], 0
@@ -278,7 +278,7 @@
 	}
 	if strings.HasSuffix(name, "_cnt") {
 		f.kind = kindInt
-		f.get = func(q *Request) []string { return one(strconv.Itoa(len(values(q)))) }
+		f.get = func(q *Request) []string { return single(strconv.Itoa(len(values(q)))) }
 		return nil
 	}
 	f.get = func(q *Request) []string {
@@ -314,8 +314,8 @@
 	return out
 }
 
-// methods are the ways to match a sample against patterns.
-var methods = map[string]func(patterns []string, fold bool) (func(string) bool, error){
+// matchers are the ways to match a sample against patterns.
+var matchers = map[string]func(patterns []string, fold bool) (func(string) bool, error){
 	"str": matchExact,
 	"beg": matchAny(strings.HasPrefix),
 	"end": matchAny(strings.HasSuffix),
--- a/internal/route/format.go
+++ b/internal/route/format.go
@@ -12,11 +12,11 @@
 }
 
 type part struct {
-	text string
-	f    *fetch
+	text  string
+	fetch *fetch
 }
 
-var short = map[string]string{"ci": "src", "HM": "method", "HU": "url", "HP": "path", "HQ": "query"}
+var shortForms = map[string]string{"ci": "src", "HM": "method", "HU": "url", "HP": "path", "HQ": "query"}
 
 // ParseFormat reads a format.
 func ParseFormat(s string, files Files) (*Format, error) {
@@ -48,15 +48,15 @@
 				return nil, err
 			}
 			flush()
-			f.parts = append(f.parts, part{f: one})
+			f.parts = append(f.parts, part{fetch: one})
 			i += end + 1
-		case len(rest) >= 2 && short[rest[:2]] != "":
-			one, err := parseFetch(short[rest[:2]], files)
+		case len(rest) >= 2 && shortForms[rest[:2]] != "":
+			one, err := parseFetch(shortForms[rest[:2]], files)
 			if err != nil {
 				return nil, err
 			}
 			flush()
-			f.parts = append(f.parts, part{f: one})
+			f.parts = append(f.parts, part{fetch: one})
 			i += 2
 		default:
 			return nil, unsupported("%q in a format", "%"+rest[:min(2, len(rest))])
@@ -66,27 +66,27 @@
 	return f, nil
 }
 
-// Fixed returns the text if it has no samples.
-func (f *Format) Fixed() (string, bool) {
+// Literal returns the text if it has no samples.
+func (f *Format) Literal() (string, bool) {
 	switch {
 	case len(f.parts) == 0:
 		return "", true
-	case len(f.parts) == 1 && f.parts[0].f == nil:
+	case len(f.parts) == 1 && f.parts[0].fetch == nil:
 		return f.parts[0].text, true
 	}
 	return "", false
 }
 
-// Of fills a format in. Of several samples the last counts, as for a header.
-func (f *Format) Of(q *Request) string {
-	if s, ok := f.Fixed(); ok {
+// Expand fills a format in. Of several samples the last counts, as for a header.
+func (f *Format) Expand(q *Request) string {
+	if s, ok := f.Literal(); ok {
 		return s
 	}
 	var b strings.Builder
 	for _, p := range f.parts {
-		if p.f == nil {
+		if p.fetch == nil {
 			b.WriteString(p.text)
-		} else if got := p.f.samples(q); len(got) > 0 {
+		} else if got := p.fetch.samples(q); len(got) > 0 {
 			b.WriteString(got[len(got)-1])
 		}
 	}
--- a/internal/route/frontend.go
+++ b/internal/route/frontend.go
@@ -20,10 +20,10 @@
 type Rules struct {
 	request, response []*Rule
 	use               []UseRule
-	fallback          string
+	defaultBackend    string
 
-	index  []index // of the use rules that ask for a certain text
-	always []int   // the other ones, in order
+	index     []index // of the use rules that ask for a certain text
+	unindexed []int   // the other ones, in order
 }
 
 // UseRule is a compiled use_backend rule: the backend, which may depend on the request, and when
@@ -36,11 +36,11 @@
 
 // index finds the use rules that can hold by a text that the request must have.
 type index struct {
-	f       *fetch
-	fold    bool
-	exact   map[string][]int
-	prefix  map[string][]int
-	lengths []int // of the prefixes
+	fetch      *fetch
+	ignoreCase bool
+	exact      map[string][]int
+	prefix     map[string][]int
+	lengths    []int // of the prefixes
 }
 
 // minIndexedRules is the number of use rules from which an index pays.
@@ -48,10 +48,10 @@
 
 // Compile reads a Spec. Each error names the line.
 func Compile(s Spec, files Files) (*Rules, error) {
-	lists := NewLists(files)
-	out := &Rules{fallback: s.Default}
+	lists := NewACLSet(files)
+	out := &Rules{defaultBackend: s.Default}
 	line := func(kind string, text string, read func(words []string) error) error {
-		words, err := Words(text)
+		words, err := SplitWords(text)
 		if err == nil && len(words) == 0 {
 			err = fmt.Errorf("an empty line")
 		}
@@ -65,7 +65,7 @@
 	}
 	for _, text := range s.ACL {
 		if err := line("acl", text, func(w []string) error {
-			if !nameOf.MatchString(w[0]) {
+			if !aclName.MatchString(w[0]) {
 				return fmt.Errorf("%q is no name of an acl", w[0])
 			}
 			return lists.Add(w[0], w[1:])
@@ -100,60 +100,60 @@
 			return nil, err
 		}
 	}
-	out.build()
+	out.buildIndex()
 	return out, nil
 }
 
 // ParseUse reads the words of a use_backend rule: the backend, which may be a format, and
 // the condition.
-func (l *Lists) ParseUse(words []string) (UseRule, error) {
+func (l *ACLSet) ParseUse(words []string) (UseRule, error) {
 	f, err := ParseFormat(words[0], l.files)
 	if err != nil {
 		return UseRule{}, err
 	}
-	c, err := l.Compile(words[1:])
-	return UseRule{f, c, Line(words)}, err
+	c, err := l.CompileCondition(words[1:])
+	return UseRule{f, c, JoinWords(words)}, err
 }
 
 // Backends returns the names that the rules can lead to, and whether some depend on the
 // request.
 func (r *Rules) Backends() (names []string, open bool) {
 	for _, u := range r.use {
-		if s, fixed := u.backend.Fixed(); fixed {
+		if s, fixed := u.backend.Literal(); fixed {
 			names = append(names, s)
 		} else {
 			open = true
 		}
 	}
-	if r.fallback != "" {
-		names = append(names, r.fallback)
+	if r.defaultBackend != "" {
+		names = append(names, r.defaultBackend)
 	}
 	slices.Sort(names)
 	return slices.Compact(names), open
 }
 
-// build makes the index.
-func (r *Rules) build() {
+// buildIndex makes the index.
+func (r *Rules) buildIndex() {
 	if len(r.use) < minIndexedRules {
 		for i := range r.use {
-			r.always = append(r.always, i)
+			r.unindexed = append(r.unindexed, i)
 		}
 		return
 	}
 	for i := range r.use {
-		t := r.use[i].when.key()
+		t := r.use[i].when.indexKey()
 		if t == nil {
-			r.always = append(r.always, i)
+			r.unindexed = append(r.unindexed, i)
 			continue
 		}
-		at := slices.IndexFunc(r.index, func(x index) bool { return x.f.text == t.f.text && x.fold == t.fold })
+		at := slices.IndexFunc(r.index, func(x index) bool { return x.fetch.text == t.fetch.text && x.ignoreCase == t.ignoreCase })
 		if at < 0 {
 			at = len(r.index)
-			r.index = append(r.index, index{f: t.f, fold: t.fold, exact: map[string][]int{}, prefix: map[string][]int{}})
+			r.index = append(r.index, index{fetch: t.fetch, ignoreCase: t.ignoreCase, exact: map[string][]int{}, prefix: map[string][]int{}})
 		}
 		x := &r.index[at]
 		for _, p := range t.patterns {
-			if t.fold {
+			if t.ignoreCase {
 				p = strings.ToLower(p)
 			}
 			if t.indexable == "str" {
@@ -168,14 +168,14 @@
 	}
 }
 
-// key returns a test that must hold for the condition to hold, and that an index can
+// indexKey returns a test that must hold for the condition to hold, and that an index can
 // answer, or nil.
-func (c *Condition) key() *test {
-	if c.unless || len(c.any) != 1 {
+func (c *Condition) indexKey() *test {
+	if c.unless || len(c.alternatives) != 1 {
 		return nil
 	}
-	for i := range c.any[0] {
-		if t := &c.any[0][i]; !t.not && len(t.tests) == 1 && t.tests[0].indexable != "" {
+	for i := range c.alternatives[0] {
+		if t := &c.alternatives[0][i]; !t.negated && len(t.tests) == 1 && t.tests[0].indexable != "" {
 			return t.tests[0]
 		}
 	}
@@ -185,13 +185,13 @@
 // candidates returns the use rules that can hold, in order.
 func (r *Rules) candidates(q *Request) []int {
 	if len(r.index) == 0 {
-		return r.always
+		return r.unindexed
 	}
-	out := slices.Clone(r.always)
+	out := slices.Clone(r.unindexed)
 	for k := range r.index {
 		x := &r.index[k]
-		for _, s := range x.f.samples(q) {
-			if x.fold {
+		for _, s := range x.fetch.samples(q) {
+			if x.ignoreCase {
 				s = strings.ToLower(s)
 			}
 			out = append(out, x.exact[s]...)
@@ -206,31 +206,31 @@
 	return slices.Compact(out)
 }
 
-// Request carries out the rules on a request, which may answer it.
-func (r *Rules) Request(q *Request) *Answer { return Apply(r.request, q) }
+// ApplyRequest carries out the rules on a request, which may answer it.
+func (r *Rules) ApplyRequest(q *Request) *Answer { return Apply(r.request, q) }
 
-// Response carries out the rules on the response in q.
-func (r *Rules) Response(q *Request) *Answer { return Apply(r.response, q) }
+// ApplyResponse carries out the rules on the response in q.
+func (r *Rules) ApplyResponse(q *Request) *Answer { return Apply(r.response, q) }
 
 // EditsResponse reports whether there are rules on responses.
 func (r *Rules) EditsResponse() bool { return len(r.response) > 0 }
 
-// Backend returns where a request goes, "" if nowhere, and the rule that says so, "" for
+// SelectBackend returns where a request goes, "" if nowhere, and the rule that says so, "" for
 // the default. Exists is asked of names that depend on the request: one that does not
 // exist ends the matter, and the default counts.
-func (r *Rules) Backend(q *Request, exists func(string) bool) (name, rule string) {
+func (r *Rules) SelectBackend(q *Request, exists func(string) bool) (name, rule string) {
 	for _, i := range r.candidates(q) {
 		u := &r.use[i]
 		if !u.when.Holds(q) {
 			continue
 		}
-		name, fixed := u.backend.Fixed()
+		name, fixed := u.backend.Literal()
 		if !fixed {
-			if name = u.backend.Of(q); !exists(name) {
+			if name = u.backend.Expand(q); !exists(name) {
 				break
 			}
 		}
 		return name, u.text
 	}
-	return r.fallback, ""
+	return r.defaultBackend, ""
 }
--- a/internal/route/header_rules.go
+++ b/internal/route/header_rules.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-func headerAction(request bool, change func([]http1.Field, string, string) []http1.Field) action {
+func headerAction(request bool, change func([]http1.Field, string, string) []http1.Field) actionParser {
 	return func(args []string, files Files) (func(*Request) (*Answer, bool), error) {
 		if len(args) != 2 {
 			return nil, fmt.Errorf("needs a name and a value")
@@ -43,21 +43,21 @@
 		}
 		return func(q *Request) (*Answer, bool) {
 			f := fieldsOf(q, request)
-			*f = change(*f, args[0], clean(value.Of(q)))
+			*f = change(*f, args[0], sanitizeField(value.Expand(q)))
 			q.edited()
 			return nil, false
 		}, nil
 	}
 }
 
-func parseDelHeader(request bool) action {
+func parseDelHeader(request bool) actionParser {
 	return func(args []string, _ Files) (func(*Request) (*Answer, bool), error) {
 		if len(args) != 1 && len(args) != 3 {
 			return nil, fmt.Errorf("needs a name")
 		}
 		names := func(n string) bool { return strings.EqualFold(n, args[0]) }
 		if len(args) == 3 {
-			m, ok := methods[args[2]]
+			m, ok := matchers[args[2]]
 			if args[1] != "-m" || !ok {
 				return nil, unsupported("the arguments %s", strings.Join(args[1:], " "))
 			}
@@ -84,7 +84,7 @@
 	}
 }
 
-func parseReplaceHeader(request, parts bool) action {
+func parseReplaceHeader(request, parts bool) actionParser {
 	return func(args []string, files Files) (func(*Request) (*Answer, bool), error) {
 		if len(args) != 3 {
 			return nil, fmt.Errorf("needs a name, a regular expression and a replacement")
@@ -104,14 +104,14 @@
 					continue
 				}
 				if !parts {
-					out[i].Value = clean(change(q, out[i].Value))
+					out[i].Value = sanitizeField(change(q, out[i].Value))
 					continue
 				}
 				values := strings.Split(out[i].Value, ",")
 				for j, v := range values {
 					values[j] = change(q, strings.TrimSpace(v))
 				}
-				out[i].Value = clean(strings.Join(values, ", "))
+				out[i].Value = sanitizeField(strings.Join(values, ", "))
 			}
 			*f = out
 			q.edited()
@@ -130,14 +130,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if s, fixed := f.Fixed(); fixed {
+	if s, fixed := f.Literal(); fixed {
 		to := backrefs(s)
 		return func(_ *Request, s string) string { return replace(re, s, to, false) }, nil
 	}
-	return func(q *Request, s string) string { return replace(re, s, backrefs(f.Of(q)), false) }, nil
+	return func(q *Request, s string) string { return replace(re, s, backrefs(f.Expand(q)), false) }, nil
 }
 
-func parseReplace(get func(*Request) string, set func(*Request, string)) action {
+func parseReplace(get func(*Request) string, set func(*Request, string)) actionParser {
 	return func(args []string, files Files) (func(*Request) (*Answer, bool), error) {
 		if len(args) != 2 {
 			return nil, fmt.Errorf("needs a regular expression and a replacement")
@@ -160,7 +160,7 @@
 	return s != "" && strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f }) < 0
 }
 
-func formatAction(set func(*Request, string)) action {
+func formatAction(set func(*Request, string)) actionParser {
 	return func(args []string, files Files) (func(*Request) (*Answer, bool), error) {
 		if len(args) != 1 {
 			return nil, fmt.Errorf("needs one value")
@@ -170,7 +170,7 @@
 			return nil, err
 		}
 		return func(q *Request) (*Answer, bool) {
-			if s := f.Of(q); targetable(s) {
+			if s := f.Expand(q); targetable(s) {
 				set(q, s)
 			}
 			return nil, false
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -21,15 +21,15 @@
 	DstPort int        // the port of ours that it came to
 	TLS     bool
 
-	Rand  uint64                   // drawn for this request
-	Alive func(backend string) int // how many members a backend has that serve; may be nil
+	Rand           uint64                   // drawn for this request
+	ServingServers func(backend string) int // how many members a backend has that serve; may be nil
 
 	// Of the response, for its rules alone.
 	Status   int
 	Response []http1.Field
 
-	vars map[string]string   // set by rules of this request
-	memo map[*fetch][]string // what was fetched, until something is edited
+	vars    map[string]string   // set by rules of this request
+	fetched map[*fetch][]string // what was fetched, until something is edited
 }
 
 // Path returns the path, without the query.
@@ -77,7 +77,7 @@
 }
 
 // edited forgets what was fetched.
-func (q *Request) edited() { clear(q.memo) }
+func (q *Request) edited() { clear(q.fetched) }
 
 // Header returns the first value of a header field.
 func (q *Request) Header(name string) string {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -17,7 +17,7 @@
 
 // ask reads a request as `METHOD TARGET [Name:Value ...] [src=ADDR] [port=N] [tls]`.
 func ask(line string) *Request {
-	words, _ := Words(line)
+	words, _ := SplitWords(line)
 	q := &Request{Method: words[0], Target: words[1], Version: "1.1", Src: netip.MustParseAddr("192.0.2.7"), DstPort: 80}
 	for _, w := range words[2:] {
 		switch {
@@ -80,8 +80,8 @@
 		{"always_true", "GET /", ""},
 		{"path_beg -- -x", "GET -x", "GET /x"},
 	} {
-		l := NewLists(files)
-		words, err := Words(c.test)
+		l := NewACLSet(files)
+		words, err := SplitWords(c.test)
 		if err == nil {
 			err = l.Add("a", words)
 		}
@@ -89,7 +89,7 @@
 			t.Errorf("%s: %v", c.test, err)
 			continue
 		}
-		cond, err := l.Compile([]string{"if", "a"})
+		cond, err := l.CompileCondition([]string{"if", "a"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -104,7 +104,7 @@
 
 // Guards conditions against a plain evaluation of the same formula.
 func TestConditionLogic(t *testing.T) {
-	l := NewLists(NoFiles)
+	l := NewACLSet(NoFiles)
 	for _, name := range []string{"a", "b", "c"} {
 		if err := l.Add(name, []string{"hdr(" + name + ")", "1"}); err != nil {
 			t.Fatal(err)
@@ -136,7 +136,7 @@
 			}
 			holds = holds || all
 		}
-		c, err := l.Compile(words)
+		c, err := l.CompileCondition(words)
 		if err != nil {
 			t.Fatalf("%v: %v", words, err)
 		}
@@ -145,7 +145,7 @@
 		}
 	})
 	for _, bad := range []string{"if", "if or a", "if a or", "if {", "if { path /", "if nobody", "a", "if !", "if { }", "if a ||"} {
-		if _, err := l.Compile(strings.Fields(bad)); err == nil {
+		if _, err := l.CompileCondition(strings.Fields(bad)); err == nil {
 			t.Errorf("taken: %s", bad)
 		}
 	}
@@ -207,7 +207,7 @@
 	exists := func(name string) bool { return strings.HasPrefix(name, "app_") }
 	for line, want := range map[string]string{"GET /special/x": "special", "GET / Host:A.example": "app_a", "GET / Host:b.example": "app_b",
 		"GET / Host:c.example": "main"} {
-		if got, _ := r.Backend(ask(line), exists); got != want {
+		if got, _ := r.SelectBackend(ask(line), exists); got != want {
 			t.Errorf("%s goes to %q, not %q", line, got, want)
 		}
 	}
@@ -238,12 +238,12 @@
 		{"GET /cdn/a?q=1 Host:h", "https://cdn.example/cdn/a", 302},
 		{"GET /hello", "", 200},
 	} {
-		a := r.Request(ask(c.line))
+		a := r.ApplyRequest(ask(c.line))
 		if a == nil || a.Status != c.status || c.location != "" && a.Fields[0].Value != c.location {
 			t.Errorf("%s: %+v", c.line, a)
 		}
 	}
-	if a := r.Request(ask("GET /hello")); string(a.Body) != "hi 192.0.2.7" {
+	if a := r.ApplyRequest(ask("GET /hello")); string(a.Body) != "hi 192.0.2.7" {
 		t.Errorf("body %q", a.Body)
 	}
 }
@@ -253,7 +253,7 @@
 	t.Helper()
 	run := func(line string) (q *Request, a *Answer) {
 		q = ask(line)
-		return q, r.Request(q)
+		return q, r.ApplyRequest(q)
 	}
 	q, a := run("GET /api/tag?x=1 X-Secret:1 x-secret:2 Cookie:'a=1; sid=123; b=2' X-Real:forged")
 	if a != nil || q.Target != "/tag?x=1" || q.Header("X-Secret") != "" || q.Header("X-Real") != "192.0.2.7" ||
@@ -268,7 +268,7 @@
 	}
 	q = ask("GET /")
 	q.Status, q.Response = 502, []http1.Field{{Name: "Server", Value: "x"}, {Name: "Content-Length", Value: "101"}}
-	if a := r.Response(q); a != nil || q.Status != 503 || len(q.Response) != 3 {
+	if a := r.ApplyResponse(q); a != nil || q.Status != 503 || len(q.Response) != 3 {
 		t.Errorf("%+v %d %v", a, q.Status, q.Response)
 	}
 }
@@ -281,7 +281,7 @@
 	}
 	q := ask("GET /")
 	q.Target = "/a\r\nX-Evil: 1?to=b\r\nSet-Cookie: c"
-	a := r.Request(q)
+	a := r.ApplyRequest(q)
 	for _, f := range append(q.Fields, a.Fields...) {
 		if strings.ContainsAny(f.Value, "\r\n") {
 			t.Errorf("%s: %q", f.Name, f.Value)
@@ -309,14 +309,14 @@
 			t.Fatal(err)
 		}
 		linear := *indexed
-		linear.index, linear.always = nil, nil
+		linear.index, linear.unindexed = nil, nil
 		for i := range linear.use {
-			linear.always = append(linear.always, i)
+			linear.unindexed = append(linear.unindexed, i)
 		}
 		line := fmt.Sprintf("%s /%s Host:%s X:%d", rapid.SampledFrom([]string{"GET", "POST"}).Draw(t, "method"), word.Draw(t, "path"),
 			word.Draw(t, "host"), rapid.IntRange(0, 1).Draw(t, "x"))
-		a, _ := indexed.Backend(ask(line), nil)
-		b, _ := linear.Backend(ask(line), nil)
+		a, _ := indexed.SelectBackend(ask(line), nil)
+		b, _ := linear.SelectBackend(ask(line), nil)
 		if a != b {
 			t.Fatalf("%s: %s by the index, %s one by one: %v", line, a, b, spec.Use)
 		}
@@ -335,8 +335,8 @@
 		}
 		q := ask("GET / Host:a X:1,2")
 		q.Target = target
-		r.Request(q)
-		r.Backend(q, func(string) bool { return true })
+		r.ApplyRequest(q)
+		r.SelectBackend(q, func(string) bool { return true })
 	})
 }
 
@@ -365,16 +365,16 @@
 			b.Fatal(err)
 		}
 		linear := *r
-		linear.index, linear.always = nil, nil
+		linear.index, linear.unindexed = nil, nil
 		for i := range linear.use {
-			linear.always = append(linear.always, i)
+			linear.unindexed = append(linear.unindexed, i)
 		}
 		for name, rules := range map[string]*Rules{"index": r, "linear": &linear} {
 			b.Run(fmt.Sprintf("rules=%d/%s", n, name), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					q := Request{Method: "GET", Target: "/some/page.html?x=1", Fields: []http1.Field{{Name: "Host", Value: "www.example"}}}
-					if name, _ := rules.Backend(&q, nil); name != "main" {
+					if name, _ := rules.SelectBackend(&q, nil); name != "main" {
 						b.Fatal(name)
 					}
 				}
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -15,23 +15,20 @@
 	Status int
 	Fields []http1.Field
 	Body   []byte
-	Why    string // the rule's words, for whoever asks why
+	Reason string // the rule's words, for whoever asks why
 }
 
 // Rule is a compiled rule on requests or responses: what is done, and when.
 type Rule struct {
 	when *Condition
 	text string
-	// do carries the rule out. It returns an answer that ends the matter, or whether the
+	// apply carries the rule out. It returns an answer that ends the matter, or whether the
 	// rules that follow still count.
-	do func(q *Request) (a *Answer, last bool)
+	apply func(q *Request) (a *Answer, last bool)
 }
 
-// Text returns the rule's words.
-func (r *Rule) Text() string { return r.text }
-
-// cut parts the words of a rule from its condition.
-func cut(words []string) (act, when []string) {
+// cutCondition parts the words of a rule from its condition.
+func cutCondition(words []string) (act, when []string) {
 	depth := 0
 	for i, w := range words {
 		switch w {
@@ -49,19 +46,19 @@
 }
 
 // ParseRequestRule reads the words of an http-request rule.
-func (l *Lists) ParseRequestRule(words []string) (*Rule, error) {
+func (l *ACLSet) ParseRequestRule(words []string) (*Rule, error) {
 	return l.parseRule(words, requestActions, "http-request")
 }
 
 // ParseResponseRule reads the words of an http-response rule.
-func (l *Lists) ParseResponseRule(words []string) (*Rule, error) {
+func (l *ACLSet) ParseResponseRule(words []string) (*Rule, error) {
 	return l.parseRule(words, responseActions, "http-response")
 }
 
-type action func(args []string, files Files) (func(q *Request) (*Answer, bool), error)
+type actionParser func(args []string, files Files) (func(q *Request) (*Answer, bool), error)
 
-func (l *Lists) parseRule(words []string, actions map[string]action, what string) (*Rule, error) {
-	act, when := cut(words)
+func (l *ACLSet) parseRule(words []string, actions map[string]actionParser, what string) (*Rule, error) {
+	act, when := cutCondition(words)
 	if len(act) == 0 {
 		return nil, fmt.Errorf("%s lacks its action", what)
 	}
@@ -73,12 +70,12 @@
 	if !ok {
 		return nil, unsupported("%s %s", what, name)
 	}
-	r := &Rule{text: Line(words)}
+	r := &Rule{text: JoinWords(words)}
 	var err error
-	if r.do, err = parse(args, l.files); err != nil {
+	if r.apply, err = parse(args, l.files); err != nil {
 		return nil, fmt.Errorf("%s %s: %w", what, name, err)
 	}
-	if r.when, err = l.Compile(when); err != nil {
+	if r.when, err = l.CompileCondition(when); err != nil {
 		return nil, fmt.Errorf("%s %s: %w", what, name, err)
 	}
 	return r, nil
@@ -90,9 +87,9 @@
 		if !r.when.Holds(q) {
 			continue
 		}
-		a, last := r.do(q)
+		a, last := r.apply(q)
 		if a != nil {
-			a.Why = r.text
+			a.Reason = r.text
 			return a
 		}
 		if last {
@@ -102,7 +99,7 @@
 	return nil
 }
 
-var requestActions = map[string]action{
+var requestActions = map[string]actionParser{
 	"allow":          func([]string, Files) (func(*Request) (*Answer, bool), error) { return allow, nil },
 	"deny":           parseDeny,
 	"tarpit":         parseDeny, // answered at once: a refusal is not held back here
@@ -122,13 +119,13 @@
 	"set-var":        parseSetVar,
 	"set-var-fmt":    parseSetVarFormat,
 	"unset-var":      parseUnsetVar,
-	"strict-mode":    func([]string, Files) (func(*Request) (*Answer, bool), error) { return nothing, nil },
+	"strict-mode":    func([]string, Files) (func(*Request) (*Answer, bool), error) { return noAction, nil },
 	"disable-l7-retry": func([]string, Files) (func(*Request) (*Answer, bool), error) {
 		return nil, unsupported("a rule that decides on retries")
 	},
 }
 
-var responseActions = map[string]action{
+var responseActions = map[string]actionParser{
 	"allow":          func([]string, Files) (func(*Request) (*Answer, bool), error) { return allow, nil },
 	"deny":           parseDeny,
 	"set-header":     headerAction(false, setHeader),
@@ -139,8 +136,8 @@
 	"set-status":     parseSetStatus,
 }
 
-func allow(*Request) (*Answer, bool)   { return nil, true }
-func nothing(*Request) (*Answer, bool) { return nil, false }
+func allow(*Request) (*Answer, bool)    { return nil, true }
+func noAction(*Request) (*Answer, bool) { return nil, false }
 
 func addHeader(fields []http1.Field, name, value string) []http1.Field {
 	return append(slices.Clip(fields), http1.Field{Name: name, Value: value})
@@ -237,7 +234,7 @@
 
 // answer is the rule's do.
 func (r *redirect) answer(q *Request) (*Answer, bool) {
-	location := r.to.Of(q)
+	location := r.to.Expand(q)
 	switch r.kind {
 	case "prefix":
 		if location == "/" {
@@ -247,9 +244,9 @@
 	case "scheme":
 		location += "://" + q.Header("Host") + r.target(q)
 	}
-	fields := []http1.Field{{Name: "Location", Value: clean(location)}}
+	fields := []http1.Field{{Name: "Location", Value: sanitizeField(location)}}
 	if r.cookie != "" {
-		fields = append(fields, http1.Field{Name: "Set-Cookie", Value: clean(r.cookie)})
+		fields = append(fields, http1.Field{Name: "Set-Cookie", Value: sanitizeField(r.cookie)})
 	}
 	return &Answer{Status: r.code, Fields: fields}, true
 }
@@ -271,9 +268,9 @@
 	return target
 }
 
-// clean takes away what would end a header field: what is put into one may come from
+// sanitizeField takes away what would end a header field: what is put into one may come from
 // the request.
-func clean(s string) string {
+func sanitizeField(s string) string {
 	if strings.IndexFunc(s, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) < 0 {
 		return s
 	}
@@ -327,13 +324,13 @@
 	return func(q *Request) (*Answer, bool) {
 		a := &Answer{Status: code, Body: fixed}
 		if body != nil {
-			a.Body = []byte(body.Of(q))
+			a.Body = []byte(body.Expand(q))
 		}
 		if kind != "" {
 			a.Fields = append(a.Fields, http1.Field{Name: "Content-Type", Value: kind})
 		}
 		for i, n := range names {
-			a.Fields = append(a.Fields, http1.Field{Name: n, Value: clean(values[i].Of(q))})
+			a.Fields = append(a.Fields, http1.Field{Name: n, Value: sanitizeField(values[i].Expand(q))})
 		}
 		return a, true
 	}, nil
@@ -375,7 +372,7 @@
 		return nil, err
 	}
 	return func(q *Request) (*Answer, bool) {
-		q.setVar(args[0], f.Of(q))
+		q.setVar(args[0], f.Expand(q))
 		return nil, false
 	}, nil
 }
@@ -407,4 +404,4 @@
 	}, nil
 }
 
-var nameOf = regexp.MustCompile(`^[A-Za-z0-9_.:-]+$`)
+var aclName = regexp.MustCompile(`^[A-Za-z0-9_.:-]+$`)
--- a/internal/route/words.go
+++ b/internal/route/words.go
@@ -7,13 +7,13 @@
 )
 
 var (
-	errQuote = errors.New("a quote is not closed")
-	errSlash = errors.New("a backslash at the end of the line")
+	errOpenQuote         = errors.New("a quote is not closed")
+	errTrailingBackslash = errors.New("a backslash at the end of the line")
 )
 
-// Words cuts a line into words by the rules of HAProxy's configuration: blanks part
+// SplitWords cuts a line into words by the rules of HAProxy's configuration: blanks part
 // words, quotes of both kinds and backslashes take their meaning away.
-func Words(line string) ([]string, error) { return Splitter{}.Split(line) }
+func SplitWords(line string) ([]string, error) { return Splitter{}.Split(line) }
 
 // Splitter cuts lines as they stand in a configuration of HAProxy.
 type Splitter struct {
@@ -34,7 +34,7 @@
 		i += n
 	}
 	if p.quote != 0 {
-		return p.words, errQuote
+		return p.words, errOpenQuote
 	}
 	p.end()
 	return p.words, nil
@@ -100,7 +100,7 @@
 // escape reads a backslash and what stands behind it.
 func (p *splitting) escape(rest string) (n int, err error) {
 	if len(rest) == 1 {
-		return 0, errSlash
+		return 0, errTrailingBackslash
 	}
 	p.begun = true
 	text, n := Unescape(rest[1:])
@@ -130,8 +130,8 @@
 	return "\\" + s[:1], 1
 }
 
-// Line puts words into a line that Words cuts into the same.
-func Line(words []string) string {
+// JoinWords puts words into a line that Words cuts into the same.
+func JoinWords(words []string) string {
 	var b strings.Builder
 	for i, w := range words {
 		if i > 0 {
