--- a/internal/dispatchconfig/admission.go
+++ b/internal/dispatchconfig/admission.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Door sets up the fair queues before the planners; see docs/DOOR.md.
+// Door sets up the admission queues before the planners; see docs/DOOR.md.
 type Door struct {
 	Concurrency int `toml:"concurrency"`      // jobs inside at a time
 	Queue       int `toml:"queue,omitzero"`   // jobs of a co-op that may wait; 0: 256
--- a/internal/dispatchconfig/config.go
+++ b/internal/dispatchconfig/config.go
@@ -1,5 +1,5 @@
-// Package dispatchconfig reads what the scheduler is told at its start: by the platform
-// in the file that EDGE_CONFIG names, or by an operator's file.
+// Package dispatchconfig reads and checks the scheduler's configuration: the platform's file, which
+// EDGE_CONFIG names, or an operator's file.
 package dispatchconfig
 
 import (
@@ -15,7 +15,7 @@
 	"sedgevale/internal/discovery"
 )
 
-// Config is all that a scheduler is told.
+// Config is the configuration of one scheduler process.
 type Config struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -26,7 +26,7 @@
 	Known     *discovery.List `json:"known"`
 
 	// Other schedulers of the site: where they are, by their numbers, this one included; and where their
-	// datagrams come in. Empty: nothing is told.
+	// datagrams come in. Empty: the scheduler exchanges no messages.
 	PeerListen string   `json:"peer_listen"`
 	Peers      []string `json:"peers"`
 
@@ -135,8 +135,8 @@
 }
 
 // Follows returns an error unless this configuration can take the place of the one
-// before: it must have each key that that one has, but for what tells of workers.
-// A file that lacks one was cut, or is not ours.
+// before: it must have each key that that one has, but for those of workers. A file
+// that lacks one was cut short, or is not ours.
 func (c *Config) Follows(before *Config) error {
 	var missing []string
 	for k := range before.keys {
--- a/internal/dispatchconfig/peers.go
+++ b/internal/dispatchconfig/peers.go
@@ -67,7 +67,7 @@
 	return h.Sum64()
 }
 
-// InForce returns what schedulers tell each other of this configuration: the operator's number, and a digest of what must be the
+// InForce returns the revision that schedulers send each other: the operator's number, and a digest of what must be the
 // same for all and a reload takes over, the teams in any order and the classes.
 func (c *Config) InForce() peers.Revision {
 	teams := slices.Clone(c.Settings.Realms)
--- a/internal/dispatchconfig/web.go
+++ b/internal/dispatchconfig/web.go
@@ -15,7 +15,7 @@
 	"sedgevale/internal/route"
 )
 
-// Web sets up the plain HTTP front; see docs/HAPROXY.md. Times are in seconds.
+// Web sets up the reverse proxy for plain HTTP; see docs/HAPROXY.md. Times are in seconds.
 type Web struct {
 	Frontends []WebFrontend `toml:"frontends"`
 	Backends  []WebBackend  `toml:"backends"`
@@ -47,7 +47,7 @@
 	QueueTimeout   float64     `toml:"queue_timeout,omitzero"`
 	MaxQueue       int         `toml:"max_queue,omitzero"`
 	SlowStart      float64     `toml:"slow_start,omitzero"`
-	RetryAfter     float64     `toml:"retry_after,omitzero"` // told with 503; 0: nothing is told
+	RetryAfter     float64     `toml:"retry_after,omitzero"` // seconds, sent with a 503; 0: not sent
 	Cookie         *WebCookie  `toml:"cookie,omitempty"`
 	Check          *WebCheck   `toml:"check,omitempty"`
 	Servers        []WebServer `toml:"servers"`
@@ -93,7 +93,7 @@
 	Check     *WebCheck `toml:"check,omitempty"`      // over the backend's, part by part
 	NoCheck   bool      `toml:"no_check,omitempty"`   // though the backend has one
 	CheckAddr string    `toml:"check_addr,omitempty"` // where, if not at addr
-	Track     string    `toml:"track,omitempty"`      // BACKEND/SERVER: it stands as that does
+	Track     string    `toml:"track,omitempty"`      // BACKEND/SERVER: its state is that server's
 }
 
 // Defaults of a backend, as HAProxy has them.
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -9,7 +9,7 @@
 	"sedgevale/internal/route"
 )
 
-// Options say what a configuration does not tell.
+// Options give what a configuration leaves to its environment.
 type Options struct {
 	Env     map[string]string // environment variables
 	Defines map[string]bool   // names that .if defined(NAME) holds for, besides those of Env
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -76,7 +76,7 @@
 	directive
 	state    blockState
 	anyTaken bool // a branch was taken
-	unknown  bool // a condition could not be told
+	unknown  bool // a condition could not be evaluated
 	sawElse  bool
 }
 
@@ -85,7 +85,7 @@
 const (
 	takenBranch   blockState = iota // what stands here counts
 	skippedBranch                   // it does not
-	unknownBranch                   // nobody can tell
+	unknownBranch                   // its condition cannot be evaluated
 )
 
 func (r *sectionReader) read(s Source) {
@@ -275,7 +275,7 @@
 	return skippedBranch
 }
 
-// condition evaluates what .if asks: whether it holds, and whether that can be told here.
+// condition evaluates what .if asks: whether it holds, and whether that can be evaluated here.
 func (r *sectionReader) condition(text string) (holds, known bool) {
 	text = strings.TrimSpace(text)
 	if a, b, ok := cutOutside(text, "||"); ok {
--- a/internal/healthcheck/driver.go
+++ b/internal/healthcheck/driver.go
@@ -80,7 +80,7 @@
 			if err != nil {
 				why = err.Error()
 			}
-			d.log.Warn("a server's state has changed", "server", c.Name, "up", t.Up(), "why", why)
+			d.log.Warn("server health changed", "server", c.Name, "up", t.Up(), "why", why)
 			c.OnChange(t.Up(), why)
 		}
 		timer.Reset(time.Duration(float64(t.NextInterval()) * (0.95 + 0.1*d.rand())))
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -22,7 +22,7 @@
 const (
 	RoundRobin Balance = "roundrobin" // by weight, evenly spread
 	LeastConn  Balance = "leastconn"  // who has the fewest requests for its weight
-	First      Balance = "first"      // the first that has room
+	First      Balance = "first"      // the first that has capacity
 	Random     Balance = "random"     // drawn by weight
 	Hash       Balance = "hash"       // by a text of the request; a member's leaving moves only its own
 )
@@ -197,7 +197,7 @@
 // Serving returns how many members may be sent new requests.
 func (p *Pool) Serving() int { return len(p.eligible()) }
 
-// eligible returns the members that may be sent new requests, whoever has room: all that
+// eligible returns the members that may be sent new requests, whether or not they have capacity: all that
 // are up, or, if none is, the first backup that is up, or all backups.
 func (p *Pool) eligible() []int {
 	var main, backup []int
@@ -243,12 +243,12 @@
 // The verdicts.
 const (
 	Assigned    Verdict = iota // to that member
-	Busy                       // none has room; it may be queued
+	Busy                       // none has capacity; it may be queued
 	Unavailable                // no member serves
 )
 
 // Pick says which member's turn it is for a request. It takes the turn; Begin takes the
-// room.
+// capacity.
 func (p *Pool) Pick(now time.Duration, h Hint) (int, Verdict) {
 	if i := p.persistent(h); i >= 0 {
 		return p.ifFree(i)
@@ -377,7 +377,8 @@
 	}
 }
 
-// Enqueue has a request wait for room, up to the queue's bound, and reports whether it may.
+// Enqueue queues a request until a member has capacity or Options.QueueTimeout is over. It reports
+// false if the queue is full. Token stands for the request in what NextQueued and Expire return.
 func (p *Pool) Enqueue(now time.Duration, token any, h Hint) bool {
 	if len(p.queue) >= p.opt.MaxQueue {
 		return false
@@ -390,7 +391,7 @@
 func (p *Pool) QueueLen() int { return len(p.queue) }
 
 // NextQueued returns the request that has waited the longest of those that can go now, and the
-// member that it goes to. It takes the turn and the room.
+// member that it goes to. It takes the turn and the capacity.
 func (p *Pool) NextQueued(now time.Duration) (token any, i int, ok bool) {
 	for k, w := range p.queue {
 		if i, v := p.Pick(now, w.hint); v == Assigned {
--- a/internal/reverseproxy/server_conn.go
+++ b/internal/reverseproxy/server_conn.go
@@ -229,7 +229,7 @@
 // failMalformed ends the attempt and the connection after a malformed response.
 func (sc *serverConn) failMalformed(err error) {
 	ua := sc.attempt
-	sc.transport.site.opt.Log.Warn("a server's answer is malformed", "server", sc.server.id, "err", err)
+	sc.transport.site.opt.Log.Warn("server response malformed", "server", sc.server.id, "err", err)
 	sc.transport.closeConn(sc)
 	if ua == nil || ua.done {
 		return
