--- a/internal/haproxy/report.go
+++ b/internal/haproxy/report.go
@@ -38,6 +38,7 @@
 	return Entry{d.file, d.line, section, d.String(), v, reason}
 }
 
+// String says an entry in one line, FILE:LINE first.
 func (e Entry) String() string {
 	s := fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Verdict, e.Directive)
 	if e.Reason != "" {
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -63,30 +63,7 @@
 	s := &stand{t: t, name: strings.TrimSuffix(filepath.Base(file), ".cfg"), front: map[string]string{}, down: map[string]bool{},
 		ref: refLoad(string(text), sampleEnv(), map[string]string{"hosts.map": string(maps)})}
 	live := strings.ReplaceAll(string(text), `"${APP_HOST}":80`, "10.0.0.1:80")
-	addrs := map[string]string{}
-	live = serverAddr.ReplaceAllStringFunc(live, func(a string) string {
-		if addrs[a] == "" {
-			addrs[a] = s.server(a)
-		}
-		return addrs[a]
-	})
-	var lines []string
-	name := ""
-	for line := range strings.Lines(live) {
-		if m := frontLine.FindStringSubmatch(line); m != nil {
-			name = m[2]
-			delete(s.front, name) // of a branch that does not count
-		}
-		if m := bindLine.FindStringSubmatch(line); m != nil && !strings.Contains(line, " ssl ") {
-			addr := freePort(t)
-			if s.front[name] == "" {
-				s.front[name] = addr
-			}
-			line = strings.Replace(line, m[2], addr, 1)
-		}
-		lines = append(lines, line)
-	}
-	got, err := haproxy.Import([]haproxy.Source{{Name: file, Text: []byte(strings.Join(lines, ""))}},
+	got, err := haproxy.Import([]haproxy.Source{{Name: file, Text: []byte(s.localAddresses(live))}},
 		haproxy.Options{Env: sampleEnv(), Files: func(p string) ([]byte, error) { return os.ReadFile(filepath.Join("testdata", p)) }})
 	if err != nil {
 		t.Fatal(err)
@@ -116,6 +93,36 @@
 	return s
 }
 
+// localAddresses puts free addresses in place of those that a sample listens on, and of stand-ins in
+// place of those of its servers.
+func (s *stand) localAddresses(text string) string {
+	s.t.Helper()
+	addrs := map[string]string{}
+	text = serverAddr.ReplaceAllStringFunc(text, func(a string) string {
+		if addrs[a] == "" {
+			addrs[a] = s.server(a)
+		}
+		return addrs[a]
+	})
+	var lines []string
+	name := ""
+	for line := range strings.Lines(text) {
+		if m := frontLine.FindStringSubmatch(line); m != nil {
+			name = m[2]
+			delete(s.front, name) // of a branch that does not count
+		}
+		if m := bindLine.FindStringSubmatch(line); m != nil && !strings.Contains(line, " ssl ") {
+			addr := freePort(s.t)
+			if s.front[name] == "" {
+				s.front[name] = addr
+			}
+			line = strings.Replace(line, m[2], addr, 1)
+		}
+		lines = append(lines, line)
+	}
+	return strings.Join(lines, "")
+}
+
 func (s *stand) serve(c *dispatchconfig.Config) {
 	log := slog.New(slog.DiscardHandler)
 	loop, err := evloop.New(log)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -58,6 +58,7 @@
 	Maintenance
 )
 
+// String returns the state in lower case.
 func (s State) String() string { return [...]string{"up", "down", "draining", "maintenance"}[s] }
 
 // maxWeight is HAProxy's.
@@ -71,12 +72,13 @@
 	defaultQueueWait = 5 * time.Second
 )
 
+// member is a Member and what changes of it.
 type member struct {
 	Member
 	state   State
 	since   time.Duration // when it came up; 0: long ago
 	current float64       // of smooth weighted round robin
-	// inFlight counts the requests that the member has now: Begin adds, End subtracts.
+	// inFlight counts the requests that the member has now: Acquire adds, Release subtracts.
 	inFlight int
 }
 
@@ -84,11 +86,12 @@
 type Pool struct {
 	opt     Options
 	members []member
-	queue   []queuedRequest
+	queue   []queuedRequest // the longest waiting first
 }
 
+// queuedRequest is a request that waits for a member's capacity.
 type queuedRequest struct {
-	token any
+	token any // the caller's
 	hint  Hint
 	// deadline is when it has waited too long, on the clock of the caller's now.
 	deadline time.Duration
--- a/internal/reverseproxy/request.go
+++ b/internal/reverseproxy/request.go
@@ -213,6 +213,12 @@
 	return !was
 }
 
+func (r *proxyRequest) isFinished() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.finished
+}
+
 // clientGone ends the request after its client has disconnected.
 func (r *proxyRequest) clientGone() {
 	r.mu.Lock()
@@ -240,10 +246,7 @@
 
 // noServer replies that no server takes the request.
 func (r *proxyRequest) noServer() {
-	r.mu.Lock()
-	finished := r.finished
-	r.mu.Unlock()
-	if finished {
+	if r.isFinished() {
 		return
 	}
 	r.replyUnavailable(r.backend, "no server is free or serves at present")
--- a/internal/reverseproxy/responder.go
+++ b/internal/reverseproxy/responder.go
@@ -83,10 +83,7 @@
 			}
 		case <-time.After(unsentTimeout): // closed connections are not called
 		}
-		lr.request.mu.Lock()
-		finished := lr.request.finished
-		lr.request.mu.Unlock()
-		if finished {
+		if lr.request.isFinished() {
 			return false
 		}
 		time.Sleep(backoff)
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -307,27 +307,14 @@
 // upload passes the request on. From its end on, the server has the given time until the head of its
 // response.
 func (t *transfer) upload(server net.Conn, wait time.Duration) error {
-	r := t.request
-	length := r.head.Length
-	body := r.body
-	r.body = nil
-	sent := int64(len(body))
-	out := r.appendWire(nil, length)
-	chunked := r.head.Chunked
-	if chunked {
-		out = http1.AppendChunk(out, body)
-	} else {
-		out = append(out, body...)
-	}
-	if !chunked && sent >= length {
-		t.markUploaded()
-	}
-	if _, err := server.Write(out); err != nil {
+	length, chunked := t.request.head.Length, t.request.head.Chunked
+	sent, err := t.uploadBeginning(server)
+	if err != nil {
 		return err
 	}
 	in := &bodyReader{conn: t.client.Conn, parser: t.client.Parser, buf: t.client.Rest, chunk: make([]byte, transferChunk)}
 	t.client.Parser.KeepTrailer = true
-	out = nil
+	var out []byte
 	for {
 		_ = t.client.SetReadDeadline(time.Now().Add(bodyIdleTimeout))
 		part, end, err := in.next()
@@ -337,16 +324,7 @@
 		}
 		if end {
 			t.client.Rest = in.buf
-			t.markUploaded()
-			if chunked {
-				_, err = server.Write(http1.AppendLastChunk(nil, t.client.Parser.Head.Trailer))
-			}
-			t.mu.Lock()
-			if !t.headReceived { // from here on the server has its time
-				_ = server.SetReadDeadline(time.Now().Add(wait))
-			}
-			t.mu.Unlock()
-			return err
+			return t.uploadEnd(server, wait)
 		}
 		_ = server.SetWriteDeadline(time.Now().Add(bodyIdleTimeout))
 		sent += int64(len(part))
@@ -363,6 +341,40 @@
 	}
 }
 
+// uploadBeginning sends the head of the request and what of its body has come with it. It returns
+// how many bytes of the body that is.
+func (t *transfer) uploadBeginning(server net.Conn) (sent int64, err error) {
+	r := t.request
+	body := r.body
+	r.body = nil
+	sent = int64(len(body))
+	out := r.appendWire(nil, r.head.Length)
+	if r.head.Chunked {
+		out = http1.AppendChunk(out, body)
+	} else {
+		out = append(out, body...)
+	}
+	if !r.head.Chunked && sent >= r.head.Length {
+		t.markUploaded()
+	}
+	_, err = server.Write(out)
+	return sent, err
+}
+
+// uploadEnd sends the end of a chunked body. From here on the server has the given time.
+func (t *transfer) uploadEnd(server net.Conn, wait time.Duration) (err error) {
+	t.markUploaded()
+	if t.request.head.Chunked {
+		_, err = server.Write(http1.AppendLastChunk(nil, t.client.Parser.Head.Trailer))
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.headReceived {
+		_ = server.SetReadDeadline(time.Now().Add(wait))
+	}
+	return err
+}
+
 // download passes a response on. It reports whether it was complete and the client's connection may
 // go on.
 func (t *transfer) download(in *bodyReader, h *http1.Head) bool {
--- a/internal/reverseproxy/tunnel.go
+++ b/internal/reverseproxy/tunnel.go
@@ -56,10 +56,7 @@
 		select {
 		case <-posted:
 		case <-time.After(unsentTimeout):
-			ua.request.mu.Lock()
-			finished := ua.request.finished
-			ua.request.mu.Unlock()
-			if finished {
+			if ua.request.isFinished() {
 				release()
 			}
 		}
--- a/internal/route/convert.go
+++ b/internal/route/convert.go
@@ -120,10 +120,7 @@
 	}
 	var list []entry
 	for _, line := range fileLines(b) {
-		key, value, _ := strings.Cut(line, " ")
-		if i := strings.IndexAny(line, " \t"); i >= 0 {
-			key, value = line[:i], strings.TrimSpace(line[i:])
-		}
+		key, value := cutMapLine(line)
 		if method == "str" {
 			if _, twice := exact[key]; !twice { // the first counts
 				exact[key] = value
@@ -152,6 +149,15 @@
 	}, nil
 }
 
+// cutMapLine parts a line of a map file into key and value at the first blanks.
+func cutMapLine(line string) (key, value string) {
+	i := strings.IndexAny(line, " \t")
+	if i < 0 {
+		return line, ""
+	}
+	return line[:i], strings.TrimSpace(line[i:])
+}
+
 // fileLines returns the lines of a file of patterns, without empty ones and comments.
 func fileLines(b []byte) (out []string) {
 	for line := range strings.Lines(string(b)) {
--- a/internal/route/frontend.go
+++ b/internal/route/frontend.go
@@ -48,60 +48,47 @@
 
 // Compile reads a Spec. Each error names the line.
 func Compile(s Spec, files Files) (*Rules, error) {
-	lists := NewACLSet(files)
+	acls := NewACLSet(files)
+	if _, err := compileLines("acl", s.ACL, func(w []string) (struct{}, error) {
+		if !aclName.MatchString(w[0]) {
+			return struct{}{}, fmt.Errorf("%q is no name of an acl", w[0])
+		}
+		return struct{}{}, acls.Add(w[0], w[1:])
+	}); err != nil {
+		return nil, err
+	}
 	out := &Rules{defaultBackend: s.Default}
-	line := func(kind string, text string, read func(words []string) error) error {
+	var err error
+	if out.request, err = compileLines("request", s.Request, acls.ParseRequestRule); err != nil {
+		return nil, err
+	}
+	if out.response, err = compileLines("response", s.Response, acls.ParseResponseRule); err != nil {
+		return nil, err
+	}
+	if out.use, err = compileLines("use", s.Use, acls.ParseUse); err != nil {
+		return nil, err
+	}
+	out.buildIndex()
+	return out, nil
+}
+
+// compileLines compiles lines of one kind. An error names the kind and the line.
+func compileLines[T any](kind string, lines []string, compile func(words []string) (T, error)) (all []T, err error) {
+	for _, text := range lines {
 		words, err := SplitWords(text)
 		if err == nil && len(words) == 0 {
 			err = fmt.Errorf("an empty line")
 		}
+		var one T
 		if err == nil {
-			err = read(words)
+			one, err = compile(words)
 		}
 		if err != nil {
-			return fmt.Errorf("%s %q: %w", kind, text, err)
-		}
-		return nil
-	}
-	for _, text := range s.ACL {
-		if err := line("acl", text, func(w []string) error {
-			if !aclName.MatchString(w[0]) {
-				return fmt.Errorf("%q is no name of an acl", w[0])
-			}
-			return lists.Add(w[0], w[1:])
-		}); err != nil {
-			return nil, err
-		}
-	}
-	for _, text := range s.Request {
-		if err := line("request", text, func(w []string) error {
-			r, err := lists.ParseRequestRule(w)
-			out.request = append(out.request, r)
-			return err
-		}); err != nil {
-			return nil, err
-		}
-	}
-	for _, text := range s.Response {
-		if err := line("response", text, func(w []string) error {
-			r, err := lists.ParseResponseRule(w)
-			out.response = append(out.response, r)
-			return err
-		}); err != nil {
-			return nil, err
-		}
-	}
-	for _, text := range s.Use {
-		if err := line("use", text, func(w []string) error {
-			u, err := lists.ParseUse(w)
-			out.use = append(out.use, u)
-			return err
-		}); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("%s %q: %w", kind, text, err)
 		}
+		all = append(all, one)
 	}
-	out.buildIndex()
-	return out, nil
+	return all, nil
 }
 
 // ParseUse reads the words of a use_backend rule: the backend, which may be a format, and
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -232,7 +232,7 @@
 	return err
 }
 
-// answer is the rule's do.
+// answer is the rule's apply.
 func (r *redirect) answer(q *Request) (*Answer, bool) {
 	location := r.to.Expand(q)
 	switch r.kind {
@@ -284,11 +284,7 @@
 
 // parseReturn reads status, content-type, string, lf-string, file and hdr.
 func parseReturn(args []string, files Files) (func(*Request) (*Answer, bool), error) {
-	code, kind := 200, ""
-	var body *Format
-	var fixed []byte
-	var names []string
-	var values []*Format
+	r := &returnRule{code: 200}
 	for len(args) > 0 {
 		if len(args) < 2 {
 			return nil, fmt.Errorf("%s lacks its value", args[0])
@@ -298,22 +294,22 @@
 		var err error
 		switch word {
 		case "status":
-			code, err = status(value, 200, 599)
+			r.code, err = status(value, 200, 599)
 		case "content-type":
-			kind = value
+			r.contentType = value
 		case "string":
-			fixed = []byte(value)
+			r.body = []byte(value)
 		case "lf-string":
-			body, err = ParseFormat(value, files)
+			r.format, err = ParseFormat(value, files)
 		case "file":
-			fixed, err = files(value)
+			r.body, err = files(value)
 		case "hdr":
 			if len(args) == 0 {
 				return nil, fmt.Errorf("hdr needs a name and a value")
 			}
 			var f *Format
 			f, err = ParseFormat(args[0], files)
-			names, values, args = append(names, value), append(values, f), args[1:]
+			r.fields, args = append(r.fields, formattedField{value, f}), args[1:]
 		default:
 			err = unsupported("the argument %s", word)
 		}
@@ -321,19 +317,36 @@
 			return nil, err
 		}
 	}
-	return func(q *Request) (*Answer, bool) {
-		a := &Answer{Status: code, Body: fixed}
-		if body != nil {
-			a.Body = []byte(body.Expand(q))
-		}
-		if kind != "" {
-			a.Fields = append(a.Fields, http1.Field{Name: "Content-Type", Value: kind})
-		}
-		for i, n := range names {
-			a.Fields = append(a.Fields, http1.Field{Name: n, Value: sanitizeField(values[i].Expand(q))})
-		}
-		return a, true
-	}, nil
+	return r.answer, nil
+}
+
+// returnRule is a compiled return rule.
+type returnRule struct {
+	code        int
+	contentType string  // "": none
+	body        []byte  // without format
+	format      *Format // of the body; nil: body counts
+	fields      []formattedField
+}
+
+type formattedField struct {
+	name  string
+	value *Format
+}
+
+// answer is the rule's apply.
+func (r *returnRule) answer(q *Request) (*Answer, bool) {
+	a := &Answer{Status: r.code, Body: r.body}
+	if r.format != nil {
+		a.Body = []byte(r.format.Expand(q))
+	}
+	if r.contentType != "" {
+		a.Fields = append(a.Fields, http1.Field{Name: "Content-Type", Value: r.contentType})
+	}
+	for _, f := range r.fields {
+		a.Fields = append(a.Fields, http1.Field{Name: f.name, Value: sanitizeField(f.value.Expand(q))})
+	}
+	return a, true
 }
 
 func (q *Request) setVar(name, value string) {
