--- /dev/null
+++ b/internal/reverseproxy/helpers_test.go
@@ -0,0 +1,175 @@
+package reverseproxy
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/evloop"
+	"sedgevale/internal/fdlimit"
+	"sedgevale/internal/route"
+)
+
+// serve runs a Site until the test ends and returns its address.
+func serve(t testing.TB, w *dispatchconfig.Web) (*Site, string) {
+	t.Helper()
+	log := slog.New(slog.DiscardHandler)
+	loop, err := evloop.New(log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := New(Options{Config: w, Loops: 1, Loop: loop, Clock: dispatch.NewClock(), Seed: 1, Budget: fdlimit.New(0), Log: log})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { s.Run(ctx); close(done) }()
+	for _, l := range s.Servers() {
+		if err := l.Start(nil); err != nil {
+			t.Fatal(err)
+		}
+	}
+	t.Cleanup(func() {
+		for _, l := range s.Servers() {
+			_ = l.Stop()
+		}
+		stop()
+		<-done
+		_ = loop.Stop()
+	})
+	return s, w.Frontends[0].Listen[0]
+}
+
+// freeAddr is testkit's for tests and benchmarks.
+func freeAddr(t testing.TB) string {
+	t.Helper()
+	l := listen(t)
+	defer func() { _ = l.Close() }()
+	return l.Addr().String()
+}
+
+// listen listens on a free port. Whoever is given the listener closes it.
+func listen(t testing.TB) net.Listener {
+	t.Helper()
+	l, err := tryListen(t, "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+func tryListen(t testing.TB, addr string) (net.Listener, error) {
+	var lc net.ListenConfig
+	return lc.Listen(t.Context(), "tcp", addr)
+}
+
+// site is a configuration with one frontend and one backend.
+func site(t testing.TB, servers ...dispatchconfig.WebServer) *dispatchconfig.Web {
+	for i := range servers {
+		if servers[i].Name == "" {
+			servers[i].Name = fmt.Sprint("s", i)
+		}
+	}
+	return &dispatchconfig.Web{Frontends: []dispatchconfig.WebFrontend{{Name: "in", Listen: []string{freeAddr(t)}, Spec: route.Spec{Default: "app"}}},
+		Backends: []dispatchconfig.WebBackend{{Name: "app", ConnectTimeout: 1, ServerTimeout: 5, Servers: servers}}}
+}
+
+// origin is a server of net/http.
+func origin(t testing.TB, h http.HandlerFunc) string {
+	t.Helper()
+	l := listen(t)
+	s := &http.Server{Handler: h}
+	go func() { _ = s.Serve(l) }()
+	t.Cleanup(func() { _ = s.Close() })
+	return l.Addr().String()
+}
+
+// wire is a client that writes and reads bytes.
+type wire struct {
+	t  testing.TB
+	c  net.Conn
+	in *bufio.Reader
+}
+
+func dial(t testing.TB, addr string) *wire {
+	t.Helper()
+	var dialer net.Dialer
+	c, err := dialer.DialContext(t.Context(), "tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	return &wire{t, c, bufio.NewReader(c)}
+}
+
+func (w *wire) send(format string, args ...any) {
+	w.t.Helper()
+	text := strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", "\r\n")
+	if _, err := io.WriteString(w.c, text); err != nil {
+		w.t.Fatal(err)
+	}
+}
+
+// reply is an answer whose body has been read.
+type reply struct {
+	StatusCode       int
+	Header, Trailer  http.Header
+	TransferEncoding []string
+}
+
+func (w *wire) answer(method string) (*reply, string) {
+	w.t.Helper()
+	a, err := http.ReadResponse(w.in, &http.Request{Method: method})
+	if err != nil {
+		w.t.Fatalf("no answer: %v", err)
+	}
+	defer func() { _ = a.Body.Close() }()
+	body, err := io.ReadAll(a.Body)
+	if err != nil {
+		w.t.Fatalf("the answer breaks off: %v after %q", err, body)
+	}
+	return &reply{a.StatusCode, a.Header, a.Trailer, a.TransferEncoding}, string(body)
+}
+
+// close ends the connection, as a client does that leaves.
+func (w *wire) close() {
+	w.t.Helper()
+	if err := w.c.Close(); err != nil {
+		w.t.Fatal(err)
+	}
+}
+
+// post sends a body and returns the answer, whose body the caller closes.
+func post(t testing.TB, client *http.Client, url string, body io.Reader) (*http.Response, error) {
+	t.Helper()
+	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	q.Header.Set("Content-Type", "x/y")
+	return client.Do(q)
+}
+
+func until(t testing.TB, what string, f func() bool) {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); !f(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("waited in vain for %s", what)
+		}
+	}
+}
+
+type zeros struct{}
+
+func (zeros) Read(b []byte) (int, error) { return len(b), nil }
--- /dev/null
+++ b/internal/reverseproxy/retry_test.go
@@ -0,0 +1,163 @@
+package reverseproxy
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/testkit"
+)
+
+// Guards against repeats: a request that may have run is not sent again unless its method
+// and retry_on allow it; one whose connection failed goes elsewhere at once.
+func TestRetries(t *testing.T) {
+	dead := freeAddr(t)
+	var cut atomic.Int64
+	cutting := testkit.Accept(t, func(c net.Conn) { // takes the request, says nothing, and breaks
+		in := bufio.NewReader(c)
+		if q, err := http.ReadRequest(in); err == nil {
+			_, _ = io.Copy(io.Discard, q.Body)
+			cut.Add(1)
+		}
+		_ = c.Close()
+	})
+	var good atomic.Int64
+	ok := origin(t, func(w http.ResponseWriter, _ *http.Request) { good.Add(1); _, _ = io.WriteString(w, "ok") })
+	ask := func(c *dispatchconfig.Web, method string) int {
+		t.Helper()
+		return askOnce(t, c, method)
+	}
+	first := func(addr string) *dispatchconfig.Web { return askedFirst(t, addr, ok) }
+	began := time.Now()
+	if got := ask(first(dead), "POST"); got != 200 || time.Since(began) > 2*time.Second {
+		t.Errorf("a server that is not there: %d after %v", got, time.Since(began))
+	}
+	if got := ask(first(cutting), "POST"); got != 502 || cut.Load() != 1 {
+		t.Errorf("a POST that may have run: %d, sent %d times", got, cut.Load())
+	}
+	if got := ask(first(cutting), "GET"); got != 502 || cut.Load() != 2 {
+		t.Errorf("a GET without retry_on: %d, sent %d times in all", got, cut.Load())
+	}
+	c := first(cutting)
+	c.Backends[0].RetryOn = []string{"conn-failure", "empty-response"}
+	if got := ask(c, "GET"); got != 200 || cut.Load() != 3 {
+		t.Errorf("a GET with retry_on: %d, sent %d times in all", got, cut.Load())
+	}
+	c = first(cutting)
+	c.Backends[0].RetryOn = []string{"conn-failure", "empty-response"}
+	if got := ask(c, "POST"); got != 502 || cut.Load() != 4 {
+		t.Errorf("a POST with retry_on: %d, sent %d times in all", got, cut.Load())
+	}
+	testRetryStatus(t, ok)
+	none := site(t, dispatchconfig.WebServer{Addr: dead})
+	none.Backends[0].RetryAfter = 3
+	if got := ask(none, "GET"); got != 503 {
+		t.Errorf("nobody there: %d", got)
+	}
+	slow := testkit.Accept(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
+	late := site(t, dispatchconfig.WebServer{Addr: slow})
+	late.Backends[0].ServerTimeout, late.Backends[0].ConnectTimeout = 0.3, 0.2
+	if got := ask(late, "POST"); got != 504 {
+		t.Errorf("a server that says nothing: %d", got)
+	}
+}
+
+// askOnce serves a configuration, sends one request and returns the status of its answer.
+func askOnce(t *testing.T, c *dispatchconfig.Web, method string) int {
+	t.Helper()
+	_, front := serve(t, c)
+	w := dial(t, front)
+	w.send("%s / HTTP/1.1\nHost: h\nContent-Length: 1\n\nx", method)
+	a, _ := w.answer(method)
+	return a.StatusCode
+}
+
+// askedFirst is a configuration of two servers whose weights make it certain that the one at addr
+// is asked first.
+func askedFirst(t *testing.T, addr, other string) *dispatchconfig.Web {
+	t.Helper()
+	one, many := 1, 200
+	return site(t, dispatchconfig.WebServer{Addr: addr, Weight: &many}, dispatchconfig.WebServer{Addr: other, Weight: &one})
+}
+
+// testRetryStatus guards retries after an answer of a status that retry_on names.
+func testRetryStatus(t *testing.T, ok string) {
+	t.Helper()
+	var failing atomic.Int64
+	bad := origin(t, func(w http.ResponseWriter, _ *http.Request) {
+		failing.Add(1)
+		http.Error(w, "no", http.StatusServiceUnavailable)
+	})
+	c := askedFirst(t, bad, ok)
+	c.Backends[0].RetryOn = []string{"503"}
+	if got := askOnce(t, c, "GET"); got != 200 || failing.Load() != 1 {
+		t.Errorf("a GET with retry_on 503: %d, %d", got, failing.Load())
+	}
+	if got := askOnce(t, askedFirst(t, bad, ok), "GET"); got != 503 || failing.Load() != 2 {
+		t.Errorf("a 503 passes on: %d, %d", got, failing.Load())
+	}
+}
+
+// Guards maxconn and the queue: never more at a server than it may have, all are served,
+// and those who wait too long are told so.
+func TestMaxConn(t *testing.T) {
+	var busy, most atomic.Int64
+	addr := origin(t, func(_ http.ResponseWriter, q *http.Request) {
+		n := busy.Add(1)
+		defer busy.Add(-1)
+		for old := most.Load(); n > old; old = most.Load() {
+			if most.CompareAndSwap(old, n) {
+				break
+			}
+		}
+		time.Sleep(5 * time.Millisecond)
+		if q.URL.Path == "/slow" {
+			time.Sleep(600 * time.Millisecond)
+		}
+	})
+	c := site(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
+	_, front := serve(t, c)
+	var wg sync.WaitGroup
+	var bad atomic.Int64
+	for range 20 {
+		wg.Go(func() {
+			q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+front+"/", nil)
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			a, err := http.DefaultClient.Do(q)
+			if err != nil {
+				bad.Add(1)
+				return
+			}
+			_ = a.Body.Close()
+			if a.StatusCode != 200 {
+				bad.Add(1)
+			}
+		})
+	}
+	wg.Wait()
+	if bad.Load() != 0 || most.Load() != 1 {
+		t.Errorf("%d failed, %d at a time", bad.Load(), most.Load())
+	}
+	c = site(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
+	c.Backends[0].QueueTimeout, c.Backends[0].RetryAfter = 0.2, 2
+	_, front = serve(t, c)
+	w, late := dial(t, front), dial(t, front)
+	w.send("GET /slow HTTP/1.1\nHost: h\n\n")
+	until(t, "the first at the server", func() bool { return busy.Load() == 1 })
+	late.send("GET / HTTP/1.1\nHost: h\n\n")
+	if a, _ := late.answer("GET"); a.StatusCode != 503 || a.Header.Get("Retry-After") != "2" {
+		t.Errorf("one who waited in vain: %d %v", a.StatusCode, a.Header)
+	}
+	if a, _ := w.answer("GET"); a.StatusCode != 200 {
+		t.Errorf("the one before: %d", a.StatusCode)
+	}
+}
