--- a/internal/reverseproxy/backend.go
+++ b/internal/reverseproxy/backend.go
@@ -10,7 +10,7 @@
 // pickServer takes a server for a request. Where none has capacity the request is queued, and
 // dispatchQueue goes on with it.
 func (b *backend) pickServer(r *proxyRequest) (server int, v pool.Verdict) {
-	now := b.site.opt.Clock.Now()
+	now := b.proxy.opt.Clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.pool == nil {
@@ -66,7 +66,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if i := b.index(server); i >= 0 {
-		b.avoidUntil[i] = b.site.opt.Clock.Now() + connectFailureBackoff
+		b.avoidUntil[i] = b.proxy.opt.Clock.Now() + connectFailureBackoff
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 	var ready []assignment
 	var expired []any
-	now := b.site.opt.Clock.Now()
+	now := b.proxy.opt.Clock.Now()
 	b.mu.Lock()
 	if b.pool != nil {
 		expired = b.pool.Expire(now)
--- a/internal/reverseproxy/failure_test.go
+++ b/internal/reverseproxy/failure_test.go
@@ -86,7 +86,7 @@
 	_, _ = fmt.Fprintf(w, "%s %d", id, len(body))
 }
 
-func (b *faultyServer) since() time.Time {
+func (b *faultyServer) lastRequest() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last
@@ -103,7 +103,7 @@
 		boxes[i] = newFaultyServer(t)
 		servers = append(servers, dispatchconfig.WebServer{Addr: boxes[i].addr})
 	}
-	c := site(t, servers...)
+	c := oneBackend(t, servers...)
 	c.Backends[0].ServerTimeout, c.Backends[0].ConnectTimeout = 0.8, 0.3
 	c.Backends[0].RetryOn = []string{"conn-failure", "empty-response"}
 	c.Backends[0].Check = &dispatchconfig.WebCheck{Kind: "http", Method: "GET", URI: "/up", Interval: inter.Seconds(), Rise: 2, Fall: fall}
@@ -219,7 +219,7 @@
 	} else {
 		took := awaitState(t, s, i, "down")
 		time.Sleep(50 * time.Millisecond)
-		last := max(0, b.since().Sub(began))
+		last := max(0, b.lastRequest().Sub(began))
 		report = append(report, fmt.Sprintf("%s: down after %v, last new request %v after", how, took.Round(time.Millisecond), last.Round(time.Millisecond)))
 		if how != "kill" && last > most {
 			t.Errorf("%s: a new request %v after, %v at most", how, last, most)
--- a/internal/reverseproxy/health.go
+++ b/internal/reverseproxy/health.go
@@ -18,9 +18,9 @@
 	for i, m := range b.spec.Servers {
 		switch {
 		case m.Disabled || b.cordoned[m.Name]:
-			b.pool.SetState(i, pool.Maintenance, b.site.opt.Clock.Now())
+			b.pool.SetState(i, pool.Maintenance, b.proxy.opt.Clock.Now())
 		case b.unhealthy[m.Name] && !m.NoCheck:
-			b.pool.SetState(i, pool.Down, b.site.opt.Clock.Now())
+			b.pool.SetState(i, pool.Down, b.proxy.opt.Clock.Now())
 		}
 	}
 }
@@ -118,7 +118,7 @@
 // publishState works out a server's state and gives it to pool, transport and planner. The lock is
 // held when it is called, and released when it returns.
 func (b *backend) publishState(i int) {
-	s := b.site
+	s := b.proxy
 	m := &b.spec.Servers[i]
 	to := pool.Up
 	switch {
--- a/internal/reverseproxy/helpers_test.go
+++ b/internal/reverseproxy/helpers_test.go
@@ -73,8 +73,8 @@
 	return lc.Listen(t.Context(), "tcp", addr)
 }
 
-// site is a configuration with one frontend and one backend.
-func site(t testing.TB, servers ...dispatchconfig.WebServer) *dispatchconfig.Web {
+// oneBackend is a configuration with one frontend and one backend.
+func oneBackend(t testing.TB, servers ...dispatchconfig.WebServer) *dispatchconfig.Web {
 	for i := range servers {
 		if servers[i].Name == "" {
 			servers[i].Name = fmt.Sprint("s", i)
@@ -94,14 +94,14 @@
 	return l.Addr().String()
 }
 
-// wire is a client that writes and reads bytes.
-type wire struct {
-	t  testing.TB
-	c  net.Conn
-	in *bufio.Reader
+// rawClient is a client that writes and reads bytes.
+type rawClient struct {
+	t    testing.TB
+	conn net.Conn
+	in   *bufio.Reader
 }
 
-func dial(t testing.TB, addr string) *wire {
+func dial(t testing.TB, addr string) *rawClient {
 	t.Helper()
 	var dialer net.Dialer
 	c, err := dialer.DialContext(t.Context(), "tcp", addr)
@@ -110,13 +110,13 @@
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	return &wire{t, c, bufio.NewReader(c)}
+	return &rawClient{t, c, bufio.NewReader(c)}
 }
 
-func (w *wire) send(format string, args ...any) {
+func (w *rawClient) send(format string, args ...any) {
 	w.t.Helper()
 	text := strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", "\r\n")
-	if _, err := io.WriteString(w.c, text); err != nil {
+	if _, err := io.WriteString(w.conn, text); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -128,7 +128,7 @@
 	TransferEncoding []string
 }
 
-func (w *wire) answer(method string) (*reply, string) {
+func (w *rawClient) answer(method string) (*reply, string) {
 	w.t.Helper()
 	a, err := http.ReadResponse(w.in, &http.Request{Method: method})
 	if err != nil {
@@ -143,9 +143,9 @@
 }
 
 // close ends the connection, as a client does that leaves.
-func (w *wire) close() {
+func (w *rawClient) close() {
 	w.t.Helper()
-	if err := w.c.Close(); err != nil {
+	if err := w.conn.Close(); err != nil {
 		w.t.Fatal(err)
 	}
 }
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -69,8 +69,8 @@
 
 // backend is kept over new settings, since the requests in flight are counted in it.
 type backend struct {
-	name string
-	site *Site
+	name  string
+	proxy *Site
 
 	// mu guards the fields below.
 	mu            sync.Mutex
@@ -193,7 +193,7 @@
 // buildBackend compiles a backend: its rules, its pool and, for each server, the module's classes
 // of requests that may and may not be sent again.
 func (s *Site) buildBackend(w *dispatchconfig.Web, spec dispatchconfig.WebBackend) (b *backend, err error) {
-	b = &backend{name: spec.Name, site: s, spec: spec, unhealthy: map[string]bool{}, cordoned: map[string]bool{}}
+	b = &backend{name: spec.Name, proxy: s, spec: spec, unhealthy: map[string]bool{}, cordoned: map[string]bool{}}
 	if b.rules, err = route.Compile(spec.Spec, w.ReadFile); err != nil {
 		return nil, err
 	}
@@ -271,7 +271,7 @@
 			by.pool.InheritState(b.pool)
 		}
 		for _, c := range b.pool.Drain() {
-			if by.pool == nil || !by.pool.Enqueue(b.site.opt.Clock.Now(), c, c.(*proxyRequest).hint) {
+			if by.pool == nil || !by.pool.Enqueue(b.proxy.opt.Clock.Now(), c, c.(*proxyRequest).hint) {
 				rejected = append(rejected, c)
 			}
 		}
--- a/internal/reverseproxy/proxy_test.go
+++ b/internal/reverseproxy/proxy_test.go
@@ -29,7 +29,7 @@
 	}
 	three := 3
 	servers[1].Weight, servers[2].Backup = &three, true
-	c := site(t, servers...)
+	c := oneBackend(t, servers...)
 	c.Frontends[0].Spec = route.Spec{ACL: []string{"api path_beg /api"}, Default: "app",
 		Request: []string{"deny if { path_beg /secret }", "redirect location /new code 301 if { path /old }", "set-header X-A b"},
 		Use:     []string{"api if api"}, Response: []string{"set-header X-Frame DENY"}}
@@ -38,20 +38,20 @@
 	c.Backends = append(c.Backends, dispatchconfig.WebBackend{Name: "api", Spec: route.Spec{Request: []string{`replace-path ^/api/(.*) /\1`}},
 		Servers: []dispatchconfig.WebServer{{Name: "s0", Addr: servers[0].Addr}}})
 	s, front := serve(t, c)
-	u := &siteUnderTest{t: t, site: s, front: front}
-	testSiteRules(u)
-	testSiteShares(u)
-	testSiteFailures(u, c, &up)
+	u := &proxyUnderTest{t: t, proxy: s, front: front}
+	testProxyRules(u)
+	testProxyShares(u)
+	testProxyFailures(u, c, &up)
 }
 
-// siteUnderTest is what TestSite serves.
-type siteUnderTest struct {
+// proxyUnderTest is what TestSite serves.
+type proxyUnderTest struct {
 	t     *testing.T
-	site  *Site
+	proxy *Site
 	front string
 }
 
-func (u *siteUnderTest) get(path, cookie string) (*reply, string) {
+func (u *proxyUnderTest) get(path, cookie string) (*reply, string) {
 	u.t.Helper()
 	w := dial(u.t, u.front)
 	w.send("GET %s HTTP/1.1\nHost: h\nCookie: a=b%s\nConnection: close\n\n", path, cookie)
@@ -59,18 +59,18 @@
 }
 
 // awaitStates waits until the servers' states begin with these letters.
-func (u *siteUnderTest) awaitStates(want string) {
+func (u *proxyUnderTest) awaitStates(want string) {
 	u.t.Helper()
 	until(u.t, want, func() bool {
 		got := ""
-		for _, x := range u.site.Status() {
+		for _, x := range u.proxy.Status() {
 			got += x.State[:1]
 		}
 		return got == want
 	})
 }
 
-func testSiteRules(u *siteUnderTest) {
+func testProxyRules(u *proxyUnderTest) {
 	t, get := u.t, u.get
 	t.Helper()
 	if a, _ := get("/secret/x", ""); a.StatusCode != 403 {
@@ -84,7 +84,7 @@
 	}
 }
 
-func testSiteShares(u *siteUnderTest) {
+func testProxyShares(u *proxyUnderTest) {
 	t, get := u.t, u.get
 	t.Helper()
 	counts := map[string]int{}
@@ -105,8 +105,8 @@
 	}
 }
 
-func testSiteFailures(u *siteUnderTest, c *dispatchconfig.Web, up *[3]atomic.Bool) {
-	t, s, get, stand := u.t, u.site, u.get, u.awaitStates
+func testProxyFailures(u *proxyUnderTest, c *dispatchconfig.Web, up *[3]atomic.Bool) {
+	t, s, get, stand := u.t, u.proxy, u.get, u.awaitStates
 	t.Helper()
 	up[0].Store(false)
 	stand("duuu")
@@ -161,7 +161,7 @@
 		_, _ = io.WriteString(w, "a")
 	})
 	b := origin(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "b") })
-	c := site(t, dispatchconfig.WebServer{Addr: a, MaxConn: 5})
+	c := oneBackend(t, dispatchconfig.WebServer{Addr: a, MaxConn: 5})
 	s, front := serve(t, c)
 	w := dial(t, front)
 	w.send("GET /hold HTTP/1.1\nHost: h\n\n")
--- a/internal/reverseproxy/request.go
+++ b/internal/reverseproxy/request.go
@@ -20,8 +20,8 @@
 
 // frontendHandler is a frontend's httpd.Handler.
 type frontendHandler struct {
-	site *Site
-	name string
+	proxy *Site
+	name  string
 }
 
 // proxyRequest is one request, from its head to the end of its response. It has an Exchange for
@@ -29,7 +29,7 @@
 //
 // Where its lock and a backend's are both held, the backend's is taken first.
 type proxyRequest struct {
-	site          *Site
+	proxy         *Site
 	backend       *backend
 	parsed        route.Request
 	head          *http1.Head
@@ -75,7 +75,7 @@
 // Serve is called with each request whose body is here.
 func (d *frontendHandler) Serve(c *httpd.Conn, q *httpd.Request) {
 	up := requestedUpgrade(q.Head)
-	r := &proxyRequest{site: d.site, head: q.Head, body: q.Body, upgrade: up}
+	r := &proxyRequest{proxy: d.proxy, head: q.Head, body: q.Body, upgrade: up}
 	lr := &loopResponder{conn: c, request: r}
 	r.responder = lr
 	c.State = r
@@ -91,7 +91,7 @@
 
 // Overflow is called with a request whose body is too long for the event loop.
 func (d *frontendHandler) Overflow(q *httpd.Request, conn *httpd.Detached) {
-	r := &proxyRequest{site: d.site, head: q.Head, body: q.Body}
+	r := &proxyRequest{proxy: d.proxy, head: q.Head, body: q.Body}
 	r.transfer = newTransfer(r, conn)
 	r.responder = r.transfer
 	go r.transfer.run(func() { r.route(d.name, conn.RemoteAddr().String(), portOf(conn.LocalAddr())) })
@@ -99,7 +99,7 @@
 
 // route finds out where a request goes, and begins.
 func (r *proxyRequest) route(front, client string, port int) {
-	t := r.site.active.Load()
+	t := r.proxy.active.Load()
 	f := t.frontends[front]
 	if f == nil { // gone with new settings; its address is still listened on
 		r.replyUnavailable(nil, "this address serves nothing any more")
@@ -147,7 +147,7 @@
 		version = "1.0"
 	}
 	r.parsed = route.Request{Method: r.head.Method, Target: r.head.Target, Version: version, Fields: r.head.Fields, DstPort: port,
-		Rand: rand.Uint64(), ServingServers: r.site.servingServers}
+		Rand: rand.Uint64(), ServingServers: r.proxy.servingServers}
 	if a, err := netip.ParseAddrPort(client); err == nil {
 		r.parsed.Src = a.Addr().Unmap()
 	}
@@ -228,8 +228,8 @@
 		r.backend.leaveQueue(r)
 	}
 	if r.finish() && x != nil {
-		r.site.planners.Gone(x)
-		r.site.transport.cancelRequest(r)
+		r.proxy.planners.Gone(x)
+		r.proxy.transport.cancelRequest(r)
 	}
 }
 
@@ -286,15 +286,15 @@
 	}
 	r.attempts++
 	r.server, r.member, r.cause, r.sent = name, i, "", false
-	now := r.site.opt.Clock.Now()
+	now := r.proxy.opt.Clock.Now()
 	limit := class.Limit
 	if r.transfer != nil { // its body takes as long as the client does; the transfer keeps the time-outs
 		limit = maxTransferTime
 	}
-	r.exchange = dispatch.NewExchange(dispatch.Job{ID: r.site.requestID(), Class: class, Tenant: -1, Slots: 1, Load: r}, now+limit, &exchangeClient{r})
+	r.exchange = dispatch.NewExchange(dispatch.Job{ID: r.proxy.requestID(), Class: class, Tenant: -1, Slots: 1, Load: r}, now+limit, &exchangeClient{r})
 	x := r.exchange
 	r.mu.Unlock()
-	r.site.planners.Request(x)
+	r.proxy.planners.Request(x)
 }
 
 // exchangeClient is the client side of an Exchange.
--- a/internal/reverseproxy/responder.go
+++ b/internal/reverseproxy/responder.go
@@ -45,7 +45,7 @@
 			status, fields, framing, own := r.respond(part.head)
 			if own != nil {
 				r.finish()
-				r.site.transport.cancelRequest(r)
+				r.proxy.transport.cancelRequest(r)
 				c.State = nil
 				c.Respond(own.Status, own.Fields, own.Body)
 				return
--- a/internal/reverseproxy/retry_test.go
+++ b/internal/reverseproxy/retry_test.go
@@ -55,13 +55,13 @@
 		t.Errorf("a POST with retry_on: %d, sent %d times in all", got, cut.Load())
 	}
 	testRetryStatus(t, ok)
-	none := site(t, dispatchconfig.WebServer{Addr: dead})
+	none := oneBackend(t, dispatchconfig.WebServer{Addr: dead})
 	none.Backends[0].RetryAfter = 3
 	if got := ask(none, "GET"); got != 503 {
 		t.Errorf("nobody there: %d", got)
 	}
 	slow := testkit.Accept(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
-	late := site(t, dispatchconfig.WebServer{Addr: slow})
+	late := oneBackend(t, dispatchconfig.WebServer{Addr: slow})
 	late.Backends[0].ServerTimeout, late.Backends[0].ConnectTimeout = 0.3, 0.2
 	if got := ask(late, "POST"); got != 504 {
 		t.Errorf("a server that says nothing: %d", got)
@@ -83,7 +83,7 @@
 func askedFirst(t *testing.T, addr, other string) *dispatchconfig.Web {
 	t.Helper()
 	one, many := 1, 200
-	return site(t, dispatchconfig.WebServer{Addr: addr, Weight: &many}, dispatchconfig.WebServer{Addr: other, Weight: &one})
+	return oneBackend(t, dispatchconfig.WebServer{Addr: addr, Weight: &many}, dispatchconfig.WebServer{Addr: other, Weight: &one})
 }
 
 // testRetryStatus guards retries after an answer of a status that retry_on names.
@@ -121,7 +121,7 @@
 			time.Sleep(600 * time.Millisecond)
 		}
 	})
-	c := site(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
+	c := oneBackend(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
 	_, front := serve(t, c)
 	var wg sync.WaitGroup
 	var bad atomic.Int64
@@ -147,7 +147,7 @@
 	if bad.Load() != 0 || most.Load() != 1 {
 		t.Errorf("%d failed, %d at a time", bad.Load(), most.Load())
 	}
-	c = site(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
+	c = oneBackend(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
 	c.Backends[0].QueueTimeout, c.Backends[0].RetryAfter = 0.2, 2
 	_, front = serve(t, c)
 	w, late := dial(t, front), dial(t, front)
--- a/internal/reverseproxy/server_conn.go
+++ b/internal/reverseproxy/server_conn.go
@@ -45,7 +45,7 @@
 	if sc.detached {
 		return
 	}
-	sc.transport.site.opt.Budget.Release()
+	sc.transport.proxy.opt.Budget.Release()
 	sc.closed = true
 	sc.server.forget(sc)
 	ua := sc.attempt
@@ -229,7 +229,7 @@
 // failMalformed ends the attempt and the connection after a malformed response.
 func (sc *serverConn) failMalformed(err error) {
 	ua := sc.attempt
-	sc.transport.site.opt.Log.Warn("server response malformed", "server", sc.server.id, "err", err)
+	sc.transport.proxy.opt.Log.Warn("server response malformed", "server", sc.server.id, "err", err)
 	sc.transport.closeConn(sc)
 	if ua == nil || ua.done {
 		return
@@ -257,7 +257,7 @@
 		return
 	}
 	go func() {
-		defer sc.transport.site.opt.Budget.Release()
+		defer sc.transport.proxy.opt.Budget.Release()
 		defer func() { _ = nc.Close() }()
 		sc.streamRest(ua, lr, nc, rest)
 		sc.transport.loop.Do(func() {
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -145,12 +145,12 @@
 func (t *transfer) attempt(attempt *dispatch.Attempt) (again bool) {
 	r := t.request
 	addr, connect, wait := t.target()
-	if !r.site.opt.Budget.Take() {
-		r.site.opt.Budget.Release()
+	if !r.proxy.opt.Budget.Take() {
+		r.proxy.opt.Budget.Release()
 		t.ended(attempt, sedgevale.NotSent)
 		return true
 	}
-	defer r.site.opt.Budget.Release()
+	defer r.proxy.opt.Budget.Release()
 	dialer := net.Dialer{Timeout: connect}
 	server, err := dialer.DialContext(context.Background(), "tcp", addr)
 	if err != nil {
@@ -158,7 +158,7 @@
 		return true
 	}
 	defer func() { _ = server.Close() }()
-	if !r.site.transport.isReady(attempt.Worker) { // it was cordoned or became unhealthy meanwhile
+	if !r.proxy.transport.isReady(attempt.Worker) { // it was cordoned or became unhealthy meanwhile
 		t.ended(attempt, sedgevale.NotSent)
 		return true
 	}
@@ -192,7 +192,7 @@
 	if cause := retryCauses[o]; cause != "" {
 		t.request.noteCause(cause)
 	}
-	tr := t.request.site.transport
+	tr := t.request.proxy.transport
 	tr.loop.Do(func() { delete(tr.attempts, attempt) })
 	attempt.Planner.Ended(attempt, o, nil, nil)
 }
--- a/internal/reverseproxy/transport.go
+++ b/internal/reverseproxy/transport.go
@@ -27,8 +27,8 @@
 
 // transport carries requests to servers. It is the planner's dispatch.Carrier.
 type transport struct {
-	site *Site
-	loop *evloop.Loop
+	proxy *Site
+	loop  *evloop.Loop
 
 	// The maps are for the loop alone.
 	servers   map[string]*server // by serverInfo.id
@@ -57,7 +57,7 @@
 }
 
 func newTransport(s *Site) *transport {
-	return &transport{site: s, loop: s.opt.Loop, servers: map[string]*server{}, attempts: map[*dispatch.Attempt]*upstreamAttempt{},
+	return &transport{proxy: s, loop: s.opt.Loop, servers: map[string]*server{}, attempts: map[*dispatch.Attempt]*upstreamAttempt{},
 		byRequest: map[*proxyRequest]*upstreamAttempt{}, ready: map[string]bool{}}
 }
 
@@ -198,8 +198,8 @@
 		}
 		tr.closeConn(sc)
 	}
-	if !tr.site.opt.Budget.Take() {
-		tr.site.opt.Budget.Release()
+	if !tr.proxy.opt.Budget.Take() {
+		tr.proxy.opt.Budget.Release()
 		tr.end(ua, sedgevale.NotSent)
 		return
 	}
@@ -208,7 +208,7 @@
 	p.KeepTrailer = true
 	sc := &serverConn{transport: tr, attempt: ua, server: srv, parser: p}
 	tr.loop.Dial(srv.addr, srv.connectTimeout, sc, func(error) {
-		tr.site.opt.Budget.Release()
+		tr.proxy.opt.Budget.Release()
 		tr.end(ua, sedgevale.ConnectFailed)
 	})
 }
--- a/internal/reverseproxy/tunnel.go
+++ b/internal/reverseproxy/tunnel.go
@@ -32,7 +32,7 @@
 	delete(sc.transport.byRequest, ua.request)
 	release := func() {
 		_ = server.Close()
-		sc.transport.site.opt.Budget.Release()
+		sc.transport.proxy.opt.Budget.Release()
 	}
 	posted := make(chan struct{})
 	lr.conn.Post(func(hc *httpd.Conn) {
