--- a/internal/fleetsim/clock.go
+++ b/internal/fleetsim/clock.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// clock is virtual time: what is due comes in order, and of the same moment in the order in which it was asked for.
+// clock is virtual time. Events run in the order of their times, those of the same time
+// in the order in which they were scheduled.
 type clock struct {
 	now    time.Duration
 	serial uint64
-	due    events
+	events events
 }
 
+// event is a call that is due at a time.
 type event struct {
 	at     time.Duration
 	serial uint64
@@ -38,16 +40,16 @@
 	return x
 }
 
-// after has something done later.
+// after schedules a call.
 func (c *clock) after(d time.Duration, do func()) {
 	c.serial++
-	heap.Push(&c.due, event{c.now + max(0, d), c.serial, do})
+	heap.Push(&c.events, event{c.now + max(0, d), c.serial, do})
 }
 
-// run does all that is due until a moment.
+// run runs all events that are due until a time.
 func (c *clock) run(until time.Duration) {
-	for len(c.due) > 0 && c.due[0].at <= until {
-		e := heap.Pop(&c.due).(event)
+	for len(c.events) > 0 && c.events[0].at <= until {
+		e := heap.Pop(&c.events).(event)
 		c.now = e.at
 		e.do()
 	}
--- /dev/null
+++ b/internal/fleetsim/experiment.go
@@ -0,0 +1,237 @@
+// Package fleetsim is a discrete-event simulation of many schedulers: real Dispatchers
+// and their exchange of load (internal/peers), over modelled workers, clients and a
+// lossy network, with faults by script. An experiment runs variants of how schedulers
+// work together on the same seeds and compares them in pairs. It shows how the
+// decisions of many schedulers add up before a change is built, in seconds instead of a
+// day on a real fleet.
+package fleetsim
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"sedgevale/internal/dispatchconfig"
+)
+
+// Version is the version of the experiment file's format.
+const Version = 1
+
+// Experiment is an experiment's file. Times are in the units of their names; keys that a
+// file leaves out are those of [DefaultExperiment].
+type Experiment struct {
+	Version       int     `toml:"version"`
+	Seeds         int     `toml:"seeds"`      // runs of each variant and size, on the same seeds
+	FirstSeed     uint64  `toml:"first_seed"` // 0: 1
+	LengthSeconds float64 `toml:"length_s"`
+	Schedulers    []int   `toml:"schedulers"` // sizes, each with runs of its own
+	Workers       []int   `toml:"boxes"`      // as many sizes, or one for all
+	Load          float64 `toml:"load"`       // over the capacity of all workers
+	Burst         float64 `toml:"burst"`      // additional part of the load in the middle third
+	Skew          float64 `toml:"skew"`       // sigma of the log of schedulers' shares of the traffic
+	Retries       int     `toml:"retries"`    // of a rejected client, if it got a retry-after
+
+	Worker   WorkerModel  `toml:"box"`
+	Network  NetworkModel `toml:"net"`
+	Variants []Variant    `toml:"variant"`
+	Faults   []Fault      `toml:"trouble"`
+}
+
+// WorkerModel describes workers. Where there are two figures, each worker's is drawn
+// uniformly between them.
+type WorkerModel struct {
+	Cores             []int      `toml:"cores"` // drawn from these
+	Speed             [2]float64 `toml:"speed"`
+	Queue             int        `toml:"queue"` // capacity, in jobs
+	ReportMillis      [2]float64 `toml:"report_ms"`
+	HandshakeMillis   float64    `toml:"handshake_ms"` // of work for a new connection
+	IdleSeconds       float64    `toml:"idle_s"`       // after which an idle connection is closed
+	SlowStartCapacity float64    `toml:"cold_from"`    // share of the speed at the start
+	SlowStartSeconds  float64    `toml:"cold_s"`
+	DropsCancelled    bool       `toml:"drops_called"` // a job that is cancelled before it starts does not run
+}
+
+// NetworkModel describes the network.
+type NetworkModel struct {
+	OneWayMillis float64    `toml:"way_ms"`  // between schedulers and workers or clients
+	PeerMillis   [2]float64 `toml:"peer_ms"` // between schedulers, drawn uniformly for each message
+}
+
+// Variant is one way for schedulers to work together.
+type Variant struct {
+	Name        string  `toml:"name"`
+	Peers       bool    `toml:"peers"`    // schedulers exchange their load
+	MinAudience int     `toml:"hearers"`  // schedulers that a scheduler sends its load to, at least
+	MinSubset   int     `toml:"least"`    // workers in a scheduler's subset, at least
+	DelayMillis float64 `toml:"delay_ms"` // additional, of each message
+	Loss        float64 `toml:"loss"`     // share of messages
+}
+
+// Fault is a fault; its kind is one of faultKinds.
+type Fault struct {
+	Kind       string  `toml:"kind"`
+	AtSeconds  float64 `toml:"at_s"`
+	ForSeconds float64 `toml:"for_s"`
+	Share      float64 `toml:"share"`  // of schedulers or workers
+	Factor     float64 `toml:"factor"` // of the speed, or the share of errors
+}
+
+// faultKinds are the kinds of faults.
+var faultKinds = []string{
+	"kill",    // schedulers crash and restart
+	"freeze",  // schedulers stall
+	"split",   // a partition between two halves of the schedulers
+	"replace", // workers are replaced by new ones within for_s
+	"slow",    // workers have factor times their speed
+	"fail",    // workers answer a share of factor with errors, at once
+}
+
+// DefaultExperiment returns the values of keys that a file leaves out.
+func DefaultExperiment() Experiment {
+	return Experiment{Seeds: 5, FirstSeed: 1, LengthSeconds: 20, Schedulers: []int{24}, Workers: []int{12}, Load: 0.75, Burst: 0.3, Skew: 0.5, Retries: 1,
+		Worker: WorkerModel{Cores: []int{4, 4, 5}, Speed: [2]float64{0.6, 1.7}, Queue: 40, ReportMillis: [2]float64{830, 1600}, HandshakeMillis: 4.5, IdleSeconds: 15,
+			SlowStartCapacity: 0.2, SlowStartSeconds: 16, DropsCancelled: true},
+		Network: NetworkModel{OneWayMillis: 0.3, PeerMillis: [2]float64{2.4, 26}}}
+}
+
+// Read reads an experiment and checks it. Errors name the file and the key.
+func Read(path string) (Experiment, error) {
+	e := DefaultExperiment()
+	if _, err := dispatchconfig.Decode(path, &e); err != nil {
+		return e, err
+	}
+	if err := e.Check(); err != nil {
+		return e, fmt.Errorf("%s: %w", path, err)
+	}
+	return e, nil
+}
+
+// Bounds, so that a mistyped file does not run for days.
+const (
+	maxSchedulers    = 2000
+	maxWorkers       = 10000
+	maxSeeds         = 1000
+	maxLengthSeconds = 600
+)
+
+// Check returns an error for an invalid experiment, which names the file's key.
+func (e *Experiment) Check() error {
+	if err := e.checkLoad(); err != nil {
+		return err
+	}
+	if err := e.checkSizes(); err != nil {
+		return err
+	}
+	if len(e.Variants) == 0 {
+		return errors.New("there is no [[variant]]")
+	}
+	if err := e.checkLimits(); err != nil {
+		return err
+	}
+	if err := e.Worker.check(); err != nil {
+		return err
+	}
+	if n := &e.Network; n.OneWayMillis < 0 || !(n.PeerMillis[0] >= 0 && n.PeerMillis[1] >= n.PeerMillis[0]) {
+		return errors.New("net: way_ms must not be negative, peer_ms two figures that rise")
+	}
+	for i, v := range e.Variants {
+		sameName := func(w Variant) bool { return w.Name == v.Name }
+		if v.Name == "" || slices.ContainsFunc(e.Variants[:i], sameName) {
+			return fmt.Errorf("variant %d needs a name of its own", i)
+		}
+		if err := v.check(); err != nil {
+			return fmt.Errorf("variant %q: %w", v.Name, err)
+		}
+	}
+	return e.checkFaults()
+}
+
+func (e *Experiment) checkFaults() error {
+	for i, f := range e.Faults {
+		if !slices.Contains(faultKinds, f.Kind) {
+			return fmt.Errorf("trouble %d: unknown kind %q; the kinds are %s", i, f.Kind, strings.Join(faultKinds, ", "))
+		}
+		if err := f.check(); err != nil {
+			return fmt.Errorf("trouble %d (%s): %w", i, f.Kind, err)
+		}
+	}
+	return nil
+}
+
+// checkLoad checks the runs and their load.
+func (e *Experiment) checkLoad() error {
+	switch {
+	case e.Version != Version:
+		return fmt.Errorf("version is %d; this program reads version %d", e.Version, Version)
+	case e.Seeds < 1 || e.Seeds > maxSeeds:
+		return fmt.Errorf("seeds is %d; want 1 to %d", e.Seeds, maxSeeds)
+	case !(e.LengthSeconds > 0 && e.LengthSeconds <= maxLengthSeconds):
+		return fmt.Errorf("length_s is %g; want above 0, at most %d", e.LengthSeconds, maxLengthSeconds)
+	case !(e.Load > 0 && e.Load <= 5) || !within(e.Burst, 0, 5) || !within(e.Skew, 0, 2):
+		return errors.New("load must be above 0 and at most 5, burst 0 to 5, skew 0 to 2")
+	case e.Retries < 0 || e.Retries > 5:
+		return fmt.Errorf("retries is %d; want 0 to 5", e.Retries)
+	}
+	return nil
+}
+
+// checkSizes checks that each number of schedulers has its number of workers.
+func (e *Experiment) checkSizes() error {
+	if len(e.Schedulers) == 0 || len(e.Workers) != 1 && len(e.Workers) != len(e.Schedulers) {
+		return errors.New("schedulers must not be empty, and boxes needs one entry, or as many as schedulers")
+	}
+	return nil
+}
+
+// checkLimits checks the numbers of schedulers and workers.
+func (e *Experiment) checkLimits() error {
+	for i, n := range e.Schedulers {
+		if m := e.workersAt(i); n < 1 || n > maxSchedulers || m < 1 || m > maxWorkers {
+			return fmt.Errorf("schedulers and boxes: entry %d is %d and %d; want 1 to %d and 1 to %d", i, n, m, maxSchedulers, maxWorkers)
+		}
+	}
+	return nil
+}
+
+// within reports whether v lies between two figures; NaN does not.
+func within(v, least, most float64) bool { return v >= least && v <= most }
+
+func (w *WorkerModel) check() error {
+	if len(w.Cores) == 0 || slices.Min(w.Cores) < 1 || !(w.Speed[0] > 0 && w.Speed[1] >= w.Speed[0]) || w.Queue < 0 {
+		return errors.New("box: cores must be 1 or more, speed two figures above 0 that rise, queue not negative")
+	}
+	if !(w.ReportMillis[0] > 0 && w.ReportMillis[1] >= w.ReportMillis[0]) ||
+		!(w.SlowStartCapacity > 0 && w.SlowStartCapacity <= 1) || w.SlowStartSeconds < 0 ||
+		w.HandshakeMillis < 0 || !(w.IdleSeconds > 0) {
+		return errors.New("box: report_ms must be two figures above 0 that rise, cold_from above 0 and at most 1, idle_s above 0, the others not negative")
+	}
+	return nil
+}
+
+func (v *Variant) check() error {
+	switch {
+	case v.Peers && (v.MinAudience < 1 || v.MinSubset < 1):
+		return errors.New("hearers and least must be 1 or more")
+	case v.DelayMillis < 0 || !within(v.Loss, 0, 1):
+		return errors.New("delay_ms must not be negative, loss 0 to 1")
+	}
+	return nil
+}
+
+func (f *Fault) check() error {
+	switch {
+	case f.AtSeconds < 0 || f.ForSeconds < 0 || !(f.Share > 0 && f.Share <= 1):
+		return errors.New("at_s and for_s must not be negative, share above 0 and at most 1")
+	case f.Kind == "slow" && !(f.Factor > 0), f.Kind == "fail" && !(f.Factor > 0 && f.Factor <= 1):
+		return errors.New("factor must be above 0, for fail at most 1")
+	}
+	return nil
+}
+
+// workersAt returns how many workers there are at a size.
+func (e *Experiment) workersAt(size int) int { return e.Workers[min(size, len(e.Workers)-1)] }
+
+// millis returns a time in milliseconds as a Duration.
+func millis(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- /dev/null
+++ b/internal/fleetsim/faults.go
@@ -0,0 +1,93 @@
+package fleetsim
+
+import (
+	"time"
+
+	"sedgevale"
+	"sedgevale/internal/dispatchconfig"
+)
+
+// beginFault begins a fault and schedules its end.
+func (sim *simulation) beginFault(t *Fault) {
+	last := dispatchconfig.Seconds(t.ForSeconds)
+	switch t.Kind {
+	case "kill":
+		for _, s := range sim.drawSchedulers(t.Share) {
+			s.kill()
+			sim.after(last, s.start)
+		}
+	case "freeze":
+		for _, s := range sim.drawSchedulers(t.Share) {
+			s.frozenUntil = sim.now + last
+		}
+	case "split":
+		sim.partitioned = true
+		sim.after(last, func() { sim.partitioned = false })
+	case "replace":
+		some := sim.drawWorkers(t.Share)
+		for i, at := range some {
+			sim.after(last*time.Duration(i)/time.Duration(len(some)), func() { sim.replaceWorker(at) })
+		}
+	case "slow":
+		for _, at := range sim.drawWorkers(t.Share) {
+			sim.workers[at].speedFactor = t.Factor
+			sim.after(last, func() { sim.workers[at].speedFactor = 1 })
+		}
+	case "fail":
+		for _, at := range sim.drawWorkers(t.Share) {
+			sim.workers[at].errorShare = t.Factor
+			sim.after(last, func() { sim.workers[at].errorShare = 0 })
+		}
+	}
+}
+
+// drawSchedulers draws a share of the schedulers, one at least.
+func (sim *simulation) drawSchedulers(share float64) (some []*scheduler) {
+	for _, i := range sim.rand.Perm(len(sim.schedulers))[:max(1, int(share*float64(len(sim.schedulers))))] {
+		some = append(some, sim.schedulers[i])
+	}
+	return some
+}
+
+// drawWorkers draws a share of the active workers, one at least, and returns their
+// indexes.
+func (sim *simulation) drawWorkers(share float64) (some []int) {
+	for _, i := range sim.rand.Perm(len(sim.workers)) {
+		if sim.workerList[i].State == sedgevale.Active {
+			some = append(some, i)
+		}
+	}
+	return some[:max(1, int(share*float64(len(some))))]
+}
+
+// kill crashes a scheduler; its clients are reset.
+func (s *scheduler) kill() {
+	s.up = false
+	s.incarnation++
+	for _, j := range s.jobs {
+		if !j.answered {
+			s.sim.clientReset(j)
+		}
+	}
+}
+
+// replaceWorker has a worker drain and a new one of its kind start. The list shows both a
+// little later.
+func (sim *simulation) replaceWorker(at int) {
+	old := sim.workers[at]
+	sim.workerList[at].State = sedgevale.Leaving
+	sim.addWorker(old.cores, old.speed, sim.now)
+	sim.publishList()
+	sim.after(6*time.Second, func() {
+		sim.workerList[at].State = sedgevale.Left
+		old.removed = true
+		sim.publishList()
+	})
+}
+
+// publishList sends an update of the list to each scheduler, with a random delay.
+func (sim *simulation) publishList() {
+	for _, s := range sim.schedulers {
+		s.handleAfter(millis(20+180*sim.netRand.Float64()), func() { s.updateWorkers(sedgevale.ListPatch) })
+	}
+}
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -35,12 +35,12 @@
 	}{{1, 0.5}, {4, 0.7}, {5, 0.8}} {
 		var k clock
 		r := rand.New(rand.NewPCG(uint64(c.cores), 9))
-		b := newBox(&k, r, &Box{Queue: 1 << 30, ReportMS: [2]float64{1e9, 1e9}, ColdS: 0}, c.cores, 1)
+		w := newWorker(&k, r, &WorkerModel{Queue: 1 << 30, ReportMillis: [2]float64{1e9, 1e9}, SlowStartSeconds: 0}, c.cores, 1)
 		jobs, waited := 0, time.Duration(0)
 		var arrive func()
 		arrive = func() {
 			came := k.now
-			b.take(&task{slots: 1, work: dispatchconfig.Seconds(r.ExpFloat64()), started: func() { jobs, waited = jobs+1, waited+k.now-came }, ended: func(bool, float64) {}})
+			w.enqueue(&task{slots: 1, work: dispatchconfig.Seconds(r.ExpFloat64()), started: func() { jobs, waited = jobs+1, waited+k.now-came }, ended: func(bool, float64) {}})
 			k.after(dispatchconfig.Seconds(r.ExpFloat64()/c.load/float64(c.cores)), arrive)
 		}
 		arrive()
@@ -52,42 +52,42 @@
 }
 
 // small is an experiment that takes a moment.
-func small() File {
-	f := Default()
-	f.Version, f.Seeds, f.LengthS, f.Schedulers, f.Boxes = Version, 2, 3, []int{4, 8}, []int{3, 5}
-	f.Variants = []Variant{{Name: "alone"}, {Name: "told", Peers: true, Hearers: 6, Least: 4}}
-	return f
+func small() Experiment {
+	e := DefaultExperiment()
+	e.Version, e.Seeds, e.LengthSeconds, e.Schedulers, e.Workers = Version, 2, 3, []int{4, 8}, []int{3, 5}
+	e.Variants = []Variant{{Name: "alone"}, {Name: "told", Peers: true, MinAudience: 6, MinSubset: 4}}
+	return e
 }
 
 // Guards against plays that differ by chance, or by what other plays run beside them: then no difference means anything.
 func TestSameSeedSamePlay(t *testing.T) {
-	f := small()
-	a, b := Run(&f, func(Result) {}), Run(&f, func(Result) {})
+	e := small()
+	a, b := Run(&e, func(Result) {}), Run(&e, func(Result) {})
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("two runs of one experiment differ:\n%+v\n%+v", a, b)
 	}
-	if a[0].Seed == a[2].Seed || reflect.DeepEqual(a[0].Figures, a[2].Figures) {
+	if a[0].Seed == a[2].Seed || reflect.DeepEqual(a[0].Metrics, a[2].Metrics) {
 		t.Error("two seeds give the same play")
 	}
-	if a[0].Asked != a[1].Asked || a[0].askedWork != a[1].askedWork {
+	if a[0].Submitted != a[1].Submitted || a[0].submittedWork != a[1].submittedWork {
 		t.Error("two variants of one seed are asked for different work")
 	}
 }
 
 // Guards the books through every kind of trouble: each job that was asked for has exactly one end, and the trouble is felt.
 func TestEveryJobHasAnEnd(t *testing.T) {
-	f := small()
-	f.Seeds = 1
-	calm := Run(&f, func(Result) {})
-	for _, trouble := range []Trouble{{Kind: "kill", Share: 0.6}, {Kind: "freeze", Share: 0.5}, {Kind: "split", Share: 1},
+	e := small()
+	e.Seeds = 1
+	calm := Run(&e, func(Result) {})
+	for _, trouble := range []Fault{{Kind: "kill", Share: 0.6}, {Kind: "freeze", Share: 0.5}, {Kind: "split", Share: 1},
 		{Kind: "replace", Share: 0.6}, {Kind: "slow", Share: 0.4, Factor: 0.3}, {Kind: "fail", Share: 0.3, Factor: 0.9}} {
-		trouble.AtS, trouble.ForS = 1, 1
-		f.Troubles = []Trouble{trouble}
-		for i, r := range Run(&f, func(Result) {}) {
-			if ends := r.Served + r.Refused + r.Failed + r.Lost; ends != r.Asked {
-				t.Errorf("%s, %s: %d jobs asked for, %d ends: %+v", trouble.Kind, r.Variant, r.Asked, ends, r)
+		trouble.AtSeconds, trouble.ForSeconds = 1, 1
+		e.Faults = []Fault{trouble}
+		for i, r := range Run(&e, func(Result) {}) {
+			if ends := r.Served + r.Rejected + r.Failed + r.ClientResets; ends != r.Submitted {
+				t.Errorf("%s, %s: %d jobs asked for, %d ends: %+v", trouble.Kind, r.Variant, r.Submitted, ends, r)
 			}
-			if reflect.DeepEqual(r.Figures, calm[i].Figures) && (trouble.Kind != "split" || r.Variant == "told") {
+			if reflect.DeepEqual(r.Metrics, calm[i].Metrics) && (trouble.Kind != "split" || r.Variant == "told") {
 				t.Errorf("%s, %s: nothing has changed", trouble.Kind, r.Variant)
 			}
 		}
@@ -128,27 +128,27 @@
 
 // Guards the interval by a known case: 1, 2, 3, 4 has the mean 2.5 and, by Student's t with 3 degrees, 2.054 beside it.
 func TestInterval(t *testing.T) {
-	if d := differenceOf([]float64{1, 2, 3, 4}); d.Mean != 2.5 || math.Abs(d.Half-2.054) > 0.001 {
+	if d := meanOf([]float64{1, 2, 3, 4}); d.Mean != 2.5 || math.Abs(d.HalfInterval-2.054) > 0.001 {
 		t.Errorf("%+v", d)
 	}
-	if d := differenceOf([]float64{7}); d.Mean != 7 || !math.IsNaN(d.Half) {
+	if d := meanOf([]float64{7}); d.Mean != 7 || !math.IsNaN(d.HalfInterval) {
 		t.Errorf("of one figure: %+v", d)
 	}
 }
 
 // Guards the report: every variant and figure is in the table and on the page.
 func TestReport(t *testing.T) {
-	f := small()
-	all := Run(&f, func(Result) {})
+	e := small()
+	all := Run(&e, func(Result) {})
 	var table, page bytes.Buffer
-	if err := errors.Join(Table(&table, &f, all), HTML(&page, &f, all)); err != nil {
+	if err := errors.Join(Table(&table, &e, all), HTML(&page, &e, all)); err != nil {
 		t.Fatal(err)
 	}
 	if n := strings.Count(table.String(), "told"); n != 2 {
 		t.Errorf("the table has the variant %d times, want once a size:\n%s", n, &table)
 	}
-	if n := strings.Count(page.String(), "<svg"); n != len(figures) || !strings.Contains(page.String(), "</svg>") {
-		t.Errorf("the page has %d plots, want %d", n, len(figures))
+	if n := strings.Count(page.String(), "<svg"); n != len(metrics) || !strings.Contains(page.String(), "</svg>") {
+		t.Errorf("the page has %d plots, want %d", n, len(metrics))
 	}
 }
 
@@ -156,11 +156,11 @@
 func BenchmarkPlay(b *testing.B) {
 	for _, n := range []int{24, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := small()
-			f.LengthS, f.Schedulers, f.Boxes = 1, []int{n}, []int{n * 2 / 3}
-			f.Variants[1].Hearers, f.Variants[1].Least = 12, 6
+			e := small()
+			e.LengthSeconds, e.Schedulers, e.Workers = 1, []int{n}, []int{n * 2 / 3}
+			e.Variants[1].MinAudience, e.Variants[1].MinSubset = 12, 6
 			for b.Loop() {
-				play(&f, &f.Variants[1], 0, 1)
+				simulate(&e, &e.Variants[1], 0, 1)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/fleetsim/host.go
@@ -0,0 +1,133 @@
+package fleetsim
+
+import (
+	"time"
+
+	"sedgevale"
+	"sedgevale/internal/dispatchconfig"
+)
+
+// The scheduler as sedgevale.Host.
+
+// Send sends an attempt on an idle connection, or on a new one.
+func (s *scheduler) Send(id, worker string, _ time.Duration) {
+	sim, j, at := s.sim, s.jobs[id], s.sim.workerIndex[worker]
+	w, number := sim.workers[at], len(j.attempts)
+	a := &attempt{worker: at, task: &task{slots: j.slots, work: j.work}}
+	j.attempts = append(j.attempts, a)
+	sim.result.Attempts++
+	way := millis(sim.experiment.Network.OneWayMillis)
+	idle := s.idleConns[at]
+	for len(idle) > 0 && sim.now-idle[0] >= dispatchconfig.Seconds(sim.experiment.Worker.IdleSeconds) {
+		idle = idle[1:]
+	}
+	if len(idle) > 0 {
+		s.idleConns[at] = idle[:len(idle)-1]
+	} else {
+		s.idleConns[at] = nil
+		a.task.handshake = millis(sim.experiment.Worker.HandshakeMillis)
+		way *= 3
+		sim.result.Connections++
+	}
+	end := func(o sedgevale.Outcome, report *sedgevale.Report) {
+		s.handleAfter(millis(sim.experiment.Network.OneWayMillis), func() { s.attemptEnded(j, number, o, report) })
+	}
+	a.task.started = func() {
+		s.handleAfter(millis(sim.experiment.Network.OneWayMillis), func() {
+			if !a.ended {
+				_ = s.dispatcher.AttemptStarted(sim.now, j.id, number)
+			}
+		})
+	}
+	a.task.ended = func(ok bool, free float64) {
+		report := &sedgevale.Report{HasFree: true, Free: free}
+		if a.task.cancelled || j.answered {
+			sim.result.wastedWork += j.work.Seconds() * float64(j.slots)
+		}
+		if ok {
+			end(sedgevale.Served, report)
+		} else {
+			end(sedgevale.Errored, report)
+		}
+	}
+	sim.after(way, func() {
+		switch {
+		case a.task.cancelled:
+		case w.removed:
+			end(sedgevale.ConnectFailed, nil)
+		case !w.enqueue(a.task):
+			end(sedgevale.Full, &sedgevale.Report{HasFree: true, Free: w.reportedFree})
+		}
+	})
+}
+
+// attemptEnded reports to the Dispatcher how an attempt ended, and answers the client if
+// it was served.
+func (s *scheduler) attemptEnded(j *job, number int, o sedgevale.Outcome, report *sedgevale.Report) {
+	a := j.attempts[number]
+	if a.ended {
+		return
+	}
+	a.ended = true
+	if o == sedgevale.Served || o == sedgevale.Errored || o == sedgevale.Full {
+		s.idleConns[a.worker] = append(s.idleConns[a.worker], s.sim.now)
+	}
+	if o == sedgevale.Served && !j.answered {
+		s.sim.clientServed(j, s)
+		j.answered = true
+	}
+	_ = s.dispatcher.AttemptEnded(s.sim.now, sedgevale.Result{ID: j.id, Attempt: number, Outcome: o, Closed: j.answered, Report: report})
+}
+
+// Cancel cancels an attempt and closes its connection.
+func (s *scheduler) Cancel(id string, number int) {
+	sim, j := s.sim, s.jobs[id]
+	a := j.attempts[number]
+	sim.result.Cancelled++
+	a.task.cancelled = true
+	sim.after(millis(sim.experiment.Network.OneWayMillis), func() { sim.workers[a.worker].cancel(a.task) })
+	s.handleAfter(0, func() { s.attemptEnded(j, number, sedgevale.Cancelled, nil) })
+}
+
+// Reject answers the client, which may try again.
+func (s *scheduler) Reject(id string, after time.Duration) {
+	sim, j := s.sim, s.jobs[id]
+	j.answered = true
+	sim.result.Rejections++
+	if j.tries < sim.experiment.Retries && after > 0 && sim.now+after < j.deadline {
+		again := *j
+		again.answered, again.tries = false, again.tries+1
+		sim.after(after, func() { sim.submit(&again, sim.netRand.IntN(len(sim.schedulers))) })
+		return
+	}
+	sim.result.Rejected++
+}
+
+// Fail answers the client.
+func (s *scheduler) Fail(id string) {
+	s.jobs[id].answered = true
+	s.sim.result.Failed++
+}
+
+// SetTimer schedules a timer of the Dispatcher.
+func (s *scheduler) SetTimer(after time.Duration, token uint64) {
+	s.handleAfter(after, func() { s.dispatcher.TimerFired(s.sim.now, token) })
+}
+
+// Probe asks a worker for its load.
+func (s *scheduler) Probe(worker string) {
+	s.handleAfter(2*millis(s.sim.experiment.Network.OneWayMillis), func() {
+		s.dispatcher.ProbeResult(s.sim.now, worker, &sedgevale.Report{HasFree: true, Free: s.sim.workers[s.sim.workerIndex[worker]].reportedFree})
+	})
+}
+
+// CloseIdleConnections closes the idle connections to a worker.
+func (s *scheduler) CloseIdleConnections(worker string) {
+	delete(s.idleConns, s.sim.workerIndex[worker])
+}
+
+// WatchWorkers does nothing: all updates of the list are sent unasked.
+func (s *scheduler) WatchWorkers() {}
+
+// Log drops the line.
+func (s *scheduler) Log(string) {}
--- a/internal/fleetsim/report.go
+++ b/internal/fleetsim/report.go
@@ -16,50 +16,55 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// figure is one that plays are compared by.
-type figure struct {
+// metric is a column of the table and a plot of the page.
+type metric struct {
 	name, title string
 	of          func(*Result) float64
 }
 
-// figures are those of the tables and plots, in their order.
-var figures = []figure{
-	{"worth", "worth served in time, of what was asked for", func(r *Result) float64 { return r.Worth }},
-	{"gain", "worth less the price of connections, messages and waste", func(r *Result) float64 { return r.Gain }},
-	{"calls off", "attempts called off, of all", func(r *Result) float64 { return r.CallsOff }},
-	{"conns/job", "new connections a job", func(r *Result) float64 { return r.ConnectionsOf }},
-	{"bytes/job", "bytes of messages a job", func(r *Result) float64 { return r.BytesOf }},
-	{"worst box", "work of the worst box over what its size deserves", func(r *Result) float64 { return r.WorstBox }},
-	{"worst sched", "worth at the worst scheduler over the mean", func(r *Result) float64 { return r.WorstNode }},
+// metrics are the metrics of the report, in their order.
+var metrics = []metric{
+	{"worth", "worth served in time, of what was asked for", func(r *Result) float64 { return r.Value }},
+	{"gain", "worth less the price of connections, messages and waste", func(r *Result) float64 { return r.NetValue }},
+	{"calls off", "attempts called off, of all", func(r *Result) float64 { return r.CancelRate }},
+	{"conns/job", "new connections a job", func(r *Result) float64 { return r.ConnectionsPerJob }},
+	{"bytes/job", "bytes of messages a job", func(r *Result) float64 { return r.BytesPerJob }},
+	{"worst box", "work of the worst box over what its size deserves", func(r *Result) float64 { return r.WorstWorker }},
+	{"worst sched", "worth at the worst scheduler over the mean", func(r *Result) float64 { return r.WorstScheduler }},
 	{"p99 ms", "99th percentile of served jobs, ms", func(r *Result) float64 { return r.P99MS }},
 }
 
-// Table writes the means of all variants, and by how much each differs from the first, with 95% intervals.
-func Table(out io.Writer, f *File, all []Result) error {
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, size := range f.Schedulers {
-		fmt.Fprintf(t, "%d schedulers, %d seeds", size, f.Seeds)
-		for _, g := range figures {
-			fmt.Fprintf(t, "\t%s", g.name)
+// Table writes the means of all variants, and by how much each differs from the first,
+// with 95% intervals.
+func Table(out io.Writer, e *Experiment, all []Result) error {
+	var b bytes.Buffer
+	for _, size := range e.Schedulers {
+		fmt.Fprintf(&b, "%d schedulers, %d seeds", size, e.Seeds)
+		for _, m := range metrics {
+			fmt.Fprintf(&b, "\t%s", m.name)
 		}
-		fmt.Fprintln(t)
-		for i, v := range f.Variants {
-			fmt.Fprint(t, v.Name)
-			for _, g := range figures {
-				fmt.Fprintf(t, "\t%.4g", Pairs(all, size, v.Name, "", g.of).Mean)
+		fmt.Fprintln(&b)
+		for i, v := range e.Variants {
+			fmt.Fprint(&b, v.Name)
+			for _, m := range metrics {
+				fmt.Fprintf(&b, "\t%.4g", Compare(all, size, v.Name, "", m.of).Mean)
 			}
-			fmt.Fprintln(t)
+			fmt.Fprintln(&b)
 			if i == 0 {
 				continue
 			}
-			fmt.Fprint(t, "  less the first")
-			for _, g := range figures {
-				d := Pairs(all, size, v.Name, f.Variants[0].Name, g.of)
-				fmt.Fprintf(t, "\t%+.3g ±%.2g", d.Mean, d.Half)
+			fmt.Fprint(&b, "  less the first")
+			for _, m := range metrics {
+				d := Compare(all, size, v.Name, e.Variants[0].Name, m.of)
+				fmt.Fprintf(&b, "\t%+.3g ±%.2g", d.Mean, d.HalfInterval)
 			}
-			fmt.Fprintln(t)
+			fmt.Fprintln(&b)
 		}
-		fmt.Fprintln(t)
+		fmt.Fprintln(&b)
+	}
+	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	if _, err := t.Write(b.Bytes()); err != nil {
+		return err
 	}
 	return t.Flush()
 }
@@ -71,30 +76,30 @@
 }
 
 // HTML writes one page with a plot of each figure over the number of schedulers.
-func HTML(out io.Writer, f *File, all []Result) error {
+func HTML(out io.Writer, e *Experiment, all []Result) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "<!DOCTYPE html>\n<meta charset=\"utf-8\">\n<title>swarm</title>\n<h1>Swarm</h1>\n<p>%d seeds, %g s, load %g; bars: 95%% intervals</p>\n",
-		f.Seeds, f.LengthS, f.Load)
+		e.Seeds, e.LengthSeconds, e.Load)
 	var table bytes.Buffer
-	if err := Table(&table, f, all); err != nil {
+	if err := Table(&table, e, all); err != nil {
 		return err
 	}
 	fmt.Fprintf(&b, "<pre>%s</pre>\n", html.EscapeString(table.String()))
-	for _, g := range figures {
+	for _, g := range metrics {
 		p := plot.New()
 		p.Title.Text, p.X.Label.Text = g.title, "schedulers"
-		if len(f.Schedulers) > 1 {
+		if len(e.Schedulers) > 1 {
 			p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 		}
-		for i, v := range f.Variants {
+		for i, v := range e.Variants {
 			var pts points
-			for _, size := range f.Schedulers {
-				d := Pairs(all, size, v.Name, "", g.of)
-				if math.IsNaN(d.Half) {
-					d.Half = 0
+			for _, size := range e.Schedulers {
+				d := Compare(all, size, v.Name, "", g.of)
+				if math.IsNaN(d.HalfInterval) {
+					d.HalfInterval = 0
 				}
 				pts.XYs = append(pts.XYs, plotter.XY{X: float64(size), Y: d.Mean})
-				pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{d.Half, d.Half})
+				pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{d.HalfInterval, d.HalfInterval})
 			}
 			line, dots, err := plotter.NewLinePoints(pts.XYs)
 			if err != nil {
--- /dev/null
+++ b/internal/fleetsim/scheduler.go
@@ -0,0 +1,194 @@
+package fleetsim
+
+import (
+	"slices"
+	"time"
+
+	"sedgevale"
+	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/peers"
+)
+
+// scheduler is a scheduler: a real Dispatcher and a real exchange of load with its
+// peers. It implements [sedgevale.Host].
+type scheduler struct {
+	sim            *simulation
+	number         int
+	incarnation    int // restarts and crashes so far; what was scheduled in an earlier one is void
+	up             bool
+	frozenUntil    time.Duration
+	dispatcher     *sedgevale.Dispatcher
+	peers          *peers.Node // nil: load is not exchanged
+	jobs           map[string]*job
+	idleConns      map[int][]time.Duration // by worker's index: since when each is idle
+	loadChanges    []sedgevale.Told        // buffer
+	peerLoad       []sedgevale.Told        // buffer
+	servedValue    float64                 // in time
+	submittedValue float64
+}
+
+// handle handles an event, after a stall if there is one.
+func (s *scheduler) handle(do func()) {
+	incarnation := s.incarnation
+	if s.up && s.frozenUntil > s.sim.now {
+		s.sim.after(s.frozenUntil-s.sim.now, func() {
+			if s.incarnation == incarnation && s.up {
+				s.handle(do)
+			}
+		})
+		return
+	}
+	do()
+	s.publishLoad()
+}
+
+// handleAfter handles an event after a while, unless the scheduler has crashed meanwhile.
+func (s *scheduler) handleAfter(after time.Duration, do func()) {
+	incarnation := s.incarnation
+	s.sim.after(after, func() {
+		if s.up && s.incarnation == incarnation {
+			s.handle(do)
+		}
+	})
+}
+
+// start starts the scheduler with nothing learned.
+func (s *scheduler) start() {
+	sim := s.sim
+	s.incarnation++
+	s.up, s.frozenUntil = true, 0
+	s.jobs, s.idleConns = map[string]*job{}, map[int][]time.Duration{}
+	var err error
+	if s.dispatcher, err = sedgevale.New(sim.settings(), sim.rand.Uint64(), s); err != nil {
+		panic(err) // the settings are constants and a checked experiment's
+	}
+	if sim.variant.Peers {
+		s.peers = peers.New(peers.Options{
+			Self:        s.number,
+			Members:     len(sim.schedulers),
+			Site:        1,
+			Incarnation: uint16(s.incarnation),
+			Hearers:     sim.variant.MinAudience,
+			Least:       sim.variant.MinSubset,
+		})
+		s.dispatcher.TrackLoadChanges()
+		s.handleAfter(peers.TickEvery, s.tick)
+	}
+	s.handle(func() { s.updateWorkers(sedgevale.ListStale) })
+}
+
+// settings returns the settings of all schedulers.
+func (sim *simulation) settings() sedgevale.Settings {
+	model := &sim.experiment.Worker
+	set := sedgevale.Settings{
+		Peers:         len(sim.schedulers),
+		MaxAttempts:   6,
+		ParallelTries: true,
+		MayCancel:     true,
+		TellsStart:    true,
+		InOrder:       true,
+		MaxRetryAfter: 2 * time.Second,
+		Weights:       sedgevale.WeightSize,
+		WarmUp:        dispatchconfig.Seconds(model.SlowStartSeconds),
+		StartCapacity: model.SlowStartCapacity,
+		FallMultiple:  overloadMultiple,
+		Fall:          overloadWindow,
+	}
+	for _, c := range classes {
+		set.Classes = append(set.Classes, c.Class)
+	}
+	for _, t := range tenants {
+		t.Quota = t.Share * sim.tenantQuota
+		set.Tenants = append(set.Tenants, t)
+	}
+	return set
+}
+
+// updateWorkers gives the scheduler the list of workers as it is now.
+func (s *scheduler) updateWorkers(kind sedgevale.ListKind) {
+	s.dispatcher.WorkersUpdated(s.sim.now, kind, s.sim.workerList)
+	if s.peers == nil {
+		return
+	}
+	var ids []string
+	for _, m := range s.sim.workerList {
+		if m.State == sedgevale.Active {
+			ids = append(ids, m.Worker)
+		}
+	}
+	s.peers.Boxes(ids)
+	s.updateSubset()
+}
+
+// updateSubset gives the Dispatcher its subset if that has changed.
+func (s *scheduler) updateSubset() {
+	s.peers.Parted(func(subset []string, sharers int) { s.dispatcher.SetSubset(s.sim.now, subset, sharers) })
+}
+
+// tick runs the timers of the exchange with peers.
+func (s *scheduler) tick() {
+	s.peers.Tick(s.sim.now)
+	s.updateSubset()
+	s.applyPeerLoad()
+	s.handleAfter(peers.TickEvery, s.tick)
+}
+
+// publishLoad sends the load that has changed to the peers.
+func (s *scheduler) publishLoad() {
+	if s.peers == nil || !s.up {
+		return
+	}
+	s.loadChanges = s.dispatcher.AppendLoadChanges(s.loadChanges[:0])
+	for _, l := range s.loadChanges {
+		s.peers.Out(s.sim.now, l.Worker, peers.Out{Slots: int(l.Held + 0.5), Waiting: l.Waiting}, l.Full)
+	}
+	s.peers.Flush(s.sim.now, s.sendToPeer)
+}
+
+// sendToPeer sends a datagram over the lossy network.
+func (s *scheduler) sendToPeer(to int, datagram []byte) {
+	sim, half := s.sim, len(s.sim.schedulers)/2
+	other := sim.schedulers[to]
+	if !other.up || sim.netRand.Float64() < sim.variant.Loss || sim.partitioned && (s.number < half) != (to < half) {
+		return
+	}
+	sim.result.Messages++
+	sim.result.bytes += len(datagram)
+	data := slices.Clone(datagram)
+	other.handleAfter(millis(uniform(sim.netRand, sim.experiment.Network.PeerMillis)+sim.variant.DelayMillis), func() {
+		if other.peers.Receive(sim.now, s.number, data) == nil {
+			other.applyPeerLoad()
+		}
+	})
+}
+
+// applyPeerLoad gives the Dispatcher the load of peers that has changed.
+func (s *scheduler) applyPeerLoad() {
+	s.peerLoad = s.peerLoad[:0]
+	s.peers.News(func(id string, slots, waiting int) {
+		s.peerLoad = append(s.peerLoad, sedgevale.Told{Worker: id, Load: sedgevale.Load{Held: float64(slots), Waiting: waiting}})
+	})
+	if len(s.peerLoad) > 0 {
+		s.dispatcher.UpdatePeerLoad(s.sim.now, s.peerLoad)
+	}
+}
+
+// submitRequest takes a job from a client.
+func (s *scheduler) submitRequest(j *job) {
+	if !s.up {
+		s.sim.clientReset(j)
+		return
+	}
+	s.handle(func() {
+		j.answered, j.attempts = false, nil
+		s.jobs[j.id] = j
+		_ = s.dispatcher.SubmitRequest(s.sim.now, sedgevale.Request{
+			ID:     j.id,
+			Class:  j.class,
+			Tenant: j.tenant,
+			Left:   j.deadline - s.sim.now,
+			Slots:  float64(j.slots),
+			Retry:  j.tries > 0,
+		})
+	})
+}
--- /dev/null
+++ b/internal/fleetsim/workload.go
@@ -0,0 +1,62 @@
+package fleetsim
+
+import (
+	"time"
+
+	"sedgevale"
+)
+
+// classes are the classes of jobs. No job's name or tenant's name has an influence on
+// a run.
+var classes = []struct {
+	sedgevale.Class
+	value    float64       // of an answer in time
+	part     float64       // of all jobs
+	work     time.Duration // core time at speed 1, on average
+	twoSlots float64       // share of jobs that take two slots
+}{
+	{
+		Class: sedgevale.Class{Name: "idempotent", Effect: sedgevale.Safe,
+			Aim: 100 * time.Millisecond, Stretch: 1.75, Limit: 5 * time.Second},
+		value: 1, part: 0.44, work: 200 * time.Millisecond,
+	},
+	{
+		Class: sedgevale.Class{Name: "at-most-once", Effect: sedgevale.Unsafe,
+			Aim: 100 * time.Millisecond, Stretch: 2.5, Limit: 5 * time.Second},
+		value: 3, part: 0.31, work: 100 * time.Millisecond, twoSlots: 0.25,
+	},
+	{
+		Class: sedgevale.Class{Name: "idempotent-by-key", Effect: sedgevale.Keyed, Scope: sedgevale.ScopeCell, Window: 7500 * time.Millisecond,
+			Aim: 100 * time.Millisecond, Stretch: 2.5, Limit: 5 * time.Second},
+		value: 10, part: 0.25, work: 100 * time.Millisecond, twoSlots: 0.25,
+	},
+}
+
+// tenants are the tenants with their quota shares.
+var tenants = []sedgevale.Tenant{
+	{Name: "a", Share: 0.30},
+	{Name: "b", Share: 0.19},
+	{Name: "c", Share: 0.18},
+	{Name: "d", Share: 0.13},
+	{Name: "e", Share: 0.11},
+	{Name: "f", Share: 0.09},
+}
+
+// promisedShare is the share of all capacity that the tenants' quotas add up to.
+const promisedShare = 0.79
+
+// Prices, as shares of the value of all submitted jobs.
+const (
+	priceHandshake   = 0.02  // of a new connection for each job
+	pricePeer        = 0.01  // of a full message for each job
+	priceWaste       = 0.043 // of as much wasted work as was submitted
+	fullMessageBytes = 256
+)
+
+// meanWorkSeconds returns the mean work of a job in slot seconds at speed 1.
+func meanWorkSeconds() (sum float64) {
+	for _, c := range classes {
+		sum += c.part * c.work.Seconds() * (1 + c.twoSlots)
+	}
+	return sum
+}
