--- a/cordon_test.go
+++ b/cordon_test.go
@@ -65,7 +65,7 @@
 }
 
 // A worker taken out in an earlier run is out before any list names it.
-func TestKeptOut(t *testing.T) {
+func TestRestoreCordon(t *testing.T) {
 	d, h := start(t, settings(), WorkerInfo{Worker: "b", Weight: 1})
 	d.RestoreCordon("a")
 	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "a", Weight: 1}})
@@ -81,7 +81,7 @@
 
 // Guards against a worker that comes back cold and is sent as much as before, and
 // against one that is left unused though it is back.
-func TestCordonedComesBackCold(t *testing.T) {
+func TestUncordonedWorkerWarmsUp(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.1, 3, 2*time.Second
 	d, h := start(t, set, WorkerInfo{Worker: "a", Weight: 1}, WorkerInfo{Worker: "b", Weight: 1})
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -191,7 +191,7 @@
 }
 
 // Rule 2: refusals promise that nothing ran.
-func TestRefusalOnlyWhenNothingRan(t *testing.T) {
+func TestRejectedOnlyWhenNothingRan(t *testing.T) {
 	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
 		d, h := start(t, settings(), fleet(1)...)
 		h.ask(d, "r", class)
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestNoParallelTries(t *testing.T) {
+func TestNoHedgingWhereForbidden(t *testing.T) {
 	set := settings()
 	set.ParallelTries = false
 	d, h := start(t, set, fleet(4)...)
@@ -238,7 +238,7 @@
 }
 
 // Rule 3: drained and removed workers get nothing from the moment that it is told.
-func TestDrainsAreKept(t *testing.T) {
+func TestDrainingWorkersGetNothing(t *testing.T) {
 	d, h := start(t, settings(), fleet(3)...)
 	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
 	d.WorkersUpdated(h.now, ListWhole, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}, {Worker: "w1", Zone: 1, Weight: 1}})
@@ -283,7 +283,7 @@
 
 // Guards against a list that is asked for too late: what discovery has counts as told 6 s after it could be reached
 // again, and of those connecting, a call that fails and its answer's way want 4 (internal/discovery).
-func TestWatchIsAskedForSoon(t *testing.T) {
+func TestWatchIsRetriedSoon(t *testing.T) {
 	set := settings()
 	set.AskForList = true
 	d, h := start(t, set, fleet(2)...)
@@ -302,7 +302,7 @@
 }
 
 // Rule 4: all dispatchers together stay within what a cold worker can take.
-func TestColdWorkerIsNotPushedOver(t *testing.T) {
+func TestSlowStartBoundsLoad(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall, set.Peers = 8*time.Second, 0.3, 2.5, 1500*ms, 10
 	d, h := start(t, set, fleet(9)...)
@@ -351,7 +351,7 @@
 	}
 }
 
-func TestRestartedWorkerIsCold(t *testing.T) {
+func TestRestartedWorkerWarmsUp(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 8*time.Second, 0.3, 2.5, 1500*ms
 	d, h := start(t, set, fleet(1)...)
@@ -509,7 +509,7 @@
 	}
 }
 
-func TestSigmaIsCutOnceARoundAndRises(t *testing.T) {
+func TestLimitIsCutOnceARoundAndRises(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
 	w := d.workersByName["w0"]
 	if w.limit != unlimited {
@@ -562,7 +562,7 @@
 	}
 }
 
-func TestAlphaDecaysByJobs(t *testing.T) {
+func TestSendShareDecaysByJobs(t *testing.T) {
 	d, _ := start(t, settings(), fleet(2)...)
 	tn := d.tenants[0]
 	for range 2000 {
@@ -690,7 +690,7 @@
 	}
 }
 
-func TestRefusedEarlyWhenItCannotBeInTime(t *testing.T) {
+func TestRejectedEarlyWhenItCannotBeInTime(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
 	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 0.1, meanCompletion: 0.1, samples: 10, inFlight: 1}
 	d.tenants[0].pendingWork[0], d.capacity, d.pools[0].noCapacity = 10, 1, true
@@ -707,7 +707,7 @@
 
 // Incident ie69b0c: a mean completion over the aim refused a class for good,
 // since no outcome came to lower it.
-func TestRefusalsEndByThemselves(t *testing.T) {
+func TestRejectionsEndByThemselves(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 0.1, meanCompletion: 3, samples: 1000}
 	h.ask(d, "trial", 0)
@@ -748,7 +748,7 @@
 
 // A worker that owes a start note gets no second job while others have room,
 // and one that hangs gets nothing until it shows a sign.
-func TestUnstartedAndStuckWorkersAreAvoided(t *testing.T) {
+func TestWorkersWithoutStartsAreAvoided(t *testing.T) {
 	set := settings()
 	set.MayCancel = false
 	d, h := start(t, set, fleet(2)...)
@@ -777,7 +777,7 @@
 }
 
 // A worker that fails to connect is left alone, then tried with one job.
-func TestDoubt(t *testing.T) {
+func TestUnhealthyWorkerIsTriedOnce(t *testing.T) {
 	set := settings()
 	set.TellsStart = false
 	d, h := start(t, set, fleet(1)...)
@@ -804,7 +804,7 @@
 }
 
 // Beyond its quota a tenant uses only room that the last report showed.
-func TestBeyondTheQuotaOnlyReportedRoom(t *testing.T) {
+func TestBeyondTheQuotaOnlyReportedFreeSlots(t *testing.T) {
 	set := settings()
 	set.TellsStart = false
 	set.Tenants = []Tenant{{Share: 1, Quota: 2}, {Share: 1, Quota: 2}}
@@ -930,7 +930,7 @@
 }
 
 // The own zone comes first; a further attempt looks everywhere.
-func TestFurtherAttemptsLeaveTheZone(t *testing.T) {
+func TestRetriesLeaveTheZone(t *testing.T) {
 	d, h := start(t, settings(), fleet(20)...)
 	far := func(r *request) (n int) {
 		for range 1000 {
@@ -959,7 +959,7 @@
 	}
 }
 
-func TestOneLongWaitCountsForTwoAims(t *testing.T) {
+func TestOneLongWaitCountsForTwoLatencyTargets(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 0.1, meanCompletion: 0.1, samples: 1000}
 	h.ask(d, "r", 0)
@@ -973,7 +973,7 @@
 }
 
 // However small the multiple at which workers fall, half of it is the most.
-func TestSmallFallMultipleIsRespected(t *testing.T) {
+func TestSmallOverloadMultipleIsRespected(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall, set.Peers = 8*time.Second, 0.5, 0.5, 2*time.Second, 1
 	d, h := start(t, set, fleet(1)...)
--- a/health_test.go
+++ b/health_test.go
@@ -129,7 +129,7 @@
 
 // Guards against a worker that fails each job at once, or turns it away, and so
 // always holds the fewest: it would draw all jobs.
-func TestBadAnswersBringRest(t *testing.T) {
+func TestBadAnswersEject(t *testing.T) {
 	for _, o := range []Outcome{Errored, Full} {
 		set := settings()
 		set.Tenants = []Tenant{{Share: 1, Quota: 1e6}} // within it, sigma does not bind
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -89,7 +89,7 @@
 }
 
 // The same for a job that is held, and for one between two attempts: the next worker gets nothing.
-func TestHeldJobEndsWithItsClient(t *testing.T) {
+func TestPendingJobEndsWithItsClient(t *testing.T) {
 	for _, tried := range []bool{false, true} {
 		var workers []string
 		if tried {
--- a/internal/dispatch/journal_test.go
+++ b/internal/dispatch/journal_test.go
@@ -125,7 +125,7 @@
 
 // Guards against a job that goes out though its intent cannot be written, and against one
 // that is taken in while the journal is full.
-func TestNoRoomForAnIntent(t *testing.T) {
+func TestFullJournalRejects(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	c := newClient()
 	p.Request(once("r", clock.Now()+5*time.Second, c))
@@ -150,7 +150,7 @@
 }
 
 // Guards against a client's leaving, or a fault of the module, that sends what is held.
-func TestHeldAttemptIsCalledOff(t *testing.T) {
+func TestAttemptThatAwaitsItsIntentIsCancelled(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	p.Request(once("r", clock.Now()+5*time.Second, newClient()))
 	durable := testkit.Await(t, "an intent", b.intents)
--- a/internal/dispatch/planner.go
+++ b/internal/dispatch/planner.go
@@ -226,7 +226,7 @@
 		if fault == nil {
 			return
 		}
-		p.log.Error("decision module panicked, starting it afresh", "panic", fmt.Sprint(fault),
+		p.log.Error("decision module panicked, restarting it", "panic", fmt.Sprint(fault),
 			"open", len(p.exchanges), "stack", string(debug.Stack()))
 		for _, x := range p.exchanges {
 			for _, a := range x.attempts {
@@ -349,7 +349,7 @@
 	err := p.dispatcher.SubmitRequest(p.now, sedgevale.Request{ID: x.ID, Class: class, Tenant: tenant, Key: x.Key,
 		Left: left, Hint: x.Hint, Slots: x.Slots, Retry: x.Retry})
 	if err != nil {
-		p.log.Error("decision module did not take a request", "err", err)
+		p.log.Error("decision module rejected a request", "err", err)
 		x.answer(Answer{Kind: Failed, Reason: "internal error"})
 	}
 	p.forgetIfDone(x)
@@ -377,7 +377,7 @@
 func (p *Planner) Retune(set sedgevale.Settings) {
 	p.enqueueCall(func() {
 		if err := p.dispatcher.UpdateSettings(set); err != nil {
-			p.log.Error("decision module refused new settings", "err", err)
+			p.log.Error("decision module rejected new settings", "err", err)
 			return
 		}
 		set.Zone, set.Peers, set.Weights, set.AskForList = p.settings.Zone, p.settings.Peers, p.settings.Weights, p.settings.AskForList
@@ -436,7 +436,7 @@
 // attempt that has ended meanwhile.
 func (p *Planner) logUnexpected(err error) {
 	if err != nil && !errors.Is(err, sedgevale.ErrUnknownRequest) && !errors.Is(err, sedgevale.ErrUnknownAttempt) {
-		p.log.Error("decision module refused an event", "err", err)
+		p.log.Error("decision module rejected an event", "err", err)
 	}
 }
 
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -97,7 +97,7 @@
 
 // Guards against exchanges that stay on the books when a timer of the module
 // ends them: the program waited for them for ever after SIGTERM.
-func TestRefusedByTimerIsForgotten(t *testing.T) {
+func TestRejectedByTimerIsForgotten(t *testing.T) {
 	p, _, clock := begin(t)
 	c := newClient()
 	p.Request(NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+200*time.Millisecond, c))
@@ -148,7 +148,7 @@
 
 // Guards against a send that was put off until its worker began to drain being
 // taken for a failure: it never ran, so another worker gets it.
-func TestNotSentGoesElsewhere(t *testing.T) {
+func TestNotSentIsRetriedElsewhere(t *testing.T) {
 	p, carry, clock := begin(t, "v", "w")
 	c := newClient()
 	p.Request(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
@@ -186,7 +186,7 @@
 
 // Guards against jobs that are lost when the program ends: who still waits is
 // answered, once.
-func TestAbandon(t *testing.T) {
+func TestFailOpen(t *testing.T) {
 	p, carry, clock := begin(t, "w")
 	c := newClient()
 	p.Request(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
@@ -278,7 +278,7 @@
 
 // Guards against operators who wait behind clients: an order is carried out before
 // events that came earlier.
-func TestOrdersComeFirst(t *testing.T) {
+func TestCommandsComeFirst(t *testing.T) {
 	p, _, _ := begin(t, "w")
 	openNow(t, p) // the list has been read
 	hold, known := make(chan struct{}), make(chan bool, 1)
@@ -318,7 +318,7 @@
 
 // Guards against a job that runs in both processes of an upgrade, and against ids
 // that stay taken when the other has ended it, or is gone.
-func TestIDsOfTheOtherProcess(t *testing.T) {
+func TestIDsOfThePartner(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
 	told := make(chan Shared, 16)
 	estate := make(chan Estate, 1)
@@ -362,7 +362,7 @@
 
 // Guards against a job under way that gets another class, by an index into the new
 // list: it is repeated by the class that it came with.
-func TestRetuneKeepsTheClassOfJobs(t *testing.T) {
+func TestUpdateSettingsKeepsTheClassOfJobs(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
 	once, free := newClient(), newClient()
 	p.Request(NewExchange(Job{ID: "once", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, once))
@@ -392,7 +392,7 @@
 
 // Guards a job that crosses a change of tenants: it is its own tenant's, whatever number that had when it was read;
 // one that was taken before its tenant went is let in, and one of a tenant that was never there is not.
-func TestRetuneKeepsTheTenantOfJobs(t *testing.T) {
+func TestUpdateSettingsKeepsTheTenantOfJobs(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
 	tenants := func(names string) {
 		set := sedgevale.Settings{Classes: classes(), MaxAttempts: 3, MayCancel: true}
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -28,7 +28,7 @@
 }
 
 // Guards the model of a box: its waits are those of a known queue within 2%.
-func TestBoxIsAKnownQueue(t *testing.T) {
+func TestWorkerIsAKnownQueue(t *testing.T) {
 	for _, c := range []struct {
 		cores int
 		load  float64
@@ -153,7 +153,7 @@
 }
 
 // The time of a play of many schedulers, for a second of the day.
-func BenchmarkPlay(b *testing.B) {
+func BenchmarkSimulate(b *testing.B) {
 	for _, n := range []int{24, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			e := small()
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -9,7 +9,7 @@
 // Guards against cold boxes that fall under the sum of what many schedulers send, each of which keeps to its own part:
 // small boxes, so that a job of each scheduler is already much; half of the schedulers die and come back with nothing
 // learned in the moment of a release, and for a while half of them hold the other half for dead.
-func TestColdBoxesBearTheSum(t *testing.T) {
+func TestSlowStartBoundsTheSumOfSchedulers(t *testing.T) {
 	for _, schedulers := range []int{20, 30} {
 		t.Run(fmt.Sprint(schedulers), func(t *testing.T) {
 			t.Parallel()
@@ -35,7 +35,7 @@
 }
 
 // Guards the measure itself: a burst of twice the budget counts as such, also when it comes late in the box's youth.
-func TestPushed(t *testing.T) {
+func TestMaxOverload(t *testing.T) {
 	set := DefaultExperiment().Worker
 	set.SlowStartCapacity, set.SlowStartSeconds = 0.5, 10
 	for _, at := range []time.Duration{0, 5 * time.Second} {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestSettingsOfFurtherRules(t *testing.T) {
+func TestSettingsOfOptionalRules(t *testing.T) {
 	s, err := ParseSettings("bounds.may_probe=true report.via=probe kinds=a,b zones=x,y rules.extra_free=3 " +
 		"rules.repeat_ratio=0.03 rules.ratio_span=5.0 rules.close_on_drain_within=1.5 rules.full_may_have_run=true " +
 		"classes.count=3 classes.0.effect=free classes.0.runs_on=1 classes.1.effect=free classes.1.runs_in=0,1 " +
--- a/peers_test.go
+++ b/peers_test.go
@@ -11,7 +11,7 @@
 
 // Guards against two processes of one scheduler that each fill a worker as if they
 // were alone, and against slots that stay booked when the other, or the worker, ends.
-func TestBesideCountsLikeOwn(t *testing.T) {
+func TestSiblingLoadCountsLikeOwn(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	if len(d.LoadByWorker()) != 0 {
 		t.Errorf("nothing is out, but %v", d.LoadByWorker())
@@ -43,7 +43,7 @@
 }
 
 // Guards against a cold worker that two processes push over together.
-func TestBesideSpendsColdCredit(t *testing.T) {
+func TestSiblingLoadSpendsSlowStartCredit(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 8*time.Second, 0.3, 3, 2*time.Second
 	d, h := start(t, set, WorkerInfo{Worker: "cold", Weight: 1, StartedAt: time.Hour})
@@ -57,7 +57,7 @@
 }
 
 // What one dispatcher has learned another goes on from, through the wire's form.
-func TestLearnedIsAdopted(t *testing.T) {
+func TestLearnedStateIsRestored(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Name: "a", Share: 1, Quota: 10}, {Name: "b", Share: 2}}
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 8*time.Second, 0.3, 3, 2*time.Second
@@ -110,7 +110,7 @@
 
 // Guards against a worker that another scheduler has filled and that is sent to all the same, and against
 // others' jobs that are taken for our own, by which waits here would be reckoned far too short.
-func TestOthersCountAtTheWorkerOnly(t *testing.T) {
+func TestPeerLoadCountsAtTheWorkerOnly(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	d.TrackLoadChanges()
 	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 3, Waiting: 1}}, {Worker: "stranger", Load: Load{Held: 9}}})
@@ -140,7 +140,7 @@
 }
 
 // Guards against a wait at a full worker that the others hear of too late, and one told where it will soon be over.
-func TestFullIsTold(t *testing.T) {
+func TestSaturationIsReported(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
 	d.TrackLoadChanges()
 	full := func(id string) bool {
@@ -193,7 +193,7 @@
 
 // Guards against jobs that spill over blindly into the parts of others, where nothing is known, while our
 // own part only waits; and against jobs refused where the whole part is out of service.
-func TestPartIsKept(t *testing.T) {
+func TestSubsetIsPreferred(t *testing.T) {
 	d, h := start(t, settings(), fleet(20)...)
 	d.SetSubset(h.now, []string{"w3", "w7", "stranger"}, 4)
 	for i := range 8 {
@@ -222,7 +222,7 @@
 
 // Guards against a cold worker of another part that all push over by what spills, and against one of our
 // part that is warmed as slowly as if the whole fleet sent to it.
-func TestColdWorkersBelongToTheirParts(t *testing.T) {
+func TestWarmingWorkersBelongToTheirSubsets(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall, set.Peers = 8*time.Second, 0.3, 3, 2*time.Second, 300
 	d, h := start(t, set, WorkerInfo{Worker: "mine", Weight: 1}, WorkerInfo{Worker: "cold", Weight: 1, StartedAt: time.Hour})
--- a/rules_test.go
+++ b/rules_test.go
@@ -11,7 +11,7 @@
 
 // Placement: a class goes to its kinds and zones only, also when none of those
 // is there, and finds the one that is among many others.
-func TestPlacementIsKept(t *testing.T) {
+func TestPlacementByKindsAndZones(t *testing.T) {
 	set := settings()
 	set.Classes[0].Kinds, set.Classes[1].Zones, set.Classes[2].Kinds = []int{1}, []int{1}, []int{}
 	all := fleet(200)
@@ -115,7 +115,7 @@
 
 // 'Full' is no proof where that is stated: nothing more of an unsafe request,
 // no refusal, and a keyed one stays with its group, and in its time.
-func TestFullProvesNothingWhereStated(t *testing.T) {
+func TestRejectionProvesNothingWhereStated(t *testing.T) {
 	set := settings()
 	set.FullMayHaveRun = true
 	set.Classes[1].Scope = ScopeCell
@@ -233,7 +233,7 @@
 
 // A job whose start is overdue is called off and tried elsewhere, once it is
 // over there; not an unsafe one, and not while workers are full.
-func TestOverdueJobsAreMoved(t *testing.T) {
+func TestOverdueStartsAreRescheduled(t *testing.T) {
 	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
 		d, h := start(t, settings(), fleet(8)...)
 		h.ask(d, "r", class)
@@ -282,7 +282,7 @@
 
 // Where reports come only on probes and change often, two workers are asked
 // and the one with room is taken; where they hardly change none is asked.
-func TestLoadIsAskedForWhereReportsSpeak(t *testing.T) {
+func TestWorkersAreProbedWhereReportsAreTimely(t *testing.T) {
 	set := settings()
 	set.MustProbe = true
 	for _, changes := range []bool{true, false} {
@@ -333,7 +333,7 @@
 
 // A worker that turns a tenant away is not among those asked first for it, one
 // that served it is: a 'full' with room is met once, not by every job.
-func TestThoseThatServedATenantAreAskedFirst(t *testing.T) {
+func TestRecentWorkersAreProbedFirst(t *testing.T) {
 	set := settings()
 	set.MustProbe = true
 	set.Tenants = []Tenant{{Share: 1}, {Share: 1}}
@@ -365,7 +365,7 @@
 
 // Where the reports of those asked leave no time for a job, it is refused at
 // once, not queued to be late, nor held for nothing.
-func TestNoQueueIsJoinedThatLeavesNoTime(t *testing.T) {
+func TestNoWaitInQueuesThatLeaveNoTime(t *testing.T) {
 	for _, held := range []float64{0.5, 40} {
 		set := settings()
 		set.MustProbe = true
@@ -386,7 +386,7 @@
 // A cell whose workers break connections one after the other is taken for
 // restarted before the list says so; not if one of it serves in between, not
 // for long without news, and not if most of the fleet is struck.
-func TestCellsThatBreakAreTakenForRestarted(t *testing.T) {
+func TestCellsThatBreakArePresumedRestarted(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.1, 1.5, 2*time.Second
 	const cells = 5
@@ -460,7 +460,7 @@
 }
 
 // A refused client is told when to come back, spread; no longer than it heeds.
-func TestRefusedClientsAreToldWhenToComeBack(t *testing.T) {
+func TestRejectedClientsGetRetryAfter(t *testing.T) {
 	set := settings()
 	set.MaxRetryAfter = 150 * ms
 	d, h := start(t, set)
@@ -488,7 +488,7 @@
 // Rule 4 at 1.5 times, summed over dispatchers that know nothing of each other:
 // uneven traffic, heavy jobs, half of them just restarted, a third of the
 // fleet cold at once. Warm workers carry 70% of what they can.
-func TestColdWorkersAreNotPushedOverTogether(t *testing.T) {
+func TestSlowStartBoundsTheSumOfDispatchers(t *testing.T) {
 	const peers, workers, colds, cores = 40, 24, 8, 4
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.15, 1.5, time.Second
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -134,7 +134,7 @@
 
 // Guards the jobs of a tenant that goes: what is held and what is out ends as before, what was taken before and comes
 // late is let in, and after that nothing is left of the tenant.
-func TestTenantGoesWithItsJobs(t *testing.T) {
+func TestTenantIsRetiredAfterItsJobs(t *testing.T) {
 	d, h := start(t, teams("abc", 2, 1, 1), WorkerInfo{Worker: "w", Weight: 1})
 	for i := range 6 {
 		h.askFor(d, fmt.Sprint("c", i), 2, 5*time.Second)
@@ -183,7 +183,7 @@
 }
 
 // Guards what is known of a tenant whose change is taken back: gone and there again it goes on as it was.
-func TestTenantIsTakenBack(t *testing.T) {
+func TestRemovedTenantIsRestored(t *testing.T) {
 	set := teams("ab", 1, 1)
 	d, h := start(t, set, fleet(3)...)
 	h.askFor(d, "r", 1, 5*time.Second)
