--- a/rules_test.go
+++ b/rules_test.go
@@ -394,27 +394,13 @@
 	for i := range 20 {
 		all = append(all, WorkerInfo{Worker: fmt.Sprint("w", i), Cell: i % cells, Weight: 1})
 	}
-	cold := func(d *Dispatcher, h *fake) (n int) {
-		for _, w := range d.workers {
-			if n++; w.warmAt <= h.now {
-				n--
-			}
-		}
-		return n
-	}
-	fails := func(d *Dispatcher, h *fake, worker int, o Outcome) {
-		r := &request{class: d.classes[0], tenant: d.tenants[0], Request: Request{Slots: 1}}
-		for range minConnFailuresForRestart { // fewer may be single connections
-			d.learn(h.now, r, &attempt{worker: d.workers[worker]}, o)
-		}
-	}
 	d, h := start(t, set, all...)
-	fails(d, h, 0, ConnectFailed)
-	if n := cold(d, h); n != 1 {
+	failEnough(d, h, 0, ConnectFailed)
+	if n := warmingUp(d, h); n != 1 {
 		t.Errorf("%d of one worker that refuses connections", n)
 	}
-	fails(d, h, 5, Lost)
-	if n := cold(d, h); n != 4 {
+	failEnough(d, h, 5, Lost)
+	if n := warmingUp(d, h); n != 4 {
 		t.Errorf("%d of a cell of 4 where two broke", n)
 	}
 	began := h.now - time.Second
@@ -426,24 +412,42 @@
 	for _, w := range d.workers {
 		d.usable(h.now, w, &request{class: d.classes[0], Request: Request{Slots: 1}}, true)
 	}
-	if n := cold(d, h); n != 1 || d.presumedRestarts != 0 {
+	if n := warmingUp(d, h); n != 1 || d.presumedRestarts != 0 {
 		t.Errorf("%d cold without news, %d presumed", n, d.presumedRestarts)
 	}
 	d, h = start(t, set, all...)
-	fails(d, h, 0, ConnectFailed)
-	fails(d, h, 10, Served)
-	fails(d, h, 5, ConnectFailed)
-	if n := cold(d, h); n != 2 {
+	failEnough(d, h, 0, ConnectFailed)
+	failEnough(d, h, 10, Served)
+	failEnough(d, h, 5, ConnectFailed)
+	if n := warmingUp(d, h); n != 2 {
 		t.Errorf("%d though the cell served in between", n)
 	}
 	for i := range 20 {
-		fails(d, h, i, ConnectFailed)
+		failEnough(d, h, i, ConnectFailed)
 	}
-	if n := cold(d, h); n > 10 {
+	if n := warmingUp(d, h); n > 10 {
 		t.Errorf("%d of 20 taken for restarted: then it is no worker's fault", n)
 	}
 }
 
+// warmingUp counts the workers that warm up.
+func warmingUp(d *Dispatcher, h *fake) (n int) {
+	for _, w := range d.workers {
+		if w.warmAt > h.now {
+			n++
+		}
+	}
+	return n
+}
+
+// failEnough ends as many attempts at a worker as it takes to presume a restart: fewer may be single connections.
+func failEnough(d *Dispatcher, h *fake, worker int, o Outcome) {
+	r := &request{class: d.classes[0], tenant: d.tenants[0], Request: Request{Slots: 1}}
+	for range minConnFailuresForRestart {
+		d.learn(h.now, r, &attempt{worker: d.workers[worker]}, o)
+	}
+}
+
 // A job that has not started when it must be late is called off and answered,
 // where a late answer earns little: it would only hold up others.
 func TestHopelessJobsAreEnded(t *testing.T) {
@@ -495,15 +499,11 @@
 	set.Peers, set.TellsStart = peers, false
 	set.Tenants = []Tenant{{Share: 1, Quota: 1e6}}
 	rng := rand.New(rand.NewPCG(5, 5))
-	type job struct {
-		done time.Duration
-		id   string
-	}
 	all, hosts := startAlike(t, set, peers, workers)
 	began := time.Hour + 10*time.Second
 	got := map[string][]sent{} // by cold worker
 	work := map[string]float64{}
-	open := make([][]job, peers)
+	open := make([][]timedJob, peers)
 	const tick = 10 * ms
 	for now := time.Hour; now < began+15*time.Second; now += tick {
 		for i := range peers {
@@ -516,11 +516,7 @@
 					all[i], open[i] = d, nil
 					d.WorkersUpdated(now, ListStale, fleet(workers))
 				}
-				cold := fleet(workers)[:colds]
-				for k := range cold {
-					cold[k].StartedAt = began
-				}
-				d.WorkersUpdated(now, ListPatch, cold)
+				d.WorkersUpdated(now, ListPatch, restartedFleet(colds, began))
 			}
 			rate := 0.7 * workers * cores / 0.4 / peers * float64(i%4) / 1.5 // jobs a second
 			if rng.Float64() < rate*tick.Seconds() {
@@ -530,21 +526,13 @@
 				_ = d.SubmitRequest(now, Request{ID: id, Left: 5 * time.Second, Hint: time.Duration(run * float64(time.Second))})
 			}
 			for _, s := range h.sends {
-				open[i] = append(open[i], job{s.at + time.Duration(work[s.id]*float64(time.Second)), s.id})
+				open[i] = append(open[i], timedJob{s.at + time.Duration(work[s.id]*float64(time.Second)), s.id})
 				if k := d.workersByName[s.worker]; k.StartedAt > 0 {
 					got[s.worker] = append(got[s.worker], s)
 				}
 			}
 			h.sends = h.sends[:0]
-			keep := open[i][:0]
-			for _, j := range open[i] {
-				if j.done > now || d.requests[j.id] == nil {
-					keep = append(keep, j)
-					continue
-				}
-				h.over(d, j.id, 0, Served)
-			}
-			open[i] = keep
+			open[i] = serveDone(d, h, open[i], now)
 		}
 	}
 	sends, over := overloads(got, work, set, cores, began)
@@ -553,6 +541,34 @@
 	}
 }
 
+// timedJob is a job that a worker answers at a time.
+type timedJob struct {
+	done time.Duration
+	id   string
+}
+
+// serveDone serves the jobs that are done and returns the others.
+func serveDone(d *Dispatcher, h *fake, open []timedJob, now time.Duration) []timedJob {
+	keep := open[:0]
+	for _, j := range open {
+		if j.done > now || d.requests[j.id] == nil {
+			keep = append(keep, j)
+			continue
+		}
+		h.over(d, j.id, 0, Served)
+	}
+	return keep
+}
+
+// restartedFleet returns the first workers of a fleet, all started at a time.
+func restartedFleet(n int, started time.Duration) []WorkerInfo {
+	workers := fleet(n)
+	for k := range workers {
+		workers[k].StartedAt = started
+	}
+	return workers
+}
+
 // startAlike starts dispatchers that know the same workers.
 func startAlike(t *testing.T, set Settings, peers, workers int) (all []*Dispatcher, hosts []*fake) {
 	t.Helper()
