--- a/cordon_test.go
+++ b/cordon_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Guards against a worker that comes back cold and is sent as much as before, and
+// Guards against an uncordoned worker that is sent as much as before, and
 // against one that is left unused though it is back.
 func TestUncordonedWorkerWarmsUp(t *testing.T) {
 	set := settings()
@@ -104,7 +104,7 @@
 	}
 }
 
-// A restart that the list has told of while the worker was out says since when it warms up.
+// A restart that the list showed while the worker was cordoned says since when it warms up.
 func TestCordonedWarmsFromItsRestart(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.1, 3, 2*time.Second
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -30,7 +30,7 @@
 	worker string
 }
 
-// fake is a host that keeps what it is told, and a clock.
+// fake is a host that records its calls, and a clock.
 type fake struct {
 	t       *testing.T
 	now     time.Duration
@@ -190,7 +190,7 @@
 	}
 }
 
-// Rule 2: refusals promise that nothing ran.
+// Rule 2: rejections promise that nothing ran.
 func TestRejectedOnlyWhenNothingRan(t *testing.T) {
 	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
 		d, h := start(t, settings(), fleet(1)...)
@@ -237,7 +237,7 @@
 	}
 }
 
-// Rule 3: drained and removed workers get nothing from the moment that it is told.
+// Rule 3: drained and removed workers get nothing from the moment of the update on.
 func TestDrainingWorkersGetNothing(t *testing.T) {
 	d, h := start(t, settings(), fleet(3)...)
 	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
@@ -301,7 +301,7 @@
 	}
 }
 
-// Rule 4: all dispatchers together stay within what a cold worker can take.
+// Rule 4: all dispatchers together stay within what a worker can take while it warms up.
 func TestSlowStartBoundsLoad(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall, set.Peers = 8*time.Second, 0.3, 2.5, 1500*ms, 10
@@ -555,7 +555,7 @@
 		tn.sendShares[i] = sendShare{Value: []float64{0.5, 0.125, 0.125, 0.125, 0.125}[i], At: 1000, Used: true}
 	}
 	tn.sentJobs = 1000
-	// alpha drawn to a fifth by 5 jobs of 133: 65/133, then 17/133 four times; the second lowest of five.
+	// The share sent there is drawn to a fifth by 5 jobs of 133: 65/133, then 17/133 four times; the second lowest of five.
 	want := 2.0 / (17.0 / 133.0)
 	if got := d.limitQuantile(tn); math.Abs(got-want) > 1e-9 {
 		t.Errorf("Q = %v, want %v, above %v and below %v", got, want, 1/(65.0/133), 3/(17.0/133))
@@ -635,8 +635,8 @@
 }
 
 // Guards against a queue at each worker in which all jobs get late alike, while
-// more come: what finds no room is held here, where it can still go elsewhere or
-// be refused in time.
+// more come: what finds no free capacity is queued here, where it can still go elsewhere or
+// be rejected in time.
 func TestBusyWorkersGetNoQueue(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 1, Quota: 1e6}} // within it, sigma does not bind
@@ -705,7 +705,7 @@
 	}
 }
 
-// Incident ie69b0c: a mean completion over the aim refused a class for good,
+// Incident ie69b0c: a mean completion over the latency target had a class rejected for good,
 // since no outcome came to lower it.
 func TestRejectionsEndByThemselves(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
@@ -746,7 +746,7 @@
 	}
 }
 
-// A worker that owes a start note gets no second job while others have room,
+// A worker that owes a start notice gets no second job while others have capacity,
 // and one that hangs gets nothing until it shows a sign.
 func TestWorkersWithoutStartsAreAvoided(t *testing.T) {
 	set := settings()
@@ -803,7 +803,7 @@
 	}
 }
 
-// Beyond its quota a tenant uses only room that the last report showed.
+// Beyond its quota a tenant uses only free slots that the last report showed.
 func TestBeyondTheQuotaOnlyReportedFreeSlots(t *testing.T) {
 	set := settings()
 	set.TellsStart = false
@@ -948,7 +948,7 @@
 	}
 }
 
-// Short jobs of a class are not refused for the length of its others: what
+// Short jobs of a class are not rejected for the length of its others: what
 // counts is the hint.
 func TestHintedJobIsJudgedByItsOwnTime(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
--- a/health_test.go
+++ b/health_test.go
@@ -17,7 +17,7 @@
 // Guards against the slots that jobs on silent connections seem to hold until
 // their time-outs land, and against the exclusion of the worker, which is well.
 // The first start of a job sent well after tells; what may run twice goes out
-// again, the rest is waited for.
+// again, the backoff is waited for.
 func TestSilentConnections(t *testing.T) {
 	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
 		set := settings()
@@ -80,7 +80,7 @@
 	}
 }
 
-// A job that runs for far too long without a word is taken off the books, and
+// A job that runs for far too long without a sign of life is written off, and
 // put on them again by its next word.
 func TestOverdueJobsAreNotCounted(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
@@ -166,7 +166,7 @@
 }
 
 // Guards against jobs that all get late at a worker which has become slow, while
-// others have room, and against aims that seem to move away as workers get slower.
+// others have capacity, and against latency targets that grow as workers get slower.
 func TestSlowWorkersGetWhatTheyCanDoInTime(t *testing.T) {
 	d, h := start(t, settings(), fleet(3)...)
 	slow, quick := d.workersByName["w0"], d.workersByName["w2"]
@@ -204,7 +204,7 @@
 	}
 }
 
-// A job may be shorter than the mean, and its aim nearer: where no hint tells, the
+// A job may be shorter than the mean, and its latency target nearer: without a hint, the
 // wait that it is given is that of a short one.
 func TestWaitIsThatOfAShortJob(t *testing.T) {
 	d, _ := start(t, settings(), fleet(1)...)
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -10,7 +10,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// noted is a journal that puts intents on record only when told to.
+// noted is a journal that makes intents durable only when asked to.
 type noted struct{ intents chan func(bool) }
 
 func (n noted) Take(*Job) (uint64, bool) { return 1, true }
@@ -88,7 +88,7 @@
 	}
 }
 
-// The same for a job that is held, and for one between two attempts: the next worker gets nothing.
+// The same for a job that is pending, and for one between two attempts: the next worker gets nothing.
 func TestPendingJobEndsWithItsClient(t *testing.T) {
 	for _, tried := range []bool{false, true} {
 		var workers []string
--- a/internal/dispatch/journal_test.go
+++ b/internal/dispatch/journal_test.go
@@ -79,7 +79,7 @@
 }
 
 // Guards the order of things: nothing goes to a worker before the intent is durable,
-// others go on meanwhile, and each step is told once.
+// others go on meanwhile, and each step is recorded once.
 func TestIntentComesFirst(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	c, free := newClient(), newClient()
@@ -105,7 +105,7 @@
 }
 
 // Guards against an answer that comes too late, or never, because the disk does, and
-// against sending once the client has been refused.
+// against sending once the client has been rejected.
 func TestIntentNotDurableInTime(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	c := newClient()
@@ -149,7 +149,7 @@
 	b.said(t, "intent w", "refused", "ended unseen")
 }
 
-// Guards against a client's leaving, or a fault of the module, that sends what is held.
+// Guards against a client's disconnect, or a fault of the module, that sends what awaits its intent.
 func TestAttemptThatAwaitsItsIntentIsCancelled(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	p.Request(once("r", clock.Now()+5*time.Second, newClient()))
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -95,7 +95,7 @@
 	return testkit.Await(t, "an event", n)
 }
 
-// Guards against exchanges that stay on the books when a timer of the module
+// Guards against exchanges that are kept when a timer of the module
 // ends them: the program waited for them for ever after SIGTERM.
 func TestRejectedByTimerIsForgotten(t *testing.T) {
 	p, _, clock := begin(t)
@@ -131,7 +131,7 @@
 }
 
 // Guards against an unsafe job that goes out again after it may have run, and
-// against a refusal, which would invite the client to send it again.
+// against a rejection, which would invite the client to send it again.
 func TestUnsafeJobIsNotRepeated(t *testing.T) {
 	p, carry, clock := begin(t, "v", "w")
 	c := newClient()
@@ -317,7 +317,7 @@
 }
 
 // Guards against a job that runs in both processes of an upgrade, and against ids
-// that stay taken when the other has ended it, or is gone.
+// that stay taken when the other has ended it, or has ended itself.
 func TestIDsOfThePartner(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
 	told := make(chan Shared, 16)
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -27,7 +27,7 @@
 	return last / (sum + last) / (float64(servers) * (1 - load))
 }
 
-// Guards the model of a box: its waits are those of a known queue within 2%.
+// Guards the model of a worker: its waits are those of a known queue within 2%.
 func TestWorkerIsAKnownQueue(t *testing.T) {
 	for _, c := range []struct {
 		cores int
@@ -59,7 +59,7 @@
 	return e
 }
 
-// Guards against plays that differ by chance, or by what other plays run beside them: then no difference means anything.
+// Guards against runs that differ by chance, or by what other runs go on beside them: then no difference means anything.
 func TestSameSeedSamePlay(t *testing.T) {
 	e := small()
 	a, b := Run(&e, func(Result) {}), Run(&e, func(Result) {})
@@ -74,7 +74,7 @@
 	}
 }
 
-// Guards the books through every kind of trouble: each job that was asked for has exactly one end, and the trouble is felt.
+// Guards the accounting through every kind of fault: each submitted job has exactly one end, and the fault has an effect.
 func TestEveryJobHasAnEnd(t *testing.T) {
 	e := small()
 	e.Seeds = 1
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against cold boxes that fall under the sum of what many schedulers send, each of which keeps to its own part:
-// small boxes, so that a job of each scheduler is already much; half of the schedulers die and come back with nothing
+// Guards against workers that warm up and are overloaded by the sum of what many schedulers send, each of which keeps to
+// its own part: small workers, so that a job of each scheduler is already much; half of the schedulers die and come back with nothing
 // learned in the moment of a release, and for a while half of them hold the other half for dead.
 func TestSlowStartBoundsTheSumOfSchedulers(t *testing.T) {
 	for _, schedulers := range []int{20, 30} {
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards the measure itself: a burst of twice the budget counts as such, also when it comes late in the box's youth.
+// Guards the measure itself: a burst of twice the budget counts as such, also when it comes late in the slow start.
 func TestMaxOverload(t *testing.T) {
 	set := DefaultExperiment().Worker
 	set.SlowStartCapacity, set.SlowStartSeconds = 0.5, 10
--- a/peers_test.go
+++ b/peers_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Guards against a cold worker that two processes push over together.
+// Guards against a worker that warms up and is overloaded by two processes together.
 func TestSiblingLoadSpendsSlowStartCredit(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 8*time.Second, 0.3, 3, 2*time.Second
@@ -139,7 +139,7 @@
 	}
 }
 
-// Guards against a wait at a full worker that the others hear of too late, and one told where it will soon be over.
+// Guards against a wait at a saturated worker that peers learn of too late, and one reported where it will soon be over.
 func TestSaturationIsReported(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
 	d.TrackLoadChanges()
@@ -192,7 +192,7 @@
 }
 
 // Guards against jobs that spill over blindly into the parts of others, where nothing is known, while our
-// own part only waits; and against jobs refused where the whole part is out of service.
+// own subset only waits; and against jobs rejected where the whole subset is out of service.
 func TestSubsetIsPreferred(t *testing.T) {
 	d, h := start(t, settings(), fleet(20)...)
 	d.SetSubset(h.now, []string{"w3", "w7", "stranger"}, 4)
@@ -220,7 +220,7 @@
 	}
 }
 
-// Guards against a cold worker of another part that all push over by what spills, and against one of our
+// Guards against a worker of another subset that warms up and is overloaded by what spills from all, and against one of our
 // part that is warmed as slowly as if the whole fleet sent to it.
 func TestWarmingWorkersBelongToTheirSubsets(t *testing.T) {
 	set := settings()
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against jobs under way that change their class with the settings, against
-// attempts beyond a lower number, and against work that stays on the books of a class
-// which is gone.
+// Guards against jobs in flight that change their class with the settings, against
+// attempts beyond a lower number, and against pending work that stays counted for a class
+// which is removed.
 func TestUpdateSettings(t *testing.T) {
 	set := settings()
 	d, h := start(t, set, fleet(3)...)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Held jobs stay held, with their work on the books of their former class.
+// Pending jobs stay pending, with their work counted for their former class.
 func TestUpdateSettingsWithPendingRequests(t *testing.T) {
 	set := settings()
 	d, h := start(t, set)
--- a/rules_test.go
+++ b/rules_test.go
@@ -114,7 +114,7 @@
 }
 
 // 'Full' is no proof where that is stated: nothing more of an unsafe request,
-// no refusal, and a keyed one stays with its group, and in its time.
+// no rejection, and one that is idempotent by key stays with its group, and in its time.
 func TestRejectionProvesNothingWhereStated(t *testing.T) {
 	set := settings()
 	set.FullMayHaveRun = true
@@ -231,7 +231,7 @@
 	}
 }
 
-// A job whose start is overdue is called off and tried elsewhere, once it is
+// A job whose start is overdue is cancelled and tried elsewhere, once it is
 // over there; not an unsafe one, and not while workers are full.
 func TestOverdueStartsAreRescheduled(t *testing.T) {
 	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
@@ -281,7 +281,7 @@
 }
 
 // Where reports come only on probes and change often, two workers are asked
-// and the one with room is taken; where they hardly change none is asked.
+// and the one with free slots is taken; where they hardly change none is probed.
 func TestWorkersAreProbedWhereReportsAreTimely(t *testing.T) {
 	set := settings()
 	set.MustProbe = true
@@ -332,7 +332,7 @@
 }
 
 // A worker that turns a tenant away is not among those asked first for it, one
-// that served it is: a 'full' with room is met once, not by every job.
+// that served it is: a rejection is met once, not by every job.
 func TestRecentWorkersAreProbedFirst(t *testing.T) {
 	set := settings()
 	set.MustProbe = true
@@ -363,8 +363,8 @@
 	}
 }
 
-// Where the reports of those asked leave no time for a job, it is refused at
-// once, not queued to be late, nor held for nothing.
+// Where the reports of the probed workers leave no time for a job, it is rejected at
+// once, not sent to be late, nor kept pending for nothing.
 func TestNoWaitInQueuesThatLeaveNoTime(t *testing.T) {
 	for _, held := range []float64{0.5, 40} {
 		set := settings()
@@ -385,7 +385,7 @@
 
 // A cell whose workers break connections one after the other is taken for
 // restarted before the list says so; not if one of it serves in between, not
-// for long without news, and not if most of the fleet is struck.
+// for long without an update, and not if most of the fleet is affected.
 func TestCellsThatBreakArePresumedRestarted(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.1, 1.5, 2*time.Second
@@ -448,8 +448,8 @@
 	}
 }
 
-// A job that has not started when it must be late is called off and answered,
-// where a late answer earns little: it would only hold up others.
+// A job that has not started when it must be late is cancelled and answered,
+// where a late answer earns little: it would only delay others.
 func TestHopelessJobsAreEnded(t *testing.T) {
 	for _, late := range []float64{0, 0.5} {
 		set := settings()
@@ -463,7 +463,7 @@
 	}
 }
 
-// A refused client is told when to come back, spread; no longer than it heeds.
+// A rejected client gets a retry-after, spread at random; no longer than it follows.
 func TestRejectedClientsGetRetryAfter(t *testing.T) {
 	set := settings()
 	set.MaxRetryAfter = 150 * ms
@@ -491,7 +491,7 @@
 
 // Rule 4 at 1.5 times, summed over dispatchers that know nothing of each other:
 // uneven traffic, heavy jobs, half of them just restarted, a third of the
-// fleet cold at once. Warm workers carry 70% of what they can.
+// fleet warming up at once. Warm workers are at 70% of their capacity.
 func TestSlowStartBoundsTheSumOfDispatchers(t *testing.T) {
 	const peers, workers, colds, cores = 40, 24, 8, 4
 	set := settings()
@@ -605,8 +605,8 @@
 	return sends, over
 }
 
-// A further attempt that was held is checked when it is sent: what was left of
-// the budget may have gone to another.
+// A retry that was queued is checked when it is sent: what was left of the budget
+// may have been used by another.
 func TestBudgetIsCheckedAtTheSend(t *testing.T) {
 	set := settings()
 	set.Further = Budget{Free: 1, Span: 5 * time.Second}
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 300) }
 
-// patient returns settings by which a job may be held for seconds.
+// patient returns settings by which a job may be queued for seconds.
 func patient() Settings {
 	set := settings()
 	set.Classes[0].Aim = 4 * time.Second
@@ -132,7 +132,7 @@
 	}
 }
 
-// Guards the jobs of a tenant that goes: what is held and what is out ends as before, what was taken before and comes
+// Guards the jobs of a removed tenant: what is pending or in flight ends as before, what was taken before and comes
 // late is let in, and after that nothing is left of the tenant.
 func TestTenantIsRetiredAfterItsJobs(t *testing.T) {
 	d, h := start(t, teams("abc", 2, 1, 1), WorkerInfo{Worker: "w", Weight: 1})
@@ -182,7 +182,7 @@
 	}
 }
 
-// Guards what is known of a tenant whose change is taken back: gone and there again it goes on as it was.
+// Guards what is known of a tenant whose removal is taken back: it goes on as it was.
 func TestRemovedTenantIsRestored(t *testing.T) {
 	set := teams("ab", 1, 1)
 	d, h := start(t, set, fleet(3)...)
