--- a/internal/dispatch/journal_test.go
+++ b/internal/dispatch/journal_test.go
@@ -79,7 +79,7 @@
 }
 
 // Guards the order of things: nothing goes to a worker before the intent is durable,
-// others go on meanwhile, and each step is told once.
+// others go on meanwhile, and each step is recorded once.
 func TestIntentComesFirst(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	c, free := newClient(), newClient()
@@ -105,7 +105,7 @@
 }
 
 // Guards against an answer that comes too late, or never, because the disk does, and
-// against sending once the client has been refused.
+// against sending once the client has been rejected.
 func TestIntentNotDurableInTime(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	c := newClient()
@@ -125,7 +125,7 @@
 
 // Guards against a job that goes out though its intent cannot be written, and against one
 // that is taken in while the journal is full.
-func TestNoRoomForAnIntent(t *testing.T) {
+func TestFullJournalRejects(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	c := newClient()
 	p.Request(once("r", clock.Now()+5*time.Second, c))
@@ -149,8 +149,8 @@
 	b.said(t, "intent w", "refused", "ended unseen")
 }
 
-// Guards against a client's leaving, or a fault of the module, that sends what is held.
-func TestHeldAttemptIsCalledOff(t *testing.T) {
+// Guards against a client's disconnect, or a fault of the module, that sends what awaits its intent.
+func TestAttemptThatAwaitsItsIntentIsCancelled(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	p.Request(once("r", clock.Now()+5*time.Second, newClient()))
 	durable := testkit.Await(t, "an intent", b.intents)
--- a/rules_test.go
+++ b/rules_test.go
@@ -11,7 +11,7 @@
 
 // Placement: a class goes to its kinds and zones only, also when none of those
 // is there, and finds the one that is among many others.
-func TestPlacementIsKept(t *testing.T) {
+func TestPlacementByKindsAndZones(t *testing.T) {
 	set := settings()
 	set.Classes[0].Kinds, set.Classes[1].Zones, set.Classes[2].Kinds = []int{1}, []int{1}, []int{}
 	all := fleet(200)
@@ -114,8 +114,8 @@
 }
 
 // 'Full' is no proof where that is stated: nothing more of an unsafe request,
-// no refusal, and a keyed one stays with its group, and in its time.
-func TestFullProvesNothingWhereStated(t *testing.T) {
+// no rejection, and one that is idempotent by key stays with its group, and in its time.
+func TestRejectionProvesNothingWhereStated(t *testing.T) {
 	set := settings()
 	set.FullMayHaveRun = true
 	set.Classes[1].Scope = ScopeCell
@@ -231,9 +231,9 @@
 	}
 }
 
-// A job whose start is overdue is called off and tried elsewhere, once it is
+// A job whose start is overdue is cancelled and tried elsewhere, once it is
 // over there; not an unsafe one, and not while workers are full.
-func TestOverdueJobsAreMoved(t *testing.T) {
+func TestOverdueStartsAreRescheduled(t *testing.T) {
 	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
 		d, h := start(t, settings(), fleet(8)...)
 		h.ask(d, "r", class)
@@ -281,8 +281,8 @@
 }
 
 // Where reports come only on probes and change often, two workers are asked
-// and the one with room is taken; where they hardly change none is asked.
-func TestLoadIsAskedForWhereReportsSpeak(t *testing.T) {
+// and the one with free slots is taken; where they hardly change none is probed.
+func TestWorkersAreProbedWhereReportsAreTimely(t *testing.T) {
 	set := settings()
 	set.MustProbe = true
 	for _, changes := range []bool{true, false} {
@@ -332,8 +332,8 @@
 }
 
 // A worker that turns a tenant away is not among those asked first for it, one
-// that served it is: a 'full' with room is met once, not by every job.
-func TestThoseThatServedATenantAreAskedFirst(t *testing.T) {
+// that served it is: a rejection is met once, not by every job.
+func TestRecentWorkersAreProbedFirst(t *testing.T) {
 	set := settings()
 	set.MustProbe = true
 	set.Tenants = []Tenant{{Share: 1}, {Share: 1}}
@@ -363,9 +363,9 @@
 	}
 }
 
-// Where the reports of those asked leave no time for a job, it is refused at
-// once, not queued to be late, nor held for nothing.
-func TestNoQueueIsJoinedThatLeavesNoTime(t *testing.T) {
+// Where the reports of the probed workers leave no time for a job, it is rejected at
+// once, not sent to be late, nor kept pending for nothing.
+func TestNoWaitInQueuesThatLeaveNoTime(t *testing.T) {
 	for _, held := range []float64{0.5, 40} {
 		set := settings()
 		set.MustProbe = true
@@ -385,8 +385,8 @@
 
 // A cell whose workers break connections one after the other is taken for
 // restarted before the list says so; not if one of it serves in between, not
-// for long without news, and not if most of the fleet is struck.
-func TestCellsThatBreakAreTakenForRestarted(t *testing.T) {
+// for long without an update, and not if most of the fleet is affected.
+func TestCellsThatBreakArePresumedRestarted(t *testing.T) {
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.1, 1.5, 2*time.Second
 	const cells = 5
@@ -394,27 +394,13 @@
 	for i := range 20 {
 		all = append(all, WorkerInfo{Worker: fmt.Sprint("w", i), Cell: i % cells, Weight: 1})
 	}
-	cold := func(d *Dispatcher, h *fake) (n int) {
-		for _, w := range d.workers {
-			if n++; w.warmAt <= h.now {
-				n--
-			}
-		}
-		return n
-	}
-	fails := func(d *Dispatcher, h *fake, worker int, o Outcome) {
-		r := &request{class: d.classes[0], tenant: d.tenants[0], Request: Request{Slots: 1}}
-		for range minConnFailuresForRestart { // fewer may be single connections
-			d.learn(h.now, r, &attempt{worker: d.workers[worker]}, o)
-		}
-	}
 	d, h := start(t, set, all...)
-	fails(d, h, 0, ConnectFailed)
-	if n := cold(d, h); n != 1 {
+	failEnough(d, h, 0, ConnectFailed)
+	if n := warmingUp(d, h); n != 1 {
 		t.Errorf("%d of one worker that refuses connections", n)
 	}
-	fails(d, h, 5, Lost)
-	if n := cold(d, h); n != 4 {
+	failEnough(d, h, 5, Lost)
+	if n := warmingUp(d, h); n != 4 {
 		t.Errorf("%d of a cell of 4 where two broke", n)
 	}
 	began := h.now - time.Second
@@ -426,26 +412,44 @@
 	for _, w := range d.workers {
 		d.usable(h.now, w, &request{class: d.classes[0], Request: Request{Slots: 1}}, true)
 	}
-	if n := cold(d, h); n != 1 || d.presumedRestarts != 0 {
+	if n := warmingUp(d, h); n != 1 || d.presumedRestarts != 0 {
 		t.Errorf("%d cold without news, %d presumed", n, d.presumedRestarts)
 	}
 	d, h = start(t, set, all...)
-	fails(d, h, 0, ConnectFailed)
-	fails(d, h, 10, Served)
-	fails(d, h, 5, ConnectFailed)
-	if n := cold(d, h); n != 2 {
+	failEnough(d, h, 0, ConnectFailed)
+	failEnough(d, h, 10, Served)
+	failEnough(d, h, 5, ConnectFailed)
+	if n := warmingUp(d, h); n != 2 {
 		t.Errorf("%d though the cell served in between", n)
 	}
 	for i := range 20 {
-		fails(d, h, i, ConnectFailed)
+		failEnough(d, h, i, ConnectFailed)
 	}
-	if n := cold(d, h); n > 10 {
+	if n := warmingUp(d, h); n > 10 {
 		t.Errorf("%d of 20 taken for restarted: then it is no worker's fault", n)
 	}
 }
 
-// A job that has not started when it must be late is called off and answered,
-// where a late answer earns little: it would only hold up others.
+// warmingUp counts the workers that warm up.
+func warmingUp(d *Dispatcher, h *fake) (n int) {
+	for _, w := range d.workers {
+		if w.warmAt > h.now {
+			n++
+		}
+	}
+	return n
+}
+
+// failEnough ends as many attempts at a worker as it takes to presume a restart: fewer may be single connections.
+func failEnough(d *Dispatcher, h *fake, worker int, o Outcome) {
+	r := &request{class: d.classes[0], tenant: d.tenants[0], Request: Request{Slots: 1}}
+	for range minConnFailuresForRestart {
+		d.learn(h.now, r, &attempt{worker: d.workers[worker]}, o)
+	}
+}
+
+// A job that has not started when it must be late is cancelled and answered,
+// where a late answer earns little: it would only delay others.
 func TestHopelessJobsAreEnded(t *testing.T) {
 	for _, late := range []float64{0, 0.5} {
 		set := settings()
@@ -459,8 +463,8 @@
 	}
 }
 
-// A refused client is told when to come back, spread; no longer than it heeds.
-func TestRefusedClientsAreToldWhenToComeBack(t *testing.T) {
+// A rejected client gets a retry-after, spread at random; no longer than it follows.
+func TestRejectedClientsGetRetryAfter(t *testing.T) {
 	set := settings()
 	set.MaxRetryAfter = 150 * ms
 	d, h := start(t, set)
@@ -487,23 +491,19 @@
 
 // Rule 4 at 1.5 times, summed over dispatchers that know nothing of each other:
 // uneven traffic, heavy jobs, half of them just restarted, a third of the
-// fleet cold at once. Warm workers carry 70% of what they can.
-func TestColdWorkersAreNotPushedOverTogether(t *testing.T) {
+// fleet warming up at once. Warm workers are at 70% of their capacity.
+func TestSlowStartBoundsTheSumOfDispatchers(t *testing.T) {
 	const peers, workers, colds, cores = 40, 24, 8, 4
 	set := settings()
 	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.15, 1.5, time.Second
 	set.Peers, set.TellsStart = peers, false
 	set.Tenants = []Tenant{{Share: 1, Quota: 1e6}}
 	rng := rand.New(rand.NewPCG(5, 5))
-	type job struct {
-		done time.Duration
-		id   string
-	}
 	all, hosts := startAlike(t, set, peers, workers)
 	began := time.Hour + 10*time.Second
 	got := map[string][]sent{} // by cold worker
 	work := map[string]float64{}
-	open := make([][]job, peers)
+	open := make([][]timedJob, peers)
 	const tick = 10 * ms
 	for now := time.Hour; now < began+15*time.Second; now += tick {
 		for i := range peers {
@@ -516,11 +516,7 @@
 					all[i], open[i] = d, nil
 					d.WorkersUpdated(now, ListStale, fleet(workers))
 				}
-				cold := fleet(workers)[:colds]
-				for k := range cold {
-					cold[k].StartedAt = began
-				}
-				d.WorkersUpdated(now, ListPatch, cold)
+				d.WorkersUpdated(now, ListPatch, restartedFleet(colds, began))
 			}
 			rate := 0.7 * workers * cores / 0.4 / peers * float64(i%4) / 1.5 // jobs a second
 			if rng.Float64() < rate*tick.Seconds() {
@@ -530,21 +526,13 @@
 				_ = d.SubmitRequest(now, Request{ID: id, Left: 5 * time.Second, Hint: time.Duration(run * float64(time.Second))})
 			}
 			for _, s := range h.sends {
-				open[i] = append(open[i], job{s.at + time.Duration(work[s.id]*float64(time.Second)), s.id})
+				open[i] = append(open[i], timedJob{s.at + time.Duration(work[s.id]*float64(time.Second)), s.id})
 				if k := d.workersByName[s.worker]; k.StartedAt > 0 {
 					got[s.worker] = append(got[s.worker], s)
 				}
 			}
 			h.sends = h.sends[:0]
-			keep := open[i][:0]
-			for _, j := range open[i] {
-				if j.done > now || d.requests[j.id] == nil {
-					keep = append(keep, j)
-					continue
-				}
-				h.over(d, j.id, 0, Served)
-			}
-			open[i] = keep
+			open[i] = serveDone(d, h, open[i], now)
 		}
 	}
 	sends, over := overloads(got, work, set, cores, began)
@@ -553,6 +541,34 @@
 	}
 }
 
+// timedJob is a job that a worker answers at a time.
+type timedJob struct {
+	done time.Duration
+	id   string
+}
+
+// serveDone serves the jobs that are done and returns the others.
+func serveDone(d *Dispatcher, h *fake, open []timedJob, now time.Duration) []timedJob {
+	keep := open[:0]
+	for _, j := range open {
+		if j.done > now || d.requests[j.id] == nil {
+			keep = append(keep, j)
+			continue
+		}
+		h.over(d, j.id, 0, Served)
+	}
+	return keep
+}
+
+// restartedFleet returns the first workers of a fleet, all started at a time.
+func restartedFleet(n int, started time.Duration) []WorkerInfo {
+	workers := fleet(n)
+	for k := range workers {
+		workers[k].StartedAt = started
+	}
+	return workers
+}
+
 // startAlike starts dispatchers that know the same workers.
 func startAlike(t *testing.T, set Settings, peers, workers int) (all []*Dispatcher, hosts []*fake) {
 	t.Helper()
@@ -589,8 +605,8 @@
 	return sends, over
 }
 
-// A further attempt that was held is checked when it is sent: what was left of
-// the budget may have gone to another.
+// A retry that was queued is checked when it is sent: what was left of the budget
+// may have been used by another.
 func TestBudgetIsCheckedAtTheSend(t *testing.T) {
 	set := settings()
 	set.Further = Budget{Free: 1, Span: 5 * time.Second}
