--- a/cmd/sedgevale/fleetsim.go
+++ b/cmd/sedgevale/fleetsim.go
@@ -44,7 +44,7 @@
 }
 
 // simulate runs all variants, writes the results as JSON and shows the progress.
-func (c fleetSimCmd) simulate(experiment *fleetsim.File) ([]fleetsim.Result, error) {
+func (c fleetSimCmd) simulate(experiment *fleetsim.Experiment) ([]fleetsim.Result, error) {
 	lines, closeLines, err := create(c.JSON)
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 const progressWidth = 40
 
 // writePlots writes a page with plots of the results.
-func writePlots(path string, experiment *fleetsim.File, results []fleetsim.Result) error {
+func writePlots(path string, experiment *fleetsim.Experiment, results []fleetsim.Result) error {
 	page, closePage, err := create(path)
 	if err != nil {
 		return err
--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -13,7 +13,7 @@
 
 // The keys of a file of plays and of a result, each with the field that it stands for.
 func TestKeysOfPlays(t *testing.T) {
-	var file fleetsim.File
+	var file fleetsim.Experiment
 	testkit.Fill(&file)
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(file); err != nil {
@@ -31,7 +31,7 @@
 	if got, want := string(lines), `{"variant":"s1","seed":3,"schedulers":4,"boxes":5,"asked":6,"served":7,"in_time":8,"refused":9,"refusals":10,"failed":11,"lost":12,"attempts":13,"called_off":14,"connections":15,"messages":16,"worth":16.5,"gain":17.5,"calls_off":18.5,"connections_job":19.5,"bytes_job":20.5,"messages_job":21.5,"worst_box":22.5,"worst_scheduler":23.5,"pushed":24.5,"p50_ms":25.5,"p99_ms":26.5}`; got != want {
 		t.Errorf("a result: got\n%q\nwant\n%q", got, want)
 	}
-	var figures fleetsim.Figures
+	var figures fleetsim.Metrics
 	testkit.Fill(&figures)
 	if lines, err = json.Marshal(figures); err != nil {
 		t.Fatal(err)
