--- a/internal/dispatchconfig/config.go
+++ b/internal/dispatchconfig/config.go
@@ -32,7 +32,7 @@
 
 	Settings Settings `json:"settings"`
 
-	// Of an operator's file alone.
+	// The fields up to PeerWatch come from an operator's file alone.
 	Revision uint32   `json:"-"` // the number that the operator gave this state of the configuration; 0: none
 	SSE      *SSE     `json:"-"`
 	Journal  *Journal `json:"-"`
@@ -40,7 +40,7 @@
 	Door     *Door    `json:"-"`
 	Planners int      `json:"-"`
 	Loops    int      `json:"-"`
-	// PeerWatch has the schedulers watch which of them are there.
+	// PeerWatch has the schedulers keep track of their membership.
 	PeerWatch bool `json:"-"`
 
 	Source []byte `json:"-"` // the platform's file; nil: not of such a file
@@ -48,11 +48,11 @@
 	keys map[string]bool // that the platform's file has; nil: not of such a file
 }
 
-// Limits are the machine's.
+// Limits are what the process may use of its machine; 0: no limit is set.
 type Limits struct {
 	Cores    float64 `json:"cores" toml:"cores,omitempty"`
 	MemoryMB int     `json:"memory_mb" toml:"memory_mb,omitempty"`
-	Sockets  int     `json:"sockets" toml:"sockets,omitempty"`
+	Sockets  int     `json:"sockets" toml:"sockets,omitempty"` // open descriptors
 }
 
 // FromEnv reads the platform's configuration. The single variables stand in only
--- a/internal/dispatchconfig/operator.go
+++ b/internal/dispatchconfig/operator.go
@@ -18,7 +18,7 @@
 // and what the platform does not offer.
 type File struct {
 	Name string `toml:"name"`
-	// Revision is counted up by the operator with each change of the file; 0: he doesn't count.
+	// Revision is counted up by the operator with each change of the file; 0: it is not counted.
 	Revision  uint32 `toml:"revision,omitempty"`
 	Listen    string `toml:"listen"`
 	Ops       string `toml:"ops,omitempty"`
@@ -39,7 +39,7 @@
 	Workers  []discovery.Member `toml:"workers"`
 }
 
-// SSE sets up the second front.
+// SSE sets up the frontend of server-sent events. Times are in seconds.
 type SSE struct {
 	Listen    string  `toml:"listen"`
 	Heartbeat float64 `toml:"heartbeat_s,omitempty"`
@@ -83,6 +83,7 @@
 	return c, nil
 }
 
+// config returns the file as a Config, which is still to be checked.
 func (f *File) config() *Config {
 	for i := range f.Workers {
 		if w := &f.Workers[i]; w.Phase == "" {
--- a/internal/dispatchconfig/peers.go
+++ b/internal/dispatchconfig/peers.go
@@ -20,7 +20,7 @@
 	Peers  []netip.AddrPort // by number, its own included
 	Self   int
 	Site   uint64 // a fingerprint of what must be the same for all
-	Watch  bool   // whether they watch who is there
+	Watch  bool   // whether they keep track of their membership
 }
 
 // PeerPlan returns the plan, or nil where there are no others or the settings forbid messages.
--- a/internal/dispatchconfig/web.go
+++ b/internal/dispatchconfig/web.go
@@ -245,7 +245,7 @@
 	return os.ReadFile(path)
 }
 
-// Check returns an error for a front that cannot serve.
+// Check returns an error for frontends and backends that cannot serve.
 func (w *Web) Check() error {
 	if len(w.Frontends) == 0 {
 		return errors.New("web: no frontend")
--- a/internal/haproxy/explain.go
+++ b/internal/haproxy/explain.go
@@ -11,16 +11,16 @@
 	"sedgevale/internal/route"
 )
 
-// Ask is a request whose way is asked for.
+// Ask is a request that Explain routes.
 type Ask struct {
-	Frontend string // "": the first
-	Line     string // METHOD TARGET, as a request line begins
-	Headers  []string
-	Source   string // the client's address; "": 127.0.0.1
+	Frontend string   // "": the first
+	Line     string   // METHOD TARGET, as a request line begins
+	Headers  []string // NAME: VALUE each
+	Source   string   // the client's address; "": 127.0.0.1
 	TLS      bool
 }
 
-// Explanation is where a request goes.
+// Explanation says where a request goes.
 type Explanation struct {
 	Frontend, Rule, Backend, Server string
 	Answer                          *route.Answer // in place of a server
@@ -181,7 +181,7 @@
 	return h, nil
 }
 
-// String says a way for a person, in lines.
+// String says it for a person, a line for each part.
 func (w *Explanation) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "frontend %s\n", w.Frontend)
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -1,5 +1,5 @@
 // Package haproxy imports a configuration of HAProxy into an operator's file whose plain
-// HTTP front serves alike. Every directive is accounted for: carried over, carried over
+// HTTP reverse proxy serves alike. Every directive is accounted for: carried over, carried over
 // differently, not needed, or not carried over, each with a reason. It follows HAProxy's
 // published configuration manual.
 package haproxy
@@ -60,7 +60,7 @@
 	Text []byte
 }
 
-// maxLine is HAProxy's own bound.
+// maxLine is HAProxy's own bound, in bytes.
 const maxLine = 16 << 10
 
 // sectionReader cuts sources into sections, and notes what it leaves out.
@@ -72,6 +72,7 @@
 	blocks   []block // open .if
 }
 
+// block is an open .if.
 type block struct {
 	directive
 	state    blockState
@@ -80,6 +81,7 @@
 	sawElse  bool
 }
 
+// blockState says whether the directives of a block's current branch count.
 type blockState uint8
 
 const (
@@ -88,6 +90,7 @@
 	unknownBranch                   // its condition cannot be evaluated
 )
 
+// read cuts one file.
 func (r *sectionReader) read(s Source) {
 	lines := strings.Split(string(s.Text), "\n")
 	for i := 0; i < len(lines); i++ {
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -132,6 +132,7 @@
 	return err == nil
 }
 
+// acl adds an access list to the section's rules.
 func (b *builder) acl(words []string) {
 	if len(words) < 3 {
 		b.fail("acl takes a name and a condition")
@@ -182,6 +183,7 @@
 	}
 }
 
+// directive deals with one directive that is not an access list.
 func (b *builder) directive(w []string) {
 	if b.frontend != nil && b.handle(frontendDirectives, w) || b.backend != nil && b.handle(backendDirectives, w) {
 		return
@@ -208,6 +210,7 @@
 	"option abortonclose", "option persist", "option prefer-last-server", "option log-health-checks", "option http-server-close",
 	"load-server-state-from-file", "source", "http-send-name-header", "email-alert"}
 
+// among reports whether a directive's first two words, or the first, are among others.
 func among(all, w []string) bool {
 	return slices.Contains(all, w[0]) || len(w) > 1 && slices.Contains(all, w[0]+" "+w[1])
 }
--- a/internal/healthcheck/driver.go
+++ b/internal/healthcheck/driver.go
@@ -18,9 +18,9 @@
 // Check is a member that is to be checked.
 type Check struct {
 	Name          string // for the log: BACKEND/MEMBER
-	Addr          string // where to ask
-	Spec          Spec   // filled
-	InitiallyDown bool   // how it stands at first
+	Addr          string // IP address and port
+	Spec          Spec   // after SetDefaults
+	InitiallyDown bool   // its state before the first check
 	// OnChange is called from a goroutine of its own when the member's state changes.
 	OnChange func(up bool, why string)
 }
@@ -28,8 +28,8 @@
 // Driver checks members, each at its own times, spread out, and not too many at once.
 type Driver struct {
 	log   *slog.Logger
-	slots chan struct{} // one held for each check in flight
-	rand  func() float64
+	slots chan struct{}  // one held for each check in flight
+	rand  func() float64 // from 0 up to 1, for the jitter of the intervals
 }
 
 // maxConcurrentChecks bounds the checks in flight, and so their descriptors.
@@ -55,6 +55,7 @@
 	wg.Wait()
 }
 
+// watch checks one member until the context ends. The first check comes after a delay.
 func (d *Driver) watch(ctx context.Context, c Check, first time.Duration) {
 	t := NewTarget(c.Spec, !c.InitiallyDown)
 	timer := time.NewTimer(first)
@@ -115,6 +116,7 @@
 	return nil
 }
 
+// request returns the bytes of an http check's request.
 func (s *Spec) request() []byte {
 	b := fmt.Appendf(nil, "%s %s HTTP/%s\r\n", s.Method, s.URI, s.Version)
 	for _, h := range s.Headers {
--- a/internal/healthcheck/state.go
+++ b/internal/healthcheck/state.go
@@ -1,6 +1,6 @@
-// Package healthcheck finds out which members of a backend serve, by asking them. What is
-// decided is pure, in Target: how often to ask, and when a member counts as up or down.
-// Driver asks.
+// Package healthcheck finds out which members of a backend are healthy. Target decides, without
+// input or output, how often to check a member and when it counts as up or down; Driver makes the
+// checks.
 package healthcheck
 
 import (
@@ -23,11 +23,11 @@
 	Headers      []Header      // besides Host of version 1.1, which must be here
 	Expect       []Expect      // all must hold; none: a status of 2xx or 3xx
 	Interval     time.Duration // while it is up; 0: 2 s
-	FastInterval time.Duration // while it changes; 0: as Every
-	DownInterval time.Duration // while it is down; 0: as Every
+	FastInterval time.Duration // while it changes; 0: as Interval
+	DownInterval time.Duration // while it is down; 0: as Interval
 	Rise         int           // checks that pass until it is up; 0: 2
 	Fall         int           // checks that fail until it is down; 0: 3
-	Timeout      time.Duration // of a check; 0: as Every, 10 s at most
+	Timeout      time.Duration // of a check; 0: as Interval, 10 s at most
 }
 
 // Header is a header field of a check.
@@ -106,6 +106,7 @@
 	return out
 }
 
+// compile checks an expectation, and compiles its regular expression if it has one.
 func (e *Expect) compile() (err error) {
 	switch e.Kind {
 	case "status":
@@ -144,6 +145,7 @@
 	return !slices.ContainsFunc(s.Expect, func(e Expect) bool { return e.holds(status, body) == e.Not })
 }
 
+// holds reports whether a response is as expected, leaving Not aside.
 func (e *Expect) holds(status int, body []byte) bool {
 	switch e.Kind {
 	case "status":
@@ -166,7 +168,8 @@
 	against int
 }
 
-// NewTarget returns a Target that is up or down at first. The Spec must be filled.
+// NewTarget returns a Target that is up or down at first. SetDefaults must have been called on the
+// Spec.
 func NewTarget(s Spec, up bool) *Target { return &Target{spec: s, up: up} }
 
 // Up reports whether it serves.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -30,7 +30,7 @@
 // Member is a member of a backend.
 type Member struct {
 	Name     string
-	Weight   int // 0 to 256; with 0 only requests that are tied to it
+	Weight   int // 0 to 256; with 0 only requests with its persistence cookie
 	Backup   bool
 	Disabled bool
 	MaxConn  int // requests at a time; 0: no bound
@@ -47,15 +47,15 @@
 	SlowStart    time.Duration // in which a member that returns comes up to its weight
 }
 
-// State is how a member stands.
+// State says which requests a member may be sent.
 type State uint8
 
 // The states.
 const (
-	Up       State = iota
-	Down           // its checks fail
-	Draining       // only requests that are tied to it
-	Maintenance
+	Up          State = iota
+	Down              // its checks fail
+	Draining          // only requests with its persistence cookie
+	Maintenance       // no requests, whatever its checks say
 )
 
 // String returns the state in lower case.
@@ -68,8 +68,8 @@
 const minSlowStart = 0.1
 
 const (
-	defaultMaxQueue  = 1024
-	defaultQueueWait = 5 * time.Second
+	defaultMaxQueue     = 1024
+	defaultQueueTimeout = 5 * time.Second
 )
 
 // member is a Member and what changes of it.
@@ -147,7 +147,7 @@
 		o.MaxQueue = defaultMaxQueue
 	}
 	if o.QueueTimeout == 0 {
-		o.QueueTimeout = defaultQueueWait
+		o.QueueTimeout = defaultQueueTimeout
 	}
 	p := &Pool{opt: o}
 	for _, m := range o.Members {
@@ -250,7 +250,7 @@
 	Unavailable                // no member serves
 )
 
-// Pick says which member's turn it is for a request. It takes the turn; Begin takes the
+// Pick says which member's turn it is for a request. It takes the turn; Acquire takes the
 // capacity.
 func (p *Pool) Pick(now time.Duration, h Hint) (int, Verdict) {
 	if i := p.persistent(h); i >= 0 {
@@ -404,7 +404,7 @@
 		} else if v == Unavailable {
 			break
 		} else if w.hint.Cookie == "" && p.opt.Balance != Hash {
-			break // nor can anybody behind it, unless it is tied to another
+			break // nor can anybody behind it, unless its cookie leads to another
 		}
 	}
 	return nil, -1, false
--- a/internal/reverseproxy/bench_test.go
+++ b/internal/reverseproxy/bench_test.go
@@ -111,7 +111,7 @@
 	return 0
 }
 
-// BenchmarkProxy compares this front with net/http/httputil's ReverseProxy, each in a
+// BenchmarkProxy compares this reverse proxy with net/http/httputil's ReverseProxy, each in a
 // process of its own, before the same server and clients: processor time a request,
 // latency and memory, by connections and rules.
 func BenchmarkProxy(b *testing.B) {
--- a/internal/route/acl.go
+++ b/internal/route/acl.go
@@ -139,7 +139,7 @@
 	fetches map[string]*fetch // by their text: rules that ask for the same share what was found
 }
 
-// NewACLSet returns Lists without any but those that need not be declared.
+// NewACLSet returns an ACLSet with only the predefined access lists.
 func NewACLSet(files Files) *ACLSet { return &ACLSet{files, map[string][]*test{}, map[string]*fetch{}} }
 
 // fetch returns the fetch of a text, the same one each time.
@@ -170,6 +170,7 @@
 	unless       bool
 }
 
+// term is a named or anonymous access list in a condition.
 type term struct {
 	tests   []*test // any of these
 	negated bool
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -55,8 +55,10 @@
 	return l.parseRule(words, responseActions, "http-response")
 }
 
+// actionParser reads the arguments of an action. The function that it returns is a Rule's apply.
 type actionParser func(args []string, files Files) (func(q *Request) (*Answer, bool), error)
 
+// parseRule reads a rule: an action with its arguments, and a condition.
 func (l *ACLSet) parseRule(words []string, actions map[string]actionParser, what string) (*Rule, error) {
 	act, when := cutCondition(words)
 	if len(act) == 0 {
--- a/internal/route/words.go
+++ b/internal/route/words.go
@@ -130,7 +130,7 @@
 	return "\\" + s[:1], 1
 }
 
-// JoinWords puts words into a line that Words cuts into the same.
+// JoinWords puts words into a line that SplitWords cuts into the same words.
 func JoinWords(words []string) string {
 	var b strings.Builder
 	for i, w := range words {
