--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -33,8 +33,8 @@
 	Headers map[string][]string `json:"headers"`
 }
 
-// stand is a sample, imported and served, with stand-in servers behind it.
-type stand struct {
+// testbed is a sample, imported and served, with testbed-in servers behind it.
+type testbed struct {
 	t      *testing.T
 	name   string
 	ref    *refConf
@@ -53,14 +53,14 @@
 
 func sampleEnv() map[string]string { return map[string]string{"APP_HOST": "10.0.0.1"} }
 
-func newStand(t *testing.T, file string) *stand {
+func newTestbed(t *testing.T, file string) *testbed {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	maps, _ := os.ReadFile("testdata/hosts.map")
-	s := &stand{t: t, name: strings.TrimSuffix(filepath.Base(file), ".cfg"), front: map[string]string{}, down: map[string]bool{},
+	s := &testbed{t: t, name: strings.TrimSuffix(filepath.Base(file), ".cfg"), front: map[string]string{}, down: map[string]bool{},
 		ref: refLoad(string(text), sampleEnv(), map[string]string{"hosts.map": string(maps)})}
 	live := strings.ReplaceAll(string(text), `"${APP_HOST}":80`, "10.0.0.1:80")
 	got, err := haproxy.Import([]haproxy.Source{{Name: file, Text: []byte(s.localAddresses(live))}},
@@ -95,7 +95,7 @@
 
 // localAddresses puts free addresses in place of those that a sample listens on, and of stand-ins in
 // place of those of its servers.
-func (s *stand) localAddresses(text string) string {
+func (s *testbed) localAddresses(text string) string {
 	s.t.Helper()
 	addrs := map[string]string{}
 	text = serverAddr.ReplaceAllStringFunc(text, func(a string) string {
@@ -123,7 +123,7 @@
 	return strings.Join(lines, "")
 }
 
-func (s *stand) serve(c *dispatchconfig.Config) {
+func (s *testbed) serve(c *dispatchconfig.Config) {
 	log := slog.New(slog.DiscardHandler)
 	loop, err := evloop.New(log)
 	if err != nil {
@@ -169,7 +169,7 @@
 }
 
 // server runs a stand-in for a server of the sample and returns where it listens.
-func (s *stand) server(name string) string {
+func (s *testbed) server(name string) string {
 	l := listen(s.t)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		s.mu.Lock()
@@ -191,7 +191,7 @@
 }
 
 // send sends a request to a frontend and returns what came of it.
-func (s *stand) send(front string, q refRequest) (status int, location, body string, by *seen, a http.Header) {
+func (s *testbed) send(front string, q refRequest) (status int, location, body string, by *seen, a http.Header) {
 	s.t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(q.src)}}
 	h := &http.Transport{DialContext: d.DialContext, DisableCompression: true, DisableKeepAlives: true}
@@ -255,7 +255,7 @@
 	var table []string
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
-			s := newStand(t, file)
+			s := newTestbed(t, file)
 			s.accounted(file)
 			same, all := s.routes()
 			worst := s.shares()
@@ -268,7 +268,7 @@
 }
 
 // accounted checks that each directive of a file has one entry, and that no other has.
-func (s *stand) accounted(file string) {
+func (s *testbed) accounted(file string) {
 	s.t.Helper()
 	text, _ := os.ReadFile(file)
 	want := 0
@@ -297,7 +297,7 @@
 	}
 }
 
-func (s *stand) routes() (same, all int) {
+func (s *testbed) routes() (same, all int) {
 	s.t.Helper()
 	for front := range s.front {
 		if sec := s.ref.find("frontend listen", front); sec == nil || s.mode(sec) != "http" {
@@ -317,7 +317,7 @@
 	return same, all
 }
 
-func (s *stand) mode(sec *refSection) string {
+func (s *testbed) mode(sec *refSection) string {
 	mode := "tcp"
 	for _, l := range s.ref.lines(sec, "mode") {
 		mode = l[1]
@@ -326,7 +326,7 @@
 }
 
 // differs says in what a result is not what the model says.
-func (s *stand) differs(want *refAnswer, status int, location, body string, by *seen, header http.Header) string {
+func (s *testbed) differs(want *refAnswer, status int, location, body string, by *seen, header http.Header) string {
 	if want.status != 0 {
 		if by != nil || status != want.status || location != want.location {
 			return fmt.Sprintf("got %d %q by %v, want %d %q", status, location, by, want.status, want.location)
@@ -380,7 +380,7 @@
 }
 
 // shares compares how often each server of a backend has its turn with its weight.
-func (s *stand) shares() (worst float64) {
+func (s *testbed) shares() (worst float64) {
 	s.t.Helper()
 	const n = 400
 	for front := range s.front {
@@ -415,7 +415,7 @@
 
 // Guards sticky clients: the cookie that is set leads back, and servers do not see it.
 func TestStickySample(t *testing.T) {
-	s := newStand(t, "testdata/06-sticky.cfg")
+	s := newTestbed(t, "testdata/06-sticky.cfg")
 	q := refRequest{method: "GET", path: "/", host: "h", src: "127.0.0.1"}
 	_, _, _, by, header := s.send("www", q)
 	cookie, _, _ := strings.Cut(header.Get("Set-Cookie"), ";")
@@ -434,7 +434,7 @@
 // Guards backups: servers fail one after another and come back, and each request goes
 // where the model says.
 func TestActiveStandbySample(t *testing.T) {
-	s := newStand(t, "testdata/07-active-standby.cfg")
+	s := newTestbed(t, "testdata/07-active-standby.cfg")
 	q := refRequest{method: "GET", path: "/", host: "h", src: "127.0.0.1"}
 	back := s.ref.find("backend", "db_ui")
 	for _, step := range []struct {
--- a/internal/reverseproxy/server_conn.go
+++ b/internal/reverseproxy/server_conn.go
@@ -296,39 +296,3 @@
 		}
 	}
 }
-
-// bodyReader reads a message from a connection that blocks.
-type bodyReader struct {
-	conn   net.Conn
-	parser *http1.Parser
-	buf    []byte // read and not parsed
-	chunk  []byte
-}
-
-// next returns the next bytes of the body, which are good until the next call, or its end.
-func (r *bodyReader) next() (body []byte, end bool, err error) {
-	for {
-		n, ev, part, err := r.parser.Next(r.buf)
-		if err != nil {
-			return nil, false, err
-		}
-		r.buf = r.buf[n:]
-		switch ev {
-		case http1.Body:
-			return part, false, nil
-		case http1.Ended:
-			return nil, true, nil
-		case http1.Headed:
-			continue
-		}
-		left := copy(r.chunk, r.buf)
-		k, err := r.conn.Read(r.chunk[left:])
-		r.buf = r.chunk[:left+k]
-		if k == 0 && err != nil {
-			if r.parser.UntilClose() && isEOF(err) {
-				return nil, true, nil
-			}
-			return nil, false, err
-		}
-	}
-}
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"net"
 	"sync"
@@ -23,8 +22,6 @@
 	maxLingerBytes    = 1 << 20
 )
 
-func isEOF(err error) bool { return errors.Is(err, io.EOF) }
-
 // transfer carries a request whose body is too long for an event loop: a goroutine reads it
 // no faster than the server takes it, another passes the response on. It is the request's responder.
 type transfer struct {
@@ -280,30 +277,6 @@
 	t.mu.Unlock()
 }
 
-// head reads the head of a response, and passes over interim ones.
-func (r *bodyReader) head() (*http1.Head, error) {
-	for {
-		n, ev, _, err := r.parser.Next(r.buf)
-		if err != nil {
-			return nil, err
-		}
-		r.buf = r.buf[n:]
-		if ev == http1.Headed && r.parser.Head.Status >= 200 {
-			h := r.parser.Head
-			return &h, nil
-		}
-		if ev != http1.More {
-			continue
-		}
-		left := copy(r.chunk, r.buf)
-		k, err := r.conn.Read(r.chunk[left:])
-		r.buf = r.chunk[:left+k]
-		if k == 0 && err != nil {
-			return nil, err
-		}
-	}
-}
-
 // upload passes the request on. From its end on, the server has the given time until the head of its
 // response.
 func (t *transfer) upload(server net.Conn, wait time.Duration) error {
