--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -33,7 +33,7 @@
 	Headers map[string][]string `json:"headers"`
 }
 
-// testbed is a sample, imported and served, with testbed-in servers behind it.
+// testbed is a sample, imported and served, with stand-in servers behind it.
 type testbed struct {
 	t      *testing.T
 	name   string
