--- a/internal/dispatch/planner_host.go
+++ b/internal/dispatch/planner_host.go
@@ -30,7 +30,7 @@
 // Reject implements [sedgevale.Host].
 func (p *Planner) Reject(id string, after time.Duration) {
 	if x := p.exchanges[id]; x != nil {
-		p.tally.refuse()
+		p.tally.reject()
 		x.answer(Answer{Kind: Refused, After: after, Reason: "cannot be in time"})
 		p.withdrawUnsent(x)
 		p.forgetIfDone(x)
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -14,9 +14,9 @@
 // tally: without the tag these methods are empty and cost nothing.
 type tally struct {
 	since                   time.Duration
-	sends, further, cancels int
+	sends, retries, cancels int
 	outcomes                [sedgevale.NotSent + 1]int
-	refused, failed         int
+	rejected, failed        int
 	starts, startLate       int
 	startSum                time.Duration
 }
@@ -31,12 +31,12 @@
 	a.sentAt = now
 	t.sends++
 	if a.Number > 0 {
-		t.further++
+		t.retries++
 	}
 }
 
 func (t *tally) cancel()                   { t.cancels++ }
-func (t *tally) refuse()                   { t.refused++ }
+func (t *tally) reject()                   { t.rejected++ }
 func (t *tally) fail()                     { t.failed++ }
 func (t *tally) ended(o sedgevale.Outcome) { t.outcomes[o]++ }
 func (t *tally) started(a *Attempt, now time.Duration) {
@@ -54,14 +54,14 @@
 	if now-t.since < tallyInterval {
 		return
 	}
-	if t.sends+t.refused+t.failed > 0 {
+	if t.sends+t.rejected+t.failed > 0 {
 		o := &t.outcomes
 		var mean time.Duration
 		if t.starts > 0 {
 			mean = t.startSum / time.Duration(t.starts)
 		}
-		log.Info("tally", "sends", t.sends, "further", t.further, "cancels", t.cancels,
-			"refused", t.refused, "failed", t.failed,
+		log.Info("tally", "sends", t.sends, "further", t.retries, "cancels", t.cancels,
+			"refused", t.rejected, "failed", t.failed,
 			"served", o[sedgevale.Served], "errored", o[sedgevale.Errored], "full", o[sedgevale.Full],
 			"timed_out", o[sedgevale.TimedOut], "connect_failed", o[sedgevale.ConnectFailed], "lost", o[sedgevale.Lost],
 			"cancelled", o[sedgevale.Cancelled], "not_sent", o[sedgevale.NotSent],
--- a/internal/dispatch/tally_off.go
+++ b/internal/dispatch/tally_off.go
@@ -14,7 +14,7 @@
 
 func (*tally) sent(*Attempt, time.Duration)    {}
 func (*tally) cancel()                         {}
-func (*tally) refuse()                         {}
+func (*tally) reject()                         {}
 func (*tally) fail()                           {}
 func (*tally) ended(sedgevale.Outcome)         {}
 func (*tally) started(*Attempt, time.Duration) {}
--- a/internal/fleetsim/experiment.go
+++ b/internal/fleetsim/experiment.go
@@ -102,7 +102,7 @@
 	if _, err := dispatchconfig.Decode(path, &e); err != nil {
 		return e, err
 	}
-	if err := e.Check(); err != nil {
+	if err := e.Validate(); err != nil {
 		return e, fmt.Errorf("%s: %w", path, err)
 	}
 	return e, nil
@@ -116,21 +116,21 @@
 	maxLengthSeconds = 600
 )
 
-// Check returns an error for an invalid experiment, which names the file's key.
-func (e *Experiment) Check() error {
-	if err := e.checkLoad(); err != nil {
+// Validate returns an error for an invalid experiment, which names the file's key.
+func (e *Experiment) Validate() error {
+	if err := e.validateLoad(); err != nil {
 		return err
 	}
-	if err := e.checkSizes(); err != nil {
+	if err := e.validateSizes(); err != nil {
 		return err
 	}
 	if len(e.Variants) == 0 {
 		return errors.New("there is no [[variant]]")
 	}
-	if err := e.checkLimits(); err != nil {
+	if err := e.validateLimits(); err != nil {
 		return err
 	}
-	if err := e.Worker.check(); err != nil {
+	if err := e.Worker.validate(); err != nil {
 		return err
 	}
 	if n := &e.Network; n.OneWayMillis < 0 || !(n.PeerMillis[0] >= 0 && n.PeerMillis[1] >= n.PeerMillis[0]) {
@@ -141,27 +141,27 @@
 		if v.Name == "" || slices.ContainsFunc(e.Variants[:i], sameName) {
 			return fmt.Errorf("variant %d needs a name of its own", i)
 		}
-		if err := v.check(); err != nil {
+		if err := v.validate(); err != nil {
 			return fmt.Errorf("variant %q: %w", v.Name, err)
 		}
 	}
-	return e.checkFaults()
+	return e.validateFaults()
 }
 
-func (e *Experiment) checkFaults() error {
+func (e *Experiment) validateFaults() error {
 	for i, f := range e.Faults {
 		if !slices.Contains(faultKinds, f.Kind) {
 			return fmt.Errorf("trouble %d: unknown kind %q; the kinds are %s", i, f.Kind, strings.Join(faultKinds, ", "))
 		}
-		if err := f.check(); err != nil {
+		if err := f.validate(); err != nil {
 			return fmt.Errorf("trouble %d (%s): %w", i, f.Kind, err)
 		}
 	}
 	return nil
 }
 
-// checkLoad checks the runs and their load.
-func (e *Experiment) checkLoad() error {
+// validateLoad checks the runs and their load.
+func (e *Experiment) validateLoad() error {
 	switch {
 	case e.Version != Version:
 		return fmt.Errorf("version is %d; this program reads version %d", e.Version, Version)
@@ -177,16 +177,16 @@
 	return nil
 }
 
-// checkSizes checks that each number of schedulers has its number of workers.
-func (e *Experiment) checkSizes() error {
+// validateSizes checks that each number of schedulers has its number of workers.
+func (e *Experiment) validateSizes() error {
 	if len(e.Schedulers) == 0 || len(e.Workers) != 1 && len(e.Workers) != len(e.Schedulers) {
 		return errors.New("schedulers must not be empty, and boxes needs one entry, or as many as schedulers")
 	}
 	return nil
 }
 
-// checkLimits checks the numbers of schedulers and workers.
-func (e *Experiment) checkLimits() error {
+// validateLimits checks the numbers of schedulers and workers.
+func (e *Experiment) validateLimits() error {
 	for i, n := range e.Schedulers {
 		if m := e.workersAt(i); n < 1 || n > maxSchedulers || m < 1 || m > maxWorkers {
 			return fmt.Errorf("schedulers and boxes: entry %d is %d and %d; want 1 to %d and 1 to %d", i, n, m, maxSchedulers, maxWorkers)
@@ -198,7 +198,7 @@
 // within reports whether v lies between two figures; NaN does not.
 func within(v, least, most float64) bool { return v >= least && v <= most }
 
-func (w *WorkerModel) check() error {
+func (w *WorkerModel) validate() error {
 	if len(w.Cores) == 0 || slices.Min(w.Cores) < 1 || !(w.Speed[0] > 0 && w.Speed[1] >= w.Speed[0]) || w.Queue < 0 {
 		return errors.New("box: cores must be 1 or more, speed two figures above 0 that rise, queue not negative")
 	}
@@ -210,7 +210,7 @@
 	return nil
 }
 
-func (v *Variant) check() error {
+func (v *Variant) validate() error {
 	switch {
 	case v.Peers && (v.MinAudience < 1 || v.MinSubset < 1):
 		return errors.New("hearers and least must be 1 or more")
@@ -220,7 +220,7 @@
 	return nil
 }
 
-func (f *Fault) check() error {
+func (f *Fault) validate() error {
 	switch {
 	case f.AtSeconds < 0 || f.ForSeconds < 0 || !(f.Share > 0 && f.Share <= 1):
 		return errors.New("at_s and for_s must not be negative, share above 0 and at most 1")
--- a/settings.go
+++ b/settings.go
@@ -120,11 +120,11 @@
 		return errors.New("sedgevale: no class in the settings")
 	}
 	for i := range s.Classes {
-		if err := s.Classes[i].check(); err != nil {
+		if err := s.Classes[i].validate(); err != nil {
 			return fmt.Errorf("sedgevale: class %d (%s): %w", i, s.Classes[i].Name, err)
 		}
 	}
-	if err := s.Further.check(); err != nil {
+	if err := s.Further.validate(); err != nil {
 		return fmt.Errorf("sedgevale: %w", err)
 	}
 	for i, t := range s.Tenants {
@@ -145,7 +145,7 @@
 	return s.WarmUp <= 0 || s.StartCapacity > 0 && s.StartCapacity <= 1 && s.Fall > 0 && s.FallMultiple > 0
 }
 
-func (c *Class) check() error {
+func (c *Class) validate() error {
 	if c.Limit <= 0 || c.Aim <= 0 || c.Stretch < 0 || c.Effect == Keyed && c.Window <= 0 {
 		return errors.New("client timeout, latency target and dedup window must be positive, stretch not negative")
 	}
@@ -156,7 +156,7 @@
 	return nil
 }
 
-func (b Budget) check() error {
+func (b Budget) validate() error {
 	if b.Free < 0 || !(b.Ratio >= 0) || b.Span < 0 || b.Span == 0 && b != (Budget{}) {
 		return errors.New("the retry budget must not be negative, and needs a window")
 	}
