--- /dev/null
+++ b/budget_test.go
@@ -0,0 +1,96 @@
+package sedgevale
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// Budget: in no window of the span do further attempts exceed what the requests
+// of that window allow, whatever the outcomes.
+func TestBudgetHoldsInEveryWindow(t *testing.T) {
+	for seed := range uint64(8) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		set := settings()
+		set.Further = Budget{Free: 1 + int(seed%3), Ratio: 0.1, Span: 2 * time.Second}
+		d, h := start(t, set, fleet(12)...)
+		var taken, further []time.Duration
+		seen := 0
+		check := func() {
+			for ; seen < len(h.sends); seen++ {
+				if s := h.sends[seen]; s.n > 0 {
+					further = append(further, s.at)
+				}
+			}
+			if len(further) == 0 {
+				return
+			}
+			last := further[len(further)-1]
+			count := func(all []time.Duration) (n int) {
+				for _, at := range all {
+					if at >= last-set.Further.Span && at <= last {
+						n++
+					}
+				}
+				return n
+			}
+			if got, most := count(further), float64(set.Further.Free)+0.1*float64(count(taken)); float64(got) > most {
+				t.Fatalf("seed %d: %d further attempts where %.1f are allowed", seed, got, most)
+			}
+		}
+		for i := range 800 {
+			h.run(d, h.now+time.Duration(rng.IntN(60))*ms)
+			check()
+			id := fmt.Sprint("r", i)
+			h.ask(d, id, 0)
+			taken = append(taken, h.now)
+			for n := 0; n < 4 && h.tries[id] > n && h.ends[id] == ""; n++ {
+				o := []Outcome{Errored, NotSent, Served}[rng.IntN(3)]
+				h.over(d, id, n, o)
+				check()
+			}
+		}
+		if len(further) < 25 {
+			t.Errorf("seed %d: only %d further attempts", seed, len(further))
+		}
+	}
+}
+
+// Just after its start a dispatcher has no requests of the last span behind it.
+func TestBudgetAtTheStart(t *testing.T) {
+	set := settings()
+	set.Further = Budget{Free: 0, Ratio: 0.5, Span: 5 * time.Second}
+	d, h := start(t, set, fleet(4)...)
+	h.ask(d, "a", 2)
+	h.over(d, "a", 0, Full)
+	if len(h.sends) != 1 || h.ends["a"] != "refused" {
+		t.Errorf("%d sends, end %q: half an attempt is none", len(h.sends), h.ends["a"])
+	}
+	h.ask(d, "b", 0)
+	h.over(d, "b", 0, ConnectFailed)
+	if h.tries["b"] != 2 {
+		t.Error("two requests allow one further attempt")
+	}
+}
+
+// A retry that was queued is checked when it is sent: what was left of the budget
+// may have been used by another.
+func TestBudgetIsCheckedAtTheSend(t *testing.T) {
+	set := settings()
+	set.Further = Budget{Free: 1, Span: 5 * time.Second}
+	d, h := start(t, set, fleet(3)...)
+	h.ask(d, "a", 0)
+	r := d.requests["a"]
+	r.attempts[0].ended = true
+	r.inFlight = 0
+	if w := d.workers[1]; !d.mayAttempt(h.now, r, w) {
+		t.Fatal("the free attempt is not allowed")
+	}
+	d.retryCounter.add(h.now)
+	for _, w := range d.workers {
+		if d.mayAttempt(h.now, r, w) {
+			t.Error("one free attempt, and it is used up")
+		}
+	}
+}
--- a/health_test.go
+++ b/health_test.go
@@ -14,6 +14,41 @@
 	}
 }
 
+func newRequest(d *Dispatcher, h *fake, id string) *request {
+	d.lastSerial++
+	r := &request{class: d.classes[0], Request: Request{ID: id, Slots: 1}, serial: d.lastSerial, tenant: d.tenants[0],
+		deadline: h.now + 5*time.Second, targetAt: h.now + time.Second}
+	d.requests[id], d.requestsBySerial[r.serial] = r, r
+	return r
+}
+
+// A worker that fails to connect is left alone, then tried with one job.
+func TestUnhealthyWorkerIsTriedOnce(t *testing.T) {
+	set := settings()
+	set.TellsStart = false
+	d, h := start(t, set, fleet(1)...)
+	h.ask(d, "a", 0)
+	h.over(d, "a", 0, ConnectFailed)
+	if len(h.sends) != 2 {
+		t.Fatal("one failure is the connection's, not the worker's")
+	}
+	h.over(d, "a", 1, ConnectFailed)
+	h.run(d, h.now+100*ms)
+	if len(h.sends) != 2 {
+		t.Fatal("sent again at once")
+	}
+	h.run(d, h.now+2*minUnhealthyBackoff)
+	h.ask(d, "b", 0)
+	h.ask(d, "c", 0)
+	if h.tries["b"] != 1 || h.tries["c"] != 0 {
+		t.Errorf("trial: %d and %d sends", h.tries["b"], h.tries["c"])
+	}
+	h.over(d, "b", 0, Served)
+	if d.workersByName["w0"].unhealthyUntil != 0 {
+		t.Error("still doubted after a success")
+	}
+}
+
 // Guards against the slots that jobs on silent connections seem to hold until
 // their time-outs land, and against the exclusion of the worker, which is well.
 // The first start of a job sent well after tells; what may run twice goes out
@@ -49,14 +84,6 @@
 	}
 }
 
-func newRequest(d *Dispatcher, h *fake, id string) *request {
-	d.lastSerial++
-	r := &request{class: d.classes[0], Request: Request{ID: id, Slots: 1}, serial: d.lastSerial, tenant: d.tenants[0],
-		deadline: h.now + 5*time.Second, targetAt: h.now + time.Second}
-	d.requests[id], d.requestsBySerial[r.serial] = r, r
-	return r
-}
-
 // A late start tells of a silent connection also where nothing is sent after it:
 // the worker is not kept out for good by a job that will never start.
 func TestLateStartDoesNotBlockAWorker(t *testing.T) {
--- /dev/null
+++ b/host_test.go
@@ -0,0 +1,171 @@
+package sedgevale
+
+// A Host for tests, and what all tests of the package begin with.
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+type sent struct {
+	id, worker string
+	n          int
+	at         time.Duration
+}
+
+type timerAt struct {
+	at    time.Duration
+	token uint64
+}
+
+type closed struct {
+	at     time.Duration
+	worker string
+}
+
+// fake is a host that records its calls, and a clock.
+type fake struct {
+	t       *testing.T
+	now     time.Duration
+	sends   []sent
+	tries   map[string]int
+	ends    map[string]string
+	cancels []string
+	probes  []string
+	closes  []closed
+	timers  []timerAt
+	watches int
+	trace   strings.Builder
+}
+
+func (h *fake) note(format string, args ...any) {
+	fmt.Fprintf(&h.trace, "%d "+format+"\n", append([]any{h.now}, args...)...)
+}
+
+func (h *fake) Send(id, worker string, timeout time.Duration) {
+	if h.ends[id] != "" {
+		h.t.Errorf("%s sent after its end", id)
+	}
+	h.sends = append(h.sends, sent{id, worker, h.tries[id], h.now})
+	h.tries[id]++
+	h.note("send %s %s %d", id, worker, timeout)
+}
+
+func (h *fake) end(id, how string) {
+	if h.ends[id] != "" {
+		h.t.Errorf("%s ended twice: %s, %s", id, h.ends[id], how)
+	}
+	h.ends[id] = how
+	h.note("%s %s", how, id)
+}
+
+func (h *fake) Reject(id string, _ time.Duration) { h.end(id, "refused") }
+
+func (h *fake) Fail(id string) { h.end(id, "failed") }
+
+func (h *fake) Cancel(id string, n int) {
+	h.cancels = append(h.cancels, fmt.Sprint(id, n))
+	h.note("cancel %s %d", id, n)
+}
+
+func (h *fake) SetTimer(after time.Duration, token uint64) {
+	h.timers = append(h.timers, timerAt{h.now + after, token})
+	h.note("timer %d %d", after, token)
+}
+
+func (h *fake) Probe(worker string) {
+	h.probes = append(h.probes, worker)
+	h.note("probe %s", worker)
+}
+
+func (h *fake) CloseIdleConnections(worker string) {
+	h.closes = append(h.closes, closed{h.now, worker})
+	h.note("close %s", worker)
+}
+
+func (h *fake) WatchWorkers() { h.watches++; h.note("watch") }
+
+func (h *fake) Log(text string) { h.note("log %s", text) }
+
+// last returns the worker of the last send, or "".
+func (h *fake) last() string {
+	if len(h.sends) == 0 {
+		return ""
+	}
+	return h.sends[len(h.sends)-1].worker
+}
+
+// run lets the timers up to a time pass.
+func (h *fake) run(d *Dispatcher, to time.Duration) {
+	for {
+		next := -1
+		for i, t := range h.timers {
+			if t.at <= to && (next < 0 || t.at < h.timers[next].at) {
+				next = i
+			}
+		}
+		if next < 0 {
+			h.now = to
+			return
+		}
+		t := h.timers[next]
+		h.timers = slices.Delete(h.timers, next, next+1)
+		h.now = max(h.now, t.at)
+		d.TimerFired(h.now, t.token)
+	}
+}
+
+func settings() Settings {
+	return Settings{
+		Classes: []Class{
+			{Name: "safe", Effect: Safe, Aim: 200 * ms, Stretch: 2, Limit: 5 * time.Second, LateShare: 0.5},
+			{Name: "keyed", Effect: Keyed, Scope: ScopeZone, Window: 2 * time.Second, Aim: 200 * ms, Stretch: 2,
+				Limit: 5 * time.Second, LateShare: 0.5},
+			{Name: "unsafe", Effect: Unsafe, Aim: 200 * ms, Stretch: 2, Limit: 5 * time.Second, LateShare: 0.5},
+		},
+		MaxAttempts: 4, ParallelTries: true, MayCancel: true, TellsStart: true, Weights: WeightSize,
+	}
+}
+
+func start(t *testing.T, set Settings, workers ...WorkerInfo) (*Dispatcher, *fake) {
+	t.Helper()
+	h := &fake{t: t, now: time.Hour, tries: map[string]int{}, ends: map[string]string{}}
+	d, err := New(set, 1, h)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.WorkersUpdated(h.now, ListStale, workers)
+	return d, h
+}
+
+func fleet(n int) []WorkerInfo {
+	var all []WorkerInfo
+	for i := range n {
+		all = append(all, WorkerInfo{Worker: fmt.Sprint("w", i), Zone: i % 2, Cell: i % 3, Weight: 1})
+	}
+	return all
+}
+
+func (h *fake) ask(d *Dispatcher, id string, class int) {
+	h.t.Helper()
+	if err := d.SubmitRequest(h.now, Request{ID: id, Class: class, Left: 5 * time.Second}); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+func (h *fake) over(d *Dispatcher, id string, n int, o Outcome) {
+	h.t.Helper()
+	if err := d.AttemptEnded(h.now, Result{ID: id, Attempt: n, Outcome: o, Closed: o == Served}); err != nil {
+		h.t.Fatal(err)
+	}
+	if o == Served {
+		h.ends[id] = "served"
+	}
+}
+
+func inTwo(h *fake) time.Duration { return h.now + 2*time.Second }
--- /dev/null
+++ b/membership_test.go
@@ -0,0 +1,107 @@
+package sedgevale
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Rule 3: drained and removed workers get nothing from the moment of the update on.
+func TestDrainingWorkersGetNothing(t *testing.T) {
+	d, h := start(t, settings(), fleet(3)...)
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
+	d.WorkersUpdated(h.now, ListWhole, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}, {Worker: "w1", Zone: 1, Weight: 1}})
+	for i := range 20 {
+		h.ask(d, fmt.Sprint("r", i), i%3)
+		h.now += 10 * ms
+		if h.tries[fmt.Sprint("r", i)] > 0 {
+			h.over(d, fmt.Sprint("r", i), 0, Served)
+		}
+	}
+	for _, s := range h.sends {
+		if s.worker != "w1" {
+			t.Errorf("sent to %s", s.worker)
+		}
+	}
+	if len(h.sends) == 0 {
+		t.Error("nothing sent")
+	}
+}
+
+// A list that must be asked for is watched from the start, and again whenever
+// the watch breaks.
+func TestWatch(t *testing.T) {
+	set := settings()
+	set.AskForList = true
+	d, h := start(t, set, fleet(2)...)
+	if h.watches != 1 {
+		t.Fatalf("%d watches at the start", h.watches)
+	}
+	for i := 2; i < 9; i++ {
+		d.WorkersUpdated(h.now, ListBroken, nil)
+		h.run(d, h.now+2*maxWatchBackoff)
+		if h.watches != i {
+			t.Fatalf("%d watches after %d breaks", h.watches, i-1)
+		}
+	}
+	h.ask(d, "r", 0)
+	if len(h.sends) != 1 {
+		t.Error("the old list does not stand")
+	}
+}
+
+// Guards against a list that is asked for too late: what discovery has counts as told 6 s after it could be reached
+// again, and of those connecting, a call that fails and its answer's way want 4 (internal/discovery).
+func TestWatchIsRetriedSoon(t *testing.T) {
+	set := settings()
+	set.AskForList = true
+	d, h := start(t, set, fleet(2)...)
+	for i := range 40 { // the waits have a spread
+		began, before := h.now, h.watches
+		d.WorkersUpdated(h.now, ListBroken, nil)
+		for h.watches == before {
+			if h.run(d, h.now+ms); h.now > began+10*time.Second {
+				t.Fatal("not asked for again")
+			}
+		}
+		if waited := h.now - began; waited > 1500*ms || waited < 100*ms || i == 0 && waited > 300*ms {
+			t.Errorf("asked for after %v, at failure %d on end", waited, i+1)
+		}
+	}
+}
+
+// Idle connections are closed at the notice, after each outcome there, also
+// once the worker has left the list, and once more a while later.
+func TestConnectionsAreClosedOnDrains(t *testing.T) {
+	set := settings()
+	set.CloseOnDrain = 1500 * ms
+	d, h := start(t, set, fleet(1)...)
+	h.ask(d, "r", 0)
+	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
+	if len(h.closes) != 1 {
+		t.Fatalf("%d closes at the notice", len(h.closes))
+	}
+	h.run(d, h.now+400*ms)
+	d.WorkersUpdated(h.now, ListWhole, nil)
+	h.run(d, h.now+3*time.Second)
+	before := len(h.closes)
+	outcome := h.now
+	h.over(d, "r", 0, Served)
+	if len(h.closes) != before+1 {
+		t.Fatal("not closed after the last outcome")
+	}
+	h.run(d, h.now+1500*ms)
+	last := h.closes[len(h.closes)-1]
+	if len(h.closes) != before+2 || last.worker != "w0" || last.at < outcome+500*ms || last.at > outcome+1200*ms {
+		t.Errorf("%d closes, the last %v after the outcome", len(h.closes)-before, last.at-outcome)
+	}
+	h.run(d, h.now+5*time.Second)
+	if len(h.closes) != before+2 {
+		t.Error("closed again for nothing")
+	}
+	d, h = start(t, settings(), fleet(1)...)
+	d.WorkersUpdated(h.now, ListWhole, nil)
+	if len(h.closes) != 0 {
+		t.Error("closed where that is not asked for")
+	}
+}
--- /dev/null
+++ b/retry_test.go
@@ -0,0 +1,173 @@
+package sedgevale
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Rule 2: what may follow an attempt, by effect and outcome.
+func TestWhatMayFollowAnOutcome(t *testing.T) {
+	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
+		for o := Errored; o <= NotSent; o++ {
+			d, h := start(t, settings(), fleet(4)...)
+			h.ask(d, "r", class)
+			if len(h.sends) != 1 {
+				t.Fatalf("not sent at once: %v", h.sends)
+			}
+			first := d.workersByName[h.last()]
+			h.now += ms
+			h.over(d, "r", 0, o)
+			again, mayRepeat := len(h.sends) > 1, d.provesNeverRan(o) || effect != Unsafe
+			if again && !mayRepeat {
+				t.Errorf("effect %d, outcome %d: sent again", effect, o)
+			}
+			if !again && mayRepeat {
+				t.Errorf("effect %d, outcome %d: not tried again", effect, o)
+			}
+			if again && effect == Keyed && !d.provesNeverRan(o) && d.workersByName[h.last()].Zone != first.Zone {
+				t.Errorf("keyed, outcome %d: left the zone that drops repeats", o)
+			}
+			if !mayRepeat && h.ends["r"] != "failed" {
+				t.Errorf("effect %d, outcome %d: ended as %q, want failed", effect, o, h.ends["r"])
+			}
+		}
+	}
+}
+
+// Rule 2: a keyed job may not go out again once its window is over.
+func TestKeyedWindow(t *testing.T) {
+	d, h := start(t, settings(), fleet(4)...)
+	h.ask(d, "r", 1)
+	h.now += 1950 * ms
+	r := d.requests["r"]
+	for _, w := range d.workers {
+		if d.mayAttempt(h.now, r, w) {
+			t.Errorf("may go to %s at the end of the window", w.Worker)
+		}
+	}
+}
+
+// The margin of a window fits a short one.
+func TestShortWindow(t *testing.T) {
+	set := settings()
+	set.Classes[1].Window = 80 * ms
+	d, h := start(t, set, fleet(6)...)
+	h.ask(d, "r", 1)
+	r := d.requests["r"]
+	mate := d.workersByName[fmt.Sprint("w", (d.workersByName[h.last()].index+2)%6)] // of the same zone
+	if !d.mayAttempt(h.now+60*ms, r, mate) || d.mayAttempt(h.now+75*ms, r, mate) {
+		t.Error("want a repeat within 70 ms of the first send, and none after")
+	}
+}
+
+func TestNoHedgingWhereForbidden(t *testing.T) {
+	set := settings()
+	set.ParallelTries = false
+	d, h := start(t, set, fleet(4)...)
+	h.ask(d, "r", 0)
+	for _, w := range d.workers {
+		if d.mayAttempt(h.now, d.requests["r"], w) {
+			t.Error("a second attempt would go out beside the first")
+		}
+	}
+}
+
+// The own zone comes first; a further attempt looks everywhere.
+func TestRetriesLeaveTheZone(t *testing.T) {
+	d, h := start(t, settings(), fleet(20)...)
+	far := func(r *request) (n int) {
+		for range 1000 {
+			n += d.pickWorker(h.now, r, true).Zone
+		}
+		return n
+	}
+	r := &request{class: d.classes[0], Request: Request{Slots: 1}, deadline: inTwo(h), targetAt: inTwo(h)}
+	if n := far(r); n != 0 {
+		t.Errorf("%d of 1000 first picks outside the own zone while it has room", n)
+	}
+	r.attempts = []attempt{{worker: d.workers[0], ended: true}}
+	if n := far(r); n < 400 || n > 600 {
+		t.Errorf("%d of 1000 further picks outside the own zone", n)
+	}
+}
+
+// 'Full' is no proof where that is stated: nothing more of an unsafe request,
+// no rejection, and one that is idempotent by key stays with its group, and in its time.
+func TestRejectionProvesNothingWhereStated(t *testing.T) {
+	set := settings()
+	set.FullMayHaveRun = true
+	set.Classes[1].Scope = ScopeCell
+	set.Classes[1].Window = 1500 * ms
+	d, h := start(t, set, fleet(40)...)
+	h.ask(d, "unsafe", 2)
+	h.over(d, "unsafe", 0, Full)
+	if h.tries["unsafe"] != 1 || h.ends["unsafe"] != "failed" {
+		t.Errorf("unsafe: %d sends, end %q", h.tries["unsafe"], h.ends["unsafe"])
+	}
+	for i := range 20 {
+		id := fmt.Sprint("k", i)
+		h.ask(d, id, 1)
+		cell := d.workersByName[h.last()].Cell
+		h.over(d, id, 0, Full)
+		if h.tries[id] != 2 || d.workersByName[h.last()].Cell != cell {
+			t.Fatalf("keyed: %d sends, cell %d after %d", h.tries[id], d.workersByName[h.last()].Cell, cell)
+		}
+		h.over(d, id, 1, Served)
+	}
+	h.ask(d, "late", 1)
+	h.run(d, h.now+1450*ms)
+	h.over(d, "late", 0, Full)
+	if h.tries["late"] != 1 || h.ends["late"] != "failed" {
+		t.Errorf("after its window: %d sends, end %q", h.tries["late"], h.ends["late"])
+	}
+}
+
+// A job whose start is overdue is cancelled and tried elsewhere, once it is
+// over there; not an unsafe one, and not while workers are full.
+func TestOverdueStartsAreRescheduled(t *testing.T) {
+	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
+		d, h := start(t, settings(), fleet(8)...)
+		h.ask(d, "r", class)
+		first := h.last()
+		h.run(d, h.now+120*ms)
+		if moved := len(h.cancels) == 1; moved != (effect != Unsafe) {
+			t.Fatalf("effect %d: %d called off", effect, len(h.cancels))
+		}
+		if len(h.sends) != 1 {
+			t.Fatalf("effect %d: sent again while the first attempt is out", effect)
+		}
+		if effect == Unsafe {
+			continue
+		}
+		if w := d.workersByName[first]; w.unhealthyUntil <= h.now {
+			t.Errorf("doubted until %v: it can give no sign of this job any more", w.unhealthyUntil-h.now)
+		}
+		h.over(d, "r", 0, Cancelled)
+		if len(h.sends) != 2 || h.last() == first {
+			t.Errorf("effect %d: %d sends, the last to %s after %s", effect, len(h.sends), h.last(), first)
+		}
+	}
+	for _, c := range []struct {
+		why      string
+		after    time.Duration // from the send to 'full'
+		held     float64
+		calledOf bool
+	}{
+		{"workers are full", 0, 0, false},
+		{"a drain hands back", 150 * ms, 0, true},
+		{"we hold a job a worker", 150 * ms, 8, false},
+	} {
+		d, h := start(t, settings(), fleet(8)...)
+		d.classes[0].meanRuntime, d.classes[0].baseRuntime = 0.3, 0.3 // so that the start is waited for longer
+		h.ask(d, "full", 0)
+		h.now += c.after
+		h.over(d, "full", 0, Full)
+		d.addInFlight(d.workers[1], c.held)
+		h.cancels = nil
+		h.run(d, h.now+400*ms)
+		if got := len(h.cancels) > 0; got != c.calledOf {
+			t.Errorf("%s: called off %v", c.why, h.cancels)
+		}
+	}
+}
