--- a/accounting.go
+++ b/accounting.go
@@ -55,7 +55,7 @@
 	a.worker.attempts = slices.DeleteFunc(a.worker.attempts, func(ref attemptRef) bool {
 		return ref.request == r && &r.attempts[ref.number] == a
 	})
-	if o == Served || o == Errored || o == Full {
+	if o == Served || o == Errored || o == Rejected {
 		a.worker.markAlive(now)
 	}
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -11,28 +11,28 @@
 )
 
 func TestCutAndRaise(t *testing.T) {
-	tuning := Tuning{CutFactor: 0.5, RiseStep: 0.1, Least: 0.1}
-	if got := tuning.Cut(8, 4); got != 2 {
+	tuning := LimitTuning{DecreaseFactor: 0.5, IncreaseStep: 0.1, MinLimit: 0.1}
+	if got := tuning.Decrease(8, 4); got != 2 {
 		t.Errorf("decreased to %v", got)
 	}
-	if got := tuning.Cut(0.1, 0); got != 0.1 {
+	if got := tuning.Decrease(0.1, 0); got != 0.1 {
 		t.Errorf("decreased to %v, below the minimum", got)
 	}
-	if got := tuning.Raise(4, 2); math.Abs(got-4.2) > 1e-9 {
+	if got := tuning.Increase(4, 2); math.Abs(got-4.2) > 1e-9 {
 		t.Errorf("raised to %v", got)
 	}
-	if got := tuning.Raise(4, -2); got != 4 {
+	if got := tuning.Increase(4, -2); got != 4 {
 		t.Errorf("raised to %v without unused capacity", got)
 	}
 }
 
 func TestShareDecays(t *testing.T) {
 	const gain = 0.25
-	s := Share{}.Add(1, gain)
-	if s.Value != gain || s.Now(2, gain) != gain*(1-gain) {
+	s := Share{}.AddJob(1, gain)
+	if s.Value != gain || s.DecayedTo(2, gain) != gain*(1-gain) {
 		t.Errorf("share %v", s)
 	}
-	if got := Smoothed(1, 0, 4); got != 0.25 {
+	if got := SmoothedShare(1, 0, 4); got != 0.25 {
 		t.Errorf("without jobs the share is %v, not the even one", got)
 	}
 }
@@ -56,14 +56,14 @@
 		claimants := make([]Claimant, len(wants))
 		total := 0.0
 		for i, want := range wants {
-			claimants[i] = Claimant{Want: want, Share: 1 / float64(len(wants))}
+			claimants[i] = Claimant{Demand: want, Share: 1 / float64(len(wants))}
 			total += want
 		}
 		const limit = 10
-		level := FairLevel(claimants, limit)
+		level := MaxMinLevel(claimants, limit)
 		given := 0.0
 		for _, c := range claimants {
-			given += min(c.Want, level*c.Share)
+			given += min(c.Demand, level*c.Share)
 		}
 		return given <= limit+1e-6 && (total <= limit || given > limit-1e-6)
 	}, gen.SliceOf(gen.Float64Range(0, 20))))
@@ -71,13 +71,13 @@
 }
 
 func TestLocalShare(t *testing.T) {
-	if got := LocalShare(1, Claimant{Want: 2, Share: 0.5}, 4, 10, 0, 0.5); got != 5 {
+	if got := LocalShare(1, Claimant{Demand: 2, Share: 0.5}, 4, 10, 0, 0.5); got != 5 {
 		t.Errorf("while the demand is met the share grows to %v", got)
 	}
-	if got := LocalShare(9, Claimant{Want: 8, Share: 0.5}, 20, 10, 12, 0.5); got != 6 {
+	if got := LocalShare(9, Claimant{Demand: 8, Share: 0.5}, 20, 10, 12, 0.5); got != 6 {
 		t.Errorf("beyond it is %v", got)
 	}
-	if got := LocalShare(9, Claimant{Want: 1, Share: 0.5}, 20, 10, 12, 0.5); got != 5 {
+	if got := LocalShare(9, Claimant{Demand: 1, Share: 0.5}, 20, 10, 12, 0.5); got != 5 {
 		t.Errorf("below the own share: %v", got)
 	}
 }
@@ -89,17 +89,17 @@
 	var done [2]float64
 	for range 1000 {
 		for i := range deficits {
-			deficits[i].Visit(5, true)
+			deficits[i].BeginTurn(5, true)
 			for deficits[i] > 0 {
 				done[i] += costs[i]
-				deficits[i].Pay(costs[i])
+				deficits[i].Charge(costs[i])
 			}
 		}
 	}
 	if ratio := done[0] / done[1]; ratio < 0.95 || ratio > 1.05 {
 		t.Errorf("work %v", done)
 	}
-	deficits[0].Visit(5, false)
+	deficits[0].BeginTurn(5, false)
 	if deficits[0] != 0 {
 		t.Error("a queue without backlog keeps credit")
 	}
@@ -110,15 +110,15 @@
 	candidates := []Candidate{{0.9}, {0.2}, {0.3}, {0.8}}
 	counts := make([]int, len(candidates))
 	for range 1000 {
-		counts[PickBelow(candidates, 0.5, random.IntN)]++
+		counts[PickBelowThreshold(candidates, 0.5, random.IntN)]++
 	}
 	if counts[0]+counts[3] > 0 || counts[1] < 400 || counts[2] < 400 {
 		t.Errorf("picks %v", counts)
 	}
-	if got := PickBelow(candidates, 0.1, random.IntN); got != 1 {
+	if got := PickBelowThreshold(candidates, 0.1, random.IntN); got != 1 {
 		t.Errorf("above the threshold the least loaded is picked, not %d", got)
 	}
-	if got := PickBelow(nil, 1, random.IntN); got != -1 {
+	if got := PickBelowThreshold(nil, 1, random.IntN); got != -1 {
 		t.Errorf("picked %d of none", got)
 	}
 }
@@ -135,13 +135,13 @@
 		{[]Deficit{-691200, -450, -1e9}, 3},
 	}
 	for _, one := range cases {
-		turns := TurnsToCredit(one.debts, 200)
+		turns := TurnsUntilCredit(one.debts, 200)
 		if turns != one.want {
 			t.Errorf("%v: %v turns, %v wanted", one.debts, turns, one.want)
 		}
 		credit := false
 		for _, d := range one.debts {
-			d.Visit(turns*200, true)
+			d.BeginTurn(turns*200, true)
 			credit = credit || d > 0
 		}
 		if len(one.debts) > 0 && !credit {
--- a/admission/deficit.go
+++ b/admission/deficit.go
@@ -13,8 +13,8 @@
 // maxSavedQuanta bounds the credit that a queue accumulates while it is blocked.
 const maxSavedQuanta = 8
 
-// Visit adds the quantum of one turn to the counter, up to a bound. A queue without backlog loses its credit.
-func (d *Deficit) Visit(quantum float64, backlogged bool) {
+// BeginTurn adds the quantum of one turn to the counter, up to a bound. A queue without backlog loses its credit.
+func (d *Deficit) BeginTurn(quantum float64, backlogged bool) {
 	if !backlogged {
 		*d = 0
 		return
@@ -22,15 +22,15 @@
 	*d = Deficit(min(float64(*d)+quantum, maxSavedQuanta*quantum))
 }
 
-// Pay charges released work and reports whether the queue may release more in this turn.
-func (d *Deficit) Pay(work float64) bool {
+// Charge charges released work and reports whether the queue may release more in this turn.
+func (d *Deficit) Charge(work float64) bool {
 	*d -= Deficit(work)
 	return *d > 0
 }
 
-// TurnsToCredit returns the number of turns after which the first of some queues without credit has credit again, 0 if
+// TurnsUntilCredit returns the number of turns after which the first of some queues without credit has credit again, 0 if
 // there are no queues.
-func TurnsToCredit(debts []Deficit, quantum float64) float64 {
+func TurnsUntilCredit(debts []Deficit, quantum float64) float64 {
 	if len(debts) == 0 {
 		return 0
 	}
--- a/admission/fairness.go
+++ b/admission/fairness.go
@@ -2,22 +2,22 @@
 
 // Claimant is a queue that shares a limit with others.
 type Claimant struct {
-	Want  float64 // the work that it could have at the workers now
-	Share float64 // its part of the limit, between 0 and 1; the parts of all claimants sum up to 1
+	Demand float64 // the work that it could have at the workers now
+	Share  float64 // its part of the limit, between 0 and 1; the parts of all claimants sum up to 1
 }
 
 // minShares is the sum of shares below which rounding errors prevail.
 const minShares = 1e-9
 
-// FairLevel returns the level of the weighted max-min fair allocation: the part of the limit for a unit of share, once
+// MaxMinLevel returns the level of the weighted max-min fair allocation: the part of the limit for a unit of share, once
 // claimants that want less than their part have what they want.
-func FairLevel(claimants []Claimant, limit float64) float64 {
+func MaxMinLevel(claimants []Claimant, limit float64) float64 {
 	left, shares := limit, 1.0
 	for range claimants { // each pass satisfies at least one claimant more, or is the last
 		l, s := limit, 1.0
 		for _, c := range claimants {
-			if c.Want < left/shares*c.Share {
-				l, s = l-c.Want, s-c.Share
+			if c.Demand < left/shares*c.Share {
+				l, s = l-c.Demand, s-c.Share
 			}
 		}
 		if s <= minShares || s == shares {
@@ -30,10 +30,10 @@
 
 // LocalShare returns a queue's part of the limit of all workers together, from local, its part in the last interval. While
 // the demand of all queues is within the limit the part grows by step of what is unused. Beyond that it is the max-min
-// fair part at a level (FairLevel), but not less than the queue's own share of the limit.
+// fair part at a level (MaxMinLevel), but not less than the queue's own share of the limit.
 func LocalShare(local float64, c Claimant, demand, limit, level, step float64) float64 {
 	if demand <= limit {
-		return max(local, c.Want) + step*(limit-demand)
+		return max(local, c.Demand) + step*(limit-demand)
 	}
-	return max(min(c.Want, level*c.Share), limit*c.Share)
+	return max(min(c.Demand, level*c.Share), limit*c.Share)
 }
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -19,22 +19,22 @@
 // Unlimited is the limit of a worker for which none was learned.
 var Unlimited = math.Inf(1)
 
-// Tuning holds the parameters by which a worker's limit changes: additive increase, multiplicative decrease.
-type Tuning struct {
-	CutFactor float64 // the factor of a decrease, between 0 and 1
-	RiseStep  float64 // the increase after an interval without failure, as a part of the unused capacity
-	Least     float64 // lower bound of a limit
+// LimitTuning holds the parameters by which a worker's limit changes: additive increase, multiplicative decrease.
+type LimitTuning struct {
+	DecreaseFactor float64 // the factor of a decrease, between 0 and 1
+	IncreaseStep   float64 // the increase after an interval without failure, as a part of the unused capacity
+	MinLimit       float64 // lower bound of a limit
 }
 
-// Cut returns a worker's limit after a failure, with inFlight units of work at the worker.
-func (t Tuning) Cut(limit, inFlight float64) float64 {
-	return max(t.Least, t.CutFactor*min(limit, inFlight))
+// Decrease returns a worker's limit after a failure, with inFlight units of work at the worker.
+func (t LimitTuning) Decrease(limit, inFlight float64) float64 {
+	return max(t.MinLimit, t.DecreaseFactor*min(limit, inFlight))
 }
 
-// Raise returns a worker's limit after an interval without failure, with so much of its capacity unused. A limit below 1
+// Increase returns a worker's limit after an interval without failure, with so much of its capacity unused. A limit below 1
 // rises in proportion to itself.
-func (t Tuning) Raise(limit, unused float64) float64 {
-	return limit + t.RiseStep*min(1, limit)*max(0, unused)
+func (t LimitTuning) Increase(limit, unused float64) float64 {
+	return limit + t.IncreaseStep*min(1, limit)*max(0, unused)
 }
 
 // Quantile returns the q-quantile of values, without interpolation, or Unlimited if there are none. It sorts values in
--- a/admission/pick.go
+++ b/admission/pick.go
@@ -2,20 +2,20 @@
 
 // Candidate is a worker that may take a task.
 type Candidate struct {
-	Held float64 // the work of this scheduler that the worker has in flight
+	InFlight float64 // the work of this scheduler that the worker has in flight
 }
 
-// PickBelow returns the index of a random candidate with less in flight than the threshold, else of the one with the least
+// PickBelowThreshold returns the index of a random candidate with less in flight than the threshold, else of the one with the least
 // in flight; -1 if there are no candidates. Draw returns a uniform random number in [0, n); it is called once for each
 // candidate below the threshold, in order.
-func PickBelow(candidates []Candidate, threshold float64, draw func(n int) int) int {
+func PickBelowThreshold(candidates []Candidate, threshold float64, draw func(n int) int) int {
 	below, least := 0, -1
 	pick := -1
 	for i, c := range candidates {
-		if least < 0 || c.Held < candidates[least].Held {
+		if least < 0 || c.InFlight < candidates[least].InFlight {
 			least = i
 		}
-		if c.Held >= threshold {
+		if c.InFlight >= threshold {
 			continue
 		}
 		below++
--- a/api.go
+++ b/api.go
@@ -10,9 +10,9 @@
 
 // The states of a worker.
 const (
-	Active  WorkerState = iota
-	Leaving             // finishes its attempts in flight, gets nothing new
-	Left                // removed from the list
+	Active   WorkerState = iota
+	Draining             // finishes its attempts in flight, gets nothing new
+	Removed              // removed from the list
 )
 
 // WorkerInfo is an entry of the list of workers. A Dispatcher keeps no
@@ -27,27 +27,27 @@
 	StartedAt time.Duration // when it last started, on the host's clock; 0: long ago
 }
 
-// ListKind says what an update of the list of workers holds.
-type ListKind uint8
+// UpdateKind says what an update of the list of workers holds.
+type UpdateKind uint8
 
 // The kinds of updates.
 const (
-	ListPatch  ListKind = iota // changed entries only
-	ListWhole                  // all workers; one that is absent has been removed
-	ListStale                  // all workers as last known, maybe long ago
-	ListBroken                 // no entries: a watch failed or broke, the last list stands
+	UpdateDelta  UpdateKind = iota // changed entries only
+	UpdateFull                     // all workers; one that is absent has been removed
+	UpdateStale                    // all workers as last known, maybe long ago
+	UpdateFailed                   // no entries: a watch failed or broke, the last list stands
 )
 
 // Request is a request taken from a client.
 type Request struct {
-	ID     string
-	Class  int           // index into Settings.Classes
-	Tenant int           // as by [Dispatcher.TenantIndex]; -1 where there are no tenants
-	Key    string        // affinity key: what a worker may have cached for the request; may be empty
-	Left   time.Duration // how long the client still waits
-	Hint   time.Duration // an estimate of its running time; 0: none
-	Slots  float64       // that it takes at a worker; 0 counts as 1
-	Retry  bool          // the client has tried before
+	ID          string
+	Class       int           // index into Settings.Classes
+	Tenant      int           // as by [Dispatcher.TenantIndex]; -1 where there are no tenants
+	AffinityKey string        // affinity key: what a worker may have cached for the request; may be empty
+	TimeLeft    time.Duration // how long the client still waits
+	RuntimeHint time.Duration // an estimate of its running time; 0: none
+	Slots       float64       // that it takes at a worker; 0 counts as 1
+	ClientRetry bool          // the client has tried before
 }
 
 // Outcome is how an attempt ended.
@@ -55,31 +55,31 @@
 
 // The outcomes.
 const (
-	Served        Outcome = iota // the answer went to the client
-	Errored                      // the worker answered with an error
-	Full                         // the worker rejected it; the settings say whether it may have begun it
-	TimedOut                     // no answer in time
-	ConnectFailed                // no connection could be made
-	Lost                         // the connection broke while the attempt was in flight
-	Cancelled                    // by [Host.Cancel]
-	NotSent                      // the host did not send it
+	Served         Outcome = iota // the answer went to the client
+	Errored                       // the worker answered with an error
+	Rejected                      // the worker rejected it; the settings say whether it may have begun it
+	TimedOut                      // no answer in time
+	ConnectFailed                 // no connection could be made
+	ConnectionLost                // the connection broke while the attempt was in flight
+	Cancelled                     // by [Host.Cancel]
+	NotSent                       // the host did not send it
 )
 
-// Report is a worker's load report. Reports are late and inexact.
-type Report struct {
-	HasFree bool
-	Free    float64 // free slots
-	HasHeld bool
-	Held    float64 // requests in flight or queued there
+// LoadReport is a worker's load report. Reports are late and inexact.
+type LoadReport struct {
+	HasFreeSlots bool
+	FreeSlots    float64 // free slots
+	HasInFlight  bool
+	InFlight     float64 // requests in flight or queued there
 }
 
-// Result is the end of an attempt.
-type Result struct {
-	ID      string
-	Attempt int // counted from 0 in the order of the request's sends
-	Outcome Outcome
-	Closed  bool    // the client has its final answer, by this outcome or before
-	Report  *Report // nil: none came with it. The Dispatcher does not keep it
+// AttemptResult is the end of an attempt.
+type AttemptResult struct {
+	ID       string
+	Attempt  int // counted from 0 in the order of the request's sends
+	Outcome  Outcome
+	Answered bool        // the client has its final answer, by this outcome or before
+	Report   *LoadReport // nil: none came with it. The Dispatcher does not keep it
 }
 
 // Host carries out what a Dispatcher decides. The calls come from within the
--- a/budget.go
+++ b/budget.go
@@ -45,7 +45,7 @@
 
 // resetCounters begins to count attempts and requests in the budget's window.
 func (d *Dispatcher) resetCounters() {
-	part := max(1, d.settings.Further.Span/counterParts)
+	part := max(1, d.settings.RetryBudget.Window/counterParts)
 	d.retryCounter, d.requestCounter = slidingCounter{part: part}, slidingCounter{part: part}
 }
 
@@ -53,11 +53,11 @@
 // budget. Attempts count for a 64th of the window longer, and requests for as much
 // less, than they must, so that the budget holds in every window.
 func (d *Dispatcher) withinRetryBudget(now time.Duration) bool {
-	b := &d.settings.Further
-	if b.Span == 0 {
+	b := &d.settings.RetryBudget
+	if b.Window == 0 {
 		return true
 	}
 	retries, _ := d.retryCounter.counts(now)
 	_, requests := d.requestCounter.counts(now)
-	return float64(retries+1) <= float64(b.Free)+b.Ratio*float64(requests)
+	return float64(retries+1) <= float64(b.FreeRetries)+b.RetryRatio*float64(requests)
 }
--- a/budget_test.go
+++ b/budget_test.go
@@ -13,7 +13,7 @@
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		set := settings()
-		set.Further = Budget{Free: 1 + int(seed%3), Ratio: 0.1, Span: 2 * time.Second}
+		set.RetryBudget = RetryBudget{FreeRetries: 1 + int(seed%3), RetryRatio: 0.1, Window: 2 * time.Second}
 		d, h := start(t, set, fleet(12)...)
 		var taken, further []time.Duration
 		seen := 0
@@ -29,13 +29,13 @@
 			last := further[len(further)-1]
 			count := func(all []time.Duration) (n int) {
 				for _, at := range all {
-					if at >= last-set.Further.Span && at <= last {
+					if at >= last-set.RetryBudget.Window && at <= last {
 						n++
 					}
 				}
 				return n
 			}
-			if got, most := count(further), float64(set.Further.Free)+0.1*float64(count(taken)); float64(got) > most {
+			if got, most := count(further), float64(set.RetryBudget.FreeRetries)+0.1*float64(count(taken)); float64(got) > most {
 				t.Fatalf("seed %d: %d further attempts where %.1f are allowed", seed, got, most)
 			}
 		}
@@ -60,10 +60,10 @@
 // Just after its start a dispatcher has no requests of the last span behind it.
 func TestBudgetAtTheStart(t *testing.T) {
 	set := settings()
-	set.Further = Budget{Free: 0, Ratio: 0.5, Span: 5 * time.Second}
+	set.RetryBudget = RetryBudget{FreeRetries: 0, RetryRatio: 0.5, Window: 5 * time.Second}
 	d, h := start(t, set, fleet(4)...)
 	h.ask(d, "a", 2)
-	h.over(d, "a", 0, Full)
+	h.over(d, "a", 0, Rejected)
 	if len(h.sends) != 1 || h.ends["a"] != "refused" {
 		t.Errorf("%d sends, end %q: half an attempt is none", len(h.sends), h.ends["a"])
 	}
@@ -78,7 +78,7 @@
 // may have been used by another.
 func TestBudgetIsCheckedAtTheSend(t *testing.T) {
 	set := settings()
-	set.Further = Budget{Free: 1, Span: 5 * time.Second}
+	set.RetryBudget = RetryBudget{FreeRetries: 1, Window: 5 * time.Second}
 	d, h := start(t, set, fleet(3)...)
 	h.ask(d, "a", 0)
 	r := d.requests["a"]
--- a/cmd/sedgevale/fakeworkers.go
+++ b/cmd/sedgevale/fakeworkers.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	faults := fake.Faults{}
+	faults := fake.FaultShares{}
 	for _, f := range c.Fault {
 		if err := faults.ParseFault(f); err != nil {
 			return err
@@ -45,13 +45,13 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	shelves := map[int]*fake.Shelf{} // by cell
+	shelves := map[int]*fake.ResultStore{} // by cell
 	for _, m := range file.Known.Members {
 		if shelves[m.Cell] == nil {
-			shelves[m.Cell] = fake.NewShelf(0)
+			shelves[m.Cell] = fake.NewResultStore(0)
 		}
-		worker := fake.NewBox(fake.BoxOptions{
-			ID: m.ID, Slots: int(m.Size), Faults: faults, Seed: c.Seed ^ hash(m.ID), Shelf: shelves[m.Cell], Work: c.runTime,
+		worker := fake.NewWorker(fake.WorkerOptions{
+			ID: m.ID, Slots: int(m.Size), Faults: faults, Seed: c.Seed ^ hash(m.ID), Results: shelves[m.Cell], Work: c.runTime,
 		})
 		if _, err := worker.Listen(m.HostPort); err != nil {
 			return fmt.Errorf("box %s: %w", m.ID, err)
--- a/cmd/sedgevale/import.go
+++ b/cmd/sedgevale/import.go
@@ -89,7 +89,7 @@
 
 // explain prints where a request would be routed.
 func (c importCmd) explain(imported *haproxy.Result, files func(string) ([]byte, error)) error {
-	route, err := haproxy.Explain(imported.File.Web, files, haproxy.Ask{
+	route, err := haproxy.Explain(imported.File.Web, files, haproxy.ExplainRequest{
 		Frontend: c.Frontend, Line: c.Explain, Headers: c.Header, Source: c.Source,
 	})
 	if err == nil {
--- a/cmd/sedgevale/journal.go
+++ b/cmd/sedgevale/journal.go
@@ -38,7 +38,7 @@
 	if _, err := os.Stat(f.Dir); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	if !store.Used(store.OS{}, f.Dir) {
+	if !store.HasRecords(store.OS{}, f.Dir) {
 		return nil, fmt.Errorf("journal %s: no records there; is it the dir of [journal]?", f.Dir)
 	}
 	secret, err := f.secret()
@@ -87,8 +87,8 @@
 // printReport prints the history of a job.
 func printReport(out io.Writer, r journal.Report) error {
 	_, err := fmt.Fprintf(out, "%s: %s: %s\n", r.Job, r.Verdict, r.Reason)
-	if err == nil && len(r.Look) > 0 && r.Verdict == journal.Unknown.String() {
-		_, err = fmt.Fprintf(out, "  look at    %s\n", strings.Join(r.Look, ", "))
+	if err == nil && len(r.Workers) > 0 && r.Verdict == journal.Unknown.String() {
+		_, err = fmt.Fprintf(out, "  look at    %s\n", strings.Join(r.Workers, ", "))
 	}
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	if r.Answer != nil {
 		event(r.Answer.At, "the client was told: %s %s", r.Answer.Kind, r.Answer.Reason)
 	}
-	event(r.GoneAt, "the client left")
+	event(r.ClientGoneAt, "the client left")
 	if r.Settled != nil {
 		event(r.Settled.At, "settled as %s by %s: %s", r.Settled.Verdict, r.Settled.By, r.Settled.Why)
 	}
@@ -174,8 +174,8 @@
 		f.verdict != 0 && verdict != f.verdict,
 		f.class != "" && job.Class != f.class,
 		f.tenant != "" && job.Tenant != f.tenant,
-		f.since != 0 && job.TakenAt < f.since,
-		f.until != 0 && job.TakenAt >= f.until:
+		f.since != 0 && job.AcceptedAt < f.since,
+		f.until != 0 && job.AcceptedAt >= f.until:
 		return false
 	}
 	return f.worker == "" ||
@@ -257,7 +257,7 @@
 	if err != nil {
 		return err
 	}
-	for _, lane := range view.Lanes {
+	for _, lane := range view.Logs {
 		state := "ends with a crash"
 		switch {
 		case lane.Live:
--- a/cmd/sedgevale/peers.go
+++ b/cmd/sedgevale/peers.go
@@ -85,8 +85,8 @@
 func printPeers(out io.Writer, s peers.Status, all bool) error {
 	c := s.Counts
 	_, err := fmt.Fprintf(out, "scheduler %d of %d; %d boxes, %d of them its part; %d datagrams (%d bytes) sent, %d received, %d refused\n\n",
-		s.Self, len(s.Members), c.Boxes, c.Part, c.Sent, c.SentBytes, c.Received, c.Refused)
-	if err == nil && s.Watched {
+		s.Self, len(s.Members), c.Workers, c.Subset, c.Sent, c.SentBytes, c.Received, c.Rejected)
+	if err == nil && s.FailureDetection {
 		_, err = fmt.Fprintf(out, "%s\n\n", rollout(s))
 	}
 	if err != nil {
@@ -109,11 +109,11 @@
 		t.row("%d\t%s\t%s\t%.0f%%\t%s\t%s", m.Number, m.State, heard, 100*m.Loss, revision, state)
 	}
 	t.row("\nBOX\tOURS\tOTHERS\tTELLERS\tOLDEST\tAUDIENCE")
-	for _, b := range s.Boxes {
-		if !all && b.Ours == (peers.Out{}) && b.Tellers == 0 {
+	for _, b := range s.Workers {
+		if !all && b.Ours == (peers.Load{}) && b.Reporters == 0 {
 			continue
 		}
-		t.row("%s\t%s\t%s\t%d\t%dms\t%v", b.ID, formatLoad(b.Ours), formatLoad(b.Others), b.Tellers, b.OldestMS, b.Audience)
+		t.row("%s\t%s\t%s\t%d\t%dms\t%v", b.ID, formatLoad(b.Ours), formatLoad(b.Others), b.Reporters, b.OldestMS, b.Subscribers)
 	}
 	return t.flush()
 }
@@ -170,7 +170,7 @@
 }
 
 // formatLoad formats the slots that jobs in flight take, and the jobs that wait.
-func formatLoad(o peers.Out) string {
+func formatLoad(o peers.Load) string {
 	if o.Waiting == 0 {
 		return fmt.Sprint(o.Slots)
 	}
--- a/cmd/sedgevale/peers_test.go
+++ b/cmd/sedgevale/peers_test.go
@@ -14,7 +14,7 @@
 
 // After a change, operators must see which members are behind, for how long, and that all others have applied it.
 func TestPeersAreShown(t *testing.T) {
-	s := peers.Status{Self: 0, Watched: true, Newest: 41, Members: []peers.MemberStatus{
+	s := peers.Status{Self: 0, FailureDetection: true, Newest: 41, Members: []peers.MemberStatus{
 		member(0, "self", 41, "1a2b3c4d", -1, false), member(1, "alive", 41, "1a2b3c4d", -1, false),
 		member(2, "gone", 0, "", -1, false), member(3, "alive", 38, "00000007", 12_345, false), member(4, "alive", 0, "", -1, false),
 		member(5, "unknown", 0, "", -1, false), member(6, "doubted", 41, "99999999", -1, true), member(7, "alive", 0, "00000009", 70_000, false)}}
@@ -39,7 +39,7 @@
 	if got, _, _ := strings.Cut(out.String(), "\nBOX"); got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
-	s.Watched = false
+	s.FailureDetection = false
 	out.Reset()
 	if err := printPeers(&out, s, false); err != nil || strings.Contains(out.String(), "in force at") {
 		t.Errorf("without a watch nobody tells what is in force: %v\n%s", err, &out)
--- a/cmd/sedgevale/settle.go
+++ b/cmd/sedgevale/settle.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := store.SettleIn(store.Options{Dir: c.Dir, Secret: secret, Owner: store.Owner{PID: os.Getpid()}},
+	n, err := store.SettleUnowned(store.Options{Dir: c.Dir, Secret: secret, Owner: store.Owner{PID: os.Getpid()}},
 		c.ID, verdict, c.By, c.Why)
 	var busy *store.BusyError
 	if errors.As(err, &busy) {
--- a/cordon_test.go
+++ b/cordon_test.go
@@ -43,24 +43,24 @@
 		t.Error("a known worker was not taken out")
 	}
 	only("cordoned twice", "b")
-	d.WorkersUpdated(h.now, ListWhole, []WorkerInfo{a, b})
+	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{a, b})
 	only("listed anew", "b")
-	d.WorkersUpdated(h.now, ListWhole, []WorkerInfo{b})
+	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{b})
 	if !d.Cordon(h.now, "a", true) {
 		t.Error("vanished, the worker is still one that was taken out")
 	}
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "a", Weight: 1, StartedAt: h.now}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "a", Weight: 1, StartedAt: h.now}})
 	only("vanished and returned", "b")
 	leaving := a
-	leaving.State = Leaving
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{leaving})
+	leaving.State = Draining
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{leaving})
 	if !d.Cordon(h.now, "a", false) {
 		t.Error("the call back was refused")
 	}
 	only("called back while it drains", "b")
 	leaving = b
-	leaving.State = Leaving
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{a, leaving})
+	leaving.State = Draining
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{a, leaving})
 	only("back", "a")
 }
 
@@ -68,7 +68,7 @@
 func TestRestoreCordon(t *testing.T) {
 	d, h := start(t, settings(), WorkerInfo{Worker: "b", Weight: 1})
 	d.RestoreCordon("a")
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "a", Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "a", Weight: 1}})
 	for range 12 {
 		if w := h.one(d); w != "b" {
 			t.Fatalf("a job went to %q", w)
@@ -83,7 +83,7 @@
 // against one that is left unused though it is back.
 func TestUncordonedWorkerWarmsUp(t *testing.T) {
 	set := settings()
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.1, 3, 2*time.Second
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 20*time.Second, 0.1, 3, 2*time.Second
 	d, h := start(t, set, WorkerInfo{Worker: "a", Weight: 1}, WorkerInfo{Worker: "b", Weight: 1})
 	count := func(span time.Duration) (n int) {
 		for end := h.now + span; h.now < end; {
@@ -107,7 +107,7 @@
 // A restart that the list showed while the worker was cordoned says since when it warms up.
 func TestCordonedWarmsFromItsRestart(t *testing.T) {
 	set := settings()
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.1, 3, 2*time.Second
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 20*time.Second, 0.1, 3, 2*time.Second
 	a, b := WorkerInfo{Worker: "a", Weight: 1}, WorkerInfo{Worker: "b", Weight: 1, StartedAt: time.Hour - time.Minute}
 	d, h := start(t, set, a, b)
 	for _, w := range []string{"a", "b"} {
@@ -116,14 +116,14 @@
 	restarted := h.now + time.Second
 	a.StartedAt = restarted
 	h.run(d, h.now+5*time.Second)
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{a})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{a})
 	for _, w := range []string{"a", "b"} {
 		d.Cordon(h.now, w, false)
 	}
-	if got := d.workersByName["a"].warmAt; got != restarted+set.WarmUp {
+	if got := d.workersByName["a"].warmAt; got != restarted+set.SlowStartDuration {
 		t.Errorf("cold until %v after its restart", got-restarted)
 	}
-	if got := d.workersByName["b"].warmAt; got != h.now+set.WarmUp {
+	if got := d.workersByName["b"].warmAt; got != h.now+set.SlowStartDuration {
 		t.Errorf("cold until %v after it came back", got-h.now)
 	}
 }
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -27,7 +27,7 @@
 
 var (
 	unlimited   = admission.Unlimited
-	limitTuning = admission.Tuning{CutFactor: limitCutFactor, RiseStep: limitRaiseStep, Least: minLimit}
+	limitTuning = admission.LimitTuning{DecreaseFactor: limitCutFactor, IncreaseStep: limitRaiseStep, MinLimit: minLimit}
 )
 
 // Dispatcher makes the decisions of one dispatcher. Use [New] to make one. It
@@ -118,7 +118,7 @@
 // New returns a Dispatcher that calls host and draws its random numbers from
 // seed. The error is that of the settings, or says that there is no host.
 func New(set Settings, seed uint64, host Host) (*Dispatcher, error) {
-	if err := set.Check(); err != nil {
+	if err := set.Validate(); err != nil {
 		return nil, err
 	}
 	if host == nil {
@@ -140,8 +140,8 @@
 		cordons:          map[string]bool{},
 	}
 	d.resetCounters()
-	d.settings.Peers = max(1, set.Peers)
-	d.subsetSharers = d.settings.Peers
+	d.settings.Dispatchers = max(1, set.Dispatchers)
+	d.subsetSharers = d.settings.Dispatchers
 	d.updateTenants(set.Tenants)
 	d.settings.MaxAttempts = attemptLimit(set)
 	d.updateClasses(set.Classes)
@@ -237,7 +237,7 @@
 	d.probeMeteredWorker()
 	d.silentConnections *= 1 - silentConnectionsDecay
 	for _, w := range d.workers {
-		if w != nil && d.settings.TellsStart && !d.catchingUp {
+		if w != nil && d.settings.StartNotified && !d.catchingUp {
 			w.pace += paceDecay * (1 - w.pace)
 			d.writeOffOverdue(now, w)
 		}
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -51,7 +51,7 @@
 
 func newRandomPlay(t *testing.T, seed uint64) *randomPlay {
 	set := settings()
-	set.TellsStart, set.ParallelTries = seed%2 == 0, seed%3 > 0
+	set.StartNotified, set.AllowHedging = seed%2 == 0, seed%3 > 0
 	d, h := start(t, set, fleet(6)...)
 	return &randomPlay{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), d: d, h: h,
 		uncertain: map[string]string{}, class: map[string]int{}, drained: map[string]bool{}, open: map[string]sent{}}
@@ -91,7 +91,7 @@
 		if o == Served && p.h.ends[id] == "" {
 			p.h.ends[id] = "served"
 		}
-		if err := p.d.AttemptEnded(p.h.now, Result{ID: id, Attempt: n, Outcome: o, Closed: closed}); err != nil {
+		if err := p.d.AttemptEnded(p.h.now, AttemptResult{ID: id, Attempt: n, Outcome: o, Answered: closed}); err != nil {
 			p.t.Fatal(err)
 		}
 		p.check()
@@ -103,17 +103,17 @@
 	w := WorkerInfo{Worker: fmt.Sprint("w", p.rng.IntN(6)), Weight: 1}
 	w.Zone, w.Cell = p.d.workersByName[w.Worker].Zone, p.d.workersByName[w.Worker].Cell
 	if p.rng.IntN(2) == 0 {
-		w.State = Leaving
+		w.State = Draining
 	}
-	p.drained[w.Worker] = w.State == Leaving
-	p.d.WorkersUpdated(p.h.now, ListPatch, []WorkerInfo{w})
+	p.drained[w.Worker] = w.State == Draining
+	p.d.WorkersUpdated(p.h.now, UpdateDelta, []WorkerInfo{w})
 	p.check()
 }
 
 // finish ends all that is open and checks that nothing is left.
 func (p *randomPlay) finish() {
 	for _, s := range p.open {
-		_ = p.d.AttemptEnded(p.h.now, Result{ID: s.id, Attempt: s.n, Outcome: Full, Closed: p.h.ends[s.id] != ""})
+		_ = p.d.AttemptEnded(p.h.now, AttemptResult{ID: s.id, Attempt: s.n, Outcome: Rejected, Answered: p.h.ends[s.id] != ""})
 	}
 	p.h.run(p.d, p.h.now+6*time.Second)
 	for id := range p.class {
@@ -163,21 +163,21 @@
 	d, h := start(t, settings(), fleet(2)...)
 	h.ask(d, "r", 0)
 	for what, got := range map[string][2]error{
-		"class":         {d.SubmitRequest(h.now, Request{ID: "x", Class: 3, Left: 1}), ErrBadRequest},
-		"tenant":        {d.SubmitRequest(h.now, Request{ID: "x", Tenant: 1, Left: 1}), ErrBadRequest},
-		"twice":         {d.SubmitRequest(h.now, Request{ID: "r", Left: time.Second}), ErrDuplicateRequest},
-		"unknown":       {d.AttemptEnded(h.now, Result{ID: "x"}), ErrUnknownRequest},
+		"class":         {d.SubmitRequest(h.now, Request{ID: "x", Class: 3, TimeLeft: 1}), ErrBadRequest},
+		"tenant":        {d.SubmitRequest(h.now, Request{ID: "x", Tenant: 1, TimeLeft: 1}), ErrBadRequest},
+		"twice":         {d.SubmitRequest(h.now, Request{ID: "r", TimeLeft: time.Second}), ErrDuplicateRequest},
+		"unknown":       {d.AttemptEnded(h.now, AttemptResult{ID: "x"}), ErrUnknownRequest},
 		"attempt":       {d.AttemptStarted(h.now, "r", 1), ErrUnknownAttempt},
 		"progress":      {d.AttemptProgressed(h.now, "r", -1, 0), ErrUnknownAttempt},
 		"stream":        {d.StreamStarted(h.now, "x", 0), ErrUnknownRequest},
-		"good":          {d.AttemptEnded(h.now, Result{ID: "r", Outcome: Served, Closed: true}), nil},
+		"good":          {d.AttemptEnded(h.now, AttemptResult{ID: "r", Outcome: Served, Answered: true}), nil},
 		"after its end": {nil, nil},
 	} {
 		if !errors.Is(got[0], got[1]) {
 			t.Errorf("%s: error %v, want %v", what, got[0], got[1])
 		}
 	}
-	if err := d.AttemptEnded(h.now, Result{ID: "r"}); !errors.Is(err, ErrUnknownRequest) {
+	if err := d.AttemptEnded(h.now, AttemptResult{ID: "r"}); !errors.Is(err, ErrUnknownRequest) {
 		t.Errorf("outcome after the end: %v", err)
 	}
 	d.ClientDisconnected(h.now, "r")
@@ -186,17 +186,17 @@
 func TestBadSettings(t *testing.T) {
 	for what, change := range map[string]func(*Settings){
 		"no class":    func(s *Settings) { s.Classes = nil },
-		"no limit":    func(s *Settings) { s.Classes[0].Limit = 0 },
-		"no window":   func(s *Settings) { s.Classes[1].Window = 0 },
+		"no limit":    func(s *Settings) { s.Classes[0].ClientTimeout = 0 },
+		"no window":   func(s *Settings) { s.Classes[1].DedupWindow = 0 },
 		"no share":    func(s *Settings) { s.Tenants = []Tenant{{Share: 0}} },
 		"NaN share":   func(s *Settings) { s.Tenants = []Tenant{{Share: math.NaN()}} },
-		"no capacity": func(s *Settings) { s.WarmUp = time.Second },
+		"no capacity": func(s *Settings) { s.SlowStartDuration = time.Second },
 		"zone":        func(s *Settings) { s.Zone = -1 },
 		"kind":        func(s *Settings) { s.Classes[0].Kinds = []int{-1} },
-		"ratio only":  func(s *Settings) { s.Further.Ratio = 0.1 },
-		"no ratio":    func(s *Settings) { s.Further = Budget{1, math.NaN(), time.Second} },
-		"owed budget": func(s *Settings) { s.Further = Budget{-1, 0.1, time.Second} },
-		"closing":     func(s *Settings) { s.CloseOnDrain = -1 },
+		"ratio only":  func(s *Settings) { s.RetryBudget.RetryRatio = 0.1 },
+		"no ratio":    func(s *Settings) { s.RetryBudget = RetryBudget{1, math.NaN(), time.Second} },
+		"owed budget": func(s *Settings) { s.RetryBudget = RetryBudget{-1, 0.1, time.Second} },
+		"closing":     func(s *Settings) { s.DrainCloseTimeout = -1 },
 	} {
 		set := settings()
 		set.Classes = slices.Clone(set.Classes)
@@ -222,7 +222,7 @@
 	for i := range 6 {
 		h.ask(d, fmt.Sprint("r", i), 0)
 	}
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
 	if len(h.sends) != sends {
 		t.Fatal("sent while the batch is still being read")
 	}
--- a/estimates.go
+++ b/estimates.go
@@ -18,14 +18,14 @@
 
 // slack returns how many seconds a request of the class can wait when it arrives.
 func (c *class) slack() float64 {
-	return c.Aim.Seconds() + c.Stretch*c.meanRuntime - c.meanCompletion
+	return c.LatencyTarget.Seconds() + c.TargetStretch*c.meanRuntime - c.meanCompletion
 }
 
 // observeWork updates the mean work from a request whose running time could be
 // estimated. Others must not count: by a mean over requests of no known work, all
 // dispatchers that started with a release overloaded its cold workers together.
 func (d *Dispatcher) observeWork(r *request) {
-	if r.class.samples > 0 || r.Hint > 0 {
+	if r.class.samples > 0 || r.RuntimeHint > 0 {
 		d.knownRequests++
 		d.meanKnownWork += (r.work - d.meanKnownWork) * max(meanGain, 1/d.knownRequests)
 	}
@@ -40,7 +40,7 @@
 	}
 	sum := 0.0
 	for _, k := range d.classes {
-		sum += k.Aim.Seconds()
+		sum += k.LatencyTarget.Seconds()
 	}
 	return sum / float64(len(d.classes))
 }
@@ -48,7 +48,7 @@
 // expectedWorkOf returns the request's work, or the expected work while its running
 // time cannot be estimated.
 func (d *Dispatcher) expectedWorkOf(r *request) float64 {
-	if r.class.samples > 0 || r.Hint > 0 {
+	if r.class.samples > 0 || r.RuntimeHint > 0 {
 		return r.work
 	}
 	return r.Slots * d.expectedWork()
--- a/example_test.go
+++ b/example_test.go
@@ -23,8 +23,8 @@
 func Example() {
 	d, err := sedgevale.New(sedgevale.Settings{
 		Classes: []sedgevale.Class{{
-			Name: "resize", Effect: sedgevale.Safe,
-			Aim: 200 * time.Millisecond, Stretch: 2, Limit: 5 * time.Second,
+			Name: "resize", Idempotency: sedgevale.Idempotent,
+			LatencyTarget: 200 * time.Millisecond, TargetStretch: 2, ClientTimeout: 5 * time.Second,
 		}},
 		MaxAttempts: 3,
 	}, 42, printer{})
@@ -35,12 +35,12 @@
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
 
-	d.WorkersUpdated(clock(), sedgevale.ListWhole, []sedgevale.WorkerInfo{{Worker: "10.0.0.1:5000"}})
-	err = d.SubmitRequest(clock(), sedgevale.Request{ID: "job-1", Left: 5 * time.Second})
+	d.WorkersUpdated(clock(), sedgevale.UpdateFull, []sedgevale.WorkerInfo{{Worker: "10.0.0.1:5000"}})
+	err = d.SubmitRequest(clock(), sedgevale.Request{ID: "job-1", TimeLeft: 5 * time.Second})
 	if err != nil {
 		fmt.Println(err)
 	}
-	err = d.AttemptEnded(clock(), sedgevale.Result{ID: "job-1", Outcome: sedgevale.Served, Closed: true})
+	err = d.AttemptEnded(clock(), sedgevale.AttemptResult{ID: "job-1", Outcome: sedgevale.Served, Answered: true})
 	fmt.Println(err)
 	// Output:
 	// send job-1 to 10.0.0.1:5000
--- a/health_test.go
+++ b/health_test.go
@@ -25,7 +25,7 @@
 // A worker that fails to connect is left alone, then tried with one job.
 func TestUnhealthyWorkerIsTriedOnce(t *testing.T) {
 	set := settings()
-	set.TellsStart = false
+	set.StartNotified = false
 	d, h := start(t, set, fleet(1)...)
 	h.ask(d, "a", 0)
 	h.over(d, "a", 0, ConnectFailed)
@@ -54,21 +54,21 @@
 // The first start of a job sent well after tells; what may run twice goes out
 // again, the backoff is waited for.
 func TestSilentConnections(t *testing.T) {
-	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
+	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		set := settings()
-		set.InOrder, set.Peers = true, 2
+		set.FIFOWorkers, set.Dispatchers = true, 2
 		d, h := start(t, set, fleet(1)...)
 		w := d.workersByName["w0"]
 		h.ask(d, "mute", class)
 		h.now += minOvertakeGap + ms
-		d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "v", Cell: 5, Weight: 1}}) // the rule on copies allows no other cell
+		d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "v", Cell: 5, Weight: 1}}) // the rule on copies allows no other cell
 		d.send(h.now, newRequest(d, h, "other"), w)
 		h.began(d, "other", 0)
 		if w.inFlight != 1 || w.notStarted != 0 {
 			t.Errorf("effect %d: %v slots held, %d to start; the silent one counts", effect, w.inFlight, w.notStarted)
 		}
 		want := 2
-		if effect == Unsafe {
+		if effect == NotIdempotent {
 			want = 1
 		}
 		if h.tries["mute"] != want {
@@ -88,7 +88,7 @@
 // the worker is not kept out for good by a job that will never start.
 func TestLateStartDoesNotBlockAWorker(t *testing.T) {
 	set := settings()
-	set.InOrder = true
+	set.FIFOWorkers = true
 	d, h := start(t, set, fleet(1)...)
 	h.ask(d, "mute", 2)
 	h.run(d, h.now+500*ms)
@@ -136,19 +136,19 @@
 // while others go on there. When all have broken, the worker is doubted.
 func TestOneBrokenConnection(t *testing.T) {
 	set := settings()
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.1, 3, 2*time.Second
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 20*time.Second, 0.1, 3, 2*time.Second
 	d, h := start(t, set, fleet(2)...)
 	w := d.workersByName["w0"]
 	for _, id := range []string{"a", "b", "c"} {
 		d.send(h.now, newRequest(d, h, id), w)
 		h.began(d, id, 0)
 	}
-	h.over(d, "a", 0, Lost)
+	h.over(d, "a", 0, ConnectionLost)
 	if w.unhealthyUntil != 0 || w.limit != unlimited || w.warmAt != 0 {
 		t.Errorf("one of three: left alone until %v, sigma %v, cold until %v", w.unhealthyUntil, w.limit, w.warmAt)
 	}
-	h.over(d, "b", 0, Lost)
-	h.over(d, "c", 0, Lost)
+	h.over(d, "b", 0, ConnectionLost)
+	h.over(d, "c", 0, ConnectionLost)
 	if w.unhealthyUntil <= h.now || w.warmAt <= h.now {
 		t.Errorf("all: left alone until %v, cold until %v", w.unhealthyUntil, w.warmAt)
 	}
@@ -157,7 +157,7 @@
 // Guards against a worker that fails each job at once, or turns it away, and so
 // always holds the fewest: it would draw all jobs.
 func TestBadAnswersEject(t *testing.T) {
-	for _, o := range []Outcome{Errored, Full} {
+	for _, o := range []Outcome{Errored, Rejected} {
 		set := settings()
 		set.Tenants = []Tenant{{Share: 1, Quota: 1e6}} // within it, sigma does not bind
 		d, h := start(t, set, fleet(3)...)
@@ -240,7 +240,7 @@
 	if got, want := d.slackAtPace(0, r, 1), 0.2+shortJobPart*0.2; got < want-1e-9 || got > want+1e-9 {
 		t.Errorf("slack %v, want %v", got, want)
 	}
-	r.Hint = 200 * ms
+	r.RuntimeHint = 200 * ms
 	if got := d.slackAtPace(0, r, 1); got < 0.4-1e-9 || got > 0.4+1e-9 {
 		t.Errorf("slack %v of a job whose time is known, want 0.4", got)
 	}
--- a/host_test.go
+++ b/host_test.go
@@ -123,12 +123,12 @@
 func settings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, Aim: 200 * ms, Stretch: 2, Limit: 5 * time.Second, LateShare: 0.5},
-			{Name: "keyed", Effect: Keyed, Scope: ScopeZone, Window: 2 * time.Second, Aim: 200 * ms, Stretch: 2,
-				Limit: 5 * time.Second, LateShare: 0.5},
-			{Name: "unsafe", Effect: Unsafe, Aim: 200 * ms, Stretch: 2, Limit: 5 * time.Second, LateShare: 0.5},
+			{Name: "safe", Idempotency: Idempotent, LatencyTarget: 200 * ms, TargetStretch: 2, ClientTimeout: 5 * time.Second, LateValue: 0.5},
+			{Name: "keyed", Idempotency: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 2 * time.Second, LatencyTarget: 200 * ms, TargetStretch: 2,
+				ClientTimeout: 5 * time.Second, LateValue: 0.5},
+			{Name: "unsafe", Idempotency: NotIdempotent, LatencyTarget: 200 * ms, TargetStretch: 2, ClientTimeout: 5 * time.Second, LateValue: 0.5},
 		},
-		MaxAttempts: 4, ParallelTries: true, MayCancel: true, TellsStart: true, Weights: WeightSize,
+		MaxAttempts: 4, AllowHedging: true, AllowCancel: true, StartNotified: true, Weights: WeightSize,
 	}
 }
 
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.WorkersUpdated(h.now, ListStale, workers)
+	d.WorkersUpdated(h.now, UpdateStale, workers)
 	return d, h
 }
 
@@ -153,14 +153,14 @@
 
 func (h *fake) ask(d *Dispatcher, id string, class int) {
 	h.t.Helper()
-	if err := d.SubmitRequest(h.now, Request{ID: id, Class: class, Left: 5 * time.Second}); err != nil {
+	if err := d.SubmitRequest(h.now, Request{ID: id, Class: class, TimeLeft: 5 * time.Second}); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
 func (h *fake) over(d *Dispatcher, id string, n int, o Outcome) {
 	h.t.Helper()
-	if err := d.AttemptEnded(h.now, Result{ID: id, Attempt: n, Outcome: o, Closed: o == Served}); err != nil {
+	if err := d.AttemptEnded(h.now, AttemptResult{ID: id, Attempt: n, Outcome: o, Answered: o == Served}); err != nil {
 		h.t.Fatal(err)
 	}
 	if o == Served {
--- a/internal/crashtest/kill_test.go
+++ b/internal/crashtest/kill_test.go
@@ -48,8 +48,8 @@
 type harness struct {
 	t       *testing.T
 	rand    *rand.Rand
-	workers []*fake.Box
-	ledger  *fake.Ledger
+	workers []*fake.Worker
+	ledger  *fake.RunLog
 	file    string
 	dir     string
 	listen  string
@@ -61,19 +61,19 @@
 }
 
 func newHarness(t *testing.T) *harness {
-	a := &harness{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), ledger: fake.NewLedger(), dir: filepath.Join(t.TempDir(), "journal"),
+	a := &harness{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), ledger: fake.NewRunLog(), dir: filepath.Join(t.TempDir(), "journal"),
 		listen: testkit.FreeAddr(t), log: &bytes.Buffer{}}
-	shelf := fake.NewShelf(0)
+	shelf := fake.NewResultStore(0)
 	var members []fake.Member
 	for i := range 3 {
-		faults := fake.Faults{}
-		for _, p := range fake.Points {
-			if p != fake.Hang { // a run of a thousand kills would wait for each
+		faults := fake.FaultShares{}
+		for _, p := range fake.AllFaults {
+			if p != fake.FaultHang { // a run of a thousand kills would wait for each
 				faults[p] = 0.001
 			}
 		}
-		b := fake.NewBox(fake.BoxOptions{ID: fmt.Sprintf("box-%d", i), Slots: 8, Faults: faults, Seed: *seed + uint64(i),
-			Shelf: shelf, Ledger: a.ledger, Work: func(_ string, r *rand.Rand) time.Duration {
+		b := fake.NewWorker(fake.WorkerOptions{ID: fmt.Sprintf("box-%d", i), Slots: 8, Faults: faults, Seed: *seed + uint64(i),
+			Results: shelf, RunLog: a.ledger, Work: func(_ string, r *rand.Rand) time.Duration {
 				return 300*time.Microsecond + time.Duration(r.Int64N(int64(1200*time.Microsecond)))
 			}})
 		addr, err := b.Listen("127.0.0.1:0")
@@ -129,7 +129,7 @@
 	a.cycle++
 	prefix := fmt.Sprintf("c%d", a.cycle)
 	c := a.start()
-	var told []fake.Told
+	var told []fake.Response
 	var killed time.Time
 	kill := func() {
 		killed = time.Now()
@@ -161,9 +161,9 @@
 }
 
 // check compares the journal with the ledgers and with the responses that clients got.
-func (a *harness) check(prefix string, told []fake.Told, killed time.Time) {
+func (a *harness) check(prefix string, told []fake.Response, killed time.Time) {
 	a.jobs += len(told)
-	if !store.Used(store.OS{}, a.dir) { // killed before it ever wrote
+	if !store.HasRecords(store.OS{}, a.dir) { // killed before it ever wrote
 		if len(a.ledger.Jobs()) > 0 {
 			a.t.Errorf("cycle %d: there is no journal, and workers have begun jobs", a.cycle)
 		}
@@ -178,7 +178,7 @@
 		func(class string) bool { return class == "plan-change" }, mine, nil) {
 		a.t.Errorf("cycle %d: %s", a.cycle, breach)
 	}
-	answered := map[string]fake.Told{}
+	answered := map[string]fake.Response{}
 	for _, t := range told {
 		answered[t.Job] = t
 	}
@@ -197,8 +197,8 @@
 		} else {
 			a.unknownByFault++
 		}
-		if t := answered[j.ID]; t.Status == http.StatusOK && killed.Sub(t.At) > 100*time.Millisecond {
-			a.t.Errorf("cycle %d: job %s is unknown (%s), but it was answered %v before the kill", a.cycle, j.ID, reason, killed.Sub(t.At))
+		if t := answered[j.ID]; t.Status == http.StatusOK && killed.Sub(t.ReceivedAt) > 100*time.Millisecond {
+			a.t.Errorf("cycle %d: job %s is unknown (%s), but it was answered %v before the kill", a.cycle, j.ID, reason, killed.Sub(t.ReceivedAt))
 		}
 	}
 }
@@ -229,7 +229,7 @@
 		if left--; left < 0 { // the others wait
 			break
 		}
-		n, err := store.SettleIn(store.Options{Dir: a.dir, Secret: secret, Owner: store.Owner{PID: os.Getpid()}}, j.ID,
+		n, err := store.SettleUnowned(store.Options{Dir: a.dir, Secret: secret, Owner: store.Owner{PID: os.Getpid()}}, j.ID,
 			journal.Ran, "the test", "found out")
 		if err != nil {
 			a.t.Fatalf("cycle %d: settling %s: %v", a.cycle, j.ID, err)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -29,7 +29,7 @@
 }
 
 var phases = map[string]sedgevale.WorkerState{
-	"ready": sedgevale.Active, "draining": sedgevale.Leaving, "gone": sedgevale.Left,
+	"ready": sedgevale.Active, "draining": sedgevale.Draining, "gone": sedgevale.Removed,
 }
 
 // Parse decodes and validates a list.
@@ -38,11 +38,11 @@
 	if err := json.Unmarshal(b, &l); err != nil {
 		return l, fmt.Errorf("list of workers: %w", err)
 	}
-	return l, l.Check()
+	return l, l.Validate()
 }
 
-// Check validates a list. The error names the first invalid entry.
-func (l *List) Check() error {
+// Validate validates a list. The error names the first invalid entry.
+func (l *List) Validate() error {
 	for i, m := range l.Members {
 		if _, ok := phases[m.Phase]; m.ID == "" || !ok || m.Cell < 0 {
 			return fmt.Errorf("list of workers: entry %d (%q) lacks an id, or its phase or cell is unknown", i, m.ID)
@@ -54,8 +54,8 @@
 // Names are the names of zones (localities) and kinds of workers (flavors) in the settings; a WorkerInfo has their indexes.
 type Names struct{ Zones, Kinds []string }
 
-// Entries converts a list for the dispatcher. When maps Unix times in milliseconds onto the dispatcher's clock.
-func (n Names) Entries(l List, when func(unixMilli int64) time.Duration) []sedgevale.WorkerInfo {
+// WorkerInfos converts a list for the dispatcher. When maps Unix times in milliseconds onto the dispatcher's clock.
+func (n Names) WorkerInfos(l List, when func(unixMilli int64) time.Duration) []sedgevale.WorkerInfo {
 	entries := make([]sedgevale.WorkerInfo, 0, len(l.Members))
 	for _, m := range l.Members {
 		entries = append(entries, sedgevale.WorkerInfo{Worker: m.ID, Zone: indexOf(n.Zones, m.Locality),
@@ -79,8 +79,8 @@
 // Ready reports whether the worker accepts new requests.
 func (m *Member) Ready() bool { return phases[m.Phase] == sedgevale.Active }
 
-// With returns the list after an update, which is a full list or the changed entries. It shares no memory with l.
-func (l List) With(change List, full bool) List {
+// Apply returns the list after an update, which is a full list or the changed entries. It shares no memory with l.
+func (l List) Apply(change List, full bool) List {
 	if full {
 		l.Members = nil
 	}
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, m := range change.Members {
-		if phases[m.Phase] != sedgevale.Left {
+		if phases[m.Phase] != sedgevale.Removed {
 			out.Members = append(out.Members, m)
 		}
 	}
--- a/internal/discovery/timeout_test.go
+++ b/internal/discovery/timeout_test.go
@@ -27,7 +27,7 @@
 		max time.Duration
 	}{
 		"watch": {func(w *Watcher, _ string) { w.Watch() }, watchTimeout, watchTimeout + answerTimeout},
-		"move":  {func(w *Watcher, addr string) { w.Move(addr) }, answerTimeout, answerTimeout},
+		"move":  {func(w *Watcher, addr string) { w.SetAddr(addr) }, answerTimeout, answerTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -50,9 +50,9 @@
 	return &Watcher{loop: loop, addr: addr, current: addr, onUpdate: onUpdate, onFailure: onFailure, log: log, revision: known.Revision}
 }
 
-// Known has the watch begin after a revision that another process has received from addr. Revisions of different addresses
+// StartAfter has the watch begin after a revision that another process has received from addr. Revisions of different addresses
 // are not comparable: if addr is not the Watcher's the full list is requested. It must be called before Watch.
-func (w *Watcher) Known(revision int64, addr string) {
+func (w *Watcher) StartAfter(revision int64, addr string) {
 	w.loop.Do(func() { w.revision, w.needFullList = revision, addr != w.addr })
 }
 
@@ -73,10 +73,10 @@
 	})
 }
 
-// Move changes the address of the server; with an empty one the watch ends. The new server may count revisions differently,
+// SetAddr changes the address of the server; with an empty one the watch ends. The new server may count revisions differently,
 // so the full list is requested first. Until it has arrived an outstanding answer from the address before still counts: it
 // may say that a worker drains. It is safe for concurrent use.
-func (w *Watcher) Move(addr string) {
+func (w *Watcher) SetAddr(addr string) {
 	w.loop.Do(func() {
 		if addr == w.addr {
 			return
@@ -130,8 +130,8 @@
 	errUnsolicited = errors.New("unsolicited answer")
 )
 
-// Opened implements evloop.Handler.
-func (c *conn) Opened(raw evloop.Conn) bool {
+// OnOpen implements evloop.Handler.
+func (c *conn) OnOpen(raw evloop.Conn) bool {
 	c.raw = raw
 	if c.closed {
 		return false
@@ -156,16 +156,16 @@
 	c.watcher.timer = time.AfterFunc(timeout, func() { c.watcher.loop.Do(c.checkTimeout) })
 	out := http1.AppendRequest(nil, "GET", target)
 	out = http1.AppendField(out, "Host", c.watcher.addr)
-	_, _ = c.raw.Write(append(out, "\r\n"...)) // a failure closes the connection, which calls Closed
+	_, _ = c.raw.Write(append(out, "\r\n"...)) // a failure closes the connection, which calls OnClose
 }
 
-// Traffic implements evloop.Handler.
-func (c *conn) Traffic(raw evloop.Conn) bool {
+// OnTraffic implements evloop.Handler.
+func (c *conn) OnTraffic(raw evloop.Conn) bool {
 	for !c.closed {
 		buf, _ := raw.Peek(-1)
 		n, ev, part, err := c.parser.Next(buf)
 		c.body = append(c.body, part...)
-		evloop.Take(raw, n)
+		evloop.Discard(raw, n)
 		switch {
 		case err != nil:
 			c.fail(err)
@@ -182,8 +182,8 @@
 	return true
 }
 
-// Closed implements evloop.Handler.
-func (c *conn) Closed(evloop.Conn) {
+// OnClose implements evloop.Handler.
+func (c *conn) OnClose(evloop.Conn) {
 	switch {
 	case c.awaiting && c.parser.UntilClose():
 		c.parser.Head.Close = true
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -115,7 +115,7 @@
 	w := NewWatcher(loop, from, List{Revision: 5}, func(l List) { updates <- l }, func() { failures <- true }, log)
 	w.Watch()
 	testkit.Await(t, "a watch", askedOld)
-	w.Move(to)
+	w.SetAddr(to)
 	if got := testkit.Await(t, "the first call", askedNew); got != "/v1/endpoints" {
 		t.Errorf("at the new address first asked %s", got)
 	}
@@ -130,9 +130,9 @@
 	if got := testkit.Await(t, "the watch", askedNew); !strings.HasPrefix(got, "/v1/endpoints?since=7&") {
 		t.Errorf("then asked %s", got)
 	}
-	w.Move("") // ends the watch
+	w.SetAddr("") // ends the watch
 	w.Watch()
-	w.Move(from)
+	w.SetAddr(from)
 	testkit.Await(t, "the first call", askedOld)
 	if len(failures) > 0 || len(askedNew) > 0 {
 		t.Error("a move was reported as a failure, or the previous address got another call")
@@ -146,11 +146,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := Names{Zones: []string{"y", "x"}, Kinds: []string{"f"}}.Entries(l, func(ms int64) time.Duration { return time.Duration(ms) })
+	got := Names{Zones: []string{"y", "x"}, Kinds: []string{"f"}}.WorkerInfos(l, func(ms int64) time.Duration { return time.Duration(ms) })
 	if want := (sedgevale.WorkerInfo{Worker: "a", Zone: 1, Cell: 3, Weight: 2, StartedAt: 7}); got[0] != want {
 		t.Errorf("%+v", got[0])
 	}
-	if w := got[1]; w.State != sedgevale.Left || w.Zone != 2 || w.Kind != 1 {
+	if w := got[1]; w.State != sedgevale.Removed || w.Zone != 2 || w.Kind != 1 {
 		t.Errorf("unknown names have the indexes of known ones: %+v", w)
 	}
 	for _, text := range []string{`{`, `{"members":[{"id":"a","phase":"odd"}]}`, `{"members":[{"phase":"ready"}]}`} {
@@ -162,15 +162,15 @@
 
 // An update yields a new list and leaves the one before as it was.
 func TestListWithChanges(t *testing.T) {
-	l := List{}.With(List{Revision: 1, Members: []Member{{ID: "a", Phase: "ready"}, {ID: "b", Phase: "ready"}}}, true)
-	m := l.With(List{Revision: 2, Members: []Member{{ID: "a", Phase: "draining"}, {ID: "c", Phase: "ready"}, {ID: "b", Phase: "gone"}}}, false)
+	l := List{}.Apply(List{Revision: 1, Members: []Member{{ID: "a", Phase: "ready"}, {ID: "b", Phase: "ready"}}}, true)
+	m := l.Apply(List{Revision: 2, Members: []Member{{ID: "a", Phase: "draining"}, {ID: "c", Phase: "ready"}, {ID: "b", Phase: "gone"}}}, false)
 	if len(m.Members) != 2 || m.Members[0].Phase != "draining" || m.Members[1].ID != "c" || m.Revision != 2 || !m.Complete {
 		t.Errorf("changed: %+v", m)
 	}
 	if l.Members[0].Phase != "ready" || l.Revision != 1 {
 		t.Errorf("the list before was modified: %+v", l)
 	}
-	if w := m.With(List{Revision: 3, Members: []Member{{ID: "d", Phase: "ready"}}}, true); len(w.Members) != 1 {
+	if w := m.Apply(List{Revision: 3, Members: []Member{{ID: "d", Phase: "ready"}}}, true); len(w.Members) != 1 {
 		t.Errorf("a full list: %+v", w)
 	}
 }
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -13,15 +13,15 @@
 // noted is a journal that makes intents durable only when asked to.
 type noted struct{ intents chan func(bool) }
 
-func (n noted) Take(*Job) (uint64, bool) { return 1, true }
-func (n noted) Intent(_ uint64, _ int, _, _ string, done func(bool)) {
+func (n noted) Register(*Job) (uint64, bool) { return 1, true }
+func (n noted) RecordIntent(_ uint64, _ int, _, _ string, done func(bool)) {
 	n.intents <- done
 }
-func (noted) Sent(uint64, int)                           {}
-func (noted) Started(uint64, int)                        {}
-func (noted) Ended(uint64, int, sedgevale.Outcome, bool) {}
-func (noted) Answered(uint64, Answer)                    {}
-func (noted) Gone(uint64)                                {}
+func (noted) AttemptSent(uint64, int)                           {}
+func (noted) AttemptStarted(uint64, int)                        {}
+func (noted) AttemptEnded(uint64, int, sedgevale.Outcome, bool) {}
+func (noted) Answered(uint64, Answer)                           {}
+func (noted) ClientDisconnected(uint64)                         {}
 
 // Guards against a job that begins after its client has left, where attempts may not be called
 // off: one that waits to be recorded is not handed on, and one that may still be connecting is
@@ -36,27 +36,27 @@
 		}
 		j := noted{make(chan func(bool), 4)}
 		if recorded {
-			p.Record(j)
+			p.SetJournal(j)
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); p.Run(ctx) }()
-		p.Members(sedgevale.ListWhole, []sedgevale.WorkerInfo{{Worker: "w"}})
+		p.WorkersUpdated(sedgevale.UpdateFull, []sedgevale.WorkerInfo{{Worker: "w"}})
 		x := NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, newClient())
-		p.Request(x)
+		p.SubmitRequest(x)
 		if recorded {
 			onRecord := testkit.Await(t, "the intent", j.intents)
-			p.Gone(x)
+			p.ClientDisconnected(x)
 			openNow(t, p)
 			onRecord(true)
 			openNow(t, p)
 		} else {
 			a := testkit.Await(t, "the attempt", c.sent)
-			p.Gone(x)
+			p.ClientDisconnected(x)
 			if testkit.Await(t, "the attempt to be taken back", c.withdrawn) != a {
 				t.Error("another attempt was taken back")
 			}
-			p.Ended(a, sedgevale.NotSent, nil, nil)
+			p.AttemptEnded(a, sedgevale.NotSent, nil, nil)
 		}
 		if n := openNow(t, p); n != 0 || len(c.sent) > 0 {
 			t.Errorf("recorded %v: %d open, %d sent", recorded, n, len(c.sent))
@@ -69,7 +69,7 @@
 // A further attempt knows until when workers drop it as a repeat: by the first that may have
 // run, not by one that never was sent. A class without such a window knows none.
 func TestExpiry(t *testing.T) {
-	keyed := &sedgevale.Class{Effect: sedgevale.Keyed, Window: time.Second}
+	keyed := &sedgevale.Class{Idempotency: sedgevale.IdempotentByKey, DedupWindow: time.Second}
 	x := &Exchange{Job: Job{Class: keyed}}
 	if got := x.retryExpiry(); got != 0 {
 		t.Errorf("of a first attempt: %v", got)
@@ -82,7 +82,7 @@
 	if a.Expired(4*time.Second-1) || !a.Expired(4*time.Second) || (&Attempt{}).Expired(time.Hour) {
 		t.Error("the wrong moment")
 	}
-	x.Class = &sedgevale.Class{Effect: sedgevale.Unsafe}
+	x.Class = &sedgevale.Class{Idempotency: sedgevale.NotIdempotent}
 	if got := x.retryExpiry(); got != 0 {
 		t.Errorf("of another class: %v", got)
 	}
@@ -98,17 +98,17 @@
 		p, carry, clock := begin(t, workers...)
 		c := newClient()
 		x := NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c)
-		p.Request(x)
+		p.SubmitRequest(x)
 		if tried {
-			p.Ended(testkit.Await(t, "the attempt", carry.sent), sedgevale.Full, nil, nil) // w is left alone for now
+			p.AttemptEnded(testkit.Await(t, "the attempt", carry.sent), sedgevale.Rejected, nil, nil) // w is left alone for now
 		}
-		p.Gone(x)
-		p.Members(sedgevale.ListPatch, []sedgevale.WorkerInfo{{Worker: "v"}})
+		p.ClientDisconnected(x)
+		p.WorkersUpdated(sedgevale.UpdateDelta, []sedgevale.WorkerInfo{{Worker: "v"}})
 		if n := openNow(t, p); n != 0 || len(carry.sent) > 0 || c.count() > 0 {
 			t.Errorf("tried %v: %d open, %d sent, %d answers", tried, n, len(carry.sent), c.count())
 		}
 		again := newClient()
-		p.Request(NewExchange(Job{ID: "s", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, again))
+		p.SubmitRequest(NewExchange(Job{ID: "s", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, again))
 		if a := testkit.Await(t, "another job's attempt", carry.sent); a.ID != "s" {
 			t.Errorf("tried %v: %s was sent", tried, a.ID)
 		}
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -13,21 +13,21 @@
 
 // Job is what a client asks for.
 type Job struct {
-	ID         string
-	Class      *sedgevale.Class // as it was when the job came; immutable
-	Tenant     int              // index into the settings by which the job was parsed; -1: there were no tenants
-	TenantName string
-	Client     string        // of the tenant; may be empty
-	Key        string        // affinity key; may be empty
-	Slots      float64       // that it takes at a worker
-	Hint       time.Duration // an estimate of its running time; 0: none
-	Retry      bool          // the client has tried before
+	ID          string
+	Class       *sedgevale.Class // as it was when the job came; immutable
+	Tenant      int              // index into the settings by which the job was parsed; -1: there were no tenants
+	TenantName  string
+	Client      string        // of the tenant; may be empty
+	AffinityKey string        // affinity key; may be empty
+	Slots       float64       // that it takes at a worker
+	RuntimeHint time.Duration // an estimate of its running time; 0: none
+	ClientRetry bool          // the client has tried before
 
 	// Passed to the worker as they are.
 	Method, Target string
-	Once           string // the key by which workers drop repeats; may be empty
+	IdempotencyKey string // the key by which workers drop repeats; may be empty
 	Body           []byte
-	Load           any // of a front that has its own carrier
+	Payload        any // of a front that has its own carrier
 }
 
 // AnswerKind tells the final answers apart.
@@ -35,18 +35,18 @@
 
 // The kinds of final answers.
 const (
-	Served  AnswerKind = iota // a worker's result
-	Refused                   // not served; the client may safely try again
-	Failed                    // not served; it may have run
+	Served   AnswerKind = iota // a worker's result
+	Rejected                   // not served; the client may safely try again
+	Failed                     // not served; it may have run
 )
 
 // Answer is the one final answer of an Exchange.
 type Answer struct {
-	Kind   AnswerKind
-	Result []byte        // Served
-	After  time.Duration // when to try again, if it may safely; 0: no advice
-	Reason string        // why it was not served, for a person
-	Ran    bool          // Failed: an attempt may have run
+	Kind       AnswerKind
+	Result     []byte        // Served
+	RetryAfter time.Duration // when to try again, if it may safely; 0: no advice
+	Reason     string        // why it was not served, for a person
+	MayHaveRun bool          // Failed: an attempt may have run
 }
 
 // Client is the client side of an Exchange. The calls come from [Planner.Run] and must
@@ -94,11 +94,11 @@
 // Attempt is one sending of an Exchange to a worker.
 type Attempt struct {
 	*Exchange
-	Worker   string
-	Number   int
-	Deadline time.Duration // on the Clock: when it is no longer waited for
-	Planner  *Planner      // what becomes of the attempt is reported to it
-	Single   bool          // it must not run twice, so there is no retry after a broken connection
+	Worker     string
+	Number     int
+	Deadline   time.Duration // on the Clock: when it is no longer waited for
+	Planner    *Planner      // what becomes of the attempt is reported to it
+	AtMostOnce bool          // it must not run twice, so there is no retry after a broken connection
 
 	timer        *timer
 	attemptTally               //lint:ignore U1000 it is empty in builds without the tally tag
@@ -120,13 +120,13 @@
 	Send(*Attempt)
 	// Cancel ends an attempt as cancelled, unless it has ended by then.
 	Cancel(*Attempt)
-	// Withdraw ends an attempt as not sent if no byte of it is on its way yet; any
+	// CancelUnsent ends an attempt as not sent if no byte of it is on its way yet; any
 	// other goes on.
-	Withdraw(*Attempt)
+	CancelUnsent(*Attempt)
 	// Probe asks a worker for its load, and reports the answer to p.
 	Probe(worker string, p *Planner)
-	// CloseIdle closes the connections to a worker that carry no attempt.
-	CloseIdle(worker string)
+	// CloseIdleConnections closes the connections to a worker that carry no attempt.
+	CloseIdleConnections(worker string)
 }
 
 // Clock is the one clock of the program. It is monotonic, and Unix times can be
@@ -161,14 +161,14 @@
 	return max(0, time.Duration(ms)*time.Millisecond-c.startUnix+clockOrigin)
 }
 
-// Left returns how long the client still waits. It may be negative.
-func (x *Exchange) Left(now time.Duration) time.Duration { return x.deadline - now }
+// TimeLeft returns how long the client still waits. It may be negative.
+func (x *Exchange) TimeLeft(now time.Duration) time.Duration { return x.deadline - now }
 
-// Intercept wraps an Exchange's client. It must be called before the Exchange is
+// WrapClient wraps an Exchange's client. It must be called before the Exchange is
 // submitted.
-func (x *Exchange) Intercept(f func(Client) Client) { x.client = f(x.client) }
+func (x *Exchange) WrapClient(f func(Client) Client) { x.client = f(x.client) }
 
-// TurnAway rejects an Exchange that has not been submitted.
-func (x *Exchange) TurnAway(after time.Duration, reason string) {
-	x.answer(Answer{Kind: Refused, After: after, Reason: reason})
+// Reject rejects an Exchange that has not been submitted.
+func (x *Exchange) Reject(after time.Duration, reason string) {
+	x.answer(Answer{Kind: Rejected, RetryAfter: after, Reason: reason})
 }
--- a/internal/dispatch/journal.go
+++ b/internal/dispatch/journal.go
@@ -9,35 +9,35 @@
 // Journal keeps a durable record of jobs that must not run twice. Its methods must not
 // block; they are called from a Planner's Run. A job is known to it by a number.
 type Journal interface {
-	// Take registers a job that is about to be accepted. Number 0 says that the
+	// Register registers a job that is about to be accepted. Number 0 says that the
 	// journal does not keep this job; not ok, that it should but cannot, and that the job
 	// must not be accepted.
-	Take(j *Job) (number uint64, ok bool)
-	// Intent records that an attempt is about to go to a worker. Done is called, from any
+	Register(j *Job) (number uint64, ok bool)
+	// RecordIntent records that an attempt is about to go to a worker. Done is called, from any
 	// goroutine, once that is durable, or with false once it cannot be.
-	Intent(number uint64, attempt int, id, worker string, done func(ok bool))
-	Sent(number uint64, attempt int)
-	Started(number uint64, attempt int)
-	// Ended records how an attempt ended, and whether it surely never ran.
-	Ended(number uint64, attempt int, o sedgevale.Outcome, neverRan bool)
+	RecordIntent(number uint64, attempt int, id, worker string, done func(ok bool))
+	AttemptSent(number uint64, attempt int)
+	AttemptStarted(number uint64, attempt int)
+	// AttemptEnded records how an attempt ended, and whether it surely never ran.
+	AttemptEnded(number uint64, attempt int, o sedgevale.Outcome, neverRan bool)
 	Answered(number uint64, a Answer)
-	Gone(number uint64)
+	ClientDisconnected(number uint64)
 }
 
 // unrecordedRetryAfter is the advice to a client whose job cannot be recorded, where
 // the settings allow advice.
 const unrecordedRetryAfter = time.Second
 
-// Record sets the journal that jobs are recorded in. It must be called before Run.
-func (p *Planner) Record(j Journal) { p.journal = j }
+// SetJournal sets the journal that jobs are recorded in. It must be called before Run.
+func (p *Planner) SetJournal(j Journal) { p.journal = j }
 
-// Recorded reports whether the attempt's job is in a journal. If so, [Planner.Sent]
+// InJournal reports whether the attempt's job is in a journal. If so, [Planner.Sent]
 // must be called.
-func (a *Attempt) Recorded() bool { return a.recordNumber != 0 }
+func (a *Attempt) InJournal() bool { return a.recordNumber != 0 }
 
-// Sent reports that an attempt's bytes were written to its worker's connection, which
+// AttemptSent reports that an attempt's bytes were written to its worker's connection, which
 // only a journal needs.
-func (p *Planner) Sent(a *Attempt) { p.queue.Put(event{kind: eventSent, attempt: a}) }
+func (p *Planner) AttemptSent(a *Attempt) { p.queue.Put(event{kind: eventSent, attempt: a}) }
 
 // registerInJournal registers a job in the journal, if there is one, and reports
 // whether it may be accepted.
@@ -45,7 +45,7 @@
 	if p.journal == nil {
 		return true
 	}
-	number, ok := p.journal.Take(&x.Job)
+	number, ok := p.journal.Register(&x.Job)
 	if x.recordNumber = number; number != 0 {
 		x.journal = p.journal
 	}
@@ -60,7 +60,7 @@
 		return
 	}
 	a.awaitsIntent = true
-	p.journal.Intent(a.recordNumber, a.Number, a.ID, a.Worker, func(ok bool) {
+	p.journal.RecordIntent(a.recordNumber, a.Number, a.ID, a.Worker, func(ok bool) {
 		p.queue.Put(event{kind: eventIntentRecorded, attempt: a, ok: ok})
 	})
 }
@@ -84,9 +84,9 @@
 func (p *Planner) rejectUnrecorded(a *Attempt) {
 	if x := a.Exchange; !x.answered {
 		if x.mayHaveRunBesides(a) {
-			x.answer(Answer{Kind: Failed, Reason: "it cannot be recorded where it goes next", Ran: true})
+			x.answer(Answer{Kind: Failed, Reason: "it cannot be recorded where it goes next", MayHaveRun: true})
 		} else {
-			x.answer(Answer{Kind: Refused, After: min(unrecordedRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
+			x.answer(Answer{Kind: Rejected, RetryAfter: min(unrecordedRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
 		}
 	}
 	p.endAttempt(a, sedgevale.NotSent, nil, nil)
--- a/internal/dispatch/journal_test.go
+++ b/internal/dispatch/journal_test.go
@@ -20,7 +20,7 @@
 	intents chan func(bool)
 }
 
-func (b *book) Take(j *Job) (uint64, bool) {
+func (b *book) Register(j *Job) (uint64, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if j.Class.Name != "once" {
@@ -39,13 +39,13 @@
 	b.notes = append(b.notes, s)
 }
 
-func (b *book) Intent(_ uint64, _ int, _, worker string, done func(bool)) {
+func (b *book) RecordIntent(_ uint64, _ int, _, worker string, done func(bool)) {
 	b.note("intent " + worker)
 	b.intents <- done
 }
-func (b *book) Sent(uint64, int)    { b.note("sent") }
-func (b *book) Started(uint64, int) { b.note("started") }
-func (b *book) Ended(_ uint64, _ int, _ sedgevale.Outcome, neverRan bool) {
+func (b *book) AttemptSent(uint64, int)    { b.note("sent") }
+func (b *book) AttemptStarted(uint64, int) { b.note("started") }
+func (b *book) AttemptEnded(_ uint64, _ int, _ sedgevale.Outcome, neverRan bool) {
 	if neverRan {
 		b.note("ended unseen")
 	} else {
@@ -55,7 +55,7 @@
 func (b *book) Answered(_ uint64, a Answer) {
 	b.note([]string{"served", "refused", "failed"}[a.Kind])
 }
-func (b *book) Gone(uint64) { b.note("gone") }
+func (b *book) ClientDisconnected(uint64) { b.note("gone") }
 
 func (b *book) said(t *testing.T, want ...string) {
 	t.Helper()
@@ -70,7 +70,7 @@
 	t.Helper()
 	p, carry, clock := begin(t, "w")
 	b := &book{intents: make(chan func(bool), 16)}
-	p.enqueueCall(func() { p.Record(b) })
+	p.enqueueCall(func() { p.SetJournal(b) })
 	return p, carry, clock, b
 }
 
@@ -83,20 +83,20 @@
 func TestIntentComesFirst(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	c, free := newClient(), newClient()
-	p.Request(once("r", clock.Now()+5*time.Second, c))
+	p.SubmitRequest(once("r", clock.Now()+5*time.Second, c))
 	durable := testkit.Await(t, "an intent", b.intents)
-	p.Request(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, free))
-	if a := testkit.Await(t, "a send", carry.sent); a.ID != "free" || a.Recorded() {
+	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, free))
+	if a := testkit.Await(t, "a send", carry.sent); a.ID != "free" || a.InJournal() {
 		t.Fatalf("%s was sent first", a.ID)
 	}
 	durable(true)
 	a := testkit.Await(t, "a send", carry.sent)
-	if a.ID != "r" || !a.Recorded() {
+	if a.ID != "r" || !a.InJournal() {
 		t.Fatalf("%s was sent", a.ID)
 	}
-	p.Sent(a)
-	p.Started(a)
-	p.Ended(a, sedgevale.Served, []byte("x"), nil)
+	p.AttemptSent(a)
+	p.AttemptStarted(a)
+	p.AttemptEnded(a, sedgevale.Served, []byte("x"), nil)
 	if got := testkit.Await(t, "an answer", c.first); got.Kind != Served {
 		t.Errorf("answered %+v", got)
 	}
@@ -110,10 +110,10 @@
 	p, carry, clock, b := recorded(t)
 	c := newClient()
 	deadline := clock.Now() + 300*time.Millisecond
-	p.Request(once("r", deadline, c))
+	p.SubmitRequest(once("r", deadline, c))
 	durable := testkit.Await(t, "an intent", b.intents)
 	got := testkit.Await(t, "an answer", c.first)
-	if late := clock.Now() - deadline; got.Kind != Refused || late < 0 || late > 200*time.Millisecond {
+	if late := clock.Now() - deadline; got.Kind != Rejected || late < 0 || late > 200*time.Millisecond {
 		t.Errorf("answered %+v, %v after the deadline", got, late)
 	}
 	durable(true)
@@ -128,21 +128,21 @@
 func TestFullJournalRejects(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	c := newClient()
-	p.Request(once("r", clock.Now()+5*time.Second, c))
+	p.SubmitRequest(once("r", clock.Now()+5*time.Second, c))
 	testkit.Await(t, "an intent", b.intents)(false)
-	if got := testkit.Await(t, "an answer", c.first); got.Kind != Refused {
+	if got := testkit.Await(t, "an answer", c.first); got.Kind != Rejected {
 		t.Errorf("answered %+v", got)
 	}
 	b.mu.Lock()
 	b.full = true
 	b.mu.Unlock()
 	c = newClient()
-	p.Request(once("s", clock.Now()+5*time.Second, c))
-	if got := testkit.Await(t, "an answer", c.first); got.Kind != Refused {
+	p.SubmitRequest(once("s", clock.Now()+5*time.Second, c))
+	if got := testkit.Await(t, "an answer", c.first); got.Kind != Rejected {
 		t.Errorf("answered %+v while the journal is full", got)
 	}
 	free := newClient()
-	p.Request(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, free))
+	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, free))
 	if a := testkit.Await(t, "a send", carry.sent); a.ID != "free" {
 		t.Errorf("%s was sent", a.ID)
 	}
@@ -152,7 +152,7 @@
 // Guards against a client's disconnect, or a fault of the module, that sends what awaits its intent.
 func TestAttemptThatAwaitsItsIntentIsCancelled(t *testing.T) {
 	p, carry, clock, b := recorded(t)
-	p.Request(once("r", clock.Now()+5*time.Second, newClient()))
+	p.SubmitRequest(once("r", clock.Now()+5*time.Second, newClient()))
 	durable := testkit.Await(t, "an intent", b.intents)
 	p.enqueueCall(func() { panic("a fault") })
 	openNow(t, p)
--- a/internal/dispatch/partners.go
+++ b/internal/dispatch/partners.go
@@ -9,44 +9,44 @@
 // shareInterval is the least time between two messages to a partner.
 const shareInterval = 10 * time.Millisecond
 
-// Shared is what a planner sends to its partner in the other process of an upgrade:
+// PartnerState is what a planner sends to its partner in the other process of an upgrade:
 // the two are one scheduler. It is immutable once it has been sent.
-type Shared struct {
-	Out    map[string]sedgevale.Load `json:"out"`              // load by worker, now
+type PartnerState struct {
+	Loads  map[string]sedgevale.Load `json:"out"`              // load by worker, now
 	Opened []string                  `json:"opened,omitempty"` // IDs of jobs, since the last message
 	Ended  []string                  `json:"ended,omitempty"`  // the same
 }
 
-// Estate is the state that a planner hands over to a new process.
-type Estate struct {
-	Shared  Shared                 `json:"shared"`
+// HandoverState is the state that a planner hands over to a new process.
+type HandoverState struct {
+	Shared  PartnerState           `json:"shared"`
 	Learned sedgevale.LearnedState `json:"learned"`
 }
 
 // partner is another process of the same scheduler, as a planner knows it.
 type partner struct {
-	send  func(Shared)
+	send  func(PartnerState)
 	open  map[string]struct{}               // IDs of jobs
 	loads map[int]map[string]sedgevale.Load // by planner and worker
 }
 
-func newPartner(send func(Shared)) *partner {
+func newPartner(send func(PartnerState)) *partner {
 	return &partner{send, map[string]struct{}{}, map[int]map[string]sedgevale.Load{}}
 }
 
 // sharing is what a Planner keeps of its partners. Without any it costs nothing.
 type sharing struct {
 	partners    map[int]*partner // by number
-	next        Shared           // opened and ended since the last message
+	next        PartnerState     // opened and ended since the last message
 	loadChanged bool             // since the last message
 	sentAt      time.Duration    // of the last message
 }
 
-// Share adds a partner, known by a number: from here on send is called with what
+// AddPartner adds a partner, known by a number: from here on send is called with what
 // changes, from Run. Got is called with all state up to now.
-func (p *Planner) Share(number int, send func(Shared), got func(Estate)) {
+func (p *Planner) AddPartner(number int, send func(PartnerState), got func(HandoverState)) {
 	p.enqueueCall(func() {
-		e := Estate{Shared{Out: p.dispatcher.LoadByWorker()}, p.dispatcher.LearnedState(p.now)}
+		e := HandoverState{PartnerState{Loads: p.dispatcher.LoadByWorker()}, p.dispatcher.LearnedState(p.now)}
 		for id := range p.exchanges {
 			e.Shared.Opened = append(e.Shared.Opened, id)
 		}
@@ -55,16 +55,16 @@
 	})
 }
 
-// Adopt takes over what a partner has learned, and adds the partner.
-func (p *Planner) Adopt(number int, send func(Shared), learned sedgevale.LearnedState) {
+// TakeOver takes over what a partner has learned, and adds the partner.
+func (p *Planner) TakeOver(number int, send func(PartnerState), learned sedgevale.LearnedState) {
 	p.enqueueCall(func() {
 		p.dispatcher.RestoreLearnedState(p.now, learned)
 		p.partners[number] = newPartner(send)
 	})
 }
 
-// Beside brings a message from one of a partner's planners.
-func (p *Planner) Beside(number, planner int, s Shared) {
+// UpdatePartner brings a message from one of a partner's planners.
+func (p *Planner) UpdatePartner(number, planner int, s PartnerState) {
 	p.enqueueCall(func() {
 		other := p.partners[number]
 		if other == nil {
@@ -76,13 +76,13 @@
 		for _, id := range s.Ended {
 			delete(other.open, id)
 		}
-		other.loads[planner] = s.Out
+		other.loads[planner] = s.Loads
 		p.updateSiblingLoad()
 	})
 }
 
-// Part removes a partner whose process has ended.
-func (p *Planner) Part(number int) {
+// RemovePartner removes a partner whose process has ended.
+func (p *Planner) RemovePartner(number int) {
 	p.enqueueCall(func() {
 		delete(p.partners, number)
 		p.updateSiblingLoad()
@@ -140,10 +140,10 @@
 		return shareInterval - since
 	}
 	p.sentAt = p.clock.Now()
-	p.next.Out = p.dispatcher.LoadByWorker()
+	p.next.Loads = p.dispatcher.LoadByWorker()
 	for _, other := range p.partners {
 		other.send(p.next)
 	}
-	p.next, p.loadChanged = Shared{}, false
+	p.next, p.loadChanged = PartnerState{}, false
 	return time.Hour
 }
--- a/internal/dispatch/peer_load.go
+++ b/internal/dispatch/peer_load.go
@@ -8,35 +8,35 @@
 
 // peerSignals is what a Planner exchanges with other schedulers of the site.
 type peerSignals struct {
-	onLoadChange  func([]sedgevale.Told) // nil: load changes are not tracked
-	loadChanges   []sedgevale.Told
+	onLoadChange  func([]sedgevale.WorkerLoad) // nil: load changes are not tracked
+	loadChanges   []sedgevale.WorkerLoad
 	subset        []string
 	subsetSharers int
 
-	peerLoadMu   sync.Mutex       // guards peerLoad
-	peerLoad     []sedgevale.Told // of other schedulers, not read by Run yet
-	peerLoadRead []sedgevale.Told // swapped with peerLoad by Run
+	peerLoadMu   sync.Mutex             // guards peerLoad
+	peerLoad     []sedgevale.WorkerLoad // of other schedulers, not read by Run yet
+	peerLoadRead []sedgevale.WorkerLoad // swapped with peerLoad by Run
 }
 
-// Signal has f called with the planner's load at each worker where that has changed.
+// OnLoadChange has f called with the planner's load at each worker where that has changed.
 // The calls come from Run; f must not block, nor keep the slice. Signal must be called
 // before Run.
-func (p *Planner) Signal(f func([]sedgevale.Told)) {
+func (p *Planner) OnLoadChange(f func([]sedgevale.WorkerLoad)) {
 	p.onLoadChange = f
 	p.dispatcher.TrackLoadChanges()
 }
 
-// Others brings the load of other schedulers at some workers. The slice is not kept.
-func (p *Planner) Others(loads []sedgevale.Told) {
+// UpdatePeerLoad brings the load of other schedulers at some workers. The slice is not kept.
+func (p *Planner) UpdatePeerLoad(loads []sedgevale.WorkerLoad) {
 	p.peerLoadMu.Lock()
 	p.peerLoad = append(p.peerLoad, loads...)
 	p.peerLoadMu.Unlock()
 	p.wakeUp()
 }
 
-// Near sets the planner's subset of the workers; see
+// SetSubset sets the planner's subset of the workers; see
 // [sedgevale.Dispatcher.SetSubset].
-func (p *Planner) Near(workers []string, sharers int) {
+func (p *Planner) SetSubset(workers []string, sharers int) {
 	p.enqueueCall(func() {
 		p.subset, p.subsetSharers = workers, sharers
 		p.dispatcher.SetSubset(p.now, workers, sharers)
@@ -74,7 +74,7 @@
 	p.dispatcher.SetSubset(p.now, p.subset, p.subsetSharers)
 	p.loadChanges = p.loadChanges[:0]
 	for worker := range p.workers {
-		p.loadChanges = append(p.loadChanges, sedgevale.Told{Worker: worker})
+		p.loadChanges = append(p.loadChanges, sedgevale.WorkerLoad{Worker: worker})
 	}
 	p.onLoadChange(p.loadChanges)
 }
--- a/internal/dispatch/planner.go
+++ b/internal/dispatch/planner.go
@@ -27,9 +27,9 @@
 	seed     uint64
 
 	dispatcher *sedgevale.Dispatcher
-	queue      *unbounded.Box[event]
-	commands   *unbounded.Box[func()] // of operators: run before each event
-	wake       chan struct{}          // holds a token while something waits in queue or commands
+	queue      *unbounded.Queue[event]
+	commands   *unbounded.Queue[func()] // of operators: run before each event
+	wake       chan struct{}            // holds a token while something waits in queue or commands
 	timers     timers
 	lastTimer  uint64                          // serial number
 	now        time.Duration                   // of the event that is handled
@@ -64,12 +64,12 @@
 	exchange *Exchange
 	attempt  *Attempt
 	outcome  sedgevale.Outcome
-	report   *sedgevale.Report
+	report   *sedgevale.LoadReport
 	result   []byte
 	progress float64
 	ok       bool
 	worker   string
-	listKind sedgevale.ListKind
+	listKind sedgevale.UpdateKind
 	entries  []sedgevale.WorkerInfo
 	call     func()
 }
@@ -105,32 +105,34 @@
 	}
 }
 
-// Request submits an Exchange, which belongs to the Planner from here on.
-func (p *Planner) Request(x *Exchange) { p.queue.Put(event{kind: eventRequest, exchange: x}) }
+// SubmitRequest submits an Exchange, which belongs to the Planner from here on.
+func (p *Planner) SubmitRequest(x *Exchange) { p.queue.Put(event{kind: eventRequest, exchange: x}) }
 
-// Gone reports that the client has disconnected: nobody waits for an answer any more.
-func (p *Planner) Gone(x *Exchange) { p.queue.Put(event{kind: eventClientDisconnected, exchange: x}) }
+// ClientDisconnected reports that the client has disconnected: nobody waits for an answer any more.
+func (p *Planner) ClientDisconnected(x *Exchange) {
+	p.queue.Put(event{kind: eventClientDisconnected, exchange: x})
+}
 
-// Started reports that the worker has begun the attempt.
-func (p *Planner) Started(a *Attempt) { p.queue.Put(event{kind: eventStarted, attempt: a}) }
+// AttemptStarted reports that the worker has begun the attempt.
+func (p *Planner) AttemptStarted(a *Attempt) { p.queue.Put(event{kind: eventStarted, attempt: a}) }
 
-// Progress reports the share of the job that is done, 0 to 1.
-func (p *Planner) Progress(a *Attempt, share float64) {
+// AttemptProgressed reports the share of the job that is done, 0 to 1.
+func (p *Planner) AttemptProgressed(a *Attempt, share float64) {
 	p.queue.Put(event{kind: eventProgress, attempt: a, progress: share})
 }
 
-// Ended reports how an attempt ended. Result is the worker's answer if it was served.
-func (p *Planner) Ended(a *Attempt, o sedgevale.Outcome, result []byte, report *sedgevale.Report) {
+// AttemptEnded reports how an attempt ended. Result is the worker's answer if it was served.
+func (p *Planner) AttemptEnded(a *Attempt, o sedgevale.Outcome, result []byte, report *sedgevale.LoadReport) {
 	p.queue.Put(event{kind: eventEnded, attempt: a, outcome: o, result: result, report: report})
 }
 
-// Probed brings the answer to a probe, or nil where none came in time.
-func (p *Planner) Probed(worker string, report *sedgevale.Report) {
+// ProbeResult brings the answer to a probe, or nil where none came in time.
+func (p *Planner) ProbeResult(worker string, report *sedgevale.LoadReport) {
 	p.queue.Put(event{kind: eventProbeResult, worker: worker, report: report})
 }
 
-// Members brings an update of the list of workers. The Planner keeps the entries.
-func (p *Planner) Members(list sedgevale.ListKind, entries []sedgevale.WorkerInfo) {
+// WorkersUpdated brings an update of the list of workers. The Planner keeps the entries.
+func (p *Planner) WorkersUpdated(list sedgevale.UpdateKind, entries []sedgevale.WorkerInfo) {
 	p.queue.Put(event{kind: eventWorkersUpdated, listKind: list, entries: entries})
 }
 
@@ -146,42 +148,42 @@
 	})
 }
 
-// Keep cordons a worker as it was in an earlier run, also one that no list has named
+// RestoreCordon cordons a worker as it was in an earlier run, also one that no list has named
 // yet.
-func (p *Planner) Keep(worker string) {
+func (p *Planner) RestoreCordon(worker string) {
 	p.putCommand(func() {
 		p.cordoned[worker] = true
 		p.dispatcher.RestoreCordon(worker)
 	})
 }
 
-// Alive calls f from Run, which shows that it is alive.
-func (p *Planner) Alive(f func()) { p.putCommand(f) }
+// Ping calls f from Run, which shows that it is alive.
+func (p *Planner) Ping(f func()) { p.putCommand(f) }
 
 func (p *Planner) putCommand(f func()) { p.commands.Put(f) }
 
 // runCommands runs the operators' commands.
 func (p *Planner) runCommands() {
 	p.now = p.clock.Now()
-	for _, f := range p.commands.Take() {
+	for _, f := range p.commands.TakeAll() {
 		p.recoverPanics(f)
 	}
 }
 
-// Open calls f with the number of exchanges that are not over, once all that was
+// CountOpen calls f with the number of exchanges that are not over, once all that was
 // submitted before has been read.
-func (p *Planner) Open(f func(int)) {
+func (p *Planner) CountOpen(f func(int)) {
 	p.enqueueCall(func() { f(len(p.exchanges)) })
 }
 
-// Abandon answers all open exchanges as failed and calls f with the number of those.
-func (p *Planner) Abandon(f func(int)) {
+// FailOpen answers all open exchanges as failed and calls f with the number of those.
+func (p *Planner) FailOpen(f func(int)) {
 	p.enqueueCall(func() {
 		n := 0
 		for _, x := range p.exchanges {
 			if !x.answered {
 				n++
-				x.answer(Answer{Kind: Failed, Reason: "the scheduler ends", Ran: x.mayHaveRun()})
+				x.answer(Answer{Kind: Failed, Reason: "the scheduler ends", MayHaveRun: x.mayHaveRun()})
 			}
 		}
 		f(n)
@@ -193,11 +195,11 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for ctx.Err() == nil {
-		items := p.queue.Take()
+		items := p.queue.TakeAll()
 		p.runCommands()
 		p.readPeerLoad()
 		for i := range items {
-			if p.commands.Waiting() {
+			if p.commands.HasItems() {
 				p.runCommands()
 			}
 			p.recoverPanics(func() { p.handleEvent(&items[i]) })
@@ -234,11 +236,11 @@
 					a.ended, a.neverRan = true, a.awaitsIntent
 					p.carrier.Cancel(a)
 					if a.recordNumber != 0 {
-						p.journal.Ended(a.recordNumber, a.Number, sedgevale.Cancelled, a.neverRan)
+						p.journal.AttemptEnded(a.recordNumber, a.Number, sedgevale.Cancelled, a.neverRan)
 					}
 				}
 			}
-			x.answer(Answer{Kind: Failed, Reason: "internal error", Ran: x.mayHaveRun()})
+			x.answer(Answer{Kind: Failed, Reason: "internal error", MayHaveRun: x.mayHaveRun()})
 		}
 		clear(p.exchanges)
 		p.timers = nil
@@ -253,7 +255,7 @@
 		for _, e := range p.workers {
 			entries = append(entries, e)
 		}
-		p.dispatcher.WorkersUpdated(p.clock.Now(), sedgevale.ListWhole, entries)
+		p.dispatcher.WorkersUpdated(p.clock.Now(), sedgevale.UpdateFull, entries)
 		for worker := range p.cordoned {
 			p.dispatcher.RestoreCordon(worker)
 		}
@@ -290,11 +292,11 @@
 	case eventIntentRecorded:
 		p.intentRecorded(a, e.ok)
 	case eventSent:
-		p.journal.Sent(a.recordNumber, a.Number)
+		p.journal.AttemptSent(a.recordNumber, a.Number)
 	case eventStarted:
 		p.tally.started(a, p.now)
 		if a.recordNumber != 0 {
-			p.journal.Started(a.recordNumber, a.Number)
+			p.journal.AttemptStarted(a.recordNumber, a.Number)
 		}
 		if !a.answered {
 			a.client.Started()
@@ -315,7 +317,7 @@
 	}
 	x.answered = true
 	if x.journal != nil {
-		x.journal.Gone(x.recordNumber)
+		x.journal.ClientDisconnected(x.recordNumber)
 	}
 	p.dispatcher.ClientDisconnected(p.now, x.ID)
 	p.withdrawUnsent(x)
@@ -341,13 +343,13 @@
 		return
 	}
 	if !p.registerInJournal(x) {
-		x.answer(Answer{Kind: Refused, After: min(unrecordedRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
+		x.answer(Answer{Kind: Rejected, RetryAfter: min(unrecordedRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
 		return
 	}
 	p.exchanges[x.ID] = x
 	p.noteOpened(x.ID)
-	err := p.dispatcher.SubmitRequest(p.now, sedgevale.Request{ID: x.ID, Class: class, Tenant: tenant, Key: x.Key,
-		Left: left, Hint: x.Hint, Slots: x.Slots, Retry: x.Retry})
+	err := p.dispatcher.SubmitRequest(p.now, sedgevale.Request{ID: x.ID, Class: class, Tenant: tenant, AffinityKey: x.AffinityKey,
+		TimeLeft: left, RuntimeHint: x.RuntimeHint, Slots: x.Slots, ClientRetry: x.ClientRetry})
 	if err != nil {
 		p.log.Error("decision module rejected a request", "err", err)
 		x.answer(Answer{Kind: Failed, Reason: "internal error"})
@@ -372,20 +374,20 @@
 	return p.dispatcher.TenantIndex(x.TenantName)
 }
 
-// Retune takes over new settings, which must not be changed any more. Jobs in flight
+// UpdateSettings takes over new settings, which must not be changed any more. Jobs in flight
 // keep their class.
-func (p *Planner) Retune(set sedgevale.Settings) {
+func (p *Planner) UpdateSettings(set sedgevale.Settings) {
 	p.enqueueCall(func() {
 		if err := p.dispatcher.UpdateSettings(set); err != nil {
 			p.log.Error("decision module rejected new settings", "err", err)
 			return
 		}
-		set.Zone, set.Peers, set.Weights, set.AskForList = p.settings.Zone, p.settings.Peers, p.settings.Weights, p.settings.AskForList
+		set.Zone, set.Dispatchers, set.Weights, set.WatchOnDemand = p.settings.Zone, p.settings.Dispatchers, p.settings.Weights, p.settings.WatchOnDemand
 		p.settings = set
 	})
 }
 
-func (p *Planner) endAttempt(a *Attempt, o sedgevale.Outcome, result []byte, report *sedgevale.Report) {
+func (p *Planner) endAttempt(a *Attempt, o sedgevale.Outcome, result []byte, report *sedgevale.LoadReport) {
 	if a.ended {
 		return
 	}
@@ -395,9 +397,9 @@
 		heap.Remove(&p.timers, a.timer.index)
 	}
 	a.neverRan = a.awaitsIntent || o == sedgevale.ConnectFailed || o == sedgevale.NotSent ||
-		o == sedgevale.Full && !p.settings.FullMayHaveRun
+		o == sedgevale.Rejected && !p.settings.RejectedMayHaveRun
 	if a.recordNumber != 0 {
-		p.journal.Ended(a.recordNumber, a.Number, o, a.neverRan)
+		p.journal.AttemptEnded(a.recordNumber, a.Number, o, a.neverRan)
 	}
 	x := a.Exchange
 	x.inFlight--
@@ -407,17 +409,17 @@
 		x.answer(Answer{Kind: Served, Result: result})
 		p.withdrawUnsent(x)
 	}
-	p.logUnexpected(p.dispatcher.AttemptEnded(p.now, sedgevale.Result{ID: x.ID, Attempt: a.Number, Outcome: o,
-		Closed: x.answered, Report: report}))
+	p.logUnexpected(p.dispatcher.AttemptEnded(p.now, sedgevale.AttemptResult{ID: x.ID, Attempt: a.Number, Outcome: o,
+		Answered: x.answered, Report: report}))
 	p.forgetIfDone(x)
 }
 
-func (p *Planner) updateWorkers(list sedgevale.ListKind, entries []sedgevale.WorkerInfo) {
-	if list == sedgevale.ListWhole || list == sedgevale.ListStale {
+func (p *Planner) updateWorkers(list sedgevale.UpdateKind, entries []sedgevale.WorkerInfo) {
+	if list == sedgevale.UpdateFull || list == sedgevale.UpdateStale {
 		clear(p.workers)
 	}
 	for _, e := range entries {
-		if p.workers[e.Worker] = e; e.State == sedgevale.Left {
+		if p.workers[e.Worker] = e; e.State == sedgevale.Removed {
 			delete(p.workers, e.Worker)
 		}
 	}
--- a/internal/dispatch/planner_host.go
+++ b/internal/dispatch/planner_host.go
@@ -13,7 +13,7 @@
 		return
 	}
 	a := &Attempt{Exchange: x, Worker: worker, Number: len(x.attempts), Deadline: x.deadline, Planner: p,
-		Single: x.Class.Effect == sedgevale.Unsafe}
+		AtMostOnce: x.Class.Idempotency == sedgevale.NotIdempotent}
 	if timeout > 0 {
 		a.Deadline = min(a.Deadline, p.now+timeout)
 	}
@@ -31,7 +31,7 @@
 func (p *Planner) Reject(id string, after time.Duration) {
 	if x := p.exchanges[id]; x != nil {
 		p.tally.reject()
-		x.answer(Answer{Kind: Refused, After: after, Reason: "cannot be in time"})
+		x.answer(Answer{Kind: Rejected, RetryAfter: after, Reason: "cannot be in time"})
 		p.withdrawUnsent(x)
 		p.forgetIfDone(x)
 	}
@@ -41,7 +41,7 @@
 func (p *Planner) Fail(id string) {
 	if x := p.exchanges[id]; x != nil {
 		p.tally.fail()
-		x.answer(Answer{Kind: Failed, Reason: x.failureReason(), Ran: x.mayHaveRun()})
+		x.answer(Answer{Kind: Failed, Reason: x.failureReason(), MayHaveRun: x.mayHaveRun()})
 		p.withdrawUnsent(x)
 		p.forgetIfDone(x)
 	}
@@ -55,9 +55,9 @@
 		switch {
 		case a.ended:
 		case a.awaitsIntent:
-			p.Ended(a, sedgevale.NotSent, nil, nil)
+			p.AttemptEnded(a, sedgevale.NotSent, nil, nil)
 		default:
-			p.carrier.Withdraw(a)
+			p.carrier.CancelUnsent(a)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	}
 	p.tally.cancel()
 	if a := x.attempts[attempt]; a.awaitsIntent { // the carrier does not have it
-		p.Ended(a, sedgevale.NotSent, nil, nil)
+		p.AttemptEnded(a, sedgevale.NotSent, nil, nil)
 	} else {
 		p.carrier.Cancel(a)
 	}
@@ -85,7 +85,7 @@
 func (p *Planner) Probe(worker string) { p.carrier.Probe(worker, p) }
 
 // CloseIdleConnections implements [sedgevale.Host].
-func (p *Planner) CloseIdleConnections(worker string) { p.carrier.CloseIdle(worker) }
+func (p *Planner) CloseIdleConnections(worker string) { p.carrier.CloseIdleConnections(worker) }
 
 // WatchWorkers implements [sedgevale.Host].
 func (p *Planner) WatchWorkers() { p.watch() }
@@ -101,12 +101,12 @@
 // window in which workers drop repeats, counted from the first attempt that may have
 // run.
 func (x *Exchange) retryExpiry() time.Duration {
-	if x.Class.Effect != sedgevale.Keyed {
+	if x.Class.Idempotency != sedgevale.IdempotentByKey {
 		return 0
 	}
 	for _, a := range x.attempts {
 		if !a.neverRan {
-			return max(1, a.dispatchedAt+x.Class.Window-dedupWindowMargin)
+			return max(1, a.dispatchedAt+x.Class.DedupWindow-dedupWindowMargin)
 		}
 	}
 	return 0
@@ -120,7 +120,7 @@
 	switch x.lastOutcome {
 	case sedgevale.Errored:
 		return "the worker failed"
-	case sedgevale.Lost:
+	case sedgevale.ConnectionLost:
 		return "the connection to the worker broke"
 	case sedgevale.TimedOut:
 		return "no answer in time"
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -26,13 +26,13 @@
 
 func (c *carrier) Send(a *Attempt)   { c.sent <- a }
 func (c *carrier) Cancel(a *Attempt) { c.cancelled <- a }
-func (c *carrier) Withdraw(a *Attempt) {
+func (c *carrier) CancelUnsent(a *Attempt) {
 	if c.withdrawn != nil {
 		c.withdrawn <- a
 	}
 }
-func (c *carrier) Probe(string, *Planner) {}
-func (c *carrier) CloseIdle(string)       {}
+func (c *carrier) Probe(string, *Planner)      {}
+func (c *carrier) CloseIdleConnections(string) {}
 
 // client notes its answers.
 type client struct {
@@ -61,8 +61,8 @@
 
 func classes() []sedgevale.Class {
 	return []sedgevale.Class{
-		{Name: "free", Effect: sedgevale.Safe, Aim: time.Second, Limit: 5 * time.Second},
-		{Name: "once", Effect: sedgevale.Unsafe, Aim: time.Second, Limit: 5 * time.Second},
+		{Name: "free", Idempotency: sedgevale.Idempotent, LatencyTarget: time.Second, ClientTimeout: 5 * time.Second},
+		{Name: "once", Idempotency: sedgevale.NotIdempotent, LatencyTarget: time.Second, ClientTimeout: 5 * time.Second},
 	}
 }
 
@@ -71,7 +71,7 @@
 	t.Helper()
 	c := &carrier{sent: make(chan *Attempt, 16), cancelled: make(chan *Attempt, 16)}
 	clock := NewClock()
-	p, err := NewPlanner(sedgevale.Settings{Classes: classes(), MaxAttempts: 3, MayCancel: true}, 1, clock, c,
+	p, err := NewPlanner(sedgevale.Settings{Classes: classes(), MaxAttempts: 3, AllowCancel: true}, 1, clock, c,
 		func() {}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -84,14 +84,14 @@
 	for _, w := range workers {
 		entries = append(entries, sedgevale.WorkerInfo{Worker: w})
 	}
-	p.Members(sedgevale.ListWhole, entries)
+	p.WorkersUpdated(sedgevale.UpdateFull, entries)
 	return p, c, clock
 }
 
 func openNow(t *testing.T, p *Planner) int {
 	t.Helper()
 	n := make(chan int, 1)
-	p.Open(func(open int) { n <- open })
+	p.CountOpen(func(open int) { n <- open })
 	return testkit.Await(t, "an event", n)
 }
 
@@ -100,8 +100,8 @@
 func TestRejectedByTimerIsForgotten(t *testing.T) {
 	p, _, clock := begin(t)
 	c := newClient()
-	p.Request(NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+200*time.Millisecond, c))
-	if a := testkit.Await(t, "an event", c.first); a.Kind != Refused {
+	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+200*time.Millisecond, c))
+	if a := testkit.Await(t, "an event", c.first); a.Kind != Rejected {
 		t.Errorf("answered %v without any worker", a)
 	}
 	if n := openNow(t, p); n != 0 {
@@ -115,16 +115,16 @@
 	p, carry, clock := begin(t, "w")
 	c := newClient()
 	deadline := clock.Now() + 300*time.Millisecond
-	p.Request(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, deadline, c))
+	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, deadline, c))
 	a := testkit.Await(t, "an event", carry.sent)
 	got := testkit.Await(t, "an event", c.first)
-	if late := clock.Now() - deadline; got.Kind != Failed || !got.Ran || late > 200*time.Millisecond || late < 0 {
+	if late := clock.Now() - deadline; got.Kind != Failed || !got.MayHaveRun || late > 200*time.Millisecond || late < 0 {
 		t.Errorf("answered %+v, %v after the deadline", got, late)
 	}
 	if testkit.Await(t, "an event", carry.cancelled) != a {
 		t.Error("another attempt was called off")
 	}
-	p.Ended(a, sedgevale.Served, []byte("late"), nil)
+	p.AttemptEnded(a, sedgevale.Served, []byte("late"), nil)
 	if n := openNow(t, p); n != 0 || c.count() != 1 {
 		t.Errorf("%d exchanges open, %d answers", n, c.count())
 	}
@@ -135,9 +135,9 @@
 func TestUnsafeJobIsNotRepeated(t *testing.T) {
 	p, carry, clock := begin(t, "v", "w")
 	c := newClient()
-	p.Request(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
-	p.Ended(testkit.Await(t, "an event", carry.sent), sedgevale.Lost, nil, nil)
-	if got := testkit.Await(t, "an event", c.first); got.Kind != Failed || !got.Ran {
+	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
+	p.AttemptEnded(testkit.Await(t, "an event", carry.sent), sedgevale.ConnectionLost, nil, nil)
+	if got := testkit.Await(t, "an event", c.first); got.Kind != Failed || !got.MayHaveRun {
 		t.Errorf("answered %+v", got)
 	}
 	openNow(t, p)
@@ -151,15 +151,15 @@
 func TestNotSentIsRetriedElsewhere(t *testing.T) {
 	p, carry, clock := begin(t, "v", "w")
 	c := newClient()
-	p.Request(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
+	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
 	first := testkit.Await(t, "an event", carry.sent)
-	p.Members(sedgevale.ListPatch, []sedgevale.WorkerInfo{{Worker: first.Worker, State: sedgevale.Leaving}})
-	p.Ended(first, sedgevale.NotSent, nil, nil)
+	p.WorkersUpdated(sedgevale.UpdateDelta, []sedgevale.WorkerInfo{{Worker: first.Worker, State: sedgevale.Draining}})
+	p.AttemptEnded(first, sedgevale.NotSent, nil, nil)
 	second := testkit.Await(t, "an event", carry.sent)
 	if second.Worker == first.Worker {
 		t.Error("sent to the worker that drains")
 	}
-	p.Ended(second, sedgevale.Served, []byte("ok"), nil)
+	p.AttemptEnded(second, sedgevale.Served, []byte("ok"), nil)
 	if got := testkit.Await(t, "an event", c.first); got.Kind != Served || string(got.Result) != "ok" {
 		t.Errorf("answered %+v", got)
 	}
@@ -170,15 +170,15 @@
 func TestPanicFailsWhatIsOpenAndGoesOn(t *testing.T) {
 	p, carry, clock := begin(t, "w")
 	c := newClient()
-	p.Request(NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c))
+	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c))
 	testkit.Await(t, "an event", carry.sent)
 	p.queue.Put(event{kind: eventCall, call: func() { panic("fault") }})
 	if got := testkit.Await(t, "an event", c.first); got.Kind != Failed {
 		t.Errorf("answered %+v", got)
 	}
 	again := newClient()
-	p.Request(NewExchange(Job{ID: "s", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, again))
-	p.Ended(testkit.Await(t, "an event", carry.sent), sedgevale.Served, nil, nil)
+	p.SubmitRequest(NewExchange(Job{ID: "s", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, again))
+	p.AttemptEnded(testkit.Await(t, "an event", carry.sent), sedgevale.Served, nil, nil)
 	if got := testkit.Await(t, "an event", again.first); got.Kind != Served {
 		t.Errorf("answered %+v", got)
 	}
@@ -189,16 +189,16 @@
 func TestFailOpen(t *testing.T) {
 	p, carry, clock := begin(t, "w")
 	c := newClient()
-	p.Request(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
+	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
 	testkit.Await(t, "an event", carry.sent)
 	for _, want := range []int{1, 0} {
 		counted := make(chan int, 1)
-		p.Abandon(func(n int) { counted <- n })
+		p.FailOpen(func(n int) { counted <- n })
 		if n := testkit.Await(t, "the count", counted); n != want {
 			t.Errorf("%d abandoned, want %d", n, want)
 		}
 	}
-	if got := testkit.Await(t, "an event", c.first); got.Kind != Failed || !got.Ran || c.count() != 1 {
+	if got := testkit.Await(t, "an event", c.first); got.Kind != Failed || !got.MayHaveRun || c.count() != 1 {
 		t.Errorf("answered %+v, %d times", got, c.count())
 	}
 }
@@ -306,13 +306,13 @@
 	testkit.Await(t, "the order", done)
 	p.queue.Put(event{kind: eventCall, call: func() { panic("fault") }})
 	for i := range 6 {
-		p.Request(NewExchange(Job{ID: string(rune('a' + i)), Class: &classes()[0], Tenant: -1}, clock.Now()+time.Second, newClient()))
+		p.SubmitRequest(NewExchange(Job{ID: string(rune('a' + i)), Class: &classes()[0], Tenant: -1}, clock.Now()+time.Second, newClient()))
 		a := testkit.Await(t, "an attempt", carry.sent)
 		if a.Worker != "v" {
 			t.Fatalf("an attempt went to %s", a.Worker)
 		}
-		p.Started(a)
-		p.Ended(a, sedgevale.Served, nil, nil)
+		p.AttemptStarted(a)
+		p.AttemptEnded(a, sedgevale.Served, nil, nil)
 	}
 }
 
@@ -320,24 +320,24 @@
 // that stay taken when the other has ended it, or has ended itself.
 func TestIDsOfThePartner(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
-	told := make(chan Shared, 16)
-	estate := make(chan Estate, 1)
+	told := make(chan PartnerState, 16)
+	estate := make(chan HandoverState, 1)
 	mine := newClient()
-	p.Request(NewExchange(Job{ID: "mine", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, mine))
+	p.SubmitRequest(NewExchange(Job{ID: "mine", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, mine))
 	first := testkit.Await(t, "an attempt", carry.sent)
-	p.Share(1, func(s Shared) { told <- s }, func(e Estate) { estate <- e })
+	p.AddPartner(1, func(s PartnerState) { told <- s }, func(e HandoverState) { estate <- e })
 	if e := testkit.Await(t, "the estate", estate); len(e.Shared.Opened) != 1 || e.Shared.Opened[0] != "mine" ||
-		e.Shared.Out[first.Worker].Held != 1 {
+		e.Shared.Loads[first.Worker].InFlight != 1 {
 		t.Errorf("handed over %+v", e.Shared)
 	}
-	p.Beside(1, 0, Shared{Opened: []string{"a", "b", "c"}})
-	p.Beside(1, 0, Shared{Ended: []string{"b"}})
+	p.UpdatePartner(1, 0, PartnerState{Opened: []string{"a", "b", "c"}})
+	p.UpdatePartner(1, 0, PartnerState{Ended: []string{"b"}})
 	ask := func(id string) *client {
 		c := newClient()
-		p.Request(NewExchange(Job{ID: id, Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c))
+		p.SubmitRequest(NewExchange(Job{ID: id, Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c))
 		return c
 	}
-	if a := testkit.Await(t, "the answer", ask("a").first); a.Kind != Failed || a.Ran {
+	if a := testkit.Await(t, "the answer", ask("a").first); a.Kind != Failed || a.MayHaveRun {
 		t.Errorf("a job that is open elsewhere: %+v", a)
 	}
 	ask("b")
@@ -348,12 +348,12 @@
 		s := testkit.Await(t, "what the other is told", told)
 		opened = len(s.Opened) > 0 && s.Opened[len(s.Opened)-1] == "b"
 	}
-	p.Ended(first, sedgevale.Served, nil, nil)
+	p.AttemptEnded(first, sedgevale.Served, nil, nil)
 	for ended := false; !ended; {
 		s := testkit.Await(t, "what the other is told", told)
-		ended = len(s.Ended) > 0 && s.Ended[0] == "mine" && s.Out[first.Worker].Held == 0
+		ended = len(s.Ended) > 0 && s.Ended[0] == "mine" && s.Loads[first.Worker].InFlight == 0
 	}
-	p.Part(1)
+	p.RemovePartner(1)
 	ask("c")
 	if a := testkit.Await(t, "an attempt", carry.sent); a.ID != "c" {
 		t.Errorf("%s was sent", a.ID)
@@ -365,26 +365,26 @@
 func TestUpdateSettingsKeepsTheClassOfJobs(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
 	once, free := newClient(), newClient()
-	p.Request(NewExchange(Job{ID: "once", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, once))
+	p.SubmitRequest(NewExchange(Job{ID: "once", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, once))
 	first := testkit.Await(t, "an attempt", carry.sent)
-	p.Request(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, free))
+	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, free))
 	second := testkit.Await(t, "an attempt", carry.sent)
-	swapped := []sedgevale.Class{classes()[1], classes()[0], {Name: "new", Aim: time.Second, Limit: 5 * time.Second}}
-	p.Retune(sedgevale.Settings{Classes: swapped[1:], MaxAttempts: 3, MayCancel: true}) // once is gone
-	p.Ended(first, sedgevale.Lost, nil, nil)
+	swapped := []sedgevale.Class{classes()[1], classes()[0], {Name: "new", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second}}
+	p.UpdateSettings(sedgevale.Settings{Classes: swapped[1:], MaxAttempts: 3, AllowCancel: true}) // once is gone
+	p.AttemptEnded(first, sedgevale.ConnectionLost, nil, nil)
 	if a := testkit.Await(t, "the answer", once.first); a.Kind != Failed {
 		t.Errorf("what must not run twice: %+v", a)
 	}
-	p.Ended(second, sedgevale.Lost, nil, nil)
+	p.AttemptEnded(second, sedgevale.ConnectionLost, nil, nil)
 	if a := testkit.Await(t, "another attempt", carry.sent); a.ID != "free" {
 		t.Errorf("sent again was %s", a.ID)
 	}
 	gone, added := newClient(), newClient()
-	p.Request(NewExchange(Job{ID: "late", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, gone))
-	if a := testkit.Await(t, "the answer", gone.first); a.Kind != Failed || a.Ran {
+	p.SubmitRequest(NewExchange(Job{ID: "late", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, gone))
+	if a := testkit.Await(t, "the answer", gone.first); a.Kind != Failed || a.MayHaveRun {
 		t.Errorf("a class that is gone: %+v", a)
 	}
-	p.Request(NewExchange(Job{ID: "new", Class: &swapped[2], Tenant: -1}, clock.Now()+300*time.Millisecond, added))
+	p.SubmitRequest(NewExchange(Job{ID: "new", Class: &swapped[2], Tenant: -1}, clock.Now()+300*time.Millisecond, added))
 	if a := testkit.Await(t, "the answer or none", added.first); a.Reason == "the class is gone" {
 		t.Errorf("a new class: %+v", a)
 	}
@@ -395,11 +395,11 @@
 func TestUpdateSettingsKeepsTheTenantOfJobs(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
 	tenants := func(names string) {
-		set := sedgevale.Settings{Classes: classes(), MaxAttempts: 3, MayCancel: true}
+		set := sedgevale.Settings{Classes: classes(), MaxAttempts: 3, AllowCancel: true}
 		for _, n := range names {
 			set.Tenants = append(set.Tenants, sedgevale.Tenant{Name: string(n), Share: 1})
 		}
-		p.Retune(set)
+		p.UpdateSettings(set)
 	}
 	for i, c := range []struct {
 		retune, name string
@@ -412,9 +412,9 @@
 		tenants(c.retune)
 		got := newClient()
 		id := fmt.Sprint("job-", i)
-		p.Request(NewExchange(Job{ID: id, Class: &classes()[0], Tenant: c.number, TenantName: c.name}, clock.Now()+5*time.Second, got))
+		p.SubmitRequest(NewExchange(Job{ID: id, Class: &classes()[0], Tenant: c.number, TenantName: c.name}, clock.Now()+5*time.Second, got))
 		if !c.sent {
-			if a := testkit.Await(t, "the answer", got.first); a.Kind != Failed || a.Ran || a.Reason != "the tenant is gone" {
+			if a := testkit.Await(t, "the answer", got.first); a.Kind != Failed || a.MayHaveRun || a.Reason != "the tenant is gone" {
 				t.Errorf("%+v: %+v", c, a)
 			}
 			continue
@@ -423,6 +423,6 @@
 		if a.ID != id {
 			t.Errorf("%+v: %s was sent", c, a.ID)
 		}
-		p.Ended(a, sedgevale.Served, nil, nil)
+		p.AttemptEnded(a, sedgevale.Served, nil, nil)
 	}
 }
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -34,17 +34,17 @@
 	return s.planners[maphash.String(s.seed, id)%uint64(len(s.planners))]
 }
 
-// Request submits an Exchange.
-func (s *Set) Request(x *Exchange) { s.plannerOf(x.ID).Request(x) }
+// SubmitRequest submits an Exchange.
+func (s *Set) SubmitRequest(x *Exchange) { s.plannerOf(x.ID).SubmitRequest(x) }
 
-// Gone reports that an Exchange's client has disconnected.
-func (s *Set) Gone(x *Exchange) { s.plannerOf(x.ID).Gone(x) }
+// ClientDisconnected reports that an Exchange's client has disconnected.
+func (s *Set) ClientDisconnected(x *Exchange) { s.plannerOf(x.ID).ClientDisconnected(x) }
 
-// Members brings an update of the list of workers to all planners, each with a copy of
+// WorkersUpdated brings an update of the list of workers to all planners, each with a copy of
 // its own.
-func (s *Set) Members(list sedgevale.ListKind, entries []sedgevale.WorkerInfo) {
+func (s *Set) WorkersUpdated(list sedgevale.UpdateKind, entries []sedgevale.WorkerInfo) {
 	for _, p := range s.planners {
-		p.Members(list, append([]sedgevale.WorkerInfo(nil), entries...))
+		p.WorkersUpdated(list, append([]sedgevale.WorkerInfo(nil), entries...))
 	}
 }
 
@@ -63,28 +63,28 @@
 	return n > 0, err
 }
 
-// Keep cordons a worker at all planners as it was in an earlier run.
-func (s *Set) Keep(worker string) {
+// RestoreCordon cordons a worker at all planners as it was in an earlier run.
+func (s *Set) RestoreCordon(worker string) {
 	for _, p := range s.planners {
-		p.Keep(worker)
+		p.RestoreCordon(worker)
 	}
 }
 
-// Alive returns once each planner has had a turn, or with the context's error.
-func (s *Set) Alive(ctx context.Context) error {
-	_, err := s.sumOverPlanners(ctx, func(p *Planner, reply func(int)) { p.Alive(func() { reply(0) }) })
+// Ping returns once each planner has had a turn, or with the context's error.
+func (s *Set) Ping(ctx context.Context) error {
+	_, err := s.sumOverPlanners(ctx, func(p *Planner, reply func(int)) { p.Ping(func() { reply(0) }) })
 	return err
 }
 
-// Share adds a partner in another process at all planners, and returns the state that
+// AddPartner adds a partner in another process at all planners, and returns the state that
 // they hand over, by planner.
-func (s *Set) Share(ctx context.Context, number int, send func(planner int, s Shared)) ([]Estate, error) {
-	estates := make([]Estate, len(s.planners))
+func (s *Set) AddPartner(ctx context.Context, number int, send func(planner int, s PartnerState)) ([]HandoverState, error) {
+	estates := make([]HandoverState, len(s.planners))
 	at := 0
 	_, err := s.sumOverPlanners(ctx, func(p *Planner, done func(int)) {
 		i := at
 		at++
-		p.Share(number, func(s Shared) { send(i, s) }, func(e Estate) {
+		p.AddPartner(number, func(s PartnerState) { send(i, s) }, func(e HandoverState) {
 			estates[i] = e
 			done(0)
 		})
@@ -92,48 +92,50 @@
 	return estates, err
 }
 
-// Adopt takes over what a partner's planners have handed over, and adds the partner.
+// TakeOver takes over what a partner's planners have handed over, and adds the partner.
 // Where it has fewer or more planners, each here goes on from one there.
-func (s *Set) Adopt(number int, send func(planner int, s Shared), estates []Estate) {
+func (s *Set) TakeOver(number int, send func(planner int, s PartnerState), estates []HandoverState) {
 	for i, p := range s.planners {
 		var learned sedgevale.LearnedState
 		if len(estates) > 0 {
 			learned = estates[i%len(estates)].Learned
 		}
-		p.Adopt(number, func(s Shared) { send(i, s) }, learned)
+		p.TakeOver(number, func(s PartnerState) { send(i, s) }, learned)
 	}
 	for i, e := range estates {
-		s.Beside(number, i, e.Shared)
+		s.UpdatePartner(number, i, e.Shared)
 	}
 }
 
-// Beside brings a message from one of a partner's planners.
-func (s *Set) Beside(number, planner int, shared Shared) {
+// UpdatePartner brings a message from one of a partner's planners.
+func (s *Set) UpdatePartner(number, planner int, shared PartnerState) {
 	for _, p := range s.planners {
-		p.Beside(number, planner, shared)
+		p.UpdatePartner(number, planner, shared)
 	}
 }
 
-// Part removes a partner whose process has ended.
-func (s *Set) Part(number int) {
+// RemovePartner removes a partner whose process has ended.
+func (s *Set) RemovePartner(number int) {
 	for _, p := range s.planners {
-		p.Part(number)
+		p.RemovePartner(number)
 	}
 }
 
-// Retune has all planners take over new settings.
-func (s *Set) Retune(set sedgevale.Settings) {
+// UpdateSettings has all planners take over new settings.
+func (s *Set) UpdateSettings(set sedgevale.Settings) {
 	for _, p := range s.planners {
-		p.Retune(set)
+		p.UpdateSettings(set)
 	}
 }
 
-// Open returns how many exchanges are not over, or the context's error.
-func (s *Set) Open(ctx context.Context) (int, error) { return s.sumOverPlanners(ctx, (*Planner).Open) }
+// CountOpen returns how many exchanges are not over, or the context's error.
+func (s *Set) CountOpen(ctx context.Context) (int, error) {
+	return s.sumOverPlanners(ctx, (*Planner).CountOpen)
+}
 
-// Abandon answers all open exchanges as failed, and returns how many those were.
-func (s *Set) Abandon(ctx context.Context) (int, error) {
-	return s.sumOverPlanners(ctx, (*Planner).Abandon)
+// FailOpen answers all open exchanges as failed, and returns how many those were.
+func (s *Set) FailOpen(ctx context.Context) (int, error) {
+	return s.sumOverPlanners(ctx, (*Planner).FailOpen)
 }
 
 // sumOverPlanners asks each planner for a number and returns the sum.
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -62,8 +62,8 @@
 		}
 		log.Info("tally", "sends", t.sends, "further", t.retries, "cancels", t.cancels,
 			"refused", t.rejected, "failed", t.failed,
-			"served", o[sedgevale.Served], "errored", o[sedgevale.Errored], "full", o[sedgevale.Full],
-			"timed_out", o[sedgevale.TimedOut], "connect_failed", o[sedgevale.ConnectFailed], "lost", o[sedgevale.Lost],
+			"served", o[sedgevale.Served], "errored", o[sedgevale.Errored], "full", o[sedgevale.Rejected],
+			"timed_out", o[sedgevale.TimedOut], "connect_failed", o[sedgevale.ConnectFailed], "lost", o[sedgevale.ConnectionLost],
 			"cancelled", o[sedgevale.Cancelled], "not_sent", o[sedgevale.NotSent],
 			"starts", t.starts, "starts_late", t.startLate, "start_mean_ms", mean.Milliseconds())
 	}
--- a/internal/dispatchconfig/admission.go
+++ b/internal/dispatchconfig/admission.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Door sets up the admission queues before the planners; see docs/DOOR.md.
-type Door struct {
+// Admission sets up the admission queues before the planners; see docs/DOOR.md.
+type Admission struct {
 	Concurrency int `toml:"concurrency"`      // jobs inside at a time
 	Queue       int `toml:"queue,omitzero"`   // jobs of a co-op that may wait; 0: 256
 	Clients     int `toml:"clients,omitzero"` // queues for clients, in each co-op; 0: 512
@@ -13,7 +13,7 @@
 const maxAdmission = 1 << 16
 
 func (c *Config) checkAdmission() error {
-	d := c.Door
+	d := c.Admission
 	switch {
 	case d == nil:
 		return nil
--- a/internal/dispatchconfig/config.go
+++ b/internal/dispatchconfig/config.go
@@ -33,13 +33,13 @@
 	Settings Settings `json:"settings"`
 
 	// The fields up to PeerWatch come from an operator's file alone.
-	Revision uint32   `json:"-"` // the number that the operator gave this state of the configuration; 0: none
-	SSE      *SSE     `json:"-"`
-	Journal  *Journal `json:"-"`
-	Web      *Web     `json:"-"`
-	Door     *Door    `json:"-"`
-	Planners int      `json:"-"`
-	Loops    int      `json:"-"`
+	Revision  uint32     `json:"-"` // the number that the operator gave this state of the configuration; 0: none
+	SSE       *SSE       `json:"-"`
+	Journal   *Journal   `json:"-"`
+	Web       *Web       `json:"-"`
+	Admission *Admission `json:"-"`
+	Planners  int        `json:"-"`
+	Loops     int        `json:"-"`
 	// PeerWatch has the schedulers keep track of their membership.
 	PeerWatch bool `json:"-"`
 
@@ -134,10 +134,10 @@
 	}
 }
 
-// Follows returns an error unless this configuration can take the place of the one
+// CheckReplaces returns an error unless this configuration can take the place of the one
 // before: it must have each key that that one has, but for those of workers. A file
 // that lacks one was cut short, or is not ours.
-func (c *Config) Follows(before *Config) error {
+func (c *Config) CheckReplaces(before *Config) error {
 	var missing []string
 	for k := range before.keys {
 		if !c.keys[k] && !strings.HasPrefix(k, "known.members.") {
@@ -163,7 +163,7 @@
 	case c.keys["settings.bounds.max_attempts"] && c.Settings.Bounds.MaxAttempts <= 0, c.Settings.Bounds.MaxAttempts < 0:
 		return errors.New("max_attempts must be above 0")
 	}
-	if err := c.Known.Check(); err != nil {
+	if err := c.Known.Validate(); err != nil {
 		return err
 	}
 	if err := c.checkOperator(); err != nil {
@@ -172,11 +172,11 @@
 	if _, err := c.PeerPlan(); err != nil {
 		return err
 	}
-	m, err := c.Settings.Module(max(1, c.Planners))
+	m, err := c.Settings.ModuleSettings(max(1, c.Planners))
 	if err != nil {
 		return err
 	}
-	return m.Check()
+	return m.Validate()
 }
 
 // SeedNumber returns the seed as a number.
--- a/internal/dispatchconfig/config_test.go
+++ b/internal/dispatchconfig/config_test.go
@@ -51,14 +51,14 @@
 // testModule looks at what the module is told of the platform's file.
 func testModule(t *testing.T, c *Config) {
 	t.Helper()
-	m, err := c.Settings.Module(3)
+	m, err := c.Settings.ModuleSettings(3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	k := m.Classes[0]
-	if k.Effect != sedgevale.Keyed || k.Scope != sedgevale.ScopeCell || k.Window != 7500*time.Millisecond ||
-		k.Stretch != 2.5 || k.Kinds != nil || m.Peers != 6 || !m.AskForList || !m.TellsStart || m.MustProbe ||
-		m.Weights != sedgevale.WeightSize || m.WarmUp != 22*time.Second || m.MaxRetryAfter != 2*time.Second ||
+	if k.Idempotency != sedgevale.IdempotentByKey || k.DedupScope != sedgevale.DedupCell || k.DedupWindow != 7500*time.Millisecond ||
+		k.TargetStretch != 2.5 || k.Kinds != nil || m.Dispatchers != 6 || !m.WatchOnDemand || !m.StartNotified || m.LoadByProbe ||
+		m.Weights != sedgevale.WeightSize || m.SlowStartDuration != 22*time.Second || m.MaxRetryAfter != 2*time.Second ||
 		m.Tenants[0].Quota != 58 {
 		t.Errorf("%+v", m)
 	}
@@ -127,7 +127,7 @@
 			err = c.Check()
 		}
 		if err == nil {
-			err = c.Follows(before)
+			err = c.CheckReplaces(before)
 		}
 		return err
 	}
--- a/internal/dispatchconfig/journal.go
+++ b/internal/dispatchconfig/journal.go
@@ -14,7 +14,7 @@
 	Classes   []string `toml:"classes,omitempty"`    // none: all whose effect is not free
 	Sync      string   `toml:"sync,omitempty"`       // SyncGroup or SyncNone
 	KeyFile   string   `toml:"key_file,omitempty"`   // none: "key" in Dir
-	Keep      float64  `toml:"keep_s,omitempty"`     // 0: a week
+	Retention float64  `toml:"keep_s,omitempty"`     // 0: a week
 	MaxMB     int      `toml:"max_mb,omitempty"`     // 0: 256
 	ReserveMB int      `toml:"reserve_mb,omitempty"` // 0: 8
 	OnFull    string   `toml:"on_full,omitempty"`    // RefuseOnFull or ServeOnFull
@@ -24,7 +24,7 @@
 const (
 	SyncGroup    = "group" // a record counts once it is on the disk
 	SyncNone     = "none"  // once it is the operating system's: the machine's end can take it
-	RefuseOnFull = "refuse"
+	RejectOnFull = "refuse"
 	ServeOnFull  = "serve"
 )
 
@@ -36,11 +36,11 @@
 )
 
 func (j *Journal) defaults() {
-	j.Keep = cmp.Or(j.Keep, defaultJournalKeep)
+	j.Retention = cmp.Or(j.Retention, defaultJournalKeep)
 	j.MaxMB = cmp.Or(j.MaxMB, defaultJournalMaxMB)
 	j.ReserveMB = cmp.Or(j.ReserveMB, defaultJournalReserveMB)
 	j.Sync = cmp.Or(j.Sync, SyncGroup)
-	j.OnFull = cmp.Or(j.OnFull, RefuseOnFull)
+	j.OnFull = cmp.Or(j.OnFull, RejectOnFull)
 }
 
 func (c *Config) checkJournal() error {
@@ -54,9 +54,9 @@
 		return errors.New("journal.dir is missing")
 	case j.Sync != SyncGroup && j.Sync != SyncNone:
 		return fmt.Errorf("journal.sync is %q: %q or %q", j.Sync, SyncGroup, SyncNone)
-	case j.OnFull != RefuseOnFull && j.OnFull != ServeOnFull:
-		return fmt.Errorf("journal.on_full is %q: %q or %q", j.OnFull, RefuseOnFull, ServeOnFull)
-	case j.Keep < 0 || j.Keep > 1e9:
+	case j.OnFull != RejectOnFull && j.OnFull != ServeOnFull:
+		return fmt.Errorf("journal.on_full is %q: %q or %q", j.OnFull, RejectOnFull, ServeOnFull)
+	case j.Retention < 0 || j.Retention > 1e9:
 		return errors.New("journal.keep_s must be between 0 and 1e9")
 	case j.MaxMB < minJournalMaxMB || j.MaxMB > 1<<20:
 		return fmt.Errorf("journal.max_mb must be at least %d", minJournalMaxMB)
--- a/internal/dispatchconfig/operator.go
+++ b/internal/dispatchconfig/operator.go
@@ -27,16 +27,16 @@
 	PeerListen string   `toml:"peer_listen,omitempty"`
 	Peers      []string `toml:"peers,omitempty"`
 
-	Seed     string             `toml:"seed,omitempty"`
-	Planners int                `toml:"planners,omitempty"`
-	Loops    int                `toml:"loops,omitempty"`
-	Limits   Limits             `toml:"limits"`
-	SSE      *SSE               `toml:"sse,omitempty"`
-	Journal  *Journal           `toml:"journal,omitempty"`
-	Web      *Web               `toml:"web,omitempty"`
-	Door     *Door              `toml:"door,omitempty"`
-	Settings Settings           `toml:"settings"`
-	Workers  []discovery.Member `toml:"workers"`
+	Seed      string             `toml:"seed,omitempty"`
+	Planners  int                `toml:"planners,omitempty"`
+	Loops     int                `toml:"loops,omitempty"`
+	Limits    Limits             `toml:"limits"`
+	SSE       *SSE               `toml:"sse,omitempty"`
+	Journal   *Journal           `toml:"journal,omitempty"`
+	Web       *Web               `toml:"web,omitempty"`
+	Admission *Admission         `toml:"door,omitempty"`
+	Settings  Settings           `toml:"settings"`
+	Workers   []discovery.Member `toml:"workers"`
 }
 
 // SSE sets up the frontend of server-sent events. Times are in seconds.
@@ -101,7 +101,7 @@
 	return &Config{Name: f.Name, Revision: f.Revision, Listen: f.Listen, Ops: f.Ops, Discovery: f.Discovery, Seed: f.Seed, Limits: f.Limits,
 		PeerListen: f.PeerListen, Peers: f.Peers, PeerWatch: true,
 		Known: &discovery.List{Complete: true, Members: f.Workers}, Settings: f.Settings,
-		SSE: f.SSE, Journal: f.Journal, Web: f.Web, Door: f.Door, Planners: f.Planners, Loops: f.Loops}
+		SSE: f.SSE, Journal: f.Journal, Web: f.Web, Admission: f.Admission, Planners: f.Planners, Loops: f.Loops}
 }
 
 // Write writes the file.
--- a/internal/dispatchconfig/peers.go
+++ b/internal/dispatchconfig/peers.go
@@ -67,9 +67,9 @@
 	return h.Sum64()
 }
 
-// InForce returns the revision that schedulers send each other: the operator's number, and a digest of what must be the
+// PeerRevision returns the revision that schedulers send each other: the operator's number, and a digest of what must be the
 // same for all and a reload takes over, the teams in any order and the classes.
-func (c *Config) InForce() peers.Revision {
+func (c *Config) PeerRevision() peers.Revision {
 	teams := slices.Clone(c.Settings.Realms)
 	slices.SortFunc(teams, func(a, b Realm) int { return cmp.Compare(a.Name, b.Name) })
 	h := fnv.New32a()
--- a/internal/dispatchconfig/peers_test.go
+++ b/internal/dispatchconfig/peers_test.go
@@ -99,7 +99,7 @@
 
 // Guards against schedulers that seem to have the same in force and have not, and ones that seem to differ by what is their own.
 func TestDigestOfWhatIsInForce(t *testing.T) {
-	in := func(change func(c *Config)) uint32 { return deployment(t, change).InForce().Digest }
+	in := func(change func(c *Config)) uint32 { return deployment(t, change).PeerRevision().Digest }
 	same := in(func(*Config) {})
 	for _, c := range []struct {
 		name   string
@@ -140,7 +140,7 @@
 			t.Fatal(err)
 		}
 		got, err := ReadOperator(path)
-		if c.good != (err == nil) || err == nil && got.InForce().Number != c.want || err != nil && !strings.Contains(err.Error(), path) {
+		if c.good != (err == nil) || err == nil && got.PeerRevision().Number != c.want || err != nil && !strings.Contains(err.Error(), path) {
 			t.Errorf("%q: %v, want %d", c.key, err, c.want)
 		}
 	}
@@ -153,12 +153,12 @@
 		t.Fatal(err)
 	}
 	c.Revision = 3
-	if got, want := c.InForce(), (peers.Revision{Number: 3, Digest: 0xa730df0}); got != want {
+	if got, want := c.PeerRevision(), (peers.Revision{Number: 3, Digest: 0xa730df0}); got != want {
 		t.Errorf("platform's file: %#v, want %#v", got, want)
 	}
 	k := &c.Settings.Classes[0]
 	k.RunsOn, k.RunsIn, k.Stream = &[]int{1, 2}, &[]int{}, true
-	if got, want := c.InForce(), (peers.Revision{Number: 3, Digest: 0xee8e0aa8}); got != want {
+	if got, want := c.PeerRevision(), (peers.Revision{Number: 3, Digest: 0xee8e0aa8}); got != want {
 		t.Errorf("with runs_on and runs_in: %#v, want %#v", got, want)
 	}
 }
--- a/internal/dispatchconfig/settings.go
+++ b/internal/dispatchconfig/settings.go
@@ -79,11 +79,11 @@
 }
 
 var (
-	effects = map[string]sedgevale.Effect{
-		"free": sedgevale.Safe, "guarded": sedgevale.Keyed, "single_shot": sedgevale.Unsafe,
+	effects = map[string]sedgevale.Idempotency{
+		"free": sedgevale.Idempotent, "guarded": sedgevale.IdempotentByKey, "single_shot": sedgevale.NotIdempotent,
 	}
-	scopes = map[string]sedgevale.Scope{
-		"": sedgevale.ScopeAll, "all": sedgevale.ScopeAll, "zone": sedgevale.ScopeZone, "cell": sedgevale.ScopeCell,
+	scopes = map[string]sedgevale.DedupScope{
+		"": sedgevale.DedupAll, "all": sedgevale.DedupAll, "zone": sedgevale.DedupZone, "cell": sedgevale.DedupCell,
 	}
 	weights = map[string]sedgevale.WeightMeaning{
 		"": sedgevale.WeightNone, "none": sedgevale.WeightNone, "nominal": sedgevale.WeightSize,
@@ -130,7 +130,7 @@
 			return invalid(at("hard_limit"), "missing, or not above 0 (seconds)")
 		case !(c.Promise > 0):
 			return invalid(at("promise"), "missing, or not above 0 (seconds)")
-		case effects[c.Effect] == sedgevale.Keyed && !(c.Window > 0):
+		case effects[c.Effect] == sedgevale.IdempotentByKey && !(c.Window > 0):
 			return invalid(at("window"), "missing, or not above 0 (seconds), though its effect is %s", c.Effect)
 		}
 	}
@@ -178,29 +178,29 @@
 // Seconds turns a time of the settings into a Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Module returns the settings in the module's form, for one of so many planners
+// ModuleSettings returns the settings in the module's form, for one of so many planners
 // in this process.
-func (s *Settings) Module(planners int) (sedgevale.Settings, error) {
+func (s *Settings) ModuleSettings(planners int) (sedgevale.Settings, error) {
 	if err := s.check(); err != nil {
 		return sedgevale.Settings{}, err
 	}
 	m := sedgevale.Settings{
 		Zone:          s.Zone,
-		Peers:         max(1, s.PeersTotal) * max(1, planners),
+		Dispatchers:   max(1, s.PeersTotal) * max(1, planners),
 		MaxAttempts:   s.Bounds.MaxAttempts,
-		ParallelTries: s.Bounds.ParallelTries,
-		MayCancel:     s.Bounds.Cancel,
-		AskForList:    s.Discovery == "ask",
-		TellsStart:    s.Family.TellsStart,
-		InOrder:       s.Family.QueueOrder == "fifo",
-		MustProbe:     s.Bounds.MayProbe && s.Report.Via == "probe",
+		AllowHedging:  s.Bounds.ParallelTries,
+		AllowCancel:   s.Bounds.Cancel,
+		WatchOnDemand: s.Discovery == "ask",
+		StartNotified: s.Family.TellsStart,
+		FIFOWorkers:   s.Family.QueueOrder == "fifo",
+		LoadByProbe:   s.Bounds.MayProbe && s.Report.Via == "probe",
 
-		FullMayHaveRun: s.Rules.FullMayHaveRun,
-		CloseOnDrain:   Seconds(s.Rules.CloseOnDrain),
-		StartCapacity:  s.Rules.StartCapacity,
-		WarmUp:         Seconds(s.Rules.WarmUp),
-		FallMultiple:   s.Rules.FallMultiple,
-		Fall:           Seconds(s.Rules.Fall),
+		RejectedMayHaveRun: s.Rules.FullMayHaveRun,
+		DrainCloseTimeout:  Seconds(s.Rules.CloseOnDrain),
+		SlowStartCapacity:  s.Rules.StartCapacity,
+		SlowStartDuration:  Seconds(s.Rules.WarmUp),
+		OverloadMultiple:   s.Rules.FallMultiple,
+		OverloadWindow:     Seconds(s.Rules.Fall),
 	}
 	if s.Bounds.RetryAfter {
 		m.MaxRetryAfter = Seconds(s.Bounds.MaxRetryAfter)
@@ -227,12 +227,12 @@
 	if r.RatioSpan == nil || *r.RatioSpan <= 0 {
 		return errors.New("a budget of attempts without rules.ratio_span")
 	}
-	m.Further.Span = Seconds(*r.RatioSpan)
+	m.RetryBudget.Window = Seconds(*r.RatioSpan)
 	if r.ExtraFree != nil {
-		m.Further.Free = *r.ExtraFree
+		m.RetryBudget.FreeRetries = *r.ExtraFree
 	}
 	if r.RepeatRatio != nil {
-		m.Further.Ratio = *r.RepeatRatio
+		m.RetryBudget.RetryRatio = *r.RepeatRatio
 	}
 	return nil
 }
@@ -240,11 +240,11 @@
 // moduleClass returns the i-th class in the module's form.
 func (s *Settings) moduleClass(i int) sedgevale.Class {
 	c := &s.Classes[i]
-	k := sedgevale.Class{Name: c.Name, Window: Seconds(c.Window), Aim: Seconds(c.Promise),
-		Limit: Seconds(c.HardLimit), LateShare: c.LateShare, Stream: c.Stream, Stretch: c.AimStretch}
-	k.Effect, k.Scope = effects[c.Effect], scopes[c.Scope]
-	if k.Stretch == 0 && i < len(s.Family.ClassStretch) {
-		k.Stretch = s.Family.ClassStretch[i]
+	k := sedgevale.Class{Name: c.Name, DedupWindow: Seconds(c.Window), LatencyTarget: Seconds(c.Promise),
+		ClientTimeout: Seconds(c.HardLimit), LateValue: c.LateShare, Streaming: c.Stream, TargetStretch: c.AimStretch}
+	k.Idempotency, k.DedupScope = effects[c.Effect], scopes[c.Scope]
+	if k.TargetStretch == 0 && i < len(s.Family.ClassStretch) {
+		k.TargetStretch = s.Family.ClassStretch[i]
 	}
 	if c.RunsOn != nil {
 		k.Kinds = *c.RunsOn
--- a/internal/evloop/evloop.go
+++ b/internal/evloop/evloop.go
@@ -23,22 +23,22 @@
 
 // Handler handles the events of one connection. Its methods are called on the loop; with keep false it is closed.
 type Handler interface {
-	Opened(Conn) (keep bool)
-	Traffic(Conn) (keep bool)
-	Closed(Conn)
+	OnOpen(Conn) (keep bool)
+	OnTraffic(Conn) (keep bool)
+	OnClose(Conn)
 }
 
 // Loop is an event loop for connections that the program makes.
 type Loop struct {
 	client    *gnet.Client
 	loop      gnet.EventLoop
-	functions *unbounded.Box[func()]
+	functions *unbounded.Queue[func()]
 }
 
 // New starts a Loop.
 func New(log *slog.Logger) (*Loop, error) {
 	client, err := gnet.NewClient(&gnetHandler{}, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readBuffer),
-		gnet.WithLogger(Quiet(log)))
+		gnet.WithLogger(ErrorLogger(log)))
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
@@ -49,13 +49,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	return &Loop{client: client, loop: loop, functions: NewBox(loop)}, nil
+	return &Loop{client: client, loop: loop, functions: NewFunctionQueue(loop)}, nil
 }
 
-// NewBox returns a queue of functions, which are called on a loop in the order in which they are added.
-func NewBox(loop gnet.EventLoop) (box *unbounded.Box[func()]) {
+// NewFunctionQueue returns a queue of functions, which are called on a loop in the order in which they are added.
+func NewFunctionQueue(loop gnet.EventLoop) (box *unbounded.Queue[func()]) {
 	run := gnet.RunnableFunc(func(context.Context) error {
-		for _, f := range box.Take() {
+		for _, f := range box.TakeAll() {
 			f()
 		}
 		return nil
@@ -113,7 +113,7 @@
 	}()
 }
 
-// Detach removes a connection from its loop and returns it, with the bytes that were read and not used. Its Handler's Closed
+// Detach removes a connection from its loop and returns it, with the bytes that were read and not used. Its Handler's OnClose
 // is called. It must be called on the loop.
 func (l *Loop) Detach(c Conn) (net.Conn, []byte, error) {
 	buf, _ := c.Peek(-1)
@@ -149,23 +149,23 @@
 
 func (*gnetHandler) OnOpen(c Conn) ([]byte, gnet.Action) {
 	h, ok := c.Context().(Handler)
-	return nil, actionFor(!ok || h.Opened(c))
+	return nil, actionFor(!ok || h.OnOpen(c))
 }
 
 func (*gnetHandler) OnTraffic(c Conn) gnet.Action {
 	h, ok := c.Context().(Handler)
-	return actionFor(!ok || h.Traffic(c))
+	return actionFor(!ok || h.OnTraffic(c))
 }
 
 func (*gnetHandler) OnClose(c Conn, _ error) gnet.Action {
 	if h, ok := c.Context().(Handler); ok {
-		h.Closed(c)
+		h.OnClose(c)
 	}
 	return gnet.None
 }
 
-// Take discards n bytes that were read. gnet itself would take 0 for all of them.
-func Take(c Conn, n int) {
+// Discard discards n bytes that were read. gnet itself would take 0 for all of them.
+func Discard(c Conn, n int) {
 	if n > 0 {
 		_, _ = c.Discard(n)
 	}
@@ -173,8 +173,8 @@
 
 type gnetLogger struct{ log *slog.Logger }
 
-// Quiet returns a logger for gnet that passes on errors only.
-func Quiet(log *slog.Logger) logging.Logger { return gnetLogger{log} }
+// ErrorLogger returns a logger for gnet that passes on errors only.
+func ErrorLogger(log *slog.Logger) logging.Logger { return gnetLogger{log} }
 
 func (gnetLogger) Debugf(string, ...any) {}
 func (gnetLogger) Infof(string, ...any)  {}
--- a/internal/fairqueue/driver/driver.go
+++ b/internal/fairqueue/driver/driver.go
@@ -12,8 +12,8 @@
 
 // Planners accept jobs. Request takes an exchange in, Gone says that its client has left.
 type Planners interface {
-	Request(*dispatch.Exchange)
-	Gone(*dispatch.Exchange)
+	SubmitRequest(*dispatch.Exchange)
+	ClientDisconnected(*dispatch.Exchange)
 }
 
 // Driver admits jobs to Planners. It offers the same methods, so that servers need not know.
@@ -64,8 +64,8 @@
 		jobs: map[*dispatch.Exchange]*job{}, classCost: map[string]float64{}}, nil
 }
 
-// Request admits, queues or rejects a job.
-func (d *Driver) Request(x *dispatch.Exchange) {
+// SubmitRequest admits, queues or rejects a job.
+func (d *Driver) SubmitRequest(x *dispatch.Exchange) {
 	now := d.clock.Now()
 	d.mu.Lock()
 	tenant := -1
@@ -74,12 +74,12 @@
 	}
 	if tenant < 0 { // of no tenant, or of one that was removed as it came: there is nothing to share by
 		d.mu.Unlock()
-		d.planners.Request(x)
+		d.planners.SubmitRequest(x)
 		return
 	}
 	j := &job{exchange: x}
-	j.request = fairqueue.Request{Token: j, Tenant: tenant, Client: x.Client, Cost: d.costOf(x) * max(1, x.Slots), MaxWait: x.Left(now)/2 - answerMargin}
-	x.Intercept(func(c dispatch.Client) dispatch.Client { return &releasingClient{c, d, j} })
+	j.request = fairqueue.Request{Token: j, Tenant: tenant, Client: x.Client, Cost: d.costOf(x) * max(1, x.Slots), MaxWait: x.TimeLeft(now)/2 - answerMargin}
+	x.WrapClient(func(c dispatch.Client) dispatch.Client { return &releasingClient{c, d, j} })
 	decision, after := d.queue.Arrive(now, j.request)
 	if decision != fairqueue.Rejected {
 		d.jobs[x] = j
@@ -97,9 +97,9 @@
 	d.mu.Unlock()
 	switch decision {
 	case fairqueue.Admitted:
-		d.planners.Request(x)
+		d.planners.SubmitRequest(x)
 	case fairqueue.Rejected:
-		x.TurnAway(min(after, d.maxRetryAfter), "its co-op's queue is full")
+		x.Reject(min(after, d.maxRetryAfter), "its co-op's queue is full")
 	}
 }
 
@@ -119,8 +119,8 @@
 	return initialCost
 }
 
-// Gone takes in that a job's client has disconnected.
-func (d *Driver) Gone(x *dispatch.Exchange) {
+// ClientDisconnected takes in that a job's client has disconnected.
+func (d *Driver) ClientDisconnected(x *dispatch.Exchange) {
 	d.mu.Lock()
 	j := d.jobs[x]
 	if j != nil && !j.admitted {
@@ -130,7 +130,7 @@
 		return
 	}
 	d.mu.Unlock()
-	d.planners.Gone(x)
+	d.planners.ClientDisconnected(x)
 	if j != nil {
 		d.release(j, false)
 	}
@@ -177,10 +177,10 @@
 	}
 	d.mu.Unlock()
 	for _, x := range admitted {
-		d.planners.Request(x)
+		d.planners.SubmitRequest(x)
 	}
 	for _, e := range expired {
-		e.Token.(*job).exchange.TurnAway(min(e.RetryAfter, d.maxRetryAfter), "its co-op's turn did not come in time")
+		e.Token.(*job).exchange.Reject(min(e.RetryAfter, d.maxRetryAfter), "its co-op's turn did not come in time")
 	}
 }
 
@@ -227,7 +227,7 @@
 	}
 	d.mu.Unlock()
 	for _, j := range rejected {
-		j.exchange.TurnAway(0, "the scheduler ends")
+		j.exchange.Reject(0, "the scheduler ends")
 	}
 }
 
--- a/internal/fairqueue/driver/driver_test.go
+++ b/internal/fairqueue/driver/driver_test.go
@@ -16,8 +16,8 @@
 	gone chan *dispatch.Exchange
 }
 
-func (p *planners) Request(x *dispatch.Exchange) { p.in <- x }
-func (p *planners) Gone(x *dispatch.Exchange)    { p.gone <- x }
+func (p *planners) SubmitRequest(x *dispatch.Exchange)      { p.in <- x }
+func (p *planners) ClientDisconnected(x *dispatch.Exchange) { p.gone <- x }
 
 type client struct {
 	got chan dispatch.Answer
@@ -40,7 +40,7 @@
 	return d, p, func(id string, tenant int, left time.Duration) (*dispatch.Exchange, *client) {
 		c := &client{got: make(chan dispatch.Answer, 4)}
 		x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: tenant, TenantName: []string{"a", "b"}[tenant], Client: id, Slots: 1}, clock.Now()+left, c)
-		d.Request(x)
+		d.SubmitRequest(x)
 		return x, c
 	}
 }
@@ -56,20 +56,20 @@
 	}
 	second, _ := ask("second", 1, 10*time.Second)
 	leaving, _ := ask("leaving", 1, 10*time.Second)
-	d.Gone(leaving)
+	d.ClientDisconnected(leaving)
 	_, late := ask("late", 0, 200*time.Millisecond)
-	if a := testkit.Await(t, "the late one's answer", late.got); a.Kind != dispatch.Refused || a.After <= 0 || a.After > 2*time.Second {
+	if a := testkit.Await(t, "the late one's answer", late.got); a.Kind != dispatch.Rejected || a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
 		t.Errorf("late: %+v", a)
 	}
 	if len(p.in) != 0 {
 		t.Error("somebody went in while one was inside")
 	}
-	first.TurnAway(0, "as a planner refuses")
+	first.Reject(0, "as a planner refuses")
 	testkit.Await(t, "the first one's answer", one.got)
 	if got := testkit.Await(t, "the second", p.in); got != second {
 		t.Errorf("%s went in", got.ID)
 	}
-	d.Gone(second)
+	d.ClientDisconnected(second)
 	if got := testkit.Await(t, "the news of its leaving", p.gone); got != second {
 		t.Errorf("%s is gone", got.ID)
 	}
@@ -102,11 +102,11 @@
 	if got := testkit.Await(t, "the job of a tenant that has gone", p.in); got != gone {
 		t.Errorf("%s went in", got.ID)
 	}
-	first.TurnAway(0, "over")
+	first.Reject(0, "over")
 	if got := testkit.Await(t, "who waited", p.in); got != waits {
 		t.Errorf("%s went in", got.ID)
 	}
-	waits.TurnAway(0, "over")
+	waits.Reject(0, "over")
 	if got := testkit.Await(t, "the last", p.in); got.ID != "own" {
 		t.Errorf("%s went in", got.ID)
 	}
--- a/internal/fake/clients.go
+++ b/internal/fake/clients.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Mix is a class of jobs and its part of the load.
-type Mix struct {
+// ClassShare is a class of jobs and its part of the load.
+type ClassShare struct {
 	Class string
-	Part  float64 // of the sum of all parts
+	Share float64 // of the sum of all parts
 	Keyed bool    // jobs carry an Idempotency-Key
 }
 
@@ -23,7 +23,7 @@
 type Clients struct {
 	Target  string // address of the scheduler
 	Number  int
-	Mix     []Mix
+	Mix     []ClassShare
 	Tenants []string
 	Think   time.Duration // on average
 	Timeout time.Duration // in the request
@@ -31,18 +31,18 @@
 	Seed    uint64
 }
 
-// Told is a job and the response that its client got.
-type Told struct {
-	Job, Class string
-	Asked, At  time.Time
-	Status     int // 0: no whole response
-	Body       string
+// Response is a job and the response that its client got.
+type Response struct {
+	Job, Class         string
+	SentAt, ReceivedAt time.Time
+	Status             int // 0: no whole response
+	Body               string
 }
 
 // Run sends jobs until the context ends and returns each with its response.
-func (c Clients) Run(ctx context.Context) []Told {
+func (c Clients) Run(ctx context.Context) []Response {
 	var mu sync.Mutex
-	var all []Told
+	var all []Response
 	var wg sync.WaitGroup
 	for n := range c.Number {
 		wg.Go(func() {
@@ -68,19 +68,19 @@
 
 // send sends a job of a class that is drawn by the mix. The context is not that of the run: what
 // was sent is not called off.
-func (c Clients) send(ctx context.Context, h *http.Client, r *rand.Rand, id string) Told {
+func (c Clients) send(ctx context.Context, h *http.Client, r *rand.Rand, id string) Response {
 	sum := 0.0
 	for _, m := range c.Mix {
-		sum += m.Part
+		sum += m.Share
 	}
 	kind, at := c.Mix[0], r.Float64()*sum
 	for _, m := range c.Mix {
-		if kind = m; at < m.Part {
+		if kind = m; at < m.Share {
 			break
 		}
-		at -= m.Part
+		at -= m.Share
 	}
-	t := Told{Job: id, Class: kind.Class, Asked: time.Now()}
+	t := Response{Job: id, Class: kind.Class, SentAt: time.Now()}
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Target+"/"+kind.Class, bytes.NewReader([]byte("job "+id)))
 	if err != nil {
 		return t
@@ -98,15 +98,15 @@
 
 // Do sends a job's request and returns the job with its response. The status is set only if the
 // response came whole.
-func (t Told) Do(h *http.Client, q *http.Request) Told {
+func (t Response) Do(h *http.Client, q *http.Request) Response {
 	a, err := h.Do(q)
 	if err != nil {
-		t.At = time.Now()
+		t.ReceivedAt = time.Now()
 		return t
 	}
 	defer func() { _ = a.Body.Close() }() // it is read to its end
 	body, err := io.ReadAll(a.Body)
-	if t.At = time.Now(); err == nil {
+	if t.ReceivedAt = time.Now(); err == nil {
 		t.Status, t.Body = a.StatusCode, string(body)
 	}
 	return t
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -78,8 +78,8 @@
 	d.failures[op] = share
 }
 
-// Room sets the capacity in bytes.
-func (d *Disk) Room(n int64) {
+// SetCapacity sets the capacity in bytes.
+func (d *Disk) SetCapacity(n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.capacity = n
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -12,34 +12,34 @@
 
 // Run is a run of a job at a worker.
 type Run struct {
-	Job, Class, Box string
-	Came            time.Time // when the worker had received it whole
-	Began, Finished time.Time // Finished is zero until then
+	Job, Class, Worker string
+	Received           time.Time // when the worker had received it whole
+	Began, Finished    time.Time // Finished is zero until then
 }
 
-// Ledger records the runs of jobs at workers. It is the truth that a journal is compared with.
+// RunLog records the runs of jobs at workers. It is the truth that a journal is compared with.
 // Several workers may share one.
-type Ledger struct {
+type RunLog struct {
 	mu   sync.Mutex        // guards runs
 	runs map[string][]*Run // by job
 }
 
-// NewLedger returns an empty Ledger.
-func NewLedger() *Ledger { return &Ledger{runs: map[string][]*Run{}} }
+// NewRunLog returns an empty Ledger.
+func NewRunLog() *RunLog { return &RunLog{runs: map[string][]*Run{}} }
 
 // Begin records that a worker begins a job, and when that was received.
-func (l *Ledger) Begin(job, class, box string, came time.Time) {
+func (l *RunLog) Begin(job, class, box string, came time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs[job] = append(l.runs[job], &Run{Job: job, Class: class, Box: box, Came: came, Began: time.Now()})
+	l.runs[job] = append(l.runs[job], &Run{Job: job, Class: class, Worker: box, Received: came, Began: time.Now()})
 }
 
 // Finish records that a worker has finished a job.
-func (l *Ledger) Finish(job, box string) {
+func (l *RunLog) Finish(job, box string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.runs[job] {
-		if r.Box == box && r.Finished.IsZero() {
+		if r.Worker == box && r.Finished.IsZero() {
 			r.Finished = time.Now()
 			return
 		}
@@ -47,7 +47,7 @@
 }
 
 // Runs returns the runs of a job.
-func (l *Ledger) Runs(job string) (out []Run) {
+func (l *RunLog) Runs(job string) (out []Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.runs[job] {
@@ -57,7 +57,7 @@
 }
 
 // Jobs returns the ids of the jobs that were begun, in order.
-func (l *Ledger) Jobs() (out []string) {
+func (l *RunLog) Jobs() (out []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id := range l.runs {
@@ -68,7 +68,7 @@
 }
 
 // Forget drops all runs, for long tests.
-func (l *Ledger) Forget() {
+func (l *RunLog) Forget() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.runs)
@@ -78,7 +78,7 @@
 // classes the journal keeps and single which must not run twice. It looks only at jobs that
 // the ledger has, and at those of the journal that keep returns true for. Dropped says of a
 // job that the journal does not have whether retention may have dropped it; nil: none was.
-func Audit(l *Ledger, jobs []store.Found, recorded, single, keep, dropped func(string) bool) (breaches []string) {
+func Audit(l *RunLog, jobs []store.Found, recorded, single, keep, dropped func(string) bool) (breaches []string) {
 	byID := map[string][]store.Found{}
 	for _, j := range jobs {
 		byID[j.ID] = append(byID[j.ID], j)
@@ -95,8 +95,8 @@
 			continue
 		}
 		for _, r := range runs {
-			if !intended(byID[id], r.Box) {
-				breaches = append(breaches, fmt.Sprintf("box %s began job %s, and no intent names it", r.Box, id))
+			if !intended(byID[id], r.Worker) {
+				breaches = append(breaches, fmt.Sprintf("box %s began job %s, and no intent names it", r.Worker, id))
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 	for _, j := range found {
 		switch v, reason, _ := j.Verdict(); {
 		case v == journal.DidNotRun && len(found) == 1 && len(runs) > 0:
-			breaches = append(breaches, fmt.Sprintf("job %s did not run (%s), but box %s began it", id, reason, runs[0].Box))
+			breaches = append(breaches, fmt.Sprintf("job %s did not run (%s), but box %s began it", id, reason, runs[0].Worker))
 		case v == journal.Ran && !finished:
 			breaches = append(breaches, fmt.Sprintf("job %s ran (%s), but no box has finished it", id, reason))
 		}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -17,61 +17,61 @@
 	"time"
 )
 
-// Point is a point in the course of a job at which a Box can be made to fail.
-type Point string
+// Fault is a point in the course of a job at which a Box can be made to fail.
+type Fault string
 
 // The points, in the order of a job's course.
 const (
-	TurnAway Point = "turn-away" // rejected unstarted: 503 with Not-Started
-	CutEarly Point = "cut-early" // the connection breaks, the job is dropped before it begins
-	Error500 Point = "error"     // an answer of 500
-	CutBegun Point = "cut-begun" // the connection breaks when it has begun; it is finished all the same
-	Garbage  Point = "garbage"   // a line that is no JSON, in place of progress
-	Hang     Point = "hang"      // it begins and is neither reported on again nor finished
-	CutDone  Point = "cut-done"  // it is finished, and the connection breaks before that is said
-	Failed   Point = "failed"    // it ends in failure after it has begun
+	FaultRejected       Fault = "turn-away" // rejected unstarted: 503 with Not-Started
+	FaultCutBeforeStart Fault = "cut-early" // the connection breaks, the job is dropped before it begins
+	FaultInternalError  Fault = "error"     // an answer of 500
+	FaultCutAfterStart  Fault = "cut-begun" // the connection breaks when it has begun; it is finished all the same
+	FaultMalformed      Fault = "garbage"   // a line that is no JSON, in place of progress
+	FaultHang           Fault = "hang"      // it begins and is neither reported on again nor finished
+	FaultCutAfterEnd    Fault = "cut-done"  // it is finished, and the connection breaks before that is said
+	FaultFailed         Fault = "failed"    // it ends in failure after it has begun
 )
 
-// Points are all of them.
-var Points = []Point{TurnAway, CutEarly, Error500, CutBegun, Garbage, Hang, CutDone, Failed}
+// AllFaults are all of them.
+var AllFaults = []Fault{FaultRejected, FaultCutBeforeStart, FaultInternalError, FaultCutAfterStart, FaultMalformed, FaultHang, FaultCutAfterEnd, FaultFailed}
 
-// Faults are the shares of a Box's jobs, from 0 to 1, that fail at a point.
-type Faults map[Point]float64
+// FaultShares are the shares of a Box's jobs, from 0 to 1, that fail at a point.
+type FaultShares map[Fault]float64
 
 // ParseFault reads POINT=SHARE.
-func (f Faults) ParseFault(s string) error {
+func (f FaultShares) ParseFault(s string) error {
 	name, value, _ := strings.Cut(s, "=")
 	var share float64
 	if _, err := fmt.Sscanf(value, "%g", &share); err != nil || share < 0 || share > 1 {
 		return fmt.Errorf("fault %q: want POINT=SHARE with a share from 0 to 1", s)
 	}
-	for _, p := range Points {
+	for _, p := range AllFaults {
 		if string(p) == name {
 			f[p] = share
 			return nil
 		}
 	}
-	return fmt.Errorf("fault %q: the points are %v", s, Points)
+	return fmt.Errorf("fault %q: the points are %v", s, AllFaults)
 }
 
-// BoxOptions are a Box's bounds, faults and stores.
-type BoxOptions struct {
+// WorkerOptions are a Box's bounds, faults and stores.
+type WorkerOptions struct {
 	ID    string
 	Slots int // jobs at a time; 0: 4
 	Queue int // waiting jobs; 0: 16
 	// Work is how long a job of a class takes; nil: 1 to 4 ms.
-	Work   func(class string, r *rand.Rand) time.Duration
-	Faults Faults
-	Seed   uint64
-	Shelf  *Shelf  // nil: one of its own
-	Ledger *Ledger // nil: one of its own
+	Work    func(class string, r *rand.Rand) time.Duration
+	Faults  FaultShares
+	Seed    uint64
+	Results *ResultStore // nil: one of its own
+	RunLog  *RunLog      // nil: one of its own
 }
 
-// Box is a worker: it takes jobs by the platform's protocol, and records in its Ledger which it
+// Worker is a worker: it takes jobs by the platform's protocol, and records in its Ledger which it
 // began and finished.
-type Box struct {
-	options BoxOptions
-	ledger  *Ledger
+type Worker struct {
+	options WorkerOptions
+	runLog  *RunLog
 	slots   chan struct{}
 	server  *http.Server
 
@@ -82,8 +82,8 @@
 	quiet   chan struct{} // closed when none is; nil: nobody waits
 }
 
-// NewBox returns a Box that does not listen yet.
-func NewBox(o BoxOptions) *Box {
+// NewWorker returns a Box that does not listen yet.
+func NewWorker(o WorkerOptions) *Worker {
 	if o.Slots <= 0 {
 		o.Slots = 4
 	}
@@ -95,22 +95,22 @@
 			return time.Millisecond + time.Duration(r.Int64N(int64(3*time.Millisecond)))
 		}
 	}
-	if o.Shelf == nil {
-		o.Shelf = NewShelf(0)
+	if o.Results == nil {
+		o.Results = NewResultStore(0)
 	}
-	if o.Ledger == nil {
-		o.Ledger = NewLedger()
+	if o.RunLog == nil {
+		o.RunLog = NewRunLog()
 	}
-	b := &Box{options: o, ledger: o.Ledger, slots: make(chan struct{}, o.Slots), random: rand.New(rand.NewPCG(o.Seed, 0xb0c5))}
+	b := &Worker{options: o, runLog: o.RunLog, slots: make(chan struct{}, o.Slots), random: rand.New(rand.NewPCG(o.Seed, 0xb0c5))}
 	b.server = &http.Server{Handler: b}
 	return b
 }
 
-// Ledger returns the record of the worker's jobs.
-func (b *Box) Ledger() *Ledger { return b.ledger }
+// RunLog returns the record of the worker's jobs.
+func (b *Worker) RunLog() *RunLog { return b.runLog }
 
 // Listen serves on an address, "127.0.0.1:0" for any, and returns it.
-func (b *Box) Listen(addr string) (string, error) {
+func (b *Worker) Listen(addr string) (string, error) {
 	return listen(b.server, addr)
 }
 
@@ -125,10 +125,10 @@
 }
 
 // Close closes all connections at once.
-func (b *Box) Close() error { return b.server.Close() }
+func (b *Worker) Close() error { return b.server.Close() }
 
 // Quiet returns once no job is under way but those that hang.
-func (b *Box) Quiet() {
+func (b *Worker) Quiet() {
 	b.mu.Lock()
 	if b.busy == 0 {
 		b.mu.Unlock()
@@ -143,7 +143,7 @@
 }
 
 // release gives a job's slot back.
-func (b *Box) release() {
+func (b *Worker) release() {
 	<-b.slots
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -154,12 +154,12 @@
 }
 
 // draw decides at which point a job fails, "" for none, and how long it takes.
-func (b *Box) draw(class string) (Point, time.Duration) {
+func (b *Worker) draw(class string) (Fault, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	work := b.options.Work(class, b.random)
 	at := b.random.Float64()
-	for _, p := range Points {
+	for _, p := range AllFaults {
 		if at -= b.options.Faults[p]; at < 0 {
 			return p, work
 		}
@@ -167,13 +167,13 @@
 	return "", work
 }
 
-func (b *Box) load() map[string]float64 {
+func (b *Worker) load() map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return map[string]float64{"x0": float64(cap(b.slots) - len(b.slots)), "queue": float64(b.waiting)}
 }
 
-func (b *Box) loadText() string {
+func (b *Worker) loadText() string {
 	l := b.load()
 	return fmt.Sprintf("x0=%g,queue=%g", l["x0"], l["queue"])
 }
@@ -192,14 +192,14 @@
 type workerJob struct {
 	id, class, key string
 	received       time.Time
-	fault          Point // empty: none
+	fault          Fault // empty: none
 	work           time.Duration
 	result         string // if it is finished
 	out            *lineWriter
 }
 
 // ServeHTTP answers a health check or carries out a job.
-func (b *Box) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (b *Worker) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.Method == http.MethodGet {
 		w.Header().Set("Server-Load", b.loadText())
 		_, _ = io.WriteString(w, b.loadText()+"\n")
@@ -215,13 +215,13 @@
 	j.result = fmt.Sprintf("%s %s: %d bytes by %s", j.class, j.id, len(body), b.options.ID)
 	j.fault, j.work = b.draw(j.class)
 	switch j.fault {
-	case CutEarly:
+	case FaultCutBeforeStart:
 		panic(http.ErrAbortHandler)
-	case Error500:
+	case FaultInternalError:
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
-	if j.fault == TurnAway || !b.enqueue() {
+	if j.fault == FaultRejected || !b.enqueue() {
 		w.Header().Set("Not-Started", "1")
 		w.Header().Set("Server-Load", b.loadText())
 		http.Error(w, "full", http.StatusServiceUnavailable)
@@ -239,7 +239,7 @@
 }
 
 // enqueue counts a job as waiting, unless the queue is full.
-func (b *Box) enqueue() bool {
+func (b *Worker) enqueue() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.waiting >= b.options.Queue {
@@ -252,8 +252,8 @@
 
 // repeated answers a job whose key was used before by the former result, and reports whether the
 // job is over by that or by the end of its context.
-func (b *Box) repeated(ctx context.Context, j *workerJob) bool {
-	former, repeat, ok := b.options.Shelf.Take(ctx, j.key)
+func (b *Worker) repeated(ctx context.Context, j *workerJob) bool {
+	former, repeat, ok := b.options.Results.Take(ctx, j.key)
 	if ok && !repeat {
 		return false
 	}
@@ -265,15 +265,15 @@
 }
 
 // run carries out a job that has a slot.
-func (b *Box) run(ctx context.Context, j *workerJob) {
-	b.ledger.Begin(j.id, j.class, b.options.ID, j.received)
+func (b *Worker) run(ctx context.Context, j *workerJob) {
+	b.runLog.Begin(j.id, j.class, b.options.ID, j.received)
 	j.out.line(line{State: "started"})
 	switch j.fault {
-	case Hang:
+	case FaultHang:
 		b.release()
 		<-ctx.Done()
 		return
-	case CutBegun:
+	case FaultCutAfterStart:
 		go func() {
 			time.Sleep(j.work)
 			b.finish(j)
@@ -281,29 +281,29 @@
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(j.work / 2)
-	if j.fault == Garbage {
+	if j.fault == FaultMalformed {
 		j.out.raw("{not a line\n")
 	} else {
 		j.out.line(line{State: "running", Share: 0.5})
 	}
 	time.Sleep(j.work - j.work/2)
-	if j.fault == Failed {
-		b.options.Shelf.End(j.key, "", false)
+	if j.fault == FaultFailed {
+		b.options.Results.End(j.key, "", false)
 		b.release()
 		j.out.line(line{State: "failed", Load: b.load()})
 		return
 	}
 	b.finish(j)
-	if j.fault == CutDone {
+	if j.fault == FaultCutAfterEnd {
 		panic(http.ErrAbortHandler)
 	}
 	j.out.line(line{State: "done", Result: &j.result, Load: b.load()})
 }
 
 // finish notes that a job is finished and gives its slot back.
-func (b *Box) finish(j *workerJob) {
-	b.ledger.Finish(j.id, b.options.ID)
-	b.options.Shelf.End(j.key, j.result, true)
+func (b *Worker) finish(j *workerJob) {
+	b.runLog.Finish(j.id, b.options.ID)
+	b.options.Results.End(j.key, j.result, true)
 	b.release()
 }
 
@@ -333,9 +333,9 @@
 	_ = s.rc.Flush()
 }
 
-// Shelf stores the results of jobs by their idempotency keys: a key is not run again within the
+// ResultStore stores the results of jobs by their idempotency keys: a key is not run again within the
 // window.
-type Shelf struct {
+type ResultStore struct {
 	window time.Duration
 	mu     sync.Mutex // guards seen
 	seen   map[string]*shelfEntry
@@ -348,18 +348,18 @@
 	ok     bool // it ended well
 }
 
-// NewShelf returns a Shelf; window 0: 7.5 s.
-func NewShelf(window time.Duration) *Shelf {
+// NewResultStore returns a Shelf; window 0: 7.5 s.
+func NewResultStore(window time.Duration) *ResultStore {
 	if window <= 0 {
 		window = 7500 * time.Millisecond
 	}
-	return &Shelf{window: window, seen: map[string]*shelfEntry{}}
+	return &ResultStore{window: window, seen: map[string]*shelfEntry{}}
 }
 
 // Take notes that a job with a key begins; End must be told how it ends. If one with that
 // key was begun before, Take waits for its end and returns its result; if it failed, the
 // job at hand is to be run after all. Ok is false if the context ended first.
-func (s *Shelf) Take(ctx context.Context, key string) (result string, repeat, ok bool) {
+func (s *ResultStore) Take(ctx context.Context, key string) (result string, repeat, ok bool) {
 	for {
 		s.mu.Lock()
 		now := time.Now()
@@ -388,7 +388,7 @@
 }
 
 // End notes how the job of a key ended.
-func (s *Shelf) End(key, result string, ok bool) {
+func (s *ResultStore) End(key, result string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.seen[key]; e != nil && !e.ok {
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -13,7 +13,7 @@
 // Guards against a box that is asked for quiet while jobs still come: with a WaitGroup the first job
 // after a pause raced with Quiet, and the race detector ended runs at random.
 func TestQuietWhileJobsCome(t *testing.T) {
-	b := NewBox(BoxOptions{ID: "box-1", Seed: 1})
+	b := NewWorker(WorkerOptions{ID: "box-1", Seed: 1})
 	var clients sync.WaitGroup
 	for i := range 50 {
 		clients.Go(func() {
@@ -25,8 +25,8 @@
 	}
 	clients.Wait()
 	b.Quiet()
-	for _, id := range b.Ledger().Jobs() {
-		if runs := b.Ledger().Runs(id); len(runs) != 1 || runs[0].Finished.IsZero() {
+	for _, id := range b.RunLog().Jobs() {
+		if runs := b.RunLog().Runs(id); len(runs) != 1 || runs[0].Finished.IsZero() {
 			t.Errorf("job %s: %+v, want one run that has ended by %v", id, runs, time.Now())
 		}
 	}
--- a/internal/faultinjection/checker.go
+++ b/internal/faultinjection/checker.go
@@ -13,8 +13,8 @@
 // Observations is what the rules are checked against: the answers to clients and the ledgers of workers. Nothing of it comes from a
 // scheduler.
 type Observations struct {
-	Answers []fake.Told // to clients; a job's id begins with the name of the scheduler that it was submitted to
-	Ledger  *fake.Ledger
+	Answers []fake.Response // to clients; a job's id begins with the name of the scheduler that it was submitted to
+	Ledger  *fake.RunLog
 	CellOf  map[string]int        // of workers
 	Timeout time.Duration         // of clients
 	Outages map[string][]Interval // of schedulers that are down, frozen or being started
@@ -82,50 +82,50 @@
 }
 
 // checkAnswer checks the answer to a client against the runs of its job.
-func (v *violations) checkAnswer(t *fake.Told) {
+func (v *violations) checkAnswer(t *fake.Response) {
 	v.submitted[t.Job] = true
 	runs := v.observations.Ledger.Runs(t.Job)
-	late := t.At.Sub(t.Asked) > v.observations.Timeout+answerSlack
-	if (t.Status == 0 || late) && !v.observations.hadOutage(schedulerOf(t.Job), t.Asked, t.At) {
-		v.add("one answer in time", t.Job, "", t.At, "status %d after %v", t.Status, t.At.Sub(t.Asked))
+	late := t.ReceivedAt.Sub(t.SentAt) > v.observations.Timeout+answerSlack
+	if (t.Status == 0 || late) && !v.observations.hadOutage(schedulerOf(t.Job), t.SentAt, t.ReceivedAt) {
+		v.add("one answer in time", t.Job, "", t.ReceivedAt, "status %d after %v", t.Status, t.ReceivedAt.Sub(t.SentAt))
 	}
 	rejected := t.Status == http.StatusTooManyRequests || t.Status == http.StatusServiceUnavailable
 	if rejected && t.Class != "usage-view" && len(runs) > 0 {
-		v.add("a refusal is harmless", t.Job, runs[0].Box, runs[0].Began, "refused with %d, and begun there", t.Status)
+		v.add("a refusal is harmless", t.Job, runs[0].Worker, runs[0].Began, "refused with %d, and begun there", t.Status)
 	}
 	if t.Status == http.StatusBadRequest && len(runs) > 0 {
-		v.add("no job is begun", t.Job, runs[0].Box, runs[0].Began, "told that it is no job, and begun there")
+		v.add("no job is begun", t.Job, runs[0].Worker, runs[0].Began, "told that it is no job, and begun there")
 	}
 	if t.Status == http.StatusOK && !slices.ContainsFunc(runs, func(r fake.Run) bool {
-		return !r.Finished.IsZero() && strings.HasSuffix(t.Body, " by "+r.Box)
+		return !r.Finished.IsZero() && strings.HasSuffix(t.Body, " by "+r.Worker)
 	}) {
-		v.add("served by a box", t.Job, "", t.At, "answered %q, which no box has finished", t.Body)
+		v.add("served by a box", t.Job, "", t.ReceivedAt, "answered %q, which no box has finished", t.Body)
 	}
 }
 
 // checkRuns checks the runs of a job, the earliest first.
 func (v *violations) checkRuns(id string, runs []fake.Run) {
 	if !v.submitted[id] {
-		v.add("asked for", id, runs[0].Box, runs[0].Began, "begun, and no client has asked")
+		v.add("asked for", id, runs[0].Worker, runs[0].Began, "begun, and no client has asked")
 	}
 	for i, r := range runs {
 		v.checkDrains(id, r)
 		switch first := runs[0]; {
 		case i == 0:
 		case r.Class == "plan-change":
-			v.add("once", id, r.Box, r.Began, "begun before at %s", first.Box)
-		case r.Class == "bill-pay" && v.observations.CellOf[r.Box] != v.observations.CellOf[first.Box]:
-			v.add("once a shelf", id, r.Box, r.Began, "begun before at %s, of another cell", first.Box)
+			v.add("once", id, r.Worker, r.Began, "begun before at %s", first.Worker)
+		case r.Class == "bill-pay" && v.observations.CellOf[r.Worker] != v.observations.CellOf[first.Worker]:
+			v.add("once a shelf", id, r.Worker, r.Began, "begun before at %s, of another cell", first.Worker)
 		}
 	}
 }
 
 // checkDrains checks that a run was not sent to a worker that drains.
 func (v *violations) checkDrains(id string, r fake.Run) {
-	for _, d := range v.observations.Drained[r.Box] {
-		late := r.Came.Sub(d.From)
-		if late > drainPropagation+drainSlack && d.overlaps(r.Came, r.Came) && !v.observations.hadOutage(schedulerOf(id), d.From, r.Came) {
-			v.add("drains kept", id, r.Box, r.Came, "came %v after all were told that the box leaves", late)
+	for _, d := range v.observations.Drained[r.Worker] {
+		late := r.Received.Sub(d.From)
+		if late > drainPropagation+drainSlack && d.overlaps(r.Received, r.Received) && !v.observations.hadOutage(schedulerOf(id), d.From, r.Received) {
+			v.add("drains kept", id, r.Worker, r.Received, "came %v after all were told that the box leaves", late)
 		}
 	}
 }
@@ -136,16 +136,16 @@
 }
 
 // Summarize counts the answers to jobs that were submitted at or after a moment; InTime are those that were served within a time.
-func Summarize(told []fake.Told, since time.Time, within time.Duration) (s Summary) {
+func Summarize(told []fake.Response, since time.Time, within time.Duration) (s Summary) {
 	for _, t := range told {
-		if t.Asked.Before(since) {
+		if t.SentAt.Before(since) {
 			continue
 		}
 		s.Asked++
 		switch t.Status {
 		case http.StatusOK:
 			s.Served++
-			if t.At.Sub(t.Asked) <= within {
+			if t.ReceivedAt.Sub(t.SentAt) <= within {
 				s.InTime++
 			}
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/faultinjection/checker_test.go
+++ b/internal/faultinjection/checker_test.go
@@ -24,9 +24,9 @@
 	}{
 		{"", func(*Observations) {}},
 		{"one answer in time", func(e *Observations) { e.Answers[0].Status = 0 }},
-		{"one answer in time", func(e *Observations) { e.Answers[0].At = at.Add(6 * time.Second) }},
+		{"one answer in time", func(e *Observations) { e.Answers[0].ReceivedAt = at.Add(6 * time.Second) }},
 		{"", func(e *Observations) {
-			e.Answers[0].At, e.Outages["n0"] = at.Add(5*time.Second), []Interval{{From: at.Add(time.Second)}}
+			e.Answers[0].ReceivedAt, e.Outages["n0"] = at.Add(5*time.Second), []Interval{{From: at.Add(time.Second)}}
 		}},
 		{"one answer in time", func(e *Observations) {
 			e.Answers[0].Status, e.Outages["n0"] = 0, []Interval{{at.Add(-2 * time.Second), at.Add(-time.Second)}}
@@ -40,12 +40,12 @@
 		{"once a shelf", func(e *Observations) { e.Ledger.Begin("n1-0-0", "bill-pay", "box-3", at) }},
 		{"drains kept", func(e *Observations) { e.Drained["box-1"][0].From = at.Add(-2 * time.Second) }},
 	} {
-		e := Observations{Ledger: fake.NewLedger(), CellOf: map[string]int{"box-1": 1, "box-2": 1, "box-3": 2}, Timeout: 2 * time.Second,
+		e := Observations{Ledger: fake.NewRunLog(), CellOf: map[string]int{"box-1": 1, "box-2": 1, "box-3": 2}, Timeout: 2 * time.Second,
 			Outages: map[string][]Interval{}, Drained: map[string][]Interval{"box-1": {{From: at.Add(-100 * time.Millisecond)}, {at.Add(-time.Hour), at.Add(-time.Minute)}}}}
 		for _, job := range []struct{ id, class string }{{"n0-0-0", "plan-change"}, {"n1-0-0", "bill-pay"}} {
 			e.Ledger.Begin(job.id, job.class, "box-1", at)
 			e.Ledger.Finish(job.id, "box-1")
-			e.Answers = append(e.Answers, fake.Told{Job: job.id, Class: job.class, Asked: at, At: at.Add(time.Second), Status: 200,
+			e.Answers = append(e.Answers, fake.Response{Job: job.id, Class: job.class, SentAt: at, ReceivedAt: at.Add(time.Second), Status: 200,
 				Body: job.class + " " + job.id + ": 3 bytes by box-1"})
 		}
 		c.plant(&e)
--- a/internal/faultinjection/clients.go
+++ b/internal/faultinjection/clients.go
@@ -18,9 +18,9 @@
 }
 
 // RunClients runs clients until the context ends and returns the answers to them.
-func (c *Cluster) RunClients(ctx context.Context, load ClientLoad) []fake.Told {
+func (c *Cluster) RunClients(ctx context.Context, load ClientLoad) []fake.Response {
 	var mu sync.Mutex
-	var answers []fake.Told
+	var answers []fake.Response
 	var wg sync.WaitGroup
 	for i, s := range load.Schedulers {
 		wg.Go(func() {
@@ -36,6 +36,6 @@
 }
 
 // RunAllClients runs clients of each scheduler and of both initial tenants until the context ends and returns the answers to them.
-func (c *Cluster) RunAllClients(ctx context.Context, clients int, think, timeout time.Duration) []fake.Told {
+func (c *Cluster) RunAllClients(ctx context.Context, clients int, think, timeout time.Duration) []fake.Response {
 	return c.RunClients(ctx, ClientLoad{Schedulers: c.Schedulers, Tenants: []string{"valley", "east"}, Clients: clients, ThinkTime: think, Timeout: timeout})
 }
--- a/internal/faultinjection/cluster.go
+++ b/internal/faultinjection/cluster.go
@@ -23,7 +23,7 @@
 	Cell   int
 	Slots  int
 	Work   time.Duration // of a job, on average
-	Faults fake.Faults
+	Faults fake.FaultShares
 }
 
 // Options configure a Cluster.
@@ -41,8 +41,8 @@
 type Cluster struct {
 	options    Options
 	Network    *Network
-	Ledger     *fake.Ledger
-	Workers    []*fake.Box
+	Ledger     *fake.RunLog
+	Workers    []*fake.Worker
 	CellOf     map[string]int // by worker
 	Schedulers []*Scheduler
 
@@ -55,7 +55,7 @@
 	if len(o.Initial.Tenants) == 0 {
 		o.Initial.Tenants = []Tenant{{Name: "valley", Share: 0.6}, {Name: "east", Share: 0.4}}
 	}
-	c := &Cluster{options: o, Network: NewNetwork(o.Seed), Ledger: fake.NewLedger(), CellOf: map[string]int{}, drained: map[string][]Interval{}}
+	c := &Cluster{options: o, Network: NewNetwork(o.Seed), Ledger: fake.NewRunLog(), CellOf: map[string]int{}, drained: map[string][]Interval{}}
 	workers, err := c.addWorkers()
 	if err != nil {
 		return c, err
@@ -74,13 +74,13 @@
 
 // addWorkers starts the stand-in workers and returns their addresses.
 func (c *Cluster) addWorkers() (addresses []string, err error) {
-	shelves := map[int]*fake.Shelf{} // by cell
+	shelves := map[int]*fake.ResultStore{} // by cell
 	for i, one := range c.options.Workers {
 		if shelves[one.Cell] == nil {
-			shelves[one.Cell] = fake.NewShelf(0)
+			shelves[one.Cell] = fake.NewResultStore(0)
 		}
-		worker := fake.NewBox(fake.BoxOptions{ID: workerName(i), Slots: one.Slots, Faults: one.Faults, Seed: c.options.Seed + uint64(i),
-			Shelf: shelves[one.Cell], Ledger: c.Ledger, Work: func(_ string, rnd *rand.Rand) time.Duration {
+		worker := fake.NewWorker(fake.WorkerOptions{ID: workerName(i), Slots: one.Slots, Faults: one.Faults, Seed: c.options.Seed + uint64(i),
+			Results: shelves[one.Cell], RunLog: c.Ledger, Work: func(_ string, rnd *rand.Rand) time.Duration {
 				return time.Duration((0.5 + rnd.Float64()) * float64(one.Work))
 			}})
 		address, err := worker.Listen("127.0.0.1:0")
@@ -212,7 +212,7 @@
 }
 
 // Observations returns what the rules are checked against.
-func (c *Cluster) Observations(answers []fake.Told, timeout time.Duration) Observations {
+func (c *Cluster) Observations(answers []fake.Response, timeout time.Duration) Observations {
 	observed := Observations{Answers: answers, Ledger: c.Ledger, CellOf: c.CellOf, Timeout: timeout, Outages: map[string][]Interval{}, Drained: map[string][]Interval{}}
 	for _, s := range c.Schedulers {
 		s.mu.Lock()
--- a/internal/faultinjection/cluster_test.go
+++ b/internal/faultinjection/cluster_test.go
@@ -34,7 +34,7 @@
 		case 3, 11:
 			b.Work *= 6
 		case 7:
-			b.Faults = fake.Faults{fake.Error500: 0.8}
+			b.Faults = fake.FaultShares{fake.FaultInternalError: 0.8}
 		}
 		o.Workers = append(o.Workers, b)
 	}
@@ -56,7 +56,7 @@
 }
 
 // checkRules reports all violations of the rules.
-func (r *Cluster) checkRules(t *testing.T, told []fake.Told) {
+func (r *Cluster) checkRules(t *testing.T, told []fake.Response) {
 	t.Helper()
 	e := r.Observations(told, timeout)
 	for i, b := range e.Violations() {
@@ -71,9 +71,9 @@
 	bad, all := 0, 0
 	for _, id := range r.Ledger.Jobs() {
 		for _, run := range r.Ledger.Runs(id) {
-			if run.Came.After(since) {
+			if run.Received.After(since) {
 				all++
-				if run.Box == "box-3" || run.Box == "box-11" || run.Box == "box-7" {
+				if run.Worker == "box-3" || run.Worker == "box-11" || run.Worker == "box-7" {
 					bad++
 				}
 			}
@@ -121,8 +121,8 @@
 	came := map[string][]time.Duration{}
 	for _, id := range r.Ledger.Jobs() {
 		for _, run := range r.Ledger.Runs(id) {
-			if at := run.Came.Sub(began); at > 0 {
-				came[run.Box] = append(came[run.Box], at)
+			if at := run.Received.Sub(began); at > 0 {
+				came[run.Worker] = append(came[run.Worker], at)
 			}
 		}
 	}
@@ -146,7 +146,7 @@
 	r := run(t, o)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	answers := make(chan []fake.Told, 1)
+	answers := make(chan []fake.Response, 1)
 	go func() { answers <- r.RunAllClients(ctx, 2, 120*time.Millisecond, timeout) }()
 	r.awaitJobs(t, 500) // they have learned what boxes do
 	(&FaultScript{Cluster: r}).setLinkFaults(func(i, j int) (LinkFault, bool) { return LinkFault{Cut: true}, i%2 != j%2 })
@@ -222,7 +222,7 @@
 	r := begin(t, 8, 24, false)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	answers := make(chan []fake.Told, 1)
+	answers := make(chan []fake.Response, 1)
 	go func() { answers <- r.RunAllClients(ctx, 4, 30*time.Millisecond, timeout) }()
 	if err := r.awaitAllAlive(); err != nil {
 		t.Fatal(err)
--- a/internal/faultinjection/scheduler.go
+++ b/internal/faultinjection/scheduler.go
@@ -157,8 +157,8 @@
 }
 
 // Submit submits one job and returns the answer. Its id must begin with the scheduler's name and a hyphen.
-func (s *Scheduler) Submit(ctx context.Context, id, class, tenant string, timeout time.Duration) fake.Told {
-	answer := fake.Told{Job: id, Class: class, Asked: time.Now()}
+func (s *Scheduler) Submit(ctx context.Context, id, class, tenant string, timeout time.Duration) fake.Response {
+	answer := fake.Response{Job: id, Class: class, SentAt: time.Now()}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Listen+"/"+class, strings.NewReader("job "+id))
 	if err != nil {
 		return answer
--- a/internal/faultinjection/settings.go
+++ b/internal/faultinjection/settings.go
@@ -63,8 +63,8 @@
 `
 
 // Mix is the mix of the classes in clients' jobs.
-var Mix = []fake.Mix{{Class: "usage-view", Part: 0.44}, {Class: "plan-change", Part: 0.31},
-	{Class: "bill-pay", Part: 0.25, Keyed: true}}
+var Mix = []fake.ClassShare{{Class: "usage-view", Share: 0.44}, {Class: "plan-change", Share: 0.31},
+	{Class: "bill-pay", Share: 0.25, Keyed: true}}
 
 // Tenant is a tenant of the workers, a realm in the settings.
 type Tenant struct {
--- a/internal/faultinjection/trial_test.go
+++ b/internal/faultinjection/trial_test.go
@@ -25,7 +25,7 @@
 	clients sync.WaitGroup
 
 	mu      sync.Mutex
-	answers []fake.Told
+	answers []fake.Response
 	probes  int
 	since   time.Time // of the last change, or the beginning
 }
@@ -59,7 +59,7 @@
 }
 
 // submit hands one job of a team in and returns what was told of it.
-func (f *trial) submit(s *Scheduler, team string) fake.Told {
+func (f *trial) submit(s *Scheduler, team string) fake.Response {
 	f.mu.Lock()
 	f.probes++
 	id := fmt.Sprintf("%s-%s-probe-%d", s.Name, team, f.probes)
@@ -85,7 +85,7 @@
 func (f *trial) awaitStatus(team string, status int, at []*Scheduler) {
 	f.t.Helper()
 	type answer struct {
-		fake.Told
+		fake.Response
 		after time.Duration
 	}
 	answers := make(chan answer, len(at))
@@ -94,7 +94,7 @@
 			for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 				told := f.submit(s, team)
 				if told.Status == status || time.Since(began) > maxApplyTime {
-					answers <- answer{told, told.At.Sub(f.since)}
+					answers <- answer{told, told.ReceivedAt.Sub(f.since)}
 					return
 				}
 			}
@@ -128,7 +128,7 @@
 }
 
 // answersOf returns the answers to a team's jobs.
-func (f *trial) answersOf(team string) (out []fake.Told) {
+func (f *trial) answersOf(team string) (out []fake.Response) {
 	for _, t := range f.answers {
 		if strings.Contains(t.Job, "-"+team+"-") {
 			out = append(out, t)
@@ -142,15 +142,15 @@
 // that were out when their time ended.
 func (f *trial) checkStayingTenant(team string) {
 	f.t.Helper()
-	f.checkAnswers(team, func(t fake.Told) bool { return t.Status == http.StatusOK })
+	f.checkAnswers(team, func(t fake.Response) bool { return t.Status == http.StatusOK })
 }
 
 // checkChangingTenant does so for a team that comes and goes, whose jobs may also be told that it is not known, and returns how many
 // of its jobs were under way when a moment came.
 func (f *trial) checkChangingTenant(team string, at time.Time) (under int) {
 	f.t.Helper()
-	f.checkAnswers(team, func(t fake.Told) bool {
-		if t.Status == http.StatusOK && t.Asked.Before(at) && t.At.After(at) {
+	f.checkAnswers(team, func(t fake.Response) bool {
+		if t.Status == http.StatusOK && t.SentAt.Before(at) && t.ReceivedAt.After(at) {
 			under++
 		}
 		return t.Status == http.StatusOK || t.Status == http.StatusBadRequest
@@ -163,14 +163,14 @@
 
 // lateByLedger reports whether the boxes' ledger bears out that a job was still at a box when its time ended: it came to one, and none
 // had finished it in time for its answer. Else its scheduler has lost it, or kept it until it was too late.
-func (f *trial) lateByLedger(t fake.Told) bool {
+func (f *trial) lateByLedger(t fake.Response) bool {
 	runs := f.Ledger.Runs(t.Job)
 	return len(runs) > 0 && !slices.ContainsFunc(runs, func(r fake.Run) bool {
-		return !r.Finished.IsZero() && r.Finished.Before(t.At.Add(-answerTransitTime))
+		return !r.Finished.IsZero() && r.Finished.Before(t.ReceivedAt.Add(-answerTransitTime))
 	})
 }
 
-func (f *trial) checkAnswers(team string, well func(fake.Told) bool) {
+func (f *trial) checkAnswers(team string, well func(fake.Response) bool) {
 	f.t.Helper()
 	e := f.Observations(nil, timeout)
 	all, refused, late := f.answersOf(team), 0, 0
@@ -178,18 +178,18 @@
 		scheduler, _, _ := strings.Cut(t.Job, "-")
 		switch {
 		case well(t):
-		case t.Status == 0 && e.hadOutage(scheduler, t.Asked, t.At): // else checkRules finds it
+		case t.Status == 0 && e.hadOutage(scheduler, t.SentAt, t.ReceivedAt): // else checkRules finds it
 		case t.Status == http.StatusServiceUnavailable && strings.HasPrefix(t.Body, "cannot be in time"):
 			refused++
-		case t.Status == http.StatusInternalServerError && strings.HasPrefix(t.Body, "no answer in time") && (e.hadOutage(scheduler, t.Asked, t.At) || f.lateByLedger(t)):
-			if !e.hadOutage(scheduler, t.Asked, t.At) { // else its time ended while nobody could answer
-				f.t.Logf("late: %s, %s, asked %s, told after %v; outages %v; its runs %+v", t.Job, t.Class, t.Asked.Format("05.000"),
-					t.At.Sub(t.Asked), e.Outages[scheduler], f.Ledger.Runs(t.Job))
+		case t.Status == http.StatusInternalServerError && strings.HasPrefix(t.Body, "no answer in time") && (e.hadOutage(scheduler, t.SentAt, t.ReceivedAt) || f.lateByLedger(t)):
+			if !e.hadOutage(scheduler, t.SentAt, t.ReceivedAt) { // else its time ended while nobody could answer
+				f.t.Logf("late: %s, %s, asked %s, told after %v; outages %v; its runs %+v", t.Job, t.Class, t.SentAt.Format("05.000"),
+					t.ReceivedAt.Sub(t.SentAt), e.Outages[scheduler], f.Ledger.Runs(t.Job))
 				late++
 			}
 		default:
-			f.t.Errorf("%s, %s, asked %s, was told %d %q after %v; outages %v; its runs %+v", t.Job, t.Class, t.Asked.Format("05.000"),
-				t.Status, t.Body, t.At.Sub(t.Asked), e.Outages[scheduler], f.Ledger.Runs(t.Job))
+			f.t.Errorf("%s, %s, asked %s, was told %d %q after %v; outages %v; its runs %+v", t.Job, t.Class, t.SentAt.Format("05.000"),
+				t.Status, t.Body, t.ReceivedAt.Sub(t.SentAt), e.Outages[scheduler], f.Ledger.Runs(t.Job))
 		}
 	}
 	f.t.Logf("%s: %d jobs, %d refused for want of time, %d late", team, len(all), refused, late)
--- a/internal/fdlimit/fdlimit.go
+++ b/internal/fdlimit/fdlimit.go
@@ -18,10 +18,10 @@
 	workerSpareDivisor = 8 // of what is left after Reserve: it is for connections to workers alone
 )
 
-// Budget counts connections against a limit. When few are left it calls for idle ones to be closed, never for busy ones.
+// Limiter counts connections against a limit. When few are left it calls for idle ones to be closed, never for busy ones.
 // Those of clients are closed first: a new one costs a client a moment, but a worker capacity that requests need. It is
 // safe for concurrent use.
-type Budget struct {
+type Limiter struct {
 	limit          atomic.Int64
 	used           atomic.Int64
 	otherProcesses atomic.Int64 // descriptors of other processes that share the limit
@@ -30,30 +30,30 @@
 	onCritical     []func(n int) // and of workers
 }
 
-// New returns a Budget with a limit of so many descriptors; 0 or less means no limit.
-func New(descriptors int) *Budget {
-	b := &Budget{}
-	b.Limit(descriptors)
+// New returns a Limiter with a limit of so many descriptors; 0 or less means no limit.
+func New(descriptors int) *Limiter {
+	b := &Limiter{}
+	b.SetLimit(descriptors)
 	return b
 }
 
-// Limit changes the limit. It closes nothing.
-func (b *Budget) Limit(descriptors int) { b.limit.Store(int64(descriptors)) }
+// SetLimit changes the limit. It closes nothing.
+func (b *Limiter) SetLimit(descriptors int) { b.limit.Store(int64(descriptors)) }
 
-// Others sets the number of descriptors of other processes that share the limit.
-func (b *Budget) Others(n int) { b.otherProcesses.Store(int64(n)) }
+// SetOtherProcesses sets the number of descriptors of other processes that share the limit.
+func (b *Limiter) SetOtherProcesses(n int) { b.otherProcesses.Store(int64(n)) }
 
 // available returns the limit without the descriptors of other processes, at least 1; 0 means no limit.
-func (b *Budget) available() int64 {
+func (b *Limiter) available() int64 {
 	if limit := b.limit.Load(); limit > 0 {
 		return max(1, limit-b.otherProcesses.Load())
 	}
 	return 0
 }
 
-// OnShort registers a function that closes n idle connections of clients. It is called when few descriptors are left, and
+// OnLow registers a function that closes n idle connections of clients. It is called when few descriptors are left, and
 // must not block.
-func (b *Budget) OnShort(f func(n int)) {
+func (b *Limiter) OnLow(f func(n int)) {
 	b.mu.Lock()
 	b.onLow = append(b.onLow, f)
 	b.mu.Unlock()
@@ -61,26 +61,26 @@
 
 // OnCritical registers a function that closes n idle connections to workers. It is called when closing those of clients was
 // not enough, and must not block.
-func (b *Budget) OnCritical(f func(n int)) {
+func (b *Limiter) OnCritical(f func(n int)) {
 	b.mu.Lock()
 	b.onCritical = append(b.onCritical, f)
 	b.mu.Unlock()
 }
 
-// Take counts a connection to a worker. It reports false if less than half of Reserve is left: the connection must then not
+// Acquire counts a connection to a worker. It reports false if less than half of Reserve is left: the connection must then not
 // be made, and be released.
-func (b *Budget) Take() bool { return b.take(0, Reserve/2) }
+func (b *Limiter) Acquire() bool { return b.take(0, Reserve/2) }
 
-// TakeClient counts a client's connection. It reports false if less than three quarters of Reserve are left: the connection
-// must then be closed, and be released. Idle connections are closed earlier than for Take: many clients must not keep
+// AcquireClient counts a client's connection. It reports false if less than three quarters of Reserve are left: the connection
+// must then be closed, and be released. Idle connections are closed earlier than for Acquire: many clients must not keep
 // requests and the discovery watch from connecting.
-func (b *Budget) TakeClient() bool {
+func (b *Limiter) AcquireClient() bool {
 	return b.take(max(0, b.available()-Reserve)/workerSpareDivisor, Reserve*3/4)
 }
 
 // take counts a connection. Idle ones are closed if less than Reserve and margin are left; it reports false if less than
 // minLeft are.
-func (b *Budget) take(margin, minLeft int64) bool {
+func (b *Limiter) take(margin, minLeft int64) bool {
 	used, limit := b.used.Add(1), b.available()
 	if limit <= 0 || used <= limit-Reserve-margin {
 		return true
@@ -97,8 +97,8 @@
 	return used <= limit-minLeft
 }
 
-// Idle returns how many idle connections of clients an event loop may keep.
-func (b *Budget) Idle() int {
+// MaxIdleClients returns how many idle connections of clients an event loop may keep.
+func (b *Limiter) MaxIdleClients() int {
 	if limit := b.available(); limit > 0 {
 		return int(max(minClientIdle, limit/clientIdleDivisor))
 	}
@@ -106,7 +106,7 @@
 }
 
 // Release uncounts a connection that was closed or not made.
-func (b *Budget) Release() { b.used.Add(-1) }
+func (b *Limiter) Release() { b.used.Add(-1) }
 
-// Used returns the number of connections that are counted.
-func (b *Budget) Used() int { return int(b.used.Load()) }
+// InUse returns the number of connections that are counted.
+func (b *Limiter) InUse() int { return int(b.used.Load()) }
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -75,11 +75,11 @@
 // little later.
 func (sim *simulation) replaceWorker(at int) {
 	old := sim.workers[at]
-	sim.workerList[at].State = sedgevale.Leaving
+	sim.workerList[at].State = sedgevale.Draining
 	sim.addWorker(old.cores, old.speed, sim.now)
 	sim.publishList()
 	sim.after(6*time.Second, func() {
-		sim.workerList[at].State = sedgevale.Left
+		sim.workerList[at].State = sedgevale.Removed
 		old.removed = true
 		sim.publishList()
 	})
@@ -88,6 +88,6 @@
 // publishList sends an update of the list to each scheduler, with a random delay.
 func (sim *simulation) publishList() {
 	for _, s := range sim.schedulers {
-		s.handleAfter(millis(20+180*sim.netRand.Float64()), func() { s.updateWorkers(sedgevale.ListPatch) })
+		s.handleAfter(millis(20+180*sim.netRand.Float64()), func() { s.updateWorkers(sedgevale.UpdateDelta) })
 	}
 }
--- a/internal/fleetsim/host.go
+++ b/internal/fleetsim/host.go
@@ -29,7 +29,7 @@
 		way *= 3
 		sim.result.Connections++
 	}
-	end := func(o sedgevale.Outcome, report *sedgevale.Report) {
+	end := func(o sedgevale.Outcome, report *sedgevale.LoadReport) {
 		s.handleAfter(millis(sim.experiment.Network.OneWayMillis), func() { s.attemptEnded(j, number, o, report) })
 	}
 	a.task.started = func() {
@@ -40,7 +40,7 @@
 		})
 	}
 	a.task.ended = func(ok bool, free float64) {
-		report := &sedgevale.Report{HasFree: true, Free: free}
+		report := &sedgevale.LoadReport{HasFreeSlots: true, FreeSlots: free}
 		if a.task.cancelled || j.answered {
 			sim.result.wastedWork += j.work.Seconds() * float64(j.slots)
 		}
@@ -56,27 +56,27 @@
 		case w.removed:
 			end(sedgevale.ConnectFailed, nil)
 		case !w.enqueue(a.task):
-			end(sedgevale.Full, &sedgevale.Report{HasFree: true, Free: w.reportedFree})
+			end(sedgevale.Rejected, &sedgevale.LoadReport{HasFreeSlots: true, FreeSlots: w.reportedFree})
 		}
 	})
 }
 
 // attemptEnded reports to the Dispatcher how an attempt ended, and answers the client if
 // it was served.
-func (s *scheduler) attemptEnded(j *job, number int, o sedgevale.Outcome, report *sedgevale.Report) {
+func (s *scheduler) attemptEnded(j *job, number int, o sedgevale.Outcome, report *sedgevale.LoadReport) {
 	a := j.attempts[number]
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if o == sedgevale.Served || o == sedgevale.Errored || o == sedgevale.Full {
+	if o == sedgevale.Served || o == sedgevale.Errored || o == sedgevale.Rejected {
 		s.idleConns[a.worker] = append(s.idleConns[a.worker], s.sim.now)
 	}
 	if o == sedgevale.Served && !j.answered {
 		s.sim.clientServed(j, s)
 		j.answered = true
 	}
-	_ = s.dispatcher.AttemptEnded(s.sim.now, sedgevale.Result{ID: j.id, Attempt: number, Outcome: o, Closed: j.answered, Report: report})
+	_ = s.dispatcher.AttemptEnded(s.sim.now, sedgevale.AttemptResult{ID: j.id, Attempt: number, Outcome: o, Answered: j.answered, Report: report})
 }
 
 // Cancel cancels an attempt and closes its connection.
@@ -117,7 +117,7 @@
 // Probe asks a worker for its load.
 func (s *scheduler) Probe(worker string) {
 	s.handleAfter(2*millis(s.sim.experiment.Network.OneWayMillis), func() {
-		s.dispatcher.ProbeResult(s.sim.now, worker, &sedgevale.Report{HasFree: true, Free: s.sim.workers[s.sim.workerIndex[worker]].reportedFree})
+		s.dispatcher.ProbeResult(s.sim.now, worker, &sedgevale.LoadReport{HasFreeSlots: true, FreeSlots: s.sim.workers[s.sim.workerIndex[worker]].reportedFree})
 	})
 }
 
--- a/internal/fleetsim/scheduler.go
+++ b/internal/fleetsim/scheduler.go
@@ -21,8 +21,8 @@
 	peers          *peers.Node // nil: load is not exchanged
 	jobs           map[string]*job
 	idleConns      map[int][]time.Duration // by worker's index: since when each is idle
-	loadChanges    []sedgevale.Told        // buffer
-	peerLoad       []sedgevale.Told        // buffer
+	loadChanges    []sedgevale.WorkerLoad  // buffer
+	peerLoad       []sedgevale.WorkerLoad  // buffer
 	servedValue    float64                 // in time
 	submittedValue float64
 }
@@ -64,35 +64,35 @@
 	}
 	if sim.variant.Peers {
 		s.peers = peers.New(peers.Options{
-			Self:        s.number,
-			Members:     len(sim.schedulers),
-			Site:        1,
-			Incarnation: uint16(s.incarnation),
-			Hearers:     sim.variant.MinAudience,
-			Least:       sim.variant.MinSubset,
+			Self:           s.number,
+			Members:        len(sim.schedulers),
+			Site:           1,
+			Generation:     uint16(s.incarnation),
+			MinSubscribers: sim.variant.MinAudience,
+			MinSubset:      sim.variant.MinSubset,
 		})
 		s.dispatcher.TrackLoadChanges()
-		s.handleAfter(peers.TickEvery, s.tick)
+		s.handleAfter(peers.TickInterval, s.tick)
 	}
-	s.handle(func() { s.updateWorkers(sedgevale.ListStale) })
+	s.handle(func() { s.updateWorkers(sedgevale.UpdateStale) })
 }
 
 // settings returns the settings of all schedulers.
 func (sim *simulation) settings() sedgevale.Settings {
 	model := &sim.experiment.Worker
 	set := sedgevale.Settings{
-		Peers:         len(sim.schedulers),
-		MaxAttempts:   6,
-		ParallelTries: true,
-		MayCancel:     true,
-		TellsStart:    true,
-		InOrder:       true,
-		MaxRetryAfter: 2 * time.Second,
-		Weights:       sedgevale.WeightSize,
-		WarmUp:        dispatchconfig.Seconds(model.SlowStartSeconds),
-		StartCapacity: model.SlowStartCapacity,
-		FallMultiple:  overloadMultiple,
-		Fall:          overloadWindow,
+		Dispatchers:       len(sim.schedulers),
+		MaxAttempts:       6,
+		AllowHedging:      true,
+		AllowCancel:       true,
+		StartNotified:     true,
+		FIFOWorkers:       true,
+		MaxRetryAfter:     2 * time.Second,
+		Weights:           sedgevale.WeightSize,
+		SlowStartDuration: dispatchconfig.Seconds(model.SlowStartSeconds),
+		SlowStartCapacity: model.SlowStartCapacity,
+		OverloadMultiple:  overloadMultiple,
+		OverloadWindow:    overloadWindow,
 	}
 	for _, c := range classes {
 		set.Classes = append(set.Classes, c.Class)
@@ -105,7 +105,7 @@
 }
 
 // updateWorkers gives the scheduler the list of workers as it is now.
-func (s *scheduler) updateWorkers(kind sedgevale.ListKind) {
+func (s *scheduler) updateWorkers(kind sedgevale.UpdateKind) {
 	s.dispatcher.WorkersUpdated(s.sim.now, kind, s.sim.workerList)
 	if s.peers == nil {
 		return
@@ -116,13 +116,13 @@
 			ids = append(ids, m.Worker)
 		}
 	}
-	s.peers.Boxes(ids)
+	s.peers.SetWorkers(ids)
 	s.updateSubset()
 }
 
 // updateSubset gives the Dispatcher its subset if that has changed.
 func (s *scheduler) updateSubset() {
-	s.peers.Parted(func(subset []string, sharers int) { s.dispatcher.SetSubset(s.sim.now, subset, sharers) })
+	s.peers.TakeSubsetChange(func(subset []string, sharers int) { s.dispatcher.SetSubset(s.sim.now, subset, sharers) })
 }
 
 // tick runs the timers of the exchange with peers.
@@ -130,7 +130,7 @@
 	s.peers.Tick(s.sim.now)
 	s.updateSubset()
 	s.applyPeerLoad()
-	s.handleAfter(peers.TickEvery, s.tick)
+	s.handleAfter(peers.TickInterval, s.tick)
 }
 
 // publishLoad sends the load that has changed to the peers.
@@ -140,7 +140,7 @@
 	}
 	s.loadChanges = s.dispatcher.AppendLoadChanges(s.loadChanges[:0])
 	for _, l := range s.loadChanges {
-		s.peers.Out(s.sim.now, l.Worker, peers.Out{Slots: int(l.Held + 0.5), Waiting: l.Waiting}, l.Full)
+		s.peers.SetLoad(s.sim.now, l.Worker, peers.Load{Slots: int(l.InFlight + 0.5), Waiting: l.NotStarted}, l.Saturated)
 	}
 	s.peers.Flush(s.sim.now, s.sendToPeer)
 }
@@ -165,8 +165,8 @@
 // applyPeerLoad gives the Dispatcher the load of peers that has changed.
 func (s *scheduler) applyPeerLoad() {
 	s.peerLoad = s.peerLoad[:0]
-	s.peers.News(func(id string, slots, waiting int) {
-		s.peerLoad = append(s.peerLoad, sedgevale.Told{Worker: id, Load: sedgevale.Load{Held: float64(slots), Waiting: waiting}})
+	s.peers.TakeLoadChanges(func(id string, slots, waiting int) {
+		s.peerLoad = append(s.peerLoad, sedgevale.WorkerLoad{Worker: id, Load: sedgevale.Load{InFlight: float64(slots), NotStarted: waiting}})
 	})
 	if len(s.peerLoad) > 0 {
 		s.dispatcher.UpdatePeerLoad(s.sim.now, s.peerLoad)
@@ -183,12 +183,12 @@
 		j.answered, j.attempts = false, nil
 		s.jobs[j.id] = j
 		_ = s.dispatcher.SubmitRequest(s.sim.now, sedgevale.Request{
-			ID:     j.id,
-			Class:  j.class,
-			Tenant: j.tenant,
-			Left:   j.deadline - s.sim.now,
-			Slots:  float64(j.slots),
-			Retry:  j.tries > 0,
+			ID:          j.id,
+			Class:       j.class,
+			Tenant:      j.tenant,
+			TimeLeft:    j.deadline - s.sim.now,
+			Slots:       float64(j.slots),
+			ClientRetry: j.tries > 0,
 		})
 	})
 }
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -138,7 +138,7 @@
 		at -= sim.trafficShares[to]
 		to++
 	}
-	j = &job{class: c, slots: 1, submittedAt: sim.now, deadline: sim.now + classes[c].Limit,
+	j = &job{class: c, slots: 1, submittedAt: sim.now, deadline: sim.now + classes[c].ClientTimeout,
 		work: time.Duration(float64(classes[c].work) * math.Exp(0.5*sim.rand.NormFloat64()-0.125))}
 	if sim.rand.Float64() < classes[c].twoSlots {
 		j.slots = 2
@@ -168,7 +168,7 @@
 	c := &classes[j.class]
 	sim.result.Served++
 	_ = sim.latencies.RecordValue(took.Microseconds()) // no time is beyond the histogram's range
-	if took <= c.Aim+time.Duration(c.Stretch*float64(j.work)) {
+	if took <= c.LatencyTarget+time.Duration(c.TargetStretch*float64(j.work)) {
 		sim.result.InTime++
 		sim.result.servedValue += c.value
 		s.servedValue += c.value
--- a/internal/fleetsim/workload.go
+++ b/internal/fleetsim/workload.go
@@ -16,18 +16,18 @@
 	twoSlots float64       // share of jobs that take two slots
 }{
 	{
-		Class: sedgevale.Class{Name: "idempotent", Effect: sedgevale.Safe,
-			Aim: 100 * time.Millisecond, Stretch: 1.75, Limit: 5 * time.Second},
+		Class: sedgevale.Class{Name: "idempotent", Idempotency: sedgevale.Idempotent,
+			LatencyTarget: 100 * time.Millisecond, TargetStretch: 1.75, ClientTimeout: 5 * time.Second},
 		value: 1, part: 0.44, work: 200 * time.Millisecond,
 	},
 	{
-		Class: sedgevale.Class{Name: "at-most-once", Effect: sedgevale.Unsafe,
-			Aim: 100 * time.Millisecond, Stretch: 2.5, Limit: 5 * time.Second},
+		Class: sedgevale.Class{Name: "at-most-once", Idempotency: sedgevale.NotIdempotent,
+			LatencyTarget: 100 * time.Millisecond, TargetStretch: 2.5, ClientTimeout: 5 * time.Second},
 		value: 3, part: 0.31, work: 100 * time.Millisecond, twoSlots: 0.25,
 	},
 	{
-		Class: sedgevale.Class{Name: "idempotent-by-key", Effect: sedgevale.Keyed, Scope: sedgevale.ScopeCell, Window: 7500 * time.Millisecond,
-			Aim: 100 * time.Millisecond, Stretch: 2.5, Limit: 5 * time.Second},
+		Class: sedgevale.Class{Name: "idempotent-by-key", Idempotency: sedgevale.IdempotentByKey, DedupScope: sedgevale.DedupCell, DedupWindow: 7500 * time.Millisecond,
+			LatencyTarget: 100 * time.Millisecond, TargetStretch: 2.5, ClientTimeout: 5 * time.Second},
 		value: 10, part: 0.25, work: 100 * time.Millisecond, twoSlots: 0.25,
 	},
 }
