--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -50,11 +50,11 @@
 
 // State is what the old process hands over.
 type State struct {
-	Source    []byte            `json:"source,omitempty"` // the configuration in force, as the platform wrote it
-	List      discovery.List    `json:"list"`             // of workers
-	Discovery string            `json:"discovery"`        // the address that the list is from
-	Cordons   []string          `json:"cordons,omitempty"`
-	Planners  []dispatch.Estate `json:"planners"`
+	Source    []byte                   `json:"source,omitempty"` // the configuration in force, as the platform wrote it
+	List      discovery.List           `json:"list"`             // of workers
+	Discovery string                   `json:"discovery"`        // the address that the list is from
+	Cordons   []string                 `json:"cordons,omitempty"`
+	Planners  []dispatch.HandoverState `json:"planners"`
 }
 
 // Order is an operator's cordon order that one process was given and both carry out.
@@ -64,20 +64,20 @@
 	Out    bool   `json:"out"`
 }
 
-// Share is an update that a planner sends its counterpart in the other process.
-type Share struct {
-	Planner int             `json:"planner"`
-	Shared  dispatch.Shared `json:"shared"`
+// PlannerUpdate is an update that a planner sends its counterpart in the other process.
+type PlannerUpdate struct {
+	Planner int                   `json:"planner"`
+	Shared  dispatch.PartnerState `json:"shared"`
 }
 
 // Message is one line of a Link. Each field that is set is an update of its own.
 type Message struct {
-	State   *State `json:"state,omitempty"`   // the old process's first message
-	Serving bool   `json:"serving,omitempty"` // the new process accepts connections
-	Share   *Share `json:"share,omitempty"`
-	Order   *Order `json:"order,omitempty"`
-	Done    uint64 `json:"done,omitempty"` // the order of that number is in force
-	Used    int    `json:"used,omitempty"` // descriptors in use
+	State          *State         `json:"state,omitempty"`   // the old process's first message
+	Serving        bool           `json:"serving,omitempty"` // the new process accepts connections
+	PlannerUpdate  *PlannerUpdate `json:"share,omitempty"`
+	Order          *Order         `json:"order,omitempty"`
+	ConfirmedOrder uint64         `json:"done,omitempty"` // the order of that number is in force
+	Descriptors    int            `json:"used,omitempty"` // descriptors in use
 
 	Stream *sse.Stream `json:"stream,omitempty"` // events of the old process's streams
 }
@@ -111,9 +111,9 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", f.Fd(), filepath.Base(path)), f, nil
 }
 
-// ErrNobody is returned by Join where no process listens, though one that has died may have
+// ErrNoProcess is returned by Join where no process listens, though one that has died may have
 // left its socket behind.
-var ErrNobody = errors.New("no other process")
+var ErrNoProcess = errors.New("no other process")
 
 // Join connects to the old process by its socket and receives its listening sockets. The
 // error is ErrNobody if there is no such process; any other one says that it does not
@@ -127,7 +127,7 @@
 	dialer := net.Dialer{Timeout: helloTimeout}
 	c, err := dialer.DialContext(ctx, "unix", name)
 	if errors.Is(err, unix.ENOENT) || errors.Is(err, unix.ECONNREFUSED) {
-		return nil, ErrNobody
+		return nil, ErrNoProcess
 	}
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -78,8 +78,8 @@
 	go host.Accept(hello, func() []*net.TCPListener { return []*net.TCPListener{l} }, func(s *Session) {
 		link := s.Link(loop, old, log)
 		link.Send(&Message{State: &State{List: discovery.List{Revision: 7}, Cordons: []string{"w"},
-			Planners: []dispatch.Estate{{Shared: dispatch.Shared{Opened: []string{"job"}}}}}})
-		link.Send(&Message{Used: 5})
+			Planners: []dispatch.HandoverState{{Shared: dispatch.PartnerState{Opened: []string{"job"}}}}}})
+		link.Send(&Message{Descriptors: 5})
 		links <- link
 	}, func(err error) { t.Error(err) })
 	s, err := Join(t.Context(), path, hello)
@@ -93,7 +93,7 @@
 	next := newRecorder()
 	link := s.Link(loop, next, log)
 	link.Send(&Message{Serving: true})
-	if m := testkit.Await(t, "a message of the old one", next.messages); m.Used != 5 {
+	if m := testkit.Await(t, "a message of the old one", next.messages); m.Descriptors != 5 {
 		t.Errorf("came %+v", m)
 	}
 	if m := testkit.Await(t, "a message of the new one", old.messages); !m.Serving {
@@ -161,7 +161,7 @@
 func TestPartnersThatAreNone(t *testing.T) {
 	hello := NewHello("n0", "127.0.0.1:3000")
 	path := filepath.Join(t.TempDir(), "sock")
-	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNobody) {
+	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNoProcess) {
 		t.Errorf("without a socket: %v", err)
 	}
 	host, err := Listen(path)
@@ -171,7 +171,7 @@
 	if err := host.listener.Close(); err != nil { // as if it had been killed: the file stays
 		t.Fatal(err)
 	}
-	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNobody) {
+	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNoProcess) {
 		t.Errorf("with the socket of a dead process: %v", err)
 	}
 	for what, line := range map[string]string{"silent": "", "garbage": "\x00\x01\n", "ends": "{}",
@@ -179,7 +179,7 @@
 		"newer": `{"version":2,"name":"n0","listen":"127.0.0.1:3000"}` + "\n"} {
 		l := partner(t, line, what == "silent")
 		began := time.Now()
-		if _, err := Join(t.Context(), l.Addr().String(), hello); err == nil || errors.Is(err, ErrNobody) || time.Since(began) > 3*time.Second {
+		if _, err := Join(t.Context(), l.Addr().String(), hello); err == nil || errors.Is(err, ErrNoProcess) || time.Since(began) > 3*time.Second {
 			t.Errorf("%s: %v after %v", what, err, time.Since(began))
 		}
 		if err := l.Close(); err != nil {
@@ -213,7 +213,7 @@
 		n := rapid.IntRange(1, 8).Draw(t, "messages")
 		var all []byte
 		for i := range n {
-			b, err := json.Marshal(&Message{Used: i + 1, Order: &Order{Host: rapid.StringN(0, 8, 32).Draw(t, "host")}})
+			b, err := json.Marshal(&Message{Descriptors: i + 1, Order: &Order{Host: rapid.StringN(0, 8, 32).Draw(t, "host")}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -229,7 +229,7 @@
 			if len(h.messages) == 0 {
 				t.Fatalf("only %d messages of %d", i, n)
 			}
-			if m := <-h.messages; m.Used != i+1 {
+			if m := <-h.messages; m.Descriptors != i+1 {
 				t.Fatalf("message %d is %+v", i+1, m)
 			}
 		}
--- a/internal/handover/host.go
+++ b/internal/handover/host.go
@@ -12,8 +12,8 @@
 // acceptBackoff is the pause after a connection could not be accepted.
 const acceptBackoff = helloTimeout / 10
 
-// Host listens for the next process on the scheduler's Unix socket.
-type Host struct {
+// Listener listens for the next process on the scheduler's Unix socket.
+type Listener struct {
 	listener *net.UnixListener
 	path     string
 	info     os.FileInfo // of the socket, to tell it from a later process's
@@ -21,7 +21,7 @@
 
 // Listen makes the socket. It replaces the socket of another process, alive or dead,
 // atomically: a process that joins finds one or the other.
-func Listen(path string) (*Host, error) {
+func Listen(path string) (*Listener, error) {
 	name, dir, err := shortPath(path)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -34,7 +34,7 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	l.SetUnlinkOnClose(false)
-	h := &Host{listener: l, path: path}
+	h := &Listener{listener: l, path: path}
 	if err = os.Chmod(draft, 0o600); err == nil {
 		err = os.Rename(draft, name)
 	}
@@ -50,7 +50,7 @@
 
 // Accept accepts processes until Close. It passes the sockets to each that joins and then
 // calls handle with its session, in a goroutine of its own. Errors go to failed.
-func (h *Host) Accept(hello Hello, sockets func() []*net.TCPListener, handle func(*Session), failed func(error)) {
+func (h *Listener) Accept(hello Hello, sockets func() []*net.TCPListener, handle func(*Session), failed func(error)) {
 	for {
 		c, err := h.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
@@ -85,7 +85,7 @@
 }
 
 // Close stops listening and removes the socket, unless another process has replaced it.
-func (h *Host) Close() {
+func (h *Listener) Close() {
 	_ = h.listener.Close()
 	if now, err := os.Stat(h.path); err == nil && os.SameFile(now, h.info) {
 		_ = os.Remove(h.path)
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -90,8 +90,8 @@
 	l.handler.Lost(l)
 }
 
-// Opened is called by the event loop when the connection is registered.
-func (l *Link) Opened(gc evloop.Conn) bool {
+// OnOpen is called by the event loop when the connection is registered.
+func (l *Link) OnOpen(gc evloop.Conn) bool {
 	if l.closed {
 		return false
 	}
@@ -106,19 +106,19 @@
 	return !l.closed
 }
 
-// Traffic is called by the event loop when bytes have come.
-func (l *Link) Traffic(gc evloop.Conn) bool {
+// OnTraffic is called by the event loop when bytes have come.
+func (l *Link) OnTraffic(gc evloop.Conn) bool {
 	buf, _ := gc.Peek(-1)
 	l.receive(buf)
 	if l.closed {
 		return true // closed already
 	}
-	evloop.Take(gc, len(buf))
+	evloop.Discard(gc, len(buf))
 	return true
 }
 
-// Closed is called by the event loop when the connection has ended.
-func (l *Link) Closed(evloop.Conn) { l.close(errEnded) }
+// OnClose is called by the event loop when the connection has ended.
+func (l *Link) OnClose(evloop.Conn) { l.close(errEnded) }
 
 // receive parses bytes as they come. A malformed line closes the link and does nothing else.
 func (l *Link) receive(b []byte) {
--- a/internal/haproxy/explain.go
+++ b/internal/haproxy/explain.go
@@ -11,8 +11,8 @@
 	"sedgevale/internal/route"
 )
 
-// Ask is a request that Explain routes.
-type Ask struct {
+// ExplainRequest is a request that Explain routes.
+type ExplainRequest struct {
 	Frontend string   // "": the first
 	Line     string   // METHOD TARGET, as a request line begins
 	Headers  []string // NAME: VALUE each
@@ -29,7 +29,7 @@
 
 // Explain says which frontend, rule, backend and server a request would take, while all
 // servers serve. Of several whose turn it may be the first is named.
-func Explain(w *dispatchconfig.Web, files route.Files, ask Ask) (*Explanation, error) {
+func Explain(w *dispatchconfig.Web, files route.Files, ask ExplainRequest) (*Explanation, error) {
 	f, err := findFrontend(w, ask.Frontend)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 }
 
 // request makes the request as it comes to a frontend.
-func (ask *Ask) request(f *dispatchconfig.WebFrontend) (*route.Request, error) {
+func (ask *ExplainRequest) request(f *dispatchconfig.WebFrontend) (*route.Request, error) {
 	method, target, ok := strings.Cut(strings.TrimSpace(ask.Line), " ")
 	target, _, _ = strings.Cut(target, " ") // the version does not matter
 	if !ok || target == "" {
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -25,8 +25,8 @@
 	origin map[string]string // of frontends ("f NAME") and backends ("b NAME"): where they came from
 }
 
-// ErrNothing is returned for a configuration of which no frontend can be carried over.
-var ErrNothing = errors.New("no frontend can be carried over")
+// ErrNoFrontend is returned for a configuration of which no frontend can be carried over.
+var ErrNoFrontend = errors.New("no frontend can be carried over")
 
 // importer maps sections.
 type importer struct {
@@ -73,7 +73,7 @@
 	res.Report = append(res.Report, r.notes...)
 	res.Report.sorted(sources)
 	if len(im.web.Frontends) == 0 {
-		return res, ErrNothing
+		return res, ErrNoFrontend
 	}
 	res.File.Web = &im.web
 	res.File.Limits.Sockets = im.sockets
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -105,16 +105,16 @@
 		t.Errorf("last entry %v", last)
 	}
 	for _, c := range []struct {
-		ask    haproxy.Ask
+		ask    haproxy.ExplainRequest
 		server string
 		target string
-	}{{haproxy.Ask{Line: "GET /x/1"}, "s", "/x/1"}, {haproxy.Ask{Line: "GET /x/1 HTTP/1.1", Headers: []string{"H: 1"}}, "t", "/y"}} {
+	}{{haproxy.ExplainRequest{Line: "GET /x/1"}, "s", "/x/1"}, {haproxy.ExplainRequest{Line: "GET /x/1 HTTP/1.1", Headers: []string{"H: 1"}}, "t", "/y"}} {
 		w, err := haproxy.Explain(got.File.Web, nil, c.ask)
 		if err != nil || w.Server != c.server || w.Target != c.target {
 			t.Errorf("%+v: %+v %v", c.ask, w, err)
 		}
 	}
-	for _, bad := range []haproxy.Ask{{Line: "GET"}, {Line: "GET /", Frontend: "no"}, {Line: "GET /", Source: "x"}, {Line: "GET /", Headers: []string{"x"}}} {
+	for _, bad := range []haproxy.ExplainRequest{{Line: "GET"}, {Line: "GET /", Frontend: "no"}, {Line: "GET /", Source: "x"}, {Line: "GET /", Headers: []string{"x"}}} {
 		if _, err := haproxy.Explain(got.File.Web, nil, bad); err == nil {
 			t.Errorf("%+v was explained", bad)
 		}
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -38,7 +38,7 @@
 	t      *testing.T
 	name   string
 	ref    *refConf
-	site   *reverseproxy.Site
+	site   *reverseproxy.Proxy
 	report haproxy.Report
 	front  map[string]string // address of each frontend
 	mu     sync.Mutex
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -12,7 +12,7 @@
 
 // Bounds of a message, in bytes; maxFields is a count.
 const (
-	MaxHead         = 16 << 10 // start line and fields
+	MaxHeadBytes    = 16 << 10 // start line and fields
 	maxFields       = 100
 	maxChunkLine    = 256     // the line before a chunk
 	maxTrailerBytes = 4 << 10 // trailer fields
@@ -39,7 +39,7 @@
 	Close          bool  // the connection closes after this message
 	Length         int64 // Content-Length; -1 if there is none
 	Chunked        bool
-	Old            bool    // HTTP/1.0
+	HTTP10         bool    // HTTP/1.0
 	Trailer        []Field // of a chunked body, if Parser.KeepTrailer is set
 }
 
@@ -246,14 +246,14 @@
 	}
 	if end < 0 {
 		p.scanned = len(buf)
-		if len(buf) > MaxHead {
+		if len(buf) > MaxHeadBytes {
 			return 0, false, &Error{431, "head too large"}
 		}
 		return 0, false, nil
 	}
 	end += from
 	p.scanned = 0
-	if end > MaxHead {
+	if end > MaxHeadBytes {
 		return 0, false, &Error{431, "head too large"}
 	}
 	if err := p.parseHead(string(buf[skip:end])); err != nil {
@@ -335,7 +335,7 @@
 // setFraming determines where the body ends (RFC 9112, section 6.3).
 func (p *Parser) setFraming(http10 bool) error {
 	h := &p.Head
-	h.Close, h.Old = http10, http10
+	h.Close, h.HTTP10 = http10, http10
 	hosts := 0
 	for _, f := range h.Fields {
 		if strings.EqualFold(f.Name, "Host") {
@@ -383,7 +383,7 @@
 		switch option = strings.TrimSpace(option); {
 		case strings.EqualFold(option, "close"):
 			h.Close = true
-		case strings.EqualFold(option, "keep-alive") && h.Old:
+		case strings.EqualFold(option, "keep-alive") && h.HTTP10:
 			h.Close = false
 		}
 	}
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -145,7 +145,7 @@
 		"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n\r\n":                        400,
 		"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1", 999): 400,
 		"GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("A: b\r\n", 101) + "\r\n":                   431,
-		strings.Repeat("x", MaxHead+1):                                                               431,
+		strings.Repeat("x", MaxHeadBytes+1):                                                          431,
 	} {
 		var fault *Error
 		if _, err := feed(Request, []byte(text)); !errors.As(err, &fault) || fault.Status != want {
--- a/internal/httpd/conn.go
+++ b/internal/httpd/conn.go
@@ -55,7 +55,7 @@
 	gc.SetContext(c)
 	c.setState(stateFresh)
 	s.clients.Add(1)
-	taken := s.descriptors.TakeClient()
+	taken := s.descriptors.AcquireClient()
 	if !taken {
 		c.setState(stateBusy) // not to be the one that is closed for itself
 		taken = c.loop.evict(1) > 0
@@ -64,7 +64,7 @@
 	if !taken {
 		// With one descriptor more neither accepting nor dialling works, for anybody. This
 		// one connection is the lesser loss.
-		s.log.Error("no descriptors left, closing a new connection", "open", s.descriptors.Used())
+		s.log.Error("no descriptors left, closing a new connection", "open", s.descriptors.InUse())
 		return nil, gnet.Close
 	}
 	return nil, gnet.None
@@ -81,7 +81,7 @@
 	was := c.state
 	c.setState(stateClosed)
 	if was == stateBusy && !c.detached {
-		s.handler.Gone(c)
+		s.handler.Disconnected(c)
 	}
 	return gnet.None
 }
@@ -101,7 +101,7 @@
 	c.state = to
 	switch to {
 	case stateFresh:
-		c.deadline = c.opened.Add(c.server.limits.First)
+		c.deadline = c.opened.Add(c.server.limits.FirstByte)
 		c.loop.fresh.push(c)
 	case stateIdle:
 		if c.server.limits.Idle > 0 {
@@ -109,9 +109,9 @@
 		}
 		c.loop.idle.push(c)
 	case stateReading:
-		c.deadline = c.opened.Add(c.server.limits.Slow) // however the bytes trickle
+		c.deadline = c.opened.Add(c.server.limits.FirstRequest) // however the bytes trickle
 		if c.received {
-			c.deadline = time.Now().Add(c.server.limits.Read)
+			c.deadline = time.Now().Add(c.server.limits.Request)
 		}
 		c.loop.reading.push(c)
 	case stateEnding:
@@ -154,7 +154,7 @@
 	n, event, part, err := c.parser.Next(buf)
 	if event == http1.Body {
 		if len(c.body)+len(part) > MaxBody {
-			if over, ok := c.server.handler.(Overflower); ok {
+			if over, ok := c.server.handler.(BodyOverflowHandler); ok {
 				c.body = append(c.body, part...)
 				c.overflow(over, buf[n:])
 				return false
@@ -164,7 +164,7 @@
 			c.body = append(c.body, part...)
 		}
 	}
-	evloop.Take(c.conn, n)
+	evloop.Discard(c.conn, n)
 	if err != nil {
 		c.rejectFor(err)
 		return false
@@ -185,14 +185,14 @@
 func (c *Conn) onHead(rest []byte) bool {
 	c.body = nil
 	if c.parser.Head.Length > MaxBody {
-		if over, ok := c.server.handler.(Overflower); ok {
+		if over, ok := c.server.handler.(BodyOverflowHandler); ok {
 			c.overflow(over, rest)
 			return false
 		}
 		c.reject(413, "body too large")
 		return false
 	}
-	if len(c.parser.Head.Get("Expect")) > 0 && !c.parser.Head.Old {
+	if len(c.parser.Head.Get("Expect")) > 0 && !c.parser.Head.HTTP10 {
 		_, _ = c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	return true
@@ -300,8 +300,8 @@
 	}
 }
 
-// Unsent returns how many bytes of what was written the kernel has not taken yet.
-func (c *Conn) Unsent() int {
+// UnsentBytes returns how many bytes of what was written the kernel has not taken yet.
+func (c *Conn) UnsentBytes() int {
 	if c.state == stateClosed {
 		return 0
 	}
@@ -341,7 +341,7 @@
 	}
 	if !c.closeAfter {
 		c.setState(stateIdle)
-		if maxIdle := c.server.descriptors.Idle(); c.loop.idle.n > maxIdle {
+		if maxIdle := c.server.descriptors.MaxIdleClients(); c.loop.idle.n > maxIdle {
 			c.Post(func(*Conn) { c.loop.closeIdle(c.loop.idle.n - maxIdle) })
 		}
 		if c.conn.InboundBuffered() > 0 {
--- a/internal/httpd/endings_test.go
+++ b/internal/httpd/endings_test.go
@@ -53,7 +53,7 @@
 	h.echo.Serve(c, q)
 }
 
-func startServed(t *testing.T, b *fdlimit.Budget) (*Server, served) {
+func startServed(t *testing.T, b *fdlimit.Limiter) (*Server, served) {
 	t.Helper()
 	h := served{echo{make(chan struct{}, 8)}, make(chan *Conn, 512), make(chan int, 512)}
 	s := New(testkit.FreeAddr(t), 1, h, b, slog.New(slog.DiscardHandler))
@@ -212,7 +212,7 @@
 		testkit.Dial(t, s.addr)
 	}
 	until(t, "the crowd to be thinned", func() bool { return s.Clients() <= descriptors-fdlimit.Reserve/2 })
-	if !b.Take() {
+	if !b.Acquire() {
 		t.Error("no descriptor is left for a worker")
 	}
 	b.Release()
--- a/internal/httpd/eventloop.go
+++ b/internal/httpd/eventloop.go
@@ -13,7 +13,7 @@
 // goroutine's.
 type eventLoop struct {
 	loop  gnet.EventLoop
-	tasks *unbounded.Box[func()]
+	tasks *unbounded.Queue[func()]
 	// The connections in each state, the longest first.
 	fresh, idle, reading, ending connList
 }
@@ -23,7 +23,7 @@
 	defer s.mu.Unlock()
 	l := s.eventLoops[loop]
 	if l == nil {
-		l = &eventLoop{loop: loop, tasks: evloop.NewBox(loop)}
+		l = &eventLoop{loop: loop, tasks: evloop.NewFunctionQueue(loop)}
 		s.eventLoops[loop] = l
 	}
 	return l
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -25,14 +25,14 @@
 const MaxBody = 64 << 10
 
 const (
-	maxPipelined        = MaxBody + http1.MaxHead // bytes a client may send while a request of its is served
-	firstByteTimeout    = 2 * time.Second         // from connecting
-	firstRequestTimeout = 2500 * time.Millisecond // from connecting, for the whole request: some clients need 2 s
-	requestTimeout      = 2 * time.Second         // from its first byte, for a later request
-	lingerTimeout       = 2 * time.Second         // for a client to read the last response
-	closeTimeout        = 300 * time.Millisecond  // for a client to close an idle connection that the server ends
-	maxLingerBytes      = 1 << 20                 // that a client may still send meanwhile
-	minSilentAge        = 300 * time.Millisecond  // of a connection on which nothing has come, before it is closed for want of descriptors
+	maxPipelined        = MaxBody + http1.MaxHeadBytes // bytes a client may send while a request of its is served
+	firstByteTimeout    = 2 * time.Second              // from connecting
+	firstRequestTimeout = 2500 * time.Millisecond      // from connecting, for the whole request: some clients need 2 s
+	requestTimeout      = 2 * time.Second              // from its first byte, for a later request
+	lingerTimeout       = 2 * time.Second              // for a client to read the last response
+	closeTimeout        = 300 * time.Millisecond       // for a client to close an idle connection that the server ends
+	maxLingerBytes      = 1 << 20                      // that a client may still send meanwhile
+	minSilentAge        = 300 * time.Millisecond       // of a connection on which nothing has come, before it is closed for want of descriptors
 	sweepInterval       = 200 * time.Millisecond
 	readBuffer          = 32 << 10 // bytes
 	writeBuffer         = 64 << 10 // bytes
@@ -53,9 +53,9 @@
 // or EndStream has been called.
 type Handler interface {
 	Serve(*Conn, *Request)
-	// Gone is called when a connection is closed whose request was not answered, or whose
+	// Disconnected is called when a connection is closed whose request was not answered, or whose
 	// stream has not ended.
-	Gone(*Conn)
+	Disconnected(*Conn)
 }
 
 // Server is an HTTP/1.1 server.
@@ -65,7 +65,7 @@
 	loops       int
 	handler     Handler
 	limits      Limits
-	descriptors *fdlimit.Budget
+	descriptors *fdlimit.Limiter
 	log         *slog.Logger
 	client      *gnet.Client
 	acceptor    *acceptor
@@ -78,16 +78,16 @@
 
 // Limits bound how long clients may take. Zero stands for the default, but for Idle.
 type Limits struct {
-	First time.Duration // from connecting, for the first byte
-	Slow  time.Duration // from connecting, for the first request to come whole
-	Read  time.Duration // for a later request to come whole
-	Idle  time.Duration // between two requests; 0: as long as descriptors last
+	FirstByte    time.Duration // from connecting, for the first byte
+	FirstRequest time.Duration // from connecting, for the first request to come whole
+	Request      time.Duration // for a later request to come whole
+	Idle         time.Duration // between two requests; 0: as long as descriptors last
 }
 
-// Overflower is a Handler that reads bodies beyond MaxBody itself. Overflow is called on the
+// BodyOverflowHandler is a Handler that reads bodies beyond MaxBody itself. Overflow is called on the
 // connection's event loop with what has come, in place of Serve; the connection has been
 // taken off the loop.
-type Overflower interface {
+type BodyOverflowHandler interface {
 	Overflow(q *Request, d *Detached)
 }
 
@@ -103,23 +103,23 @@
 }
 
 // New returns a Server that is not yet listening.
-func New(addr string, loops int, handler Handler, b *fdlimit.Budget, log *slog.Logger) *Server {
+func New(addr string, loops int, handler Handler, b *fdlimit.Limiter, log *slog.Logger) *Server {
 	return NewLimited(addr, loops, handler, Limits{}, b, log)
 }
 
 // NewLimited returns a Server with limits of its own.
-func NewLimited(addr string, loops int, handler Handler, limits Limits, b *fdlimit.Budget, log *slog.Logger) *Server {
+func NewLimited(addr string, loops int, handler Handler, limits Limits, b *fdlimit.Limiter, log *slog.Logger) *Server {
 	for _, l := range []struct {
 		to    *time.Duration
 		usual time.Duration
-	}{{&limits.First, firstByteTimeout}, {&limits.Slow, firstRequestTimeout}, {&limits.Read, requestTimeout}} {
+	}{{&limits.FirstByte, firstByteTimeout}, {&limits.FirstRequest, firstRequestTimeout}, {&limits.Request, requestTimeout}} {
 		if *l.to <= 0 {
 			*l.to = l.usual
 		}
 	}
 	s := &Server{addr: addr, loops: min(max(1, loops), maxEventLoops), handler: handler, limits: limits, descriptors: b, log: log,
 		stopped: make(chan struct{}), eventLoops: map[gnet.EventLoop]*eventLoop{}}
-	b.OnShort(func(n int) { s.onEachLoop(func(l *eventLoop) { l.closeIdle(n) }) })
+	b.OnLow(func(n int) { s.onEachLoop(func(l *eventLoop) { l.closeIdle(n) }) })
 	return s
 }
 
@@ -141,7 +141,7 @@
 		}
 	}
 	client, err := gnet.NewClient(s, gnet.WithNumEventLoop(s.loops), gnet.WithReadBufferCap(readBuffer),
-		gnet.WithWriteBufferCap(writeBuffer), gnet.WithLogger(evloop.Quiet(s.log)))
+		gnet.WithWriteBufferCap(writeBuffer), gnet.WithLogger(evloop.ErrorLogger(s.log)))
 	if err == nil {
 		err = client.Start()
 	}
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -25,9 +25,9 @@
 	c.Respond(200, nil, q.Body)
 }
 
-func (e echo) Gone(*Conn) { e.gone <- struct{}{} }
+func (e echo) Disconnected(*Conn) { e.gone <- struct{}{} }
 
-func start(t *testing.T, addr string, b *fdlimit.Budget) (*Server, echo) {
+func start(t *testing.T, addr string, b *fdlimit.Limiter) (*Server, echo) {
 	t.Helper()
 	h := echo{make(chan struct{}, 8)}
 	s := New(addr, 1, h, b, slog.New(slog.DiscardHandler))
@@ -194,7 +194,7 @@
 		{"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 0x10001), 413},
 		{"POST /a HTTP/2.0\r\nHost: h\r\n\r\n", 505},
 		{"POST /a HTTP/1.1\r\n\r\n", 400},
-		{"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", http1.MaxHead) + "\r\n\r\n", 431},
+		{"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", http1.MaxHeadBytes) + "\r\n\r\n", 431},
 	} {
 		conn, r := dial(t, addr)
 		go func() { _, _ = io.WriteString(conn, c.text) }()
@@ -327,7 +327,7 @@
 	b := fdlimit.New(1024)
 	s, _ := start(t, addr, b)
 	defer stop(t, s)
-	maxIdle := b.Idle()
+	maxIdle := b.MaxIdleClients()
 	var idle []*bufio.Reader
 	for range maxIdle + 3 {
 		c, r := dial(t, addr)
--- a/internal/httpd/stream.go
+++ b/internal/httpd/stream.go
@@ -18,9 +18,9 @@
 	ByClose // the connection's end, for HTTP/1.0
 )
 
-// Begin sends the head of a response whose body follows by Part until EndBody. Fields must
+// BeginResponse sends the head of a response whose body follows by Part until EndBody. Fields must
 // have no Transfer-Encoding, Connection or, but for ByLength, Content-Length.
-func (c *Conn) Begin(status int, fields []http1.Field, framing Framing) {
+func (c *Conn) BeginResponse(status int, fields []http1.Field, framing Framing) {
 	if c.state == stateClosed {
 		return
 	}
@@ -34,8 +34,8 @@
 	_, _ = c.conn.Write(c.out)
 }
 
-// Part sends a part of a body.
-func (c *Conn) Part(b []byte) {
+// WriteBody sends a part of a body.
+func (c *Conn) WriteBody(b []byte) {
 	if c.state == stateClosed || len(b) == 0 {
 		return
 	}
@@ -89,7 +89,7 @@
 	}
 	d := &Detached{Conn: conn, Parser: c.parser, Rest: rest, server: c.server, opened: c.opened}
 	c.server.clients.Add(1) // still open, until it is closed or given back
-	c.server.descriptors.TakeClient()
+	c.server.descriptors.AcquireClient()
 	c.detached = true
 	c.loop.close(c)
 	return d, nil
@@ -97,7 +97,7 @@
 
 // overflow hands a request over whose body is too long for the event loop. Rest is what was
 // read behind what the parser has taken.
-func (c *Conn) overflow(over Overflower, rest []byte) {
+func (c *Conn) overflow(over BodyOverflowHandler, rest []byte) {
 	head, body := c.parser.Head, c.body
 	c.setState(stateBusy)
 	d, err := c.detach(append([]byte(nil), rest...))
@@ -125,9 +125,9 @@
 // Draining reports whether the server wants its connections to end.
 func (d *Detached) Draining() bool { return d.server.draining.Load() }
 
-// GiveBack puts a connection back on an event loop, for its next request. Nothing of that
+// Reattach puts a connection back on an event loop, for its next request. Nothing of that
 // may have been read yet: it would be lost.
-func (d *Detached) GiveBack() {
+func (d *Detached) Reattach() {
 	_ = d.SetDeadline(time.Time{})
 	d.release()
 	if _, err := d.server.client.EnrollContext(d.Conn, nil); err != nil {
--- a/internal/jobrequest/jobrequest.go
+++ b/internal/jobrequest/jobrequest.go
@@ -31,25 +31,25 @@
 // Parser parses requests. It may be used by several goroutines.
 type Parser struct {
 	clock  dispatch.Clock
-	terms  *atomic.Pointer[Terms] // shared with the parsers made by WithMargin
-	margin time.Duration          // subtracted from timeouts beyond responseMargin
+	terms  *atomic.Pointer[Settings] // shared with the parsers made by WithMargin
+	margin time.Duration             // subtracted from timeouts beyond responseMargin
 }
 
-// Terms are the settings by which requests are parsed. They are not changed, only replaced.
-type Terms struct {
+// Settings are the settings by which requests are parsed. They are not changed, only replaced.
+type Settings struct {
 	Classes []sedgevale.Class
 	Tenants []sedgevale.Tenant // none: any tenant may send jobs
 }
 
 // New returns a Parser with those settings, whose deadlines are on the clock.
-func New(clock dispatch.Clock, t *Terms) *Parser {
-	p := &Parser{clock: clock, terms: &atomic.Pointer[Terms]{}}
+func New(clock dispatch.Clock, t *Settings) *Parser {
+	p := &Parser{clock: clock, terms: &atomic.Pointer[Settings]{}}
 	p.terms.Store(t)
 	return p
 }
 
 // Update replaces the settings, also of parsers made by WithMargin.
-func (p *Parser) Update(t *Terms) { p.terms.Store(t) }
+func (p *Parser) Update(t *Settings) { p.terms.Store(t) }
 
 // Time returns a time on the clock of the deadlines.
 func (p *Parser) Time(t time.Time) time.Duration { return p.clock.At(t) }
@@ -81,7 +81,7 @@
 // Class returns the class of that name, or nil.
 func (p *Parser) Class(name string) *sedgevale.Class { return p.terms.Load().class(name) }
 
-func (t *Terms) class(name string) *sedgevale.Class {
+func (t *Settings) class(name string) *sedgevale.Class {
 	for i := range t.Classes {
 		if t.Classes[i].Name == name {
 			return &t.Classes[i]
@@ -112,7 +112,7 @@
 		return j, 0, badRequest("unknown Tenant")
 	}
 	if d, ok := parseDuration(h.hint); ok {
-		j.Hint = d
+		j.RuntimeHint = d
 	}
 	if err := parseInfo(&j, h.info); err != nil {
 		return j, 0, err
@@ -149,13 +149,13 @@
 	case strings.EqualFold(name, "Tenant"):
 		h.tenant = value
 	case strings.EqualFold(name, "Affinity-Key"):
-		h.job.Key = value
+		h.job.AffinityKey = value
 	case strings.EqualFold(name, "Idempotency-Key"):
-		h.job.Once = value
+		h.job.IdempotencyKey = value
 	case strings.EqualFold(name, "Client-Id"):
 		h.job.Client = value
 	case strings.EqualFold(name, "Client-Retry"):
-		h.job.Retry = value == "1"
+		h.job.ClientRetry = value == "1"
 	case strings.EqualFold(name, "Work-Hint"):
 		h.hint = value
 	case strings.EqualFold(name, "Request-Info"):
@@ -185,7 +185,7 @@
 		return badRequest("Request-Id must be one word")
 	case h.timeout <= 0:
 		return badRequest("Request-Timeout is missing")
-	case j.Once == "" && j.Class.Effect == sedgevale.Keyed:
+	case j.IdempotencyKey == "" && j.Class.Idempotency == sedgevale.IdempotentByKey:
 		return badRequest("this class needs an Idempotency-Key")
 	}
 	return nil
--- a/internal/jobrequest/jobrequest_test.go
+++ b/internal/jobrequest/jobrequest_test.go
@@ -13,7 +13,7 @@
 )
 
 func newParser() *Parser {
-	return New(dispatch.NewClock(), &Terms{Classes: []sedgevale.Class{{Name: "free"}, {Name: "key", Effect: sedgevale.Keyed}},
+	return New(dispatch.NewClock(), &Settings{Classes: []sedgevale.Class{{Name: "free"}, {Name: "key", Idempotency: sedgevale.IdempotentByKey}},
 		Tenants: []sedgevale.Tenant{{Name: "a"}, {Name: "b"}}})
 }
 
@@ -34,8 +34,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := dispatch.Job{ID: "r1", Class: r.Class("key"), Tenant: 1, TenantName: "b", Key: "k", Retry: true, Slots: 1.5, Once: "once",
-		Hint: 2500 * time.Microsecond, Target: "/key/sub?x=1", Method: "POST", Body: []byte("x")}
+	want := dispatch.Job{ID: "r1", Class: r.Class("key"), Tenant: 1, TenantName: "b", AffinityKey: "k", ClientRetry: true, Slots: 1.5, IdempotencyKey: "once",
+		RuntimeHint: 2500 * time.Microsecond, Target: "/key/sub?x=1", Method: "POST", Body: []byte("x")}
 	if want.Class == nil || want.Class.Name != "key" || !reflect.DeepEqual(j, want) {
 		t.Errorf("%+v, want %+v", j, want)
 	}
@@ -95,10 +95,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Update(&Terms{Classes: []sedgevale.Class{{Name: "new"}, {Name: "free", Effect: sedgevale.Unsafe}},
+	r.Update(&Settings{Classes: []sedgevale.Class{{Name: "new"}, {Name: "free", Idempotency: sedgevale.NotIdempotent}},
 		Tenants: []sedgevale.Tenant{{Name: "a"}}})
 	after, _, err := earlier.Parse(q, "", 0)
-	if err != nil || after.Class.Effect != sedgevale.Unsafe || before.Class.Effect != sedgevale.Safe {
+	if err != nil || after.Class.Idempotency != sedgevale.NotIdempotent || before.Class.Idempotency != sedgevale.Idempotent {
 		t.Errorf("before %+v, after %+v, error %v", before.Class, after.Class, err)
 	}
 	if r.Class("key") != nil || r.Class("new") == nil {
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -22,7 +22,7 @@
 	{Record{Kind: ClientGone, Serial: 7, At: 7}, "dc0011070707a000a0a0a0a000c000c2a0a000c0"},
 	{Record{Kind: Settled, Serial: 7, At: 8, JobID: "job", Code: uint8(DidNotRun), Text: "why", Operator: "ann"}, "dc0011080708a36a6f6200a0a0a0a000c002c2a3776879a3616e6e00c0"},
 	{Record{Kind: CarriedOver, Serial: 7, At: 9, CarriedJob: &Job{
-		Serial: 7, ID: "job", Class: "once", Tenant: "team", Target: "/t", Size: 4, Digest: []byte{9}, TakenAt: 10,
+		Serial: 7, ID: "job", Class: "once", Tenant: "team", Target: "/t", Size: 4, Digest: []byte{9}, AcceptedAt: 10,
 		Attempts: []Attempt{{
 			Number: 1, Worker: "box", IntentAt: 11, SentAt: 12, StartedAt: 13, EndedAt: 14, Outcome: OutcomeTimedOut, NeverRan: true,
 		}},
--- a/internal/journal/job.go
+++ b/internal/journal/job.go
@@ -33,7 +33,7 @@
 	Target         string
 	Size           int
 	Digest         []byte
-	TakenAt        int64
+	AcceptedAt     int64
 	Attempts       []Attempt
 	Answer         AnswerKind // 0: none on record
 	AnswerAt       int64
--- a/internal/journal/jobtable.go
+++ b/internal/journal/jobtable.go
@@ -31,7 +31,7 @@
 			return t.noteInconsistency(known, errAcceptedTwice)
 		}
 		j := &Job{Serial: r.Serial, ID: r.JobID, Class: r.Class, Tenant: r.Tenant, Target: r.Target, Size: r.Size,
-			Digest: r.Digest, TakenAt: r.At}
+			Digest: r.Digest, AcceptedAt: r.At}
 		t.Jobs[r.Serial] = j
 		return j, nil
 	case CarriedOver:
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -96,8 +96,8 @@
 )
 
 var outcomeNumbers = map[sedgevale.Outcome]Outcome{
-	sedgevale.Served: OutcomeServed, sedgevale.Errored: OutcomeErrored, sedgevale.Full: OutcomeRejected,
-	sedgevale.TimedOut: OutcomeTimedOut, sedgevale.ConnectFailed: OutcomeConnectFailed, sedgevale.Lost: OutcomeConnectionLost,
+	sedgevale.Served: OutcomeServed, sedgevale.Errored: OutcomeErrored, sedgevale.Rejected: OutcomeRejected,
+	sedgevale.TimedOut: OutcomeTimedOut, sedgevale.ConnectFailed: OutcomeConnectFailed, sedgevale.ConnectionLost: OutcomeConnectionLost,
 	sedgevale.Cancelled: OutcomeCancelled, sedgevale.NotSent: OutcomeNotSent,
 }
 
--- a/internal/journal/recorder/recorder.go
+++ b/internal/journal/recorder/recorder.go
@@ -39,7 +39,7 @@
 	if err := fsys.MkdirAll(j.Dir); err != nil {
 		return nil, fmt.Errorf("journal %s: %w", j.Dir, err)
 	}
-	secret, err := store.MakeKey(store.KeyPath(j.Dir, j.KeyFile), store.Used(fsys, j.Dir))
+	secret, err := store.MakeKey(store.KeyPath(j.Dir, j.KeyFile), store.HasRecords(fsys, j.Dir))
 	if err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 		r.classes[name] = true
 	}
 	r.options = store.Options{FS: fsys, Dir: j.Dir, Secret: secret, Log: log, Sync: j.Sync != dispatchconfig.SyncNone,
-		Owner: store.Owner{PID: os.Getpid(), Name: c.Name, Ops: c.Ops}, Retention: dispatchconfig.Seconds(j.Keep),
+		Owner: store.Owner{PID: os.Getpid(), Name: c.Name, Ops: c.Ops}, Retention: dispatchconfig.Seconds(j.Retention),
 		MaxBytes: int64(j.MaxMB) << 20, ReservedBytes: int64(j.ReserveMB) << 20}
 	if r.store, err = store.Open(r.options); err != nil {
 		return nil, err
@@ -61,9 +61,9 @@
 
 func now() int64 { return time.Now().UnixMicro() }
 
-// Take implements dispatch.Journal: it records the acceptance of a job of a class that is recorded. The number is 0 for a job
+// Register implements dispatch.Journal: it records the acceptance of a job of a class that is recorded. The number is 0 for a job
 // without a record; ok is false where the job must be rejected, since the journal is full.
-func (r *Recorder) Take(j *dispatch.Job) (uint64, bool) {
+func (r *Recorder) Register(j *dispatch.Job) (uint64, bool) {
 	if !r.classes[j.Class.Name] {
 		return 0, true
 	}
@@ -81,31 +81,31 @@
 	return number, true
 }
 
-// Intent implements dispatch.Journal: it records that an attempt is about to be sent, and calls done once that is durable, or
+// RecordIntent implements dispatch.Journal: it records that an attempt is about to be sent, and calls done once that is durable, or
 // cannot be.
-func (r *Recorder) Intent(number uint64, attempt int, id, worker string, done func(ok bool)) {
+func (r *Recorder) RecordIntent(number uint64, attempt int, id, worker string, done func(ok bool)) {
 	r.store.Put(journal.Record{Kind: journal.Intent, Serial: number, At: now(), JobID: id, Attempt: attempt, Worker: worker},
 		func(err error) { done(err == nil) })
 }
 
-// Sent implements dispatch.Journal: it records that an attempt was sent.
-func (r *Recorder) Sent(number uint64, attempt int) {
+// AttemptSent implements dispatch.Journal: it records that an attempt was sent.
+func (r *Recorder) AttemptSent(number uint64, attempt int) {
 	r.store.Put(journal.Record{Kind: journal.Sent, Serial: number, At: now(), Attempt: attempt}, nil)
 }
 
-// Started implements dispatch.Journal: it records that a worker has begun an attempt.
-func (r *Recorder) Started(number uint64, attempt int) {
+// AttemptStarted implements dispatch.Journal: it records that a worker has begun an attempt.
+func (r *Recorder) AttemptStarted(number uint64, attempt int) {
 	r.store.Put(journal.Record{Kind: journal.Started, Serial: number, At: now(), Attempt: attempt}, nil)
 }
 
-// Ended implements dispatch.Journal: it records how an attempt ended, and whether it certainly never ran.
-func (r *Recorder) Ended(number uint64, attempt int, o sedgevale.Outcome, unseen bool) {
+// AttemptEnded implements dispatch.Journal: it records how an attempt ended, and whether it certainly never ran.
+func (r *Recorder) AttemptEnded(number uint64, attempt int, o sedgevale.Outcome, unseen bool) {
 	r.store.Put(journal.Record{Kind: journal.Ended, Serial: number, At: now(), Attempt: attempt,
 		Code: uint8(journal.OutcomeOf(o)), NeverRan: unseen}, nil)
 }
 
 var kinds = map[dispatch.AnswerKind]journal.AnswerKind{
-	dispatch.Served: journal.Served, dispatch.Refused: journal.Refused, dispatch.Failed: journal.Failed,
+	dispatch.Served: journal.Served, dispatch.Rejected: journal.Refused, dispatch.Failed: journal.Failed,
 }
 
 // Answered implements dispatch.Journal: it records the final answer to the client.
@@ -113,8 +113,8 @@
 	r.store.Put(journal.Record{Kind: journal.Answered, Serial: number, At: now(), Code: uint8(kinds[a.Kind]), Text: a.Reason}, nil)
 }
 
-// Gone implements dispatch.Journal: it records that the client left before its answer.
-func (r *Recorder) Gone(number uint64) {
+// ClientDisconnected implements dispatch.Journal: it records that the client left before its answer.
+func (r *Recorder) ClientDisconnected(number uint64) {
 	r.store.Put(journal.Record{Kind: journal.ClientGone, Serial: number, At: now()}, nil)
 }
 
--- a/internal/journal/report.go
+++ b/internal/journal/report.go
@@ -7,20 +7,20 @@
 
 // Report is what operators are told of a job, as JSON. Times are formatted by FormatTime; empty where not known.
 type Report struct {
-	Job      string          `json:"job"`
-	Class    string          `json:"class,omitempty"`
-	Tenant   string          `json:"tenant,omitempty"`
-	Verdict  string          `json:"verdict"`
-	Reason   string          `json:"reason"`
-	Look     []string        `json:"workers,omitempty"` // at which it ran or may have run
-	Target   string          `json:"target,omitempty"`
-	Bytes    int             `json:"bytes,omitempty"`
-	Digest   string          `json:"sha256_128,omitempty"` // the first 128 bits of the body's SHA-256
-	TakenAt  string          `json:"taken_at,omitempty"`
-	Attempts []AttemptReport `json:"attempts"`
-	Answer   *AnswerReport   `json:"answer,omitempty"`
-	GoneAt   string          `json:"client_gone_at,omitempty"`
-	Settled  *SettledReport  `json:"settled,omitempty"`
+	Job          string          `json:"job"`
+	Class        string          `json:"class,omitempty"`
+	Tenant       string          `json:"tenant,omitempty"`
+	Verdict      string          `json:"verdict"`
+	Reason       string          `json:"reason"`
+	Workers      []string        `json:"workers,omitempty"` // at which it ran or may have run
+	Target       string          `json:"target,omitempty"`
+	Bytes        int             `json:"bytes,omitempty"`
+	Digest       string          `json:"sha256_128,omitempty"` // the first 128 bits of the body's SHA-256
+	TakenAt      string          `json:"taken_at,omitempty"`
+	Attempts     []AttemptReport `json:"attempts"`
+	Answer       *AnswerReport   `json:"answer,omitempty"`
+	ClientGoneAt string          `json:"client_gone_at,omitempty"`
+	Settled      *SettledReport  `json:"settled,omitempty"`
 }
 
 // AttemptReport is one attempt in a Report.
@@ -60,9 +60,9 @@
 // Report returns what operators are told of the job.
 func (j *Job) Report() Report {
 	verdict, reason, workers := j.Verdict()
-	r := Report{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Verdict: verdict.String(), Reason: reason, Look: workers,
-		Target: j.Target, Bytes: j.Size, Digest: hex.EncodeToString(j.Digest), TakenAt: FormatTime(j.TakenAt),
-		Attempts: []AttemptReport{}, GoneAt: FormatTime(j.ClientGoneAt)}
+	r := Report{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Verdict: verdict.String(), Reason: reason, Workers: workers,
+		Target: j.Target, Bytes: j.Size, Digest: hex.EncodeToString(j.Digest), TakenAt: FormatTime(j.AcceptedAt),
+		Attempts: []AttemptReport{}, ClientGoneAt: FormatTime(j.ClientGoneAt)}
 	for _, a := range j.Attempts {
 		out := AttemptReport{Number: a.Number, Worker: a.Worker, IntentAt: FormatTime(a.IntentAt), SentAt: FormatTime(a.SentAt),
 			StartedAt: FormatTime(a.StartedAt), EndedAt: FormatTime(a.EndedAt)}
--- a/internal/journal/report_golden_test.go
+++ b/internal/journal/report_golden_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("a report: got\n%q\nwant\n%q", got, want)
 	}
 	job := journal.Job{
-		Serial: 7, ID: "job", Class: "once", Tenant: "team", Target: "/t", Size: 4, Digest: []byte{9, 10}, TakenAt: 1_700_000_000_000_010,
+		Serial: 7, ID: "job", Class: "once", Tenant: "team", Target: "/t", Size: 4, Digest: []byte{9, 10}, AcceptedAt: 1_700_000_000_000_010,
 		Attempts: []journal.Attempt{{
 			Number: 0, Worker: "box-1", IntentAt: 1_700_000_000_000_011, SentAt: 1_700_000_000_000_012, StartedAt: 1_700_000_000_000_013,
 			EndedAt: 1_700_000_000_000_014, Outcome: journal.OutcomeTimedOut,
--- a/internal/journal/store/export_test.go
+++ b/internal/journal/store/export_test.go
@@ -23,7 +23,7 @@
 }
 
 // WriteBatch writes what has come in.
-func (s *Store) WriteBatch() { s.writeBatch(s.queue.Take()) }
+func (s *Store) WriteBatch() { s.writeBatch(s.queue.TakeAll()) }
 
 // Sync makes what was written durable.
 func (s *Store) Sync() {
--- a/internal/journal/store/logdirs.go
+++ b/internal/journal/store/logdirs.go
@@ -60,8 +60,8 @@
 	return out, nil
 }
 
-// Used reports whether a directory has segments of a journal. One that cannot be listed counts as having none.
-func Used(fsys FS, dir string) bool {
+// HasRecords reports whether a directory has segments of a journal. One that cannot be listed counts as having none.
+func HasRecords(fsys FS, dir string) bool {
 	all, err := logDirs(fsys, dir)
 	if err != nil {
 		return false
--- a/internal/journal/store/loop.go
+++ b/internal/journal/store/loop.go
@@ -23,7 +23,7 @@
 			s.finishCall(err)
 			failed = err != nil
 		}
-		end := s.writeBatch(s.queue.Take())
+		end := s.writeBatch(s.queue.TakeAll())
 		now := s.options.Now()
 		since := now.Sub(maintainedAt)
 		maintenanceDue := since >= maintenanceInterval || since < 0 // the clock may step back
@@ -177,7 +177,7 @@
 
 // shutDown writes what is left, ends the log and releases its lock.
 func (s *Store) shutDown() {
-	s.writeBatch(s.queue.Take())
+	s.writeBatch(s.queue.TakeAll())
 	if len(s.buffered) == 0 && s.dropped == 0 {
 		if err := s.log.close(s.options.Now()); err != nil {
 			s.noteFailure(err)
--- a/internal/journal/store/powercut_test.go
+++ b/internal/journal/store/powercut_test.go
@@ -22,7 +22,7 @@
 type world struct {
 	r      *rand.Rand
 	disk   *fake.Disk
-	ledger *fake.Ledger
+	ledger *fake.RunLog
 	store  *store.Store
 	now    time.Time
 	jobs   int
@@ -145,7 +145,7 @@
 
 // play runs a world over some cuts and returns what its journal says that is not so.
 func play(t *testing.T, seed uint64, early bool) (breaches []string, jobs, unknown int) {
-	w := &world{r: rand.New(rand.NewPCG(seed, 1)), ledger: fake.NewLedger(), now: time.UnixMicro(1e15), early: early,
+	w := &world{r: rand.New(rand.NewPCG(seed, 1)), ledger: fake.NewRunLog(), now: time.UnixMicro(1e15), early: early,
 		over: map[string]bool{}}
 	w.disk = fake.NewDisk(seed, []int64{1 << 20, 24 << 10, 10 << 10}[w.r.IntN(3)])
 	faults := []fake.Op{fake.OpWrite, fake.OpShort, fake.OpSync, fake.OpCreate,
@@ -174,7 +174,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		var dropped func(string) bool
-		if len(view.Lanes) > 0 && view.Lanes[0].PrunedThrough > 0 {
+		if len(view.Logs) > 0 && view.Logs[0].PrunedThrough > 0 {
 			dropped = func(id string) bool { return w.over[id] }
 		}
 		breaches = append(breaches, fake.Audit(w.ledger, view.Jobs, all, all, all, dropped)...)
--- a/internal/journal/store/query.go
+++ b/internal/journal/store/query.go
@@ -22,7 +22,7 @@
 type View struct {
 	Jobs     []Found // by the time of their acceptance
 	Problems []Problem
-	Lanes    []LogView
+	Logs     []LogView
 }
 
 // LogView is the content of a log, but for its jobs.
@@ -67,9 +67,9 @@
 		}
 		out.Jobs = append(out.Jobs, one.Jobs...)
 		out.Problems = append(out.Problems, one.Problems...)
-		out.Lanes = append(out.Lanes, one.Lanes...)
+		out.Logs = append(out.Logs, one.Logs...)
 	}
-	slices.SortStableFunc(out.Jobs, func(a, b Found) int { return cmp.Compare(a.TakenAt, b.TakenAt) })
+	slices.SortStableFunc(out.Jobs, func(a, b Found) int { return cmp.Compare(a.AcceptedAt, b.AcceptedAt) })
 	return out, nil
 }
 
@@ -105,7 +105,7 @@
 	if inconsistency.What != "" {
 		v.Problems = append(v.Problems, inconsistency)
 	}
-	v.Lanes = []LogView{{logDir, decodeOwner(owner), live, got.closed, len(got.segments), got.prunedThrough, got.records}}
+	v.Logs = []LogView{{logDir, decodeOwner(owner), live, got.closed, len(got.segments), got.prunedThrough, got.records}}
 	for _, j := range book.Jobs {
 		v.Jobs = append(v.Jobs, Found{j, logDir, live})
 	}
@@ -170,7 +170,7 @@
 	if r.err != nil {
 		return r.settled, r.err
 	}
-	n, err := SettleIn(s.options, id, v, by, why)
+	n, err := SettleUnowned(s.options, id, v, by, why)
 	if errors.Is(err, ErrNothingToSettle) && r.settled > 0 {
 		err = nil
 	}
@@ -196,9 +196,9 @@
 	return len(records), l.sync()
 }
 
-// SettleIn records an operator's verdict on each unresolved job of an id in the logs without an owner. Where there are none in
+// SettleUnowned records an operator's verdict on each unresolved job of an id in the logs without an owner. Where there are none in
 // those, but a scheduler has another log, the error is a *BusyError.
-func SettleIn(o Options, id string, v journal.Verdict, by, why string) (n int, err error) {
+func SettleUnowned(o Options, id string, v journal.Verdict, by, why string) (n int, err error) {
 	if o.FS == nil {
 		o.FS = OS{}
 	}
--- a/internal/journal/store/store.go
+++ b/internal/journal/store/store.go
@@ -70,7 +70,7 @@
 type Store struct {
 	options Options
 	lock    io.Closer // of the log
-	queue   *unbounded.Box[request]
+	queue   *unbounded.Queue[request]
 	wake    chan struct{} // has an element where queue may have some
 	ended   chan struct{} // closed when run has returned
 
--- a/internal/journal/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -126,7 +126,7 @@
 	if !d.s.Full() || d.s.Stats().Buffered == 0 {
 		t.Errorf("full %v, held %d", d.s.Full(), d.s.Stats().Buffered)
 	}
-	d.disk.Room(4 << 20)
+	d.disk.SetCapacity(4 << 20)
 	d.steps(30)
 	if d.s.Full() || d.s.Stats().Buffered != 0 {
 		t.Errorf("with room again: full %v, held %d", d.s.Full(), d.s.Stats().Buffered)
@@ -223,14 +223,14 @@
 		t.Errorf("carried on and ended: %s", got)
 	}
 	d.s.ShutDown()
-	n, err := store.SettleIn(d.opt, "doubt", journal.Ran, "ann", "seen on the box")
+	n, err := store.SettleUnowned(d.opt, "doubt", journal.Ran, "ann", "seen on the box")
 	if n != 1 || err != nil {
 		t.Fatalf("settled %d, %v", n, err)
 	}
 	if got := d.verdict("doubt"); got != "ran" {
 		t.Errorf("settled as ran: %s", got)
 	}
-	if _, err := store.SettleIn(d.opt, "doubt", journal.Ran, "ann", "again"); !errors.Is(err, store.ErrNothingToSettle) {
+	if _, err := store.SettleUnowned(d.opt, "doubt", journal.Ran, "ann", "again"); !errors.Is(err, store.ErrNothingToSettle) {
 		t.Errorf("settled twice: %v", err)
 	}
 	d.open()
@@ -262,8 +262,8 @@
 		return out
 	}
 	d := fresh()
-	if v := d.view(); v.Damaged() || len(v.Problems) > 0 || !v.Lanes[0].Closed || len(v.Jobs) != 200 {
-		t.Fatalf("untouched: %+v, %v", v.Lanes, v.Problems)
+	if v := d.view(); v.Damaged() || len(v.Problems) > 0 || !v.Logs[0].Closed || len(v.Jobs) != 200 {
+		t.Fatalf("untouched: %+v, %v", v.Logs, v.Problems)
 	}
 	for what, harm := range map[string]func(d *desk, files []string){
 		"first removed":  func(d *desk, f []string) { _ = d.disk.Remove(f[0]) },
@@ -298,8 +298,8 @@
 	files := names(d)
 	last, _ := d.disk.ReadFile(files[len(files)-1])
 	d.disk.WriteFile(files[len(files)-1], last[:len(last)-5])
-	if v := d.view(); v.Damaged() || v.Lanes[0].Closed || len(v.Problems) != 1 {
-		t.Errorf("a torn tail: %+v, %v", v.Lanes, v.Problems)
+	if v := d.view(); v.Damaged() || v.Logs[0].Closed || len(v.Problems) != 1 {
+		t.Errorf("a torn tail: %+v, %v", v.Logs, v.Problems)
 	}
 }
 
@@ -325,8 +325,8 @@
 	d.begin("same")
 	d.step()
 	v := d.view()
-	if len(v.Jobs) != 2 || len(v.Lanes) != 2 || v.Lanes[0].Dir == v.Lanes[1].Dir {
-		t.Errorf("%d jobs, logs %+v", len(v.Jobs), v.Lanes)
+	if len(v.Jobs) != 2 || len(v.Logs) != 2 || v.Logs[0].Dir == v.Logs[1].Dir {
+		t.Errorf("%d jobs, logs %+v", len(v.Jobs), v.Logs)
 	}
 	s.ShutDown()
 	d.s.ShutDown()
@@ -425,10 +425,10 @@
 		t.Errorf("an open job was settled: %d, %v", n, err)
 	}
 	s.Close()
-	if v, err = store.Read(store.OS{}, dir, secret, ""); err != nil || len(v.Jobs) != 300 || !v.Lanes[0].Closed || v.Lanes[0].Live {
-		t.Fatalf("%d jobs, %+v, %v", len(v.Jobs), v.Lanes, err)
+	if v, err = store.Read(store.OS{}, dir, secret, ""); err != nil || len(v.Jobs) != 300 || !v.Logs[0].Closed || v.Logs[0].Live {
+		t.Fatalf("%d jobs, %+v, %v", len(v.Jobs), v.Logs, err)
 	}
-	if !slices.IsSortedFunc(v.Jobs, func(a, b store.Found) int { return int(a.TakenAt - b.TakenAt) }) {
+	if !slices.IsSortedFunc(v.Jobs, func(a, b store.Found) int { return int(a.AcceptedAt - b.AcceptedAt) }) {
 		t.Error("not by their time")
 	}
 }
--- a/internal/journal/store/stored_data_test.go
+++ b/internal/journal/store/stored_data_test.go
@@ -124,7 +124,7 @@
 	var text strings.Builder
 	verdict, reason, workers := j.Verdict()
 	fmt.Fprintf(&text, "%s serial %d class %s tenant %s target %s size %d digest %x taken %d: open %t, done %t, verdict %s (%s; %s)\n",
-		j.ID, j.Serial, j.Class, j.Tenant, j.Target, j.Size, j.Digest, j.TakenAt, j.Open(), j.Resolved(), verdict, reason, strings.Join(workers, ", "))
+		j.ID, j.Serial, j.Class, j.Tenant, j.Target, j.Size, j.Digest, j.AcceptedAt, j.Open(), j.Resolved(), verdict, reason, strings.Join(workers, ", "))
 	for _, a := range j.Attempts {
 		fmt.Fprintf(&text, " attempt %d at %s: intent %d, sent %d, started %d, ended %d %s, unseen %t\n", a.Number, a.Worker, a.IntentAt, a.SentAt,
 			a.StartedAt, a.EndedAt, a.Outcome, a.NeverRan)
@@ -142,7 +142,7 @@
 	for _, p := range v.Problems {
 		fmt.Fprintf(&text, "problem %s\n", p)
 	}
-	for _, l := range v.Lanes {
+	for _, l := range v.Logs {
 		fmt.Fprintf(&text, "%s live %t, closed %t, %d segments, pruned to %d, %d records\n", filepath.Base(l.Dir), l.Live, l.Closed, l.Segments, l.PrunedThrough, l.Records)
 	}
 	return text.String()
@@ -209,8 +209,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (store.Owner{PID: 2, Name: "n0", Ops: "127.0.0.1:9"}); view.Lanes[0].Owner != want {
-		t.Errorf("the log is of %+v, want %+v", view.Lanes[0].Owner, want)
+	if want := (store.Owner{PID: 2, Name: "n0", Ops: "127.0.0.1:9"}); view.Logs[0].Owner != want {
+		t.Errorf("the log is of %+v, want %+v", view.Logs[0].Owner, want)
 	}
 	checkText(t, describeView(view), "testdata/live.txt")
 }
@@ -227,7 +227,7 @@
 		t.Errorf("the next serial is %d, want 13", got)
 	}
 	w.s.ShutDown()
-	if n, err := store.SettleIn(storedOptions(dir, 4, time.Now), "lost", journal.DidNotRun, "bob", "asked"); n != 1 || err != nil {
+	if n, err := store.SettleUnowned(storedOptions(dir, 4, time.Now), "lost", journal.DidNotRun, "bob", "asked"); n != 1 || err != nil {
 		t.Errorf("%d jobs settled, error %v", n, err)
 	}
 	view, err := store.Read(store.OS{}, dir, secret, "")
--- a/internal/ops/journal.go
+++ b/internal/ops/journal.go
@@ -120,5 +120,5 @@
 
 // isNotFound reports whether an error says that what a call names does not exist.
 func isNotFound(err error) bool {
-	return errors.Is(err, ErrUnknown) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrNothingToSettle)
+	return errors.Is(err, ErrUnknownWorker) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrNothingToSettle)
 }
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -15,8 +15,8 @@
 // callTimeout bounds a call; the caller waits a second.
 const callTimeout = 800 * time.Millisecond
 
-// ErrUnknown is returned by Scheduler.Cordon for a worker that no list has named.
-var ErrUnknown = errors.New("no such worker")
+// ErrUnknownWorker is returned by Scheduler.Cordon for a worker that no list has named.
+var ErrUnknownWorker = errors.New("no such worker")
 
 // Scheduler carries out operators' calls. Its methods may block until the context ends.
 type Scheduler interface {
@@ -98,5 +98,5 @@
 	}
 }
 
-// Gone is called when a caller has disconnected. Its call is carried out all the same.
-func (h *Handler) Gone(*httpd.Conn) {}
+// Disconnected is called when a caller has disconnected. Its call is carried out all the same.
+func (h *Handler) Disconnected(*httpd.Conn) {}
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -19,16 +19,16 @@
 
 // orders notes what it is asked for.
 type orders struct {
-	got  chan string
-	sick error
+	got       chan string
+	unhealthy error
 }
 
-func (o *orders) Healthy(context.Context) error { return o.sick }
+func (o *orders) Healthy(context.Context) error { return o.unhealthy }
 
 func (o *orders) Cordon(_ context.Context, host string, out bool) error {
 	o.got <- fmt.Sprint(host, " ", out)
 	if host == "stranger" {
-		return ErrUnknown
+		return ErrUnknownWorker
 	}
 	return nil
 }
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -29,18 +29,18 @@
 
 // Options configure a Link.
 type Options struct {
-	Listen   netip.AddrPort
-	Peers    []netip.AddrPort // by number, its own included
-	Self     int              // its own number
-	Site     uint64           // see peers.Options
-	Watch    bool             // there is failure detection, by all members alike
-	Seed     uint64           // of its random choices
-	Revision peers.Revision   // in force at the start; gossiped where there is failure detection
-	Hearers  int              // minimum number of subscribers of a worker
-	Least    int              // minimum number of workers in a subset
-	Planners []*dispatch.Planner
-	Clock    dispatch.Clock
-	Log      *slog.Logger
+	Listen           netip.AddrPort
+	Peers            []netip.AddrPort // by number, its own included
+	Self             int              // its own number
+	Site             uint64           // see peers.Options
+	FailureDetection bool             // there is failure detection, by all members alike
+	Seed             uint64           // of its random choices
+	Revision         peers.Revision   // in force at the start; gossiped where there is failure detection
+	MinSubscribers   int              // minimum number of subscribers of a worker
+	MinSubset        int              // minimum number of workers in a subset
+	Planners         []*dispatch.Planner
+	Clock            dispatch.Clock
+	Log              *slog.Logger
 }
 
 // Link sends the other schedulers the load that its planners put on workers, and passes on the load of the others to the planners.
@@ -57,7 +57,7 @@
 	loads  []map[string]sedgevale.Load // by planner, where there are several
 
 	// Buffers, reused.
-	loadChanges  []sedgevale.Told
+	loadChanges  []sedgevale.WorkerLoad
 	stateChanges []peers.Change
 	lags         []peers.Lag
 }
@@ -69,15 +69,15 @@
 	for i, a := range o.Peers {
 		l.numberByAddress[a] = i
 	}
-	nodeOptions := peers.Options{Self: o.Self, Members: len(o.Peers), Site: o.Site, Hearers: o.Hearers, Least: o.Least, Revision: o.Revision,
-		Incarnation: uint16(time.Now().UnixMilli() / 128)}
-	if o.Watch {
+	nodeOptions := peers.Options{Self: o.Self, Members: len(o.Peers), Site: o.Site, MinSubscribers: o.MinSubscribers, MinSubset: o.MinSubset, Revision: o.Revision,
+		Generation: uint16(time.Now().UnixMilli() / 128)}
+	if o.FailureDetection {
 		nodeOptions.DetectorRand = rand.New(rand.NewPCG(o.Seed, uint64(o.Self)))
 	}
 	l.node = peers.New(nodeOptions)
 	for i, p := range o.Planners {
 		l.loads = append(l.loads, map[string]sedgevale.Load{})
-		p.Signal(func(changed []sedgevale.Told) { l.updateLoads(i, changed) })
+		p.OnLoadChange(func(changed []sedgevale.WorkerLoad) { l.updateLoads(i, changed) })
 	}
 	return l
 }
@@ -164,8 +164,8 @@
 	}
 }
 
-// Revise sets the revision of the configuration that is in force here, and sends it to the others.
-func (l *Link) Revise(r peers.Revision) {
+// SetRevision sets the revision of the configuration that is in force here, and sends it to the others.
+func (l *Link) SetRevision(r peers.Revision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Clock.Now()
@@ -241,13 +241,13 @@
 }
 
 // updateLoads takes the changed loads of a planner, in whose goroutine it is called.
-func (l *Link) updateLoads(planner int, changed []sedgevale.Told) {
+func (l *Link) updateLoads(planner int, changed []sedgevale.WorkerLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Clock.Now()
 	for _, t := range changed {
 		if len(l.loads) > 1 {
-			if t.Held == 0 && t.Waiting == 0 { // so that the map does not grow with workers that are gone
+			if t.InFlight == 0 && t.NotStarted == 0 { // so that the map does not grow with workers that are gone
 				delete(l.loads[planner], t.Worker)
 			} else {
 				l.loads[planner][t.Worker] = t.Load
@@ -257,7 +257,7 @@
 				t.Load = t.Plus(out[t.Worker])
 			}
 		}
-		l.node.Out(now, t.Worker, peers.Out{Slots: int(t.Held + 0.5), Waiting: t.Waiting}, t.Full)
+		l.node.SetLoad(now, t.Worker, peers.Load{Slots: int(t.InFlight + 0.5), Waiting: t.NotStarted}, t.Saturated)
 	}
 	l.node.Flush(now, l.send)
 }
@@ -269,31 +269,31 @@
 	}
 }
 
-// Members sets the complete list of workers.
-func (l *Link) Members(list discovery.List) {
+// SetWorkers sets the complete list of workers.
+func (l *Link) SetWorkers(list discovery.List) {
 	workers := make([]string, len(list.Members))
 	for i, m := range list.Members {
 		workers[i] = m.ID
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.node.Boxes(workers)
+	l.node.SetWorkers(workers)
 	l.deliverSubset()
 }
 
 // deliverSubset passes the subset of the workers on to the planners, if it has changed. The lock is held.
 func (l *Link) deliverSubset() {
-	l.node.Parted(func(part []string, sharers int) {
+	l.node.TakeSubsetChange(func(part []string, sharers int) {
 		part = slices.Clone(part)
 		for _, p := range l.options.Planners {
-			p.Near(part, sharers)
+			p.SetSubset(part, sharers)
 		}
 	})
 }
 
 // tickLoop has the protocol do what is due until the context ends.
 func (l *Link) tickLoop(ctx context.Context) {
-	t := time.NewTicker(peers.TickEvery)
+	t := time.NewTicker(peers.TickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -318,13 +318,13 @@
 // deliverLoads passes changed loads of the other schedulers on to the planners. The lock is held.
 func (l *Link) deliverLoads() {
 	l.loadChanges = l.loadChanges[:0]
-	l.node.News(func(id string, slots, waiting int) {
-		l.loadChanges = append(l.loadChanges, sedgevale.Told{Worker: id, Load: sedgevale.Load{Held: float64(slots), Waiting: waiting}})
+	l.node.TakeLoadChanges(func(id string, slots, waiting int) {
+		l.loadChanges = append(l.loadChanges, sedgevale.WorkerLoad{Worker: id, Load: sedgevale.Load{InFlight: float64(slots), NotStarted: waiting}})
 	})
 	if len(l.loadChanges) == 0 {
 		return
 	}
 	for _, p := range l.options.Planners {
-		p.Others(l.loadChanges)
+		p.UpdatePeerLoad(l.loadChanges)
 	}
 }
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -19,9 +19,9 @@
 
 func (c *carrier) Send(a *dispatch.Attempt)        { c.sent <- a }
 func (c *carrier) Cancel(*dispatch.Attempt)        {}
-func (c *carrier) Withdraw(*dispatch.Attempt)      {}
+func (c *carrier) CancelUnsent(*dispatch.Attempt)  {}
 func (c *carrier) Probe(string, *dispatch.Planner) {}
-func (c *carrier) CloseIdle(string)                {}
+func (c *carrier) CloseIdleConnections(string)     {}
 
 type client struct{}
 
@@ -42,21 +42,21 @@
 
 func begin(t *testing.T, self int, addrs []netip.AddrPort) *one {
 	t.Helper()
-	set := sedgevale.Settings{Classes: []sedgevale.Class{{Name: "free", Aim: time.Second, Limit: 5 * time.Second}}, MaxAttempts: 2}
+	set := sedgevale.Settings{Classes: []sedgevale.Class{{Name: "free", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second}}, MaxAttempts: 2}
 	s := &one{carrier: &carrier{make(chan *dispatch.Attempt, 16)}, clock: dispatch.NewClock(), class: &set.Classes[0]}
 	log := slog.New(slog.DiscardHandler)
 	var err error
 	if s.planner, err = dispatch.NewPlanner(set, uint64(self), s.clock, s.carrier, func() {}, log); err != nil {
 		t.Fatal(err)
 	}
-	s.link = New(Options{Listen: addrs[self], Peers: addrs, Self: self, Site: 1, Hearers: 12, Least: 6,
+	s.link = New(Options{Listen: addrs[self], Peers: addrs, Self: self, Site: 1, MinSubscribers: 12, MinSubset: 6,
 		Planners: []*dispatch.Planner{s.planner}, Clock: s.clock, Log: log})
 	var entries []sedgevale.WorkerInfo
 	for _, m := range list.Members {
 		entries = append(entries, sedgevale.WorkerInfo{Worker: m.ID})
 	}
-	s.planner.Members(sedgevale.ListWhole, entries)
-	s.link.Members(list)
+	s.planner.WorkersUpdated(sedgevale.UpdateFull, entries)
+	s.link.SetWorkers(list)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{}, 2)
 	go func() { s.planner.Run(ctx); done <- struct{}{} }()
@@ -67,7 +67,7 @@
 
 func (s *one) ask(t *testing.T, id string) (worker string) {
 	t.Helper()
-	s.planner.Request(dispatch.NewExchange(dispatch.Job{ID: id, Class: s.class, Tenant: -1}, s.clock.Now()+5*time.Second, client{}))
+	s.planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: id, Class: s.class, Tenant: -1}, s.clock.Now()+5*time.Second, client{}))
 	return testkit.Await(t, "a job at a worker", s.carrier.sent).Worker
 }
 
--- a/internal/peerlink/revision_test.go
+++ b/internal/peerlink/revision_test.go
@@ -16,7 +16,7 @@
 // alone starts a link without planners.
 func alone(t *testing.T, self int, addrs []netip.AddrPort, watch bool, r peers.Revision) *Link {
 	t.Helper()
-	l := New(Options{Listen: addrs[self], Peers: addrs, Self: self, Site: 1, Watch: watch, Seed: uint64(self), Hearers: 2, Least: 1,
+	l := New(Options{Listen: addrs[self], Peers: addrs, Self: self, Site: 1, FailureDetection: watch, Seed: uint64(self), MinSubscribers: 2, MinSubset: 1,
 		Revision: r, Clock: dispatch.NewClock(), Log: slog.New(slog.DiscardHandler)})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -42,12 +42,12 @@
 		}
 	}
 	until(t, "all know what 1 had in force at its start", shown(41, "000000a1"))
-	links[1].Revise(peers.Revision{Number: 42, Digest: 0xb2})
+	links[1].SetRevision(peers.Revision{Number: 42, Digest: 0xb2})
 	until(t, "all know what came in force at 1", shown(42, "000000b2"))
 	if s := links[0].Status(); s.Members[0].BehindMS < 0 || s.Members[1].BehindMS >= 0 {
 		t.Errorf("0 and 1 are %d and %d ms behind; want 0 behind, 1 not", s.Members[0].BehindMS, s.Members[1].BehindMS)
 	}
-	links[1].Revise(old)
+	links[1].SetRevision(old)
 	until(t, "all know that 1 took it back", shown(41, "000000a1"))
 }
 
@@ -56,12 +56,12 @@
 	addrs := addresses(t, 2)
 	links := []*Link{alone(t, 0, addrs, false, peers.Revision{Number: 41}), alone(t, 1, addrs, false, peers.Revision{Number: 41})}
 	for _, l := range links {
-		l.Revise(peers.Revision{Number: 42, Digest: 1})
+		l.SetRevision(peers.Revision{Number: 42, Digest: 1})
 	}
 	for i := range 60 { // the ticks of three seconds
 		for _, l := range links {
 			l.mu.Lock()
-			now := l.options.Clock.Now() + time.Duration(i)*peers.TickEvery
+			now := l.options.Clock.Now() + time.Duration(i)*peers.TickInterval
 			l.node.Tick(now)
 			l.node.Flush(now, l.send)
 			l.mu.Unlock()
@@ -78,7 +78,7 @@
 func TestWhoIsBehindIsLogged(t *testing.T) {
 	addrs := addresses(t, 9)
 	var out bytes.Buffer
-	l := New(Options{Listen: addrs[0], Peers: addrs, Self: 0, Site: 1, Watch: true, Clock: dispatch.NewClock(), Log: slog.New(slog.NewTextHandler(&out, nil))})
+	l := New(Options{Listen: addrs[0], Peers: addrs, Self: 0, Site: 1, FailureDetection: true, Clock: dispatch.NewClock(), Log: slog.New(slog.NewTextHandler(&out, nil))})
 	lag := func(number int, over bool) peers.Lag {
 		return peers.Lag{Number: number, Revision: 40, Newest: 41, For: 15_300 * time.Millisecond, Over: over}
 	}
--- a/internal/peers/failuredetector.go
+++ b/internal/peers/failuredetector.go
@@ -149,7 +149,7 @@
 			d.pingOrder = append(d.pingOrder, uint16(i))
 		}
 	}
-	d.views[o.Self].claim = claim{uint16(o.Self), Alive, o.Incarnation, 0}
+	d.views[o.Self].claim = claim{uint16(o.Self), Alive, o.Generation, 0}
 	d.shuffle()
 	d.gossipAbout(uint16(o.Self))
 	return d
@@ -443,7 +443,7 @@
 func (n *Node) beginMessage(one message) {
 	to := &n.members[one.to]
 	to.lastSentSequence++
-	n.buf = append(n.codec.begin(n.buf, head{one.kind, n.options.Incarnation, to.lastSentSequence}), n.detector.views[n.options.Self].incarnation)
+	n.buf = append(n.codec.begin(n.buf, head{one.kind, n.options.Generation, to.lastSentSequence}), n.detector.views[n.options.Self].incarnation)
 	if one.kind == kindPingRequest {
 		n.buf = binary.BigEndian.AppendUint16(n.buf, one.target)
 	}
--- a/internal/peers/failuredetector_test.go
+++ b/internal/peers/failuredetector_test.go
@@ -21,7 +21,7 @@
 
 func (n *net) restart(m int, run uint16) {
 	o := options(m, len(n.nodes))
-	o.Incarnation, o.DetectorRand = run, rand.New(rand.NewPCG(uint64(m), uint64(run)))
+	o.Generation, o.DetectorRand = run, rand.New(rand.NewPCG(uint64(m), uint64(run)))
 	n.nodes[m], n.down[m] = New(o), false
 }
 
--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Boxes sets the complete list of workers. Workers that it lacks are kept until their loads are withdrawn or expired.
-func (n *Node) Boxes(ids []string) {
+// SetWorkers sets the complete list of workers. Workers that it lacks are kept until their loads are withdrawn or expired.
+func (n *Node) SetWorkers(ids []string) {
 	for _, w := range n.order {
 		w.listed = false
 	}
@@ -17,7 +17,7 @@
 		hashes[i] = w.hash
 	}
 	n.order = slices.DeleteFunc(n.order, func(w *workerState) bool {
-		old := !w.listed && w.load == (Out{}) && w.advertised == (Out{}) && len(w.reports) == 0 && !w.unsent && !w.changed
+		old := !w.listed && w.load == (Load{}) && w.advertised == (Load{}) && len(w.reports) == 0 && !w.unsent && !w.changed
 		if old {
 			delete(n.workers, w.id)
 			if n.workersByKey[w.key] == w {
@@ -27,7 +27,7 @@
 		return old
 	})
 	n.subset, n.sharers = n.subset[:0], 0
-	for i, a := range assignSubscribers(n.options.Members, hashes, n.options.Hearers, n.options.Least) {
+	for i, a := range assignSubscribers(n.options.Members, hashes, n.options.MinSubscribers, n.options.MinSubset) {
 		w := n.workers[ids[i]]
 		w.subscribers = a
 		if slices.Contains(a, uint16(n.options.Self)) {
@@ -35,28 +35,28 @@
 			n.sharers = max(n.sharers, len(a))
 		}
 	}
-	n.Counts.Boxes, n.Counts.Part, n.Counts.Shares = len(ids), len(n.subset), n.sharers
+	n.Counts.Workers, n.Counts.Subset, n.Counts.Shares = len(ids), len(n.subset), n.sharers
 	n.subsetChanged = n.subsetChanged || n.anyHeard
 }
 
-// Parted calls f with the subset if that may have changed since the last call. While no member is heard there is none: all
+// TakeSubsetChange calls f with the subset if that may have changed since the last call. While no member is heard there is none: all
 // workers are equal, as without other schedulers. The slice is valid until the list of workers is set again.
-func (n *Node) Parted(f func(workers []string, sharers int)) {
+func (n *Node) TakeSubsetChange(f func(workers []string, sharers int)) {
 	if !n.subsetChanged {
 		return
 	}
 	n.subsetChanged = false
 	if n.anyHeard {
-		f(n.Part())
+		f(n.Subset())
 	} else {
 		f(nil, 0)
 	}
 }
 
-// Part returns this scheduler's subset of the workers and the maximum number of schedulers that share one of them. It is nil
+// Subset returns this scheduler's subset of the workers and the maximum number of schedulers that share one of them. It is nil
 // where the subset is the complete list. The slice is valid until the list of workers is set again.
-func (n *Node) Part() (workers []string, sharers int) {
-	if len(n.subset) == n.Counts.Boxes {
+func (n *Node) Subset() (workers []string, sharers int) {
+	if len(n.subset) == n.Counts.Workers {
 		return nil, n.options.Members
 	}
 	return n.subset, n.sharers
@@ -76,9 +76,9 @@
 	return w
 }
 
-// Out sets this scheduler's load on a worker, to be sent by the next Flush. Most attempts at a worker that is not full start at
+// SetLoad sets this scheduler's load on a worker, to be sent by the next Flush. Most attempts at a worker that is not full start at
 // once, so that they count as waiting only after waitingGracePeriod.
-func (n *Node) Out(now time.Duration, id string, o Out, full bool) {
+func (n *Node) SetLoad(now time.Duration, id string, o Load, full bool) {
 	w := n.workers[id]
 	if w == nil || n.workersByKey[w.key] != w {
 		return
@@ -111,8 +111,8 @@
 	}
 }
 
-// News calls f with the sum of what all others have on each worker where that has changed since the last call.
-func (n *Node) News(f func(id string, slots, waiting int)) {
+// TakeLoadChanges calls f with the sum of what all others have on each worker where that has changed since the last call.
+func (n *Node) TakeLoadChanges(f func(id string, slots, waiting int)) {
 	for i, w := range n.changed {
 		n.changed[i], w.changed = nil, false
 		slots, waiting := 0, 0
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -22,8 +22,8 @@
 	RepeatInterval = time.Second
 	// LoadTTL is how long a received load counts.
 	LoadTTL = 2 * time.Second
-	// TickEvery is the interval at which Tick should be called.
-	TickEvery = 50 * time.Millisecond
+	// TickInterval is the interval at which Tick should be called.
+	TickInterval = 50 * time.Millisecond
 	// minGenerationSilence is how long a run of a process must be silent before datagrams of an earlier generation are accepted: a
 	// machine's clock may be set back.
 	minGenerationSilence = 3 * time.Second
@@ -39,11 +39,11 @@
 
 // Options configure a Node.
 type Options struct {
-	Self, Members int    // its number, and how many members there are
-	Site          uint64 // a fingerprint of the site and its settings: datagrams with another one are rejected
-	Incarnation   uint16 // the generation of this run: higher than that of the run before, by at most half of the range
-	Hearers       int    // minimum number of subscribers of a worker
-	Least         int    // minimum number of workers in a subset
+	Self, Members  int    // its number, and how many members there are
+	Site           uint64 // a fingerprint of the site and its settings: datagrams with another one are rejected
+	Generation     uint16 // the generation of this run: higher than that of the run before, by at most half of the range
+	MinSubscribers int    // minimum number of subscribers of a worker
+	MinSubset      int    // minimum number of workers in a subset
 
 	// DetectorRand is the source of the failure detector's random choices; nil: no failure detection.
 	DetectorRand *rand.Rand
@@ -81,12 +81,12 @@
 	Sent           uint64 `json:"sent"` // datagrams
 	SentBytes      uint64 `json:"sent_bytes"`
 	Received       uint64 `json:"received"`
-	Refused        uint64 `json:"refused"` // invalid, of another version or site, stale, or of a sender that is no member
+	Rejected       uint64 `json:"refused"` // invalid, of another version or site, stale, or of a sender that is no member
 	UnknownWorkers uint64 `json:"unknown"` // loads of workers that no list has named here
 	Expired        uint64 `json:"expired"` // reports of a load that expired before they were withdrawn
 	ActiveMembers  int    `json:"heard"`   // members that were heard within LoadTTL
-	Boxes          int    `json:"boxes"`   // workers in the list
-	Part           int    `json:"part"`    // workers in the subset
+	Workers        int    `json:"boxes"`   // workers in the list
+	Subset         int    `json:"part"`    // workers in the subset
 	Shares         int    `json:"shares"`  // maximum number of members that share a worker of the subset
 }
 
@@ -117,8 +117,8 @@
 	key          uint32   // names it in datagrams
 	subscribers  []uint16 // sorted
 	listed       bool     // it is in the newest list
-	load         Out      // of this scheduler
-	advertised   Out      // what was sent last
+	load         Load     // of this scheduler
+	advertised   Load     // what was sent last
 	advertisedAt time.Duration
 	waitingSince time.Duration // when Waiting last rose
 	unsent       bool          // it is in Node.unsent
@@ -131,7 +131,7 @@
 type report struct {
 	member   uint16
 	sequence uint16
-	load     Out
+	load     Load
 	at       time.Duration
 }
 
@@ -207,7 +207,7 @@
 	}
 	to := &n.members[m]
 	to.lastSentSequence++
-	n.buf = n.codec.begin(n.buf, head{kindLoads, n.options.Incarnation, to.lastSentSequence})
+	n.buf = n.codec.begin(n.buf, head{kindLoads, n.options.Generation, to.lastSentSequence})
 	n.buf = append(n.buf, p.entries[:p.count*loadSize]...)
 	p.count = 0
 	n.finishDatagram(m, send)
@@ -217,14 +217,14 @@
 // tick interval.
 func (n *Node) Tick(now time.Duration) {
 	for _, w := range n.order {
-		if w.load != w.advertised || w.load != (Out{}) && now-w.advertisedAt >= RepeatInterval {
+		if w.load != w.advertised || w.load != (Load{}) && now-w.advertisedAt >= RepeatInterval {
 			n.markUnsent(w)
 		}
 	}
 	n.reported = slices.DeleteFunc(n.reported, func(w *workerState) bool {
 		w.reports = slices.DeleteFunc(w.reports, func(r report) bool {
 			old := now-r.at >= LoadTTL
-			if old && r.load != (Out{}) {
+			if old && r.load != (Load{}) {
 				n.Counts.Expired++
 				n.markChanged(w)
 			}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -40,7 +40,7 @@
 }
 
 func options(self, members int) Options {
-	return Options{Self: self, Members: members, Site: 7, Incarnation: 1, Hearers: 4, Least: 3}
+	return Options{Self: self, Members: members, Site: 7, Generation: 1, MinSubscribers: 4, MinSubset: 3}
 }
 
 func ids(n int) (out []string) {
@@ -54,7 +54,7 @@
 	n := &net{rand: rand.New(rand.NewPCG(seed, 0)), down: map[int]bool{}}
 	for m := range members {
 		n.nodes = append(n.nodes, New(options(m, members)))
-		n.nodes[m].Boxes(boxes)
+		n.nodes[m].SetWorkers(boxes)
 	}
 	return n
 }
@@ -77,8 +77,8 @@
 	}
 }
 
-func (n *net) out(m int, box string, o Out) {
-	n.nodes[m].Out(n.now, box, o, false)
+func (n *net) out(m int, box string, o Load) {
+	n.nodes[m].SetLoad(n.now, box, o, false)
 	n.nodes[m].Flush(n.now, n.post(m))
 }
 
@@ -107,7 +107,7 @@
 }
 
 // heard returns what a node knows of others at a box.
-func (n *net) heard(m int, box string) (o Out) {
+func (n *net) heard(m int, box string) (o Load) {
 	if b := n.nodes[m].workers[box]; b != nil {
 		for _, w := range b.reports {
 			o.Slots += w.load.Slots
@@ -121,7 +121,7 @@
 func (n *net) wrong() (wrong []string) {
 	for id, b := range n.nodes[0].workers {
 		for _, m := range b.subscribers {
-			var want Out
+			var want Load
 			for other, node := range n.nodes {
 				if other != int(m) && !n.down[other] {
 					want.Slots += node.workers[id].load.Slots
@@ -149,16 +149,16 @@
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0: // it starts anew, with nothing out
 				o := n.nodes[m].options
-				o.Incarnation++
+				o.Generation++
 				n.nodes[m] = New(o)
-				n.nodes[m].Boxes(boxes)
+				n.nodes[m].SetWorkers(boxes)
 			case 1:
 				cut := rapid.IntRange(0, members).Draw(t, "cut")
 				n.cut = func(from, to int) bool { return (from < cut) != (to < cut) }
 			case 2:
 				n.cut = nil
 			default:
-				o := Out{rapid.IntRange(0, 40).Draw(t, "slots"), rapid.IntRange(0, 3).Draw(t, "waiting")}
+				o := Load{rapid.IntRange(0, 40).Draw(t, "slots"), rapid.IntRange(0, 3).Draw(t, "waiting")}
 				n.out(m, rapid.SampledFrom(boxes).Draw(t, "box"), o)
 			}
 			n.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "for")) * 5 * ms)
@@ -176,18 +176,18 @@
 func TestTheSilentAreForgotten(t *testing.T) {
 	boxes := ids(3)
 	n := newNet(3, boxes, 1)
-	n.out(0, boxes[0], Out{5, 1})
+	n.out(0, boxes[0], Load{5, 1})
 	n.run(10 * time.Second)
-	if got := n.heard(1, boxes[0]); got != (Out{5, 1}) {
+	if got := n.heard(1, boxes[0]); got != (Load{5, 1}) {
 		t.Fatalf("after ten quiet seconds %v is known, want 5 and 1", got)
 	}
 	n.down[0] = true
 	n.run(LoadTTL + 200*ms)
-	if got := n.heard(1, boxes[0]); got != (Out{}) {
+	if got := n.heard(1, boxes[0]); got != (Load{}) {
 		t.Errorf("%v is known still, 2.2 s after its last word", got)
 	}
 	sum := 0
-	n.nodes[1].News(func(string, int, int) { sum++ })
+	n.nodes[1].TakeLoadChanges(func(string, int, int) { sum++ })
 	if sum != 1 || n.nodes[1].Counts.Expired != 1 {
 		t.Errorf("%d boxes are news, %d words expired; want the one", sum, n.nodes[1].Counts.Expired)
 	}
@@ -199,14 +199,14 @@
 	boxes := ids(1)
 	sent := 0
 	a, b := New(options(0, 2)), New(options(1, 2))
-	a.Boxes(boxes)
-	b.Boxes(boxes)
-	step := func(now time.Duration, o Out, full bool, tick bool, total int, known Out) {
+	a.SetWorkers(boxes)
+	b.SetWorkers(boxes)
+	step := func(now time.Duration, o Load, full bool, tick bool, total int, known Load) {
 		t.Helper()
 		if tick {
 			a.Tick(now)
 		} else {
-			a.Out(now, boxes[0], o, full)
+			a.SetLoad(now, boxes[0], o, full)
 		}
 		a.Flush(now, func(_ int, data []byte) {
 			sent++
@@ -218,30 +218,30 @@
 			t.Errorf("at %v: %d sent, want %d; known %v, want %v", now, sent, total, got, known)
 		}
 	}
-	step(0, Out{1, 1}, false, false, 1, Out{1, 0})                 // it should start at once
-	step(9*ms, Out{1, 0}, false, false, 1, Out{1, 0})              // and has
-	step(100*ms, Out{2, 1}, true, false, 2, Out{2, 1})             // where the box is full it will wait
-	step(120*ms, Out{2, 0}, false, false, 3, Out{2, 0})            // until it starts
-	step(200*ms, Out{3, 1}, false, false, 4, Out{3, 0})            // one that should start
-	step(230*ms, Out{}, false, true, 4, Out{3, 0})                 // does not yet
-	step(250*ms, Out{}, false, true, 5, Out{3, 1})                 // and waits for long
-	step(260*ms, Out{3, 1}, false, false, 5, Out{3, 1})            // nothing new
-	step(250*ms+RepeatInterval, Out{}, false, true, 6, Out{3, 1})  // told again, for what was lost
-	step(270*ms+RepeatInterval, Out{0, 0}, false, false, 7, Out{}) // nothing is out
-	step(270*ms+2*RepeatInterval, Out{}, false, true, 7, Out{})    // which needs no repeating
-	step(270*ms+LoadTTL+2*RepeatInterval, Out{}, false, true, 7, Out{})
+	step(0, Load{1, 1}, false, false, 1, Load{1, 0})                 // it should start at once
+	step(9*ms, Load{1, 0}, false, false, 1, Load{1, 0})              // and has
+	step(100*ms, Load{2, 1}, true, false, 2, Load{2, 1})             // where the box is full it will wait
+	step(120*ms, Load{2, 0}, false, false, 3, Load{2, 0})            // until it starts
+	step(200*ms, Load{3, 1}, false, false, 4, Load{3, 0})            // one that should start
+	step(230*ms, Load{}, false, true, 4, Load{3, 0})                 // does not yet
+	step(250*ms, Load{}, false, true, 5, Load{3, 1})                 // and waits for long
+	step(260*ms, Load{3, 1}, false, false, 5, Load{3, 1})            // nothing new
+	step(250*ms+RepeatInterval, Load{}, false, true, 6, Load{3, 1})  // told again, for what was lost
+	step(270*ms+RepeatInterval, Load{0, 0}, false, false, 7, Load{}) // nothing is out
+	step(270*ms+2*RepeatInterval, Load{}, false, true, 7, Load{})    // which needs no repeating
+	step(270*ms+LoadTTL+2*RepeatInterval, Load{}, false, true, 7, Load{})
 }
 
 // Guards against old news told as new: of an earlier run, from before a freeze, or repeated.
 func TestNothingOlderWins(t *testing.T) {
 	boxes := ids(2)
 	a, b := New(options(0, 2)), New(options(1, 2))
-	a.Boxes(boxes)
-	b.Boxes(boxes)
+	a.SetWorkers(boxes)
+	b.SetWorkers(boxes)
 	var told [][]byte
 	keep := func(_ int, data []byte) { told = append(told, bytes.Clone(data)) }
 	say := func(slots int) {
-		a.Out(0, boxes[0], Out{Slots: slots}, false)
+		a.SetLoad(0, boxes[0], Load{Slots: slots}, false)
 		a.Flush(0, keep)
 	}
 	say(1)
@@ -266,9 +266,9 @@
 		t.Errorf("a datagram that is seconds late: %v", err)
 	}
 	o := options(0, 2)
-	o.Incarnation = 2
+	o.Generation = 2
 	a = New(o)
-	a.Boxes(boxes)
+	a.SetWorkers(boxes)
 	say(1)
 	if err := b.Receive(6*time.Second, 0, told[6]); err != nil || known() != 1 {
 		t.Errorf("the new run's word: %v, %d is known", err, known())
@@ -287,8 +287,8 @@
 	sealed := func(o Options) []byte {
 		var data []byte
 		a := New(o)
-		a.Boxes(boxes)
-		a.Out(0, boxes[0], Out{Slots: 3}, false)
+		a.SetWorkers(boxes)
+		a.SetLoad(0, boxes[0], Load{Slots: 3}, false)
 		a.Flush(0, func(_ int, d []byte) { data = bytes.Clone(d) })
 		return data
 	}
@@ -317,17 +317,17 @@
 		{"our own", 1, good, ErrSender},
 	} {
 		b := New(options(1, 2))
-		b.Boxes(boxes)
+		b.SetWorkers(boxes)
 		if err := b.Receive(time.Second, c.from, c.data); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
-		if len(b.reported) > 0 || b.members[0].known || b.Counts.Refused != 1 {
+		if len(b.reported) > 0 || b.members[0].known || b.Counts.Rejected != 1 {
 			t.Errorf("%s has changed something", c.name)
 		}
 	}
 	for i := range good {
 		b := New(options(1, 2))
-		b.Boxes(boxes)
+		b.SetWorkers(boxes)
 		bad := bytes.Clone(good)
 		bad[i] ^= 0x10
 		if b.Receive(time.Second, 0, bad) == nil {
@@ -375,16 +375,16 @@
 func FuzzReceive(f *testing.F) {
 	boxes := ids(4)
 	a := New(options(0, 2))
-	a.Boxes(boxes)
-	a.Out(0, boxes[1], Out{3, 1}, false)
+	a.SetWorkers(boxes)
+	a.SetLoad(0, boxes[1], Load{3, 1}, false)
 	a.Flush(0, func(_ int, data []byte) { f.Add(bytes.Clone(data)) })
 	f.Fuzz(func(t *testing.T, data []byte) {
 		b := New(options(1, 2))
-		b.Boxes(boxes)
+		b.SetWorkers(boxes)
 		_ = b.Receive(time.Second, 0, data)
 		_ = b.Receive(time.Second, 0, b.codec.seal(append(b.codec.begin(make([]byte, 0, MaxDatagram), head{kindLoads, 1, 1}),
 			data[:min(len(data), MaxDatagram-headSize-checkSize)]...)))
-		b.News(func(id string, slots, waiting int) {
+		b.TakeLoadChanges(func(id string, slots, waiting int) {
 			if !slices.Contains(boxes, id) || slots > maxSlots || waiting > maxWaiting {
 				t.Errorf("%s: %d and %d", id, slots, waiting)
 			}
@@ -398,11 +398,11 @@
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
 			boxes := ids(members/2 + 1)
 			o := options(0, members)
-			o.Hearers, o.Least = 12, 6
+			o.MinSubscribers, o.MinSubset = 12, 6
 			n := New(o)
-			n.Boxes(boxes)
-			other := New(Options{Self: 1, Members: members, Site: 7, Incarnation: 1, Hearers: 12, Least: 6})
-			other.Boxes(boxes)
+			n.SetWorkers(boxes)
+			other := New(Options{Self: 1, Members: members, Site: 7, Generation: 1, MinSubscribers: 12, MinSubset: 6})
+			other.SetWorkers(boxes)
 			sent, now := 0, time.Duration(0)
 			take := func(to int, data []byte) {
 				if sent++; to == 1 {
@@ -412,9 +412,9 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += ms
-				n.Out(now, boxes[i%len(boxes)], Out{Slots: i % 5}, false)
+				n.SetLoad(now, boxes[i%len(boxes)], Load{Slots: i % 5}, false)
 				n.Flush(now, take)
-				other.News(func(string, int, int) {})
+				other.TakeLoadChanges(func(string, int, int) {})
 			}
 			b.ReportMetric(float64(sent)/float64(b.N), "datagrams/op")
 		})
--- a/internal/peers/receive.go
+++ b/internal/peers/receive.go
@@ -10,7 +10,7 @@
 func (n *Node) Receive(now time.Duration, from int, datagram []byte) error {
 	err := n.receive(now, from, datagram)
 	if n.Counts.Received++; err != nil {
-		n.Counts.Refused++
+		n.Counts.Rejected++
 	}
 	return err
 }
@@ -84,7 +84,7 @@
 func (n *Node) dropReports(from int) {
 	for _, w := range n.reported {
 		w.reports = slices.DeleteFunc(w.reports, func(r report) bool {
-			if int(r.member) == from && r.load != (Out{}) {
+			if int(r.member) == from && r.load != (Load{}) {
 				n.markChanged(w)
 			}
 			return int(r.member) == from
@@ -93,7 +93,7 @@
 }
 
 // takeReport takes the load of a worker that a member has sent.
-func (n *Node) takeReport(now time.Duration, from, sequence uint16, key uint32, load Out) {
+func (n *Node) takeReport(now time.Duration, from, sequence uint16, key uint32, load Load) {
 	w := n.workersByKey[key]
 	if w == nil {
 		n.Counts.UnknownWorkers++
--- a/internal/peers/revisions.go
+++ b/internal/peers/revisions.go
@@ -98,7 +98,7 @@
 	for i := range t.entries {
 		t.entries[i].behindSince = -1
 	}
-	t.entries[o.Self] = revisionEntry{generation: o.Incarnation, Revision: o.Revision, known: true, behindSince: -1}
+	t.entries[o.Self] = revisionEntry{generation: o.Generation, Revision: o.Revision, known: true, behindSince: -1}
 	if o.DetectorRand != nil {
 		t.nextExchangeAt = time.Duration(o.DetectorRand.Int64N(int64(antiEntropyInterval))) // members should not start in step
 		t.gossipAbout(uint16(o.Self))
@@ -357,7 +357,7 @@
 func (n *Node) beginDatagram(k kind, to uint16) {
 	m := &n.members[to]
 	m.lastSentSequence++
-	n.buf = n.codec.begin(n.buf, head{k, n.options.Incarnation, m.lastSentSequence})
+	n.buf = n.codec.begin(n.buf, head{k, n.options.Generation, m.lastSentSequence})
 }
 
 // newestRevision returns the highest revision in force at a member that is present.
--- a/internal/peers/revisions_test.go
+++ b/internal/peers/revisions_test.go
@@ -17,7 +17,7 @@
 // begin starts a member's run with a configuration.
 func (n *net) begin(m int, run uint16, r Revision) {
 	o := options(m, len(n.nodes))
-	o.Incarnation, o.DetectorRand, o.Revision = run, rand.New(rand.NewPCG(uint64(m), uint64(run))), r
+	o.Generation, o.DetectorRand, o.Revision = run, rand.New(rand.NewPCG(uint64(m), uint64(run))), r
 	n.nodes[m], n.down[m] = New(o), false
 }
 
--- a/internal/peers/revisions_wire_test.go
+++ b/internal/peers/revisions_wire_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 		m := step % 3
-		n.nodes[m].Out(n.now, boxes[step%5], Out{step % 7, step % 2}, step%11 == 0)
+		n.nodes[m].SetLoad(n.now, boxes[step%5], Load{step % 7, step % 2}, step%11 == 0)
 		n.nodes[m].Tick(n.now)
 		if m == 1 {
 			n.nodes[m].SetRevision(n.now, Revision{uint32(step), 5})
@@ -63,7 +63,7 @@
 // Guards the kinds of datagrams that there were before: of the same bytes as ever.
 func TestTheOldKindsAreAsTheyWere(t *testing.T) {
 	n := New(options(0, 3))
-	n.detector = newFailureDetector(Options{Self: 0, Members: 3, Incarnation: 1, DetectorRand: rand.New(rand.NewPCG(1, 1))})
+	n.detector = newFailureDetector(Options{Self: 0, Members: 3, Generation: 1, DetectorRand: rand.New(rand.NewPCG(1, 1))})
 	n.detector.messages = []message{{to: 1, kind: kindPing, subject: 1}, {to: 2, kind: kindPingRequest, target: 0, subject: 2},
 		{to: 1, kind: kindAck, subject: 1, fullState: true}, {to: 1, kind: kindIndirectAck, subject: 0}}
 	var got []string
@@ -78,7 +78,7 @@
 // letters of both new kinds, as members send them.
 func newKinds(t testing.TB) (words, hashes []byte) {
 	t.Helper()
-	a := New(Options{Self: 0, Members: 40, Site: 7, Incarnation: 1, DetectorRand: rand.New(rand.NewPCG(1, 1)), Revision: Revision{41, 0xa1}})
+	a := New(Options{Self: 0, Members: 40, Site: 7, Generation: 1, DetectorRand: rand.New(rand.NewPCG(1, 1)), Revision: Revision{41, 0xa1}})
 	a.noteAlive(0, 1, 1, 0, true)
 	for m := range 30 {
 		a.detector.views[m+2].claim = claim{uint16(m + 2), Alive, 3, 0}
@@ -101,7 +101,7 @@
 
 // hearer is a member that hears of those.
 func hearer() *Node {
-	b := New(Options{Self: 1, Members: 40, Site: 7, Incarnation: 1, DetectorRand: rand.New(rand.NewPCG(2, 1)), Revision: Revision{40, 0xa0}})
+	b := New(Options{Self: 1, Members: 40, Site: 7, Generation: 1, DetectorRand: rand.New(rand.NewPCG(2, 1)), Revision: Revision{40, 0xa0}})
 	for m := range 30 {
 		b.detector.views[m+2].claim = claim{uint16(m + 2), Alive, 3, 0}
 	}
@@ -154,7 +154,7 @@
 // Guards a program that does not watch: datagrams of the new kinds neither fail nor change nor are answered there.
 func TestRevisionsWithoutAWatch(t *testing.T) {
 	words, hashes := newKinds(t)
-	b := New(Options{Self: 1, Members: 40, Site: 7, Incarnation: 1, Hearers: 4, Least: 3})
+	b := New(Options{Self: 1, Members: 40, Site: 7, Generation: 1, MinSubscribers: 4, MinSubset: 3})
 	if err := errors.Join(b.Receive(time.Second, 0, words), b.Receive(time.Second, 0, hashes)); err != nil {
 		t.Error(err)
 	}
@@ -200,10 +200,10 @@
 	if got, want := fmt.Sprintf("%x", hashes), "17000100020000fd10b58d0000000081f6fd"; got != want {
 		t.Errorf("digests are got\n%q\nwant\n%q", got, want)
 	}
-	n := New(Options{Self: 0, Members: 2, Site: 7, Incarnation: 0x0102, Hearers: 2, Least: 1})
-	n.Boxes([]string{"box-1", "box-2"})
-	n.Out(time.Second, "box-1", Out{Slots: 5, Waiting: 3}, true)
-	n.Out(time.Second, "box-2", Out{Slots: 99, Waiting: 99}, true)
+	n := New(Options{Self: 0, Members: 2, Site: 7, Generation: 0x0102, MinSubscribers: 2, MinSubset: 1})
+	n.SetWorkers([]string{"box-1", "box-2"})
+	n.SetLoad(time.Second, "box-1", Load{Slots: 5, Waiting: 3}, true)
+	n.SetLoad(time.Second, "box-2", Load{Slots: 99, Waiting: 99}, true)
 	var got []string
 	n.Flush(time.Second, func(to int, datagram []byte) { got = append(got, fmt.Sprintf("%d %x", to, datagram)) })
 	if got, want := fmt.Sprint(got), "[1 110102000186376f2b880281ff08f3ad]"; got != want {
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -9,21 +9,21 @@
 
 // Status is the state of a Node, for operators. Times are in milliseconds.
 type Status struct {
-	Self    int            `json:"self"`
-	Watched bool           `json:"watched"` // there is failure detection; otherwise states are of received datagrams alone
-	Members []MemberStatus `json:"members"` // by number
-	Newest  uint32         `json:"newest"`  // the highest revision of the configuration in force at a member that is present
-	Boxes   []BoxStatus    `json:"boxes"`   // by id
-	Counts  Counts         `json:"counts"`
+	Self             int            `json:"self"`
+	FailureDetection bool           `json:"watched"` // there is failure detection; otherwise states are of received datagrams alone
+	Members          []MemberStatus `json:"members"` // by number
+	Newest           uint32         `json:"newest"`  // the highest revision of the configuration in force at a member that is present
+	Workers          []WorkerStatus `json:"boxes"`   // by id
+	Counts           Counts         `json:"counts"`
 }
 
 // MemberStatus is the state of a member.
 type MemberStatus struct {
-	Number  int     `json:"number"`
-	State   string  `json:"state"`
-	Run     uint16  `json:"run"`
-	HeardMS int64   `json:"heard_ms"` // ago; -1: never
-	Loss    float64 `json:"loss"`     // recent share of its datagrams that were lost
+	Number     int     `json:"number"`
+	State      string  `json:"state"`
+	Generation uint16  `json:"run"`
+	HeardMS    int64   `json:"heard_ms"` // ago; -1: never
+	Loss       float64 `json:"loss"`     // recent share of its datagrams that were lost
 
 	// The configuration that it has in force, if it is present and that is known.
 	Revision uint32 `json:"revision"`
@@ -32,32 +32,32 @@
 	Differs  bool   `json:"differs"`   // it has the newest revision with another content than most
 }
 
-// BoxStatus is the load on a worker.
-type BoxStatus struct {
-	ID       string   `json:"id"`
-	Audience []uint16 `json:"audience"`
-	Ours     Out      `json:"ours"`   // by this scheduler
-	Others   Out      `json:"others"` // the sum of what others report
-	Tellers  int      `json:"tellers"`
-	OldestMS int64    `json:"oldest_ms"` // age of the oldest report; 0 where there is none
+// WorkerStatus is the load on a worker.
+type WorkerStatus struct {
+	ID          string   `json:"id"`
+	Subscribers []uint16 `json:"audience"`
+	Ours        Load     `json:"ours"`   // by this scheduler
+	Others      Load     `json:"others"` // the sum of what others report
+	Reporters   int      `json:"tellers"`
+	OldestMS    int64    `json:"oldest_ms"` // age of the oldest report; 0 where there is none
 }
 
 // Status returns the state at a time.
 func (n *Node) Status(now time.Duration) Status {
-	s := Status{Self: n.options.Self, Watched: n.detector.rand != nil, Counts: n.Counts}
+	s := Status{Self: n.options.Self, FailureDetection: n.detector.rand != nil, Counts: n.Counts}
 	s.Newest = n.newestRevision()
 	differ := n.differingDigests(s.Newest)
 	for i := range n.members {
 		m, v := &n.members[i], n.detector.views[i]
-		one := MemberStatus{Number: i, State: v.state.String(), Run: v.generation, HeardMS: -1, Loss: m.lossRate, BehindMS: -1}
+		one := MemberStatus{Number: i, State: v.state.String(), Generation: v.generation, HeardMS: -1, Loss: m.lossRate, BehindMS: -1}
 		if m.known {
 			one.HeardMS = (now - m.heardAt).Milliseconds()
-			if !s.Watched {
-				one.Run, one.State = m.generation, "heard"
+			if !s.FailureDetection {
+				one.Generation, one.State = m.generation, "heard"
 			}
 		}
 		if i == n.options.Self {
-			one.State, one.HeardMS, one.Run = "self", 0, n.options.Incarnation
+			one.State, one.HeardMS, one.Generation = "self", 0, n.options.Generation
 		}
 		if w := n.activeEntry(i); w != nil {
 			one.Revision, one.Digest, one.Differs = w.Number, fmt.Sprintf("%08x", w.Digest), differ[i]
@@ -71,14 +71,14 @@
 		if !b.listed && len(b.reports) == 0 {
 			continue
 		}
-		one := BoxStatus{ID: b.id, Audience: b.subscribers, Ours: b.load, Tellers: len(b.reports)}
+		one := WorkerStatus{ID: b.id, Subscribers: b.subscribers, Ours: b.load, Reporters: len(b.reports)}
 		for _, w := range b.reports {
 			one.Others.Slots += w.load.Slots
 			one.Others.Waiting += w.load.Waiting
 			one.OldestMS = max(one.OldestMS, (now - w.at).Milliseconds())
 		}
-		s.Boxes = append(s.Boxes, one)
+		s.Workers = append(s.Workers, one)
 	}
-	slices.SortFunc(s.Boxes, func(a, b BoxStatus) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(s.Workers, func(a, b WorkerStatus) int { return cmp.Compare(a.ID, b.ID) })
 	return s
 }
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -57,14 +57,14 @@
 	ErrStale   = errors.New("peers: datagram stale or of an earlier generation")
 )
 
-// Out is the load that a scheduler puts on a worker.
-type Out struct {
+// Load is the load that a scheduler puts on a worker.
+type Load struct {
 	Slots   int `json:"slots"`   // in use, 0 to 31; more counts as 31
 	Waiting int `json:"waiting"` // attempts that have not started, 0 to 7
 }
 
-func (o Out) clamped() Out {
-	return Out{min(max(0, o.Slots), maxSlots), min(max(0, o.Waiting), maxWaiting)}
+func (o Load) clamped() Load {
+	return Load{min(max(0, o.Slots), maxSlots), min(max(0, o.Waiting), maxWaiting)}
 }
 
 // codec encodes and verifies datagrams of one site.
@@ -132,12 +132,12 @@
 // maxLoadsPerDatagram is how many loads fit into a datagram.
 const maxLoadsPerDatagram = (MaxDatagram - headSize - checkSize) / loadSize
 
-func appendLoad(buf []byte, key uint32, o Out) []byte {
+func appendLoad(buf []byte, key uint32, o Load) []byte {
 	return append(buf, byte(key>>16), byte(key>>8), byte(key), byte(o.Slots)<<3|byte(o.Waiting))
 }
 
-func decodeLoad(b []byte) (key uint32, o Out) {
-	return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]), Out{int(b[3] >> 3), int(b[3] & 7)}
+func decodeLoad(b []byte) (key uint32, o Load) {
+	return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]), Load{int(b[3] >> 3), int(b[3] & 7)}
 }
 
 // newer reports whether a is after b in serial number arithmetic (RFC 1982).
--- a/internal/platformapi/golden_test.go
+++ b/internal/platformapi/golden_test.go
@@ -23,13 +23,13 @@
 
 var goldenAnswers = map[string]dispatch.Answer{
 	"served":       {Kind: dispatch.Served, Result: []byte("the result\x00")},
-	"refused":      {Kind: dispatch.Refused, After: 1500 * time.Millisecond, Reason: "too much to do"},
-	"refused-bare": {Kind: dispatch.Refused, Reason: "no worker"},
-	"failed":       {Kind: dispatch.Failed, Reason: "the worker failed", Ran: true},
+	"refused":      {Kind: dispatch.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "too much to do"},
+	"refused-bare": {Kind: dispatch.Rejected, Reason: "no worker"},
+	"failed":       {Kind: dispatch.Failed, Reason: "the worker failed", MayHaveRun: true},
 }
 
-func (goldenPlanners) Request(x *dispatch.Exchange) {
-	x.Intercept(func(client dispatch.Client) dispatch.Client {
+func (goldenPlanners) SubmitRequest(x *dispatch.Exchange) {
+	x.WrapClient(func(client dispatch.Client) dispatch.Client {
 		client.Started()
 		client.Progress(0.5)
 		client.Answer(goldenAnswers[x.ID])
@@ -37,7 +37,7 @@
 	})
 }
 
-func (goldenPlanners) Gone(*dispatch.Exchange) {}
+func (goldenPlanners) ClientDisconnected(*dispatch.Exchange) {}
 
 // exchange sends a request as it is and returns the answer's bytes.
 func exchange(t *testing.T, addr, request string) string {
@@ -70,8 +70,8 @@
 // The bytes of each answer of the platform's protocol.
 func TestAnswerBytes(t *testing.T) {
 	var ready atomic.Bool
-	rules := jobrequest.New(dispatch.NewClock(), &jobrequest.Terms{
-		Classes: []sedgevale.Class{{Name: "free"}, {Name: "keyed", Effect: sedgevale.Keyed}},
+	rules := jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{
+		Classes: []sedgevale.Class{{Name: "free"}, {Name: "keyed", Idempotency: sedgevale.IdempotentByKey}},
 		Tenants: []sedgevale.Tenant{{Name: "co-op"}},
 	})
 	addr := testkit.FreeAddr(t)
--- a/internal/platformapi/platformapi.go
+++ b/internal/platformapi/platformapi.go
@@ -14,8 +14,8 @@
 
 // Planners accept jobs. Request takes an exchange in, Gone says that its client has left.
 type Planners interface {
-	Request(*dispatch.Exchange)
-	Gone(*dispatch.Exchange)
+	SubmitRequest(*dispatch.Exchange)
+	ClientDisconnected(*dispatch.Exchange)
 }
 
 // Handler is the httpd.Handler of the platform's protocol.
@@ -43,13 +43,13 @@
 	}
 	x := dispatch.NewExchange(job, deadline, responder{c})
 	c.State = x
-	h.planners.Request(x)
+	h.planners.SubmitRequest(x)
 }
 
-// Gone is called when a client has disconnected before its response.
-func (h *Handler) Gone(c *httpd.Conn) {
+// Disconnected is called when a client has disconnected before its response.
+func (h *Handler) Disconnected(c *httpd.Conn) {
 	if x, ok := c.State.(*dispatch.Exchange); ok {
-		h.planners.Gone(x)
+		h.planners.ClientDisconnected(x)
 	}
 }
 
@@ -92,11 +92,11 @@
 		switch a.Kind {
 		case dispatch.Served:
 			c.Respond(200, nil, a.Result)
-		case dispatch.Refused:
+		case dispatch.Rejected:
 			var fields []http1.Field
-			if a.After > 0 {
+			if a.RetryAfter > 0 {
 				fields = []http1.Field{{Name: "Retry-After",
-					Value: strconv.FormatFloat(a.After.Seconds(), 'f', 3, 64)}}
+					Value: strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)}}
 			}
 			c.Respond(503, fields, []byte(a.Reason+"\n"))
 		case dispatch.Failed:
--- a/internal/reverseproxy/failure_test.go
+++ b/internal/reverseproxy/failure_test.go
@@ -206,7 +206,7 @@
 
 // failAndRecover has the i-th server fail in a way and come back. Once it fails its last new request
 // may come most later.
-func failAndRecover(t *testing.T, s *Site, b *faultyServer, i int, how string, most time.Duration) (report []string) {
+func failAndRecover(t *testing.T, s *Proxy, b *faultyServer, i int, how string, most time.Duration) (report []string) {
 	t.Helper()
 	began := time.Now()
 	if how == "kill" {
@@ -235,7 +235,7 @@
 }
 
 // awaitState waits for a state of the i-th server and returns how long that took.
-func awaitState(t *testing.T, s *Site, i int, want string) time.Duration {
+func awaitState(t *testing.T, s *Proxy, i int, want string) time.Duration {
 	t.Helper()
 	began := time.Now()
 	until(t, fmt.Sprintf("server %d %s", i, want), func() bool { return s.Status()[i].State == want })
--- a/internal/reverseproxy/golden_test.go
+++ b/internal/reverseproxy/golden_test.go
@@ -10,7 +10,7 @@
 
 // The keys of what operators are told of servers, each with the field that it stands for.
 func TestKeysOfStatus(t *testing.T) {
-	var status reverseproxy.Status
+	var status reverseproxy.ServerStatus
 	testkit.Fill(&status)
 	text, err := json.Marshal(status)
 	if err != nil {
--- a/internal/reverseproxy/health.go
+++ b/internal/reverseproxy/health.go
@@ -31,12 +31,12 @@
 	if p == pool.Up || p == pool.Draining {
 		return sedgevale.Active
 	}
-	return sedgevale.Leaving
+	return sedgevale.Draining
 }
 
 // startChecks starts the health checks of the active configuration, which end with the context or with the
 // next call. The lock is held.
-func (s *Site) startChecks(work context.Context) {
+func (s *Proxy) startChecks(work context.Context) {
 	if s.stopChecks != nil {
 		s.stopChecks()
 	}
@@ -134,13 +134,13 @@
 	id, addr := b.id(m.Name), m.Addr
 	b.mu.Unlock()
 	s.transport.update(false, []serverInfo{{id, addr, connect, to == pool.Up}})
-	s.planners.Members(sedgevale.ListPatch, []sedgevale.WorkerInfo{{Worker: id, Kind: s.kind(id), State: workerState(to)}})
+	s.planners.WorkersUpdated(sedgevale.UpdateDelta, []sedgevale.WorkerInfo{{Worker: id, Kind: s.kind(id), State: workerState(to)}})
 	b.dispatchQueue()
 }
 
 // Cordon cordons a server, BACKEND/SERVER, or lifts that, and reports whether there is such a server.
 // Requests in flight there go on to their end.
-func (s *Site) Cordon(host string, out bool) (known bool) {
+func (s *Proxy) Cordon(host string, out bool) (known bool) {
 	name, server, _ := strings.Cut(host, "/")
 	b := s.active.Load().backends[name]
 	if b == nil {
@@ -158,14 +158,14 @@
 }
 
 // kind returns the module's kind of a worker.
-func (s *Site) kind(id string) int {
+func (s *Proxy) kind(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.kinds[id]
 }
 
 // servingServers returns how many servers of a backend take new requests.
-func (s *Site) servingServers(name string) int {
+func (s *Proxy) servingServers(name string) int {
 	b := s.active.Load().backends[name]
 	if b == nil {
 		return 0
@@ -178,8 +178,8 @@
 	return b.pool.Serving()
 }
 
-// Status is the state of a server, for operators. Busy counts the requests in flight there.
-type Status struct {
+// ServerStatus is the state of a server, for operators. Busy counts the requests in flight there.
+type ServerStatus struct {
 	Server string `json:"server"`
 	Addr   string `json:"addr"`
 	State  string `json:"state"`
@@ -187,14 +187,14 @@
 }
 
 // Status returns the states of all servers, in the order of the configuration.
-func (s *Site) Status() (out []Status) {
+func (s *Proxy) Status() (out []ServerStatus) {
 	t := s.active.Load()
 	for _, spec := range t.web.Backends {
 		b := t.backends[spec.Name]
 		b.mu.Lock()
 		for i, m := range b.spec.Servers {
 			state, busy := b.pool.State(i)
-			out = append(out, Status{b.id(m.Name), m.Addr, state.String(), busy})
+			out = append(out, ServerStatus{b.id(m.Name), m.Addr, state.String(), busy})
 		}
 		b.mu.Unlock()
 	}
--- a/internal/reverseproxy/helpers_test.go
+++ b/internal/reverseproxy/helpers_test.go
@@ -20,7 +20,7 @@
 )
 
 // serve runs a Site until the test ends and returns its address.
-func serve(t testing.TB, w *dispatchconfig.Web) (*Site, string) {
+func serve(t testing.TB, w *dispatchconfig.Web) (*Proxy, string) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	loop, err := evloop.New(log)
@@ -35,7 +35,7 @@
 	done := make(chan struct{})
 	go func() { s.Run(ctx); close(done) }()
 	for _, l := range s.Servers() {
-		if err := l.Start(t.Context(), nil); err != nil {
+		if err := l.Start(ctx, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/reverseproxy/message.go
+++ b/internal/reverseproxy/message.go
@@ -34,7 +34,7 @@
 
 // requestedUpgrade returns the protocol that a request wants to go on with, "" for none.
 func requestedUpgrade(h *http1.Head) string {
-	if h.Old || !containsFold(connectionOptions(h.Fields), "upgrade") {
+	if h.HTTP10 || !containsFold(connectionOptions(h.Fields), "upgrade") {
 		return ""
 	}
 	return h.Get("Upgrade")
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -29,16 +29,16 @@
 // Options set a Site up.
 type Options struct {
 	Config *dispatchconfig.Web
-	Loops  int             // event loops of each listener
-	Loop   *evloop.Loop    // for connections to servers
-	Clock  dispatch.Clock  // of the planner and the pools
-	Seed   uint64          // of the planner's random draws
-	Budget *fdlimit.Budget // of descriptors
+	Loops  int              // event loops of each listener
+	Loop   *evloop.Loop     // for connections to servers
+	Clock  dispatch.Clock   // of the planner and the pools
+	Seed   uint64           // of the planner's random draws
+	Budget *fdlimit.Limiter // of descriptors
 	Log    *slog.Logger
 }
 
-// Site is all frontends and backends.
-type Site struct {
+// Proxy is all frontends and backends.
+type Proxy struct {
 	opt         Options
 	planners    *dispatch.Set
 	transport   *transport
@@ -70,7 +70,7 @@
 // backend is kept over new settings, since the requests in flight are counted in it.
 type backend struct {
 	name  string
-	proxy *Site
+	proxy *Proxy
 
 	// mu guards the fields below.
 	mu            sync.Mutex
@@ -90,8 +90,8 @@
 const connectFailureBackoff = time.Second
 
 // New returns a Site that does not serve yet. It fails if the configuration does not hold.
-func New(o Options) (*Site, error) {
-	s := &Site{opt: o, kinds: map[string]int{}}
+func New(o Options) (*Proxy, error) {
+	s := &Proxy{opt: o, kinds: map[string]int{}}
 	s.transport = newTransport(s)
 	t, err := s.build(o.Config)
 	if err != nil {
@@ -108,7 +108,7 @@
 		if f.RequestTimeout == 0 {
 			timeout = defaultRequestTimeout
 		}
-		limits := httpd.Limits{First: timeout, Slow: timeout, Read: timeout, Idle: dispatchconfig.Seconds(f.IdleTimeout)}
+		limits := httpd.Limits{FirstByte: timeout, FirstRequest: timeout, Request: timeout, Idle: dispatchconfig.Seconds(f.IdleTimeout)}
 		for _, addr := range f.Listen {
 			s.servers = append(s.servers, httpd.NewLimited(addr, o.Loops, &frontendHandler{s, f.Name}, limits, o.Budget, o.Log))
 		}
@@ -121,11 +121,11 @@
 const defaultRequestTimeout = 10 * time.Second
 
 // Servers returns the listeners. Whoever runs the Site starts and stops them.
-func (s *Site) Servers() []*httpd.Server { return s.servers }
+func (s *Proxy) Servers() []*httpd.Server { return s.servers }
 
 // Run plans requests, checks servers and closes idle connections until the context ends. It is
 // called once.
-func (s *Site) Run(ctx context.Context) {
+func (s *Proxy) Run(ctx context.Context) {
 	s.mu.Lock()
 	s.runCtx = ctx
 	s.startChecks(ctx)
@@ -137,22 +137,22 @@
 }
 
 // Open returns how many requests wait for the head of a response.
-func (s *Site) Open(ctx context.Context) (int, error) { return s.planners.Open(ctx) }
+func (s *Proxy) Open(ctx context.Context) (int, error) { return s.planners.CountOpen(ctx) }
 
 // Alive returns once the planner has had a turn.
-func (s *Site) Alive(ctx context.Context) error { return s.planners.Alive(ctx) }
+func (s *Proxy) Alive(ctx context.Context) error { return s.planners.Ping(ctx) }
 
 // Reload replaces frontends and backends. Requests in flight go on by the old ones; servers that stay
 // keep their state. Changed addresses to listen on take effect at the next start only: the names of
 // their settings are returned. An error changes nothing.
-func (s *Site) Reload(w *dispatchconfig.Web) (waits []string, err error) {
+func (s *Proxy) Reload(w *dispatchconfig.Web) (waits []string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t, err := s.build(w)
 	if err != nil {
 		return nil, err
 	}
-	s.planners.Retune(s.moduleSettings(t))
+	s.planners.UpdateSettings(s.moduleSettings(t))
 	s.install(t)
 	if s.runCtx != nil {
 		s.startChecks(s.runCtx)
@@ -168,7 +168,7 @@
 }
 
 // build compiles a configuration. It changes nothing that is in use.
-func (s *Site) build(w *dispatchconfig.Web) (*activeConfig, error) {
+func (s *Proxy) build(w *dispatchconfig.Web) (*activeConfig, error) {
 	if err := w.Check(); err != nil {
 		return nil, err
 	}
@@ -192,7 +192,7 @@
 
 // buildBackend compiles a backend: its rules, its pool and, for each server, the module's classes
 // of requests that may and may not be sent again.
-func (s *Site) buildBackend(w *dispatchconfig.Web, spec dispatchconfig.WebBackend) (b *backend, err error) {
+func (s *Proxy) buildBackend(w *dispatchconfig.Web, spec dispatchconfig.WebBackend) (b *backend, err error) {
 	b = &backend{name: spec.Name, proxy: s, spec: spec, unhealthy: map[string]bool{}, cordoned: map[string]bool{}}
 	if b.rules, err = route.Compile(spec.Spec, w.ReadFile); err != nil {
 		return nil, err
@@ -216,9 +216,9 @@
 			kind = len(s.kinds)
 			s.kinds[id] = kind
 		}
-		class := sedgevale.Class{Name: id, Effect: sedgevale.Safe, Aim: limit, Limit: limit, LateShare: 1, Kinds: []int{kind}}
+		class := sedgevale.Class{Name: id, Idempotency: sedgevale.Idempotent, LatencyTarget: limit, ClientTimeout: limit, LateValue: 1, Kinds: []int{kind}}
 		once := class
-		once.Name, once.Effect = id+"!", sedgevale.Unsafe
+		once.Name, once.Idempotency = id+"!", sedgevale.NotIdempotent
 		b.safeClasses, b.unsafeClasses = append(b.safeClasses, &class), append(b.unsafeClasses, &once)
 	}
 	b.avoidUntil = make([]time.Duration, len(spec.Servers))
@@ -230,21 +230,21 @@
 
 // moduleSettings returns the decision module's settings: a class for each server, since the pool says whose turn it
 // is, and one attempt for each request, since after a failure the pool says who is next.
-func (s *Site) moduleSettings(t *activeConfig) sedgevale.Settings {
-	set := sedgevale.Settings{MaxAttempts: 1, MayCancel: true, Peers: 1}
+func (s *Proxy) moduleSettings(t *activeConfig) sedgevale.Settings {
+	set := sedgevale.Settings{MaxAttempts: 1, AllowCancel: true, Dispatchers: 1}
 	for _, b := range t.web.Backends {
 		for i := range t.backends[b.Name].safeClasses {
 			set.Classes = append(set.Classes, *t.backends[b.Name].safeClasses[i], *t.backends[b.Name].unsafeClasses[i])
 		}
 	}
 	if len(set.Classes) == 0 { // no backend has servers; the module wants one class all the same
-		set.Classes = []sedgevale.Class{{Name: "-", Aim: time.Second, Limit: time.Second, Kinds: []int{}}}
+		set.Classes = []sedgevale.Class{{Name: "-", LatencyTarget: time.Second, ClientTimeout: time.Second, Kinds: []int{}}}
 	}
 	return set
 }
 
 // install puts a configuration in force. Backends that stay take the new settings over.
-func (s *Site) install(t *activeConfig) {
+func (s *Proxy) install(t *activeConfig) {
 	old := s.active.Load()
 	for name, b := range t.backends {
 		if old == nil || old.backends[name] == nil {
@@ -281,7 +281,7 @@
 }
 
 // publish gives planner and transport the whole list of servers and their states.
-func (s *Site) publish(t *activeConfig) {
+func (s *Proxy) publish(t *activeConfig) {
 	var entries []sedgevale.WorkerInfo
 	var members []serverInfo
 	for _, b := range t.web.Backends {
@@ -297,7 +297,7 @@
 		be.mu.Unlock()
 	}
 	s.transport.update(true, members)
-	s.planners.Members(sedgevale.ListWhole, entries)
+	s.planners.WorkersUpdated(sedgevale.UpdateFull, entries)
 }
 
 // portOf returns the port of a TCP address, 0 of another.
@@ -309,7 +309,7 @@
 }
 
 // requestID returns the id of the next request.
-func (s *Site) requestID() string {
+func (s *Proxy) requestID() string {
 	return "web-" + strconv.FormatUint(s.nextRequest.Add(1), 36)
 }
 
--- a/internal/reverseproxy/proxy_test.go
+++ b/internal/reverseproxy/proxy_test.go
@@ -47,7 +47,7 @@
 // proxyUnderTest is what TestSite serves.
 type proxyUnderTest struct {
 	t     *testing.T
-	proxy *Site
+	proxy *Proxy
 	front string
 }
 
--- a/internal/reverseproxy/request.go
+++ b/internal/reverseproxy/request.go
@@ -20,7 +20,7 @@
 
 // frontendHandler is a frontend's httpd.Handler.
 type frontendHandler struct {
-	proxy *Site
+	proxy *Proxy
 	name  string
 }
 
@@ -29,7 +29,7 @@
 //
 // Where its lock and a backend's are both held, the backend's is taken first.
 type proxyRequest struct {
-	proxy         *Site
+	proxy         *Proxy
 	backend       *backend
 	parsed        route.Request
 	head          *http1.Head
@@ -82,8 +82,8 @@
 	r.route(d.name, c.Remote().String(), portOf(c.Local()))
 }
 
-// Gone is called when the client has left.
-func (d *frontendHandler) Gone(c *httpd.Conn) {
+// Disconnected is called when the client has left.
+func (d *frontendHandler) Disconnected(c *httpd.Conn) {
 	if r, ok := c.State.(*proxyRequest); ok {
 		r.clientGone()
 	}
@@ -143,7 +143,7 @@
 // parse makes of the request's head what rules can ask of.
 func (r *proxyRequest) parse(client string, port int) {
 	version := "1.1"
-	if r.head.Old {
+	if r.head.HTTP10 {
 		version = "1.0"
 	}
 	r.parsed = route.Request{Method: r.head.Method, Target: r.head.Target, Version: version, Fields: r.head.Fields, DstPort: port,
@@ -228,7 +228,7 @@
 		r.backend.leaveQueue(r)
 	}
 	if r.finish() && x != nil {
-		r.proxy.planners.Gone(x)
+		r.proxy.planners.ClientDisconnected(x)
 		r.proxy.transport.cancelRequest(r)
 	}
 }
@@ -287,14 +287,14 @@
 	r.attempts++
 	r.server, r.member, r.cause, r.sent = name, i, "", false
 	now := r.proxy.opt.Clock.Now()
-	limit := class.Limit
+	limit := class.ClientTimeout
 	if r.transfer != nil { // its body takes as long as the client does; the transfer keeps the time-outs
 		limit = maxTransferTime
 	}
-	r.exchange = dispatch.NewExchange(dispatch.Job{ID: r.proxy.requestID(), Class: class, Tenant: -1, Slots: 1, Load: r}, now+limit, &exchangeClient{r})
+	r.exchange = dispatch.NewExchange(dispatch.Job{ID: r.proxy.requestID(), Class: class, Tenant: -1, Slots: 1, Payload: r}, now+limit, &exchangeClient{r})
 	x := r.exchange
 	r.mu.Unlock()
-	r.proxy.planners.Request(x)
+	r.proxy.planners.SubmitRequest(x)
 }
 
 // exchangeClient is the client side of an Exchange.
@@ -331,7 +331,7 @@
 	if cause == "" && sent { // the planner has heard of its end before the transport
 		cause = "response-timeout"
 	}
-	again := a.Kind == dispatch.Refused && r.mayRetry(cause)
+	again := a.Kind == dispatch.Rejected && r.mayRetry(cause)
 	if cause == "conn-failure" && server != "" {
 		r.backend.noteConnectFailure(server)
 	}
@@ -371,7 +371,7 @@
 
 // retryCauses are outcomes of attempts as retry_on names them.
 var retryCauses = map[sedgevale.Outcome]string{sedgevale.ConnectFailed: "conn-failure", sedgevale.NotSent: "conn-failure",
-	sedgevale.Full: "conn-failure", sedgevale.Lost: "empty-response", sedgevale.TimedOut: "response-timeout",
+	sedgevale.Rejected: "conn-failure", sedgevale.ConnectionLost: "empty-response", sedgevale.TimedOut: "response-timeout",
 	sedgevale.Errored: "junk-response"}
 
 // noteCause notes why an attempt ends, before the planner hears of it.
@@ -417,7 +417,7 @@
 // respond edits the head of a server's response and returns what goes to the client. Own is a
 // response that a rule makes in its place.
 func (r *proxyRequest) respond(h *http1.Head) (status int, fields []http1.Field, framing httpd.Framing, own *route.Answer) {
-	fields, framing = responseFields(h, r.head.Method == "HEAD", r.head.Old)
+	fields, framing = responseFields(h, r.head.Method == "HEAD", r.head.HTTP10)
 	status = h.Status
 	if len(r.responseRules) > 0 {
 		r.parsed.Status, r.parsed.Response = status, fields
--- a/internal/reverseproxy/responder.go
+++ b/internal/reverseproxy/responder.go
@@ -27,7 +27,7 @@
 		}
 		if lr.request.head.Method == "HEAD" || status == 304 {
 			fields = append(slices.Clip(fields), http1.Field{Name: "Content-Length", Value: strconv.Itoa(len(body))})
-			c.Begin(status, fields, httpd.ByLength)
+			c.BeginResponse(status, fields, httpd.ByLength)
 			c.EndBody(nil)
 			return
 		}
@@ -50,10 +50,10 @@
 				c.Respond(own.Status, own.Fields, own.Body)
 				return
 			}
-			c.Begin(status, fields, framing)
+			c.BeginResponse(status, fields, framing)
 		}
 		for _, p := range part.parts {
-			c.Part(p)
+			c.WriteBody(p)
 		}
 		lr.mu.Lock()
 		lr.pending -= part.size
@@ -75,7 +75,7 @@
 func (lr *loopResponder) awaitDrained() bool {
 	for backoff := minDrainBackoff; ; backoff = min(2*backoff, maxDrainBackoff) {
 		got := make(chan int, 1)
-		lr.conn.Post(func(c *httpd.Conn) { got <- c.Unsent() })
+		lr.conn.Post(func(c *httpd.Conn) { got <- c.UnsentBytes() })
 		select {
 		case n := <-got:
 			if n <= unsentLowWatermark {
--- a/internal/reverseproxy/server_conn.go
+++ b/internal/reverseproxy/server_conn.go
@@ -27,8 +27,8 @@
 	out       []byte // of the last request, kept for its capacity
 }
 
-// Opened is called by the loop when the connection is up.
-func (sc *serverConn) Opened(gc evloop.Conn) bool {
+// OnOpen is called by the loop when the connection is up.
+func (sc *serverConn) OnOpen(gc evloop.Conn) bool {
 	sc.loopConn = gc
 	ua := sc.attempt
 	if ua.done { // the server was taken out or the client left meanwhile
@@ -40,8 +40,8 @@
 	return true
 }
 
-// Closed is called by the loop when the connection has ended.
-func (sc *serverConn) Closed(evloop.Conn) {
+// OnClose is called by the loop when the connection has ended.
+func (sc *serverConn) OnClose(evloop.Conn) {
 	if sc.detached {
 		return
 	}
@@ -56,14 +56,14 @@
 	case sc.parser.UntilClose(): // the end of the connection is that of the body
 		sc.finish(&responsePart{end: true})
 	case ua.reported: // its response has begun
-		sc.transport.end(ua, sedgevale.Lost)
+		sc.transport.end(ua, sedgevale.ConnectionLost)
 		if ua.request.finish() {
 			ua.request.responder.abort()
 		}
 	case sc.writing || sc.loopConn.OutboundBuffered() > 0:
 		sc.transport.end(ua, sedgevale.ConnectFailed)
 	default:
-		sc.transport.end(ua, sedgevale.Lost)
+		sc.transport.end(ua, sedgevale.ConnectionLost)
 	}
 }
 
@@ -97,9 +97,9 @@
 
 var errUnsolicited = errors.New("an answer that nothing was asked for")
 
-// Traffic is called by the loop when there is something to read. What one call reads goes to the
+// OnTraffic is called by the loop when there is something to read. What one call reads goes to the
 // client in one part.
-func (sc *serverConn) Traffic(evloop.Conn) bool {
+func (sc *serverConn) OnTraffic(evloop.Conn) bool {
 	part := &responsePart{}
 	more := true
 	for more && !sc.closed && !sc.detached {
@@ -119,7 +119,7 @@
 		part.parts = append(part.parts, append([]byte(nil), body...))
 		part.size += len(body)
 	}
-	evloop.Take(sc.loopConn, n)
+	evloop.Discard(sc.loopConn, n)
 	switch {
 	case err != nil:
 		sc.failMalformed(err)
@@ -162,7 +162,7 @@
 		delete(sc.transport.attempts, ua.attempt)
 		delete(sc.transport.byRequest, ua.request)
 		sc.transport.closeConn(sc)
-		ua.attempt.Planner.Ended(ua.attempt, sedgevale.Lost, nil, nil)
+		ua.attempt.Planner.AttemptEnded(ua.attempt, sedgevale.ConnectionLost, nil, nil)
 		return false
 	}
 	if !ua.request.beginResponse() {
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -91,7 +91,7 @@
 // the request, so that attempts or a reply come.
 func (t *transfer) run(begin func()) {
 	defer func() { _ = t.client.Close() }()
-	if t.request.head.Get("Expect") != "" && !t.request.head.Old {
+	if t.request.head.Get("Expect") != "" && !t.request.head.HTTP10 {
 		_ = t.client.SetWriteDeadline(time.Now().Add(replyTimeout))
 		if _, err := io.WriteString(t.client, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return
@@ -142,7 +142,7 @@
 func (t *transfer) attempt(attempt *dispatch.Attempt) (again bool) {
 	r := t.request
 	addr, connect, wait := t.target()
-	if !r.proxy.opt.Budget.Take() {
+	if !r.proxy.opt.Budget.Acquire() {
 		r.proxy.opt.Budget.Release()
 		t.ended(attempt, sedgevale.NotSent)
 		return true
@@ -164,7 +164,7 @@
 	go func() { up <- t.upload(server, wait) == nil }()
 	in, head, err := t.awaitHead(server)
 	if err != nil {
-		t.ended(attempt, sedgevale.Lost)
+		t.ended(attempt, sedgevale.ConnectionLost)
 		_ = server.Close()
 		_ = t.client.SetReadDeadline(time.Unix(1, 0))
 		<-up
@@ -191,7 +191,7 @@
 	}
 	tr := t.request.proxy.transport
 	tr.loop.Do(func() { delete(tr.attempts, attempt) })
-	attempt.Planner.Ended(attempt, o, nil, nil)
+	attempt.Planner.AttemptEnded(attempt, o, nil, nil)
 }
 
 // target returns the address of the request's server, "" if new settings have taken it away, and how
@@ -241,8 +241,8 @@
 // request was not uploaded, or no other may follow, the connection ends once the client has read it.
 func (t *transfer) release(uploaded bool) {
 	h := t.request.head
-	if uploaded && !h.Close && !h.Old && !t.client.Draining() && len(t.client.Rest) == 0 {
-		t.client.GiveBack()
+	if uploaded && !h.Close && !h.HTTP10 && !t.client.Draining() && len(t.client.Rest) == 0 {
+		t.client.Reattach()
 		return
 	}
 	_ = t.client.SetDeadline(time.Now().Add(replyTimeout))
--- a/internal/reverseproxy/transport.go
+++ b/internal/reverseproxy/transport.go
@@ -27,7 +27,7 @@
 
 // transport carries requests to servers. It is the planner's dispatch.Carrier.
 type transport struct {
-	proxy *Site
+	proxy *Proxy
 	loop  *evloop.Loop
 
 	// The maps are for the loop alone.
@@ -56,7 +56,7 @@
 	done     bool        // nothing more comes of it
 }
 
-func newTransport(s *Site) *transport {
+func newTransport(s *Proxy) *transport {
 	return &transport{proxy: s, loop: s.opt.Loop, servers: map[string]*server{}, attempts: map[*dispatch.Attempt]*upstreamAttempt{},
 		byRequest: map[*proxyRequest]*upstreamAttempt{}, ready: map[string]bool{}}
 }
@@ -114,7 +114,7 @@
 
 // Send carries out an attempt.
 func (tr *transport) Send(attempt *dispatch.Attempt) {
-	r := attempt.Load.(*proxyRequest)
+	r := attempt.Payload.(*proxyRequest)
 	tr.loop.Do(func() {
 		ua := &upstreamAttempt{attempt: attempt, request: r, server: tr.servers[attempt.Worker]}
 		tr.attempts[attempt] = ua
@@ -147,8 +147,8 @@
 	})
 }
 
-// Withdraw gives an attempt up unless its request is on its way already.
-func (tr *transport) Withdraw(attempt *dispatch.Attempt) {
+// CancelUnsent gives an attempt up unless its request is on its way already.
+func (tr *transport) CancelUnsent(attempt *dispatch.Attempt) {
 	tr.loop.Do(func() {
 		if ua := tr.attempts[attempt]; ua != nil && ua.conn == nil && ua.request.transfer == nil {
 			tr.end(ua, sedgevale.NotSent)
@@ -157,10 +157,10 @@
 }
 
 // Probe answers at once: servers report no load here.
-func (tr *transport) Probe(worker string, p *dispatch.Planner) { p.Probed(worker, nil) }
+func (tr *transport) Probe(worker string, p *dispatch.Planner) { p.ProbeResult(worker, nil) }
 
-// CloseIdle closes a server's idle connections.
-func (tr *transport) CloseIdle(id string) {
+// CloseIdleConnections closes a server's idle connections.
+func (tr *transport) CloseIdleConnections(id string) {
 	tr.loop.Do(func() {
 		if srv := tr.servers[id]; srv != nil {
 			tr.closeIdle(srv)
@@ -198,7 +198,7 @@
 		}
 		tr.closeConn(sc)
 	}
-	if !tr.proxy.opt.Budget.Take() {
+	if !tr.proxy.opt.Budget.Acquire() {
 		tr.proxy.opt.Budget.Release()
 		tr.end(ua, sedgevale.NotSent)
 		return
@@ -241,7 +241,7 @@
 	if cause := retryCauses[o]; cause != "" {
 		ua.request.noteCause(cause)
 	}
-	ua.attempt.Planner.Ended(ua.attempt, o, nil, nil)
+	ua.attempt.Planner.AttemptEnded(ua.attempt, o, nil, nil)
 }
 
 func (tr *transport) closeConn(sc *serverConn) {
--- a/internal/sse/golden_test.go
+++ b/internal/sse/golden_test.go
@@ -25,14 +25,14 @@
 
 var goldenAnswers = map[string]dispatch.Answer{
 	"served":       {Kind: dispatch.Served, Result: []byte("the \"result\"\n")},
-	"refused":      {Kind: dispatch.Refused, After: 1500 * time.Millisecond, Reason: "too much to do"},
-	"refused-bare": {Kind: dispatch.Refused, Reason: "no worker"},
-	"failed":       {Kind: dispatch.Failed, Reason: "the worker failed", Ran: true},
+	"refused":      {Kind: dispatch.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "too much to do"},
+	"refused-bare": {Kind: dispatch.Rejected, Reason: "no worker"},
+	"failed":       {Kind: dispatch.Failed, Reason: "the worker failed", MayHaveRun: true},
 	"not-run":      {Kind: dispatch.Failed, Reason: "none was there"},
 }
 
-func (goldenPlanners) Request(x *dispatch.Exchange) {
-	x.Intercept(func(client dispatch.Client) dispatch.Client {
+func (goldenPlanners) SubmitRequest(x *dispatch.Exchange) {
+	x.WrapClient(func(client dispatch.Client) dispatch.Client {
 		client.Started()
 		client.Progress(0.25)
 		client.Answer(goldenAnswers[x.ID])
@@ -40,7 +40,7 @@
 	})
 }
 
-func (goldenPlanners) Gone(*dispatch.Exchange) {}
+func (goldenPlanners) ClientDisconnected(*dispatch.Exchange) {}
 
 // epochs are the random names of a scheduler's runs in the IDs of events.
 var epochs = regexp.MustCompile(`id: [0-9a-f]{16}:`)
@@ -80,10 +80,10 @@
 func TestStreamBytes(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
-	rules := jobrequest.New(dispatch.NewClock(), &jobrequest.Terms{Classes: []sedgevale.Class{
-		{Name: "free", Limit: 9 * time.Second}, {Name: "once", Effect: sedgevale.Unsafe, Limit: 9 * time.Second},
+	rules := jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{Classes: []sedgevale.Class{
+		{Name: "free", ClientTimeout: 9 * time.Second}, {Name: "once", Idempotency: sedgevale.NotIdempotent, ClientTimeout: 9 * time.Second},
 	}})
-	front := sse.New(sse.Options{Rules: rules, Planners: goldenPlanners{}, Ready: ready.Load, Log: slog.New(slog.DiscardHandler)})
+	front := sse.New(sse.Options{Parser: rules, Planners: goldenPlanners{}, Ready: ready.Load, Log: slog.New(slog.DiscardHandler)})
 	addr := testkit.FreeAddr(t)
 	s := httpd.New(addr, 1, front, fdlimit.New(0), slog.New(slog.DiscardHandler))
 	if err := s.Start(t.Context(), nil); err != nil {
--- a/internal/sse/job.go
+++ b/internal/sse/job.go
@@ -53,18 +53,18 @@
 		j.emit("result", nil, struct {
 			Result string `json:"result"`
 		}{string(a.Result)}, true)
-	case dispatch.Refused:
+	case dispatch.Rejected:
 		var retry []byte
-		if a.After > 0 {
-			ms := max(1, a.After.Milliseconds())
+		if a.RetryAfter > 0 {
+			ms := max(1, a.RetryAfter.Milliseconds())
 			retry = append(strconv.AppendInt([]byte("retry: "), ms, 10), '\n')
 		}
 		j.emit("refused", retry, struct {
 			Reason     string  `json:"reason"`
 			RetryAfter float64 `json:"retry_after"`
-		}{a.Reason, a.After.Seconds()}, true)
+		}{a.Reason, a.RetryAfter.Seconds()}, true)
 	case dispatch.Failed:
-		j.emit("failed", nil, newFailure(j.class, a.Reason, a.Ran), true)
+		j.emit("failed", nil, newFailure(j.class, a.Reason, a.MayHaveRun), true)
 	}
 }
 
@@ -127,7 +127,7 @@
 	switch {
 	case last:
 		c.EndStream()
-	case c.Unsent() > maxUnsent:
+	case c.UnsentBytes() > maxUnsent:
 		h.log.Warn("a subscriber reads too slowly, its connection is closed; it may resume", "request", j.id)
 		c.Abort()
 	}
--- a/internal/sse/job_test.go
+++ b/internal/sse/job_test.go
@@ -12,7 +12,7 @@
 )
 
 func newHandler() *Handler {
-	return New(Options{Rules: jobrequest.New(dispatch.NewClock(), &jobrequest.Terms{}), Log: slog.New(slog.DiscardHandler)})
+	return New(Options{Parser: jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{}), Log: slog.New(slog.DiscardHandler)})
 }
 
 func (h *Handler) add(id string) *job {
@@ -54,7 +54,7 @@
 	f := newHandler()
 	f.add("runs")
 	for i := range maxFinished + 10 {
-		f.add(randomID()).Answer(dispatch.Answer{Kind: dispatch.Refused, After: time.Duration(i)})
+		f.add(randomID()).Answer(dispatch.Answer{Kind: dispatch.Rejected, RetryAfter: time.Duration(i)})
 	}
 	if n := len(f.jobs); n != maxFinished+1 {
 		t.Errorf("%d jobs kept", n)
@@ -72,9 +72,9 @@
 		want  bool
 	}{
 		{&sedgevale.Class{Name: "free"}, true},
-		{&sedgevale.Class{Name: "once", Effect: sedgevale.Unsafe}, false},
-		{&sedgevale.Class{Name: "all", Effect: sedgevale.Keyed}, true},
-		{&sedgevale.Class{Name: "cell", Effect: sedgevale.Keyed, Scope: sedgevale.ScopeCell}, false},
+		{&sedgevale.Class{Name: "once", Idempotency: sedgevale.NotIdempotent}, false},
+		{&sedgevale.Class{Name: "all", Idempotency: sedgevale.IdempotentByKey}, true},
+		{&sedgevale.Class{Name: "cell", Idempotency: sedgevale.IdempotentByKey, DedupScope: sedgevale.DedupCell}, false},
 		{nil, false}, // the class is gone
 	} {
 		if got := newFailure(c.class, "", true); got.RepeatSafe != c.want || got.Outcome != "unknown" {
@@ -95,8 +95,8 @@
 	j.Started()
 	lost.Started()
 	old.Mirror(1, func(s *Stream) {
-		next.Take(1, s)
-		next.Take(1, s) // no harm if it comes twice
+		next.AddMirrored(1, s)
+		next.AddMirrored(1, s) // no harm if it comes twice
 	})
 	j.Progress(0.5)
 	j.Answer(dispatch.Answer{Kind: dispatch.Served, Result: []byte("r")})
@@ -109,14 +109,14 @@
 	if got := next.jobs["a"]; got == nil || text(got) != text(j) || !got.final || got.seq != j.seq || got.epoch != old.epoch {
 		t.Errorf("mirrored is %+v", got)
 	}
-	next.Part(1)
-	next.Part(1)
+	next.EndMirror(1)
+	next.EndMirror(1)
 	got := next.jobs["lost"]
 	if s := text(got); !got.final || strings.Count(s, "event: failed") != 1 || !strings.Contains(s, `"repeat_safe":true`) ||
 		!strings.Contains(s, old.epoch+":2.end:free:lost") || strings.Count(text(next.jobs["a"]), "event: ") != 3 {
 		t.Errorf("what the other did not end: %s", s)
 	}
-	old.Part(1)
+	old.EndMirror(1)
 	old.add("later").Started()
 	if next.jobs["later"] != nil || next.eventBytes != len(text(got))+len(text(j)) {
 		t.Errorf("told after the end, or %d bytes counted", next.eventBytes)
--- a/internal/sse/mirror.go
+++ b/internal/sse/mirror.go
@@ -43,9 +43,9 @@
 	return s
 }
 
-// Take adds the events of a stream of a sibling process. A client that lost its connection
+// AddMirrored adds the events of a stream of a sibling process. A client that lost its connection
 // there can resume here, and cannot have the job run again.
-func (h *Handler) Take(sibling int, s *Stream) {
+func (h *Handler) AddMirrored(sibling int, s *Stream) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	j := h.jobs[s.ID]
@@ -63,9 +63,9 @@
 	}
 }
 
-// Part ends the mirroring with a sibling process that is gone. Each stream that it has not
+// EndMirror ends the mirroring with a sibling process that is gone. Each stream that it has not
 // ended gets its final event here.
-func (h *Handler) Part(sibling int) {
+func (h *Handler) EndMirror(sibling int) {
 	h.mu.Lock()
 	delete(h.mirrors, sibling)
 	var orphaned []*job
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -32,7 +32,7 @@
 
 // Options are a Handler's dependencies and bounds.
 type Options struct {
-	Rules     *jobrequest.Parser
+	Parser    *jobrequest.Parser
 	Planners  platformapi.Planners
 	Ready     func() bool
 	Heartbeat time.Duration // between comments on a silent stream; 0: 10 s
@@ -61,7 +61,7 @@
 // New returns a Handler. Each has an epoch of its own, so that event ids of an earlier process
 // are recognized.
 func New(o Options) *Handler {
-	h := &Handler{parser: o.Rules, planners: o.Planners, ready: o.Ready, heartbeat: o.Heartbeat, retain: o.Retain,
+	h := &Handler{parser: o.Parser, planners: o.Planners, ready: o.Ready, heartbeat: o.Heartbeat, retain: o.Retain,
 		log: o.Log, epoch: randomID(), jobs: map[string]*job{},
 		mirrors: map[int]func(*Stream){}}
 	if h.heartbeat <= 0 {
@@ -101,7 +101,7 @@
 		if j.subscriber != nil && now.Sub(j.lastWrite) >= h.heartbeat {
 			j.lastWrite = now
 			j.subscriber.Post(func(c *httpd.Conn) {
-				if c.Write([]byte(":\n\n")); c.Unsent() > maxUnsent {
+				if c.Write([]byte(":\n\n")); c.UnsentBytes() > maxUnsent {
 					c.Abort()
 				}
 			})
@@ -152,8 +152,8 @@
 	}
 }
 
-// Gone is called when a subscriber has disconnected. Its job goes on.
-func (h *Handler) Gone(c *httpd.Conn) {
+// Disconnected is called when a subscriber has disconnected. Its job goes on.
+func (h *Handler) Disconnected(c *httpd.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if j, ok := c.State.(*job); ok && j.subscriber == c {
@@ -173,7 +173,7 @@
 
 // post accepts a job and makes the client its subscriber.
 func (h *Handler) post(c *httpd.Conn, q *httpd.Request, class *sedgevale.Class) error {
-	limit := class.Limit
+	limit := class.ClientTimeout
 	work, deadline, err := h.parser.Parse(q, randomID(), limit)
 	if err != nil {
 		return err
@@ -191,7 +191,7 @@
 	j.emit("accepted", nil, struct {
 		Request string `json:"request"`
 	}{j.id}, false)
-	h.planners.Request(dispatch.NewExchange(work, deadline, j))
+	h.planners.SubmitRequest(dispatch.NewExchange(work, deadline, j))
 	return nil
 }
 
@@ -262,7 +262,7 @@
 	out := failure{reason, "not run", true}
 	if ran {
 		out.Outcome = "unknown"
-		out.RepeatSafe = c != nil && (c.Effect == sedgevale.Safe || c.Effect == sedgevale.Keyed && c.Scope == sedgevale.ScopeAll)
+		out.RepeatSafe = c != nil && (c.Idempotency == sedgevale.Idempotent || c.Idempotency == sedgevale.IdempotentByKey && c.DedupScope == sedgevale.DedupAll)
 	}
 	return out
 }
--- a/internal/unbounded/queue.go
+++ b/internal/unbounded/queue.go
@@ -6,21 +6,21 @@
 	"sync/atomic"
 )
 
-// Box is a queue with many senders and one receiver. The receiver takes all items at once, so a burst costs one wake-up.
-type Box[T any] struct {
+// Queue is a queue with many senders and one receiver. The receiver takes all items at once, so a burst costs one wake-up.
+type Queue[T any] struct {
 	mu       sync.Mutex // guards items and spare
 	items    []T
-	spare    []T // the slice of the last Take, to be reused
+	spare    []T // the slice of the last TakeAll, to be reused
 	nonEmpty atomic.Bool
 	wake     func()
 }
 
-// New returns a Box that calls wake when an item is added to the empty queue. The call is made by the sender and must not
+// New returns a Queue that calls wake when an item is added to the empty queue. The call is made by the sender and must not
 // block.
-func New[T any](wake func()) *Box[T] { return &Box[T]{wake: wake} }
+func New[T any](wake func()) *Queue[T] { return &Queue[T]{wake: wake} }
 
 // Put adds an item.
-func (b *Box[T]) Put(item T) {
+func (b *Queue[T]) Put(item T) {
 	b.mu.Lock()
 	first := len(b.items) == 0
 	b.items = append(b.items, item)
@@ -31,8 +31,8 @@
 	}
 }
 
-// Take removes and returns all items in the order in which they were added. The slice is valid until the next Take.
-func (b *Box[T]) Take() []T {
+// TakeAll removes and returns all items in the order in which they were added. The slice is valid until the next TakeAll.
+func (b *Queue[T]) TakeAll() []T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	clear(b.spare)
@@ -42,5 +42,5 @@
 	return items
 }
 
-// Waiting reports whether there are items, without a lock.
-func (b *Box[T]) Waiting() bool { return b.nonEmpty.Load() }
+// HasItems reports whether there are items, without a lock.
+func (b *Queue[T]) HasItems() bool { return b.nonEmpty.Load() }
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -38,8 +38,8 @@
 	})
 }
 
-// Withdraw ends an attempt unless its request has been sent, at least in part.
-func (p *Pool) Withdraw(a *dispatch.Attempt) {
+// CancelUnsent ends an attempt unless its request has been sent, at least in part.
+func (p *Pool) CancelUnsent(a *dispatch.Attempt) {
 	p.loop.Do(func() {
 		if cl := p.calls[a]; cl != nil && cl.conn == nil {
 			p.finish(cl, sedgevale.NotSent, nil, nil)
@@ -52,7 +52,7 @@
 	p.loop.Do(func() {
 		cl := &call{planner: planner, worker: p.workers[id]}
 		if cl.worker == nil {
-			planner.Probed(id, nil)
+			planner.ProbeResult(id, nil)
 			return
 		}
 		p.start(cl)
@@ -70,7 +70,7 @@
 		return
 	}
 	// A request that is not idempotent has a single attempt. It is not risked on a reused connection while those break.
-	for n := len(w.idle); n > 0 && (cl.attempt == nil || !cl.attempt.Single || !p.reusedConnsBreak()); n = len(w.idle) {
+	for n := len(w.idle); n > 0 && (cl.attempt == nil || !cl.attempt.AtMostOnce || !p.reusedConnsBreak()); n = len(w.idle) {
 		c := w.idle[n-1]
 		w.idle = w.idle[:n-1]
 		if c.isQuiet() {
@@ -80,7 +80,7 @@
 		p.closeConn(c)
 	}
 	// The descriptor counts from the dial on: while workers do not respond, pending dials hold most of them.
-	if !p.opt.Budget.Take() {
+	if !p.opt.Budget.Acquire() {
 		p.opt.Budget.Release()
 		p.finish(cl, sedgevale.NotSent, nil, nil)
 		return
@@ -94,7 +94,7 @@
 }
 
 // finish ends a call and reports its outcome. The connection is closed unless the answer is complete.
-func (p *Pool) finish(cl *call, o sedgevale.Outcome, result []byte, report *sedgevale.Report) {
+func (p *Pool) finish(cl *call, o sedgevale.Outcome, result []byte, report *sedgevale.LoadReport) {
 	if cl.done {
 		return
 	}
@@ -106,9 +106,9 @@
 		p.closeConn(c)
 	}
 	if cl.attempt == nil {
-		cl.planner.Probed(cl.worker.id, report)
+		cl.planner.ProbeResult(cl.worker.id, report)
 		return
 	}
 	delete(p.calls, cl.attempt)
-	cl.attempt.Planner.Ended(cl.attempt, o, result, report)
+	cl.attempt.Planner.AttemptEnded(cl.attempt, o, result, report)
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -29,8 +29,8 @@
 	buffer      []byte
 }
 
-// Opened implements evloop.Handler: a dialled connection is established.
-func (c *conn) Opened(raw evloop.Conn) bool {
+// OnOpen implements evloop.Handler: a dialled connection is established.
+func (c *conn) OnOpen(raw evloop.Conn) bool {
 	c.raw = raw
 	cl := c.call
 	c.worker, c.call = cl.worker, nil
@@ -43,8 +43,8 @@
 	return true
 }
 
-// Closed implements evloop.Handler.
-func (c *conn) Closed(evloop.Conn) {
+// OnClose implements evloop.Handler.
+func (c *conn) OnClose(evloop.Conn) {
 	p := c.pool
 	p.opt.Budget.Release()
 	c.closed = true
@@ -58,7 +58,7 @@
 		if c.parser.Idle() {
 			c.stats().broken++
 		}
-		p.finish(cl, sedgevale.Lost, nil, nil)
+		p.finish(cl, sedgevale.ConnectionLost, nil, nil)
 	} else {
 		c.shutdownWrite()
 		p.finish(cl, sedgevale.ConnectFailed, nil, nil)
@@ -101,14 +101,14 @@
 	c.answered, c.answerBytes = false, 0
 	c.lines.partial = nil
 	c.buffer = c.appendRequest(c.buffer[:0], cl)
-	c.writeFailed = true // a failing Write calls Closed
+	c.writeFailed = true // a failing Write calls OnClose
 	if _, err := c.raw.Write(c.buffer); err != nil {
 		c.pool.finish(cl, sedgevale.ConnectFailed, nil, nil)
 		return
 	}
 	c.writeFailed = false
-	if cl.attempt != nil && cl.attempt.Recorded() {
-		cl.attempt.Planner.Sent(cl.attempt)
+	if cl.attempt != nil && cl.attempt.InJournal() {
+		cl.attempt.Planner.AttemptSent(cl.attempt)
 	}
 	if cap(c.buffer) > 8<<10 {
 		c.buffer = nil
@@ -126,8 +126,8 @@
 	b = http1.AppendRequest(b, a.Method, a.Target)
 	b = http1.AppendField(b, "Host", c.pool.opt.Host)
 	b = http1.AppendField(b, "Request-Id", a.ID)
-	if a.Once != "" {
-		b = http1.AppendField(b, "Idempotency-Key", a.Once)
+	if a.IdempotencyKey != "" {
+		b = http1.AppendField(b, "Idempotency-Key", a.IdempotencyKey)
 	}
 	left := max(0, a.Deadline-c.pool.opt.Clock.Now())
 	b = http1.AppendField(b, "Request-Timeout", strconv.FormatInt(left.Milliseconds(), 10)+"m")
@@ -137,8 +137,8 @@
 // requestWritten reports whether the whole request has been written to the socket.
 func (c *conn) requestWritten() bool { return !c.writeFailed && c.raw.OutboundBuffered() == 0 }
 
-// Traffic implements evloop.Handler: it parses an answer incrementally. A malformed one ends the attempt and the connection.
-func (c *conn) Traffic(evloop.Conn) bool {
+// OnTraffic implements evloop.Handler: it parses an answer incrementally. A malformed one ends the attempt and the connection.
+func (c *conn) OnTraffic(evloop.Conn) bool {
 	for !c.closed {
 		buf, _ := c.raw.Peek(-1)
 		n, ev, body, err := c.parser.Next(buf)
@@ -148,7 +148,7 @@
 		if c.closed {
 			return true
 		}
-		evloop.Take(c.raw, n)
+		evloop.Discard(c.raw, n)
 		if c.answerBytes += n; c.answerBytes > maxAnswerBytes && err == nil {
 			err = errAnswerTooLong
 		}
@@ -175,7 +175,7 @@
 func (c *conn) malformed(err error) {
 	if cl := c.call; cl != nil && !cl.done {
 		c.pool.opt.Log.Warn("malformed answer from worker", "worker", c.worker.id, "err", err)
-		c.pool.finish(cl, sedgevale.Lost, nil, nil)
+		c.pool.finish(cl, sedgevale.ConnectionLost, nil, nil)
 	}
 	c.pool.closeConn(c)
 }
@@ -237,7 +237,7 @@
 	report := parseLoadHeader(h.Get("Server-Load"))
 	o := sedgevale.Errored
 	if (h.Status == 503 || h.Status == 504) && h.Get("Not-Started") == "1" {
-		o = sedgevale.Full
+		o = sedgevale.Rejected
 		h.Close = true // it names no request: a duplicate would be taken for the answer to the next one
 	}
 	c.awaitEnd()
@@ -259,9 +259,9 @@
 	}
 	switch l.State {
 	case "started":
-		cl.attempt.Planner.Started(cl.attempt)
+		cl.attempt.Planner.AttemptStarted(cl.attempt)
 	case "running":
-		cl.attempt.Planner.Progress(cl.attempt, min(max(l.Share, 0), 1))
+		cl.attempt.Planner.AttemptProgressed(cl.attempt, min(max(l.Share, 0), 1))
 	case "done":
 		if l.Result == nil {
 			return errNoResult
@@ -270,9 +270,9 @@
 	case "failed":
 		c.handleOutcome(sedgevale.Errored, nil, l)
 	case "returned":
-		c.handleOutcome(sedgevale.Full, nil, l)
+		c.handleOutcome(sedgevale.Rejected, nil, l)
 	case "lost":
-		c.handleOutcome(sedgevale.Lost, nil, l)
+		c.handleOutcome(sedgevale.ConnectionLost, nil, l)
 	}
 	return nil
 }
@@ -293,7 +293,7 @@
 func (c *conn) handleEnd() bool {
 	delete(c.pool.awaitingEnd, c)
 	if cl := c.call; cl != nil && !cl.done { // there was no last line with an outcome
-		c.pool.finish(cl, sedgevale.Lost, nil, nil)
+		c.pool.finish(cl, sedgevale.ConnectionLost, nil, nil)
 	}
 	if c.closed {
 		return false
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -133,12 +133,12 @@
 func request(p *dispatch.Planner, clock dispatch.Clock, id string, class *sedgevale.Class, body []byte) (*dispatch.Exchange, client) {
 	answers := make(client, 1)
 	once := ""
-	if class.Effect == sedgevale.Keyed {
+	if class.Idempotency == sedgevale.IdempotentByKey {
 		once = "key-" + id
 	}
-	x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: -1, Method: "POST", Target: "/x", Once: once, Body: body},
+	x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: -1, Method: "POST", Target: "/x", IdempotencyKey: once, Body: body},
 		clock.Now()+3*time.Second, answers)
-	p.Request(x)
+	p.SubmitRequest(x)
 	return x, answers
 }
 
@@ -148,12 +148,12 @@
 	for _, mayCancel := range []bool{true, false} {
 		t.Run(fmt.Sprint("may cancel ", mayCancel), func(t *testing.T) {
 			addr, accept := late(t)
-			pool, planner, clock := beginWith(t, addr, 0, func(s *sedgevale.Settings) { s.MayCancel = mayCancel })
+			pool, planner, clock := beginWith(t, addr, 0, func(s *sedgevale.Settings) { s.AllowCancel = mayCancel })
 			x, _ := request(planner, clock, "a", &classes[0], nil)
 			dialling(t, pool, "w")
-			planner.Gone(x)
+			planner.ClientDisconnected(x)
 			open := make(chan int, 1)
-			planner.Open(func(n int) { open <- n })
+			planner.CountOpen(func(n int) { open <- n })
 			testkit.Await(t, "the planner", open)
 			got := accept()
 			for { // the connections that fill the queue stay open; that of the pool is established and closed
@@ -170,7 +170,7 @@
 // Guards against a retry after the window in which workers recognise an idempotency key: it was decided within the window,
 // but its connection was established after it. The client gets an error.
 func TestWindowEndsWhileDialling(t *testing.T) {
-	keyed := sedgevale.Class{Name: "keyed", Effect: sedgevale.Keyed, Window: 500 * time.Millisecond, Aim: 3 * time.Second, Limit: 3 * time.Second}
+	keyed := sedgevale.Class{Name: "keyed", Idempotency: sedgevale.IdempotentByKey, DedupWindow: 500 * time.Millisecond, LatencyTarget: 3 * time.Second, ClientTimeout: 3 * time.Second}
 	addr, accept := late(t)
 	come, breakOff := make(chan struct{}, 4), make(chan struct{})
 	first := testkit.Accept(t, func(c net.Conn) { // receives the request and resets the connection
@@ -181,10 +181,10 @@
 		closeOne(t, c)
 	})
 	pool, planner, clock := beginWith(t, first, 0, func(s *sedgevale.Settings) { s.Classes = []sedgevale.Class{keyed} })
-	pool.Members(false, []Member{{ID: "v", Addr: addr, Ready: true}})
+	pool.UpdateMembers(false, []Member{{ID: "v", Addr: addr, Ready: true}})
 	_, answers := request(planner, clock, "a", &keyed, nil)
 	testkit.Await(t, "the first attempt", come)
-	planner.Members(sedgevale.ListPatch, []sedgevale.WorkerInfo{{Worker: "v"}})
+	planner.WorkersUpdated(sedgevale.UpdateDelta, []sedgevale.WorkerInfo{{Worker: "v"}})
 	close(breakOff)
 	dialling(t, pool, "v")
 	got := accept()
@@ -210,8 +210,8 @@
 	pool, planner, clock := begin(t, addr, 0)
 	_, answers := request(planner, clock, "a", &classes[0], nil)
 	dialling(t, pool, "w")
-	pool.Members(false, []Member{{ID: "w", Addr: testkit.FreeAddr(t), Ready: true}})
-	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Refused {
+	pool.UpdateMembers(false, []Member{{ID: "w", Addr: testkit.FreeAddr(t), Ready: true}})
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
 		t.Errorf("%+v", a)
 	}
 	if text := testkit.Await(t, "the late connection's end", accept()); text != "" {
@@ -262,7 +262,7 @@
 			})
 			_, planner, clock := begin(t, addr, 0)
 			_, answers := request(planner, clock, "a", &classes[0], nil)
-			if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Failed || !a.Ran {
+			if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Failed || !a.MayHaveRun {
 				t.Errorf("%+v", a)
 			}
 			if n := testkit.Await(t, "the worker's end", wrote); n >= 64<<20 {
@@ -289,7 +289,7 @@
 	pool, planner, clock := begin(t, addr, 0)
 	_, first := request(planner, clock, "a", &classes[0], nil)
 	testkit.Await(t, "the first job", asked)
-	if a := testkit.Await(t, "the first answer", first); a.Kind != dispatch.Refused {
+	if a := testkit.Await(t, "the first answer", first); a.Kind != dispatch.Rejected {
 		t.Errorf("%+v", a)
 	}
 	idle := make(chan int, 1)
@@ -365,7 +365,7 @@
 	const size = 100 << 10 // more than the buffer holds now, but not more than it will
 	_, answers = request(planner, clock, "b", &classes[0], bytes.Repeat([]byte("b"), size))
 	closePartlyWritten(t, pool, 4*size)
-	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Refused {
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
 		t.Errorf("%+v", a)
 	}
 	if got, _ := io.Copy(io.Discard, r); got >= size {
--- a/internal/upstream/line.go
+++ b/internal/upstream/line.go
@@ -56,13 +56,13 @@
 }
 
 // loadReport returns the values that decisions use, or nil if there are none.
-func loadReport(values map[string]float64) *sedgevale.Report {
-	var r sedgevale.Report
-	r.Free, r.HasFree = values["x0"]
-	if r.Held, r.HasHeld = values["rif"]; !r.HasHeld {
-		r.Held, r.HasHeld = values["inflight"]
+func loadReport(values map[string]float64) *sedgevale.LoadReport {
+	var r sedgevale.LoadReport
+	r.FreeSlots, r.HasFreeSlots = values["x0"]
+	if r.InFlight, r.HasInFlight = values["rif"]; !r.HasInFlight {
+		r.InFlight, r.HasInFlight = values["inflight"]
 	}
-	if !r.HasFree && !r.HasHeld {
+	if !r.HasFreeSlots && !r.HasInFlight {
 		return nil
 	}
 	return &r
@@ -70,7 +70,7 @@
 
 // parseLoadHeader parses a Server-Load field, name=value,name=value. Malformed pairs are ignored: a report is a hint, and
 // the answer with it is still valid.
-func parseLoadHeader(s string) *sedgevale.Report {
+func parseLoadHeader(s string) *sedgevale.LoadReport {
 	values := map[string]float64{}
 	for pair := range strings.SplitSeq(s, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
--- a/internal/upstream/line_test.go
+++ b/internal/upstream/line_test.go
@@ -62,10 +62,10 @@
 	if err != nil || l.ID != "a" || *l.Result != `x"y` {
 		t.Errorf("%+v, error %v", l, err)
 	}
-	if r := loadReport(l.Load); r == nil || !r.HasFree || r.Free != 2.5 || r.HasHeld {
+	if r := loadReport(l.Load); r == nil || !r.HasFreeSlots || r.FreeSlots != 2.5 || r.HasInFlight {
 		t.Errorf("report %+v", r)
 	}
-	if r := parseLoadHeader("inflight=7, x0=1,util=nan,bad"); r == nil || r.Held != 7 || r.Free != 1 {
+	if r := parseLoadHeader("inflight=7, x0=1,util=nan,bad"); r == nil || r.InFlight != 7 || r.FreeSlots != 1 {
 		t.Errorf("report %+v", r)
 	}
 	if r := parseLoadHeader("lat_ms=3,q=1"); r != nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,11 +16,11 @@
 // Options configure a Pool.
 type Options struct {
 	DialTimeout time.Duration
-	IdleClose   time.Duration // the workers' idle timeout; 0 if unknown
+	IdleTimeout time.Duration // the workers' idle timeout; 0 if unknown
 	Host        string        // the Host field of requests
 	Clock       dispatch.Clock
 	Loop        *evloop.Loop
-	Budget      *fdlimit.Budget
+	Budget      *fdlimit.Limiter
 	Log         *slog.Logger
 }
 
@@ -64,21 +64,21 @@
 
 // New returns a Pool.
 func New(opt Options) *Pool {
-	opt.setTimeouts(opt.DialTimeout, opt.IdleClose)
+	opt.setTimeouts(opt.DialTimeout, opt.IdleTimeout)
 	p := &Pool{opt: opt, loop: opt.Loop, workers: map[string]*worker{}, cordoned: map[string]bool{},
 		calls: map[*dispatch.Attempt]*call{}, awaitingEnd: map[*conn]struct{}{}}
 	opt.Budget.OnCritical(func(n int) { p.loop.Do(func() { p.closeIdle(n) }) })
 	return p
 }
 
-// Retune changes the timeouts; what is 0 or less gets its default.
-func (p *Pool) Retune(dialTimeout, idleClose time.Duration) {
+// SetTimeouts changes the timeouts; what is 0 or less gets its default.
+func (p *Pool) SetTimeouts(dialTimeout, idleClose time.Duration) {
 	p.loop.Do(func() { p.opt.setTimeouts(dialTimeout, idleClose) })
 }
 
 func (o *Options) setTimeouts(dialTimeout, idleClose time.Duration) {
-	if o.IdleClose = idleClose; o.IdleClose <= 0 {
-		o.IdleClose = defaultIdleTimeout
+	if o.IdleTimeout = idleClose; o.IdleTimeout <= 0 {
+		o.IdleTimeout = defaultIdleTimeout
 	}
 	if o.DialTimeout = dialTimeout; o.DialTimeout <= 0 {
 		o.DialTimeout = defaultDialTimeout
@@ -99,9 +99,9 @@
 	}
 }
 
-// Members applies an update of the membership list: the full list, from which an absent worker has been removed, or the
+// UpdateMembers applies an update of the membership list: the full list, from which an absent worker has been removed, or the
 // changed entries.
-func (p *Pool) Members(full bool, members []Member) {
+func (p *Pool) UpdateMembers(full bool, members []Member) {
 	p.loop.Do(func() {
 		if full {
 			named := make(map[string]bool, len(members))
@@ -170,8 +170,8 @@
 	}
 }
 
-// CloseIdle closes the idle connections to a worker.
-func (p *Pool) CloseIdle(id string) {
+// CloseIdleConnections closes the idle connections to a worker.
+func (p *Pool) CloseIdleConnections(id string) {
 	p.loop.Do(func() {
 		if w := p.workers[id]; w != nil {
 			p.closeIdleOf(w)
@@ -209,7 +209,7 @@
 			p.closeConn(c)
 		}
 	}
-	last := now.Add(-time.Duration(idleTimeoutFraction * float64(p.opt.IdleClose)))
+	last := now.Add(-time.Duration(idleTimeoutFraction * float64(p.opt.IdleTimeout)))
 	for id, w := range p.workers {
 		for len(w.idle) > 0 && w.idle[0].idleSince.Before(last) {
 			p.closeConn(w.idle[0])
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -27,8 +27,8 @@
 func (c client) Answer(a dispatch.Answer) { c <- a }
 
 var classes = []sedgevale.Class{
-	{Name: "once", Effect: sedgevale.Unsafe, Aim: 3 * time.Second, Limit: 3 * time.Second},
-	{Name: "free", Aim: 3 * time.Second, Limit: 3 * time.Second},
+	{Name: "once", Idempotency: sedgevale.NotIdempotent, LatencyTarget: 3 * time.Second, ClientTimeout: 3 * time.Second},
+	{Name: "free", LatencyTarget: 3 * time.Second, ClientTimeout: 3 * time.Second},
 }
 
 // closeOne closes a listener or connection of a test.
@@ -57,7 +57,7 @@
 // beginWith is like begin, with settings that set changes.
 func beginWith(t *testing.T, addr string, idle time.Duration, set func(*sedgevale.Settings)) (*Pool, *dispatch.Planner, dispatch.Clock) {
 	t.Helper()
-	settings := sedgevale.Settings{MaxAttempts: 3, MayCancel: true, Classes: classes}
+	settings := sedgevale.Settings{MaxAttempts: 3, AllowCancel: true, Classes: classes}
 	set(&settings)
 	log := slog.New(slog.DiscardHandler)
 	loop, err := evloop.New(log)
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	clock := dispatch.NewClock()
-	pool := New(Options{DialTimeout: time.Minute, IdleClose: idle, Host: "h", Clock: clock, Loop: loop,
+	pool := New(Options{DialTimeout: time.Minute, IdleTimeout: idle, Host: "h", Clock: clock, Loop: loop,
 		Budget: fdlimit.New(0), Log: log})
 	planner, err := dispatch.NewPlanner(settings, 1, clock, pool, func() {}, log)
 	if err != nil {
@@ -80,8 +80,8 @@
 			t.Error(err)
 		}
 	})
-	pool.Members(true, []Member{{ID: "w", Addr: addr, Ready: true}})
-	planner.Members(sedgevale.ListWhole, []sedgevale.WorkerInfo{{Worker: "w"}})
+	pool.UpdateMembers(true, []Member{{ID: "w", Addr: addr, Ready: true}})
+	planner.WorkersUpdated(sedgevale.UpdateFull, []sedgevale.WorkerInfo{{Worker: "w"}})
 	return pool, planner, clock
 }
 
@@ -90,15 +90,15 @@
 func TestDrainEndsWhatIsBeingDialled(t *testing.T) {
 	t.Run("drain", func(t *testing.T) {
 		checkCancelsDials(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
-			pool.Members(false, []Member{{ID: "w", Addr: addr}})
-			planner.Members(sedgevale.ListPatch, []sedgevale.WorkerInfo{{Worker: "w", State: sedgevale.Leaving}})
+			pool.UpdateMembers(false, []Member{{ID: "w", Addr: addr}})
+			planner.WorkersUpdated(sedgevale.UpdateDelta, []sedgevale.WorkerInfo{{Worker: "w", State: sedgevale.Draining}})
 		})
 	})
 	t.Run("cordon", func(t *testing.T) {
 		checkCancelsDials(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
 			planner.Cordon("w", true, func(bool) {})
 			pool.Cordon("w", true, func() {})
-			pool.Members(true, []Member{{ID: "w", Addr: addr, Ready: true}})
+			pool.UpdateMembers(true, []Member{{ID: "w", Addr: addr, Ready: true}})
 		})
 	})
 }
@@ -108,11 +108,11 @@
 	addr, _ := late(t)
 	pool, planner, clock := begin(t, addr, 0)
 	answers := make(client, 1)
-	planner.Request(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
+	planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
 		clock.Now()+3*time.Second, answers))
 	dialling(t, pool, "w")
 	leave(pool, planner, addr)
-	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Refused {
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
 		t.Errorf("%+v", a)
 	}
 }
@@ -149,7 +149,7 @@
 		want  []int
 	}{{"a", 1, []int{1}}, {"b", 1, []int{2, 1}}, {"c", 1, []int{2, 1}}, {"d", 0, []int{1}}, {"e", 1, []int{2, 2, 1}}} {
 		answers := make(client, 1)
-		planner.Request(dispatch.NewExchange(dispatch.Job{ID: job.id, Class: &classes[job.class], Tenant: -1, Method: "POST", Target: "/x"},
+		planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: job.id, Class: &classes[job.class], Tenant: -1, Method: "POST", Target: "/x"},
 			clock.Now()+3*time.Second, answers))
 		if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Served {
 			t.Errorf("%s: %+v", job.id, a)
@@ -172,7 +172,7 @@
 	const idle = 3 * time.Second
 	_, planner, clock := begin(t, l.Addr().String(), idle)
 	answers := make(client, 1)
-	planner.Request(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
+	planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
 		clock.Now()+3*time.Second, answers))
 	c, err := l.Accept()
 	if err != nil {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -40,16 +40,16 @@
 	Instance string
 	Now      time.Duration
 
-	Seed     uint64                 // InstanceStarted
-	Settings sedgevale.Settings     // InstanceStarted
-	ListKind sedgevale.ListKind     // WorkersUpdated
-	Entries  []sedgevale.WorkerInfo // WorkersUpdated
-	Request  sedgevale.Request      // RequestArrived
-	Result   sedgevale.Result       // AttemptEnded; ID and Attempt of all events of an attempt; Report of ProbeResult
-	Worker   string                 // ProbeResult
-	Started  bool                   // AttemptNotice: the attempt has started, else it has progressed
-	Progress float64                // AttemptNotice: share done, 0 to 1
-	Token    uint64                 // TimerFired
+	Seed     uint64                  // InstanceStarted
+	Settings sedgevale.Settings      // InstanceStarted
+	ListKind sedgevale.UpdateKind    // WorkersUpdated
+	Entries  []sedgevale.WorkerInfo  // WorkersUpdated
+	Request  sedgevale.Request       // RequestArrived
+	Result   sedgevale.AttemptResult // AttemptEnded; ID and Attempt of all events of an attempt; Report of ProbeResult
+	Worker   string                  // ProbeResult
+	Started  bool                    // AttemptNotice: the attempt has started, else it has progressed
+	Progress float64                 // AttemptNotice: share done, 0 to 1
+	Token    uint64                  // TimerFired
 }
 
 // SyntaxError is a line that does not follow the protocol.
@@ -81,7 +81,7 @@
 	lists    [maxLists][]sedgevale.WorkerInfo
 	known    [maxLists]bool // lists that were sent
 	event    Event          // the last one, reused
-	report   sedgevale.Report
+	report   sedgevale.LoadReport
 }
 
 // NewReader returns a Reader on in.
@@ -223,12 +223,12 @@
 		}
 	}
 	if key := r.nextField(); !absent(key) {
-		q.Key = string(key)
+		q.AffinityKey = string(key)
 	}
-	if q.Left, err = r.seconds(); err != nil {
+	if q.TimeLeft, err = r.seconds(); err != nil {
 		return err
 	}
-	if q.Hint, err = r.seconds(); err != nil {
+	if q.RuntimeHint, err = r.seconds(); err != nil {
 		return err
 	}
 	if q.Slots, err = r.float("slots"); err != nil {
@@ -242,13 +242,13 @@
 		return err
 	}
 	if flags&1 == 0 {
-		q.Hint = 0
+		q.RuntimeHint = 0
 	}
-	q.Retry = flags&2 != 0
+	q.ClientRetry = flags&2 != 0
 	return nil
 }
 
-func (r *Reader) readResult(a *sedgevale.Result) (err error) {
+func (r *Reader) readResult(a *sedgevale.AttemptResult) (err error) {
 	if a.ID, err = r.requestID(); err != nil {
 		return err
 	}
@@ -265,7 +265,7 @@
 	if _, err = r.seconds(); err != nil {
 		return err
 	}
-	if a.Closed, err = r.bool(); err != nil {
+	if a.Answered, err = r.bool(); err != nil {
 		return err
 	}
 	r.nextField() // family note
@@ -273,17 +273,17 @@
 }
 
 var outcomes = map[string]sedgevale.Outcome{
-	"pass": sedgevale.Served, "fault": sedgevale.Errored, "no_room": sedgevale.Full,
-	"too_slow": sedgevale.TimedOut, "no_route": sedgevale.ConnectFailed, "cut": sedgevale.Lost,
+	"pass": sedgevale.Served, "fault": sedgevale.Errored, "no_room": sedgevale.Rejected,
+	"too_slow": sedgevale.TimedOut, "no_route": sedgevale.ConnectFailed, "cut": sedgevale.ConnectionLost,
 	"undone": sedgevale.Cancelled, "stale_send": sedgevale.NotSent,
 }
 
-func (r *Reader) readReport(a *sedgevale.Result) error {
+func (r *Reader) readReport(a *sedgevale.AttemptResult) error {
 	rest := r.nextField()
 	if absent(rest) {
 		return nil
 	}
-	r.report = sedgevale.Report{}
+	r.report = sedgevale.LoadReport{}
 	for len(rest) > 0 {
 		pair := rest
 		if i := bytes.IndexByte(rest, ','); i >= 0 {
@@ -301,9 +301,9 @@
 		}
 		switch string(pair[:i]) {
 		case "x0":
-			r.report.HasFree, r.report.Free = true, v
+			r.report.HasFreeSlots, r.report.FreeSlots = true, v
 		case "rif":
-			r.report.HasHeld, r.report.Held = true, v
+			r.report.HasInFlight, r.report.InFlight = true, v
 		}
 	}
 	a.Report = &r.report
@@ -361,13 +361,13 @@
 	slot := r.nextField()
 	switch mode := r.nextField(); string(mode) {
 	case "patch":
-		e.ListKind = sedgevale.ListPatch
+		e.ListKind = sedgevale.UpdateDelta
 	case "whole":
-		e.ListKind = sedgevale.ListWhole
+		e.ListKind = sedgevale.UpdateFull
 	case "stale_copy":
-		e.ListKind = sedgevale.ListStale
+		e.ListKind = sedgevale.UpdateStale
 	case "broken":
-		e.ListKind = sedgevale.ListBroken
+		e.ListKind = sedgevale.UpdateFailed
 		return nil
 	default:
 		return r.syntaxError("unknown list mode")
@@ -436,9 +436,9 @@
 	case "active":
 		w.State = sedgevale.Active
 	case "leaving":
-		w.State = sedgevale.Leaving
+		w.State = sedgevale.Draining
 	case "left":
-		w.State = sedgevale.Left
+		w.State = sedgevale.Removed
 	default:
 		return r.syntaxError("unknown state")
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -23,24 +23,24 @@
 		p.values[path] = value
 	}
 	s := sedgevale.Settings{
-		Zone:          p.int("zone"),
-		Peers:         p.int("peers_total"),
-		MaxAttempts:   p.int("bounds.max_attempts"),
-		ParallelTries: p.bool("bounds.parallel_tries"),
-		MayCancel:     p.bool("bounds.cancel"),
-		AskForList:    p.values["discovery"] == "ask",
-		TellsStart:    p.bool("family_info.tells_start"),
-		InOrder:       p.values["family_info.queue_order"] == "fifo",
-		StartCapacity: p.float("rules.start_capacity"),
-		WarmUp:        p.seconds("rules.warm_up"),
-		FallMultiple:  p.float("rules.fall_multiple"),
-		Fall:          p.seconds("rules.fall"),
-
-		MustProbe:      p.bool("bounds.may_probe") && p.values["report.via"] == "probe",
-		FullMayHaveRun: p.bool("rules.full_may_have_run"),
-		CloseOnDrain:   p.seconds("rules.close_on_drain_within"),
-	}
-	if err := p.retryBudget(&s.Further); err != nil {
+		Zone:              p.int("zone"),
+		Dispatchers:       p.int("peers_total"),
+		MaxAttempts:       p.int("bounds.max_attempts"),
+		AllowHedging:      p.bool("bounds.parallel_tries"),
+		AllowCancel:       p.bool("bounds.cancel"),
+		WatchOnDemand:     p.values["discovery"] == "ask",
+		StartNotified:     p.bool("family_info.tells_start"),
+		FIFOWorkers:       p.values["family_info.queue_order"] == "fifo",
+		SlowStartCapacity: p.float("rules.start_capacity"),
+		SlowStartDuration: p.seconds("rules.warm_up"),
+		OverloadMultiple:  p.float("rules.fall_multiple"),
+		OverloadWindow:    p.seconds("rules.fall"),
+
+		LoadByProbe:        p.bool("bounds.may_probe") && p.values["report.via"] == "probe",
+		RejectedMayHaveRun: p.bool("rules.full_may_have_run"),
+		DrainCloseTimeout:  p.seconds("rules.close_on_drain_within"),
+	}
+	if err := p.retryBudget(&s.RetryBudget); err != nil {
 		return s, err
 	}
 	if p.bool("bounds.retry_after") {
@@ -72,23 +72,23 @@
 	for i := range min(p.int("classes.count"), maxEntries) {
 		at := fmt.Sprintf("classes.%d.", i)
 		c := sedgevale.Class{
-			Name:      p.values[at+"name"],
-			Effect:    effects[p.values[at+"effect"]],
-			Scope:     scopes[p.values[at+"dedup_scope"]],
-			Window:    p.seconds(at + "window"),
-			Aim:       p.seconds(at + "promise"),
-			Limit:     p.seconds(at + "hard_limit"),
-			LateShare: p.float(at + "late_share"),
-			Stream:    p.bool(at + "stream"),
-			Stretch:   p.float(at + "aim_stretch"),
-			Kinds:     p.indexes(at+"runs_on", "kinds"),
-			Zones:     p.indexes(at+"runs_in", "zones"),
+			Name:          p.values[at+"name"],
+			Idempotency:   effects[p.values[at+"effect"]],
+			DedupScope:    scopes[p.values[at+"dedup_scope"]],
+			DedupWindow:   p.seconds(at + "window"),
+			LatencyTarget: p.seconds(at + "promise"),
+			ClientTimeout: p.seconds(at + "hard_limit"),
+			LateValue:     p.float(at + "late_share"),
+			Streaming:     p.bool(at + "stream"),
+			TargetStretch: p.float(at + "aim_stretch"),
+			Kinds:         p.indexes(at+"runs_on", "kinds"),
+			Zones:         p.indexes(at+"runs_in", "zones"),
 		}
 		if _, ok := effects[p.values[at+"effect"]]; !ok {
 			return fmt.Errorf("unknown effect %q of class %d", p.values[at+"effect"], i)
 		}
-		if c.Stretch == 0 && i < len(stretch) {
-			c.Stretch = p.parse("family_info.class_stretch", stretch[i])
+		if c.TargetStretch == 0 && i < len(stretch) {
+			c.TargetStretch = p.parse("family_info.class_stretch", stretch[i])
 		}
 		if i < len(kinds) && c.Kinds == nil {
 			if k := p.parse("family_info.class_kind", kinds[i]); k >= 0 {
@@ -100,12 +100,12 @@
 	return nil
 }
 
-var effects = map[string]sedgevale.Effect{
-	"free": sedgevale.Safe, "guarded": sedgevale.Keyed, "single_shot": sedgevale.Unsafe,
+var effects = map[string]sedgevale.Idempotency{
+	"free": sedgevale.Idempotent, "guarded": sedgevale.IdempotentByKey, "single_shot": sedgevale.NotIdempotent,
 }
 
-var scopes = map[string]sedgevale.Scope{
-	"all": sedgevale.ScopeAll, "zone": sedgevale.ScopeZone, "cell": sedgevale.ScopeCell,
+var scopes = map[string]sedgevale.DedupScope{
+	"all": sedgevale.DedupAll, "zone": sedgevale.DedupZone, "cell": sedgevale.DedupCell,
 }
 
 // settingsReader looks settings up by their paths. It keeps the error of the first that
@@ -158,7 +158,7 @@
 
 // retryBudget reads the budget of retries. It binds where any of its keys is present,
 // and then needs a window.
-func (p *settingsReader) retryBudget(b *sedgevale.Budget) error {
+func (p *settingsReader) retryBudget(b *sedgevale.RetryBudget) error {
 	_, free := p.values["rules.extra_free"]
 	_, ratio := p.values["rules.repeat_ratio"]
 	_, span := p.values["rules.ratio_span"]
@@ -170,8 +170,8 @@
 			return fmt.Errorf("setting %s=%s is negative", path, p.values[path])
 		}
 	}
-	b.Free, b.Ratio, b.Span = p.int("rules.extra_free"), p.float("rules.repeat_ratio"), p.seconds("rules.ratio_span")
-	if b.Span == 0 && p.err == nil {
+	b.FreeRetries, b.RetryRatio, b.Window = p.int("rules.extra_free"), p.float("rules.repeat_ratio"), p.seconds("rules.ratio_span")
+	if b.Window == 0 && p.err == nil {
 		return errors.New("a budget of attempts without rules.ratio_span")
 	}
 	return nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -44,27 +44,27 @@
 		want Event
 	}{
 		{"KNOCK rq_b 1 2 data/k 0.24 0.012 2 0.5 3", Event{Kind: RequestArrived, Request: sedgevale.Request{
-			ID: "rq_b", Class: 1, Tenant: 2, Key: "data/k", Left: 240 * ms, Hint: 12 * ms, Slots: 2,
-			Retry: true}}},
+			ID: "rq_b", Class: 1, Tenant: 2, AffinityKey: "data/k", TimeLeft: 240 * ms, RuntimeHint: 12 * ms, Slots: 2,
+			ClientRetry: true}}},
 		{"KNOCK rq_b 0 - - 0.24 0.012 - - 0", Event{Kind: RequestArrived, Request: sedgevale.Request{
-			ID: "rq_b", Tenant: -1, Left: 240 * ms}}},
-		{"ANSWER rq_b 1 10.0.0.1:5 no_room 0.0185 0 - -", Event{Kind: AttemptEnded, Result: sedgevale.Result{
-			ID: "rq_b", Attempt: 1, Outcome: sedgevale.Full}}},
-		{"ANSWER rq_b 0 10.0.0.1:5 pass 0.0185 1 - busy:0.62,x0:0.4,rif:3,new:7", Event{Kind: AttemptEnded, Result: sedgevale.Result{
-			ID: "rq_b", Closed: true, Report: &sedgevale.Report{HasFree: true, Free: 0.4, HasHeld: true, Held: 3}}}},
+			ID: "rq_b", Tenant: -1, TimeLeft: 240 * ms}}},
+		{"ANSWER rq_b 1 10.0.0.1:5 no_room 0.0185 0 - -", Event{Kind: AttemptEnded, Result: sedgevale.AttemptResult{
+			ID: "rq_b", Attempt: 1, Outcome: sedgevale.Rejected}}},
+		{"ANSWER rq_b 0 10.0.0.1:5 pass 0.0185 1 - busy:0.62,x0:0.4,rif:3,new:7", Event{Kind: AttemptEnded, Result: sedgevale.AttemptResult{
+			ID: "rq_b", Answered: true, Report: &sedgevale.LoadReport{HasFreeSlots: true, FreeSlots: 0.4, HasInFlight: true, InFlight: 3}}}},
 		{"STATUS_NOTE rq_b 0 10.0.0.1:5 1 0.5", Event{Kind: AttemptNotice, Started: true, Progress: 0.5,
-			Result: sedgevale.Result{ID: "rq_b"}}},
+			Result: sedgevale.AttemptResult{ID: "rq_b"}}},
 		{"STATUS_NOTE rq_b 2 10.0.0.1:5 2 0.25", Event{Kind: AttemptNotice, Progress: 0.25,
-			Result: sedgevale.Result{ID: "rq_b", Attempt: 2}}},
-		{"HEADERS rq_b 10.0.0.1:5 3 0.009", Event{Kind: StreamStarted, Result: sedgevale.Result{ID: "rq_b", Attempt: 3}}},
-		{"CLIENT_GONE rq_b", Event{Kind: ClientDisconnected, Result: sedgevale.Result{ID: "rq_b"}}},
+			Result: sedgevale.AttemptResult{ID: "rq_b", Attempt: 2}}},
+		{"HEADERS rq_b 10.0.0.1:5 3 0.009", Event{Kind: StreamStarted, Result: sedgevale.AttemptResult{ID: "rq_b", Attempt: 3}}},
+		{"CLIENT_GONE rq_b", Event{Kind: ClientDisconnected, Result: sedgevale.AttemptResult{ID: "rq_b"}}},
 		{"WAKE 9223372036854775808", Event{Kind: TimerFired, Token: 1 << 63}},
 		{"KILL", Event{Kind: InstanceKilled}},
-		{"ECHO 10.0.0.1:5 pass 0.001 x0:1.5,rif:2", Event{Kind: ProbeResult, Worker: "10.0.0.1:5", Result: sedgevale.Result{
-			Report: &sedgevale.Report{HasFree: true, Free: 1.5, HasHeld: true, Held: 2}}}},
+		{"ECHO 10.0.0.1:5 pass 0.001 x0:1.5,rif:2", Event{Kind: ProbeResult, Worker: "10.0.0.1:5", Result: sedgevale.AttemptResult{
+			Report: &sedgevale.LoadReport{HasFreeSlots: true, FreeSlots: 1.5, HasInFlight: true, InFlight: 2}}}},
 		{"ECHO 10.0.0.1:5 too_slow 0.5 -", Event{Kind: ProbeResult, Worker: "10.0.0.1:5"}},
 		{"MESSAGE 2 68692037", Event{Kind: PeerMessage}},
-		{"MEMBERS 4 - broken", Event{Kind: WorkersUpdated, ListKind: sedgevale.ListBroken}},
+		{"MEMBERS 4 - broken", Event{Kind: WorkersUpdated, ListKind: sedgevale.UpdateFailed}},
 	} {
 		got, err := read(t, "MARK 8.41225 1", "ABOUT d/1", c.line, "GO")
 		if err != nil || len(got) != 1 {
@@ -90,14 +90,14 @@
 		t.Fatalf("%d events, error %v", len(got), err)
 	}
 	want := []sedgevale.WorkerInfo{{Worker: "a:1", Kind: 1, Cell: 2, Weight: 1.5},
-		{Worker: "b:1", Zone: 1, State: sedgevale.Leaving, Weight: 1, StartedAt: 6100 * ms}}
-	if !reflect.DeepEqual(got[0].Entries, want) || got[0].ListKind != sedgevale.ListStale {
+		{Worker: "b:1", Zone: 1, State: sedgevale.Draining, Weight: 1, StartedAt: 6100 * ms}}
+	if !reflect.DeepEqual(got[0].Entries, want) || got[0].ListKind != sedgevale.UpdateStale {
 		t.Errorf("first list: %+v", got[0])
 	}
-	if len(got[1].Entries) != 0 || got[1].ListKind != sedgevale.ListWhole {
+	if len(got[1].Entries) != 0 || got[1].ListKind != sedgevale.UpdateFull {
 		t.Errorf("second list: %+v", got[1])
 	}
-	if len(got[2].Entries) != 1 || got[2].Entries[0].State != sedgevale.Left {
+	if len(got[2].Entries) != 1 || got[2].Entries[0].State != sedgevale.Removed {
 		t.Errorf("third list: %+v", got[2])
 	}
 }
@@ -149,7 +149,7 @@
 func TestLongLines(t *testing.T) {
 	long := strings.Repeat("k", 1<<20)
 	got, err := read(t, "MARK 1 1", "ABOUT d/1", "KNOCK rq_b 0 0 "+long+" 1 - 1 - 0", "GO")
-	if err != nil || got[0].Request.Key != long {
+	if err != nil || got[0].Request.AffinityKey != long {
 		t.Errorf("long key lost: %v", err)
 	}
 }
@@ -167,14 +167,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := sedgevale.Settings{Zone: 1, Peers: 2, Weights: sedgevale.WeightLive, MaxAttempts: 6, ParallelTries: true,
-		MayCancel: true, AskForList: true, TellsStart: true, InOrder: true, MaxRetryAfter: 2 * time.Second, StartCapacity: 0.3,
-		WarmUp: 8700 * ms, FallMultiple: 2.5, Fall: 1500 * ms,
+	want := sedgevale.Settings{Zone: 1, Dispatchers: 2, Weights: sedgevale.WeightLive, MaxAttempts: 6, AllowHedging: true,
+		AllowCancel: true, WatchOnDemand: true, StartNotified: true, FIFOWorkers: true, MaxRetryAfter: 2 * time.Second, SlowStartCapacity: 0.3,
+		SlowStartDuration: 8700 * ms, OverloadMultiple: 2.5, OverloadWindow: 1500 * ms,
 		Tenants: []sedgevale.Tenant{{Name: "t", Share: 0.4, Quota: 14}},
 		Classes: []sedgevale.Class{
-			{Name: "a", Window: 5 * time.Second, Aim: 80 * ms, Stretch: 2.5, Limit: 5 * time.Second, LateShare: 0.5},
-			{Name: "b", Effect: sedgevale.Keyed, Scope: sedgevale.ScopeZone, Window: 7500 * ms, Aim: 100 * ms,
-				Stretch: 2, Limit: 5 * time.Second, Kinds: []int{1}, Stream: true}}}
+			{Name: "a", DedupWindow: 5 * time.Second, LatencyTarget: 80 * ms, TargetStretch: 2.5, ClientTimeout: 5 * time.Second, LateValue: 0.5},
+			{Name: "b", Idempotency: sedgevale.IdempotentByKey, DedupScope: sedgevale.DedupZone, DedupWindow: 7500 * ms, LatencyTarget: 100 * ms,
+				TargetStretch: 2, ClientTimeout: 5 * time.Second, Kinds: []int{1}, Streaming: true}}}
 	if !reflect.DeepEqual(s, want) {
 		t.Errorf("\n got %+v\nwant %+v", s, want)
 	}
@@ -188,14 +188,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := sedgevale.Settings{MustProbe: true, FullMayHaveRun: true, CloseOnDrain: 1500 * ms,
-		Further: sedgevale.Budget{Free: 3, Ratio: 0.03, Span: 5 * time.Second},
-		Classes: []sedgevale.Class{{Kinds: []int{1}}, {Zones: []int{0, 1}}, {Kinds: []int{}}}}
+	want := sedgevale.Settings{LoadByProbe: true, RejectedMayHaveRun: true, DrainCloseTimeout: 1500 * ms,
+		RetryBudget: sedgevale.RetryBudget{FreeRetries: 3, RetryRatio: 0.03, Window: 5 * time.Second},
+		Classes:     []sedgevale.Class{{Kinds: []int{1}}, {Zones: []int{0, 1}}, {Kinds: []int{}}}}
 	if !reflect.DeepEqual(s, want) {
 		t.Errorf("\n got %+v\nwant %+v", s, want)
 	}
-	if s, err := ParseSettings("classes.count=0"); err != nil || s.Further != (sedgevale.Budget{}) {
-		t.Errorf("no budget set: %+v, %v", s.Further, err)
+	if s, err := ParseSettings("classes.count=0"); err != nil || s.RetryBudget != (sedgevale.RetryBudget{}) {
+		t.Errorf("no budget set: %+v, %v", s.RetryBudget, err)
 	}
 }
 
--- a/jobs/assign.go
+++ b/jobs/assign.go
@@ -24,7 +24,7 @@
 	index := group.tasks[0]
 	s.dequeue(group, 1)
 	s.assign(c, group, w, index)
-	return group.queue.deficit.Pay(work)
+	return group.queue.deficit.Charge(work)
 }
 
 // assign assigns a task to a worker. The start may be sent once the assignment is committed.
--- a/jobs/cycle.go
+++ b/jobs/cycle.go
@@ -84,7 +84,7 @@
 		before := c.assigned
 		more := false
 		for _, q := range queues {
-			q.deficit.Visit(quantum, q.pending.Len() > 0)
+			q.deficit.BeginTurn(quantum, q.pending.Len() > 0)
 			if q.pending.Len() > 0 && s.serveQueue(c, q) {
 				more = true
 			}
@@ -107,10 +107,10 @@
 			debts = append(debts, q.deficit)
 		}
 	}
-	turns := admission.TurnsToCredit(debts, quantum)
+	turns := admission.TurnsUntilCredit(debts, quantum)
 	for _, q := range queues {
 		if q.pending.Len() > 0 && q.deficit <= 0 {
-			q.deficit.Visit(turns*quantum, true)
+			q.deficit.BeginTurn(turns*quantum, true)
 		}
 	}
 }
--- a/jobs/gang.go
+++ b/jobs/gang.go
@@ -26,7 +26,7 @@
 	for i, index := range indexes {
 		s.assign(c, group, workers[i], index)
 	}
-	return group.queue.deficit.Pay(group.estimatedWork() * float64(len(indexes)))
+	return group.queue.deficit.Charge(group.estimatedWork() * float64(len(indexes)))
 }
 
 // planGang returns a worker for each member, or nil. A rack-local gang prefers one rack, and waits a little for it.
--- a/jobs/pick.go
+++ b/jobs/pick.go
@@ -36,9 +36,9 @@
 	}
 	candidates := make([]admission.Candidate, len(fitting))
 	for i, w := range fitting {
-		candidates[i] = admission.Candidate{Held: w.allocated}
+		candidates[i] = admission.Candidate{InFlight: w.allocated}
 	}
-	return fitting[admission.PickBelow(candidates, c.meanAllocated+pickMargin, s.random.IntN)]
+	return fitting[admission.PickBelowThreshold(candidates, c.meanAllocated+pickMargin, s.random.IntN)]
 }
 
 // pickPacked returns the worker with the fewest free accelerators, a random one among equals.
--- a/jobs/queue.go
+++ b/jobs/queue.go
@@ -64,7 +64,7 @@
 // countStart counts an assignment to a worker.
 func (q *Queue) countStart(w *Worker) {
 	q.starts++
-	q.workerShares[w.Ref] = q.workerShares[w.Ref].Add(q.starts, shareGain)
+	q.workerShares[w.Ref] = q.workerShares[w.Ref].AddJob(q.starts, shareGain)
 }
 
 // learnedLimit returns the quantile over the ready workers that the queue uses of the worker's limit over its share of the
@@ -78,7 +78,7 @@
 		if w == nil || w.State != Ready {
 			continue
 		}
-		values = append(values, w.allocationLimit()/admission.Smoothed(share.Now(q.starts, shareGain), window, n))
+		values = append(values, w.allocationLimit()/admission.SmoothedShare(share.DecayedTo(q.starts, shareGain), window, n))
 	}
 	return admission.Quantile(values, limitQuantile)
 }
--- a/jobs/queuelimit.go
+++ b/jobs/queuelimit.go
@@ -37,13 +37,13 @@
 	for i, q := range s.queueOrder {
 		q.guaranteed = capacity * s.claimants[i].Share
 		if q.Priority == 0 {
-			urgent += s.claimants[i].Want
+			urgent += s.claimants[i].Demand
 		}
 	}
 	s.headroom.update(urgent, capacity)
 	level := 0.0
 	if demand > capacity {
-		level = admission.FairLevel(s.claimants, capacity)
+		level = admission.MaxMinLevel(s.claimants, capacity)
 	}
 	unused := max(0, capacity-allocated)
 	for i, q := range s.queueOrder {
@@ -68,7 +68,7 @@
 	}
 	s.claimants = s.claimants[:0]
 	for _, q := range s.queueOrder {
-		s.claimants = append(s.claimants, admission.Claimant{Want: q.demand(), Share: priorityWeight(q.Priority) / weights})
+		s.claimants = append(s.claimants, admission.Claimant{Demand: q.demand(), Share: priorityWeight(q.Priority) / weights})
 	}
 	return demand
 }
--- a/jobs/workerlimit.go
+++ b/jobs/workerlimit.go
@@ -3,7 +3,7 @@
 import "sedgevale/admission"
 
 // limitTuning is the tuning of the learned limits on the load of workers.
-var limitTuning = admission.Tuning{CutFactor: 0.7, RiseStep: 0.1, Least: 0.1}
+var limitTuning = admission.LimitTuning{DecreaseFactor: 0.7, IncreaseStep: 0.1, MinLimit: 0.1}
 
 const (
 	// minLimitRise is by how much a tick without a cut raises a limit at least. A limit that was cut below the present load
@@ -22,13 +22,13 @@
 		return
 	}
 	w.limitCut = true
-	w.loadLimit = limitTuning.Cut(w.loadLimit, max(w.load(), limitTuning.Least))
+	w.loadLimit = limitTuning.Decrease(w.loadLimit, max(w.load(), limitTuning.MinLimit))
 }
 
 // raiseLimit raises the limit, up to the whole capacity, if it was not cut since the last tick.
 func (w *Worker) raiseLimit() {
 	if !w.limitCut {
-		raised := limitTuning.Raise(w.loadLimit, w.loadLimit-w.load())
+		raised := limitTuning.Increase(w.loadLimit, w.loadLimit-w.load())
 		w.loadLimit = min(1, max(raised, w.loadLimit+minLimitRise))
 	}
 	w.limitCut = false
--- a/learning.go
+++ b/learning.go
@@ -24,7 +24,7 @@
 	switch o {
 	case Served:
 		d.learnServed(now, r, a)
-	case Full:
+	case Rejected:
 		r.tenant.forgetWorker(w)
 		if now-a.sentAt < roundInterval { // else a draining worker has handed back what it had not begun
 			d.rescheduleAllowedAt = now + rescheduleBackoff
@@ -38,7 +38,7 @@
 			d.cutLimit(w, r.Slots)
 			d.eject(now, w)
 		}
-	case TimedOut, Lost, ConnectFailed:
+	case TimedOut, ConnectionLost, ConnectFailed:
 		d.learnUnanswered(now, r, a, o)
 	}
 }
@@ -67,7 +67,7 @@
 	// Without a start notice the time may hold a wait for a slot.
 	if a.startedAt > 0 || run < c.meanRuntime || w.freeSlotsAt < now || w.freeSlots >= 0.5 {
 		c.meanRuntime += gain * (run - c.meanRuntime)
-		c.meanHint += gain * (r.Hint.Seconds() - c.meanHint)
+		c.meanHint += gain * (r.RuntimeHint.Seconds() - c.meanHint)
 		baseGain := max(baseRuntimeGain, 1/c.samples)
 		if run < c.baseRuntime {
 			baseGain = max(baseGain, meanGain/4)
@@ -75,7 +75,7 @@
 		c.baseRuntime += baseGain * (run - c.baseRuntime)
 		w.pace += paceGain * (run/max(1e-6, c.meanRuntime) - w.pace)
 	}
-	maxWait := maxWaitTargets * c.Aim.Seconds() // one bad worker must not have all rejected
+	maxWait := maxWaitTargets * c.LatencyTarget.Seconds() // one bad worker must not have all rejected
 	c.meanCompletion += gain * (min(completion, c.meanRuntime+maxWait) - c.meanCompletion)
 	d.roundWork += r.Slots * run
 	d.noteCleanOutcome(w)
@@ -109,7 +109,7 @@
 	switch {
 	case o != TimedOut && w.connFailures == 1:
 		return true
-	case o == Lost:
+	case o == ConnectionLost:
 		return slices.ContainsFunc(w.attempts, func(ref attemptRef) bool {
 			return !ref.request.attempts[ref.number].writtenOff
 		})
@@ -120,7 +120,7 @@
 // provesNeverRan reports whether the outcome proves that the worker did not begin
 // the attempt.
 func (d *Dispatcher) provesNeverRan(o Outcome) bool {
-	return o == ConnectFailed || o == NotSent || o == Full && !d.settings.FullMayHaveRun
+	return o == ConnectFailed || o == NotSent || o == Rejected && !d.settings.RejectedMayHaveRun
 }
 
 // noteCleanOutcome notes that the worker had a clean outcome in this round.
--- a/limits.go
+++ b/limits.go
@@ -34,7 +34,7 @@
 		return
 	}
 	w.lastCutRound = d.round
-	d.setLimit(w, limitTuning.Cut(w.limit, w.inFlight+slots))
+	d.setLimit(w, limitTuning.Decrease(w.limit, w.inFlight+slots))
 }
 
 // raiseLimits raises the limits of workers that had only clean outcomes in the
@@ -47,7 +47,7 @@
 			if now-w.freeSlotsAt < d.reportTTL() && w.freeSlotsAt > 0 {
 				spare = w.freeSlots
 			}
-			d.setLimit(w, limitTuning.Raise(w.limit, spare))
+			d.setLimit(w, limitTuning.Increase(w.limit, spare))
 		}
 	}
 	d.cleanWorkers = d.cleanWorkers[:0]
@@ -67,8 +67,8 @@
 		if w == nil || w.State != Active {
 			continue
 		}
-		a := t.sendShares[t.usedWorkers[i]].Now(t.sentJobs, sendShareGain)
-		d.scratch = append(d.scratch, w.limit/admission.Smoothed(a, jobs, n))
+		a := t.sendShares[t.usedWorkers[i]].DecayedTo(t.sentJobs, sendShareGain)
+		d.scratch = append(d.scratch, w.limit/admission.SmoothedShare(a, jobs, n))
 	}
 	return admission.Quantile(d.scratch, limitQuantileQ)
 }
@@ -107,5 +107,5 @@
 	for _, t := range d.tenants {
 		d.claimants = append(d.claimants, t.claim())
 	}
-	return admission.FairLevel(d.claimants, limit)
+	return admission.MaxMinLevel(d.claimants, limit)
 }
--- a/limits_test.go
+++ b/limits_test.go
@@ -48,7 +48,7 @@
 	for i, sigma := range []float64{1, 2, 6, 8, 3} {
 		d.setLimit(d.workers[i], sigma)
 		tn.noteSent(d.workers[i])
-		tn.sendShares[i] = sendShare{Value: []float64{0.5, 0.125, 0.125, 0.125, 0.125}[i], At: 1000, Used: true}
+		tn.sendShares[i] = sendShare{Value: []float64{0.5, 0.125, 0.125, 0.125, 0.125}[i], AsOfJob: 1000, Used: true}
 	}
 	tn.sentJobs = 1000
 	// The share sent there is drawn to a fifth by 5 jobs of 133: 65/133, then 17/133 four times; the second lowest of five.
@@ -64,13 +64,13 @@
 	for range 2000 {
 		tn.noteSent(d.workers[0])
 	}
-	if a := tn.sendShares[0].Now(tn.sentJobs, sendShareGain); math.Abs(a-1) > 0.01 {
+	if a := tn.sendShares[0].DecayedTo(tn.sentJobs, sendShareGain); math.Abs(a-1) > 0.01 {
 		t.Errorf("alpha %v of the only worker used", a)
 	}
 	for range 128 {
 		tn.noteSent(d.workers[1])
 	}
-	if a := tn.sendShares[0].Now(tn.sentJobs, sendShareGain); math.Abs(a-math.Pow(1-sendShareGain, 128)) > 0.01 {
+	if a := tn.sendShares[0].DecayedTo(tn.sentJobs, sendShareGain); math.Abs(a-math.Pow(1-sendShareGain, 128)) > 0.01 {
 		t.Errorf("alpha %v after 128 jobs elsewhere", a)
 	}
 }
--- a/membership.go
+++ b/membership.go
@@ -15,25 +15,25 @@
 // WorkersUpdated brings the list of workers or changes of it, as kind says. Workers
 // that drain or are removed get nothing more from here on; attempts that they have
 // in flight go on.
-func (d *Dispatcher) WorkersUpdated(now time.Duration, kind ListKind, entries []WorkerInfo) {
+func (d *Dispatcher) WorkersUpdated(now time.Duration, kind UpdateKind, entries []WorkerInfo) {
 	first := !d.running
 	d.startRounds(now)
 	d.detectStall(now)
-	if first && d.settings.AskForList {
+	if first && d.settings.WatchOnDemand {
 		d.host.WatchWorkers()
 	}
-	if kind == ListBroken {
+	if kind == UpdateFailed {
 		d.host.Log("the watch on the list of workers failed; the last list stands, retrying")
 		d.host.SetTimer(d.watchBackoff/2+time.Duration(d.rng.Int64N(int64(d.watchBackoff))), tokenWatch)
 		d.watchBackoff = min(2*d.watchBackoff, maxWatchBackoff)
 		return
 	}
-	if kind != ListStale {
+	if kind != UpdateStale {
 		d.watchBackoff = minWatchBackoff
 	}
-	if kind != ListPatch {
+	if kind != UpdateDelta {
 		for _, w := range d.missingWorkers(entries) {
-			w.State = Left
+			w.State = Removed
 			d.addToPools(w)
 			d.removeWorker(w)
 			d.closeIdleConns(now, w)
@@ -50,7 +50,7 @@
 func (d *Dispatcher) updateWorker(now time.Duration, e *WorkerInfo) {
 	w := d.workersByName[e.Worker]
 	if w == nil {
-		if e.State == Left {
+		if e.State == Removed {
 			return
 		}
 		w = d.addWorker(e)
@@ -73,7 +73,7 @@
 	if d.settings.Weights == WeightLive && e.Weight > 0 {
 		d.applyLiveWeight(now, w)
 	}
-	if e.State == Left {
+	if e.State == Removed {
 		d.removeWorker(w)
 	}
 	d.closeIdleConns(now, w)
@@ -98,7 +98,7 @@
 // still be made for an attempt that was cancelled.
 func (d *Dispatcher) closeIdleConns(now time.Duration, w *worker) {
 	v := d.workersByName[w.Worker]
-	if d.settings.CloseOnDrain == 0 || w.State == Active || v != nil && v.State == Active {
+	if d.settings.DrainCloseTimeout == 0 || w.State == Active || v != nil && v.State == Active {
 		return
 	}
 	d.host.CloseIdleConnections(w.Worker)
@@ -112,7 +112,7 @@
 // the last notice or outcome.
 func (d *Dispatcher) closeIdleConnsAgain(now time.Duration) {
 	d.drainingWorkers = slices.DeleteFunc(d.drainingWorkers, func(w *worker) bool {
-		if now < w.idleClosedAt+d.settings.CloseOnDrain/2 {
+		if now < w.idleClosedAt+d.settings.DrainCloseTimeout/2 {
 			return false
 		}
 		w.idleClosedAt = 0
--- a/membership_test.go
+++ b/membership_test.go
@@ -9,8 +9,8 @@
 // Rule 3: drained and removed workers get nothing from the moment of the update on.
 func TestDrainingWorkersGetNothing(t *testing.T) {
 	d, h := start(t, settings(), fleet(3)...)
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
-	d.WorkersUpdated(h.now, ListWhole, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}, {Worker: "w1", Zone: 1, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}, {Worker: "w1", Zone: 1, Weight: 1}})
 	for i := range 20 {
 		h.ask(d, fmt.Sprint("r", i), i%3)
 		h.now += 10 * ms
@@ -32,13 +32,13 @@
 // the watch breaks.
 func TestWatch(t *testing.T) {
 	set := settings()
-	set.AskForList = true
+	set.WatchOnDemand = true
 	d, h := start(t, set, fleet(2)...)
 	if h.watches != 1 {
 		t.Fatalf("%d watches at the start", h.watches)
 	}
 	for i := 2; i < 9; i++ {
-		d.WorkersUpdated(h.now, ListBroken, nil)
+		d.WorkersUpdated(h.now, UpdateFailed, nil)
 		h.run(d, h.now+2*maxWatchBackoff)
 		if h.watches != i {
 			t.Fatalf("%d watches after %d breaks", h.watches, i-1)
@@ -54,11 +54,11 @@
 // again, and of those connecting, a call that fails and its answer's way want 4 (internal/discovery).
 func TestWatchIsRetriedSoon(t *testing.T) {
 	set := settings()
-	set.AskForList = true
+	set.WatchOnDemand = true
 	d, h := start(t, set, fleet(2)...)
 	for i := range 40 { // the waits have a spread
 		began, before := h.now, h.watches
-		d.WorkersUpdated(h.now, ListBroken, nil)
+		d.WorkersUpdated(h.now, UpdateFailed, nil)
 		for h.watches == before {
 			if h.run(d, h.now+ms); h.now > began+10*time.Second {
 				t.Fatal("not asked for again")
@@ -74,15 +74,15 @@
 // once the worker has left the list, and once more a while later.
 func TestConnectionsAreClosedOnDrains(t *testing.T) {
 	set := settings()
-	set.CloseOnDrain = 1500 * ms
+	set.DrainCloseTimeout = 1500 * ms
 	d, h := start(t, set, fleet(1)...)
 	h.ask(d, "r", 0)
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Leaving, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
 	if len(h.closes) != 1 {
 		t.Fatalf("%d closes at the notice", len(h.closes))
 	}
 	h.run(d, h.now+400*ms)
-	d.WorkersUpdated(h.now, ListWhole, nil)
+	d.WorkersUpdated(h.now, UpdateFull, nil)
 	h.run(d, h.now+3*time.Second)
 	before := len(h.closes)
 	outcome := h.now
@@ -100,7 +100,7 @@
 		t.Error("closed again for nothing")
 	}
 	d, h = start(t, settings(), fleet(1)...)
-	d.WorkersUpdated(h.now, ListWhole, nil)
+	d.WorkersUpdated(h.now, UpdateFull, nil)
 	if len(h.closes) != 0 {
 		t.Error("closed where that is not asked for")
 	}
--- a/peers.go
+++ b/peers.go
@@ -9,14 +9,14 @@
 
 // Load is a dispatcher's load at a worker.
 type Load struct {
-	Held    float64 `json:"held"`              // slots in flight
-	Waiting int     `json:"waiting,omitempty"` // attempts in flight that have not started
-	Sent    float64 `json:"sent,omitempty"`    // work ever sent, in slot seconds
+	InFlight   float64 `json:"held"`              // slots in flight
+	NotStarted int     `json:"waiting,omitempty"` // attempts in flight that have not started
+	WorkSent   float64 `json:"sent,omitempty"`    // work ever sent, in slot seconds
 }
 
 // Plus returns the sum of two loads.
 func (l Load) Plus(m Load) Load {
-	return Load{l.Held + m.Held, l.Waiting + m.Waiting, l.Sent + m.Sent}
+	return Load{l.InFlight + m.InFlight, l.NotStarted + m.NotStarted, l.WorkSent + m.WorkSent}
 }
 
 // LoadByWorker returns this dispatcher's own load at each worker, without that of its
@@ -27,7 +27,7 @@
 		if w == nil {
 			continue
 		}
-		if l := (Load{w.inFlight - w.siblingLoad.Held, w.notStarted - w.siblingLoad.Waiting, w.workSent}); l != (Load{}) {
+		if l := (Load{w.inFlight - w.siblingLoad.InFlight, w.notStarted - w.siblingLoad.NotStarted, w.workSent}); l != (Load{}) {
 			loads[w.Worker] = l
 		}
 	}
@@ -43,10 +43,10 @@
 			continue
 		}
 		l := loads[w.Worker]
-		d.addInFlight(w, l.Held-w.siblingLoad.Held)
-		w.notStarted += l.Waiting - w.siblingLoad.Waiting
+		d.addInFlight(w, l.InFlight-w.siblingLoad.InFlight)
+		w.notStarted += l.NotStarted - w.siblingLoad.NotStarted
 		if w.warmAt > now && w.siblingLoadKnown {
-			w.slowStartCredit -= max(0, l.Sent-w.siblingLoad.Sent)
+			w.slowStartCredit -= max(0, l.WorkSent-w.siblingLoad.WorkSent)
 		}
 		w.siblingLoad, w.siblingLoadKnown = l, true
 	}
@@ -54,11 +54,11 @@
 	d.releasePending(now)
 }
 
-// Told is somebody's load at a worker.
-type Told struct {
+// WorkerLoad is somebody's load at a worker.
+type WorkerLoad struct {
 	Worker string
 	Load
-	Full bool // all dispatchers together have more in flight there than the worker has slots
+	Saturated bool // all dispatchers together have more in flight there than the worker has slots
 }
 
 // TrackLoadChanges has [Dispatcher.AppendLoadChanges] work from now on.
@@ -66,10 +66,10 @@
 
 // AppendLoadChanges appends the load at each worker where it has changed since the
 // last call. Siblings' load is in it, since they are the same scheduler.
-func (d *Dispatcher) AppendLoadChanges(buf []Told) []Told {
+func (d *Dispatcher) AppendLoadChanges(buf []WorkerLoad) []WorkerLoad {
 	for i, w := range d.loadChanged {
 		w.loadChanged, d.loadChanged[i] = false, nil
-		buf = append(buf, Told{w.Worker, Load{w.inFlight - w.peerLoad.Held, w.notStarted - w.peerLoad.Waiting, w.workSent},
+		buf = append(buf, WorkerLoad{w.Worker, Load{w.inFlight - w.peerLoad.InFlight, w.notStarted - w.peerLoad.NotStarted, w.workSent},
 			w.inFlight > d.maxFreeByKind[w.Kind]})
 	}
 	d.loadChanged = d.loadChanged[:0]
@@ -80,7 +80,7 @@
 // is the sum over all peers and replaces the last one. It counts against the worker's
 // capacity, but not as this dispatcher's load. Workers that no list has named are
 // ignored.
-func (d *Dispatcher) UpdatePeerLoad(now time.Duration, loads []Told) {
+func (d *Dispatcher) UpdatePeerLoad(now time.Duration, loads []WorkerLoad) {
 	d.startRounds(now)
 	for i := range loads {
 		l := &loads[i]
@@ -88,8 +88,8 @@
 		if w == nil {
 			continue
 		}
-		d.addOccupied(w, l.Held-w.peerLoad.Held)
-		w.notStarted += l.Waiting - w.peerLoad.Waiting
+		d.addOccupied(w, l.InFlight-w.peerLoad.InFlight)
+		w.notStarted += l.NotStarted - w.peerLoad.NotStarted
 		w.peerLoad = l.Load
 	}
 	d.capacityChanged()
@@ -107,7 +107,7 @@
 	}
 	d.subsetSize, d.subsetSharers = 0, max(1, sharers)
 	if len(workers) == 0 {
-		d.subsetSharers = d.settings.Peers
+		d.subsetSharers = d.settings.Dispatchers
 	}
 	for _, w := range d.workers {
 		if w == nil {
