--- a/peers_test.go
+++ b/peers_test.go
@@ -16,7 +16,7 @@
 	if len(d.LoadByWorker()) != 0 {
 		t.Errorf("nothing is out, but %v", d.LoadByWorker())
 	}
-	d.SetSiblingLoad(h.now, map[string]Load{"w0": {Held: 3, Waiting: 1}, "stranger": {Held: 9}})
+	d.SetSiblingLoad(h.now, map[string]Load{"w0": {InFlight: 3, NotStarted: 1}, "stranger": {InFlight: 9}})
 	for i := range 3 {
 		id := fmt.Sprint("r", i)
 		h.ask(d, id, 0)
@@ -25,17 +25,17 @@
 		}
 		_ = d.AttemptStarted(h.now, id, 0)
 	}
-	if got := d.LoadByWorker()["w1"]; got.Held != 3 || got.Waiting != 0 || d.LoadByWorker()["w0"] != (Load{}) {
+	if got := d.LoadByWorker()["w1"]; got.InFlight != 3 || got.NotStarted != 0 || d.LoadByWorker()["w0"] != (Load{}) {
 		t.Errorf("out is %v", d.LoadByWorker())
 	}
 	if d.inFlight != 6 {
 		t.Errorf("%v slots are booked", d.inFlight)
 	}
-	d.SetSiblingLoad(h.now, map[string]Load{"w0": {Held: 1}})
+	d.SetSiblingLoad(h.now, map[string]Load{"w0": {InFlight: 1}})
 	if w := d.workersByName["w0"]; d.inFlight != 4 || w.inFlight != 1 || w.notStarted != 0 {
 		t.Errorf("%v slots are booked, %v at w0, %d wait", d.inFlight, w.inFlight, w.notStarted)
 	}
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Left}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Removed}})
 	d.SetSiblingLoad(h.now, nil)
 	if d.inFlight != 3 || d.pools[0].inFlight != 3 {
 		t.Errorf("%v slots are booked once the worker and the other are gone", d.inFlight)
@@ -45,12 +45,12 @@
 // Guards against a worker that warms up and is overloaded by two processes together.
 func TestSiblingLoadSpendsSlowStartCredit(t *testing.T) {
 	set := settings()
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 8*time.Second, 0.3, 3, 2*time.Second
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, 3, 2*time.Second
 	d, h := start(t, set, WorkerInfo{Worker: "cold", Weight: 1, StartedAt: time.Hour})
 	w := d.workersByName["cold"]
 	w.slowStartCredit = 1
-	d.SetSiblingLoad(h.now, map[string]Load{"cold": {Sent: 50}}) // before it was known here
-	d.SetSiblingLoad(h.now, map[string]Load{"cold": {Sent: 50.75}})
+	d.SetSiblingLoad(h.now, map[string]Load{"cold": {WorkSent: 50}}) // before it was known here
+	d.SetSiblingLoad(h.now, map[string]Load{"cold": {WorkSent: 50.75}})
 	if w.slowStartCredit != 0.25 {
 		t.Errorf("credit is %v", w.slowStartCredit)
 	}
@@ -60,7 +60,7 @@
 func TestLearnedStateIsRestored(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Name: "a", Share: 1, Quota: 10}, {Name: "b", Share: 2}}
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 8*time.Second, 0.3, 3, 2*time.Second
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, 3, 2*time.Second
 	workers := append(fleet(3), WorkerInfo{Worker: "cold", Weight: 1, StartedAt: time.Hour - time.Second})
 	d, h := start(t, set, workers...)
 	for i := range 60 {
@@ -73,9 +73,9 @@
 		_ = d.AttemptStarted(h.now, id, 0)
 		h.run(d, h.now+30*ms)
 		if i%7 == 6 {
-			h.over(d, id, 0, Full)
+			h.over(d, id, 0, Rejected)
 		} else {
-			_ = d.AttemptEnded(h.now, Result{ID: id, Outcome: Served, Closed: true, Report: &Report{HasFree: true, Free: 3}})
+			_ = d.AttemptEnded(h.now, AttemptResult{ID: id, Outcome: Served, Answered: true, Report: &LoadReport{HasFreeSlots: true, FreeSlots: 3}})
 			h.ends[id] = "served"
 		}
 	}
@@ -113,7 +113,7 @@
 func TestPeerLoadCountsAtTheWorkerOnly(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	d.TrackLoadChanges()
-	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 3, Waiting: 1}}, {Worker: "stranger", Load: Load{Held: 9}}})
+	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w0", Load: Load{InFlight: 3, NotStarted: 1}}, {Worker: "stranger", Load: Load{InFlight: 9}}})
 	for i := range 2 {
 		id := fmt.Sprint("r", i)
 		h.ask(d, id, 0)
@@ -126,14 +126,14 @@
 		t.Errorf("booked %v in all, %v of 5 at workers, %v and %d at w0", d.inFlight, d.pools[0].inFlight, w.inFlight, w.notStarted)
 	}
 	told := d.AppendLoadChanges(nil)
-	if len(told) != 1 || told[0].Worker != "w1" || told[0].Held != 2 || told[0].Waiting != 0 {
+	if len(told) != 1 || told[0].Worker != "w1" || told[0].InFlight != 2 || told[0].NotStarted != 0 {
 		t.Errorf("told %v, want ours at w1 alone", told)
 	}
 	if again := d.AppendLoadChanges(nil); len(again) != 0 {
 		t.Errorf("told again %v", again)
 	}
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", State: Left}})
-	d.UpdatePeerLoad(h.now, []Told{{Worker: "w1"}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Removed}})
+	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w1"}})
 	if d.inFlight != 2 || d.pools[0].inFlight != 2 {
 		t.Errorf("booked %v, %v at workers once the others are gone", d.inFlight, d.pools[0].inFlight)
 	}
@@ -150,18 +150,18 @@
 			t.Fatalf("told %v, want w0 alone", told)
 		}
 		_ = d.AttemptStarted(h.now, id, 0)
-		return told[0].Full
+		return told[0].Saturated
 	}
 	if full("r0") {
 		t.Error("told that it is full, of which no report has come")
 	}
-	_ = d.AttemptEnded(h.now, Result{ID: "r0", Outcome: Served, Closed: true, Report: &Report{HasFree: true, Free: 2}})
+	_ = d.AttemptEnded(h.now, AttemptResult{ID: "r0", Outcome: Served, Answered: true, Report: &LoadReport{HasFreeSlots: true, FreeSlots: 2}})
 	if full("r1") {
 		t.Error("told that it is full with one job on two slots")
 	}
-	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 3}}})
-	_ = d.AttemptEnded(h.now, Result{ID: "r1", Outcome: Served, Closed: true})
-	if told := d.AppendLoadChanges(nil); len(told) != 1 || !told[0].Full || told[0].Held != 0 {
+	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w0", Load: Load{InFlight: 3}}})
+	_ = d.AttemptEnded(h.now, AttemptResult{ID: "r1", Outcome: Served, Answered: true})
+	if told := d.AppendLoadChanges(nil); len(told) != 1 || !told[0].Saturated || told[0].InFlight != 0 {
 		t.Errorf("told %v with three of others' jobs on two slots, want that it is full", told)
 	}
 }
@@ -172,19 +172,19 @@
 	d, h := start(t, settings(), fleet(2)...)
 	d.SetSubset(h.now, []string{"w0", "w1"}, 4)
 	d.maxFreeByKind[0] = 4
-	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 4}}, {Worker: "w1", Load: Load{Held: 4}}})
+	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w0", Load: Load{InFlight: 4}}, {Worker: "w1", Load: Load{InFlight: 4}}})
 	r := &request{Request: Request{Slots: 1}, class: d.classes[0], tenant: d.tenants[0]}
 	if d.belowSlotThreshold(h.now, d.workersByName["w0"], r, true) {
 		t.Error("there is room at a worker whose four slots are taken")
 	}
-	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 3}}})
+	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w0", Load: Load{InFlight: 3}}})
 	if !d.belowSlotThreshold(h.now, d.workersByName["w0"], r, true) {
 		t.Error("there is no room with one of four slots free")
 	}
 	if r.Slots = 2; d.belowSlotThreshold(h.now, d.workersByName["w0"], r, true) {
 		t.Error("there is room for a job of two slots with one free")
 	}
-	d.UpdatePeerLoad(h.now, []Told{{Worker: "w0", Load: Load{Held: 4}}})
+	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w0", Load: Load{InFlight: 4}}})
 	d.SetSubset(h.now, nil, 0) // then what others have out is not all known
 	if r.Slots = 1; !d.belowSlotThreshold(h.now, d.workersByName["w1"], r, true) {
 		t.Error("there is no room though the worker holds no more than the mean")
@@ -206,7 +206,7 @@
 		}
 	}
 	for name := range ours {
-		d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: name, State: Leaving}})
+		d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: name, State: Draining}})
 	}
 	if h.ask(d, "out", 0); ours[h.last()] {
 		t.Errorf("the job went to %s, which leaves", h.last())
@@ -224,7 +224,7 @@
 // part that is warmed as slowly as if the whole fleet sent to it.
 func TestWarmingWorkersBelongToTheirSubsets(t *testing.T) {
 	set := settings()
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall, set.Peers = 8*time.Second, 0.3, 3, 2*time.Second, 300
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow, set.Dispatchers = 8*time.Second, 0.3, 3, 2*time.Second, 300
 	d, h := start(t, set, WorkerInfo{Worker: "mine", Weight: 1}, WorkerInfo{Worker: "cold", Weight: 1, StartedAt: time.Hour})
 	d.meanWork = 0.1
 	cold := d.workersByName["cold"]
--- a/placement.go
+++ b/placement.go
@@ -48,10 +48,10 @@
 func (d *Dispatcher) candidateZones(r *request) (near, all [][]*worker) {
 	all = r.class.pool.zones
 	if w := d.mayHaveRun(r); w != nil {
-		switch r.class.Scope {
-		case ScopeCell:
+		switch r.class.DedupScope {
+		case DedupCell:
 			all = [][]*worker{d.cells[w.Cell]}
-		case ScopeZone:
+		case DedupZone:
 			all = all[min(w.Zone, len(all)):min(w.Zone+1, len(all))]
 		}
 	} else if near = d.subsetZones(r.class.pool); near == nil && d.settings.Zone < len(all) && len(r.attempts) == 0 {
@@ -114,7 +114,7 @@
 // belowSlotThreshold reports whether the worker is below the slot threshold for the
 // request.
 func (d *Dispatcher) belowSlotThreshold(now time.Duration, w *worker, r *request, withinShare bool) bool {
-	if d.settings.TellsStart && w.notStarted > 0 {
+	if d.settings.StartNotified && w.notStarted > 0 {
 		return false
 	}
 	if w.inFlight >= slotThresholdMargin+r.class.pool.meanInFlight(w)*w.size {
@@ -131,7 +131,7 @@
 // there. It guards against queues at workers, which make all requests late, where
 // those that are pending here could be rejected.
 func (d *Dispatcher) mayQueueAt(now time.Duration, w *worker, r *request) bool {
-	if !d.settings.TellsStart {
+	if !d.settings.StartNotified {
 		return true
 	}
 	if w.notStarted >= maxQueuedAtWorker {
@@ -146,5 +146,5 @@
 // target at the worker, by its pace, after a wait in seconds. It guards against
 // workers that have become slow, where all requests would be late.
 func (d *Dispatcher) meetsTargetAt(now time.Duration, w *worker, r *request, wait float64) bool {
-	return !d.settings.TellsStart || wait <= d.slackAtPace(now, r, w.pace)
+	return !d.settings.StartNotified || wait <= d.slackAtPace(now, r, w.pace)
 }
--- a/placement_test.go
+++ b/placement_test.go
@@ -31,7 +31,7 @@
 		h.over(d, "zone", n, ConnectFailed)
 	}
 	h.ask(d, "nowhere", 2)
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w77", Kind: 1, Zone: 1, State: Leaving, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w77", Kind: 1, Zone: 1, State: Draining, Weight: 1}})
 	h.ask(d, "none", 0)
 	sends := len(h.sends)
 	h.ask(d, "other", 1) // is not stopped by those that find nothing
@@ -46,7 +46,7 @@
 
 func TestPickIsBelowTheThreshold(t *testing.T) {
 	set := settings()
-	set.TellsStart = false
+	set.StartNotified = false
 	d, h := start(t, set, fleet(4)...)
 	for _, w := range d.workers[:3] {
 		w.inFlight = 3
@@ -64,7 +64,7 @@
 // and one that hangs gets nothing until it shows a sign.
 func TestWorkersWithoutStartsAreAvoided(t *testing.T) {
 	set := settings()
-	set.MayCancel = false
+	set.AllowCancel = false
 	d, h := start(t, set, fleet(2)...)
 	h.ask(d, "a", 0)
 	hung := h.last()
@@ -116,18 +116,18 @@
 		if seed == 2 {
 			slices.Reverse(ws)
 		}
-		d.WorkersUpdated(h.now, ListStale, ws)
+		d.WorkersUpdated(h.now, UpdateStale, ws)
 		for i := range 30 {
 			id := fmt.Sprint("r", i)
-			_ = d.SubmitRequest(h.now, Request{ID: id, Key: id, Left: 5 * time.Second})
+			_ = d.SubmitRequest(h.now, Request{ID: id, AffinityKey: id, TimeLeft: 5 * time.Second})
 			if seed == 2 && homes[id] != h.last() {
 				t.Errorf("key %s: %s and %s", id, homes[id], h.last())
 			}
 			homes[id] = h.last()
 			h.over(d, id, 0, Served)
 		}
-		_ = d.SubmitRequest(h.now, Request{ID: "x", Key: "k", Left: 5 * time.Second})
-		_ = d.SubmitRequest(h.now, Request{ID: "y", Key: "k", Left: 5 * time.Second})
+		_ = d.SubmitRequest(h.now, Request{ID: "x", AffinityKey: "k", TimeLeft: 5 * time.Second})
+		_ = d.SubmitRequest(h.now, Request{ID: "y", AffinityKey: "k", TimeLeft: 5 * time.Second})
 		x, y := h.sends[len(h.sends)-2].worker, h.last()
 		if d.workersByName[x].Zone != 0 || d.workersByName[y].Zone != 1 {
 			t.Errorf("homes %s and %s", x, y)
--- a/probe.go
+++ b/probe.go
@@ -96,18 +96,18 @@
 // report.
 func (d *Dispatcher) reportedWait(w *worker, r *request) float64 {
 	slots := d.maxFreeByKind[w.Kind]
-	return max(0, w.lastReport.Held+r.Slots-slots-min(0, w.freeSlots)) / slots * r.class.meanRuntime
+	return max(0, w.lastReport.InFlight+r.Slots-slots-min(0, w.freeSlots)) / slots * r.class.meanRuntime
 }
 
 // ProbeResult brings a worker's answer to [Host.Probe], or nil where none came in
 // time. The worker may have left the list meanwhile.
-func (d *Dispatcher) ProbeResult(now time.Duration, name string, rep *Report) {
+func (d *Dispatcher) ProbeResult(now time.Duration, name string, rep *LoadReport) {
 	d.detectStall(now)
 	w := d.workersByName[name]
 	if w == nil {
 		return
 	}
-	if rep != nil && rep.HasFree {
+	if rep != nil && rep.HasFreeSlots {
 		d.meterReports(now, w, rep)
 		d.applyReport(now, w, rep)
 	}
@@ -124,10 +124,10 @@
 }
 
 // applyReport takes over free slots from a report; none at all cut the limit.
-func (d *Dispatcher) applyReport(now time.Duration, w *worker, p *Report) {
-	w.freeSlots, w.freeSlotsAt = p.Free, now
-	d.maxFreeByKind[w.Kind] = max(d.maxFreeByKind[w.Kind], p.Free)
-	if p.Free < 0.5 {
+func (d *Dispatcher) applyReport(now time.Duration, w *worker, p *LoadReport) {
+	w.freeSlots, w.freeSlotsAt = p.FreeSlots, now
+	d.maxFreeByKind[w.Kind] = max(d.maxFreeByKind[w.Kind], p.FreeSlots)
+	if p.FreeSlots < 0.5 {
 		d.cutLimit(w, 0)
 	}
 }
@@ -143,7 +143,7 @@
 // probeMeteredWorker probes one worker in two rounds in a row, often at first, to
 // learn how fast reports change.
 func (d *Dispatcher) probeMeteredWorker() {
-	if !d.settings.MustProbe || d.meteredSeconds > minMeteredSeconds && d.round%meterIntervalRounds > 1 {
+	if !d.settings.LoadByProbe || d.meteredSeconds > minMeteredSeconds && d.round%meterIntervalRounds > 1 {
 		return
 	}
 	if d.meteredWorker == nil || d.round%8 == 0 {
@@ -156,7 +156,7 @@
 
 // meterReports counts whether the report of a worker that was probed twice within two
 // rounds has changed.
-func (d *Dispatcher) meterReports(now time.Duration, w *worker, p *Report) {
+func (d *Dispatcher) meterReports(now time.Duration, w *worker, p *LoadReport) {
 	if since := now - w.freeSlotsAt; w.freeSlotsAt > 0 && since <= 2*roundInterval && since >= roundInterval/2 {
 		d.meteredSeconds = d.meteredSeconds*(1-meanGain) + since.Seconds()
 		d.reportChanges *= 1 - meanGain
--- a/probe_test.go
+++ b/probe_test.go
@@ -12,7 +12,7 @@
 	set.Weights = WeightLive
 	d, h := start(t, set, WorkerInfo{Worker: "a", Weight: 4}, WorkerInfo{Worker: "b", Weight: 2})
 	d.maxFreeByKind[0] = 4
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "a", Weight: 3.2}, {Worker: "b", Weight: 2}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "a", Weight: 3.2}, {Worker: "b", Weight: 2}})
 	if a, b := d.workersByName["a"].freeSlots, d.workersByName["b"].freeSlots; math.Abs(a-3) > 1e-9 || b != 0 {
 		t.Errorf("free %v and %v, want 3 and 0", a, b)
 	}
@@ -22,11 +22,11 @@
 // and the one with free slots is taken; where they hardly change none is probed.
 func TestWorkersAreProbedWhereReportsAreTimely(t *testing.T) {
 	set := settings()
-	set.MustProbe = true
+	set.LoadByProbe = true
 	for _, changes := range []bool{true, false} {
 		d, h := start(t, set, fleet(30)...)
 		ask := func(id string) {
-			if err := d.SubmitRequest(h.now, Request{ID: id, Left: 5 * time.Second, Hint: 200 * ms}); err != nil {
+			if err := d.SubmitRequest(h.now, Request{ID: id, TimeLeft: 5 * time.Second, RuntimeHint: 200 * ms}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -37,7 +37,7 @@
 				if changes {
 					free += float64(i) / 100
 				}
-				d.ProbeResult(h.now, w, &Report{HasFree: true, Free: free})
+				d.ProbeResult(h.now, w, &LoadReport{HasFreeSlots: true, FreeSlots: free})
 			}
 			h.probes = nil
 		}
@@ -53,8 +53,8 @@
 		if len(h.probes) != probeFanout || h.tries["r"] != 0 {
 			t.Fatalf("%d asked, %d sends before any answer", len(h.probes), h.tries["r"])
 		}
-		d.ProbeResult(h.now, h.probes[0], &Report{HasFree: true, Held: 3})
-		d.ProbeResult(h.now, h.probes[1], &Report{HasFree: true, Free: 1})
+		d.ProbeResult(h.now, h.probes[0], &LoadReport{HasFreeSlots: true, InFlight: 3})
+		d.ProbeResult(h.now, h.probes[1], &LoadReport{HasFreeSlots: true, FreeSlots: 1})
 		if h.last() != h.probes[1] {
 			t.Errorf("sent to %q, room is at %q", h.last(), h.probes[1])
 		}
@@ -64,7 +64,7 @@
 		if h.tries["silent"] != 1 {
 			t.Error("held up by a probe that is not answered")
 		}
-		d.ProbeResult(h.now, "gone", &Report{HasFree: true, Free: 1})
+		d.ProbeResult(h.now, "gone", &LoadReport{HasFreeSlots: true, FreeSlots: 1})
 		d.ProbeResult(h.now, h.probes[0], nil)
 	}
 }
@@ -73,7 +73,7 @@
 // that served it is: a rejection is met once, not by every job.
 func TestRecentWorkersAreProbedFirst(t *testing.T) {
 	set := settings()
-	set.MustProbe = true
+	set.LoadByProbe = true
 	set.Tenants = []Tenant{{Share: 1}, {Share: 1}}
 	d, h := start(t, set, fleet(100)...)
 	d.meteredSeconds, d.reportChanges, d.meanWork = 1, 100, 0.2
@@ -85,16 +85,16 @@
 	if len(tn.recentWorkers) != maxRecentWorkers || tn.recentWorkers[maxRecentWorkers-1] != d.workers[4] {
 		t.Fatalf("%d known, the last %s", len(tn.recentWorkers), tn.recentWorkers[len(tn.recentWorkers)-1].Worker)
 	}
-	d.learn(h.now, &request{class: d.classes[0], tenant: tn, Request: Request{Slots: 1}}, &attempt{worker: d.workers[4]}, Full)
+	d.learn(h.now, &request{class: d.classes[0], tenant: tn, Request: Request{Slots: 1}}, &attempt{worker: d.workers[4]}, Rejected)
 	for i := range 20 {
 		h.probes = nil
-		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), Left: 5 * time.Second, Hint: 200 * ms})
+		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), TimeLeft: 5 * time.Second, RuntimeHint: 200 * ms})
 		for _, name := range h.probes {
 			w := d.workersByName[name]
 			if w.index == 4 || w.index > 8 {
 				t.Fatalf("asked %s", name)
 			}
-			d.ProbeResult(h.now, name, &Report{HasFree: true, Free: 1})
+			d.ProbeResult(h.now, name, &LoadReport{HasFreeSlots: true, FreeSlots: 1})
 		}
 		h.over(d, fmt.Sprint("r", i), 0, Served)
 		h.run(d, h.now+60*ms)
@@ -106,14 +106,14 @@
 func TestNoWaitInQueuesThatLeaveNoTime(t *testing.T) {
 	for _, held := range []float64{0.5, 40} {
 		set := settings()
-		set.MustProbe = true
+		set.LoadByProbe = true
 		set.Tenants = []Tenant{{Share: 1, Quota: 100}}
 		d, h := start(t, set, fleet(30)...)
 		d.meteredSeconds, d.reportChanges = 1, 100
 		d.classes[0].meanRuntime, d.classes[0].meanHint, d.classes[0].meanCompletion = 0.2, 0.2, 0.2
-		_ = d.SubmitRequest(h.now, Request{ID: "r", Left: 5 * time.Second, Hint: 200 * ms})
+		_ = d.SubmitRequest(h.now, Request{ID: "r", TimeLeft: 5 * time.Second, RuntimeHint: 200 * ms})
 		for i := 0; i < len(h.probes); i++ {
-			d.ProbeResult(h.now, h.probes[i], &Report{HasFree: true, HasHeld: true, Held: held})
+			d.ProbeResult(h.now, h.probes[i], &LoadReport{HasFreeSlots: true, HasInFlight: true, InFlight: held})
 		}
 		if late := held > 20; late != (h.ends["r"] == "refused") || late == (h.tries["r"] == 1) {
 			t.Errorf("%v in hand everywhere: %d sends, end %q", held, h.tries["r"], h.ends["r"])
--- a/queue.go
+++ b/queue.go
@@ -147,7 +147,7 @@
 	d.capacityShort, r.tenant.blockedByCapacity, p.jobBlocked = true, true, true
 	if r.probeRounds >= maxProbeRounds && r.inFlight == 0 {
 		d.endUnserved(now, r)
-	} else if r.Key == "" && len(r.attempts) == 0 {
+	} else if r.AffinityKey == "" && len(r.attempts) == 0 {
 		p.noCapacity = true
 	}
 }
@@ -165,9 +165,9 @@
 		w.lastTrial = now
 	}
 	d.host.Send(r.ID, w.Worker, 0)
-	if d.settings.TellsStart {
+	if d.settings.StartNotified {
 		wait := (min(r.deadline, r.targetAt) - now - seconds(r.class.meanRuntime)) / 2
-		if w.inFlight <= d.maxFreeByKind[w.Kind] && d.settings.InOrder && d.lateStartMeansSilence() {
+		if w.inFlight <= d.maxFreeByKind[w.Kind] && d.settings.FIFOWorkers && d.lateStartMeansSilence() {
 			wait = min(wait, promptStartTimeout) // a slot should be free
 		}
 		d.setTimer(min(max(wait, minStartTimeout), maxStartTimeout), tokenStartDue, r, n)
--- a/queue_test.go
+++ b/queue_test.go
@@ -12,16 +12,16 @@
 	set := settings()
 	set.Tenants = []Tenant{{Share: 3, Quota: 1e9}, {Share: 1, Quota: 1e9}}
 	set.Classes = set.Classes[:1]
-	set.Classes[0].Aim = time.Minute
-	set.Classes[0].Limit = time.Minute
+	set.Classes[0].LatencyTarget = time.Minute
+	set.Classes[0].ClientTimeout = time.Minute
 	d, h := start(t, set)
 	for i := range 80 {
-		if err := d.SubmitRequest(h.now, Request{ID: fmt.Sprint(i%2, "-", i), Tenant: i % 2, Left: time.Minute,
-			Hint: 100 * ms}); err != nil {
+		if err := d.SubmitRequest(h.now, Request{ID: fmt.Sprint(i%2, "-", i), Tenant: i % 2, TimeLeft: time.Minute,
+			RuntimeHint: 100 * ms}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d.WorkersUpdated(h.now, ListWhole, []WorkerInfo{{Worker: "w", Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{{Worker: "w", Weight: 1}})
 	for i := 0; len(h.sends) < 40; i++ { // one at a time waits there, so each that ends lets another out
 		h.now += ms
 		h.over(d, h.sends[i].id, 0, Served)
@@ -80,12 +80,12 @@
 	d, h := start(t, settings(), fleet(2)...)
 	for i := range 50 {
 		id := fmt.Sprint("r", i)
-		_ = d.SubmitRequest(h.now, Request{ID: id, Left: 5 * time.Second, Hint: 10 * ms})
+		_ = d.SubmitRequest(h.now, Request{ID: id, TimeLeft: 5 * time.Second, RuntimeHint: 10 * ms})
 		h.now += ms
 		h.over(d, id, 0, Served)
 	}
 	d.ClientDisconnected(h.now, "none")
-	_ = d.SubmitRequest(h.now, Request{ID: "large", Left: 5 * time.Second, Hint: 800 * ms, Slots: 4})
+	_ = d.SubmitRequest(h.now, Request{ID: "large", TimeLeft: 5 * time.Second, RuntimeHint: 800 * ms, Slots: 4})
 	h.run(d, h.now+200*ms)
 	if h.tries["large"] != 1 {
 		t.Errorf("large job sent %d times, ended %q", h.tries["large"], h.ends["large"])
@@ -95,14 +95,14 @@
 // Beyond its quota a tenant uses only free slots that the last report showed.
 func TestBeyondTheQuotaOnlyReportedFreeSlots(t *testing.T) {
 	set := settings()
-	set.TellsStart = false
+	set.StartNotified = false
 	set.Tenants = []Tenant{{Share: 1, Quota: 2}, {Share: 1, Quota: 2}}
 	d, h := start(t, set, fleet(2)...)
 	for _, w := range d.workers {
 		w.freeSlots, w.freeSlotsAt = 0, h.now-time.Minute
 	}
 	for i := range 10 {
-		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), Left: 5 * time.Second})
+		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), TimeLeft: 5 * time.Second})
 	}
 	if len(h.sends) != int(2*quotaFactor) {
 		t.Errorf("%d sent, quota of 2 jobs a second", len(h.sends))
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -15,14 +15,14 @@
 // and how the list comes stay: they change with a new Dispatcher. Invalid settings
 // are an error and change nothing.
 func (d *Dispatcher) UpdateSettings(set Settings) error {
-	if err := set.Check(); err != nil {
+	if err := set.Validate(); err != nil {
 		return err
 	}
 	old := d.settings
 	d.settings = set
-	d.settings.Zone, d.settings.Peers, d.settings.Weights, d.settings.AskForList = old.Zone, old.Peers, old.Weights, old.AskForList
+	d.settings.Zone, d.settings.Dispatchers, d.settings.Weights, d.settings.WatchOnDemand = old.Zone, old.Dispatchers, old.Weights, old.WatchOnDemand
 	d.settings.MaxAttempts = attemptLimit(set)
-	if set.Further.Span != old.Further.Span {
+	if set.RetryBudget.Window != old.RetryBudget.Window {
 		d.resetCounters()
 	}
 	d.updateTenants(set.Tenants)
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -19,22 +19,22 @@
 	d.classes[0].meanRuntime = learned
 	next := set
 	next.MaxAttempts = 1
-	next.Classes = []Class{{Name: "new", Aim: 200 * ms, Limit: 5 * time.Second, Kinds: []int{7}}, set.Classes[0]}
-	next.Classes[1].Effect, next.Classes[1].Stretch = Unsafe, 9 // stricter
+	next.Classes = []Class{{Name: "new", LatencyTarget: 200 * ms, ClientTimeout: 5 * time.Second, Kinds: []int{7}}, set.Classes[0]}
+	next.Classes[1].Idempotency, next.Classes[1].TargetStretch = NotIdempotent, 9 // stricter
 	if err := d.UpdateSettings(Settings{}); err == nil || len(d.classes) != 3 {
 		t.Error("settings without a class were taken")
 	}
 	if err := d.UpdateSettings(next); err != nil {
 		t.Fatal(err)
 	}
-	if k := d.classes[1]; k.meanRuntime != learned || k.Effect != Unsafe || len(d.classesInUse) != 4 {
+	if k := d.classes[1]; k.meanRuntime != learned || k.Idempotency != NotIdempotent || len(d.classesInUse) != 4 {
 		t.Errorf("the class goes on as %+v, %d are kept", k, len(d.classesInUse))
 	}
-	h.over(d, "once", 0, Lost)
+	h.over(d, "once", 0, ConnectionLost)
 	if h.ends["once"] != "failed" {
 		t.Errorf("what must not run twice, and whose class is gone, was %q", h.ends["once"])
 	}
-	h.over(d, "free", 0, Lost)
+	h.over(d, "free", 0, ConnectionLost)
 	if h.ends["free"] != "refused" || h.tries["free"] != 1 { // 1 attempt now; by its class it is harmless to try again
 		t.Errorf("was %q after %d attempts", h.ends["free"], h.tries["free"])
 	}
@@ -48,16 +48,16 @@
 	if err := d.UpdateSettings(next); err != nil {
 		t.Fatal(err)
 	}
-	h.over(d, "many", 0, Lost)
+	h.over(d, "many", 0, ConnectionLost)
 	if h.tries["many"] != 2 {
 		t.Errorf("a job that came as harmless to repeat had %d attempts", h.tries["many"])
 	}
 	h.ask(d, "strict", 1)
-	h.over(d, "strict", 0, Lost)
+	h.over(d, "strict", 0, ConnectionLost)
 	if h.ends["strict"] != "failed" || h.tries["strict"] != 1 {
 		t.Errorf("a job of the stricter class was %q after %d attempts", h.ends["strict"], h.tries["strict"])
 	}
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "special", Kind: 7, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "special", Kind: 7, Weight: 1}})
 	h.ask(d, "new", 0)
 	if h.last() != "special" {
 		t.Errorf("the new class went to %s", h.last())
@@ -87,14 +87,14 @@
 	}
 	d.classes[1].meanRuntime = 0.5
 	set.Classes = slices.Clone(set.Classes[:1])
-	set.Classes[0].Aim = time.Second
+	set.Classes[0].LatencyTarget = time.Second
 	if err := d.UpdateSettings(set); err != nil {
 		t.Fatal(err)
 	}
 	if len(d.classesInUse) != 4 || d.pendingRequests != 3 {
 		t.Errorf("%d classes are kept for %d held jobs", len(d.classesInUse), d.pendingRequests)
 	}
-	d.WorkersUpdated(h.now, ListWhole, fleet(3))
+	d.WorkersUpdated(h.now, UpdateFull, fleet(3))
 	for _, id := range []string{"a", "b", "c"} {
 		if h.tries[id] != 1 {
 			t.Errorf("%s was sent %d times", id, h.tries[id])
--- a/rejection.go
+++ b/rejection.go
@@ -42,17 +42,17 @@
 // then its latency target is near too. For a retry the mean is good enough.
 func (d *Dispatcher) slackAtPace(now time.Duration, r *request, pace float64) float64 {
 	part := shortJobPart
-	if r.Hint > 0 || len(r.attempts) > 0 {
+	if r.RuntimeHint > 0 || len(r.attempts) > 0 {
 		part = 1
 	}
-	return (min(r.deadline, r.targetAt) - now).Seconds() - (1-part)*r.class.Stretch*r.runtime - part*pace*r.work/r.Slots
+	return (min(r.deadline, r.targetAt) - now).Seconds() - (1-part)*r.class.TargetStretch*r.runtime - part*pace*r.work/r.Slots
 }
 
 // mayReject reports whether the request may be rejected, which tells the client that
 // it may safely come again (rule 2 for rejections).
 func (d *Dispatcher) mayReject(r *request) bool {
 	c := r.class
-	if c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
+	if c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll {
 		return true
 	}
 	for i := range r.attempts {
--- a/rejection_test.go
+++ b/rejection_test.go
@@ -8,12 +8,12 @@
 
 // Rule 2: rejections promise that nothing ran.
 func TestRejectedOnlyWhenNothingRan(t *testing.T) {
-	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
+	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		d, h := start(t, settings(), fleet(1)...)
 		h.ask(d, "r", class)
 		h.run(d, h.now+6*time.Second) // no outcome until the client's time is up
 		want := "failed"
-		if effect == Safe {
+		if effect == Idempotent {
 			want = "refused"
 		}
 		if h.ends["r"] != want {
@@ -73,7 +73,7 @@
 func TestHintedJobIsJudgedByItsOwnTime(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 1, meanHint: 1, meanCompletion: 1.05, samples: 1000, inFlight: 1}
-	_ = d.SubmitRequest(h.now, Request{ID: "short", Left: 5 * time.Second, Hint: 10 * ms})
+	_ = d.SubmitRequest(h.now, Request{ID: "short", TimeLeft: 5 * time.Second, RuntimeHint: 10 * ms})
 	if h.tries["short"] != 1 {
 		t.Errorf("short job: %q", h.ends["short"])
 	}
@@ -97,7 +97,7 @@
 func TestHopelessJobsAreEnded(t *testing.T) {
 	for _, late := range []float64{0, 0.5} {
 		set := settings()
-		set.MaxAttempts, set.Classes[2].LateShare = 1, late
+		set.MaxAttempts, set.Classes[2].LateValue = 1, late
 		d, h := start(t, set, fleet(2)...)
 		h.ask(d, "r", 2)
 		h.run(d, h.now+250*ms)
--- a/request.go
+++ b/request.go
@@ -61,12 +61,12 @@
 	d.lastSerial++
 	k := d.classes[q.Class]
 	r := &request{Request: q, class: k, serial: d.lastSerial, tenant: d.tenantByIndex(q.Tenant)}
-	r.deadline = now + q.Left
+	r.deadline = now + q.TimeLeft
 	d.estimate(now, r)
-	r.keyHash = hashOf(q.Key)
+	r.keyHash = hashOf(q.AffinityKey)
 	d.arrivals++
 	d.addRequest(r)
-	if q.Left <= 0 || !d.feasible(now, r, true) {
+	if q.TimeLeft <= 0 || !d.feasible(now, r, true) {
 		d.endUnserved(now, r)
 		return nil
 	}
@@ -85,19 +85,19 @@
 	k := r.class
 	run := k.meanRuntime
 	r.work = r.Slots * run
-	if r.Hint > 0 { // a hint counts on an average core, the mean on the workers met
-		run = r.Hint.Seconds()
+	if r.RuntimeHint > 0 { // a hint counts on an average core, the mean on the workers met
+		run = r.RuntimeHint.Seconds()
 		r.work = r.Slots * run * (k.meanRuntime + hintTrust) / (k.meanHint + hintTrust)
 	}
 	d.meanWork += (r.work - d.meanWork) * max(meanGain, 1/float64(r.serial))
 	d.observeWork(r)
-	if r.Hint <= 0 {
+	if r.RuntimeHint <= 0 {
 		run = k.baseRuntime // the target counts the job's own time, however slow workers are now
 	}
 	r.runtime = run
-	r.targetAt = now + k.Aim + seconds(k.Stretch*run)
-	if r.Retry { // the target counts from the client's first try
-		r.targetAt -= max(0, k.Limit-r.Left)
+	r.targetAt = now + k.LatencyTarget + seconds(k.TargetStretch*run)
+	if r.ClientRetry { // the target counts from the client's first try
+		r.targetAt -= max(0, k.ClientTimeout-r.TimeLeft)
 	}
 }
 
@@ -151,18 +151,18 @@
 
 // AttemptEnded reports how an attempt ended, and the load that came with it. It
 // may send the request again or give it its final answer.
-func (d *Dispatcher) AttemptEnded(now time.Duration, res Result) error {
+func (d *Dispatcher) AttemptEnded(now time.Duration, res AttemptResult) error {
 	r, a, err := d.findAttempt(res.ID, res.Attempt)
 	if err != nil {
 		return err
 	}
 	d.detectStall(now)
 	d.endAttempt(now, r, a, res.Outcome)
-	if res.Report != nil && res.Report.HasFree {
+	if res.Report != nil && res.Report.HasFreeSlots {
 		d.applyReport(now, a.worker, res.Report)
 	}
 	d.learn(now, r, a, res.Outcome)
-	if res.Closed {
+	if res.Answered {
 		d.closeRequest(r)
 	}
 	if !r.ended && r.inFlight == 0 && !r.queued {
@@ -223,7 +223,7 @@
 	if r.queued {
 		d.removePending(r)
 	}
-	if d.settings.MayCancel && !r.streaming {
+	if d.settings.AllowCancel && !r.streaming {
 		for n := range r.attempts {
 			if !r.attempts[n].ended {
 				d.host.Cancel(r.ID, n)
--- a/retry.go
+++ b/retry.go
@@ -25,7 +25,7 @@
 // mayAttempt reports whether the request may be sent to this worker (rule 2 for
 // sends). Nothing else decides that.
 func (d *Dispatcher) mayAttempt(now time.Duration, r *request, w *worker) bool {
-	if r.ended || len(r.attempts) >= d.settings.MaxAttempts || r.inFlight > 0 && !d.settings.ParallelTries ||
+	if r.ended || len(r.attempts) >= d.settings.MaxAttempts || r.inFlight > 0 && !d.settings.AllowHedging ||
 		len(r.attempts) > 0 && !d.withinRetryBudget(now) {
 		return false
 	}
@@ -45,22 +45,22 @@
 // may have run: always if the class is idempotent; if it is idempotent by key, while
 // the worker still drops the repeat.
 func (c *class) mayRepeatAt(now time.Duration, a *attempt, w *worker) bool {
-	switch c.Effect {
-	case Safe:
+	switch c.Idempotency {
+	case Idempotent:
 		return true
-	case Unsafe:
+	case NotIdempotent:
 		return false
 	}
-	sameGroup := c.Scope == ScopeAll || c.Scope == ScopeZone && a.worker.Zone == w.Zone ||
-		c.Scope == ScopeCell && a.worker.Cell == w.Cell
-	return sameGroup && now < a.sentAt+c.Window-min(roundInterval, c.Window/8)
+	sameGroup := c.DedupScope == DedupAll || c.DedupScope == DedupZone && a.worker.Zone == w.Zone ||
+		c.DedupScope == DedupCell && a.worker.Cell == w.Cell
+	return sameGroup && now < a.sentAt+c.DedupWindow-min(roundInterval, c.DedupWindow/8)
 }
 
 // mayHaveRun returns, for a request that is idempotent by key, the worker of its first
 // attempt that may have run, or nil.
 func (d *Dispatcher) mayHaveRun(r *request) *worker {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; !a.neverRan && r.class.Effect == Keyed {
+		if a := &r.attempts[i]; !a.neverRan && r.class.Idempotency == IdempotentByKey {
 			return a.worker
 		}
 	}
@@ -74,7 +74,7 @@
 	for i := range r.attempts {
 		uncertain = uncertain || !r.attempts[i].neverRan
 	}
-	if len(r.attempts) >= d.settings.MaxAttempts || uncertain && c.Effect == Unsafe || !d.withinRetryBudget(now) ||
+	if len(r.attempts) >= d.settings.MaxAttempts || uncertain && c.Idempotency == NotIdempotent || !d.withinRetryBudget(now) ||
 		!d.feasible(now, r, false) {
 		d.endUnserved(now, r)
 		return
@@ -88,8 +88,8 @@
 // hedge queues a request for an attempt beside the one in flight, where it may run
 // twice.
 func (d *Dispatcher) hedge(now time.Duration, r *request) {
-	if !d.settings.ParallelTries || r.ended || r.queued || r.streaming || r.inFlight != 1 ||
-		r.class.Effect == Unsafe || len(r.attempts) >= d.settings.MaxAttempts ||
+	if !d.settings.AllowHedging || r.ended || r.queued || r.streaming || r.inFlight != 1 ||
+		r.class.Idempotency == NotIdempotent || len(r.attempts) >= d.settings.MaxAttempts ||
 		!d.withinRetryBudget(now) || d.timeToSend(now, r) <= 0 {
 		return
 	}
@@ -103,7 +103,7 @@
 // better, and not while workers reject requests, whose queues may be full of
 // cancelled attempts that still run.
 func (d *Dispatcher) mayReschedule(now time.Duration, r *request) bool {
-	return d.settings.MayCancel && r.class.Effect != Unsafe && !r.streaming && r.inFlight == 1 &&
+	return d.settings.AllowCancel && r.class.Idempotency != NotIdempotent && !r.streaming && r.inFlight == 1 &&
 		len(r.attempts) < min(1+maxReschedules, d.settings.MaxAttempts) && d.promptStartRate > minPromptStartRate &&
 		now >= d.rescheduleAllowedAt && d.lightlyLoaded() && d.withinRetryBudget(now) && d.timeToSend(now, r) > 0
 }
@@ -118,7 +118,7 @@
 		return
 	}
 	a.startOverdue = true
-	if d.settings.MayCancel && r.class.LateShare < minLateValue && !r.streaming && d.lightlyLoaded() {
+	if d.settings.AllowCancel && r.class.LateValue < minLateValue && !r.streaming && d.lightlyLoaded() {
 		last := min(r.deadline, r.targetAt) - seconds(r.work/r.Slots)
 		if now >= last {
 			d.endUnserved(now, r) // it would only delay others
@@ -150,7 +150,7 @@
 // have fallen silent. They are written off, and hedged where they may run twice. It
 // guards against slots that seem taken until the time-outs come.
 func (d *Dispatcher) writeOffOvertaken(now time.Duration, by *attempt) {
-	for i := 0; d.settings.InOrder && !d.catchingUp && i < len(by.worker.attempts); i++ {
+	for i := 0; d.settings.FIFOWorkers && !d.catchingUp && i < len(by.worker.attempts); i++ {
 		ref := by.worker.attempts[i]
 		a := &ref.request.attempts[ref.number]
 		if a.sentAt+minOvertakeGap < by.sentAt && a.startedAt == 0 && !a.writtenOff {
@@ -192,5 +192,5 @@
 // no other dispatcher fills the worker's slots, or connections are known to fall
 // silent now.
 func (d *Dispatcher) lateStartMeansSilence() bool {
-	return d.settings.Peers == 1 || d.silentConnections > minSilentConnections
+	return d.settings.Dispatchers == 1 || d.silentConnections > minSilentConnections
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -8,7 +8,7 @@
 
 // Rule 2: what may follow an attempt, by effect and outcome.
 func TestWhatMayFollowAnOutcome(t *testing.T) {
-	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
+	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		for o := Errored; o <= NotSent; o++ {
 			d, h := start(t, settings(), fleet(4)...)
 			h.ask(d, "r", class)
@@ -18,14 +18,14 @@
 			first := d.workersByName[h.last()]
 			h.now += ms
 			h.over(d, "r", 0, o)
-			again, mayRepeat := len(h.sends) > 1, d.provesNeverRan(o) || effect != Unsafe
+			again, mayRepeat := len(h.sends) > 1, d.provesNeverRan(o) || effect != NotIdempotent
 			if again && !mayRepeat {
 				t.Errorf("effect %d, outcome %d: sent again", effect, o)
 			}
 			if !again && mayRepeat {
 				t.Errorf("effect %d, outcome %d: not tried again", effect, o)
 			}
-			if again && effect == Keyed && !d.provesNeverRan(o) && d.workersByName[h.last()].Zone != first.Zone {
+			if again && effect == IdempotentByKey && !d.provesNeverRan(o) && d.workersByName[h.last()].Zone != first.Zone {
 				t.Errorf("keyed, outcome %d: left the zone that drops repeats", o)
 			}
 			if !mayRepeat && h.ends["r"] != "failed" {
@@ -51,7 +51,7 @@
 // The margin of a window fits a short one.
 func TestShortWindow(t *testing.T) {
 	set := settings()
-	set.Classes[1].Window = 80 * ms
+	set.Classes[1].DedupWindow = 80 * ms
 	d, h := start(t, set, fleet(6)...)
 	h.ask(d, "r", 1)
 	r := d.requests["r"]
@@ -63,7 +63,7 @@
 
 func TestNoHedgingWhereForbidden(t *testing.T) {
 	set := settings()
-	set.ParallelTries = false
+	set.AllowHedging = false
 	d, h := start(t, set, fleet(4)...)
 	h.ask(d, "r", 0)
 	for _, w := range d.workers {
@@ -96,12 +96,12 @@
 // no rejection, and one that is idempotent by key stays with its group, and in its time.
 func TestRejectionProvesNothingWhereStated(t *testing.T) {
 	set := settings()
-	set.FullMayHaveRun = true
-	set.Classes[1].Scope = ScopeCell
-	set.Classes[1].Window = 1500 * ms
+	set.RejectedMayHaveRun = true
+	set.Classes[1].DedupScope = DedupCell
+	set.Classes[1].DedupWindow = 1500 * ms
 	d, h := start(t, set, fleet(40)...)
 	h.ask(d, "unsafe", 2)
-	h.over(d, "unsafe", 0, Full)
+	h.over(d, "unsafe", 0, Rejected)
 	if h.tries["unsafe"] != 1 || h.ends["unsafe"] != "failed" {
 		t.Errorf("unsafe: %d sends, end %q", h.tries["unsafe"], h.ends["unsafe"])
 	}
@@ -109,7 +109,7 @@
 		id := fmt.Sprint("k", i)
 		h.ask(d, id, 1)
 		cell := d.workersByName[h.last()].Cell
-		h.over(d, id, 0, Full)
+		h.over(d, id, 0, Rejected)
 		if h.tries[id] != 2 || d.workersByName[h.last()].Cell != cell {
 			t.Fatalf("keyed: %d sends, cell %d after %d", h.tries[id], d.workersByName[h.last()].Cell, cell)
 		}
@@ -117,7 +117,7 @@
 	}
 	h.ask(d, "late", 1)
 	h.run(d, h.now+1450*ms)
-	h.over(d, "late", 0, Full)
+	h.over(d, "late", 0, Rejected)
 	if h.tries["late"] != 1 || h.ends["late"] != "failed" {
 		t.Errorf("after its window: %d sends, end %q", h.tries["late"], h.ends["late"])
 	}
@@ -126,18 +126,18 @@
 // A job whose start is overdue is cancelled and tried elsewhere, once it is
 // over there; not an unsafe one, and not while workers are full.
 func TestOverdueStartsAreRescheduled(t *testing.T) {
-	for class, effect := range []Effect{Safe, Keyed, Unsafe} {
+	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		d, h := start(t, settings(), fleet(8)...)
 		h.ask(d, "r", class)
 		first := h.last()
 		h.run(d, h.now+120*ms)
-		if moved := len(h.cancels) == 1; moved != (effect != Unsafe) {
+		if moved := len(h.cancels) == 1; moved != (effect != NotIdempotent) {
 			t.Fatalf("effect %d: %d called off", effect, len(h.cancels))
 		}
 		if len(h.sends) != 1 {
 			t.Fatalf("effect %d: sent again while the first attempt is out", effect)
 		}
-		if effect == Unsafe {
+		if effect == NotIdempotent {
 			continue
 		}
 		if w := d.workersByName[first]; w.unhealthyUntil <= h.now {
@@ -162,7 +162,7 @@
 		d.classes[0].meanRuntime, d.classes[0].baseRuntime = 0.3, 0.3 // so that the start is waited for longer
 		h.ask(d, "full", 0)
 		h.now += c.after
-		h.over(d, "full", 0, Full)
+		h.over(d, "full", 0, Rejected)
 		d.addInFlight(d.workers[1], c.held)
 		h.cancels = nil
 		h.run(d, h.now+400*ms)
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -13,7 +13,7 @@
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
 	c.kill()
-	c.config.Door = &dispatchconfig.Door{Concurrency: 1}
+	c.config.Admission = &dispatchconfig.Admission{Concurrency: 1}
 	c.write()
 	c.start()
 	first := post(c.addr, "/usage-view", job("first")...)
--- a/scheduler/build.go
+++ b/scheduler/build.go
@@ -46,11 +46,11 @@
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	settings, err := c.Settings.Module(max(1, c.Planners))
+	settings, err := c.Settings.ModuleSettings(max(1, c.Planners))
 	if err != nil {
 		return nil, err
 	}
-	settings.AskForList = c.Discovery != "" // pushed lists come to the address, and it is asked for them there
+	settings.WatchOnDemand = c.Discovery != "" // pushed lists come to the address, and it is asked for them there
 	s := &Scheduler{options: opt, config: c, clock: dispatch.NewClock(), descriptors: fdlimit.New(0),
 		cordonTurn: make(chan struct{}, 1), siblings: siblingSet{all: map[*sibling]struct{}{}, added: make(chan struct{}, 1)}}
 	s.settings.Store(&settings)
@@ -69,7 +69,7 @@
 func (s *Scheduler) build(settings *sedgevale.Settings) error {
 	c := s.config
 	s.pool = upstream.New(upstream.Options{Loop: s.workerLoop, DialTimeout: dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout),
-		IdleClose: dispatchconfig.Seconds(c.Settings.Bounds.IdleClose), Host: workerHost, Clock: s.clock, Budget: s.descriptors,
+		IdleTimeout: dispatchconfig.Seconds(c.Settings.Bounds.IdleClose), Host: workerHost, Clock: s.clock, Budget: s.descriptors,
 		Log: s.options.Log})
 	s.watcher = discovery.NewWatcher(s.workerLoop, c.Discovery, *c.Known, s.onWorkerList, s.onDiscoveryFailure, s.options.Log)
 	if c.Journal != nil {
@@ -85,8 +85,8 @@
 	if err := s.buildPeerLink(planners); err != nil {
 		return err
 	}
-	s.updateWorkers(sedgevale.ListStale, *c.Known)
-	s.requestParser = jobrequest.New(s.clock, &jobrequest.Terms{Classes: settings.Classes, Tenants: settings.Tenants})
+	s.updateWorkers(sedgevale.UpdateStale, *c.Known)
+	s.requestParser = jobrequest.New(s.clock, &jobrequest.Settings{Classes: settings.Classes, Tenants: settings.Tenants})
 	if err := s.buildServers(settings); err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 			return nil, err
 		}
 		if s.journal != nil {
-			p.Record(s.journal)
+			p.SetJournal(s.journal)
 		}
 		planners = append(planners, p)
 	}
@@ -119,7 +119,7 @@
 		return err
 	}
 	s.peerLink = peerlink.New(peerlink.Options{Listen: plan.Listen, Peers: plan.Peers, Self: plan.Self, Site: plan.Site,
-		Watch: plan.Watch, Revision: c.InForce(), Seed: c.SeedNumber(), Hearers: minWorkerObservers, Least: minSubsetSize,
+		FailureDetection: plan.Watch, Revision: c.PeerRevision(), Seed: c.SeedNumber(), MinSubscribers: minWorkerObservers, MinSubset: minSubsetSize,
 		Planners: planners, Clock: s.clock, Log: s.options.Log})
 	return nil
 }
@@ -130,9 +130,9 @@
 func (s *Scheduler) buildServers(settings *sedgevale.Settings) error {
 	c, log := s.config, s.options.Log
 	var planners platformapi.Planners = s.planners
-	if c.Door != nil {
-		o := fairqueue.Options{Tenants: tenantShares(settings.Tenants), Concurrency: c.Door.Concurrency, MaxQueued: c.Door.Queue,
-			ClientQueues: c.Door.Clients, Seed: c.SeedNumber()}
+	if c.Admission != nil {
+		o := fairqueue.Options{Tenants: tenantShares(settings.Tenants), Concurrency: c.Admission.Concurrency, MaxQueued: c.Admission.Queue,
+			ClientQueues: c.Admission.Clients, Seed: c.SeedNumber()}
 		var err error
 		if s.admission, err = driver.New(o, s.planners, s.clock, settings.MaxRetryAfter); err != nil {
 			return err
@@ -151,7 +151,7 @@
 		s.servers = append(s.servers, s.reverseProxy.Servers()...)
 	}
 	if c.SSE != nil {
-		s.eventStreams = sse.New(sse.Options{Rules: s.requestParser.WithMargin(streamDeadlineMargin), Planners: planners, Ready: s.ready.Load,
+		s.eventStreams = sse.New(sse.Options{Parser: s.requestParser.WithMargin(streamDeadlineMargin), Planners: planners, Ready: s.ready.Load,
 			Heartbeat: dispatchconfig.Seconds(c.SSE.Heartbeat), Retain: dispatchconfig.Seconds(c.SSE.Retain), Log: log})
 		s.servers = append(s.servers, httpd.New(c.SSE.Listen, c.Loops, s.eventStreams, s.descriptors, log))
 	}
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -71,7 +71,7 @@
 
 // inFlight returns how many requests are accepted and not answered yet.
 func (s *Scheduler) inFlight(ctx context.Context) (int, error) {
-	n, err := s.planners.Open(ctx)
+	n, err := s.planners.CountOpen(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -93,7 +93,7 @@
 	if s.admission != nil {
 		s.admission.Close()
 	}
-	n, err := s.planners.Abandon(ctx)
+	n, err := s.planners.FailOpen(ctx)
 	if err != nil {
 		return err
 	}
@@ -173,7 +173,7 @@
 func (s *Scheduler) maxDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.settings.Load().Classes {
-		longest = max(longest, c.Limit)
+		longest = max(longest, c.ClientTimeout)
 	}
 	return longest
 }
--- a/scheduler/journal_bench_test.go
+++ b/scheduler/journal_bench_test.go
@@ -80,7 +80,7 @@
 	b.Helper()
 	var members []discovery.Member
 	for i := range 4 {
-		worker := fake.NewBox(fake.BoxOptions{ID: fmt.Sprint("box-", i), Slots: 256, Queue: 1024,
+		worker := fake.NewWorker(fake.WorkerOptions{ID: fmt.Sprint("box-", i), Slots: 256, Queue: 1024,
 			Work: func(string, *rand.Rand) time.Duration { return 0 }})
 		addr, err := worker.Listen("127.0.0.1:0")
 		if err != nil {
--- a/scheduler/journal_test.go
+++ b/scheduler/journal_test.go
@@ -102,7 +102,7 @@
 		t.Errorf("what was served: %d %+v", status, r)
 	}
 	status, r := c.askJournal("?job=out")
-	if status != 200 || r.Verdict != "unknown" || len(r.Look) != 1 || r.Look[0] != worker || r.Attempts[0].SentAt == "" {
+	if status != 200 || r.Verdict != "unknown" || len(r.Workers) != 1 || r.Workers[0] != worker || r.Attempts[0].SentAt == "" {
 		t.Errorf("what was out at the kill: %d %+v", status, r)
 	}
 	if status, _ := c.askJournal("?job=free"); status != 404 {
--- a/scheduler/operate.go
+++ b/scheduler/operate.go
@@ -22,7 +22,7 @@
 	if !s.ready.Load() {
 		return errNotServing
 	}
-	if err := s.planners.Alive(ctx); err != nil {
+	if err := s.planners.Ping(ctx); err != nil {
 		return fmt.Errorf("the planners have no turn: %w", err)
 	}
 	if s.reverseProxy != nil {
@@ -80,7 +80,7 @@
 		known = true
 	}
 	if !known && !s.cordons.Has(host) {
-		return ops.ErrUnknown
+		return ops.ErrUnknownWorker
 	}
 	if out {
 		if err := s.cordonConnections(ctx, host, true); err != nil {
@@ -93,7 +93,7 @@
 // restoreCordon takes a worker out of use before the scheduler runs.
 func (s *Scheduler) restoreCordon(host string) {
 	s.pool.Cordon(host, true, func() {})
-	s.planners.Keep(host)
+	s.planners.RestoreCordon(host)
 	if s.reverseProxy != nil {
 		s.reverseProxy.Cordon(host, true)
 	}
--- a/scheduler/reload.go
+++ b/scheduler/reload.go
@@ -18,10 +18,10 @@
 	if err := c.Check(); err != nil {
 		return err
 	}
-	if err := c.Follows(s.current.Load()); err != nil {
+	if err := c.CheckReplaces(s.current.Load()); err != nil {
 		return err
 	}
-	settings, err := c.Settings.Module(max(1, s.config.Planners))
+	settings, err := c.Settings.ModuleSettings(max(1, s.config.Planners))
 	if err != nil {
 		return err
 	}
@@ -38,16 +38,16 @@
 	}
 	s.current.Store(c)
 	before := s.settings.Swap(&settings)
-	s.planners.Retune(settings) // before the rules: a tenant whose jobs are admitted is known there then
-	s.requestParser.Update(&jobrequest.Terms{Classes: settings.Classes, Tenants: settings.Tenants})
-	s.pool.Retune(dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout), dispatchconfig.Seconds(c.Settings.Bounds.IdleClose))
+	s.planners.UpdateSettings(settings) // before the rules: a tenant whose jobs are admitted is known there then
+	s.requestParser.Update(&jobrequest.Settings{Classes: settings.Classes, Tenants: settings.Tenants})
+	s.pool.SetTimeouts(dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout), dispatchconfig.Seconds(c.Settings.Bounds.IdleClose))
 	s.limitDescriptors(c)
-	s.watcher.Move(c.Discovery)
+	s.watcher.SetAddr(c.Discovery)
 	if c.Discovery == "" {
-		s.workerLoop.Do(func() { s.updateWorkers(sedgevale.ListWhole, *c.Known) })
+		s.workerLoop.Do(func() { s.updateWorkers(sedgevale.UpdateFull, *c.Known) })
 	}
 	if s.peerLink != nil {
-		s.peerLink.Revise(c.InForce())
+		s.peerLink.SetRevision(c.PeerRevision())
 	}
 	s.logReload(c, before, &settings, append(s.restartOnly(c), needRestart...))
 	return nil
@@ -103,7 +103,7 @@
 		{"weights", start.Settings.Weights, c.Settings.Weights},
 		{"sse", start.SSE, c.SSE},
 		{"journal", start.Journal, c.Journal},
-		{"door", start.Door, c.Door},
+		{"door", start.Admission, c.Admission},
 		{"web", start.Web == nil, c.Web == nil},
 		{"planners", start.Planners, c.Planners},
 		{"loops", start.Loops, c.Loops},
--- a/scheduler/resources.go
+++ b/scheduler/resources.go
@@ -43,11 +43,11 @@
 	if n > 0 && c.Ops != "" {
 		n = max(1, n-reservedOpsDescriptors)
 	}
-	s.descriptors.Limit(n)
+	s.descriptors.SetLimit(n)
 }
 
 // descriptorsInUse returns how many descriptors this process holds.
-func (s *Scheduler) descriptorsInUse() int { return s.descriptors.Used() + fixedDescriptors }
+func (s *Scheduler) descriptorsInUse() int { return s.descriptors.InUse() + fixedDescriptors }
 
 // rebalanceResources keeps this process to its share of the machine: all that its siblings
 // leave of the descriptors, and an even part of the memory.
@@ -56,7 +56,7 @@
 	for _, b := range siblings {
 		used += b.descriptorsInUse()
 	}
-	s.descriptors.Others(used)
+	s.descriptors.SetOtherProcesses(used)
 	if s.options.OnProcessCount != nil {
 		s.options.OnProcessCount(1 + len(siblings))
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -46,7 +46,7 @@
 	settings      atomic.Pointer[sedgevale.Settings]    // in force; not changed, only replaced
 	requestParser *jobrequest.Parser
 	clock         dispatch.Clock
-	descriptors   *fdlimit.Budget
+	descriptors   *fdlimit.Limiter
 	workerLoop    *evloop.Loop // for connections to workers, discovery and the sibling process
 	pool          *upstream.Pool
 	watcher       *discovery.Watcher
@@ -55,13 +55,13 @@
 	cordonTurn    chan struct{} // holds a token while a cordon is applied
 	ready         atomic.Bool   // clients are served: false before the start and from the drain on
 
-	servers      []*httpd.Server    // for clients
-	opsServer    *httpd.Server      // for operators; nil without an ops address
-	eventStreams *sse.Handler       // nil without an [sse] section
-	reverseProxy *reverseproxy.Site // nil without a [web] section
-	journal      *recorder.Recorder // nil without a [journal] section
-	admission    *driver.Driver     // nil without a [door] section
-	peerLink     *peerlink.Link     // nil without peers
+	servers      []*httpd.Server     // for clients
+	opsServer    *httpd.Server       // for operators; nil without an ops address
+	eventStreams *sse.Handler        // nil without an [sse] section
+	reverseProxy *reverseproxy.Proxy // nil without a [web] section
+	journal      *recorder.Recorder  // nil without a [journal] section
+	admission    *driver.Driver      // nil without a [door] section
+	peerLink     *peerlink.Link      // nil without peers
 
 	background sync.WaitGroup // what Run has started; it ends with Run
 	siblings   siblingSet
--- a/scheduler/siblings.go
+++ b/scheduler/siblings.go
@@ -46,7 +46,7 @@
 	mu       sync.Mutex // guards all below
 	all      map[*sibling]struct{}
 	lastID   int
-	listener *handover.Host // nil: not waiting for another process
+	listener *handover.Listener // nil: not waiting for another process
 }
 
 func (s *Scheduler) addSibling() *sibling {
@@ -74,9 +74,9 @@
 
 // dropSibling ends all sharing with a process that is gone.
 func (s *Scheduler) dropSibling(b *sibling) {
-	s.planners.Part(b.id)
+	s.planners.RemovePartner(b.id)
 	if s.eventStreams != nil {
-		s.eventStreams.Part(b.id)
+		s.eventStreams.EndMirror(b.id)
 	}
 }
 
@@ -121,18 +121,18 @@
 }
 
 // publish passes on what a planner of this process does.
-func (b *sibling) publish(planner int, shared dispatch.Shared) {
-	b.send(&handover.Message{Share: &handover.Share{Planner: planner, Shared: shared}, Used: b.scheduler.descriptorsInUse()})
+func (b *sibling) publish(planner int, shared dispatch.PartnerState) {
+	b.send(&handover.Message{PlannerUpdate: &handover.PlannerUpdate{Planner: planner, Shared: shared}, Descriptors: b.scheduler.descriptorsInUse()})
 }
 
 // Message takes a message of the other process in, on the link's event loop.
 func (b *sibling) Message(_ *handover.Link, m *handover.Message) {
 	s := b.scheduler
-	if m.Share != nil {
-		s.planners.Beside(b.id, m.Share.Planner, m.Share.Shared)
+	if m.PlannerUpdate != nil {
+		s.planners.UpdatePartner(b.id, m.PlannerUpdate.Planner, m.PlannerUpdate.Shared)
 	}
 	if m.Stream != nil && s.eventStreams != nil {
-		s.eventStreams.Take(b.id, m.Stream)
+		s.eventStreams.AddMirrored(b.id, m.Stream)
 	}
 	if m.Order != nil {
 		go b.executeOrder(m.Order)
@@ -156,15 +156,15 @@
 func (b *sibling) update(m *handover.Message) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if m.Done != 0 {
-		if done := b.pendingOrders[m.Done]; done != nil {
+	if m.ConfirmedOrder != 0 {
+		if done := b.pendingOrders[m.ConfirmedOrder]; done != nil {
 			close(done)
-			delete(b.pendingOrders, m.Done)
+			delete(b.pendingOrders, m.ConfirmedOrder)
 		}
 	}
-	changed = m.Used != 0 && m.Used != b.descriptors
-	if m.Used != 0 {
-		b.descriptors = m.Used
+	changed = m.Descriptors != 0 && m.Descriptors != b.descriptors
+	if m.Descriptors != 0 {
+		b.descriptors = m.Descriptors
 	}
 	if m.Serving {
 		b.serving = true
@@ -225,7 +225,7 @@
 		}
 		if used != last {
 			for _, b := range siblings {
-				b.send(&handover.Message{Used: used})
+				b.send(&handover.Message{Descriptors: used})
 			}
 		}
 		last = used
@@ -244,7 +244,7 @@
 		b.scheduler.options.Log.Warn("a cordon order forwarded by the other process failed", "worker", o.Host, "out", o.Out, "err", err)
 		return
 	}
-	b.send(&handover.Message{Done: o.Number})
+	b.send(&handover.Message{ConfirmedOrder: o.Number})
 }
 
 // forwardOrder has the siblings but for origin carry out an order, too, and waits until
--- a/scheduler/tenants_test.go
+++ b/scheduler/tenants_test.go
@@ -395,7 +395,7 @@
 // then on tenants are admitted by their new shares.
 func TestAdmissionSharesChange(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := startTenants(t, f, func(file *dispatchconfig.File) { file.Door = &dispatchconfig.Door{Concurrency: 1} },
+	c := startTenants(t, f, func(file *dispatchconfig.File) { file.Admission = &dispatchconfig.Admission{Concurrency: 1} },
 		tenant{"leaver", 0.2, 0}, tenant{"left", 0.4, 0}, tenant{"right", 0.4, 0})
 	const each = 8
 	streams := map[string]*stream{}
--- a/scheduler/upgrade.go
+++ b/scheduler/upgrade.go
@@ -23,7 +23,7 @@
 // broken is no reason not to start. It must be called before the planners run.
 func (s *Scheduler) takeOver(ctx context.Context) (*sibling, map[string]*net.TCPListener) {
 	session, err := handover.Join(ctx, runtimeFile(s.config, "sock"), s.hello())
-	if errors.Is(err, handover.ErrNobody) {
+	if errors.Is(err, handover.ErrNoProcess) {
 		return nil, nil
 	}
 	var state *handover.State
@@ -36,8 +36,8 @@
 		s.options.Log.Warn("takeover failed, starting without the other process's state", "err", err)
 		return nil, nil
 	}
-	s.watcher.Known(state.List.Revision, state.Discovery)
-	s.updateWorkers(sedgevale.ListWhole, state.List)
+	s.watcher.StartAfter(state.List.Revision, state.Discovery)
+	s.updateWorkers(sedgevale.UpdateFull, state.List)
 	for _, host := range state.Cordons {
 		if err := s.cordons.Set(host, true); err != nil {
 			s.options.Log.Warn("cannot save a cordon", "worker", host, "err", err)
@@ -45,7 +45,7 @@
 		s.restoreCordon(host)
 	}
 	b := s.addSibling()
-	s.planners.Adopt(b.id, b.publish, state.Planners)
+	s.planners.TakeOver(b.id, b.publish, state.Planners)
 	b.start(session.Link(s.workerLoop, b, s.options.Log), nil)
 	s.rebalanceResources()
 	s.options.Log.Info("taking over from the serving process", "workers", len(state.List.Members), "cordons", len(state.Cordons))
@@ -102,7 +102,7 @@
 	link := session.Link(s.workerLoop, b, s.options.Log)
 	ctx, stop := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer stop()
-	planners, err := s.planners.Share(ctx, b.id, b.publish)
+	planners, err := s.planners.AddPartner(ctx, b.id, b.publish)
 	if err != nil {
 		link.Drop(err)
 		return
--- a/scheduler/workers.go
+++ b/scheduler/workers.go
@@ -8,32 +8,32 @@
 
 // onWorkerList takes over an answer of discovery.
 func (s *Scheduler) onWorkerList(l discovery.List) {
-	kind := sedgevale.ListPatch
+	kind := sedgevale.UpdateDelta
 	if l.Complete {
-		kind = sedgevale.ListWhole
+		kind = sedgevale.UpdateFull
 	}
 	s.updateWorkers(kind, l)
 }
 
 // onDiscoveryFailure is called when the watch on discovery breaks.
-func (s *Scheduler) onDiscoveryFailure() { s.planners.Members(sedgevale.ListBroken, nil) }
+func (s *Scheduler) onDiscoveryFailure() { s.planners.WorkersUpdated(sedgevale.UpdateFailed, nil) }
 
 // updateWorkers passes an update of the list of workers on, to the connection pool first:
 // it must know each worker that a planner may choose.
-func (s *Scheduler) updateWorkers(kind sedgevale.ListKind, l discovery.List) {
+func (s *Scheduler) updateWorkers(kind sedgevale.UpdateKind, l discovery.List) {
 	s.workersMu.Lock()
-	s.workers = s.workers.With(l, kind != sedgevale.ListPatch)
+	s.workers = s.workers.Apply(l, kind != sedgevale.UpdateDelta)
 	complete := s.workers
 	s.workersMu.Unlock()
 	pooled := make([]upstream.Member, 0, len(l.Members))
 	for _, m := range l.Members {
 		pooled = append(pooled, upstream.Member{ID: m.ID, Addr: m.HostPort, Ready: m.Ready()})
 	}
-	s.pool.Members(kind != sedgevale.ListPatch, pooled)
+	s.pool.UpdateMembers(kind != sedgevale.UpdateDelta, pooled)
 	names := discovery.Names{Zones: s.config.Settings.Zones, Kinds: s.config.Settings.Kinds}
-	s.planners.Members(kind, names.Entries(l, s.clock.FromUnixMilli))
+	s.planners.WorkersUpdated(kind, names.WorkerInfos(l, s.clock.FromUnixMilli))
 	if s.peerLink != nil {
-		s.peerLink.Members(complete)
+		s.peerLink.SetWorkers(complete)
 	}
 }
 
--- a/slowstart.go
+++ b/slowstart.go
@@ -24,7 +24,7 @@
 func (d *Dispatcher) slowStartIfRecent(now time.Duration, w *worker) {
 	d.clearPresumedRestart(w)
 	w.warmAt = 0
-	if d.settings.WarmUp > 0 && w.StartedAt > 0 && now < w.StartedAt+d.settings.WarmUp {
+	if d.settings.SlowStartDuration > 0 && w.StartedAt > 0 && now < w.StartedAt+d.settings.SlowStartDuration {
 		d.beginSlowStart(now, w, w.StartedAt)
 	}
 }
@@ -33,7 +33,7 @@
 // Its credit begins at minus a random part of a request, so that dispatchers do not
 // all begin at once.
 func (d *Dispatcher) beginSlowStart(now time.Duration, w *worker, started time.Duration) {
-	w.warmAt = started + d.settings.WarmUp
+	w.warmAt = started + d.settings.SlowStartDuration
 	w.slowStartCreditAt = now
 	w.slowStartCredit = -d.rng.Float64() * d.expectedWork()
 }
@@ -41,19 +41,19 @@
 // slowStartAdmits reports whether the request may go to a worker that warms up, and
 // brings its credit up to date.
 func (d *Dispatcher) slowStartAdmits(now time.Duration, w *worker, r *request) bool {
-	warm := 1 - (w.warmAt-now).Seconds()/d.settings.WarmUp.Seconds()
-	part := d.settings.StartCapacity + (1-d.settings.StartCapacity)*max(0, warm)
+	warm := 1 - (w.warmAt-now).Seconds()/d.settings.SlowStartDuration.Seconds()
+	part := d.settings.SlowStartCapacity + (1-d.settings.SlowStartCapacity)*max(0, warm)
 	mean := d.expectedWork()
-	least := mean / d.settings.Fall.Seconds() / float64(d.subsetSharers)
+	least := mean / d.settings.OverloadWindow.Seconds() / float64(d.subsetSharers)
 	rate := part * max(least, d.workRate*w.size)
 	// A heavier request than usual must leave capacity for others, also where this
 	// dispatcher's part is twice the mean.
-	heavy := d.settings.FallMultiple / 4 * rate * float64(d.subsetSharers) * d.settings.Fall.Seconds()
-	rate *= min(1.5, d.settings.FallMultiple/2) // half of the multiple at most, for chance and bursts
-	if d.knownRequests == 0 {                   // no running time is known yet: begin with two from all together
+	heavy := d.settings.OverloadMultiple / 4 * rate * float64(d.subsetSharers) * d.settings.OverloadWindow.Seconds()
+	rate *= min(1.5, d.settings.OverloadMultiple/2) // half of the multiple at most, for chance and bursts
+	if d.knownRequests == 0 {                       // no running time is known yet: begin with two from all together
 		rate = 2 * least
 	}
-	w.slowStartCredit = min(w.slowStartCredit+rate*(now-w.slowStartCreditAt).Seconds(), rate*d.settings.Fall.Seconds()/4)
+	w.slowStartCredit = min(w.slowStartCredit+rate*(now-w.slowStartCreditAt).Seconds(), rate*d.settings.OverloadWindow.Seconds()/4)
 	w.slowStartCreditAt = now
 	return w.slowStartCredit > 0 && d.expectedWorkOf(r) <= max(mean, heavy)
 }
@@ -80,7 +80,7 @@
 
 // presumeWorkerRestarted begins the worker's slow start, unless it is known to warm up.
 func (d *Dispatcher) presumeWorkerRestarted(now time.Duration, w *worker) {
-	if d.settings.WarmUp > 0 && (w.presumedRestartAt > 0 || w.warmAt <= now) {
+	if d.settings.SlowStartDuration > 0 && (w.presumedRestartAt > 0 || w.warmAt <= now) {
 		d.clearPresumedRestart(w)
 		d.presumedRestarts++
 		w.presumedRestartAt = now
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -12,7 +12,7 @@
 // Rule 4: all dispatchers together stay within what a worker can take while it warms up.
 func TestSlowStartBoundsLoad(t *testing.T) {
 	set := settings()
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall, set.Peers = 8*time.Second, 0.3, 2.5, 1500*ms, 10
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow, set.Dispatchers = 8*time.Second, 0.3, 2.5, 1500*ms, 10
 	d, h := start(t, set, fleet(9)...)
 	serve := func(from, n int) { // a job each 20 ms that takes 100 ms
 		for i := from; i < from+n; i++ {
@@ -34,7 +34,7 @@
 	}
 	serve(0, 500)
 	h.sends = h.sends[:0]
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "cold", Weight: 1, StartedAt: h.now}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "cold", Weight: 1, StartedAt: h.now}})
 	began := h.now
 	serve(500, 75) // 1.5 s
 	got := 0
@@ -61,9 +61,9 @@
 
 func TestRestartedWorkerWarmsUp(t *testing.T) {
 	set := settings()
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 8*time.Second, 0.3, 2.5, 1500*ms
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, 2.5, 1500*ms
 	d, h := start(t, set, fleet(1)...)
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w0", Weight: 1, StartedAt: h.now - time.Second}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", Weight: 1, StartedAt: h.now - time.Second}})
 	if w := d.workersByName["w0"]; w.warmAt != h.now+7*time.Second || w.slowStartCredit > 0 {
 		t.Errorf("cold until %v with credit %v", w.warmAt-h.now, w.slowStartCredit)
 	}
@@ -72,7 +72,7 @@
 // However small the multiple at which workers fall, half of it is the most.
 func TestSmallOverloadMultipleIsRespected(t *testing.T) {
 	set := settings()
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall, set.Peers = 8*time.Second, 0.5, 0.5, 2*time.Second, 1
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow, set.Dispatchers = 8*time.Second, 0.5, 0.5, 2*time.Second, 1
 	d, h := start(t, set, fleet(1)...)
 	d.meanKnownWork, d.knownRequests, d.workRate = 0.1, 1, 1
 	w := d.workersByName["w0"]
@@ -88,7 +88,7 @@
 // for long without an update, and not if most of the fleet is affected.
 func TestCellsThatBreakArePresumedRestarted(t *testing.T) {
 	set := settings()
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.1, 1.5, 2*time.Second
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 20*time.Second, 0.1, 1.5, 2*time.Second
 	const cells = 5
 	var all []WorkerInfo
 	for i := range 20 {
@@ -99,13 +99,13 @@
 	if n := warmingUp(d, h); n != 1 {
 		t.Errorf("%d of one worker that refuses connections", n)
 	}
-	failEnough(d, h, 5, Lost)
+	failEnough(d, h, 5, ConnectionLost)
 	if n := warmingUp(d, h); n != 4 {
 		t.Errorf("%d of a cell of 4 where two broke", n)
 	}
 	began := h.now - time.Second
-	d.WorkersUpdated(h.now, ListPatch, []WorkerInfo{{Worker: "w10", Weight: 1, StartedAt: began}})
-	if w := d.workersByName["w10"]; w.warmAt != began+set.WarmUp || w.presumedRestartAt != 0 {
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w10", Weight: 1, StartedAt: began}})
+	if w := d.workersByName["w10"]; w.warmAt != began+set.SlowStartDuration || w.presumedRestartAt != 0 {
 		t.Error("the list's news does not replace the presumption")
 	}
 	h.run(d, h.now+presumedRestartTTL+ms)
@@ -154,8 +154,8 @@
 func TestSlowStartBoundsTheSumOfDispatchers(t *testing.T) {
 	const peers, workers, colds, cores = 40, 24, 8, 4
 	set := settings()
-	set.WarmUp, set.StartCapacity, set.FallMultiple, set.Fall = 20*time.Second, 0.15, 1.5, time.Second
-	set.Peers, set.TellsStart = peers, false
+	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 20*time.Second, 0.15, 1.5, time.Second
+	set.Dispatchers, set.StartNotified = peers, false
 	set.Tenants = []Tenant{{Share: 1, Quota: 1e6}}
 	rng := rand.New(rand.NewPCG(5, 5))
 	all, hosts := startAlike(t, set, peers, workers)
@@ -173,16 +173,16 @@
 					h.timers = nil
 					d, _ = New(set, uint64(i), h)
 					all[i], open[i] = d, nil
-					d.WorkersUpdated(now, ListStale, fleet(workers))
+					d.WorkersUpdated(now, UpdateStale, fleet(workers))
 				}
-				d.WorkersUpdated(now, ListPatch, restartedFleet(colds, began))
+				d.WorkersUpdated(now, UpdateDelta, restartedFleet(colds, began))
 			}
 			rate := 0.7 * workers * cores / 0.4 / peers * float64(i%4) / 1.5 // jobs a second
 			if rng.Float64() < rate*tick.Seconds() {
 				run := 0.4 * []float64{0.4, 0.4, 0.4, 0.4, 3.4}[rng.IntN(5)]
 				id := fmt.Sprint(i, "-", now)
 				work[id] = run
-				_ = d.SubmitRequest(now, Request{ID: id, Left: 5 * time.Second, Hint: time.Duration(run * float64(time.Second))})
+				_ = d.SubmitRequest(now, Request{ID: id, TimeLeft: 5 * time.Second, RuntimeHint: time.Duration(run * float64(time.Second))})
 			}
 			for _, s := range h.sends {
 				open[i] = append(open[i], timedJob{s.at + time.Duration(work[s.id]*float64(time.Second)), s.id})
@@ -237,7 +237,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.WorkersUpdated(h.now, ListStale, fleet(workers))
+		d.WorkersUpdated(h.now, UpdateStale, fleet(workers))
 		all, hosts = append(all, d), append(hosts, h)
 	}
 	return all, hosts
@@ -251,12 +251,12 @@
 		for k, last := range all {
 			sum := 0.0
 			for _, s := range all[:k+1] {
-				if s.at > last.at-set.Fall {
+				if s.at > last.at-set.OverloadWindow {
 					sum += work[s.id]
 				}
 			}
 			part := 0.15 + 0.85*(last.at-began).Seconds()/20
-			if most := set.FallMultiple * part * cores * set.Fall.Seconds(); sum > 1.1*most && sum > work[last.id]+0.01 {
+			if most := set.OverloadMultiple * part * cores * set.OverloadWindow.Seconds(); sum > 1.1*most && sum > work[last.id]+0.01 {
 				over++
 			}
 		}
--- a/tenants.go
+++ b/tenants.go
@@ -48,7 +48,7 @@
 
 // claim returns the slots that the tenant wants, and its share.
 func (t *tenant) claim() admission.Claimant {
-	return admission.Claimant{Want: t.inFlight + t.pendingSlots, Share: t.share}
+	return admission.Claimant{Demand: t.inFlight + t.pendingSlots, Share: t.share}
 }
 
 // noteSent notes that a request of the tenant was sent to the worker.
@@ -61,7 +61,7 @@
 	if !a.Used {
 		t.usedWorkers = append(t.usedWorkers, w.index)
 	}
-	*a = a.Add(t.sentJobs, sendShareGain)
+	*a = a.AddJob(t.sentJobs, sendShareGain)
 }
 
 // rememberWorker notes that the worker served the tenant in time.
@@ -164,7 +164,7 @@
 	}
 	d.tenantsByIndex = make([]*tenant, len(tenants))
 	for i, s := range tenants {
-		quota := quotaFactor * s.Quota / float64(d.settings.Peers)
+		quota := quotaFactor * s.Quota / float64(d.settings.Dispatchers)
 		t := byName[s.Name]
 		delete(byName, s.Name) // a name that is there twice is two tenants
 		if t == nil {
@@ -187,7 +187,7 @@
 	}
 	longest := time.Duration(0)
 	for _, k := range d.classesInUse {
-		longest = max(longest, k.Limit)
+		longest = max(longest, k.ClientTimeout)
 	}
 	for i := 0; i < len(d.tenants); i++ {
 		t := d.tenants[i]
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -18,7 +18,7 @@
 // patient returns settings by which a job may be queued for seconds.
 func patient() Settings {
 	set := settings()
-	set.Classes[0].Aim = 4 * time.Second
+	set.Classes[0].LatencyTarget = 4 * time.Second
 	return set
 }
 
@@ -33,7 +33,7 @@
 
 func (h *fake) askFor(d *Dispatcher, id string, tenant int, left time.Duration) {
 	h.t.Helper()
-	if err := d.SubmitRequest(h.now, Request{ID: id, Tenant: tenant, Left: left, Hint: 100 * ms}); err != nil {
+	if err := d.SubmitRequest(h.now, Request{ID: id, Tenant: tenant, TimeLeft: left, RuntimeHint: 100 * ms}); err != nil {
 		h.t.Fatal(err)
 	}
 }
@@ -177,7 +177,7 @@
 	if d.turns() != "ab" || d.removedTenants != 0 || d.TenantIndex("c") != -1 {
 		t.Errorf("turns %s, %d gone, number %d", d.turns(), d.removedTenants, d.TenantIndex("c"))
 	}
-	if err := d.SubmitRequest(h.now, Request{ID: "never", Tenant: 2, Left: time.Second}); !errors.Is(err, ErrBadRequest) {
+	if err := d.SubmitRequest(h.now, Request{ID: "never", Tenant: 2, TimeLeft: time.Second}); !errors.Is(err, ErrBadRequest) {
 		t.Errorf("a job of nobody: %v", err)
 	}
 }
@@ -314,7 +314,7 @@
 	if n := len(m.set.Tenants); n > 0 {
 		number = rapid.IntRange(0, n-1).Draw(r, "tenant")
 	}
-	if err := m.d.SubmitRequest(m.h.now, Request{ID: fmt.Sprint("r", m.asked), Tenant: number, Left: 2 * time.Second, Hint: 50 * ms}); err != nil {
+	if err := m.d.SubmitRequest(m.h.now, Request{ID: fmt.Sprint("r", m.asked), Tenant: number, TimeLeft: 2 * time.Second, RuntimeHint: 50 * ms}); err != nil {
 		r.Fatal(err)
 	}
 	m.asked++
@@ -324,7 +324,7 @@
 func (m *tenantsModel) askLate(r *rapid.T) {
 	name := string(modelTenants[rapid.IntRange(0, 5).Draw(r, "name")])
 	if number := m.d.TenantIndex(name); number >= 0 {
-		if err := m.d.SubmitRequest(m.h.now, Request{ID: fmt.Sprint("r", m.asked), Tenant: number, Left: time.Second, Hint: 50 * ms}); err != nil {
+		if err := m.d.SubmitRequest(m.h.now, Request{ID: fmt.Sprint("r", m.asked), Tenant: number, TimeLeft: time.Second, RuntimeHint: 50 * ms}); err != nil {
 			r.Fatal(err)
 		}
 		if got := m.d.requests[fmt.Sprint("r", m.asked)]; got != nil && got.tenant.name != name {
@@ -339,7 +339,7 @@
 func (m *tenantsModel) endOne(*rapid.T) {
 	for ; m.done < len(m.h.sends); m.done++ {
 		s := m.h.sends[m.done]
-		if err := m.d.AttemptEnded(m.h.now, Result{ID: s.id, Attempt: s.n, Outcome: Served, Closed: true}); err == nil {
+		if err := m.d.AttemptEnded(m.h.now, AttemptResult{ID: s.id, Attempt: s.n, Outcome: Served, Answered: true}); err == nil {
 			if m.h.ends[s.id] == "" {
 				m.h.ends[s.id] = "served"
 			}
@@ -391,7 +391,7 @@
 	}
 	h.run(d, h.now+10*time.Second)
 	for ; m.done < len(h.sends); m.done++ {
-		_ = d.AttemptEnded(h.now, Result{ID: h.sends[m.done].id, Attempt: h.sends[m.done].n, Outcome: Cancelled})
+		_ = d.AttemptEnded(h.now, AttemptResult{ID: h.sends[m.done].id, Attempt: h.sends[m.done].n, Outcome: Cancelled})
 	}
 	h.run(d, h.now+10*time.Second)
 	if d.removedTenants != 0 || len(d.requests) != 0 {
--- a/worker.go
+++ b/worker.go
@@ -28,7 +28,7 @@
 	cleanRound        bool          // this round had clean outcomes
 	idleClosedAt      time.Duration // of its idle connections while it drains; 0: not to be closed again
 	probeWaiters      []*request    // that wait for its answer to a probe
-	lastReport        Report        // the last answer to a probe
+	lastReport        LoadReport    // the last answer to a probe
 	freeSlots         float64       // by the last report, less what was sent since
 	freeSlotsAt       time.Duration // of the last report; 0: none yet
 	unhealthyUntil    time.Duration // not to be sent to before; 0: healthy
@@ -72,10 +72,10 @@
 // Its attempts in flight keep it until they end.
 func (d *Dispatcher) removeWorker(w *worker) {
 	delete(d.workersByName, w.Worker)
-	d.addInFlight(w, -w.siblingLoad.Held)
-	w.notStarted -= w.siblingLoad.Waiting
-	d.addOccupied(w, -w.peerLoad.Held)
-	w.notStarted -= w.peerLoad.Waiting
+	d.addInFlight(w, -w.siblingLoad.InFlight)
+	w.notStarted -= w.siblingLoad.NotStarted
+	d.addOccupied(w, -w.peerLoad.InFlight)
+	w.notStarted -= w.peerLoad.NotStarted
 	w.siblingLoad, w.peerLoad = Load{}, Load{}
 	d.endProbe(w)
 	d.clearPresumedRestart(w)
@@ -149,7 +149,7 @@
 		w.cordoned = false
 		d.clearPresumedRestart(w)
 		w.resetHealth()
-		if d.settings.WarmUp > 0 {
+		if d.settings.SlowStartDuration > 0 {
 			from := now
 			if w.StartedAt > w.cordonedAt { // the list has shown its restart
 				from = min(now, w.StartedAt)
