--- a/cmd/sedgevale/fleetsim.go
+++ b/cmd/sedgevale/fleetsim.go
@@ -13,7 +13,7 @@
 
 // fleetSimCmd simulates a fleet of schedulers.
 type fleetSimCmd struct {
-	File  string `arg:"positional,required" help:"The experiment (docs/SWARM.md)."`
+	File  string `arg:"positional,required" help:"The experiment (docs/FLEET-SIMULATION.md)."`
 	JSON  string `arg:"--json" placeholder:"FILE" help:"Write a line of JSON for each run; - for standard output."`
 	HTML  string `arg:"--html" placeholder:"FILE" help:"Write a page with plots."`
 	Quiet bool   `arg:"-q,--quiet" help:"No progress bar."`
--- a/internal/dispatchconfig/admission.go
+++ b/internal/dispatchconfig/admission.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Admission sets up the admission queues before the planners; see docs/DOOR.md.
+// Admission sets up the admission queues before the planners; see docs/FAIR-QUEUE.md.
 type Admission struct {
 	Concurrency int `toml:"concurrency"`      // jobs inside at a time
 	Queue       int `toml:"queue,omitzero"`   // jobs of a co-op that may wait; 0: 256
