--- a/Makefile
+++ b/Makefile
@@ -16,11 +16,11 @@
 run: build
 	@mkdir -p logs
 	@{ cat deploy/operator.toml; printf '\n[journal]\ndir = "logs/journal"\n'; } > logs/run.toml
-	@bin/sedgevale fake-workers -f logs/run.toml & boxes=$$!; trap 'kill $$boxes 2>/dev/null' EXIT; \
+	@bin/sedgevale fake-workers -f logs/run.toml & workers=$$!; trap 'kill $$workers 2>/dev/null' EXIT; \
 		trap 'kill $$serve 2>/dev/null' INT TERM; bin/sedgevale serve -f logs/run.toml & serve=$$!; \
 		wait $$serve; wait $$serve
 
-# A real scheduler killed KILLS times under load; its journal is held against the boxes' ledgers.
+# A real scheduler killed KILLS times under load; its journal is checked against what the workers ran.
 KILLS ?= 1000
 SEED ?= 1
 torture:
--- a/internal/fairqueue/driver/driver.go
+++ b/internal/fairqueue/driver/driver.go
@@ -10,7 +10,7 @@
 	"sedgevale/internal/fairqueue"
 )
 
-// Planners accept jobs. Request takes an exchange in, Gone says that its client has left.
+// Planners accept jobs. SubmitRequest queues an exchange, ClientDisconnected cancels it.
 type Planners interface {
 	SubmitRequest(*dispatch.Exchange)
 	ClientDisconnected(*dispatch.Exchange)
