--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -10,7 +10,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-func TestCutAndRaise(t *testing.T) {
+func TestLimitDecreaseAndIncrease(t *testing.T) {
 	tuning := LimitTuning{DecreaseFactor: 0.5, IncreaseStep: 0.1, MinLimit: 0.1}
 	if got := tuning.Decrease(8, 4); got != 2 {
 		t.Errorf("decreased to %v", got)
--- a/admission/deficit.go
+++ b/admission/deficit.go
@@ -10,8 +10,8 @@
 // fall below 0 by the last piece of work.
 type Deficit float64
 
-// maxSavedQuanta bounds the credit that a queue accumulates while it is blocked.
-const maxSavedQuanta = 8
+// maxCreditQuanta bounds the credit that a queue accumulates while it is blocked.
+const maxCreditQuanta = 8
 
 // BeginTurn adds the quantum of one turn to the counter, up to a bound. A queue without backlog loses its credit.
 func (d *Deficit) BeginTurn(quantum float64, backlogged bool) {
@@ -19,7 +19,7 @@
 		*d = 0
 		return
 	}
-	*d = Deficit(min(float64(*d)+quantum, maxSavedQuanta*quantum))
+	*d = Deficit(min(float64(*d)+quantum, maxCreditQuanta*quantum))
 }
 
 // Charge charges released work and reports whether the queue may release more in this turn.
--- a/cmd/sedgevale/fakeworkers.go
+++ b/cmd/sedgevale/fakeworkers.go
@@ -45,13 +45,13 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	shelves := map[int]*fake.ResultStore{} // by cell
+	results := map[int]*fake.ResultStore{} // by cell
 	for _, m := range file.Known.Members {
-		if shelves[m.Cell] == nil {
-			shelves[m.Cell] = fake.NewResultStore(0)
+		if results[m.Cell] == nil {
+			results[m.Cell] = fake.NewResultStore(0)
 		}
 		worker := fake.NewWorker(fake.WorkerOptions{
-			ID: m.ID, Slots: int(m.Size), Faults: faults, Seed: c.Seed ^ hash(m.ID), Results: shelves[m.Cell], Work: c.runTime,
+			ID: m.ID, Slots: int(m.Size), Faults: faults, Seed: c.Seed ^ hash(m.ID), Results: results[m.Cell], Work: c.runTime,
 		})
 		if _, err := worker.Listen(m.HostPort); err != nil {
 			return fmt.Errorf("box %s: %w", m.ID, err)
--- a/cmd/sedgevale/journal.go
+++ b/cmd/sedgevale/journal.go
@@ -251,21 +251,21 @@
 	Key string `arg:"--key" placeholder:"FILE" help:"The journal's key; \"key\" in the directory without it."`
 }
 
-// Run prints the state of each lane and each problem, and fails with exitDamaged if there is damage.
+// Run prints the state of each log and each problem, and fails with exitDamaged if there is damage.
 func (c verifyCmd) Run() error {
 	view, err := journalFlags(c).read("")
 	if err != nil {
 		return err
 	}
-	for _, lane := range view.Logs {
+	for _, log := range view.Logs {
 		state := "ends with a crash"
 		switch {
-		case lane.Live:
-			state = "in use by " + lane.Owner.String()
-		case lane.Closed:
+		case log.Live:
+			state = "in use by " + log.Owner.String()
+		case log.Closed:
 			state = "closed in order"
 		}
-		fmt.Printf("%s: %d records in %d segments, %s\n", lane.Dir, lane.Records, lane.Segments, state)
+		fmt.Printf("%s: %d records in %d segments, %s\n", log.Dir, log.Records, log.Segments, state)
 	}
 	for _, p := range view.Problems {
 		if p.Torn {
--- a/cmd/sedgevale/main.go
+++ b/cmd/sedgevale/main.go
@@ -143,7 +143,7 @@
 	return all
 }
 
-// existing returns an error that names a file which is not there.
+// requireFiles returns an error that names the first of some paths that is not a file.
 func requireFiles(files ...string) error {
 	for _, file := range files {
 		info, err := os.Stat(file)
--- a/cmd/sedgevale/members.go
+++ b/cmd/sedgevale/members.go
@@ -13,7 +13,7 @@
 // Run prints the membership, the peers and the owners of shards.
 func (c membersCmd) Run() error {
 	m := &core.MembersResponse{}
-	if err := c.ask(core.MethodMembers, &core.MembersRequest{}, m); err != nil {
+	if err := c.call(core.MethodMembers, &core.MembersRequest{}, m); err != nil {
 		return err
 	}
 	fmt.Printf("%s: configuration %d, confirmed by a quorum: %t\n\n", m.Address, m.ConfigVersion, m.ConfigFresh)
--- a/cmd/sedgevale/operator.go
+++ b/cmd/sedgevale/operator.go
@@ -75,8 +75,8 @@
 	Core string `arg:"--core,required" placeholder:"HOST:PORT" help:"A core scheduler, at the first port of its port_range."`
 }
 
-// ask calls a method of the core scheduler.
-func (f coreFlags) ask(method string, request, response any) error {
+// call calls a method of the core scheduler.
+func (f coreFlags) call(method string, request, response any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	return rpc.NewClient(rpc.DialTCP()).Call(ctx, f.Core, method, request, response)
--- a/cmd/sedgevale/peers.go
+++ b/cmd/sedgevale/peers.go
@@ -33,7 +33,7 @@
 func (p peersShowCmd) Run() error { return p.show(os.Stdout) }
 
 func (p peersShowCmd) show(out io.Writer) error {
-	body, err := askOps(p.Ops, "/admin/peers")
+	body, err := fetchOps(p.Ops, "/admin/peers")
 	if errors.Is(err, errNotFound) {
 		return fmt.Errorf("the scheduler at %s has no peers: its file needs peer_listen and peers (docs/PEERS.md)", p.Ops)
 	}
@@ -56,8 +56,8 @@
 
 var errNotFound = errors.New("no such page")
 
-// askOps reads a page of a scheduler's operator address. It returns errNotFound if there is no such page.
-func askOps(address, path string) ([]byte, error) {
+// fetchOps reads a page of a scheduler's operator address. It returns errNotFound if there is no such page.
+func fetchOps(address, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), opsTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
--- a/cmd/sedgevale/queues.go
+++ b/cmd/sedgevale/queues.go
@@ -16,7 +16,7 @@
 // Run prints the queues, the pending tasks and, if wanted, the workers of each shard.
 func (c queuesCmd) Run() error {
 	q := &core.QueuesResponse{}
-	if err := c.ask(core.MethodQueues, &core.QueuesRequest{}, q); err != nil {
+	if err := c.call(core.MethodQueues, &core.QueuesRequest{}, q); err != nil {
 		return err
 	}
 	if len(q.Shards) == 0 {
--- a/cmd/sedgevale/settle.go
+++ b/cmd/sedgevale/settle.go
@@ -9,6 +9,7 @@
 	"io"
 	"net/http"
 	"os"
+
 	"sedgevale/internal/journal"
 	"sedgevale/internal/journal/store"
 	"sedgevale/internal/ops"
--- a/coord/membership/change.go
+++ b/coord/membership/change.go
@@ -18,7 +18,7 @@
 type Change func(Membership) (Membership, error)
 
 // AddLearner returns the change that gives a seat to the replica on another disk, as a learner. The holder of the seat loses
-// its vote at once, so the change is refused with ErrNoQuorum unless the other voters form a quorum.
+// its vote at once, so the change fails with ErrNoQuorum unless the other voters form a quorum.
 func AddLearner(seat int, id, address string) Change {
 	return func(m Membership) (Membership, error) {
 		if seat < 0 || seat >= len(m.Seats) {
--- a/coord/shard/shard_test.go
+++ b/coord/shard/shard_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestNextReturnsEachChangeOnce(t *testing.T) {
+func TestPendingChangesAreTakenOnce(t *testing.T) {
 	p := NewPrimary(1, NewRecordSet(), 3, 2)
 	p.BeginRepair(1, p.Records.Digests())
 	p.Put("a", []byte("x"))
--- a/internal/system/clusterconfig/validate.go
+++ b/internal/system/clusterconfig/validate.go
@@ -13,7 +13,7 @@
 	errMissingName = errors.New("name: missing")
 )
 
-// Parse reads a complete configuration. A text that is cut short is an error. Unknown keys are skipped here; whoever
+// Parse reads a complete configuration. A truncated text is an error. Unknown keys are skipped here; whoever
 // stores the text keeps them.
 func Parse(text []byte) (*Config, error) {
 	if !json.Valid(text) {
--- a/internal/system/core/config_test.go
+++ b/internal/system/core/config_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// Point 4: an order that is sent again is acknowledged again after hundreds of changes, and never refused after more.
+// An order that is sent again is acknowledged again after hundreds of changes, and never refused after more.
 func TestOldChangesAreNeverRejected(t *testing.T) {
 	var current []byte
 	var orders []*operatorChange
--- a/internal/system/core/core_test.go
+++ b/internal/system/core/core_test.go
@@ -7,7 +7,7 @@
 	"sedgevale/internal/system/settings"
 )
 
-func TestSeatsBearTheLossesNamed(t *testing.T) {
+func TestSeatsFollowFaultTolerance(t *testing.T) {
 	cases := map[settings.FaultTolerance]int{
 		{}: 1, {Machines: 1}: 3, {Machines: 2}: 5, {Zones: 1}: 3, {Regions: 1}: 3, {Machines: 2, Zones: 1}: 5,
 	}
--- a/internal/system/core/doc.go
+++ b/internal/system/core/doc.go
@@ -8,8 +8,8 @@
 //     configuration, and the shards that it owns.
 //   - store (store*.go) is the replica of this machine: membership, acceptors of the registers and replicas of the
 //     shards, each change of which is in the log of package statefile before it is acknowledged.
-//   - broadcast.go, proposer.go and learner.go are the client side of the registers, which are single-decree Paxos with
-//     repeated ballots; messages.go holds the internal protocol.
+//   - broadcast.go, proposer.go and learner.go are the client side of the registers, which are CASPaxos (package
+//     coord/register); messages.go holds the internal protocol.
 //   - peers.go, pinger.go and liveness.go exchange pings with the other core schedulers and judge who is alive.
 //   - ownership.go and takeover.go decide who owns a shard and make this scheduler the owner under the next fencing token.
 //   - owner (owner.go, owner_commit.go, replication.go, order_sender.go) is an owned shard: it replicates the records of
--- a/internal/system/core/draining.go
+++ b/internal/system/core/draining.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// drain announces to the peers that this scheduler ends, and goes on as a replica until nothing depends on its disk: another
+// drain announces to the peers that this scheduler shuts down, and goes on as a replica until nothing depends on its disk: another
 // machine holds its seat, where there is one for that, and all members that stay hold what was committed. It takes at most
 // half of the grace period, so that the process ends within it.
 func (c *Core) drain(ctx context.Context) {
@@ -84,10 +84,10 @@
 // that it sent after it had learned that this scheduler drains. c.mu is held.
 func (c *Core) inSyncReplicas(shard string) int64 {
 	newest := ownershipClaim{}
-	for address, one := range c.freshClaims() {
+	for address, claim := range c.freshClaims() {
 		afterNotice := !c.peers[address].lastHeartbeat.Before(c.drainingSince.Add(drainNoticeDelay))
-		if afterNotice && one.Shard == shard && one.Token > newest.Token {
-			newest = one
+		if afterNotice && claim.Shard == shard && claim.Token > newest.Token {
+			newest = claim
 		}
 	}
 	return newest.InSync
--- a/internal/system/core/jobsapi.go
+++ b/internal/system/core/jobsapi.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// submit takes a job, and answers once it is committed. A job that is committed already is acknowledged again.
+// submit accepts a job, and answers once it is committed. It is idempotent by the job's ID.
 func (c *Core) submit(ctx context.Context, r *api.SubmitRequest) (*api.Empty, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
@@ -126,8 +126,8 @@
 	return &api.PendingResponse{Pending: int64(o.scheduler.PendingJobs(r.Queue))}, nil
 }
 
-// report takes a side agent's heartbeat and renews its lease. A heartbeat outside the current session changes nothing, and
-// is answered with the session for the next.
+// report applies a side agent's report on its worker and renews the agent's lease. A report outside the current session
+// changes nothing, and is answered with the session to use for the next one.
 func (c *Core) report(_ context.Context, r *api.ReportRequest) (*api.ReportResponse, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	silentMemberTimeout = 2200 * time.Millisecond // after which a member's seat may be given away
-	joinInterval        = 120 * time.Millisecond
-	joinTimeout         = 1500 * time.Millisecond
-	prefetchTimeout     = 900 * time.Millisecond
-	membershipRegister  = "membership"
+	memberTimeout      = 2200 * time.Millisecond // without an answer, after which a member's seat may be taken
+	joinInterval       = 120 * time.Millisecond
+	joinTimeout        = 1500 * time.Millisecond
+	prefetchTimeout    = 900 * time.Millisecond
+	membershipRegister = "membership"
 )
 
 func (c *Core) handleMembership(server *rpc.Server) {
@@ -35,10 +35,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.peer(address); time.Since(p.lastHeartbeat) <= silentMemberTimeout {
+	if p := c.peer(address); time.Since(p.lastHeartbeat) <= memberTimeout {
 		return p.status.Draining
 	}
-	return time.Since(c.started) > silentMemberTimeout
+	return time.Since(c.started) > memberTimeout
 }
 
 // joinLoop has this scheduler take a seat that nobody holds, that its own lost disk held or whose holder has timed out, and
@@ -112,7 +112,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.peer(address)
-	return p.status.Draining && time.Since(p.lastHeartbeat) <= silentMemberTimeout
+	return p.status.Draining && time.Since(p.lastHeartbeat) <= memberTimeout
 }
 
 // confirmTimedOut asks whether a member has timed out for a quorum of the voters too, so that a machine which a partition
--- a/internal/system/core/learner.go
+++ b/internal/system/core/learner.go
@@ -88,7 +88,7 @@
 }
 
 // read learns the chosen value of a register. Where a majority has accepted the same ballot last, one round trip does;
-// else a round of Paxos proposes the current value again.
+// else the current value is proposed again, which completes or replaces what single replicas have accepted.
 func (c *Core) read(ctx context.Context, name string) error {
 	m := c.store.currentMembership()
 	if m.Epoch == 0 {
--- a/internal/system/core/metrics.go
+++ b/internal/system/core/metrics.go
@@ -12,25 +12,25 @@
 var (
 	configVersionDesc      = prometheus.NewDesc("sedgevale_config_version", "Version of the configuration in force.", nil, nil)
 	shardRecordsDesc       = prometheus.NewDesc("sedgevale_shard_records", "Records of an owned shard.", []string{"shard"}, nil)
-	inSyncReplicasDesc     = prometheus.NewDesc("sedgevale_shard_replicas_in_step", "Replicas that take writes.", []string{"shard"}, nil)
-	pendingJobsDesc        = prometheus.NewDesc("sedgevale_queue_pending_jobs", "Jobs of which no task has begun.", []string{"shard", "queue"}, nil)
+	inSyncReplicasDesc     = prometheus.NewDesc("sedgevale_shard_replicas_in_step", "Replicas in sync with the owner.", []string{"shard"}, nil)
+	pendingJobsDesc        = prometheus.NewDesc("sedgevale_queue_pending_jobs", "Unfinished jobs of which no task has run.", []string{"shard", "queue"}, nil)
 	unfinishedJobsDesc     = prometheus.NewDesc("sedgevale_queue_unended_jobs", "Jobs that have not ended.", []string{"shard", "queue"}, nil)
-	queueUsedDesc          = prometheus.NewDesc("sedgevale_queue_held", "Parts of workers that run for the queue.", []string{"shard", "queue"}, nil)
-	queueDemandDesc        = prometheus.NewDesc("sedgevale_queue_wanted", "Parts of workers that the queue waits for.", []string{"shard", "queue"}, nil)
-	queueLimitDesc         = prometheus.NewDesc("sedgevale_queue_sigma", "Admission limit on what is held.", []string{"shard", "queue"}, nil)
-	unschedulableUnitsDesc = prometheus.NewDesc("sedgevale_queue_withheld", "Units that wait beside room for them.",
+	queueUsedDesc          = prometheus.NewDesc("sedgevale_queue_held", "Capacity allocated to the queue's runs, in workers.", []string{"shard", "queue"}, nil)
+	queueDemandDesc        = prometheus.NewDesc("sedgevale_queue_wanted", "Demand of the queue's pending tasks, in workers.", []string{"shard", "queue"}, nil)
+	queueLimitDesc         = prometheus.NewDesc("sedgevale_queue_sigma", "Admission limit on the capacity allocated to the queue, in workers.", []string{"shard", "queue"}, nil)
+	unschedulableUnitsDesc = prometheus.NewDesc("sedgevale_queue_withheld", "Task groups that are pending although a worker has free capacity.",
 		[]string{"shard", "queue", "reason"}, nil)
-	workerUsedDesc  = prometheus.NewDesc("sedgevale_worker_held", "Part of the worker that runs take.", []string{"shard", "worker"}, nil)
-	workerLimitDesc = prometheus.NewDesc("sedgevale_worker_sigma", "Learned limit of the worker.", []string{"shard", "worker"}, nil)
+	workerUsedDesc  = prometheus.NewDesc("sedgevale_worker_held", "Sum of the dominant shares of the worker's runs.", []string{"shard", "worker"}, nil)
+	workerLimitDesc = prometheus.NewDesc("sedgevale_worker_sigma", "Learned limit on the worker's load, in (0, 1].", []string{"shard", "worker"}, nil)
 )
 
 // Describe implements prometheus.Collector.
 func (m collector) Describe(out chan<- *prometheus.Desc) {
-	for _, one := range []*prometheus.Desc{
+	for _, desc := range []*prometheus.Desc{
 		configVersionDesc, shardRecordsDesc, inSyncReplicasDesc, unfinishedJobsDesc, pendingJobsDesc, queueUsedDesc, queueDemandDesc, queueLimitDesc,
 		unschedulableUnitsDesc, workerUsedDesc, workerLimitDesc,
 	} {
-		out <- one
+		out <- desc
 	}
 }
 
@@ -70,8 +70,8 @@
 
 func countUnschedulable(units []jobs.UnschedulableGroup) map[unschedulableKey]int {
 	counts := map[unschedulableKey]int{}
-	for _, one := range units {
-		counts[unschedulableKey{one.Queue, one.Reason}]++
+	for _, unit := range units {
+		counts[unschedulableKey{unit.Queue, unit.Reason}]++
 	}
 	return counts
 }
--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -43,7 +43,7 @@
 	inSyncChanged chan struct{} // closed and made anew when a replica has acknowledged something, or the owner is deposed
 }
 
-// taskGroup starts goroutines under one context, whose end is theirs.
+// taskGroup starts goroutines that end with one context.
 type taskGroup struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -65,8 +65,8 @@
 	}
 	options := jobs.Options{
 		LeaseTimeout:   ownerLeaseTTL + c.timing.RunsExpireAfter(),
-		EndedJobTTL:    time.Duration(c.settings.Bounds.StatusS * endedJobRetentionFactor * float64(time.Second)),
-		RemoteSlowdown: c.settings.Bounds.FarX,
+		EndedJobTTL:    time.Duration(c.settings.Bounds.EndedJobTTLS * endedJobRetentionFactor * float64(time.Second)),
+		RemoteSlowdown: c.settings.Bounds.RemoteSlowdown,
 	}
 	o.scheduler = jobs.New(options, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for i, member := range m.Seats {
--- a/internal/system/core/ownership.go
+++ b/internal/system/core/ownership.go
@@ -49,8 +49,8 @@
 	if o := c.owners[name]; o != nil && !o.isDeposed() {
 		return false
 	}
-	for _, one := range c.freshClaims() {
-		if one.Shard == name {
+	for _, claim := range c.freshClaims() {
+		if claim.Shard == name {
 			return false
 		}
 	}
--- a/internal/system/core/peers.go
+++ b/internal/system/core/peers.go
@@ -104,14 +104,14 @@
 // claimsOf returns what watchers are sent of a scheduler's claims, by shard.
 func claimsOf(m *pingMessage) map[string]ownershipClaim {
 	claims := map[string]ownershipClaim{}
-	for _, one := range m.Claims {
-		one.InSync = 0
-		claims[one.Shard] = one
+	for _, claim := range m.Claims {
+		claim.InSync = 0
+		claims[claim.Shard] = claim
 	}
 	return claims
 }
 
-// drainingAddresses returns the core schedulers that are about to end. c.mu is held.
+// drainingAddresses returns the set of core schedulers that drain, this one included. c.mu is held.
 func (c *Core) drainingAddresses() map[string]bool {
 	draining := map[string]bool{c.address: c.draining}
 	for address, p := range c.peers {
@@ -139,8 +139,8 @@
 			if !p.alive() {
 				continue
 			}
-			for _, one := range p.status.Claims {
-				if one.Fresh && !yield(address, one) {
+			for _, claim := range p.status.Claims {
+				if claim.Fresh && !yield(address, claim) {
 					return
 				}
 			}
--- a/internal/system/core/pinger.go
+++ b/internal/system/core/pinger.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// pingAll sends a round of pings, and waits for the answers only while this scheduler drains. A peer to which a ping is in
-// flight is left out.
+// pingAll sends a round of pings, and while this scheduler drains waits for the answers, so that the announcement arrives
+// before the process exits. A peer to which a ping is in flight is left out.
 func (c *Core) pingAll(ctx context.Context) {
 	targets := c.pingTargets()
 	m := c.pingMessage()
--- a/internal/system/core/proposer.go
+++ b/internal/system/core/proposer.go
@@ -50,7 +50,9 @@
 	}
 }
 
-// proposeOnce runs one round of Paxos. It reports whether a retry may succeed.
+// proposeOnce runs one attempt: a prepare and an accept round (CASPaxos). It reports whether a retry may succeed. An update
+// that is rejected still has the current value accepted again: only then is the value chosen that the rejection is based
+// on, and not one that a single replica has accepted and that may never be chosen.
 func (c *Core) proposeOnce(ctx context.Context, name string, update registerUpdate, begun *bool) (value []byte, retry bool, err error) {
 	m := c.store.currentMembership()
 	if m.Epoch == 0 {
@@ -66,15 +68,15 @@
 		return nil, true, err
 	}
 	current, _ := round.Value()
-	proposal, rejected := update(current)
-	if rejected != nil {
+	proposal, rejection := update(current)
+	if rejection != nil {
 		proposal = current
 	}
-	if proposal == nil || rejected != nil && name == membershipRegister {
-		return nil, false, rejected // reading a membership must not complete one that was accepted and never chosen
+	if proposal == nil || rejection != nil && name == membershipRegister {
+		return nil, false, rejection // reading a membership must not complete one that was accepted and never chosen
 	}
 	round.BeginAccept()
-	if rejected == nil {
+	if rejection == nil {
 		*begun = true
 	}
 	if err := c.acceptRound(ctx, name, m, round, proposal); err != nil {
@@ -84,7 +86,7 @@
 		return nil, false, err
 	}
 	go c.announce(context.WithoutCancel(ctx), name, ballot, proposal)
-	return proposal, false, rejected
+	return proposal, false, rejection
 }
 
 // prepareRound runs the prepare phase.
@@ -111,7 +113,7 @@
 	})
 }
 
-// collectReplies hands the replies of replicas to a round until a majority has agreed or can no longer be had.
+// collectReplies passes the replies of replicas to a round until a majority has agreed or can no longer be had.
 func collectReplies[Response any](m membership.Membership, round *register.Proposal, replies <-chan reply[Response], count int,
 	take func(seat int, response *Response) (enough bool),
 ) error {
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -273,7 +273,7 @@
 	}
 }
 
-// waitAllDurable waits until all that was applied so far is durable, so that nothing is answered which a power loss undoes.
+// waitAllDurable waits until all that was applied so far is durable, so that no answer depends on what a power loss could undo.
 func (s *store) waitAllDurable(ctx context.Context) error {
 	s.mu.Lock()
 	last := s.lastTicket
--- a/internal/system/core/store_test.go
+++ b/internal/system/core/store_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// Trap 2: what was acknowledged is there after a power loss, with promises and fencing tokens.
+// What was acknowledged is there after a power loss, with promises and fencing tokens.
 func TestStoreSurvivesPowerLoss(t *testing.T) {
 	s := newSite(t)
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "value"), result.OK)
@@ -150,7 +150,7 @@
 	s.wantCode(s.repair("a", 2), result.Fenced)
 }
 
-// Trap 3: a disk that came back empty neither votes nor acknowledges, whether it is addressed by the name of the lost
+// A disk that came back empty neither votes nor acknowledges, whether it is addressed by the name of the lost
 // disk or by its own.
 func TestEmptyDiskDoesNotVote(t *testing.T) {
 	s := newSite(t)
@@ -172,7 +172,7 @@
 	}
 }
 
-// Trap 3: once it has learned from the two others it votes, knows what they hold, and what was on its way to them
+// Once it has learned from the two others it votes, knows what they hold, and what was on its way to them
 // takes no effect any more.
 func TestEmptyDiskLearnsFromTheOthers(t *testing.T) {
 	s := newSite(t)
@@ -295,7 +295,7 @@
 	s.wantCode(err, result.WrongReplica)
 }
 
-// Trap 3: two disks in a row, and a machine at another address for one that is gone.
+// Two disks in a row, and a machine at another address for one that is gone.
 func TestDisksAreLostInARow(t *testing.T) {
 	s := newSite(t)
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "chosen"), result.OK)
@@ -312,7 +312,7 @@
 	s.wantCode(s.accept("b", s.to("b", "d"), 9, "late"), result.NotRecovered)
 }
 
-// Finding 2: a replica that was replaced takes no part in confirming an old value. Its former membership is known to two of
+// A replica that was replaced takes no part in confirming an old value. Its former membership is known to two of
 // three, and the one of these that stays has reached the next epoch.
 func TestReplacedReplicaConfirmsNothing(t *testing.T) {
 	s := newSite(t)
@@ -332,7 +332,7 @@
 	s.wantCode(err, result.EpochOutdated)
 }
 
-// Finding 3: ballots of two incarnations of a disk, and of two disks at one address, differ, and the counter is restored.
+// Ballots of two incarnations of a disk, and of two disks at one address, differ, and the counter is restored.
 func TestBallotsAreUniqueAcrossIncarnations(t *testing.T) {
 	s := newSite(t)
 	to := s.to("a", "a")
--- a/internal/system/core/stored_data_test.go
+++ b/internal/system/core/stored_data_test.go
@@ -50,7 +50,7 @@
 const storedDirectory = "../statefile/testdata/"
 
 // A core scheduler that starts on a directory of an earlier release holds the same registers, seats and shards.
-func TestStoredStateIsTakenUp(t *testing.T) {
+func TestStoredStateIsRestored(t *testing.T) {
 	for name, want := range storedStates {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
--- a/internal/system/core/wait.go
+++ b/internal/system/core/wait.go
@@ -11,7 +11,7 @@
 	return time.Duration(rand.Int64N(int64(maximum) + 1))
 }
 
-// sleep waits for a duration or until the context ends. It reports whether the context still lasts.
+// sleep waits for a duration or until the context ends. It reports whether the context has not ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -23,7 +23,7 @@
 	}
 }
 
-// signal wakes the goroutine that receives from it. Signals that come before it receives are one.
+// signal wakes the goroutine that receives from it. Several signals sent before it receives wake it once.
 type signal chan struct{}
 
 func newSignal() signal { return make(signal, 1) }
--- a/internal/system/core/watch.go
+++ b/internal/system/core/watch.go
@@ -89,8 +89,8 @@
 			consider(name, c.address, o.token)
 		}
 	}
-	for address, one := range c.freshClaims() {
-		consider(one.Shard, address, one.Token)
+	for address, claim := range c.freshClaims() {
+		consider(claim.Shard, address, claim.Token)
 	}
 	owners := make([]api.Owner, 0, len(newest))
 	for _, o := range newest {
--- a/internal/system/edge/edge.go
+++ b/internal/system/edge/edge.go
@@ -34,7 +34,7 @@
 	responses *prometheus.CounterVec
 }
 
-// Run serves until the context ends, and then until requests in flight have ended or the grace of the settings is over.
+// Run serves until the context ends, and then until requests in flight have ended or the grace period of the settings (bounds.grace_s) is over.
 func Run(ctx context.Context, p *node.Process) error {
 	s := &Scheduler{
 		client: p.Client, directory: directory.New(p, true), draining: make(chan struct{}), responses: newResponseCounter(),
@@ -71,7 +71,7 @@
 	if err := server.Shutdown(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
-	return nil // the grace is over; what is in flight is cut off
+	return nil // the grace is over; requests in flight are aborted
 }
 
 // isDraining reports whether the shutdown has begun.
--- a/internal/system/edge/forward.go
+++ b/internal/system/edge/forward.go
@@ -13,7 +13,7 @@
 	attemptTimeout    = 900 * time.Millisecond
 	minAttemptTime    = 200 * time.Millisecond // no attempt is begun with less time left
 	retryBackoff      = 40 * time.Millisecond
-	ownerBackoff      = retryBackoff / 4 // after news of owners
+	ownerBackoff      = retryBackoff / 4 // after an update of the owners
 	retryAfterSeconds = "1"              // of the Retry-After header
 	maxRequestTime    = 2600 * time.Millisecond
 	minRequestTime    = 300 * time.Millisecond
@@ -30,14 +30,14 @@
 	maybeApplied  bool // an attempt failed so that the owner may have acted on it
 }
 
-// forward calls the owner of the shard until it answers for good or time is up.
+// forward calls the owner of the shard until it gives an answer that no retry can change, or too little time is left.
 func (r *request) forward(ctx context.Context, method string, message, response any) error {
 	err := result.Errorf(result.NotReady, "no owner of %s is known", r.route.Service)
 	for {
 		owner, changed := r.scheduler.directory.Owner(r.route.Service)
 		if owner != "" {
 			err = r.attempt(ctx, owner, method, message, response)
-			if !retryable(err) || timeLeft(ctx) < minAttemptTime {
+			if !retryable(err) || remainingTime(ctx) < minAttemptTime {
 				return err
 			}
 		}
@@ -55,9 +55,9 @@
 	}
 }
 
-// timeLeft returns how long the request may still take. An attempt that would be cut off at its end would leave its
-// outcome unknown.
-func timeLeft(ctx context.Context) time.Duration {
+// remainingTime returns how long the request may still take. An attempt that the deadline interrupts leaves
+// its outcome unknown.
+func remainingTime(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return maxRequestTime
--- a/internal/system/edge/handler.go
+++ b/internal/system/edge/handler.go
@@ -42,18 +42,18 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout(r, route))
 	defer cancel()
-	from := &request{scheduler: s, route: route, configVersion: version, configAge: age, jobID: id}
+	forwarded := &request{scheduler: s, route: route, configVersion: version, configAge: age, jobID: id}
 	switch {
 	case id == "" && r.Method == http.MethodGet:
-		from.countPending(ctx, w)
+		forwarded.countPending(ctx, w)
 	case !validJobID(id):
 		http.Error(w, "path: an ID of 16 hex digits is wanted behind the prefix", http.StatusBadRequest)
 	case r.Method == http.MethodPost:
-		from.submit(ctx, w, r.Body, table.Config.Limits.MaxBodyBytes)
+		forwarded.submit(ctx, w, r.Body, table.Config.Limits.MaxBodyBytes)
 	case r.Method == http.MethodGet:
-		from.showStatus(ctx, w)
+		forwarded.showStatus(ctx, w)
 	case r.Method == http.MethodDelete:
-		from.cancel(ctx, w)
+		forwarded.cancel(ctx, w)
 	default:
 		http.Error(w, "method: POST, GET or DELETE is wanted", http.StatusMethodNotAllowed)
 	}
@@ -81,7 +81,7 @@
 	return true
 }
 
-// submit submits a job.
+// submit checks a job and submits it to the owner of the route's shard.
 func (r *request) submit(ctx context.Context, w http.ResponseWriter, content io.ReadCloser, maxBytes int64) {
 	if maxBytes <= 0 {
 		maxBytes = defaultMaxBodyBytes
--- a/internal/system/fakeworker/worker.go
+++ b/internal/system/fakeworker/worker.go
@@ -92,7 +92,7 @@
 	w.Client.CloseIdleConnections()
 }
 
-// advance ends the attempts that are over, or all of them if the lease has expired. The lock is held.
+// advance ends the attempts that are over, or all of them if the lease has expired. w.mu is held.
 func (w *Worker) advance() {
 	now := time.Now()
 	expired := !w.leaseUntil.IsZero() && now.After(w.leaseUntil)
@@ -104,21 +104,21 @@
 		case expired:
 			w.end(task, running.number, "lapsed")
 		case now.After(running.until):
-			how := "done"
+			outcome := "done"
 			if w.FailOneIn > 0 && w.Random.IntN(w.FailOneIn) == 0 {
-				how = "failed"
+				outcome = "failed"
 			}
-			w.end(task, running.number, how)
+			w.end(task, running.number, outcome)
 		}
 	}
 }
 
-// end ends an attempt. The lock is held.
-func (w *Worker) end(task string, attempt int64, how string) {
+// end ends an attempt. w.mu is held.
+func (w *Worker) end(task string, attempt int64, outcome string) {
 	delete(w.active, task)
 	w.lastAttempt[task] = max(w.lastAttempt[task], attempt)
 	w.lastEnd++
-	w.unacknowledged = append(w.unacknowledged, workeragent.FinishedRun{Number: w.lastEnd, Task: task, Attempt: attempt, Outcome: how})
+	w.unacknowledged = append(w.unacknowledged, workeragent.FinishedRun{Number: w.lastEnd, Task: task, Attempt: attempt, Outcome: outcome})
 	w.Observer.TaskEnded(task, w.ID)
 }
 
@@ -200,7 +200,7 @@
 	}
 }
 
-// start starts a task, unless it runs or a later attempt has ended here. The lock is held.
+// start starts a task, unless it runs or a later attempt has ended here. w.mu is held.
 func (w *Worker) start(start workeragent.Start) {
 	if w.active[start.Task] != nil || start.Attempt <= w.lastAttempt[start.Task] {
 		return
@@ -212,7 +212,7 @@
 }
 
 // acknowledge drops the ends up to a number. A successful end counts as acknowledged unless the lease has expired since:
-// its task may have been started elsewhere by then. The lock is held.
+// its task may have been started elsewhere by then. w.mu is held.
 func (w *Worker) acknowledge(upTo int64) {
 	for len(w.unacknowledged) > 0 && w.unacknowledged[0].Number <= upTo {
 		if w.unacknowledged[0].Outcome == "done" && w.unacknowledged[0].Number > w.expiredUpTo {
--- a/internal/system/node/node.go
+++ b/internal/system/node/node.go
@@ -191,6 +191,6 @@
 
 // LeaseTiming returns the leases of workers and their agents, within hold_max_ms.
 func LeaseTiming(s *settings.Settings) workeragent.Timing {
-	bound := time.Duration(s.Bounds.HoldMaxMS) * time.Millisecond
+	bound := time.Duration(s.Bounds.MaxLeaseMS) * time.Millisecond
 	return workeragent.Timing{WorkerLease: min(maxWorkerLease, bound), AgentLease: agentLease}
 }
--- a/internal/system/node/node_test.go
+++ b/internal/system/node/node_test.go
@@ -61,7 +61,7 @@
 
 func TestWorkerLeaseIsBounded(t *testing.T) {
 	short, long := &settings.Settings{}, &settings.Settings{}
-	short.Bounds.HoldMaxMS, long.Bounds.HoldMaxMS = 1000, 60_000
+	short.Bounds.MaxLeaseMS, long.Bounds.MaxLeaseMS = 1000, 60_000
 	if got := LeaseTiming(short).WorkerLease; got != time.Second {
 		t.Errorf("lease %v", got)
 	}
--- a/internal/system/rpc/rpc_test.go
+++ b/internal/system/rpc/rpc_test.go
@@ -66,7 +66,7 @@
 	_ = response.Write(c)
 }
 
-// Point 5: a call on an idle connection that the peer closes once it has read the request is sent once; net/http does not
+// A call on an idle connection that the peer closes once it has read the request is sent once; net/http does not
 // retry it.
 func TestCallIsNeverRepeated(t *testing.T) {
 	endings := map[string]func(c net.Conn){
@@ -108,7 +108,7 @@
 	}
 }
 
-// Point 5: an answer that arrives after its caller has given up is dropped, and is not the answer to a later call.
+// An answer that arrives after its caller has given up is dropped, and is not the answer to a later call.
 func TestLateAnswerIsDropped(t *testing.T) {
 	given := make(chan struct{})
 	address, requests := peer(t, func(n int64, c net.Conn) {
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -66,22 +66,22 @@
 
 // Bounds are the durations that the system has to keep, in milliseconds (MS) or seconds (S); FarX is a factor.
 type Bounds struct {
-	ContactMS     int64   `json:"contact_ms"`
-	AckMS         int64   `json:"ack_ms"`
-	CatchUpS      float64 `json:"catch_up_s"`
-	DrainMS       int64   `json:"drain_ms"`
-	GraceS        float64 `json:"grace_s"`
-	ConfigApplyMS int64   `json:"config_apply_ms"`
-	HoldMaxMS     int64   `json:"hold_max_ms"`
-	StopMS        int64   `json:"stop_ms"`
-	GangMS        int64   `json:"gang_ms"`
-	CancelMS      int64   `json:"cancel_ms"`
-	VisibleMS     int64   `json:"visible_ms"`
-	EarlyMS       int64   `json:"early_ms"`
-	StatusS       float64 `json:"status_s"`
-	FarX          float64 `json:"far_x"`
-	SaveS         float64 `json:"save_s"`
-	RestoreMS     int64   `json:"restore_ms"`
+	ContactMS      int64   `json:"contact_ms"`
+	AckMS          int64   `json:"ack_ms"`
+	CatchUpS       float64 `json:"catch_up_s"`
+	DrainMS        int64   `json:"drain_ms"`
+	GraceS         float64 `json:"grace_s"`
+	ConfigApplyMS  int64   `json:"config_apply_ms"`
+	MaxLeaseMS     int64   `json:"hold_max_ms"`
+	StopMS         int64   `json:"stop_ms"`
+	GangMS         int64   `json:"gang_ms"`
+	CancelMS       int64   `json:"cancel_ms"`
+	VisibleMS      int64   `json:"visible_ms"`
+	EarlyMS        int64   `json:"early_ms"`
+	EndedJobTTLS   float64 `json:"status_s"`
+	RemoteSlowdown float64 `json:"far_x"`
+	CheckpointS    float64 `json:"save_s"`
+	RestoreMS      int64   `json:"restore_ms"`
 }
 
 // Path returns the path of the settings file.
@@ -136,7 +136,7 @@
 
 func (s *Settings) setDefaults() {
 	b := &s.Bounds
-	setDefault(&b.HoldMaxMS, 10000)
+	setDefault(&b.MaxLeaseMS, 10000)
 	setDefault(&b.StopMS, 400)
 	setDefault(&b.DrainMS, 2000)
 	setDefault(&b.GangMS, 3000)
@@ -146,11 +146,11 @@
 	if b.GraceS == 0 {
 		b.GraceS = 6
 	}
-	if b.StatusS == 0 {
-		b.StatusS = 120
+	if b.EndedJobTTLS == 0 {
+		b.EndedJobTTLS = 120
 	}
-	if b.FarX == 0 {
-		b.FarX = 1.5
+	if b.RemoteSlowdown == 0 {
+		b.RemoteSlowdown = 1.5
 	}
 	if s.HeartbeatMS == 0 {
 		s.HeartbeatMS = 1500
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.InternalAddress() != "10.0.0.1:7380" || s.SeedAddresses()[1] != "10.0.0.2:7380" || s.Bounds.HoldMaxMS != 10000 {
+	if s.InternalAddress() != "10.0.0.1:7380" || s.SeedAddresses()[1] != "10.0.0.2:7380" || s.Bounds.MaxLeaseMS != 10000 {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/system/side/heartbeat.go
+++ b/internal/system/side/heartbeat.go
@@ -15,7 +15,7 @@
 )
 
 // handleHeartbeat takes a worker's heartbeat and answers with orders. If the worker runs nothing, so that no task can
-// end meanwhile, the answer waits for orders, so that they start at once.
+// end meanwhile, the answer is delayed until there are orders (long poll), so that they start at once.
 func (s *Scheduler) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
 	if err != nil {
@@ -27,7 +27,7 @@
 		http.Error(w, "heartbeat: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	from, outcome := s.applyHeartbeat(r.PathValue("id"), heartbeat)
+	reporting, outcome := s.applyHeartbeat(r.PathValue("id"), heartbeat)
 	switch outcome {
 	case heartbeatOutdated:
 		http.Error(w, "sequence: a later heartbeat came before", http.StatusConflict)
@@ -37,14 +37,14 @@
 		return
 	case heartbeatIdle:
 		select {
-		case <-from.ordersReady:
+		case <-reporting.ordersReady:
 		case <-time.After(orderWaitTimeout):
 		case <-r.Context().Done():
 			return
 		}
 	case heartbeatApplied:
 	}
-	s.answer(w, from, heartbeat.Sequence)
+	s.answer(w, reporting, heartbeat.Sequence)
 }
 
 // heartbeatOutcome is what a heartbeat came to.
@@ -54,31 +54,31 @@
 	heartbeatApplied  heartbeatOutcome = iota
 	heartbeatIdle                      // applied; the worker runs nothing and there are no orders for it
 	heartbeatOutdated                  // a later heartbeat came before
-	heartbeatReplaced                  // another incarnation has taken the worker's place
+	heartbeatReplaced                  // a newer incarnation has replaced this one
 )
 
-// applyHeartbeat updates the state of an incarnation and has a report sent if it has changed.
+// applyHeartbeat updates the state of an incarnation and has a report to the owner sent if that has changed it.
 func (s *Scheduler) applyHeartbeat(instance string, heartbeat workeragent.Heartbeat) (*worker, heartbeatOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from := s.workerOf(instance)
-	from.service = heartbeat.Service
-	if !from.agent.OnHeartbeat(s.now(), heartbeat) {
-		return from, heartbeatOutdated
+	present := s.workerOf(instance)
+	present.service = heartbeat.Service
+	if !present.agent.OnHeartbeat(s.now(), heartbeat) {
+		return present, heartbeatOutdated
 	}
-	if from.replaced {
-		return from, heartbeatReplaced
+	if present.replaced {
+		return present, heartbeatReplaced
 	}
-	s.confirm(from)
-	idle := from.confirmed && from.agent.Idle() && !from.agent.HasOrders(s.now())
-	if state := from.agent.StateDigest(); state != from.reported {
-		from.reported = state
-		signal(from.reportDue)
+	s.confirm(present)
+	idle := present.confirmed && present.agent.Idle() && !present.agent.HasOrders(s.now())
+	if state := present.agent.StateDigest(); state != present.reported {
+		present.reported = state
+		signal(present.reportDue)
 	}
 	if idle {
-		return from, heartbeatIdle
+		return present, heartbeatIdle
 	}
-	return from, heartbeatApplied
+	return present, heartbeatApplied
 }
 
 // answer sends the agent's answer to the heartbeat of a sequence number, unless a later one has come meanwhile.
@@ -101,8 +101,8 @@
 	_, _ = w.Write(text)
 }
 
-// handleLeave notes that a worker drains and will end.
-func (s *Scheduler) handleLeave(w http.ResponseWriter, r *http.Request) {
+// handleDeregister handles a worker's deregistration: it takes no more runs and will end.
+func (s *Scheduler) handleDeregister(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if leaving := s.workers[r.PathValue("id")]; leaving != nil {
--- a/internal/system/side/report.go
+++ b/internal/system/side/report.go
@@ -44,7 +44,7 @@
 	return s.workers[w.agent.Instance] == w && !w.replaced
 }
 
-// report sends one report and takes the owner's answer, which renews the lease. It returns false if no answer came.
+// report sends one report and applies the owner's answer, which renews the lease. It returns false if no answer came.
 func (s *Scheduler) report(ctx context.Context, w *worker) bool {
 	owner, sentAt, request := s.nextReport(w)
 	if owner == "" || request.Shard == "" {
@@ -79,7 +79,7 @@
 	}
 }
 
-// applyReportResponse takes an owner's answer to a report that was sent at the given time.
+// applyReportResponse applies an owner's answer to a report that was sent at the given time.
 func (s *Scheduler) applyReportResponse(w *worker, owner string, sentAt time.Duration, response *api.ReportResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/side/side.go
+++ b/internal/system/side/side.go
@@ -85,7 +85,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /sedgevale/instances/{id}", s.handleHeartbeat)
-	mux.HandleFunc("DELETE /sedgevale/instances/{id}", s.handleLeave)
+	mux.HandleFunc("DELETE /sedgevale/instances/{id}", s.handleDeregister)
 	if err := p.Listen(ctx, p.Settings.BindAddrs.ControlPlane, mux); err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 // now returns the time since the start of the process.
 func (s *Scheduler) now() time.Duration { return time.Since(s.started) }
 
-// workerOf returns the state of an incarnation, made at its first heartbeat. The lock is held.
+// workerOf returns the state of an incarnation, made at its first heartbeat. s.mu is held.
 func (s *Scheduler) workerOf(instance string) *worker {
 	if known := s.workers[instance]; known != nil {
 		return known
@@ -129,8 +129,8 @@
 	return added
 }
 
-// confirm takes an incarnation for the present one after enough heartbeats. A worker that crashed comes back under
-// another name, so this replaces all others, except those that are draining and may still run tasks. The lock is held.
+// confirm makes an incarnation the present one after enough heartbeats. A worker that crashed comes back under
+// another name, so this replaces all others, except those that are draining and may still run tasks. s.mu is held.
 func (s *Scheduler) confirm(w *worker) {
 	if w.confirmed || w.agent.Heartbeats() < minConfirmingHeartbeats {
 		return
--- a/internal/system/simulation/control_test.go
+++ b/internal/system/simulation/control_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-// Point 1: a core machine that is partitioned for over 20 seconds, in any way, serves no stale configuration, rejects no change
+// A core machine that is partitioned for over 20 seconds, in any way, serves no stale configuration, rejects no change
 // and confirms none. It serves again within a second of the heal.
 func TestPartitionedCoreServesNothingStale(t *testing.T) {
 	partitions := map[string]func(c *cluster, active bool){
@@ -76,7 +76,7 @@
 	}
 }
 
-// Point 2: two operators pick one version for different changes, and retry them at all machines as if each response were
+// Two operators pick one version for different changes, and retry them at all machines as if each response were
 // lost. One change is acknowledged, always the same, and the other never.
 func TestConcurrentOperatorsWithOneVersion(t *testing.T) {
 	runScenario(t, topology{cores: 4, tolerance: 1}, func(t *testing.T, c *cluster) {
@@ -118,7 +118,7 @@
 	})
 }
 
-// Point 3, finding 1: an interrupted replacement, and then one loss. The first member is partitioned and a spare seeks its
+// An interrupted replacement, and then one loss. The first member is partitioned and a spare seeks its
 // seat, but the spare is partitioned from the third member. The first partition heals, then the third member is lost.
 func TestInterruptedReplacementToleratesALoss(t *testing.T) {
 	runScenario(t, topology{cores: 4, tolerance: 1}, func(t *testing.T, c *cluster) {
@@ -136,7 +136,7 @@
 	})
 }
 
-// Point 3: successive replacements, planned and unplanned, each followed by the loss of another disk as soon as the new
+// Successive replacements, planned and unplanned, each followed by the loss of another disk as soon as the new
 // machine votes, with and without spares. All jobs complete.
 func TestLossesAfterReplacements(t *testing.T) {
 	for _, size := range []topology{{3, 1}, {5, 1}, {5, 2}} {
@@ -166,7 +166,7 @@
 	}
 }
 
-// Point 3, finding 4: a member that shuts down gracefully does not end before its state is replicated elsewhere. Another
+// A member that shuts down gracefully does not end before its state is replicated elsewhere. Another
 // member loses its disk at the moment in which it ends.
 func TestLeavingMemberHandsOver(t *testing.T) {
 	runScenario(t, topology{cores: 5, tolerance: 1}, func(t *testing.T, c *cluster) {
@@ -187,7 +187,7 @@
 	})
 }
 
-// Point 4: a member that missed hundreds of changes, and whose log is torn, serves no stale configuration when it is back,
+// A member that missed hundreds of changes, and whose log is torn, serves no stale configuration when it is back,
 // and has caught up within catchUpTimeout. Then one member loses its disk and all the others power: what was
 // acknowledged is still there.
 func TestMemberAfterHundredsOfChanges(t *testing.T) {
--- a/internal/system/statefile/log.go
+++ b/internal/system/statefile/log.go
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// rotate writes a snapshot of the complete state and begins an empty log beside it.
+// rotate writes a snapshot of the complete state and begins an empty log after it.
 func (l *Log) rotate() error {
 	next := l.generation + 1
 	if err := l.writeSnapshot(next); err != nil {
--- a/internal/system/statefile/statefile_test.go
+++ b/internal/system/statefile/statefile_test.go
@@ -121,7 +121,7 @@
 }
 
 // An incomplete snapshot is ignored, and the generation before it counts.
-func TestHalfSnapshotIsLeftOut(t *testing.T) {
+func TestIncompleteSnapshotIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	m := &memory{}
 	l := m.open(t, dir)
@@ -181,7 +181,7 @@
 }
 
 // A log without its snapshot is no state: the disk counts as empty, and a check says so.
-func TestLogWithoutItsSnapshotIsLeftOut(t *testing.T) {
+func TestLogWithoutItsSnapshotIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	m := &memory{}
 	l := m.open(t, dir)
--- a/internal/system/statefile/stored_data_test.go
+++ b/internal/system/statefile/stored_data_test.go
@@ -64,7 +64,7 @@
 }
 
 // What the program wrote before is read whole: each file, and each entry in its order.
-func TestStoredDirectoriesAreReadWhole(t *testing.T) {
+func TestStoredDirectoriesAreReadCompletely(t *testing.T) {
 	for _, stored := range storedDirectories {
 		t.Run(stored.name, func(t *testing.T) {
 			dir := filepath.Join("testdata", stored.name)
--- a/jobs/assign.go
+++ b/jobs/assign.go
@@ -39,8 +39,8 @@
 	run.share = w.shareOf(run.demand)
 	w.add(run)
 	c.assigned++
-	if reserved := c.reservations[w]; reserved != nil && reserved.holder != group {
-		reserved.takeSpare(run.demand)
+	if reserved := c.reservations[w]; reserved != nil && reserved.group != group {
+		reserved.takeBackfill(run.demand)
 	}
 	group.queue.countStart(w)
 	s.markDirty(group.job)
--- a/jobs/backlog.go
+++ b/jobs/backlog.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// scanFrom visits pending groups by deadline, from a cursor on (nil for the first), as long as the budget lasts. It reports
+// scanFrom visits pending groups by deadline, from a cursor on (nil for the first), until the budget is used up. It reports
 // whether it reached the end of the queue, and moves the cursor to the first group not visited, or nil. The visitor may
 // change the budget.
 func (q *Queue) scanFrom(cursor **taskGroup, budget *int, visit func(*taskGroup)) (ended bool) {
--- a/jobs/completion.go
+++ b/jobs/completion.go
@@ -53,7 +53,7 @@
 // applyLateSuccess applies the success of a run that had been given up, as long as its task was not assigned again.
 func (s *Scheduler) applyLateSuccess(now time.Duration, w *Worker, key RunRef, outcome string) {
 	position, ok := parseTaskName(key.Task)
-	if outcome != outcomeDone || !ok {
+	if outcome != outcomeSucceeded || !ok {
 		return
 	}
 	job, occurrence := s.pendingTask(position, key.Attempt, w.Ref)
@@ -95,17 +95,17 @@
 func learnOutcome(now time.Duration, w *Worker, run *Run, outcome string) {
 	failed := 0.0
 	switch outcome {
-	case outcomeRefused, outcomeLapsed:
-		w.cutLimit()
+	case outcomeRejected, outcomeLeaseExpired:
+		w.decreaseLimit()
 		return
 	case outcomeFailed:
 		failed = 1
-	case outcomeDone:
+	case outcomeSucceeded:
 	default:
 		return
 	}
 	w.failureRate += outcomeGain * (failed - w.failureRate)
-	if run.job == nil || outcome != outcomeDone {
+	if run.job == nil || outcome != outcomeSucceeded {
 		return
 	}
 	estimate := run.spec().EstimateMS
@@ -124,7 +124,7 @@
 	progress := &occurrence.Stages[position.stage]
 	s.markDirty(job)
 	longRunning := job.isLongRunning(position.stage)
-	if outcome == outcomeDone && !longRunning {
+	if outcome == outcomeSucceeded && !longRunning {
 		s.completeTask(now, job, occurrence, position)
 		return
 	}
--- a/jobs/filter.go
+++ b/jobs/filter.go
@@ -7,7 +7,7 @@
 	maxSampledWorkers  = 16 // workers that pass the filter and are enough in a larger shard
 )
 
-// findFitting returns workers that can take a task of a group now, beside what a plan has given them already. In a large
+// findFitting returns workers that can take a task of a group now, in addition to what a plan has assigned to them already. In a large
 // shard it looks for a sample, from a random worker on, so that the cost of a placement is bounded; workers in the rack of
 // the data come first there.
 func (s *Scheduler) findFitting(c *cycle, group *taskGroup, plan *gangPlan) []*Worker {
--- a/jobs/gang.go
+++ b/jobs/gang.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// gangPlan is what the members of a gang would take of the workers, before all of them have one.
+// gangPlan is the tentative placement of a gang: what its members would take of the workers. It is carried out only if there
+// is a worker for each member.
 type gangPlan struct {
 	rack   string // the only one to use; "" for any
 	demand map[*Worker]Resources
--- a/jobs/gang_test.go
+++ b/jobs/gang_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Trap 8: a gang starts everywhere or nowhere.
+// A gang starts everywhere or nowhere.
 func TestGangStartsTogether(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000 gpu=8
--- a/jobs/golden_test.go
+++ b/jobs/golden_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// The words for a job's and a worker's state, and how a task is called, are known to clients, workers and stored data.
-func TestWords(t *testing.T) {
+// The names of the states of jobs and workers, of reasons and of tasks are known to clients, workers and stored data.
+func TestNamesOfStatesAndReasons(t *testing.T) {
 	for got, want := range map[string]string{
 		string(jobs.Queued): "queued", string(jobs.Running): "running", string(jobs.Completed): "completed", string(jobs.Failed): "failed",
 		string(jobs.Cancelled): "cancelled", string(jobs.Ready): "ready", string(jobs.Draining): "draining", string(jobs.Departed): "gone",
--- a/jobs/headroom.go
+++ b/jobs/headroom.go
@@ -19,8 +19,8 @@
 	h.othersLimit = max(0, capacity-h.peak)
 }
 
-// limitWithHeadroom returns what a queue may have allocated in its turn: its limit, cut to what the headroom leaves, but not below
-// its guaranteed share.
+// limitWithHeadroom returns what a queue may have allocated in its turn: its limit, lowered to what the headroom
+// leaves, but not below its guaranteed share.
 func (s *Scheduler) limitWithHeadroom(q *Queue) float64 {
 	if q.Priority == 0 || s.headroom.peak == 0 {
 		return q.limit
--- a/jobs/labels.go
+++ b/jobs/labels.go
@@ -20,10 +20,10 @@
 			*l = Labels{value}
 		}
 	case []any:
-		for _, one := range value {
-			text, ok := one.(string)
+		for _, element := range value {
+			text, ok := element.(string)
 			if !ok {
-				in.AddError(fmt.Errorf("constraints: %v is no label", one))
+				in.AddError(fmt.Errorf("constraints: %v is no label", element))
 				return
 			}
 			*l = append(*l, text)
--- a/jobs/lifecycle_test.go
+++ b/jobs/lifecycle_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Traps 2 and 5: a start is ordered, and a job visible, only once it is committed.
+// A start is ordered, and a job visible, only once it is committed.
 func TestNothingHappensBeforeItIsDurable(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -21,7 +21,7 @@
 	220 orders a = noted 1`)
 }
 
-// Trap 4: a finished run that is reported again changes nothing; a task that has succeeded never starts again.
+// A finished run that is reported again changes nothing; a task that has succeeded never starts again.
 func TestFinishedRunsAreAppliedOnce(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -72,7 +72,7 @@
 	95  orders a = noted 3`)
 }
 
-// Trap 10: a cancel stops active runs and withdraws starts that were not sent.
+// A cancel stops active runs and withdraws starts that were not sent.
 func TestCancelStopsRuns(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -90,7 +90,7 @@
 	95  orders a = noted 1`)
 }
 
-// Trap 11: only start_at_ms reads the time of day.
+// Only start_at_ms reads the time of day.
 func TestOccurrencesBecomeDue(t *testing.T) {
 	play(t, `
 	0    worker a cpu=4000
--- a/jobs/overdue.go
+++ b/jobs/overdue.go
@@ -65,7 +65,7 @@
 	return group.job.assigned == 0 && (waited >= minOverdueWaitUnderLoad || idle && waited >= minOverdueWait)
 }
 
-// placeOverdueGroup places a gang as a whole, all tasks of a long-running stage, or one task of another.
+// placeOverdueGroup places all members of a gang, all tasks of a long-running stage, or one task of another.
 func (s *Scheduler) placeOverdueGroup(c *cycle, group *taskGroup) {
 	if group.gang {
 		s.placeGang(c, group)
--- a/jobs/placement_test.go
+++ b/jobs/placement_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Trap 7: nothing is placed beyond a worker's capacity, also where the admission limit would allow it.
+// Nothing is placed beyond a worker's capacity, also where the admission limit would allow it.
 func TestCapacityIsNotExceeded(t *testing.T) {
 	line := play(t, `
 	0   worker a cpu=1000
--- a/jobs/protocol.go
+++ b/jobs/protocol.go
@@ -48,20 +48,20 @@
 
 // The outcomes of a run.
 const (
-	outcomeDone    = "done"    // the task succeeded
-	outcomeFailed  = "failed"  // by the fault of the task or the worker
-	outcomeStopped = "stopped" // on order
-	outcomeBroken  = "broken"  // another member of the gang ended
-	outcomeAlone   = "alone"   // the other members of the gang did not start in time
-	outcomeRefused = "refused" // the worker rejected the start
-	outcomeDropped = "dropped" // the start never reached the worker
-	outcomeLapsed  = "lapsed"  // the lease expired
+	outcomeSucceeded    = "done"    // the task succeeded
+	outcomeFailed       = "failed"  // by the fault of the task or the worker
+	outcomeStopped      = "stopped" // on order
+	outcomeGangEnded    = "broken"  // another member of the gang ended without success
+	outcomeGangTimeout  = "alone"   // the other members of the gang did not start within the gang's time-out
+	outcomeRejected     = "refused" // the worker rejected the start
+	outcomeDropped      = "dropped" // the start never reached the worker
+	outcomeLeaseExpired = "lapsed"  // the lease expired
 )
 
 // hasRun reports whether a run with an outcome has certainly run at the worker.
 func hasRun(outcome string) bool {
 	switch outcome {
-	case outcomeDone, outcomeFailed, outcomeStopped, outcomeBroken, outcomeAlone:
+	case outcomeSucceeded, outcomeFailed, outcomeStopped, outcomeGangEnded, outcomeGangTimeout:
 		return true
 	}
 	return false
--- a/jobs/queue.go
+++ b/jobs/queue.go
@@ -34,7 +34,7 @@
 	localShare    float64           // fair share of the capacity, ramped
 	limit         float64           // the admission limit on allocated
 	turnLimit     float64           // limit less the headroom, as of its last turn
-	guaranteed    float64           // its share of the capacity by weight; headroom does not cut below it
+	guaranteed    float64           // its share of the capacity by weight; headroom does not lower its limit below it
 	deficit       admission.Deficit // credit in core-seconds
 
 	meanLogRunTime float64                    // EWMA of the logarithm of run times in seconds
--- a/jobs/queuelimit.go
+++ b/jobs/queuelimit.go
@@ -26,7 +26,7 @@
 func (s *Scheduler) updateLimits(now time.Duration) {
 	capacity, allocated := 0.0, 0.0
 	for _, w := range s.workers {
-		w.raiseLimit()
+		w.increaseLimit()
 		if w.State == Ready {
 			capacity += w.allocationLimit()
 			allocated += w.allocated
--- a/jobs/recovery_test.go
+++ b/jobs/recovery_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Trap 5: a new owner assumes that every committed start was sent. It sends the
+// A new owner assumes that every committed start was sent. It sends the
 // same one again, and starts the task elsewhere only once the lease has certainly expired.
 func TestNewOwnerWaitsForRunsThatMayBeActive(t *testing.T) {
 	play(t, `
--- a/jobs/report.go
+++ b/jobs/report.go
@@ -97,7 +97,7 @@
 		state = Unresponsive
 	}
 	if state == Unresponsive && w.State != Unresponsive {
-		w.cutLimit()
+		w.decreaseLimit()
 	}
 	if state == Draining {
 		w.DrainDeadline = now + time.Duration(r.DrainRemainingMS)*time.Millisecond
--- a/jobs/reservation.go
+++ b/jobs/reservation.go
@@ -11,28 +11,29 @@
 	minReservationShare = 0.2                    // of a mean worker, from which on a task is large
 )
 
-// reservation reserves a worker for one task of a group that waits for capacity there. It lasts for one cycle.
+// reservation reserves a worker for one task of a group that waits for capacity there, as in backfill scheduling: other
+// groups may use what does not delay that task. It is valid for one cycle.
 type reservation struct {
-	holder     *taskGroup
-	worker     *Worker
-	spare      Resources // what others may take without delaying the holder
-	spareKnown bool      // spare is computed
+	group         *taskGroup
+	worker        *Worker
+	backfill      Resources // what others may take without delaying the holder
+	backfillKnown bool      // spare is computed
 }
 
-// spareCapacity returns what others may take of the worker without delaying the holder.
-func (r *reservation) spareCapacity() Resources {
-	if !r.spareKnown {
-		r.spareKnown = true
-		r.spare = r.worker.spareBeside(r.holder.spec().demand())
+// backfillCapacity returns what others may take of the worker without delaying the holder.
+func (r *reservation) backfillCapacity() Resources {
+	if !r.backfillKnown {
+		r.backfillKnown = true
+		r.backfill = r.worker.backfillCapacity(r.group.spec().demand())
 	}
-	return r.spare
+	return r.backfill
 }
 
-// takeSpare subtracts what another group takes.
-func (r *reservation) takeSpare(demand Resources) {
-	if r.spareKnown {
-		left := r.spare.minus(demand)
-		r.spare = Resources{max(0, left.CPU), max(0, left.MemMB), max(0, left.GPU)}
+// takeBackfill subtracts what another group takes.
+func (r *reservation) takeBackfill(demand Resources) {
+	if r.backfillKnown {
+		left := r.backfill.minus(demand)
+		r.backfill = Resources{max(0, left.CPU), max(0, left.MemMB), max(0, left.GPU)}
 	}
 }
 
@@ -49,7 +50,7 @@
 		if c.reservations[w] != nil || !w.isFeasible(group, 0) {
 			continue
 		}
-		c.reservations[w] = &reservation{holder: group, worker: w}
+		c.reservations[w] = &reservation{group: group, worker: w}
 		members--
 	}
 }
@@ -63,9 +64,9 @@
 	return s.leastAllocated
 }
 
-// spareBeside returns what a worker has left for others once a task with some demand runs there. Of the present runs the
+// backfillCapacity returns what a worker has left for others once a task with some demand runs there. Of the present runs the
 // smallest stay, as far as they fit beside that task; the others have to end before it can start anyway.
-func (w *Worker) spareBeside(demand Resources) Resources {
+func (w *Worker) backfillCapacity(demand Resources) Resources {
 	left := w.Capacity.minus(demand)
 	runs := make([]*Run, 0, len(w.Runs))
 	for _, run := range w.Runs {
@@ -86,5 +87,5 @@
 // reservationAllows reports whether reservations let a group take so much of a worker.
 func (c *cycle) reservationAllows(w *Worker, group *taskGroup, demand Resources) bool {
 	reserved := c.reservations[w]
-	return reserved == nil || reserved.holder == group || c.ignoreReservations || reserved.spareCapacity().Holds(demand)
+	return reserved == nil || reserved.group == group || c.ignoreReservations || reserved.backfillCapacity().Holds(demand)
 }
--- a/jobs/resources.go
+++ b/jobs/resources.go
@@ -28,15 +28,15 @@
 	return max(ratio(demand.CPU, r.CPU), ratio(demand.MemMB, r.MemMB), ratio(demand.GPU, r.GPU))
 }
 
-// ratio returns part/whole, 0 for no part, and infinity for a part of nothing.
-func ratio(part, whole int64) float64 {
+// ratio returns part/total: 0 if part is 0, infinity if only total is 0.
+func ratio(part, total int64) float64 {
 	if part == 0 {
 		return 0
 	}
-	if whole == 0 {
+	if total == 0 {
 		return math.Inf(1)
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
 
 // demand returns the demand of one task of the stage.
--- a/jobs/tick.go
+++ b/jobs/tick.go
@@ -16,7 +16,7 @@
 		if timedOut := now-w.lastReport >= agentTimeout; timedOut != w.agentTimedOut {
 			w.agentTimedOut = timedOut
 			if timedOut && w.State == Ready {
-				w.cutLimit()
+				w.decreaseLimit()
 			}
 		}
 		if now >= w.leaseExpiry {
@@ -34,7 +34,7 @@
 // expireWorker ends all runs of a worker whose lease has certainly expired.
 func (s *Scheduler) expireWorker(now time.Duration, w *Worker) {
 	for key := range w.Runs {
-		s.finishRun(now, w, key, outcomeLapsed, "")
+		s.finishRun(now, w, key, outcomeLeaseExpired, "")
 	}
 	w.setState(LeaseExpired)
 	s.readyStale = true
--- a/jobs/unschedulable.go
+++ b/jobs/unschedulable.go
@@ -68,8 +68,8 @@
 			continue
 		}
 		diagnosis.Worker = w.Ref
-		if r := s.reservations[w]; r != nil && r.holder != group && !r.spareCapacity().Holds(demand) {
-			diagnosis.ReservedFor = r.holder.job.ID
+		if r := s.reservations[w]; r != nil && r.group != group && !r.backfillCapacity().Holds(demand) {
+			diagnosis.ReservedFor = r.group.job.ID
 			reserved++
 			continue
 		}
--- a/jobs/workconserving_test.go
+++ b/jobs/workconserving_test.go
@@ -138,7 +138,7 @@
 	w.report.Active = nil
 	for _, run := range w.runs {
 		if run.until > 0 && now >= run.until {
-			s.end(w, run.ref, outcomeDone)
+			s.end(w, run.ref, outcomeSucceeded)
 			continue
 		}
 		kept = append(kept, run)
--- a/jobs/worker.go
+++ b/jobs/worker.go
@@ -38,7 +38,7 @@
 	slowdown        float64   // EWMA of run time over expected run time
 	countsForQueues bool      // its runs count as allocated for their queues
 	agentTimedOut   bool      // no report for agentTimeout, as of the last tick
-	limitCut        bool      // loadLimit was cut since the last tick
+	limitDecreased  bool      // loadLimit was decreased since the last tick
 
 	lastReport         time.Duration
 	leaseExpiry        time.Duration // when the leases of all runs have certainly expired, without another report
--- a/jobs/workerlimit.go
+++ b/jobs/workerlimit.go
@@ -6,9 +6,9 @@
 var limitTuning = admission.LimitTuning{DecreaseFactor: 0.7, IncreaseStep: 0.1, MinLimit: 0.1}
 
 const (
-	// minLimitRise is by how much a tick without a cut raises a limit at least. A limit that was cut below the present load
-	// would have no margin to rise by, and long-running tasks could keep it there for ever.
-	minLimitRise = 0.03
+	// minLimitIncrease is by how much a tick without a decrease increases a limit at least. A limit that was decreased below
+	// the present load would have no margin to increase by, and long-running tasks could keep it there for ever.
+	minLimitIncrease = 0.03
 	// minMeasuredLoad is the load from which on the ratio of allocated shares to load is measured.
 	minMeasuredLoad = 0.3
 )
@@ -16,22 +16,22 @@
 // load returns the fraction of the worker in use, in its scarcest resource.
 func (w *Worker) load() float64 { return w.Capacity.dominantShare(w.used) }
 
-// cutLimit lowers the worker's limit, at most once between two ticks.
-func (w *Worker) cutLimit() {
-	if w.limitCut {
+// decreaseLimit lowers the worker's limit, at most once between two ticks.
+func (w *Worker) decreaseLimit() {
+	if w.limitDecreased {
 		return
 	}
-	w.limitCut = true
+	w.limitDecreased = true
 	w.loadLimit = limitTuning.Decrease(w.loadLimit, max(w.load(), limitTuning.MinLimit))
 }
 
-// raiseLimit raises the limit, up to the whole capacity, if it was not cut since the last tick.
-func (w *Worker) raiseLimit() {
-	if !w.limitCut {
+// increaseLimit raises the limit, up to the whole capacity, if it was not decreased since the last tick.
+func (w *Worker) increaseLimit() {
+	if !w.limitDecreased {
 		raised := limitTuning.Increase(w.loadLimit, w.loadLimit-w.load())
-		w.loadLimit = min(1, max(raised, w.loadLimit+minLimitRise))
+		w.loadLimit = min(1, max(raised, w.loadLimit+minLimitIncrease))
 	}
-	w.limitCut = false
+	w.limitDecreased = false
 }
 
 // allocationLimit returns the limit in the measure of allocated: the shares of tasks that want different resources may sum up
--- a/jobs/workers_test.go
+++ b/jobs/workers_test.go
@@ -45,7 +45,7 @@
 	920  orders a2 = nothing`)
 }
 
-// Trap 9: runs that cannot end before the worker leaves move, with their checkpoints; the others stay.
+// Runs that cannot end before the worker leaves move, with their checkpoints; the others stay.
 func TestDrainEvacuatesRunsThatCannotEnd(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -98,8 +98,8 @@
 	line.step(1*time.Millisecond, strings.Fields("client submit stays 2x cpu=1000 lasts est=1000"), "")
 	for _, w := range line.scheduler.workers {
 		for range 20 {
-			w.cutLimit()
-			w.limitCut = false
+			w.decreaseLimit()
+			w.limitDecreased = false
 		}
 	}
 	for ms := 100; ms <= 4000; ms += 100 {
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -35,14 +35,14 @@
 mutate "lives share ballots" internal/system/core/store.go 's/s\.identity\.ID \+ "#" \+ strconv\.FormatInt\(s\.identity\.Incarnation, 10\)/s.address + strconv.Itoa(0)/'
 mutate "the counter starts at zero" internal/system/core/store.go 's/highest = max\(highest, a\.Promised/highest = min(highest, a.Promised/'
 mutate "what is not durable is told" internal/system/core/store.go 's/if last == nil \{/if true {/'
-mutate "a half-made change is finished by whoever overrides it" coord/membership/change.go 's/current\.Epoch > installed\.Epoch && current\.Base != installed\.Epoch/current.Epoch > installed.Epoch/'
+mutate "a half-made change is finished by whoever overrides it" coord/membership/change.go 's/current\.Epoch > installed\.Epoch && current\.BaseEpoch != installed\.Epoch/current.Epoch > installed.Epoch/'
 mutate "two voters give way" coord/membership/change.go 's/if left < m\.Quorum\(\)/if left < 1/'
 mutate "a late machine builds its membership" internal/system/core/store.go 's/if bootstrap \{\s+s\.bootstrapMembership\(first\)\s+\}/s.membership = first.Clone()/'
 mutate "old orders are refused" internal/system/core/config.go 's/o\.baseVersion < record\.History\[0\]\.Base/false/'
 mutate "a call is repeated by the library" internal/system/rpc/rpc.go 's/call\.GetBody = nil/call.Header.Set("Idempotency-Key", "x")/'
 mutate "accepted before it is durable" internal/system/core/jobsapi.go 's/sequence := o\.flush\(\)\n\to\.mu\.Unlock\(\)\n\treturn &api\.Empty\{\}, o\.waitCommitted\(ctx, sequence\)/o.flush()\n\to.mu.Unlock()\n\treturn &api.Empty{}, nil/'
 mutate "a change that was taken is refused when it comes again" internal/system/core/config.go 's/if made\.Digest == o\.digest/if false \&\& made.Digest == o.digest/'
-mutate "nothing runs beside kept room" jobs/reservation.go 's/reserved\.spareCapacity\(\)\.Holds\(demand\)/false/' ./jobs
+mutate "nothing runs beside kept room" jobs/reservation.go 's/reserved\.backfillCapacity\(\)\.Holds\(demand\)/false/' ./jobs
 mutate "what is kept is kept without end" jobs/overdue.go 's/c\.ignoreReservations = idle \|\| group\.isLongRunning\(\)/c.ignoreReservations = idle && false/' ./jobs
 mutate "limits hold back without end" jobs/cycle.go 's/if s\.overdueCycle \{/if false {/' ./jobs
 mutate "waiting work is not counted anew" jobs/backlog.go 's/\t\ts\.recountPendingDemand\(\)\n//' ./jobs
--- a/workeragent/agent.go
+++ b/workeragent/agent.go
@@ -10,7 +10,7 @@
 // Timing holds the durations of the two leases.
 type Timing struct {
 	WorkerLease time.Duration // the lease that each answer grants to the worker: its runs end when it expires
-	AgentLease  time.Duration // the lease that an owner's answer grants to the agent: only while it lasts the agent renews the worker's
+	AgentLease  time.Duration // the lease that an owner's answer grants to the agent: the agent renews the worker's only while it is valid
 }
 
 const (
@@ -52,7 +52,7 @@
 	runsExpireAt  time.Duration // when all runs of the worker have ended unless its lease is renewed; never decreases
 	expiries      int64         // how often that has happened; part of the incarnation
 	expired       bool          // it has happened since the last heartbeat
-	left          bool          // the worker has deregistered
+	deregistered  bool          // the worker has deregistered
 	missedAnswers int64         // answers that the worker has not acted on, and expiries
 
 	token        int64         // the highest fencing token met; never decreases
@@ -121,7 +121,7 @@
 			delete(a.demands, ref)
 		}
 	}
-	if len(a.heartbeat.Finished) >= maxFinished { // the list may be cut, so a run that it lacks may have ended
+	if len(a.heartbeat.Finished) >= maxFinished { // the list may be truncated, so a run that it lacks may have ended
 		return
 	}
 	for ref := range a.stops {
@@ -137,11 +137,11 @@
 }
 
 // acceptsRuns reports whether the worker takes new runs.
-func (a *Agent) acceptsRuns() bool { return a.heartbeat.State == string(jobs.Ready) && !a.left }
+func (a *Agent) acceptsRuns() bool { return a.heartbeat.State == string(jobs.Ready) && !a.deregistered }
 
 // OnDeregister handles the worker's deregistration. Runs that are active may still end, and be reported.
 func (a *Agent) OnDeregister(now time.Duration) {
-	a.left = true
+	a.deregistered = true
 	for ref, o := range a.starts {
 		if !o.inFlight {
 			a.dropOrder(now, ref)
@@ -187,7 +187,7 @@
 }
 
 // Draining reports whether the worker has announced that it will leave.
-func (a *Agent) Draining() bool { return a.left || a.heartbeat.State != string(jobs.Ready) }
+func (a *Agent) Draining() bool { return a.deregistered || a.heartbeat.State != string(jobs.Ready) }
 
 // IsNewest reports whether no heartbeat has come after the one with a sequence number.
 func (a *Agent) IsNewest(sequence int64) bool { return a.heartbeat.Sequence == sequence }
--- a/workeragent/agent_test.go
+++ b/workeragent/agent_test.go
@@ -182,7 +182,7 @@
 	50   => hold`)
 }
 
-// Trap 5: the next heartbeat shows that the worker has not received an answer, and the order is sent again.
+// The next heartbeat shows that the worker has not received an answer, and the order is sent again.
 func TestDroppedAnswerIsRepeated(t *testing.T) {
 	play(t, `
 	0    7: lease
@@ -195,7 +195,7 @@
 	1130 => hold`)
 }
 
-// Trap 7: active, stopping and possibly started runs count against the capacity of 1000.
+// Active, stopping and possibly started runs count against the capacity of 1000.
 func TestCapacityCountsAllRunsThatMayBeActive(t *testing.T) {
 	play(t, `
 	0    7: lease
@@ -214,7 +214,7 @@
 	120  => hold start t2`)
 }
 
-// Trap 7: a new agent process starts nothing before it knows the active runs and their demand, from the next heartbeat
+// A new agent process starts nothing before it knows the active runs and their demand, from the next heartbeat
 // and from the owner.
 func TestNewAgentStartsNothingBesideUnknownRuns(t *testing.T) {
 	play(t, `
@@ -228,7 +228,7 @@
 	60   => hold start t2`)
 }
 
-// Trap 6: an older fencing token is rejected, also after a pause of the process.
+// An older fencing token is rejected, also after a pause of the process.
 func TestOlderOwnerIsFenced(t *testing.T) {
 	play(t, `
 	0    7: lease
@@ -260,7 +260,7 @@
 	8130  => hold`)
 }
 
-// Trap 5: the worker's lease expires on a clock that runs 2% slow, from the heartbeat whose answer may have reached it.
+// The worker's lease expires on a clock that runs 2% slow, from the heartbeat whose answer may have reached it.
 func TestWorkerLeaseExpiresOnASlowClock(t *testing.T) {
 	a := play(t, `
 	0    7: lease
@@ -306,7 +306,7 @@
 	120  => hold`)
 }
 
-// Trap 9: nothing starts on a worker that drains or has deregistered; pending orders are dropped and reported.
+// Nothing starts on a worker that drains or has deregistered; pending orders are dropped and reported.
 func TestDrainStartsNothing(t *testing.T) {
 	play(t, `
 	0    7: lease
@@ -345,7 +345,7 @@
 	}
 }
 
-// Trap 4: an end is reported until the owner has acknowledged it, and last_seen never passes one that it has not.
+// An end is reported until the owner has acknowledged it, and last_seen never passes one that it has not.
 func TestLastSeenWaitsForTheOwner(t *testing.T) {
 	a := play(t, `
 	0    7: lease
--- a/workeragent/answer.go
+++ b/workeragent/answer.go
@@ -21,7 +21,7 @@
 	for ref := range a.stops {
 		answer.Stopped = append(answer.Stopped, RunRef{ref.Task, ref.Attempt})
 	}
-	if now >= a.leaseUntil || a.left {
+	if now >= a.leaseUntil || a.deregistered {
 		return answer
 	}
 	answer.LeaseMS = a.timing.WorkerLease.Milliseconds()
--- a/workeragent/golden_test.go
+++ b/workeragent/golden_test.go
@@ -13,7 +13,7 @@
 		`"capacity":{"cpu":4,"mem_mb":5,"gpu":6},"labels":["k","r"],"clock_ms":7,"sequence":8,` +
 		`"active":[["t",9,"s",10.5]],"finished":[[11,"f",12,"done","sf"]]}`
 	want := workeragent.Heartbeat{
-		Service: "svc", Address: "a:1", Zone: "z", Version: "v", Slots: 1, State: "draining", WarmupLeftMS: 2, RemainingMS: 3,
+		Service: "svc", Address: "a:1", Zone: "z", Version: "v", Slots: 1, State: "draining", WarmupRemainingMS: 2, RemainingMS: 3,
 		Capacity: workeragent.Capacity{CPU: 4, MemMB: 5, GPU: 6}, Labels: []string{"k", "r"}, ClockMS: 7, Sequence: 8,
 		Active:   []workeragent.ActiveRun{{Task: "t", Attempt: 9, Checkpoint: "s", Percent: 10.5}},
 		Finished: []workeragent.FinishedRun{{Number: 11, Task: "f", Attempt: 12, Outcome: "done", Checkpoint: "sf"}},
--- a/workeragent/message.go
+++ b/workeragent/message.go
@@ -3,7 +3,7 @@
 //
 // Fencing tokens and two chained leases (C. Gray and D. Cheriton, "Leases", SOSP 1989) keep a run from being active twice.
 // Owners of the worker's shard may follow one another: the agent obeys the highest fencing token that it has met. An owner
-// grants the agent a lease, and while it lasts the agent grants the worker one with each answer; when the worker's lease
+// grants the agent a lease, and while it is valid the agent grants the worker one with each answer; when the worker's lease
 // expires its runs end. The agent starts nothing beyond the announced capacity, against which active, stopping and possibly
 // started runs count, and nothing on a worker that drains. A worker sends the next heartbeat only after it has received the
 // answer to the last one or has given up on it, so each heartbeat shows exactly what that answer brought about.
@@ -24,20 +24,20 @@
 //
 //easyjson:json
 type Heartbeat struct {
-	Service      string        `json:"service"`
-	Address      string        `json:"address"`
-	Zone         string        `json:"zone"`
-	Version      string        `json:"version"`
-	Slots        int64         `json:"slots"`
-	State        string        `json:"state"`
-	WarmupLeftMS int64         `json:"warmup_left_ms"`
-	RemainingMS  int64         `json:"remaining_ms"`
-	Capacity     Capacity      `json:"capacity"`
-	Labels       []string      `json:"labels"`
-	ClockMS      int64         `json:"clock_ms"`
-	Sequence     int64         `json:"sequence"`
-	Active       []ActiveRun   `json:"active"`
-	Finished     []FinishedRun `json:"finished"`
+	Service           string        `json:"service"`
+	Address           string        `json:"address"`
+	Zone              string        `json:"zone"`
+	Version           string        `json:"version"`
+	Slots             int64         `json:"slots"`
+	State             string        `json:"state"`
+	WarmupRemainingMS int64         `json:"warmup_left_ms"`
+	RemainingMS       int64         `json:"remaining_ms"`
+	Capacity          Capacity      `json:"capacity"`
+	Labels            []string      `json:"labels"`
+	ClockMS           int64         `json:"clock_ms"`
+	Sequence          int64         `json:"sequence"`
+	Active            []ActiveRun   `json:"active"`
+	Finished          []FinishedRun `json:"finished"`
 }
 
 // Capacity is the resources of a worker: CPU in thousandths of a core, memory in MiB, GPUs in whole ones.
--- a/workeragent/message_easyjson.go
+++ b/workeragent/message_easyjson.go
@@ -71,7 +71,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.WarmupLeftMS = int64(in.Int64())
+				out.WarmupRemainingMS = int64(in.Int64())
 			}
 		case "remaining_ms":
 			if in.IsNull() {
@@ -225,7 +225,7 @@
 	{
 		const prefix string = ",\"warmup_left_ms\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.WarmupLeftMS))
+		out.Int64(int64(in.WarmupRemainingMS))
 	}
 	{
 		const prefix string = ",\"remaining_ms\":"
--- a/workeragent/report.go
+++ b/workeragent/report.go
@@ -14,7 +14,7 @@
 	switch {
 	case a.expired:
 		return jobs.LeaseExpired
-	case a.left:
+	case a.deregistered:
 		return jobs.Departed
 	case a.heartbeat.State == string(jobs.Ready):
 		return jobs.Ready
@@ -62,7 +62,7 @@
 	if a.expired {
 		return r
 	}
-	if a.left {
+	if a.deregistered {
 		r.LeaseRemainingMS = max(1, (a.runsExpireAt - now).Milliseconds())
 	}
 	for _, run := range a.heartbeat.Active {
