--- a/cmd/sedgevale/members.go
+++ b/cmd/sedgevale/members.go
@@ -24,11 +24,11 @@
 	}
 	t.row("\nPEER\tZONE\tHEARD\tDISK\tEPOCH\tLEAVING")
 	for _, p := range m.Peers {
-		heard := "never"
+		lastAnswer := "never"
 		if p.LastHeartbeatAgeMS >= 0 {
-			heard = fmt.Sprintf("%d ms ago", p.LastHeartbeatAgeMS)
+			lastAnswer = fmt.Sprintf("%d ms ago", p.LastHeartbeatAgeMS)
 		}
-		t.row("%s\t%s\t%s\t%s\t%d\t%t", p.Address, p.Zone, heard, p.Member, p.Epoch, p.Draining)
+		t.row("%s\t%s\t%s\t%s\t%d\t%t", p.Address, p.Zone, lastAnswer, p.Member, p.Epoch, p.Draining)
 	}
 	t.row("\nSHARD\tOWNER\tTOKEN")
 	for _, o := range m.Owners {
--- a/cmd/sedgevale/queues.go
+++ b/cmd/sedgevale/queues.go
@@ -15,16 +15,16 @@
 
 // Run prints the queues, the pending tasks and, if wanted, the workers of each shard.
 func (c queuesCmd) Run() error {
-	q := &core.QueuesResponse{}
-	if err := c.call(core.MethodQueues, &core.QueuesRequest{}, q); err != nil {
+	response := &core.QueuesResponse{}
+	if err := c.call(core.MethodQueues, &core.QueuesRequest{}, response); err != nil {
 		return err
 	}
-	if len(q.Shards) == 0 {
+	if len(response.Shards) == 0 {
 		_, err := fmt.Println("it owns no shard; `sedgevale members` tells who does")
 		return err
 	}
 	t := newTable(os.Stdout)
-	for _, s := range q.Shards {
+	for _, s := range response.Shards {
 		t.row("shard %s, token %d, %d records, %d replicas in step", s.Shard, s.Token, s.Records, s.InSync)
 		t.row("QUEUE\tPRIORITY\tUNENDED\tPENDING\tHELD\tWAITING\tSIGMA\tUSUAL RUN")
 		for _, queue := range s.Queues {
--- a/coord/membership/model_test.go
+++ b/coord/membership/model_test.go
@@ -19,7 +19,7 @@
 	walkSteps               = 6000
 	maxBallot               = 120
 	maxConcurrentRounds     = 3   // rounds of which new messages are delivered at a time
-	stepsBetweenLinkChanges = 150 // steps between two changes of which links are cut
+	stepsBetweenLinkChanges = 150 // steps between two changes of which links are partitioned
 )
 
 var diskNames = [disks]string{BootstrapID("a"), BootstrapID("b"), BootstrapID("c"), "x", "y"}
--- a/internal/system/core/config_test.go
+++ b/internal/system/core/config_test.go
@@ -11,7 +11,7 @@
 
 const service = `"services":[{"name":"s","tls":false,"preconditions":false}]`
 
-func whole(version int, routes string) string {
+func configText(version int, routes string) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[%s],%s,"limits":{"max_body_bytes":1000}}`, version, routes, service)
 }
 
@@ -19,19 +19,19 @@
 	return fmt.Sprintf(`{"name":%q,"host":"h","path_prefix":%q,"timeout_ms":3000,"service":"s","retries":2,"extra":1}`, name, prefix)
 }
 
-// steps applies changes one after another; a line is: kind, If-Match, body, the code that is wanted.
+// changeStep is a change by an operator and the expected code of its answer.
 type changeStep struct {
-	patch bool
-	match int64
-	body  string
-	want  result.Code
+	patch       bool
+	baseVersion int64 // the If-Match header
+	body        string
+	want        result.Code
 }
 
-func run(t *testing.T, steps []changeStep) configRecord {
+func applySteps(t *testing.T, steps []changeStep) configRecord {
 	t.Helper()
 	var current []byte
 	for i, step := range steps {
-		next, err := newOperatorChange(step.patch, step.match, []byte(step.body)).apply(current)
+		next, err := newOperatorChange(step.patch, step.baseVersion, []byte(step.body)).apply(current)
 		if result.CodeOf(err) != step.want {
 			t.Errorf("step %d: error %v, code %d wanted", i, err, step.want)
 		}
@@ -47,26 +47,26 @@
 }
 
 func TestOnlyOneOfTwoRacingChangesIsTaken(t *testing.T) {
-	one, two := whole(2, route("a", "/a/")), whole(2, route("b", "/b/"))
-	record := run(t, []changeStep{
-		{false, 0, whole(1, ""), result.OK},
-		{false, 1, one, result.OK},
-		{false, 1, two, result.Conflict},
-		{false, 1, one, result.OK}, // sent again
+	first, second := configText(2, route("a", "/a/")), configText(2, route("b", "/b/"))
+	record := applySteps(t, []changeStep{
+		{false, 0, configText(1, ""), result.OK},
+		{false, 1, first, result.OK},
+		{false, 1, second, result.Conflict},
+		{false, 1, first, result.OK}, // a retry
 	})
-	if string(record.Text) != one {
+	if string(record.Text) != first {
 		t.Errorf("in force: %s", record.Text)
 	}
 }
 
-// A change that was taken is never refused, also when others came since.
+// A change that was made is never rejected when it is retried, also when others were made since.
 func TestTakenChangeIsAcknowledgedAgain(t *testing.T) {
-	one := whole(2, route("a", "/a/"))
-	record := run(t, []changeStep{
-		{false, 0, whole(1, ""), result.OK},
-		{false, 1, one, result.OK},
-		{false, 2, whole(3, ""), result.OK},
-		{false, 1, one, result.OK},
+	first := configText(2, route("a", "/a/"))
+	record := applySteps(t, []changeStep{
+		{false, 0, configText(1, ""), result.OK},
+		{false, 1, first, result.OK},
+		{false, 2, configText(3, ""), result.OK},
+		{false, 1, first, result.OK},
 	})
 	if record.Version != 3 {
 		t.Errorf("version %d in force", record.Version)
@@ -74,20 +74,20 @@
 }
 
 func TestInvalidConfigurationsChangeNothing(t *testing.T) {
-	good := whole(5, route("a", "/a/"))
+	good := configText(5, route("a", "/a/"))
 	cases := map[string]string{
-		"cut short":       good[:len(good)-9],
-		"unknown service": strings.Replace(whole(6, route("a", "/a/")), `"service":"s"`, `"service":"x"`, 1),
-		"same place":      whole(6, route("a", "/a/")+","+route("b", "/a/")),
-		"same name":       whole(6, route("a", "/a/")+","+route("a", "/b/")),
-		"no time-out":     strings.Replace(whole(6, route("a", "/a/")), `"timeout_ms":3000`, `"timeout_ms":0`, 1),
-		"old version":     whole(4, route("a", "/a/")),
-		"same version":    whole(5, route("b", "/b/")),
+		"truncated":       good[:len(good)-9],
+		"unknown service": strings.Replace(configText(6, route("a", "/a/")), `"service":"s"`, `"service":"x"`, 1),
+		"same prefix":     configText(6, route("a", "/a/")+","+route("b", "/a/")),
+		"same name":       configText(6, route("a", "/a/")+","+route("a", "/b/")),
+		"no time-out":     strings.Replace(configText(6, route("a", "/a/")), `"timeout_ms":3000`, `"timeout_ms":0`, 1),
+		"old version":     configText(4, route("a", "/a/")),
+		"same version":    configText(5, route("b", "/b/")),
 		"no object":       `[1]`,
-		"wrong type":      strings.Replace(whole(6, route("a", "/a/")), `"retries":2`, `"retries":"two"`, 1),
+		"wrong type":      strings.Replace(configText(6, route("a", "/a/")), `"retries":2`, `"retries":"two"`, 1),
 	}
 	for name, body := range cases {
-		record := run(t, []changeStep{{false, 0, good, result.OK}, {false, 5, body, result.Invalid}})
+		record := applySteps(t, []changeStep{{false, 0, good, result.OK}, {false, 5, body, result.Invalid}})
 		if record.Version != 5 {
 			t.Errorf("%s: version %d in force", name, record.Version)
 		}
@@ -95,8 +95,8 @@
 }
 
 func TestPatchChangesNamedItems(t *testing.T) {
-	record := run(t, []changeStep{
-		{false, 0, whole(1, route("a", "/a/")+","+route("b", "/b/")), result.OK},
+	record := applySteps(t, []changeStep{
+		{false, 0, configText(1, route("a", "/a/")+","+route("b", "/b/")), result.OK},
 		{true, 1, fmt.Sprintf(`{"version":4,"upsert":{"routes":[%s,%s]},"remove":{"routes":["b"]}}`,
 			route("a", "/aa/"), route("c", "/c/")), result.OK},
 		{true, 1, `{"version":9,"remove":{"routes":["a"]}}`, result.Conflict},
@@ -114,42 +114,42 @@
 }
 
 func TestErrorsNameTheItem(t *testing.T) {
-	_, err := newOperatorChange(false, 0, []byte(whole(1, route("a", "/a/")+","+route("b", "/a/")))).apply(nil)
+	_, err := newOperatorChange(false, 0, []byte(configText(1, route("a", "/a/")+","+route("b", "/a/")))).apply(nil)
 	if err == nil || !strings.Contains(err.Error(), `routes[1] "b"`) {
 		t.Errorf("error %v", err)
 	}
-	_, err = newOperatorChange(false, 0, []byte(strings.Replace(whole(1, route("a", "/a/")), `3000`, `0`, 1))).apply(nil)
+	_, err = newOperatorChange(false, 0, []byte(strings.Replace(configText(1, route("a", "/a/")), `3000`, `0`, 1))).apply(nil)
 	if err == nil || !strings.Contains(err.Error(), "timeout_ms") {
 		t.Errorf("error %v", err)
 	}
 }
 
-// An order that is sent again is acknowledged again after hundreds of changes, and never refused after more.
+// A change that is retried is acknowledged again after hundreds of others, and never rejected after more.
 func TestOldChangesAreNeverRejected(t *testing.T) {
 	var current []byte
-	var orders []*operatorChange
+	var changes []*operatorChange
 	for version := range maxHistory + 100 {
-		order := newOperatorChange(false, int64(version), []byte(whole(version+1, "")))
-		next, err := order.apply(current)
+		change := newOperatorChange(false, int64(version), []byte(configText(version+1, "")))
+		next, err := change.apply(current)
 		if err != nil {
 			t.Fatal(err)
 		}
 		current = next
-		orders = append(orders, order)
+		changes = append(changes, change)
 	}
-	for i, order := range orders {
-		next, err := order.apply(current)
+	for i, change := range changes {
+		next, err := change.apply(current)
 		if i >= 100 {
 			if err != nil || string(next) != string(current) {
-				t.Fatalf("order %d of %d, sent again: %v", i, len(orders), err)
+				t.Fatalf("change %d of %d, retried: %v", i, len(changes), err)
 			}
 		} else if result.CodeOf(err) != result.OutcomeUnknown {
-			t.Fatalf("order %d of %d, sent again: %v", i, len(orders), err)
+			t.Fatalf("change %d of %d, retried: %v", i, len(changes), err)
 		}
 	}
-	rival := newOperatorChange(false, maxHistory, []byte(whole(maxHistory+1, route("a", "/a/"))))
+	rival := newOperatorChange(false, maxHistory, []byte(configText(maxHistory+1, route("a", "/a/"))))
 	if _, err := rival.apply(current); result.CodeOf(err) != result.Conflict {
-		t.Errorf("another order on a version that is remembered: %v", err)
+		t.Errorf("another change on a version that is in the history: %v", err)
 	}
 	if len(current) > 12<<10 {
 		t.Errorf("the register holds %d bytes", len(current))
--- a/internal/system/core/draining_test.go
+++ b/internal/system/core/draining_test.go
@@ -10,36 +10,36 @@
 
 // A member that drains waits for a claim of an owner that knew of it: before, the owner counted the draining one too.
 func TestDrainingMemberWaitsForAFreshClaim(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	since := time.Now().Add(-time.Second / 2)
 	c := &Core{address: "a", store: s.stores["a"], peers: map[string]*peerState{}, draining: true, drainingSince: since}
 	c.config = &configState{config: &clusterconfig.Config{Services: []clusterconfig.Service{{Name: "s"}}}}
-	hear := func(address string, after time.Duration, claims ...ownershipClaim) {
+	setPeer := func(address string, after time.Duration, claims ...ownershipClaim) {
 		c.peers[address] = &peerState{known: true, lastHeartbeat: since.Add(after), status: pingMessage{Address: address, Claims: claims}}
 	}
 	owned := func(inSync int64) ownershipClaim {
 		return ownershipClaim{Shard: "s", Token: 2, Fresh: true, InSync: inSync}
 	}
 	cases := []struct {
-		name  string
-		heard time.Duration
-		in    int64
-		want  bool
+		name   string
+		age    time.Duration // of the claim, relative to the start of the drain
+		inSync int64
+		want   bool
 	}{
 		{"the claim is from before", -time.Millisecond, 2, false},
 		{"one that stays is not in sync", 100 * time.Millisecond, 1, false},
 		{"all that stay are in sync", 100 * time.Millisecond, 2, true},
 	}
-	for _, one := range cases {
-		hear("b", one.heard, owned(one.in))
-		hear("c", one.heard)
-		if got := c.safeToStop(); got != one.want {
-			t.Errorf("%s: released %t", one.name, got)
+	for _, test := range cases {
+		setPeer("b", test.age, owned(test.inSync))
+		setPeer("c", test.age)
+		if got := c.safeToStop(); got != test.want {
+			t.Errorf("%s: safe to stop: %t", test.name, got)
 		}
 	}
-	hear("d", 100*time.Millisecond)
+	setPeer("d", 100*time.Millisecond)
 	if c.safeToStop() {
-		t.Error("it ends before the machine that came for it has its seat")
+		t.Error("safe to stop before the spare that joins has its seat")
 	}
 	d := s.stores["b"].currentMembership()
 	next, err := membership.NextProposal(d, d, membership.AddLearner(d.SeatAt("a"), "x", "d"))
@@ -50,10 +50,10 @@
 		t.Fatal(err)
 	}
 	if c.safeToStop() {
-		t.Error("it ends before its successor is in sync")
+		t.Error("safe to stop before its successor is in sync")
 	}
-	hear("b", 100*time.Millisecond, owned(3))
+	setPeer("b", 100*time.Millisecond, owned(3))
 	if !c.safeToStop() {
-		t.Error("it goes on though all that stay are in sync")
+		t.Error("not safe to stop though all that stay are in sync")
 	}
 }
--- a/internal/system/core/liveness_test.go
+++ b/internal/system/core/liveness_test.go
@@ -14,26 +14,26 @@
 	for _, address := range []string{"a:1", "b:1", "c:1"} {
 		c.store.membership.Seats = append(c.store.membership.Seats, membership.Member{ID: "disk " + address, Address: address, Voter: true})
 	}
-	heard := func(address string) { c.peers[address] = &peerState{known: true, lastHeartbeat: time.Now()} }
+	answered := func(address string) { c.peers[address] = &peerState{known: true, lastHeartbeat: time.Now()} }
 	if c.allPeersAlive() {
-		t.Error("all are heard before anybody answered")
+		t.Error("all count as alive before any has answered")
 	}
-	heard("b:1")
+	answered("b:1")
 	if c.allPeersAlive() {
-		t.Error("all are heard, and a holder of a seat is missing")
+		t.Error("all count as alive, and the holder of a seat has not answered")
 	}
-	heard("c:1")
+	answered("c:1")
 	if !c.allPeersAlive() {
-		t.Error("not all are heard, and nobody is missing")
+		t.Error("not all count as alive, and all have answered")
 	}
 	c.peers["d:1"] = &peerState{known: true}
 	if c.allPeersAlive() {
-		t.Error("all are heard, and a spare that others hear, which may own a shard, is missing")
+		t.Error("all count as alive, and a spare that others count as alive, which may own a shard, has not answered")
 	}
-	heard("d:1")
+	answered("d:1")
 	c.peers["e:1"] = &peerState{} // named by the settings alone
 	if !c.allPeersAlive() {
-		t.Error("a machine that nobody hears is waited for")
+		t.Error("a machine that nobody counts as alive is waited for")
 	}
 }
 
--- a/internal/system/core/store_test.go
+++ b/internal/system/core/store_test.go
@@ -12,16 +12,16 @@
 	"sedgevale/internal/system/result"
 )
 
-// site is the stores of a small core, joined by direct calls.
-type site struct {
+// storeCluster is the stores of three core machines, which tests call directly.
+type storeCluster struct {
 	t      *testing.T
 	first  membership.Membership
 	stores map[string]*store
 	dirs   map[string]string
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{t: t, first: membership.Bootstrap(3, []string{"a", "b", "c"}), stores: map[string]*store{}, dirs: map[string]string{}}
+func newStoreCluster(t *testing.T) *storeCluster {
+	s := &storeCluster{t: t, first: membership.Bootstrap(3, []string{"a", "b", "c"}), stores: map[string]*store{}, dirs: map[string]string{}}
 	for _, address := range []string{"a", "b", "c"} {
 		s.dirs[address] = t.TempDir()
 		s.start(address, true)
@@ -30,7 +30,7 @@
 }
 
 // start opens the disk of an address, as after a power loss.
-func (s *site) start(address string, bootstrap bool) *store {
+func (s *storeCluster) start(address string, bootstrap bool) *store {
 	s.t.Helper()
 	opened, err := openStore(s.dirs[address], address, s.first, bootstrap)
 	if err != nil {
@@ -41,24 +41,24 @@
 }
 
 // wipe gives an address an empty disk.
-func (s *site) wipe(address string) *store {
+func (s *storeCluster) wipe(address string) *store {
 	s.dirs[address] = s.t.TempDir()
 	return s.start(address, false)
 }
 
-func (s *site) ctx() context.Context {
+func (s *storeCluster) ctx() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	s.t.Cleanup(cancel)
 	return ctx
 }
 
 // to is the target of a message to an address under the membership that another store knows.
-func (s *site) to(address, by string) target {
+func (s *storeCluster) to(address, by string) target {
 	return target{Membership: s.stores[by].currentMembership(), Member: s.stores[address].identity.ID}
 }
 
 // change has the stores named choose another membership, all of them, and sends it to them and to others.
-func (s *site) change(change membership.Change, by []string, others ...string) {
+func (s *storeCluster) change(change membership.Change, by []string, others ...string) {
 	s.t.Helper()
 	installed := s.stores[by[0]].currentMembership()
 	next, err := membership.NextProposal(installed, installed, change)
@@ -83,7 +83,7 @@
 }
 
 // rejoin has an address take a seat with the state that the others send, and vote.
-func (s *site) rejoin(address string, seat int, from ...string) error {
+func (s *storeCluster) rejoin(address string, seat int, from ...string) error {
 	s.t.Helper()
 	st := s.stores[address]
 	s.change(membership.AddLearner(seat, st.identity.ID, address), from, address)
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (s *site) accept(address string, to target, ballot int64, value string) error {
+func (s *storeCluster) accept(address string, to target, ballot int64, value string) error {
 	r := &acceptRequest{To: to, Name: "config", Ballot: register.Ballot{Counter: ballot, Proposer: "p"}, Value: []byte(value)}
 	answer, err := s.stores[address].accept(s.ctx(), r)
 	if err == nil && !answer.Accepted {
@@ -114,7 +114,7 @@
 // writeToken is the fencing token under which tests write.
 const writeToken = 3
 
-func (s *site) write(address, key string) error {
+func (s *storeCluster) write(address, key string) error {
 	r := &writeRequest{
 		To: s.to(address, address), Shard: "s", Token: writeToken,
 		Records: []shard.Record{{Key: key, Version: shard.Version{Token: writeToken, Sequence: 1}, Value: []byte("v")}},
@@ -123,13 +123,13 @@
 	return err
 }
 
-func (s *site) repair(address string, token int64) error {
+func (s *storeCluster) repair(address string, token int64) error {
 	r := &repairRequest{To: s.to(address, address), Shard: "s", Token: token, Last: true}
 	_, err := s.stores[address].repair(s.ctx(), r)
 	return err
 }
 
-func (s *site) wantCode(err error, want result.Code) {
+func (s *storeCluster) wantCode(err error, want result.Code) {
 	s.t.Helper()
 	if result.CodeOf(err) != want {
 		s.t.Errorf("error %v, code %d wanted", err, want)
@@ -138,7 +138,7 @@
 
 // What was acknowledged is there after a power loss, with promises and fencing tokens.
 func TestStoreSurvivesPowerLoss(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "value"), result.OK)
 	s.wantCode(s.repair("a", 3), result.OK)
 	s.wantCode(s.write("a", "key"), result.OK)
@@ -153,7 +153,7 @@
 // A disk that came back empty neither votes nor acknowledges, whether it is addressed by the name of the lost
 // disk or by its own.
 func TestEmptyDiskDoesNotVote(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	lost := s.to("c", "a")
 	s.wantCode(s.accept("c", lost, 5, "value"), result.OK)
 	st := s.wipe("c")
@@ -175,7 +175,7 @@
 // Once it has learned from the two others it votes, knows what they hold, and what was on its way to them
 // takes no effect any more.
 func TestEmptyDiskLearnsFromTheOthers(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	late, again := s.to("b", "b"), s.to("a", "a")
 	s.wantCode(s.accept("a", again, 5, "chosen"), result.OK)
 	s.wantCode(s.accept("c", s.to("c", "c"), 5, "chosen"), result.OK)
@@ -190,9 +190,9 @@
 	s.wantCode(s.accept("c", s.to("c", "a"), 9, "next"), result.OK)
 }
 
-// A learner that has not heard a quorum yet votes for nothing, though it holds the seat.
+// A learner that has not read the state of a quorum yet does not vote, though it holds the seat.
 func TestLearnerDoesNotVote(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	st := s.wipe("c")
 	s.change(membership.AddLearner(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
 	s.wantCode(s.accept("c", s.to("c", "c"), 5, "value"), result.NotRecovered)
@@ -205,7 +205,7 @@
 // A disk that gave its seat up and takes one anew has missed what was written meanwhile, though the owner is still the one
 // that it was in sync with: it votes about no shard before that owner has repaired it, also after a power loss.
 func TestSeatTakenAnewIsNoVoterForItsShards(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	for _, address := range []string{"a", "b", "c"} {
 		s.wantCode(s.repair(address, 3), result.OK)
 	}
@@ -233,28 +233,28 @@
 	}
 }
 
-// A learner takes over what a quorum told it in its own epoch, each member once; less may lack what was chosen.
+// A learner restores what a quorum sent it in its own epoch, each member counted once; fewer answers may lack what was chosen.
 func TestLearnerReadsAQuorum(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	s.wantCode(s.accept("b", s.to("b", "b"), 5, "chosen"), result.OK)
 	s.wantCode(s.accept("c", s.to("c", "c"), 5, "chosen"), result.OK)
 	st := s.wipe("c")
 	before, err := s.stores["a"].state(s.ctx(), &stateRequest{To: s.to("a", "a")})
 	s.wantCode(err, result.OK)
 	s.change(membership.AddLearner(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
-	told := map[string]*stateResponse{}
+	states := map[string]*stateResponse{}
 	for _, other := range []string{"a", "b"} {
-		told[other], err = s.stores[other].state(s.ctx(), &stateRequest{To: s.to(other, "c")})
+		states[other], err = s.stores[other].state(s.ctx(), &stateRequest{To: s.to(other, "c")})
 		s.wantCode(err, result.OK)
 	}
 	epoch := st.membership.Epoch
-	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{told["a"]}), result.Unavailable)
-	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{told["a"], told["a"]}), result.Unavailable)
-	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{before, told["b"]}), result.Unavailable)
+	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{states["a"]}), result.Unavailable)
+	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{states["a"], states["a"]}), result.Unavailable)
+	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{before, states["b"]}), result.Unavailable)
 	if st.identity.Restored || st.registers["config"] != nil {
 		t.Error("something was taken over from less than a quorum")
 	}
-	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{told["a"], told["b"]}), result.OK)
+	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{states["a"], states["b"]}), result.OK)
 	if got := string(st.registers["config"].Value); got != "chosen" {
 		t.Errorf("learned %q", got)
 	}
@@ -263,7 +263,7 @@
 // A replica with a new disk may have forgotten records: it takes writes, but no part in a takeover before an owner has
 // brought it in sync.
 func TestNewDiskIsNoVoterForItsShards(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	s.wantCode(s.repair("a", 3), result.OK)
 	s.wantCode(s.repair("c", 3), result.OK)
 	s.wantCode(s.write("c", "key"), result.OK)
@@ -285,7 +285,7 @@
 
 // Writes of an owner that addresses the disk which was lost are rejected.
 func TestWritesToALostDiskAreRejected(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	s.wantCode(s.repair("c", 3), result.OK)
 	lost := s.stores["c"].identity.ID
 	s.wipe("c")
@@ -297,7 +297,7 @@
 
 // Two disks in a row, and a machine at another address for one that is gone.
 func TestDisksAreLostInARow(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "chosen"), result.OK)
 	s.wantCode(s.accept("b", s.to("b", "b"), 5, "chosen"), result.OK)
 	s.wipe("a")
@@ -308,14 +308,14 @@
 	if got := string(s.stores["d"].registers["config"].Value); got != "chosen" {
 		t.Errorf("learned %q", got)
 	}
-	// The machine that was replaced has kept its disk, and votes no more once it hears of it.
+	// The machine that was replaced has kept its disk, and votes no more once it learns that.
 	s.wantCode(s.accept("b", s.to("b", "d"), 9, "late"), result.NotRecovered)
 }
 
 // A replica that was replaced takes no part in confirming an old value. Its former membership is known to two of
 // three, and the one of these that stays has reached the next epoch.
 func TestReplacedReplicaConfirmsNothing(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	for _, address := range []string{"a", "b", "c"} {
 		s.wantCode(s.accept(address, s.to(address, address), 5, "old"), result.OK)
 	}
@@ -326,7 +326,7 @@
 	s.wantCode(s.accept("d", s.to("d", "d"), 9, "new"), result.OK)
 	s.wantCode(s.accept("c", s.to("c", "d"), 9, "new"), result.OK)
 	if answer, err := s.stores["a"].readAccepted(s.ctx(), &readAcceptedRequest{To: s.to("a", "a"), Name: "config"}); err != nil || string(answer.Value) != "old" {
-		t.Errorf("the replaced replica has not heard of it yet: %v", err)
+		t.Errorf("the replaced replica has not learned that yet: %v", err)
 	}
 	_, err := s.stores["b"].readAccepted(s.ctx(), &readAcceptedRequest{To: toB, Name: "config"})
 	s.wantCode(err, result.EpochOutdated)
@@ -334,7 +334,7 @@
 
 // Ballots of two incarnations of a disk, and of two disks at one address, differ, and the counter is restored.
 func TestBallotsAreUniqueAcrossIncarnations(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	to := s.to("a", "a")
 	first := s.stores["a"].proposer()
 	_, err := s.stores["a"].prepare(s.ctx(), &prepareRequest{To: to, Name: "config", Ballot: register.Ballot{Counter: 7, Proposer: first}})
@@ -354,7 +354,7 @@
 
 // What was applied and is not durable yet is not acknowledged: a power loss may undo it.
 func TestOnlyDurableStateIsAcknowledged(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	st := s.stores["a"]
 	st.log.Close()
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "value"), result.StorageFailed)
@@ -366,7 +366,7 @@
 
 // A machine that comes after the first start takes the membership from those that are there, not from its list of seeds.
 func TestLateMachineBuildsNoMembership(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	s.first = membership.Bootstrap(3, []string{"b", "c", "d"})
 	s.dirs["d"] = t.TempDir()
 	st := s.start("d", false)
@@ -379,9 +379,9 @@
 	}
 }
 
-// Bad input: each is refused with a numbered error that names both sides, and changes nothing.
+// Bad input: each is rejected with the code of its error, and changes nothing.
 func TestImpossibleMessagesChangeNothing(t *testing.T) {
-	s := newSite(t)
+	s := newStoreCluster(t)
 	good := s.to("a", "a")
 	bad := func(change func(*membership.Membership)) target {
 		m := good.Membership.Clone()
--- a/internal/system/result/golden_test.go
+++ b/internal/system/result/golden_test.go
@@ -6,7 +6,7 @@
 	"sedgevale/internal/system/result"
 )
 
-// The numbers are told to operators and between releases; docs/RESULTS.md explains them.
+// The numbers are known to operators and to other releases; docs/RESULTS.md explains them.
 func TestNumbersOfCodes(t *testing.T) {
 	for got, want := range map[result.Code]int{
 		result.OK: 0, result.BadRequest: 1001, result.NotOwner: 1002, result.NotReady: 1003, result.Fenced: 1004, result.EpochOutdated: 1005,
--- a/internal/system/rpc/rpc_test.go
+++ b/internal/system/rpc/rpc_test.go
@@ -15,7 +15,7 @@
 	"sedgevale/internal/system/result"
 )
 
-type word struct{ Text string }
+type message struct{ Text string }
 
 func closeConn(t *testing.T, c io.Closer) {
 	t.Helper()
@@ -58,7 +58,7 @@
 
 func answer(t *testing.T, c net.Conn, text string) {
 	t.Helper()
-	body, err := avrocodec.Encode(&word{text})
+	body, err := avrocodec.Encode(&message{text})
 	if err != nil {
 		t.Error(err)
 	}
@@ -75,7 +75,7 @@
 			_ = c.(*net.TCPConn).SetLinger(0)
 			closeConn(t, c)
 		},
-		"cut short": func(c net.Conn) {
+		"truncated": func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nhalf")
 			closeConn(t, c)
 		},
@@ -93,11 +93,11 @@
 			defer client.Close()
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
-			got := &word{}
-			if err := client.Call(ctx, address, "m", &word{"ask"}, got); err != nil || got.Text != "first" {
+			got := &message{}
+			if err := client.Call(ctx, address, "m", &message{"ask"}, got); err != nil || got.Text != "first" {
 				t.Fatal(got, err)
 			}
-			err := client.Call(ctx, address, "m", &word{"ask"}, &word{})
+			err := client.Call(ctx, address, "m", &message{"ask"}, &message{})
 			if result.CodeOf(err) != result.TransportFailed || result.Unchanged(err) {
 				t.Errorf("error %v; the call may have been acted on", err)
 			}
@@ -123,14 +123,14 @@
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if err := client.Call(ctx, address, "m", &word{"one"}, &word{}); result.CodeOf(err) != result.TransportFailed {
+	if err := client.Call(ctx, address, "m", &message{"one"}, &message{}); result.CodeOf(err) != result.TransportFailed {
 		t.Errorf("error %v", err)
 	}
 	close(given)
 	for range 20 {
 		next, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		got := &word{}
-		if err := client.Call(next, address, "m", &word{"two"}, got); err != nil || got.Text != "second" {
+		got := &message{}
+		if err := client.Call(next, address, "m", &message{"two"}, got); err != nil || got.Text != "second" {
 			t.Errorf("%q came, %v", got.Text, err)
 		}
 		cancel()
--- a/internal/system/simulation/control_test.go
+++ b/internal/system/simulation/control_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The scenarios of docs/design/control.md, one test each. The points are its sections.
+// The scenarios of docs/design/control.md, one test each.
 
 // runScenario runs a scenario on a cluster with a first configuration, and prints the timeline if it fails.
 func runScenario(t *testing.T, size topology, scenario func(t *testing.T, c *cluster)) {
--- a/internal/system/simulation/partition_test.go
+++ b/internal/system/simulation/partition_test.go
@@ -14,7 +14,7 @@
 	maxGoroutinesAfterHeal   = 150 // and after it
 )
 
-// Requirement 12: during a partition everything waits with a timeout, so that no goroutine and no connection leaks.
+// During a partition everything waits with a timeout, so that no goroutine and no connection leaks.
 func TestLongPartitionIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
@@ -63,7 +63,7 @@
 			c.partitionLink(m.ip, c.machine(other).ip, active, oneWay)
 		}
 	}
-	c.record(name, "%s", map[bool]string{true: "cut", false: "heal"}[active])
+	c.record(name, "%s", map[bool]string{true: "partition", false: "heal"}[active])
 }
 
 // partitionLink stops traffic from one address to another, and back too unless it is one way, or heals both directions.
@@ -79,7 +79,7 @@
 	m := c.machine(name)
 	c.network.partition("w"+m.ip, m.ip, active)
 	c.network.partition(m.ip, "w"+m.ip, active)
-	c.record(name, "%s", map[bool]string{true: "w-cut", false: "w-heal"}[active])
+	c.record(name, "%s", map[bool]string{true: "w-partition", false: "w-heal"}[active])
 }
 
 // partitionInbound stops traffic to a core machine from all others, or heals that.
@@ -93,7 +93,7 @@
 
 // partitionFrom partitions a core machine from some others, or heals the partition.
 func (c *cluster) partitionFrom(name string, active bool, others ...string) {
-	c.record(name, "%s", map[bool]string{true: "cut", false: "heal"}[active])
+	c.record(name, "%s", map[bool]string{true: "partition", false: "heal"}[active])
 	for _, other := range others {
 		c.partitionLink(c.machine(name).ip, c.machine(other).ip, active, false)
 	}
@@ -108,7 +108,7 @@
 		}
 	}
 	oneWay := c.intN(2) == 0
-	c.record(name, "cut %d", len(others))
+	c.record(name, "partition %d", len(others))
 	for _, other := range others {
 		c.partitionLink(c.machine(name).ip, c.machine(other).ip, true, oneWay)
 	}
--- a/internal/system/simulation/stored_data_test.go
+++ b/internal/system/simulation/stored_data_test.go
@@ -24,13 +24,13 @@
 // storedData is where tests of what reads a core machine's data directory find those of this test.
 const storedData = "../statefile/testdata"
 
-// storedConfiguration is the configuration under which the stored jobs were handed in.
+// storedConfiguration is the configuration under which the stored jobs were submitted.
 const storedConfiguration = `{"version":%d,"routes":[` +
 	`{"name":"q","host":"h","path_prefix":"/q/","timeout_ms":3000,"target_latency_ms":1000,"priority":0,"service":"svc","retries":2,"extension":2},` +
 	`{"name":"r","host":"h","path_prefix":"/r/","timeout_ms":4000,"target_latency_ms":2000,"priority":1,"service":"svc","retries":0,"extension":2}],` +
 	`"services":[{"name":"svc"}]}`
 
-// storedJobs are handed in by queue and ID. What their texts mean to the worker is said at scriptedWorker.
+// storedJobs are the submitted jobs, by queue and ID. scriptedWorker documents what their texts mean to the worker.
 var storedJobs = []struct{ path, body string }{
 	{"/q/00000000000000d1", `{"spec":"short","stages":[{"count":2,"cpu":100,"estimate_ms":200},{"count":1,"cpu":100,"depends_on":[0]}]}`},
 	{"/q/00000000000000f1", `{"spec":"fail","stages":[{"count":1,"cpu":100,"estimate_ms":200}]}`},
@@ -123,9 +123,9 @@
 	}
 }
 
-func (s *scriptedWorker) end(one workeragent.ActiveRun, how string) {
+func (s *scriptedWorker) end(run workeragent.ActiveRun, outcome string) {
 	s.number++
-	s.finished = append(s.finished, workeragent.FinishedRun{Number: s.number, Task: one.Task, Attempt: one.Attempt, Outcome: how, Checkpoint: one.Checkpoint})
+	s.finished = append(s.finished, workeragent.FinishedRun{Number: s.number, Task: run.Task, Attempt: run.Attempt, Outcome: outcome, Checkpoint: run.Checkpoint})
 }
 
 // A whole system writes what a core machine keeps: registers, seats, shards and jobs, before and after the takeover of a
@@ -153,11 +153,11 @@
 		c.start(owner)
 		time.Sleep(catchUpTimeout)
 		c.putStored(t, 3)
-		c.handIn(t, "/r/00000000000000b2", storedJobs[4].body)
+		c.submitStoredJob(t, "/r/00000000000000b2", storedJobs[4].body)
 		c.kill(others[0])
 		c.start(others[0])
 		time.Sleep(4 * time.Second)
-		c.handIn(t, "/q/00000000000000b3", storedJobs[4].body)
+		c.submitStoredJob(t, "/q/00000000000000b3", storedJobs[4].body)
 		time.Sleep(time.Second)
 		c.kill(others[0])
 		c.checkDirectory(t, others[0], "generation", "epoch 3 of", "life 3,", "shard svc: token 2,", "configuration 3\n")
@@ -166,7 +166,7 @@
 	})
 }
 
-// startScripted puts a scripted worker in the place of the others and returns what ends it.
+// startScripted replaces the fake workers by a scripted one and returns the function that ends it.
 func (c *cluster) startScripted() context.CancelFunc {
 	for i := range sideCount {
 		c.workers[fmt.Sprint("side", i)]()
@@ -184,13 +184,13 @@
 	return cancel
 }
 
-// submitStored hands the stored jobs in and cancels one of them.
+// submitStored submits the stored jobs and cancels one of them.
 func (c *cluster) submitStored(t *testing.T) {
 	t.Helper()
 	c.putStored(t, 2)
 	time.Sleep(2 * time.Second)
 	for _, job := range storedJobs {
-		c.handIn(t, job.path, job.body)
+		c.submitStoredJob(t, job.path, job.body)
 	}
 	time.Sleep(6 * time.Second)
 	if status, _ := c.call(http.MethodDelete, "10.0.1.1:90", storedJobs[3].path, "h", "", ""); status != http.StatusOK {
@@ -207,7 +207,7 @@
 	}
 }
 
-func (c *cluster) handIn(t *testing.T, path, body string) {
+func (c *cluster) submitStoredJob(t *testing.T, path, body string) {
 	t.Helper()
 	if status, text := c.call(http.MethodPost, "10.0.1.1:90", path, "h", "", body); status != http.StatusOK {
 		t.Fatalf("%s: %d %s", path, status, text)
--- a/internal/system/statefile/statefile_test.go
+++ b/internal/system/statefile/statefile_test.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// A disk that refuses a write fails the appends that wait; the next ones begin a new generation with all that is known.
+// A disk that rejects a write fails the appends that wait; the next ones begin a new generation with all that is known.
 func TestFailedWriteBeginsANewGeneration(t *testing.T) {
 	dir := t.TempDir()
 	m := &memory{}
--- a/internal/system/statefile/stored_data_test.go
+++ b/internal/system/statefile/stored_data_test.go
@@ -63,7 +63,7 @@
 	return fmt.Sprintf("%x", hash.Sum(nil)[:8])
 }
 
-// What the program wrote before is read whole: each file, and each entry in its order.
+// What an earlier release wrote is read completely: each file, and each entry in order.
 func TestStoredDirectoriesAreReadCompletely(t *testing.T) {
 	for _, stored := range storedDirectories {
 		t.Run(stored.name, func(t *testing.T) {
--- a/jobs/gang_test.go
+++ b/jobs/gang_test.go
@@ -40,8 +40,8 @@
 	60  worker b cpu=4000 gpu=8 endall failed
 	70  disk commit
 	80  client j = running
-	90  orders a = noted 1 start j.0.0.?/2
-	90  orders b = noted 1 start j.0.0.?/2`)
+	90  orders a = acked 1 start j.0.0.?/2
+	90  orders b = acked 1 start j.0.0.?/2`)
 }
 
 func TestOneSuccessCompletesGang(t *testing.T) {
@@ -60,7 +60,7 @@
 	play(t, `
 	0    worker a cpu=4000 gpu=8 rack=r1
 	0    worker b cpu=4000 gpu=8 rack=r2
-	10   client submit j 2x cpu=500 gpu=8 gang tight est=1000
+	10   client submit j 2x cpu=500 gpu=8 gang racklocal est=1000
 	20   disk commit
 	30   orders a = nothing
 	100  worker a cpu=4000 gpu=8 rack=r1
--- a/jobs/headroom_test.go
+++ b/jobs/headroom_test.go
@@ -17,7 +17,7 @@
 	100 tick
 	150 worker a cpu=4000 end 1/u.0.0.0/1/done end 2/u.0.0.1/1/done
 	160 disk commit
-	170 orders a = noted 2
+	170 orders a = acked 2
 	180 client submit low-j 4x cpu=1000 est=5000
 	190 disk commit
 	200 orders a = start low-j.0.0.0/1 start low-j.0.0.1/1
@@ -29,7 +29,7 @@
 	line := play(t, text+`
 	300 worker a cpu=4000 active low-j.0.0.0/1 active low-j.0.0.1/1 end 3/v.0.0.0/1/done end 4/v.0.0.1/1/done
 	310 disk commit
-	320 orders a = noted 4`)
+	320 orders a = acked 4`)
 	for range 200 {
 		line.scheduler.headroom.update(0, 1)
 	}
@@ -60,9 +60,9 @@
 	100 tick
 	150 worker a cpu=4000 end 1/u.0.0.0/1/done end 2/u.0.0.1/1/done end 3/u.0.0.2/1/done end 4/u.0.0.3/1/done
 	160 disk commit
-	170 orders a = noted 4
+	170 orders a = acked 4
 	180 client submit low-j 2x cpu=1000 est=5000
-	190 client submit low-l 2x cpu=1000 est=500 lasts
+	190 client submit low-l 2x cpu=1000 est=500 longrunning
 	200 disk commit
 	210 orders a = start low-j.0.0.0/1 start low-l.0.0.0/1 start low-l.0.0.1/1`)
 }
--- a/jobs/helpers_test.go
+++ b/jobs/helpers_test.go
@@ -93,10 +93,10 @@
 
 // The words of a stage in jobBody that are not JSON keys themselves: those without a value and those with one.
 var (
-	stageFlags = map[string]string{"gang": "gang", "tight": "rack_local", "keep": "checkpoints", "lasts": "long_running"}
-	stageKeys  = map[string]string{"mem": "mem_mb", "apart": "anti_affinity", "est": "estimate_ms"}
-	stageTexts = map[string]string{"near": "affinity_to", "label": "constraints"}
-	jobKeys    = map[string]string{"repeat": "repeat", "at": "start_at_ms", "every": "interval_ms"}
+	stageFlags = map[string]string{"gang": "gang", "racklocal": "rack_local", "checkpoints": "checkpoints", "longrunning": "long_running"}
+	stageKeys  = map[string]string{"mem": "mem_mb", "antiaffinity": "anti_affinity", "est": "estimate_ms"}
+	stageTexts = map[string]string{"affinity": "affinity_to", "label": "constraints"}
+	jobKeys    = map[string]string{"repeat": "repeat", "start": "start_at_ms", "interval": "interval_ms"}
 )
 
 // jobBody returns the body of a job from the words of a timeline (see play).
--- a/jobs/lifecycle_test.go
+++ b/jobs/lifecycle_test.go
@@ -18,7 +18,7 @@
 	210 orders a = nothing
 	220 disk commit
 	220 client j = completed
-	220 orders a = noted 1`)
+	220 orders a = acked 1`)
 }
 
 // A finished run that is reported again changes nothing; a task that has succeeded never starts again.
@@ -34,7 +34,7 @@
 	90  failover
 	100 worker a cpu=4000 active j.0.0.1/1 end 1/j.0.0.0/1/done
 	110 disk commit
-	110 orders a = noted 1
+	110 orders a = acked 1
 	120 worker a cpu=4000 end 1/j.0.0.0/1/done end 2/j.0.0.1/1/done
 	130 disk commit
 	140 client j = completed`)
@@ -49,10 +49,10 @@
 	30  orders a = start j.0.0.0/1 start j.0.0.1/1
 	60  worker a cpu=4000 active j.0.0.1/1 end 1/j.0.0.0/1/done
 	70  disk commit
-	80  orders a = noted 1
+	80  orders a = acked 1
 	90  worker a cpu=4000 end 2/j.0.0.1/1/done
 	100 disk commit
-	110 orders a = noted 2 start j.0.1.0/1`)
+	110 orders a = acked 2 start j.0.1.0/1`)
 }
 
 // BUDGET: a job fails when a task has failed as often as the queue's retries allow; other outcomes do not count.
@@ -69,7 +69,7 @@
 	80  worker a cpu=4000 end 3/j.0.0.0/3/failed
 	90  disk commit
 	90  client j = failed
-	95  orders a = noted 3`)
+	95  orders a = acked 3`)
 }
 
 // A cancel stops active runs and withdraws starts that were not sent.
@@ -87,14 +87,14 @@
 	70  orders a = stop j.0.0.0/1
 	80  worker a cpu=4000 end 1/j.0.0.0/1/stopped
 	90  disk commit
-	95  orders a = noted 1`)
+	95  orders a = acked 1`)
 }
 
 // Only start_at_ms reads the time of day.
 func TestOccurrencesBecomeDue(t *testing.T) {
 	play(t, `
 	0    worker a cpu=4000
-	10   client submit j 1x cpu=500 est=100 at=1000 every=500 repeat=2
+	10   client submit j 1x cpu=500 est=100 start=1000 interval=500 repeat=2
 	20   disk commit
 	990  tick
 	990  orders a = nothing
@@ -107,7 +107,7 @@
 	1500 tick
 	1500 disk commit
 	1510 client j = running
-	1510 orders a = noted 1 start j.1.0.0/1
+	1510 orders a = acked 1 start j.1.0.0/1
 	1600 worker a cpu=4000 end 2/j.1.0.0/1/done
 	1610 disk commit
 	1610 client j = completed`)
@@ -116,7 +116,7 @@
 func TestLongRunningTasksRestart(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
-	10  client submit j 1x cpu=500 lasts est=100
+	10  client submit j 1x cpu=500 longrunning est=100
 	20  disk commit
 	30  orders a = start j.0.0.0/1
 	60  worker a cpu=4000 end 1/j.0.0.0/1/failed
@@ -126,7 +126,7 @@
 	100 worker a cpu=4000 end 3/j.0.0.0/3/failed
 	110 disk commit
 	120 client j = running
-	130 orders a = noted 3 start j.0.0.0/4`)
+	130 orders a = acked 3 start j.0.0.0/4`)
 }
 
 // The same ID comes again: before its 2xx, seconds after it, after a failover and after the job's end. It stays one job.
@@ -148,7 +148,7 @@
 	3140 orders a = nothing
 	3200 worker a cpu=4000 end 1/j.0.0.0/1/done
 	3210 disk commit
-	3215 orders a = noted 1
+	3215 orders a = acked 1
 	3220 client j = completed
 	6000 client submit j 1x cpu=500 est=100
 	6010 disk commit
@@ -162,10 +162,10 @@
 	0   worker a cpu=1000
 	10  client submit j 2x cpu=1000 est=100
 	10  client submit k 1x cpu=1000 est=100
-	10  client submit later 1x cpu=1000 est=100 at=60000
+	10  client submit later 1x cpu=1000 est=100 start=60000
 	20  disk commit
 	20  pending q = 3
-	50  worker a cpu=1000 held j.0.0.0/1
+	50  worker a cpu=1000 inflight j.0.0.0/1
 	50  pending q = 3
 	90  worker a cpu=1000 active j.0.0.0/1
 	90  pending q = 2
--- a/jobs/orders_test.go
+++ b/jobs/orders_test.go
@@ -27,9 +27,9 @@
 	30  orders a = start j.0.0.0/1
 	100 orders a = nothing
 	400 orders a = start j.0.0.0/1
-	500 worker a cpu=4000 held j.0.0.0/1
+	500 worker a cpu=4000 inflight j.0.0.0/1
 	900 orders a = nothing
-	950 worker a life=2 cpu=4000
+	950 worker a incarnation=2 cpu=4000
 	960 orders a = start j.0.0.0/1`)
 }
 
@@ -47,9 +47,9 @@
 	10   client submit j 1x cpu=500 est=100
 	20   disk commit
 	30   worker a cpu=4000 active j.0.0.0/1
-	5000 worker a cpu=4000 lapsed
+	5000 worker a cpu=4000 expired
 	5010 disk commit
-	5020 worker a cpu=0 life=2 end 1/j.0.0.0/1/done
+	5020 worker a cpu=0 incarnation=2 end 1/j.0.0.0/1/done
 	5030 disk commit
 	5040 client j = completed`)
 }
--- a/jobs/overdue_test.go
+++ b/jobs/overdue_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Under load a queue at its limit waits for its share, but not beside capacity that the queues before it cannot use.
+// Under load a queue at its limit waits for its share, but not while there is capacity that the queues before it cannot use.
 func TestOverdueWorkTakesWhatOthersCannotUse(t *testing.T) {
 	play(t, `
 	0    worker a cpu=32000 gpu=8
--- a/jobs/placement_test.go
+++ b/jobs/placement_test.go
@@ -13,8 +13,8 @@
 	line := play(t, `
 	0   worker a cpu=4000 rack=r1
 	0   worker b cpu=4000 rack=r2
-	10  client submit near 4x cpu=100 near=r2 est=100
-	10  client submit apart 2x cpu=100 apart=1 est=100
+	10  client submit near 4x cpu=100 affinity=r2 est=100
+	10  client submit apart 2x cpu=100 antiaffinity=1 est=100
 	10  client submit label 3x cpu=100 label=r1 est=100
 	20  disk commit`)
 	where := map[string][]string{}
@@ -60,7 +60,7 @@
 		line.step(0, strings.Fields(fmt.Sprintf("worker w%d cpu=4000 rack=%s", i, rack)), "")
 	}
 	line.step(1*time.Millisecond, strings.Fields("client submit label 2x cpu=100 label=r2 est=100"), "")
-	line.step(1*time.Millisecond, strings.Fields("client submit near 2x cpu=100 near=r2 est=100"), "")
+	line.step(1*time.Millisecond, strings.Fields("client submit near 2x cpu=100 affinity=r2 est=100"), "")
 	line.step(1*time.Millisecond, strings.Fields("client submit any 100x cpu=100 est=100"), "")
 	for ms := 100; ms <= 500; ms += 100 {
 		line.step(time.Duration(ms)*time.Millisecond, []string{"tick"}, "")
@@ -78,7 +78,7 @@
 	0    worker a cpu=1000 rack=r1
 	0    worker b cpu=4000 rack=r2
 	10   client submit full 1x cpu=1000 label=r1 est=60000
-	20   client submit j 1x cpu=500 near=r1 est=1000
+	20   client submit j 1x cpu=500 affinity=r1 est=1000
 	30   disk commit
 	40   orders b = nothing
 	100  worker a cpu=1000 rack=r1 active full.0.0.0/1
@@ -96,14 +96,14 @@
 func TestTaskDoesNotWaitForAnEmptyRack(t *testing.T) {
 	play(t, `
 	0    worker b cpu=4000 rack=r2
-	20   client submit j 1x cpu=500 near=r1 est=60000
+	20   client submit j 1x cpu=500 affinity=r1 est=60000
 	30   disk commit
 	40   orders b = start j.0.0.0/1`)
 	play(t, `
 	0    worker a cpu=1000 rack=r1
 	0    worker b cpu=4000 rack=r2
 	10   client submit full 1x cpu=1000 label=r1 est=60000
-	20   client submit j 1x cpu=500 near=r1 est=60000
+	20   client submit j 1x cpu=500 affinity=r1 est=60000
 	30   disk commit
 	1000 worker b cpu=4000 rack=r2
 	1500 worker b cpu=4000 rack=r2
--- a/jobs/preemption_test.go
+++ b/jobs/preemption_test.go
@@ -6,7 +6,7 @@
 func TestFirstPriorityPreempts(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
-	10  client submit low 4x cpu=1000 est=60000 keep
+	10  client submit low 4x cpu=1000 est=60000 checkpoints
 	20  disk commit
 	30  orders a = start low.0.0.0/1 start low.0.0.1/1 start low.0.0.2/1 start low.0.0.3/1
 	40  worker a cpu=4000 active low.0.0.0/1 active low.0.0.1/1 active low.0.0.2/1 active low.0.0.3/1
--- a/jobs/reservation_test.go
+++ b/jobs/reservation_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Incident inc1: tasks of one job run one after the other on the only worker with their label. What they leave of it
+// docs/incidents/inc1.md: tasks of one job run one after the other on the only worker with their label. What they leave of it
 // is enough for another job with that label, which waited for as long as the first one lasted.
 func TestWorkRunsBesideReservation(t *testing.T) {
 	play(t, `
@@ -57,7 +57,7 @@
 	0   worker a cpu=4000 rack=r1
 	0   worker b cpu=4000 rack=r2
 	10  client submit x 1x cpu=3500 label=r2 est=9000
-	20  client submit low-apart 2x cpu=3000 apart=1 est=9000
+	20  client submit low-apart 2x cpu=3000 antiaffinity=1 est=9000
 	30  disk commit
 	600 worker a cpu=4000 rack=r1
 	600 worker b cpu=4000 rack=r2
--- a/jobs/timeline_test.go
+++ b/jobs/timeline_test.go
@@ -14,15 +14,15 @@
 // timeline plays a text against a scheduler. A line is a time in milliseconds, who acts (a client, an owner's disk, or a
 // worker by name) and what happens; lines with = say what must be seen.
 //
-//	worker a cpu=4000 gpu=8 mem=64000 kind=k rack=r1 [draining 500] [active T/1] [end N/T/1/done] [held T/1] [lapsed]
+//	worker a cpu=4000 gpu=8 mem=64000 kind=k rack=r1 [draining 500] [active T/1] [end N/T/1/done] [inflight T/1] [expired]
 //	client submit J spec | cancel J | J = running
 //	disk commit                 all changes so far are durable
-//	orders a = start T stop T noted 3
+//	orders a = start T stop T acked 3
 //	tick
 //	pending q = 1               jobs of a queue of which no task has run
 //	failover                    a new owner takes over the durable records
 //
-// A spec is stages divided by |, each with words like 3x cpu=500 gang after=0 keep lasts near=r1 apart=1 est=900 gpu=2.
+// A spec is stages divided by |, each with words like 3x cpu=500 gang after=0 checkpoints longrunning affinity=r1 antiaffinity=1 est=900 gpu=2.
 type timeline struct {
 	t                  *testing.T
 	scheduler          *Scheduler
@@ -129,7 +129,7 @@
 			line.setAttribute(r, key, value)
 			continue
 		}
-		if fields[i] == "lapsed" {
+		if fields[i] == "expired" {
 			r.State = string(LeaseExpired)
 			continue
 		}
@@ -152,7 +152,7 @@
 		r.Labels[0] = value
 	case "rack":
 		r.Labels[1] = value
-	case "life":
+	case "incarnation":
 		r.AgentIncarnation = value
 	case "instance":
 		r.Instance = value
@@ -172,7 +172,7 @@
 	case "active":
 		run, checkpoint := parseRun(line.t, value)
 		r.Active = append(r.Active, ActiveRun{Task: run.Task, Attempt: run.Attempt, Checkpoint: checkpoint})
-	case "held":
+	case "inflight":
 		run, _ := parseRun(line.t, value)
 		r.InFlight = append(r.InFlight, run)
 	case "dropped":
@@ -235,7 +235,7 @@
 		}
 		if orders.DurableCompletions > line.durableCompletions[name] {
 			line.durableCompletions[name] = orders.DurableCompletions
-			words = append(words, fmt.Sprintf("noted %d", orders.DurableCompletions))
+			words = append(words, fmt.Sprintf("acked %d", orders.DurableCompletions))
 		}
 	}
 	sort.Strings(words)
--- a/jobs/triage_test.go
+++ b/jobs/triage_test.go
@@ -23,7 +23,7 @@
 	100  tick
 	500  worker a cpu=1000 end 1/x.0.0.0/1/done
 	510  disk commit
-	520  orders a = noted 1 start one.0.0.0/1`)
+	520  orders a = acked 1 start one.0.0.0/1`)
 }
 
 // Without overload the earliest deadline goes first, wide jobs included.
@@ -40,7 +40,7 @@
 	100  tick
 	500  worker a cpu=1000 end 1/x.0.0.0/1/done
 	510  disk commit
-	520  orders a = noted 1 start wide.0.0.0/1`)
+	520  orders a = acked 1 start wide.0.0.0/1`)
 }
 
 // Work without any value left waits behind tardy work that still has some.
--- a/jobs/workconserving_test.go
+++ b/jobs/workconserving_test.go
@@ -14,7 +14,7 @@
 )
 
 var (
-	idleWorlds = flag.Int("idle.worlds", 60, "worlds in which nothing may wait beside idle room")
+	idleWorlds = flag.Int("idle.worlds", 60, "random histories in which nothing may wait while capacity is idle")
 	idleSeed   = flag.Int64("idle.seed", 44, "where their seeds begin")
 )
 
@@ -104,9 +104,9 @@
 		gang := []string{"", "gang"}[s.random.IntN(2)]
 		spec = fmt.Sprintf("%dx cpu=15000 mem=81000 gpu=%d est=5600 %s", 1+s.random.IntN(4), []int{2, 4, 8}[s.random.IntN(3)], gang)
 	case "lasting":
-		spec = fmt.Sprintf("%dx cpu=640 mem=900 est=400 lasts apart=%d", count, 1+s.random.IntN(3))
+		spec = fmt.Sprintf("%dx cpu=640 mem=900 est=400 longrunning antiaffinity=%d", count, 1+s.random.IntN(3))
 	case "low":
-		spec = fmt.Sprintf("%dx cpu=2800 mem=15000 gpu=1 est=3000 keep", count)
+		spec = fmt.Sprintf("%dx cpu=2800 mem=15000 gpu=1 est=3000 checkpoints", count)
 	}
 	s.jobs++
 	id := fmt.Sprintf("%s%d", queue, s.jobs)
@@ -190,8 +190,8 @@
 	idle := s.inUse() < 0.5
 	for _, job := range s.scheduler.jobs {
 		for _, group := range job.pending {
-			lasts := job.isLongRunning(group.stage)
-			if group.gang || (!lasts && (job.assigned > 0 || !idle)) || s.slotsFor(group) < 2 {
+			longRunning := job.isLongRunning(group.stage)
+			if group.gang || (!longRunning && (job.assigned > 0 || !idle)) || s.slotsFor(group) < 2 {
 				continue
 			}
 			name := fmt.Sprint(job.ID, "/", group.stage)
@@ -264,7 +264,7 @@
 	return n
 }
 
-// play runs the world and returns what waited for too long beside idle capacity, or "".
+// play runs the world and returns what waited for too long while capacity was idle, or "".
 func (s *world) play() string {
 	rates := map[string]int{}
 	for _, queue := range []string{"urgent", "large", "lasting", "low"} {
@@ -291,13 +291,13 @@
 	return s.worst
 }
 
-// The property behind inc1: however work comes, a job without a run does not wait beside free capacity while most of
+// The property of docs/incidents/inc1.md: however work comes, a job without a run does not wait despite free capacity while most of
 // the shard is idle, and a long-running task never does.
 func TestSchedulerIsWorkConserving(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(*idleSeed)
 	parameters.MinSuccessfulTests = *idleWorlds
 	properties := gopter.NewProperties(parameters)
-	properties.Property("nothing waits beside idle room", prop.ForAllNoShrink(func(seed int64) string {
+	properties.Property("nothing waits while capacity is idle", prop.ForAllNoShrink(func(seed int64) string {
 		return newWorld(t, seed).play()
 	}, gen.Int64Range(1, 1<<40)))
 	properties.TestingRun(t)
--- a/jobs/workers_test.go
+++ b/jobs/workers_test.go
@@ -9,13 +9,13 @@
 func TestTasksOfExpiredWorkerAreReassigned(t *testing.T) {
 	play(t, `
 	0    worker a cpu=4000
-	10   client submit j 1x cpu=500 est=100 keep
+	10   client submit j 1x cpu=500 est=100 checkpoints
 	20   disk commit
 	30   orders a = start j.0.0.0/1
 	60   worker a cpu=4000 active j.0.0.0/1#saved
 	70   worker b cpu=4000
 	4990 worker b cpu=4000
-	5000 worker a cpu=4000 lapsed
+	5000 worker a cpu=4000 expired
 	5010 disk commit
 	5020 orders b = start j.0.0.0/2#saved`)
 }
@@ -49,7 +49,7 @@
 func TestDrainEvacuatesRunsThatCannotEnd(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
-	10  client submit long 1x cpu=500 est=60000 keep
+	10  client submit long 1x cpu=500 est=60000 checkpoints
 	10  client submit short 1x cpu=500 est=100
 	20  disk commit
 	30  orders a = start long.0.0.0/1 start short.0.0.0/1
@@ -90,12 +90,12 @@
 	1050 orders b = start j.0.0.0/1`)
 }
 
-// A limit that was cut below the load rises again, also where the runs are long-running. Found by scale-1 of the second site, which
+// A limit that was decreased below the load increases again, also where the runs are long-running. Found by scale-1 of the second site, which
 // in some plays left one of five workers at a tenth from second 11 to the end.
 func TestLimitRisesBelowWhatRuns(t *testing.T) {
 	line := newTimeline(t)
 	line.step(0, strings.Fields("worker a cpu=4000"), "")
-	line.step(1*time.Millisecond, strings.Fields("client submit stays 2x cpu=1000 lasts est=1000"), "")
+	line.step(1*time.Millisecond, strings.Fields("client submit stays 2x cpu=1000 longrunning est=1000"), "")
 	for _, w := range line.scheduler.workers {
 		for range 20 {
 			w.decreaseLimit()
--- a/workeragent/agent_test.go
+++ b/workeragent/agent_test.go
@@ -15,9 +15,9 @@
 // timeline plays a script with one event a line: the time in milliseconds, who acts (the worker, the agent's own clock, or
 // an owner with its fencing token) and what it does. Lines with => hold the expected answer.
 //
-//	beat S=1 a:t1 f:3/t2/done ready   a heartbeat: sequence, active runs, finished ones, state
-//	=> answer hold start t1 stop t2   what the answer holds
-//	7: start t1 500 | stop t1 | lease | noted 3   an owner's orders under token 7
+//	heartbeat S:1 a:t1 f:3/t2/done ready   a heartbeat: sequence, active runs, finished ones, state
+//	=> answer lease start t1 stop t2   what the answer holds
+//	7: start t1 500 | stop t1 | lease | acked 3   an owner's orders under token 7
 //	restart                           the agent's process is a new one
 type timeline struct {
 	t            *testing.T
@@ -49,16 +49,16 @@
 	l.t.Helper()
 	if l.agent == nil || what == "restart" {
 		l.incarnations++
-		l.agent = New(now, "i-1", "life"+strconv.Itoa(l.incarnations), testTiming)
+		l.agent = New(now, "i-1", "process"+strconv.Itoa(l.incarnations), testTiming)
 	}
 	fields := strings.Fields(what)
 	switch {
 	case what == "restart":
-	case fields[0] == "beat":
-		l.agent.OnHeartbeat(now, parseBeat(fields[1:]))
+	case fields[0] == "heartbeat":
+		l.agent.OnHeartbeat(now, parseHeartbeat(fields[1:]))
 	case fields[0] == "check":
 		l.expect(row, fmt.Sprint(l.agent.CheckExpiry(now)), fields[1])
-	case fields[0] == "leave":
+	case fields[0] == "deregister":
 		l.agent.OnDeregister(now)
 	case fields[0] == "=>":
 		l.expect(row, describe(l.agent.Answer(now)), strings.Join(fields[1:], " "))
@@ -69,22 +69,22 @@
 		if err != nil {
 			l.t.Fatalf("%q: %v", row, err)
 		}
-		l.owner(now, token, fields[1:], row)
+		l.handleOwner(now, token, fields[1:], row)
 	}
 }
 
-func (l *timeline) owner(now time.Duration, token int64, fields []string, row string) {
+func (l *timeline) handleOwner(now time.Duration, token int64, fields []string, row string) {
 	l.t.Helper()
 	orders := &jobs.Orders{Instance: "i-1", AgentIncarnation: l.agent.Incarnation()}
-	refused := fields[len(fields)-1] == "refused"
-	if refused {
+	rejected := fields[len(fields)-1] == "rejected"
+	if rejected {
 		fields = fields[:len(fields)-1]
 	}
 	var err error
 	switch fields[0] {
 	case "lease":
 		err = l.agent.OnLease(now, token, 0)
-	case "noted":
+	case "acked":
 		orders.DurableCompletions, _ = strconv.ParseInt(fields[1], 10, 64)
 		err = l.agent.OnOrders(now, token, orders)
 	case "start", "known":
@@ -99,14 +99,14 @@
 	case "stop":
 		orders.Stops = []jobs.RunRef{{Task: fields[1], Attempt: 1}}
 		err = l.agent.OnOrders(now, token, orders)
-	case "old-life":
-		orders.AgentIncarnation = "life0/0"
+	case "old-incarnation":
+		orders.AgentIncarnation = "process0/0"
 		err = l.agent.OnOrders(now, token, orders)
 	}
-	if (err != nil) != refused {
+	if (err != nil) != rejected {
 		l.t.Errorf("%q: error %v", row, err)
 	}
-	if refused && result.CodeOf(err) != result.Fenced && result.CodeOf(err) != result.WrongInstance {
+	if rejected && result.CodeOf(err) != result.Fenced && result.CodeOf(err) != result.WrongInstance {
 		l.t.Errorf("%q: code of %v", row, err)
 	}
 }
@@ -118,30 +118,30 @@
 	}
 }
 
-func parseBeat(fields []string) Heartbeat {
-	beat := Heartbeat{State: "ready", Capacity: Capacity{CPU: 1000}}
+func parseHeartbeat(fields []string) Heartbeat {
+	heartbeat := Heartbeat{State: "ready", Capacity: Capacity{CPU: 1000}}
 	for _, field := range fields {
 		name, value, _ := strings.Cut(field, ":")
 		switch name {
 		case "a":
-			beat.Active = append(beat.Active, ActiveRun{Task: value, Attempt: 1})
+			heartbeat.Active = append(heartbeat.Active, ActiveRun{Task: value, Attempt: 1})
 		case "f":
 			parts := strings.Split(value, "/")
 			number, _ := strconv.ParseInt(parts[0], 10, 64)
-			beat.Finished = append(beat.Finished, FinishedRun{Number: number, Task: parts[1], Attempt: 1, Outcome: parts[2]})
+			heartbeat.Finished = append(heartbeat.Finished, FinishedRun{Number: number, Task: parts[1], Attempt: 1, Outcome: parts[2]})
 		case "S":
-			beat.Sequence, _ = strconv.ParseInt(value, 10, 64)
+			heartbeat.Sequence, _ = strconv.ParseInt(value, 10, 64)
 		default:
-			beat.State = field
+			heartbeat.State = field
 		}
 	}
-	return beat
+	return heartbeat
 }
 
 func describe(a Answer) string {
 	var words []string
 	if a.LeaseMS > 0 {
-		words = append(words, "hold")
+		words = append(words, "lease")
 	}
 	if a.LastSeen > 0 {
 		words = append(words, "seen"+strconv.FormatInt(a.LastSeen, 10))
@@ -175,43 +175,43 @@
 func TestOrderStartsInTheNextAnswer(t *testing.T) {
 	play(t, `
 	0    7: lease
-	10   beat S:1
+	10   heartbeat S:1
 	20   7: start t1 500
-	30   => hold start t1
-	40   beat S:2 a:t1
-	50   => hold`)
+	30   => lease start t1
+	40   heartbeat S:2 a:t1
+	50   => lease`)
 }
 
 // The next heartbeat shows that the worker has not received an answer, and the order is sent again.
 func TestDroppedAnswerIsRepeated(t *testing.T) {
 	play(t, `
 	0    7: lease
-	10   beat S:1
+	10   heartbeat S:1
 	20   7: start t1 500
-	30   => hold start t1
-	1100 beat S:2
-	1110 => hold start t1
-	1120 beat S:3 a:t1
-	1130 => hold`)
+	30   => lease start t1
+	1100 heartbeat S:2
+	1110 => lease start t1
+	1120 heartbeat S:3 a:t1
+	1130 => lease`)
 }
 
 // Active, stopping and possibly started runs count against the capacity of 1000.
 func TestCapacityCountsAllRunsThatMayBeActive(t *testing.T) {
 	play(t, `
 	0    7: lease
-	10   beat S:1
+	10   heartbeat S:1
 	20   7: start t1 700
-	30   => hold start t1
+	30   => lease start t1
 	35   7: start t2 500
-	40   => hold
-	50   beat S:2 a:t1
-	60   => hold
+	40   => lease
+	50   heartbeat S:2 a:t1
+	60   => lease
 	70   7: stop t1
-	80   => hold stop t1
-	90   beat S:3 a:t1
-	100  => hold stop t1
-	110  beat S:4 f:1/t1/stopped
-	120  => hold start t2`)
+	80   => lease stop t1
+	90   heartbeat S:3 a:t1
+	100  => lease stop t1
+	110  heartbeat S:4 f:1/t1/stopped
+	120  => lease start t2`)
 }
 
 // A new agent process starts nothing before it knows the active runs and their demand, from the next heartbeat
@@ -221,53 +221,53 @@
 	0    7: lease
 	0    restart
 	10   7: lease
-	20   beat S:9 a:t1
+	20   heartbeat S:9 a:t1
 	30   7: start t2 500
-	40   => hold
+	40   => lease
 	50   7: known t1 400
-	60   => hold start t2`)
+	60   => lease start t2`)
 }
 
 // An older fencing token is rejected, also after a pause of the process.
 func TestOlderOwnerIsFenced(t *testing.T) {
 	play(t, `
 	0    7: lease
-	10   beat S:1
+	10   heartbeat S:1
 	20   8: lease
-	6000 7: start t1 500 refused
-	6010 7: lease refused
-	6020 beat S:2
-	6030 => hold`)
+	6000 7: start t1 500 rejected
+	6010 7: lease rejected
+	6020 heartbeat S:2
+	6030 => lease`)
 }
 
 func TestOrdersForAnEarlierIncarnationAreVoid(t *testing.T) {
 	play(t, `
 	0    7: lease
-	10   beat S:1
-	20   7: old-life refused`)
+	10   heartbeat S:1
+	20   7: old-incarnation rejected`)
 }
 
 // Without a lease from the owner the agent neither renews the worker's lease nor starts anything.
 func TestWorkerLeaseNeedsAnOwnersLease(t *testing.T) {
 	play(t, `
 	0     7: lease
-	10    beat S:1
+	10    heartbeat S:1
 	20    7: start t1 500
-	30    => hold start t1
-	8100  beat S:2 a:t1
+	30    => lease start t1
+	8100  heartbeat S:2 a:t1
 	8110  => nothing
 	8120  8: lease
-	8130  => hold`)
+	8130  => lease`)
 }
 
 // The worker's lease expires on a clock that runs 2% slow, from the heartbeat whose answer may have reached it.
 func TestWorkerLeaseExpiresOnASlowClock(t *testing.T) {
 	a := play(t, `
 	0    7: lease
-	0    beat S:1
+	0    heartbeat S:1
 	10   7: start t1 500
-	1000 beat S:2
-	1010 => hold start t1
+	1000 heartbeat S:2
+	1010 => lease start t1
 	5050 check false
 	5170 check false
 	5190 check true
@@ -292,29 +292,29 @@
 func TestStopOfARunThatMayNotHaveStarted(t *testing.T) {
 	play(t, `
 	0    7: lease
-	10   beat S:1
+	10   heartbeat S:1
 	20   7: start t1 900
-	30   => hold start t1
+	30   => lease start t1
 	40   7: start t2 900
 	50   7: stop t2
 	60   dropped t2
 	70   7: stop t1
 	80   dropped t2
-	90   beat S:2
+	90   heartbeat S:2
 	100  dropped t1 t2
 	110  7: start t1 900
-	120  => hold`)
+	120  => lease`)
 }
 
 // Nothing starts on a worker that drains or has deregistered; pending orders are dropped and reported.
 func TestDrainStartsNothing(t *testing.T) {
 	play(t, `
 	0    7: lease
-	10   beat S:1
+	10   heartbeat S:1
 	20   7: start t1 900
-	30   beat S:2 draining
+	30   heartbeat S:2 draining
 	40   dropped t1
-	50   => hold
+	50   => lease
 	60   7: start t2 500
 	70   dropped t1 t2`)
 }
@@ -322,11 +322,11 @@
 func TestDeregistrationWithoutDraining(t *testing.T) {
 	a := play(t, `
 	0    7: lease
-	10   beat S:1 a:t1
-	20   => hold
-	30   leave
+	10   heartbeat S:1 a:t1
+	20   => lease
+	30   deregister
 	40   7: start t2 500
-	50   beat S:2 a:t1
+	50   heartbeat S:2 a:t1
 	60   => nothing`)
 	if r := a.Report(60 * time.Millisecond); r.LeaseRemainingMS <= 0 || r.State != string(jobs.Departed) {
 		t.Errorf("report %+v", r)
@@ -337,9 +337,9 @@
 func TestOutdatedHeartbeatIsIgnored(t *testing.T) {
 	a := play(t, `
 	0    7: lease
-	10   beat S:5 a:t1
-	900  beat S:4 a:t9
-	910  => hold`)
+	10   heartbeat S:5 a:t1
+	900  heartbeat S:4 a:t9
+	910  => lease`)
 	if r := a.Report(0); len(r.Active) != 1 || r.Active[0].Task != "t1" {
 		t.Errorf("active %+v", r.Active)
 	}
@@ -349,10 +349,10 @@
 func TestLastSeenWaitsForTheOwner(t *testing.T) {
 	a := play(t, `
 	0    7: lease
-	10   beat S:1 f:1/t1/done f:2/t2/failed
-	20   => hold
-	30   7: noted 1
-	40   => hold seen1`)
+	10   heartbeat S:1 f:1/t1/done f:2/t2/failed
+	20   => lease
+	30   7: acked 1
+	40   => lease seen1`)
 	if r := a.Report(0); len(r.Finished) != 1 || r.Finished[0].Number != 2 {
 		t.Errorf("finished %+v", r.Finished)
 	}
@@ -360,19 +360,19 @@
 
 func TestTuplesAreReadAndWritten(t *testing.T) {
 	text := `{"sequence":3,"state":"ready","active":[["j.0.1.17",2,"0bb8",41.5]],"finished":[[58,"j.0.1.9",1,"done",""]]}`
-	beat := Heartbeat{}
-	if err := beat.UnmarshalJSON([]byte(text)); err != nil {
+	heartbeat := Heartbeat{}
+	if err := heartbeat.UnmarshalJSON([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
-	if beat.Active[0] != (ActiveRun{"j.0.1.17", 2, "0bb8", 41.5}) || beat.Finished[0] != (FinishedRun{58, "j.0.1.9", 1, "done", ""}) {
-		t.Errorf("beat %+v", beat)
+	if heartbeat.Active[0] != (ActiveRun{"j.0.1.17", 2, "0bb8", 41.5}) || heartbeat.Finished[0] != (FinishedRun{58, "j.0.1.9", 1, "done", ""}) {
+		t.Errorf("heartbeat %+v", heartbeat)
 	}
 	answer := Answer{LeaseMS: 4, Started: []Start{{"t", 1, "x", ""}}, Stopped: []RunRef{{"u", 2}}}
 	out, _ := answer.MarshalJSON()
 	if string(out) != `{"hold_ms":4,"started":[["t",1,"x",""]],"stopped":[["u",2]]}` {
 		t.Errorf("answer %s", out)
 	}
-	if err := beat.UnmarshalJSON([]byte(`{"active":[["j",{}]]}`)); err == nil {
+	if err := heartbeat.UnmarshalJSON([]byte(`{"active":[["j",{}]]}`)); err == nil {
 		t.Error("a number was read from an object")
 	}
 }
@@ -381,18 +381,18 @@
 func TestDigestChangesWithTheState(t *testing.T) {
 	a := play(t, `
 	0    7: lease
-	10   beat S:1 a:t1`)
+	10   heartbeat S:1 a:t1`)
 	first := a.StateDigest()
-	a.OnHeartbeat(0, parseBeat([]string{"S:2", "a:t1"}))
+	a.OnHeartbeat(0, parseHeartbeat([]string{"S:2", "a:t1"}))
 	if a.StateDigest() != first {
 		t.Error("a heartbeat like the last one changes the digest")
 	}
 	changes := map[string][]string{
 		"a run more": {"S:3", "a:t1", "a:t2"}, "an end": {"S:4", "f:1/t1/done"}, "a drain": {"S:5", "a:t1", "draining"},
 	}
-	for name, beat := range changes {
+	for name, heartbeat := range changes {
 		b := play(t, "0 7: lease")
-		b.OnHeartbeat(0, parseBeat(beat))
+		b.OnHeartbeat(0, parseHeartbeat(heartbeat))
 		if b.StateDigest() == first {
 			t.Errorf("%s does not change the digest", name)
 		}
@@ -402,11 +402,11 @@
 // Only the heartbeat of an idle worker may wait for an order. One that announces a drain is answered at once.
 func TestOnlyAnIdleWorkerWaits(t *testing.T) {
 	cases := map[string]bool{"S:1": true, "S:1 a:t1": false, "S:1 f:1/t1/done": false, "S:1 draining": false}
-	for beat, want := range cases {
+	for heartbeat, want := range cases {
 		a := play(t, "0 7: lease")
-		a.OnHeartbeat(0, parseBeat(strings.Fields(beat)))
+		a.OnHeartbeat(0, parseHeartbeat(strings.Fields(heartbeat)))
 		if a.Idle() != want {
-			t.Errorf("%s: idle %t", beat, a.Idle())
+			t.Errorf("%s: idle %t", heartbeat, a.Idle())
 		}
 	}
 }
@@ -415,9 +415,9 @@
 func TestAnswerIsNeverTooLong(t *testing.T) {
 	const workerTakes = 4 << 20
 	now := time.Second
-	agent := New(now, "i-1", "life1", testTiming)
-	beat := Heartbeat{State: string(jobs.Ready), Sequence: 1, Capacity: Capacity{CPU: 64000, MemMB: 1 << 20}}
-	agent.OnHeartbeat(now, beat)
+	agent := New(now, "i-1", "process1", testTiming)
+	heartbeat := Heartbeat{State: string(jobs.Ready), Sequence: 1, Capacity: Capacity{CPU: 64000, MemMB: 1 << 20}}
+	agent.OnHeartbeat(now, heartbeat)
 	orders := &jobs.Orders{Instance: "i-1", AgentIncarnation: agent.Incarnation()}
 	text := strings.Repeat("<\x01\"", 1333)
 	for i := range 2500 {
@@ -441,9 +441,9 @@
 		}
 		started += len(answer.Started)
 		for _, start := range answer.Started {
-			beat.Active = append(beat.Active, ActiveRun{Task: start.Task, Attempt: start.Attempt})
+			heartbeat.Active = append(heartbeat.Active, ActiveRun{Task: start.Task, Attempt: start.Attempt})
 		}
-		beat.Sequence++
-		agent.OnHeartbeat(now, beat)
+		heartbeat.Sequence++
+		agent.OnHeartbeat(now, heartbeat)
 	}
 }
