--- a/coord/shard/record.go
+++ b/coord/shard/record.go
@@ -55,7 +55,7 @@
 // RecordSet is a set of records, one for each key, with a digest for each key range.
 type RecordSet struct {
 	records map[string]Record
-	digests [Buckets]int64 // the exclusive or of the recordDigests of a range; independent of their order
+	digests [Buckets]int64 // the exclusive or of recordDigest over the records of a range; independent of their order
 }
 
 // NewRecordSet returns an empty set.
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// memberTimedOut reports whether a member has not answered this scheduler for silentMemberTimeout, or drains.
+// memberTimedOut reports whether a member has not answered this scheduler for memberTimeout, or drains.
 func (c *Core) memberTimedOut(id, address string) bool {
 	if address == c.address {
 		own, _, _ := c.store.self()
--- a/internal/system/core/order_sender.go
+++ b/internal/system/core/order_sender.go
@@ -29,7 +29,7 @@
 
 // sendOrdersLoop sends orders to a side agent, one call at a time, for as long as its worker is known.
 func (o *owner) sendOrdersLoop(ctx context.Context, s *orderSender) {
-	acknowledged := int64(0) // the highest Orders.Noted that the side agent has received
+	acknowledged := int64(0) // the highest Orders.DurableCompletions that the side agent has acknowledged
 	for {
 		select {
 		case <-s.wake:
--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -65,7 +65,7 @@
 	}
 	options := jobs.Options{
 		LeaseTimeout:   ownerLeaseTTL + c.timing.RunsExpireAfter(),
-		EndedJobTTL:    time.Duration(c.settings.Bounds.EndedJobTTLS * endedJobRetentionFactor * float64(time.Second)),
+		EndedJobTTL:    time.Duration(c.settings.Bounds.EndedJobRetentionS * endedJobRetentionFactor * float64(time.Second)),
 		RemoteSlowdown: c.settings.Bounds.RemoteSlowdown,
 	}
 	o.scheduler = jobs.New(options, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
--- a/internal/system/settings/golden_test.go
+++ b/internal/system/settings/golden_test.go
@@ -24,7 +24,7 @@
 		DataDir: "d", HeartbeatMS: 10, FaultTolerance: settings.FaultTolerance{Machines: 1, Zones: 2, Regions: 3},
 		Bounds: settings.Bounds{
 			ContactMS: 11, AckMS: 12, CatchUpS: 13.5, DrainMS: 14, GraceS: 15.5, ConfigApplyMS: 16, MaxLeaseMS: 17, StopMS: 18, GangMS: 19,
-			CancelMS: 20, VisibleMS: 21, EarlyMS: 22, EndedJobTTLS: 23.5, RemoteSlowdown: 24.5, CheckpointS: 25.5, RestoreMS: 26,
+			CancelMS: 20, VisibleMS: 21, EarlyMS: 22, EndedJobRetentionS: 23.5, RemoteSlowdown: 24.5, CheckpointS: 25.5, RestoreMS: 26,
 		},
 		Commands: "co", App: "ap", Service: "sv",
 	}
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	want := settings.Bounds{
-		MaxLeaseMS: 10000, StopMS: 400, DrainMS: 2000, GangMS: 3000, CancelMS: 3000, ContactMS: 3000, AckMS: 4000, GraceS: 6, EndedJobTTLS: 120, RemoteSlowdown: 1.5,
+		MaxLeaseMS: 10000, StopMS: 400, DrainMS: 2000, GangMS: 3000, CancelMS: 3000, ContactMS: 3000, AckMS: 4000, GraceS: 6, EndedJobRetentionS: 120, RemoteSlowdown: 1.5,
 	}
 	if got.Bounds != want || got.HeartbeatMS != 1500 {
 		t.Errorf("the defaults are %+v and %d, want %+v and 1500", got.Bounds, got.HeartbeatMS, want)
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -18,25 +18,26 @@
 // EnvironmentKey is the environment variable with the path of the file.
 const EnvironmentKey = "SEDGEVALE_SETTINGS"
 
-// Settings are the settings of one process. Unknown keys of the file are ignored.
+// Settings are the settings of one process. Unknown keys of the file are ignored. Fields without a comment are read, since the
+// file holds them, and change nothing.
 type Settings struct {
-	Node            string            `json:"node"`
+	Node            string            `json:"node"` // the name of the process in its logs and to other schedulers
 	Role            string            `json:"role"`
 	MachineClass    string            `json:"machine_class"`
-	IP              string            `json:"ip"`
-	Zone            string            `json:"zone"`
+	IP              string            `json:"ip"`   // the address of the machine
+	Zone            string            `json:"zone"` // shown by the members command
 	Region          string            `json:"region"`
 	Zones           map[string]string `json:"zones"`
-	BindAddrs       BindAddrs         `json:"bind_addrs"`
-	PortRange       []int             `json:"port_range"`
-	Seeds           []string          `json:"seeds"`
-	Bootstrap       bool              `json:"bootstrap"`
+	BindAddrs       BindAddrs         `json:"bind_addrs"` // where clients, operators and the platform reach it
+	PortRange       []int             `json:"port_range"` // the first and the last port; the first is for other schedulers
+	Seeds           []string          `json:"seeds"`      // control_plane addresses of core schedulers, as host:port
+	Bootstrap       bool              `json:"bootstrap"`  // all disks are new: the seeds form the first membership
 	CountsForQuorum bool              `json:"counts_for_quorum"`
-	Limits          Limits            `json:"limits"`
-	DataDir         string            `json:"data_dir"`
+	Limits          Limits            `json:"limits"`   // of the process
+	DataDir         string            `json:"data_dir"` // of a core scheduler: its snapshot and log
 	HeartbeatMS     int               `json:"heartbeat_ms"`
-	FaultTolerance  FaultTolerance    `json:"fault_tolerance"`
-	Bounds          Bounds            `json:"bounds"`
+	FaultTolerance  FaultTolerance    `json:"fault_tolerance"` // gives the number of seats of the core
+	Bounds          Bounds            `json:"bounds"`          // durations, of which few have an effect
 	Commands        string            `json:"commands"`
 	App             string            `json:"app"`
 	Service         string            `json:"service"`
@@ -44,44 +45,45 @@
 
 // BindAddrs are the addresses to listen on, as host:port.
 type BindAddrs struct {
-	Frontend     string `json:"frontend"`
-	Readiness    string `json:"readiness"`
-	ControlPlane string `json:"control_plane"`
+	Frontend     string `json:"frontend"`      // of an edge scheduler, for clients
+	Readiness    string `json:"readiness"`     // of an edge scheduler, for the platform
+	ControlPlane string `json:"control_plane"` // for operators at a core scheduler, for the worker at a side scheduler
 }
 
-// Limits are the resources that the process may use.
+// Limits are the resources that the process may use. Only the memory is limited here.
 type Limits struct {
 	CPUShares       float64 `json:"cpu_shares"`
-	MemoryMB        int64   `json:"memory_mb"`
+	MemoryMB        int64   `json:"memory_mb"` // in MiB; 0 for no limit
 	FileDescriptors int     `json:"file_descriptors"`
 	DiskMB          int64   `json:"disk_mb"`
 }
 
-// FaultTolerance is the number of simultaneous losses that the system has to survive.
+// FaultTolerance is the number of simultaneous losses that the system has to survive. A zone or region counts as one machine.
 type FaultTolerance struct {
 	Machines int `json:"machines"`
 	Zones    int `json:"zones"`
 	Regions  int `json:"regions"`
 }
 
-// Bounds are the durations that the system has to keep, in milliseconds (MS) or seconds (S); FarX is a factor.
+// Bounds are the durations that the system has to keep, in milliseconds (MS) or seconds (S). Fields without a comment are read
+// and change nothing.
 type Bounds struct {
-	ContactMS      int64   `json:"contact_ms"`
-	AckMS          int64   `json:"ack_ms"`
-	CatchUpS       float64 `json:"catch_up_s"`
-	DrainMS        int64   `json:"drain_ms"`
-	GraceS         float64 `json:"grace_s"`
-	ConfigApplyMS  int64   `json:"config_apply_ms"`
-	MaxLeaseMS     int64   `json:"hold_max_ms"`
-	StopMS         int64   `json:"stop_ms"`
-	GangMS         int64   `json:"gang_ms"`
-	CancelMS       int64   `json:"cancel_ms"`
-	VisibleMS      int64   `json:"visible_ms"`
-	EarlyMS        int64   `json:"early_ms"`
-	EndedJobTTLS   float64 `json:"status_s"`
-	RemoteSlowdown float64 `json:"far_x"`
-	CheckpointS    float64 `json:"save_s"`
-	RestoreMS      int64   `json:"restore_ms"`
+	ContactMS          int64   `json:"contact_ms"`
+	AckMS              int64   `json:"ack_ms"`
+	CatchUpS           float64 `json:"catch_up_s"`
+	DrainMS            int64   `json:"drain_ms"`
+	GraceS             float64 `json:"grace_s"` // from SIGTERM until a process must have ended
+	ConfigApplyMS      int64   `json:"config_apply_ms"`
+	MaxLeaseMS         int64   `json:"hold_max_ms"` // the longest lease of a worker
+	StopMS             int64   `json:"stop_ms"`
+	GangMS             int64   `json:"gang_ms"`
+	CancelMS           int64   `json:"cancel_ms"`
+	VisibleMS          int64   `json:"visible_ms"`
+	EarlyMS            int64   `json:"early_ms"`
+	EndedJobRetentionS float64 `json:"status_s"` // how long the state of an ended job can be queried
+	RemoteSlowdown     float64 `json:"far_x"`    // factor on a task's run time outside the rack of its data
+	CheckpointS        float64 `json:"save_s"`
+	RestoreMS          int64   `json:"restore_ms"`
 }
 
 // Path returns the path of the settings file.
@@ -146,8 +148,8 @@
 	if b.GraceS == 0 {
 		b.GraceS = 6
 	}
-	if b.EndedJobTTLS == 0 {
-		b.EndedJobTTLS = 120
+	if b.EndedJobRetentionS == 0 {
+		b.EndedJobRetentionS = 120
 	}
 	if b.RemoteSlowdown == 0 {
 		b.RemoteSlowdown = 1.5
--- a/internal/system/simulation/cluster_test.go
+++ b/internal/system/simulation/cluster_test.go
@@ -190,7 +190,7 @@
 		Node: m.name, IP: m.ip, Zone: "z", MachineClass: m.class, PortRange: []int{7000, 7010}, Bootstrap: m.bootstrap,
 		Seeds: slices.Clone(c.seeds), Service: service, HeartbeatMS: 1500,
 		FaultTolerance: settings.FaultTolerance{Machines: max(1, c.topology.tolerance)}, DataDir: m.dir,
-		Bounds: settings.Bounds{MaxLeaseMS: 10000, EndedJobTTLS: 120, GraceS: 6, RemoteSlowdown: 1.5},
+		Bounds: settings.Bounds{MaxLeaseMS: 10000, EndedJobRetentionS: 120, GraceS: 6, RemoteSlowdown: 1.5},
 		BindAddrs: settings.BindAddrs{
 			Frontend: m.ip + ":90", Readiness: m.ip + ":91", ControlPlane: m.ip + ":80",
 		},
--- a/internal/system/statefile/log.go
+++ b/internal/system/statefile/log.go
@@ -16,7 +16,7 @@
 )
 
 // ErrQueueFull says that more than 48 MB of entries wait for the disk.
-var ErrQueueFull = errors.New("statefile: too much waits for the disk")
+var ErrQueueFull = errors.New("statefile: append queue is full")
 
 // ErrLayout says that a directory was written by another release.
 var ErrLayout = errors.New("statefile: written by another release")
--- a/jobs/completion.go
+++ b/jobs/completion.go
@@ -160,7 +160,7 @@
 	return counter.Failures >= max(1, s.queue(job.Queue).Retries)
 }
 
-// completeTask completes a task, or a whole gang after the success of one member, and what that completes in turn: the stage,
+// completeTask completes a task, or all members of a gang after the success of one member, and what that completes in turn: the stage,
 // the occurrence, the job.
 func (s *Scheduler) completeTask(now time.Duration, job *Job, occurrence *Occurrence, position taskPosition) {
 	progress := &occurrence.Stages[position.stage]
--- a/jobs/pick.go
+++ b/jobs/pick.go
@@ -15,7 +15,7 @@
 )
 
 // pickWorker returns a worker for one task of a group, or nil: a random one of those that fit and are not above the mean by
-// more than a margin. Tasks with accelerators are packed instead, so that whole workers remain for gangs.
+// more than a margin. Tasks with accelerators are packed instead, so that some workers remain idle for gangs.
 func (s *Scheduler) pickWorker(c *cycle, group *taskGroup, plan *gangPlan) *Worker {
 	stage := group.spec()
 	fitting := s.findFitting(c, group, plan)
--- a/jobs/queue.go
+++ b/jobs/queue.go
@@ -15,8 +15,8 @@
 	TargetLatencyMS float64
 }
 
-// Queue is the backlog of one route, with what was learned about its tasks. Shares, demand and limits are in workers: 1 is a
-// whole one.
+// Queue is the backlog of one route, with what was learned about its tasks. Shares, demand and limits are in workers: 1 is the
+// capacity of one worker.
 type Queue struct {
 	QueueConfig
 	removed     bool // no configuration names it any more
--- a/jobs/triage.go
+++ b/jobs/triage.go
@@ -30,7 +30,7 @@
 // triageCandidate is a pending group with the remaining work of its job.
 type triageCandidate struct {
 	group *taskGroup
-	work  float64 // in seconds of a whole worker
+	work  float64 // in seconds of a worker's full capacity
 	tail  float64 // seconds from the start of the group's last task to the end of the job
 }
 
--- a/jobs/worker.go
+++ b/jobs/worker.go
@@ -48,7 +48,7 @@
 	demandsUnknown     bool          // its agent does not know the demands of all active runs
 }
 
-// newWorker returns a worker without runs, with its whole capacity as the limit. Its capacity and state come with a report.
+// newWorker returns a worker without runs, with its full capacity as the limit. Its capacity and state come with a report.
 func newWorker(now time.Duration, ref, instance, agent string) *Worker {
 	return &Worker{
 		Ref: ref, Instance: instance, AgentAddress: agent, loadLimit: 1, slowdown: 1, Runs: map[RunRef]*Run{}, lastReport: now,
--- a/jobs/workerlimit.go
+++ b/jobs/workerlimit.go
@@ -25,7 +25,7 @@
 	w.loadLimit = limitTuning.Decrease(w.loadLimit, max(w.load(), limitTuning.MinLimit))
 }
 
-// increaseLimit raises the limit, up to the whole capacity, if it was not decreased since the last tick.
+// increaseLimit raises the limit, up to the full capacity, if it was not decreased since the last tick.
 func (w *Worker) increaseLimit() {
 	if !w.limitDecreased {
 		raised := limitTuning.Increase(w.loadLimit, w.loadLimit-w.load())
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -32,7 +32,7 @@
 prepare "no reservations" jobs/assign.go 's/\ts\.reserve\(c, group, members\)\n/\t_ = members\n/'
 prepare "accelerators not packed" jobs/pick.go 's/if stage\.GPU > 0 \{/if false {/'
 prepare "no wait for a rack" jobs/pick.go 's/if c\.now-group\.queuedAt >= min\(maxWait, maxRackWait\)/if true || c.now-group.queuedAt >= min(maxWait, maxRackWait)/'
-prepare "estimates as told" jobs/estimate.go 's/if q\.completions < minCompletions \|\| estimate <= 0/if true || q.completions < minCompletions || estimate <= 0/'
+prepare "estimates not corrected" jobs/estimate.go 's/if q\.completions < minCompletions \|\| estimate <= 0/if true || q.completions < minCompletions || estimate <= 0/'
 for seed in $seeds; do
   for name in "${names[@]}"; do
     printf '%s\0' "$bench" "$out" "$name" "$site" "$day" "$seed"
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Breaks the system on purpose, one way at a time, in a copy, and says which tests notice. Exits 1 if none does.
+# Mutation tests: changes the code in one way at a time, in a copy, and says which tests fail. Exits 1 if none does for one of
+# them, or if its pattern no longer matches.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
@@ -10,7 +11,7 @@
 mutate() { # name, file, perl expression, packages to test if not all
   [[ "$1" == *"$only"* ]] || return
   rm -rf "${copy:?}"/*
-  git ls-files -z -- '*.go' go.mod go.sum | xargs -0 cp --parents -t "$copy"
+  git ls-files -z -- '*.go' '*/testdata/*' go.mod go.sum | xargs -0 cp --parents -t "$copy"
   perl -0pi -e "$3" "$copy/$2"
   if cmp -s "$2" "$copy/$2"; then echo "$1: the mutation does not apply"; missed=1; return; fi
   out=$(cd "$copy" && timeout 300 go test ${4:-$all} -timeout 4m 2>&1)
@@ -20,40 +21,40 @@
 }
 mutate "a quorum one short" coord/membership/membership.go 's/return len\(m\.Seats\)\/2 \+ 1/return max(1, len(m.Seats)\/2)/'
 mutate "last_seen before the sync" jobs/completion.go 's/s\.onDurable\(func\(\) \{\n\t\tw\.durableCompletions = max\(w\.durableCompletions, last\)\n\t\tw\.ordersDue = true\n\t\}\)/w.durableCompletions = max(w.durableCompletions, last)/'
-mutate "a hold without the 2%" workeragent/agent.go 's/maxClockDrift = 1\.0205/maxClockDrift = 1.0/'
+mutate "a lease without the clock drift" workeragent/agent.go 's/maxClockDrift = 1\.0205/maxClockDrift = 1.0/'
 mutate "an empty disk that votes" internal/system/core/store.go 's/if bootstrap \{/if true {/'
-mutate "starts sent before they are stored" jobs/assign.go 's/s\.onDurable\(func\(\) \{\n\t\trun\.durable = true\n\t\tw\.ordersDue = true\n\t\}\)/run.durable = true; w.ordersDue = true/'
-mutate "no wait for runs of workers unheard" jobs/recovery.go 's/leaseExpiry = now \+ s\.options\.LeaseTimeout/leaseExpiry = now/'
-mutate "an older owner is obeyed" workeragent/orders.go 's/if token < a\.token \{/if token < 0 {/g'
+mutate "starts sent before they are committed" jobs/assign.go 's/s\.onDurable\(func\(\) \{\n\t\trun\.durable = true\n\t\tw\.ordersDue = true\n\t\}\)/run.durable = true; w.ordersDue = true/'
+mutate "no wait for runs of unconfirmed workers" jobs/recovery.go 's/leaseExpiry = now \+ s\.options\.LeaseTimeout/leaseExpiry = now/'
+mutate "orders under an older fencing token are obeyed" workeragent/orders.go 's/if token < a\.token \{/if token < 0 {/g'
 mutate "replicas take writes of older owners" coord/shard/replica.go 's/if token != r\.FencingToken \|\| r\.InSyncToken != token/if r.InSyncToken == 0/'
 mutate "messages of older epochs are answered" coord/membership/membership.go 's/if sent\.Epoch < m\.Epoch \{/if false {/'
 mutate "a learner votes" internal/system/core/store_membership.go 's/err == nil && !member\.Voter/err == nil \&\& !member.Voter \&\& false/'
 mutate "a learner votes before it has read a quorum" internal/system/core/store_registers.go 's/voters < s\.membership\.Quorum\(\)/voters < 1/'
 mutate "learners count in shards" coord/shard/primary.go 's/if replica\.voter/if true/'
 mutate "a repair makes a voter at once" coord/shard/replica.go 's/r\.Voter = r\.Voter \|\| r\.TokenKnown/r.Voter = true/'
-mutate "a seat held anew is trusted" internal/system/core/store_membership.go 's/replica\.Invalidate\(\)/_ = replica/'
-mutate "lives share ballots" internal/system/core/store.go 's/s\.identity\.ID \+ "#" \+ strconv\.FormatInt\(s\.identity\.Incarnation, 10\)/s.address + strconv.Itoa(0)/'
-mutate "the counter starts at zero" internal/system/core/store.go 's/highest = max\(highest, a\.Promised/highest = min(highest, a.Promised/'
-mutate "what is not durable is told" internal/system/core/store.go 's/if last == nil \{/if true {/'
-mutate "a half-made change is finished by whoever overrides it" coord/membership/change.go 's/current\.Epoch > installed\.Epoch && current\.BaseEpoch != installed\.Epoch/current.Epoch > installed.Epoch/'
-mutate "two voters give way" coord/membership/change.go 's/if left < m\.Quorum\(\)/if left < 1/'
-mutate "a late machine builds its membership" internal/system/core/store.go 's/if bootstrap \{\s+s\.bootstrapMembership\(first\)\s+\}/s.membership = first.Clone()/'
-mutate "old orders are refused" internal/system/core/config.go 's/o\.baseVersion < record\.History\[0\]\.Base/false/'
-mutate "a call is repeated by the library" internal/system/rpc/rpc.go 's/call\.GetBody = nil/call.Header.Set("Idempotency-Key", "x")/'
+mutate "a disk that rejoined is trusted" internal/system/core/store_membership.go 's/replica\.Invalidate\(\)/_ = replica/'
+mutate "incarnations share ballots" internal/system/core/store.go 's/s\.identity\.ID \+ "#" \+ strconv\.FormatInt\(s\.identity\.Incarnation, 10\)/s.address + strconv.Itoa(0)/'
+mutate "the ballot counter is not restored" internal/system/core/store.go 's/highest = max\(highest, a\.Promised/highest = min(highest, a.Promised/'
+mutate "an answer before it is durable" internal/system/core/store.go 's/if last == nil \{/if true {/'
+mutate "a pending membership change is overridden" coord/membership/change.go 's/current\.Epoch > installed\.Epoch && current\.BaseEpoch != installed\.Epoch/current.Epoch > installed.Epoch/'
+mutate "a learner replaces a voter without a quorum" coord/membership/change.go 's/if left < m\.Quorum\(\)/if left < 1/'
+mutate "a late machine bootstraps a membership" internal/system/core/store.go 's/if bootstrap \{\s+s\.bootstrapMembership\(first\)\s+\}/s.membership = first.Clone()/'
+mutate "changes from before the history are rejected" internal/system/core/config.go 's/o\.baseVersion < record\.History\[0\]\.Base/false/'
+mutate "net/http repeats a call" internal/system/rpc/rpc.go 's/call\.GetBody = nil/call.Header.Set("Idempotency-Key", "x")/'
 mutate "accepted before it is durable" internal/system/core/jobsapi.go 's/sequence := o\.flush\(\)\n\to\.mu\.Unlock\(\)\n\treturn &api\.Empty\{\}, o\.waitCommitted\(ctx, sequence\)/o.flush()\n\to.mu.Unlock()\n\treturn &api.Empty{}, nil/'
-mutate "a change that was taken is refused when it comes again" internal/system/core/config.go 's/if made\.Digest == o\.digest/if false \&\& made.Digest == o.digest/'
-mutate "nothing runs beside kept room" jobs/reservation.go 's/reserved\.backfillCapacity\(\)\.Holds\(demand\)/false/' ./jobs
-mutate "what is kept is kept without end" jobs/overdue.go 's/c\.ignoreReservations = idle \|\| group\.isLongRunning\(\)/c.ignoreReservations = idle && false/' ./jobs
-mutate "limits hold back without end" jobs/cycle.go 's/if s\.overdueCycle \{/if false {/' ./jobs
-mutate "waiting work is not counted anew" jobs/backlog.go 's/\t\ts\.recountPendingDemand\(\)\n//' ./jobs
-mutate "debts are paid turn by turn" jobs/cycle.go 's/\t\t\tskipTurns\(queues\)\n//' ./jobs
-mutate "what cannot run hides what can" jobs/cycle.go 's/q\.resumeAt = more/_ = more/' ./jobs
-mutate "a dropped queue takes jobs after a takeover" jobs/scheduler.go 's/\t\tq\.removed = true\n\t\ts/\t\ts/' ./jobs
-mutate "a start that was ordered counts as begun" jobs/assign.go 's/group\.job\.everAssigned = true/group.job.everAssigned = true; s.markRan(group.job)/' ./jobs
-mutate "operators are cut off at a planned end" internal/system/core/core.go 's/c\.shutdownOperatorServer\(running, operators\)/_ = operators/' ./internal/system/simulation
-mutate "no room is kept for the first priority" jobs/headroom.go 's/h\.othersLimit = max\(0, capacity-h\.peak\)/h.othersLimit = capacity/' ./jobs
-mutate "tasks that last wait behind kept room" jobs/queue.go 's/if group\.isLongRunning\(\)/if false/' ./jobs
-mutate "what cannot be in time goes before what can" jobs/queuelimit.go 's/\t\ts\.triage\(now, q, capacity\)\n//' ./jobs
-mutate "shards are taken before all have spoken" internal/system/core/liveness.go 's/p\.known && !p\.alive\(\)/p.known \&\& false/' ./internal/system/core
-mutate "a worker is kept that its holder may not use" jobs/reservation.go 's/!w\.isFeasible\(group, 0\)/!w.Capacity.Holds(group.spec().demand())/' ./jobs
+mutate "a retried change is rejected" internal/system/core/config.go 's/if made\.Digest == o\.digest/if false \&\& made.Digest == o.digest/'
+mutate "no backfill on reserved workers" jobs/reservation.go 's/reserved\.backfillCapacity\(\)\.Holds\(demand\)/false/' ./jobs
+mutate "reservations hold without end" jobs/overdue.go 's/c\.ignoreReservations = idle \|\| group\.isLongRunning\(\)/c.ignoreReservations = idle && false/' ./jobs
+mutate "overdue work is not placed" jobs/cycle.go 's/if s\.overdueCycle \{/if false {/' ./jobs
+mutate "pending demand is not recounted" jobs/backlog.go 's/\t\ts\.recountPendingDemand\(\)\n//' ./jobs
+mutate "turns without credit are not skipped" jobs/cycle.go 's/\t\t\tskipTurns\(queues\)\n//' ./jobs
+mutate "unschedulable groups hide others" jobs/cycle.go 's/q\.resumeAt = more/_ = more/' ./jobs
+mutate "a removed queue takes jobs after a takeover" jobs/scheduler.go 's/\t\tq\.removed = true\n\t\ts/\t\ts/' ./jobs
+mutate "an ordered start counts as run" jobs/assign.go 's/group\.job\.everAssigned = true/group.job.everAssigned = true; s.markRan(group.job)/' ./jobs
+mutate "operators' requests are aborted at shutdown" internal/system/core/core.go 's/c\.shutdownOperatorServer\(running, operators\)/_ = operators/' ./internal/system/simulation
+mutate "no headroom for the first priority" jobs/headroom.go 's/h\.othersLimit = max\(0, capacity-h\.peak\)/h.othersLimit = capacity/' ./jobs
+mutate "long-running tasks wait behind headroom" jobs/queue.go 's/if group\.isLongRunning\(\)/if false/' ./jobs
+mutate "no triage" jobs/queuelimit.go 's/\t\ts\.triage\(now, q, capacity\)\n//' ./jobs
+mutate "shards are taken over before all peers have answered" internal/system/core/liveness.go 's/p\.known && !p\.alive\(\)/p.known \&\& false/' ./internal/system/core
+mutate "an infeasible worker is reserved" jobs/reservation.go 's/!w\.isFeasible\(group, 0\)/!w.Capacity.Holds(group.spec().demand())/' ./jobs
 exit $missed
--- a/workeragent/message.go
+++ b/workeragent/message.go
@@ -40,7 +40,7 @@
 	Finished          []FinishedRun `json:"finished"`
 }
 
-// Capacity is the resources of a worker: CPU in thousandths of a core, memory in MiB, GPUs in whole ones.
+// Capacity is the resources of a worker: CPU in thousandths of a core, memory in MiB, and a number of GPUs.
 //
 //easyjson:json
 type Capacity struct {
