--- a/coord/membership/model_search_test.go
+++ b/coord/membership/model_search_test.go
@@ -143,7 +143,7 @@
 
 // walk tries steps at random; most of them are not possible when they are tried. Rounds begin one after another, and
 // mostly messages of the last few are delivered, while those of older ones are delayed. Every now and then other links are
-// cut: each round reaches some replicas and not others, and some replicas learn nothing.
+// partitioned: each round reaches some replicas and not others, and some replicas learn nothing.
 func (m *model) walk(s *modelState, random *rand.Rand) {
 	byRound := make([][]step, len(m.kinds)+1)
 	for _, one := range m.steps() {
--- a/coord/register/proposal.go
+++ b/coord/register/proposal.go
@@ -36,57 +36,57 @@
 
 // OnPromise handles a replica's answer to a prepare message. It reports whether a quorum has promised: the proposer then
 // derives the next value from Value and calls BeginAccept.
-func (r *Proposal) OnPromise(replica int, p Promise) bool {
-	if r.Phase != Preparing {
+func (p *Proposal) OnPromise(replica int, promise Promise) bool {
+	if p.Phase != Preparing {
 		return false
 	}
-	if !p.Granted {
-		if r.HighestBallot.Less(p.Promised) {
-			r.HighestBallot = p.Promised
+	if !promise.Granted {
+		if p.HighestBallot.Less(promise.Promised) {
+			p.HighestBallot = promise.Promised
 		}
-		r.reject(replica)
+		p.reject(replica)
 		return false
 	}
-	r.acked[replica] = true
-	if r.latestBallot.Less(p.Accepted) {
-		r.latestBallot = p.Accepted
-		r.latestValue = p.Value
+	p.acked[replica] = true
+	if p.latestBallot.Less(promise.Accepted) {
+		p.latestBallot = promise.Accepted
+		p.latestValue = promise.Value
 	}
-	return len(r.acked) >= r.quorum
+	return len(p.acked) >= p.quorum
 }
 
 // Value returns the newest value among the promises, and its ballot.
-func (r *Proposal) Value() ([]byte, Ballot) { return r.latestValue, r.latestBallot }
+func (p *Proposal) Value() ([]byte, Ballot) { return p.latestValue, p.latestBallot }
 
 // BeginAccept begins the accept phase.
-func (r *Proposal) BeginAccept() {
-	r.Phase = Accepting
-	clear(r.acked)
-	clear(r.rejected)
+func (p *Proposal) BeginAccept() {
+	p.Phase = Accepting
+	clear(p.acked)
+	clear(p.rejected)
 }
 
 // OnAccepted handles a replica's answer to an accept message and reports whether the value is committed.
-func (r *Proposal) OnAccepted(replica int, accepted bool) bool {
-	if r.Phase != Accepting {
-		return r.Phase == Committed
+func (p *Proposal) OnAccepted(replica int, accepted bool) bool {
+	if p.Phase != Accepting {
+		return p.Phase == Committed
 	}
 	if !accepted {
-		r.reject(replica)
+		p.reject(replica)
 		return false
 	}
-	r.acked[replica] = true
-	if len(r.acked) >= r.quorum {
-		r.Phase = Committed
+	p.acked[replica] = true
+	if len(p.acked) >= p.quorum {
+		p.Phase = Committed
 	}
-	return r.Phase == Committed
+	return p.Phase == Committed
 }
 
 // OnFailure records that a replica does not answer.
-func (r *Proposal) OnFailure(replica int) { r.reject(replica) }
+func (p *Proposal) OnFailure(replica int) { p.reject(replica) }
 
-func (r *Proposal) reject(replica int) {
-	r.rejected[replica] = true
-	if r.replicas-len(r.rejected) < r.quorum && r.Phase != Committed {
-		r.Phase = Failed
+func (p *Proposal) reject(replica int) {
+	p.rejected[replica] = true
+	if p.replicas-len(p.rejected) < p.quorum && p.Phase != Committed {
+		p.Phase = Failed
 	}
 }
--- a/internal/system/clusterconfig/routing.go
+++ b/internal/system/clusterconfig/routing.go
@@ -11,17 +11,15 @@
 type Table struct {
 	Config *Config
 	byHost map[string][]*Route // by host in lower case; longest path prefix first
-	byName map[string]*Route
 }
 
 // NewTable builds the table of a configuration, which must not be changed afterwards.
 func NewTable(c *Config) *Table {
-	t := &Table{Config: c, byHost: map[string][]*Route{}, byName: map[string]*Route{}}
+	t := &Table{Config: c, byHost: map[string][]*Route{}}
 	for i := range c.Routes {
 		route := &c.Routes[i]
 		host := strings.ToLower(route.Host)
 		t.byHost[host] = append(t.byHost[host], route)
-		t.byName[route.Name] = route
 	}
 	for _, routes := range t.byHost {
 		sort.Slice(routes, func(i, j int) bool { return len(routes[i].PathPrefix) > len(routes[j].PathPrefix) })
@@ -42,6 +40,3 @@
 	}
 	return nil, ""
 }
-
-// Route returns a route by name, or nil.
-func (t *Table) Route(name string) *Route { return t.byName[name] }
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -20,7 +20,7 @@
 )
 
 func (c *Core) handleMembership(server *rpc.Server) {
-	rpc.Handle(server, methodState, c.store.state)
+	rpc.Handle(server, methodState, c.store.serveState)
 	rpc.Handle(server, methodPrefetch, c.store.servePrefetch)
 	rpc.Handle(server, methodMemberTimedOut, func(_ context.Context, r *memberTimedOutRequest) (*memberTimedOutResponse, error) {
 		return &memberTimedOutResponse{TimedOut: c.memberTimedOut(r.Member, r.Address)}, nil
@@ -226,7 +226,7 @@
 
 // quorumStates asks the voters for their state until a quorum has answered.
 func (c *Core) quorumStates(ctx context.Context, m membership.Membership) ([]*stateResponse, error) {
-	replies, count := broadcast(ctx, c, m, m.Voters(), methodState, c.store.state, func(to target) *stateRequest {
+	replies, count := broadcast(ctx, c, m, m.Voters(), methodState, c.store.serveState, func(to target) *stateRequest {
 		return &stateRequest{To: to}
 	})
 	answered, lastErr := awaitQuorum(replies, count, m.Quorum(), func(*stateResponse) bool { return true })
--- a/internal/system/core/proposer.go
+++ b/internal/system/core/proposer.go
@@ -63,71 +63,71 @@
 	ballot := register.Ballot{Counter: c.ballotCounter, Proposer: c.proposer}
 	known := c.learned[name]
 	c.mu.Unlock()
-	round := register.NewProposal(ballot, len(m.Voters()), m.Quorum(), known.ballot, known.value)
-	if err := c.prepareRound(ctx, name, m, round, known.ballot); err != nil {
+	proposal := register.NewProposal(ballot, len(m.Voters()), m.Quorum(), known.ballot, known.value)
+	if err := c.prepareRound(ctx, name, m, proposal, known.ballot); err != nil {
 		return nil, true, err
 	}
-	current, _ := round.Value()
-	proposal, rejection := update(current)
+	current, _ := proposal.Value()
+	next, rejection := update(current)
 	if rejection != nil {
-		proposal = current
+		next = current
 	}
-	if proposal == nil || rejection != nil && name == membershipRegister {
+	if next == nil || rejection != nil && name == membershipRegister {
 		return nil, false, rejection // reading a membership must not complete one that was accepted and never chosen
 	}
-	round.BeginAccept()
+	proposal.BeginAccept()
 	if rejection == nil {
 		*begun = true
 	}
-	if err := c.acceptRound(ctx, name, m, round, proposal); err != nil {
+	if err := c.acceptRound(ctx, name, m, proposal, next); err != nil {
 		return nil, true, err
 	}
-	if err := c.learn(name, ballot, proposal); err != nil {
+	if err := c.learn(name, ballot, next); err != nil {
 		return nil, false, err
 	}
-	go c.announce(context.WithoutCancel(ctx), name, ballot, proposal)
-	return proposal, false, rejection
+	go c.announce(context.WithoutCancel(ctx), name, ballot, next)
+	return next, false, rejection
 }
 
 // prepareRound runs the prepare phase.
-func (c *Core) prepareRound(ctx context.Context, name string, m membership.Membership, round *register.Proposal, known register.Ballot) error {
+func (c *Core) prepareRound(ctx context.Context, name string, m membership.Membership, proposal *register.Proposal, known register.Ballot) error {
 	replies, count := broadcast(ctx, c, m, m.Voters(), methodPrepare, c.store.prepare, func(to target) *prepareRequest {
-		return &prepareRequest{To: to, Name: name, Ballot: round.Ballot, Known: known}
+		return &prepareRequest{To: to, Name: name, Ballot: proposal.Ballot, Known: known}
 	})
-	err := collectReplies(m, round, replies, count, func(seat int, response *prepareResponse) bool {
-		return round.OnPromise(seat, response.Promise)
+	err := collectReplies(m, proposal, replies, count, func(seat int, response *prepareResponse) bool {
+		return proposal.OnPromise(seat, response.Promise)
 	})
 	if err != nil {
-		c.observeBallot(round.HighestBallot.Counter)
+		c.observeBallot(proposal.HighestBallot.Counter)
 	}
 	return err
 }
 
 // acceptRound runs the accept phase.
-func (c *Core) acceptRound(ctx context.Context, name string, m membership.Membership, round *register.Proposal, value []byte) error {
+func (c *Core) acceptRound(ctx context.Context, name string, m membership.Membership, proposal *register.Proposal, value []byte) error {
 	replies, count := broadcast(ctx, c, m, m.Voters(), methodAccept, c.store.accept, func(to target) *acceptRequest {
-		return &acceptRequest{To: to, Name: name, Ballot: round.Ballot, Value: value}
+		return &acceptRequest{To: to, Name: name, Ballot: proposal.Ballot, Value: value}
 	})
-	return collectReplies(m, round, replies, count, func(seat int, response *acceptResponse) bool {
-		return round.OnAccepted(seat, response.Accepted)
+	return collectReplies(m, proposal, replies, count, func(seat int, response *acceptResponse) bool {
+		return proposal.OnAccepted(seat, response.Accepted)
 	})
 }
 
-// collectReplies passes the replies of replicas to a round until a majority has agreed or can no longer be had.
-func collectReplies[Response any](m membership.Membership, round *register.Proposal, replies <-chan reply[Response], count int,
+// collectReplies passes the replies of replicas to a proposal until a majority has agreed or can no longer do so.
+func collectReplies[Response any](m membership.Membership, proposal *register.Proposal, replies <-chan reply[Response], count int,
 	take func(seat int, response *Response) (enough bool),
 ) error {
-	phase := round.Phase
+	phase := proposal.Phase
 	var lastErr error
 	for range count {
 		r := <-replies
 		if r.err != nil {
 			lastErr = r.err
-			round.OnFailure(m.SeatOf(r.member.ID))
+			proposal.OnFailure(m.SeatOf(r.member.ID))
 		} else if take(m.SeatOf(r.member.ID), r.response) {
 			return nil
 		}
-		if round.Phase == register.Failed {
+		if proposal.Phase == register.Failed {
 			break
 		}
 	}
--- a/internal/system/core/store_registers.go
+++ b/internal/system/core/store_registers.go
@@ -66,8 +66,8 @@
 	return answer, nil
 }
 
-// state returns all that a learner has to hold before it votes.
-func (s *store) state(ctx context.Context, r *stateRequest) (*stateResponse, error) {
+// serveState returns all that a learner has to hold before it votes.
+func (s *store) serveState(ctx context.Context, r *stateRequest) (*stateResponse, error) {
 	answer := &stateResponse{Registers: map[string]register.Acceptor{}, Shards: map[string]int64{}}
 	err := s.readDurable(ctx, r.To, func(from origin) {
 		answer.From = from
--- a/internal/system/core/store_test.go
+++ b/internal/system/core/store_test.go
@@ -89,7 +89,7 @@
 	s.change(membership.AddLearner(seat, st.identity.ID, address), from, address)
 	var learned []*stateResponse
 	for _, other := range from {
-		response, err := s.stores[other].state(s.ctx(), &stateRequest{To: s.to(other, address)})
+		response, err := s.stores[other].serveState(s.ctx(), &stateRequest{To: s.to(other, address)})
 		if err != nil {
 			return err
 		}
@@ -167,7 +167,7 @@
 		s.wantCode(err, want)
 		_, err = st.readAccepted(s.ctx(), &readAcceptedRequest{To: *to, Name: "config"})
 		s.wantCode(err, want)
-		_, err = st.state(s.ctx(), &stateRequest{To: *to})
+		_, err = st.serveState(s.ctx(), &stateRequest{To: *to})
 		s.wantCode(err, want)
 	}
 }
@@ -198,7 +198,7 @@
 	s.wantCode(s.accept("c", s.to("c", "c"), 5, "value"), result.NotRecovered)
 	_, err := st.readAccepted(s.ctx(), &readAcceptedRequest{To: s.to("c", "c"), Name: "config"})
 	s.wantCode(err, result.NotRecovered)
-	_, err = st.state(s.ctx(), &stateRequest{To: s.to("c", "c")})
+	_, err = st.serveState(s.ctx(), &stateRequest{To: s.to("c", "c")})
 	s.wantCode(err, result.NotRecovered)
 }
 
@@ -239,12 +239,12 @@
 	s.wantCode(s.accept("b", s.to("b", "b"), 5, "chosen"), result.OK)
 	s.wantCode(s.accept("c", s.to("c", "c"), 5, "chosen"), result.OK)
 	st := s.wipe("c")
-	before, err := s.stores["a"].state(s.ctx(), &stateRequest{To: s.to("a", "a")})
+	before, err := s.stores["a"].serveState(s.ctx(), &stateRequest{To: s.to("a", "a")})
 	s.wantCode(err, result.OK)
 	s.change(membership.AddLearner(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
 	states := map[string]*stateResponse{}
 	for _, other := range []string{"a", "b"} {
-		states[other], err = s.stores[other].state(s.ctx(), &stateRequest{To: s.to(other, "c")})
+		states[other], err = s.stores[other].serveState(s.ctx(), &stateRequest{To: s.to(other, "c")})
 		s.wantCode(err, result.OK)
 	}
 	epoch := st.membership.Epoch
@@ -360,7 +360,7 @@
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "value"), result.StorageFailed)
 	_, err := st.readAccepted(s.ctx(), &readAcceptedRequest{To: s.to("a", "a"), Name: "config"})
 	s.wantCode(err, result.StorageFailed)
-	_, err = st.state(s.ctx(), &stateRequest{To: s.to("a", "a")})
+	_, err = st.serveState(s.ctx(), &stateRequest{To: s.to("a", "a")})
 	s.wantCode(err, result.StorageFailed)
 }
 
--- a/internal/system/rpc/golden_test.go
+++ b/internal/system/rpc/golden_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// What the client sends, and how it takes answers.
+// What the client sends, and how it reads answers.
 func TestClientBytes(t *testing.T) {
 	var asked string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/system/statefile/statefile_test.go
+++ b/internal/system/statefile/statefile_test.go
@@ -68,7 +68,7 @@
 }
 
 // A power loss tears or drops what was written after the last sync; what was acknowledged stays, and what is
-// appended after the start does not end up behind the torn part.
+// appended after the start is not written behind the torn part, where a replay would miss it.
 func TestTornEndIsCutOff(t *testing.T) {
 	for seed := range uint64(60) {
 		dir := t.TempDir()
@@ -91,7 +91,7 @@
 	}
 }
 
-// tear appends a damaged frame, as a write that was under way leaves behind.
+// tear appends a damaged frame, as a power loss during a write leaves it.
 func tear(t *testing.T, dir string, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 3))
--- a/jobs/gang_test.go
+++ b/jobs/gang_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A gang starts everywhere or nowhere.
+// All members of a gang start, or none.
 func TestGangStartsTogether(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000 gpu=8
--- a/jobs/golden_test.go
+++ b/jobs/golden_test.go
@@ -8,7 +8,7 @@
 	"sedgevale/jobs"
 )
 
-// A job as clients hand it in, with each key, is read field by field.
+// A job as clients submit it, with each key, is read field by field.
 func TestSpecBytes(t *testing.T) {
 	const text = `{"spec":"x","stages":[{"count":1,"cpu":2,"mem_mb":3,"gpu":4,"estimate_ms":5,"depends_on":[0],"checkpoints":true,"gang":true,` +
 		`"rack_local":true,"at_least_once":true,"long_running":true,"constraints":["k"],"affinity_to":"a","anti_affinity":6}],` +
--- a/jobs/helpers_test.go
+++ b/jobs/helpers_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newTestScheduler returns a scheduler with some queues, with leases of a length.
+// newTestScheduler returns a scheduler with some queues and a lease time-out.
 func newTestScheduler(lease time.Duration, random *rand.Rand, queues []QueueConfig) *Scheduler {
 	s := New(Options{LeaseTimeout: lease, EndedJobTTL: time.Minute, RemoteSlowdown: 1.5}, random)
 	s.Configure(queues)
--- a/jobs/lifecycle_test.go
+++ b/jobs/lifecycle_test.go
@@ -40,7 +40,7 @@
 	140 client j = completed`)
 }
 
-// ORDER: a stage starts once all tasks of the stages it depends on have succeeded.
+// A stage starts once all tasks of the stages it depends on have succeeded.
 func TestStagesWaitForDependencies(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -55,7 +55,7 @@
 	110 orders a = acked 2 start j.0.1.0/1`)
 }
 
-// BUDGET: a job fails when a task has failed as often as the queue's retries allow; other outcomes do not count.
+// A job fails when a task has failed as often as the queue's retries allow; other outcomes do not count.
 func TestFailuresCount(t *testing.T) {
 	play(t, `
 	0   worker a cpu=4000
@@ -129,7 +129,7 @@
 	130 orders a = acked 3 start j.0.0.0/4`)
 }
 
-// The same ID comes again: before its 2xx, seconds after it, after a failover and after the job's end. It stays one job.
+// The same ID is submitted again: before its 2xx, seconds after it, after a failover and after the job's end. It stays one job.
 func TestSubmitIsIdempotent(t *testing.T) {
 	play(t, `
 	0    worker a cpu=4000
--- a/jobs/placement_test.go
+++ b/jobs/placement_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ROUTE: the label in constraints, the rack of the data, and the stage's anti-affinity.
+// Placement follows the label in constraints, the rack of the data, and the stage's anti-affinity.
 func TestPlacementSatisfiesConstraints(t *testing.T) {
 	line := play(t, `
 	0   worker a cpu=4000 rack=r1
--- a/jobs/recovery_test.go
+++ b/jobs/recovery_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A new owner assumes that every committed start was sent. It sends the
-// same one again, and starts the task elsewhere only once the lease has certainly expired.
+// A new owner assumes that every committed start was sent. It sends the same one again, and starts the task elsewhere only
+// once the lease has certainly expired.
 func TestNewOwnerWaitsForRunsThatMayBeActive(t *testing.T) {
 	play(t, `
 	0     worker a cpu=4000
@@ -106,7 +106,7 @@
 
 // Pending demand is measured in mean workers. After a failover the mean is not known until workers have
 // reported, and it changes as they come and go; demand that was counted by an earlier mean must be counted anew, or its
-// queue is limited to what it has.
+// queue's limit stays at what it has allocated.
 func TestPendingDemandFollowsMeanWorker(t *testing.T) {
 	line := play(t, `
 	0    worker a cpu=4000
--- a/jobs/reservation_test.go
+++ b/jobs/reservation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// docs/incidents/inc1.md: tasks of one job run one after the other on the only worker with their label. What they leave of it
-// is enough for another job with that label, which waited for as long as the first one lasted.
+// docs/incidents/inc1.md: tasks of one job run one after the other on the only worker with their label. The capacity
+// that they leave is enough for another job with that label, which waited until the first one had ended.
 func TestWorkRunsBesideReservation(t *testing.T) {
 	play(t, `
 	0    worker a cpu=32000 mem=131072 gpu=8 kind=a
--- a/jobs/timeline_test.go
+++ b/jobs/timeline_test.go
@@ -22,7 +22,8 @@
 //	pending q = 1               jobs of a queue of which no task has run
 //	failover                    a new owner takes over the durable records
 //
-// A spec is stages divided by |, each with words like 3x cpu=500 gang after=0 checkpoints longrunning affinity=r1 antiaffinity=1 est=900 gpu=2.
+// A spec is stages divided by |, each with words like
+// 3x cpu=500 gang racklocal after=0 checkpoints longrunning affinity=r1 antiaffinity=1 label=k est=900 gpu=2.
 type timeline struct {
 	t                  *testing.T
 	scheduler          *Scheduler
--- a/jobs/workers_test.go
+++ b/jobs/workers_test.go
@@ -78,7 +78,7 @@
 	940  client j = running`)
 }
 
-// Found by incident inc-a454: starts that were assigned to a partitioned worker waited there for the end of the partition.
+// docs/incidents/inc-a454.md: starts that were assigned to a partitioned worker waited there for the end of the partition.
 func TestTimedOutAgentGetsNoStarts(t *testing.T) {
 	play(t, `
 	0    worker a cpu=4000
@@ -90,8 +90,9 @@
 	1050 orders b = start j.0.0.0/1`)
 }
 
-// A limit that was decreased below the load increases again, also where the runs are long-running. Found by scale-1 of the second site, which
-// in some plays left one of five workers at a tenth from second 11 to the end.
+// A limit that was decreased below the load increases again, also where the runs are
+// long-running. Found on the bench, in the day scale-1 of the second site: some plays left one of five workers at a tenth
+// from second 11 to the end.
 func TestLimitRisesBelowWhatRuns(t *testing.T) {
 	line := newTimeline(t)
 	line.step(0, strings.Fields("worker a cpu=4000"), "")
--- a/workeragent/report.go
+++ b/workeragent/report.go
@@ -42,7 +42,7 @@
 		}
 	}
 	for ref := range a.starts {
-		add("held ", ref)
+		add("pending ", ref)
 	}
 	for ref := range a.dropped {
 		add("dropped ", ref)
