--- a/internal/system/api/api.go
+++ b/internal/system/api/api.go
@@ -27,13 +27,13 @@
 
 // WatchResponse holds the newest configuration, the owners of the shards and the addresses of the core schedulers.
 type WatchResponse struct {
-	Confirmed     bool // a quorum has confirmed the state recently
+	Confirmed     bool // a quorum has confirmed the configuration within 700 ms
 	ConfigVersion int64
-	Config        []byte // empty if the sender has this version
-	ConfigBase    int64  // if not 0, Config is a patch on this version
+	Config        []byte // JSON; empty if the sender has this version or wants none
+	ConfigBase    int64  // if not 0, Config is a patch (package clusterconfig) on this version
 	Owners        []Owner
-	OwnersDigest  int64
-	Cores         []string
+	OwnersDigest  int64    // of Owners and Cores, for the next request
+	Cores         []string // addresses
 }
 
 // Owner is the owner of a shard, with its fencing token.
@@ -43,28 +43,28 @@
 	Token   int64
 }
 
-// SubmitRequest submits a job. It is idempotent by Queue and ID.
+// SubmitRequest submits a job. It is idempotent by ID within a shard.
 type SubmitRequest struct {
 	Shard         string
-	ConfigVersion int64
+	ConfigVersion int64 // that the edge has; an owner with an older one catches up first
 	Queue         string
 	ID            string
-	Body          []byte
+	Body          []byte // jobs.Spec as JSON, as the client sent it
 }
 
 // JobRequest names a job, to read its state or to cancel it.
 type JobRequest struct {
 	Shard string
-	Queue string
+	Queue string // not used: IDs are unique in a shard
 	ID    string
 }
 
 // JobResponse holds a job's state.
 type JobResponse struct {
-	State string
+	State string // a jobs.State
 }
 
-// PendingRequest asks for the number of jobs of a queue that have not ended.
+// PendingRequest asks for the number of unfinished jobs of a queue of which no task ever ran.
 type PendingRequest struct {
 	Shard string
 	Queue string
--- a/internal/system/result/result.go
+++ b/internal/system/result/result.go
@@ -14,24 +14,24 @@
 // repeated.
 const (
 	OK                Code = 0
-	BadRequest        Code = 1001 // the message cannot be decoded
+	BadRequest        Code = 1001 // the message cannot be decoded, or names a key range that does not exist
 	NotOwner          Code = 1002 // this scheduler does not own the shard
-	NotReady          Code = 1003 // no configuration or no quorum yet
+	NotReady          Code = 1003 // no configuration, or no quorum confirmed the ownership lately
 	Fenced            Code = 1004 // a newer fencing token is known
 	EpochOutdated     Code = 1005 // the sender's membership of the core is older
-	NotRecovered      Code = 1006 // the replica holds no seat, or is a learner that does not vote yet
+	NotRecovered      Code = 1006 // the replica holds no seat, is a learner, or has to be repaired first
 	NoRoute           Code = 1007 // no such route in the newest configuration
 	NoJob             Code = 1008 // no such job
-	Overloaded        Code = 1009 // the queue is full; the job was not accepted
-	Conflict          Code = 1010 // another version of the configuration is current
+	Overloaded        Code = 1009 // the shard has too many unfinished jobs; the job was not accepted
+	Conflict          Code = 1010 // another version of the configuration is current, or a seat is held by another disk
 	Invalid           Code = 1011 // the configuration or job is invalid
-	WrongInstance     Code = 1012 // the worker has another incarnation
-	BallotOutdated    Code = 1013 // a higher ballot was promised
-	WrongReplica      Code = 1014 // another replica answers at the address
-	Unavailable       Code = 1015 // no quorum could be reached
+	WrongInstance     Code = 1012 // the orders are for another incarnation of the worker
+	BallotOutdated    Code = 1013 // a higher ballot was promised; no longer returned
+	WrongReplica      Code = 1014 // another replica than was asked, or one in another epoch, answers at the address
+	Unavailable       Code = 1015 // no connection was made, or no quorum was reached before anything was accepted
 	MembershipInvalid Code = 1016 // the membership violates an invariant
 	WrongDeployment   Code = 1017 // the message is of another deployment
-	WrongDisk         Code = 1018 // the disk belongs to another machine, or its layout is unknown
+	WrongDisk         Code = 1018 // the disk belongs to another machine
 	StorageFailed     Code = 2001 // a write to the disk failed, or may have
 	OutcomeUnknown    Code = 2002 // a commit was begun and its outcome is unknown
 	TransportFailed   Code = 2003 // the connection failed before the answer
--- a/workeragent/message.go
+++ b/workeragent/message.go
@@ -20,24 +20,25 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Heartbeat is a worker's report on itself. The JSON keys are part of the workers' protocol, as are those of Answer.
+// Heartbeat is a worker's report on itself. The JSON keys are part of the workers' protocol, as are those of Answer. Fields
+// without a comment are read and not used.
 //
 //easyjson:json
 type Heartbeat struct {
-	Service           string        `json:"service"`
+	Service           string        `json:"service"` // the service whose jobs the worker runs: also the name of the shard
 	Address           string        `json:"address"`
 	Zone              string        `json:"zone"`
 	Version           string        `json:"version"`
 	Slots             int64         `json:"slots"`
-	State             string        `json:"state"`
+	State             string        `json:"state"` // "ready", or another value while the worker drains
 	WarmupRemainingMS int64         `json:"warmup_left_ms"`
-	RemainingMS       int64         `json:"remaining_ms"`
-	Capacity          Capacity      `json:"capacity"`
-	Labels            []string      `json:"labels"`
+	RemainingMS       int64         `json:"remaining_ms"` // while it drains: until the worker ends
+	Capacity          Capacity      `json:"capacity"`     // the total, not what is free
+	Labels            []string      `json:"labels"`       // the last one is the rack
 	ClockMS           int64         `json:"clock_ms"`
-	Sequence          int64         `json:"sequence"`
-	Active            []ActiveRun   `json:"active"`
-	Finished          []FinishedRun `json:"finished"`
+	Sequence          int64         `json:"sequence"` // rises with each heartbeat of an incarnation
+	Active            []ActiveRun   `json:"active"`   // runs that have not ended
+	Finished          []FinishedRun `json:"finished"` // runs that have ended, until last_seen passes their numbers; 500 at most
 }
 
 // Capacity is the resources of a worker: CPU in thousandths of a core, memory in MiB, and a number of GPUs.
@@ -53,12 +54,12 @@
 //
 //easyjson:json
 type Answer struct {
-	LeaseMS      int64    `json:"hold_ms,omitempty"`
-	LastSeen     int64    `json:"last_seen,omitempty"`
-	FenceToken   int64    `json:"fence_token,omitempty"`
-	Started      []Start  `json:"started,omitempty"`
-	Stopped      []RunRef `json:"stopped,omitempty"`
-	RetryAfterMS int64    `json:"retry_after_ms,omitempty"`
+	LeaseMS      int64    `json:"hold_ms,omitempty"`        // the worker's lease, on its own clock from the sending of the heartbeat; 0 grants none
+	LastSeen     int64    `json:"last_seen,omitempty"`      // ends of runs up to this number are stored and need not be reported again
+	FenceToken   int64    `json:"fence_token,omitempty"`    // the highest fencing token of an owner that the agent has met
+	Started      []Start  `json:"started,omitempty"`        // runs to start
+	Stopped      []RunRef `json:"stopped,omitempty"`        // runs to stop
+	RetryAfterMS int64    `json:"retry_after_ms,omitempty"` // until the next heartbeat is due
 }
 
 // ActiveRun is a run that has not ended: [task, run, saved, percent]. Percent is its progress.
