--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -23,9 +23,9 @@
 
 // owner is a shard that this scheduler owns: its jobs, and the replication of their records.
 type owner struct {
-	core  *Core
-	name  string // of the shard
-	token int64  // the fencing token of this ownership
+	core       *Core
+	name       string // of the shard
+	token      int64  // the fencing token of this ownership
 	goroutines goroutineGroup
 
 	// mu guards the fields below and those of each replicator. Core.mu may be held when it is taken, not the other way.
--- a/scripts/sitegen/deployment.go
+++ b/scripts/sitegen/deployment.go
@@ -114,7 +114,7 @@
 
 // writeTables writes what all sites share, with the site's bounds.
 func (s site) writeTables(line func(string, ...any)) {
-	line("\n[timing]\ncatch_up_s = 4.0\nfinish_s = 14.0\nearly_ms = 250.0\nhold_max_ms = %d.0\ngang_ms = 3000\ncancel_ms = 3000\nstop_ms = %d.0", s.holdMS, s.stopMS)
+	line("\n[timing]\ncatch_up_s = 4.0\nfinish_s = 14.0\nearly_ms = 250.0\nhold_max_ms = %d.0\ngang_ms = 3000\ncancel_ms = 3000\nstop_ms = %d.0", s.maxLeaseMS, s.stopMS)
 	line("far_x = 1.5\nsave_s = 2.0\nrestore_ms = 200.0\npatient = 0.04\nlate_seeds_ms = 300.0")
 	line("\n[net]\nin_zone_ms = 0.1\ncross_zone_ms = 1.4\ncross_region_ms = 12.0\nclient_ms = 1.0")
 	line("\n[discovery]\nsource = \"local\"\nbeat_ms = 1500\nlag_ms = 800\npage = 200\nper_s = 36.0")
--- a/scripts/sitegen/sites.go
+++ b/scripts/sitegen/sites.go
@@ -7,7 +7,7 @@
 	coresPerZone    int
 	toleratedLosses int // core machines that may fail at once
 	services        []service
-	holdMS          int // the longest lease of a worker
+	maxLeaseMS      int // the longest lease of a worker
 	stopMS          int // that a worker takes to stop a task
 	queues          []queue
 	rackSize        int // in workers
@@ -50,7 +50,7 @@
 // sites are the deployments that are written.
 var sites = []site{
 	{ // as many core machines as seats: no spare
-		name: "no-spare", zones: 3, coresPerZone: 1, toleratedLosses: 1, holdMS: 6000, stopMS: 700, rackSize: 3, jobsPerSecond: 7,
+		name: "no-spare", zones: 3, coresPerZone: 1, toleratedLosses: 1, maxLeaseMS: 6000, stopMS: 700, rackSize: 3, jobsPerSecond: 7,
 		services: []service{{"ledger", 3, 16000, 0}, {"lathe", 2, 32000, 8}},
 		queues: []queue{
 			{name: "post", service: "ledger", priority: 0, workMS: 600, width: 5, cpu: 250, share: 6, targetLatencyMS: 800},
@@ -60,7 +60,7 @@
 		},
 	},
 	{ // two spares
-		name: "two-spares", zones: 5, coresPerZone: 1, toleratedLosses: 1, holdMS: 10000, stopMS: 500, rackSize: 2, jobsPerSecond: 8,
+		name: "two-spares", zones: 5, coresPerZone: 1, toleratedLosses: 1, maxLeaseMS: 10000, stopMS: 500, rackSize: 2, jobsPerSecond: 8,
 		services: []service{{"office", 2, 16000, 0}, {"yard", 1, 32000, 8}},
 		queues: []queue{
 			{name: "look", service: "office", priority: 0, workMS: 500, width: 5, cpu: 250, share: 6, targetLatencyMS: 800},
@@ -69,7 +69,7 @@
 		},
 	},
 	{ // long days with hundreds of configuration changes, and few workers with a label that many jobs ask for
-		name: "long-days", zones: 3, coresPerZone: 2, toleratedLosses: 1, holdMS: 6000, stopMS: 900, rackSize: 3, jobsPerSecond: 5,
+		name: "long-days", zones: 3, coresPerZone: 2, toleratedLosses: 1, maxLeaseMS: 6000, stopMS: 900, rackSize: 3, jobsPerSecond: 5,
 		lengthS: 130, labelShare: 0.4, configChanges: 200,
 		services: []service{{"archive", 1, 16000, 0}, {"studio", 1, 32000, 8}},
 		queues: []queue{
@@ -82,7 +82,7 @@
 		},
 	},
 	{ // few workers with a label that most jobs ask for, and many large jobs for them at the end
-		name: "few-of-a-kind", zones: 2, coresPerZone: 2, toleratedLosses: 1, holdMS: 6000, stopMS: 900, rackSize: 3, jobsPerSecond: 4,
+		name: "few-of-a-kind", zones: 2, coresPerZone: 2, toleratedLosses: 1, maxLeaseMS: 6000, stopMS: 900, rackSize: 3, jobsPerSecond: 4,
 		lengthS: 30, labelShare: 0.7, lateBurst: "master",
 		services: []service{{"archive", 2, 16000, 0}, {"studio", 1, 32000, 8}},
 		queues: []queue{
@@ -93,7 +93,7 @@
 		},
 	},
 	{ // slightly more demand for accelerators than capacity: gangs have priority over single tasks of wide jobs
-		name: "scarce-accelerators", zones: 2, coresPerZone: 2, toleratedLosses: 1, holdMS: 6000, stopMS: 400, rackSize: 3, jobsPerSecond: 6.8, lengthS: 70,
+		name: "scarce-accelerators", zones: 2, coresPerZone: 2, toleratedLosses: 1, maxLeaseMS: 6000, stopMS: 400, rackSize: 3, jobsPerSecond: 6.8, lengthS: 70,
 		services: []service{{"office", 2, 16000, 0}, {"kiln", 3, 32000, 8}},
 		queues: []queue{
 			{name: "look", service: "office", priority: 0, workMS: 500, width: 5, cpu: 250, share: 6, targetLatencyMS: 800},
@@ -102,7 +102,7 @@
 		},
 	},
 	{ // the same scarcity, with many short single tasks of the same priority beside larger gangs
-		name: "scarce-equals", zones: 3, coresPerZone: 1, toleratedLosses: 1, holdMS: 8000, stopMS: 600, rackSize: 2, jobsPerSecond: 5.95, lengthS: 70,
+		name: "scarce-equals", zones: 3, coresPerZone: 1, toleratedLosses: 1, maxLeaseMS: 8000, stopMS: 600, rackSize: 2, jobsPerSecond: 5.95, lengthS: 70,
 		services: []service{{"mill", 1, 16000, 0}, {"press", 2, 32000, 8}},
 		queues: []queue{
 			{name: "grind", service: "mill", priority: 0, workMS: 500, width: 4, cpu: 250, share: 4, targetLatencyMS: 800},
@@ -111,7 +111,7 @@
 		},
 	},
 	{
-		name: "one-hall", zones: 1, coresPerZone: 3, toleratedLosses: 1, holdMS: 4000, stopMS: 1500, rackSize: 64, jobsPerSecond: 6,
+		name: "one-hall", zones: 1, coresPerZone: 3, toleratedLosses: 1, maxLeaseMS: 4000, stopMS: 1500, rackSize: 64, jobsPerSecond: 6,
 		services: []service{{"press", 6, 16000, 0}},
 		queues: []queue{
 			{name: "proof", service: "press", priority: 0, workMS: 600, width: 5, cpu: 300, share: 6, targetLatencyMS: 900},
@@ -119,7 +119,7 @@
 		},
 	},
 	{
-		name: "five-halls", zones: 5, coresPerZone: 2, toleratedLosses: 2, holdMS: 8000, stopMS: 600, rackSize: 2, jobsPerSecond: 9,
+		name: "five-halls", zones: 5, coresPerZone: 2, toleratedLosses: 2, maxLeaseMS: 8000, stopMS: 600, rackSize: 2, jobsPerSecond: 9,
 		services: []service{{"mill", 2, 16000, 0}, {"kiln", 1, 32000, 8}},
 		queues: []queue{
 			{name: "grind", service: "mill", priority: 0, workMS: 500, width: 6, cpu: 250, share: 7, targetLatencyMS: 800},
@@ -129,7 +129,7 @@
 		},
 	},
 	{
-		name: "many-queues", zones: 2, coresPerZone: 2, toleratedLosses: 1, holdMS: 4000, stopMS: 900, rackSize: 3, jobsPerSecond: 8,
+		name: "many-queues", zones: 2, coresPerZone: 2, toleratedLosses: 1, maxLeaseMS: 4000, stopMS: 900, rackSize: 3, jobsPerSecond: 8,
 		services: []service{{"desk", 3, 16000, 0}, {"loom", 2, 8000, 0}},
 		queues: []queue{
 			{name: "ask", service: "desk", priority: 0, workMS: 400, width: 3, cpu: 200, share: 5, targetLatencyMS: 700},
