--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	silentMemberTimeout = 2200 * time.Millisecond // after which a member's seat may be given away
-	joinInterval        = 120 * time.Millisecond
-	joinTimeout         = 1500 * time.Millisecond
-	prefetchTimeout     = 900 * time.Millisecond
-	membershipRegister  = "membership"
+	memberTimeout      = 2200 * time.Millisecond // without an answer, after which a member's seat may be taken
+	joinInterval       = 120 * time.Millisecond
+	joinTimeout        = 1500 * time.Millisecond
+	prefetchTimeout    = 900 * time.Millisecond
+	membershipRegister = "membership"
 )
 
 func (c *Core) handleMembership(server *rpc.Server) {
-	rpc.Handle(server, methodState, c.store.state)
+	rpc.Handle(server, methodState, c.store.serveState)
 	rpc.Handle(server, methodPrefetch, c.store.servePrefetch)
 	rpc.Handle(server, methodMemberTimedOut, func(_ context.Context, r *memberTimedOutRequest) (*memberTimedOutResponse, error) {
 		return &memberTimedOutResponse{TimedOut: c.memberTimedOut(r.Member, r.Address)}, nil
 	})
 }
 
-// memberTimedOut reports whether a member has not answered this scheduler for silentMemberTimeout, or drains.
+// memberTimedOut reports whether a member has not answered this scheduler for memberTimeout, or drains.
 func (c *Core) memberTimedOut(id, address string) bool {
 	if address == c.address {
 		own, _, _ := c.store.self()
@@ -35,10 +35,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.peer(address); time.Since(p.lastHeartbeat) <= silentMemberTimeout {
+	if p := c.peer(address); time.Since(p.lastHeartbeat) <= memberTimeout {
 		return p.status.Draining
 	}
-	return time.Since(c.started) > silentMemberTimeout
+	return time.Since(c.started) > memberTimeout
 }
 
 // joinLoop has this scheduler take a seat that nobody holds, that its own lost disk held or whose holder has timed out, and
@@ -112,7 +112,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.peer(address)
-	return p.status.Draining && time.Since(p.lastHeartbeat) <= silentMemberTimeout
+	return p.status.Draining && time.Since(p.lastHeartbeat) <= memberTimeout
 }
 
 // confirmTimedOut asks whether a member has timed out for a quorum of the voters too, so that a machine which a partition
@@ -226,7 +226,7 @@
 
 // quorumStates asks the voters for their state until a quorum has answered.
 func (c *Core) quorumStates(ctx context.Context, m membership.Membership) ([]*stateResponse, error) {
-	replies, count := broadcast(ctx, c, m, m.Voters(), methodState, c.store.state, func(to target) *stateRequest {
+	replies, count := broadcast(ctx, c, m, m.Voters(), methodState, c.store.serveState, func(to target) *stateRequest {
 		return &stateRequest{To: to}
 	})
 	answered, lastErr := awaitQuorum(replies, count, m.Quorum(), func(*stateResponse) bool { return true })
--- a/internal/system/statefile/log.go
+++ b/internal/system/statefile/log.go
@@ -16,7 +16,7 @@
 )
 
 // ErrQueueFull says that more than 48 MB of entries wait for the disk.
-var ErrQueueFull = errors.New("statefile: too much waits for the disk")
+var ErrQueueFull = errors.New("statefile: append queue is full")
 
 // ErrLayout says that a directory was written by another release.
 var ErrLayout = errors.New("statefile: written by another release")
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// rotate writes a snapshot of the complete state and begins an empty log beside it.
+// rotate writes a snapshot of the complete state and begins an empty log after it.
 func (l *Log) rotate() error {
 	next := l.generation + 1
 	if err := l.writeSnapshot(next); err != nil {
--- a/internal/system/statefile/statefile_test.go
+++ b/internal/system/statefile/statefile_test.go
@@ -68,7 +68,7 @@
 }
 
 // A power loss tears or drops what was written after the last sync; what was acknowledged stays, and what is
-// appended after the start does not end up behind the torn part.
+// appended after the start is not written behind the torn part, where a replay would miss it.
 func TestTornEndIsCutOff(t *testing.T) {
 	for seed := range uint64(60) {
 		dir := t.TempDir()
@@ -91,7 +91,7 @@
 	}
 }
 
-// tear appends a damaged frame, as a write that was under way leaves behind.
+// tear appends a damaged frame, as a power loss during a write leaves it.
 func tear(t *testing.T, dir string, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 3))
@@ -121,7 +121,7 @@
 }
 
 // An incomplete snapshot is ignored, and the generation before it counts.
-func TestHalfSnapshotIsLeftOut(t *testing.T) {
+func TestIncompleteSnapshotIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	m := &memory{}
 	l := m.open(t, dir)
@@ -158,7 +158,7 @@
 	}
 }
 
-// A disk that refuses a write fails the appends that wait; the next ones begin a new generation with all that is known.
+// A disk that rejects a write fails the appends that wait; the next ones begin a new generation with all that is known.
 func TestFailedWriteBeginsANewGeneration(t *testing.T) {
 	dir := t.TempDir()
 	m := &memory{}
@@ -181,7 +181,7 @@
 }
 
 // A log without its snapshot is no state: the disk counts as empty, and a check says so.
-func TestLogWithoutItsSnapshotIsLeftOut(t *testing.T) {
+func TestLogWithoutItsSnapshotIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	m := &memory{}
 	l := m.open(t, dir)
--- a/jobs/golden_test.go
+++ b/jobs/golden_test.go
@@ -8,7 +8,7 @@
 	"sedgevale/jobs"
 )
 
-// A job as clients hand it in, with each key, is read field by field.
+// A job as clients submit it, with each key, is read field by field.
 func TestSpecBytes(t *testing.T) {
 	const text = `{"spec":"x","stages":[{"count":1,"cpu":2,"mem_mb":3,"gpu":4,"estimate_ms":5,"depends_on":[0],"checkpoints":true,"gang":true,` +
 		`"rack_local":true,"at_least_once":true,"long_running":true,"constraints":["k"],"affinity_to":"a","anti_affinity":6}],` +
@@ -29,8 +29,8 @@
 	}
 }
 
-// The words for a job's and a worker's state, and how a task is called, are known to clients, workers and stored data.
-func TestWords(t *testing.T) {
+// The names of the states of jobs and workers, of reasons and of tasks are known to clients, workers and stored data.
+func TestNamesOfStatesAndReasons(t *testing.T) {
 	for got, want := range map[string]string{
 		string(jobs.Queued): "queued", string(jobs.Running): "running", string(jobs.Completed): "completed", string(jobs.Failed): "failed",
 		string(jobs.Cancelled): "cancelled", string(jobs.Ready): "ready", string(jobs.Draining): "draining", string(jobs.Departed): "gone",
--- a/jobs/queue.go
+++ b/jobs/queue.go
@@ -15,8 +15,8 @@
 	TargetLatencyMS float64
 }
 
-// Queue is the backlog of one route, with what was learned about its tasks. Shares, demand and limits are in workers: 1 is a
-// whole one.
+// Queue is the backlog of one route, with what was learned about its tasks. Shares, demand and limits are in workers: 1 is the
+// capacity of one worker.
 type Queue struct {
 	QueueConfig
 	removed     bool // no configuration names it any more
@@ -34,7 +34,7 @@
 	localShare    float64           // fair share of the capacity, ramped
 	limit         float64           // the admission limit on allocated
 	turnLimit     float64           // limit less the headroom, as of its last turn
-	guaranteed    float64           // its share of the capacity by weight; headroom does not cut below it
+	guaranteed    float64           // its share of the capacity by weight; headroom does not lower its limit below it
 	deficit       admission.Deficit // credit in core-seconds
 
 	meanLogRunTime float64                    // EWMA of the logarithm of run times in seconds
--- a/workeragent/message.go
+++ b/workeragent/message.go
@@ -3,7 +3,7 @@
 //
 // Fencing tokens and two chained leases (C. Gray and D. Cheriton, "Leases", SOSP 1989) keep a run from being active twice.
 // Owners of the worker's shard may follow one another: the agent obeys the highest fencing token that it has met. An owner
-// grants the agent a lease, and while it lasts the agent grants the worker one with each answer; when the worker's lease
+// grants the agent a lease, and while it is valid the agent grants the worker one with each answer; when the worker's lease
 // expires its runs end. The agent starts nothing beyond the announced capacity, against which active, stopping and possibly
 // started runs count, and nothing on a worker that drains. A worker sends the next heartbeat only after it has received the
 // answer to the last one or has given up on it, so each heartbeat shows exactly what that answer brought about.
@@ -20,27 +20,28 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Heartbeat is a worker's report on itself. The JSON keys are part of the workers' protocol, as are those of Answer.
+// Heartbeat is a worker's report on itself. The JSON keys are part of the workers' protocol, as are those of Answer. Fields
+// without a comment are read and not used.
 //
 //easyjson:json
 type Heartbeat struct {
-	Service      string        `json:"service"`
-	Address      string        `json:"address"`
-	Zone         string        `json:"zone"`
-	Version      string        `json:"version"`
-	Slots        int64         `json:"slots"`
-	State        string        `json:"state"`
-	WarmupLeftMS int64         `json:"warmup_left_ms"`
-	RemainingMS  int64         `json:"remaining_ms"`
-	Capacity     Capacity      `json:"capacity"`
-	Labels       []string      `json:"labels"`
-	ClockMS      int64         `json:"clock_ms"`
-	Sequence     int64         `json:"sequence"`
-	Active       []ActiveRun   `json:"active"`
-	Finished     []FinishedRun `json:"finished"`
-}
-
-// Capacity is the resources of a worker: CPU in thousandths of a core, memory in MiB, GPUs in whole ones.
+	Service           string        `json:"service"` // the service whose jobs the worker runs: also the name of the shard
+	Address           string        `json:"address"`
+	Zone              string        `json:"zone"`
+	Version           string        `json:"version"`
+	Slots             int64         `json:"slots"`
+	State             string        `json:"state"` // "ready", or another value while the worker drains
+	WarmupRemainingMS int64         `json:"warmup_left_ms"`
+	RemainingMS       int64         `json:"remaining_ms"` // while it drains: until the worker ends
+	Capacity          Capacity      `json:"capacity"`     // the total, not what is free
+	Labels            []string      `json:"labels"`       // the last one is the rack
+	ClockMS           int64         `json:"clock_ms"`
+	Sequence          int64         `json:"sequence"` // rises with each heartbeat of an incarnation
+	Active            []ActiveRun   `json:"active"`   // runs that have not ended
+	Finished          []FinishedRun `json:"finished"` // runs that have ended, until last_seen passes their numbers; 500 at most
+}
+
+// Capacity is the resources of a worker: CPU in thousandths of a core, memory in MiB, and a number of GPUs.
 //
 //easyjson:json
 type Capacity struct {
@@ -53,12 +54,12 @@
 //
 //easyjson:json
 type Answer struct {
-	LeaseMS      int64    `json:"hold_ms,omitempty"`
-	LastSeen     int64    `json:"last_seen,omitempty"`
-	FenceToken   int64    `json:"fence_token,omitempty"`
-	Started      []Start  `json:"started,omitempty"`
-	Stopped      []RunRef `json:"stopped,omitempty"`
-	RetryAfterMS int64    `json:"retry_after_ms,omitempty"`
+	LeaseMS      int64    `json:"hold_ms,omitempty"`        // the worker's lease, on its own clock from the sending of the heartbeat; 0 grants none
+	LastSeen     int64    `json:"last_seen,omitempty"`      // ends of runs up to this number are stored and need not be reported again
+	FenceToken   int64    `json:"fence_token,omitempty"`    // the highest fencing token of an owner that the agent has met
+	Started      []Start  `json:"started,omitempty"`        // runs to start
+	Stopped      []RunRef `json:"stopped,omitempty"`        // runs to stop
+	RetryAfterMS int64    `json:"retry_after_ms,omitempty"` // until the next heartbeat is due
 }
 
 // ActiveRun is a run that has not ended: [task, run, saved, percent]. Percent is its progress.
