--- a/accounting.go
+++ b/accounting.go
@@ -37,7 +37,7 @@
 	r.inFlight++
 	r.class.inFlight++
 	r.tenant.inFlight += r.Slots
-	r.tenant.noteSent(w)
+	r.tenant.countSent(w)
 	d.addInFlight(w, r.Slots)
 	w.notStarted++
 	w.freeSlots -= r.Slots
--- a/budget.go
+++ b/budget.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// slidingCounter counts the events of a sliding window, by parts of it, in constant
+// slidingCounter counts the events of a sliding window, by buckets, in constant
 // memory.
 type slidingCounter struct {
-	part  time.Duration // the length of a part
-	last  int64         // the number of the newest part
-	parts [counterParts + 1]int
+	bucketLength time.Duration // the time that one bucket counts
+	newest       int64         // the number of the newest bucket
+	buckets      [counterBuckets + 1]int
 }
 
-// counterParts is how many parts a window has.
-const counterParts = 64
+// counterBuckets is how many buckets a window has.
+const counterBuckets = 64
 
 // advance forgets what is older than the window.
-func (t *slidingCounter) advance(now time.Duration) {
-	at := int64(now / t.part)
-	for range min(at-t.last, counterParts+1) {
-		t.last++
-		t.parts[t.last%(counterParts+1)] = 0
+func (c *slidingCounter) advance(now time.Duration) {
+	at := int64(now / c.bucketLength)
+	for range min(at-c.newest, counterBuckets+1) {
+		c.newest++
+		c.buckets[c.newest%(counterBuckets+1)] = 0
 	}
-	t.last = at
+	c.newest = at
 }
 
 // add counts an event.
-func (t *slidingCounter) add(now time.Duration) {
-	t.advance(now)
-	t.parts[t.last%(counterParts+1)]++
+func (c *slidingCounter) add(now time.Duration) {
+	c.advance(now)
+	c.buckets[c.newest%(counterBuckets+1)]++
 }
 
 // counts returns how many events the last window has had at most, and how many at
-// least: with and without the part in which it begins.
-func (t *slidingCounter) counts(now time.Duration) (most, least int) {
-	t.advance(now)
-	for _, n := range t.parts {
+// least: with and without the bucket in which it begins.
+func (c *slidingCounter) counts(now time.Duration) (most, least int) {
+	c.advance(now)
+	for _, n := range c.buckets {
 		most += n
 	}
-	return most, most - t.parts[(t.last+1)%(counterParts+1)]
+	return most, most - c.buckets[(c.newest+1)%(counterBuckets+1)]
 }
 
 // resetCounters begins to count attempts and requests in the budget's window.
 func (d *Dispatcher) resetCounters() {
-	part := max(1, d.settings.RetryBudget.Window/counterParts)
-	d.retryCounter, d.requestCounter = slidingCounter{part: part}, slidingCounter{part: part}
+	length := max(1, d.settings.RetryBudget.Window/counterBuckets)
+	d.retryCounter, d.requestCounter = slidingCounter{bucketLength: length}, slidingCounter{bucketLength: length}
 }
 
 // withinRetryBudget reports whether an attempt beyond a request's first keeps the
--- a/dispatcher.go
+++ b/dispatcher.go
@@ -9,7 +9,7 @@
 
 const (
 	roundInterval  = 100 * time.Millisecond // Wisp's control interval
-	stallThreshold = 25 * time.Millisecond  // a round overdue by more means that this process had no turn
+	stallThreshold = 25 * time.Millisecond  // a round overdue by more means that this process did not run meanwhile
 	catchUpDelay   = time.Millisecond       // its timer fires after all events that wait to be read
 )
 
@@ -27,7 +27,7 @@
 
 var (
 	unlimited   = admission.Unlimited
-	limitTuning = admission.LimitTuning{DecreaseFactor: limitCutFactor, IncreaseStep: limitRaiseStep, MinLimit: minLimit}
+	limitTuning = admission.LimitTuning{DecreaseFactor: limitDecreaseFactor, IncreaseStep: limitIncreaseStep, MinLimit: minLimit}
 )
 
 // Dispatcher makes the decisions of one dispatcher. Use [New] to make one. It
@@ -51,9 +51,9 @@
 	requestsBySerial map[uint64]*request
 	lastSerial       uint64
 	pendingRequests  int            // queued
-	retryCounter     slidingCounter // attempts beyond each request's first
-	requestCounter   slidingCounter
-	arrivals         float64 // decayed count of requests
+	retryCounter     slidingCounter // attempts beyond each request's first, in the retry budget's window
+	requestCounter   slidingCounter // requests in the same window
+	arrivals         float64        // decayed count of requests
 
 	// Classes and tenants.
 	classes        []*class  // by the settings' index
@@ -76,8 +76,8 @@
 	maxFreeByKind   []float64 // most free slots ever reported, 1 at least
 	maxWorkerSize   float64
 	watchBackoff    time.Duration
-	leastLoaded     *worker // the fallback of the last pick
-	leastLoad       float64
+	leastLoaded     *worker // by the last sample, for a request that may wait at a worker
+	leastLoad       float64 // of leastLoaded, in slots for each unit of size
 	homesBuffer     []*worker
 
 	// Limits and capacity.
@@ -85,15 +85,15 @@
 	inFlight      float64   // slots of this dispatcher's and its sibling's attempts
 	capacityShort bool      // in this round a request found no free capacity
 	capacity      float64   // slots in flight that found capacity, at most
-	scratch       []float64
+	limitsBuffer  []float64
 
 	// Learned means.
-	meanWork      float64 // of all requests
-	meanKnownWork float64 // of requests whose running time could be estimated
-	knownRequests float64 // the number of those
-	roundWork     float64 // done in this round
-	workRate      float64 // work a second, for each unit of weight, that workers do for this dispatcher
-	fastPace      float64 // pace of the fastest workers
+	meanWork        float64 // of all requests
+	meanKnownWork   float64 // of requests whose running time could be estimated
+	knownRequests   float64 // the number of those
+	roundWork       float64 // done in this round
+	workRate        float64 // work a second, for each unit of weight, that workers do for this dispatcher
+	lowRuntimeRatio float64 // runtime ratio of the fastest workers, 1 at most
 
 	// Load probes.
 	meteredWorker  *worker // probed in two rounds in a row, to see whether its report changes
@@ -133,7 +133,7 @@
 		workersByName:    map[string]*worker{},
 		watchBackoff:     minWatchBackoff,
 		promptStartRate:  1,
-		fastPace:         1,
+		lowRuntimeRatio:  1,
 		pools:            []*pool{{}},
 		cells:            map[int][]*worker{},
 		brokenByCell:     map[int]brokenConnection{},
@@ -212,10 +212,10 @@
 	}
 }
 
-// detectStall notices, by an overdue round, that this dispatcher had no turn for
-// a while. Nothing is sent until all that came meanwhile has been read: a drain
-// or an outcome may be among it, and times by the own clock say nothing about
-// workers.
+// detectStall notices, by an overdue round, that this dispatcher did not
+// run for a while. Nothing is sent until all events that came meanwhile have been
+// read: a drain or an outcome may be among them, and durations measured across the
+// stall say nothing about workers.
 func (d *Dispatcher) detectStall(now time.Duration) {
 	if d.running && !d.catchingUp && now > d.roundDue+stallThreshold {
 		d.catchingUp = true
@@ -226,19 +226,19 @@
 // endRound is the control round of Wisp's Algorithm 1.
 func (d *Dispatcher) endRound(now time.Duration) {
 	d.round++
-	d.raiseLimits(now)
+	d.increaseLimits(now)
 	d.workRate += 0.05 * (d.roundWork/roundInterval.Seconds()/d.pools[0].targetWeight() - d.workRate)
 	d.roundWork = 0
 	for _, c := range d.classesInUse {
 		c.meanCompletion += completionDecay * min(0, c.meanRuntime-c.meanCompletion)
 	}
-	d.fastPace = d.fastestPace()
+	d.lowRuntimeRatio = d.secondLowestRuntimeRatio()
 	d.closeIdleConnsAgain(now)
 	d.probeMeteredWorker()
 	d.silentConnections *= 1 - silentConnectionsDecay
 	for _, w := range d.workers {
 		if w != nil && d.settings.StartNotified && !d.catchingUp {
-			w.pace += paceDecay * (1 - w.pace)
+			w.runtimeRatio += runtimeRatioDecay * (1 - w.runtimeRatio)
 			d.writeOffOverdue(now, w)
 		}
 	}
--- a/estimates.go
+++ b/estimates.go
@@ -54,16 +54,17 @@
 	return r.Slots * d.expectedWork()
 }
 
-// fastestPace returns the pace of the second fastest active worker, 1 at most: a
-// request takes at least that much of its class's mean running time.
-func (d *Dispatcher) fastestPace() float64 {
+// secondLowestRuntimeRatio returns the runtime ratio of the second fastest active
+// worker, 1 at most: a request takes at least that much of its class's mean running
+// time.
+func (d *Dispatcher) secondLowestRuntimeRatio() float64 {
 	first, second := 1.0, 1.0
 	for _, w := range d.workers {
-		if w == nil || w.State != Active || w.pace >= second {
+		if w == nil || w.State != Active || w.runtimeRatio >= second {
 			continue
 		}
-		if second = w.pace; w.pace < first {
-			first, second = w.pace, first
+		if second = w.runtimeRatio; w.runtimeRatio < first {
+			first, second = w.runtimeRatio, first
 		}
 	}
 	return second
--- a/health.go
+++ b/health.go
@@ -15,14 +15,14 @@
 	maxUnhealthyBackoff = 8 * time.Second
 )
 
-// ejected reports whether the worker is left alone for rejecting or failing requests.
+// ejected reports whether nothing is sent to the worker because it rejected or failed requests.
 // One with a high error rate gets one request at a time.
 func (w *worker) ejected(now time.Duration) bool {
 	return now < w.ejectedUntil || w.errorRate > maxErrorRate && w.inFlight > 0
 }
 
-// unhealthy reports whether the worker is left alone because it may have crashed, or
-// has a trial request since.
+// unhealthy reports whether nothing is sent to the worker because it may have crashed,
+// or has had a trial request since.
 func (w *worker) unhealthy(now time.Duration) bool {
 	return w.unhealthyUntil > 0 && now < max(w.unhealthyUntil, w.lastTrial+w.unhealthyBackoff)
 }
@@ -39,7 +39,7 @@
 
 // markUnhealthy sends nothing to a worker for a while after an attempt that was lost
 // there or found no connection: twice as long each time. Then it gets one trial
-// request, and others after a sign of life. It guards against crashed workers that
+// request, and others once it is known to be alive. It guards against crashed workers that
 // are still listed.
 func (d *Dispatcher) markUnhealthy(now time.Duration, w *worker) {
 	if now < w.unhealthyUntil {
--- a/health_test.go
+++ b/health_test.go
@@ -108,7 +108,7 @@
 }
 
 // A job that runs for far too long without a sign of life is written off, and
-// put on them again by its next word.
+// put on them again by its next report.
 func TestOverdueJobsAreNotCounted(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
 	d.classes[2].meanRuntime = 0.1
@@ -124,7 +124,7 @@
 		t.Errorf("%v slots held after 10", w.inFlight)
 	}
 	if err := d.AttemptProgressed(h.now, "long", 0, 0.5); err != nil || w.inFlight != 1 {
-		t.Errorf("%v slots held after a word of progress, error %v", w.inFlight, err)
+		t.Errorf("%v slots held after a report of progress, error %v", w.inFlight, err)
 	}
 	h.over(d, "long", 0, Served)
 	if w.inFlight != 0 || w.notStarted != 0 {
@@ -207,13 +207,13 @@
 		served(slow, time.Second)
 		served(quick, 100*ms)
 	}
-	if slow.pace < 3 || quick.pace > 1.1 {
-		t.Errorf("paces %v of a worker ten times as slow, %v of the others", slow.pace, quick.pace)
+	if slow.runtimeRatio < 3 || quick.runtimeRatio > 1.1 {
+		t.Errorf("paces %v of a worker ten times as slow, %v of the others", slow.runtimeRatio, quick.runtimeRatio)
 	}
 	if c := d.classes[0]; c.meanRuntime < 0.12 || c.baseRuntime > 0.12 {
 		t.Errorf("mean running time %v, of the jobs' own %v", c.meanRuntime, c.baseRuntime)
 	}
-	slow.pace, d.meanWork = 8, 0.1 // no request has come yet
+	slow.runtimeRatio, d.meanWork = 8, 0.1 // no request has come yet
 	for i := range 50 {
 		id := fmt.Sprint("r", i)
 		h.ask(d, id, 0)
@@ -223,11 +223,11 @@
 		h.began(d, id, 0)
 		h.run(d, h.now+100*ms)
 		h.over(d, id, 0, Served)
-		slow.pace = 8
+		slow.runtimeRatio = 8
 	}
 	h.run(d, h.now+time.Minute)
-	if slow.pace > 1.1 {
-		t.Errorf("pace %v after a minute without jobs: it would never be tried again", slow.pace)
+	if slow.runtimeRatio > 1.1 {
+		t.Errorf("runtime ratio %v after a minute without jobs: it would never be tried again", slow.runtimeRatio)
 	}
 }
 
@@ -237,11 +237,11 @@
 	d, _ := start(t, settings(), fleet(1)...)
 	r := &request{class: d.classes[0], Request: Request{Slots: 1}, runtime: 0.2, work: 0.2, deadline: time.Hour, targetAt: 600 * ms}
 	// 200 ms + 2 times its own time, less its own time, for one of 0.4 of 200 ms.
-	if got, want := d.slackAtPace(0, r, 1), 0.2+shortJobPart*0.2; got < want-1e-9 || got > want+1e-9 {
+	if got, want := d.slackAt(0, r, 1), 0.2+shortJobFraction*0.2; got < want-1e-9 || got > want+1e-9 {
 		t.Errorf("slack %v, want %v", got, want)
 	}
 	r.RuntimeHint = 200 * ms
-	if got := d.slackAtPace(0, r, 1); got < 0.4-1e-9 || got > 0.4+1e-9 {
+	if got := d.slackAt(0, r, 1); got < 0.4-1e-9 || got > 0.4+1e-9 {
 		t.Errorf("slack %v of a job whose time is known, want 0.4", got)
 	}
 }
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -1,8 +1,8 @@
 // Package dispatch drives the decision module: a [Planner] owns a
 // [sedgevale.Dispatcher] and its timers, an [Exchange] is one request with its
 // attempts and its one final answer, a [Set] is the planners of a program. The
-// package stands between the fronts, which bring requests, and the carriers, which
-// send attempts to workers; it knows no wire and decides nothing.
+// package stands between the servers, which read clients' requests, and the carriers,
+// which send attempts to workers; it knows no protocol and decides nothing.
 package dispatch
 
 import (
@@ -18,7 +18,7 @@
 	Tenant      int              // index into the settings by which the job was parsed; -1: there were no tenants
 	TenantName  string
 	Client      string        // of the tenant; may be empty
-	AffinityKey string        // affinity key; may be empty
+	AffinityKey string        // what a worker may have cached for the job; may be empty
 	Slots       float64       // that it takes at a worker
 	RuntimeHint time.Duration // an estimate of its running time; 0: none
 	ClientRetry bool          // the client has tried before
@@ -27,7 +27,7 @@
 	Method, Target string
 	IdempotencyKey string // the key by which workers drop repeats; may be empty
 	Body           []byte
-	Payload        any // of a front that has its own carrier
+	Payload        any // of a server that has its own carrier
 }
 
 // AnswerKind tells the final answers apart.
--- a/internal/dispatch/journal.go
+++ b/internal/dispatch/journal.go
@@ -31,7 +31,7 @@
 // SetJournal sets the journal that jobs are recorded in. It must be called before Run.
 func (p *Planner) SetJournal(j Journal) { p.journal = j }
 
-// InJournal reports whether the attempt's job is in a journal. If so, [Planner.Sent]
+// InJournal reports whether the attempt's job is in a journal. If so, [Planner.AttemptSent]
 // must be called.
 func (a *Attempt) InJournal() bool { return a.recordNumber != 0 }
 
--- a/internal/dispatch/peer_load.go
+++ b/internal/dispatch/peer_load.go
@@ -19,8 +19,8 @@
 }
 
 // OnLoadChange has f called with the planner's load at each worker where that has changed.
-// The calls come from Run; f must not block, nor keep the slice. Signal must be called
-// before Run.
+// The calls come from Run; f must not block, nor keep the slice. OnLoadChange must be
+// called before Run.
 func (p *Planner) OnLoadChange(f func([]sedgevale.WorkerLoad)) {
 	p.onLoadChange = f
 	p.dispatcher.TrackLoadChanges()
--- a/internal/dispatch/planner.go
+++ b/internal/dispatch/planner.go
@@ -89,7 +89,7 @@
 		exchanges: map[string]*Exchange{},
 		workers:   map[string]sedgevale.WorkerInfo{},
 		cordoned:  map[string]bool{},
-		sharing:   sharing{partners: map[int]*partner{}},
+		sharing:   sharing{siblings: map[int]*sibling{}},
 	}
 	p.queue, p.commands = unbounded.New[event](p.wakeUp), unbounded.New[func()](p.wakeUp)
 	var err error
@@ -136,12 +136,12 @@
 	p.queue.Put(event{kind: eventWorkersUpdated, listKind: list, entries: entries})
 }
 
-// Cordon cordons a worker (out is true) or uncordons it, before any event that waits
+// Cordon cordons a worker, or uncordons it if cordon is false, before any event that waits
 // to be read. Done is called with whether the worker is known, from Run.
-func (p *Planner) Cordon(worker string, out bool, done func(known bool)) {
+func (p *Planner) Cordon(worker string, cordon bool, done func(known bool)) {
 	p.putCommand(func() {
-		known := p.dispatcher.Cordon(p.now, worker, out)
-		if delete(p.cordoned, worker); known && out {
+		known := p.dispatcher.Cordon(p.now, worker, cordon)
+		if delete(p.cordoned, worker); known && cordon {
 			p.cordoned[worker] = true
 		}
 		done(known)
@@ -207,7 +207,7 @@
 		p.recoverPanics(p.runTimers)
 		p.publishLoadChanges()
 		p.tally.out(p.log, p.now)
-		wait := p.notifyPartners()
+		wait := p.notifySiblings()
 		if len(p.timers) > 0 {
 			wait = min(wait, max(0, p.timers[0].due-p.clock.Now()))
 		}
@@ -328,7 +328,7 @@
 // possible.
 func (p *Planner) submit(x *Exchange) {
 	left := x.deadline - p.now
-	if p.exchanges[x.ID] != nil || p.openAtPartner(x.ID) {
+	if p.exchanges[x.ID] != nil || p.openAtSibling(x.ID) {
 		x.answer(Answer{Kind: Failed, Reason: "request id in use"})
 		return
 	}
@@ -347,7 +347,7 @@
 		return
 	}
 	p.exchanges[x.ID] = x
-	p.noteOpened(x.ID)
+	p.announceOpened(x.ID)
 	err := p.dispatcher.SubmitRequest(p.now, sedgevale.Request{ID: x.ID, Class: class, Tenant: tenant, AffinityKey: x.AffinityKey,
 		TimeLeft: left, RuntimeHint: x.RuntimeHint, Slots: x.Slots, ClientRetry: x.ClientRetry})
 	if err != nil {
@@ -430,7 +430,7 @@
 func (p *Planner) forgetIfDone(x *Exchange) {
 	if x.answered && x.inFlight == 0 && p.exchanges[x.ID] == x {
 		delete(p.exchanges, x.ID)
-		p.noteEnded(x.ID)
+		p.announceEnded(x.ID)
 	}
 }
 
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -257,7 +257,7 @@
 	}
 }
 
-// Package dispatch deals in requests, attempts and outcomes, and knows no wire.
+// Package dispatch deals in requests, attempts and outcomes, and knows no protocol.
 func TestDispatchKnowsNoWire(t *testing.T) {
 	files := 0
 	for name, f := range sourcesOf(t, ".", "dispatch") {
@@ -318,20 +318,20 @@
 
 // Guards against a job that runs in both processes of an upgrade, and against ids
 // that stay taken when the other has ended it, or has ended itself.
-func TestIDsOfThePartner(t *testing.T) {
+func TestIDsOfTheSibling(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
-	told := make(chan PartnerState, 16)
-	estate := make(chan HandoverState, 1)
+	updates := make(chan SiblingState, 16)
+	handedOver := make(chan HandoverState, 1)
 	mine := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "mine", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, mine))
 	first := testkit.Await(t, "an attempt", carry.sent)
-	p.AddPartner(1, func(s PartnerState) { told <- s }, func(e HandoverState) { estate <- e })
-	if e := testkit.Await(t, "the estate", estate); len(e.Shared.Opened) != 1 || e.Shared.Opened[0] != "mine" ||
+	p.AddSibling(1, func(s SiblingState) { updates <- s }, func(e HandoverState) { handedOver <- e })
+	if e := testkit.Await(t, "the state that is handed over", handedOver); len(e.Shared.Opened) != 1 || e.Shared.Opened[0] != "mine" ||
 		e.Shared.Loads[first.Worker].InFlight != 1 {
 		t.Errorf("handed over %+v", e.Shared)
 	}
-	p.UpdatePartner(1, 0, PartnerState{Opened: []string{"a", "b", "c"}})
-	p.UpdatePartner(1, 0, PartnerState{Ended: []string{"b"}})
+	p.UpdateSibling(1, 0, SiblingState{Opened: []string{"a", "b", "c"}})
+	p.UpdateSibling(1, 0, SiblingState{Ended: []string{"b"}})
 	ask := func(id string) *client {
 		c := newClient()
 		p.SubmitRequest(NewExchange(Job{ID: id, Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c))
@@ -345,15 +345,15 @@
 		t.Errorf("%s was sent", a.ID)
 	}
 	for opened := false; !opened; {
-		s := testkit.Await(t, "what the other is told", told)
+		s := testkit.Await(t, "the sibling's update", updates)
 		opened = len(s.Opened) > 0 && s.Opened[len(s.Opened)-1] == "b"
 	}
 	p.AttemptEnded(first, sedgevale.Served, nil, nil)
 	for ended := false; !ended; {
-		s := testkit.Await(t, "what the other is told", told)
+		s := testkit.Await(t, "the sibling's update", updates)
 		ended = len(s.Ended) > 0 && s.Ended[0] == "mine" && s.Loads[first.Worker].InFlight == 0
 	}
-	p.RemovePartner(1)
+	p.RemoveSibling(1)
 	ask("c")
 	if a := testkit.Await(t, "an attempt", carry.sent); a.ID != "c" {
 		t.Errorf("%s was sent", a.ID)
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -48,11 +48,11 @@
 	}
 }
 
-// Cordon cordons a worker at all planners (out is true), or uncordons it, and reports
+// Cordon cordons a worker at all planners, or uncordons it if cordon is false, and reports
 // whether it is known. The error is that of the context.
-func (s *Set) Cordon(ctx context.Context, worker string, out bool) (bool, error) {
+func (s *Set) Cordon(ctx context.Context, worker string, cordon bool) (bool, error) {
 	n, err := s.sumOverPlanners(ctx, func(p *Planner, reply func(int)) {
-		p.Cordon(worker, out, func(known bool) {
+		p.Cordon(worker, cordon, func(known bool) {
 			if known {
 				reply(1)
 			} else {
@@ -76,48 +76,48 @@
 	return err
 }
 
-// AddPartner adds a partner in another process at all planners, and returns the state that
+// AddSibling adds a sibling in another process at all planners, and returns the state that
 // they hand over, by planner.
-func (s *Set) AddPartner(ctx context.Context, number int, send func(planner int, s PartnerState)) ([]HandoverState, error) {
-	estates := make([]HandoverState, len(s.planners))
+func (s *Set) AddSibling(ctx context.Context, number int, send func(planner int, s SiblingState)) ([]HandoverState, error) {
+	states := make([]HandoverState, len(s.planners))
 	at := 0
 	_, err := s.sumOverPlanners(ctx, func(p *Planner, done func(int)) {
 		i := at
 		at++
-		p.AddPartner(number, func(s PartnerState) { send(i, s) }, func(e HandoverState) {
-			estates[i] = e
+		p.AddSibling(number, func(s SiblingState) { send(i, s) }, func(e HandoverState) {
+			states[i] = e
 			done(0)
 		})
 	})
-	return estates, err
+	return states, err
 }
 
-// TakeOver takes over what a partner's planners have handed over, and adds the partner.
+// TakeOver takes over what a sibling's planners have handed over, and adds the sibling.
 // Where it has fewer or more planners, each here goes on from one there.
-func (s *Set) TakeOver(number int, send func(planner int, s PartnerState), estates []HandoverState) {
+func (s *Set) TakeOver(number int, send func(planner int, s SiblingState), states []HandoverState) {
 	for i, p := range s.planners {
 		var learned sedgevale.LearnedState
-		if len(estates) > 0 {
-			learned = estates[i%len(estates)].Learned
+		if len(states) > 0 {
+			learned = states[i%len(states)].Learned
 		}
-		p.TakeOver(number, func(s PartnerState) { send(i, s) }, learned)
+		p.TakeOver(number, func(s SiblingState) { send(i, s) }, learned)
 	}
-	for i, e := range estates {
-		s.UpdatePartner(number, i, e.Shared)
+	for i, e := range states {
+		s.UpdateSibling(number, i, e.Shared)
 	}
 }
 
-// UpdatePartner brings a message from one of a partner's planners.
-func (s *Set) UpdatePartner(number, planner int, shared PartnerState) {
+// UpdateSibling brings a message from one of a sibling's planners.
+func (s *Set) UpdateSibling(number, planner int, shared SiblingState) {
 	for _, p := range s.planners {
-		p.UpdatePartner(number, planner, shared)
+		p.UpdateSibling(number, planner, shared)
 	}
 }
 
-// RemovePartner removes a partner whose process has ended.
-func (s *Set) RemovePartner(number int) {
+// RemoveSibling removes a sibling whose process has ended.
+func (s *Set) RemoveSibling(number int) {
 	for _, p := range s.planners {
-		p.RemovePartner(number)
+		p.RemoveSibling(number)
 	}
 }
 
--- a/internal/fairqueue/driver/driver.go
+++ b/internal/fairqueue/driver/driver.go
@@ -10,7 +10,8 @@
 	"sedgevale/internal/fairqueue"
 )
 
-// Planners accept jobs. Request takes an exchange in, Gone says that its client has left.
+// Planners accept jobs. SubmitRequest submits an exchange, ClientDisconnected reports that its
+// client has disconnected.
 type Planners interface {
 	SubmitRequest(*dispatch.Exchange)
 	ClientDisconnected(*dispatch.Exchange)
@@ -20,7 +21,7 @@
 type Driver struct {
 	planners      Planners
 	clock         dispatch.Clock
-	maxRetryAfter time.Duration // the longest delay that a client is told; 0: none is told
+	maxRetryAfter time.Duration // the longest Retry-After; 0: responses have none
 
 	mu        sync.Mutex // guards all below
 	queue     *fairqueue.Queue
@@ -50,8 +51,8 @@
 	answerMargin = 20 * time.Millisecond // of a job's time, for its response
 )
 
-// New returns a Driver. MaxRetryAfter is the longest delay that clients may be told, 0 if they
-// are told none. The error is that of fairqueue.New.
+// New returns a Driver. MaxRetryAfter is the longest Retry-After of a rejection; with 0
+// rejections have none. The error is that of fairqueue.New.
 func New(o fairqueue.Options, planners Planners, clock dispatch.Clock, maxRetryAfter time.Duration) (*Driver, error) {
 	if maxRetryAfter > 0 {
 		o.MaxRetryAfter = maxRetryAfter
@@ -119,7 +120,7 @@
 	return initialCost
 }
 
-// ClientDisconnected takes in that a job's client has disconnected.
+// ClientDisconnected reports that a job's client has disconnected.
 func (d *Driver) ClientDisconnected(x *dispatch.Exchange) {
 	d.mu.Lock()
 	j := d.jobs[x]
@@ -136,7 +137,7 @@
 	}
 }
 
-// release takes in that a job in flight has ended, and admits queued ones.
+// release records that a job in flight has ended, and admits queued ones.
 func (d *Driver) release(j *job, served bool) {
 	now := d.clock.Now()
 	d.mu.Lock()
--- a/internal/fairqueue/fairqueue.go
+++ b/internal/fairqueue/fairqueue.go
@@ -29,7 +29,7 @@
 	Concurrency   int           // jobs in flight at a time
 	MaxQueued     int           // jobs that may be queued, of a tenant; 0: 256
 	ClientQueues  int           // by which a tenant's clients are kept apart; 0: 512
-	MaxRetryAfter time.Duration // the longest delay that a client is told; 0: 30 s
+	MaxRetryAfter time.Duration // the longest Retry-After; 0: 30 s
 	Seed          uint64        // of the hash that spreads clients over their queues
 }
 
@@ -245,7 +245,7 @@
 	}
 	f := &t.flows[id%uint64(len(t.flows))]
 	start := q.assignStartTag(t, a, id)
-	if reserved { // it was told to come now, so it goes ahead of new jobs
+	if reserved { // it comes when it was asked to, so it goes ahead of new jobs
 		start = t.virtualTime
 	}
 	q.seq++
@@ -290,7 +290,7 @@
 	q.inFlight++
 }
 
-// Release takes in that a job in flight has ended.
+// Release records that a job in flight has ended.
 func (q *Queue) Release(tenant int, cost float64) {
 	if q.inFlight > 0 {
 		q.inFlight--
@@ -301,10 +301,10 @@
 }
 
 // Next admits the next queued job, if there is one and it may be in flight.
-func (q *Queue) Next(now time.Duration) (a Request, ok bool) {
+func (q *Queue) Next(now time.Duration) (r Request, ok bool) {
 	q.updateRates(now)
 	if q.inFlight >= q.options.Concurrency {
-		return a, false
+		return r, false
 	}
 	best, least := -1, math.Inf(1)
 	for i := range q.tenants {
@@ -314,7 +314,7 @@
 		}
 	}
 	if best < 0 {
-		return a, false
+		return r, false
 	}
 	t := &q.tenants[best]
 	w := t.dequeue(t.nextFlow(), 0)
--- a/internal/fairqueue/reservations.go
+++ b/internal/fairqueue/reservations.go
@@ -26,7 +26,7 @@
 	maxEarlyClients = 4096 // whose early returns are counted
 )
 
-// reservations are places for clients that were told when to send a rejected job again. They
+// reservations are places for clients whose rejection said when to send the job again. They
 // are bounded: by slots of time, places in a slot, and counts of early returns.
 type reservations struct {
 	slots        [slotCount]slot
--- a/internal/fdlimit/fdlimit.go
+++ b/internal/fdlimit/fdlimit.go
@@ -69,18 +69,18 @@
 
 // Acquire counts a connection to a worker. It reports false if less than half of Reserve is left: the connection must then not
 // be made, and be released.
-func (b *Limiter) Acquire() bool { return b.take(0, Reserve/2) }
+func (b *Limiter) Acquire() bool { return b.acquire(0, Reserve/2) }
 
 // AcquireClient counts a client's connection. It reports false if less than three quarters of Reserve are left: the connection
 // must then be closed, and be released. Idle connections are closed earlier than for Acquire: many clients must not keep
 // requests and the discovery watch from connecting.
 func (b *Limiter) AcquireClient() bool {
-	return b.take(max(0, b.available()-Reserve)/workerSpareDivisor, Reserve*3/4)
+	return b.acquire(max(0, b.available()-Reserve)/workerSpareDivisor, Reserve*3/4)
 }
 
-// take counts a connection. Idle ones are closed if less than Reserve and margin are left; it reports false if less than
+// acquire counts a connection. Idle ones are closed if less than Reserve and margin are left; it reports false if less than
 // minLeft are.
-func (b *Limiter) take(margin, minLeft int64) bool {
+func (b *Limiter) acquire(margin, minLeft int64) bool {
 	used, limit := b.used.Add(1), b.available()
 	if limit <= 0 || used <= limit-Reserve-margin {
 		return true
--- a/internal/fleetsim/experiment.go
+++ b/internal/fleetsim/experiment.go
@@ -61,12 +61,12 @@
 
 // Variant is one way for schedulers to work together.
 type Variant struct {
-	Name        string  `toml:"name"`
-	Peers       bool    `toml:"peers"`    // schedulers exchange their load
-	MinAudience int     `toml:"hearers"`  // schedulers that a scheduler sends its load to, at least
-	MinSubset   int     `toml:"least"`    // workers in a scheduler's subset, at least
-	DelayMillis float64 `toml:"delay_ms"` // additional, of each message
-	Loss        float64 `toml:"loss"`     // share of messages
+	Name           string  `toml:"name"`
+	Peers          bool    `toml:"peers"`    // schedulers exchange their load
+	MinSubscribers int     `toml:"hearers"`  // schedulers that a scheduler sends its load to, at least
+	MinSubset      int     `toml:"least"`    // workers in a scheduler's subset, at least
+	DelayMillis    float64 `toml:"delay_ms"` // additional, of each message
+	Loss           float64 `toml:"loss"`     // share of messages
 }
 
 // Fault is a fault; its kind is one of faultKinds.
@@ -212,7 +212,7 @@
 
 func (v *Variant) validate() error {
 	switch {
-	case v.Peers && (v.MinAudience < 1 || v.MinSubset < 1):
+	case v.Peers && (v.MinSubscribers < 1 || v.MinSubset < 1):
 		return errors.New("hearers and least must be 1 or more")
 	case v.DelayMillis < 0 || !within(v.Loss, 0, 1):
 		return errors.New("delay_ms must not be negative, loss 0 to 1")
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -55,7 +55,7 @@
 func small() Experiment {
 	e := DefaultExperiment()
 	e.Version, e.Seeds, e.LengthSeconds, e.Schedulers, e.Workers = Version, 2, 3, []int{4, 8}, []int{3, 5}
-	e.Variants = []Variant{{Name: "alone"}, {Name: "told", Peers: true, MinAudience: 6, MinSubset: 4}}
+	e.Variants = []Variant{{Name: "alone"}, {Name: "told", Peers: true, MinSubscribers: 6, MinSubset: 4}}
 	return e
 }
 
@@ -158,7 +158,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			e := small()
 			e.LengthSeconds, e.Schedulers, e.Workers = 1, []int{n}, []int{n * 2 / 3}
-			e.Variants[1].MinAudience, e.Variants[1].MinSubset = 12, 6
+			e.Variants[1].MinSubscribers, e.Variants[1].MinSubset = 12, 6
 			for b.Loop() {
 				simulate(&e, &e.Variants[1], 0, 1)
 			}
--- a/internal/fleetsim/scheduler.go
+++ b/internal/fleetsim/scheduler.go
@@ -68,7 +68,7 @@
 			Members:        len(sim.schedulers),
 			Site:           1,
 			Generation:     uint16(s.incarnation),
-			MinSubscribers: sim.variant.MinAudience,
+			MinSubscribers: sim.variant.MinSubscribers,
 			MinSubset:      sim.variant.MinSubset,
 		})
 		s.dispatcher.TrackLoadChanges()
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -18,7 +18,7 @@
 			e.Schedulers, e.Workers = []int{schedulers}, []int{schedulers / 2}
 			e.Worker.Cores = []int{1, 2, 4}
 			e.Load = 0.8
-			e.Variants = []Variant{{Name: "alone"}, {Name: "told", Peers: true, MinAudience: 8, MinSubset: 4}}
+			e.Variants = []Variant{{Name: "alone"}, {Name: "told", Peers: true, MinSubscribers: 8, MinSubset: 4}}
 			e.Faults = []Fault{{Kind: "replace", AtSeconds: 4, ForSeconds: 2, Share: 0.6}, {Kind: "kill", AtSeconds: 4.5, ForSeconds: 0.6, Share: 0.5},
 				{Kind: "split", AtSeconds: 5, ForSeconds: 4, Share: 1}}
 			for _, r := range Run(&e, func(Result) {}) {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -67,7 +67,7 @@
 // PlannerUpdate is an update that a planner sends its counterpart in the other process.
 type PlannerUpdate struct {
 	Planner int                   `json:"planner"`
-	Shared  dispatch.PartnerState `json:"shared"`
+	Shared  dispatch.SiblingState `json:"shared"`
 }
 
 // Message is one line of a Link. Each field that is set is an update of its own.
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -78,7 +78,7 @@
 	go host.Accept(hello, func() []*net.TCPListener { return []*net.TCPListener{l} }, func(s *Session) {
 		link := s.Link(loop, old, log)
 		link.Send(&Message{State: &State{List: discovery.List{Revision: 7}, Cordons: []string{"w"},
-			Planners: []dispatch.HandoverState{{Shared: dispatch.PartnerState{Opened: []string{"job"}}}}}})
+			Planners: []dispatch.HandoverState{{Shared: dispatch.SiblingState{Opened: []string{"job"}}}}}})
 		link.Send(&Message{Descriptors: 5})
 		links <- link
 	}, func(err error) { t.Error(err) })
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -97,11 +97,11 @@
 	// KeepTrailer keeps the trailer fields of chunked bodies in Head; else they are dropped.
 	KeepTrailer bool
 
-	kind         Kind
-	state        state
-	scanned      int // bytes that were already searched for the end of the head or line
-	bodyLeft     int64
-	trailerBytes int
+	kind          Kind
+	state         state
+	scanned       int // bytes that were already searched for the end of the head or line
+	bodyRemaining int64
+	trailerBytes  int
 }
 
 // NewParser returns a Parser for one direction of a connection.
@@ -126,14 +126,14 @@
 			}
 			return n, Headed, nil, nil
 		case atBody, atChunk, atBodyUntilClose:
-			if p.bodyLeft == 0 && p.state != atBodyUntilClose {
+			if p.bodyRemaining == 0 && p.state != atBodyUntilClose {
 				p.state = map[state]state{atBody: atEnd, atChunk: atChunkEnd}[p.state]
 				continue
 			}
 			k := len(buf) - n
 			if p.state != atBodyUntilClose {
-				k = int(min(int64(k), p.bodyLeft))
-				p.bodyLeft -= int64(k)
+				k = int(min(int64(k), p.bodyRemaining))
+				p.bodyRemaining -= int64(k)
 			}
 			if k == 0 {
 				return n, More, nil, nil
@@ -154,7 +154,7 @@
 
 // nextLine parses one of the lines around chunks. Without a complete line it consumes nothing and done is false.
 func (p *Parser) nextLine(buf []byte) (n int, done bool, err error) {
-	line, n, err := p.cutLine(buf)
+	line, n, err := p.scanLine(buf)
 	if err != nil || n == 0 {
 		return 0, false, err
 	}
@@ -176,8 +176,8 @@
 	return n, true, nil
 }
 
-// cutLine returns the first line of buf without its line end, and its length with it; 0 if the line is incomplete.
-func (p *Parser) cutLine(buf []byte) (line []byte, n int, err error) {
+// scanLine returns the first line of buf without its line end, and its length with it; 0 if the line is incomplete.
+func (p *Parser) scanLine(buf []byte) (line []byte, n int, err error) {
 	limit := maxChunkLine
 	if p.state == atTrailer {
 		limit = maxTrailerBytes - p.trailerBytes
@@ -208,7 +208,7 @@
 	if err != nil || len(size) > 8 || size[0] == '+' {
 		return badMessage("bad size of a chunk")
 	}
-	p.bodyLeft, p.state = int64(v), atChunk
+	p.bodyRemaining, p.state = int64(v), atChunk
 	if v == 0 {
 		p.state, p.trailerBytes = atTrailer, 0
 	}
@@ -394,17 +394,17 @@
 	h := &p.Head
 	switch {
 	case p.kind == Response && p.NoBody && h.Status >= 200:
-		p.state, p.bodyLeft, p.NoBody = atBody, 0, false
+		p.state, p.bodyRemaining, p.NoBody = atBody, 0, false
 	case h.Chunked:
 		p.state = atChunkLine
 	case p.kind == Response && (h.Status < 200 || h.Status == 204 || h.Status == 304):
-		p.state, p.bodyLeft = atBody, 0
+		p.state, p.bodyRemaining = atBody, 0
 	case h.Length >= 0:
-		p.state, p.bodyLeft = atBody, h.Length
+		p.state, p.bodyRemaining = atBody, h.Length
 	case p.kind == Response:
-		p.state, p.bodyLeft, h.Close = atBodyUntilClose, math.MaxInt64, true
+		p.state, p.bodyRemaining, h.Close = atBodyUntilClose, math.MaxInt64, true
 	default:
-		p.state, p.bodyLeft = atBody, 0
+		p.state, p.bodyRemaining = atBody, 0
 	}
 }
 
--- a/internal/httpd/stream.go
+++ b/internal/httpd/stream.go
@@ -8,10 +8,10 @@
 	"sedgevale/internal/http1"
 )
 
-// Framing says how the end of a response's body is told.
+// Framing says how the end of a response's body is marked.
 type Framing uint8
 
-// The ways in which the end of a body is told.
+// The ways in which the end of a body is marked.
 const (
 	ByLength Framing = iota // its Content-Length is among the fields, or it has no body
 	ByChunks
@@ -70,7 +70,7 @@
 func (c *Conn) Local() net.Addr { return c.conn.LocalAddr() }
 
 // Detach takes the connection off its event loop, with what was read and not parsed yet. The
-// Conn is closed by that, but Handler.Gone is not called. An error leaves it as it was.
+// Conn is closed by that, but Handler.Disconnected is not called. An error leaves it as it was.
 func (c *Conn) Detach() (*Detached, error) {
 	buf, _ := c.conn.Peek(-1)
 	return c.detach(append([]byte(nil), buf...))
--- a/internal/jobrequest/jobrequest.go
+++ b/internal/jobrequest/jobrequest.go
@@ -30,9 +30,9 @@
 
 // Parser parses requests. It may be used by several goroutines.
 type Parser struct {
-	clock  dispatch.Clock
-	terms  *atomic.Pointer[Settings] // shared with the parsers made by WithMargin
-	margin time.Duration             // subtracted from timeouts beyond responseMargin
+	clock    dispatch.Clock
+	settings *atomic.Pointer[Settings] // shared with the parsers made by WithMargin
+	margin   time.Duration             // subtracted from timeouts beyond responseMargin
 }
 
 // Settings are the settings by which requests are parsed. They are not changed, only replaced.
@@ -43,13 +43,13 @@
 
 // New returns a Parser with those settings, whose deadlines are on the clock.
 func New(clock dispatch.Clock, t *Settings) *Parser {
-	p := &Parser{clock: clock, terms: &atomic.Pointer[Settings]{}}
-	p.terms.Store(t)
+	p := &Parser{clock: clock, settings: &atomic.Pointer[Settings]{}}
+	p.settings.Store(t)
 	return p
 }
 
 // Update replaces the settings, also of parsers made by WithMargin.
-func (p *Parser) Update(t *Settings) { p.terms.Store(t) }
+func (p *Parser) Update(t *Settings) { p.settings.Store(t) }
 
 // Time returns a time on the clock of the deadlines.
 func (p *Parser) Time(t time.Time) time.Duration { return p.clock.At(t) }
@@ -79,7 +79,7 @@
 }
 
 // Class returns the class of that name, or nil.
-func (p *Parser) Class(name string) *sedgevale.Class { return p.terms.Load().class(name) }
+func (p *Parser) Class(name string) *sedgevale.Class { return p.settings.Load().class(name) }
 
 func (t *Settings) class(name string) *sedgevale.Class {
 	for i := range t.Classes {
@@ -94,7 +94,7 @@
 // those of a request that has none; it is rejected if they are zero. The error is an *Error.
 func (p *Parser) Parse(q *httpd.Request, id string, timeout time.Duration) (dispatch.Job, time.Duration, error) {
 	j := dispatch.Job{ID: id, Tenant: -1, Slots: 1, Method: q.Method, Target: q.Target, Body: q.Body}
-	terms := p.terms.Load()
+	terms := p.settings.Load()
 	h := header{job: &j, timeout: timeout}
 	if err := h.read(q.Fields); err != nil {
 		return j, 0, err
--- a/internal/platformapi/platformapi.go
+++ b/internal/platformapi/platformapi.go
@@ -12,7 +12,8 @@
 	"sedgevale/internal/jobrequest"
 )
 
-// Planners accept jobs. Request takes an exchange in, Gone says that its client has left.
+// Planners accept jobs. SubmitRequest submits an exchange, ClientDisconnected reports that its
+// client has disconnected.
 type Planners interface {
 	SubmitRequest(*dispatch.Exchange)
 	ClientDisconnected(*dispatch.Exchange)
--- a/internal/sse/job.go
+++ b/internal/sse/job.go
@@ -135,8 +135,8 @@
 
 // attach makes c the job's subscriber, which has had the events up to seq. An earlier
 // subscriber's connection is closed: there is one at a time. It runs on the event loop of c,
-// without the lock: a write that fails closes the connection and calls Gone, which takes the
-// lock.
+// without the lock: a write that fails closes the connection and calls Disconnected, which
+// takes the lock.
 func (j *job) attach(c *httpd.Conn, seq int) {
 	beginStream(c)
 	if c.Closed() {
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -256,7 +256,7 @@
 	RepeatSafe bool   `json:"repeat_safe"` // the client may post the job again
 }
 
-// newFailure returns what a client is told of a job that failed. A class that is gone is taken
+// newFailure returns the data of the event of a job that failed. A class that is gone is taken
 // for one whose jobs must not run twice.
 func newFailure(c *sedgevale.Class, reason string, ran bool) failure {
 	out := failure{reason, "not run", true}
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -80,15 +80,15 @@
 		p.closeConn(c)
 	}
 	// The descriptor counts from the dial on: while workers do not respond, pending dials hold most of them.
-	if !p.opt.Budget.Acquire() {
-		p.opt.Budget.Release()
+	if !p.opt.Descriptors.Acquire() {
+		p.opt.Descriptors.Release()
 		p.finish(cl, sedgevale.NotSent, nil, nil)
 		return
 	}
 	w.dialling[cl] = struct{}{}
 	c := &conn{pool: p, call: cl, parser: http1.NewParser(http1.Response)}
 	p.loop.Dial(w.addr, p.opt.DialTimeout, c, func(error) {
-		p.opt.Budget.Release()
+		p.opt.Descriptors.Release()
 		p.finish(cl, sedgevale.ConnectFailed, nil, nil)
 	})
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -46,7 +46,7 @@
 // OnClose implements evloop.Handler.
 func (c *conn) OnClose(evloop.Conn) {
 	p := c.pool
-	p.opt.Budget.Release()
+	p.opt.Descriptors.Release()
 	c.closed = true
 	c.worker.removeIdle(c)
 	delete(p.awaitingEnd, c)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,7 +20,7 @@
 	Host        string        // the Host field of requests
 	Clock       dispatch.Clock
 	Loop        *evloop.Loop
-	Budget      *fdlimit.Limiter
+	Descriptors *fdlimit.Limiter
 	Log         *slog.Logger
 }
 
@@ -67,7 +67,7 @@
 	opt.setTimeouts(opt.DialTimeout, opt.IdleTimeout)
 	p := &Pool{opt: opt, loop: opt.Loop, workers: map[string]*worker{}, cordoned: map[string]bool{},
 		calls: map[*dispatch.Attempt]*call{}, awaitingEnd: map[*conn]struct{}{}}
-	opt.Budget.OnCritical(func(n int) { p.loop.Do(func() { p.closeIdle(n) }) })
+	opt.Descriptors.OnCritical(func(n int) { p.loop.Do(func() { p.closeIdle(n) }) })
 	return p
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -66,7 +66,7 @@
 	}
 	clock := dispatch.NewClock()
 	pool := New(Options{DialTimeout: time.Minute, IdleTimeout: idle, Host: "h", Clock: clock, Loop: loop,
-		Budget: fdlimit.New(0), Log: log})
+		Descriptors: fdlimit.New(0), Log: log})
 	planner, err := dispatch.NewPlanner(settings, 1, clock, pool, func() {}, log)
 	if err != nil {
 		t.Fatal(err)
--- a/learned.go
+++ b/learned.go
@@ -52,7 +52,7 @@
 type LearnedWorker struct {
 	Worker           string  `json:"worker"`
 	Limit            float64 `json:"sigma"`              // slots
-	Pace             float64 `json:"pace"`               // running time over the class's mean
+	RuntimeRatio     float64 `json:"pace"`               // running time over the class's mean
 	ErrorRate        float64 `json:"bad,omitempty"`      // share of answers
 	FreeSlots        float64 `json:"free,omitempty"`     // by the last report
 	FreeSlotsAge     float64 `json:"free_age"`           // of that report; below 0: none yet
@@ -130,7 +130,7 @@
 	return LearnedWorker{
 		Worker:           w.Worker,
 		Limit:            encodeLimit(w.limit),
-		Pace:             w.pace,
+		RuntimeRatio:     w.runtimeRatio,
 		ErrorRate:        w.errorRate,
 		FreeSlots:        w.freeSlots,
 		FreeSlotsAge:     age,
@@ -187,7 +187,7 @@
 
 func (d *Dispatcher) restoreWorker(now time.Duration, w *worker, l *LearnedWorker) {
 	d.setLimit(w, decodeLimit(l.Limit))
-	w.pace, w.errorRate, w.freeSlots = l.Pace, l.ErrorRate, l.FreeSlots
+	w.runtimeRatio, w.errorRate, w.freeSlots = l.RuntimeRatio, l.ErrorRate, l.FreeSlots
 	w.freeSlotsAt = 0
 	if l.FreeSlotsAge >= 0 {
 		w.freeSlotsAt = now - seconds(l.FreeSlotsAge)
--- a/learning.go
+++ b/learning.go
@@ -1,6 +1,6 @@
 package sedgevale
 
-// What is learned from outcomes: running times of classes, pace of workers, expected work.
+// What is learned from outcomes: running times of classes, runtime ratios of workers, expected work.
 
 import (
 	"slices"
@@ -8,14 +8,14 @@
 )
 
 const (
-	meanGain        = 1.0 / 64   // EWMA weight of one outcome in a class's means
-	completionDecay = 0.02       // by which a round draws a mean completion time towards the running time
-	maxSampleMeans  = 10         // one sample counts for at most this many means
-	paceGain        = 1.0 / 8    // EWMA weight of one answer in a worker's pace
-	baseRuntimeGain = 1.0 / 4096 // EWMA weight of one answer in its class's base running time
-	paceDecay       = 0.01       // by which a round draws a pace towards 1, so that a slow worker is tried again
-	maxWaitTargets  = 2          // latency targets for which a wait counts at most in the mean completion time
-	hintTrust       = 0.01       // seconds of running time by which hints are trusted at first
+	meanGain          = 1.0 / 64   // EWMA weight of one outcome in a class's means
+	completionDecay   = 0.02       // by which a round draws a mean completion time towards the running time
+	maxSampleMeans    = 10         // one sample counts for at most this many means
+	runtimeRatioGain  = 1.0 / 8    // EWMA weight of one answer in a worker's runtime ratio
+	baseRuntimeGain   = 1.0 / 4096 // EWMA weight of one answer in its class's base running time
+	runtimeRatioDecay = 0.01       // by which a round draws a runtime ratio towards 1, so that a slow worker is tried again
+	maxWaitTargets    = 2          // latency targets for which a wait counts at most in the mean completion time
+	hintTrust         = 0.01       // seconds of running time by which hints are trusted at first
 )
 
 // learn updates the worker's and the class's figures from an outcome.
@@ -26,16 +26,16 @@
 		d.learnServed(now, r, a)
 	case Rejected:
 		r.tenant.forgetWorker(w)
-		if now-a.sentAt < roundInterval { // else a draining worker has handed back what it had not begun
+		if now-a.sentAt < roundInterval { // else a draining worker has returned what it had not begun
 			d.rescheduleAllowedAt = now + rescheduleBackoff
 		}
 		w.freeSlots, w.freeSlotsAt = 0, now
-		d.cutLimit(w, r.Slots)
+		d.decreaseLimit(w, r.Slots)
 		d.eject(now, w)
 	case Errored:
 		w.errorRate += errorRateGain * (1 - w.errorRate)
 		if w.errorRate > maxErrorRate {
-			d.cutLimit(w, r.Slots)
+			d.decreaseLimit(w, r.Slots)
 			d.eject(now, w)
 		}
 	case TimedOut, ConnectionLost, ConnectFailed:
@@ -43,7 +43,7 @@
 	}
 }
 
-// learnServed updates running times, pace and the worker's health from an answer.
+// learnServed updates running times, the runtime ratio and the worker's health from an answer.
 func (d *Dispatcher) learnServed(now time.Duration, r *request, a *attempt) {
 	w, c := a.worker, r.class
 	w.errorRate *= 1 - errorRateGain
@@ -51,7 +51,7 @@
 		w.ejectedUntil, w.ejectionBackoff = 0, 0
 	}
 	delete(d.brokenByCell, w.Cell)
-	if d.catchingUp { // times by the own clock say nothing
+	if d.catchingUp { // durations measured across the stall say nothing
 		return
 	}
 	completion := (now - a.sentAt).Seconds()
@@ -73,12 +73,12 @@
 			baseGain = max(baseGain, meanGain/4)
 		}
 		c.baseRuntime += baseGain * (run - c.baseRuntime)
-		w.pace += paceGain * (run/max(1e-6, c.meanRuntime) - w.pace)
+		w.runtimeRatio += runtimeRatioGain * (run/max(1e-6, c.meanRuntime) - w.runtimeRatio)
 	}
 	maxWait := maxWaitTargets * c.LatencyTarget.Seconds() // one bad worker must not have all rejected
 	c.meanCompletion += gain * (min(completion, c.meanRuntime+maxWait) - c.meanCompletion)
 	d.roundWork += r.Slots * run
-	d.noteCleanOutcome(w)
+	d.markCleanOutcome(w)
 	if now < r.targetAt {
 		r.tenant.rememberWorker(w)
 	}
@@ -94,7 +94,7 @@
 		d.silentConnections += boolToFloat(o == TimedOut && !a.startOverdue)
 		return
 	}
-	d.cutLimit(w, r.Slots)
+	d.decreaseLimit(w, r.Slots)
 	d.markUnhealthy(now, w)
 	if o != TimedOut && w.connFailures >= minConnFailuresForRestart {
 		d.presumeRestart(now, w)
@@ -123,8 +123,8 @@
 	return o == ConnectFailed || o == NotSent || o == Rejected && !d.settings.RejectedMayHaveRun
 }
 
-// noteCleanOutcome notes that the worker had a clean outcome in this round.
-func (d *Dispatcher) noteCleanOutcome(w *worker) {
+// markCleanOutcome notes that the worker had a clean outcome in this round.
+func (d *Dispatcher) markCleanOutcome(w *worker) {
 	if !w.cleanRound {
 		w.cleanRound = true
 		d.cleanWorkers = append(d.cleanWorkers, w)
--- a/limits.go
+++ b/limits.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	limitQuantileQ     = 0.25      // the quantile over workers; Wisp starts from 0.5
-	limitCutFactor     = 0.7       // a worker's limit after a failure, over the slots in flight there
-	limitRaiseStep     = 0.1       // what a clean round adds to a limit, of the spare slots
-	minLimit           = 0.1       // slots: one slot for a tenth of the time
-	sendShareGain      = 1.0 / 128 // EWMA weight of one request in a tenant's share sent to a worker
-	maxQuantileSamples = 64        // workers sampled for a quantile, so that a round stays cheap
+	limitQuantileQ      = 0.25      // the quantile over workers; Wisp starts from 0.5
+	limitDecreaseFactor = 0.7       // a worker's limit after a failure, over the slots in flight there
+	limitIncreaseStep   = 0.1       // what a clean round adds to a limit, of the spare slots
+	minLimit            = 0.1       // slots: one slot for a tenth of the time
+	sendShareGain       = 1.0 / 128 // EWMA weight of one request in a tenant's share sent to a worker
+	maxQuantileSamples  = 64        // workers sampled for a quantile, so that a round stays cheap
 )
 
 // sendShare is the EWMA share of a tenant's requests that went to a worker.
@@ -27,22 +27,22 @@
 	d.adjustPoolSums(w, 1)
 }
 
-// cutLimit lowers a worker's limit after a failure, at most once a round. Slots are
+// decreaseLimit lowers a worker's limit after a failure, at most once a round. Slots are
 // those of the failed attempt, which are not in flight any more.
-func (d *Dispatcher) cutLimit(w *worker, slots float64) {
-	if w.lastCutRound == d.round {
+func (d *Dispatcher) decreaseLimit(w *worker, slots float64) {
+	if w.lastDecreaseRound == d.round {
 		return
 	}
-	w.lastCutRound = d.round
+	w.lastDecreaseRound = d.round
 	d.setLimit(w, limitTuning.Decrease(w.limit, w.inFlight+slots))
 }
 
-// raiseLimits raises the limits of workers that had only clean outcomes in the
-// last round, by a part of their spare capacity.
-func (d *Dispatcher) raiseLimits(now time.Duration) {
+// increaseLimits raises the limits of workers that had only clean outcomes in the
+// last round, by a fraction of their spare capacity.
+func (d *Dispatcher) increaseLimits(now time.Duration) {
 	for _, w := range d.cleanWorkers {
 		w.cleanRound = false
-		if w.lastCutRound < d.round-1 && w.limit < unlimited {
+		if w.lastDecreaseRound < d.round-1 && w.limit < unlimited {
 			spare := w.limit - w.inFlight
 			if now-w.freeSlotsAt < d.reportTTL() && w.freeSlotsAt > 0 {
 				spare = w.freeSlots
@@ -60,17 +60,17 @@
 func (d *Dispatcher) limitQuantile(t *tenant) float64 {
 	n := float64(max(1, d.pools[0].active))
 	jobs := min(float64(t.sentJobs), 1/sendShareGain)
-	d.scratch = d.scratch[:0]
+	d.limitsBuffer = d.limitsBuffer[:0]
 	step := 1 + len(t.usedWorkers)/maxQuantileSamples
 	for i := int(d.round) % step; i < len(t.usedWorkers); i += step {
 		w := d.workers[t.usedWorkers[i]]
 		if w == nil || w.State != Active {
 			continue
 		}
-		a := t.sendShares[t.usedWorkers[i]].DecayedTo(t.sentJobs, sendShareGain)
-		d.scratch = append(d.scratch, w.limit/admission.SmoothedShare(a, jobs, n))
+		share := t.sendShares[t.usedWorkers[i]].DecayedTo(t.sentJobs, sendShareGain)
+		d.limitsBuffer = append(d.limitsBuffer, w.limit/admission.SmoothedShare(share, jobs, n))
 	}
-	return admission.Quantile(d.scratch, limitQuantileQ)
+	return admission.Quantile(d.limitsBuffer, limitQuantileQ)
 }
 
 // updateLocalShares sets the tenants' local shares, in slots: they rise while the
@@ -97,7 +97,7 @@
 		level = d.fairLevel(limit)
 	}
 	for _, t := range d.tenants {
-		t.localShare = admission.LocalShare(t.localShare, t.claim(), demand, limit, level, limitRaiseStep)
+		t.localShare = admission.LocalShare(t.localShare, t.claim(), demand, limit, level, limitIncreaseStep)
 	}
 }
 
--- a/limits_test.go
+++ b/limits_test.go
@@ -12,9 +12,9 @@
 		t.Fatalf("sigma %v before any failure", w.limit)
 	}
 	w.inFlight = 4
-	d.cutLimit(w, 0)
-	d.cutLimit(w, 0)
-	if want := limitCutFactor * 4; w.limit != want {
+	d.decreaseLimit(w, 0)
+	d.decreaseLimit(w, 0)
+	if want := limitDecreaseFactor * 4; w.limit != want {
 		t.Errorf("sigma %v after two failures in a round, want %v", w.limit, want)
 	}
 	d.endRound(h.now)
@@ -23,19 +23,19 @@
 	d.cleanWorkers = []*worker{w}
 	before := w.limit
 	d.endRound(h.now)
-	if want := before + limitRaiseStep*(before-1); math.Abs(w.limit-want) > 1e-9 {
+	if want := before + limitIncreaseStep*(before-1); math.Abs(w.limit-want) > 1e-9 {
 		t.Errorf("sigma %v after a clean round, want %v", w.limit, want)
 	}
 	w.cleanRound, w.freeSlots, w.freeSlotsAt = true, 3, h.now
 	d.meanWork, d.cleanWorkers, before = 1, []*worker{w}, w.limit
 	d.endRound(h.now)
-	if want := before + limitRaiseStep*3; math.Abs(w.limit-want) > 1e-9 {
+	if want := before + limitIncreaseStep*3; math.Abs(w.limit-want) > 1e-9 {
 		t.Errorf("sigma %v with three slots reported free, want %v", w.limit, want)
 	}
 	d.setLimit(w, minLimit)
-	w.lastCutRound = -1
+	w.lastDecreaseRound = -1
 	w.inFlight = 0
-	d.cutLimit(w, 0)
+	d.decreaseLimit(w, 0)
 	if w.limit != minLimit {
 		t.Errorf("sigma %v fell below its least", w.limit)
 	}
@@ -47,7 +47,7 @@
 	tn := d.tenants[0]
 	for i, sigma := range []float64{1, 2, 6, 8, 3} {
 		d.setLimit(d.workers[i], sigma)
-		tn.noteSent(d.workers[i])
+		tn.countSent(d.workers[i])
 		tn.sendShares[i] = sendShare{Value: []float64{0.5, 0.125, 0.125, 0.125, 0.125}[i], AsOfJob: 1000, Used: true}
 	}
 	tn.sentJobs = 1000
@@ -62,13 +62,13 @@
 	d, _ := start(t, settings(), fleet(2)...)
 	tn := d.tenants[0]
 	for range 2000 {
-		tn.noteSent(d.workers[0])
+		tn.countSent(d.workers[0])
 	}
 	if a := tn.sendShares[0].DecayedTo(tn.sentJobs, sendShareGain); math.Abs(a-1) > 0.01 {
 		t.Errorf("alpha %v of the only worker used", a)
 	}
 	for range 128 {
-		tn.noteSent(d.workers[1])
+		tn.countSent(d.workers[1])
 	}
 	if a := tn.sendShares[0].DecayedTo(tn.sentJobs, sendShareGain); math.Abs(a-math.Pow(1-sendShareGain, 128)) > 0.01 {
 		t.Errorf("alpha %v after 128 jobs elsewhere", a)
@@ -96,7 +96,7 @@
 		tn.inFlight, tn.localShare = 1, 1
 	}
 	d.updateLocalShares()
-	if want := 1 + limitRaiseStep*5; math.Abs(d.tenants[0].localShare-want) > 1e-9 {
+	if want := 1 + limitIncreaseStep*5; math.Abs(d.tenants[0].localShare-want) > 1e-9 {
 		t.Errorf("local share ramps to %v, want %v", d.tenants[0].localShare, want)
 	}
 }
--- a/membership_test.go
+++ b/membership_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rule 3: drained and removed workers get nothing from the moment of the update on.
+// Drained and removed workers get nothing from the moment of the update on.
 func TestDrainingWorkersGetNothing(t *testing.T) {
 	d, h := start(t, settings(), fleet(3)...)
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
--- a/peers_test.go
+++ b/peers_test.go
@@ -125,12 +125,12 @@
 	if w := d.workersByName["w0"]; d.inFlight != 2 || w.inFlight != 3 || w.notStarted != 1 || d.pools[0].inFlight != 5 {
 		t.Errorf("booked %v in all, %v of 5 at workers, %v and %d at w0", d.inFlight, d.pools[0].inFlight, w.inFlight, w.notStarted)
 	}
-	told := d.AppendLoadChanges(nil)
-	if len(told) != 1 || told[0].Worker != "w1" || told[0].InFlight != 2 || told[0].NotStarted != 0 {
-		t.Errorf("told %v, want ours at w1 alone", told)
+	reported := d.AppendLoadChanges(nil)
+	if len(reported) != 1 || reported[0].Worker != "w1" || reported[0].InFlight != 2 || reported[0].NotStarted != 0 {
+		t.Errorf("reported %v, want ours at w1 alone", reported)
 	}
 	if again := d.AppendLoadChanges(nil); len(again) != 0 {
-		t.Errorf("told again %v", again)
+		t.Errorf("reported again %v", again)
 	}
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Removed}})
 	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w1"}})
@@ -145,24 +145,24 @@
 	d.TrackLoadChanges()
 	full := func(id string) bool {
 		h.ask(d, id, 0)
-		told := d.AppendLoadChanges(nil)
-		if len(told) != 1 || told[0].Worker != "w0" {
-			t.Fatalf("told %v, want w0 alone", told)
+		reported := d.AppendLoadChanges(nil)
+		if len(reported) != 1 || reported[0].Worker != "w0" {
+			t.Fatalf("reported %v, want w0 alone", reported)
 		}
 		_ = d.AttemptStarted(h.now, id, 0)
-		return told[0].Saturated
+		return reported[0].Saturated
 	}
 	if full("r0") {
-		t.Error("told that it is full, of which no report has come")
+		t.Error("reported as full, of which no report has come")
 	}
 	_ = d.AttemptEnded(h.now, AttemptResult{ID: "r0", Outcome: Served, Answered: true, Report: &LoadReport{HasFreeSlots: true, FreeSlots: 2}})
 	if full("r1") {
-		t.Error("told that it is full with one job on two slots")
+		t.Error("reported as full with one job on two slots")
 	}
 	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w0", Load: Load{InFlight: 3}}})
 	_ = d.AttemptEnded(h.now, AttemptResult{ID: "r1", Outcome: Served, Answered: true})
-	if told := d.AppendLoadChanges(nil); len(told) != 1 || !told[0].Saturated || told[0].InFlight != 0 {
-		t.Errorf("told %v with three of others' jobs on two slots, want that it is full", told)
+	if reported := d.AppendLoadChanges(nil); len(reported) != 1 || !reported[0].Saturated || reported[0].InFlight != 0 {
+		t.Errorf("reported %v with three of others' jobs on two slots, want that it is full", reported)
 	}
 }
 
--- a/placement.go
+++ b/placement.go
@@ -10,7 +10,7 @@
 
 const (
 	slotThresholdMargin = 0.5 // slot threshold over the mean of the slots in flight at workers
-	maxPickTries        = 16  // workers sampled for one placement
+	maxSampledWorkers   = 16  // workers sampled for one placement
 	maxQueuedAtWorker   = 1   // attempts that may wait at a worker that is known to be busy
 	waitSafetyFactor    = 1.5 // what a wait at a worker may come to, over the mean
 )
@@ -87,8 +87,8 @@
 	return small
 }
 
-// admits reports whether the pool's classes may be sent to the worker (rule 3).
-// Nothing else decides that.
+// admits reports whether the pool's classes may be sent to the worker, by
+// their kinds and zones, the worker's state and its cordon. Nothing else decides that.
 func (p *pool) admits(w *worker) bool {
 	return w.State == Active && !w.cordoned && (p.allowedKinds == nil || slices.Contains(p.allowedKinds, w.Kind)) &&
 		(p.allowedZones == nil || slices.Contains(p.allowedZones, w.Zone))
@@ -138,13 +138,13 @@
 		return false
 	}
 	slots := max(1, d.maxFreeByKind[w.Kind])
-	wait := max(w.inFlight+r.Slots-slots, float64(w.notStarted)+r.Slots) / slots * d.meanWork * w.pace
+	wait := max(w.inFlight+r.Slots-slots, float64(w.notStarted)+r.Slots) / slots * d.meanWork * w.runtimeRatio
 	return d.meetsTargetAt(now, w, r, waitSafetyFactor*wait)
 }
 
 // meetsTargetAt reports whether the request can be expected to meet its latency
-// target at the worker, by its pace, after a wait in seconds. It guards against
+// target at the worker, by its runtime ratio, after a wait in seconds. It guards against
 // workers that have become slow, where all requests would be late.
 func (d *Dispatcher) meetsTargetAt(now time.Duration, w *worker, r *request, wait float64) bool {
-	return !d.settings.StartNotified || wait <= d.slackAtPace(now, r, w.pace)
+	return !d.settings.StartNotified || wait <= d.slackAt(now, r, w.runtimeRatio)
 }
--- a/probe.go
+++ b/probe.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	probeFanout         = 2 // workers probed for one request at a time
-	maxProbeRounds      = 2 // rounds of probes for one request, when none has free slots
-	probeTimeout        = 15 * time.Millisecond
-	probeResultTTL      = 40 * time.Millisecond // a worker that has answered is not probed again for so long
-	minMeteredSeconds   = 0.6                   // of metering before it counts
-	meterIntervalRounds = 32                    // later a worker is metered every so many rounds
-	maxReportChangeJobs = 2.0                   // mean work between changes of a report, at most, for it to be timely
-	reportTTLPart       = 0.5                   // of the mean work: how long a report holds
-	maxQueueWaitPart    = 0.35                  // of the time left: what a queue's wait, by a report, may take
+	probeFanout          = 2 // workers probed for one request at a time
+	maxProbeRounds       = 2 // rounds of probes for one request, when none has free slots
+	probeTimeout         = 15 * time.Millisecond
+	probeResultTTL       = 40 * time.Millisecond // a worker that has answered is not probed again for so long
+	minMeteredSeconds    = 0.6                   // of metering before it counts
+	meterIntervalRounds  = 32                    // later a worker is metered every so many rounds
+	maxReportChangeJobs  = 2.0                   // mean work between changes of a report, at most, for it to be timely
+	reportTTLFraction    = 0.5                   // of the mean work: how long a report holds
+	maxQueueWaitFraction = 0.35                  // of the time left: what a queue's wait, by a report, may take
 )
 
 // probeForLoad probes a few workers for their load before a request is placed, where
@@ -86,7 +86,7 @@
 		d.probeForLoad(now, r)
 		return nil, r.probesPending > 0
 	}
-	if left := min(r.deadline, r.targetAt) - now; leastWait > maxQueueWaitPart*(left.Seconds()-r.work/r.Slots) {
+	if left := min(r.deadline, r.targetAt) - now; leastWait > maxQueueWaitFraction*(left.Seconds()-r.work/r.Slots) {
 		shortest = nil
 	}
 	return shortest, decided
@@ -123,12 +123,12 @@
 	w.probeWaiters = w.probeWaiters[:0]
 }
 
-// applyReport takes over free slots from a report; none at all cut the limit.
+// applyReport takes over free slots from a report; none at all decrease the limit.
 func (d *Dispatcher) applyReport(now time.Duration, w *worker, p *LoadReport) {
 	w.freeSlots, w.freeSlotsAt = p.FreeSlots, now
 	d.maxFreeByKind[w.Kind] = max(d.maxFreeByKind[w.Kind], p.FreeSlots)
 	if p.FreeSlots < 0.5 {
-		d.cutLimit(w, 0)
+		d.decreaseLimit(w, 0)
 	}
 }
 
@@ -175,4 +175,4 @@
 }
 
 // reportTTL returns how long a report holds: slots change hands as requests end.
-func (d *Dispatcher) reportTTL() time.Duration { return seconds(reportTTLPart * d.meanWork) }
+func (d *Dispatcher) reportTTL() time.Duration { return seconds(reportTTLFraction * d.meanWork) }
--- a/queue.go
+++ b/queue.go
@@ -36,7 +36,7 @@
 
 // enqueue queues the request and sets until when it must be sent.
 func (d *Dispatcher) enqueue(now time.Duration, r *request) {
-	r.sendBy = now + seconds(maxSlackPart*d.timeToSend(now, r).Seconds())
+	r.sendBy = now + seconds(maxSlackFraction*d.timeToSend(now, r).Seconds())
 	d.pushPending(r)
 }
 
@@ -67,16 +67,16 @@
 	if d.catchingUp {
 		return
 	}
-	idle, most, resume := 0, maxReleaseTurns*len(d.tenants), -1
+	idleTurns, turnsLeft, resume := 0, maxReleaseTurns*len(d.tenants), -1 // resume: index of the tenant to begin with next time, -1: in turn
 	for _, p := range d.pools {
 		p.jobBlocked = false
 	}
-	for ; d.pendingRequests > 0 && idle < len(d.tenants) && most > 0; idle, most = idle+1, most-1 {
+	for ; d.pendingRequests > 0 && idleTurns < len(d.tenants) && turnsLeft > 0; idleTurns, turnsLeft = idleTurns+1, turnsLeft-1 {
 		t := d.tenants[d.turn]
 		if len(t.queue) == 0 {
 			t.deficit = 0
 		} else {
-			deficit := t.deficit
+			deficitBefore := t.deficit
 			if !d.turnCredited {
 				t.deficit = min(t.deficit, max(4*d.meanWork, t.queue[0].work)) +
 					d.meanWork*t.share*float64(len(d.tenants))
@@ -84,7 +84,7 @@
 			}
 			sent := d.serveTenant(now, t)
 			if sent {
-				idle = -1
+				idleTurns = -1
 			}
 			// Capacity comes slot by slot. If each turn ended with one request, all
 			// tenants would get the same, so a tenant with credit left resumes when
@@ -92,7 +92,7 @@
 			if t.blockedByCapacity && resume < 0 {
 				resume = d.turn
 			} else if t.blockedByCapacity && !sent {
-				t.deficit = deficit
+				t.deficit = deficitBefore
 			}
 		}
 		d.turn, d.turnCredited = (d.turn+1)%len(d.tenants), false
@@ -167,7 +167,7 @@
 	d.host.Send(r.ID, w.Worker, 0)
 	if d.settings.StartNotified {
 		wait := (min(r.deadline, r.targetAt) - now - seconds(r.class.meanRuntime)) / 2
-		if w.inFlight <= d.maxFreeByKind[w.Kind] && d.settings.FIFOWorkers && d.lateStartMeansSilence() {
+		if w.inFlight <= d.maxFreeByKind[w.Kind] && d.settings.FIFOWorkers && d.overdueStartImpliesSilentConn() {
 			wait = min(wait, promptStartTimeout) // a slot should be free
 		}
 		d.setTimer(min(max(wait, minStartTimeout), maxStartTimeout), tokenStartDue, r, n)
--- a/rejection.go
+++ b/rejection.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	shortJobPart = 0.4 // of the mean: a request may run for so short a time, and its target be as near
-	maxSlackPart = 0.4 // a request is queued for at most this part of its slack, since means hide a spread
+	shortJobFraction = 0.4 // of the mean: a request may run for so short a time, and its target be as near
+	maxSlackFraction = 0.4 // a request is queued for at most this fraction of its slack, since means hide a spread
 )
 
 // feasible reports whether the request can be in time: on arrival, behind the pending
@@ -27,29 +27,30 @@
 	if wait == 0 && r.class.inFlight == 0 {
 		return now < min(r.deadline, r.targetAt)
 	}
-	return wait <= maxSlackPart*d.timeToSend(now, r).Seconds()
+	return wait <= maxSlackFraction*d.timeToSend(now, r).Seconds()
 }
 
 // timeToSend returns how long the request can still wait to be sent: the time left
 // less its running time and the class's mean wait at workers.
 func (d *Dispatcher) timeToSend(now time.Duration, r *request) time.Duration {
 	c := r.class
-	return seconds(d.slackAtPace(now, r, d.fastPace) - max(0, c.meanCompletion-c.meanRuntime))
+	return seconds(d.slackAt(now, r, d.lowRuntimeRatio) - max(0, c.meanCompletion-c.meanRuntime))
 }
 
-// slackAtPace returns how many seconds the request can still wait if a worker of that
-// pace runs it. Without a hint its running time is not known; it may be short, and
+// slackAt returns how many seconds the request can still wait if a worker of that
+// runtime ratio runs it. Without a hint its running time is not known; it may be short, and
 // then its latency target is near too. For a retry the mean is good enough.
-func (d *Dispatcher) slackAtPace(now time.Duration, r *request, pace float64) float64 {
-	part := shortJobPart
+func (d *Dispatcher) slackAt(now time.Duration, r *request, runtimeRatio float64) float64 {
+	fraction := shortJobFraction
 	if r.RuntimeHint > 0 || len(r.attempts) > 0 {
-		part = 1
+		fraction = 1
 	}
-	return (min(r.deadline, r.targetAt) - now).Seconds() - (1-part)*r.class.TargetStretch*r.runtime - part*pace*r.work/r.Slots
+	return (min(r.deadline, r.targetAt) - now).Seconds() - (1-fraction)*r.class.TargetStretch*r.runtime - fraction*runtimeRatio*r.work/r.Slots
 }
 
 // mayReject reports whether the request may be rejected, which tells the client that
-// it may safely come again (rule 2 for rejections).
+// it may safely come again. It may not if an attempt may have run whose repeat would
+// not be dropped.
 func (d *Dispatcher) mayReject(r *request) bool {
 	c := r.class
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll {
@@ -81,7 +82,7 @@
 // be in time yet, or after about the mean work, when slots have changed hands. It is
 // drawn at random, so that not all come back at once.
 func (d *Dispatcher) retryAfter(now time.Duration, r *request) time.Duration {
-	after := maxSlackPart * d.timeToSend(now, r).Seconds()
+	after := maxSlackFraction * d.timeToSend(now, r).Seconds()
 	if after <= 0 {
 		after = d.meanWork
 	}
--- a/rejection_test.go
+++ b/rejection_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rule 2: rejections promise that nothing ran.
+// Rejections promise that nothing ran.
 func TestRejectedOnlyWhenNothingRan(t *testing.T) {
 	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		d, h := start(t, settings(), fleet(1)...)
--- a/retry.go
+++ b/retry.go
@@ -22,8 +22,9 @@
 	silentConnectionsDecay = 0.01                  // of that count, a round
 )
 
-// mayAttempt reports whether the request may be sent to this worker (rule 2 for
-// sends). Nothing else decides that.
+// mayAttempt reports whether the request may be sent to this worker: it has attempts
+// and retry budget left, none in flight there, and none that may have run forbids a
+// repeat there. Nothing else decides that.
 func (d *Dispatcher) mayAttempt(now time.Duration, r *request, w *worker) bool {
 	if r.ended || len(r.attempts) >= d.settings.MaxAttempts || r.inFlight > 0 && !d.settings.AllowHedging ||
 		len(r.attempts) > 0 && !d.withinRetryBudget(now) {
@@ -85,7 +86,7 @@
 	d.setTimer(r.sendBy-now, tokenSendBy, r, 0)
 }
 
-// hedge queues a request for an attempt beside the one in flight, where it may run
+// hedge queues a request for a hedged attempt, while one is in flight, where it may run
 // twice.
 func (d *Dispatcher) hedge(now time.Duration, r *request) {
 	if !d.settings.AllowHedging || r.ended || r.queued || r.streaming || r.inFlight != 1 ||
@@ -109,8 +110,8 @@
 }
 
 // checkStart acts when no start notice has come in time: the worker has a queue, or
-// hangs. Its limit is cut, and it gets nothing until a sign of life. It guards
-// against queues that no rejection reveals. The attempt is cancelled to try another
+// hangs. Its limit is decreased, and it gets nothing until it is known to be alive.
+// This guards against queues that no rejection reveals. The attempt is cancelled to try another
 // worker where that is allowed, and the request ended once it must be late.
 func (d *Dispatcher) checkStart(now time.Duration, r *request, n int) {
 	a := &r.attempts[n]
@@ -126,11 +127,11 @@
 		}
 		d.setTimer(last-now, tokenStartDue, r, n)
 	}
-	d.cutLimit(a.worker, r.Slots)
+	d.decreaseLimit(a.worker, r.Slots)
 	if a.worker.lastSeen < a.sentAt {
 		d.markUnhealthy(now, a.worker)
 	}
-	slotWasFree := a.worker.inFlight <= d.maxFreeByKind[a.worker.Kind] && d.lateStartMeansSilence()
+	slotWasFree := a.worker.inFlight <= d.maxFreeByKind[a.worker.Kind] && d.overdueStartImpliesSilentConn()
 	if slotWasFree {
 		d.writeOff(r, a) // the next attempt there shows whether the worker is full or this connection silent
 	}
@@ -162,7 +163,7 @@
 }
 
 // writeOffOverdue writes off attempts that have run for far longer than they should
-// without a sign of life. While connections are known to fall silent, they are hedged
+// without a report of progress. While connections are known to fall silent, they are hedged
 // before it is too late.
 func (d *Dispatcher) writeOffOverdue(now time.Duration, w *worker) {
 	for i := range w.attempts {
@@ -177,7 +178,7 @@
 			}
 			continue
 		}
-		expected := seconds(ref.request.class.meanRuntime * max(0.5, w.pace))
+		expected := seconds(ref.request.class.meanRuntime * max(0.5, w.runtimeRatio))
 		since := now - max(a.startedAt, a.progressAt)
 		if since > maxRuntimeMultiple*expected+maxStartTimeout/4 {
 			d.writeOff(ref.request, a)
@@ -188,9 +189,9 @@
 	}
 }
 
-// lateStartMeansSilence reports whether an overdue start means a silent connection:
+// overdueStartImpliesSilentConn reports whether an overdue start means a silent connection:
 // no other dispatcher fills the worker's slots, or connections are known to fall
 // silent now.
-func (d *Dispatcher) lateStartMeansSilence() bool {
+func (d *Dispatcher) overdueStartImpliesSilentConn() bool {
 	return d.settings.Dispatchers == 1 || d.silentConnections > minSilentConnections
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rule 2: what may follow an attempt, by effect and outcome.
+// What may follow an attempt, by effect and outcome.
 func TestWhatMayFollowAnOutcome(t *testing.T) {
 	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		for o := Errored; o <= NotSent; o++ {
@@ -35,7 +35,7 @@
 	}
 }
 
-// Rule 2: a keyed job may not go out again once its window is over.
+// A keyed job may not go out again once its window is over.
 func TestKeyedWindow(t *testing.T) {
 	d, h := start(t, settings(), fleet(4)...)
 	h.ask(d, "r", 1)
--- a/sampling.go
+++ b/sampling.go
@@ -28,10 +28,10 @@
 			return
 		}
 		at, step := d.rng.IntN(n), 1
-		if n > maxPickTries {
+		if n > maxSampledWorkers {
 			step += d.rng.IntN(n - 1)
 		}
-		for range min(n, maxPickTries) {
+		for range min(n, maxSampledWorkers) {
 			if !yield(nthWorker(zones, at)) {
 				return
 			}
--- a/scheduler/build.go
+++ b/scheduler/build.go
@@ -52,7 +52,7 @@
 	}
 	settings.WatchOnDemand = c.Discovery != "" // pushed lists come to the address, and it is asked for them there
 	s := &Scheduler{options: opt, config: c, clock: dispatch.NewClock(), descriptors: fdlimit.New(0),
-		cordonTurn: make(chan struct{}, 1), siblings: siblingSet{all: map[*sibling]struct{}{}, added: make(chan struct{}, 1)}}
+		cordonSemaphore: make(chan struct{}, 1), siblings: siblingSet{all: map[*sibling]struct{}{}, added: make(chan struct{}, 1)}}
 	s.settings.Store(&settings)
 	s.current.Store(c)
 	s.limitDescriptors(c)
@@ -69,7 +69,7 @@
 func (s *Scheduler) build(settings *sedgevale.Settings) error {
 	c := s.config
 	s.pool = upstream.New(upstream.Options{Loop: s.workerLoop, DialTimeout: dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout),
-		IdleTimeout: dispatchconfig.Seconds(c.Settings.Bounds.IdleClose), Host: workerHost, Clock: s.clock, Budget: s.descriptors,
+		IdleTimeout: dispatchconfig.Seconds(c.Settings.Bounds.IdleClose), Host: workerHost, Clock: s.clock, Descriptors: s.descriptors,
 		Log: s.options.Log})
 	s.watcher = discovery.NewWatcher(s.workerLoop, c.Discovery, *c.Known, s.onWorkerList, s.onDiscoveryFailure, s.options.Log)
 	if c.Journal != nil {
--- a/scheduler/operate.go
+++ b/scheduler/operate.go
@@ -62,8 +62,8 @@
 // applyCordon carries out an order in this process, one order after another.
 func (s *Scheduler) applyCordon(ctx context.Context, host string, out bool) error {
 	select {
-	case s.cordonTurn <- struct{}{}:
-		defer func() { <-s.cordonTurn }()
+	case s.cordonSemaphore <- struct{}{}:
+		defer func() { <-s.cordonSemaphore }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -40,20 +40,20 @@
 
 // Scheduler listens to clients and forwards their requests to workers.
 type Scheduler struct {
-	options       Options
-	config        *dispatchconfig.Config                // at the start; not changed
-	current       atomic.Pointer[dispatchconfig.Config] // of the last successful Reload
-	settings      atomic.Pointer[sedgevale.Settings]    // in force; not changed, only replaced
-	requestParser *jobrequest.Parser
-	clock         dispatch.Clock
-	descriptors   *fdlimit.Limiter
-	workerLoop    *evloop.Loop // for connections to workers, discovery and the sibling process
-	pool          *upstream.Pool
-	watcher       *discovery.Watcher
-	planners      *dispatch.Set
-	cordons       *ops.Cordons
-	cordonTurn    chan struct{} // holds a token while a cordon is applied
-	ready         atomic.Bool   // clients are served: false before the start and from the drain on
+	options         Options
+	config          *dispatchconfig.Config                // at the start; not changed
+	current         atomic.Pointer[dispatchconfig.Config] // of the last successful Reload
+	settings        atomic.Pointer[sedgevale.Settings]    // in force; not changed, only replaced
+	requestParser   *jobrequest.Parser
+	clock           dispatch.Clock
+	descriptors     *fdlimit.Limiter
+	workerLoop      *evloop.Loop // for connections to workers, discovery and the sibling process
+	pool            *upstream.Pool
+	watcher         *discovery.Watcher
+	planners        *dispatch.Set
+	cordons         *ops.Cordons
+	cordonSemaphore chan struct{} // holds a token while a cordon is applied
+	ready           atomic.Bool   // clients are served: false before the start and from the drain on
 
 	servers      []*httpd.Server     // for clients
 	opsServer    *httpd.Server       // for operators; nil without an ops address
--- a/scheduler/siblings.go
+++ b/scheduler/siblings.go
@@ -74,7 +74,7 @@
 
 // dropSibling ends all sharing with a process that is gone.
 func (s *Scheduler) dropSibling(b *sibling) {
-	s.planners.RemovePartner(b.id)
+	s.planners.RemoveSibling(b.id)
 	if s.eventStreams != nil {
 		s.eventStreams.EndMirror(b.id)
 	}
@@ -121,7 +121,7 @@
 }
 
 // publish passes on what a planner of this process does.
-func (b *sibling) publish(planner int, shared dispatch.PartnerState) {
+func (b *sibling) publish(planner int, shared dispatch.SiblingState) {
 	b.send(&handover.Message{PlannerUpdate: &handover.PlannerUpdate{Planner: planner, Shared: shared}, Descriptors: b.scheduler.descriptorsInUse()})
 }
 
@@ -129,7 +129,7 @@
 func (b *sibling) Message(_ *handover.Link, m *handover.Message) {
 	s := b.scheduler
 	if m.PlannerUpdate != nil {
-		s.planners.UpdatePartner(b.id, m.PlannerUpdate.Planner, m.PlannerUpdate.Shared)
+		s.planners.UpdateSibling(b.id, m.PlannerUpdate.Planner, m.PlannerUpdate.Shared)
 	}
 	if m.Stream != nil && s.eventStreams != nil {
 		s.eventStreams.AddMirrored(b.id, m.Stream)
--- a/scheduler/upgrade.go
+++ b/scheduler/upgrade.go
@@ -102,7 +102,7 @@
 	link := session.Link(s.workerLoop, b, s.options.Log)
 	ctx, stop := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer stop()
-	planners, err := s.planners.AddPartner(ctx, b.id, b.publish)
+	planners, err := s.planners.AddSibling(ctx, b.id, b.publish)
 	if err != nil {
 		link.Drop(err)
 		return
--- a/slowstart.go
+++ b/slowstart.go
@@ -17,10 +17,10 @@
 	at     time.Duration
 }
 
-// slowStartIfRecent begins the slow start of a worker that has just started (rule
-// 4). It earns credit for a part of the work that warm workers do for this
-// dispatcher, which grows as it warms up. Every dispatcher does the same, hence the
-// sum stays below what it can do.
+// slowStartIfRecent begins the slow start of a worker that has just started. It earns
+// credit for a fraction of the work that warm workers do for this dispatcher, which
+// grows as it warms up. Every dispatcher does the same, hence the sum stays below what
+// it can do.
 func (d *Dispatcher) slowStartIfRecent(now time.Duration, w *worker) {
 	d.clearPresumedRestart(w)
 	w.warmAt = 0
@@ -42,20 +42,20 @@
 // brings its credit up to date.
 func (d *Dispatcher) slowStartAdmits(now time.Duration, w *worker, r *request) bool {
 	warm := 1 - (w.warmAt-now).Seconds()/d.settings.SlowStartDuration.Seconds()
-	part := d.settings.SlowStartCapacity + (1-d.settings.SlowStartCapacity)*max(0, warm)
+	fraction := d.settings.SlowStartCapacity + (1-d.settings.SlowStartCapacity)*max(0, warm)
 	mean := d.expectedWork()
-	least := mean / d.settings.OverloadWindow.Seconds() / float64(d.subsetSharers)
-	rate := part * max(least, d.workRate*w.size)
+	minRate := mean / d.settings.OverloadWindow.Seconds() / float64(d.subsetSharers)
+	rate := fraction * max(minRate, d.workRate*w.size)
 	// A heavier request than usual must leave capacity for others, also where this
 	// dispatcher's part is twice the mean.
-	heavy := d.settings.OverloadMultiple / 4 * rate * float64(d.subsetSharers) * d.settings.OverloadWindow.Seconds()
+	maxWork := d.settings.OverloadMultiple / 4 * rate * float64(d.subsetSharers) * d.settings.OverloadWindow.Seconds()
 	rate *= min(1.5, d.settings.OverloadMultiple/2) // half of the multiple at most, for chance and bursts
 	if d.knownRequests == 0 {                       // no running time is known yet: begin with two from all together
-		rate = 2 * least
+		rate = 2 * minRate
 	}
 	w.slowStartCredit = min(w.slowStartCredit+rate*(now-w.slowStartCreditAt).Seconds(), rate*d.settings.OverloadWindow.Seconds()/4)
 	w.slowStartCreditAt = now
-	return w.slowStartCredit > 0 && d.expectedWorkOf(r) <= max(mean, heavy)
+	return w.slowStartCredit > 0 && d.expectedWorkOf(r) <= max(mean, maxWork)
 }
 
 // presumeRestart presumes workers restarted before the list says so: one that broke
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Rule 4: all dispatchers together stay within what a worker can take while it warms up.
+// All dispatchers together stay within what a worker can take while it warms up.
 func TestSlowStartBoundsLoad(t *testing.T) {
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow, set.Dispatchers = 8*time.Second, 0.3, 2.5, 1500*ms, 10
@@ -148,7 +148,7 @@
 	}
 }
 
-// Rule 4 at 1.5 times, summed over dispatchers that know nothing of each other:
+// The overload multiple of 1.5, summed over dispatchers that know nothing of each other:
 // uneven traffic, heavy jobs, half of them just restarted, a third of the
 // fleet warming up at once. Warm workers are at 70% of their capacity.
 func TestSlowStartBoundsTheSumOfDispatchers(t *testing.T) {
--- a/tenants.go
+++ b/tenants.go
@@ -51,8 +51,8 @@
 	return admission.Claimant{Demand: t.inFlight + t.pendingSlots, Share: t.share}
 }
 
-// noteSent notes that a request of the tenant was sent to the worker.
-func (t *tenant) noteSent(w *worker) {
+// countSent notes that a request of the tenant was sent to the worker.
+func (t *tenant) countSent(w *worker) {
 	t.sentJobs++
 	for len(t.sendShares) <= w.index {
 		t.sendShares = append(t.sendShares, sendShare{})
--- a/worker.go
+++ b/worker.go
@@ -16,7 +16,7 @@
 	inFlight          float64 // slots, with siblingLoad and peerLoad
 	notStarted        int     // attempts without a start notice, with those of siblingLoad and peerLoad
 	limit             float64 // learned bound on slots in flight; unlimited at first
-	lastCutRound      int64   // of the limit
+	lastDecreaseRound int64   // of the limit
 	siblingLoad       Load    // of other dispatchers of this scheduler
 	siblingLoadKnown  bool    // siblingLoad has been set before
 	peerLoad          Load    // of other schedulers of the site
@@ -39,7 +39,7 @@
 	ejectedUntil      time.Duration // not to be sent to before: it rejected or failed requests
 	ejectionBackoff   time.Duration
 	errorRate         float64       // EWMA share of errors
-	pace              float64       // EWMA of its running times over the class's mean; above 1 is slow
+	runtimeRatio      float64       // EWMA of its running times over the class's mean; above 1: slower than the others
 	attempts          []attemptRef  // that have not ended
 	warmAt            time.Duration // when its slow start ends
 	presumedRestartAt time.Duration // when it was presumed to have restarted; 0: it is not
@@ -56,8 +56,8 @@
 // addWorker adds a worker that the list names for the first time. The lowest free
 // index is taken again.
 func (d *Dispatcher) addWorker(e *WorkerInfo) *worker {
-	w := &worker{WorkerInfo: *e, poolPositions: slices.Repeat([]int{-1}, len(d.pools)), limit: unlimited, pace: 1,
-		index: len(d.workers), lastCutRound: -1, cordoned: d.cordons[e.Worker]}
+	w := &worker{WorkerInfo: *e, poolPositions: slices.Repeat([]int{-1}, len(d.pools)), limit: unlimited, runtimeRatio: 1,
+		index: len(d.workers), lastDecreaseRound: -1, cordoned: d.cordons[e.Worker]}
 	if i := slices.Index(d.workers, nil); i >= 0 {
 		w.index = i
 		d.workers[i] = w
@@ -93,10 +93,10 @@
 	w.lastSeen, w.connFailures, w.unhealthyUntil, w.unhealthyBackoff = now, 0, 0, 0
 }
 
-// resetHealth forgets the worker's failures, its limit and its pace.
+// resetHealth forgets the worker's failures, its limit and its runtime ratio.
 func (w *worker) resetHealth() {
 	w.limit, w.freeSlotsAt = unlimited, 0
-	w.pace, w.errorRate = 1, 0
+	w.runtimeRatio, w.errorRate = 1, 0
 	w.unhealthyUntil, w.unhealthyBackoff, w.lastTrial = 0, 0, 0
 	w.ejectedUntil, w.ejectionBackoff = 0, 0
 	w.connFailures = 0
@@ -115,28 +115,28 @@
 	return e.Weight
 }
 
-// growKindTables makes room for a kind in the tables that are indexed by kind.
+// growKindTables extends the tables that are indexed by kind up to this one.
 func (d *Dispatcher) growKindTables(kind int) {
 	for len(d.maxWeightByKind) <= kind {
 		d.maxWeightByKind, d.maxFreeByKind = append(d.maxWeightByKind, 0), append(d.maxFreeByKind, 1)
 	}
 }
 
-// Cordon cordons a worker (out is true) or uncordons it. Nothing is sent to a
+// Cordon cordons a worker, or uncordons it if cordon is false. Nothing is sent to a
 // cordoned worker, whatever the list says of it meanwhile, also if it vanishes and
 // returns. Once uncordoned it warms up: from now, or from the restart that the
 // list has shown meanwhile. Cordon returns false for an unknown worker, and then
 // changes nothing.
-func (d *Dispatcher) Cordon(now time.Duration, name string, out bool) bool {
+func (d *Dispatcher) Cordon(now time.Duration, name string, cordon bool) bool {
 	w := d.workersByName[name]
 	if w == nil && !d.cordons[name] {
 		return false
 	}
-	if out == d.cordons[name] {
+	if cordon == d.cordons[name] {
 		return true
 	}
 	d.startRounds(now)
-	if out {
+	if cordon {
 		d.RestoreCordon(name)
 		if w != nil {
 			w.cordonedAt = now
