--- a/budget_test.go
+++ b/budget_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Budget: in no window of the span do further attempts exceed what the requests
+// In no window do retries exceed what the requests
 // of that window allow, whatever the outcomes.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	for seed := range uint64(8) {
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Benchlink hosts instances of the decision module on the simulator's wire, on standard
-// input and output.
+// Benchlink hosts instances of the decision module for the simulator. It speaks the
+// protocol of package wire on standard input and output.
 package main
 
 import (
--- a/cordon_test.go
+++ b/cordon_test.go
@@ -22,7 +22,7 @@
 }
 
 // Guards against a cordon that a list undoes: neither a new list nor a worker that
-// vanishes and returns ends it, and a drain of discovery's own outlasts it.
+// vanishes and returns ends it, and a drain by discovery goes on after it.
 func TestCordonOverLists(t *testing.T) {
 	a, b := WorkerInfo{Worker: "a", Weight: 1}, WorkerInfo{Worker: "b", Weight: 1}
 	d, h := start(t, settings(), a, b)
@@ -64,7 +64,7 @@
 	only("back", "a")
 }
 
-// A worker taken out in an earlier run is out before any list names it.
+// A worker cordoned in an earlier run is cordoned before any list names it.
 func TestRestoreCordon(t *testing.T) {
 	d, h := start(t, settings(), WorkerInfo{Worker: "b", Weight: 1})
 	d.RestoreCordon("a")
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -136,11 +136,11 @@
 
 // The same events give the same actions, whoever else is in the process.
 func TestDeterminism(t *testing.T) {
-	play := func(beside bool) string {
+	play := func(withAnother bool) string {
 		d, h := start(t, settings(), fleet(20)...)
 		d2, h2 := start(t, settings(), fleet(3)...)
 		for i := range 400 {
-			if beside {
+			if withAnother {
 				h2.ask(d2, fmt.Sprint("x", i), 0)
 			}
 			h.ask(d, fmt.Sprint("r", i), i%3)
@@ -210,7 +210,7 @@
 	}
 }
 
-// What a dispatcher finds after it stood still is read to its end before
+// All events that came during a stall are read before
 // anything is sent: the drain of the only idle worker may be the last of it.
 func TestNothingIsSentBeforeAllIsReadAfterAStall(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
@@ -237,7 +237,7 @@
 	}
 }
 
-// A start note that came while the dispatcher stood still must not count
+// A start notice that came during a stall must not count
 // against the worker because a timer was read first.
 func TestAStallIsNoSignOfWorkers(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
--- a/health_test.go
+++ b/health_test.go
@@ -22,7 +22,7 @@
 	return r
 }
 
-// A worker that fails to connect is left alone, then tried with one job.
+// Nothing is sent to a worker that fails to connect for a while, then one trial request.
 func TestUnhealthyWorkerIsTriedOnce(t *testing.T) {
 	set := settings()
 	set.StartNotified = false
@@ -50,9 +50,9 @@
 }
 
 // Guards against the slots that jobs on silent connections seem to hold until
-// their time-outs land, and against the exclusion of the worker, which is well.
-// The first start of a job sent well after tells; what may run twice goes out
-// again, the backoff is waited for.
+// their time-outs land, and against the exclusion of the worker, which is healthy.
+// The first start of a job sent well after shows it; what may run twice is hedged,
+// after the backoff.
 func TestSilentConnections(t *testing.T) {
 	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		set := settings()
@@ -84,7 +84,7 @@
 	}
 }
 
-// A late start tells of a silent connection also where nothing is sent after it:
+// A late start shows a silent connection also where nothing is sent after it:
 // the worker is not kept out for good by a job that will never start.
 func TestLateStartDoesNotBlockAWorker(t *testing.T) {
 	set := settings()
@@ -107,7 +107,7 @@
 	}
 }
 
-// A job that runs for far too long without a sign of life is written off, and
+// A job that runs for far too long without a report of progress is written off, and
 // put on them again by its next report.
 func TestOverdueJobsAreNotCounted(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
@@ -133,7 +133,7 @@
 }
 
 // Guards against workers that are taken for dead because one connection broke
-// while others go on there. When all have broken, the worker is doubted.
+// while others go on there. When all have broken, the worker is unhealthy.
 func TestOneBrokenConnection(t *testing.T) {
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 20*time.Second, 0.1, 3, 2*time.Second
@@ -154,7 +154,7 @@
 	}
 }
 
-// Guards against a worker that fails each job at once, or turns it away, and so
+// Guards against a worker that fails each job at once, or rejects it, and so
 // always holds the fewest: it would draw all jobs.
 func TestBadAnswersEject(t *testing.T) {
 	for _, o := range []Outcome{Errored, Rejected} {
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -258,7 +258,7 @@
 }
 
 // Package dispatch deals in requests, attempts and outcomes, and knows no protocol.
-func TestDispatchKnowsNoWire(t *testing.T) {
+func TestDispatchKnowsNoProtocol(t *testing.T) {
 	files := 0
 	for name, f := range sourcesOf(t, ".", "dispatch") {
 		files++
@@ -390,8 +390,8 @@
 	}
 }
 
-// Guards a job that crosses a change of tenants: it is its own tenant's, whatever number that had when it was read;
-// one that was taken before its tenant went is let in, and one of a tenant that was never there is not.
+// Guards a job that crosses a change of tenants: it stays its own tenant's, whatever index that had when it was parsed;
+// one that was submitted before its tenant was removed is admitted, and one of a tenant that was never there is not.
 func TestUpdateSettingsKeepsTheTenantOfJobs(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
 	tenants := func(names string) {
--- a/internal/dispatch/tally_test.go
+++ b/internal/dispatch/tally_test.go
@@ -12,7 +12,7 @@
 	"sedgevale"
 )
 
-// The line sums what happened since the last and comes no sooner than tallyEvery.
+// The line sums what happened since the last and comes no sooner than tallyInterval.
 func TestTallyLine(t *testing.T) {
 	var buf bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&buf, nil))
--- a/internal/evloop/evloop.go
+++ b/internal/evloop/evloop.go
@@ -53,15 +53,15 @@
 }
 
 // NewFunctionQueue returns a queue of functions, which are called on a loop in the order in which they are added.
-func NewFunctionQueue(loop gnet.EventLoop) (box *unbounded.Queue[func()]) {
+func NewFunctionQueue(loop gnet.EventLoop) (queue *unbounded.Queue[func()]) {
 	run := gnet.RunnableFunc(func(context.Context) error {
-		for _, f := range box.TakeAll() {
+		for _, f := range queue.TakeAll() {
 			f()
 		}
 		return nil
 	})
-	box = unbounded.New[func()](func() { _ = loop.Execute(context.Background(), run) })
-	return box
+	queue = unbounded.New[func()](func() { _ = loop.Execute(context.Background(), run) })
+	return queue
 }
 
 // eventLoopOf returns a client's event loop. gnet gives access to it only by a connection, so a placeholder serves for one:
@@ -179,9 +179,9 @@
 func (gnetLogger) Debugf(string, ...any) {}
 func (gnetLogger) Infof(string, ...any)  {}
 func (gnetLogger) Warnf(string, ...any)  {}
-func (q gnetLogger) Errorf(format string, args ...any) {
-	q.log.Error("event loop", "what", fmt.Sprintf(format, args...))
+func (l gnetLogger) Errorf(format string, args ...any) {
+	l.log.Error("event loop", "what", fmt.Sprintf(format, args...))
 }
-func (q gnetLogger) Fatalf(format string, args ...any) {
-	q.log.Error("event loop, fatal", "what", fmt.Sprintf(format, args...))
+func (l gnetLogger) Fatalf(format string, args ...any) {
+	l.log.Error("event loop, fatal", "what", fmt.Sprintf(format, args...))
 }
--- a/internal/fairqueue/driver/driver_test.go
+++ b/internal/fairqueue/driver/driver_test.go
@@ -10,7 +10,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// planners note the jobs that are admitted, and those whose clients have left.
+// planners records the jobs that are admitted, and those whose clients have disconnected.
 type planners struct {
 	in   chan *dispatch.Exchange
 	gone chan *dispatch.Exchange
@@ -46,7 +46,7 @@
 }
 
 // Guards admission: one job is admitted, others are queued until its answer, one that cannot meet
-// its deadline is rejected with a delay, one whose client leaves makes room, and each is answered
+// its deadline is rejected with a delay, one whose client disconnects frees its place, and each is answered
 // once.
 func TestAdmission(t *testing.T) {
 	d, p, ask := setUp(t)
--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -228,8 +228,8 @@
 	}
 }
 
-// Guards the delays that rejected clients are told: of those that come back as told most are
-// admitted, more than of those told a constant, and coming back at once gains nothing.
+// Guards the Retry-After of rejections: of the clients that follow it most are admitted, more
+// than of those that wait a constant time, and coming back at once gains nothing.
 func TestRetryAfter(t *testing.T) {
 	type result struct{ back, in int }
 	run := func(how string) (r result) {
@@ -261,7 +261,7 @@
 		}
 		n := 0
 		var next func()
-		next = func() { // one and a half times what there is room for, each client new
+		next = func() { // one and a half times the capacity, each client new
 			n++
 			w.ask(Request{Token: new(int), Tenant: n % len(testTenants), Client: fmt.Sprint("c", n), Cost: 0.1, MaxWait: 500 * time.Millisecond})
 			w.after(seconds(w.r.ExpFloat64()*0.1/60), next)
@@ -271,16 +271,16 @@
 		return r
 	}
 	share := func(r result) float64 { return float64(r.in) / float64(max(1, r.back)) }
-	told := run("told")
+	advised := run("advised")
 	constant := run("constant")
 	once := run("at once")
-	t.Logf("let in of those who came back: as told %.3f (%d), after a constant 1 s %.3f (%d), at once %.3f (%d)",
-		share(told), told.back, share(constant), constant.back, share(once), once.back)
-	if share(told) < 0.9 {
-		t.Errorf("of those who came back as told %.3f were let in", share(told))
+	t.Logf("admitted of those that came back: after Retry-After %.3f (%d), after a constant 1 s %.3f (%d), at once %.3f (%d)",
+		share(advised), advised.back, share(constant), constant.back, share(once), once.back)
+	if share(advised) < 0.9 {
+		t.Errorf("of those that came back after Retry-After %.3f were admitted", share(advised))
 	}
-	if share(once) > share(told) || share(constant) > share(told) {
-		t.Error("who ignores the advice gains by it")
+	if share(once) > share(advised) || share(constant) > share(advised) {
+		t.Error("ignoring Retry-After pays off")
 	}
 }
 
@@ -311,7 +311,7 @@
 		m.queued[a.Token] = modelJob{a.Tenant, a.Cost}
 	case Rejected:
 		if after < minRetryAfter || after > defaultMaxRetryAfter {
-			t.Fatalf("told to come back after %v", after)
+			t.Fatalf("Retry-After is %v", after)
 		}
 	}
 }
--- a/internal/fdlimit/fdlimit.go
+++ b/internal/fdlimit/fdlimit.go
@@ -32,65 +32,65 @@
 
 // New returns a Limiter with a limit of so many descriptors; 0 or less means no limit.
 func New(descriptors int) *Limiter {
-	b := &Limiter{}
-	b.SetLimit(descriptors)
-	return b
+	l := &Limiter{}
+	l.SetLimit(descriptors)
+	return l
 }
 
 // SetLimit changes the limit. It closes nothing.
-func (b *Limiter) SetLimit(descriptors int) { b.limit.Store(int64(descriptors)) }
+func (l *Limiter) SetLimit(descriptors int) { l.limit.Store(int64(descriptors)) }
 
 // SetOtherProcesses sets the number of descriptors of other processes that share the limit.
-func (b *Limiter) SetOtherProcesses(n int) { b.otherProcesses.Store(int64(n)) }
+func (l *Limiter) SetOtherProcesses(n int) { l.otherProcesses.Store(int64(n)) }
 
 // available returns the limit without the descriptors of other processes, at least 1; 0 means no limit.
-func (b *Limiter) available() int64 {
-	if limit := b.limit.Load(); limit > 0 {
-		return max(1, limit-b.otherProcesses.Load())
+func (l *Limiter) available() int64 {
+	if limit := l.limit.Load(); limit > 0 {
+		return max(1, limit-l.otherProcesses.Load())
 	}
 	return 0
 }
 
 // OnLow registers a function that closes n idle connections of clients. It is called when few descriptors are left, and
 // must not block.
-func (b *Limiter) OnLow(f func(n int)) {
-	b.mu.Lock()
-	b.onLow = append(b.onLow, f)
-	b.mu.Unlock()
+func (l *Limiter) OnLow(f func(n int)) {
+	l.mu.Lock()
+	l.onLow = append(l.onLow, f)
+	l.mu.Unlock()
 }
 
 // OnCritical registers a function that closes n idle connections to workers. It is called when closing those of clients was
 // not enough, and must not block.
-func (b *Limiter) OnCritical(f func(n int)) {
-	b.mu.Lock()
-	b.onCritical = append(b.onCritical, f)
-	b.mu.Unlock()
+func (l *Limiter) OnCritical(f func(n int)) {
+	l.mu.Lock()
+	l.onCritical = append(l.onCritical, f)
+	l.mu.Unlock()
 }
 
 // Acquire counts a connection to a worker. It reports false if less than half of Reserve is left: the connection must then not
 // be made, and be released.
-func (b *Limiter) Acquire() bool { return b.acquire(0, Reserve/2) }
+func (l *Limiter) Acquire() bool { return l.acquire(0, Reserve/2) }
 
 // AcquireClient counts a client's connection. It reports false if less than three quarters of Reserve are left: the connection
 // must then be closed, and be released. Idle connections are closed earlier than for Acquire: many clients must not keep
 // requests and the discovery watch from connecting.
-func (b *Limiter) AcquireClient() bool {
-	return b.acquire(max(0, b.available()-Reserve)/workerSpareDivisor, Reserve*3/4)
+func (l *Limiter) AcquireClient() bool {
+	return l.acquire(max(0, l.available()-Reserve)/workerSpareDivisor, Reserve*3/4)
 }
 
 // acquire counts a connection. Idle ones are closed if less than Reserve and margin are left; it reports false if less than
 // minLeft are.
-func (b *Limiter) acquire(margin, minLeft int64) bool {
-	used, limit := b.used.Add(1), b.available()
+func (l *Limiter) acquire(margin, minLeft int64) bool {
+	used, limit := l.used.Add(1), l.available()
 	if limit <= 0 || used <= limit-Reserve-margin {
 		return true
 	}
-	b.mu.Lock()
-	closers := b.onLow
+	l.mu.Lock()
+	closers := l.onLow
 	if used > limit-Reserve/2 {
-		closers = append(append([]func(int){}, closers...), b.onCritical...)
+		closers = append(append([]func(int){}, closers...), l.onCritical...)
 	}
-	b.mu.Unlock()
+	l.mu.Unlock()
 	for _, closeIdle := range closers {
 		closeIdle(int(used - limit + Reserve + margin))
 	}
@@ -98,15 +98,15 @@
 }
 
 // MaxIdleClients returns how many idle connections of clients an event loop may keep.
-func (b *Limiter) MaxIdleClients() int {
-	if limit := b.available(); limit > 0 {
+func (l *Limiter) MaxIdleClients() int {
+	if limit := l.available(); limit > 0 {
 		return int(max(minClientIdle, limit/clientIdleDivisor))
 	}
 	return math.MaxInt
 }
 
 // Release uncounts a connection that was closed or not made.
-func (b *Limiter) Release() { b.used.Add(-1) }
+func (l *Limiter) Release() { l.used.Add(-1) }
 
 // InUse returns the number of connections that are counted.
-func (b *Limiter) InUse() int { return int(b.used.Load()) }
+func (l *Limiter) InUse() int { return int(l.used.Load()) }
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -59,8 +59,8 @@
 	return e
 }
 
-// Guards against runs that differ by chance, or by what other runs go on beside them: then no difference means anything.
-func TestSameSeedSamePlay(t *testing.T) {
+// Guards against runs that differ by chance, or by what other runs go on at the same time: then no difference means anything.
+func TestSameSeedSameRun(t *testing.T) {
 	e := small()
 	a, b := Run(&e, func(Result) {}), Run(&e, func(Result) {})
 	if !reflect.DeepEqual(a, b) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Guards against slips of the pen that run for hours or say nothing.
+// Guards against mistyped files that run for hours or give no named error.
 func TestBadFilesAreNamed(t *testing.T) {
 	good, err := os.ReadFile("../../deploy/swarm.toml")
 	if err != nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-// The time of a play of many schedulers, for a second of the day.
+// The time of a run of many schedulers, for a second of the day.
 func BenchmarkSimulate(b *testing.B) {
 	for _, n := range []int{24, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -11,8 +11,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// The keys of a file of plays and of a result, each with the field that it stands for.
-func TestKeysOfPlays(t *testing.T) {
+// The keys of an experiment's file and of a result, each with the field that it stands for.
+func TestKeysOfExperiments(t *testing.T) {
 	var file fleetsim.Experiment
 	testkit.Fill(&file)
 	var text bytes.Buffer
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -85,7 +85,7 @@
 	return sum
 }
 
-// Run plays every variant at every size on every seed, several at a time, and calls done with each result, in any order,
+// Run runs every variant at every size on every seed, several at a time, and calls done with each result, in any order,
 // one at a time. It returns all of them by size, variant and seed.
 func Run(e *Experiment, done func(Result)) []Result {
 	type one struct{ size, variant, seed int }
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -7,8 +7,8 @@
 )
 
 // Guards against workers that warm up and are overloaded by the sum of what many schedulers send, each of which keeps to
-// its own part: small workers, so that a job of each scheduler is already much; half of the schedulers die and come back with nothing
-// learned in the moment of a release, and for a while half of them hold the other half for dead.
+// its own share: small workers, so that a job of each scheduler is already much; half of the schedulers die and come back with nothing
+// learned in the moment of a release, and for a while half of them take the other half for dead.
 func TestSlowStartBoundsTheSumOfSchedulers(t *testing.T) {
 	for _, schedulers := range []int{20, 30} {
 		t.Run(fmt.Sprint(schedulers), func(t *testing.T) {
@@ -24,10 +24,10 @@
 			for _, r := range Run(&e, func(Result) {}) {
 				t.Logf("%s, seed %d: %.2f of what cold boxes bear, worth %.3f", r.Variant, r.Seed, r.MaxOverload, r.Value)
 				if r.MaxOverload > 1 {
-					t.Errorf("%s, seed %d: a cold box got %.2f times what it may", r.Variant, r.Seed, r.MaxOverload)
+					t.Errorf("%s, seed %d: a worker that warms up got %.2f times what it may", r.Variant, r.Seed, r.MaxOverload)
 				}
 				if r.MaxOverload == 0 {
-					t.Errorf("%s, seed %d: no cold box got anything", r.Variant, r.Seed)
+					t.Errorf("%s, seed %d: no worker that warms up got anything", r.Variant, r.Seed)
 				}
 			}
 		})
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -47,7 +47,7 @@
 	{Message{State: &State{}}, `{"state":{"list":{"revision":0,"complete":false,"members":null},"discovery":"","planners":null}}`},
 	{Message{Serving: true}, `{"serving":true}`},
 	{Message{PlannerUpdate: &PlannerUpdate{Planner: 2, Shared: dispatch.SiblingState{Loads: map[string]sedgevale.Load{"w": {InFlight: 0.5}}, Opened: []string{"a"}}}}, `{"share":{"planner":2,"shared":{"out":{"w":{"held":0.5}},"opened":["a"]}}}`},
-	{Message{Order: &Order{Number: 5, Host: "w", Out: true}}, `{"order":{"number":5,"host":"w","out":true}}`},
+	{Message{Order: &Order{Number: 5, Host: "w", Cordon: true}}, `{"order":{"number":5,"host":"w","out":true}}`},
 	{Message{ConfirmedOrder: 5, Descriptors: 12}, `{"done":5,"used":12}`},
 	{Message{Stream: &sse.Stream{
 		ID: "r", Epoch: "e", Final: true,
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -60,8 +60,8 @@
 // Order is an operator's cordon order that one process was given and both carry out.
 type Order struct {
 	Number uint64 `json:"number"`
-	Host   string `json:"host"`
-	Out    bool   `json:"out"`
+	Host   string `json:"host"` // the worker
+	Cordon bool   `json:"out"`
 }
 
 // PlannerUpdate is an update that a planner sends its counterpart in the other process.
@@ -116,7 +116,7 @@
 var ErrNoProcess = errors.New("no other process")
 
 // Join connects to the old process by its socket and receives its listening sockets. The
-// error is ErrNobody if there is no such process; any other one says that it does not
+// error is ErrNoProcess if there is no such process; any other one says that it does not
 // answer in time, or is another scheduler.
 func Join(ctx context.Context, path string, hello Hello) (*Session, error) {
 	name, dir, err := shortPath(path)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// partner listens for one process and answers its Hello by a line. It closes the connection
+// otherProcess listens for one process and answers its Hello by a line. It closes the connection
 // then unless it is silent.
-func partner(t *testing.T, line string, silent bool) net.Listener {
+func otherProcess(t *testing.T, line string, silent bool) net.Listener {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "unix", filepath.Join(t.TempDir(), "s"))
 	if err != nil {
@@ -156,9 +156,9 @@
 	return l
 }
 
-// Guards against a start that a partner prevents: one that is not there, has died,
+// Guards against a start that another process prevents: one that is not there, has died,
 // says nothing, says what makes no sense, or is another scheduler.
-func TestPartnersThatAreNone(t *testing.T) {
+func TestJoinWithoutAProcessToTakeOverFrom(t *testing.T) {
 	hello := NewHello("n0", "127.0.0.1:3000")
 	path := filepath.Join(t.TempDir(), "sock")
 	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNoProcess) {
@@ -177,7 +177,7 @@
 	for what, line := range map[string]string{"silent": "", "garbage": "\x00\x01\n", "ends": "{}",
 		"other": `{"version":1,"name":"n1","listen":"127.0.0.1:3000"}` + "\n",
 		"newer": `{"version":2,"name":"n0","listen":"127.0.0.1:3000"}` + "\n"} {
-		l := partner(t, line, what == "silent")
+		l := otherProcess(t, line, what == "silent")
 		began := time.Now()
 		if _, err := Join(t.Context(), l.Addr().String(), hello); err == nil || errors.Is(err, ErrNoProcess) || time.Since(began) > 3*time.Second {
 			t.Errorf("%s: %v after %v", what, err, time.Since(began))
@@ -202,7 +202,7 @@
 	second.Close()
 }
 
-// However the bytes are cut, the messages come whole and in order; garbage ends the
+// However the bytes are split, the messages come complete and in order; garbage ends the
 // link and nothing else.
 func TestLinkCuts(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
--- a/internal/httpd/accept.go
+++ b/internal/httpd/accept.go
@@ -91,12 +91,12 @@
 		a.mu.Unlock()
 		return
 	}
-	parked := make(chan struct{})
-	a.resume, a.paused = make(chan struct{}), parked
+	stopped := make(chan struct{})
+	a.resume, a.paused = make(chan struct{}), stopped
 	_ = a.listener.SetDeadline(time.Unix(1, 0))
 	a.mu.Unlock()
 	select {
-	case <-parked:
+	case <-stopped:
 	case <-a.closed:
 	}
 }
--- a/internal/httpd/conn.go
+++ b/internal/httpd/conn.go
@@ -57,13 +57,13 @@
 	s.clients.Add(1)
 	taken := s.descriptors.AcquireClient()
 	if !taken {
-		c.setState(stateBusy) // not to be the one that is closed for itself
+		c.setState(stateBusy) // else it could be the connection that is evicted
 		taken = c.loop.evict(1) > 0
 		c.setState(stateFresh)
 	}
 	if !taken {
-		// With one descriptor more neither accepting nor dialling works, for anybody. This
-		// one connection is the lesser loss.
+		// With one descriptor more neither accepting nor dialling would work at all. To
+		// lose this one connection is better.
 		s.log.Error("no descriptors left, closing a new connection", "open", s.descriptors.InUse())
 		return nil, gnet.Close
 	}
@@ -209,8 +209,8 @@
 	c.server.handler.Serve(c, &Request{Head: &head, Body: body, At: time.Now()})
 }
 
-// discard drops what a client sends after its last response. One that goes on for long is
-// cut off: it had time to read the response.
+// discard drops what a client sends after its last response. The connection of one that
+// goes on for long is closed: it had time to read the response.
 func (c *Conn) discard() {
 	n := c.conn.InboundBuffered()
 	_, _ = c.conn.Discard(n)
@@ -220,8 +220,8 @@
 }
 
 // flood drops what a client sends beyond maxPipelined while a request of its is served. That
-// request still gets its response, the connection's last; a client that goes on for long is
-// cut off.
+// request still gets its response, the connection's last; the connection of a client
+// that goes on for long is closed.
 func (c *Conn) flood() {
 	if !c.flooded {
 		c.flooded, c.closeAfter = true, true
--- a/internal/httpd/endings_test.go
+++ b/internal/httpd/endings_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Guards against a request that is served after the end of the connection was told, whose
+// Guards against a request that is served after the end of the connection was announced, whose
 // answer nobody can get, and against a reset by it: the client reads the end, and no more.
 func TestRequestAfterTheShutdownIsNotServed(t *testing.T) {
 	s, h := startServed(t, fdlimit.New(0))
@@ -125,8 +125,8 @@
 	}
 }
 
-// Guards against new connections that are taken in and then reset as the server stops, and
-// against a half request that keeps it: the one is refused, the other told the end.
+// Guards against new connections that are accepted and then reset as the server stops, and
+// against a half request that keeps it: the one is refused, the other gets the end of the connection.
 func TestRefuse(t *testing.T) {
 	s, h := startServed(t, fdlimit.New(0))
 	half, halfR := dial(t, s.addr)
@@ -139,7 +139,7 @@
 	s.Refuse()
 	for _, r := range []*bufio.Reader{halfR, silentR} {
 		if _, err := r.ReadByte(); err != io.EOF {
-			t.Errorf("a connection that owes a request: %v", err)
+			t.Errorf("a connection without a complete request: %v", err)
 		}
 	}
 	if c, err := new(net.Dialer).DialContext(t.Context(), "tcp", s.addr); !errors.Is(err, unix.ECONNREFUSED) {
@@ -186,7 +186,7 @@
 			t.Fatal("a flood is followed without end")
 		}
 	}
-	testkit.Await(t, "word that its client is gone", h.gone)
+	testkit.Await(t, "the report that its client has disconnected", h.gone)
 }
 
 // Guards against small writes that the system holds back until the last was acknowledged: a
@@ -203,7 +203,7 @@
 }
 
 // Guards against a crowd of clients that connect and say nothing, up to the last
-// descriptor: one that speaks is still heard, and workers can still be reached.
+// descriptor: one that sends a request is still served, and workers can still be reached.
 func TestSilentCrowdLeavesDescriptors(t *testing.T) {
 	const descriptors = fdlimit.Reserve + 40
 	b := fdlimit.New(descriptors)
--- a/internal/httpd/eventloop.go
+++ b/internal/httpd/eventloop.go
@@ -34,10 +34,10 @@
 // its way, and so is one on which a request has come that this loop has yet to read.
 func (l *eventLoop) closeIdle(n int) {
 	now := time.Now()
-	for _, silent := range []*connList{&l.idle, &l.fresh} {
-		for c := silent.first; n > 0 && c != nil; {
+	for _, list := range []*connList{&l.idle, &l.fresh} {
+		for c := list.first; n > 0 && c != nil; {
 			next := c.next
-			if silent == &l.fresh && now.Sub(c.opened) <= minSilentAge {
+			if list == &l.fresh && now.Sub(c.opened) <= minSilentAge {
 				return
 			}
 			if !c.hasUnread() {
@@ -53,10 +53,10 @@
 // have run out, and returns how many it has closed. New ones are closed too, the longest
 // silent first. What is closed has nothing unread.
 func (l *eventLoop) evict(n int) (closed int) {
-	for _, silent := range []*connList{&l.ending, &l.idle, &l.fresh} {
-		for c := silent.first; closed < n && c != nil; {
+	for _, list := range []*connList{&l.ending, &l.idle, &l.fresh} {
+		for c := list.first; closed < n && c != nil; {
 			next := c.next
-			if (silent != &l.ending || !c.received) && !c.hasUnread() {
+			if (list != &l.ending || !c.received) && !c.hasUnread() {
 				l.close(c)
 				closed++
 			}
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -32,7 +32,7 @@
 	lingerTimeout       = 2 * time.Second              // for a client to read the last response
 	closeTimeout        = 300 * time.Millisecond       // for a client to close an idle connection that the server ends
 	maxLingerBytes      = 1 << 20                      // that a client may still send meanwhile
-	minSilentAge        = 300 * time.Millisecond       // of a connection on which nothing has come, before it is closed for want of descriptors
+	minSilentAge        = 300 * time.Millisecond       // of a connection without any byte, before it is closed for lack of descriptors
 	sweepInterval       = 200 * time.Millisecond
 	readBuffer          = 32 << 10 // bytes
 	writeBuffer         = 64 << 10 // bytes
@@ -223,8 +223,8 @@
 	s.acceptor.close()
 	s.onEachLoop(func(l *eventLoop) {
 		l.closeIdle(math.MaxInt)
-		for _, owing := range []*connList{&l.fresh, &l.reading} {
-			for c := owing.first; c != nil; c = owing.first {
+		for _, list := range []*connList{&l.fresh, &l.reading} {
+			for c := list.first; c != nil; c = list.first {
 				c.closeGracefully()
 			}
 		}
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -204,9 +204,9 @@
 	}
 }
 
-// A client that leaves before its answer is told of; one that had its answer is
+// A client that disconnects before its answer is reported; one that had its answer is
 // not. After Drain each answer is the last of its connection.
-func TestGoneAndDrain(t *testing.T) {
+func TestDisconnectAndDrain(t *testing.T) {
 	addr := testkit.FreeAddr(t)
 	s, h := start(t, addr, fdlimit.New(0))
 	defer stop(t, s)
@@ -227,15 +227,15 @@
 	select {
 	case <-h.gone:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing tells that the client has left")
+		t.Fatal("the disconnect is not reported")
 	}
 	if len(h.gone) > 0 {
-		t.Error("told of twice")
+		t.Error("reported twice")
 	}
 }
 
-// Guards against clients that hold a connection and owe us the rest: one that says
-// nothing is closed, one that sends half a request is told so, both within 3 s of
+// Guards against clients that hold a connection and send no complete request: one that sends
+// nothing is closed, one that sends half a request gets 408, both within 3 s of
 // connecting, also when bytes trickle in. One between two requests is left alone.
 func TestClientsThatKeepSilent(t *testing.T) {
 	addr := testkit.FreeAddr(t)
--- a/internal/jobrequest/jobrequest.go
+++ b/internal/jobrequest/jobrequest.go
@@ -42,23 +42,23 @@
 }
 
 // New returns a Parser with those settings, whose deadlines are on the clock.
-func New(clock dispatch.Clock, t *Settings) *Parser {
+func New(clock dispatch.Clock, s *Settings) *Parser {
 	p := &Parser{clock: clock, settings: &atomic.Pointer[Settings]{}}
-	p.settings.Store(t)
+	p.settings.Store(s)
 	return p
 }
 
 // Update replaces the settings, also of parsers made by WithMargin.
-func (p *Parser) Update(t *Settings) { p.settings.Store(t) }
+func (p *Parser) Update(s *Settings) { p.settings.Store(s) }
 
 // Time returns a time on the clock of the deadlines.
 func (p *Parser) Time(t time.Time) time.Duration { return p.clock.At(t) }
 
 // WithMargin returns a Parser whose deadlines are earlier by a margin.
 func (p *Parser) WithMargin(margin time.Duration) *Parser {
-	out := *p
-	out.margin += margin
-	return &out
+	derived := *p
+	derived.margin += margin
+	return &derived
 }
 
 // Error is a request that is not a job, with the HTTP status and text of its response.
@@ -81,10 +81,10 @@
 // Class returns the class of that name, or nil.
 func (p *Parser) Class(name string) *sedgevale.Class { return p.settings.Load().class(name) }
 
-func (t *Settings) class(name string) *sedgevale.Class {
-	for i := range t.Classes {
-		if t.Classes[i].Name == name {
-			return &t.Classes[i]
+func (s *Settings) class(name string) *sedgevale.Class {
+	for i := range s.Classes {
+		if s.Classes[i].Name == name {
+			return &s.Classes[i]
 		}
 	}
 	return nil
@@ -94,21 +94,21 @@
 // those of a request that has none; it is rejected if they are zero. The error is an *Error.
 func (p *Parser) Parse(q *httpd.Request, id string, timeout time.Duration) (dispatch.Job, time.Duration, error) {
 	j := dispatch.Job{ID: id, Tenant: -1, Slots: 1, Method: q.Method, Target: q.Target, Body: q.Body}
-	terms := p.settings.Load()
+	settings := p.settings.Load()
 	h := header{job: &j, timeout: timeout}
 	if err := h.read(q.Fields); err != nil {
 		return j, 0, err
 	}
-	j.Class = terms.class(ClassName(q.Target))
+	j.Class = settings.class(ClassName(q.Target))
 	if err := h.check(q.Method); err != nil {
 		return j, 0, err
 	}
-	for i := range terms.Tenants {
-		if terms.Tenants[i].Name == h.tenant {
-			j.Tenant, j.TenantName = i, terms.Tenants[i].Name
+	for i := range settings.Tenants {
+		if settings.Tenants[i].Name == h.tenant {
+			j.Tenant, j.TenantName = i, settings.Tenants[i].Name
 		}
 	}
-	if j.Tenant < 0 && len(terms.Tenants) > 0 {
+	if j.Tenant < 0 && len(settings.Tenants) > 0 {
 		return j, 0, badRequest("unknown Tenant")
 	}
 	if d, ok := parseDuration(h.hint); ok {
@@ -120,14 +120,14 @@
 	return j, p.clock.At(q.At) + h.timeout - responseMargin - p.margin, nil
 }
 
-// header is what a request's fields say: of the job, and what is not part of it as it stands.
+// header is what a request's fields say: the job, and values that are still to be resolved.
 type header struct {
 	job                       *dispatch.Job
 	class, tenant, hint, info string
 	timeout                   time.Duration
 }
 
-// read takes in a request's fields.
+// read applies a request's fields.
 func (h *header) read(fields []http1.Field) error {
 	for i, f := range fields {
 		if hasField(fields[:i], f.Name) && singleValued(f.Name) {
@@ -237,7 +237,7 @@
 		return 0, false
 	}
 	number := s[:len(s)-1]
-	if strings.Trim(number, "0123456789.") != "" { // no sign, no exponent, no word
+	if strings.Trim(number, "0123456789.") != "" { // no sign, exponent, Inf or NaN
 		return 0, false
 	}
 	v, err := strconv.ParseFloat(number, 64)
--- a/internal/ops/cordons.go
+++ b/internal/ops/cordons.go
@@ -62,12 +62,12 @@
 	return c.set[host]
 }
 
-// Set cordons a worker, or uncordons it if out is false, and saves the set. The file is
+// Set cordons a worker, or uncordons it if cordon is false, and saves the set. The file is
 // replaced atomically. With an error the set has changed and the file has not.
-func (c *Cordons) Set(host string, out bool) error {
+func (c *Cordons) Set(host string, cordon bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if delete(c.set, host); out {
+	if delete(c.set, host); cordon {
 		c.set[host] = true
 	}
 	b, err := json.Marshal(c.hosts())
--- a/internal/ops/golden_test.go
+++ b/internal/ops/golden_test.go
@@ -65,10 +65,10 @@
 func serveGolden(t *testing.T, sick error, journal Journal) string {
 	t.Helper()
 	addr := testkit.FreeAddr(t)
-	front := New(&orders{make(chan string, 32), sick}, journal, map[string]Page{
+	handler := New(&orders{make(chan string, 32), sick}, journal, map[string]Page{
 		"/metrics": {Type: "text/plain; version=0.0.4", Read: func() []byte { return []byte("up 1\n") }},
 	})
-	s := httpd.New(addr, 1, front, fdlimit.New(0), slog.New(slog.DiscardHandler))
+	s := httpd.New(addr, 1, handler, fdlimit.New(0), slog.New(slog.DiscardHandler))
 	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -22,9 +22,9 @@
 type Scheduler interface {
 	// Healthy returns why the scheduler is not ready to serve, or nil.
 	Healthy(context.Context) error
-	// Cordon takes a worker out of use, or back into use if out is false. It returns once
-	// that is in force.
-	Cordon(ctx context.Context, host string, out bool) error
+	// Cordon cordons a worker, or uncordons it if cordon is false. It returns once that is
+	// in force.
+	Cordon(ctx context.Context, host string, cordon bool) error
 }
 
 // Handler is an httpd.Handler for operators' calls.
@@ -75,8 +75,8 @@
 			c.RespondLast(400, nil, []byte("the body must be {\"host\":\"ID\"}\n"))
 			return
 		}
-		out := q.Target == "/admin/cordon"
-		do = func(ctx context.Context) error { return h.scheduler.Cordon(ctx, order.Host, out) }
+		cordon := q.Target == "/admin/cordon"
+		do = func(ctx context.Context) error { return h.scheduler.Cordon(ctx, order.Host, cordon) }
 	}
 	go func() { // it may have to wait, which the event loop must not
 		ctx, stop := context.WithTimeout(context.Background(), callTimeout)
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// Cordons outlive the process; a broken file is told and leaves an empty set.
+// Cordons outlive the process; a broken file is an error and leaves an empty set.
 func TestCordonsAreSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cordons")
 	c, err := ReadCordons(path)
--- a/internal/sse/golden_test.go
+++ b/internal/sse/golden_test.go
@@ -76,16 +76,16 @@
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\nAccept: text/event-stream\r\n%s\r\n", path, more)
 }
 
-// The bytes of event streams and of each other answer of their front.
+// The bytes of event streams and of each other answer of their server.
 func TestStreamBytes(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
 	rules := jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{Classes: []sedgevale.Class{
 		{Name: "free", ClientTimeout: 9 * time.Second}, {Name: "once", Idempotency: sedgevale.NotIdempotent, ClientTimeout: 9 * time.Second},
 	}})
-	front := sse.New(sse.Options{Parser: rules, Planners: goldenPlanners{}, Ready: ready.Load, Log: slog.New(slog.DiscardHandler)})
+	handler := sse.New(sse.Options{Parser: rules, Planners: goldenPlanners{}, Ready: ready.Load, Log: slog.New(slog.DiscardHandler)})
 	addr := testkit.FreeAddr(t)
-	s := httpd.New(addr, 1, front, fdlimit.New(0), slog.New(slog.DiscardHandler))
+	s := httpd.New(addr, 1, handler, fdlimit.New(0), slog.New(slog.DiscardHandler))
 	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 		t.Errorf("not ready: got\n%q\nwant\n%q", got, want)
 	}
 	streams := map[string]string{}
-	front.Mirror(1, func(stream *sse.Stream) {
+	handler.Mirror(1, func(stream *sse.Stream) {
 		text, err := json.Marshal(stream)
 		if err != nil {
 			t.Error(err)
--- a/internal/sse/id_test.go
+++ b/internal/sse/id_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 200) }
 
-// Ids come back as they went out, and garbage is told as such: a client may
+// Ids are parsed as they were written, and garbage is recognized as such: a client may
 // send anything as its last event id.
 func TestIDs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/sse/job_test.go
+++ b/internal/sse/job_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// A client is told to post again only what may run twice, or never ran.
+// Only a job that may run twice, or never ran, is marked as safe to post again.
 func TestRepeatSafe(t *testing.T) {
 	for _, c := range []struct {
 		class *sedgevale.Class
@@ -87,8 +87,8 @@
 }
 
 // Guards against streams that an upgrade loses, repeats or leaves without an end: what
-// was there and what comes later is told, each event once, and where the other process
-// ends without a word, one final event follows.
+// was there and what comes later is sent, each event once, and where the other process
+// crashes, one final event follows.
 func TestMirror(t *testing.T) {
 	old, next := newHandler(), newHandler()
 	j, lost := old.add("a"), old.add("lost")
@@ -119,6 +119,6 @@
 	old.EndMirror(1)
 	old.add("later").Started()
 	if next.jobs["later"] != nil || next.eventBytes != len(text(got))+len(text(j)) {
-		t.Errorf("told after the end, or %d bytes counted", next.eventBytes)
+		t.Errorf("an event after EndMirror, or %d bytes counted", next.eventBytes)
 	}
 }
--- a/internal/sse/mirror.go
+++ b/internal/sse/mirror.go
@@ -23,7 +23,7 @@
 	Text     string `json:"text"`
 }
 
-// Mirror calls send with all streams, and with each event from now on, until Part is called
+// Mirror calls send with all streams, and with each event from now on, until EndMirror is called
 // with the sibling process's number. Send must not block.
 func (h *Handler) Mirror(sibling int, send func(*Stream)) {
 	h.mu.Lock()
--- a/internal/unbounded/queue.go
+++ b/internal/unbounded/queue.go
@@ -20,27 +20,27 @@
 func New[T any](wake func()) *Queue[T] { return &Queue[T]{wake: wake} }
 
 // Put adds an item.
-func (b *Queue[T]) Put(item T) {
-	b.mu.Lock()
-	first := len(b.items) == 0
-	b.items = append(b.items, item)
-	b.nonEmpty.Store(true)
-	b.mu.Unlock()
+func (q *Queue[T]) Put(item T) {
+	q.mu.Lock()
+	first := len(q.items) == 0
+	q.items = append(q.items, item)
+	q.nonEmpty.Store(true)
+	q.mu.Unlock()
 	if first {
-		b.wake()
+		q.wake()
 	}
 }
 
 // TakeAll removes and returns all items in the order in which they were added. The slice is valid until the next TakeAll.
-func (b *Queue[T]) TakeAll() []T {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	clear(b.spare)
-	b.nonEmpty.Store(false)
-	items := b.items
-	b.items, b.spare = b.spare[:0], items
+func (q *Queue[T]) TakeAll() []T {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	clear(q.spare)
+	q.nonEmpty.Store(false)
+	items := q.items
+	q.items, q.spare = q.spare[:0], items
 	return items
 }
 
 // HasItems reports whether there are items, without a lock.
-func (b *Queue[T]) HasItems() bool { return b.nonEmpty.Load() }
+func (q *Queue[T]) HasItems() bool { return q.nonEmpty.Load() }
--- a/internal/upstream/line_test.go
+++ b/internal/upstream/line_test.go
@@ -13,7 +13,7 @@
 func TestMain(m *testing.M) { testkit.Main(m, 200) }
 
 // A body is split into the same lines however it is cut into chunks.
-func TestLinesCuts(t *testing.T) {
+func TestLinesFromChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(rapid.StringMatching(`[ -~]{0,40}`), 0, 6).Draw(t, "lines")
 		body := []byte(strings.Join(append(want, ""), "\n"))
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -133,10 +133,10 @@
 
 // Cordon stops sending to a worker, or resumes it, whatever the list says. Done is called on the loop once it has taken
 // effect.
-func (p *Pool) Cordon(id string, on bool, done func()) {
+func (p *Pool) Cordon(id string, cordon bool, done func()) {
 	p.loop.Do(func() {
 		delete(p.cordoned, id)
-		if on {
+		if cordon {
 			p.cordoned[id] = true
 			if w := p.workers[id]; w != nil {
 				p.cancelUnsent(w)
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,6 +1,6 @@
-// Package wire implements zinc-4b3b, the text protocol of the simulator: batches of
-// events in, replies with actions out. Its keywords are the protocol's; the package's
-// names are those of the decision module.
+// Package wire implements zinc-4b3b, the text protocol of the simulator that scores the
+// decision module (cmd/benchlink): batches of events in, replies with actions out. Its
+// keywords are the protocol's; the package's names are those of the decision module.
 package wire
 
 import (
@@ -96,7 +96,7 @@
 		return "", err
 	}
 	r.instance = ""
-	if word := r.nextField(); string(word) != "MARK" {
+	if keyword := r.nextField(); string(keyword) != "MARK" {
 		return "", r.syntaxError("a batch must open with MARK")
 	}
 	now, err := r.seconds()
@@ -121,7 +121,7 @@
 			}
 			return nil, err
 		}
-		switch word := r.nextField(); string(word) {
+		switch keyword := r.nextField(); string(keyword) {
 		case "GO":
 			return nil, r.endOfLine()
 		case "ABOUT":
@@ -138,7 +138,7 @@
 				return nil, err
 			}
 		default:
-			if err := r.parse(string(word)); err != nil {
+			if err := r.parse(string(keyword)); err != nil {
 				return nil, err
 			}
 			if r.instance == "" {
@@ -163,12 +163,12 @@
 }
 
 // parse reads the event of a line that begins with the keyword.
-func (r *Reader) parse(word string) error {
+func (r *Reader) parse(keyword string) error {
 	e := &r.event
 	entries := e.Entries
 	*e = Event{Instance: r.instance, Now: r.now, Entries: entries[:0]}
 	var err error
-	switch word {
+	switch keyword {
 	case "KNOCK":
 		e.Kind, err = RequestArrived, r.readRequest(&e.Request)
 	case "ANSWER":
@@ -255,7 +255,7 @@
 	if a.Attempt, err = r.index("attempt"); err != nil {
 		return err
 	}
-	r.nextField() // the worker: the attempt tells it
+	r.nextField() // the worker, which the attempt has
 	status := r.nextField()
 	o, ok := outcomes[string(status)]
 	if !ok {
@@ -318,11 +318,11 @@
 		return err
 	}
 	r.nextField() // the worker
-	sort, err := r.unsigned("note")
+	note, err := r.unsigned("note")
 	if err != nil {
 		return err
 	}
-	e.Started = sort == 1
+	e.Started = note == 1
 	e.Progress, err = r.float("share done")
 	return err
 }
@@ -404,7 +404,7 @@
 		if err := r.readLine(); err != nil {
 			return err
 		}
-		if word := r.nextField(); string(word) != "ITEM" {
+		if keyword := r.nextField(); string(keyword) != "ITEM" {
 			return &SyntaxError{head, fmt.Sprintf("%d entries announced, %d found", count, len(rows))}
 		}
 		var w sedgevale.WorkerInfo
--- a/limits_test.go
+++ b/limits_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestLimitIsCutOnceARoundAndRises(t *testing.T) {
+func TestLimitDecreasesOnceARoundAndIncreases(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
 	w := d.workersByName["w0"]
 	if w.limit != unlimited {
--- a/membership_test.go
+++ b/membership_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against a list that is asked for too late: what discovery has counts as told 6 s after it could be reached
-// again, and of those connecting, a call that fails and its answer's way want 4 (internal/discovery).
+// Guards against a list that is watched again too late: what discovery has counts as known here 6 s after it could be reached
+// again, and of those connecting, a call that fails and its answer need 4 (internal/discovery).
 func TestWatchIsRetriedSoon(t *testing.T) {
 	set := settings()
 	set.WatchOnDemand = true
--- a/peers_test.go
+++ b/peers_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against two processes of one scheduler that each fill a worker as if they
-// were alone, and against slots that stay booked when the other, or the worker, ends.
+// were alone, and against slots that stay counted when the other, or the worker, ends.
 func TestSiblingLoadCountsLikeOwn(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	if len(d.LoadByWorker()) != 0 {
@@ -56,7 +56,7 @@
 	}
 }
 
-// What one dispatcher has learned another goes on from, through the wire's form.
+// What one dispatcher has learned another goes on from, through its JSON form.
 func TestLearnedStateIsRestored(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Name: "a", Share: 1, Quota: 10}, {Name: "b", Share: 2}}
@@ -108,8 +108,8 @@
 	}
 }
 
-// Guards against a worker that another scheduler has filled and that is sent to all the same, and against
-// others' jobs that are taken for our own, by which waits here would be reckoned far too short.
+// Guards against a worker that another scheduler has filled and that is sent to nevertheless, and against
+// others' jobs that are taken for our own, by which waits here would be estimated far too short.
 func TestPeerLoadCountsAtTheWorkerOnly(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	d.TrackLoadChanges()
@@ -166,8 +166,8 @@
 	}
 }
 
-// Guards against jobs that queue at a worker of the part whose slots are known to be taken, since by our own few jobs and the
-// mean of the part it looks as empty as others.
+// Guards against jobs that queue at a worker of the subset whose slots are known to be taken, since by our own few jobs and the
+// mean of the subset it looks as empty as others.
 func TestKnownSlotsAreNotOversold(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	d.SetSubset(h.now, []string{"w0", "w1"}, 4)
@@ -191,7 +191,7 @@
 	}
 }
 
-// Guards against jobs that spill over blindly into the parts of others, where nothing is known, while our
+// Guards against jobs that spill over into the subsets of others, where nothing is known, while our
 // own subset only waits; and against jobs rejected where the whole subset is out of service.
 func TestSubsetIsPreferred(t *testing.T) {
 	d, h := start(t, settings(), fleet(20)...)
@@ -221,7 +221,7 @@
 }
 
 // Guards against a worker of another subset that warms up and is overloaded by what spills from all, and against one of our
-// part that is warmed as slowly as if the whole fleet sent to it.
+// subset that is warmed as slowly as if the whole fleet sent to it.
 func TestWarmingWorkersBelongToTheirSubsets(t *testing.T) {
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow, set.Dispatchers = 8*time.Second, 0.3, 3, 2*time.Second, 300
--- a/placement_test.go
+++ b/placement_test.go
@@ -61,7 +61,7 @@
 }
 
 // A worker that owes a start notice gets no second job while others have capacity,
-// and one that hangs gets nothing until it shows a sign.
+// and one that hangs gets nothing until it is known to be alive.
 func TestWorkersWithoutStartsAreAvoided(t *testing.T) {
 	set := settings()
 	set.AllowCancel = false
@@ -90,7 +90,7 @@
 	}
 }
 
-// With few jobs a worker the threshold tells nothing of size: the draw does.
+// With few jobs a worker the threshold does not tell sizes apart: the draw does.
 func TestPicksFollowListedSize(t *testing.T) {
 	d, h := start(t, settings(), WorkerInfo{Worker: "large", Weight: 3}, WorkerInfo{Worker: "small", Weight: 1})
 	large := 0
--- a/probe_test.go
+++ b/probe_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// Where reports come only on probes and change often, two workers are asked
+// Where reports come only on probes and change often, two workers are probed
 // and the one with free slots is taken; where they hardly change none is probed.
 func TestWorkersAreProbedWhereReportsAreTimely(t *testing.T) {
 	set := settings()
@@ -69,8 +69,8 @@
 	}
 }
 
-// A worker that turns a tenant away is not among those asked first for it, one
-// that served it is: a rejection is met once, not by every job.
+// A worker that rejects a tenant's job is not among those probed first for it, one
+// that served it is: one job is rejected, not every one.
 func TestRecentWorkersAreProbedFirst(t *testing.T) {
 	set := settings()
 	set.LoadByProbe = true
--- a/queue_test.go
+++ b/queue_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Deficit round robin: of what waits for one worker, tenants get work by share.
+// Deficit round robin: of the queued requests for one worker, tenants get work by share.
 func TestReleaseIsFairByWork(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 3, Quota: 1e9}, {Share: 1, Quota: 1e9}}
--- a/retry_test.go
+++ b/retry_test.go
@@ -68,7 +68,7 @@
 	h.ask(d, "r", 0)
 	for _, w := range d.workers {
 		if d.mayAttempt(h.now, d.requests["r"], w) {
-			t.Error("a second attempt would go out beside the first")
+			t.Error("a second attempt would be sent while the first is in flight")
 		}
 	}
 }
@@ -92,8 +92,9 @@
 	}
 }
 
-// 'Full' is no proof where that is stated: nothing more of an unsafe request,
-// no rejection, and one that is idempotent by key stays with its group, and in its time.
+// A worker's rejection is no proof where the settings say so: no retry of a request that
+// is not idempotent, no rejection, and one that is idempotent by key stays with its group,
+// and within its window.
 func TestRejectionProvesNothingWhereStated(t *testing.T) {
 	set := settings()
 	set.RejectedMayHaveRun = true
@@ -123,8 +124,8 @@
 	}
 }
 
-// A job whose start is overdue is cancelled and tried elsewhere, once it is
-// over there; not an unsafe one, and not while workers are full.
+// A job whose start is overdue is cancelled and tried elsewhere, once it has
+// ended there; not one that is not idempotent, and not while workers are full.
 func TestOverdueStartsAreRescheduled(t *testing.T) {
 	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		d, h := start(t, settings(), fleet(8)...)
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -9,7 +9,7 @@
 
 // The steps of a drain, which begins with SIGTERM.
 const (
-	// Clients go on connecting for 0.4 s after the scheduler was told to stop, so it
+	// Clients go on connecting for 0.4 s after SIGTERM, so the scheduler
 	// accepts connections for longer.
 	acceptGracePeriod = 700 * time.Millisecond
 	drainPollInterval = 50 * time.Millisecond
--- a/scheduler/operate.go
+++ b/scheduler/operate.go
@@ -16,8 +16,8 @@
 
 var errNotServing = errors.New("not serving")
 
-// Healthy returns nil if this process can serve: it listens, is not draining, and its
-// planners and event loops take turns before the context ends.
+// Healthy returns nil if this process can serve: it listens, is not draining, and each
+// planner and event loop runs a call before the context ends.
 func (s *Scheduler) Healthy(ctx context.Context) error {
 	if !s.ready.Load() {
 		return errNotServing
@@ -45,52 +45,52 @@
 	return nil
 }
 
-// Cordon takes a worker out of use, or back into use if out is false. It returns once that
-// is in force and saved, here and in the sibling process of an upgrade. The error is
-// ops.ErrUnknown for a worker that no list has named.
-func (s *Scheduler) Cordon(ctx context.Context, host string, out bool) error {
-	if err := s.applyCordon(ctx, host, out); err != nil {
+// Cordon cordons a worker, or uncordons it if cordon is false. It returns once that is in
+// force and saved, here and in the sibling process of an upgrade. The error is
+// ops.ErrUnknownWorker for a worker that no list has named.
+func (s *Scheduler) Cordon(ctx context.Context, host string, cordon bool) error {
+	if err := s.applyCordon(ctx, host, cordon); err != nil {
 		return err
 	}
-	if err := s.forwardOrder(ctx, host, out, nil); err != nil {
+	if err := s.forwardOrder(ctx, host, cordon, nil); err != nil {
 		return err
 	}
-	s.options.Log.Info("cordon order in force", "worker", host, "out", out)
+	s.options.Log.Info("cordon order in force", "worker", host, "out", cordon)
 	return nil
 }
 
 // applyCordon carries out an order in this process, one order after another.
-func (s *Scheduler) applyCordon(ctx context.Context, host string, out bool) error {
+func (s *Scheduler) applyCordon(ctx context.Context, host string, cordon bool) error {
 	select {
 	case s.cordonSemaphore <- struct{}{}:
 		defer func() { <-s.cordonSemaphore }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if !out { // else requests placed there at once would be rejected by the pool
+	if !cordon { // else requests placed there at once would be rejected by the pool
 		if err := s.cordonConnections(ctx, host, false); err != nil {
 			return err
 		}
 	}
-	known, err := s.planners.Cordon(ctx, host, out)
+	known, err := s.planners.Cordon(ctx, host, cordon)
 	if err != nil {
 		return fmt.Errorf("the planners: %w", err)
 	}
-	if s.reverseProxy != nil && s.reverseProxy.Cordon(host, out) {
+	if s.reverseProxy != nil && s.reverseProxy.Cordon(host, cordon) {
 		known = true
 	}
 	if !known && !s.cordons.Has(host) {
 		return ops.ErrUnknownWorker
 	}
-	if out {
+	if cordon {
 		if err := s.cordonConnections(ctx, host, true); err != nil {
 			return err
 		}
 	}
-	return s.cordons.Set(host, out)
+	return s.cordons.Set(host, cordon)
 }
 
-// restoreCordon takes a worker out of use before the scheduler runs.
+// restoreCordon cordons a worker before the scheduler runs.
 func (s *Scheduler) restoreCordon(host string) {
 	s.pool.Cordon(host, true, func() {})
 	s.planners.RestoreCordon(host)
@@ -100,9 +100,9 @@
 }
 
 // cordonConnections applies an order to the connection pool.
-func (s *Scheduler) cordonConnections(ctx context.Context, host string, out bool) error {
+func (s *Scheduler) cordonConnections(ctx context.Context, host string, cordon bool) error {
 	done := make(chan struct{})
-	s.pool.Cordon(host, out, func() { close(done) })
+	s.pool.Cordon(host, cordon, func() { close(done) })
 	select {
 	case <-done:
 		return nil
--- a/scheduler/resources.go
+++ b/scheduler/resources.go
@@ -53,8 +53,8 @@
 // leave of the descriptors, and an even part of the memory.
 func (s *Scheduler) rebalanceResources() {
 	siblings, used := s.siblingList(), 0
-	for _, b := range siblings {
-		used += b.descriptorsInUse()
+	for _, other := range siblings {
+		used += other.descriptorsInUse()
 	}
 	s.descriptors.SetOtherProcesses(used)
 	if s.options.OnProcessCount != nil {
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -11,10 +11,10 @@
 
 // Serve is all of a program that is nothing but a scheduler. It serves by the configuration
 // that read returns until SIGTERM or SIGINT, then drains. At SIGHUP it reads again and goes
-// on by the new configuration, or by the old one if the new one is bad.
+// on by the new configuration, or by the old one if the new one is invalid.
 func Serve(read func() (*Config, error), log *slog.Logger) error {
-	// Before all else: a SIGHUP that nobody has asked for ends the process. It is never
-	// given back either, for one may come while the last answers go out.
+	// Before all else: without a handler a SIGHUP ends the process. The handler stays to
+	// the end, for one may come while the last responses are being sent.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/scheduler/siblings.go
+++ b/scheduler/siblings.go
@@ -26,7 +26,7 @@
 type sibling struct {
 	scheduler *Scheduler
 	id        int
-	done      chan struct{} // closed when the process is gone
+	done      chan struct{} // closed once the link is lost
 
 	mu            sync.Mutex // guards all below
 	link          *handover.Link
@@ -53,91 +53,91 @@
 	s.siblings.mu.Lock()
 	defer s.siblings.mu.Unlock()
 	s.siblings.lastID++
-	b := &sibling{scheduler: s, id: s.siblings.lastID, done: make(chan struct{}), pendingOrders: map[uint64]chan struct{}{}}
-	s.siblings.all[b] = struct{}{}
+	other := &sibling{scheduler: s, id: s.siblings.lastID, done: make(chan struct{}), pendingOrders: map[uint64]chan struct{}{}}
+	s.siblings.all[other] = struct{}{}
 	select {
 	case s.siblings.added <- struct{}{}:
 	default:
 	}
-	return b
+	return other
 }
 
 func (s *Scheduler) siblingList() []*sibling {
 	s.siblings.mu.Lock()
 	defer s.siblings.mu.Unlock()
 	all := make([]*sibling, 0, len(s.siblings.all))
-	for b := range s.siblings.all {
-		all = append(all, b)
+	for other := range s.siblings.all {
+		all = append(all, other)
 	}
 	return all
 }
 
 // dropSibling ends all sharing with a process that is gone.
-func (s *Scheduler) dropSibling(b *sibling) {
-	s.planners.RemoveSibling(b.id)
+func (s *Scheduler) dropSibling(other *sibling) {
+	s.planners.RemoveSibling(other.id)
 	if s.eventStreams != nil {
-		s.eventStreams.EndMirror(b.id)
+		s.eventStreams.EndMirror(other.id)
 	}
 }
 
 // start sends the first message, if there is one, and then what was sent before.
-func (b *sibling) start(link *handover.Link, first *handover.Message) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.link, b.started = link, true
+func (other *sibling) start(link *handover.Link, first *handover.Message) {
+	other.mu.Lock()
+	defer other.mu.Unlock()
+	other.link, other.started = link, true
 	if first != nil {
 		link.Send(first)
 	}
-	for _, m := range b.pending {
+	for _, m := range other.pending {
 		link.Send(m)
 	}
-	b.pending = nil
+	other.pending = nil
 }
 
-func (b *sibling) send(m *handover.Message) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (other *sibling) send(m *handover.Message) {
+	other.mu.Lock()
+	defer other.mu.Unlock()
 	switch {
-	case b.lost:
-	case b.started:
-		b.link.Send(m)
+	case other.lost:
+	case other.started:
+		other.link.Send(m)
 	default:
-		b.pending = append(b.pending, m)
+		other.pending = append(other.pending, m)
 	}
 }
 
-func (b *sibling) isLost() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.lost
+func (other *sibling) isLost() bool {
+	other.mu.Lock()
+	defer other.mu.Unlock()
+	return other.lost
 }
 
 // descriptorsInUse returns how many descriptors the process holds: what it has reported,
 // or what any process holds at least.
-func (b *sibling) descriptorsInUse() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return max(fixedDescriptors, b.descriptors)
+func (other *sibling) descriptorsInUse() int {
+	other.mu.Lock()
+	defer other.mu.Unlock()
+	return max(fixedDescriptors, other.descriptors)
 }
 
-// publish passes on what a planner of this process does.
-func (b *sibling) publish(planner int, shared dispatch.SiblingState) {
-	b.send(&handover.Message{PlannerUpdate: &handover.PlannerUpdate{Planner: planner, Shared: shared}, Descriptors: b.scheduler.descriptorsInUse()})
+// publish sends an update of a planner of this process.
+func (other *sibling) publish(planner int, shared dispatch.SiblingState) {
+	other.send(&handover.Message{PlannerUpdate: &handover.PlannerUpdate{Planner: planner, Shared: shared}, Descriptors: other.scheduler.descriptorsInUse()})
 }
 
-// Message takes a message of the other process in, on the link's event loop.
-func (b *sibling) Message(_ *handover.Link, m *handover.Message) {
-	s := b.scheduler
+// Message handles a message of the other process, on the link's event loop.
+func (other *sibling) Message(_ *handover.Link, m *handover.Message) {
+	s := other.scheduler
 	if m.PlannerUpdate != nil {
-		s.planners.UpdateSibling(b.id, m.PlannerUpdate.Planner, m.PlannerUpdate.Shared)
+		s.planners.UpdateSibling(other.id, m.PlannerUpdate.Planner, m.PlannerUpdate.Shared)
 	}
 	if m.Stream != nil && s.eventStreams != nil {
-		s.eventStreams.AddMirrored(b.id, m.Stream)
+		s.eventStreams.AddMirrored(other.id, m.Stream)
 	}
 	if m.Order != nil {
-		go b.executeOrder(m.Order)
+		go other.executeOrder(m.Order)
 	}
-	if b.update(m) {
+	if other.update(m) {
 		s.rebalanceResources()
 	}
 	if m.Serving {
@@ -151,40 +151,40 @@
 	}
 }
 
-// update notes what a message says of the process itself, and reports whether the number
+// update records what a message says of the process itself, and reports whether the number
 // of its descriptors changed.
-func (b *sibling) update(m *handover.Message) (changed bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (other *sibling) update(m *handover.Message) (changed bool) {
+	other.mu.Lock()
+	defer other.mu.Unlock()
 	if m.ConfirmedOrder != 0 {
-		if done := b.pendingOrders[m.ConfirmedOrder]; done != nil {
+		if done := other.pendingOrders[m.ConfirmedOrder]; done != nil {
 			close(done)
-			delete(b.pendingOrders, m.ConfirmedOrder)
+			delete(other.pendingOrders, m.ConfirmedOrder)
 		}
 	}
-	changed = m.Descriptors != 0 && m.Descriptors != b.descriptors
+	changed = m.Descriptors != 0 && m.Descriptors != other.descriptors
 	if m.Descriptors != 0 {
-		b.descriptors = m.Descriptors
+		other.descriptors = m.Descriptors
 	}
 	if m.Serving {
-		b.serving = true
+		other.serving = true
 	}
 	return changed
 }
 
-// Lost takes in that the link is gone, on its event loop. If the other process accepted
+// Lost is called once the link has failed, on its event loop. If the other process accepted
 // connections, this one does so again.
-func (b *sibling) Lost(*handover.Link) {
-	s := b.scheduler
+func (other *sibling) Lost(*handover.Link) {
+	s := other.scheduler
 	s.siblings.mu.Lock()
-	delete(s.siblings.all, b)
+	delete(s.siblings.all, other)
 	s.siblings.mu.Unlock()
-	b.mu.Lock()
-	b.lost, b.pending = true, nil
-	serving := b.serving
-	b.mu.Unlock()
-	close(b.done)
-	s.dropSibling(b)
+	other.mu.Lock()
+	other.lost, other.pending = true, nil
+	serving := other.serving
+	other.mu.Unlock()
+	close(other.done)
+	s.dropSibling(other)
 	s.rebalanceResources()
 	if serving {
 		for _, server := range s.servers {
@@ -196,7 +196,7 @@
 	}
 }
 
-// reportDescriptors tells the siblings how many descriptors are in use here, as long as
+// reportDescriptors sends the siblings the number of descriptors in use here, as long as
 // there are siblings, until the context ends. Without any it does not wake up.
 func (s *Scheduler) reportDescriptors(ctx context.Context) {
 	for {
@@ -224,8 +224,8 @@
 			return
 		}
 		if used != last {
-			for _, b := range siblings {
-				b.send(&handover.Message{Descriptors: used})
+			for _, other := range siblings {
+				other.send(&handover.Message{Descriptors: used})
 			}
 		}
 		last = used
@@ -233,30 +233,30 @@
 }
 
 // executeOrder carries out an order that the other process forwards, and confirms it.
-func (b *sibling) executeOrder(o *handover.Order) {
+func (other *sibling) executeOrder(o *handover.Order) {
 	ctx, stop := context.WithTimeout(context.Background(), orderTimeout)
 	defer stop()
-	err := b.scheduler.applyCordon(ctx, o.Host, o.Out)
+	err := other.scheduler.applyCordon(ctx, o.Host, o.Cordon)
 	if err == nil {
-		err = b.scheduler.forwardOrder(ctx, o.Host, o.Out, b)
+		err = other.scheduler.forwardOrder(ctx, o.Host, o.Cordon, other)
 	}
 	if err != nil {
-		b.scheduler.options.Log.Warn("a cordon order forwarded by the other process failed", "worker", o.Host, "out", o.Out, "err", err)
+		other.scheduler.options.Log.Warn("a cordon order forwarded by the other process failed", "worker", o.Host, "out", o.Cordon, "err", err)
 		return
 	}
-	b.send(&handover.Message{ConfirmedOrder: o.Number})
+	other.send(&handover.Message{ConfirmedOrder: o.Number})
 }
 
 // forwardOrder has the siblings but for origin carry out an order, too, and waits until
 // each has confirmed it or is gone.
-func (s *Scheduler) forwardOrder(ctx context.Context, host string, out bool, origin *sibling) error {
+func (s *Scheduler) forwardOrder(ctx context.Context, host string, cordon bool, origin *sibling) error {
 	ctx, stop := context.WithTimeout(ctx, orderTimeout)
 	defer stop()
-	for _, b := range s.siblingList() {
-		if b == origin {
+	for _, other := range s.siblingList() {
+		if other == origin {
 			continue
 		}
-		if err := b.order(ctx, host, out); err != nil {
+		if err := other.order(ctx, host, cordon); err != nil {
 			return err
 		}
 	}
@@ -265,24 +265,24 @@
 
 // order has the process carry out an order and waits for its confirmation. One that does
 // not confirm before the context ends is dropped: it may hold another state than this one.
-func (b *sibling) order(ctx context.Context, host string, out bool) error {
+func (other *sibling) order(ctx context.Context, host string, cordon bool) error {
 	done := make(chan struct{})
-	b.mu.Lock()
-	b.lastOrder++
-	number := b.lastOrder
-	b.pendingOrders[number] = done
-	b.mu.Unlock()
-	b.send(&handover.Message{Order: &handover.Order{Number: number, Host: host, Out: out}})
+	other.mu.Lock()
+	other.lastOrder++
+	number := other.lastOrder
+	other.pendingOrders[number] = done
+	other.mu.Unlock()
+	other.send(&handover.Message{Order: &handover.Order{Number: number, Host: host, Cordon: cordon}})
 	select {
 	case <-done:
 		return nil
-	case <-b.done:
+	case <-other.done:
 		return nil
 	case <-ctx.Done():
 	}
-	b.mu.Lock()
-	link := b.link
-	b.mu.Unlock()
+	other.mu.Lock()
+	link := other.link
+	other.mu.Unlock()
 	if link != nil {
 		link.Drop(errNotAnswering)
 	}
--- a/scheduler/upgrade.go
+++ b/scheduler/upgrade.go
@@ -44,12 +44,12 @@
 		}
 		s.restoreCordon(host)
 	}
-	b := s.addSibling()
-	s.planners.TakeOver(b.id, b.publish, state.Planners)
-	b.start(session.Link(s.workerLoop, b, s.options.Log), nil)
+	other := s.addSibling()
+	s.planners.TakeOver(other.id, other.publish, state.Planners)
+	other.start(session.Link(s.workerLoop, other, s.options.Log), nil)
 	s.rebalanceResources()
 	s.options.Log.Info("taking over from the serving process", "workers", len(state.List.Members), "cordons", len(state.Cordons))
-	return b, session.Sockets
+	return other, session.Sockets
 }
 
 // inheritedConfig returns the configuration of the process that serves, or nil: a file that
@@ -98,24 +98,24 @@
 
 // handOver gives another process all that it needs to be this scheduler too.
 func (s *Scheduler) handOver(session *handover.Session) {
-	b := s.addSibling() // from here on it is sent orders; those before are part of the state
-	link := session.Link(s.workerLoop, b, s.options.Log)
+	other := s.addSibling() // from here on it is sent orders; those before are part of the state
+	link := session.Link(s.workerLoop, other, s.options.Log)
 	ctx, stop := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer stop()
-	planners, err := s.planners.AddSibling(ctx, b.id, b.publish)
+	planners, err := s.planners.AddSibling(ctx, other.id, other.publish)
 	if err != nil {
 		link.Drop(err)
 		return
 	}
 	state := &handover.State{Source: s.current.Load().Source, List: s.workerList(), Discovery: s.watcher.Addr(),
 		Cordons: s.cordons.Hosts(), Planners: planners}
-	b.start(link, &handover.Message{State: state})
+	other.start(link, &handover.Message{State: state})
 	if s.eventStreams != nil {
-		s.eventStreams.Mirror(b.id, func(st *sse.Stream) { b.send(&handover.Message{Stream: st}) })
+		s.eventStreams.Mirror(other.id, func(st *sse.Stream) { other.send(&handover.Message{Stream: st}) })
 	}
 	s.rebalanceResources()
-	if b.isLost() { // its end may have come before the planners knew of it
-		s.dropSibling(b)
+	if other.isLost() { // its end may have come before the planners knew of it
+		s.dropSibling(other)
 		return
 	}
 	s.options.Log.Info("handing over to a new process", "workers", len(state.List.Members), "cordons", len(state.Cordons))
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -276,8 +276,8 @@
 	}
 }
 
-// Guards against a start that a hung partner prevents.
-func TestPartnerHangs(t *testing.T) {
+// Guards against a start that a hung predecessor prevents.
+func TestPredecessorHangs(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
 	c.signal(syscall.SIGSTOP)
