--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -10,23 +10,23 @@
 	"sedgevale/internal/testkit"
 )
 
-// noted is a journal that makes intents durable only when asked to.
-type noted struct{ intents chan func(bool) }
+// manualJournal is a journal that makes intents durable only when asked to.
+type manualJournal struct{ intents chan func(bool) }
 
-func (n noted) Register(*Job) (uint64, bool) { return 1, true }
-func (n noted) RecordIntent(_ uint64, _ int, _, _ string, done func(bool)) {
+func (n manualJournal) Register(*Job) (uint64, bool) { return 1, true }
+func (n manualJournal) RecordIntent(_ uint64, _ int, _, _ string, done func(bool)) {
 	n.intents <- done
 }
-func (noted) AttemptSent(uint64, int)                           {}
-func (noted) AttemptStarted(uint64, int)                        {}
-func (noted) AttemptEnded(uint64, int, sedgevale.Outcome, bool) {}
-func (noted) Answered(uint64, Answer)                           {}
-func (noted) ClientDisconnected(uint64)                         {}
+func (manualJournal) AttemptSent(uint64, int)                           {}
+func (manualJournal) AttemptStarted(uint64, int)                        {}
+func (manualJournal) AttemptEnded(uint64, int, sedgevale.Outcome, bool) {}
+func (manualJournal) Answered(uint64, Answer)                           {}
+func (manualJournal) ClientDisconnected(uint64)                         {}
 
-// Guards against a job that begins after its client has left, where attempts may not be called
-// off: one that waits to be recorded is not handed on, and one that may still be connecting is
-// taken back.
-func TestNothingBeginsOnceTheClientHasGone(t *testing.T) {
+// Guards against an attempt that is sent after its client has disconnected, where attempts may
+// not be cancelled: one that awaits its intent is not given to the carrier, and one that may
+// still be connecting is withdrawn.
+func TestNothingIsSentOnceTheClientDisconnected(t *testing.T) {
 	for _, recorded := range []bool{false, true} {
 		c := &carrier{sent: make(chan *Attempt, 16), cancelled: make(chan *Attempt, 16), withdrawn: make(chan *Attempt, 16)}
 		clock := NewClock()
@@ -34,7 +34,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		j := noted{make(chan func(bool), 4)}
+		j := manualJournal{make(chan func(bool), 4)}
 		if recorded {
 			p.SetJournal(j)
 		}
@@ -53,8 +53,8 @@
 		} else {
 			a := testkit.Await(t, "the attempt", c.sent)
 			p.ClientDisconnected(x)
-			if testkit.Await(t, "the attempt to be taken back", c.withdrawn) != a {
-				t.Error("another attempt was taken back")
+			if testkit.Await(t, "the attempt to be withdrawn", c.withdrawn) != a {
+				t.Error("another attempt was withdrawn")
 			}
 			p.AttemptEnded(a, sedgevale.NotSent, nil, nil)
 		}
@@ -66,8 +66,9 @@
 	}
 }
 
-// A further attempt knows until when workers drop it as a repeat: by the first that may have
-// run, not by one that never was sent. A class without such a window knows none.
+// A retry expires when workers no longer drop it as a repeat: counted from the first attempt
+// that may have run, not from one that was never sent. A class without such a window has no
+// expiry.
 func TestExpiry(t *testing.T) {
 	keyed := &sedgevale.Class{Idempotency: sedgevale.IdempotentByKey, DedupWindow: time.Second}
 	x := &Exchange{Job: Job{Class: keyed}}
--- a/internal/dispatch/journal_test.go
+++ b/internal/dispatch/journal_test.go
@@ -10,9 +10,9 @@
 	"sedgevale/internal/testkit"
 )
 
-// book is a Journal that keeps the class "once" and lets the test say when an intent is
+// fakeJournal is a Journal that keeps the class "once" and lets the test say when an intent is
 // durable.
-type book struct {
+type fakeJournal struct {
 	mu      sync.Mutex
 	last    uint64
 	full    bool
@@ -20,7 +20,7 @@
 	intents chan func(bool)
 }
 
-func (b *book) Register(j *Job) (uint64, bool) {
+func (b *fakeJournal) Register(j *Job) (uint64, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if j.Class.Name != "once" {
@@ -33,43 +33,43 @@
 	return b.last, true
 }
 
-func (b *book) note(s string) {
+func (b *fakeJournal) note(s string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.notes = append(b.notes, s)
 }
 
-func (b *book) RecordIntent(_ uint64, _ int, _, worker string, done func(bool)) {
+func (b *fakeJournal) RecordIntent(_ uint64, _ int, _, worker string, done func(bool)) {
 	b.note("intent " + worker)
 	b.intents <- done
 }
-func (b *book) AttemptSent(uint64, int)    { b.note("sent") }
-func (b *book) AttemptStarted(uint64, int) { b.note("started") }
-func (b *book) AttemptEnded(_ uint64, _ int, _ sedgevale.Outcome, neverRan bool) {
+func (b *fakeJournal) AttemptSent(uint64, int)    { b.note("sent") }
+func (b *fakeJournal) AttemptStarted(uint64, int) { b.note("started") }
+func (b *fakeJournal) AttemptEnded(_ uint64, _ int, _ sedgevale.Outcome, neverRan bool) {
 	if neverRan {
 		b.note("ended unseen")
 	} else {
 		b.note("ended")
 	}
 }
-func (b *book) Answered(_ uint64, a Answer) {
+func (b *fakeJournal) Answered(_ uint64, a Answer) {
 	b.note([]string{"served", "refused", "failed"}[a.Kind])
 }
-func (b *book) ClientDisconnected(uint64) { b.note("gone") }
+func (b *fakeJournal) ClientDisconnected(uint64) { b.note("gone") }
 
-func (b *book) said(t *testing.T, want ...string) {
+func (b *fakeJournal) checkNotes(t *testing.T, want ...string) {
 	t.Helper()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !slices.Equal(b.notes, want) {
-		t.Errorf("on record: %q, want %q", b.notes, want)
+		t.Errorf("recorded: %q, want %q", b.notes, want)
 	}
 }
 
-func recorded(t *testing.T) (*Planner, *carrier, Clock, *book) {
+func recorded(t *testing.T) (*Planner, *carrier, Clock, *fakeJournal) {
 	t.Helper()
 	p, carry, clock := begin(t, "w")
-	b := &book{intents: make(chan func(bool), 16)}
+	b := &fakeJournal{intents: make(chan func(bool), 16)}
 	p.enqueueCall(func() { p.SetJournal(b) })
 	return p, carry, clock, b
 }
@@ -78,7 +78,7 @@
 	return NewExchange(Job{ID: id, Class: &classes()[1], Tenant: -1}, deadline, c)
 }
 
-// Guards the order of things: nothing goes to a worker before the intent is durable,
+// Guards the order of steps: nothing is sent to a worker before the intent is durable,
 // others go on meanwhile, and each step is recorded once.
 func TestIntentComesFirst(t *testing.T) {
 	p, carry, clock, b := recorded(t)
@@ -101,10 +101,10 @@
 		t.Errorf("answered %+v", got)
 	}
 	openNow(t, p)
-	b.said(t, "intent w", "sent", "started", "ended", "served")
+	b.checkNotes(t, "intent w", "sent", "started", "ended", "served")
 }
 
-// Guards against an answer that comes too late, or never, because the disk does, and
+// Guards against an answer that is too late, or missing, because the disk is slow, and
 // against sending once the client has been rejected.
 func TestIntentNotDurableInTime(t *testing.T) {
 	p, carry, clock, b := recorded(t)
@@ -120,11 +120,11 @@
 	if n := openNow(t, p); n != 0 || len(carry.sent) != 0 || c.count() != 1 {
 		t.Errorf("%d open, %d sent, %d answers", n, len(carry.sent), c.count())
 	}
-	b.said(t, "intent w", "refused", "ended unseen")
+	b.checkNotes(t, "intent w", "refused", "ended unseen")
 }
 
-// Guards against a job that goes out though its intent cannot be written, and against one
-// that is taken in while the journal is full.
+// Guards against an attempt that is sent though its intent cannot be written, and against
+// a job that is accepted while the journal is full.
 func TestFullJournalRejects(t *testing.T) {
 	p, carry, clock, b := recorded(t)
 	c := newClient()
@@ -146,7 +146,7 @@
 	if a := testkit.Await(t, "a send", carry.sent); a.ID != "free" {
 		t.Errorf("%s was sent", a.ID)
 	}
-	b.said(t, "intent w", "refused", "ended unseen")
+	b.checkNotes(t, "intent w", "refused", "ended unseen")
 }
 
 // Guards against a client's disconnect, or a fault of the module, that sends what awaits its intent.
@@ -160,5 +160,5 @@
 	if n := openNow(t, p); n != 0 || len(carry.sent) != 0 {
 		t.Errorf("%d open, %d sent", n, len(carry.sent))
 	}
-	b.said(t, "intent w", "ended unseen", "failed")
+	b.checkNotes(t, "intent w", "ended unseen", "failed")
 }
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -17,7 +17,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// carrier notes what it is asked to carry.
+// carrier records the attempts that it is given.
 type carrier struct {
 	sent      chan *Attempt
 	cancelled chan *Attempt
@@ -34,7 +34,7 @@
 func (c *carrier) Probe(string, *Planner)      {}
 func (c *carrier) CloseIdleConnections(string) {}
 
-// client notes its answers.
+// client records its answers.
 type client struct {
 	mu      sync.Mutex
 	answers []Answer
@@ -109,8 +109,8 @@
 	}
 }
 
-// Guards against a job without an answer when the worker says nothing, and
-// against a second answer when it speaks later.
+// Guards against a job without an answer when the worker sends nothing, and
+// against a second answer when it sends one later.
 func TestSilentWorkerFailsAtTheDeadlineOnce(t *testing.T) {
 	p, carry, clock := begin(t, "w")
 	c := newClient()
@@ -130,7 +130,7 @@
 	}
 }
 
-// Guards against an unsafe job that goes out again after it may have run, and
+// Guards against a job that is not idempotent and is retried after it may have run, and
 // against a rejection, which would invite the client to send it again.
 func TestUnsafeJobIsNotRepeated(t *testing.T) {
 	p, carry, clock := begin(t, "v", "w")
@@ -146,8 +146,8 @@
 	}
 }
 
-// Guards against a send that was put off until its worker began to drain being
-// taken for a failure: it never ran, so another worker gets it.
+// Guards against a send that was delayed until its worker began to drain being
+// counted as a failure: it never ran, so another worker gets it.
 func TestNotSentIsRetriedElsewhere(t *testing.T) {
 	p, carry, clock := begin(t, "v", "w")
 	c := newClient()
@@ -184,8 +184,8 @@
 	}
 }
 
-// Guards against jobs that are lost when the program ends: who still waits is
-// answered, once.
+// Guards against jobs that are lost when the program ends: each client that still waits
+// is answered, once.
 func TestFailOpen(t *testing.T) {
 	p, carry, clock := begin(t, "w")
 	c := newClient()
--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -176,7 +176,7 @@
 
 // Guards the shares: with greedy tenants at ten times theirs and heavy-tailed work, those within
 // their share get what they ask, and the others split the rest by share, within 5 % of all over
-// any 5 s; without the queue the greedy ones crowd the others out.
+// any 5 s; without the queue the greedy ones starve the others.
 func TestSharesUnderGreed(t *testing.T) {
 	const slots = 100
 	run := func(fifo bool, greedy ...int) (worst, east float64) {
@@ -365,7 +365,7 @@
 }
 
 // Guards the bounds over any course: never more jobs in flight than allowed, none is queued while
-// there is room, each queued one is admitted or expires, and the queue is no longer than allowed.
+// there is capacity, each queued one is admitted or expires, and the queue is no longer than allowed.
 func TestQueueModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queueModel{t: t, limit: rapid.IntRange(1, 4).Draw(t, "limit"), bound: rapid.IntRange(1, 5).Draw(t, "queue"),
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// goldenMessages are the lines that the two processes of an upgrade tell each other. A process of another release must
+// goldenMessages are the lines that the two processes of an upgrade send each other. A process of another release must
 // be able to read them.
 var goldenMessages = []struct {
 	message Message
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -231,7 +231,7 @@
 }
 
 // errMismatch is returned for a process that this one cannot share its state with.
-var errMismatch = errors.New("the other process is another scheduler, or speaks another version")
+var errMismatch = errors.New("the other process is another scheduler, or uses another protocol version")
 
 // readHello reads the other process's Hello, which must match ours.
 func (s *Session) readHello(ours Hello) error {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 100) }
 
-// recorder notes what a link brings.
+// recorder records what a link receives.
 type recorder struct {
 	messages chan *Message
 	lost     chan struct{}
@@ -58,7 +58,7 @@
 }
 
 // From the first line to the end of the old process: its socket is passed on and
-// accepts, its state comes before all else, both can talk, and its end is noticed.
+// accepts, its state comes before all else, both can send, and its end is noticed.
 func TestTakeOver(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	loop := newLoop(t, log)
@@ -157,7 +157,7 @@
 }
 
 // Guards against a start that another process prevents: one that is not there, has died,
-// says nothing, says what makes no sense, or is another scheduler.
+// sends nothing, sends garbage, or is another scheduler.
 func TestJoinWithoutAProcessToTakeOverFrom(t *testing.T) {
 	hello := NewHello("n0", "127.0.0.1:3000")
 	path := filepath.Join(t.TempDir(), "sock")
@@ -204,7 +204,7 @@
 
 // However the bytes are split, the messages come complete and in order; garbage ends the
 // link and nothing else.
-func TestLinkCuts(t *testing.T) {
+func TestLinkReadsChunks(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	loop := newLoop(t, log)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -19,14 +19,14 @@
 	Lost(*Link) // once, also where the link never came up
 }
 
-// Link is the connection of the two processes. Either end of it may be lost at any time;
-// what is sent then is dropped.
+// Link is the connection of the two processes. It may be lost at any time; what is sent
+// after that is dropped.
 type Link struct {
 	loop    *evloop.Loop
 	handler Handler
 	log     *slog.Logger
 
-	// For the loop alone.
+	// The fields below are accessed on the loop only.
 	conn    evloop.Conn
 	partial []byte // received of a line that is not complete yet
 	unsent  []byte // sent before the link was up
@@ -72,9 +72,9 @@
 func (l *Link) Drop(why error) { l.loop.Do(func() { l.close(why) }) }
 
 var (
-	errNotReading  = errors.New("it does not read")
-	errEnded       = errors.New("it has ended")
-	errLineTooLong = errors.New("a line is too long")
+	errNotReading  = errors.New("the other process does not read its messages")
+	errEnded       = errors.New("the other process has closed the connection")
+	errLineTooLong = errors.New("a line of the other process is too long")
 )
 
 func (l *Link) close(err error) {
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -85,8 +85,8 @@
 	return b.Bytes(), fmt.Sprintf("%s %s %d %v %q\n", method, target, status, fields, body)
 }
 
-// Valid messages in sequence are parsed alike however they are cut into parts.
-func TestCuts(t *testing.T) {
+// Valid messages in sequence are parsed alike however they are split into chunks.
+func TestChunkedInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom([]Kind{Request, Response}).Draw(t, "kind")
 		var all []byte
--- a/internal/httpd/endings_test.go
+++ b/internal/httpd/endings_test.go
@@ -18,10 +18,10 @@
 	"sedgevale/internal/testkit"
 )
 
-// The paths on which a connection ends, each with what is still owed at that moment. The
-// crossings are made by holding the event loop while the other side acts.
+// The ways in which a connection ends, each with the response that is outstanding then. Races
+// are made by blocking the event loop while the other side acts.
 
-// hold keeps the server's event loop from its turns until it is let go.
+// hold blocks the server's event loop until letGo is called.
 func hold(t *testing.T, s *Server) (letGo func()) {
 	t.Helper()
 	held, let := make(chan struct{}), make(chan struct{})
@@ -40,7 +40,7 @@
 	})
 }
 
-// served is an echo that notes its connections and what it was asked to serve.
+// served is an echo that records its connections and requests.
 type served struct {
 	echo
 	conns chan *Conn
@@ -71,7 +71,7 @@
 	}
 }
 
-// Guards against a reset under a request that came in the moment in which its resting
+// Guards against a reset under a request that came in the moment in which its idle
 // connection was to be closed: it is read, and answered.
 func TestRequestThatCrossesTheDecisionToClose(t *testing.T) {
 	s, h := startServed(t, fdlimit.New(0))
@@ -189,8 +189,8 @@
 	testkit.Await(t, "the report that its client has disconnected", h.gone)
 }
 
-// Guards against small writes that the system holds back until the last was acknowledged: a
-// reset takes them along.
+// Guards against small writes that the kernel delays until the last was acknowledged: a
+// reset loses them.
 func TestClientsHaveNoDelay(t *testing.T) {
 	s, h := startServed(t, fdlimit.New(0))
 	c, r := dial(t, s.addr)
@@ -202,7 +202,7 @@
 	}
 }
 
-// Guards against a crowd of clients that connect and say nothing, up to the last
+// Guards against many clients that connect and send nothing, up to the last
 // descriptor: one that sends a request is still served, and workers can still be reached.
 func TestSilentCrowdLeavesDescriptors(t *testing.T) {
 	const descriptors = fdlimit.Reserve + 40
@@ -211,7 +211,7 @@
 	for range 2 * descriptors {
 		testkit.Dial(t, s.addr)
 	}
-	until(t, "the crowd to be thinned", func() bool { return s.Clients() <= descriptors-fdlimit.Reserve/2 })
+	until(t, "silent connections to be closed", func() bool { return s.Clients() <= descriptors-fdlimit.Reserve/2 })
 	if !b.Acquire() {
 		t.Error("no descriptor is left for a worker")
 	}
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -236,7 +236,7 @@
 
 // Guards against clients that hold a connection and send no complete request: one that sends
 // nothing is closed, one that sends half a request gets 408, both within 3 s of
-// connecting, also when bytes trickle in. One between two requests is left alone.
+// connecting, also when bytes trickle in. An idle connection between two requests stays open.
 func TestClientsThatKeepSilent(t *testing.T) {
 	addr := testkit.FreeAddr(t)
 	s, _ := start(t, addr, fdlimit.New(0))
@@ -253,15 +253,7 @@
 	if _, err := io.WriteString(half, post[:len(post)-1]); err != nil {
 		t.Fatal(err)
 	}
-	go func() {
-		time.Sleep(1300 * time.Millisecond) // the time runs since connecting, not since the first byte
-		for i := 0; i < 10*len(post); i++ {
-			if _, err := io.WriteString(trickle, "GET / HTTP/1.1\r\nX: "[min(i, 18):][:1]); err != nil {
-				return
-			}
-			time.Sleep(50 * time.Millisecond)
-		}
-	}()
+	go trickleRequest(trickle)
 	slow, slowR := dial(t, addr) // a usual client that needs 2 s to write; it may
 	if _, err := io.WriteString(slow, post[:20]); err != nil {
 		t.Fatal(err)
@@ -293,8 +285,19 @@
 	}
 }
 
-// Guards against the time that it takes to read what is refused anyway: the error
-// goes out at the head, and a body without end is not followed for long.
+// trickleRequest begins a request late, and sends it byte by byte until the connection is closed.
+func trickleRequest(c net.Conn) {
+	time.Sleep(1300 * time.Millisecond) // the time runs since connecting, not since the first byte
+	for i := 0; i < 10*len(post); i++ {
+		if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nX: "[min(i, 18):][:1]); err != nil {
+			return
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+}
+
+// Guards against the time that it takes to read what is rejected anyway: the error
+// is sent at the head, and a body without end is not followed for long.
 func TestHugeBody(t *testing.T) {
 	addr := testkit.FreeAddr(t)
 	s, _ := start(t, addr, fdlimit.New(0))
@@ -319,9 +322,9 @@
 	}
 }
 
-// Guards against clients that ask once and stay, in crowds: whoever deals out
-// connections counts those that we keep, and turns others away where they are many.
-// The longest idle ones are closed, though descriptors are not short.
+// Guards against many clients that send one request and keep their connection: a load
+// balancer counts those that we keep, and rejects others where they are many. The
+// longest idle ones are closed, though descriptors are not short.
 func TestIdleClientsAreBounded(t *testing.T) {
 	addr := testkit.FreeAddr(t)
 	b := fdlimit.New(1024)
--- a/internal/jobrequest/jobrequest_test.go
+++ b/internal/jobrequest/jobrequest_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Guards against refusals that the module did not make: what is malformed gets
+// Guards against rejections that the module did not make: what is malformed gets
 // a status of its own, never 429 or 503.
 func TestJobRejects(t *testing.T) {
 	good := []string{"Request-Id", "r", "Tenant", "a", "Request-Timeout", "1m"}
@@ -85,9 +85,9 @@
 	}
 }
 
-// New terms count for the next request, for all rules that came of one; a job keeps
-// the class that it was read by.
-func TestRetune(t *testing.T) {
+// New settings count for the next request, for all parsers derived from one; a job keeps
+// the class that it was parsed by.
+func TestUpdate(t *testing.T) {
 	r := newParser()
 	earlier := r.WithMargin(time.Second)
 	q := request("POST", "/free", "Request-Id", "r", "Tenant", "a", "Request-Timeout", "9000m")
--- a/internal/ops/golden_test.go
+++ b/internal/ops/golden_test.go
@@ -19,7 +19,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// goldenJournal notes what it is asked and answers by a fixed text.
+// goldenJournal records the calls and answers by a fixed text.
 type goldenJournal struct{ asked chan string }
 
 func (g *goldenJournal) Ask(_ context.Context, id string) ([]byte, error) {
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -17,7 +17,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// orders notes what it is asked for.
+// orders records the calls.
 type orders struct {
 	got       chan string
 	unhealthy error
@@ -64,7 +64,7 @@
 	return a.Status
 }
 
-// Each call has its yes or no, and what is no call changes nothing.
+// Each call is answered, and what is no call changes nothing.
 func TestCalls(t *testing.T) {
 	addr, o := begin(t, nil)
 	for _, q := range []struct {
@@ -104,7 +104,7 @@
 	}
 }
 
-// Guards against callers that say nothing, or half a call, and delay the others.
+// Guards against callers that send nothing, or half a call, and delay the others.
 func TestSilentCallersDelayNobody(t *testing.T) {
 	addr, _ := begin(t, nil)
 	for i := range 8 {
--- a/retry_test.go
+++ b/retry_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// A keyed job may not go out again once its window is over.
+// A request that is idempotent by key may not be retried once its window is over.
 func TestKeyedWindow(t *testing.T) {
 	d, h := start(t, settings(), fleet(4)...)
 	h.ask(d, "r", 1)
@@ -73,7 +73,7 @@
 	}
 }
 
-// The own zone comes first; a further attempt looks everywhere.
+// The own zone comes first; a retry looks everywhere.
 func TestRetriesLeaveTheZone(t *testing.T) {
 	d, h := start(t, settings(), fleet(20)...)
 	far := func(r *request) (n int) {
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -7,7 +7,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// Guards the admission queue before the platform's protocol: with room for one job in flight, a
+// Guards the admission queue before the platform's protocol: with a concurrency of one, a
 // second is queued until the first one's answer, and both are served.
 func TestAdmissionQueue(t *testing.T) {
 	f := newFleet(t, "v", "w")
--- a/scheduler/drain_test.go
+++ b/scheduler/drain_test.go
@@ -7,8 +7,8 @@
 	"sedgevale"
 )
 
-// Guards against answers that the kill takes along: it comes so long after the longest time
-// that a client may wait, however short that is, and all has to be out by then.
+// Guards against answers that are lost by SIGKILL: it comes a fixed time after the longest
+// client timeout, however short that is, and all must have been sent by then.
 func TestDrainEndsBeforeTheKill(t *testing.T) {
 	const killedAfter = 700 * time.Millisecond
 	for _, limit := range []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, time.Second, 2 * time.Second,
--- a/scheduler/journal_test.go
+++ b/scheduler/journal_test.go
@@ -56,7 +56,7 @@
 }
 
 // Guards the one question after a crash: what ran is said to have run, what was in flight is
-// unknown and says where to look, free jobs are not on record, and an operator
+// unknown and says where to look, idempotent jobs are not recorded, and an operator
 // settles it.
 func TestJournalAfterAKill(t *testing.T) {
 	f := newFleet(t, "v", "w")
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -29,8 +29,8 @@
 	return a.Status
 }
 
-// Guards against a yes to a cordon that does not hold: nothing more goes to the
-// worker, the next run keeps it out too, and one call back ends it.
+// Guards against a cordon that is confirmed and not in force: nothing more goes to the
+// worker, also not in the next run, and one uncordon ends it.
 func TestCordon(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
@@ -60,7 +60,7 @@
 		t.Helper()
 		for i := range 6 {
 			if w := serve(fmt.Sprint(prefix, i)); w == host {
-				t.Fatalf("%s a job went to %s, which is out", when, w)
+				t.Fatalf("%s a job went to %s, which is cordoned", when, w)
 			}
 		}
 	}
@@ -87,7 +87,7 @@
 	checkUnhealthyInDrain(t, c)
 }
 
-// checkUnhealthyInDrain ends a scheduler and checks what it says of its health meanwhile.
+// checkUnhealthyInDrain ends a scheduler and checks that it is not healthy while it drains.
 func checkUnhealthyInDrain(t *testing.T, c *child) {
 	t.Helper()
 	c.signal(syscall.SIGTERM)
--- a/scheduler/platformapi_test.go
+++ b/scheduler/platformapi_test.go
@@ -62,7 +62,7 @@
 	return append([]string{"Request-Id", id, "Tenant", "co-op", "Request-Timeout", "9000m"}, more...)
 }
 
-// The platform's protocol from end to end: what passes on, and each answer.
+// The platform's protocol from end to end: what is passed to the worker, and each answer.
 func TestPlainAnswers(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
@@ -114,7 +114,7 @@
 	}
 }
 
-// Without workers the module refuses, and says when to come again.
+// Without workers the module rejects, with a Retry-After.
 func TestPlainRefusal(t *testing.T) {
 	c := startChild(t, newFleet(t))
 	a := testkit.Await(t, "the answer", post(c.addr, "/usage-view", job("one", "Request-Timeout", "900m")...))
@@ -123,7 +123,7 @@
 	}
 }
 
-// A client that leaves has its job called off.
+// A client that disconnects has its attempt cancelled.
 func TestPlainClientDisconnects(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
@@ -138,7 +138,7 @@
 	testkit.Await(t, "the attempt to be called off", r.canceled)
 }
 
-// Guards against requests lost at a planned restart: what was taken is
+// Guards against requests lost at a planned restart: what was accepted is
 // answered, what still comes as well, each answer is the last of its
 // connection, and the program ends by itself with 0.
 func TestTermination(t *testing.T) {
@@ -182,8 +182,8 @@
 	c.ended()
 }
 
-// What proves that a job never ran lets even plan-change go out again; what does
-// not ends it.
+// What proves that a job never ran lets even plan-change be retried; without that proof
+// it fails.
 func TestPlainOutcomes(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	f.list.Members = append(f.list.Members, discovery.Member{ID: "dead", HostPort: testkit.FreeAddr(t), Locality: "hut",
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -13,9 +13,8 @@
 	"sedgevale/scheduler"
 )
 
-// Guards against a program that SIGHUP ends, with all that it holds; against a
-// discovery that is still asked where the new file does not name it; and against a
-// bad file that is taken over.
+// Guards against a process that SIGHUP ends; against a watch that stays at the discovery
+// of the former file; and against an invalid file that is applied.
 func TestReload(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
@@ -66,21 +65,28 @@
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
+	checkReloadInDrain(t, c, before, first)
+}
+
+// checkReloadInDrain ends a scheduler, has it reload while it drains, and checks that a job in
+// flight, with its attempt, is answered.
+func checkReloadInDrain(t *testing.T, c *child, answer <-chan reply, r *attempt) {
+	t.Helper()
 	c.signal(syscall.SIGTERM)
 	c.logged("draining: answering")
 	c.signal(syscall.SIGHUP)
 	c.logged("configuration reloaded")
-	first.finish("first")
-	if a := testkit.Await(t, "the answer", before); a.status != 200 || a.body != "first" {
+	r.finish("first")
+	if a := testkit.Await(t, "the answer", answer); a.status != 200 || a.body != "first" {
 		t.Errorf("open since before: %+v", a)
 	}
 	c.ended()
 }
 
-// Retuning under way: classes appear, become stricter and vanish, fewer attempts are
-// allowed, jobs that came before keep their class, also of event streams, and a
-// bad file leaves all as it was.
-func TestRetune(t *testing.T) {
+// Reloads with jobs in flight: classes appear, become stricter and vanish, fewer attempts
+// are allowed, jobs that came before keep their class, also of event streams, and an
+// invalid file changes nothing.
+func TestReloadOfClasses(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
 	s := subscribe(t, "POST", c.sse, "usage-view", "Request-Id", "stream")
@@ -146,7 +152,7 @@
 	}
 }
 
-// checkBadFileIsRejected checks that a file with a bad class and another discovery changes
+// checkBadFileIsRejected checks that a file with an invalid class and another discovery changes
 // neither.
 func checkBadFileIsRejected(t *testing.T, f *fleet, c *child) {
 	t.Helper()
--- a/scheduler/siblings.go
+++ b/scheduler/siblings.go
@@ -18,7 +18,7 @@
 
 var (
 	errOrderUnconfirmed = errors.New("the other process of the upgrade has not confirmed the order")
-	errNotAnswering     = errors.New("it does not answer")
+	errNotAnswering     = errors.New("the other process has not confirmed a cordon order in time")
 )
 
 // sibling is another process of the same scheduler, with which this one shares its state
--- a/scheduler/stream_test.go
+++ b/scheduler/stream_test.go
@@ -120,7 +120,7 @@
 	return last, names
 }
 
-// Each class: all events in order, one final, and 204 for who has it.
+// Each class: all events in order, one final, and 204 for a client that has it.
 func TestStreamOfEachClass(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
@@ -211,7 +211,7 @@
 }
 
 // A client that comes back with its last event id after the scheduler was
-// killed and started again: one final event that tells what is not known, and
+// killed and started again: one final event that says that the outcome is unknown, and
 // nothing runs a second time.
 func TestStreamOverRestart(t *testing.T) {
 	f := newFleet(t, "w")
@@ -251,8 +251,8 @@
 	}
 }
 
-// The deadline: a worker that says nothing more. The final event is there
-// before the client gives up, and tells that the job may have run.
+// The deadline: a worker that sends nothing more. The final event is there before the
+// client's timeout, and says that the job may have run.
 func TestStreamDeadline(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
@@ -271,8 +271,7 @@
 	}
 }
 
-// Without any worker the module refuses, at a time of its own choosing, and the
-// client is told when to come again.
+// Without any worker the module rejects, when it sees fit, and with a retry delay.
 func TestStreamRefused(t *testing.T) {
 	f := newFleet(t)
 	c := startChild(t, f)
@@ -282,7 +281,7 @@
 	}
 }
 
-// A worker that dies with a job: the safe job runs again elsewhere, plan-change
+// A worker that dies with a job: the idempotent job runs again elsewhere, plan-change
 // does not.
 func TestStreamOfLostWorker(t *testing.T) {
 	f := newFleet(t, "v", "w")
--- a/scheduler/tenants_test.go
+++ b/scheduler/tenants_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// checkEndedAs checks the answer of a tenant's job that was out while the tenants changed, and
+// checkEndedAs checks the answer of a tenant's job that was in flight while the tenants changed, and
 // what the journal says of all its jobs.
 func checkEndedAs(t *testing.T, c *child, tenantName string, answer <-chan reply) {
 	t.Helper()
@@ -125,7 +125,7 @@
 	return s, answer, []*attempt{streamed, plain}
 }
 
-// Guards jobs of a tenant that is removed while they are in flight, or queued for want of workers: each ends with its one
+// Guards jobs of a tenant that is removed while they are in flight, or queued for lack of workers: each ends with its one
 // answer under its own tenant's name, though that tenant's index is another's by then; so do those of a tenant that stays. It
 // may come back.
 func TestTenantRemovedWithJobsInFlight(t *testing.T) {
@@ -151,21 +151,7 @@
 		streams[id].until("accepted")
 	}
 
-	c.reloadTenants(tenant{"newcomer", 0.5, 10}, tenant{"co-op", 0.2, 30})
-	c.checkRejected("leaver", "late")
-	if n := f.count("plan-change"); n != 4 {
-		t.Errorf("%d jobs are out, and 4 were when all workers left", n)
-	}
-	streams["held-newcomer"] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", "newcomer", "Request-Id", "held-newcomer")
-	streams["held-newcomer"].until("accepted")
-	f.phase("v", "ready")
-	f.phase("w", "ready")
-	for range 3 {
-		f.serveNext()
-	}
-	for _, name := range []string{"leaver", "co-op", "newcomer"} {
-		streams["held-"+name].result("held-" + name)
-	}
+	checkPendingOfReplacedTenants(t, f, c, streams)
 
 	c.reloadTenants(tenant{"co-op", 0.2, 30}, tenant{"newcomer", 0.5, 10}, tenant{"leaver", 0.1, 5})
 	back := post(c.addr, "/plan-change", jobOfTenant("leaver", "back")...)
@@ -192,6 +178,27 @@
 	c.checkRecorded("out-leaver", "leaver")
 }
 
+// checkPendingOfReplacedTenants replaces tenant "leaver" by "newcomer" while four jobs are in
+// flight and no worker is active, and checks that the pending jobs of all three are served.
+func checkPendingOfReplacedTenants(t *testing.T, f *fleet, c *child, streams map[string]*stream) {
+	t.Helper()
+	c.reloadTenants(tenant{"newcomer", 0.5, 10}, tenant{"co-op", 0.2, 30})
+	c.checkRejected("leaver", "late")
+	if n := f.count("plan-change"); n != 4 {
+		t.Errorf("%d jobs are in flight, and 4 were when all workers left", n)
+	}
+	streams["held-newcomer"] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", "newcomer", "Request-Id", "held-newcomer")
+	streams["held-newcomer"].until("accepted")
+	f.phase("v", "ready")
+	f.phase("w", "ready")
+	for range 3 {
+		f.serveNext()
+	}
+	for _, name := range []string{"leaver", "co-op", "newcomer"} {
+		streams["held-"+name].result("held-" + name)
+	}
+}
+
 // Guards a scheduler that loses all its tenants and gets some again: their queued jobs are served, and without
 // tenants any job is served, as by a file that never had any.
 func TestAllTenantsReplaced(t *testing.T) {
@@ -228,7 +235,7 @@
 }
 
 // Guards a tenant whose share and quota are halved while more of its jobs are in flight and queued than its quota lets through: none of
-// them is refused or lost, nor is any of another tenant's.
+// them is rejected or lost, nor is any of another tenant's.
 func TestTenantHalvedAtItsQuota(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, nil, tenant{"heavy", 0.6, 8}, tenant{"co-op", 0.4, 8})
@@ -351,7 +358,7 @@
 	next.logged("continuing alone")
 }
 
-// Guards the newest tenants over an upgrade by a file that has become bad since: the new process has those of the one that serves.
+// Guards the newest tenants over an upgrade by a file that has become invalid since: the new process has those of the one that serves.
 func TestUpgradeKeepsTheNewestTenants(t *testing.T) {
 	f := newFleet(t, "w")
 	c := &child{t: t, file: filepath.Join(t.TempDir(), "config.json"), addr: testkit.FreeAddr(t)}
--- a/scheduler/termination_test.go
+++ b/scheduler/termination_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Guards against a crowd that holds all descriptors while discovery is down: clients are
+// Guards against many clients that hold all descriptors while discovery is down: clients are
 // still accepted, the watch comes up once discovery is back, and workers are reached.
 func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
 	const descriptors = 160
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -85,7 +85,7 @@
 }
 
 // Guards against all that an upgrade can break: connections that are refused or
-// reset, a new process that fails or ends with the old one, a cordon that gets lost,
+// reset, a new process that fails or ends with the old one, a cordon that is lost,
 // an id that is taken twice, and an open job without its answer.
 func TestUpgrade(t *testing.T) {
 	f := newFleet(t, "u", "v", "w")
@@ -117,12 +117,12 @@
 		t.Errorf("cordon at the new process: %d", got)
 	}
 	if serveKept(t, conn, kept, "kept-2") {
-		t.Error("the old process lets go of a client though it was not ended")
+		t.Error("the old process closes a kept connection though it does not drain")
 	}
 	c.signal(syscall.SIGTERM)
 	c.logged("draining: answering")
 	if !serveKept(t, conn, kept, "kept-3") {
-		t.Error("the old process keeps a client though it ends")
+		t.Error("the old process keeps a connection open though it drains")
 	}
 	first.finish("first")
 	if a := testkit.Await(t, "the answer", open); a.status != 200 || a.body != "first" {
@@ -214,8 +214,8 @@
 	}
 }
 
-// Guards against a new process that takes the clients with it when it dies: the old
-// one serves on, also the next that is started.
+// Guards against a crash of the new process that loses its clients: the old one
+// goes on, and hands over to the next that is started.
 func TestNewProcessDies(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
@@ -241,8 +241,8 @@
 	serve("after-the-dead")
 }
 
-// Guards against a new process that cannot start since the file was replaced by a bad
-// one, which the old process has turned down: it goes on by the old one's settings.
+// Guards against a new process that cannot start since the file was replaced by an invalid
+// one, which the old process has rejected: it goes on by the old one's settings.
 func TestUpgradeByABadFile(t *testing.T) {
 	f := newFleet(t, "w")
 	c := &child{t: t, file: filepath.Join(t.TempDir(), "config.json"), addr: testkit.FreeAddr(t)}
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// However small the multiple at which workers fall, half of it is the most.
+// However small the overload multiple is, half of it is the most.
 func TestSmallOverloadMultipleIsRespected(t *testing.T) {
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow, set.Dispatchers = 8*time.Second, 0.5, 0.5, 2*time.Second, 1
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// Guards the jobs of a removed tenant: what is pending or in flight ends as before, what was taken before and comes
-// late is let in, and after that nothing is left of the tenant.
+// Guards the jobs of a removed tenant: what is pending or in flight ends as before, what was submitted before and comes
+// late is admitted, and after that nothing is left of the tenant.
 func TestTenantIsRetiredAfterItsJobs(t *testing.T) {
 	d, h := start(t, teams("abc", 2, 1, 1), WorkerInfo{Worker: "w", Weight: 1})
 	for i := range 6 {
