--- a/dispatcher.go
+++ b/dispatcher.go
@@ -61,9 +61,9 @@
 	tenants        []*tenant // in the order of their turns, with removed ones until their last request is over
 	tenantsByIndex []*tenant // by the settings' index; without tenants one that all requests have
 	removedTenants int
-	turn           int  // index into tenants
-	turnCredited   bool // the tenant whose turn it is has had its credit
-	claimants      []admission.Claimant
+	turn           int                  // index into tenants
+	turnCredited   bool                 // the tenant whose turn it is has had its credit
+	claimants      []admission.Claimant // reused by fairLevel
 
 	// Workers.
 	workersByName   map[string]*worker
@@ -76,16 +76,16 @@
 	maxFreeByKind   []float64 // most free slots ever reported, 1 at least
 	maxWorkerSize   float64
 	watchBackoff    time.Duration
-	leastLoaded     *worker // by the last sample, for a request that may wait at a worker
-	leastLoad       float64 // of leastLoaded, in slots for each unit of size
-	homesBuffer     []*worker
+	leastLoaded     *worker   // by the last sample, for a request that may wait at a worker
+	leastLoad       float64   // of leastLoaded, in slots for each unit of size
+	homesBuffer     []*worker // reused by homeWorkers
 
 	// Limits and capacity.
 	cleanWorkers  []*worker // with a clean outcome in this round
 	inFlight      float64   // slots of this dispatcher's and its sibling's attempts
 	capacityShort bool      // in this round a request found no free capacity
 	capacity      float64   // slots in flight that found capacity, at most
-	limitsBuffer  []float64
+	limitsBuffer  []float64 // reused by limitQuantile
 
 	// Learned means.
 	meanWork        float64 // of all requests
--- a/estimates.go
+++ b/estimates.go
@@ -39,8 +39,8 @@
 		return d.meanKnownWork
 	}
 	sum := 0.0
-	for _, k := range d.classes {
-		sum += k.LatencyTarget.Seconds()
+	for _, c := range d.classes {
+		sum += c.LatencyTarget.Seconds()
 	}
 	return sum / float64(len(d.classes))
 }
--- a/internal/fairqueue/fairqueue.go
+++ b/internal/fairqueue/fairqueue.go
@@ -225,7 +225,7 @@
 
 // Arrive decides on a job. With Rejected, after is how long its client should wait before it
 // sends the job again.
-func (q *Queue) Arrive(now time.Duration, a Request) (v Decision, after time.Duration) {
+func (q *Queue) Arrive(now time.Duration, a Request) (decision Decision, after time.Duration) {
 	q.updateRates(now)
 	t := &q.tenants[a.Tenant]
 	a.Cost = max(a.Cost, 1e-6)
@@ -306,20 +306,20 @@
 	if q.inFlight >= q.options.Concurrency {
 		return r, false
 	}
-	best, least := -1, math.Inf(1)
+	best, minTag := -1, math.Inf(1)
 	for i := range q.tenants {
 		t := &q.tenants[i]
-		if tag := max(q.virtualTime, t.finishTag); t.queued > 0 && (tag < least || tag == least && t.finishTag < q.tenants[best].finishTag) {
-			best, least = i, tag
+		if tag := max(q.virtualTime, t.finishTag); t.queued > 0 && (tag < minTag || tag == minTag && t.finishTag < q.tenants[best].finishTag) {
+			best, minTag = i, tag
 		}
 	}
 	if best < 0 {
 		return r, false
 	}
 	t := &q.tenants[best]
-	w := t.dequeue(t.nextFlow(), 0)
-	q.admit(w.request, w.startTag)
-	return w.request, true
+	next := t.dequeue(t.nextFlow(), 0)
+	q.admit(next.request, next.startTag)
+	return next.request, true
 }
 
 // nextFlow returns the flow whose first job has the smallest tag.
@@ -341,15 +341,15 @@
 // dequeue removes the job at an index of a flow's queue.
 func (t *tenant) dequeue(flow, i int) queued {
 	f := &t.flows[flow]
-	w := f.queue[i]
+	removed := f.queue[i]
 	if f.queue = slices.Delete(f.queue, i, i+1); len(f.queue) == 0 {
 		f.queue = nil
-		k := slices.Index(t.active, flow)
-		t.active = slices.Delete(t.active, k, k+1)
+		at := slices.Index(t.active, flow)
+		t.active = slices.Delete(t.active, at, at+1)
 	}
 	t.queued--
-	t.queuedCost = max(0, t.queuedCost-w.request.Cost)
-	return w
+	t.queuedCost = max(0, t.queuedCost-removed.request.Cost)
+	return removed
 }
 
 // Expired is a queued job that cannot meet its deadline any more.
@@ -364,14 +364,14 @@
 	q.updateRates(now)
 	for i := range q.tenants {
 		t := &q.tenants[i]
-		for _, k := range slices.Clone(t.active) {
-			for j := 0; j < len(t.flows[k].queue); {
-				if now < t.flows[k].queue[j].deadline {
+		for _, flow := range slices.Clone(t.active) {
+			for j := 0; j < len(t.flows[flow].queue); {
+				if now < t.flows[flow].queue[j].deadline {
 					j++
 					continue
 				}
-				w := t.dequeue(k, j)
-				out = append(out, Expired{w.request, q.retryAfter(now, t, w.request, q.hasher.of(w.request.Client), q.estimateWait(t))})
+				r := t.dequeue(flow, j).request
+				out = append(out, Expired{r, q.retryAfter(now, t, r, q.hasher.of(r.Client), q.estimateWait(t))})
 			}
 		}
 	}
@@ -381,9 +381,9 @@
 // Remove removes a queued job, whose client has disconnected, and reports whether it was queued.
 func (q *Queue) Remove(tenant int, token any) bool {
 	t := &q.tenants[tenant]
-	for _, k := range t.active {
-		if j := slices.IndexFunc(t.flows[k].queue, func(w queued) bool { return w.request.Token == token }); j >= 0 {
-			t.dequeue(k, j)
+	for _, flow := range t.active {
+		if j := slices.IndexFunc(t.flows[flow].queue, func(job queued) bool { return job.request.Token == token }); j >= 0 {
+			t.dequeue(flow, j)
 			return true
 		}
 	}
@@ -403,9 +403,9 @@
 	q.lastUpdate += time.Duration(n) * rateInterval
 	for i := range q.tenants {
 		t := &q.tenants[i]
-		seen := t.admittedCost / (float64(n) * rateInterval.Seconds())
-		if t.queued > 0 || seen > t.rate { // else it says how little arrived, not how much could be admitted
-			t.rate += (seen - t.rate) * (1 - math.Pow(1-rateGain, float64(n)))
+		admitted := t.admittedCost / (float64(n) * rateInterval.Seconds())
+		if t.queued > 0 || admitted > t.rate { // else it shows how little arrived, not how much could be admitted
+			t.rate += (admitted - t.rate) * (1 - math.Pow(1-rateGain, float64(n)))
 		}
 		t.admittedCost = 0
 	}
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -8,35 +8,35 @@
 )
 
 // beginFault begins a fault and schedules its end.
-func (sim *simulation) beginFault(t *Fault) {
-	last := dispatchconfig.Seconds(t.ForSeconds)
-	switch t.Kind {
+func (sim *simulation) beginFault(f *Fault) {
+	duration := dispatchconfig.Seconds(f.ForSeconds)
+	switch f.Kind {
 	case "kill":
-		for _, s := range sim.drawSchedulers(t.Share) {
+		for _, s := range sim.drawSchedulers(f.Share) {
 			s.kill()
-			sim.after(last, s.start)
+			sim.after(duration, s.start)
 		}
 	case "freeze":
-		for _, s := range sim.drawSchedulers(t.Share) {
-			s.frozenUntil = sim.now + last
+		for _, s := range sim.drawSchedulers(f.Share) {
+			s.frozenUntil = sim.now + duration
 		}
 	case "split":
 		sim.partitioned = true
-		sim.after(last, func() { sim.partitioned = false })
+		sim.after(duration, func() { sim.partitioned = false })
 	case "replace":
-		some := sim.drawWorkers(t.Share)
+		some := sim.drawWorkers(f.Share)
 		for i, at := range some {
-			sim.after(last*time.Duration(i)/time.Duration(len(some)), func() { sim.replaceWorker(at) })
+			sim.after(duration*time.Duration(i)/time.Duration(len(some)), func() { sim.replaceWorker(at) })
 		}
 	case "slow":
-		for _, at := range sim.drawWorkers(t.Share) {
-			sim.workers[at].speedFactor = t.Factor
-			sim.after(last, func() { sim.workers[at].speedFactor = 1 })
+		for _, at := range sim.drawWorkers(f.Share) {
+			sim.workers[at].speedFactor = f.Factor
+			sim.after(duration, func() { sim.workers[at].speedFactor = 1 })
 		}
 	case "fail":
-		for _, at := range sim.drawWorkers(t.Share) {
-			sim.workers[at].errorShare = t.Factor
-			sim.after(last, func() { sim.workers[at].errorShare = 0 })
+		for _, at := range sim.drawWorkers(f.Share) {
+			sim.workers[at].errorShare = f.Factor
+			sim.after(duration, func() { sim.workers[at].errorShare = 0 })
 		}
 	}
 }
--- a/internal/fleetsim/host.go
+++ b/internal/fleetsim/host.go
@@ -94,9 +94,9 @@
 	sim, j := s.sim, s.jobs[id]
 	j.answered = true
 	sim.result.Rejections++
-	if j.tries < sim.experiment.Retries && after > 0 && sim.now+after < j.deadline {
+	if j.clientRetries < sim.experiment.Retries && after > 0 && sim.now+after < j.deadline {
 		again := *j
-		again.answered, again.tries = false, again.tries+1
+		again.answered, again.clientRetries = false, again.clientRetries+1
 		sim.after(after, func() { sim.submit(&again, sim.netRand.IntN(len(sim.schedulers))) })
 		return
 	}
--- a/internal/fleetsim/scheduler.go
+++ b/internal/fleetsim/scheduler.go
@@ -188,7 +188,7 @@
 			Tenant:      j.tenant,
 			TimeLeft:    j.deadline - s.sim.now,
 			Slots:       float64(j.slots),
-			ClientRetry: j.tries > 0,
+			ClientRetry: j.clientRetries > 0,
 		})
 	})
 }
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -35,16 +35,16 @@
 
 // job is a client's job.
 type job struct {
-	id          string
-	class       int
-	tenant      int
-	slots       int
-	work        time.Duration // core time at speed 1, of each slot
-	submittedAt time.Duration
-	deadline    time.Duration
-	tries       int // of the client, before this one
-	answered    bool
-	attempts    []*attempt
+	id            string
+	class         int
+	tenant        int
+	slots         int
+	work          time.Duration // core time at speed 1, of each slot
+	submittedAt   time.Duration
+	deadline      time.Duration
+	clientRetries int // of the client, before this one
+	answered      bool
+	attempts      []*attempt
 }
 
 // attempt is an attempt of a job.
@@ -130,8 +130,8 @@
 // drawJob draws a job and the scheduler that it comes to.
 func (sim *simulation) drawJob() (j *job, to int) {
 	x, at, c := sim.rand.Float64(), sim.rand.Float64(), 0
-	for c < len(classes)-1 && x >= classes[c].part {
-		x -= classes[c].part
+	for c < len(classes)-1 && x >= classes[c].fraction {
+		x -= classes[c].fraction
 		c++
 	}
 	for to < len(sim.trafficShares)-1 && at >= sim.trafficShares[to] {
--- a/internal/fleetsim/slowstart.go
+++ b/internal/fleetsim/slowstart.go
@@ -20,8 +20,8 @@
 	work float64 // slot seconds at speed 1
 }
 
-// noteArrival notes work that reaches the worker while it warms up.
-func (w *worker) noteArrival(t *task) {
+// recordArrival notes work that reaches the worker while it warms up.
+func (w *worker) recordArrival(t *task) {
 	if w.slowStart && w.clock.now < w.startedAt+dispatchconfig.Seconds(w.model.SlowStartSeconds) {
 		w.slowStartArrivals = append(w.slowStartArrivals, arrival{w.clock.now, t.work.Seconds() * float64(t.slots)})
 	}
--- a/internal/fleetsim/worker.go
+++ b/internal/fleetsim/worker.go
@@ -67,7 +67,7 @@
 
 // enqueue takes a task, or returns false if the queue is full or the worker removed.
 func (w *worker) enqueue(t *task) bool {
-	w.noteArrival(t)
+	w.recordArrival(t)
 	if w.removed || len(w.queue) >= w.model.Queue && (w.busySlots+t.slots > w.cores || len(w.queue) > 0) {
 		return false
 	}
--- a/internal/fleetsim/workload.go
+++ b/internal/fleetsim/workload.go
@@ -11,24 +11,24 @@
 var classes = []struct {
 	sedgevale.Class
 	value    float64       // of an answer in time
-	part     float64       // of all jobs
+	fraction float64       // of all jobs
 	work     time.Duration // core time at speed 1, on average
 	twoSlots float64       // share of jobs that take two slots
 }{
 	{
 		Class: sedgevale.Class{Name: "idempotent", Idempotency: sedgevale.Idempotent,
 			LatencyTarget: 100 * time.Millisecond, TargetStretch: 1.75, ClientTimeout: 5 * time.Second},
-		value: 1, part: 0.44, work: 200 * time.Millisecond,
+		value: 1, fraction: 0.44, work: 200 * time.Millisecond,
 	},
 	{
 		Class: sedgevale.Class{Name: "at-most-once", Idempotency: sedgevale.NotIdempotent,
 			LatencyTarget: 100 * time.Millisecond, TargetStretch: 2.5, ClientTimeout: 5 * time.Second},
-		value: 3, part: 0.31, work: 100 * time.Millisecond, twoSlots: 0.25,
+		value: 3, fraction: 0.31, work: 100 * time.Millisecond, twoSlots: 0.25,
 	},
 	{
 		Class: sedgevale.Class{Name: "idempotent-by-key", Idempotency: sedgevale.IdempotentByKey, DedupScope: sedgevale.DedupCell, DedupWindow: 7500 * time.Millisecond,
 			LatencyTarget: 100 * time.Millisecond, TargetStretch: 2.5, ClientTimeout: 5 * time.Second},
-		value: 10, part: 0.25, work: 100 * time.Millisecond, twoSlots: 0.25,
+		value: 10, fraction: 0.25, work: 100 * time.Millisecond, twoSlots: 0.25,
 	},
 }
 
@@ -56,7 +56,7 @@
 // meanWorkSeconds returns the mean work of a job in slot seconds at speed 1.
 func meanWorkSeconds() (sum float64) {
 	for _, c := range classes {
-		sum += c.part * c.work.Seconds() * (1 + c.twoSlots)
+		sum += c.fraction * c.work.Seconds() * (1 + c.twoSlots)
 	}
 	return sum
 }
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -174,24 +174,24 @@
 // post accepts a job and makes the client its subscriber.
 func (h *Handler) post(c *httpd.Conn, q *httpd.Request, class *sedgevale.Class) error {
 	limit := class.ClientTimeout
-	work, deadline, err := h.parser.Parse(q, randomID(), limit)
+	parsed, deadline, err := h.parser.Parse(q, randomID(), limit)
 	if err != nil {
 		return err
 	}
 	deadline = min(deadline, h.parser.Time(q.At)+limit)
 	h.mu.Lock()
-	if h.jobs[work.ID] != nil {
+	if h.jobs[parsed.ID] != nil {
 		h.mu.Unlock()
 		return &jobrequest.Error{Status: 409, Text: "this Request-Id is known; GET with it, or with Last-Event-ID, resumes"}
 	}
-	j := &job{handler: h, id: work.ID, epoch: h.epoch, class: work.Class}
+	j := &job{handler: h, id: parsed.ID, epoch: h.epoch, class: parsed.Class}
 	h.jobs[j.id] = j
 	h.mu.Unlock()
 	j.attach(c, 0)
 	j.emit("accepted", nil, struct {
 		Request string `json:"request"`
 	}{j.id}, false)
-	h.planners.SubmitRequest(dispatch.NewExchange(work, deadline, j))
+	h.planners.SubmitRequest(dispatch.NewExchange(parsed, deadline, j))
 	return nil
 }
 
--- a/membership.go
+++ b/membership.go
@@ -97,8 +97,8 @@
 // notice, after each outcome there, and once more later, since a connection may
 // still be made for an attempt that was cancelled.
 func (d *Dispatcher) closeIdleConns(now time.Duration, w *worker) {
-	v := d.workersByName[w.Worker]
-	if d.settings.DrainCloseTimeout == 0 || w.State == Active || v != nil && v.State == Active {
+	listed := d.workersByName[w.Worker] // an entry of that name may have replaced w
+	if d.settings.DrainCloseTimeout == 0 || w.State == Active || listed != nil && listed.State == Active {
 		return
 	}
 	d.host.CloseIdleConnections(w.Worker)
@@ -116,7 +116,7 @@
 			return false
 		}
 		w.idleClosedAt = 0
-		if v := d.workersByName[w.Worker]; v == nil || v.State != Active {
+		if listed := d.workersByName[w.Worker]; listed == nil || listed.State != Active {
 			d.host.CloseIdleConnections(w.Worker)
 		}
 		return true
--- a/queue.go
+++ b/queue.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	maxReleaseTurns   = 64 // turns of each tenant in one release
-	maxQueueScan      = 32 // queued requests of a tenant scanned in one turn
-	maxPlacementTries = 4  // of those, requests tried when the first finds no worker
+	maxReleaseTurns     = 64 // turns of each tenant in one release
+	maxQueueScan        = 32 // queued requests of a tenant scanned in one turn
+	maxFailedPlacements = 4  // of those, requests tried in a row without a send
 )
 
 // queue is a heap of a tenant's pending requests by slack (the paper's section
@@ -67,7 +67,8 @@
 	if d.catchingUp {
 		return
 	}
-	idleTurns, turnsLeft, resume := 0, maxReleaseTurns*len(d.tenants), -1 // resume: index of the tenant to begin with next time, -1: in turn
+	idleTurns, turnsLeft := 0, maxReleaseTurns*len(d.tenants)
+	resume := -1 // index of the tenant that the next release begins with; -1: the next in turn
 	for _, p := range d.pools {
 		p.jobBlocked = false
 	}
@@ -106,7 +107,7 @@
 // another turn may send more.
 func (d *Dispatcher) serveTenant(now time.Duration, t *tenant) (sent bool) {
 	t.blockedByCapacity = false
-	for i, tried := 0, 0; i < min(len(t.queue), maxQueueScan) && tried < maxPlacementTries; i++ {
+	for i, tried := 0, 0; i < min(len(t.queue), maxQueueScan) && tried < maxFailedPlacements; i++ {
 		r := t.queue[i]
 		p := r.class.pool
 		withinShare := d.withinShare(now, t)
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -41,22 +41,22 @@
 	former := d.classes
 	d.classes = make([]*class, len(classes))
 	for i, c := range classes {
-		k := &class{Class: c}
-		k.Kinds, k.Zones = slices.Clone(c.Kinds), slices.Clone(c.Zones)
+		updated := &class{Class: c}
+		updated.Kinds, updated.Zones = slices.Clone(c.Kinds), slices.Clone(c.Zones)
 		for _, f := range former {
 			if f.Name != c.Name {
 				continue
 			}
-			if reflect.DeepEqual(f.Class, k.Class) {
-				k = f
+			if reflect.DeepEqual(f.Class, updated.Class) {
+				updated = f
 			} else {
-				k.meanRuntime, k.baseRuntime, k.meanHint = f.meanRuntime, f.baseRuntime, f.meanHint
-				k.meanCompletion, k.samples = f.meanCompletion, f.samples
+				updated.meanRuntime, updated.baseRuntime, updated.meanHint = f.meanRuntime, f.baseRuntime, f.meanHint
+				updated.meanCompletion, updated.samples = f.meanCompletion, f.samples
 			}
 			break
 		}
-		k.pool = d.poolOf(c.Kinds, c.Zones)
-		d.classes[i] = k
+		updated.pool = d.poolOf(c.Kinds, c.Zones)
+		d.classes[i] = updated
 	}
 	d.compactClasses()
 	for _, w := range d.workers { // the classes may need new pools
@@ -74,8 +74,8 @@
 	work := make([]map[*class]float64, len(d.tenants))
 	for i, t := range d.tenants {
 		work[i] = map[*class]float64{}
-		for at, k := range d.classesInUse {
-			work[i][k] = t.pendingWork[at]
+		for at, c := range d.classesInUse {
+			work[i][c] = t.pendingWork[at]
 		}
 	}
 	inUse := map[*class]bool{}
@@ -83,19 +83,19 @@
 		inUse[r.class] = true
 	}
 	kept := slices.Clone(d.classes)
-	for _, k := range d.classesInUse {
-		if inUse[k] && !slices.Contains(kept, k) {
-			kept = append(kept, k)
+	for _, c := range d.classesInUse {
+		if inUse[c] && !slices.Contains(kept, c) {
+			kept = append(kept, c)
 		}
 	}
 	d.classesInUse = kept
-	for at, k := range kept {
-		k.index = at
+	for at, c := range kept {
+		c.index = at
 	}
 	for i, t := range d.tenants {
 		t.pendingWork = make([]float64, len(kept))
-		for at, k := range kept {
-			t.pendingWork[at] = work[i][k]
+		for at, c := range kept {
+			t.pendingWork[at] = work[i][c]
 		}
 	}
 }
--- a/request.go
+++ b/request.go
@@ -59,8 +59,8 @@
 	d.requestCounter.add(now)
 	q.Slots = max(1, q.Slots)
 	d.lastSerial++
-	k := d.classes[q.Class]
-	r := &request{Request: q, class: k, serial: d.lastSerial, tenant: d.tenantByIndex(q.Tenant)}
+	c := d.classes[q.Class]
+	r := &request{Request: q, class: c, serial: d.lastSerial, tenant: d.tenantByIndex(q.Tenant)}
 	r.deadline = now + q.TimeLeft
 	d.estimate(now, r)
 	r.keyHash = hashOf(q.AffinityKey)
@@ -82,22 +82,22 @@
 
 // estimate sets the request's work, running time and latency target.
 func (d *Dispatcher) estimate(now time.Duration, r *request) {
-	k := r.class
-	run := k.meanRuntime
+	c := r.class
+	run := c.meanRuntime
 	r.work = r.Slots * run
 	if r.RuntimeHint > 0 { // a hint counts on an average core, the mean on the workers met
 		run = r.RuntimeHint.Seconds()
-		r.work = r.Slots * run * (k.meanRuntime + hintTrust) / (k.meanHint + hintTrust)
+		r.work = r.Slots * run * (c.meanRuntime + hintTrust) / (c.meanHint + hintTrust)
 	}
 	d.meanWork += (r.work - d.meanWork) * max(meanGain, 1/float64(r.serial))
 	d.observeWork(r)
 	if r.RuntimeHint <= 0 {
-		run = k.baseRuntime // the target counts the job's own time, however slow workers are now
+		run = c.baseRuntime // the target counts the job's own time, however slow workers are now
 	}
 	r.runtime = run
-	r.targetAt = now + k.LatencyTarget + seconds(k.TargetStretch*run)
+	r.targetAt = now + c.LatencyTarget + seconds(c.TargetStretch*run)
 	if r.ClientRetry { // the target counts from the client's first try
-		r.targetAt -= max(0, k.ClientTimeout-r.TimeLeft)
+		r.targetAt -= max(0, c.ClientTimeout-r.TimeLeft)
 	}
 }
 
--- a/tenants.go
+++ b/tenants.go
@@ -186,8 +186,8 @@
 		return
 	}
 	longest := time.Duration(0)
-	for _, k := range d.classesInUse {
-		longest = max(longest, k.ClientTimeout)
+	for _, c := range d.classesInUse {
+		longest = max(longest, c.ClientTimeout)
 	}
 	for i := 0; i < len(d.tenants); i++ {
 		t := d.tenants[i]
