--- a/budget_test.go
+++ b/budget_test.go
@@ -43,11 +43,11 @@
 			h.run(d, h.now+time.Duration(rng.IntN(60))*ms)
 			check()
 			id := fmt.Sprint("r", i)
-			h.ask(d, id, 0)
+			h.submit(d, id, 0)
 			taken = append(taken, h.now)
-			for n := 0; n < 4 && h.tries[id] > n && h.ends[id] == ""; n++ {
+			for n := 0; n < 4 && h.attempts[id] > n && h.ends[id] == ""; n++ {
 				o := []Outcome{Errored, NotSent, Served}[rng.IntN(3)]
-				h.over(d, id, n, o)
+				h.endAttempt(d, id, n, o)
 				check()
 			}
 		}
@@ -62,14 +62,14 @@
 	set := settings()
 	set.RetryBudget = RetryBudget{FreeRetries: 0, RetryRatio: 0.5, Window: 5 * time.Second}
 	d, h := start(t, set, fleet(4)...)
-	h.ask(d, "a", 2)
-	h.over(d, "a", 0, Rejected)
+	h.submit(d, "a", 2)
+	h.endAttempt(d, "a", 0, Rejected)
 	if len(h.sends) != 1 || h.ends["a"] != "refused" {
 		t.Errorf("%d sends, end %q: half an attempt is none", len(h.sends), h.ends["a"])
 	}
-	h.ask(d, "b", 0)
-	h.over(d, "b", 0, ConnectFailed)
-	if h.tries["b"] != 2 {
+	h.submit(d, "b", 0)
+	h.endAttempt(d, "b", 0, ConnectFailed)
+	if h.attempts["b"] != 2 {
 		t.Error("two requests allow one further attempt")
 	}
 }
@@ -80,7 +80,7 @@
 	set := settings()
 	set.RetryBudget = RetryBudget{FreeRetries: 1, Window: 5 * time.Second}
 	d, h := start(t, set, fleet(3)...)
-	h.ask(d, "a", 0)
+	h.submit(d, "a", 0)
 	r := d.requests["a"]
 	r.attempts[0].ended = true
 	r.inFlight = 0
--- a/cordon_test.go
+++ b/cordon_test.go
@@ -7,15 +7,15 @@
 )
 
 // one has a job served, 20 ms after it was sent, and returns where.
-func (h *fake) one(d *Dispatcher) (worker string) {
+func (h *fakeHost) one(d *Dispatcher) (worker string) {
 	id := fmt.Sprint("job", len(h.sends), h.now)
-	h.ask(d, id, 0)
+	h.submit(d, id, 0)
 	h.run(d, h.now+5*ms)
-	if h.tries[id] > 0 {
+	if h.attempts[id] > 0 {
 		worker = h.last()
 		_ = d.AttemptStarted(h.now, id, 0)
 		h.run(d, h.now+20*ms)
-		h.over(d, id, 0, Served)
+		h.endAttempt(d, id, 0, Served)
 	}
 	h.run(d, h.now+25*ms)
 	return worker
--- a/dispatcher_test.go
+++ b/dispatcher_test.go
@@ -23,7 +23,7 @@
 			if i < 2500 && p.rng.IntN(3) > 0 {
 				id := fmt.Sprint("r", i)
 				p.class[id] = p.rng.IntN(3)
-				p.h.ask(p.d, id, p.class[id])
+				p.h.submit(p.d, id, p.class[id])
 			}
 			p.check()
 			p.endSome()
@@ -41,7 +41,7 @@
 	seed      uint64
 	rng       *rand.Rand
 	d         *Dispatcher
-	h         *fake
+	h         *fakeHost
 	uncertain map[string]string // request to the worker where it may have run
 	class     map[string]int
 	drained   map[string]bool
@@ -141,13 +141,13 @@
 		d2, h2 := start(t, settings(), fleet(3)...)
 		for i := range 400 {
 			if withAnother {
-				h2.ask(d2, fmt.Sprint("x", i), 0)
+				h2.submit(d2, fmt.Sprint("x", i), 0)
 			}
-			h.ask(d, fmt.Sprint("r", i), i%3)
+			h.submit(d, fmt.Sprint("r", i), i%3)
 			h.run(d, h.now+5*ms)
 			for _, s := range h.sends {
 				if r := d.requests[s.id]; r != nil && s.n < len(r.attempts) && !r.attempts[s.n].ended && (i+s.n)%3 == 0 {
-					h.over(d, s.id, s.n, Served)
+					h.endAttempt(d, s.id, s.n, Served)
 				}
 			}
 		}
@@ -161,7 +161,7 @@
 
 func TestMisuse(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
-	h.ask(d, "r", 0)
+	h.submit(d, "r", 0)
 	for what, got := range map[string][2]error{
 		"class":         {d.SubmitRequest(h.now, Request{ID: "x", Class: 3, TimeLeft: 1}), ErrBadRequest},
 		"tenant":        {d.SubmitRequest(h.now, Request{ID: "x", Tenant: 1, TimeLeft: 1}), ErrBadRequest},
@@ -201,7 +201,7 @@
 		set := settings()
 		set.Classes = slices.Clone(set.Classes)
 		change(&set)
-		if _, err := New(set, 1, &fake{}); err == nil {
+		if _, err := New(set, 1, &fakeHost{}); err == nil {
 			t.Errorf("%s: no error", what)
 		}
 	}
@@ -214,13 +214,13 @@
 // anything is sent: the drain of the only idle worker may be the last of it.
 func TestNothingIsSentBeforeAllIsReadAfterAStall(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
-	h.ask(d, "old", 0)
-	h.over(d, "old", 0, Served)
+	h.submit(d, "old", 0)
+	h.endAttempt(d, "old", 0, Served)
 	h.run(d, h.now+time.Second)
 	h.now += 260 * ms // no turn
 	sends := len(h.sends)
 	for i := range 6 {
-		h.ask(d, fmt.Sprint("r", i), 0)
+		h.submit(d, fmt.Sprint("r", i), 0)
 	}
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
 	if len(h.sends) != sends {
@@ -242,7 +242,7 @@
 func TestAStallIsNoSignOfWorkers(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
 	h.run(d, h.now+time.Second)
-	h.ask(d, "r", 0)
+	h.submit(d, "r", 0)
 	due := h.timers
 	h.now += 2 * time.Second // no turn
 	h.timers = nil
@@ -254,7 +254,7 @@
 	if err := d.AttemptStarted(h.now, "r", 0); err != nil {
 		t.Fatal(err)
 	}
-	h.over(d, "r", 0, Served)
+	h.endAttempt(d, "r", 0, Served)
 	h.run(d, h.now+20*ms)
 	if w := d.workersByName["w0"]; w.limit != unlimited || w.unhealthyUntil != 0 || d.classes[0].samples > 0 {
 		t.Errorf("sigma %v, doubt %v, %v jobs learned from", w.limit, w.unhealthyUntil, d.classes[0].samples)
--- a/health_test.go
+++ b/health_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-func (h *fake) began(d *Dispatcher, id string, n int) {
+func (h *fakeHost) began(d *Dispatcher, id string, n int) {
 	h.t.Helper()
 	if err := d.AttemptStarted(h.now, id, n); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
-func newRequest(d *Dispatcher, h *fake, id string) *request {
+func newRequest(d *Dispatcher, h *fakeHost, id string) *request {
 	d.lastSerial++
 	r := &request{class: d.classes[0], Request: Request{ID: id, Slots: 1}, serial: d.lastSerial, tenant: d.tenants[0],
 		deadline: h.now + 5*time.Second, targetAt: h.now + time.Second}
@@ -27,23 +27,23 @@
 	set := settings()
 	set.StartNotified = false
 	d, h := start(t, set, fleet(1)...)
-	h.ask(d, "a", 0)
-	h.over(d, "a", 0, ConnectFailed)
+	h.submit(d, "a", 0)
+	h.endAttempt(d, "a", 0, ConnectFailed)
 	if len(h.sends) != 2 {
 		t.Fatal("one failure is the connection's, not the worker's")
 	}
-	h.over(d, "a", 1, ConnectFailed)
+	h.endAttempt(d, "a", 1, ConnectFailed)
 	h.run(d, h.now+100*ms)
 	if len(h.sends) != 2 {
 		t.Fatal("sent again at once")
 	}
 	h.run(d, h.now+2*minUnhealthyBackoff)
-	h.ask(d, "b", 0)
-	h.ask(d, "c", 0)
-	if h.tries["b"] != 1 || h.tries["c"] != 0 {
-		t.Errorf("trial: %d and %d sends", h.tries["b"], h.tries["c"])
+	h.submit(d, "b", 0)
+	h.submit(d, "c", 0)
+	if h.attempts["b"] != 1 || h.attempts["c"] != 0 {
+		t.Errorf("trial: %d and %d sends", h.attempts["b"], h.attempts["c"])
 	}
-	h.over(d, "b", 0, Served)
+	h.endAttempt(d, "b", 0, Served)
 	if d.workersByName["w0"].unhealthyUntil != 0 {
 		t.Error("still doubted after a success")
 	}
@@ -59,7 +59,7 @@
 		set.FIFOWorkers, set.Dispatchers = true, 2
 		d, h := start(t, set, fleet(1)...)
 		w := d.workersByName["w0"]
-		h.ask(d, "mute", class)
+		h.submit(d, "mute", class)
 		h.now += minOvertakeGap + ms
 		d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "v", Cell: 5, Weight: 1}}) // the rule on copies allows no other cell
 		d.send(h.now, newRequest(d, h, "other"), w)
@@ -71,10 +71,10 @@
 		if effect == NotIdempotent {
 			want = 1
 		}
-		if h.tries["mute"] != want {
-			t.Errorf("effect %d: %d attempts", effect, h.tries["mute"])
+		if h.attempts["mute"] != want {
+			t.Errorf("effect %d: %d attempts", effect, h.attempts["mute"])
 		}
-		h.over(d, "mute", 0, TimedOut)
+		h.endAttempt(d, "mute", 0, TimedOut)
 		if w.unhealthyUntil != 0 || w.limit != unlimited {
 			t.Errorf("effect %d: the worker is blamed: until %v, sigma %v", effect, w.unhealthyUntil, w.limit)
 		}
@@ -90,14 +90,14 @@
 	set := settings()
 	set.FIFOWorkers = true
 	d, h := start(t, set, fleet(1)...)
-	h.ask(d, "mute", 2)
+	h.submit(d, "mute", 2)
 	h.run(d, h.now+500*ms)
 	if w := d.workersByName["w0"]; w.inFlight != 0 || w.notStarted != 0 {
 		t.Errorf("%v slots held, %d to start", w.inFlight, w.notStarted)
 	}
 	h.run(d, h.now+time.Second)
-	h.ask(d, "next", 2)
-	if h.tries["next"] != 1 {
+	h.submit(d, "next", 2)
+	if h.attempts["next"] != 1 {
 		t.Fatal("nothing goes to the worker any more")
 	}
 	h.began(d, "next", 0)
@@ -112,7 +112,7 @@
 func TestOverdueJobsAreNotCounted(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
 	d.classes[2].meanRuntime = 0.1
-	h.ask(d, "long", 2)
+	h.submit(d, "long", 2)
 	h.began(d, "long", 0)
 	w := d.workersByName["w0"]
 	h.run(d, h.now+500*ms)
@@ -126,7 +126,7 @@
 	if err := d.AttemptProgressed(h.now, "long", 0, 0.5); err != nil || w.inFlight != 1 {
 		t.Errorf("%v slots held after a report of progress, error %v", w.inFlight, err)
 	}
-	h.over(d, "long", 0, Served)
+	h.endAttempt(d, "long", 0, Served)
 	if w.inFlight != 0 || w.notStarted != 0 {
 		t.Errorf("%v slots held in the end, %d to start", w.inFlight, w.notStarted)
 	}
@@ -143,12 +143,12 @@
 		d.send(h.now, newRequest(d, h, id), w)
 		h.began(d, id, 0)
 	}
-	h.over(d, "a", 0, ConnectionLost)
+	h.endAttempt(d, "a", 0, ConnectionLost)
 	if w.unhealthyUntil != 0 || w.limit != unlimited || w.warmAt != 0 {
 		t.Errorf("one of three: left alone until %v, sigma %v, cold until %v", w.unhealthyUntil, w.limit, w.warmAt)
 	}
-	h.over(d, "b", 0, ConnectionLost)
-	h.over(d, "c", 0, ConnectionLost)
+	h.endAttempt(d, "b", 0, ConnectionLost)
+	h.endAttempt(d, "c", 0, ConnectionLost)
 	if w.unhealthyUntil <= h.now || w.warmAt <= h.now {
 		t.Errorf("all: left alone until %v, cold until %v", w.unhealthyUntil, w.warmAt)
 	}
@@ -164,17 +164,17 @@
 		failed := 0
 		for i := range 200 {
 			id := fmt.Sprint("r", i)
-			h.ask(d, id, 0)
-			for n := 0; h.ends[id] == "" && n < h.tries[id]; n++ {
+			h.submit(d, id, 0)
+			for n := 0; h.ends[id] == "" && n < h.attempts[id]; n++ {
 				at := slices.IndexFunc(h.sends, func(s sent) bool { return s.id == id && s.n == n })
 				if h.sends[at].worker == "w0" {
 					failed++
-					h.over(d, id, n, o)
+					h.endAttempt(d, id, n, o)
 					continue
 				}
 				h.began(d, id, n)
 				h.run(d, h.now+5*ms)
-				h.over(d, id, n, Served)
+				h.endAttempt(d, id, n, Served)
 			}
 			h.run(d, h.now+5*ms)
 		}
@@ -216,13 +216,13 @@
 	slow.runtimeRatio, d.meanWork = 8, 0.1 // no request has come yet
 	for i := range 50 {
 		id := fmt.Sprint("r", i)
-		h.ask(d, id, 0)
+		h.submit(d, id, 0)
 		if h.last() == "w0" {
 			t.Fatal("a job went where it must be late")
 		}
 		h.began(d, id, 0)
 		h.run(d, h.now+100*ms)
-		h.over(d, id, 0, Served)
+		h.endAttempt(d, id, 0, Served)
 		slow.runtimeRatio = 8
 	}
 	h.run(d, h.now+time.Minute)
--- a/host_test.go
+++ b/host_test.go
@@ -1,6 +1,6 @@
 package sedgevale
 
-// A Host for tests, and what all tests of the package begin with.
+// A Host for tests, and the helpers of all tests of the package.
 
 import (
 	"fmt"
@@ -28,35 +28,35 @@
 	worker string
 }
 
-// fake is a host that records its calls, and a clock.
-type fake struct {
-	t       *testing.T
-	now     time.Duration
-	sends   []sent
-	tries   map[string]int
-	ends    map[string]string
-	cancels []string
-	probes  []string
-	closes  []closed
-	timers  []timerAt
-	watches int
-	trace   strings.Builder
+// fakeHost is a host that records its calls, and a clock.
+type fakeHost struct {
+	t        *testing.T
+	now      time.Duration
+	sends    []sent
+	attempts map[string]int
+	ends     map[string]string
+	cancels  []string
+	probes   []string
+	closes   []closed
+	timers   []timerAt
+	watches  int
+	trace    strings.Builder
 }
 
-func (h *fake) note(format string, args ...any) {
+func (h *fakeHost) note(format string, args ...any) {
 	fmt.Fprintf(&h.trace, "%d "+format+"\n", append([]any{h.now}, args...)...)
 }
 
-func (h *fake) Send(id, worker string, timeout time.Duration) {
+func (h *fakeHost) Send(id, worker string, timeout time.Duration) {
 	if h.ends[id] != "" {
 		h.t.Errorf("%s sent after its end", id)
 	}
-	h.sends = append(h.sends, sent{id, worker, h.tries[id], h.now})
-	h.tries[id]++
+	h.sends = append(h.sends, sent{id, worker, h.attempts[id], h.now})
+	h.attempts[id]++
 	h.note("send %s %s %d", id, worker, timeout)
 }
 
-func (h *fake) end(id, how string) {
+func (h *fakeHost) end(id, how string) {
 	if h.ends[id] != "" {
 		h.t.Errorf("%s ended twice: %s, %s", id, h.ends[id], how)
 	}
@@ -64,36 +64,36 @@
 	h.note("%s %s", how, id)
 }
 
-func (h *fake) Reject(id string, _ time.Duration) { h.end(id, "refused") }
+func (h *fakeHost) Reject(id string, _ time.Duration) { h.end(id, "refused") }
 
-func (h *fake) Fail(id string) { h.end(id, "failed") }
+func (h *fakeHost) Fail(id string) { h.end(id, "failed") }
 
-func (h *fake) Cancel(id string, n int) {
+func (h *fakeHost) Cancel(id string, n int) {
 	h.cancels = append(h.cancels, fmt.Sprint(id, n))
 	h.note("cancel %s %d", id, n)
 }
 
-func (h *fake) SetTimer(after time.Duration, token uint64) {
+func (h *fakeHost) SetTimer(after time.Duration, token uint64) {
 	h.timers = append(h.timers, timerAt{h.now + after, token})
 	h.note("timer %d %d", after, token)
 }
 
-func (h *fake) Probe(worker string) {
+func (h *fakeHost) Probe(worker string) {
 	h.probes = append(h.probes, worker)
 	h.note("probe %s", worker)
 }
 
-func (h *fake) CloseIdleConnections(worker string) {
+func (h *fakeHost) CloseIdleConnections(worker string) {
 	h.closes = append(h.closes, closed{h.now, worker})
 	h.note("close %s", worker)
 }
 
-func (h *fake) WatchWorkers() { h.watches++; h.note("watch") }
+func (h *fakeHost) WatchWorkers() { h.watches++; h.note("watch") }
 
-func (h *fake) Log(text string) { h.note("log %s", text) }
+func (h *fakeHost) Log(text string) { h.note("log %s", text) }
 
 // last returns the worker of the last send, or "".
-func (h *fake) last() string {
+func (h *fakeHost) last() string {
 	if len(h.sends) == 0 {
 		return ""
 	}
@@ -101,7 +101,7 @@
 }
 
 // run lets the timers up to a time pass.
-func (h *fake) run(d *Dispatcher, to time.Duration) {
+func (h *fakeHost) run(d *Dispatcher, to time.Duration) {
 	for {
 		next := -1
 		for i, t := range h.timers {
@@ -132,9 +132,9 @@
 	}
 }
 
-func start(t *testing.T, set Settings, workers ...WorkerInfo) (*Dispatcher, *fake) {
+func start(t *testing.T, set Settings, workers ...WorkerInfo) (*Dispatcher, *fakeHost) {
 	t.Helper()
-	h := &fake{t: t, now: time.Hour, tries: map[string]int{}, ends: map[string]string{}}
+	h := &fakeHost{t: t, now: time.Hour, attempts: map[string]int{}, ends: map[string]string{}}
 	d, err := New(set, 1, h)
 	if err != nil {
 		t.Fatal(err)
@@ -151,14 +151,14 @@
 	return all
 }
 
-func (h *fake) ask(d *Dispatcher, id string, class int) {
+func (h *fakeHost) submit(d *Dispatcher, id string, class int) {
 	h.t.Helper()
 	if err := d.SubmitRequest(h.now, Request{ID: id, Class: class, TimeLeft: 5 * time.Second}); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
-func (h *fake) over(d *Dispatcher, id string, n int, o Outcome) {
+func (h *fakeHost) endAttempt(d *Dispatcher, id string, n int, o Outcome) {
 	h.t.Helper()
 	if err := d.AttemptEnded(h.now, AttemptResult{ID: id, Attempt: n, Outcome: o, Answered: o == Served}); err != nil {
 		h.t.Fatal(err)
@@ -168,4 +168,4 @@
 	}
 }
 
-func inTwo(h *fake) time.Duration { return h.now + 2*time.Second }
+func inTwo(h *fakeHost) time.Duration { return h.now + 2*time.Second }
--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -50,20 +50,20 @@
 
 // simulation is a fleet with a number of slots behind a Queue, in virtual time.
 type simulation struct {
-	d       *Queue
-	fifo    bool // in place of the Queue's order: first come, first served
-	queue   []Request
-	inside  int
-	slots   int
-	r       *rand.Rand
-	now     time.Duration
-	agenda  events
-	seq     int
-	served  []float64 // work done, by co-op
-	when    []work    // let in
-	asked   []work
-	refused func(a Request, after time.Duration)
-	in      func(a Request)
+	fair       *Queue
+	fifo       bool // in place of the Queue's order: first come, first served
+	queue      []Request
+	inFlight   int
+	slots      int
+	r          *rand.Rand
+	now        time.Duration
+	agenda     events
+	seq        int
+	served     []float64 // work done, by tenant
+	admitted   []work    // by the queue, or by fifo
+	arrived    []work
+	onRejected func(a Request, after time.Duration)
+	onAdmitted func(a Request)
 }
 
 func newSimulation(t testing.TB, slots int, seed uint64) *simulation {
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &simulation{d: d, slots: slots, r: rand.New(rand.NewPCG(seed, 3)), served: make([]float64, len(testTenants)), now: time.Second}
+	return &simulation{fair: d, slots: slots, r: rand.New(rand.NewPCG(seed, 3)), served: make([]float64, len(testTenants)), now: time.Second}
 }
 
 func (w *simulation) after(d time.Duration, do func()) {
@@ -92,71 +92,71 @@
 // begin runs a job; its time is its cost, heavy-tailed.
 func (w *simulation) begin(a Request) {
 	w.served[a.Tenant] += a.Cost
-	w.when = append(w.when, work{w.now, a.Tenant, a.Cost})
-	if w.in != nil {
-		w.in(a)
+	w.admitted = append(w.admitted, work{w.now, a.Tenant, a.Cost})
+	if w.onAdmitted != nil {
+		w.onAdmitted(a)
 	}
 	w.after(seconds(a.Cost), func() {
 		if w.fifo {
-			w.inside--
+			w.inFlight--
 			if len(w.queue) > 0 {
 				next := w.queue[0]
 				w.queue = w.queue[1:]
-				w.inside++
+				w.inFlight++
 				w.begin(next)
 			}
 			return
 		}
-		w.d.Release(a.Tenant, a.Cost)
+		w.fair.Release(a.Tenant, a.Cost)
 		w.advance()
 	})
 }
 
 func (w *simulation) advance() {
 	for {
-		a, ok := w.d.Next(w.now)
+		a, ok := w.fair.Next(w.now)
 		if !ok {
 			break
 		}
 		w.begin(a)
 	}
-	for _, e := range w.d.Expire(w.now) {
-		if w.refused != nil {
-			w.refused(e.Request, e.RetryAfter)
+	for _, e := range w.fair.Expire(w.now) {
+		if w.onRejected != nil {
+			w.onRejected(e.Request, e.RetryAfter)
 		}
 	}
 }
 
-func (w *simulation) ask(a Request) {
+func (w *simulation) submit(a Request) {
 	if w.fifo {
-		if w.inside < w.slots {
-			w.inside++
+		if w.inFlight < w.slots {
+			w.inFlight++
 			w.begin(a)
 		} else if len(w.queue) < 6*defaultMaxQueued {
 			w.queue = append(w.queue, a)
 		}
 		return
 	}
-	switch v, after := w.d.Arrive(w.now, a); v {
+	switch v, after := w.fair.Arrive(w.now, a); v {
 	case Admitted:
 		w.begin(a)
 	case Rejected:
-		if w.refused != nil {
-			w.refused(a, after)
+		if w.onRejected != nil {
+			w.onRejected(a, after)
 		}
 	}
 	w.advance()
 }
 
-// load has a tenant ask for work, as many slots as given, from a number of clients.
-func (w *simulation) load(coop int, slots float64, clients int) {
+// load has a tenant submit jobs that take so many slots on average, from a number of clients.
+func (w *simulation) load(tenant int, slots float64, clients int) {
 	const mean = 0.25
 	var next func()
 	next = func() {
 		cost := mean * math.Exp(w.r.NormFloat64()-0.5)
 		cost = min(cost, 2)
-		w.asked = append(w.asked, work{w.now, coop, cost})
-		w.ask(Request{Token: new(int), Tenant: coop, Client: fmt.Sprintf("%d-%d", coop, w.r.IntN(clients)), Cost: cost, MaxWait: 2 * time.Second})
+		w.arrived = append(w.arrived, work{w.now, tenant, cost})
+		w.submit(Request{Token: new(int), Tenant: tenant, Client: fmt.Sprintf("%d-%d", tenant, w.r.IntN(clients)), Cost: cost, MaxWait: 2 * time.Second})
 		w.after(seconds(w.r.ExpFloat64()*mean/slots), next)
 	}
 	w.after(0, next)
@@ -196,8 +196,8 @@
 		}
 		w.run(22 * time.Second)
 		for from := 4 * time.Second; from+5*time.Second <= 22*time.Second; from += time.Second {
-			got, sum := within(w.when, from, from+5*time.Second)
-			asked, _ := within(w.asked, from, from+5*time.Second)
+			got, sum := within(w.admitted, from, from+5*time.Second)
+			asked, _ := within(w.arrived, from, from+5*time.Second)
 			left := 1.0
 			for i := range testTenants {
 				if !isGreedy[i] {
@@ -235,13 +235,13 @@
 	run := func(how string) (r result) {
 		w := newSimulation(t, 40, 11)
 		returned := map[string]bool{}
-		w.in = func(a Request) {
+		w.onAdmitted = func(a Request) {
 			if returned[a.Client] {
 				r.in++
 				delete(returned, a.Client)
 			}
 		}
-		w.refused = func(a Request, after time.Duration) {
+		w.onRejected = func(a Request, after time.Duration) {
 			if returned[a.Client] { // it came back in vain
 				delete(returned, a.Client)
 				return
@@ -256,14 +256,14 @@
 				r.back++
 				returned[a.Client] = true
 				a.Token = new(int)
-				w.ask(a)
+				w.submit(a)
 			})
 		}
 		n := 0
 		var next func()
 		next = func() { // one and a half times the capacity, each client new
 			n++
-			w.ask(Request{Token: new(int), Tenant: n % len(testTenants), Client: fmt.Sprint("c", n), Cost: 0.1, MaxWait: 500 * time.Millisecond})
+			w.submit(Request{Token: new(int), Tenant: n % len(testTenants), Client: fmt.Sprint("c", n), Cost: 0.1, MaxWait: 500 * time.Millisecond})
 			w.after(seconds(w.r.ExpFloat64()*0.1/60), next)
 		}
 		w.after(0, next)
@@ -408,11 +408,11 @@
 	for n := range *names {
 		w.now += time.Hour / time.Duration(*names)
 		a := Request{Token: n, Tenant: n % len(testTenants), Client: fmt.Sprint("client-", n), Cost: 1, MaxWait: time.Second}
-		if v, _ := w.d.Arrive(w.now, a); v == Admitted {
-			w.d.Release(a.Tenant, a.Cost)
+		if v, _ := w.fair.Arrive(w.now, a); v == Admitted {
+			w.fair.Release(a.Tenant, a.Cost)
 		} else if n%8 == 0 {
-			w.d.Next(w.now)
-			w.d.Expire(w.now)
+			w.fair.Next(w.now)
+			w.fair.Expire(w.now)
 		}
 		if n == 10_000 {
 			first = heap() - before
--- a/internal/httpd/endings_test.go
+++ b/internal/httpd/endings_test.go
@@ -30,8 +30,8 @@
 	return func() { close(let) }
 }
 
-// arrived waits until so many bytes lie unread at the server's end of a connection.
-func arrived(t *testing.T, fd, n int) {
+// awaitUnread waits until so many bytes lie unread at the server's end of a connection.
+func awaitUnread(t *testing.T, fd, n int) {
 	t.Helper()
 	buf := make([]byte, n)
 	until(t, "the bytes to arrive", func() bool {
@@ -40,22 +40,22 @@
 	})
 }
 
-// served is an echo that records its connections and requests.
-type served struct {
+// recordingEcho is an echo that records its connections and requests.
+type recordingEcho struct {
 	echo
 	conns chan *Conn
 	fds   chan int
 }
 
-func (h served) Serve(c *Conn, q *Request) {
+func (h recordingEcho) Serve(c *Conn, q *Request) {
 	h.fds <- c.conn.Fd()
 	h.conns <- c
 	h.echo.Serve(c, q)
 }
 
-func startServed(t *testing.T, b *fdlimit.Limiter) (*Server, served) {
+func startServed(t *testing.T, b *fdlimit.Limiter) (*Server, recordingEcho) {
 	t.Helper()
-	h := served{echo{make(chan struct{}, 8)}, make(chan *Conn, 512), make(chan int, 512)}
+	h := recordingEcho{echo{make(chan struct{}, 8)}, make(chan *Conn, 512), make(chan int, 512)}
 	s := New(testkit.FreeAddr(t), 1, h, b, slog.New(slog.DiscardHandler))
 	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	letGo := hold(t, s)
 	s.CloseIdle() // waits behind what holds the loop
 	send(t, c, post)
-	arrived(t, fd, len(post))
+	awaitUnread(t, fd, len(post))
 	letGo()
 	if status, body, _ := answer(t, r); status != 200 || body != "hi" {
 		t.Errorf("%d %q", status, body)
--- a/membership_test.go
+++ b/membership_test.go
@@ -12,10 +12,10 @@
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
 	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}, {Worker: "w1", Zone: 1, Weight: 1}})
 	for i := range 20 {
-		h.ask(d, fmt.Sprint("r", i), i%3)
+		h.submit(d, fmt.Sprint("r", i), i%3)
 		h.now += 10 * ms
-		if h.tries[fmt.Sprint("r", i)] > 0 {
-			h.over(d, fmt.Sprint("r", i), 0, Served)
+		if h.attempts[fmt.Sprint("r", i)] > 0 {
+			h.endAttempt(d, fmt.Sprint("r", i), 0, Served)
 		}
 	}
 	for _, s := range h.sends {
@@ -44,7 +44,7 @@
 			t.Fatalf("%d watches after %d breaks", h.watches, i-1)
 		}
 	}
-	h.ask(d, "r", 0)
+	h.submit(d, "r", 0)
 	if len(h.sends) != 1 {
 		t.Error("the old list does not stand")
 	}
@@ -76,7 +76,7 @@
 	set := settings()
 	set.DrainCloseTimeout = 1500 * ms
 	d, h := start(t, set, fleet(1)...)
-	h.ask(d, "r", 0)
+	h.submit(d, "r", 0)
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
 	if len(h.closes) != 1 {
 		t.Fatalf("%d closes at the notice", len(h.closes))
@@ -86,7 +86,7 @@
 	h.run(d, h.now+3*time.Second)
 	before := len(h.closes)
 	outcome := h.now
-	h.over(d, "r", 0, Served)
+	h.endAttempt(d, "r", 0, Served)
 	if len(h.closes) != before+1 {
 		t.Fatal("not closed after the last outcome")
 	}
--- a/peers_test.go
+++ b/peers_test.go
@@ -19,7 +19,7 @@
 	d.SetSiblingLoad(h.now, map[string]Load{"w0": {InFlight: 3, NotStarted: 1}, "stranger": {InFlight: 9}})
 	for i := range 3 {
 		id := fmt.Sprint("r", i)
-		h.ask(d, id, 0)
+		h.submit(d, id, 0)
 		if h.last() != "w1" {
 			t.Errorf("job %d went to %s, where the other has three", i, h.last())
 		}
@@ -65,15 +65,15 @@
 	d, h := start(t, set, workers...)
 	for i := range 60 {
 		id := fmt.Sprint("r", i)
-		h.ask(d, id, i%3)
+		h.submit(d, id, i%3)
 		h.run(d, h.now+10*ms)
-		if h.tries[id] == 0 {
+		if h.attempts[id] == 0 {
 			continue
 		}
 		_ = d.AttemptStarted(h.now, id, 0)
 		h.run(d, h.now+30*ms)
 		if i%7 == 6 {
-			h.over(d, id, 0, Rejected)
+			h.endAttempt(d, id, 0, Rejected)
 		} else {
 			_ = d.AttemptEnded(h.now, AttemptResult{ID: id, Outcome: Served, Answered: true, Report: &LoadReport{HasFreeSlots: true, FreeSlots: 3}})
 			h.ends[id] = "served"
@@ -116,7 +116,7 @@
 	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w0", Load: Load{InFlight: 3, NotStarted: 1}}, {Worker: "stranger", Load: Load{InFlight: 9}}})
 	for i := range 2 {
 		id := fmt.Sprint("r", i)
-		h.ask(d, id, 0)
+		h.submit(d, id, 0)
 		if h.last() != "w1" {
 			t.Errorf("job %d went to %s, where others have three", i, h.last())
 		}
@@ -144,7 +144,7 @@
 	d, h := start(t, settings(), fleet(1)...)
 	d.TrackLoadChanges()
 	full := func(id string) bool {
-		h.ask(d, id, 0)
+		h.submit(d, id, 0)
 		reported := d.AppendLoadChanges(nil)
 		if len(reported) != 1 || reported[0].Worker != "w0" {
 			t.Fatalf("reported %v, want w0 alone", reported)
@@ -197,7 +197,7 @@
 	d, h := start(t, settings(), fleet(20)...)
 	d.SetSubset(h.now, []string{"w3", "w7", "stranger"}, 4)
 	for i := range 8 {
-		h.ask(d, fmt.Sprint("r", i), 0)
+		h.submit(d, fmt.Sprint("r", i), 0)
 	}
 	ours := map[string]bool{"w3": true, "w7": true}
 	for _, w := range d.workers {
@@ -208,7 +208,7 @@
 	for name := range ours {
 		d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: name, State: Draining}})
 	}
-	if h.ask(d, "out", 0); ours[h.last()] {
+	if h.submit(d, "out", 0); ours[h.last()] {
 		t.Errorf("the job went to %s, which leaves", h.last())
 	}
 	if d.workersByName[h.last()] == nil || d.workersByName[h.last()].inFlight == 0 {
--- a/placement_test.go
+++ b/placement_test.go
@@ -17,26 +17,26 @@
 	d, h := start(t, set, all...)
 	for i := range 30 {
 		id := fmt.Sprint("r", i)
-		h.ask(d, id, 0)
-		if h.last() != "w77" || h.tries[id] != 1 {
-			t.Fatalf("%d sends, the last to %s", h.tries[id], h.last())
+		h.submit(d, id, 0)
+		if h.last() != "w77" || h.attempts[id] != 1 {
+			t.Fatalf("%d sends, the last to %s", h.attempts[id], h.last())
 		}
-		h.over(d, id, 0, Served)
+		h.endAttempt(d, id, 0, Served)
 	}
-	h.ask(d, "zone", 1)
+	h.submit(d, "zone", 1)
 	for n := range 3 {
 		if w := d.workersByName[h.last()]; w.Zone != 1 {
 			t.Errorf("attempt %d went to zone %d", n, w.Zone)
 		}
-		h.over(d, "zone", n, ConnectFailed)
+		h.endAttempt(d, "zone", n, ConnectFailed)
 	}
-	h.ask(d, "nowhere", 2)
+	h.submit(d, "nowhere", 2)
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w77", Kind: 1, Zone: 1, State: Draining, Weight: 1}})
-	h.ask(d, "none", 0)
+	h.submit(d, "none", 0)
 	sends := len(h.sends)
-	h.ask(d, "other", 1) // is not stopped by those that find nothing
+	h.submit(d, "other", 1) // is not stopped by those that find nothing
 	h.run(d, h.now+6*time.Second)
-	if h.tries["nowhere"]+h.tries["none"] > 0 || h.ends["none"] != "refused" || h.ends["nowhere"] != "refused" {
+	if h.attempts["nowhere"]+h.attempts["none"] > 0 || h.ends["none"] != "refused" || h.ends["nowhere"] != "refused" {
 		t.Errorf("%q, %q, want both refused unsent", h.ends["none"], h.ends["nowhere"])
 	}
 	if len(h.sends) == sends {
@@ -66,9 +66,9 @@
 	set := settings()
 	set.AllowCancel = false
 	d, h := start(t, set, fleet(2)...)
-	h.ask(d, "a", 0)
+	h.submit(d, "a", 0)
 	hung := h.last()
-	h.ask(d, "b", 0)
+	h.submit(d, "b", 0)
 	if h.last() == hung {
 		t.Error("second job to a worker that has not started the first")
 	}
@@ -77,8 +77,8 @@
 	if w := d.workersByName[hung]; w.unhealthyUntil <= h.now || w.limit == unlimited {
 		t.Errorf("overdue start: left alone until %v, sigma %v", w.unhealthyUntil, w.limit)
 	}
-	h.ask(d, "c", 0)
-	h.ask(d, "e", 0)
+	h.submit(d, "c", 0)
+	h.submit(d, "e", 0)
 	for _, s := range h.sends[2:] {
 		if s.worker == hung {
 			t.Error("job to a stuck worker")
@@ -110,7 +110,7 @@
 func TestKeysHaveHomes(t *testing.T) {
 	homes := map[string]string{}
 	for _, seed := range []uint64{1, 2} {
-		h := &fake{t: t, now: time.Hour, tries: map[string]int{}, ends: map[string]string{}}
+		h := &fakeHost{t: t, now: time.Hour, attempts: map[string]int{}, ends: map[string]string{}}
 		d, _ := New(settings(), seed, h)
 		ws := fleet(20)
 		if seed == 2 {
@@ -124,7 +124,7 @@
 				t.Errorf("key %s: %s and %s", id, homes[id], h.last())
 			}
 			homes[id] = h.last()
-			h.over(d, id, 0, Served)
+			h.endAttempt(d, id, 0, Served)
 		}
 		_ = d.SubmitRequest(h.now, Request{ID: "x", AffinityKey: "k", TimeLeft: 5 * time.Second})
 		_ = d.SubmitRequest(h.now, Request{ID: "y", AffinityKey: "k", TimeLeft: 5 * time.Second})
--- a/probe_test.go
+++ b/probe_test.go
@@ -45,13 +45,13 @@
 		h.probes = nil
 		ask("r")
 		if !changes {
-			if h.tries["r"] != 1 || len(h.probes) > 0 {
-				t.Errorf("%d asked, %d sends though reports stand still", len(h.probes), h.tries["r"])
+			if h.attempts["r"] != 1 || len(h.probes) > 0 {
+				t.Errorf("%d asked, %d sends though reports stand still", len(h.probes), h.attempts["r"])
 			}
 			continue
 		}
-		if len(h.probes) != probeFanout || h.tries["r"] != 0 {
-			t.Fatalf("%d asked, %d sends before any answer", len(h.probes), h.tries["r"])
+		if len(h.probes) != probeFanout || h.attempts["r"] != 0 {
+			t.Fatalf("%d asked, %d sends before any answer", len(h.probes), h.attempts["r"])
 		}
 		d.ProbeResult(h.now, h.probes[0], &LoadReport{HasFreeSlots: true, InFlight: 3})
 		d.ProbeResult(h.now, h.probes[1], &LoadReport{HasFreeSlots: true, FreeSlots: 1})
@@ -61,7 +61,7 @@
 		h.run(d, h.now+100*ms)
 		ask("silent") // no answer comes
 		h.run(d, h.now+2*probeTimeout+ms)
-		if h.tries["silent"] != 1 {
+		if h.attempts["silent"] != 1 {
 			t.Error("held up by a probe that is not answered")
 		}
 		d.ProbeResult(h.now, "gone", &LoadReport{HasFreeSlots: true, FreeSlots: 1})
@@ -96,7 +96,7 @@
 			}
 			d.ProbeResult(h.now, name, &LoadReport{HasFreeSlots: true, FreeSlots: 1})
 		}
-		h.over(d, fmt.Sprint("r", i), 0, Served)
+		h.endAttempt(d, fmt.Sprint("r", i), 0, Served)
 		h.run(d, h.now+60*ms)
 	}
 }
@@ -115,8 +115,8 @@
 		for i := 0; i < len(h.probes); i++ {
 			d.ProbeResult(h.now, h.probes[i], &LoadReport{HasFreeSlots: true, HasInFlight: true, InFlight: held})
 		}
-		if late := held > 20; late != (h.ends["r"] == "refused") || late == (h.tries["r"] == 1) {
-			t.Errorf("%v in hand everywhere: %d sends, end %q", held, h.tries["r"], h.ends["r"])
+		if late := held > 20; late != (h.ends["r"] == "refused") || late == (h.attempts["r"] == 1) {
+			t.Errorf("%v in hand everywhere: %d sends, end %q", held, h.attempts["r"], h.ends["r"])
 		}
 	}
 }
--- a/queue_test.go
+++ b/queue_test.go
@@ -24,7 +24,7 @@
 	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{{Worker: "w", Weight: 1}})
 	for i := 0; len(h.sends) < 40; i++ { // one at a time waits there, so each that ends lets another out
 		h.now += ms
-		h.over(d, h.sends[i].id, 0, Served)
+		h.endAttempt(d, h.sends[i].id, 0, Served)
 	}
 	// All is within the quotas, so all may go out; the order is what is fair.
 	count := map[byte]int{}
@@ -44,7 +44,7 @@
 	set.Tenants = []Tenant{{Share: 1, Quota: 1e6}} // within it, sigma does not bind
 	d, h := start(t, set, fleet(3)...)
 	for i := range 60 {
-		h.ask(d, fmt.Sprint("r", i), 0)
+		h.submit(d, fmt.Sprint("r", i), 0)
 	}
 	at := map[string]int{}
 	for _, s := range h.sends {
@@ -82,13 +82,13 @@
 		id := fmt.Sprint("r", i)
 		_ = d.SubmitRequest(h.now, Request{ID: id, TimeLeft: 5 * time.Second, RuntimeHint: 10 * ms})
 		h.now += ms
-		h.over(d, id, 0, Served)
+		h.endAttempt(d, id, 0, Served)
 	}
 	d.ClientDisconnected(h.now, "none")
 	_ = d.SubmitRequest(h.now, Request{ID: "large", TimeLeft: 5 * time.Second, RuntimeHint: 800 * ms, Slots: 4})
 	h.run(d, h.now+200*ms)
-	if h.tries["large"] != 1 {
-		t.Errorf("large job sent %d times, ended %q", h.tries["large"], h.ends["large"])
+	if h.attempts["large"] != 1 {
+		t.Errorf("large job sent %d times, ended %q", h.attempts["large"], h.ends["large"])
 	}
 }
 
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -12,9 +12,9 @@
 func TestUpdateSettings(t *testing.T) {
 	set := settings()
 	d, h := start(t, set, fleet(3)...)
-	h.ask(d, "once", 2)
-	h.ask(d, "free", 0)
-	h.ask(d, "many", 0)
+	h.submit(d, "once", 2)
+	h.submit(d, "free", 0)
+	h.submit(d, "many", 0)
 	learned := 0.25
 	d.classes[0].meanRuntime = learned
 	next := set
@@ -30,40 +30,40 @@
 	if k := d.classes[1]; k.meanRuntime != learned || k.Idempotency != NotIdempotent || len(d.classesInUse) != 4 {
 		t.Errorf("the class goes on as %+v, %d are kept", k, len(d.classesInUse))
 	}
-	h.over(d, "once", 0, ConnectionLost)
+	h.endAttempt(d, "once", 0, ConnectionLost)
 	if h.ends["once"] != "failed" {
 		t.Errorf("what must not run twice, and whose class is gone, was %q", h.ends["once"])
 	}
-	h.over(d, "free", 0, ConnectionLost)
-	if h.ends["free"] != "refused" || h.tries["free"] != 1 { // 1 attempt now; by its class it is harmless to try again
-		t.Errorf("was %q after %d attempts", h.ends["free"], h.tries["free"])
+	h.endAttempt(d, "free", 0, ConnectionLost)
+	if h.ends["free"] != "refused" || h.attempts["free"] != 1 { // 1 attempt now; by its class it is harmless to try again
+		t.Errorf("was %q after %d attempts", h.ends["free"], h.attempts["free"])
 	}
 	checkRequestsOfFormerClasses(t, d, h, next)
 }
 
 // checkRequestsOfFormerClasses goes on with a request that is older than the settings, and with new ones.
-func checkRequestsOfFormerClasses(t *testing.T, d *Dispatcher, h *fake, next Settings) {
+func checkRequestsOfFormerClasses(t *testing.T, d *Dispatcher, h *fakeHost, next Settings) {
 	t.Helper()
 	next.MaxAttempts = 4
 	if err := d.UpdateSettings(next); err != nil {
 		t.Fatal(err)
 	}
-	h.over(d, "many", 0, ConnectionLost)
-	if h.tries["many"] != 2 {
-		t.Errorf("a job that came as harmless to repeat had %d attempts", h.tries["many"])
+	h.endAttempt(d, "many", 0, ConnectionLost)
+	if h.attempts["many"] != 2 {
+		t.Errorf("a job that came as harmless to repeat had %d attempts", h.attempts["many"])
 	}
-	h.ask(d, "strict", 1)
-	h.over(d, "strict", 0, ConnectionLost)
-	if h.ends["strict"] != "failed" || h.tries["strict"] != 1 {
-		t.Errorf("a job of the stricter class was %q after %d attempts", h.ends["strict"], h.tries["strict"])
+	h.submit(d, "strict", 1)
+	h.endAttempt(d, "strict", 0, ConnectionLost)
+	if h.ends["strict"] != "failed" || h.attempts["strict"] != 1 {
+		t.Errorf("a job of the stricter class was %q after %d attempts", h.ends["strict"], h.attempts["strict"])
 	}
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "special", Kind: 7, Weight: 1}})
-	h.ask(d, "new", 0)
+	h.submit(d, "new", 0)
 	if h.last() != "special" {
 		t.Errorf("the new class went to %s", h.last())
 	}
-	h.over(d, "new", 0, Served)
-	h.over(d, "many", 1, Served)
+	h.endAttempt(d, "new", 0, Served)
+	h.endAttempt(d, "many", 1, Served)
 	h.run(d, h.now+10*time.Second)
 	if err := d.UpdateSettings(next); err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	set := settings()
 	d, h := start(t, set)
 	for i := range 3 {
-		h.ask(d, string(rune('a'+i)), i)
+		h.submit(d, string(rune('a'+i)), i)
 	}
 	d.classes[1].meanRuntime = 0.5
 	set.Classes = slices.Clone(set.Classes[:1])
@@ -96,8 +96,8 @@
 	}
 	d.WorkersUpdated(h.now, UpdateFull, fleet(3))
 	for _, id := range []string{"a", "b", "c"} {
-		if h.tries[id] != 1 {
-			t.Errorf("%s was sent %d times", id, h.tries[id])
+		if h.attempts[id] != 1 {
+			t.Errorf("%s was sent %d times", id, h.attempts[id])
 		}
 	}
 }
--- a/rejection_test.go
+++ b/rejection_test.go
@@ -10,7 +10,7 @@
 func TestRejectedOnlyWhenNothingRan(t *testing.T) {
 	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		d, h := start(t, settings(), fleet(1)...)
-		h.ask(d, "r", class)
+		h.submit(d, "r", class)
 		h.run(d, h.now+6*time.Second) // no outcome until the client's time is up
 		want := "failed"
 		if effect == Idempotent {
@@ -21,7 +21,7 @@
 		}
 	}
 	d, h := start(t, settings())
-	h.ask(d, "r", 2)
+	h.submit(d, "r", 2)
 	h.run(d, h.now+time.Second)
 	if h.ends["r"] != "refused" {
 		t.Errorf("never sent: %q, want refused", h.ends["r"])
@@ -32,12 +32,12 @@
 	d, h := start(t, settings(), fleet(1)...)
 	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 0.1, meanCompletion: 0.1, samples: 10, inFlight: 1}
 	d.tenants[0].pendingWork[0], d.capacity, d.pools[0].noCapacity = 10, 1, true
-	h.ask(d, "late", 0)
+	h.submit(d, "late", 0)
 	if h.ends["late"] != "refused" {
 		t.Errorf("behind 10 s of work: %q", h.ends["late"])
 	}
 	d.tenants[0].pendingWork[0] = 0
-	h.ask(d, "fine", 0)
+	h.submit(d, "fine", 0)
 	if h.ends["fine"] != "" {
 		t.Errorf("behind nothing: %q", h.ends["fine"])
 	}
@@ -48,8 +48,8 @@
 func TestRejectionsEndByThemselves(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 0.1, meanCompletion: 3, samples: 1000}
-	h.ask(d, "trial", 0)
-	if h.tries["trial"] != 1 {
+	h.submit(d, "trial", 0)
+	if h.attempts["trial"] != 1 {
 		t.Fatal("no job is let through to renew the mean")
 	}
 	for range 200 {
@@ -74,7 +74,7 @@
 	d, h := start(t, settings(), fleet(2)...)
 	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 1, meanHint: 1, meanCompletion: 1.05, samples: 1000, inFlight: 1}
 	_ = d.SubmitRequest(h.now, Request{ID: "short", TimeLeft: 5 * time.Second, RuntimeHint: 10 * ms})
-	if h.tries["short"] != 1 {
+	if h.attempts["short"] != 1 {
 		t.Errorf("short job: %q", h.ends["short"])
 	}
 }
@@ -82,11 +82,11 @@
 func TestOneLongWaitCountsForTwoLatencyTargets(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	*d.classes[0] = class{Class: d.classes[0].Class, pool: d.pools[0], meanRuntime: 0.1, meanCompletion: 0.1, samples: 1000}
-	h.ask(d, "r", 0)
+	h.submit(d, "r", 0)
 	h.run(d, h.now+4*time.Second)
 	_ = d.AttemptStarted(h.now, "r", 0)
 	h.now += 100 * ms
-	h.over(d, "r", 0, Served)
+	h.endAttempt(d, "r", 0, Served)
 	if want := 0.1 + meanGain*maxWaitTargets*0.2; math.Abs(d.classes[0].meanCompletion-want) > 1e-6 {
 		t.Errorf("mean completion %v, want %v", d.classes[0].meanCompletion, want)
 	}
@@ -99,7 +99,7 @@
 		set := settings()
 		set.MaxAttempts, set.Classes[2].LateValue = 1, late
 		d, h := start(t, set, fleet(2)...)
-		h.ask(d, "r", 2)
+		h.submit(d, "r", 2)
 		h.run(d, h.now+250*ms)
 		if ended := h.ends["r"] == "failed" && len(h.cancels) == 1; ended != (late == 0) {
 			t.Errorf("late share %v: end %q, %d called off", late, h.ends["r"], len(h.cancels))
--- a/retry_test.go
+++ b/retry_test.go
@@ -11,13 +11,13 @@
 	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		for o := Errored; o <= NotSent; o++ {
 			d, h := start(t, settings(), fleet(4)...)
-			h.ask(d, "r", class)
+			h.submit(d, "r", class)
 			if len(h.sends) != 1 {
 				t.Fatalf("not sent at once: %v", h.sends)
 			}
 			first := d.workersByName[h.last()]
 			h.now += ms
-			h.over(d, "r", 0, o)
+			h.endAttempt(d, "r", 0, o)
 			again, mayRepeat := len(h.sends) > 1, d.provesNeverRan(o) || effect != NotIdempotent
 			if again && !mayRepeat {
 				t.Errorf("effect %d, outcome %d: sent again", effect, o)
@@ -38,7 +38,7 @@
 // A request that is idempotent by key may not be retried once its window is over.
 func TestKeyedWindow(t *testing.T) {
 	d, h := start(t, settings(), fleet(4)...)
-	h.ask(d, "r", 1)
+	h.submit(d, "r", 1)
 	h.now += 1950 * ms
 	r := d.requests["r"]
 	for _, w := range d.workers {
@@ -53,7 +53,7 @@
 	set := settings()
 	set.Classes[1].DedupWindow = 80 * ms
 	d, h := start(t, set, fleet(6)...)
-	h.ask(d, "r", 1)
+	h.submit(d, "r", 1)
 	r := d.requests["r"]
 	mate := d.workersByName[fmt.Sprint("w", (d.workersByName[h.last()].index+2)%6)] // of the same zone
 	if !d.mayAttempt(h.now+60*ms, r, mate) || d.mayAttempt(h.now+75*ms, r, mate) {
@@ -65,7 +65,7 @@
 	set := settings()
 	set.AllowHedging = false
 	d, h := start(t, set, fleet(4)...)
-	h.ask(d, "r", 0)
+	h.submit(d, "r", 0)
 	for _, w := range d.workers {
 		if d.mayAttempt(h.now, d.requests["r"], w) {
 			t.Error("a second attempt would be sent while the first is in flight")
@@ -101,26 +101,26 @@
 	set.Classes[1].DedupScope = DedupCell
 	set.Classes[1].DedupWindow = 1500 * ms
 	d, h := start(t, set, fleet(40)...)
-	h.ask(d, "unsafe", 2)
-	h.over(d, "unsafe", 0, Rejected)
-	if h.tries["unsafe"] != 1 || h.ends["unsafe"] != "failed" {
-		t.Errorf("unsafe: %d sends, end %q", h.tries["unsafe"], h.ends["unsafe"])
+	h.submit(d, "unsafe", 2)
+	h.endAttempt(d, "unsafe", 0, Rejected)
+	if h.attempts["unsafe"] != 1 || h.ends["unsafe"] != "failed" {
+		t.Errorf("unsafe: %d sends, end %q", h.attempts["unsafe"], h.ends["unsafe"])
 	}
 	for i := range 20 {
 		id := fmt.Sprint("k", i)
-		h.ask(d, id, 1)
+		h.submit(d, id, 1)
 		cell := d.workersByName[h.last()].Cell
-		h.over(d, id, 0, Rejected)
-		if h.tries[id] != 2 || d.workersByName[h.last()].Cell != cell {
-			t.Fatalf("keyed: %d sends, cell %d after %d", h.tries[id], d.workersByName[h.last()].Cell, cell)
+		h.endAttempt(d, id, 0, Rejected)
+		if h.attempts[id] != 2 || d.workersByName[h.last()].Cell != cell {
+			t.Fatalf("keyed: %d sends, cell %d after %d", h.attempts[id], d.workersByName[h.last()].Cell, cell)
 		}
-		h.over(d, id, 1, Served)
+		h.endAttempt(d, id, 1, Served)
 	}
-	h.ask(d, "late", 1)
+	h.submit(d, "late", 1)
 	h.run(d, h.now+1450*ms)
-	h.over(d, "late", 0, Rejected)
-	if h.tries["late"] != 1 || h.ends["late"] != "failed" {
-		t.Errorf("after its window: %d sends, end %q", h.tries["late"], h.ends["late"])
+	h.endAttempt(d, "late", 0, Rejected)
+	if h.attempts["late"] != 1 || h.ends["late"] != "failed" {
+		t.Errorf("after its window: %d sends, end %q", h.attempts["late"], h.ends["late"])
 	}
 }
 
@@ -129,7 +129,7 @@
 func TestOverdueStartsAreRescheduled(t *testing.T) {
 	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		d, h := start(t, settings(), fleet(8)...)
-		h.ask(d, "r", class)
+		h.submit(d, "r", class)
 		first := h.last()
 		h.run(d, h.now+120*ms)
 		if moved := len(h.cancels) == 1; moved != (effect != NotIdempotent) {
@@ -144,7 +144,7 @@
 		if w := d.workersByName[first]; w.unhealthyUntil <= h.now {
 			t.Errorf("doubted until %v: it can give no sign of this job any more", w.unhealthyUntil-h.now)
 		}
-		h.over(d, "r", 0, Cancelled)
+		h.endAttempt(d, "r", 0, Cancelled)
 		if len(h.sends) != 2 || h.last() == first {
 			t.Errorf("effect %d: %d sends, the last to %s after %s", effect, len(h.sends), h.last(), first)
 		}
@@ -161,9 +161,9 @@
 	} {
 		d, h := start(t, settings(), fleet(8)...)
 		d.classes[0].meanRuntime, d.classes[0].baseRuntime = 0.3, 0.3 // so that the start is waited for longer
-		h.ask(d, "full", 0)
+		h.submit(d, "full", 0)
 		h.now += c.after
-		h.over(d, "full", 0, Rejected)
+		h.endAttempt(d, "full", 0, Rejected)
 		d.addInFlight(d.workers[1], c.held)
 		h.cancels = nil
 		h.run(d, h.now+400*ms)
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -158,9 +158,9 @@
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-// phase changes a worker's phase and returns once the scheduler knows: it has
+// setPhase changes a worker's phase and returns once the scheduler knows: it has
 // asked for what comes after.
-func (f *fleet) phase(name, phase string) {
+func (f *fleet) setPhase(name, phase string) {
 	f.t.Helper()
 	f.mu.Lock()
 	members := append([]discovery.Member(nil), f.list.Members...)
@@ -240,8 +240,8 @@
 	return os.Stderr.Write(b)
 }
 
-// logged waits for a line of the log that has the text in it.
-func (c *child) logged(text string) {
+// awaitLog waits for a line of the log that has the text in it.
+func (c *child) awaitLog(text string) {
 	c.t.Helper()
 	for {
 		if strings.Contains(testkit.Await(c.t, "the log's "+text, c.log), text) {
@@ -315,8 +315,8 @@
 	c.t.Fatal("the scheduler is not ready")
 }
 
-// ended waits for the program to end by itself, with 0.
-func (c *child) ended() {
+// awaitExit waits for the program to end by itself, with 0.
+func (c *child) awaitExit() {
 	c.t.Helper()
 	if err := testkit.Await(c.t, "the program's end", c.exited); err != nil {
 		c.t.Errorf("ended with %v", err)
--- a/scheduler/journal_test.go
+++ b/scheduler/journal_test.go
@@ -124,7 +124,7 @@
 	f.next().finish("y")
 	testkit.Await(t, "the answer", after)
 	c.signal(syscall.SIGTERM)
-	c.ended()
+	c.awaitExit()
 	for _, id := range []string{"before", "after"} {
 		if status, r := next.askJournal("?job=" + id); status != 200 || r.Verdict != "ran" {
 			t.Errorf("%s: %d %+v", id, status, r)
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -65,7 +65,7 @@
 		}
 	}
 	passedOver("out-", "after the call")
-	f.phase(host, "ready") // discovery lists it anew
+	f.setPhase(host, "ready") // discovery lists it anew
 	if w := serve("listed"); w == host {
 		t.Errorf("a job went to %s after it was listed anew", w)
 	}
@@ -91,7 +91,7 @@
 func checkUnhealthyInDrain(t *testing.T, c *child) {
 	t.Helper()
 	c.signal(syscall.SIGTERM)
-	c.logged("draining: answering")
+	c.awaitLog("draining: answering")
 	if got := c.callOps("GET", "health", ""); got != 503 {
 		t.Errorf("stopping, but health is %d", got)
 	}
--- a/scheduler/platformapi_test.go
+++ b/scheduler/platformapi_test.go
@@ -179,7 +179,7 @@
 			t.Errorf("%s: %+v", want, a)
 		}
 	}
-	c.ended()
+	c.awaitExit()
 }
 
 // What proves that a job never ran lets even plan-change be retried; without that proof
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	c.signal(syscall.SIGHUP)
-	c.logged("the new configuration is bad")
+	c.awaitLog("the new configuration is bad")
 
 	asked := make(chan string, 64)
 	c.config.Discovery = f.serve(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -55,9 +55,9 @@
 	if got := testkit.Await(t, "a call at the new address", asked); got != "/v1/endpoints" {
 		t.Errorf("first asked %s", got)
 	}
-	c.logged("needs a restart")
+	c.awaitLog("needs a restart")
 	testkit.Await(t, "the watch at the new address", asked)
-	f.phase("v", "draining")
+	f.setPhase("v", "draining")
 	for i := range 6 {
 		onKept(fmt.Sprint("kept-", i+1))
 	}
@@ -73,14 +73,14 @@
 func checkReloadInDrain(t *testing.T, c *child, answer <-chan reply, r *attempt) {
 	t.Helper()
 	c.signal(syscall.SIGTERM)
-	c.logged("draining: answering")
+	c.awaitLog("draining: answering")
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration reloaded")
+	c.awaitLog("configuration reloaded")
 	r.finish("first")
 	if a := testkit.Await(t, "the answer", answer); a.status != 200 || a.body != "first" {
 		t.Errorf("open since before: %+v", a)
 	}
-	c.ended()
+	c.awaitExit()
 }
 
 // Reloads with jobs in flight: classes appear, become stricter and vanish, fewer attempts
@@ -105,7 +105,7 @@
 	c.config.Settings.Bounds.MaxAttempts = 2
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration reloaded")
+	c.awaitLog("configuration reloaded")
 	if a := testkit.Await(t, "the answer", post(c.addr, "/plan-change", job("gone")...)); a.status != 404 {
 		t.Errorf("a class that is gone: %+v", a)
 	}
@@ -116,7 +116,7 @@
 	c.config.Settings.Classes = classes[1:]
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration reloaded")
+	c.awaitLog("configuration reloaded")
 	s = subscribe(t, "GET", c.sse, "usage-view", "Request-Id", "stream")
 	streamed.finish("streamed")
 	if last, _ := s.rest(); last.name != "result" {
@@ -162,9 +162,9 @@
 	c.config.Discovery = testkit.FreeAddr(t)
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("the new configuration is bad")
+	c.awaitLog("the new configuration is bad")
 	c.config.Discovery = good
-	f.phase("w", "ready") // still asked
+	f.setPhase("w", "ready") // still asked
 	got := post(c.addr, "/usage-view-ii", job("kept")...)
 	f.next().finish("kept")
 	if a := testkit.Await(t, "the answer", got); a.status != 200 {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -2,6 +2,25 @@
 // watches the list of workers, and forwards requests to them as the decision module
 // (package sedgevale) says. A program needs no more than Serve; one that embeds a scheduler
 // calls New and Run.
+//
+// A request's way:
+//
+//   - httpd.Conn.read parses it on an event loop of the server and calls the handler:
+//     platformapi.Handler.Serve, or sse.Handler.Serve for an event stream. jobrequest.Parser.Parse
+//     returns its job and deadline.
+//   - The handler submits a dispatch.Exchange, to the admission queue (driver.Driver) if there is
+//     one, else to the planners (dispatch.Set), of which one takes it, by its ID.
+//   - Planner.submit passes it to sedgevale.Dispatcher.SubmitRequest, on the goroutine of
+//     Planner.Run. The Dispatcher answers by calls of the Planner as its Host: Send, Cancel, Reject,
+//     Fail.
+//   - Planner.Send gives an attempt to the upstream.Pool, which sends it on the event loop of the
+//     connections to workers, and reports its start, progress and outcome as events of the
+//     Planner. With a journal the attempt waits until its intent is durable.
+//   - Planner.AttemptEnded and the timers lead to the final answer, Exchange.answer, or to a retry.
+//     The client side (dispatch.Client) posts the response to its connection's event loop.
+//
+// The reverse proxy (internal/reverseproxy) makes an Exchange of each of its requests, too, with a
+// planner and a carrier of its own.
 package scheduler
 
 import (
--- a/scheduler/stream_test.go
+++ b/scheduler/stream_test.go
@@ -158,7 +158,7 @@
 	r := f.next()
 	r.write(`"state":"started"`)
 	s.until("started")
-	f.phase(r.worker, "draining")
+	f.setPhase(r.worker, "draining")
 	before := f.count(r.worker)
 	for range 6 {
 		other := subscribe(t, "POST", c.sse, "usage-view")
--- a/scheduler/tenants_test.go
+++ b/scheduler/tenants_test.go
@@ -40,7 +40,7 @@
 	c.setTenants(all...)
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration reloaded")
+	c.awaitLog("configuration reloaded")
 }
 
 // startTenants starts a scheduler with tenants, and with more of its file changed.
@@ -143,8 +143,8 @@
 			out[r.id] = r
 		}
 	}
-	f.phase("v", "draining")
-	f.phase("w", "draining")
+	f.setPhase("v", "draining")
+	f.setPhase("w", "draining")
 	for _, name := range tenants {
 		id := "held-" + name
 		streams[id] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
@@ -189,8 +189,8 @@
 	}
 	streams["held-newcomer"] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", "newcomer", "Request-Id", "held-newcomer")
 	streams["held-newcomer"].until("accepted")
-	f.phase("v", "ready")
-	f.phase("w", "ready")
+	f.setPhase("v", "ready")
+	f.setPhase("w", "ready")
 	for range 3 {
 		f.serveNext()
 	}
@@ -210,8 +210,8 @@
 		streams[id] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
 		streams[id].until("accepted")
 	}
-	f.phase("v", "draining")
-	f.phase("w", "draining")
+	f.setPhase("v", "draining")
+	f.setPhase("w", "draining")
 	hold("leaver", "first-leaver")
 	hold("co-op", "first-co-op")
 	c.reloadTenants()
@@ -221,8 +221,8 @@
 	hold("co-op", "second-co-op")
 	c.checkRejected("leaver", "late")
 	c.checkRejected("anybody", "late-as-well")
-	f.phase("v", "ready")
-	f.phase("w", "ready")
+	f.setPhase("v", "ready")
+	f.setPhase("w", "ready")
 	for range streams {
 		f.serveNext()
 	}
@@ -243,8 +243,8 @@
 	first := f.next()
 	first.write(`"state":"started"`)
 	busy.until("started")
-	f.phase("v", "draining")
-	f.phase("w", "draining")
+	f.setPhase("v", "draining")
+	f.setPhase("w", "draining")
 	streams := map[string]*stream{}
 	hold := func(name string, from, to int) {
 		for i := from; i < to; i++ {
@@ -259,8 +259,8 @@
 	hold("light", 0, 2) // which shows that the file is in force
 	hold("heavy", 24, 28)
 	hold("co-op", 4, 8)
-	f.phase("v", "ready")
-	f.phase("w", "ready")
+	f.setPhase("v", "ready")
+	f.setPhase("w", "ready")
 	for range len(streams) / 2 {
 		f.serveNext()
 	}
@@ -296,7 +296,7 @@
 	begin("leaver", "old-leaver")
 	begin("co-op", "old-co-op")
 	next := c.startSuccessor()
-	c.logged("the new process accepts connections")
+	c.awaitLog("the new process accepts connections")
 	begin("leaver", "new-leaver") // at the new process, by the first file
 	begin("stays", "new-stays")
 	newest := []tenant{{"stays", 0.2, 5}, {"newcomer", 0.5, 10}, {"co-op", 0.2, 30}}
@@ -311,15 +311,15 @@
 	streams["old-leaver"] = subscribe(t, "GET", next.sse, "plan-change", "Request-Id", "old-leaver")
 	streams["old-leaver"].until("started")
 	c.signal(syscall.SIGTERM)
-	c.logged("draining: answering")
+	c.awaitLog("draining: answering")
 	for id, r := range runs {
 		r.finish(id)
 	}
 	for id, s := range streams {
 		s.result(id)
 	}
-	c.ended()
-	next.logged("continuing alone")
+	c.awaitExit()
+	next.awaitLog("continuing alone")
 	next.checkRejected("leaver", "later")
 	for _, one := range newest {
 		begin(one.Name, "alone-"+one.Name)
@@ -343,7 +343,7 @@
 	c.setTenants(tenant{"newcomer", 0.2, 5}, tenant{"co-op", 0.8, 20})
 	next := c.startSuccessor()
 	c.config = before
-	c.logged("the new process accepts connections")
+	c.awaitLog("the new process accepts connections")
 	next.checkRejected("leaver", "late")
 	for _, name := range []string{"newcomer", "co-op"} {
 		s := subscribe(t, "POST", next.sse, "plan-change", "Tenant", name, "Request-Id", "new-"+name)
@@ -351,11 +351,11 @@
 		s.result("new-" + name)
 	}
 	c.signal(syscall.SIGTERM)
-	c.logged("draining: answering")
+	c.awaitLog("draining: answering")
 	r.finish("old")
 	old.result("old")
-	c.ended()
-	next.logged("continuing alone")
+	c.awaitExit()
+	next.awaitLog("continuing alone")
 }
 
 // Guards the newest tenants over an upgrade by a file that has become invalid since: the new process has those of the one that serves.
@@ -374,17 +374,17 @@
 		t.Fatal(err)
 	}
 	c.signal(syscall.SIGHUP)
-	c.logged("the new configuration is bad")
+	c.awaitLog("the new configuration is bad")
 	next := &child{t: t, file: c.file, addr: c.addr, sse: c.addr, config: c.config}
 	next.config.Ops = testkit.FreeAddr(t)
 	next.launch()
 	t.Cleanup(next.kill)
-	next.logged("using that of the serving process")
-	c.logged("the new process accepts connections")
+	next.awaitLog("using that of the serving process")
+	c.awaitLog("the new process accepts connections")
 	for i, kill := range []bool{false, true} {
 		if kill {
 			c.kill()
-			next.logged("continuing alone")
+			next.awaitLog("continuing alone")
 		}
 		for name, want := range map[string]int{"newcomer": 200, "co-op": 200, "leaver": 400} {
 			got := post(next.addr, "/usage-view", jobOfTenant(name, fmt.Sprint(name, "-", i))...)
@@ -449,7 +449,7 @@
 	c.setTenants() // the queue needs tenants to share among
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("the new configuration is bad")
+	c.awaitLog("the new configuration is bad")
 	wait("right", each, each+1)
 	f.serveNext()
 	streams[fmt.Sprint("right-", each)].result(fmt.Sprint("right-", each))
--- a/scheduler/termination_test.go
+++ b/scheduler/termination_test.go
@@ -42,13 +42,13 @@
 		}
 	}()
 	c.signal(syscall.SIGTERM)
-	c.logged("draining: answering")
+	c.awaitLog("draining: answering")
 	var all sync.WaitGroup
 	for i, conn := range conns {
 		all.Go(func() { sendUntilEnded(t, conn, i) })
 	}
 	all.Wait()
-	c.ended()
+	c.awaitExit()
 }
 
 // sendUntilEnded sends jobs on a connection until that has ended. Every fourth client leaves
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -108,7 +108,7 @@
 	serveKept(t, conn, kept, "kept-1")
 	stop := clients(c.addr)
 	next := c.startSuccessor()
-	c.logged("the new process accepts connections")
+	c.awaitLog("the new process accepts connections")
 	if a := testkit.Await(t, "the answer", post(c.addr, "/plan-change", job("open")...)); a.status != 500 {
 		t.Errorf("the id of a job that the old process has open: %+v", a)
 	}
@@ -120,7 +120,7 @@
 		t.Error("the old process closes a kept connection though it does not drain")
 	}
 	c.signal(syscall.SIGTERM)
-	c.logged("draining: answering")
+	c.awaitLog("draining: answering")
 	if !serveKept(t, conn, kept, "kept-3") {
 		t.Error("the old process keeps a connection open though it drains")
 	}
@@ -128,8 +128,8 @@
 	if a := testkit.Await(t, "the answer", open); a.status != 200 || a.body != "first" {
 		t.Errorf("open since before: %+v", a)
 	}
-	c.ended()
-	next.logged("continuing alone")
+	c.awaitExit()
+	next.awaitLog("continuing alone")
 	if got := next.callOps("POST", "uncordon", "u"); got != 200 {
 		t.Errorf("uncordon at the new process: %d", got)
 	}
@@ -162,7 +162,7 @@
 		t.Fatalf("cordon at the old process: %d", got)
 	}
 	c.kill()
-	next.logged("continuing alone")
+	next.awaitLog("continuing alone")
 	for i := range 8 {
 		got := post(c.addr, "/usage-view", job(fmt.Sprint("job-", i))...)
 		r := f.next()
@@ -187,7 +187,7 @@
 	f.next().write(`"state":"started"`)
 	before := orphan.until("started")
 	next := c.startSuccessor()
-	c.logged("the new process accepts connections")
+	c.awaitLog("the new process accepts connections")
 	s.leave()
 	again := subscribe(t, "POST", c.sse, "plan-change", "Request-Id", "moved")
 	if again.status != 409 {
@@ -203,7 +203,7 @@
 		t.Errorf("the stream went on with %v and %s", names, end.data)
 	}
 	c.kill()
-	next.logged("continuing alone")
+	next.awaitLog("continuing alone")
 	orphan = subscribe(t, "GET", c.sse, "plan-change", "Last-Event-ID", before.id)
 	if end, names := orphan.rest(); end.name != "failed" || end.field(t, "outcome") != "unknown" ||
 		end.field(t, "repeat_safe") != false || len(names) != 1 {
@@ -220,9 +220,9 @@
 	f := newFleet(t, "w")
 	c := startChild(t, f)
 	next := c.startSuccessor()
-	c.logged("the new process accepts connections")
+	c.awaitLog("the new process accepts connections")
 	next.kill()
-	c.logged("continuing alone")
+	c.awaitLog("continuing alone")
 	serve := func(id string) {
 		t.Helper()
 		got := post(c.addr, "/usage-view", job(id)...)
@@ -258,13 +258,13 @@
 		t.Fatal(err)
 	}
 	c.signal(syscall.SIGHUP)
-	c.logged("the new configuration is bad")
+	c.awaitLog("the new configuration is bad")
 	next := &child{t: t, file: c.file, addr: c.addr, config: c.config}
 	next.config.Ops = testkit.FreeAddr(t)
 	next.launch()
 	t.Cleanup(next.kill)
-	next.logged("using that of the serving process")
-	c.logged("the new process accepts connections")
+	next.awaitLog("using that of the serving process")
+	c.awaitLog("the new process accepts connections")
 	c.kill()
 	got := post(c.addr, "/served-by", job("one")...)
 	f.next().finish("")
@@ -287,5 +287,5 @@
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("healthy after %v", took)
 	}
-	next.logged("takeover failed")
+	next.awaitLog("takeover failed")
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -16,14 +16,14 @@
 	d, h := start(t, set, fleet(9)...)
 	serve := func(from, n int) { // a job each 20 ms that takes 100 ms
 		for i := from; i < from+n; i++ {
-			h.ask(d, fmt.Sprint("r", i), 0)
+			h.submit(d, fmt.Sprint("r", i), 0)
 			h.run(d, h.now+20*ms)
 			for _, s := range h.sends {
 				if r := d.requests[s.id]; r != nil && !r.attempts[s.n].ended {
 					if a := &r.attempts[s.n]; a.startedAt == 0 {
 						_ = d.AttemptStarted(h.now, s.id, s.n)
 					} else if h.now >= s.at+100*ms {
-						h.over(d, s.id, s.n, Served)
+						h.endAttempt(d, s.id, s.n, Served)
 					}
 				}
 			}
@@ -131,7 +131,7 @@
 }
 
 // warmingUp counts the workers that warm up.
-func warmingUp(d *Dispatcher, h *fake) (n int) {
+func warmingUp(d *Dispatcher, h *fakeHost) (n int) {
 	for _, w := range d.workers {
 		if w.warmAt > h.now {
 			n++
@@ -141,7 +141,7 @@
 }
 
 // failEnough ends as many attempts at a worker as it takes to presume a restart: fewer may be single connections.
-func failEnough(d *Dispatcher, h *fake, worker int, o Outcome) {
+func failEnough(d *Dispatcher, h *fakeHost, worker int, o Outcome) {
 	r := &request{class: d.classes[0], tenant: d.tenants[0], Request: Request{Slots: 1}}
 	for range minConnFailuresForRestart {
 		d.learn(h.now, r, &attempt{worker: d.workers[worker]}, o)
@@ -207,14 +207,14 @@
 }
 
 // serveDone serves the jobs that are done and returns the others.
-func serveDone(d *Dispatcher, h *fake, open []timedJob, now time.Duration) []timedJob {
+func serveDone(d *Dispatcher, h *fakeHost, open []timedJob, now time.Duration) []timedJob {
 	keep := open[:0]
 	for _, j := range open {
 		if j.done > now || d.requests[j.id] == nil {
 			keep = append(keep, j)
 			continue
 		}
-		h.over(d, j.id, 0, Served)
+		h.endAttempt(d, j.id, 0, Served)
 	}
 	return keep
 }
@@ -229,10 +229,10 @@
 }
 
 // startAlike starts dispatchers that know the same workers.
-func startAlike(t *testing.T, set Settings, peers, workers int) (all []*Dispatcher, hosts []*fake) {
+func startAlike(t *testing.T, set Settings, peers, workers int) (all []*Dispatcher, hosts []*fakeHost) {
 	t.Helper()
 	for i := range peers {
-		h := &fake{t: t, now: time.Hour, tries: map[string]int{}, ends: map[string]string{}}
+		h := &fakeHost{t: t, now: time.Hour, attempts: map[string]int{}, ends: map[string]string{}}
 		d, err := New(set, uint64(i), h)
 		if err != nil {
 			t.Fatal(err)
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -15,23 +15,23 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 300) }
 
-// patient returns settings by which a job may be queued for seconds.
-func patient() Settings {
+// longQueueSettings returns settings by which a job may be queued for seconds.
+func longQueueSettings() Settings {
 	set := settings()
 	set.Classes[0].LatencyTarget = 4 * time.Second
 	return set
 }
 
-// teams returns settings with these tenants: names, then shares.
-func teams(names string, shares ...float64) Settings {
-	set := patient()
+// tenantSettings returns settings with these tenants: names, then shares.
+func tenantSettings(names string, shares ...float64) Settings {
+	set := longQueueSettings()
 	for i, s := range shares {
 		set.Tenants = append(set.Tenants, Tenant{Name: names[i : i+1], Share: s})
 	}
 	return set
 }
 
-func (h *fake) askFor(d *Dispatcher, id string, tenant int, left time.Duration) {
+func (h *fakeHost) askFor(d *Dispatcher, id string, tenant int, left time.Duration) {
 	h.t.Helper()
 	if err := d.SubmitRequest(h.now, Request{ID: id, Tenant: tenant, TimeLeft: left, RuntimeHint: 100 * ms}); err != nil {
 		h.t.Fatal(err)
@@ -69,7 +69,7 @@
 // Guards what other tenants have when some come, go and change: their order, whose turn it is, their credit, what
 // they have learned and what they hold stay to the bit.
 func TestOtherTenantsStayToTheBit(t *testing.T) {
-	set := teams("abcd", 4, 3, 2, 1)
+	set := tenantSettings("abcd", 4, 3, 2, 1)
 	for i := range set.Tenants {
 		set.Tenants[i].Quota = 3
 	}
@@ -77,7 +77,7 @@
 	for i := range 40 {
 		h.askFor(d, fmt.Sprint("r", i), i%4, 5*time.Second)
 		if i%5 == 0 {
-			h.over(d, h.sends[i/5].id, 0, Served)
+			h.endAttempt(d, h.sends[i/5].id, 0, Served)
 		}
 	}
 	h.run(d, h.now+150*ms)
@@ -125,17 +125,17 @@
 }
 
 // serveAll has all that is sent served, also what is sent meanwhile.
-func (h *fake) serveAll(d *Dispatcher) {
+func (h *fakeHost) serveAll(d *Dispatcher) {
 	for done := 0; done < len(h.sends); done++ {
 		h.now += 10 * ms
-		h.over(d, h.sends[done].id, 0, Served)
+		h.endAttempt(d, h.sends[done].id, 0, Served)
 	}
 }
 
 // Guards the jobs of a removed tenant: what is pending or in flight ends as before, what was submitted before and comes
 // late is admitted, and after that nothing is left of the tenant.
 func TestTenantIsRetiredAfterItsJobs(t *testing.T) {
-	d, h := start(t, teams("abc", 2, 1, 1), WorkerInfo{Worker: "w", Weight: 1})
+	d, h := start(t, tenantSettings("abc", 2, 1, 1), WorkerInfo{Worker: "w", Weight: 1})
 	for i := range 6 {
 		h.askFor(d, fmt.Sprint("c", i), 2, 5*time.Second)
 	}
@@ -143,7 +143,7 @@
 	if held == 0 || len(h.sends) == 0 {
 		t.Fatalf("%v held, %d sent", held, len(h.sends))
 	}
-	if err := d.UpdateSettings(teams("ab", 2, 1)); err != nil {
+	if err := d.UpdateSettings(tenantSettings("ab", 2, 1)); err != nil {
 		t.Fatal(err)
 	}
 	if c := d.tenants[2]; c.share != 0.25 || c.pendingSlots != held {
@@ -163,7 +163,7 @@
 }
 
 // checkShareOfRemovedTenant checks the share of tenant c, which is removed and has no job left.
-func checkShareOfRemovedTenant(t *testing.T, d *Dispatcher, h *fake) {
+func checkShareOfRemovedTenant(t *testing.T, d *Dispatcher, h *fakeHost) {
 	t.Helper()
 	if a, c := d.tenants[0], d.tenants[2]; c.share != 0 || a.share != 2.0/3 {
 		t.Errorf("without a job it has a share of %v, and a has %v", c.share, a.share)
@@ -172,7 +172,7 @@
 	if a, c := d.tenants[0], d.tenants[2]; c.share != 0.25 || a.share != 0.5 {
 		t.Errorf("with a job again it has a share of %v, and a has %v", c.share, a.share)
 	}
-	h.over(d, "late", 0, Served)
+	h.endAttempt(d, "late", 0, Served)
 	h.run(d, h.now+5*time.Second+2*roundInterval)
 	if d.turns() != "ab" || d.removedTenants != 0 || d.TenantIndex("c") != -1 {
 		t.Errorf("turns %s, %d gone, number %d", d.turns(), d.removedTenants, d.TenantIndex("c"))
@@ -184,14 +184,14 @@
 
 // Guards what is known of a tenant whose removal is taken back: it goes on as it was.
 func TestRemovedTenantIsRestored(t *testing.T) {
-	set := teams("ab", 1, 1)
+	set := tenantSettings("ab", 1, 1)
 	d, h := start(t, set, fleet(3)...)
 	h.askFor(d, "r", 1, 5*time.Second)
-	h.over(d, "r", 0, Served)
+	h.endAttempt(d, "r", 0, Served)
 	b := d.tenants[1]
 	jobs, deficit := b.sentJobs, b.deficit
 	for range 3 {
-		for _, s := range []Settings{teams("a", 1), set} {
+		for _, s := range []Settings{tenantSettings("a", 1), set} {
 			if err := d.UpdateSettings(s); err != nil {
 				t.Fatal(err)
 			}
@@ -210,7 +210,7 @@
 // Guards a quota that changes for a tenant that sends all that it may: from then on it is within its share at the new
 // rate, up and down.
 func TestTenantHalvedAtItsQuota(t *testing.T) {
-	set := teams("ab", 1, 9)
+	set := tenantSettings("ab", 1, 9)
 	set.Tenants[0].Quota, set.Tenants[1].Quota = 40, 40
 	d, h := start(t, set, fleet(3)...)
 	d.arrivals, d.tenants[0].arrivals = 10, 10 // more than its share of what arrives
@@ -240,16 +240,16 @@
 
 // Guards the step from no tenants to some and back: jobs of before end as they would have.
 func TestTenantsAppearAndVanish(t *testing.T) {
-	d, h := start(t, patient(), WorkerInfo{Worker: "w", Weight: 1})
+	d, h := start(t, longQueueSettings(), WorkerInfo{Worker: "w", Weight: 1})
 	for i := range 4 {
 		h.askFor(d, fmt.Sprint("any", i), -1, 5*time.Second)
 	}
-	if err := d.UpdateSettings(teams("ab", 1, 1)); err != nil {
+	if err := d.UpdateSettings(tenantSettings("ab", 1, 1)); err != nil {
 		t.Fatal(err)
 	}
 	h.askFor(d, "a", 0, 5*time.Second)
 	h.askFor(d, "late", d.TenantIndex(""), 5*time.Second)
-	if err := d.UpdateSettings(patient()); err != nil {
+	if err := d.UpdateSettings(longQueueSettings()); err != nil {
 		t.Fatal(err)
 	}
 	h.askFor(d, "again", -1, 5*time.Second)
@@ -294,7 +294,7 @@
 type tenantsModel struct {
 	set         Settings
 	d           *Dispatcher
-	h           *fake
+	h           *fakeHost
 	left        map[string]time.Duration // when each name was last in the settings
 	asked, done int
 }
