--- a/health_test.go
+++ b/health_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-func (h *fake) began(d *Dispatcher, id string, n int) {
+func (h *fakeHost) began(d *Dispatcher, id string, n int) {
 	h.t.Helper()
 	if err := d.AttemptStarted(h.now, id, n); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
-func newRequest(d *Dispatcher, h *fake, id string) *request {
+func newRequest(d *Dispatcher, h *fakeHost, id string) *request {
 	d.lastSerial++
 	r := &request{class: d.classes[0], Request: Request{ID: id, Slots: 1}, serial: d.lastSerial, tenant: d.tenants[0],
 		deadline: h.now + 5*time.Second, targetAt: h.now + time.Second}
@@ -22,44 +22,44 @@
 	return r
 }
 
-// A worker that fails to connect is left alone, then tried with one job.
+// Nothing is sent to a worker that fails to connect for a while, then one trial request.
 func TestUnhealthyWorkerIsTriedOnce(t *testing.T) {
 	set := settings()
 	set.StartNotified = false
 	d, h := start(t, set, fleet(1)...)
-	h.ask(d, "a", 0)
-	h.over(d, "a", 0, ConnectFailed)
+	h.submit(d, "a", 0)
+	h.endAttempt(d, "a", 0, ConnectFailed)
 	if len(h.sends) != 2 {
 		t.Fatal("one failure is the connection's, not the worker's")
 	}
-	h.over(d, "a", 1, ConnectFailed)
+	h.endAttempt(d, "a", 1, ConnectFailed)
 	h.run(d, h.now+100*ms)
 	if len(h.sends) != 2 {
 		t.Fatal("sent again at once")
 	}
 	h.run(d, h.now+2*minUnhealthyBackoff)
-	h.ask(d, "b", 0)
-	h.ask(d, "c", 0)
-	if h.tries["b"] != 1 || h.tries["c"] != 0 {
-		t.Errorf("trial: %d and %d sends", h.tries["b"], h.tries["c"])
+	h.submit(d, "b", 0)
+	h.submit(d, "c", 0)
+	if h.attempts["b"] != 1 || h.attempts["c"] != 0 {
+		t.Errorf("trial: %d and %d sends", h.attempts["b"], h.attempts["c"])
 	}
-	h.over(d, "b", 0, Served)
+	h.endAttempt(d, "b", 0, Served)
 	if d.workersByName["w0"].unhealthyUntil != 0 {
 		t.Error("still doubted after a success")
 	}
 }
 
 // Guards against the slots that jobs on silent connections seem to hold until
-// their time-outs land, and against the exclusion of the worker, which is well.
-// The first start of a job sent well after tells; what may run twice goes out
-// again, the backoff is waited for.
+// their time-outs land, and against the exclusion of the worker, which is healthy.
+// The first start of a job sent well after shows it; what may run twice is hedged,
+// after the backoff.
 func TestSilentConnections(t *testing.T) {
 	for class, effect := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 		set := settings()
 		set.FIFOWorkers, set.Dispatchers = true, 2
 		d, h := start(t, set, fleet(1)...)
 		w := d.workersByName["w0"]
-		h.ask(d, "mute", class)
+		h.submit(d, "mute", class)
 		h.now += minOvertakeGap + ms
 		d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "v", Cell: 5, Weight: 1}}) // the rule on copies allows no other cell
 		d.send(h.now, newRequest(d, h, "other"), w)
@@ -71,10 +71,10 @@
 		if effect == NotIdempotent {
 			want = 1
 		}
-		if h.tries["mute"] != want {
-			t.Errorf("effect %d: %d attempts", effect, h.tries["mute"])
+		if h.attempts["mute"] != want {
+			t.Errorf("effect %d: %d attempts", effect, h.attempts["mute"])
 		}
-		h.over(d, "mute", 0, TimedOut)
+		h.endAttempt(d, "mute", 0, TimedOut)
 		if w.unhealthyUntil != 0 || w.limit != unlimited {
 			t.Errorf("effect %d: the worker is blamed: until %v, sigma %v", effect, w.unhealthyUntil, w.limit)
 		}
@@ -84,20 +84,20 @@
 	}
 }
 
-// A late start tells of a silent connection also where nothing is sent after it:
+// A late start shows a silent connection also where nothing is sent after it:
 // the worker is not kept out for good by a job that will never start.
 func TestLateStartDoesNotBlockAWorker(t *testing.T) {
 	set := settings()
 	set.FIFOWorkers = true
 	d, h := start(t, set, fleet(1)...)
-	h.ask(d, "mute", 2)
+	h.submit(d, "mute", 2)
 	h.run(d, h.now+500*ms)
 	if w := d.workersByName["w0"]; w.inFlight != 0 || w.notStarted != 0 {
 		t.Errorf("%v slots held, %d to start", w.inFlight, w.notStarted)
 	}
 	h.run(d, h.now+time.Second)
-	h.ask(d, "next", 2)
-	if h.tries["next"] != 1 {
+	h.submit(d, "next", 2)
+	if h.attempts["next"] != 1 {
 		t.Fatal("nothing goes to the worker any more")
 	}
 	h.began(d, "next", 0)
@@ -107,12 +107,12 @@
 	}
 }
 
-// A job that runs for far too long without a sign of life is written off, and
-// put on them again by its next word.
+// A job that runs for far too long without a report of progress is written off, and
+// put on them again by its next report.
 func TestOverdueJobsAreNotCounted(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
 	d.classes[2].meanRuntime = 0.1
-	h.ask(d, "long", 2)
+	h.submit(d, "long", 2)
 	h.began(d, "long", 0)
 	w := d.workersByName["w0"]
 	h.run(d, h.now+500*ms)
@@ -124,16 +124,16 @@
 		t.Errorf("%v slots held after 10", w.inFlight)
 	}
 	if err := d.AttemptProgressed(h.now, "long", 0, 0.5); err != nil || w.inFlight != 1 {
-		t.Errorf("%v slots held after a word of progress, error %v", w.inFlight, err)
+		t.Errorf("%v slots held after a report of progress, error %v", w.inFlight, err)
 	}
-	h.over(d, "long", 0, Served)
+	h.endAttempt(d, "long", 0, Served)
 	if w.inFlight != 0 || w.notStarted != 0 {
 		t.Errorf("%v slots held in the end, %d to start", w.inFlight, w.notStarted)
 	}
 }
 
 // Guards against workers that are taken for dead because one connection broke
-// while others go on there. When all have broken, the worker is doubted.
+// while others go on there. When all have broken, the worker is unhealthy.
 func TestOneBrokenConnection(t *testing.T) {
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 20*time.Second, 0.1, 3, 2*time.Second
@@ -143,18 +143,18 @@
 		d.send(h.now, newRequest(d, h, id), w)
 		h.began(d, id, 0)
 	}
-	h.over(d, "a", 0, ConnectionLost)
+	h.endAttempt(d, "a", 0, ConnectionLost)
 	if w.unhealthyUntil != 0 || w.limit != unlimited || w.warmAt != 0 {
 		t.Errorf("one of three: left alone until %v, sigma %v, cold until %v", w.unhealthyUntil, w.limit, w.warmAt)
 	}
-	h.over(d, "b", 0, ConnectionLost)
-	h.over(d, "c", 0, ConnectionLost)
+	h.endAttempt(d, "b", 0, ConnectionLost)
+	h.endAttempt(d, "c", 0, ConnectionLost)
 	if w.unhealthyUntil <= h.now || w.warmAt <= h.now {
 		t.Errorf("all: left alone until %v, cold until %v", w.unhealthyUntil, w.warmAt)
 	}
 }
 
-// Guards against a worker that fails each job at once, or turns it away, and so
+// Guards against a worker that fails each job at once, or rejects it, and so
 // always holds the fewest: it would draw all jobs.
 func TestBadAnswersEject(t *testing.T) {
 	for _, o := range []Outcome{Errored, Rejected} {
@@ -164,17 +164,17 @@
 		failed := 0
 		for i := range 200 {
 			id := fmt.Sprint("r", i)
-			h.ask(d, id, 0)
-			for n := 0; h.ends[id] == "" && n < h.tries[id]; n++ {
+			h.submit(d, id, 0)
+			for n := 0; h.ends[id] == "" && n < h.attempts[id]; n++ {
 				at := slices.IndexFunc(h.sends, func(s sent) bool { return s.id == id && s.n == n })
 				if h.sends[at].worker == "w0" {
 					failed++
-					h.over(d, id, n, o)
+					h.endAttempt(d, id, n, o)
 					continue
 				}
 				h.began(d, id, n)
 				h.run(d, h.now+5*ms)
-				h.over(d, id, n, Served)
+				h.endAttempt(d, id, n, Served)
 			}
 			h.run(d, h.now+5*ms)
 		}
@@ -207,27 +207,27 @@
 		served(slow, time.Second)
 		served(quick, 100*ms)
 	}
-	if slow.pace < 3 || quick.pace > 1.1 {
-		t.Errorf("paces %v of a worker ten times as slow, %v of the others", slow.pace, quick.pace)
+	if slow.runtimeRatio < 3 || quick.runtimeRatio > 1.1 {
+		t.Errorf("paces %v of a worker ten times as slow, %v of the others", slow.runtimeRatio, quick.runtimeRatio)
 	}
 	if c := d.classes[0]; c.meanRuntime < 0.12 || c.baseRuntime > 0.12 {
 		t.Errorf("mean running time %v, of the jobs' own %v", c.meanRuntime, c.baseRuntime)
 	}
-	slow.pace, d.meanWork = 8, 0.1 // no request has come yet
+	slow.runtimeRatio, d.meanWork = 8, 0.1 // no request has come yet
 	for i := range 50 {
 		id := fmt.Sprint("r", i)
-		h.ask(d, id, 0)
+		h.submit(d, id, 0)
 		if h.last() == "w0" {
 			t.Fatal("a job went where it must be late")
 		}
 		h.began(d, id, 0)
 		h.run(d, h.now+100*ms)
-		h.over(d, id, 0, Served)
-		slow.pace = 8
+		h.endAttempt(d, id, 0, Served)
+		slow.runtimeRatio = 8
 	}
 	h.run(d, h.now+time.Minute)
-	if slow.pace > 1.1 {
-		t.Errorf("pace %v after a minute without jobs: it would never be tried again", slow.pace)
+	if slow.runtimeRatio > 1.1 {
+		t.Errorf("runtime ratio %v after a minute without jobs: it would never be tried again", slow.runtimeRatio)
 	}
 }
 
@@ -237,11 +237,11 @@
 	d, _ := start(t, settings(), fleet(1)...)
 	r := &request{class: d.classes[0], Request: Request{Slots: 1}, runtime: 0.2, work: 0.2, deadline: time.Hour, targetAt: 600 * ms}
 	// 200 ms + 2 times its own time, less its own time, for one of 0.4 of 200 ms.
-	if got, want := d.slackAtPace(0, r, 1), 0.2+shortJobPart*0.2; got < want-1e-9 || got > want+1e-9 {
+	if got, want := d.slackAt(0, r, 1), 0.2+shortJobFraction*0.2; got < want-1e-9 || got > want+1e-9 {
 		t.Errorf("slack %v, want %v", got, want)
 	}
 	r.RuntimeHint = 200 * ms
-	if got := d.slackAtPace(0, r, 1); got < 0.4-1e-9 || got > 0.4+1e-9 {
+	if got := d.slackAt(0, r, 1); got < 0.4-1e-9 || got > 0.4+1e-9 {
 		t.Errorf("slack %v of a job whose time is known, want 0.4", got)
 	}
 }
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -17,7 +17,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// carrier notes what it is asked to carry.
+// carrier records the attempts that it is given.
 type carrier struct {
 	sent      chan *Attempt
 	cancelled chan *Attempt
@@ -34,7 +34,7 @@
 func (c *carrier) Probe(string, *Planner)      {}
 func (c *carrier) CloseIdleConnections(string) {}
 
-// client notes its answers.
+// client records its answers.
 type client struct {
 	mu      sync.Mutex
 	answers []Answer
@@ -109,8 +109,8 @@
 	}
 }
 
-// Guards against a job without an answer when the worker says nothing, and
-// against a second answer when it speaks later.
+// Guards against a job without an answer when the worker sends nothing, and
+// against a second answer when it sends one later.
 func TestSilentWorkerFailsAtTheDeadlineOnce(t *testing.T) {
 	p, carry, clock := begin(t, "w")
 	c := newClient()
@@ -130,7 +130,7 @@
 	}
 }
 
-// Guards against an unsafe job that goes out again after it may have run, and
+// Guards against a job that is not idempotent and is retried after it may have run, and
 // against a rejection, which would invite the client to send it again.
 func TestUnsafeJobIsNotRepeated(t *testing.T) {
 	p, carry, clock := begin(t, "v", "w")
@@ -146,8 +146,8 @@
 	}
 }
 
-// Guards against a send that was put off until its worker began to drain being
-// taken for a failure: it never ran, so another worker gets it.
+// Guards against a send that was delayed until its worker began to drain being
+// counted as a failure: it never ran, so another worker gets it.
 func TestNotSentIsRetriedElsewhere(t *testing.T) {
 	p, carry, clock := begin(t, "v", "w")
 	c := newClient()
@@ -184,8 +184,8 @@
 	}
 }
 
-// Guards against jobs that are lost when the program ends: who still waits is
-// answered, once.
+// Guards against jobs that are lost when the program ends: each client that still waits
+// is answered, once.
 func TestFailOpen(t *testing.T) {
 	p, carry, clock := begin(t, "w")
 	c := newClient()
@@ -257,8 +257,8 @@
 	}
 }
 
-// Package dispatch deals in requests, attempts and outcomes, and knows no wire.
-func TestDispatchKnowsNoWire(t *testing.T) {
+// Package dispatch deals in requests, attempts and outcomes, and knows no protocol.
+func TestDispatchKnowsNoProtocol(t *testing.T) {
 	files := 0
 	for name, f := range sourcesOf(t, ".", "dispatch") {
 		files++
@@ -318,20 +318,20 @@
 
 // Guards against a job that runs in both processes of an upgrade, and against ids
 // that stay taken when the other has ended it, or has ended itself.
-func TestIDsOfThePartner(t *testing.T) {
+func TestIDsOfTheSibling(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
-	told := make(chan PartnerState, 16)
-	estate := make(chan HandoverState, 1)
+	updates := make(chan SiblingState, 16)
+	handedOver := make(chan HandoverState, 1)
 	mine := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "mine", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, mine))
 	first := testkit.Await(t, "an attempt", carry.sent)
-	p.AddPartner(1, func(s PartnerState) { told <- s }, func(e HandoverState) { estate <- e })
-	if e := testkit.Await(t, "the estate", estate); len(e.Shared.Opened) != 1 || e.Shared.Opened[0] != "mine" ||
+	p.AddSibling(1, func(s SiblingState) { updates <- s }, func(e HandoverState) { handedOver <- e })
+	if e := testkit.Await(t, "the state that is handed over", handedOver); len(e.Shared.Opened) != 1 || e.Shared.Opened[0] != "mine" ||
 		e.Shared.Loads[first.Worker].InFlight != 1 {
 		t.Errorf("handed over %+v", e.Shared)
 	}
-	p.UpdatePartner(1, 0, PartnerState{Opened: []string{"a", "b", "c"}})
-	p.UpdatePartner(1, 0, PartnerState{Ended: []string{"b"}})
+	p.UpdateSibling(1, 0, SiblingState{Opened: []string{"a", "b", "c"}})
+	p.UpdateSibling(1, 0, SiblingState{Ended: []string{"b"}})
 	ask := func(id string) *client {
 		c := newClient()
 		p.SubmitRequest(NewExchange(Job{ID: id, Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c))
@@ -345,15 +345,15 @@
 		t.Errorf("%s was sent", a.ID)
 	}
 	for opened := false; !opened; {
-		s := testkit.Await(t, "what the other is told", told)
+		s := testkit.Await(t, "the sibling's update", updates)
 		opened = len(s.Opened) > 0 && s.Opened[len(s.Opened)-1] == "b"
 	}
 	p.AttemptEnded(first, sedgevale.Served, nil, nil)
 	for ended := false; !ended; {
-		s := testkit.Await(t, "what the other is told", told)
+		s := testkit.Await(t, "the sibling's update", updates)
 		ended = len(s.Ended) > 0 && s.Ended[0] == "mine" && s.Loads[first.Worker].InFlight == 0
 	}
-	p.RemovePartner(1)
+	p.RemoveSibling(1)
 	ask("c")
 	if a := testkit.Await(t, "an attempt", carry.sent); a.ID != "c" {
 		t.Errorf("%s was sent", a.ID)
@@ -390,8 +390,8 @@
 	}
 }
 
-// Guards a job that crosses a change of tenants: it is its own tenant's, whatever number that had when it was read;
-// one that was taken before its tenant went is let in, and one of a tenant that was never there is not.
+// Guards a job that crosses a change of tenants: it stays its own tenant's, whatever index that had when it was parsed;
+// one that was submitted before its tenant was removed is admitted, and one of a tenant that was never there is not.
 func TestUpdateSettingsKeepsTheTenantOfJobs(t *testing.T) {
 	p, carry, clock := begin(t, "w", "v")
 	tenants := func(names string) {
--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -50,20 +50,20 @@
 
 // simulation is a fleet with a number of slots behind a Queue, in virtual time.
 type simulation struct {
-	d       *Queue
-	fifo    bool // in place of the Queue's order: first come, first served
-	queue   []Request
-	inside  int
-	slots   int
-	r       *rand.Rand
-	now     time.Duration
-	agenda  events
-	seq     int
-	served  []float64 // work done, by co-op
-	when    []work    // let in
-	asked   []work
-	refused func(a Request, after time.Duration)
-	in      func(a Request)
+	fair       *Queue
+	fifo       bool // in place of the Queue's order: first come, first served
+	queue      []Request
+	inFlight   int
+	slots      int
+	r          *rand.Rand
+	now        time.Duration
+	agenda     events
+	seq        int
+	served     []float64 // work done, by tenant
+	admitted   []work    // by the queue, or by fifo
+	arrived    []work
+	onRejected func(a Request, after time.Duration)
+	onAdmitted func(a Request)
 }
 
 func newSimulation(t testing.TB, slots int, seed uint64) *simulation {
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &simulation{d: d, slots: slots, r: rand.New(rand.NewPCG(seed, 3)), served: make([]float64, len(testTenants)), now: time.Second}
+	return &simulation{fair: d, slots: slots, r: rand.New(rand.NewPCG(seed, 3)), served: make([]float64, len(testTenants)), now: time.Second}
 }
 
 func (w *simulation) after(d time.Duration, do func()) {
@@ -92,71 +92,71 @@
 // begin runs a job; its time is its cost, heavy-tailed.
 func (w *simulation) begin(a Request) {
 	w.served[a.Tenant] += a.Cost
-	w.when = append(w.when, work{w.now, a.Tenant, a.Cost})
-	if w.in != nil {
-		w.in(a)
+	w.admitted = append(w.admitted, work{w.now, a.Tenant, a.Cost})
+	if w.onAdmitted != nil {
+		w.onAdmitted(a)
 	}
 	w.after(seconds(a.Cost), func() {
 		if w.fifo {
-			w.inside--
+			w.inFlight--
 			if len(w.queue) > 0 {
 				next := w.queue[0]
 				w.queue = w.queue[1:]
-				w.inside++
+				w.inFlight++
 				w.begin(next)
 			}
 			return
 		}
-		w.d.Release(a.Tenant, a.Cost)
+		w.fair.Release(a.Tenant, a.Cost)
 		w.advance()
 	})
 }
 
 func (w *simulation) advance() {
 	for {
-		a, ok := w.d.Next(w.now)
+		a, ok := w.fair.Next(w.now)
 		if !ok {
 			break
 		}
 		w.begin(a)
 	}
-	for _, e := range w.d.Expire(w.now) {
-		if w.refused != nil {
-			w.refused(e.Request, e.RetryAfter)
+	for _, e := range w.fair.Expire(w.now) {
+		if w.onRejected != nil {
+			w.onRejected(e.Request, e.RetryAfter)
 		}
 	}
 }
 
-func (w *simulation) ask(a Request) {
+func (w *simulation) submit(a Request) {
 	if w.fifo {
-		if w.inside < w.slots {
-			w.inside++
+		if w.inFlight < w.slots {
+			w.inFlight++
 			w.begin(a)
 		} else if len(w.queue) < 6*defaultMaxQueued {
 			w.queue = append(w.queue, a)
 		}
 		return
 	}
-	switch v, after := w.d.Arrive(w.now, a); v {
+	switch v, after := w.fair.Arrive(w.now, a); v {
 	case Admitted:
 		w.begin(a)
 	case Rejected:
-		if w.refused != nil {
-			w.refused(a, after)
+		if w.onRejected != nil {
+			w.onRejected(a, after)
 		}
 	}
 	w.advance()
 }
 
-// load has a tenant ask for work, as many slots as given, from a number of clients.
-func (w *simulation) load(coop int, slots float64, clients int) {
+// load has a tenant submit jobs that take so many slots on average, from a number of clients.
+func (w *simulation) load(tenant int, slots float64, clients int) {
 	const mean = 0.25
 	var next func()
 	next = func() {
 		cost := mean * math.Exp(w.r.NormFloat64()-0.5)
 		cost = min(cost, 2)
-		w.asked = append(w.asked, work{w.now, coop, cost})
-		w.ask(Request{Token: new(int), Tenant: coop, Client: fmt.Sprintf("%d-%d", coop, w.r.IntN(clients)), Cost: cost, MaxWait: 2 * time.Second})
+		w.arrived = append(w.arrived, work{w.now, tenant, cost})
+		w.submit(Request{Token: new(int), Tenant: tenant, Client: fmt.Sprintf("%d-%d", tenant, w.r.IntN(clients)), Cost: cost, MaxWait: 2 * time.Second})
 		w.after(seconds(w.r.ExpFloat64()*mean/slots), next)
 	}
 	w.after(0, next)
@@ -176,7 +176,7 @@
 
 // Guards the shares: with greedy tenants at ten times theirs and heavy-tailed work, those within
 // their share get what they ask, and the others split the rest by share, within 5 % of all over
-// any 5 s; without the queue the greedy ones crowd the others out.
+// any 5 s; without the queue the greedy ones starve the others.
 func TestSharesUnderGreed(t *testing.T) {
 	const slots = 100
 	run := func(fifo bool, greedy ...int) (worst, east float64) {
@@ -196,8 +196,8 @@
 		}
 		w.run(22 * time.Second)
 		for from := 4 * time.Second; from+5*time.Second <= 22*time.Second; from += time.Second {
-			got, sum := within(w.when, from, from+5*time.Second)
-			asked, _ := within(w.asked, from, from+5*time.Second)
+			got, sum := within(w.admitted, from, from+5*time.Second)
+			asked, _ := within(w.arrived, from, from+5*time.Second)
 			left := 1.0
 			for i := range testTenants {
 				if !isGreedy[i] {
@@ -228,20 +228,20 @@
 	}
 }
 
-// Guards the delays that rejected clients are told: of those that come back as told most are
-// admitted, more than of those told a constant, and coming back at once gains nothing.
+// Guards the Retry-After of rejections: of the clients that follow it most are admitted, more
+// than of those that wait a constant time, and coming back at once gains nothing.
 func TestRetryAfter(t *testing.T) {
 	type result struct{ back, in int }
 	run := func(how string) (r result) {
 		w := newSimulation(t, 40, 11)
 		returned := map[string]bool{}
-		w.in = func(a Request) {
+		w.onAdmitted = func(a Request) {
 			if returned[a.Client] {
 				r.in++
 				delete(returned, a.Client)
 			}
 		}
-		w.refused = func(a Request, after time.Duration) {
+		w.onRejected = func(a Request, after time.Duration) {
 			if returned[a.Client] { // it came back in vain
 				delete(returned, a.Client)
 				return
@@ -256,14 +256,14 @@
 				r.back++
 				returned[a.Client] = true
 				a.Token = new(int)
-				w.ask(a)
+				w.submit(a)
 			})
 		}
 		n := 0
 		var next func()
-		next = func() { // one and a half times what there is room for, each client new
+		next = func() { // one and a half times the capacity, each client new
 			n++
-			w.ask(Request{Token: new(int), Tenant: n % len(testTenants), Client: fmt.Sprint("c", n), Cost: 0.1, MaxWait: 500 * time.Millisecond})
+			w.submit(Request{Token: new(int), Tenant: n % len(testTenants), Client: fmt.Sprint("c", n), Cost: 0.1, MaxWait: 500 * time.Millisecond})
 			w.after(seconds(w.r.ExpFloat64()*0.1/60), next)
 		}
 		w.after(0, next)
@@ -271,16 +271,16 @@
 		return r
 	}
 	share := func(r result) float64 { return float64(r.in) / float64(max(1, r.back)) }
-	told := run("told")
+	advised := run("advised")
 	constant := run("constant")
 	once := run("at once")
-	t.Logf("let in of those who came back: as told %.3f (%d), after a constant 1 s %.3f (%d), at once %.3f (%d)",
-		share(told), told.back, share(constant), constant.back, share(once), once.back)
-	if share(told) < 0.9 {
-		t.Errorf("of those who came back as told %.3f were let in", share(told))
+	t.Logf("admitted of those that came back: after Retry-After %.3f (%d), after a constant 1 s %.3f (%d), at once %.3f (%d)",
+		share(advised), advised.back, share(constant), constant.back, share(once), once.back)
+	if share(advised) < 0.9 {
+		t.Errorf("of those that came back after Retry-After %.3f were admitted", share(advised))
 	}
-	if share(once) > share(told) || share(constant) > share(told) {
-		t.Error("who ignores the advice gains by it")
+	if share(once) > share(advised) || share(constant) > share(advised) {
+		t.Error("ignoring Retry-After pays off")
 	}
 }
 
@@ -311,7 +311,7 @@
 		m.queued[a.Token] = modelJob{a.Tenant, a.Cost}
 	case Rejected:
 		if after < minRetryAfter || after > defaultMaxRetryAfter {
-			t.Fatalf("told to come back after %v", after)
+			t.Fatalf("Retry-After is %v", after)
 		}
 	}
 }
@@ -365,7 +365,7 @@
 }
 
 // Guards the bounds over any course: never more jobs in flight than allowed, none is queued while
-// there is room, each queued one is admitted or expires, and the queue is no longer than allowed.
+// there is capacity, each queued one is admitted or expires, and the queue is no longer than allowed.
 func TestQueueModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queueModel{t: t, limit: rapid.IntRange(1, 4).Draw(t, "limit"), bound: rapid.IntRange(1, 5).Draw(t, "queue"),
@@ -408,11 +408,11 @@
 	for n := range *names {
 		w.now += time.Hour / time.Duration(*names)
 		a := Request{Token: n, Tenant: n % len(testTenants), Client: fmt.Sprint("client-", n), Cost: 1, MaxWait: time.Second}
-		if v, _ := w.d.Arrive(w.now, a); v == Admitted {
-			w.d.Release(a.Tenant, a.Cost)
+		if v, _ := w.fair.Arrive(w.now, a); v == Admitted {
+			w.fair.Release(a.Tenant, a.Cost)
 		} else if n%8 == 0 {
-			w.d.Next(w.now)
-			w.d.Expire(w.now)
+			w.fair.Next(w.now)
+			w.fair.Expire(w.now)
 		}
 		if n == 10_000 {
 			first = heap() - before
--- a/internal/fleetsim/scheduler.go
+++ b/internal/fleetsim/scheduler.go
@@ -68,7 +68,7 @@
 			Members:        len(sim.schedulers),
 			Site:           1,
 			Generation:     uint16(s.incarnation),
-			MinSubscribers: sim.variant.MinAudience,
+			MinSubscribers: sim.variant.MinSubscribers,
 			MinSubset:      sim.variant.MinSubset,
 		})
 		s.dispatcher.TrackLoadChanges()
@@ -188,7 +188,7 @@
 			Tenant:      j.tenant,
 			TimeLeft:    j.deadline - s.sim.now,
 			Slots:       float64(j.slots),
-			ClientRetry: j.tries > 0,
+			ClientRetry: j.clientRetries > 0,
 		})
 	})
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -60,14 +60,14 @@
 // Order is an operator's cordon order that one process was given and both carry out.
 type Order struct {
 	Number uint64 `json:"number"`
-	Host   string `json:"host"`
-	Out    bool   `json:"out"`
+	Host   string `json:"host"` // the worker
+	Cordon bool   `json:"out"`
 }
 
 // PlannerUpdate is an update that a planner sends its counterpart in the other process.
 type PlannerUpdate struct {
 	Planner int                   `json:"planner"`
-	Shared  dispatch.PartnerState `json:"shared"`
+	Shared  dispatch.SiblingState `json:"shared"`
 }
 
 // Message is one line of a Link. Each field that is set is an update of its own.
@@ -116,7 +116,7 @@
 var ErrNoProcess = errors.New("no other process")
 
 // Join connects to the old process by its socket and receives its listening sockets. The
-// error is ErrNobody if there is no such process; any other one says that it does not
+// error is ErrNoProcess if there is no such process; any other one says that it does not
 // answer in time, or is another scheduler.
 func Join(ctx context.Context, path string, hello Hello) (*Session, error) {
 	name, dir, err := shortPath(path)
@@ -231,7 +231,7 @@
 }
 
 // errMismatch is returned for a process that this one cannot share its state with.
-var errMismatch = errors.New("the other process is another scheduler, or speaks another version")
+var errMismatch = errors.New("the other process is another scheduler, or uses another protocol version")
 
 // readHello reads the other process's Hello, which must match ours.
 func (s *Session) readHello(ours Hello) error {
--- a/internal/httpd/endings_test.go
+++ b/internal/httpd/endings_test.go
@@ -18,10 +18,10 @@
 	"sedgevale/internal/testkit"
 )
 
-// The paths on which a connection ends, each with what is still owed at that moment. The
-// crossings are made by holding the event loop while the other side acts.
+// The ways in which a connection ends, each with the response that is outstanding then. Races
+// are made by blocking the event loop while the other side acts.
 
-// hold keeps the server's event loop from its turns until it is let go.
+// hold blocks the server's event loop until letGo is called.
 func hold(t *testing.T, s *Server) (letGo func()) {
 	t.Helper()
 	held, let := make(chan struct{}), make(chan struct{})
@@ -30,8 +30,8 @@
 	return func() { close(let) }
 }
 
-// arrived waits until so many bytes lie unread at the server's end of a connection.
-func arrived(t *testing.T, fd, n int) {
+// awaitUnread waits until so many bytes lie unread at the server's end of a connection.
+func awaitUnread(t *testing.T, fd, n int) {
 	t.Helper()
 	buf := make([]byte, n)
 	until(t, "the bytes to arrive", func() bool {
@@ -40,22 +40,22 @@
 	})
 }
 
-// served is an echo that notes its connections and what it was asked to serve.
-type served struct {
+// recordingEcho is an echo that records its connections and requests.
+type recordingEcho struct {
 	echo
 	conns chan *Conn
 	fds   chan int
 }
 
-func (h served) Serve(c *Conn, q *Request) {
+func (h recordingEcho) Serve(c *Conn, q *Request) {
 	h.fds <- c.conn.Fd()
 	h.conns <- c
 	h.echo.Serve(c, q)
 }
 
-func startServed(t *testing.T, b *fdlimit.Limiter) (*Server, served) {
+func startServed(t *testing.T, b *fdlimit.Limiter) (*Server, recordingEcho) {
 	t.Helper()
-	h := served{echo{make(chan struct{}, 8)}, make(chan *Conn, 512), make(chan int, 512)}
+	h := recordingEcho{echo{make(chan struct{}, 8)}, make(chan *Conn, 512), make(chan int, 512)}
 	s := New(testkit.FreeAddr(t), 1, h, b, slog.New(slog.DiscardHandler))
 	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	}
 }
 
-// Guards against a reset under a request that came in the moment in which its resting
+// Guards against a reset under a request that came in the moment in which its idle
 // connection was to be closed: it is read, and answered.
 func TestRequestThatCrossesTheDecisionToClose(t *testing.T) {
 	s, h := startServed(t, fdlimit.New(0))
@@ -82,14 +82,14 @@
 	letGo := hold(t, s)
 	s.CloseIdle() // waits behind what holds the loop
 	send(t, c, post)
-	arrived(t, fd, len(post))
+	awaitUnread(t, fd, len(post))
 	letGo()
 	if status, body, _ := answer(t, r); status != 200 || body != "hi" {
 		t.Errorf("%d %q", status, body)
 	}
 }
 
-// Guards against a request that is served after the end of the connection was told, whose
+// Guards against a request that is served after the end of the connection was announced, whose
 // answer nobody can get, and against a reset by it: the client reads the end, and no more.
 func TestRequestAfterTheShutdownIsNotServed(t *testing.T) {
 	s, h := startServed(t, fdlimit.New(0))
@@ -125,8 +125,8 @@
 	}
 }
 
-// Guards against new connections that are taken in and then reset as the server stops, and
-// against a half request that keeps it: the one is refused, the other told the end.
+// Guards against new connections that are accepted and then reset as the server stops, and
+// against a half request that keeps it: the one is refused, the other gets the end of the connection.
 func TestRefuse(t *testing.T) {
 	s, h := startServed(t, fdlimit.New(0))
 	half, halfR := dial(t, s.addr)
@@ -139,7 +139,7 @@
 	s.Refuse()
 	for _, r := range []*bufio.Reader{halfR, silentR} {
 		if _, err := r.ReadByte(); err != io.EOF {
-			t.Errorf("a connection that owes a request: %v", err)
+			t.Errorf("a connection without a complete request: %v", err)
 		}
 	}
 	if c, err := new(net.Dialer).DialContext(t.Context(), "tcp", s.addr); !errors.Is(err, unix.ECONNREFUSED) {
@@ -186,11 +186,11 @@
 			t.Fatal("a flood is followed without end")
 		}
 	}
-	testkit.Await(t, "word that its client is gone", h.gone)
+	testkit.Await(t, "the report that its client has disconnected", h.gone)
 }
 
-// Guards against small writes that the system holds back until the last was acknowledged: a
-// reset takes them along.
+// Guards against small writes that the kernel delays until the last was acknowledged: a
+// reset loses them.
 func TestClientsHaveNoDelay(t *testing.T) {
 	s, h := startServed(t, fdlimit.New(0))
 	c, r := dial(t, s.addr)
@@ -202,8 +202,8 @@
 	}
 }
 
-// Guards against a crowd of clients that connect and say nothing, up to the last
-// descriptor: one that speaks is still heard, and workers can still be reached.
+// Guards against many clients that connect and send nothing, up to the last
+// descriptor: one that sends a request is still served, and workers can still be reached.
 func TestSilentCrowdLeavesDescriptors(t *testing.T) {
 	const descriptors = fdlimit.Reserve + 40
 	b := fdlimit.New(descriptors)
@@ -211,7 +211,7 @@
 	for range 2 * descriptors {
 		testkit.Dial(t, s.addr)
 	}
-	until(t, "the crowd to be thinned", func() bool { return s.Clients() <= descriptors-fdlimit.Reserve/2 })
+	until(t, "silent connections to be closed", func() bool { return s.Clients() <= descriptors-fdlimit.Reserve/2 })
 	if !b.Acquire() {
 		t.Error("no descriptor is left for a worker")
 	}
--- a/peers_test.go
+++ b/peers_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against two processes of one scheduler that each fill a worker as if they
-// were alone, and against slots that stay booked when the other, or the worker, ends.
+// were alone, and against slots that stay counted when the other, or the worker, ends.
 func TestSiblingLoadCountsLikeOwn(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	if len(d.LoadByWorker()) != 0 {
@@ -19,7 +19,7 @@
 	d.SetSiblingLoad(h.now, map[string]Load{"w0": {InFlight: 3, NotStarted: 1}, "stranger": {InFlight: 9}})
 	for i := range 3 {
 		id := fmt.Sprint("r", i)
-		h.ask(d, id, 0)
+		h.submit(d, id, 0)
 		if h.last() != "w1" {
 			t.Errorf("job %d went to %s, where the other has three", i, h.last())
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-// What one dispatcher has learned another goes on from, through the wire's form.
+// What one dispatcher has learned another goes on from, through its JSON form.
 func TestLearnedStateIsRestored(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Name: "a", Share: 1, Quota: 10}, {Name: "b", Share: 2}}
@@ -65,15 +65,15 @@
 	d, h := start(t, set, workers...)
 	for i := range 60 {
 		id := fmt.Sprint("r", i)
-		h.ask(d, id, i%3)
+		h.submit(d, id, i%3)
 		h.run(d, h.now+10*ms)
-		if h.tries[id] == 0 {
+		if h.attempts[id] == 0 {
 			continue
 		}
 		_ = d.AttemptStarted(h.now, id, 0)
 		h.run(d, h.now+30*ms)
 		if i%7 == 6 {
-			h.over(d, id, 0, Rejected)
+			h.endAttempt(d, id, 0, Rejected)
 		} else {
 			_ = d.AttemptEnded(h.now, AttemptResult{ID: id, Outcome: Served, Answered: true, Report: &LoadReport{HasFreeSlots: true, FreeSlots: 3}})
 			h.ends[id] = "served"
@@ -108,15 +108,15 @@
 	}
 }
 
-// Guards against a worker that another scheduler has filled and that is sent to all the same, and against
-// others' jobs that are taken for our own, by which waits here would be reckoned far too short.
+// Guards against a worker that another scheduler has filled and that is sent to nevertheless, and against
+// others' jobs that are taken for our own, by which waits here would be estimated far too short.
 func TestPeerLoadCountsAtTheWorkerOnly(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	d.TrackLoadChanges()
 	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w0", Load: Load{InFlight: 3, NotStarted: 1}}, {Worker: "stranger", Load: Load{InFlight: 9}}})
 	for i := range 2 {
 		id := fmt.Sprint("r", i)
-		h.ask(d, id, 0)
+		h.submit(d, id, 0)
 		if h.last() != "w1" {
 			t.Errorf("job %d went to %s, where others have three", i, h.last())
 		}
@@ -125,12 +125,12 @@
 	if w := d.workersByName["w0"]; d.inFlight != 2 || w.inFlight != 3 || w.notStarted != 1 || d.pools[0].inFlight != 5 {
 		t.Errorf("booked %v in all, %v of 5 at workers, %v and %d at w0", d.inFlight, d.pools[0].inFlight, w.inFlight, w.notStarted)
 	}
-	told := d.AppendLoadChanges(nil)
-	if len(told) != 1 || told[0].Worker != "w1" || told[0].InFlight != 2 || told[0].NotStarted != 0 {
-		t.Errorf("told %v, want ours at w1 alone", told)
+	reported := d.AppendLoadChanges(nil)
+	if len(reported) != 1 || reported[0].Worker != "w1" || reported[0].InFlight != 2 || reported[0].NotStarted != 0 {
+		t.Errorf("reported %v, want ours at w1 alone", reported)
 	}
 	if again := d.AppendLoadChanges(nil); len(again) != 0 {
-		t.Errorf("told again %v", again)
+		t.Errorf("reported again %v", again)
 	}
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Removed}})
 	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w1"}})
@@ -144,30 +144,30 @@
 	d, h := start(t, settings(), fleet(1)...)
 	d.TrackLoadChanges()
 	full := func(id string) bool {
-		h.ask(d, id, 0)
-		told := d.AppendLoadChanges(nil)
-		if len(told) != 1 || told[0].Worker != "w0" {
-			t.Fatalf("told %v, want w0 alone", told)
+		h.submit(d, id, 0)
+		reported := d.AppendLoadChanges(nil)
+		if len(reported) != 1 || reported[0].Worker != "w0" {
+			t.Fatalf("reported %v, want w0 alone", reported)
 		}
 		_ = d.AttemptStarted(h.now, id, 0)
-		return told[0].Saturated
+		return reported[0].Saturated
 	}
 	if full("r0") {
-		t.Error("told that it is full, of which no report has come")
+		t.Error("reported as full, of which no report has come")
 	}
 	_ = d.AttemptEnded(h.now, AttemptResult{ID: "r0", Outcome: Served, Answered: true, Report: &LoadReport{HasFreeSlots: true, FreeSlots: 2}})
 	if full("r1") {
-		t.Error("told that it is full with one job on two slots")
+		t.Error("reported as full with one job on two slots")
 	}
 	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w0", Load: Load{InFlight: 3}}})
 	_ = d.AttemptEnded(h.now, AttemptResult{ID: "r1", Outcome: Served, Answered: true})
-	if told := d.AppendLoadChanges(nil); len(told) != 1 || !told[0].Saturated || told[0].InFlight != 0 {
-		t.Errorf("told %v with three of others' jobs on two slots, want that it is full", told)
+	if reported := d.AppendLoadChanges(nil); len(reported) != 1 || !reported[0].Saturated || reported[0].InFlight != 0 {
+		t.Errorf("reported %v with three of others' jobs on two slots, want that it is full", reported)
 	}
 }
 
-// Guards against jobs that queue at a worker of the part whose slots are known to be taken, since by our own few jobs and the
-// mean of the part it looks as empty as others.
+// Guards against jobs that queue at a worker of the subset whose slots are known to be taken, since by our own few jobs and the
+// mean of the subset it looks as empty as others.
 func TestKnownSlotsAreNotOversold(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	d.SetSubset(h.now, []string{"w0", "w1"}, 4)
@@ -191,13 +191,13 @@
 	}
 }
 
-// Guards against jobs that spill over blindly into the parts of others, where nothing is known, while our
+// Guards against jobs that spill over into the subsets of others, where nothing is known, while our
 // own subset only waits; and against jobs rejected where the whole subset is out of service.
 func TestSubsetIsPreferred(t *testing.T) {
 	d, h := start(t, settings(), fleet(20)...)
 	d.SetSubset(h.now, []string{"w3", "w7", "stranger"}, 4)
 	for i := range 8 {
-		h.ask(d, fmt.Sprint("r", i), 0)
+		h.submit(d, fmt.Sprint("r", i), 0)
 	}
 	ours := map[string]bool{"w3": true, "w7": true}
 	for _, w := range d.workers {
@@ -208,7 +208,7 @@
 	for name := range ours {
 		d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: name, State: Draining}})
 	}
-	if h.ask(d, "out", 0); ours[h.last()] {
+	if h.submit(d, "out", 0); ours[h.last()] {
 		t.Errorf("the job went to %s, which leaves", h.last())
 	}
 	if d.workersByName[h.last()] == nil || d.workersByName[h.last()].inFlight == 0 {
@@ -221,7 +221,7 @@
 }
 
 // Guards against a worker of another subset that warms up and is overloaded by what spills from all, and against one of our
-// part that is warmed as slowly as if the whole fleet sent to it.
+// subset that is warmed as slowly as if the whole fleet sent to it.
 func TestWarmingWorkersBelongToTheirSubsets(t *testing.T) {
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow, set.Dispatchers = 8*time.Second, 0.3, 3, 2*time.Second, 300
--- a/probe_test.go
+++ b/probe_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// Where reports come only on probes and change often, two workers are asked
+// Where reports come only on probes and change often, two workers are probed
 // and the one with free slots is taken; where they hardly change none is probed.
 func TestWorkersAreProbedWhereReportsAreTimely(t *testing.T) {
 	set := settings()
@@ -45,13 +45,13 @@
 		h.probes = nil
 		ask("r")
 		if !changes {
-			if h.tries["r"] != 1 || len(h.probes) > 0 {
-				t.Errorf("%d asked, %d sends though reports stand still", len(h.probes), h.tries["r"])
+			if h.attempts["r"] != 1 || len(h.probes) > 0 {
+				t.Errorf("%d asked, %d sends though reports stand still", len(h.probes), h.attempts["r"])
 			}
 			continue
 		}
-		if len(h.probes) != probeFanout || h.tries["r"] != 0 {
-			t.Fatalf("%d asked, %d sends before any answer", len(h.probes), h.tries["r"])
+		if len(h.probes) != probeFanout || h.attempts["r"] != 0 {
+			t.Fatalf("%d asked, %d sends before any answer", len(h.probes), h.attempts["r"])
 		}
 		d.ProbeResult(h.now, h.probes[0], &LoadReport{HasFreeSlots: true, InFlight: 3})
 		d.ProbeResult(h.now, h.probes[1], &LoadReport{HasFreeSlots: true, FreeSlots: 1})
@@ -61,7 +61,7 @@
 		h.run(d, h.now+100*ms)
 		ask("silent") // no answer comes
 		h.run(d, h.now+2*probeTimeout+ms)
-		if h.tries["silent"] != 1 {
+		if h.attempts["silent"] != 1 {
 			t.Error("held up by a probe that is not answered")
 		}
 		d.ProbeResult(h.now, "gone", &LoadReport{HasFreeSlots: true, FreeSlots: 1})
@@ -69,8 +69,8 @@
 	}
 }
 
-// A worker that turns a tenant away is not among those asked first for it, one
-// that served it is: a rejection is met once, not by every job.
+// A worker that rejects a tenant's job is not among those probed first for it, one
+// that served it is: one job is rejected, not every one.
 func TestRecentWorkersAreProbedFirst(t *testing.T) {
 	set := settings()
 	set.LoadByProbe = true
@@ -96,7 +96,7 @@
 			}
 			d.ProbeResult(h.now, name, &LoadReport{HasFreeSlots: true, FreeSlots: 1})
 		}
-		h.over(d, fmt.Sprint("r", i), 0, Served)
+		h.endAttempt(d, fmt.Sprint("r", i), 0, Served)
 		h.run(d, h.now+60*ms)
 	}
 }
@@ -115,8 +115,8 @@
 		for i := 0; i < len(h.probes); i++ {
 			d.ProbeResult(h.now, h.probes[i], &LoadReport{HasFreeSlots: true, HasInFlight: true, InFlight: held})
 		}
-		if late := held > 20; late != (h.ends["r"] == "refused") || late == (h.tries["r"] == 1) {
-			t.Errorf("%v in hand everywhere: %d sends, end %q", held, h.tries["r"], h.ends["r"])
+		if late := held > 20; late != (h.ends["r"] == "refused") || late == (h.attempts["r"] == 1) {
+			t.Errorf("%v in hand everywhere: %d sends, end %q", held, h.attempts["r"], h.ends["r"])
 		}
 	}
 }
--- a/queue.go
+++ b/queue.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	maxReleaseTurns   = 64 // turns of each tenant in one release
-	maxQueueScan      = 32 // queued requests of a tenant scanned in one turn
-	maxPlacementTries = 4  // of those, requests tried when the first finds no worker
+	maxReleaseTurns     = 64 // turns of each tenant in one release
+	maxQueueScan        = 32 // queued requests of a tenant scanned in one turn
+	maxFailedPlacements = 4  // of those, requests tried in a row without a send
 )
 
 // queue is a heap of a tenant's pending requests by slack (the paper's section
@@ -36,7 +36,7 @@
 
 // enqueue queues the request and sets until when it must be sent.
 func (d *Dispatcher) enqueue(now time.Duration, r *request) {
-	r.sendBy = now + seconds(maxSlackPart*d.timeToSend(now, r).Seconds())
+	r.sendBy = now + seconds(maxSlackFraction*d.timeToSend(now, r).Seconds())
 	d.pushPending(r)
 }
 
@@ -67,16 +67,17 @@
 	if d.catchingUp {
 		return
 	}
-	idle, most, resume := 0, maxReleaseTurns*len(d.tenants), -1
+	idleTurns, turnsLeft := 0, maxReleaseTurns*len(d.tenants)
+	resume := -1 // index of the tenant that the next release begins with; -1: the next in turn
 	for _, p := range d.pools {
 		p.jobBlocked = false
 	}
-	for ; d.pendingRequests > 0 && idle < len(d.tenants) && most > 0; idle, most = idle+1, most-1 {
+	for ; d.pendingRequests > 0 && idleTurns < len(d.tenants) && turnsLeft > 0; idleTurns, turnsLeft = idleTurns+1, turnsLeft-1 {
 		t := d.tenants[d.turn]
 		if len(t.queue) == 0 {
 			t.deficit = 0
 		} else {
-			deficit := t.deficit
+			deficitBefore := t.deficit
 			if !d.turnCredited {
 				t.deficit = min(t.deficit, max(4*d.meanWork, t.queue[0].work)) +
 					d.meanWork*t.share*float64(len(d.tenants))
@@ -84,7 +85,7 @@
 			}
 			sent := d.serveTenant(now, t)
 			if sent {
-				idle = -1
+				idleTurns = -1
 			}
 			// Capacity comes slot by slot. If each turn ended with one request, all
 			// tenants would get the same, so a tenant with credit left resumes when
@@ -92,7 +93,7 @@
 			if t.blockedByCapacity && resume < 0 {
 				resume = d.turn
 			} else if t.blockedByCapacity && !sent {
-				t.deficit = deficit
+				t.deficit = deficitBefore
 			}
 		}
 		d.turn, d.turnCredited = (d.turn+1)%len(d.tenants), false
@@ -106,7 +107,7 @@
 // another turn may send more.
 func (d *Dispatcher) serveTenant(now time.Duration, t *tenant) (sent bool) {
 	t.blockedByCapacity = false
-	for i, tried := 0, 0; i < min(len(t.queue), maxQueueScan) && tried < maxPlacementTries; i++ {
+	for i, tried := 0, 0; i < min(len(t.queue), maxQueueScan) && tried < maxFailedPlacements; i++ {
 		r := t.queue[i]
 		p := r.class.pool
 		withinShare := d.withinShare(now, t)
@@ -167,7 +168,7 @@
 	d.host.Send(r.ID, w.Worker, 0)
 	if d.settings.StartNotified {
 		wait := (min(r.deadline, r.targetAt) - now - seconds(r.class.meanRuntime)) / 2
-		if w.inFlight <= d.maxFreeByKind[w.Kind] && d.settings.FIFOWorkers && d.lateStartMeansSilence() {
+		if w.inFlight <= d.maxFreeByKind[w.Kind] && d.settings.FIFOWorkers && d.overdueStartImpliesSilentConn() {
 			wait = min(wait, promptStartTimeout) // a slot should be free
 		}
 		d.setTimer(min(max(wait, minStartTimeout), maxStartTimeout), tokenStartDue, r, n)
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -13,9 +13,8 @@
 	"sedgevale/scheduler"
 )
 
-// Guards against a program that SIGHUP ends, with all that it holds; against a
-// discovery that is still asked where the new file does not name it; and against a
-// bad file that is taken over.
+// Guards against a process that SIGHUP ends; against a watch that stays at the discovery
+// of the former file; and against an invalid file that is applied.
 func TestReload(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
@@ -43,7 +42,7 @@
 		t.Fatal(err)
 	}
 	c.signal(syscall.SIGHUP)
-	c.logged("the new configuration is bad")
+	c.awaitLog("the new configuration is bad")
 
 	asked := make(chan string, 64)
 	c.config.Discovery = f.serve(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -56,9 +55,9 @@
 	if got := testkit.Await(t, "a call at the new address", asked); got != "/v1/endpoints" {
 		t.Errorf("first asked %s", got)
 	}
-	c.logged("needs a restart")
+	c.awaitLog("needs a restart")
 	testkit.Await(t, "the watch at the new address", asked)
-	f.phase("v", "draining")
+	f.setPhase("v", "draining")
 	for i := range 6 {
 		onKept(fmt.Sprint("kept-", i+1))
 	}
@@ -66,21 +65,28 @@
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
+	checkReloadInDrain(t, c, before, first)
+}
+
+// checkReloadInDrain ends a scheduler, has it reload while it drains, and checks that a job in
+// flight, with its attempt, is answered.
+func checkReloadInDrain(t *testing.T, c *child, answer <-chan reply, r *attempt) {
+	t.Helper()
 	c.signal(syscall.SIGTERM)
-	c.logged("draining: answering")
+	c.awaitLog("draining: answering")
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration reloaded")
-	first.finish("first")
-	if a := testkit.Await(t, "the answer", before); a.status != 200 || a.body != "first" {
+	c.awaitLog("configuration reloaded")
+	r.finish("first")
+	if a := testkit.Await(t, "the answer", answer); a.status != 200 || a.body != "first" {
 		t.Errorf("open since before: %+v", a)
 	}
-	c.ended()
+	c.awaitExit()
 }
 
-// Retuning under way: classes appear, become stricter and vanish, fewer attempts are
-// allowed, jobs that came before keep their class, also of event streams, and a
-// bad file leaves all as it was.
-func TestRetune(t *testing.T) {
+// Reloads with jobs in flight: classes appear, become stricter and vanish, fewer attempts
+// are allowed, jobs that came before keep their class, also of event streams, and an
+// invalid file changes nothing.
+func TestReloadOfClasses(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
 	s := subscribe(t, "POST", c.sse, "usage-view", "Request-Id", "stream")
@@ -99,7 +105,7 @@
 	c.config.Settings.Bounds.MaxAttempts = 2
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration reloaded")
+	c.awaitLog("configuration reloaded")
 	if a := testkit.Await(t, "the answer", post(c.addr, "/plan-change", job("gone")...)); a.status != 404 {
 		t.Errorf("a class that is gone: %+v", a)
 	}
@@ -110,7 +116,7 @@
 	c.config.Settings.Classes = classes[1:]
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("configuration reloaded")
+	c.awaitLog("configuration reloaded")
 	s = subscribe(t, "GET", c.sse, "usage-view", "Request-Id", "stream")
 	streamed.finish("streamed")
 	if last, _ := s.rest(); last.name != "result" {
@@ -146,7 +152,7 @@
 	}
 }
 
-// checkBadFileIsRejected checks that a file with a bad class and another discovery changes
+// checkBadFileIsRejected checks that a file with an invalid class and another discovery changes
 // neither.
 func checkBadFileIsRejected(t *testing.T, f *fleet, c *child) {
 	t.Helper()
@@ -156,9 +162,9 @@
 	c.config.Discovery = testkit.FreeAddr(t)
 	c.write()
 	c.signal(syscall.SIGHUP)
-	c.logged("the new configuration is bad")
+	c.awaitLog("the new configuration is bad")
 	c.config.Discovery = good
-	f.phase("w", "ready") // still asked
+	f.setPhase("w", "ready") // still asked
 	got := post(c.addr, "/usage-view-ii", job("kept")...)
 	f.next().finish("kept")
 	if a := testkit.Await(t, "the answer", got); a.status != 200 {
--- a/scheduler/termination_test.go
+++ b/scheduler/termination_test.go
@@ -42,13 +42,13 @@
 		}
 	}()
 	c.signal(syscall.SIGTERM)
-	c.logged("draining: answering")
+	c.awaitLog("draining: answering")
 	var all sync.WaitGroup
 	for i, conn := range conns {
 		all.Go(func() { sendUntilEnded(t, conn, i) })
 	}
 	all.Wait()
-	c.ended()
+	c.awaitExit()
 }
 
 // sendUntilEnded sends jobs on a connection until that has ended. Every fourth client leaves
@@ -82,7 +82,7 @@
 	}
 }
 
-// Guards against a crowd that holds all descriptors while discovery is down: clients are
+// Guards against many clients that hold all descriptors while discovery is down: clients are
 // still accepted, the watch comes up once discovery is back, and workers are reached.
 func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
 	const descriptors = 160
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -85,7 +85,7 @@
 }
 
 // Guards against all that an upgrade can break: connections that are refused or
-// reset, a new process that fails or ends with the old one, a cordon that gets lost,
+// reset, a new process that fails or ends with the old one, a cordon that is lost,
 // an id that is taken twice, and an open job without its answer.
 func TestUpgrade(t *testing.T) {
 	f := newFleet(t, "u", "v", "w")
@@ -108,7 +108,7 @@
 	serveKept(t, conn, kept, "kept-1")
 	stop := clients(c.addr)
 	next := c.startSuccessor()
-	c.logged("the new process accepts connections")
+	c.awaitLog("the new process accepts connections")
 	if a := testkit.Await(t, "the answer", post(c.addr, "/plan-change", job("open")...)); a.status != 500 {
 		t.Errorf("the id of a job that the old process has open: %+v", a)
 	}
@@ -117,19 +117,19 @@
 		t.Errorf("cordon at the new process: %d", got)
 	}
 	if serveKept(t, conn, kept, "kept-2") {
-		t.Error("the old process lets go of a client though it was not ended")
+		t.Error("the old process closes a kept connection though it does not drain")
 	}
 	c.signal(syscall.SIGTERM)
-	c.logged("draining: answering")
+	c.awaitLog("draining: answering")
 	if !serveKept(t, conn, kept, "kept-3") {
-		t.Error("the old process keeps a client though it ends")
+		t.Error("the old process keeps a connection open though it drains")
 	}
 	first.finish("first")
 	if a := testkit.Await(t, "the answer", open); a.status != 200 || a.body != "first" {
 		t.Errorf("open since before: %+v", a)
 	}
-	c.ended()
-	next.logged("continuing alone")
+	c.awaitExit()
+	next.awaitLog("continuing alone")
 	if got := next.callOps("POST", "uncordon", "u"); got != 200 {
 		t.Errorf("uncordon at the new process: %d", got)
 	}
@@ -162,7 +162,7 @@
 		t.Fatalf("cordon at the old process: %d", got)
 	}
 	c.kill()
-	next.logged("continuing alone")
+	next.awaitLog("continuing alone")
 	for i := range 8 {
 		got := post(c.addr, "/usage-view", job(fmt.Sprint("job-", i))...)
 		r := f.next()
@@ -187,7 +187,7 @@
 	f.next().write(`"state":"started"`)
 	before := orphan.until("started")
 	next := c.startSuccessor()
-	c.logged("the new process accepts connections")
+	c.awaitLog("the new process accepts connections")
 	s.leave()
 	again := subscribe(t, "POST", c.sse, "plan-change", "Request-Id", "moved")
 	if again.status != 409 {
@@ -203,7 +203,7 @@
 		t.Errorf("the stream went on with %v and %s", names, end.data)
 	}
 	c.kill()
-	next.logged("continuing alone")
+	next.awaitLog("continuing alone")
 	orphan = subscribe(t, "GET", c.sse, "plan-change", "Last-Event-ID", before.id)
 	if end, names := orphan.rest(); end.name != "failed" || end.field(t, "outcome") != "unknown" ||
 		end.field(t, "repeat_safe") != false || len(names) != 1 {
@@ -214,15 +214,15 @@
 	}
 }
 
-// Guards against a new process that takes the clients with it when it dies: the old
-// one serves on, also the next that is started.
+// Guards against a crash of the new process that loses its clients: the old one
+// goes on, and hands over to the next that is started.
 func TestNewProcessDies(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
 	next := c.startSuccessor()
-	c.logged("the new process accepts connections")
+	c.awaitLog("the new process accepts connections")
 	next.kill()
-	c.logged("continuing alone")
+	c.awaitLog("continuing alone")
 	serve := func(id string) {
 		t.Helper()
 		got := post(c.addr, "/usage-view", job(id)...)
@@ -241,8 +241,8 @@
 	serve("after-the-dead")
 }
 
-// Guards against a new process that cannot start since the file was replaced by a bad
-// one, which the old process has turned down: it goes on by the old one's settings.
+// Guards against a new process that cannot start since the file was replaced by an invalid
+// one, which the old process has rejected: it goes on by the old one's settings.
 func TestUpgradeByABadFile(t *testing.T) {
 	f := newFleet(t, "w")
 	c := &child{t: t, file: filepath.Join(t.TempDir(), "config.json"), addr: testkit.FreeAddr(t)}
@@ -258,13 +258,13 @@
 		t.Fatal(err)
 	}
 	c.signal(syscall.SIGHUP)
-	c.logged("the new configuration is bad")
+	c.awaitLog("the new configuration is bad")
 	next := &child{t: t, file: c.file, addr: c.addr, config: c.config}
 	next.config.Ops = testkit.FreeAddr(t)
 	next.launch()
 	t.Cleanup(next.kill)
-	next.logged("using that of the serving process")
-	c.logged("the new process accepts connections")
+	next.awaitLog("using that of the serving process")
+	c.awaitLog("the new process accepts connections")
 	c.kill()
 	got := post(c.addr, "/served-by", job("one")...)
 	f.next().finish("")
@@ -276,8 +276,8 @@
 	}
 }
 
-// Guards against a start that a hung partner prevents.
-func TestPartnerHangs(t *testing.T) {
+// Guards against a start that a hung predecessor prevents.
+func TestPredecessorHangs(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
 	c.signal(syscall.SIGSTOP)
@@ -287,5 +287,5 @@
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("healthy after %v", took)
 	}
-	next.logged("takeover failed")
+	next.awaitLog("takeover failed")
 }
