--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -24,6 +24,7 @@
 	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/haproxy"
 	"sedgevale/internal/reverseproxy"
+	"sedgevale/internal/testkit"
 )
 
 // seen is what a stand-in server tells of a request that it got.
@@ -112,7 +113,7 @@
 			delete(s.front, name) // of a branch that does not count
 		}
 		if m := bindLine.FindStringSubmatch(line); m != nil && !strings.Contains(line, " ssl ") {
-			addr := freePort(s.t)
+			addr := testkit.FreeAddr(s.t)
 			if s.front[name] == "" {
 				s.front[name] = addr
 			}
@@ -150,13 +151,6 @@
 	})
 }
 
-func freePort(t *testing.T) string {
-	t.Helper()
-	l := listen(t)
-	defer func() { _ = l.Close() }()
-	return l.Addr().String()
-}
-
 // listen listens on a free port; whoever calls it closes the listener.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
--- a/internal/reverseproxy/bench_test.go
+++ b/internal/reverseproxy/bench_test.go
@@ -23,6 +23,7 @@
 
 	"sedgevale/internal/dispatchconfig"
 	"sedgevale/internal/route"
+	"sedgevale/internal/testkit"
 )
 
 // benchRole has this test binary be a proxy: "ours" with some rules, or net/http/httputil's.
@@ -143,7 +144,7 @@
 }
 
 func benchProxy(b *testing.B, conns int, role string) {
-	addr, server := freeAddr(b), minimalServer(b)
+	addr, server := testkit.FreeAddr(b), minimalServer(b)
 	name, rules, _ := strings.Cut(role, " ")
 	pid := proxy(b, fmt.Sprintf("%s %s %s %s", name, addr, server, rules), addr)
 	var next atomic.Int64
@@ -206,7 +207,7 @@
 		n, _ := io.Copy(io.Discard, q.Body)
 		got <- n
 	})
-	addr := freeAddr(b)
+	addr := testkit.FreeAddr(b)
 	pid := proxy(b, fmt.Sprintf("ours %s %s 10", addr, server), addr)
 	const size = 1 << 30
 	b.SetBytes(size)
--- a/internal/reverseproxy/helpers_test.go
+++ b/internal/reverseproxy/helpers_test.go
@@ -17,6 +17,7 @@
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/route"
+	"sedgevale/internal/testkit"
 )
 
 // serve runs a Site until the test ends and returns its address.
@@ -50,14 +51,6 @@
 	return s, w.Frontends[0].Listen[0]
 }
 
-// freeAddr is testkit's for tests and benchmarks.
-func freeAddr(t testing.TB) string {
-	t.Helper()
-	l := listen(t)
-	defer func() { _ = l.Close() }()
-	return l.Addr().String()
-}
-
 // listen listens on a free port. Whoever is given the listener closes it.
 func listen(t testing.TB) net.Listener {
 	t.Helper()
@@ -80,7 +73,7 @@
 			servers[i].Name = fmt.Sprint("s", i)
 		}
 	}
-	return &dispatchconfig.Web{Frontends: []dispatchconfig.WebFrontend{{Name: "in", Listen: []string{freeAddr(t)}, Spec: route.Spec{Default: "app"}}},
+	return &dispatchconfig.Web{Frontends: []dispatchconfig.WebFrontend{{Name: "in", Listen: []string{testkit.FreeAddr(t)}, Spec: route.Spec{Default: "app"}}},
 		Backends: []dispatchconfig.WebBackend{{Name: "app", ConnectTimeout: 1, ServerTimeout: 5, Servers: servers}}}
 }
 
--- a/internal/reverseproxy/retry_test.go
+++ b/internal/reverseproxy/retry_test.go
@@ -17,7 +17,7 @@
 // Guards against repeats: a request that may have run is not sent again unless its method
 // and retry_on allow it; one whose connection failed goes elsewhere at once.
 func TestRetries(t *testing.T) {
-	dead := freeAddr(t)
+	dead := testkit.RefusingAddr(t)
 	var cut atomic.Int64
 	cutting := testkit.Accept(t, func(c net.Conn) { // takes the request, says nothing, and breaks
 		in := bufio.NewReader(c)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -6,11 +6,14 @@
 	"flag"
 	"fmt"
 	"net"
+	"net/netip"
 	"os"
 	"strconv"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 // awaitTimeout is for what must come; no test waits that long when all is well.
@@ -61,6 +64,27 @@
 	return addr
 }
 
+// RefusingAddr returns a loopback address that refuses TCP connections until the test ends. A port
+// that was merely found free might be taken meanwhile, by another test or another process; here a
+// socket that is bound and does not listen holds it, without SO_REUSEADDR, so that nobody else can
+// bind it, and the kernel answers each connection with a reset.
+func RefusingAddr(t testing.TB) string {
+	t.Helper()
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal("no socket for a refusing address:", err)
+	}
+	t.Cleanup(func() { _ = unix.Close(fd) })
+	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal("binding a refusing address:", err)
+	}
+	bound, err := unix.Getsockname(fd)
+	if err != nil {
+		t.Fatal("the port of a refusing address:", err)
+	}
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(bound.(*unix.SockaddrInet4).Port)).String()
+}
+
 // Listen listens on a TCP address until the test ends.
 func Listen(t testing.TB, addr string) net.Listener {
 	t.Helper()
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -210,7 +210,7 @@
 	pool, planner, clock := begin(t, addr, 0)
 	_, answers := request(planner, clock, "a", &classes[0], nil)
 	dialling(t, pool, "w")
-	pool.UpdateMembers(false, []Member{{ID: "w", Addr: testkit.FreeAddr(t), Ready: true}})
+	pool.UpdateMembers(false, []Member{{ID: "w", Addr: testkit.RefusingAddr(t), Ready: true}})
 	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
 		t.Errorf("%+v", a)
 	}
--- a/scheduler/platformapi_test.go
+++ b/scheduler/platformapi_test.go
@@ -186,7 +186,7 @@
 // not ends it.
 func TestPlainOutcomes(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	f.list.Members = append(f.list.Members, discovery.Member{ID: "dead", HostPort: testkit.FreeAddr(t), Locality: "hut",
+	f.list.Members = append(f.list.Members, discovery.Member{ID: "dead", HostPort: testkit.RefusingAddr(t), Locality: "hut",
 		Flavor: "box", Phase: "ready", Size: 1})
 	c := startChild(t, f)
 	for i := range 8 { // some are tried first where nobody listens
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -153,7 +153,7 @@
 	c.config.Settings.Classes = append([]scheduler.Class(nil), c.config.Settings.Classes...)
 	c.config.Settings.Classes[0].Name, c.config.Settings.Classes[0].HardLimit = "other", -5
 	good := c.config.Discovery
-	c.config.Discovery = testkit.FreeAddr(t)
+	c.config.Discovery = testkit.RefusingAddr(t)
 	c.write()
 	c.signal(syscall.SIGHUP)
 	c.logged("the new configuration is bad")
