--- a/internal/dispatchconfig/admission.go
+++ b/internal/dispatchconfig/admission.go
@@ -4,9 +4,9 @@
 
 // Admission sets up the admission queues before the planners; see docs/DOOR.md.
 type Admission struct {
-	Concurrency int `toml:"concurrency"`      // jobs inside at a time
-	Queue       int `toml:"queue,omitzero"`   // jobs of a co-op that may wait; 0: 256
-	Clients     int `toml:"clients,omitzero"` // queues for clients, in each co-op; 0: 512
+	Concurrency int `toml:"concurrency"`      // admitted jobs at a time
+	Queue       int `toml:"queue,omitzero"`   // queued jobs of a tenant; 0: 256
+	Clients     int `toml:"clients,omitzero"` // client queues of each tenant; 0: 512
 }
 
 // maxAdmission bounds each number of an admission queue's settings.
--- a/internal/dispatchconfig/config.go
+++ b/internal/dispatchconfig/config.go
@@ -20,20 +20,20 @@
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Ops       string          `json:"ops"`       // the operators' address; empty: none
-	Discovery string          `json:"discovery"` // empty: the list in Known stands
+	Discovery string          `json:"discovery"` // empty: the list in Known is used
 	Seed      string          `json:"seed"`
 	Limits    Limits          `json:"limits"`
 	Known     *discovery.List `json:"known"`
 
-	// Other schedulers of the site: where they are, by their numbers, this one included; and where their
-	// datagrams come in. Empty: the scheduler exchanges no messages.
+	// PeerListen is the UDP address of this scheduler, Peers those of all schedulers of the site by number, its own
+	// included. Empty: the scheduler exchanges no datagrams.
 	PeerListen string   `json:"peer_listen"`
 	Peers      []string `json:"peers"`
 
 	Settings Settings `json:"settings"`
 
 	// The fields up to PeerWatch come from an operator's file alone.
-	Revision  uint32     `json:"-"` // the number that the operator gave this state of the configuration; 0: none
+	Revision  uint32     `json:"-"` // the operator's revision number of the configuration; 0: none
 	SSE       *SSE       `json:"-"`
 	Journal   *Journal   `json:"-"`
 	Web       *Web       `json:"-"`
@@ -136,7 +136,7 @@
 
 // CheckReplaces returns an error unless this configuration can take the place of the one
 // before: it must have each key that that one has, but for those of workers. A file
-// that lacks one was cut short, or is not ours.
+// that lacks one was truncated, or is not a configuration of this program.
 func (c *Config) CheckReplaces(before *Config) error {
 	var missing []string
 	for k := range before.keys {
--- a/internal/dispatchconfig/journal.go
+++ b/internal/dispatchconfig/journal.go
@@ -17,13 +17,13 @@
 	Retention float64  `toml:"keep_s,omitempty"`     // 0: a week
 	MaxMB     int      `toml:"max_mb,omitempty"`     // 0: 256
 	ReserveMB int      `toml:"reserve_mb,omitempty"` // 0: 8
-	OnFull    string   `toml:"on_full,omitempty"`    // RefuseOnFull or ServeOnFull
+	OnFull    string   `toml:"on_full,omitempty"`    // RejectOnFull or ServeOnFull
 }
 
-// The words of a Journal; the first of each is the default.
+// The values of Journal.Sync and Journal.OnFull; the first of each is the default.
 const (
-	SyncGroup    = "group" // a record counts once it is on the disk
-	SyncNone     = "none"  // once it is the operating system's: the machine's end can take it
+	SyncGroup    = "group" // a record counts as durable once it is on the disk; syncs are shared by records
+	SyncNone     = "none"  // once it is written to the operating system: a power failure can lose it
 	RejectOnFull = "refuse"
 	ServeOnFull  = "serve"
 )
--- a/internal/dispatchconfig/operator.go
+++ b/internal/dispatchconfig/operator.go
@@ -23,7 +23,7 @@
 	Listen    string `toml:"listen"`
 	Ops       string `toml:"ops,omitempty"`
 	Discovery string `toml:"discovery,omitempty"`
-	// Where other schedulers' datagrams come in, and where each of them is reached, this one included.
+	// PeerListen is the UDP address of this scheduler, Peers those of all schedulers, this one included.
 	PeerListen string   `toml:"peer_listen,omitempty"`
 	Peers      []string `toml:"peers,omitempty"`
 
@@ -90,7 +90,7 @@
 			w.Phase = "ready"
 		}
 	}
-	if f.Web != nil && f.Listen == "" && len(f.Settings.Classes) == 0 { // no jobs are taken
+	if f.Web != nil && f.Listen == "" && len(f.Settings.Classes) == 0 { // a proxy without job frontends
 		f.Settings.Classes = []Class{{Name: "-", Effect: "free", Promise: 1, HardLimit: 1}}
 	}
 	if len(f.Peers) > 0 { // numbers go by the list; who is not in it is found by Check
--- a/internal/dispatchconfig/peers.go
+++ b/internal/dispatchconfig/peers.go
@@ -19,8 +19,8 @@
 	Listen netip.AddrPort
 	Peers  []netip.AddrPort // by number, its own included
 	Self   int
-	Site   uint64 // a fingerprint of what must be the same for all
-	Watch  bool   // whether they keep track of their membership
+	Site   uint64 // a fingerprint of the settings that must be the same for all
+	Watch  bool   // failure detection is on
 }
 
 // PeerPlan returns the plan, or nil where there are no others or the settings forbid messages.
@@ -58,8 +58,8 @@
 	return p, nil
 }
 
-// site is a fingerprint of what schedulers of one site have in common and no reload changes. Teams are not in it: schedulers
-// with old and new ones must hear each other.
+// site is a fingerprint of the settings that schedulers of one site share and that no reload changes. Tenants are not in it:
+// schedulers with old and with new ones must accept each other's datagrams.
 func (c *Config) site() uint64 {
 	h := fnv.New64a()
 	s := &c.Settings
@@ -68,12 +68,12 @@
 }
 
 // PeerRevision returns the revision that schedulers send each other: the operator's number, and a digest of what must be the
-// same for all and a reload takes over, the teams in any order and the classes.
+// same for all and can be reloaded: the tenants, in any order, and the classes.
 func (c *Config) PeerRevision() peers.Revision {
-	teams := slices.Clone(c.Settings.Realms)
-	slices.SortFunc(teams, func(a, b Realm) int { return cmp.Compare(a.Name, b.Name) })
+	tenants := slices.Clone(c.Settings.Realms)
+	slices.SortFunc(tenants, func(a, b Realm) int { return cmp.Compare(a.Name, b.Name) })
 	h := fnv.New32a()
-	for _, t := range teams {
+	for _, t := range tenants {
 		_, _ = fmt.Fprintf(h, "%q %v %v\n", t.Name, t.Share, t.Quota)
 	}
 	for _, k := range c.Settings.Classes {
--- a/internal/dispatchconfig/settings.go
+++ b/internal/dispatchconfig/settings.go
@@ -56,7 +56,7 @@
 	Zones   []string `json:"zones" toml:"zones,omitempty"`
 }
 
-// Realm is a team: a tenant of the module.
+// Realm is a tenant of the module.
 type Realm struct {
 	Name  string  `json:"name" toml:"name,omitempty"`
 	Share float64 `json:"share" toml:"share,omitempty"`
--- a/internal/dispatchconfig/web.go
+++ b/internal/dispatchconfig/web.go
@@ -23,7 +23,7 @@
 	dir string // of the operator's file; paths in rules are relative to it
 }
 
-// WebFrontend is where requests come in.
+// WebFrontend is a set of addresses to listen on with its rules.
 type WebFrontend struct {
 	Name           string   `toml:"name"`
 	Listen         []string `toml:"listen"`
@@ -33,7 +33,7 @@
 	route.Spec
 }
 
-// WebBackend is servers that serve the same.
+// WebBackend is a group of interchangeable servers.
 type WebBackend struct {
 	Name           string      `toml:"name"`
 	Balance        string      `toml:"balance,omitempty"`
@@ -43,7 +43,7 @@
 	Retries        *int        `toml:"retries,omitempty"`  // after connections that fail; none: 3
 	RetryOn        []string    `toml:"retry_on,omitempty"` // none: conn-failure
 	ConnectTimeout float64     `toml:"connect_timeout,omitzero"`
-	ServerTimeout  float64     `toml:"server_timeout,omitzero"` // until the head of an answer
+	ServerTimeout  float64     `toml:"server_timeout,omitzero"` // until the head of a response
 	QueueTimeout   float64     `toml:"queue_timeout,omitzero"`
 	MaxQueue       int         `toml:"max_queue,omitzero"`
 	SlowStart      float64     `toml:"slow_start,omitzero"`
@@ -54,10 +54,10 @@
 	route.Spec
 }
 
-// WebCookie ties clients to servers.
+// WebCookie is the persistence cookie that ties clients to servers.
 type WebCookie struct {
 	Name     string `toml:"name"`
-	Insert   bool   `toml:"insert,omitempty"`   // set by us; else by the server
+	Insert   bool   `toml:"insert,omitempty"`   // set by the proxy; false: by the server
 	Indirect bool   `toml:"indirect,omitempty"` // servers do not see it
 	NoCache  bool   `toml:"nocache,omitempty"`
 	HTTPOnly bool   `toml:"httponly,omitempty"`
@@ -114,12 +114,12 @@
 	return 1 + *b.Retries
 }
 
-// Timeouts returns how long to wait for a connection, and for the head of an answer.
+// Timeouts returns how long to wait for a connection, and for the head of a response.
 func (b *WebBackend) Timeouts() (connect, server time.Duration) {
 	return Seconds(cmp.Or(b.ConnectTimeout, defaultConnectTimeout)), Seconds(cmp.Or(b.ServerTimeout, defaultServerTimeout))
 }
 
-// RetriesOn reports whether a request that failed in that way, one of RetryWords, may be retried.
+// RetriesOn reports whether a request that failed in that way, one of RetryConditions, may be retried.
 func (b *WebBackend) RetriesOn(what string) bool {
 	if len(b.RetryOn) == 0 {
 		return what == "conn-failure"
--- a/internal/fake/clients.go
+++ b/internal/fake/clients.go
@@ -35,7 +35,7 @@
 type Response struct {
 	Job, Class         string
 	SentAt, ReceivedAt time.Time
-	Status             int // 0: no whole response
+	Status             int // 0: no complete response
 	Body               string
 }
 
@@ -67,7 +67,7 @@
 }
 
 // send sends a job of a class that is drawn by the mix. The context is not that of the run: what
-// was sent is not called off.
+// was sent is not cancelled.
 func (c Clients) send(ctx context.Context, h *http.Client, r *rand.Rand, id string) Response {
 	sum := 0.0
 	for _, m := range c.Mix {
@@ -97,7 +97,7 @@
 }
 
 // Do sends a job's request and returns the job with its response. The status is set only if the
-// response came whole.
+// complete response was received.
 func (t Response) Do(h *http.Client, q *http.Request) Response {
 	a, err := h.Do(q)
 	if err != nil {
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -16,7 +16,7 @@
 )
 
 // Disk is a file system in memory that fails as real ones do. It is a store.FS. After a power
-// cut each write that was not synced may be there, or not, or in part, in any order, by
+// failure each write that was not synced may be there, or not, or in part, in any order, by
 // sectors; names that were made or removed since the directory was synced may be so or not.
 // After a failed sync the writes that it was for are never durable, though they can still be
 // read, as on Linux.
@@ -24,7 +24,7 @@
 	mu       sync.Mutex // guards all below, and the files
 	random   *rand.Rand
 	names    map[string]*inode // as a process sees them
-	durable  map[string]*inode // after a power cut, by synced directories
+	durable  map[string]*inode // after a power failure, by synced directories
 	locks    map[string]string // owners, by path
 	capacity int64             // bytes
 	failures map[Op]float64    // shares of operations that fail, from 0 to 1
@@ -94,7 +94,7 @@
 	return n
 }
 
-// Cut returns the disk after a power cut, without faults. The old one must not be used any more.
+// Cut returns the disk after a power failure, without faults. The old one must not be used any more.
 func (d *Disk) Cut() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -13,33 +13,33 @@
 // Run is a run of a job at a worker.
 type Run struct {
 	Job, Class, Worker string
-	Received           time.Time // when the worker had received it whole
+	Received           time.Time // when the worker had received all of it
 	Began, Finished    time.Time // Finished is zero until then
 }
 
-// RunLog records the runs of jobs at workers. It is the truth that a journal is compared with.
+// RunLog records the runs of jobs at workers. A journal is compared with it.
 // Several workers may share one.
 type RunLog struct {
 	mu   sync.Mutex        // guards runs
 	runs map[string][]*Run // by job
 }
 
-// NewRunLog returns an empty Ledger.
+// NewRunLog returns an empty RunLog.
 func NewRunLog() *RunLog { return &RunLog{runs: map[string][]*Run{}} }
 
 // Begin records that a worker begins a job, and when that was received.
-func (l *RunLog) Begin(job, class, box string, came time.Time) {
+func (l *RunLog) Begin(job, class, worker string, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs[job] = append(l.runs[job], &Run{Job: job, Class: class, Worker: box, Received: came, Began: time.Now()})
+	l.runs[job] = append(l.runs[job], &Run{Job: job, Class: class, Worker: worker, Received: received, Began: time.Now()})
 }
 
 // Finish records that a worker has finished a job.
-func (l *RunLog) Finish(job, box string) {
+func (l *RunLog) Finish(job, worker string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.runs[job] {
-		if r.Worker == box && r.Finished.IsZero() {
+		if r.Worker == worker && r.Finished.IsZero() {
 			r.Finished = time.Now()
 			return
 		}
@@ -123,8 +123,8 @@
 }
 
 // intended reports whether an attempt at a worker is on record.
-func intended(found []store.Found, box string) bool {
+func intended(found []store.Found, worker string) bool {
 	return slices.ContainsFunc(found, func(j store.Found) bool {
-		return slices.ContainsFunc(j.Attempts, func(a journal.Attempt) bool { return a.Worker == box })
+		return slices.ContainsFunc(j.Attempts, func(a journal.Attempt) bool { return a.Worker == worker })
 	})
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// Fault is a point in the course of a job at which a Box can be made to fail.
+// Fault is a point in the course of a job at which a Worker can be made to fail.
 type Fault string
 
 // The points, in the order of a job's course.
@@ -28,14 +28,14 @@
 	FaultCutAfterStart  Fault = "cut-begun" // the connection breaks when it has begun; it is finished all the same
 	FaultMalformed      Fault = "garbage"   // a line that is no JSON, in place of progress
 	FaultHang           Fault = "hang"      // it begins and is neither reported on again nor finished
-	FaultCutAfterEnd    Fault = "cut-done"  // it is finished, and the connection breaks before that is said
+	FaultCutAfterEnd    Fault = "cut-done"  // it is finished, and the connection breaks before that is reported
 	FaultFailed         Fault = "failed"    // it ends in failure after it has begun
 )
 
 // AllFaults are all of them.
 var AllFaults = []Fault{FaultRejected, FaultCutBeforeStart, FaultInternalError, FaultCutAfterStart, FaultMalformed, FaultHang, FaultCutAfterEnd, FaultFailed}
 
-// FaultShares are the shares of a Box's jobs, from 0 to 1, that fail at a point.
+// FaultShares are the shares of a Worker's jobs, from 0 to 1, that fail at a point.
 type FaultShares map[Fault]float64
 
 // ParseFault reads POINT=SHARE.
@@ -54,7 +54,7 @@
 	return fmt.Errorf("fault %q: the points are %v", s, AllFaults)
 }
 
-// WorkerOptions are a Box's bounds, faults and stores.
+// WorkerOptions configure a Worker.
 type WorkerOptions struct {
 	ID    string
 	Slots int // jobs at a time; 0: 4
@@ -67,7 +67,7 @@
 	RunLog  *RunLog      // nil: one of its own
 }
 
-// Worker is a worker: it takes jobs by the platform's protocol, and records in its Ledger which it
+// Worker is a worker: it takes jobs by the platform's protocol, and records in its RunLog which it
 // began and finished.
 type Worker struct {
 	options WorkerOptions
@@ -82,7 +82,7 @@
 	quiet   chan struct{} // closed when none is; nil: nobody waits
 }
 
-// NewWorker returns a Box that does not listen yet.
+// NewWorker returns a Worker that does not listen yet.
 func NewWorker(o WorkerOptions) *Worker {
 	if o.Slots <= 0 {
 		o.Slots = 4
@@ -127,7 +127,7 @@
 // Close closes all connections at once.
 func (b *Worker) Close() error { return b.server.Close() }
 
-// Quiet returns once no job is under way but those that hang.
+// Quiet waits until no job is in flight, apart from those that hang.
 func (b *Worker) Quiet() {
 	b.mu.Lock()
 	if b.busy == 0 {
@@ -188,7 +188,7 @@
 	Load   map[string]float64 `json:"load,omitempty"`
 }
 
-// workerJob is a job at a Box.
+// workerJob is a job at a Worker.
 type workerJob struct {
 	id, class, key string
 	received       time.Time
@@ -338,25 +338,25 @@
 type ResultStore struct {
 	window time.Duration
 	mu     sync.Mutex // guards seen
-	seen   map[string]*shelfEntry
+	seen   map[string]*resultEntry
 }
 
-type shelfEntry struct {
+type resultEntry struct {
 	began  time.Time
 	done   chan struct{} // closed when the job has ended
 	result string
 	ok     bool // it ended well
 }
 
-// NewResultStore returns a Shelf; window 0: 7.5 s.
+// NewResultStore returns an empty ResultStore; window 0: 7.5 s.
 func NewResultStore(window time.Duration) *ResultStore {
 	if window <= 0 {
 		window = 7500 * time.Millisecond
 	}
-	return &ResultStore{window: window, seen: map[string]*shelfEntry{}}
+	return &ResultStore{window: window, seen: map[string]*resultEntry{}}
 }
 
-// Take notes that a job with a key begins; End must be told how it ends. If one with that
+// Take notes that a job with a key begins; End has to be called when it ends. If one with that
 // key was begun before, Take waits for its end and returns its result; if it failed, the
 // job at hand is to be run after all. Ok is false if the context ended first.
 func (s *ResultStore) Take(ctx context.Context, key string) (result string, repeat, ok bool) {
@@ -365,7 +365,7 @@
 		now := time.Now()
 		before := s.seen[key]
 		if before == nil || now.Sub(before.began) >= s.window {
-			s.seen[key] = &shelfEntry{began: now, done: make(chan struct{})}
+			s.seen[key] = &resultEntry{began: now, done: make(chan struct{})}
 			s.mu.Unlock()
 			return "", false, true
 		}
--- a/internal/faultinjection/checker.go
+++ b/internal/faultinjection/checker.go
@@ -21,7 +21,7 @@
 	Drained map[string][]Interval // of workers that discovery says are draining
 }
 
-// Interval is a span of time. To is zero while it lasts.
+// Interval is a span of time. To is zero while it has not ended.
 type Interval struct{ From, To time.Time }
 
 // overlaps reports whether it has a moment in common with the span between two moments.
@@ -136,8 +136,8 @@
 }
 
 // Summarize counts the answers to jobs that were submitted at or after a moment; InTime are those that were served within a time.
-func Summarize(told []fake.Response, since time.Time, within time.Duration) (s Summary) {
-	for _, t := range told {
+func Summarize(answers []fake.Response, since time.Time, within time.Duration) (s Summary) {
+	for _, t := range answers {
 		if t.SentAt.Before(since) {
 			continue
 		}
--- a/internal/faultinjection/cluster.go
+++ b/internal/faultinjection/cluster.go
@@ -1,5 +1,5 @@
 // Package faultinjection is a harness for tests of several schedulers under faults. It starts processes of the program with
-// stand-in workers, discovery and clients, puts relays between them that lose, delay, duplicate, cut and reset, kills and freezes
+// fake workers, discovery and clients, puts relays between them that lose, delay, duplicate, cut and reset, kills and freezes
 // the processes, and checks the rules of the service by the workers' ledgers and the clients' answers alone. All of it stays on
 // loopback.
 package faultinjection
@@ -18,7 +18,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// WorkerOptions configure a stand-in worker.
+// WorkerOptions configure a fake worker.
 type WorkerOptions struct {
 	Cell   int
 	Slots  int
@@ -72,15 +72,15 @@
 	return c, nil
 }
 
-// addWorkers starts the stand-in workers and returns their addresses.
+// addWorkers starts the fake workers and returns their addresses.
 func (c *Cluster) addWorkers() (addresses []string, err error) {
-	shelves := map[int]*fake.ResultStore{} // by cell
+	resultStores := map[int]*fake.ResultStore{} // by cell
 	for i, one := range c.options.Workers {
-		if shelves[one.Cell] == nil {
-			shelves[one.Cell] = fake.NewResultStore(0)
+		if resultStores[one.Cell] == nil {
+			resultStores[one.Cell] = fake.NewResultStore(0)
 		}
 		worker := fake.NewWorker(fake.WorkerOptions{ID: workerName(i), Slots: one.Slots, Faults: one.Faults, Seed: c.options.Seed + uint64(i),
-			Results: shelves[one.Cell], RunLog: c.Ledger, Work: func(_ string, rnd *rand.Rand) time.Duration {
+			Results: resultStores[one.Cell], RunLog: c.Ledger, Work: func(_ string, rnd *rand.Rand) time.Duration {
 				return time.Duration((0.5 + rnd.Float64()) * float64(one.Work))
 			}})
 		address, err := worker.Listen("127.0.0.1:0")
@@ -227,7 +227,7 @@
 	return observed
 }
 
-// Close ends all processes, relays and stand-ins.
+// Close ends all processes, relays and fakes.
 func (c *Cluster) Close() {
 	for _, s := range c.Schedulers {
 		s.Kill()
--- a/internal/faultinjection/network.go
+++ b/internal/faultinjection/network.go
@@ -203,7 +203,7 @@
 	<-back
 }
 
-// awaitLink waits until a direction is not cut, and reports whether it never was.
+// awaitLink waits until a direction has no LinkFault.Cut, and reports whether it had none from the beginning.
 func (n *Network) awaitLink(from, to string) bool {
 	for neverCut := true; ; neverCut = false {
 		f, healed := n.faultOf(from, to)
@@ -218,7 +218,7 @@
 	}
 }
 
-// copyStream copies one direction of a stream. A stream that a cut interrupts is reset once that is over.
+// copyStream copies one direction of a stream. A stream that a LinkFault.Cut has held up is reset once that is healed.
 func (n *Network) copyStream(from, to string, src, dst *net.TCPConn) {
 	buf := make([]byte, 32<<10)
 	for {
--- a/internal/healthcheck/driver.go
+++ b/internal/healthcheck/driver.go
@@ -25,7 +25,7 @@
 	OnChange func(up bool, why string)
 }
 
-// Driver checks members, each at its own times, spread out, and not too many at once.
+// Driver checks members, each at its own intervals with jitter, and at most maxConcurrentChecks at a time.
 type Driver struct {
 	log   *slog.Logger
 	slots chan struct{}  // one held for each check in flight
@@ -48,7 +48,7 @@
 	var wg sync.WaitGroup
 	for i, c := range all {
 		wg.Go(func() {
-			// The first checks are spread over their interval, so that they never come in step.
+			// The first checks are spread over their interval, so that they do not coincide.
 			d.watch(ctx, c, time.Duration(float64(c.Spec.Interval)*float64(i)/float64(len(all))))
 		})
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-// probe makes one check; nil: it passed.
+// probe makes one check. The error says why it failed.
 func (c *Check) probe(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, c.Spec.Timeout)
 	defer stop()
--- a/internal/healthcheck/state.go
+++ b/internal/healthcheck/state.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Spec says how a member is checked.
+// Spec configures the health check of a member.
 type Spec struct {
 	Kind         string        // "tcp" or "http"
 	Method       string        // of an http check; "": OPTIONS, as HAProxy has it
@@ -33,7 +33,7 @@
 // Header is a header field of a check.
 type Header struct{ Name, Value string }
 
-// Expect is what an answer must be.
+// Expect is an expectation of a response.
 type Expect struct {
 	Kind  string // "status", "rstatus", "string", "rstring"
 	Not   bool
@@ -50,7 +50,7 @@
 	minInterval     = 10 * time.Millisecond
 )
 
-// SetDefaults sets what is left out, and returns an error for what makes no sense.
+// SetDefaults sets the defaults of fields that are zero, and returns an error for invalid ones.
 func (s *Spec) SetDefaults() error {
 	if s.Kind != "tcp" && s.Kind != "http" {
 		return fmt.Errorf("kind %q is neither tcp nor http", s.Kind)
@@ -137,7 +137,7 @@
 	return out, nil
 }
 
-// Holds reports whether an answer of an http check passes.
+// Holds reports whether the response to an http check passes.
 func (s *Spec) Holds(status int, body []byte) bool {
 	if len(s.Expect) == 0 {
 		return status >= 200 && status < 400
@@ -159,12 +159,11 @@
 	return strings.Contains(string(body), e.Value)
 }
 
-// Target is a member as its checks see it.
+// Target is the health of a member, as its checks have found it.
 type Target struct {
 	spec Spec
 	up   bool
-	// against counts the latest checks on end whose result speaks against up; a check that
-	// agrees resets it.
+	// against counts the consecutive latest checks whose result contradicts up; one that agrees resets it.
 	against int
 }
 
@@ -172,10 +171,10 @@
 // Spec.
 func NewTarget(s Spec, up bool) *Target { return &Target{spec: s, up: up} }
 
-// Up reports whether it serves.
+// Up reports whether the member is healthy.
 func (t *Target) Up() bool { return t.up }
 
-// Record takes in how a check went, and reports whether the member's state has changed.
+// Record notes the result of a check, and reports whether the member's state has changed.
 func (t *Target) Record(passed bool) (changed bool) {
 	if passed == t.up {
 		t.against = 0
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -26,7 +26,7 @@
 	HeaderSize      = 8 + 2 + 2 + 4 + 8 + 16 + 8 + MacSize + 8 + MacSize
 	MacSize         = 16
 	frameHeaderSize = 8
-	FrameOverhead   = frameHeaderSize + MacSize // bytes of a frame beside its record
+	FrameOverhead   = frameHeaderSize + MacSize // bytes of a frame besides its record
 	MinKeySize      = 32
 )
 
@@ -37,7 +37,7 @@
 
 // Key computes and verifies Macs. It is not safe for concurrent use.
 type Key struct {
-	id  [8]byte // tells keys apart without giving the secret away
+	id  [8]byte // identifies the key without revealing the secret
 	mac hash.Hash
 	sum []byte // buffer of authenticate
 }
@@ -67,7 +67,7 @@
 // Header is the first part of a segment.
 type Header struct {
 	Number uint64   // counted from 1
-	Run    [16]byte // of the process that writes it
+	Run    [16]byte // random id of the process that writes it
 	First  uint64   // the sequence number of its first record, counted from 1
 	Prev   Mac      // of the record before that; zero for the first record of a journal
 }
@@ -137,7 +137,7 @@
 	Record  []byte // encoded; a part of the buffer that was read
 	Durable int64  // bytes of the segment that were on the disk when the frame was written
 	Mac     Mac
-	Size    int // of the whole frame, in bytes
+	Size    int // of the complete frame, in bytes
 }
 
 var (
@@ -192,7 +192,7 @@
 	return false
 }
 
-// ClassifyTail tells a torn tail from damage. B is the segment, of which the first good bytes are valid. Neither a crash nor
+// ClassifyTail distinguishes a torn tail from damage. B is the segment, of which the first good bytes are valid. Neither a crash nor
 // a power failure takes away what a later frame says was durable, nor changes bits of a frame that is complete.
 func (k *Key) ClassifyTail(b []byte, good int) Tail {
 	rest := b[good:]
--- a/internal/journal/jobtable.go
+++ b/internal/journal/jobtable.go
@@ -53,8 +53,8 @@
 	return t.applyToJob(r)
 }
 
-// applyToJob replays a record about a job that was accepted before. An intent alone tells enough to go on without the record
-// of the acceptance.
+// applyToJob replays a record about a job that was accepted before. An intent has enough to go on without the record of the
+// acceptance.
 func (t *JobTable) applyToJob(r *Record) (*Job, error) {
 	j := t.Jobs[r.Serial]
 	if j == nil {
--- a/internal/journal/recorder/recorder.go
+++ b/internal/journal/recorder/recorder.go
@@ -28,11 +28,11 @@
 	classes     map[string]bool // that are recorded
 	serveOnFull bool            // while the journal is full, jobs are served without a record
 	unrecorded  atomic.Uint64
-	reading     chan struct{} // a semaphore: one question at a time reads the files
+	reading     chan struct{} // a semaphore: one call of Ask at a time reads the files
 }
 
-// Open opens the journal that a configuration asks for, and creates its directory and key where they are missing. The caller has
-// to call Close.
+// Open opens the journal of a configuration, and creates its directory and key where they are missing. The caller has to call
+// Close.
 func Open(c *dispatchconfig.Config, log *slog.Logger) (*Recorder, error) {
 	j := c.Journal
 	fsys := store.OS{}
@@ -99,9 +99,9 @@
 }
 
 // AttemptEnded implements dispatch.Journal: it records how an attempt ended, and whether it certainly never ran.
-func (r *Recorder) AttemptEnded(number uint64, attempt int, o sedgevale.Outcome, unseen bool) {
+func (r *Recorder) AttemptEnded(number uint64, attempt int, o sedgevale.Outcome, neverRan bool) {
 	r.store.Put(journal.Record{Kind: journal.Ended, Serial: number, At: now(), Attempt: attempt,
-		Code: uint8(journal.OutcomeOf(o)), NeverRan: unseen}, nil)
+		Code: uint8(journal.OutcomeOf(o)), NeverRan: neverRan}, nil)
 }
 
 var kinds = map[dispatch.AnswerKind]journal.AnswerKind{
@@ -118,7 +118,7 @@
 	r.store.Put(journal.Record{Kind: journal.ClientGone, Serial: number, At: now()}, nil)
 }
 
-// ErrBusy is returned while another question is being answered.
+// ErrBusy is returned while another call of Ask reads the files.
 var ErrBusy = errors.New("another question is being answered, ask again")
 
 // Ask returns the reports of the jobs of an id, a line of JSON each, by the time of their acceptance. It reads the files and waits
--- a/internal/journal/report.go
+++ b/internal/journal/report.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Report is what operators are told of a job, as JSON. Times are formatted by FormatTime; empty where not known.
+// Report describes a job to operators, as JSON. Times are formatted by FormatTime; empty where not known.
 type Report struct {
 	Job          string          `json:"job"`
 	Class        string          `json:"class,omitempty"`
@@ -57,7 +57,7 @@
 	return time.UnixMicro(at).UTC().Format("2006-01-02T15:04:05.000000Z07:00")
 }
 
-// Report returns what operators are told of the job.
+// Report returns the job's report for operators.
 func (j *Job) Report() Report {
 	verdict, reason, workers := j.Verdict()
 	r := Report{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Verdict: verdict.String(), Reason: reason, Workers: workers,
--- a/internal/journal/store/diskcall.go
+++ b/internal/journal/store/diskcall.go
@@ -5,7 +5,7 @@
 // diskCall is a call of the disk that may take long. The Store's goroutine goes on meanwhile: records are written, and so
 // survive the end of the process, while a sync of earlier ones is in flight.
 type diskCall struct {
-	result chan error  // has room for the result, so that nobody has to wait for it
+	result chan error  // buffered, so that the call's goroutine ends also if nobody receives the result
 	then   func(error) // is called in the Store's goroutine with the result
 }
 
--- a/internal/journal/store/fs.go
+++ b/internal/journal/store/fs.go
@@ -26,10 +26,10 @@
 	Remove(path string) error
 	SyncDir(dir string) error
 	Free(dir string) (bytes int64, err error) // for unprivileged processes
-	// Lock locks a file for this process until release is closed, and writes me to it. Where another process has the lock,
-	// the error is ErrLocked and owner is what that has written.
+	// Lock locks a file for this process until release is closed, and writes me, a description of this process, to it.
+	// Where another process has the lock, the error is ErrLocked and owner is the description that it has written.
 	Lock(path, me string) (release io.Closer, owner string, err error)
-	// Locked reports whether a process has the lock of a file, and what that has written to it.
+	// Locked reports whether a process has the lock of a file, and the description that it has written to it.
 	Locked(path string) (owner string, locked bool)
 }
 
@@ -47,7 +47,7 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// ReadFile reads a whole file.
+// ReadFile reads a file to its end.
 func (OS) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
 // ReadDir lists a directory.
--- a/internal/journal/store/loop.go
+++ b/internal/journal/store/loop.go
@@ -7,7 +7,7 @@
 	"sedgevale/internal/journal"
 )
 
-// run writes records, syncs and maintains the log until Close asks for the end.
+// run writes records, syncs and maintains the log until Close requests the end.
 func (s *Store) run() {
 	defer close(s.ended)
 	timer := time.NewTimer(maintenanceInterval)
@@ -90,8 +90,8 @@
 	return end
 }
 
-// writeRecords writes records and keeps those who wait for them until they are durable. Where the disk takes none, they are
-// buffered and the waiters told so.
+// writeRecords writes records and keeps their callbacks until they are durable. Where the disk takes none, they are
+// buffered and the waiters get the error.
 func (s *Store) writeRecords(records []journal.Record, waiters []func(error)) {
 	if s.dropped > 0 {
 		records = append([]journal.Record{{Kind: journal.RecordsLost, At: s.options.Now().UnixMicro(), Count: s.dropped}}, records...)
@@ -155,7 +155,8 @@
 	}
 }
 
-// sync begins to make durable what was written, and notifies its waiters then. Without Options.Sync that is done at once.
+// sync begins to make durable what was written, and notifies the waiters once it is. Without Options.Sync what was written
+// counts as durable at once.
 func (s *Store) sync() {
 	if s.options.Sync {
 		s.syncInBackground(nil)
--- a/internal/journal/store/maintenance.go
+++ b/internal/journal/store/maintenance.go
@@ -25,8 +25,7 @@
 	})
 }
 
-// prune drops segments that are older than the retention or exceed the journal's size, and removes files that do not count
-// any more.
+// prune drops segments that are older than the retention or exceed the journal's size, and removes stale files.
 func (s *Store) prune(now time.Time) {
 	if now.Sub(s.sweptAt) >= sweepInterval || now.Before(s.sweptAt) {
 		s.sweptAt = now
@@ -87,7 +86,7 @@
 	}
 }
 
-// sweepLog removes the segments of a log that is locked, if nothing in it counts any more.
+// sweepLog removes the segments of a log that is locked, if retention covers all of it.
 func (s *Store) sweepLog(now time.Time, dir string) {
 	l, _, err := openSegmentLog(s.options.FS, dir, s.log.key, s.options.SegmentBytes, s.logProblem)
 	if err != nil || len(l.table.Jobs) > 0 || slices.ContainsFunc(l.segments, func(one segment) bool {
@@ -97,7 +96,7 @@
 	}
 	for _, one := range l.segments { // the oldest first: what is left is still one chain
 		if err := s.options.FS.Remove(one.path); err != nil {
-			s.options.Log.Warn("a segment of the journal is not dropped", "file", one.path, "err", err)
+			s.options.Log.Warn("cannot remove a segment of the journal", "file", one.path, "err", err)
 			return
 		}
 	}
@@ -132,7 +131,7 @@
 	case changed && full:
 		s.options.Log.Warn("the journal is full: new jobs are not recorded", "dir", s.log.dir, "bytes", s.log.bytes())
 	case changed:
-		s.options.Log.Info("the journal has room again", "dir", s.log.dir, "bytes", s.log.bytes())
+		s.options.Log.Info("the journal has space again", "dir", s.log.dir, "bytes", s.log.bytes())
 	}
 }
 
@@ -168,6 +167,6 @@
 func (s *Store) releaseReserve() {
 	s.reserved = false
 	if err := s.options.FS.Remove(join(s.log.dir, reserveName)); err != nil {
-		s.options.Log.Error("the journal's reserve cannot be given back", "err", err)
+		s.options.Log.Error("cannot remove the journal's reserve file", "err", err)
 	}
 }
--- a/internal/journal/store/query.go
+++ b/internal/journal/store/query.go
@@ -44,7 +44,7 @@
 // maxReadAttempts is how often a log is read at most while its files change.
 const maxReadAttempts = 5
 
-// Read reads a whole journal, whether a scheduler writes it or not, and changes nothing. With an id, only the jobs of that id
+// Read reads a complete journal, whether a scheduler writes it or not, and changes nothing. With an id, only the jobs of that id
 // are in the View. It waits for the disk. The error is journal.ErrKey or journal.ErrVersion where a log cannot be read with the
 // secret or by this version; what is damaged is in View.Problems.
 func Read(fsys FS, dir string, secret []byte, id string) (*View, error) {
@@ -80,52 +80,52 @@
 		return err
 	}
 	owner, live := fsys.Locked(join(logDir, lockName)) // first: a process that ends meanwhile counts as live
-	book := journal.NewJobTable()
+	table := journal.NewJobTable()
 	inconsistency := Problem{File: logDir}
 	got, err := readSegments(fsys, logDir, key, visitor{
-		run: func() { book.EndProcess() },
+		run: func() { table.EndProcess() },
 		record: func(r *journal.Record, number uint64) {
-			if id != "" && !concerns(r, id, book) {
+			if id != "" && !concerns(r, id, table) {
 				return
 			}
-			if _, err := book.Apply(r); err != nil && !errors.Is(err, journal.ErrUnknownJob) {
+			if _, err := table.Apply(r); err != nil && !errors.Is(err, journal.ErrUnknownJob) {
 				inconsistency.What = fmt.Sprintf("segment %d: %v", number, err)
 			}
 		},
-		gap:  book.MarkMissingRecords,
+		gap:  table.MarkMissingRecords,
 		skip: skipOthers(id),
 	})
 	if err != nil {
 		return err
 	}
 	if !live {
-		book.EndProcess()
+		table.EndProcess()
 	}
 	v.Problems = got.problems
 	if inconsistency.What != "" {
 		v.Problems = append(v.Problems, inconsistency)
 	}
 	v.Logs = []LogView{{logDir, decodeOwner(owner), live, got.closed, len(got.segments), got.prunedThrough, got.records}}
-	for _, j := range book.Jobs {
+	for _, j := range table.Jobs {
 		v.Jobs = append(v.Jobs, Found{j, logDir, live})
 	}
 	return nil
 }
 
 // concerns reports whether a record is about a job of that id, or about none.
-func concerns(r *journal.Record, id string, book *journal.JobTable) bool {
+func concerns(r *journal.Record, id string, table *journal.JobTable) bool {
 	switch r.Kind {
 	case journal.Accepted:
 		return r.JobID == id
 	case journal.Intent:
-		return r.JobID == id || book.Jobs[r.Serial] != nil
+		return r.JobID == id || table.Jobs[r.Serial] != nil
 	case journal.CarriedOver:
 		return r.CarriedJob.ID == id
 	}
 	return true // the table ignores one of a job that it does not know
 }
 
-// skipOthers returns a visitor's skip that spares decoding acceptances, intents and copies of other jobs, which are most of a
+// skipOthers returns a visitor's skip function that avoids decoding acceptances, intents and copies of other jobs, which are most of a
 // journal's bytes.
 func skipOthers(id string) func([]byte) bool {
 	if id == "" {
@@ -246,7 +246,7 @@
 	return n, l.close(time.Now())
 }
 
-// BusyError is returned where a scheduler writes the journal, so that only that can settle jobs.
+// BusyError is returned where a scheduler writes the journal, so that only that scheduler can settle jobs.
 type BusyError struct{ Owner Owner }
 
 func (e *BusyError) Error() string { return ErrLocked.Error() + ", " + e.Owner.String() }
--- a/internal/journal/store/replay.go
+++ b/internal/journal/store/replay.go
@@ -62,7 +62,7 @@
 	lastMac         journal.Mac // of the same
 	run             [16]byte    // that wrote it
 	prunedThrough   uint64      // retention has dropped the records up to this sequence number
-	stale           []string    // files that do not count any more, because of retention or since they were never finished
+	stale           []string    // files that are obsolete, because of retention or since they were never finished
 	durableSequence uint64      // of the last record that was certainly durable
 	durableMac      journal.Mac // of the same
 	unsynced        []journal.Record
@@ -98,8 +98,8 @@
 	out           *replayed
 }
 
-// readSegments reads all segments of a log and verifies the chain. What is wrong with the content of files is told in problems;
-// an error means that nothing could be read: a failure of the file system, journal.ErrKey or journal.ErrVersion.
+// readSegments reads all segments of a log and verifies the chain. What is wrong with the content of files is reported in
+// problems; an error means that nothing could be read: a failure of the file system, journal.ErrKey or journal.ErrVersion.
 func readSegments(fsys FS, dir string, key *journal.Key, v visitor) (*replayed, error) {
 	r := &replay{fs: fsys, dir: dir, key: key, visitor: v, out: &replayed{}}
 	if err := r.openSegments(); err != nil {
@@ -154,7 +154,7 @@
 	case errors.Is(err, journal.ErrKey), errors.Is(err, journal.ErrVersion):
 		return fmt.Errorf("%s: %w", path, err)
 	case err != nil: // the process ended, or the disk was full, while it was made; otherwise the chain shows it
-		r.addProblem(path, 0, true, "its header is not whole")
+		r.addProblem(path, 0, true, "its header is incomplete or altered")
 	case s.header.Number != number:
 		r.addProblem(path, 0, false, "it is segment %d by its header", s.header.Number)
 	default:
--- a/internal/journal/store/segmentlog.go
+++ b/internal/journal/store/segmentlog.go
@@ -21,8 +21,8 @@
 	fs         FS
 	dir        string
 	key        *journal.Key
-	maxSegment int64 // bytes
-	run        [16]byte
+	maxSegment int64    // bytes
+	run        [16]byte // random id of this process
 
 	file         File // nil: the next write begins a segment
 	number       uint64
@@ -43,7 +43,7 @@
 	table        *journal.JobTable // jobs that are open or wait for an operator
 	firstSegment map[uint64]uint64 // by serial: the segment with the oldest record of such a job
 	segments     []segment         // finished, by number
-	stale        []string          // files that do not count any more
+	stale        []string          // obsolete files that are still to be removed
 	buffer       []byte            // for encoding, reused
 	onProblem    func(Problem)
 }
@@ -57,8 +57,8 @@
 }
 
 // openSegmentLog replays the segments in a directory, to be continued. It writes nothing.
-func openSegmentLog(fsys FS, dir string, key *journal.Key, limit int64, doubts func(Problem)) (*segmentLog, recovery, error) {
-	l := &segmentLog{fs: fsys, dir: dir, key: key, maxSegment: limit, table: journal.NewJobTable(), firstSegment: map[uint64]uint64{}, onProblem: doubts}
+func openSegmentLog(fsys FS, dir string, key *journal.Key, limit int64, onProblem func(Problem)) (*segmentLog, recovery, error) {
+	l := &segmentLog{fs: fsys, dir: dir, key: key, maxSegment: limit, table: journal.NewJobTable(), firstSegment: map[uint64]uint64{}, onProblem: onProblem}
 	_, _ = rand.Read(l.run[:])
 	var rec recovery
 	got, err := readSegments(fsys, dir, key, visitor{
@@ -352,15 +352,15 @@
 	return n
 }
 
-// beginPrune writes what allows to drop the n oldest finished segments: copies of the jobs in them that are not resolved, and a
+// beginPrune writes what the n oldest finished segments must not be dropped without: copies of the jobs in them that are not resolved, and a
 // record that says which records were dropped. EndPrune may be called once those are durable.
 func (l *segmentLog) beginPrune(now time.Time, n int) error {
 	var records []journal.Record
 	for serial, number := range l.firstSegment {
 		if j := l.table.Jobs[serial]; j != nil && number <= l.segments[n-1].number {
-			whole := *j
-			whole.Attempts = append([]journal.Attempt(nil), j.Attempts...)
-			records = append(records, journal.Record{Kind: journal.CarriedOver, Serial: serial, At: now.UnixMicro(), CarriedJob: &whole})
+			copied := *j
+			copied.Attempts = append([]journal.Attempt(nil), j.Attempts...)
+			records = append(records, journal.Record{Kind: journal.CarriedOver, Serial: serial, At: now.UnixMicro(), CarriedJob: &copied})
 		}
 	}
 	// The records before the next segment go, whichever that is.
@@ -374,14 +374,14 @@
 
 // endPrune drops the n oldest finished segments.
 func (l *segmentLog) endPrune(n int) {
-	for _, s := range l.segments[:n] { // also one whose file cannot be removed: its records do not count any more
+	for _, s := range l.segments[:n] { // also one whose file cannot be removed: its records are obsolete
 		l.stale = append(l.stale, s.path)
 	}
 	l.segments = l.segments[n:]
 	l.removeStale()
 }
 
-// removeStale removes files that do not count any more, the oldest first. After a failure it has to be called again.
+// removeStale removes obsolete files, the oldest first. After a failure it has to be called again.
 func (l *segmentLog) removeStale() {
 	for len(l.stale) > 0 {
 		if err := l.fs.Remove(l.stale[0]); err != nil && !notExist(err) {
--- a/internal/journal/store/store.go
+++ b/internal/journal/store/store.go
@@ -59,7 +59,7 @@
 // ErrClosed is passed to callbacks that still wait when the Store closes.
 var ErrClosed = errors.New("the journal is closed")
 
-// request is what the Store's goroutine is asked for: a record to write, a call, or, without both, to shut down.
+// request is a request to the Store's goroutine: a record to write, a call to make or, with neither, to shut down.
 type request struct {
 	record journal.Record
 	done   func(error) // called once the record is durable, or cannot be; may be nil
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -247,7 +247,7 @@
 	now := l.options.Clock.Now()
 	for _, t := range changed {
 		if len(l.loads) > 1 {
-			if t.InFlight == 0 && t.NotStarted == 0 { // so that the map does not grow with workers that are gone
+			if t.InFlight == 0 && t.NotStarted == 0 { // so that the map does not grow with workers that were removed
 				delete(l.loads[planner], t.Worker)
 			} else {
 				l.loads[planner][t.Worker] = t.Load
@@ -283,10 +283,10 @@
 
 // deliverSubset passes the subset of the workers on to the planners, if it has changed. The lock is held.
 func (l *Link) deliverSubset() {
-	l.node.TakeSubsetChange(func(part []string, sharers int) {
-		part = slices.Clone(part)
+	l.node.TakeSubsetChange(func(subset []string, sharers int) {
+		subset = slices.Clone(subset)
 		for _, p := range l.options.Planners {
-			p.SetSubset(part, sharers)
+			p.SetSubset(subset, sharers)
 		}
 	})
 }
--- a/internal/peers/failuredetector.go
+++ b/internal/peers/failuredetector.go
@@ -12,12 +12,12 @@
 // the same datagrams. A member's own datagrams outweigh what others claim of it.
 const (
 	pingInterval         = 250 * time.Millisecond
-	pingsPerDeadPing     = 4 // one ping of so many goes to a member that is dead or was never heard
+	pingsPerDeadPing     = 4 // one ping of so many goes to a member that is dead or unknown
 	ackTimeout           = 200 * time.Millisecond
 	indirectAckTimeout   = 300 * time.Millisecond // after the indirect pings
 	suspectTimeout       = time.Second            // for a refutation
 	directEvidenceTTL    = 500 * time.Millisecond // a datagram that was received so lately outweighs claims of others
-	maxTickGap           = 500 * time.Millisecond // after a longer one this process was suspended, and silence is no evidence
+	maxTickGap           = 500 * time.Millisecond // after a longer one this process was suspended, and missing acknowledgements are no evidence
 	indirectPings        = 2                      // members that are asked to ping one that does not acknowledge
 	extraPingsPerTimeout = 2                      // pings besides, since failures may be correlated
 	maxExtraPings        = 8                      // at a time
@@ -31,7 +31,7 @@
 
 // The states. Of the same generation and incarnation, later ones supersede earlier ones.
 const (
-	Unknown State = iota // neither heard nor claimed by others
+	Unknown State = iota // no datagram and no claim about it was received
 	Alive
 	Suspect
 	Dead
@@ -242,7 +242,7 @@
 			d.messages = append(d.messages, message{to: target, kind: kindPing, subject: target})
 		}
 	}
-	if h.kind == kindIndirectAck && len(body) > 0 { // another member hears it; a gossiped claim alone may be old
+	if h.kind == kindIndirectAck && len(body) > 0 { // another member has received its acknowledgement; a gossiped claim alone may be old
 		target := decodeClaim(body).number
 		d.probes = slices.DeleteFunc(d.probes, func(p probe) bool { return p.number == target })
 	}
@@ -334,7 +334,7 @@
 	}
 }
 
-// expireSuspects declares dead who has not refuted a suspicion.
+// expireSuspects declares dead the members that have not refuted a suspicion within suspectTimeout.
 func (n *Node) expireSuspects(now time.Duration) {
 	for i := range n.detector.views {
 		v := &n.detector.views[i]
@@ -394,7 +394,7 @@
 	_ = pick(dead) || pick(!dead)
 }
 
-// sendDetectorMessages sends the failure detector's messages, with as much gossip as there is room for.
+// sendDetectorMessages sends the failure detector's messages, with as much gossip as fits into the datagrams.
 func (n *Node) sendDetectorMessages(send func(to int, datagram []byte)) {
 	d := &n.detector
 	for _, one := range d.messages {
@@ -439,11 +439,17 @@
 	}
 }
 
+// beginDatagram begins a datagram of a kind to a member.
+func (n *Node) beginDatagram(k kind, to uint16) {
+	m := &n.members[to]
+	m.lastSentSequence++
+	n.buf = n.codec.begin(n.buf, head{k, n.options.Generation, m.lastSentSequence})
+}
+
 // beginMessage begins the datagram of a message.
 func (n *Node) beginMessage(one message) {
-	to := &n.members[one.to]
-	to.lastSentSequence++
-	n.buf = append(n.codec.begin(n.buf, head{one.kind, n.options.Generation, to.lastSentSequence}), n.detector.views[n.options.Self].incarnation)
+	n.beginDatagram(one.kind, one.to)
+	n.buf = append(n.buf, n.detector.views[n.options.Self].incarnation)
 	if one.kind == kindPingRequest {
 		n.buf = binary.BigEndian.AppendUint16(n.buf, one.target)
 	}
--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -39,8 +39,8 @@
 	n.subsetChanged = n.subsetChanged || n.anyHeard
 }
 
-// TakeSubsetChange calls f with the subset if that may have changed since the last call. While no member is heard there is none: all
-// workers are equal, as without other schedulers. The slice is valid until the list of workers is set again.
+// TakeSubsetChange calls f with the subset if that may have changed since the last call. While no other member is active there is no subset:
+// all workers are equal, as without other schedulers. The slice is valid until the list of workers is set again.
 func (n *Node) TakeSubsetChange(f func(workers []string, sharers int)) {
 	if !n.subsetChanged {
 		return
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers is the protocol by which the schedulers of one site share what load each of them puts on the workers: who is
-// told of which worker, what the next datagram contains, and which received datagrams count. It does no input or output and
+// Package peers is the protocol by which the schedulers of one site share the load that each of them puts on the workers: who
+// subscribes to which worker, what the next datagram contains, and which received datagrams are valid. It does no input or output and
 // takes the time as an argument, for a driver that owns a socket (internal/peerlink) and for simulations in virtual time.
 //
 // Each worker has subscribers: some schedulers that have it in their subset, the few workers that they try first. A scheduler
@@ -24,8 +24,8 @@
 	LoadTTL = 2 * time.Second
 	// TickInterval is the interval at which Tick should be called.
 	TickInterval = 50 * time.Millisecond
-	// minGenerationSilence is how long a run of a process must be silent before datagrams of an earlier generation are accepted: a
-	// machine's clock may be set back.
+	// minGenerationSilence is how long a run of a process must have sent nothing before datagrams of an earlier generation are
+	// accepted: a machine's clock may be set back.
 	minGenerationSilence = 3 * time.Second
 	// sequenceWindow is the time within which datagrams may arrive out of order.
 	sequenceWindow = time.Second
@@ -64,7 +64,7 @@
 	workersByKey  map[uint32]*workerState
 	subset        []string // of the workers
 	sharers       int      // maximum number of members that share a worker of the subset
-	anyHeard      bool     // some member was heard within LoadTTL
+	anyHeard      bool     // a datagram of some member was received within LoadTTL
 	subsetChanged bool     // since it was last taken
 
 	unsent    []*workerState  // whose load is to be sent
@@ -84,7 +84,7 @@
 	Rejected       uint64 `json:"refused"` // invalid, of another version or site, stale, or of a sender that is no member
 	UnknownWorkers uint64 `json:"unknown"` // loads of workers that no list has named here
 	Expired        uint64 `json:"expired"` // reports of a load that expired before they were withdrawn
-	ActiveMembers  int    `json:"heard"`   // members that were heard within LoadTTL
+	ActiveMembers  int    `json:"heard"`   // members of which a datagram was received within LoadTTL
 	Workers        int    `json:"boxes"`   // workers in the list
 	Subset         int    `json:"part"`    // workers in the subset
 	Shares         int    `json:"shares"`  // maximum number of members that share a worker of the subset
@@ -93,7 +93,7 @@
 // member is what is known of the datagrams of a member.
 type member struct {
 	generation          uint16
-	known               bool // it was heard
+	known               bool // a datagram of it was received
 	heardAt             time.Duration
 	highestSequence     uint16 // received
 	lowestSequence      uint16 // the highest one a window ago; lower ones are rejected
@@ -205,9 +205,7 @@
 	if p.count == 0 {
 		return
 	}
-	to := &n.members[m]
-	to.lastSentSequence++
-	n.buf = n.codec.begin(n.buf, head{kindLoads, n.options.Generation, to.lastSentSequence})
+	n.beginDatagram(kindLoads, m)
 	n.buf = append(n.buf, p.entries[:p.count*loadSize]...)
 	p.count = 0
 	n.finishDatagram(m, send)
@@ -239,8 +237,8 @@
 			n.Counts.ActiveMembers++
 		}
 	}
-	if heard := n.Counts.ActiveMembers > 0; heard != n.anyHeard {
-		n.anyHeard, n.subsetChanged = heard, true
+	if active := n.Counts.ActiveMembers > 0; active != n.anyHeard {
+		n.anyHeard, n.subsetChanged = active, true
 	}
 	n.tickDetector(now)
 	n.tickRevisions(now)
--- a/internal/peers/revisions.go
+++ b/internal/peers/revisions.go
@@ -192,7 +192,7 @@
 		switch {
 		case !e.known || e.generation != generation && (generation == known || e.generation != known && newer(generation, e.generation)):
 		case e.generation == generation && newer(serial, e.serial):
-		case e.generation == known && newer(generation, known): // the failure detector will hear of that generation
+		case e.generation == known && newer(generation, known): // the failure detector will learn of that generation
 		default:
 			continue
 		}
@@ -353,13 +353,6 @@
 	return rest
 }
 
-// beginDatagram begins a datagram of a kind to a member.
-func (n *Node) beginDatagram(k kind, to uint16) {
-	m := &n.members[to]
-	m.lastSentSequence++
-	n.buf = n.codec.begin(n.buf, head{k, n.options.Generation, m.lastSentSequence})
-}
-
 // newestRevision returns the highest revision in force at a member that is present.
 func (n *Node) newestRevision() (number uint32) {
 	for m := range n.revisionTable.entries {
--- a/internal/peers/subscribers.go
+++ b/internal/peers/subscribers.go
@@ -10,7 +10,7 @@
 //
 // Members are ranked by rendezvous hashing; a worker takes the least loaded of its highest, and no member has many more workers
 // than the mean. A member that is left with too few joins further workers. Two workers seldom have the same subscribers, so that
-// a full worker leaves each of its subscribers others with room.
+// when a worker is full, each of its subscribers has other workers that are not.
 func assignSubscribers(members int, workers []uint64, minSubscribers, minSubset int) [][]uint16 {
 	a := assignment{workers: workers, subscribers: make([][]uint16, len(workers)), load: make([]int, members)}
 	if len(workers) == 0 || members == 0 {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,8 +1,7 @@
-// Package pool says which members of a backend may be sent a request now: by their state,
-// weight, connections and backups, by the cookie or text that ties a request to one, and
-// by whose turn it is. The decision module decides whether and when the request goes. The
-// package is pure: it does no input or output, and the time is an argument. A Pool is for
-// one goroutine at a time.
+// Package pool picks the member of a backend for a request: by the members' state, weight, requests in
+// flight and backups, by the cookie or text that ties the request to one, and by a load-balancing
+// algorithm. The decision module decides whether and when the request is sent. The package does no input
+// or output and takes the time as an argument. A Pool is not safe for concurrent use.
 package pool
 
 import (
@@ -15,16 +14,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Balance is the way in which turns are taken.
+// Balance is a load-balancing algorithm.
 type Balance string
 
-// The ways.
+// The algorithms, by HAProxy's names.
 const (
 	RoundRobin Balance = "roundrobin" // by weight, evenly spread
-	LeastConn  Balance = "leastconn"  // who has the fewest requests for its weight
+	LeastConn  Balance = "leastconn"  // the fewest requests in flight in relation to the weight
 	First      Balance = "first"      // the first that has capacity
 	Random     Balance = "random"     // drawn by weight
-	Hash       Balance = "hash"       // by a text of the request; a member's leaving moves only its own
+	Hash       Balance = "hash"       // rendezvous hashing of a text of the request: if a member leaves, only its requests move
 )
 
 // Member is a member of a backend.
@@ -37,14 +36,14 @@
 	Cookie   string
 }
 
-// Options set a Pool up.
+// Options configure a Pool.
 type Options struct {
 	Members      []Member
 	Balance      Balance       // "": RoundRobin
 	AllBackups   bool          // all backups at once, not the first that serves
 	MaxQueue     int           // requests that may wait; 0: 1024
 	QueueTimeout time.Duration // how long; 0: 5 s
-	SlowStart    time.Duration // in which a member that returns comes up to its weight
+	SlowStart    time.Duration // in which a member that becomes healthy comes up to its weight
 }
 
 // State says which requests a member may be sent.
@@ -77,7 +76,7 @@
 	Member
 	state   State
 	since   time.Duration // when it came up; 0: long ago
-	current float64       // of smooth weighted round robin
+	current float64       // current weight of smooth weighted round robin
 	// inFlight counts the requests that the member has now: Acquire adds, Release subtracts.
 	inFlight int
 }
@@ -97,15 +96,15 @@
 	deadline time.Duration
 }
 
-// Hint is what a request says of where it wants to go.
+// Hint is the part of a request that decides which members it prefers.
 type Hint struct {
 	Cookie string // of persistence; "": none
 	Key    string // what is hashed, with Balance Hash
 	Rand   uint64 // drawn for this request, with Balance Random
-	Tried  []int  // members that were tried, and whose turn it is not while there is another
+	Tried  []int  // members that were tried: others are preferred
 }
 
-// Check returns an error for options that make no sense.
+// Check returns an error for invalid options.
 func (o *Options) Check() error {
 	if len(o.Members) == 0 {
 		return errors.New("no member")
@@ -160,8 +159,8 @@
 	return p, nil
 }
 
-// InheritState takes over what an older Pool of the same backend knows of members that stay:
-// their state but for maintenance by the file, what they have out, and their turns.
+// InheritState copies from an older Pool of the same backend, for members that stay, the state
+// (but for maintenance by the file), the requests in flight and the round robin's state.
 func (p *Pool) InheritState(old *Pool) {
 	for i := range p.members {
 		m := &p.members[i]
@@ -185,10 +184,10 @@
 	return slices.IndexFunc(p.members, func(m member) bool { return m.Name == name })
 }
 
-// State returns how a member stands, and what it has out.
+// State returns a member's state and the number of its requests in flight.
 func (p *Pool) State(i int) (State, int) { return p.members[i].state, p.members[i].inFlight }
 
-// SetState says how a member stands from now on. One that comes up begins slowly.
+// SetState sets a member's state. One that comes up begins its slow start.
 func (p *Pool) SetState(i int, s State, now time.Duration) {
 	m := &p.members[i]
 	if m.state != Up && s == Up {
@@ -240,7 +239,7 @@
 	return w
 }
 
-// Verdict is what becomes of a request that asks for a member.
+// Verdict is the result of Pick.
 type Verdict uint8
 
 // The verdicts.
@@ -250,7 +249,7 @@
 	Unavailable                // no member serves
 )
 
-// Pick says which member's turn it is for a request. It takes the turn; Acquire takes the
+// Pick picks a member for a request, by the balancing algorithm, whose state it advances. Acquire takes the
 // capacity.
 func (p *Pool) Pick(now time.Duration, h Hint) (int, Verdict) {
 	if i := p.persistent(h); i >= 0 {
@@ -394,7 +393,7 @@
 func (p *Pool) QueueLen() int { return len(p.queue) }
 
 // NextQueued returns the request that has waited the longest of those that can go now, and the
-// member that it goes to. It takes the turn and the capacity.
+// member that it goes to. It picks and acquires that member.
 func (p *Pool) NextQueued(now time.Duration) (token any, i int, ok bool) {
 	for k, w := range p.queue {
 		if i, v := p.Pick(now, w.hint); v == Assigned {
@@ -404,7 +403,7 @@
 		} else if v == Unavailable {
 			break
 		} else if w.hint.Cookie == "" && p.opt.Balance != Hash {
-			break // nor can anybody behind it, unless its cookie leads to another
+			break // nor can a later one: without cookie and hash all compete for the same members
 		}
 	}
 	return nil, -1, false
@@ -419,7 +418,7 @@
 	return k >= 0
 }
 
-// Expire returns the requests that have waited too long, or for whom no member is left.
+// Expire dequeues and returns the requests that have waited too long, or for which no member is left.
 func (p *Pool) Expire(now time.Duration) (tokens []any) {
 	none := len(p.queue) > 0 && len(p.eligible()) == 0
 	p.queue = slices.DeleteFunc(p.queue, func(w queuedRequest) bool {
@@ -439,7 +438,7 @@
 	})
 }
 
-// NextDeadline returns when the first of those that wait has waited too long; 0: nobody waits.
+// NextDeadline returns the earliest deadline of the queued requests; 0: none is queued.
 func (p *Pool) NextDeadline() (first time.Duration) {
 	for _, w := range p.queue {
 		if first == 0 || w.deadline < first {
@@ -449,7 +448,7 @@
 	return first
 }
 
-// Drain empties the queue and returns who waited, the longest first.
+// Drain empties the queue and returns its requests, the longest waiting first.
 func (p *Pool) Drain() (tokens []any) {
 	for _, w := range p.queue {
 		tokens = append(tokens, w.token)
--- a/internal/reverseproxy/backend.go
+++ b/internal/reverseproxy/backend.go
@@ -7,8 +7,8 @@
 	"sedgevale/internal/pool"
 )
 
-// pickServer takes a server for a request. Where none has capacity the request is queued, and
-// dispatchQueue goes on with it.
+// pickServer picks a server for a request and acquires its capacity. Where none has capacity the request is queued, and
+// dispatchQueue submits or rejects it later.
 func (b *backend) pickServer(r *proxyRequest) (server int, v pool.Verdict) {
 	now := b.proxy.opt.Clock.Now()
 	b.mu.Lock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// release gives a server's capacity back, by name: the pool may have been replaced since.
+// release releases the capacity of a server, given by its name since the pool may have been replaced meanwhile.
 func (b *backend) release(server string) {
 	b.mu.Lock()
 	if i := b.index(server); i >= 0 {
--- a/internal/reverseproxy/body_reader.go
+++ b/internal/reverseproxy/body_reader.go
@@ -16,7 +16,7 @@
 	chunk  []byte
 }
 
-// next returns the next bytes of the body, which are good until the next call, or its end.
+// next returns the next bytes of the body, which are valid until the next call, or its end.
 func (r *bodyReader) next() (body []byte, end bool, err error) {
 	for {
 		n, ev, part, err := r.parser.Next(r.buf)
@@ -41,7 +41,7 @@
 	}
 }
 
-// head reads the head of a response, and passes over interim ones.
+// head reads the head of a response and skips interim ones.
 func (r *bodyReader) head() (*http1.Head, error) {
 	for {
 		n, ev, _, err := r.parser.Next(r.buf)
--- a/internal/reverseproxy/health.go
+++ b/internal/reverseproxy/health.go
@@ -10,7 +10,7 @@
 	"sedgevale/internal/pool"
 )
 
-// applyStates sets the states of a new pool's members by what checks and operators have said. The
+// applyStates sets the states of a new pool's members from their health and cordons. The
 // caller publishes the list next.
 func (b *backend) applyStates() {
 	b.mu.Lock()
@@ -94,7 +94,7 @@
 	return out
 }
 
-// setHealth takes in that a server's checks have begun to pass or to fail.
+// setHealth notes that a server has become healthy or unhealthy by its checks.
 func (b *backend) setHealth(server string, up bool) {
 	b.mu.Lock()
 	i := b.index(server)
@@ -107,7 +107,7 @@
 	b.publishState(i)
 }
 
-// index returns the member of the pool that a server is, or -1. The lock is held.
+// index returns the index of a server in the pool, or -1. The lock is held.
 func (b *backend) index(server string) int {
 	if b.pool == nil {
 		return -1
@@ -138,7 +138,7 @@
 	b.dispatchQueue()
 }
 
-// Cordon cordons a server, BACKEND/SERVER, or lifts that, and reports whether there is such a server.
+// Cordon cordons a server, BACKEND/SERVER, or uncordons it, and reports whether there is such a server.
 // Requests in flight there go on to their end.
 func (s *Proxy) Cordon(host string, out bool) (known bool) {
 	name, server, _ := strings.Cut(host, "/")
--- a/internal/reverseproxy/message.go
+++ b/internal/reverseproxy/message.go
@@ -32,7 +32,7 @@
 	return false
 }
 
-// requestedUpgrade returns the protocol that a request wants to go on with, "" for none.
+// requestedUpgrade returns the protocol that a request asks to upgrade to, "" for none.
 func requestedUpgrade(h *http1.Head) string {
 	if h.HTTP10 || !containsFold(connectionOptions(h.Fields), "upgrade") {
 		return ""
@@ -40,7 +40,7 @@
 	return h.Get("Upgrade")
 }
 
-// appendRequestHead writes the head of a request to a server. Length is that of the body, -1 if
+// appendRequestHead appends the head of a request to a server. Length is that of the body, -1 if
 // it comes in chunks, -2 if there is none.
 func appendRequestHead(b []byte, method, target string, fields []http1.Field, length int64, client net.Addr, forward bool, upgrade string) []byte {
 	b = http1.AppendRequest(b, method, originForm(target))
@@ -120,8 +120,8 @@
 	return http1.AppendField(b, "Content-Length", string(digits[i:]))
 }
 
-// responseFields returns the fields of a server's answer that pass on, and how its body
-// will be framed towards the client.
+// responseFields returns the fields of a server's response that are forwarded, and how its body
+// is framed towards the client.
 func responseFields(h *http1.Head, head, old bool) (fields []http1.Field, framing httpd.Framing) {
 	own := connectionOptions(h.Fields)
 	none := head || h.Status < 200 || h.Status == 204 || h.Status == 304
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -1,7 +1,7 @@
 // Package reverseproxy is a plain HTTP/1.1 reverse proxy for any method, path and response, on the
-// same event loops, Exchange and decision module as the job frontends. Rules say which backend a
-// request goes to, the backend's pool which of its servers may have it, and the module whether and
-// when it is sent. Bodies of up to 64 KiB are carried on the event loops; longer ones, and tunnels,
+// same event loops, Exchange and decision module as the job frontends. Rules select
+// the backend of a request, the backend's pool its server, and the module decides whether and when it
+// is sent. Bodies of up to 64 KiB are carried on the event loops; longer ones, and tunnels,
 // by goroutines that read no faster than they write.
 package reverseproxy
 
@@ -26,7 +26,7 @@
 	"sedgevale/internal/route"
 )
 
-// Options set a Site up.
+// Options configure a Proxy.
 type Options struct {
 	Config *dispatchconfig.Web
 	Loops  int              // event loops of each listener
@@ -37,7 +37,7 @@
 	Log    *slog.Logger
 }
 
-// Proxy is all frontends and backends.
+// Proxy is a reverse proxy with all its frontends and backends.
 type Proxy struct {
 	opt         Options
 	planners    *dispatch.Set
@@ -54,8 +54,8 @@
 	runCtx     context.Context    // of Run; nil: not called yet
 }
 
-// activeConfig is the configuration that requests are dealt with by. It is not changed, only
-// replaced; its backends are kept over the change.
+// activeConfig is the configuration that new requests follow. It is immutable and replaced as a whole by a reload, but for its
+// backends, which a reload keeps where their names stay.
 type activeConfig struct {
 	web       *dispatchconfig.Web
 	frontends map[string]*frontend // by name
@@ -67,7 +67,7 @@
 	rules *route.Rules
 }
 
-// backend is kept over new settings, since the requests in flight are counted in it.
+// backend is kept when the configuration is reloaded, since it counts the requests in flight.
 type backend struct {
 	name  string
 	proxy *Proxy
@@ -76,9 +76,9 @@
 	mu            sync.Mutex
 	spec          dispatchconfig.WebBackend
 	rules         *route.Rules
-	pool          *pool.Pool         // nil: it has no servers
-	hash          *route.Format      // nil: nothing is hashed
-	safeClasses   []*sedgevale.Class // by member, for requests that may be sent again
+	pool          *pool.Pool         // nil: no servers
+	hash          *route.Format      // nil: requests are not hashed
+	safeClasses   []*sedgevale.Class // by member, for requests that may be retried
 	unsafeClasses []*sedgevale.Class // by member, for others
 	unhealthy     map[string]bool    // by server: its checks fail
 	cordoned      map[string]bool    // by server: an operator has cordoned it
@@ -89,7 +89,7 @@
 // connectFailureBackoff is how long a server is avoided after a connection to it has failed.
 const connectFailureBackoff = time.Second
 
-// New returns a Site that does not serve yet. It fails if the configuration does not hold.
+// New returns a Proxy that does not serve yet. The error is about the configuration.
 func New(o Options) (*Proxy, error) {
 	s := &Proxy{opt: o, kinds: map[string]int{}}
 	s.transport = newTransport(s)
@@ -120,7 +120,7 @@
 // may take to arrive, where the frontend's request_timeout is 0.
 const defaultRequestTimeout = 10 * time.Second
 
-// Servers returns the listeners. Whoever runs the Site starts and stops them.
+// Servers returns the listeners. The caller starts and stops them.
 func (s *Proxy) Servers() []*httpd.Server { return s.servers }
 
 // Run plans requests, checks servers and closes idle connections until the context ends. It is
@@ -136,10 +136,10 @@
 	background.Wait()
 }
 
-// Open returns how many requests wait for the head of a response.
+// Open returns the number of requests that wait for the head of a response.
 func (s *Proxy) Open(ctx context.Context) (int, error) { return s.planners.CountOpen(ctx) }
 
-// Alive returns once the planner has had a turn.
+// Alive returns nil once the planner's goroutine has run, or the error of the context.
 func (s *Proxy) Alive(ctx context.Context) error { return s.planners.Ping(ctx) }
 
 // Reload replaces frontends and backends. Requests in flight go on by the old ones; servers that stay
@@ -228,8 +228,8 @@
 // id returns the worker id of a server, BACKEND/SERVER.
 func (b *backend) id(server string) string { return b.name + "/" + server }
 
-// moduleSettings returns the decision module's settings: a class for each server, since the pool says whose turn it
-// is, and one attempt for each request, since after a failure the pool says who is next.
+// moduleSettings returns the decision module's settings: a class for each server, since the pool
+// picks the server, and one attempt for each request, since after a failure the pool picks again.
 func (s *Proxy) moduleSettings(t *activeConfig) sedgevale.Settings {
 	set := sedgevale.Settings{MaxAttempts: 1, AllowCancel: true, Dispatchers: 1}
 	for _, b := range t.web.Backends {
@@ -237,13 +237,13 @@
 			set.Classes = append(set.Classes, *t.backends[b.Name].safeClasses[i], *t.backends[b.Name].unsafeClasses[i])
 		}
 	}
-	if len(set.Classes) == 0 { // no backend has servers; the module wants one class all the same
+	if len(set.Classes) == 0 { // no backend has servers; the module requires a class
 		set.Classes = []sedgevale.Class{{Name: "-", LatencyTarget: time.Second, ClientTimeout: time.Second, Kinds: []int{}}}
 	}
 	return set
 }
 
-// install puts a configuration in force. Backends that stay take the new settings over.
+// install activates a configuration. Backends that existed before continue with their new settings.
 func (s *Proxy) install(t *activeConfig) {
 	old := s.active.Load()
 	for name, b := range t.backends {
@@ -261,8 +261,8 @@
 	s.publish(t)
 }
 
-// replace has a backend go on by the settings of another, which is not in use yet. It returns the
-// requests that were queued and for which the new queue has no place; the others stay queued.
+// replace gives a backend the settings of another one, which is not in use yet. It returns the
+// requests that were queued and for which the new queue has no capacity; the others stay queued.
 func (b *backend) replace(by *backend) (rejected []any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -280,7 +280,7 @@
 	return rejected
 }
 
-// publish gives planner and transport the whole list of servers and their states.
+// publish gives planner and transport the complete list of servers and their states.
 func (s *Proxy) publish(t *activeConfig) {
 	var entries []sedgevale.WorkerInfo
 	var members []serverInfo
@@ -323,7 +323,7 @@
 	return strconv.FormatFloat(b.spec.RetryAfter, 'f', -1, 64)
 }
 
-// hopByHop reports whether a field is for one connection alone (RFC 9110, section 7.6.1).
+// hopByHop reports whether a header field is meant for one connection and not forwarded (RFC 9110, section 7.6.1).
 func hopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-connection", "te", "transfer-encoding", "upgrade", "trailer":
--- a/internal/reverseproxy/request.go
+++ b/internal/reverseproxy/request.go
@@ -25,7 +25,7 @@
 }
 
 // proxyRequest is one request, from its head to the end of its response. It has an Exchange for
-// each server that is tried. What it does towards the client is done by its responder.
+// each server that is tried. Its responder writes to the client.
 //
 // Where its lock and a backend's are both held, the backend's is taken first.
 type proxyRequest struct {
@@ -36,7 +36,7 @@
 	body          []byte // complete, or with a transfer the beginning
 	responder     responder
 	transfer      *transfer      // nil: body is complete
-	upgrade       string         // the protocol that it wants to go on with; "": none
+	upgrade       string         // the protocol that Upgrade asks for; "": none
 	responseRules []*route.Rules // those that edit responses, the backend's first
 	forwardFor    bool           // X-Forwarded-For is added
 
@@ -53,7 +53,7 @@
 	finished   bool   // its capacity is given back; nothing more goes to the client
 }
 
-// responder is the way to a client. Its methods may be called from anywhere and in their order.
+// responder writes a response to a client. Its methods may be called from any goroutine, one after the other.
 type responder interface {
 	// reply gives a complete response of our own. With last the connection ends behind it.
 	reply(status int, fields []http1.Field, body []byte, last bool)
@@ -82,7 +82,7 @@
 	r.route(d.name, c.Remote().String(), portOf(c.Local()))
 }
 
-// Disconnected is called when the client has left.
+// Disconnected is called when the client has disconnected.
 func (d *frontendHandler) Disconnected(c *httpd.Conn) {
 	if r, ok := c.State.(*proxyRequest); ok {
 		r.clientGone()
@@ -97,11 +97,11 @@
 	go r.transfer.run(func() { r.route(d.name, conn.RemoteAddr().String(), portOf(conn.LocalAddr())) })
 }
 
-// route finds out where a request goes, and begins.
+// route applies the rules, selects the backend and begins the first attempt.
 func (r *proxyRequest) route(front, client string, port int) {
 	t := r.proxy.active.Load()
 	f := t.frontends[front]
-	if f == nil { // gone with new settings; its address is still listened on
+	if f == nil { // removed by a reload; its address is still listened on
 		r.replyUnavailable(nil, "this address serves nothing any more")
 		return
 	}
@@ -140,7 +140,7 @@
 	r.pickServer()
 }
 
-// parse makes of the request's head what rules can ask of.
+// parse makes of the request's head what rules are evaluated on.
 func (r *proxyRequest) parse(client string, port int) {
 	version := "1.1"
 	if r.head.HTTP10 {
@@ -153,8 +153,7 @@
 	}
 }
 
-// takeCookie returns the value of the cookie that ties clients to servers, and takes it
-// out of the request where servers are not to see it.
+// takeCookie returns the value of the persistence cookie, and removes the cookie from the request if hide is set.
 func (r *proxyRequest) takeCookie(name string, hide bool) (value string) {
 	fields := slices.Clone(r.parsed.Fields)
 	for i := 0; i < len(fields); i++ {
@@ -183,13 +182,13 @@
 	return value
 }
 
-// replyByRule gives an answer that a rule has made.
+// replyByRule replies with the response of a rule.
 func (r *proxyRequest) replyByRule(a *route.Answer) {
 	r.finish()
 	r.responder.reply(a.Status, a.Fields, a.Body, false)
 }
 
-// replyUnavailable answers that nobody serves the request.
+// replyUnavailable replies with 503, for a reason in words, and with Retry-After if the backend has one.
 func (r *proxyRequest) replyUnavailable(b *backend, why string) {
 	var fields []http1.Field
 	if b != nil {
@@ -219,7 +218,7 @@
 	return r.finished
 }
 
-// clientGone ends the request after its client has disconnected.
+// clientGone ends the request, whose client has disconnected.
 func (r *proxyRequest) clientGone() {
 	r.mu.Lock()
 	x, waits := r.exchange, r.server == "" && !r.finished
@@ -268,7 +267,7 @@
 func (r *proxyRequest) submit(i int) {
 	b := r.backend
 	b.mu.Lock()
-	if i >= len(b.spec.Servers) { // new settings came between
+	if i >= len(b.spec.Servers) { // the configuration was reloaded meanwhile
 		b.mu.Unlock()
 		r.noServer()
 		return
@@ -279,7 +278,7 @@
 	}
 	b.mu.Unlock()
 	r.mu.Lock()
-	if r.finished { // the client left as it waited
+	if r.finished { // the client disconnected while the request was queued
 		r.mu.Unlock()
 		b.release(name)
 		return
@@ -303,9 +302,9 @@
 func (*exchangeClient) Started()         {}
 func (*exchangeClient) Progress(float64) {}
 
-// Answer comes from the planner's goroutine. Served means that the head of an answer has
-// come, which the transport passes on by itself. After a refusal the request may go to another
-// server: the module says by it that nothing of it can have run, or may run again.
+// Answer comes from the planner's goroutine. Served means that the head of a response has
+// arrived, which the transport forwards by itself. A rejection means that the request has not run or may be run again, so that
+// it may go to another server.
 func (s *exchangeClient) Answer(a dispatch.Answer) {
 	r := s.request
 	if a.Kind == dispatch.Served {
@@ -328,7 +327,7 @@
 		r.responder.abort()
 		return
 	}
-	if cause == "" && sent { // the planner has heard of its end before the transport
+	if cause == "" && sent { // the planner has learned of the attempt's end before the transport
 		cause = "response-timeout"
 	}
 	again := a.Kind == dispatch.Rejected && r.mayRetry(cause)
@@ -374,7 +373,7 @@
 	sedgevale.Rejected: "conn-failure", sedgevale.ConnectionLost: "empty-response", sedgevale.TimedOut: "response-timeout",
 	sedgevale.Errored: "junk-response"}
 
-// noteCause notes why an attempt ends, before the planner hears of it.
+// noteCause notes why an attempt ends. It is called before that is reported to the planner.
 func (r *proxyRequest) noteCause(cause string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -388,8 +387,8 @@
 	r.sent = true
 }
 
-// mayRetryStatus reports whether an answer of that status is to be dropped and the request
-// sent elsewhere.
+// mayRetryStatus reports whether a response of that status is to be dropped and the request
+// sent to another server.
 func (r *proxyRequest) mayRetryStatus(status int) bool {
 	if status < 500 || status > 504 || r.transfer != nil {
 		return false
@@ -402,8 +401,8 @@
 	return r.attempts < b.spec.Attempts() && len(b.spec.RetryOn) > 0 && b.spec.RetriesOn(strconv.Itoa(status)) && idempotent(r.parsed.Method)
 }
 
-// beginResponse notes that the head of an answer has come, and reports whether the client still
-// wants it.
+// beginResponse notes that the head of a response has arrived, and reports whether the client still
+// waits for it.
 func (r *proxyRequest) beginResponse() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/reverseproxy/server_conn.go
+++ b/internal/reverseproxy/server_conn.go
@@ -95,7 +95,7 @@
 // maxKeptBuffer bounds a buffer that is kept for the next request, in bytes.
 const maxKeptBuffer = 16 << 10
 
-var errUnsolicited = errors.New("an answer that nothing was asked for")
+var errUnsolicited = errors.New("unsolicited response")
 
 // OnTraffic is called by the loop when there is something to read. What one call reads goes to the
 // client in one part.
@@ -108,7 +108,7 @@
 	return true
 }
 
-// read takes in one event of the response, and reports whether to go on reading.
+// read handles one event of the response, and reports whether to go on reading.
 func (sc *serverConn) read(part *responsePart) (more bool) {
 	buf, _ := sc.loopConn.Peek(-1)
 	n, ev, body, err := sc.parser.Next(buf)
@@ -141,7 +141,7 @@
 	return true
 }
 
-// takeHead takes in a head. It returns false if nothing more of the response is wanted here.
+// takeHead handles the head of a response. It returns false if the loop is to read no more of it.
 func (sc *serverConn) takeHead(part *responsePart) bool {
 	ua := sc.attempt
 	h := sc.parser.Head
@@ -180,14 +180,14 @@
 	return string([]byte{byte('0' + s/100), byte('0' + s/10%10), byte('0' + s%10)})
 }
 
-// deliver passes on what has come, unless nobody wants it any more.
+// deliver passes a part of the response on to the client, unless the attempt has ended.
 func (sc *serverConn) deliver(part *responsePart) {
 	if sc.attempt != nil && !sc.attempt.done && (part.head != nil || len(part.parts) > 0) {
 		sc.attempt.request.responder.deliver(part)
 	}
 }
 
-// isClientSlow reports whether the client does not keep up, or will not, with this response.
+// isClientSlow reports whether the client does not keep up with this response, or is not expected to since it is long.
 func (sc *serverConn) isClientSlow(part *responsePart) bool {
 	ua := sc.attempt
 	if ua == nil || ua.done || !ua.reported {
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -77,7 +77,7 @@
 	return t.bodySent
 }
 
-// stop ends the current attempt, as when time is up.
+// stop ends the current attempt, after a time-out or when the client has disconnected.
 func (t *transfer) stop() {
 	t.stopOnce.Do(func() { close(t.stopped) })
 	t.mu.Lock()
@@ -160,7 +160,7 @@
 		return true
 	}
 	t.connected(server)
-	up := make(chan bool, 1) // whether the request has been passed on whole
+	up := make(chan bool, 1) // whether the complete request has been forwarded
 	go func() { up <- t.upload(server, wait) == nil }()
 	in, head, err := t.awaitHead(server)
 	if err != nil {
@@ -168,7 +168,7 @@
 		_ = server.Close()
 		_ = t.client.SetReadDeadline(time.Unix(1, 0))
 		<-up
-		return true // the module gives the attempt up, and a reply or another attempt follows
+		return true // the module ends the attempt, and a reply or another attempt follows
 	}
 	if !r.beginResponse() {
 		t.ended(attempt, sedgevale.Cancelled)
@@ -184,7 +184,7 @@
 	return false
 }
 
-// ended tells the planner the outcome of an attempt.
+// ended reports the outcome of an attempt to the planner.
 func (t *transfer) ended(attempt *dispatch.Attempt, o sedgevale.Outcome) {
 	if cause := retryCauses[o]; cause != "" {
 		t.request.noteCause(cause)
@@ -195,7 +195,7 @@
 }
 
 // target returns the address of the request's server, "" if new settings have taken it away, and how
-// long to wait for a connection and for the head of an answer.
+// long to wait for a connection and for the head of a response.
 func (t *transfer) target() (addr string, connect, wait time.Duration) {
 	r := t.request
 	b := r.backend
@@ -250,7 +250,7 @@
 }
 
 // awaitUpload waits for the uploading goroutine once the response has been passed on, and reports
-// whether the request was passed on whole. A server that was sent the last of the request may respond
+// whether the complete request was forwarded. A server that was sent the last of the request may respond
 // before that goroutine has said so; the connection to the client is good all the same. Of a request
 // that is not complete by now the rest is not read.
 func (t *transfer) awaitUpload(up <-chan bool) bool {
@@ -292,7 +292,7 @@
 		_ = t.client.SetReadDeadline(time.Now().Add(bodyIdleTimeout))
 		part, end, err := in.next()
 		if err != nil {
-			_ = server.Close() // the client has gone half-way: the server must not take this for the whole
+			_ = server.Close() // the client left midway: the server must not take the part for a complete body
 			return err
 		}
 		if end {
--- a/internal/reverseproxy/transport.go
+++ b/internal/reverseproxy/transport.go
@@ -18,7 +18,7 @@
 	sweepInterval   = 500 * time.Millisecond
 )
 
-// serverInfo is what the transport is told of a server.
+// serverInfo describes a server to the transport.
 type serverInfo struct {
 	id, addr       string
 	connectTimeout time.Duration
@@ -50,10 +50,10 @@
 type upstreamAttempt struct {
 	attempt  *dispatch.Attempt
 	request  *proxyRequest
-	server   *server     // nil: not known any more
+	server   *server     // nil: removed from the configuration
 	conn     *serverConn // nil: not sent
-	reported bool        // the planner has been told its outcome
-	done     bool        // nothing more comes of it
+	reported bool        // its outcome has been reported to the planner
+	done     bool        // it has ended, or a transfer or goroutine has taken it over
 }
 
 func newTransport(s *Proxy) *transport {
@@ -61,10 +61,10 @@
 		byRequest: map[*proxyRequest]*upstreamAttempt{}, ready: map[string]bool{}}
 }
 
-// update takes in all servers, or with whole false those that have changed.
-func (tr *transport) update(whole bool, all []serverInfo) {
+// update replaces the list of servers, or with full false updates the given ones.
+func (tr *transport) update(full bool, all []serverInfo) {
 	tr.mu.Lock()
-	if whole {
+	if full {
 		clear(tr.ready)
 	}
 	for _, m := range all {
@@ -85,7 +85,7 @@
 				tr.closeUnsent(srv)
 			}
 		}
-		if whole {
+		if full {
 			for id, srv := range tr.servers {
 				if !named[id] {
 					srv.ready = false
@@ -97,7 +97,7 @@
 	})
 }
 
-// isReady reports whether a server may be sent requests. Any goroutine may ask.
+// isReady reports whether a server may be sent requests. Any goroutine may call it.
 func (tr *transport) isReady(id string) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -123,7 +123,7 @@
 		case ua.server == nil || !ua.server.ready:
 			tr.end(ua, sedgevale.NotSent)
 		case r.transfer != nil:
-			ua.done = true // from here on it is the transfer's
+			ua.done = true // from here on the transfer carries it
 			delete(tr.byRequest, r)
 			r.transfer.attempts <- attempt
 		default:
@@ -132,7 +132,7 @@
 	})
 }
 
-// Cancel gives an attempt up by closing its connection.
+// Cancel cancels an attempt by closing its connection.
 func (tr *transport) Cancel(attempt *dispatch.Attempt) {
 	tr.loop.Do(func() {
 		if ua := tr.attempts[attempt]; ua != nil {
@@ -147,7 +147,7 @@
 	})
 }
 
-// CancelUnsent gives an attempt up unless its request is on its way already.
+// CancelUnsent cancels an attempt unless its request was sent.
 func (tr *transport) CancelUnsent(attempt *dispatch.Attempt) {
 	tr.loop.Do(func() {
 		if ua := tr.attempts[attempt]; ua != nil && ua.conn == nil && ua.request.transfer == nil {
@@ -156,7 +156,7 @@
 	})
 }
 
-// Probe answers at once: servers report no load here.
+// Probe reports at once that there is no load: servers behind the proxy report none.
 func (tr *transport) Probe(worker string, p *dispatch.Planner) { p.ProbeResult(worker, nil) }
 
 // CloseIdleConnections closes a server's idle connections.
@@ -231,7 +231,7 @@
 	tr.report(ua, o)
 }
 
-// report tells the planner the outcome of an attempt, once.
+// report reports the outcome of an attempt to the planner, once.
 func (tr *transport) report(ua *upstreamAttempt, o sedgevale.Outcome) {
 	if ua.reported {
 		return
--- a/internal/route/acl.go
+++ b/internal/route/acl.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// test is one question about a request.
+// test is one condition on a request: a sample fetch, and a match on what it finds.
 type test struct {
 	fetch *fetch
 	match func(string) bool
-	found bool // it asks only whether there is a sample
+	found bool // it holds if there is any sample
 
 	// For the index: the sample must be one of the patterns, or begin with one.
 	indexable  string // "str" or "beg", the methods that the index answers; else ""
--- a/internal/route/fetch.go
+++ b/internal/route/fetch.go
@@ -269,12 +269,12 @@
 		}
 		at = n
 	}
-	whole, response := strings.HasSuffix(name, "fhdr"), strings.HasPrefix(name, "res.")
+	unsplit, response := strings.HasSuffix(name, "fhdr"), strings.HasPrefix(name, "res.")
 	values := func(q *Request) []string {
 		if response {
-			return headerValues(q.Response, field, whole)
+			return headerValues(q.Response, field, unsplit)
 		}
-		return headerValues(q.Fields, field, whole)
+		return headerValues(q.Fields, field, unsplit)
 	}
 	if strings.HasSuffix(name, "_cnt") {
 		f.kind = kindInt
@@ -298,12 +298,12 @@
 
 // headerValues returns the values of the fields of a name, parted at commas unless they are wanted
 // whole.
-func headerValues(fields []http1.Field, name string, whole bool) (out []string) {
+func headerValues(fields []http1.Field, name string, unsplit bool) (out []string) {
 	for i := range fields {
 		if !strings.EqualFold(fields[i].Name, name) {
 			continue
 		}
-		if whole || !strings.Contains(fields[i].Value, ",") {
+		if unsplit || !strings.Contains(fields[i].Value, ",") {
 			out = append(out, fields[i].Value)
 			continue
 		}
--- a/internal/route/frontend.go
+++ b/internal/route/frontend.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Spec is the rules of a frontend or backend, as they stand in a file: each line has the
-// words of HAProxy's directive of that kind, without its first.
+// Spec is the rules of a frontend or backend, as they are in a file: each line has the arguments
+// of HAProxy's directive of that kind.
 type Spec struct {
 	ACL      []string `toml:"acl,omitempty"`      // NAME TEST
 	Request  []string `toml:"request,omitempty"`  // http-request rules
@@ -102,21 +102,21 @@
 	return UseRule{f, c, JoinWords(words)}, err
 }
 
-// Backends returns the names that the rules can lead to, and whether some depend on the
+// Backends returns the fixed names of backends that the rules can select, and whether there are names that depend on the
 // request.
-func (r *Rules) Backends() (names []string, open bool) {
+func (r *Rules) Backends() (names []string, dynamic bool) {
 	for _, u := range r.use {
 		if s, fixed := u.backend.Literal(); fixed {
 			names = append(names, s)
 		} else {
-			open = true
+			dynamic = true
 		}
 	}
 	if r.defaultBackend != "" {
 		names = append(names, r.defaultBackend)
 	}
 	slices.Sort(names)
-	return slices.Compact(names), open
+	return slices.Compact(names), dynamic
 }
 
 // buildIndex makes the index.
@@ -193,18 +193,18 @@
 	return slices.Compact(out)
 }
 
-// ApplyRequest carries out the rules on a request, which may answer it.
+// ApplyRequest applies the rules to a request. The Answer, if not nil, is the response to it.
 func (r *Rules) ApplyRequest(q *Request) *Answer { return Apply(r.request, q) }
 
-// ApplyResponse carries out the rules on the response in q.
+// ApplyResponse applies the rules to the response in q. The Answer, if not nil, replaces that.
 func (r *Rules) ApplyResponse(q *Request) *Answer { return Apply(r.response, q) }
 
 // EditsResponse reports whether there are rules on responses.
 func (r *Rules) EditsResponse() bool { return len(r.response) > 0 }
 
 // SelectBackend returns where a request goes, "" if nowhere, and the rule that says so, "" for
-// the default. Exists is asked of names that depend on the request: one that does not
-// exist ends the matter, and the default counts.
+// the default. Exists is called with names that depend on the request: if it returns false, no further
+// rule is tried and the default applies.
 func (r *Rules) SelectBackend(q *Request, exists func(string) bool) (name, rule string) {
 	for _, i := range r.candidates(q) {
 		u := &r.use[i]
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -11,7 +11,7 @@
 	"sedgevale/internal/http1"
 )
 
-// Request is what conditions can ask of. Rules that edit a request change it in place.
+// Request is what conditions are evaluated on. Rules that edit a request change it in place.
 type Request struct {
 	Method  string
 	Target  string // path and query, as they came
--- a/internal/testkit/http.go
+++ b/internal/testkit/http.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Response is an HTTP response that has been read whole.
+// Response is an HTTP response that has been read to its end.
 type Response struct {
 	Status int
 	Header http.Header
