--- a/Makefile
+++ b/Makefile
@@ -34,10 +34,10 @@
 faults:
 	go test -count=1 -timeout 0 -v ./internal/faultinjection -run TestManySchedulersThroughFaults -args -rounds $(ROUNDS) -seed $(SEED)
 
-# Teams that come, go and change their shares at many schedulers, with faults meanwhile; and a scheduler frozen for 10 s.
+# Tenants that are added, removed and change their shares at many schedulers, with faults meanwhile; and a scheduler frozen for 10 s.
 CHANGES ?= 1000
 changes:
-	go test -count=1 -timeout 0 -v ./internal/faultinjection -run 'TestTeamsChangeAgainAndAgain|TestFrozenThroughAChange' \
+	go test -count=1 -timeout 0 -v ./internal/faultinjection -run 'TestRandomTenantChanges|TestFrozenThroughAChange' \
 		-args -changes $(CHANGES) -long -seed $(SEED)
 
 # Whole small systems on a virtual clock, through random faults.
--- a/internal/crashtest/kill_test.go
+++ b/internal/crashtest/kill_test.go
@@ -29,7 +29,7 @@
 )
 
 func TestMain(m *testing.M) {
-	faultinjection.ServeIfAsked()
+	faultinjection.ServeIfChild()
 	os.Exit(m.Run())
 }
 
@@ -49,7 +49,7 @@
 	t       *testing.T
 	rand    *rand.Rand
 	workers []*fake.Worker
-	ledger  *fake.RunLog
+	runLog  *fake.RunLog
 	file    string
 	dir     string
 	listen  string
@@ -61,7 +61,7 @@
 }
 
 func newHarness(t *testing.T) *harness {
-	a := &harness{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), ledger: fake.NewRunLog(), dir: filepath.Join(t.TempDir(), "journal"),
+	a := &harness{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), runLog: fake.NewRunLog(), dir: filepath.Join(t.TempDir(), "journal"),
 		listen: testkit.FreeAddr(t), log: &bytes.Buffer{}}
 	shelf := fake.NewResultStore(0)
 	var members []fake.Member
@@ -73,7 +73,7 @@
 			}
 		}
 		b := fake.NewWorker(fake.WorkerOptions{ID: fmt.Sprintf("box-%d", i), Slots: 8, Faults: faults, Seed: *seed + uint64(i),
-			Results: shelf, RunLog: a.ledger, Work: func(_ string, r *rand.Rand) time.Duration {
+			Results: shelf, RunLog: a.runLog, Work: func(_ string, r *rand.Rand) time.Duration {
 				return 300*time.Microsecond + time.Duration(r.Int64N(int64(1200*time.Microsecond)))
 			}})
 		addr, err := b.Listen("127.0.0.1:0")
@@ -154,7 +154,7 @@
 		b.Quiet()
 	}
 	a.check(prefix+"-", told, killed)
-	a.ledger.Forget()
+	a.runLog.Forget()
 	if a.cycle%20 == 0 {
 		a.settle()
 	}
@@ -164,7 +164,7 @@
 func (a *harness) check(prefix string, told []fake.Response, killed time.Time) {
 	a.jobs += len(told)
 	if !store.HasRecords(store.OS{}, a.dir) { // killed before it ever wrote
-		if len(a.ledger.Jobs()) > 0 {
+		if len(a.runLog.Jobs()) > 0 {
 			a.t.Errorf("cycle %d: there is no journal, and workers have begun jobs", a.cycle)
 		}
 		return
@@ -174,7 +174,7 @@
 		a.t.Errorf("cycle %d: damaged: %v", a.cycle, view.Problems)
 	}
 	mine := func(id string) bool { return strings.HasPrefix(id, prefix) }
-	for _, breach := range fake.Audit(a.ledger, view.Jobs, func(class string) bool { return class != "usage-view" },
+	for _, breach := range fake.Audit(a.runLog, view.Jobs, func(class string) bool { return class != "usage-view" },
 		func(class string) bool { return class == "plan-change" }, mine, nil) {
 		a.t.Errorf("cycle %d: %s", a.cycle, breach)
 	}
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -94,8 +94,8 @@
 	return n
 }
 
-// Cut returns the disk after a power failure, without faults. The old one must not be used any more.
-func (d *Disk) Cut() *Disk {
+// PowerFail returns the disk after a power failure, without faults. The old one must not be used any more.
+func (d *Disk) PowerFail() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	after := &Disk{random: d.random, names: map[string]*inode{}, durable: map[string]*inode{}, locks: map[string]string{},
--- a/internal/faultinjection/checker.go
+++ b/internal/faultinjection/checker.go
@@ -14,7 +14,7 @@
 // scheduler.
 type Observations struct {
 	Answers []fake.Response // to clients; a job's id begins with the name of the scheduler that it was submitted to
-	Ledger  *fake.RunLog
+	RunLog  *fake.RunLog
 	CellOf  map[string]int        // of workers
 	Timeout time.Duration         // of clients
 	Outages map[string][]Interval // of schedulers that are down, frozen or being started
@@ -58,8 +58,8 @@
 	for i := range o.Answers {
 		v.checkAnswer(&o.Answers[i])
 	}
-	for _, id := range o.Ledger.Jobs() {
-		v.checkRuns(id, o.Ledger.Runs(id))
+	for _, id := range o.RunLog.Jobs() {
+		v.checkRuns(id, o.RunLog.Runs(id))
 	}
 	return v.found
 }
@@ -84,7 +84,7 @@
 // checkAnswer checks the answer to a client against the runs of its job.
 func (v *violations) checkAnswer(t *fake.Response) {
 	v.submitted[t.Job] = true
-	runs := v.observations.Ledger.Runs(t.Job)
+	runs := v.observations.RunLog.Runs(t.Job)
 	late := t.ReceivedAt.Sub(t.SentAt) > v.observations.Timeout+answerSlack
 	if (t.Status == 0 || late) && !v.observations.hadOutage(schedulerOf(t.Job), t.SentAt, t.ReceivedAt) {
 		v.add("one answer in time", t.Job, "", t.ReceivedAt, "status %d after %v", t.Status, t.ReceivedAt.Sub(t.SentAt))
@@ -132,7 +132,7 @@
 
 // Summary counts the answers to clients.
 type Summary struct {
-	Asked, Served, InTime, Refused, Failed, Silent int
+	Submitted, Served, InTime, Refused, Failed, Unanswered int
 }
 
 // Summarize counts the answers to jobs that were submitted at or after a moment; InTime are those that were served within a time.
@@ -141,7 +141,7 @@
 		if t.SentAt.Before(since) {
 			continue
 		}
-		s.Asked++
+		s.Submitted++
 		switch t.Status {
 		case http.StatusOK:
 			s.Served++
@@ -151,7 +151,7 @@
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 			s.Refused++
 		case 0:
-			s.Silent++
+			s.Unanswered++
 		default:
 			s.Failed++
 		}
--- a/internal/faultinjection/checker_test.go
+++ b/internal/faultinjection/checker_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestMain(m *testing.M) {
-	ServeIfAsked()
+	ServeIfChild()
 	os.Exit(m.Run())
 }
 
@@ -35,16 +35,16 @@
 		{"no job is begun", func(e *Observations) { e.Answers[0].Status = 400 }},
 		{"served by a box", func(e *Observations) { e.Answers[0].Body = "plan-change n0-0-0: 3 bytes by box-2" }},
 		{"asked for", func(e *Observations) { e.Answers = e.Answers[1:] }},
-		{"once", func(e *Observations) { e.Ledger.Begin("n0-0-0", "plan-change", "box-2", at) }},
-		{"", func(e *Observations) { e.Ledger.Begin("n1-0-0", "bill-pay", "box-2", at) }},
-		{"once a shelf", func(e *Observations) { e.Ledger.Begin("n1-0-0", "bill-pay", "box-3", at) }},
+		{"once", func(e *Observations) { e.RunLog.Begin("n0-0-0", "plan-change", "box-2", at) }},
+		{"", func(e *Observations) { e.RunLog.Begin("n1-0-0", "bill-pay", "box-2", at) }},
+		{"once a shelf", func(e *Observations) { e.RunLog.Begin("n1-0-0", "bill-pay", "box-3", at) }},
 		{"drains kept", func(e *Observations) { e.Drained["box-1"][0].From = at.Add(-2 * time.Second) }},
 	} {
-		e := Observations{Ledger: fake.NewRunLog(), CellOf: map[string]int{"box-1": 1, "box-2": 1, "box-3": 2}, Timeout: 2 * time.Second,
+		e := Observations{RunLog: fake.NewRunLog(), CellOf: map[string]int{"box-1": 1, "box-2": 1, "box-3": 2}, Timeout: 2 * time.Second,
 			Outages: map[string][]Interval{}, Drained: map[string][]Interval{"box-1": {{From: at.Add(-100 * time.Millisecond)}, {at.Add(-time.Hour), at.Add(-time.Minute)}}}}
 		for _, job := range []struct{ id, class string }{{"n0-0-0", "plan-change"}, {"n1-0-0", "bill-pay"}} {
-			e.Ledger.Begin(job.id, job.class, "box-1", at)
-			e.Ledger.Finish(job.id, "box-1")
+			e.RunLog.Begin(job.id, job.class, "box-1", at)
+			e.RunLog.Finish(job.id, "box-1")
 			e.Answers = append(e.Answers, fake.Response{Job: job.id, Class: job.class, SentAt: at, ReceivedAt: at.Add(time.Second), Status: 200,
 				Body: job.class + " " + job.id + ": 3 bytes by box-1"})
 		}
--- a/internal/faultinjection/cluster.go
+++ b/internal/faultinjection/cluster.go
@@ -41,7 +41,7 @@
 type Cluster struct {
 	options    Options
 	Network    *Network
-	Ledger     *fake.RunLog
+	RunLog     *fake.RunLog
 	Workers    []*fake.Worker
 	CellOf     map[string]int // by worker
 	Schedulers []*Scheduler
@@ -55,7 +55,7 @@
 	if len(o.Initial.Tenants) == 0 {
 		o.Initial.Tenants = []Tenant{{Name: "valley", Share: 0.6}, {Name: "east", Share: 0.4}}
 	}
-	c := &Cluster{options: o, Network: NewNetwork(o.Seed), Ledger: fake.NewRunLog(), CellOf: map[string]int{}, drained: map[string][]Interval{}}
+	c := &Cluster{options: o, Network: NewNetwork(o.Seed), RunLog: fake.NewRunLog(), CellOf: map[string]int{}, drained: map[string][]Interval{}}
 	workers, err := c.addWorkers()
 	if err != nil {
 		return c, err
@@ -80,7 +80,7 @@
 			resultStores[one.Cell] = fake.NewResultStore(0)
 		}
 		worker := fake.NewWorker(fake.WorkerOptions{ID: workerName(i), Slots: one.Slots, Faults: one.Faults, Seed: c.options.Seed + uint64(i),
-			Results: resultStores[one.Cell], RunLog: c.Ledger, Work: func(_ string, rnd *rand.Rand) time.Duration {
+			Results: resultStores[one.Cell], RunLog: c.RunLog, Work: func(_ string, rnd *rand.Rand) time.Duration {
 				return time.Duration((0.5 + rnd.Float64()) * float64(one.Work))
 			}})
 		address, err := worker.Listen("127.0.0.1:0")
@@ -213,7 +213,7 @@
 
 // Observations returns what the rules are checked against.
 func (c *Cluster) Observations(answers []fake.Response, timeout time.Duration) Observations {
-	observed := Observations{Answers: answers, Ledger: c.Ledger, CellOf: c.CellOf, Timeout: timeout, Outages: map[string][]Interval{}, Drained: map[string][]Interval{}}
+	observed := Observations{Answers: answers, RunLog: c.RunLog, CellOf: c.CellOf, Timeout: timeout, Outages: map[string][]Interval{}, Drained: map[string][]Interval{}}
 	for _, s := range c.Schedulers {
 		s.mu.Lock()
 		observed.Outages[s.Name] = append([]Interval(nil), s.outages...)
--- a/internal/faultinjection/cluster_test.go
+++ b/internal/faultinjection/cluster_test.go
@@ -69,8 +69,8 @@
 // shareAtBadWorkers returns which share of the runs that came since a moment were at the slow and failing boxes.
 func (r *Cluster) shareAtBadWorkers(since time.Time) float64 {
 	bad, all := 0, 0
-	for _, id := range r.Ledger.Jobs() {
-		for _, run := range r.Ledger.Runs(id) {
+	for _, id := range r.RunLog.Jobs() {
+		for _, run := range r.RunLog.Runs(id) {
 			if run.Received.After(since) {
 				all++
 				if run.Worker == "box-3" || run.Worker == "box-11" || run.Worker == "box-7" {
@@ -84,7 +84,7 @@
 
 // Guards the choices of many: eight processes with two slow boxes and a failing one serve no worse when they tell each
 // other what they have out than when each is alone.
-func TestSignalsHelpManySchedulers(t *testing.T) {
+func TestPeerLoadsHelpManySchedulers(t *testing.T) {
 	var inTime [2]float64
 	for i, alone := range []bool{true, false} {
 		r := begin(t, 8, 24, alone)
@@ -94,10 +94,10 @@
 		stop()
 		r.checkRules(t, told)
 		s := Summarize(told, since, aim)
-		inTime[i] = float64(s.InTime) / float64(s.Asked)
+		inTime[i] = float64(s.InTime) / float64(s.Submitted)
 		t.Logf("alone %v: %+v, in time %.3f, at bad boxes %.3f, %d datagrams", alone, s, inTime[i], r.shareAtBadWorkers(since), r.Network.Delivered())
-		if s.Asked < 100 {
-			t.Errorf("only %d jobs were asked for", s.Asked)
+		if s.Submitted < 100 {
+			t.Errorf("only %d jobs were asked for", s.Submitted)
 		}
 		r.Close()
 	}
@@ -109,9 +109,9 @@
 // awaitJobs waits until so many jobs have run.
 func (r *Cluster) awaitJobs(t *testing.T, n int) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); len(r.Ledger.Jobs()) < n; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); len(r.RunLog.Jobs()) < n; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d jobs have run, want %d", len(r.Ledger.Jobs()), n)
+			t.Fatalf("%d jobs have run, want %d", len(r.RunLog.Jobs()), n)
 		}
 	}
 }
@@ -119,8 +119,8 @@
 // arrivals returns for each worker how long after a moment attempts came to it.
 func (r *Cluster) arrivals(began time.Time) map[string][]time.Duration {
 	came := map[string][]time.Duration{}
-	for _, id := range r.Ledger.Jobs() {
-		for _, run := range r.Ledger.Runs(id) {
+	for _, id := range r.RunLog.Jobs() {
+		for _, run := range r.RunLog.Runs(id) {
 			if at := run.Received.Sub(began); at > 0 {
 				came[run.Worker] = append(came[run.Worker], at)
 			}
@@ -131,7 +131,7 @@
 
 // Guards against cold boxes that fall under the sum of what twenty processes send: six of them have just come back with
 // nothing learned, and half of them hear nothing of the other half.
-func TestColdBoxesBearTwentyProcesses(t *testing.T) {
+func TestColdWorkersUnderTwentySchedulers(t *testing.T) {
 	const (
 		boxes, cold  = 10, 5
 		slots, work  = 2, 60 * time.Millisecond
@@ -244,7 +244,7 @@
 	r.checkRules(t, told)
 	s := Summarize(told, time.Time{}, aim)
 	t.Logf("faults %v; %+v; members right again within %v; %d datagrams", counts, s, slowest, r.Network.Delivered())
-	if s.Served*3 < s.Asked {
+	if s.Served*3 < s.Submitted {
 		t.Errorf("under a third was served: %+v", s)
 	}
 }
--- a/internal/faultinjection/process.go
+++ b/internal/faultinjection/process.go
@@ -17,8 +17,8 @@
 // serveFileVariable is the environment variable with the path of the operator's file, in a test binary that is to be a scheduler.
 const serveFileVariable = "SEDGEVALE_RIG_SERVE"
 
-// ServeIfAsked runs a scheduler and never returns, if this process was started by Command. TestMain has to call it.
-func ServeIfAsked() {
+// ServeIfChild runs a scheduler and never returns, if this process was started by Command. TestMain has to call it.
+func ServeIfChild() {
 	path := os.Getenv(serveFileVariable)
 	if path == "" {
 		return
--- a/internal/faultinjection/teams_test.go
+++ b/internal/faultinjection/tenants_test.go
@@ -22,7 +22,7 @@
 // Guards changes of teams under load, while half of the words between schedulers are lost and one of them is killed and comes
 // back with the newest file: who stays is served throughout, who is new is served in time at each scheduler, and of who
 // goes new jobs are none while those under way have their results.
-func TestTeamsChangeWhileServing(t *testing.T) {
+func TestTenantsChangeWhileServing(t *testing.T) {
 	f := startTrial(t, 4, Configuration{1, []Tenant{{"valley", 0.5, 60}, {"east", 0.3, 40}, {"west", 0.2, 20}}})
 	all, restarted := f.Schedulers, f.Schedulers[1]
 	f.startClients("valley", 2, 40*time.Millisecond, all...)
@@ -55,7 +55,7 @@
 	f.reconfigure(Configuration{4, []Tenant{{"south", 0.2, 5}, {"west", 0.3, 20}, {"east", 0.3, 20}, {"valley", 0.2, 30}, {"north", 0.3, 10}}}, all...)
 	f.awaitServed("west", all...)
 	f.Network.Heal()
-	f.awaitLevel(4, all...)
+	f.awaitRevision(4, all...)
 	if err := f.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// oldOnesBehind returns what says whether of so many schedulers just those from a number on are behind.
-func oldOnesBehind(schedulers, from int) func(*peerPage) error {
+// onlyOldBehind returns what says whether of so many schedulers just those from a number on are behind.
+func onlyOldBehind(schedulers, from int) func(*peerPage) error {
 	return func(a *peerPage) error {
 		for j := range schedulers {
 			if late, err := a.behind(j); err != nil || late != (j >= from) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// believesAllOthers returns what says whether what each of the others tells is believed.
-func believesAllOthers(schedulers int) func(*peerPage) error {
+// hasReportsOfAllOthers returns what says whether what each of the others tells is believed.
+func hasReportsOfAllOthers(schedulers int) func(*peerPage) error {
 	return func(a *peerPage) error {
 		most := 0
 		for _, b := range a.Boxes {
@@ -100,7 +100,7 @@
 
 // Guards schedulers of which half have new teams, one of them since its start: they hear and believe each other, each knows
 // who is behind, and one that has missed three changes catches up by one signal.
-func TestHalfOnTheOldTeams(t *testing.T) {
+func TestHalfOnTheOldTenants(t *testing.T) {
 	first := Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}}
 	f := startTrial(t, 4, first)
 	young, old := f.Schedulers[:2], f.Schedulers[2:]
@@ -131,11 +131,11 @@
 	}
 	var before [4]peerPage
 	for i, s := range f.Schedulers {
-		before[i] = f.awaitPage(s, "the old ones are behind", oldOnesBehind(len(f.Schedulers), len(young)))
+		before[i] = f.awaitPage(s, "the old ones are behind", onlyOldBehind(len(f.Schedulers), len(young)))
 	}
 	stop := f.startClients("valley", 6, time.Millisecond, f.Schedulers...)
 	for _, s := range f.Schedulers {
-		f.awaitPage(s, "believes all others", believesAllOthers(len(f.Schedulers)))
+		f.awaitPage(s, "believes all others", hasReportsOfAllOthers(len(f.Schedulers)))
 	}
 	stop()
 	for i, s := range f.Schedulers {
@@ -150,7 +150,7 @@
 	f.reconfigure(newest, old...)
 	f.awaitServed("south", old...)
 	f.awaitUnknownTenant("east", old...)
-	f.awaitLevel(newest.Revision, f.Schedulers...)
+	f.awaitRevision(newest.Revision, f.Schedulers...)
 	f.finish()
 	f.checkStayingTenant("valley")
 }
@@ -169,7 +169,7 @@
 				t.Errorf("%s: a job of %s, which the last file has not, was told %d", s.Name, passing, told.Status)
 			}
 		}
-		f.awaitLevel(revision+1, f.Schedulers...)
+		f.awaitRevision(revision+1, f.Schedulers...)
 	}
 	f.finish()
 	f.checkStayingTenant("valley")
@@ -185,7 +185,7 @@
 	f.startClients("east", 3, 5*time.Millisecond, f.Schedulers...)
 	f.awaitServed("east", f.Schedulers...)
 	digest := ""
-	f.awaitLevel(1, f.Schedulers...)
+	f.awaitRevision(1, f.Schedulers...)
 	f.awaitPage(f.Schedulers[0], "has a digest", func(a *peerPage) error {
 		if digest = a.Members[0].Digest; digest == "" {
 			return fmt.Errorf("none")
@@ -206,7 +206,7 @@
 	f.reconfigure(first, f.Schedulers[0])
 	f.awaitServed("east", f.Schedulers...)
 	f.awaitUnknownTenant("north", f.Schedulers...)
-	f.awaitLevel(1, f.Schedulers...)
+	f.awaitRevision(1, f.Schedulers...)
 	for _, s := range f.Schedulers {
 		f.awaitPage(s, "has the first digest", func(a *peerPage) error {
 			for _, m := range a.Members {
@@ -233,7 +233,7 @@
 	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
 	f.startClients("east", 2, 20*time.Millisecond, f.Schedulers...)
 	f.awaitServed("east", f.Schedulers...)
-	f.awaitLevel(1, f.Schedulers...)
+	f.awaitRevision(1, f.Schedulers...)
 	span := 2 * time.Second
 	if *long {
 		span = 10 * time.Second
@@ -265,7 +265,7 @@
 	for _, team := range []string{"east", "passing"} {
 		f.awaitUnknownTenant(team, f.Schedulers...)
 	}
-	f.awaitLevel(3, f.Schedulers...)
+	f.awaitRevision(3, f.Schedulers...)
 	if err := f.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
@@ -340,32 +340,32 @@
 }
 
 // Guards against a bad file of which anything is taken over: the log names it, and teams, revision and jobs are as before.
-func TestBadTeamsChangeNothing(t *testing.T) {
+func TestBadTenantsChangeNothing(t *testing.T) {
 	f := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
 	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
 	f.startClients("east", 2, 20*time.Millisecond, f.Schedulers...)
-	f.awaitLevel(1, f.Schedulers...)
+	f.awaitRevision(1, f.Schedulers...)
 	good := Configuration{2, goodTenants}
 	for _, bad := range badFiles {
 		f.checkBadFile(good, bad)
 	}
-	f.awaitLevel(1, f.Schedulers...)
+	f.awaitRevision(1, f.Schedulers...)
 	f.reconfigure(good, f.Schedulers...)
 	f.awaitServed("north", f.Schedulers...)
 	f.awaitUnknownTenant("east", f.Schedulers...)
-	f.awaitLevel(2, f.Schedulers...)
+	f.awaitRevision(2, f.Schedulers...)
 	f.finish()
 	f.checkStayingTenant("valley")
 }
 
-// guests are tenants that come and go.
-var guests = []string{"north", "south", "west", "delta", "ridge", "plain"}
+// changingTenants are tenants that come and go.
+var changingTenants = []string{"north", "south", "west", "delta", "ridge", "plain"}
 
 // drawConfiguration returns a configuration with some of the guests, and which those are.
 func drawConfiguration(r *rand.Rand, revision int) (c Configuration, there map[string]bool) {
 	c.Revision, there = revision, map[string]bool{}
 	c.Tenants = append(c.Tenants, Tenant{"valley", 0.05 + r.Float64(), float64(r.IntN(40))})
-	for _, name := range guests {
+	for _, name := range changingTenants {
 		if there[name] = r.IntN(2) == 0; there[name] {
 			c.Tenants = append(c.Tenants, Tenant{name, 0.05 + r.Float64(), float64(r.IntN(20))})
 		}
@@ -374,10 +374,10 @@
 	return c, there
 }
 
-// awaitGuests waits until each of the guests that are there is served at all schedulers, or each of the others unknown.
-func (f *trial) awaitGuests(there map[string]bool, served bool) {
+// awaitChangingTenants waits until each of the guests that are there is served at all schedulers, or each of the others unknown.
+func (f *trial) awaitChangingTenants(there map[string]bool, served bool) {
 	f.t.Helper()
-	for _, name := range guests {
+	for _, name := range changingTenants {
 		switch {
 		case there[name] != served:
 		case served:
@@ -390,13 +390,13 @@
 
 // Guards a course of changes drawn at random, each for some of the schedulers, while words are lost, one of them freezes and
 // one is killed: nobody who stays is refused, no job is lost, and in the end all have the last in force.
-func TestTeamsChangeAgainAndAgain(t *testing.T) {
+func TestRandomTenantChanges(t *testing.T) {
 	r := rand.New(rand.NewPCG(*seed, 0x7ea))
 	first, _ := drawConfiguration(r, 1)
 	f := startTrial(t, 4, first)
 	f.startClients("valley", 2, 40*time.Millisecond, f.Schedulers...)
 	f.awaitServed("valley", f.Schedulers...)
-	for _, name := range guests {
+	for _, name := range changingTenants {
 		f.startClients(name, 1, 40*time.Millisecond, f.Schedulers...)
 	}
 	f.loseDatagrams(0.5)
@@ -431,16 +431,16 @@
 	}
 	last, there := drawConfiguration(r, revision+1)
 	f.reconfigure(last, f.Schedulers...)
-	f.awaitGuests(there, true)
-	f.awaitLevel(last.Revision, f.Schedulers...) // half of the words are lost still
-	f.awaitGuests(there, false)
+	f.awaitChangingTenants(there, true)
+	f.awaitRevision(last.Revision, f.Schedulers...) // half of the words are lost still
+	f.awaitChangingTenants(there, false)
 	f.Network.Heal()
 	if err := f.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
 	f.finish()
 	f.checkStayingTenant("valley")
-	for _, name := range guests {
+	for _, name := range changingTenants {
 		f.checkChangingTenant(name, began)
 	}
 }
--- a/internal/faultinjection/trial_test.go
+++ b/internal/faultinjection/trial_test.go
@@ -161,10 +161,10 @@
 // answerTransitTime is what an answer may need from a box to its client on a machine that does much else.
 const answerTransitTime = 300 * time.Millisecond
 
-// lateByLedger reports whether the boxes' ledger bears out that a job was still at a box when its time ended: it came to one, and none
+// lateByRunLog reports whether the boxes' ledger bears out that a job was still at a box when its time ended: it came to one, and none
 // had finished it in time for its answer. Else its scheduler has lost it, or kept it until it was too late.
-func (f *trial) lateByLedger(t fake.Response) bool {
-	runs := f.Ledger.Runs(t.Job)
+func (f *trial) lateByRunLog(t fake.Response) bool {
+	runs := f.RunLog.Runs(t.Job)
 	return len(runs) > 0 && !slices.ContainsFunc(runs, func(r fake.Run) bool {
 		return !r.Finished.IsZero() && r.Finished.Before(t.ReceivedAt.Add(-answerTransitTime))
 	})
@@ -181,15 +181,15 @@
 		case t.Status == 0 && e.hadOutage(scheduler, t.SentAt, t.ReceivedAt): // else checkRules finds it
 		case t.Status == http.StatusServiceUnavailable && strings.HasPrefix(t.Body, "cannot be in time"):
 			refused++
-		case t.Status == http.StatusInternalServerError && strings.HasPrefix(t.Body, "no answer in time") && (e.hadOutage(scheduler, t.SentAt, t.ReceivedAt) || f.lateByLedger(t)):
+		case t.Status == http.StatusInternalServerError && strings.HasPrefix(t.Body, "no answer in time") && (e.hadOutage(scheduler, t.SentAt, t.ReceivedAt) || f.lateByRunLog(t)):
 			if !e.hadOutage(scheduler, t.SentAt, t.ReceivedAt) { // else its time ended while nobody could answer
 				f.t.Logf("late: %s, %s, asked %s, told after %v; outages %v; its runs %+v", t.Job, t.Class, t.SentAt.Format("05.000"),
-					t.ReceivedAt.Sub(t.SentAt), e.Outages[scheduler], f.Ledger.Runs(t.Job))
+					t.ReceivedAt.Sub(t.SentAt), e.Outages[scheduler], f.RunLog.Runs(t.Job))
 				late++
 			}
 		default:
 			f.t.Errorf("%s, %s, asked %s, was told %d %q after %v; outages %v; its runs %+v", t.Job, t.Class, t.SentAt.Format("05.000"),
-				t.Status, t.Body, t.ReceivedAt.Sub(t.SentAt), e.Outages[scheduler], f.Ledger.Runs(t.Job))
+				t.Status, t.Body, t.ReceivedAt.Sub(t.SentAt), e.Outages[scheduler], f.RunLog.Runs(t.Job))
 		}
 	}
 	f.t.Logf("%s: %d jobs, %d refused for want of time, %d late", team, len(all), refused, late)
@@ -245,8 +245,8 @@
 	}
 }
 
-// awaitLevel awaits that each of some schedulers has all for level at a revision, by the same digest.
-func (f *trial) awaitLevel(revision int, at ...*Scheduler) {
+// awaitRevision awaits that each of some schedulers has all for level at a revision, by the same digest.
+func (f *trial) awaitRevision(revision int, at ...*Scheduler) {
 	f.t.Helper()
 	for _, s := range at {
 		f.awaitPage(s, fmt.Sprintf("all are level at %d", revision), func(a *peerPage) error {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -22,14 +22,14 @@
 	return k
 }
 
-// plain is a job as one would note it on paper: what became of each attempt, as a word.
-type plain struct {
+// jobModel is a job as one would note it on paper: what became of each attempt, as a word.
+type jobModel struct {
 	attempts []string // "out", "served", "unseen", "doubt"
 	answered bool
 	died     bool
 }
 
-func (p *plain) verdict() Verdict {
+func (p *jobModel) verdict() Verdict {
 	switch {
 	case slices.Contains(p.attempts, "served"):
 		return Ran
@@ -39,12 +39,12 @@
 	return DidNotRun
 }
 
-func (p *plain) open() bool {
+func (p *jobModel) open() bool {
 	return !p.died && (!p.answered || slices.Contains(p.attempts, "out"))
 }
 
 // applyIntent tells whether an intent of an attempt fits, and takes it.
-func (p *plain) applyIntent(attempt int) (fits bool) {
+func (p *jobModel) applyIntent(attempt int) (fits bool) {
 	if fits = attempt == len(p.attempts) && !p.answered && !p.died; fits {
 		p.attempts = append(p.attempts, "out")
 	}
@@ -52,12 +52,12 @@
 }
 
 // isOut tells whether an attempt is under way.
-func (p *plain) isOut(attempt int) bool {
+func (p *jobModel) isOut(attempt int) bool {
 	return attempt < len(p.attempts) && p.attempts[attempt] == "out" && !p.died
 }
 
 // applyEnd tells whether the end of an attempt fits, and takes it.
-func (p *plain) applyEnd(r *Record) (fits bool) {
+func (p *jobModel) applyEnd(r *Record) (fits bool) {
 	word := "doubt"
 	if Outcome(r.Code) == OutcomeServed {
 		word = "served"
@@ -71,7 +71,7 @@
 }
 
 // drawRecord draws a record of some kind and tells whether the model takes it; ok is false where the process dies instead.
-func drawRecord(t *rapid.T, b *JobTable, p *plain) (r Record, fits, ok bool) {
+func drawRecord(t *rapid.T, b *JobTable, p *jobModel) (r Record, fits, ok bool) {
 	r = Record{Serial: 1, Attempt: rapid.IntRange(0, 3).Draw(t, "attempt"), At: rapid.Int64Range(1, 9).Draw(t, "at")}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0:
@@ -102,9 +102,9 @@
 
 // Guards against a verdict that says more than the records do, and against records that
 // are taken though nothing can follow on them.
-func TestJobAgainstPlainModel(t *testing.T) {
+func TestJobAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, p := NewJobTable(), &plain{}
+		b, p := NewJobTable(), &jobModel{}
 		j, err := b.Apply(&Record{Kind: Accepted, Serial: 1, JobID: "j", At: 1})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/journal/store/loop.go
+++ b/internal/journal/store/loop.go
@@ -105,7 +105,7 @@
 		s.noteFailure(err)
 		s.buffer(records)
 		for _, done := range waiters {
-			done(fmt.Errorf("%w: %w", ErrNoRoom, err))
+			done(fmt.Errorf("%w: %w", ErrWriteFailed, err))
 		}
 		return
 	}
--- a/internal/journal/store/powercut_test.go
+++ b/internal/journal/store/powercut_test.go
@@ -166,7 +166,7 @@
 		if w.r.IntN(4) == 0 {
 			w.disk = w.disk.Kill()
 		} else {
-			w.disk = w.disk.Cut()
+			w.disk = w.disk.PowerFail()
 		}
 		w.out = nil
 		view, err := store.Read(w.disk, "j", secret, "")
--- a/internal/journal/store/store.go
+++ b/internal/journal/store/store.go
@@ -53,8 +53,8 @@
 	maxSegmentSize      = 16 << 20                // bytes
 )
 
-// ErrNoRoom is passed to the callback of a record that could not be written.
-var ErrNoRoom = errors.New("the journal has no room")
+// ErrWriteFailed is passed to the callback of a record that could not be written.
+var ErrWriteFailed = errors.New("the journal has no room")
 
 // ErrClosed is passed to callbacks that still wait when the Store closes.
 var ErrClosed = errors.New("the journal is closed")
--- a/internal/journal/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -118,7 +118,7 @@
 	late, got := d.begin("late") // it had been taken just before
 	d.end(open)
 	d.step()
-	if err := got(); !errors.Is(err, store.ErrNoRoom) {
+	if err := got(); !errors.Is(err, store.ErrWriteFailed) {
 		t.Errorf("an intent with no room: %v", err)
 	}
 	d.s.Put(journal.Record{Kind: journal.Answered, Serial: late, At: 1, Code: uint8(journal.Refused)}, nil)
@@ -183,7 +183,7 @@
 	if err := second(); err != nil {
 		t.Errorf("after the fault: %v", err)
 	}
-	d.disk = d.disk.Cut()
+	d.disk = d.disk.PowerFail()
 	v := d.view()
 	if len(v.Jobs) != 2 || v.Damaged() {
 		t.Errorf("%d jobs after a power cut, problems %v", len(v.Jobs), v.Problems)
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -29,8 +29,8 @@
 func (client) Progress(float64)       {}
 func (client) Answer(dispatch.Answer) {}
 
-// one is a scheduler's planner with its link.
-type one struct {
+// testScheduler is a scheduler's planner with its link.
+type testScheduler struct {
 	planner *dispatch.Planner
 	carrier *carrier
 	link    *Link
@@ -40,10 +40,10 @@
 
 var list = discovery.List{Complete: true, Members: []discovery.Member{{ID: "box-1"}, {ID: "box-2"}, {ID: "box-3"}}}
 
-func begin(t *testing.T, self int, addrs []netip.AddrPort) *one {
+func startScheduler(t *testing.T, self int, addrs []netip.AddrPort) *testScheduler {
 	t.Helper()
 	set := sedgevale.Settings{Classes: []sedgevale.Class{{Name: "free", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second}}, MaxAttempts: 2}
-	s := &one{carrier: &carrier{make(chan *dispatch.Attempt, 16)}, clock: dispatch.NewClock(), class: &set.Classes[0]}
+	s := &testScheduler{carrier: &carrier{make(chan *dispatch.Attempt, 16)}, clock: dispatch.NewClock(), class: &set.Classes[0]}
 	log := slog.New(slog.DiscardHandler)
 	var err error
 	if s.planner, err = dispatch.NewPlanner(set, uint64(self), s.clock, s.carrier, func() {}, log); err != nil {
@@ -65,13 +65,13 @@
 	return s
 }
 
-func (s *one) ask(t *testing.T, id string) (worker string) {
+func (s *testScheduler) submit(t *testing.T, id string) (worker string) {
 	t.Helper()
 	s.planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: id, Class: s.class, Tenant: -1}, s.clock.Now()+5*time.Second, client{}))
 	return testkit.Await(t, "a job at a worker", s.carrier.sent).Worker
 }
 
-func (s *one) heard() int {
+func (s *testScheduler) activeMembers() int {
 	s.link.mu.Lock()
 	defer s.link.mu.Unlock()
 	return s.link.node.Counts.ActiveMembers
@@ -96,16 +96,16 @@
 // Guards against schedulers that all go to the same box because none knows what the others have out.
 func TestJobsSpreadOverSchedulers(t *testing.T) {
 	addrs := addresses(t, 3)
-	all := []*one{begin(t, 0, addrs), begin(t, 1, addrs), begin(t, 2, addrs)}
+	all := []*testScheduler{startScheduler(t, 0, addrs), startScheduler(t, 1, addrs), startScheduler(t, 2, addrs)}
 	seen := map[string]int{}
 	for i, s := range all {
-		seen[s.ask(t, "job")]++
+		seen[s.submit(t, "job")]++
 		for j, other := range all {
 			tellers := i + 1
 			if j <= i {
 				tellers = i
 			}
-			until(t, "all others have heard of it", func() bool { return other.heard() == tellers })
+			until(t, "all others have heard of it", func() bool { return other.activeMembers() == tellers })
 		}
 	}
 	if len(seen) != 3 {
@@ -115,9 +115,9 @@
 
 // Guards against a socket that strangers or garbage bring down, and one that keeps the address when another
 // process goes on as this scheduler.
-func TestLinkLivesThroughGarbageAndTakeover(t *testing.T) {
+func TestLinkSurvivesGarbageAndTakeover(t *testing.T) {
 	addrs := addresses(t, 2)
-	a, b := begin(t, 0, addrs), begin(t, 1, addrs)
+	a, b := startScheduler(t, 0, addrs), startScheduler(t, 1, addrs)
 	until(t, "both are bound", func() bool { return a.bound() && b.bound() })
 	c, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(addrs[1]))
 	if err != nil {
@@ -129,8 +129,8 @@
 			t.Fatal(err)
 		}
 	}
-	a.ask(t, "job-1")
-	until(t, "b has heard of a", func() bool { return b.heard() == 1 })
+	a.submit(t, "job-1")
+	until(t, "b has heard of a", func() bool { return b.activeMembers() == 1 })
 	a.link.Pause()
 	taken, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addrs[0]))
 	if err != nil {
@@ -141,11 +141,11 @@
 		t.Error(err)
 	}
 	until(t, "it is bound again", a.bound)
-	b.ask(t, "job-2")
-	until(t, "a has heard of b", func() bool { return a.heard() == 1 })
+	b.submit(t, "job-2")
+	until(t, "a has heard of b", func() bool { return a.activeMembers() == 1 })
 }
 
-func (s *one) bound() bool {
+func (s *testScheduler) bound() bool {
 	s.link.mu.Lock()
 	defer s.link.mu.Unlock()
 	return s.link.conn != nil
--- a/internal/peerlink/revision_test.go
+++ b/internal/peerlink/revision_test.go
@@ -13,8 +13,8 @@
 	"sedgevale/internal/peers"
 )
 
-// alone starts a link without planners.
-func alone(t *testing.T, self int, addrs []netip.AddrPort, watch bool, r peers.Revision) *Link {
+// startLink starts a link without planners.
+func startLink(t *testing.T, self int, addrs []netip.AddrPort, watch bool, r peers.Revision) *Link {
 	t.Helper()
 	l := New(Options{Listen: addrs[self], Peers: addrs, Self: self, Site: 1, FailureDetection: watch, Seed: uint64(self), MinSubscribers: 2, MinSubset: 1,
 		Revision: r, Clock: dispatch.NewClock(), Log: slog.New(slog.DiscardHandler)})
@@ -29,7 +29,7 @@
 func TestRevisionsReachOthers(t *testing.T) {
 	addrs := addresses(t, 3)
 	old := peers.Revision{Number: 41, Digest: 0xa1}
-	links := []*Link{alone(t, 0, addrs, true, old), alone(t, 1, addrs, true, old), alone(t, 2, addrs, true, old)}
+	links := []*Link{startLink(t, 0, addrs, true, old), startLink(t, 1, addrs, true, old), startLink(t, 2, addrs, true, old)}
 	shown := func(number uint32, digest string) func() bool {
 		return func() bool {
 			for _, l := range links {
@@ -52,9 +52,9 @@
 }
 
 // Guards schedulers that do not watch each other, as those of the platform: a new configuration sends nothing.
-func TestRevisionsWithoutAWatch(t *testing.T) {
+func TestRevisionsWithoutFailureDetection(t *testing.T) {
 	addrs := addresses(t, 2)
-	links := []*Link{alone(t, 0, addrs, false, peers.Revision{Number: 41}), alone(t, 1, addrs, false, peers.Revision{Number: 41})}
+	links := []*Link{startLink(t, 0, addrs, false, peers.Revision{Number: 41}), startLink(t, 1, addrs, false, peers.Revision{Number: 41})}
 	for _, l := range links {
 		l.SetRevision(peers.Revision{Number: 42, Digest: 1})
 	}
@@ -75,7 +75,7 @@
 }
 
 // Guards the log: one line for each that is behind or level again, one for all where they are many, and none of the others.
-func TestWhoIsBehindIsLogged(t *testing.T) {
+func TestLagsAreLogged(t *testing.T) {
 	addrs := addresses(t, 9)
 	var out bytes.Buffer
 	l := New(Options{Listen: addrs[0], Peers: addrs, Self: 0, Site: 1, FailureDetection: true, Clock: dispatch.NewClock(), Log: slog.New(slog.NewTextHandler(&out, nil))})
--- a/internal/peers/failuredetector.go
+++ b/internal/peers/failuredetector.go
@@ -271,7 +271,7 @@
 	if !c.supersedes(v.claim) {
 		return
 	}
-	if m := &n.members[c.number]; c.state > Alive && c.generation == v.generation && m.known && now-m.heardAt < directEvidenceTTL {
+	if m := &n.members[c.number]; c.state > Alive && c.generation == v.generation && m.known && now-m.lastReceivedAt < directEvidenceTTL {
 		v.accusation = c
 		d.addUrgent(c.number)
 		return
@@ -314,7 +314,7 @@
 	d := &n.detector
 	d.probes = slices.DeleteFunc(d.probes, func(p probe) bool {
 		v, m := &d.views[p.number], &n.members[p.number]
-		if m.known && m.heardAt >= p.at || v.state != Alive {
+		if m.known && m.lastReceivedAt >= p.at || v.state != Alive {
 			return true
 		}
 		if p.indirect && now-p.at > ackTimeout+indirectAckTimeout {
--- a/internal/peers/failuredetector_test.go
+++ b/internal/peers/failuredetector_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// crowd is a net whose nodes watch who is there, all running for a while.
-func crowd(members int, seed uint64) *net {
-	n := &net{rand: rand.New(rand.NewPCG(seed, 1)), down: map[int]bool{}, nodes: make([]*Node, members)}
+// newMemberNetwork is a net whose nodes watch who is there, all running for a while.
+func newMemberNetwork(members int, seed uint64) *network {
+	n := &network{rand: rand.New(rand.NewPCG(seed, 1)), down: map[int]bool{}, nodes: make([]*Node, members)}
 	for m := range members {
 		n.restart(m, 1)
 	}
@@ -19,14 +19,14 @@
 	return n
 }
 
-func (n *net) restart(m int, run uint16) {
+func (n *network) restart(m int, run uint16) {
 	o := options(m, len(n.nodes))
 	o.Generation, o.DetectorRand = run, rand.New(rand.NewPCG(uint64(m), uint64(run)))
 	n.nodes[m], n.down[m] = New(o), false
 }
 
-// seen counts at all live nodes in which state they have those for which which is true.
-func (n *net) seen(which func(m int) bool) (c [Dead + 1]int) {
+// countStates counts at all live nodes in which state they have those for which which is true.
+func (n *network) countStates(which func(m int) bool) (c [Dead + 1]int) {
 	for i, node := range n.nodes {
 		if n.down[i] {
 			continue
@@ -40,32 +40,32 @@
 	return c
 }
 
-func (n *net) up(m int) bool { return !n.down[m] }
+func (n *network) up(m int) bool { return !n.down[m] }
 
 // Guards against dead schedulers that count as there, and live ones that do not: at all sizes, whether one dies or
 // seven in ten at once, all know within 3 s, and again within 3 s of the return.
-func TestTheDeadAreNoticedAndBack(t *testing.T) {
+func TestFailuresAndRestartsAreDetected(t *testing.T) {
 	for _, c := range []struct{ members, die int }{{2, 1}, {8, 1}, {30, 1}, {100, 1}, {100, 70}, {300, 1}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			n := crowd(c.members, 3)
-			if s := n.seen(n.up); s[Alive] != c.members*(c.members-1) {
+			n := newMemberNetwork(c.members, 3)
+			if s := n.countStates(n.up); s[Alive] != c.members*(c.members-1) {
 				t.Fatalf("at the start: %v, want all alive", s)
 			}
 			for m := range c.die {
 				n.down[m] = true
 			}
 			n.run(3 * time.Second)
-			if s := n.seen(func(m int) bool { return n.down[m] }); s[Alive] > 0 {
+			if s := n.countStates(func(m int) bool { return n.down[m] }); s[Alive] > 0 {
 				t.Errorf("3 s after their death: %v, none must count as alive", s)
 			}
-			if s := n.seen(n.up); s[Alive] != (c.members-c.die)*(c.members-c.die-1) {
+			if s := n.countStates(n.up); s[Alive] != (c.members-c.die)*(c.members-c.die-1) {
 				t.Errorf("the others: %v, want all alive", s)
 			}
 			for m := range c.die {
 				n.restart(m, 2)
 			}
 			n.run(3 * time.Second)
-			if s := n.seen(n.up); s[Alive] != c.members*(c.members-1) {
+			if s := n.countStates(n.up); s[Alive] != c.members*(c.members-1) {
 				t.Errorf("3 s after their return: %v, want all alive", s)
 			}
 		})
@@ -73,52 +73,52 @@
 }
 
 // Guards against a scheduler that wakes after ten seconds, takes all others for dead, and is not let in again.
-func TestTheFrozenComeBack(t *testing.T) {
-	n := crowd(20, 5)
+func TestSuspendedMemberRejoins(t *testing.T) {
+	n := newMemberNetwork(20, 5)
 	n.down[4] = true
 	n.run(10 * time.Second)
-	if s := n.seen(func(m int) bool { return m == 4 }); s[Dead] != 19 {
+	if s := n.countStates(func(m int) bool { return m == 4 }); s[Dead] != 19 {
 		t.Fatalf("frozen for 10 s: %v, want gone at all", s)
 	}
 	n.down[4] = false
 	n.nodes[4].Changes(func(Change) {})
 	n.run(3 * time.Second)
 	n.nodes[4].Changes(func(c Change) { t.Errorf("the one that woke changed its mind: %+v", c) })
-	if s := n.seen(n.up); s[Alive] != 20*19 {
+	if s := n.countStates(n.up); s[Alive] != 20*19 {
 		t.Errorf("3 s after it woke: %v, want all alive", s)
 	}
 }
 
 // Guards against two halves that never find each other again, and one bad link that has a good scheduler taken for gone.
-func TestSplitsHeal(t *testing.T) {
-	n := crowd(24, 7)
-	n.cut = func(from, to int) bool { return (from < 9) != (to < 9) }
+func TestPartitionsHeal(t *testing.T) {
+	n := newMemberNetwork(24, 7)
+	n.linkDown = func(from, to int) bool { return (from < 9) != (to < 9) }
 	n.run(6 * time.Second)
-	if s := n.seen(n.up); s[Alive] != 9*8+15*14 {
+	if s := n.countStates(n.up); s[Alive] != 9*8+15*14 {
 		t.Errorf("split for 6 s: %v, want the own half alive alone", s)
 	}
-	n.cut = nil
+	n.linkDown = nil
 	n.run(3 * time.Second)
-	if s := n.seen(n.up); s[Alive] != 24*23 {
+	if s := n.countStates(n.up); s[Alive] != 24*23 {
 		t.Errorf("3 s after the split: %v, want all alive", s)
 	}
-	n.cut = func(from, to int) bool { return from == 2 && to == 3 }
+	n.linkDown = func(from, to int) bool { return from == 2 && to == 3 }
 	for range 40 {
 		n.run(500 * ms)
-		if s := n.seen(n.up); s[Dead] > 0 || s[Alive] < 24*23-2*24 {
+		if s := n.countStates(n.up); s[Dead] > 0 || s[Alive] < 24*23-2*24 {
 			t.Fatalf("with one link cut one way: %v", s)
 		}
 	}
 }
 
 // Guards the watch through all that a network does: three seconds after the last of it all agree on who is there.
-func TestMembersComeTrue(t *testing.T) {
+func TestMembershipConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(2, 9).Draw(t, "members")
-		n := crowd(members, rapid.Uint64().Draw(t, "seed"))
+		n := newMemberNetwork(members, rapid.Uint64().Draw(t, "seed"))
 		runs := make([]uint16, members)
-		n.loss, n.repeat = rapid.Float64Range(0, 0.5).Draw(t, "loss"), rapid.Float64Range(0, 0.5).Draw(t, "repeat")
-		n.late = rapid.SampledFrom([]time.Duration{0, 300 * ms}).Draw(t, "late")
+		n.lossRate, n.duplicateRate = rapid.Float64Range(0, 0.5).Draw(t, "loss"), rapid.Float64Range(0, 0.5).Draw(t, "repeat")
+		n.extraDelay = rapid.SampledFrom([]time.Duration{0, 300 * ms}).Draw(t, "late")
 		for range rapid.IntRange(1, 10).Draw(t, "steps") {
 			m := rapid.IntRange(0, members-1).Draw(t, "member")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
@@ -131,22 +131,22 @@
 				n.restart(m, 1+runs[m])
 			case 3:
 				cut := rapid.IntRange(0, members).Draw(t, "cut")
-				n.cut = func(from, to int) bool { return from < cut && to >= cut }
+				n.linkDown = func(from, to int) bool { return from < cut && to >= cut }
 			default:
-				n.cut = nil
+				n.linkDown = nil
 			}
 			n.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "for")) * 50 * ms)
 		}
-		n.cut, n.loss, n.late, n.repeat = nil, 0, 0, 0
+		n.linkDown, n.lossRate, n.extraDelay, n.duplicateRate = nil, 0, 0, 0
 		n.run(400*ms + 3*time.Second)
 		up := 0
 		for m := range members {
 			up += btoi(n.up(m))
 		}
-		if s := n.seen(n.up); s[Alive] != up*(up-1) {
+		if s := n.countStates(n.up); s[Alive] != up*(up-1) {
 			t.Fatalf("of %d that are there: %v", up, s)
 		}
-		if s := n.seen(func(m int) bool { return n.down[m] }); s[Alive] > 0 {
+		if s := n.countStates(func(m int) bool { return n.down[m] }); s[Alive] > 0 {
 			t.Fatalf("of those that are not: %v", s)
 		}
 	})
@@ -161,8 +161,8 @@
 
 // Guards against a claim in passing that is taken for a sign of life: while a fleet starts, every datagram claims that
 // this one and that one live, and the dead would be asked for again and again.
-func TestOnlyAnAnswerVouches(t *testing.T) {
-	n := crowd(3, 9)
+func TestOnlyAcknowledgementEndsProbe(t *testing.T) {
+	n := newMemberNetwork(3, 9)
 	a, now := n.nodes[0], n.now
 	for _, c := range []struct {
 		kind kind
--- a/internal/peers/lags_test.go
+++ b/internal/peers/lags_test.go
@@ -7,13 +7,13 @@
 )
 
 // lagsOf returns what a member reports of lags since it was asked last.
-func (n *net) lagsOf(i int) (lags []Lag) {
+func (n *network) lagsOf(i int) (lags []Lag) {
 	n.nodes[i].Lags(func(l Lag) { lags = append(lags, l) })
 	return lags
 }
 
 // checkLags checks that each member reports one lag, and the right one.
-func (n *net) checkLags(t *testing.T, want string, right func(Lag) bool) {
+func (n *network) checkLags(t *testing.T, want string, right func(Lag) bool) {
 	t.Helper()
 	for i := range n.nodes {
 		if lags := n.lagsOf(i); len(lags) != 1 || !right(lags[0]) {
@@ -22,12 +22,12 @@
 	}
 }
 
-// missThree has a member miss three changes, two seconds apart.
-func (n *net) missThree(misses int) {
+// missThreeChanges has a member miss three changes, two seconds apart.
+func (n *network) missThreeChanges(misses int) {
 	for number := uint32(42); number <= 44; number++ {
 		for m := range n.nodes {
 			if m != misses {
-				n.revise(m, Revision{number, number})
+				n.setRevision(m, Revision{number, number})
 			}
 		}
 		n.run(2 * time.Second)
@@ -36,17 +36,17 @@
 
 // Guards against a scheduler that lost its operator's calls and counts as good: it is named for as long as the first of the changes
 // that it lacks is in force, reported once, and once again when it is level.
-func TestOneThatMissedThreeChanges(t *testing.T) {
-	n := site(14, 5)
+func TestLagAfterThreeMissedChanges(t *testing.T) {
+	n := newRevisionNetwork(14, 5)
 	from := n.now
-	n.missThree(5)
-	if w := n.untrue(); w != "" {
+	n.missThreeChanges(5)
+	if w := n.wrongStatus(); w != "" {
 		t.Fatal(w)
 	}
 	for i, node := range n.nodes {
 		b := node.Status(n.now).Members[5].BehindMS
-		if late := n.now - from - time.Duration(b)*ms; !slices.Equal(n.behind(i), []int{5}) || late < 0 || late > 500*ms {
-			t.Errorf("%d names %v; 5 as %d ms behind, %v after the first change", i, n.behind(i), b, n.now-from)
+		if late := n.now - from - time.Duration(b)*ms; !slices.Equal(n.behindMembers(i), []int{5}) || late < 0 || late > 500*ms {
+			t.Errorf("%d names %v; 5 as %d ms behind, %v after the first change", i, n.behindMembers(i), b, n.now-from)
 		}
 		if lags := n.lagsOf(i); len(lags) > 0 {
 			t.Errorf("reported before it was behind for %v: %+v", LagThreshold, lags)
@@ -54,17 +54,17 @@
 	}
 	n.run(LagThreshold - 5*time.Second)
 	n.checkLags(t, "5 is behind", func(l Lag) bool { return l.Number == 5 && l.Revision == 41 && l.Newest == 44 && l.For > LagThreshold })
-	n.revise(5, Revision{43, 43})
+	n.setRevision(5, Revision{43, 43})
 	n.run(2 * time.Second)
 	if b := n.nodes[0].Status(n.now).Members[5].BehindMS; time.Duration(b)*ms > n.now-from-3500*ms {
 		t.Errorf("with 43 in force it is %d ms behind, though 44 has come %v ago", b, n.now-from-4*time.Second)
 	}
-	n.revise(5, Revision{44, 44})
+	n.setRevision(5, Revision{44, 44})
 	n.run(2 * time.Second)
 	n.checkLags(t, "5 is level again", func(l Lag) bool { return l.Over && l.Number == 5 })
 	for i := range n.nodes {
-		if len(n.behind(i)) > 0 {
-			t.Errorf("%d names %v as behind, want that 5 is level again", i, n.behind(i))
+		if len(n.behindMembers(i)) > 0 {
+			t.Errorf("%d names %v as behind, want that 5 is level again", i, n.behindMembers(i))
 		}
 	}
 }
--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -36,7 +36,7 @@
 		}
 	}
 	n.Counts.Workers, n.Counts.Subset, n.Counts.Shares = len(ids), len(n.subset), n.sharers
-	n.subsetChanged = n.subsetChanged || n.anyHeard
+	n.subsetChanged = n.subsetChanged || n.anyActive
 }
 
 // TakeSubsetChange calls f with the subset if that may have changed since the last call. While no other member is active there is no subset:
@@ -46,7 +46,7 @@
 		return
 	}
 	n.subsetChanged = false
-	if n.anyHeard {
+	if n.anyActive {
 		f(n.Subset())
 	} else {
 		f(nil, 0)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -64,7 +64,7 @@
 	workersByKey  map[uint32]*workerState
 	subset        []string // of the workers
 	sharers       int      // maximum number of members that share a worker of the subset
-	anyHeard      bool     // a datagram of some member was received within LoadTTL
+	anyActive     bool     // a datagram of some member was received within LoadTTL
 	subsetChanged bool     // since it was last taken
 
 	unsent    []*workerState  // whose load is to be sent
@@ -94,7 +94,7 @@
 type member struct {
 	generation          uint16
 	known               bool // a datagram of it was received
-	heardAt             time.Duration
+	lastReceivedAt      time.Duration
 	highestSequence     uint16 // received
 	lowestSequence      uint16 // the highest one a window ago; lower ones are rejected
 	windowStart         time.Duration
@@ -233,12 +233,12 @@
 	})
 	n.Counts.ActiveMembers = 0
 	for i := range n.members {
-		if m := &n.members[i]; m.known && now-m.heardAt < LoadTTL {
+		if m := &n.members[i]; m.known && now-m.lastReceivedAt < LoadTTL {
 			n.Counts.ActiveMembers++
 		}
 	}
-	if active := n.Counts.ActiveMembers > 0; active != n.anyHeard {
-		n.anyHeard, n.subsetChanged = active, true
+	if active := n.Counts.ActiveMembers > 0; active != n.anyActive {
+		n.anyActive, n.subsetChanged = active, true
 	}
 	n.tickDetector(now)
 	n.tickRevisions(now)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -19,24 +19,24 @@
 
 const ms = time.Millisecond
 
-// letter is a datagram under way.
-type letter struct {
+// inFlightDatagram is a datagram under way.
+type inFlightDatagram struct {
 	at       time.Duration
 	from, to int
 	data     []byte
 }
 
-// net is some nodes and what is between them, in virtual time.
-type net struct {
-	nodes  []*Node
-	now    time.Duration
-	way    []letter
-	rand   *rand.Rand
-	loss   float64
-	repeat float64
-	late   time.Duration // a fifth is so late
-	cut    func(from, to int) bool
-	down   map[int]bool
+// network is some nodes and what is between them, in virtual time.
+type network struct {
+	nodes         []*Node
+	now           time.Duration
+	inFlight      []inFlightDatagram
+	rand          *rand.Rand
+	lossRate      float64
+	duplicateRate float64
+	extraDelay    time.Duration // a fifth is so late
+	linkDown      func(from, to int) bool
+	down          map[int]bool
 }
 
 func options(self, members int) Options {
@@ -50,8 +50,8 @@
 	return out
 }
 
-func newNet(members int, boxes []string, seed uint64) *net {
-	n := &net{rand: rand.New(rand.NewPCG(seed, 0)), down: map[int]bool{}}
+func newNet(members int, boxes []string, seed uint64) *network {
+	n := &network{rand: rand.New(rand.NewPCG(seed, 0)), down: map[int]bool{}}
 	for m := range members {
 		n.nodes = append(n.nodes, New(options(m, members)))
 		n.nodes[m].SetWorkers(boxes)
@@ -59,55 +59,55 @@
 	return n
 }
 
-func (n *net) post(from int) func(to int, data []byte) {
+func (n *network) sendFrom(from int) func(to int, data []byte) {
 	return func(to int, data []byte) {
 		if len(data) > MaxDatagram {
 			panic("a datagram is too long")
 		}
-		for range 1 + int(n.rand.Float64()+n.repeat) {
-			if n.rand.Float64() < n.loss || n.cut != nil && n.cut(from, to) {
+		for range 1 + int(n.rand.Float64()+n.duplicateRate) {
+			if n.rand.Float64() < n.lossRate || n.linkDown != nil && n.linkDown(from, to) {
 				continue
 			}
 			at := n.now + 3*ms + time.Duration(n.rand.Int64N(int64(20*ms)))
 			if n.rand.Float64() < 0.2 {
-				at += n.late
+				at += n.extraDelay
 			}
-			n.way = append(n.way, letter{at, from, to, bytes.Clone(data)})
+			n.inFlight = append(n.inFlight, inFlightDatagram{at, from, to, bytes.Clone(data)})
 		}
 	}
 }
 
-func (n *net) out(m int, box string, o Load) {
+func (n *network) setLoad(m int, box string, o Load) {
 	n.nodes[m].SetLoad(n.now, box, o, false)
-	n.nodes[m].Flush(n.now, n.post(m))
+	n.nodes[m].Flush(n.now, n.sendFrom(m))
 }
 
 // run goes on for a time in steps of 5 ms.
-func (n *net) run(d time.Duration) {
+func (n *network) run(d time.Duration) {
 	for end := n.now + d; n.now < end; {
 		n.now += 5 * ms
-		slices.SortStableFunc(n.way, func(a, b letter) int { return cmp.Compare(a.at, b.at) })
-		for len(n.way) > 0 && n.way[0].at <= n.now {
-			l := n.way[0]
-			n.way = n.way[1:]
+		slices.SortStableFunc(n.inFlight, func(a, b inFlightDatagram) int { return cmp.Compare(a.at, b.at) })
+		for len(n.inFlight) > 0 && n.inFlight[0].at <= n.now {
+			l := n.inFlight[0]
+			n.inFlight = n.inFlight[1:]
 			if !n.down[l.to] {
 				_ = n.nodes[l.to].Receive(n.now, l.from, l.data) // what is refused changes nothing
-				n.nodes[l.to].Flush(n.now, n.post(l.to))
+				n.nodes[l.to].Flush(n.now, n.sendFrom(l.to))
 			}
 		}
 		if n.now%(50*ms) == 0 {
 			for m, node := range n.nodes {
 				if !n.down[m] {
 					node.Tick(n.now)
-					node.Flush(n.now, n.post(m))
+					node.Flush(n.now, n.sendFrom(m))
 				}
 			}
 		}
 	}
 }
 
-// heard returns what a node knows of others at a box.
-func (n *net) heard(m int, box string) (o Load) {
+// reportedLoad returns what a node knows of others at a box.
+func (n *network) reportedLoad(m int, box string) (o Load) {
 	if b := n.nodes[m].workers[box]; b != nil {
 		for _, w := range b.reports {
 			o.Slots += w.load.Slots
@@ -117,8 +117,8 @@
 	return o
 }
 
-// wrong returns what the members of audiences know that is not so.
-func (n *net) wrong() (wrong []string) {
+// wrongLoads returns what the members of audiences know that is not so.
+func (n *network) wrongLoads() (wrong []string) {
 	for id, b := range n.nodes[0].workers {
 		for _, m := range b.subscribers {
 			var want Load
@@ -128,7 +128,7 @@
 					want.Waiting += node.workers[id].load.Waiting
 				}
 			}
-			if got := n.heard(int(m), id); got != want && !n.down[int(m)] {
+			if got := n.reportedLoad(int(m), id); got != want && !n.down[int(m)] {
 				wrong = append(wrong, fmt.Sprintf("%d at %s: %v, not %v", m, id, got, want))
 			}
 		}
@@ -138,12 +138,12 @@
 
 // Guards the table through all that a network does: whatever was lost, repeated, overtaken or late, and
 // whoever died, started anew or was cut off, three seconds after the last of it all know again what is out.
-func TestTablesComeTrue(t *testing.T) {
+func TestLoadsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members, boxes := rapid.IntRange(2, 9).Draw(t, "members"), ids(rapid.IntRange(1, 9).Draw(t, "boxes"))
 		n := newNet(members, boxes, rapid.Uint64().Draw(t, "seed"))
-		n.loss, n.repeat = rapid.Float64Range(0, 0.5).Draw(t, "loss"), rapid.Float64Range(0, 0.5).Draw(t, "repeat")
-		n.late = rapid.SampledFrom([]time.Duration{0, 300 * ms, 5 * time.Second}).Draw(t, "late")
+		n.lossRate, n.duplicateRate = rapid.Float64Range(0, 0.5).Draw(t, "loss"), rapid.Float64Range(0, 0.5).Draw(t, "repeat")
+		n.extraDelay = rapid.SampledFrom([]time.Duration{0, 300 * ms, 5 * time.Second}).Draw(t, "late")
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			m := rapid.IntRange(0, members-1).Draw(t, "member")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
@@ -154,36 +154,36 @@
 				n.nodes[m].SetWorkers(boxes)
 			case 1:
 				cut := rapid.IntRange(0, members).Draw(t, "cut")
-				n.cut = func(from, to int) bool { return (from < cut) != (to < cut) }
+				n.linkDown = func(from, to int) bool { return (from < cut) != (to < cut) }
 			case 2:
-				n.cut = nil
+				n.linkDown = nil
 			default:
 				o := Load{rapid.IntRange(0, 40).Draw(t, "slots"), rapid.IntRange(0, 3).Draw(t, "waiting")}
-				n.out(m, rapid.SampledFrom(boxes).Draw(t, "box"), o)
+				n.setLoad(m, rapid.SampledFrom(boxes).Draw(t, "box"), o)
 			}
 			n.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "for")) * 5 * ms)
 		}
-		last := n.late + 30*ms // until the last that is under way has come
-		n.cut, n.loss, n.late = nil, 0, 0
+		last := n.extraDelay + 30*ms // until the last that is under way has come
+		n.linkDown, n.lossRate, n.extraDelay = nil, 0, 0
 		n.run(last + 3*time.Second)
-		if wrong := n.wrong(); len(wrong) > 0 {
+		if wrong := n.wrongLoads(); len(wrong) > 0 {
 			t.Fatalf("%d are wrong: %v", len(wrong), wrong[0])
 		}
 	})
 }
 
 // Guards against a scheduler that dies, freezes or is cut off with jobs out and fills boxes for ever.
-func TestTheSilentAreForgotten(t *testing.T) {
+func TestLoadsOfFailedMembersExpire(t *testing.T) {
 	boxes := ids(3)
 	n := newNet(3, boxes, 1)
-	n.out(0, boxes[0], Load{5, 1})
+	n.setLoad(0, boxes[0], Load{5, 1})
 	n.run(10 * time.Second)
-	if got := n.heard(1, boxes[0]); got != (Load{5, 1}) {
+	if got := n.reportedLoad(1, boxes[0]); got != (Load{5, 1}) {
 		t.Fatalf("after ten quiet seconds %v is known, want 5 and 1", got)
 	}
 	n.down[0] = true
 	n.run(LoadTTL + 200*ms)
-	if got := n.heard(1, boxes[0]); got != (Load{}) {
+	if got := n.reportedLoad(1, boxes[0]); got != (Load{}) {
 		t.Errorf("%v is known still, 2.2 s after its last word", got)
 	}
 	sum := 0
@@ -195,7 +195,7 @@
 
 // Guards the price of a job: that an attempt waits is told only where it is sure to or has for a while, and nothing is told
 // that is as it was told last.
-func TestWhatIsWorthTelling(t *testing.T) {
+func TestLoadsAreSentOnlyWhenNeeded(t *testing.T) {
 	boxes := ids(1)
 	sent := 0
 	a, b := New(options(0, 2)), New(options(1, 2))
@@ -233,7 +233,7 @@
 }
 
 // Guards against old news told as new: of an earlier run, from before a freeze, or repeated.
-func TestNothingOlderWins(t *testing.T) {
+func TestStaleDatagramsAreRejected(t *testing.T) {
 	boxes := ids(2)
 	a, b := New(options(0, 2)), New(options(1, 2))
 	a.SetWorkers(boxes)
@@ -282,7 +282,7 @@
 }
 
 // Guards against datagrams that are damaged, foreign or of another make: they are refused and change nothing.
-func TestWhatIsRefused(t *testing.T) {
+func TestInvalidDatagramsAreRejected(t *testing.T) {
 	boxes := ids(2)
 	sealed := func(o Options) []byte {
 		var data []byte
@@ -338,7 +338,7 @@
 
 // Guards against boxes that nobody or everybody looks at first, and schedulers with far more or fewer than
 // others, at all sizes; and against two schedulers that see the same list in another order and disagree.
-func TestAudiencesAreEven(t *testing.T) {
+func TestSubscribersAreBalanced(t *testing.T) {
 	for _, c := range []struct{ members, boxes int }{{2, 9}, {7, 7}, {24, 24}, {80, 60}, {300, 7}, {300, 150}, {300, 200}, {60, 2000}} {
 		hashes := make([]uint64, c.boxes)
 		for i, id := range ids(c.boxes) {
@@ -393,7 +393,7 @@
 }
 
 // The cost of a word, told to an audience of twelve and taken in by one, is in ns and must make no garbage.
-func BenchmarkTell(b *testing.B) {
+func BenchmarkLoadExchange(b *testing.B) {
 	for _, members := range []int{2, 30, 300, 1000} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
 			boxes := ids(members/2 + 1)
--- a/internal/peers/receive.go
+++ b/internal/peers/receive.go
@@ -62,7 +62,7 @@
 	case h.generation == m.generation:
 		return newer(h.sequence, m.lowestSequence)
 	}
-	return newer(h.generation, m.generation) || now-m.heardAt >= minGenerationSilence
+	return newer(h.generation, m.generation) || now-m.lastReceivedAt >= minGenerationSilence
 }
 
 // noteReceived updates the sequence numbers and the loss rate.
@@ -77,7 +77,7 @@
 	if newer(sequence, m.highestSequence) {
 		m.highestSequence = sequence
 	}
-	m.heardAt = now
+	m.lastReceivedAt = now
 }
 
 // dropReports drops the reports of a member, which has restarted.
--- a/internal/peers/revisions_test.go
+++ b/internal/peers/revisions_test.go
@@ -15,15 +15,15 @@
 var large = flag.Bool("large", false, "play the large sites whole")
 
 // begin starts a member's run with a configuration.
-func (n *net) begin(m int, run uint16, r Revision) {
+func (n *network) begin(m int, run uint16, r Revision) {
 	o := options(m, len(n.nodes))
 	o.Generation, o.DetectorRand, o.Revision = run, rand.New(rand.NewPCG(uint64(m), uint64(run))), r
 	n.nodes[m], n.down[m] = New(o), false
 }
 
-// site is a net whose members all have revision 41 in force, which all know.
-func site(members int, seed uint64) *net {
-	n := &net{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
+// newRevisionNetwork is a net whose members all have revision 41 in force, which all know.
+func newRevisionNetwork(members int, seed uint64) *network {
+	n := &network{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
 	for m := range members {
 		n.begin(m, 1, Revision{41, 0xa1})
 	}
@@ -31,9 +31,9 @@
 	return n
 }
 
-// ready is the same at once: all know of all, as long after their start. For sizes at which the start takes long to play.
-func ready(members int, seed uint64) *net {
-	n := &net{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
+// newConvergedNetwork is the same at once: all know of all, as long after their start. For sizes at which the start takes long to play.
+func newConvergedNetwork(members int, seed uint64) *network {
+	n := &network{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
 	for m := range members {
 		n.begin(m, 1, Revision{41, 0xa1})
 		w, k := &n.nodes[m].detector, &n.nodes[m].revisionTable
@@ -46,14 +46,14 @@
 	return n
 }
 
-func (n *net) revise(m int, r Revision) {
+func (n *network) setRevision(m int, r Revision) {
 	n.nodes[m].SetRevision(n.now, r)
-	n.nodes[m].Flush(n.now, n.post(m))
+	n.nodes[m].Flush(n.now, n.sendFrom(m))
 }
 
-// untold returns how many pairs there are of a member that is up and one that it holds for there, but of which it does not know
+// unknownRevisions returns how many pairs there are of a member that is up and one that it holds for there, but of which it does not know
 // what that has in force.
-func (n *net) untold() (pairs int) {
+func (n *network) unknownRevisions() (pairs int) {
 	for i, node := range n.nodes {
 		for m := range n.nodes {
 			if w := node.activeEntry(m); !n.down[i] && node.isPresent(m) && (w == nil || w.Revision != n.nodes[m].revisionTable.entries[m].Revision) {
@@ -64,17 +64,17 @@
 	return pairs
 }
 
-// settle goes on until all know what all have in force, and returns how long that took.
-func (n *net) settle(most time.Duration) time.Duration {
+// awaitConvergence goes on until all know what all have in force, and returns how long that took.
+func (n *network) awaitConvergence(most time.Duration) time.Duration {
 	start := n.now
-	for n.untold() > 0 && n.now-start < most {
+	for n.unknownRevisions() > 0 && n.now-start < most {
 		n.run(50 * ms)
 	}
 	return n.now - start
 }
 
 // newest returns the highest revision in force at one that is up.
-func (n *net) newest() (newest uint32) {
+func (n *network) newest() (newest uint32) {
 	for m, node := range n.nodes {
 		if n.up(m) {
 			newest = max(newest, node.revisionTable.entries[m].Number)
@@ -83,8 +83,8 @@
 	return newest
 }
 
-// untrue compares what all that are up tell of the others with what is so; empty: nothing is wrong.
-func (n *net) untrue() string {
+// wrongStatus compares what all that are up tell of the others with what is so; empty: nothing is wrong.
+func (n *network) wrongStatus() string {
 	newest := n.newest()
 	for i, node := range n.nodes {
 		if n.down[i] {
@@ -95,7 +95,7 @@
 			return fmt.Sprintf("%d takes %d for the newest, it is %d", i, s.Newest, newest)
 		}
 		for m, got := range s.Members {
-			if wrong := n.untrueOf(i, m, newest, got); wrong != "" {
+			if wrong := n.wrongMemberStatus(i, m, newest, got); wrong != "" {
 				return wrong
 			}
 		}
@@ -103,8 +103,8 @@
 	return ""
 }
 
-// untrueOf compares what one tells of another with what is so.
-func (n *net) untrueOf(i, m int, newest uint32, got MemberStatus) string {
+// wrongMemberStatus compares what one tells of another with what is so.
+func (n *network) wrongMemberStatus(i, m int, newest uint32, got MemberStatus) string {
 	is := n.nodes[m].revisionTable.entries[m].Revision
 	switch behind := got.BehindMS >= 0; {
 	case n.down[m] && (got.Digest != "" || behind || got.Differs):
@@ -117,8 +117,8 @@
 	return ""
 }
 
-// behind returns whom a member names as behind.
-func (n *net) behind(i int) (who []int) {
+// behindMembers returns whom a member names as behind.
+func (n *network) behindMembers(i int) (who []int) {
 	for _, m := range n.nodes[i].Status(n.now).Members {
 		if m.BehindMS >= 0 {
 			who = append(who, m.Number)
@@ -128,7 +128,7 @@
 }
 
 // Guards the times: what one changes, and what all change, is known to all within seconds, also with half of the datagrams lost.
-func TestAllLearnOfAChange(t *testing.T) {
+func TestRevisionConvergenceTime(t *testing.T) {
 	for _, c := range []struct {
 		members int
 		loss    float64
@@ -138,19 +138,19 @@
 			if c.members > 100 && c.loss > 0 && !*large {
 				t.Skip("only with -large")
 			}
-			n := ready(c.members, 3)
-			n.loss = c.loss
+			n := newConvergedNetwork(c.members, 3)
+			n.lossRate = c.loss
 			n.run(time.Second)
-			n.revise(1, Revision{42, 0xb2})
-			one := n.settle(c.most)
-			if p := n.untold(); p > 0 {
+			n.setRevision(1, Revision{42, 0xb2})
+			one := n.awaitConvergence(c.most)
+			if p := n.unknownRevisions(); p > 0 {
 				t.Errorf("one has changed: %d pairs do not know it after %v", p, one)
 			}
 			for m := range c.members {
-				n.revise(m, Revision{43, 0xc3})
+				n.setRevision(m, Revision{43, 0xc3})
 			}
-			all := n.settle(c.most)
-			if p := n.untold(); p > 0 {
+			all := n.awaitConvergence(c.most)
+			if p := n.unknownRevisions(); p > 0 {
 				t.Errorf("all have changed: %d pairs do not know it after %v", p, all)
 			}
 			t.Logf("known after %v, and %v where all change at once", one, all)
@@ -160,9 +160,9 @@
 
 // Guards the price: at rest a scheduler sends less than 200 bytes a second, those of the watch among them; and a change that
 // reaches all at once costs it no more than some tellings of each word.
-func TestTellingIsCheap(t *testing.T) {
+func TestRevisionTraffic(t *testing.T) {
 	for _, members := range []int{14, 60, 300} {
-		n := ready(members, 4)
+		n := newConvergedNetwork(members, 4)
 		n.run(time.Second)
 		before := n.sent()
 		n.run(4 * time.Second)
@@ -176,7 +176,7 @@
 		}
 		before = n.sent()
 		for m := range members {
-			n.revise(m, Revision{42, 0xb2})
+			n.setRevision(m, Revision{42, 0xb2})
 		}
 		n.run(5 * time.Second)
 		change := float64(n.sent()-before)/float64(members) - 5*rest
@@ -189,44 +189,44 @@
 
 // Guards against the first of two changes that overtakes the second.
 func TestTwoChangesInOneSecond(t *testing.T) {
-	n := site(14, 6)
-	n.late, n.repeat = 600*ms, 0.5
+	n := newRevisionNetwork(14, 6)
+	n.extraDelay, n.duplicateRate = 600*ms, 0.5
 	for number := uint32(42); number <= 43; number++ {
 		for m := range n.nodes {
-			n.revise(m, Revision{number, number})
+			n.setRevision(m, Revision{number, number})
 			n.run(25 * ms)
 		}
 	}
 	n.run(2 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Error(w)
 	}
 	n.run(5 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Errorf("later: %s", w)
 	}
 }
 
 // Guards against a change that was taken back and goes on as the newest, by which all would count as behind.
-func TestOneTakenBack(t *testing.T) {
-	n := site(14, 7)
-	n.late, n.repeat = 600*ms, 0.5
+func TestRevertedRevision(t *testing.T) {
+	n := newRevisionNetwork(14, 7)
+	n.extraDelay, n.duplicateRate = 600*ms, 0.5
 	for m := range 6 {
-		n.revise(m, Revision{42, 0xb2})
+		n.setRevision(m, Revision{42, 0xb2})
 	}
 	n.run(time.Second)
-	if b := n.behind(9); len(b) != 8 {
+	if b := n.behindMembers(9); len(b) != 8 {
 		t.Errorf("before: %v are behind, want the 8 that lack the change", b)
 	}
 	for m := range 6 {
-		n.revise(m, Revision{41, 0xa1})
+		n.setRevision(m, Revision{41, 0xa1})
 	}
 	n.run(2 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Error(w)
 	}
 	for i := range n.nodes {
-		if b := n.behind(i); len(b) > 0 {
+		if b := n.behindMembers(i); len(b) > 0 {
 			t.Errorf("%d names %v though all took it back", i, b)
 		}
 	}
@@ -237,52 +237,52 @@
 }
 
 // Guards against a process that was frozen during a change: meanwhile it does not count, then all name it, and it sees so itself.
-func TestAProcessFrozenForTenSeconds(t *testing.T) {
-	n := site(14, 8)
+func TestSuspendedDuringRevisionChange(t *testing.T) {
+	n := newRevisionNetwork(14, 8)
 	n.down[4] = true
 	n.run(time.Second)
 	for m := range n.nodes {
 		if m != 4 {
-			n.revise(m, Revision{42, 0xb2})
+			n.setRevision(m, Revision{42, 0xb2})
 		}
 	}
 	n.run(9 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Errorf("frozen: %s", w)
 	}
 	n.down[4] = false
 	n.run(3 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Errorf("3 s after it woke: %s", w)
 	}
 	for i := range n.nodes {
-		if b := n.behind(i); !slices.Equal(b, []int{4}) {
+		if b := n.behindMembers(i); !slices.Equal(b, []int{4}) {
 			t.Errorf("3 s after it woke %d names %v, want 4", i, b)
 		}
 	}
-	n.revise(4, Revision{42, 0xb2})
+	n.setRevision(4, Revision{42, 0xb2})
 	n.run(2 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Errorf("once it has read again: %s", w)
 	}
 }
 
 // Guards the list of those that lack a change while half of them do, at half loss too.
-func TestHalfOfTheSchedulersOnTheOldConfiguration(t *testing.T) {
+func TestHalfOnTheOldRevision(t *testing.T) {
 	for _, loss := range []float64{0, 0.5} {
-		n := site(14, 9)
-		n.loss = loss
+		n := newRevisionNetwork(14, 9)
+		n.lossRate = loss
 		for m := 0; m < 14; m += 2 {
-			n.revise(m, Revision{42, 0xb2})
+			n.setRevision(m, Revision{42, 0xb2})
 		}
-		n.settle(6 * time.Second)
-		n.loss = 0
+		n.awaitConvergence(6 * time.Second)
+		n.lossRate = 0
 		n.run(3 * time.Second) // the watch may have wavered
-		if w := n.untrue(); w != "" {
+		if w := n.wrongStatus(); w != "" {
 			t.Errorf("loss %v: %s", loss, w)
 		}
 		for i := range n.nodes {
-			if b := n.behind(i); !slices.Equal(b, []int{1, 3, 5, 7, 9, 11, 13}) {
+			if b := n.behindMembers(i); !slices.Equal(b, []int{1, 3, 5, 7, 9, 11, 13}) {
 				t.Errorf("loss %v: %d names %v, want the odd ones", loss, i, b)
 			}
 		}
@@ -290,28 +290,28 @@
 }
 
 // Guards against the word of one that is gone, by which all others count as behind for ever.
-func TestNoWordOutlivesItsSender(t *testing.T) {
-	n := site(14, 10)
-	n.revise(3, Revision{99, 0xff})
+func TestEntryExpiresWithItsMember(t *testing.T) {
+	n := newRevisionNetwork(14, 10)
+	n.setRevision(3, Revision{99, 0xff})
 	n.run(2 * time.Second)
-	if b := n.behind(0); len(b) != 13 {
+	if b := n.behindMembers(0); len(b) != 13 {
 		t.Fatalf("%v are behind, want all but 3", b)
 	}
 	n.down[3] = true
 	n.run(3 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Errorf("it is gone: %s", w)
 	}
 	n.begin(3, 2, Revision{41, 0xa1}) // the former run's 99 was later than any that comes
 	n.run(2 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Errorf("it is back: %s", w)
 	}
 }
 
 // Guards against what a run said that is over, while nothing is heard of what the next has in force.
-func TestARestartVoidsTheWordOfTheRunBefore(t *testing.T) {
-	b := hearer()
+func TestRestartInvalidatesEntry(t *testing.T) {
+	b := newReceiver()
 	b.revisionTable.entries[2] = revisionEntry{generation: 3, Revision: Revision{99, 0xff}, known: true, behindSince: -1}
 	if s := b.Status(time.Second); s.Newest != 99 || s.Members[2].Revision != 99 || s.Members[1].BehindMS < 0 {
 		t.Fatalf("before: newest %d, %+v", s.Newest, s.Members[1:3])
@@ -323,8 +323,8 @@
 }
 
 // Guards against schedulers with other content under the same number, which nobody would name.
-func TestOtherContentUnderTheSameNumber(t *testing.T) {
-	n := site(5, 11)
+func TestDifferingDigests(t *testing.T) {
+	n := newRevisionNetwork(5, 11)
 	differ := func() (who []int) {
 		for _, m := range n.nodes[4].Status(n.now).Members {
 			if m.Differs {
@@ -344,22 +344,22 @@
 		{0, [5]uint32{1, 1, 2, 1, 2}, []int{2, 4}},     // nobody counts: only the content tells
 	} {
 		for m, d := range c.digests {
-			n.revise(m, Revision{c.number, d})
+			n.setRevision(m, Revision{c.number, d})
 		}
 		n.run(2 * time.Second)
-		if got := differ(); !slices.Equal(got, c.want) || len(n.behind(4)) > 0 {
-			t.Errorf("%v: %v differ and %v are behind, want %v and nobody", c.digests, got, n.behind(4), c.want)
+		if got := differ(); !slices.Equal(got, c.want) || len(n.behindMembers(4)) > 0 {
+			t.Errorf("%v: %v differ and %v are behind, want %v and nobody", c.digests, got, n.behindMembers(4), c.want)
 		}
 	}
-	n.revise(0, Revision{45, 1})
+	n.setRevision(0, Revision{45, 1})
 	n.run(2 * time.Second)
-	if got := differ(); len(got) > 0 || len(n.behind(4)) != 4 {
-		t.Errorf("with one on a later revision %v differ and %v are behind, want nobody and the other four", got, n.behind(4))
+	if got := differ(); len(got) > 0 || len(n.behindMembers(4)) != 4 {
+		t.Errorf("with one on a later revision %v differ and %v are behind, want nobody and the other four", got, n.behindMembers(4))
 	}
 }
 
 // Guards how long one is behind: since the first that it lacks, not since the last; and what was taken back counts for nothing.
-func TestForHowLong(t *testing.T) {
+func TestLagSinceFirstMissedRevision(t *testing.T) {
 	var k revisionTable
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for _, c := range []struct {
@@ -395,12 +395,12 @@
 
 // Guards the table through all that members and a network do: whatever it holds was said, by that run; and once messages have
 // flowed for a while all agree with what is so.
-func TestRevisionsComeTrue(t *testing.T) {
+func TestRevisionsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(2, 9).Draw(t, "members")
-		n := site(members, rapid.Uint64().Draw(t, "seed"))
-		n.loss, n.repeat = rapid.Float64Range(0, 0.5).Draw(t, "loss"), rapid.Float64Range(0, 0.5).Draw(t, "repeat")
-		n.late = rapid.SampledFrom([]time.Duration{0, 300 * ms, 900 * ms}).Draw(t, "late")
+		n := newRevisionNetwork(members, rapid.Uint64().Draw(t, "seed"))
+		n.lossRate, n.duplicateRate = rapid.Float64Range(0, 0.5).Draw(t, "loss"), rapid.Float64Range(0, 0.5).Draw(t, "repeat")
+		n.extraDelay = rapid.SampledFrom([]time.Duration{0, 300 * ms, 900 * ms}).Draw(t, "late")
 		type said struct {
 			member      int
 			run, serial uint16
@@ -422,7 +422,7 @@
 			case 0, 1, 2: // a change, one taken back, other content
 				r = Revision{max(1, r.Number+[]uint32{1, ^uint32(0), 0}[what]), uint32(rapid.IntRange(1, 3).Draw(t, "digest"))}
 				if !n.down[m] {
-					n.revise(m, r)
+					n.setRevision(m, r)
 					note(m)
 				}
 			case 3:
@@ -435,9 +435,9 @@
 				note(m)
 			case 6:
 				cut := rapid.IntRange(0, members).Draw(t, "cut")
-				n.cut = func(from, to int) bool { return from < cut && to >= cut }
+				n.linkDown = func(from, to int) bool { return from < cut && to >= cut }
 			default:
-				n.cut = nil
+				n.linkDown = nil
 			}
 			n.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "for")) * 50 * ms)
 			for i, node := range n.nodes {
@@ -448,9 +448,9 @@
 				}
 			}
 		}
-		n.cut, n.loss, n.late, n.repeat = nil, 0, 0, 0
+		n.linkDown, n.lossRate, n.extraDelay, n.duplicateRate = nil, 0, 0, 0
 		n.run(900*ms + 3*time.Second + 2*time.Second) // what was late, the watch, then the table
-		if w := n.untrue(); w != "" {
+		if w := n.wrongStatus(); w != "" {
 			t.Fatal(w)
 		}
 	})
--- a/internal/peers/revisions_wire_test.go
+++ b/internal/peers/revisions_wire_test.go
@@ -12,7 +12,7 @@
 )
 
 // sent returns the bytes that all have sent.
-func (n *net) sent() (bytes uint64) {
+func (n *network) sent() (bytes uint64) {
 	for _, node := range n.nodes {
 		bytes += node.Counts.SentBytes
 	}
@@ -27,7 +27,7 @@
 	sum := fnv.New64a()
 	letters := 0
 	post := func(from int) func(int, []byte) {
-		deliver := n.post(from)
+		deliver := n.sendFrom(from)
 		return func(to int, data []byte) {
 			letters++
 			_, _ = sum.Write(fmt.Appendf(nil, "%d %d %x\n", from, to, data))
@@ -36,9 +36,9 @@
 	}
 	for step := range 400 {
 		n.now += 10 * ms
-		for len(n.way) > 0 {
-			l := n.way[0]
-			n.way = n.way[1:]
+		for len(n.inFlight) > 0 {
+			l := n.inFlight[0]
+			n.inFlight = n.inFlight[1:]
 			if err := n.nodes[l.to].Receive(n.now, l.from, l.data); err != nil {
 				t.Fatal(err)
 			}
@@ -76,7 +76,7 @@
 }
 
 // letters of both new kinds, as members send them.
-func newKinds(t testing.TB) (words, hashes []byte) {
+func revisionDatagrams(t testing.TB) (words, hashes []byte) {
 	t.Helper()
 	a := New(Options{Self: 0, Members: 40, Site: 7, Generation: 1, DetectorRand: rand.New(rand.NewPCG(1, 1)), Revision: Revision{41, 0xa1}})
 	a.noteAlive(0, 1, 1, 0, true)
@@ -99,8 +99,8 @@
 	return words, hashes
 }
 
-// hearer is a member that hears of those.
-func hearer() *Node {
+// newReceiver is a member that hears of those.
+func newReceiver() *Node {
 	b := New(Options{Self: 1, Members: 40, Site: 7, Generation: 1, DetectorRand: rand.New(rand.NewPCG(2, 1)), Revision: Revision{40, 0xa0}})
 	for m := range 30 {
 		b.detector.views[m+2].claim = claim{uint16(m + 2), Alive, 3, 0}
@@ -108,10 +108,10 @@
 	return b
 }
 
-// refuses checks that a datagram is refused with an error and changes nothing.
-func refuses(t *testing.T, what string, data []byte, want error) {
+// checkRejected checks that a datagram is refused with an error and changes nothing.
+func checkRejected(t *testing.T, what string, data []byte, want error) {
 	t.Helper()
-	b := hearer()
+	b := newReceiver()
 	before := fmt.Sprintf("%+v %+v %+v", b.revisionTable, b.members, b.detector.views)
 	if err := b.Receive(time.Second, 0, data); !errors.Is(err, want) {
 		t.Errorf("%s: %v, want %v", what, err, want)
@@ -122,9 +122,9 @@
 }
 
 // Guards against datagrams of the new kinds that are cut or garbled: they are refused and change nothing.
-func TestCutRevisionsAreRefused(t *testing.T) {
-	words, hashes := newKinds(t)
-	if b := hearer(); b.Receive(time.Second, 0, words) != nil || b.activeEntry(2) == nil || b.activeEntry(31) == nil || b.Receive(time.Second, 0, hashes) != nil {
+func TestTruncatedRevisionsAreRejected(t *testing.T) {
+	words, hashes := revisionDatagrams(t)
+	if b := newReceiver(); b.Receive(time.Second, 0, words) != nil || b.activeEntry(2) == nil || b.activeEntry(31) == nil || b.Receive(time.Second, 0, hashes) != nil {
 		t.Fatal("whole they are not taken in")
 	}
 	for name, whole := range map[string][]byte{"words": words, "hashes": hashes} {
@@ -137,14 +137,14 @@
 			if cut < headSize+checkSize {
 				want = ErrLength
 			}
-			refuses(t, fmt.Sprint(name, ", cut to ", cut), whole[:cut], want)
+			checkRejected(t, fmt.Sprint(name, ", cut to ", cut), whole[:cut], want)
 			if cut < headSize || cut > len(whole)-checkSize || cut > head && (cut-head)%size == 0 { // with whole entries it is one
 				continue
 			}
-			refuses(t, fmt.Sprint(name, ", cut to ", cut, " and sealed"), newCodec(7).seal(bytes.Clone(whole[:cut])), ErrLength)
+			checkRejected(t, fmt.Sprint(name, ", cut to ", cut, " and sealed"), newCodec(7).seal(bytes.Clone(whole[:cut])), ErrLength)
 			bad := bytes.Clone(whole)
 			bad[cut] ^= 4
-			if hearer().Receive(time.Second, 0, bad) == nil {
+			if newReceiver().Receive(time.Second, 0, bad) == nil {
 				t.Errorf("%s with byte %d changed is taken", name, cut)
 			}
 		}
@@ -152,8 +152,8 @@
 }
 
 // Guards a program that does not watch: datagrams of the new kinds neither fail nor change nor are answered there.
-func TestRevisionsWithoutAWatch(t *testing.T) {
-	words, hashes := newKinds(t)
+func TestRevisionsWithoutFailureDetection(t *testing.T) {
+	words, hashes := revisionDatagrams(t)
 	b := New(Options{Self: 1, Members: 40, Site: 7, Generation: 1, MinSubscribers: 4, MinSubset: 3})
 	if err := errors.Join(b.Receive(time.Second, 0, words), b.Receive(time.Second, 0, hashes)); err != nil {
 		t.Error(err)
@@ -166,13 +166,13 @@
 
 // Guards the reader of the new kinds against whatever comes: it neither panics nor takes another's word for its own.
 func FuzzRevisions(f *testing.F) {
-	words, hashes := newKinds(f)
+	words, hashes := revisionDatagrams(f)
 	f.Add(byte(kindEntries), words[headSize:len(words)-checkSize])
 	f.Add(byte(kindDigests), hashes[headSize:len(hashes)-checkSize])
 	f.Add(byte(kindDigests), []byte{0xff, 0xff, 1, 2, 3, 4})
 	f.Add(byte(kindEntries), []byte{0, 0, 0, 9, 0, 0, 0, 9, 0, 1, 0, 1, 0, 9, 0xff, 0xff, 0, 1, 0, 9})
 	f.Fuzz(func(t *testing.T, k byte, body []byte) {
-		b := hearer()
+		b := newReceiver()
 		data := append(b.codec.begin(make([]byte, 0, MaxDatagram), head{kindEntries + kind(k&1), 1, 1}), body[:min(len(body), MaxDatagram-headSize-checkSize)]...)
 		_ = b.Receive(time.Second, 0, b.codec.seal(data))
 		b.Tick(time.Second)
@@ -193,7 +193,7 @@
 
 // The bytes of the kinds of datagrams that carry loads and revisions: members of two releases exchange them.
 func TestDatagramBytes(t *testing.T) {
-	words, hashes := newKinds(t)
+	words, hashes := revisionDatagrams(t)
 	if got, want := fmt.Sprintf("%x", words), "160001000100000029000000a1000000010000000200030009000300030009000400030009000500030009000600030009000700030009000800030009000900030009000a00030009000b00030009000c00030009000d00030009000e00030009000f00030009001000030009001100030009001200030009001300030009001400030009001500030009001600030009001700030009001800030009001900030009001a00030009001b00030009001c00030009001d00030009001e00030009001f0003000930d1a2"; got != want {
 		t.Errorf("entries are got\n%q\nwant\n%q", got, want)
 	}
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -51,7 +51,7 @@
 		m, v := &n.members[i], n.detector.views[i]
 		one := MemberStatus{Number: i, State: v.state.String(), Generation: v.generation, HeardMS: -1, Loss: m.lossRate, BehindMS: -1}
 		if m.known {
-			one.HeardMS = (now - m.heardAt).Milliseconds()
+			one.HeardMS = (now - m.lastReceivedAt).Milliseconds()
 			if !s.FailureDetection {
 				one.Generation, one.State = m.generation, "heard"
 			}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -26,7 +26,7 @@
 const second = time.Second
 
 // Guards the shares: over any run each member has what its weight says, evenly spread.
-func TestTurnsByWeight(t *testing.T) {
+func TestRoundRobinByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Options
 		sum := 0
--- a/internal/reverseproxy/proxy_test.go
+++ b/internal/reverseproxy/proxy_test.go
@@ -14,7 +14,7 @@
 
 // Guards rules, shares by weight, sticky clients, and backups that serve once all others
 // have failed their checks, until one is back.
-func TestSite(t *testing.T) {
+func TestProxy(t *testing.T) {
 	var up [3]atomic.Bool
 	servers := make([]dispatchconfig.WebServer, 3)
 	for i := range servers {
--- a/internal/reverseproxy/reverseproxy_test.go
+++ b/internal/reverseproxy/reverseproxy_test.go
@@ -21,8 +21,8 @@
 
 // Guards what passes on and what does not: bodies of each framing, fields, trailers, and
 // connections that go on.
-func TestPassesOn(t *testing.T) {
-	addr := origin(t, tellSeen)
+func TestForwarding(t *testing.T) {
+	addr := origin(t, echoRequest)
 	c := oneBackend(t, dispatchconfig.WebServer{Addr: addr})
 	c.Frontends[0].ForwardFor = true
 	_, front := serve(t, c)
@@ -66,8 +66,8 @@
 	}
 }
 
-// tellSeen answers with what it has seen of a request, in a form that the path asks for.
-func tellSeen(w http.ResponseWriter, q *http.Request) {
+// echoRequest answers with what it has seen of a request, in a form that the path asks for.
+func echoRequest(w http.ResponseWriter, q *http.Request) {
 	body, _ := io.ReadAll(q.Body)
 	w.Header().Set("X-Saw", fmt.Sprintf("%s %s host=%s xff=%s te=%v len=%d conn=%q mine=%q keep=%q expect=%q", q.Method, q.RequestURI, q.Host,
 		strings.Join(q.Header.Values("X-Forwarded-For"), "|"), q.TransferEncoding, q.ContentLength, q.Header.Get("Connection"),
@@ -280,7 +280,7 @@
 }
 
 // Guards against half an answer taken for a whole, and a room that is never given back.
-func TestServerBreaksOff(t *testing.T) {
+func TestTruncatedResponse(t *testing.T) {
 	addr := testkit.Accept(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }()
 		if q, err := http.ReadRequest(bufio.NewReader(c)); err == nil && q.URL.Path == "/chunked" {
@@ -307,7 +307,7 @@
 
 // Guards against clients that vanish: half-way through a body, before the answer, and in
 // it. Each gives its room back, and the server is not told that half a body is the whole.
-func TestClientVanishes(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	var whole atomic.Int64
 	addr := origin(t, func(w http.ResponseWriter, q *http.Request) {
 		if _, err := io.Copy(io.Discard, q.Body); err == nil && q.Method == "POST" {
@@ -338,7 +338,7 @@
 }
 
 // Guards memory: a body of any length passes through the same few buffers.
-func TestFlatMemory(t *testing.T) {
+func TestConstantMemory(t *testing.T) {
 	addr := origin(t, func(w http.ResponseWriter, q *http.Request) {
 		n, _ := io.Copy(io.Discard, q.Body)
 		_, _ = fmt.Fprint(w, n)
