--- a/internal/crashtest/kill_test.go
+++ b/internal/crashtest/kill_test.go
@@ -1,5 +1,5 @@
 // Package crashtest kills a real scheduler again and again and compares its journal with the
-// workers' ledgers. It has tests alone.
+// workers' run log. It has tests alone.
 package crashtest
 
 import (
@@ -63,7 +63,7 @@
 func newHarness(t *testing.T) *harness {
 	a := &harness{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), runLog: fake.NewRunLog(), dir: filepath.Join(t.TempDir(), "journal"),
 		listen: testkit.FreeAddr(t), log: &bytes.Buffer{}}
-	shelf := fake.NewResultStore(0)
+	results := fake.NewResultStore(0)
 	var members []fake.Member
 	for i := range 3 {
 		faults := fake.FaultShares{}
@@ -73,7 +73,7 @@
 			}
 		}
 		b := fake.NewWorker(fake.WorkerOptions{ID: fmt.Sprintf("box-%d", i), Slots: 8, Faults: faults, Seed: *seed + uint64(i),
-			Results: shelf, RunLog: a.runLog, Work: func(_ string, r *rand.Rand) time.Duration {
+			Results: results, RunLog: a.runLog, Work: func(_ string, r *rand.Rand) time.Duration {
 				return 300*time.Microsecond + time.Duration(r.Int64N(int64(1200*time.Microsecond)))
 			}})
 		addr, err := b.Listen("127.0.0.1:0")
@@ -129,7 +129,7 @@
 	a.cycle++
 	prefix := fmt.Sprintf("c%d", a.cycle)
 	c := a.start()
-	var told []fake.Response
+	var answers []fake.Response
 	var killed time.Time
 	kill := func() {
 		killed = time.Now()
@@ -146,23 +146,23 @@
 			kill()
 			stop()
 		})
-		told = fake.Clients{Target: a.listen, Number: 12, Tenants: []string{"valley", "east"}, Think: 2 * time.Millisecond,
+		answers = fake.Clients{Target: a.listen, Number: 12, Tenants: []string{"valley", "east"}, Think: 2 * time.Millisecond,
 			Timeout: 2 * time.Second, Prefix: prefix, Seed: a.rand.Uint64(),
 			Mix: faultinjection.Mix}.Run(ctx)
 	}
 	for _, b := range a.workers {
 		b.Quiet()
 	}
-	a.check(prefix+"-", told, killed)
+	a.check(prefix+"-", answers, killed)
 	a.runLog.Forget()
 	if a.cycle%20 == 0 {
 		a.settle()
 	}
 }
 
-// check compares the journal with the ledgers and with the responses that clients got.
-func (a *harness) check(prefix string, told []fake.Response, killed time.Time) {
-	a.jobs += len(told)
+// check compares the journal with the run log and with the responses that clients got.
+func (a *harness) check(prefix string, answers []fake.Response, killed time.Time) {
+	a.jobs += len(answers)
 	if !store.HasRecords(store.OS{}, a.dir) { // killed before it ever wrote
 		if len(a.runLog.Jobs()) > 0 {
 			a.t.Errorf("cycle %d: there is no journal, and workers have begun jobs", a.cycle)
@@ -179,7 +179,7 @@
 		a.t.Errorf("cycle %d: %s", a.cycle, breach)
 	}
 	answered := map[string]fake.Response{}
-	for _, t := range told {
+	for _, t := range answers {
 		answered[t.Job] = t
 	}
 	for _, j := range view.Jobs {
@@ -253,7 +253,7 @@
 			t.Fatalf("log of the scheduler:\n%s", a.log)
 		}
 	}
-	t.Logf("%d kills, seed %d: %d jobs sent, %d on record: %d ran, %d did not run, %d unknown (%d by the kill, %.2f%%; %d since their box failed); %d settled; 0 violations",
+	t.Logf("%d kills, seed %d: %d jobs sent, %d on record: %d ran, %d did not run, %d unknown (%d by the kill, %.2f%%; %d since their worker failed); %d settled; 0 violations",
 		*kills, *seed, a.jobs, a.recorded, a.verdicts[journal.Ran], a.verdicts[journal.DidNotRun], a.verdicts[journal.Unknown],
 		a.unknownByKill, 100*float64(a.unknownByKill)/float64(max(1, a.recorded)), a.unknownByFault, a.settled)
 }
--- a/internal/dispatchconfig/config_test.go
+++ b/internal/dispatchconfig/config_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("%+v", c)
 	}
 	// The file can be replaced, the environment cannot: where the variables won, a
-	// reload would go on asking the discovery of the start.
+	// reload would keep using the discovery of the start.
 	if err := os.WriteFile(path, []byte(strings.Replace(platform, `"discovery":"127.0.0.1:8500",`, "", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	testModule(t, c)
 }
 
-// testModule looks at what the module is told of the platform's file.
+// testModule checks the module's settings of the platform's file.
 func testModule(t *testing.T, c *Config) {
 	t.Helper()
 	m, err := c.Settings.ModuleSettings(3)
@@ -64,7 +64,7 @@
 	}
 }
 
-// A bad configuration is told in one plain line, and nothing starts.
+// Guards the error of a bad configuration, which is one line.
 func TestBadConfig(t *testing.T) {
 	for _, change := range [][2]string{
 		{`{"name"`, `{"name`}, {`"guarded"`, `"other"`}, {`"cell",`, `"town",`}, {`"rough"`, `"heavy"`},
@@ -113,8 +113,8 @@
 	}
 }
 
-// Guards against a file that is taken though it is not whole: one that is empty or
-// cut short, that lacks a key, or in which a deadline or the number of attempts is no
+// Guards against a file that is accepted though it is incomplete: one that is empty or
+// truncated, that lacks a key, or in which a deadline or the number of attempts is no
 // number above 0.
 func TestFollows(t *testing.T) {
 	before, err := Parse([]byte(platform))
--- a/internal/dispatchconfig/peers_test.go
+++ b/internal/dispatchconfig/peers_test.go
@@ -20,7 +20,7 @@
 hard_limit = 5
 `
 
-// Guards against peers that are half set up: a scheduler that tells nobody, or tells under another's number.
+// Guards against an incomplete configuration of peers: a scheduler that sends to none, or under another's number.
 func TestPeersOfAFile(t *testing.T) {
 	for _, c := range []struct{ keys, want string }{
 		{"", "none"},
@@ -52,7 +52,7 @@
 	}
 }
 
-// deployment is a configuration with two teams and a class.
+// deployment is a configuration with two tenants and a class.
 func deployment(t *testing.T, change func(c *Config)) *Config {
 	t.Helper()
 	c := &Config{Name: "hut", Listen: "127.0.0.1:8080", Peers: []string{"127.0.0.1:1", "127.0.0.2:1"}, PeerListen: "127.0.0.1:1", Revision: 41}
@@ -73,16 +73,17 @@
 	return p.Site
 }
 
-// Guards against schedulers that do not hear each other while a change of teams goes round, and against ones of other sites that do.
+// Guards against schedulers that reject each other's datagrams while a change of tenants is rolled out, and against ones of other
+// sites that accept them.
 func TestSiteIsWithoutTeams(t *testing.T) {
 	same := siteOf(t, func(*Config) {})
 	for _, c := range []struct {
-		name   string
-		tells  bool
-		change func(c *Config)
+		name    string
+		differs bool
+		change  func(c *Config)
 	}{
-		{"another team", false, func(c *Config) { c.Settings.Realms = append(c.Settings.Realms, Realm{Name: "burleson", Share: 1}) }},
-		{"no teams", false, func(c *Config) { c.Settings.Realms = nil }},
+		{"another tenant", false, func(c *Config) { c.Settings.Realms = append(c.Settings.Realms, Realm{Name: "burleson", Share: 1}) }},
+		{"no tenants", false, func(c *Config) { c.Settings.Realms = nil }},
 		{"another share", false, func(c *Config) { c.Settings.Realms[0].Share = 7 }},
 		{"another class", false, func(c *Config) { c.Settings.Classes[0].Promise = 7 }},
 		{"a later revision", false, func(c *Config) { c.Revision++ }},
@@ -91,8 +92,8 @@
 		{"another tier", true, func(c *Config) { c.Settings.Tier++ }},
 		{"one scheduler more", true, func(c *Config) { c.Peers = append(c.Peers, "127.0.0.3:1") }},
 	} {
-		if other := siteOf(t, c.change); (other != same) != c.tells {
-			t.Errorf("%s: told apart is %v, want %v", c.name, other != same, c.tells)
+		if other := siteOf(t, c.change); (other != same) != c.differs {
+			t.Errorf("%s: differs is %v, want %v", c.name, other != same, c.differs)
 		}
 	}
 }
@@ -102,11 +103,11 @@
 	in := func(change func(c *Config)) uint32 { return deployment(t, change).PeerRevision().Digest }
 	same := in(func(*Config) {})
 	for _, c := range []struct {
-		name   string
-		tells  bool
-		change func(c *Config)
+		name    string
+		differs bool
+		change  func(c *Config)
 	}{
-		{"teams in another order", false, func(c *Config) { r := c.Settings.Realms; r[0], r[1] = r[1], r[0] }},
+		{"tenants in another order", false, func(c *Config) { r := c.Settings.Realms; r[0], r[1] = r[1], r[0] }},
 		{"another name and address", false, func(c *Config) { c.Name, c.Listen, c.PeerListen = "shed", "127.0.0.2:8080", "127.0.0.2:1" }},
 		{"its own number and zone", false, func(c *Config) { c.Settings.SlotNo, c.Settings.Zone = 1, 1 }},
 		{"the operator's number", false, func(c *Config) { c.Revision++ }},
@@ -114,15 +115,15 @@
 		{"a share", true, func(c *Config) { c.Settings.Realms[1].Share = 7 }},
 		{"a quota", true, func(c *Config) { c.Settings.Realms[0].Quota = 5 }},
 		{"shares swapped", true, func(c *Config) { c.Settings.Realms[0].Share, c.Settings.Realms[1].Share = 1, 2 }},
-		{"a team's name", true, func(c *Config) { c.Settings.Realms[1].Name = "lean" }},
-		{"a team less", true, func(c *Config) { c.Settings.Realms = c.Settings.Realms[:1] }},
+		{"a tenant's name", true, func(c *Config) { c.Settings.Realms[1].Name = "lean" }},
+		{"a tenant less", true, func(c *Config) { c.Settings.Realms = c.Settings.Realms[:1] }},
 		{"a class's promise", true, func(c *Config) { c.Settings.Classes[0].Promise = 0.2 }},
 		{"a class's kinds", true, func(c *Config) { c.Settings.Classes[0].RunsOn = &[]int{1} }},
 		{"a class for all kinds", true, func(c *Config) { c.Settings.Classes[0].RunsOn = nil }},
 		{"a class more", true, func(c *Config) { c.Settings.Classes = append(c.Settings.Classes, Class{Name: "plan-change"}) }},
 	} {
-		if other := in(c.change); (other != same) != c.tells {
-			t.Errorf("%s: told apart is %v, want %v", c.name, other != same, c.tells)
+		if other := in(c.change); (other != same) != c.differs {
+			t.Errorf("%s: differs is %v, want %v", c.name, other != same, c.differs)
 		}
 	}
 }
--- a/internal/fake/runlog.go
+++ b/internal/fake/runlog.go
@@ -74,9 +74,9 @@
 	clear(l.runs)
 }
 
-// Audit compares a journal with a ledger and returns each breach in words. Recorded says which
-// classes the journal keeps and single which must not run twice. It looks only at jobs that
-// the ledger has, and at those of the journal that keep returns true for. Dropped says of a
+// Audit compares a journal with a run log and returns each violation as a text. Recorded reports which
+// classes the journal keeps and single which must not run twice. It considers only jobs of the
+// run log, and those of the journal for which keep returns true. Dropped says of a
 // job that the journal does not have whether retention may have dropped it; nil: none was.
 func Audit(l *RunLog, jobs []store.Found, recorded, single, keep, dropped func(string) bool) (breaches []string) {
 	byID := map[string][]store.Found{}
@@ -96,7 +96,7 @@
 		}
 		for _, r := range runs {
 			if !intended(byID[id], r.Worker) {
-				breaches = append(breaches, fmt.Sprintf("box %s began job %s, and no intent names it", r.Worker, id))
+				breaches = append(breaches, fmt.Sprintf("worker %s began job %s, and no intent names it", r.Worker, id))
 			}
 		}
 	}
@@ -114,9 +114,9 @@
 	for _, j := range found {
 		switch v, reason, _ := j.Verdict(); {
 		case v == journal.DidNotRun && len(found) == 1 && len(runs) > 0:
-			breaches = append(breaches, fmt.Sprintf("job %s did not run (%s), but box %s began it", id, reason, runs[0].Worker))
+			breaches = append(breaches, fmt.Sprintf("job %s did not run (%s), but worker %s began it", id, reason, runs[0].Worker))
 		case v == journal.Ran && !finished:
-			breaches = append(breaches, fmt.Sprintf("job %s ran (%s), but no box has finished it", id, reason))
+			breaches = append(breaches, fmt.Sprintf("job %s ran (%s), but no worker has finished it", id, reason))
 		}
 	}
 	return breaches
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Guards against a box that is asked for quiet while jobs still come: with a WaitGroup the first job
+// Guards a call of Quiet while jobs still arrive: with a WaitGroup the first job
 // after a pause raced with Quiet, and the race detector ended runs at random.
 func TestQuietWhileJobsCome(t *testing.T) {
 	b := NewWorker(WorkerOptions{ID: "box-1", Seed: 1})
--- a/internal/faultinjection/checker.go
+++ b/internal/faultinjection/checker.go
@@ -10,7 +10,7 @@
 	"sedgevale/internal/fake"
 )
 
-// Observations is what the rules are checked against: the answers to clients and the ledgers of workers. Nothing of it comes from a
+// Observations is what the rules are checked against: the answers to clients and the run log of the workers. Nothing of it comes from a
 // scheduler.
 type Observations struct {
 	Answers []fake.Response // to clients; a job's id begins with the name of the scheduler that it was submitted to
@@ -37,7 +37,7 @@
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("%s: request %s, box %q, %s: %s", v.Rule, v.Request, v.Worker, v.At.Format("15:04:05.000"), v.What)
+	return fmt.Sprintf("%s: request %s, worker %q, %s: %s", v.Rule, v.Request, v.Worker, v.At.Format("15:04:05.000"), v.What)
 }
 
 // Times that a loaded machine is given beyond those of the rules.
@@ -91,22 +91,22 @@
 	}
 	rejected := t.Status == http.StatusTooManyRequests || t.Status == http.StatusServiceUnavailable
 	if rejected && t.Class != "usage-view" && len(runs) > 0 {
-		v.add("a refusal is harmless", t.Job, runs[0].Worker, runs[0].Began, "refused with %d, and begun there", t.Status)
+		v.add("a rejection is harmless", t.Job, runs[0].Worker, runs[0].Began, "rejected with %d, and begun there", t.Status)
 	}
 	if t.Status == http.StatusBadRequest && len(runs) > 0 {
-		v.add("no job is begun", t.Job, runs[0].Worker, runs[0].Began, "told that it is no job, and begun there")
+		v.add("no job is begun", t.Job, runs[0].Worker, runs[0].Began, "rejected as no job, and begun there")
 	}
 	if t.Status == http.StatusOK && !slices.ContainsFunc(runs, func(r fake.Run) bool {
 		return !r.Finished.IsZero() && strings.HasSuffix(t.Body, " by "+r.Worker)
 	}) {
-		v.add("served by a box", t.Job, "", t.ReceivedAt, "answered %q, which no box has finished", t.Body)
+		v.add("served by a worker", t.Job, "", t.ReceivedAt, "answered %q, which no worker has finished", t.Body)
 	}
 }
 
 // checkRuns checks the runs of a job, the earliest first.
 func (v *violations) checkRuns(id string, runs []fake.Run) {
 	if !v.submitted[id] {
-		v.add("asked for", id, runs[0].Worker, runs[0].Began, "begun, and no client has asked")
+		v.add("submitted", id, runs[0].Worker, runs[0].Began, "begun, and no client has submitted it")
 	}
 	for i, r := range runs {
 		v.checkDrains(id, r)
@@ -115,7 +115,7 @@
 		case r.Class == "plan-change":
 			v.add("once", id, r.Worker, r.Began, "begun before at %s", first.Worker)
 		case r.Class == "bill-pay" && v.observations.CellOf[r.Worker] != v.observations.CellOf[first.Worker]:
-			v.add("once a shelf", id, r.Worker, r.Began, "begun before at %s, of another cell", first.Worker)
+			v.add("once per cell", id, r.Worker, r.Began, "begun before at %s, of another cell", first.Worker)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 	for _, d := range v.observations.Drained[r.Worker] {
 		late := r.Received.Sub(d.From)
 		if late > drainPropagation+drainSlack && d.overlaps(r.Received, r.Received) && !v.observations.hadOutage(schedulerOf(id), d.From, r.Received) {
-			v.add("drains kept", id, r.Worker, r.Received, "came %v after all were told that the box leaves", late)
+			v.add("drains observed", id, r.Worker, r.Received, "received %v after discovery said that the worker drains", late)
 		}
 	}
 }
--- a/internal/faultinjection/checker_test.go
+++ b/internal/faultinjection/checker_test.go
@@ -14,8 +14,8 @@
 	os.Exit(m.Run())
 }
 
-// Guards against a checker that sees nothing: each planted fault is found, with request, box and rule, and a sound
-// course of things has none.
+// Guards against a checker that sees nothing: each planted fault is found, with request, worker and rule, and a run
+// without faults has none.
 func TestCheckerFindsPlantedFaults(t *testing.T) {
 	at := time.Now()
 	for _, c := range []struct {
@@ -31,14 +31,14 @@
 		{"one answer in time", func(e *Observations) {
 			e.Answers[0].Status, e.Outages["n0"] = 0, []Interval{{at.Add(-2 * time.Second), at.Add(-time.Second)}}
 		}},
-		{"a refusal is harmless", func(e *Observations) { e.Answers[0].Status = 429 }},
+		{"a rejection is harmless", func(e *Observations) { e.Answers[0].Status = 429 }},
 		{"no job is begun", func(e *Observations) { e.Answers[0].Status = 400 }},
-		{"served by a box", func(e *Observations) { e.Answers[0].Body = "plan-change n0-0-0: 3 bytes by box-2" }},
-		{"asked for", func(e *Observations) { e.Answers = e.Answers[1:] }},
+		{"served by a worker", func(e *Observations) { e.Answers[0].Body = "plan-change n0-0-0: 3 bytes by box-2" }},
+		{"submitted", func(e *Observations) { e.Answers = e.Answers[1:] }},
 		{"once", func(e *Observations) { e.RunLog.Begin("n0-0-0", "plan-change", "box-2", at) }},
 		{"", func(e *Observations) { e.RunLog.Begin("n1-0-0", "bill-pay", "box-2", at) }},
-		{"once a shelf", func(e *Observations) { e.RunLog.Begin("n1-0-0", "bill-pay", "box-3", at) }},
-		{"drains kept", func(e *Observations) { e.Drained["box-1"][0].From = at.Add(-2 * time.Second) }},
+		{"once per cell", func(e *Observations) { e.RunLog.Begin("n1-0-0", "bill-pay", "box-3", at) }},
+		{"drains observed", func(e *Observations) { e.Drained["box-1"][0].From = at.Add(-2 * time.Second) }},
 	} {
 		e := Observations{RunLog: fake.NewRunLog(), CellOf: map[string]int{"box-1": 1, "box-2": 1, "box-3": 2}, Timeout: 2 * time.Second,
 			Outages: map[string][]Interval{}, Drained: map[string][]Interval{"box-1": {{From: at.Add(-100 * time.Millisecond)}, {at.Add(-time.Hour), at.Add(-time.Minute)}}}}
--- a/internal/faultinjection/cluster.go
+++ b/internal/faultinjection/cluster.go
@@ -1,6 +1,6 @@
 // Package faultinjection is a harness for tests of several schedulers under faults. It starts processes of the program with
 // fake workers, discovery and clients, puts relays between them that lose, delay, duplicate, cut and reset, kills and freezes
-// the processes, and checks the rules of the service by the workers' ledgers and the clients' answers alone. All of it stays on
+// the processes, and checks the rules of the service by the workers' run log and the responses to clients alone. All of it stays on
 // loopback.
 package faultinjection
 
--- a/internal/faultinjection/cluster_test.go
+++ b/internal/faultinjection/cluster_test.go
@@ -18,13 +18,13 @@
 	seed   = flag.Uint64("seed", 1, "for what is drawn at random")
 )
 
-// The clients' time, and the aim of a job of usual length.
+// The clients' time-out, and the latency target of a job of usual length.
 const (
 	timeout = 2 * time.Second
 	aim     = 400 * time.Millisecond
 )
 
-// begin sets up a fleet: two boxes are slow and one fails most jobs.
+// begin starts a cluster in which two workers are slow and one fails most jobs.
 func begin(t *testing.T, schedulers, boxes int, alone bool) *Cluster {
 	t.Helper()
 	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: schedulers, Isolated: alone}
@@ -56,9 +56,9 @@
 }
 
 // checkRules reports all violations of the rules.
-func (r *Cluster) checkRules(t *testing.T, told []fake.Response) {
+func (r *Cluster) checkRules(t *testing.T, answers []fake.Response) {
 	t.Helper()
-	e := r.Observations(told, timeout)
+	e := r.Observations(answers, timeout)
 	for i, b := range e.Violations() {
 		if t.Error(b); i == 10 {
 			t.Fatal("and more")
@@ -66,7 +66,7 @@
 	}
 }
 
-// shareAtBadWorkers returns which share of the runs that came since a moment were at the slow and failing boxes.
+// shareAtBadWorkers returns the share of the slow and failing workers in the runs since a moment.
 func (r *Cluster) shareAtBadWorkers(since time.Time) float64 {
 	bad, all := 0, 0
 	for _, id := range r.RunLog.Jobs() {
@@ -82,26 +82,26 @@
 	return float64(bad) / float64(max(1, all))
 }
 
-// Guards the choices of many: eight processes with two slow boxes and a failing one serve no worse when they tell each
-// other what they have out than when each is alone.
+// Guards the placement of eight schedulers with two slow workers and a failing one: they serve no worse when they exchange their
+// loads than when each is isolated.
 func TestPeerLoadsHelpManySchedulers(t *testing.T) {
 	var inTime [2]float64
 	for i, alone := range []bool{true, false} {
 		r := begin(t, 8, 24, alone)
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		since := time.Now().Add(time.Second)
-		told := r.RunAllClients(ctx, 8, 10*time.Millisecond, timeout)
+		answers := r.RunAllClients(ctx, 8, 10*time.Millisecond, timeout)
 		stop()
-		r.checkRules(t, told)
-		s := Summarize(told, since, aim)
+		r.checkRules(t, answers)
+		s := Summarize(answers, since, aim)
 		inTime[i] = float64(s.InTime) / float64(s.Submitted)
-		t.Logf("alone %v: %+v, in time %.3f, at bad boxes %.3f, %d datagrams", alone, s, inTime[i], r.shareAtBadWorkers(since), r.Network.Delivered())
+		t.Logf("alone %v: %+v, in time %.3f, at bad workers %.3f, %d datagrams", alone, s, inTime[i], r.shareAtBadWorkers(since), r.Network.Delivered())
 		if s.Submitted < 100 {
-			t.Errorf("only %d jobs were asked for", s.Submitted)
+			t.Errorf("only %d jobs were submitted", s.Submitted)
 		}
 		r.Close()
 	}
-	if inTime[1] < inTime[0]-0.15 { // with room for a machine that does much else
+	if inTime[1] < inTime[0]-0.15 { // with slack for a loaded machine
 		t.Errorf("in time %.3f with signals, %.3f without", inTime[1], inTime[0])
 	}
 }
@@ -129,8 +129,8 @@
 	return came
 }
 
-// Guards against cold boxes that fall under the sum of what twenty processes send: six of them have just come back with
-// nothing learned, and half of them hear nothing of the other half.
+// Guards against cold workers that are overloaded by the sum of twenty schedulers: six of those have just restarted and learned
+// nothing yet, and half of them receive no datagrams of the other half.
 func TestColdWorkersUnderTwentySchedulers(t *testing.T) {
 	const (
 		boxes, cold  = 10, 5
@@ -148,7 +148,7 @@
 	defer stop()
 	answers := make(chan []fake.Response, 1)
 	go func() { answers <- r.RunAllClients(ctx, 2, 120*time.Millisecond, timeout) }()
-	r.awaitJobs(t, 500) // they have learned what boxes do
+	r.awaitJobs(t, 500) // they have learned the workers' latencies
 	(&FaultScript{Cluster: r}).setLinkFaults(func(i, j int) (LinkFault, bool) { return LinkFault{Cut: true}, i%2 != j%2 })
 	back := make(chan error, 6)
 	for _, s := range r.Schedulers[:cap(back)] {
@@ -178,14 +178,14 @@
 			budget := multiple * capacity * fall.Seconds()
 			worst = max(worst, float64(n)/(budget+2*math.Sqrt(budget)+2))
 		}
-		t.Logf("%s: %d jobs while cold, at the most %.2f of what it bears in %v", workerName(i), len(all), worst, fall)
+		t.Logf("%s: %d jobs while cold, at most %.2f of its budget in %v", workerName(i), len(all), worst, fall)
 		if worst > 1 {
-			t.Errorf("%s got %.2f times what it bears", workerName(i), worst)
+			t.Errorf("%s got %.2f times its budget", workerName(i), worst)
 		}
 	}
 }
 
-// awaitAllAlive returns nil once every scheduler has every other for alive.
+// awaitAllAlive returns nil once every scheduler considers every other alive.
 func (r *Cluster) awaitAllAlive() error {
 	var wrong string
 	for end := time.Now().Add(maxAgreementTime); ; time.Sleep(20 * time.Millisecond) {
@@ -212,12 +212,12 @@
 	return nil
 }
 
-// maxAgreementTime is what members have to be right again after a fault, with room for a machine that does much else: that it
-// takes three seconds at most is shown in virtual time (internal/peers).
+// maxAgreementTime is how long the membership may take to converge after a fault on a loaded machine. That it takes three seconds at
+// most is tested in virtual time (internal/peers).
 const maxAgreementTime = 15 * time.Second
 
-// Guards the rules and the members through kills, freezes, cuts in one or both directions, loss, delay and repeats
-// between eight processes: nothing is lost, run twice or sent to a box that leaves, and all know again who is there.
+// Guards the rules and the membership through kills, freezes, partitions in one or both directions, loss, delay and duplicates
+// between eight schedulers: no job is lost, run twice or sent to a draining worker, and the membership converges again.
 func TestManySchedulersThroughFaults(t *testing.T) {
 	r := begin(t, 8, 24, false)
 	ctx, stop := context.WithCancel(t.Context())
@@ -240,10 +240,10 @@
 		t.Error(err)
 	}
 	stop()
-	told := <-answers
-	r.checkRules(t, told)
-	s := Summarize(told, time.Time{}, aim)
-	t.Logf("faults %v; %+v; members right again within %v; %d datagrams", counts, s, slowest, r.Network.Delivered())
+	responses := <-answers
+	r.checkRules(t, responses)
+	s := Summarize(responses, time.Time{}, aim)
+	t.Logf("faults %v; %+v; membership converged within %v; %d datagrams", counts, s, slowest, r.Network.Delivered())
 	if s.Served*3 < s.Submitted {
 		t.Errorf("under a third was served: %+v", s)
 	}
--- a/internal/faultinjection/faultscript.go
+++ b/internal/faultinjection/faultscript.go
@@ -56,21 +56,21 @@
 		})
 		return script.heal, "all", nil
 	}},
-	{"cut off from boxes, there", 1200 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
+	{"partition from workers, requests", 1200 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
 		s := script.randomScheduler(r)
 		for i := range script.Cluster.Workers {
 			script.Cluster.Network.SetFault(s.Name, workerName(i), LinkFault{Cut: true})
 		}
 		return script.heal, s.Name, nil
 	}},
-	{"cut off from boxes, back", 1200 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
+	{"partition from workers, responses", 1200 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
 		s := script.randomScheduler(r)
 		for i := range script.Cluster.Workers {
 			script.Cluster.Network.SetFault(workerName(i), s.Name, LinkFault{Cut: true})
 		}
 		return script.heal, s.Name, nil
 	}},
-	{"slow link to boxes", 1500 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
+	{"slow link to workers", 1500 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
 		s := script.randomScheduler(r)
 		for i := range script.Cluster.Workers {
 			script.Cluster.Network.SetFault(workerName(i), s.Name, LinkFault{Delay: 40 * time.Millisecond})
@@ -83,7 +83,7 @@
 var FaultKinds = len(schedulerFaults)
 
 // workerDrain is the fault of workers.
-var workerDrain = scriptedFault{"a box leaves", 1200 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
+var workerDrain = scriptedFault{"worker drains", 1200 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
 	worker := r.IntN(len(script.Cluster.Workers))
 	script.Cluster.Drain(worker)
 	return func() error { script.Cluster.Restart(worker); return nil }, workerName(worker), nil
--- a/internal/faultinjection/tenants_test.go
+++ b/internal/faultinjection/tenants_test.go
@@ -16,12 +16,12 @@
 
 var (
 	long    = flag.Bool("long", false, "freeze for 10 s instead of 2 s")
-	changes = flag.Int("changes", 24, "changes of teams under way")
+	changes = flag.Int("changes", 24, "configuration changes in a test of random ones")
 )
 
-// Guards changes of teams under load, while half of the words between schedulers are lost and one of them is killed and comes
-// back with the newest file: who stays is served throughout, who is new is served in time at each scheduler, and of who
-// goes new jobs are none while those under way have their results.
+// Guards changes of tenants under load, while half of the datagrams between schedulers are lost and one of them is killed and
+// restarted with the newest file: tenants that stay are served throughout, new ones are served in time at each scheduler, and of
+// removed ones no new job is accepted while those in flight have their results.
 func TestTenantsChangeWhileServing(t *testing.T) {
 	f := startTrial(t, 4, Configuration{1, []Tenant{{"valley", 0.5, 60}, {"east", 0.3, 40}, {"west", 0.2, 20}}})
 	all, restarted := f.Schedulers, f.Schedulers[1]
@@ -35,7 +35,7 @@
 	f.awaitServed("north", all...)
 	f.startClients("north", 1, 100*time.Millisecond, all...)
 
-	// The one that is killed reads the newest at its start, and is told once more when it is up.
+	// The killed scheduler reads the newest file at its start, and is signalled once more when it is up.
 	third := Configuration{3, []Tenant{{"north", 0.1, 10}, {"south", 0.5, 0}, {"east", 0.3, 20}, {"valley", 0.2, 30}}}
 	restarted.Kill()
 	back := make(chan error, 1)
@@ -66,13 +66,13 @@
 	f.checkChangingTenant("north", gone)
 	f.checkChangingTenant("south", gone)
 	if under := f.checkChangingTenant("west", gone); under == 0 {
-		t.Error("no job of west was under way when it went")
+		t.Error("no job of west was in flight when it was removed")
 	} else {
-		t.Logf("%d jobs of west were under way when it went", under)
+		t.Logf("%d jobs of west were in flight when it was removed", under)
 	}
 }
 
-// onlyOldBehind returns what says whether of so many schedulers just those from a number on are behind.
+// onlyOldBehind returns a check that of so many schedulers exactly those from a number on are behind.
 func onlyOldBehind(schedulers, from int) func(*peerPage) error {
 	return func(a *peerPage) error {
 		for j := range schedulers {
@@ -84,7 +84,7 @@
 	}
 }
 
-// hasReportsOfAllOthers returns what says whether what each of the others tells is believed.
+// hasReportsOfAllOthers returns a check that for some worker the load reports of all other schedulers are in use.
 func hasReportsOfAllOthers(schedulers int) func(*peerPage) error {
 	return func(a *peerPage) error {
 		most := 0
@@ -92,14 +92,14 @@
 			most = max(most, b.Tellers)
 		}
 		if most < schedulers-1 {
-			return fmt.Errorf("no box has more than %d tellers", most)
+			return fmt.Errorf("no worker has reports of more than %d schedulers", most)
 		}
 		return nil
 	}
 }
 
-// Guards schedulers of which half have new teams, one of them since its start: they hear and believe each other, each knows
-// who is behind, and one that has missed three changes catches up by one signal.
+// Guards schedulers of which half have new tenants, one of them since its start: they use each other's load reports, each knows
+// which are behind, and one that has missed three changes catches up by one reload.
 func TestHalfOnTheOldTenants(t *testing.T) {
 	first := Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}}
 	f := startTrial(t, 4, first)
@@ -131,17 +131,17 @@
 	}
 	var before [4]peerPage
 	for i, s := range f.Schedulers {
-		before[i] = f.awaitPage(s, "the old ones are behind", onlyOldBehind(len(f.Schedulers), len(young)))
+		before[i] = f.awaitPage(s, "the schedulers with the old file are behind", onlyOldBehind(len(f.Schedulers), len(young)))
 	}
 	stop := f.startClients("valley", 6, time.Millisecond, f.Schedulers...)
 	for _, s := range f.Schedulers {
-		f.awaitPage(s, "believes all others", hasReportsOfAllOthers(len(f.Schedulers)))
+		f.awaitPage(s, "has load reports of all others", hasReportsOfAllOthers(len(f.Schedulers)))
 	}
 	stop()
 	for i, s := range f.Schedulers {
-		f.awaitPage(s, "no datagram is refused", func(a *peerPage) error {
+		f.awaitPage(s, "no datagram is rejected", func(a *peerPage) error {
 			if a.Counts.Refused != before[i].Counts.Refused || a.Counts.Received < before[i].Counts.Received+20 {
-				return fmt.Errorf("refused %d, before %d; received %d, before %d", a.Counts.Refused, before[i].Counts.Refused,
+				return fmt.Errorf("rejected %d, before %d; received %d, before %d", a.Counts.Refused, before[i].Counts.Refused,
 					a.Counts.Received, before[i].Counts.Received)
 			}
 			return nil
@@ -165,8 +165,8 @@
 		f.reconfigure(Configuration{revision + 1, []Tenant{{"valley", 0.1, 0}, {last, 0.9, 5}}}, f.Schedulers...)
 		f.awaitServed(last, f.Schedulers...)
 		for _, s := range f.Schedulers {
-			if told := f.submit(s, passing); told.Status != http.StatusBadRequest {
-				t.Errorf("%s: a job of %s, which the last file has not, was told %d", s.Name, passing, told.Status)
+			if answer := f.submit(s, passing); answer.Status != http.StatusBadRequest {
+				t.Errorf("%s: a job of %s, which the last file lacks, was answered with %d", s.Name, passing, answer.Status)
 			}
 		}
 		f.awaitRevision(revision+1, f.Schedulers...)
@@ -225,7 +225,7 @@
 	f.checkChangingTenant("north", changed)
 }
 
-// Guards a scheduler that is frozen while teams change: others tell that it is behind, and after the thaw it has the newest
+// Guards a scheduler that is frozen while tenants change: the others report that it is behind, and after the thaw it has the newest
 // in force in time.
 func TestFrozenThroughAChange(t *testing.T) {
 	f := startTrial(t, 3, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
@@ -289,7 +289,7 @@
 	{"quota below 0", []Tenant{{"north", 0.5, -10}, {"valley", 0.5, 0}}, nil},
 	{"no name", []Tenant{{"", 0.5, 10}, {"valley", 0.5, 0}}, nil},
 	{"a name twice", []Tenant{{"north", 0.5, 10}, {"valley", 0.2, 0}, {"north", 0.3, 0}}, nil},
-	{"cut in a name", goodTenants, func(text []byte) []byte { return text[:bytes.Index(text, []byte("valley"))+3] }},
+	{"truncated within a name", goodTenants, func(text []byte) []byte { return text[:bytes.Index(text, []byte("valley"))+3] }},
 	{"empty", goodTenants, func([]byte) []byte { return nil }},
 	{"an unknown key", goodTenants, func(text []byte) []byte {
 		return bytes.Replace(text, []byte("name = \"north\"\n"), []byte("name = \"north\"\nquota = 3\n"), 1)
@@ -326,20 +326,20 @@
 			f.t.Errorf("%s: %s", bad.what, line)
 		}
 	}
-	var asked sync.WaitGroup
+	var submitted sync.WaitGroup
 	for team, want := range map[string]int{"valley": 200, "east": 200, "north": 400} {
 		for _, s := range f.Schedulers {
-			asked.Go(func() {
-				if told := f.submit(s, team); told.Status != want {
-					f.t.Errorf("%s: a job of %s was told %d, want %d", bad.what, team, told.Status, want)
+			submitted.Go(func() {
+				if answer := f.submit(s, team); answer.Status != want {
+					f.t.Errorf("%s: a job of %s was answered with %d, want %d", bad.what, team, answer.Status, want)
 				}
 			})
 		}
 	}
-	asked.Wait()
+	submitted.Wait()
 }
 
-// Guards against a bad file of which anything is taken over: the log names it, and teams, revision and jobs are as before.
+// Guards against a bad file of which anything is applied: the log names it, and tenants, revision and jobs are as before.
 func TestBadTenantsChangeNothing(t *testing.T) {
 	f := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
 	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
@@ -358,10 +358,10 @@
 	f.checkStayingTenant("valley")
 }
 
-// changingTenants are tenants that come and go.
+// changingTenants are tenants that are added and removed.
 var changingTenants = []string{"north", "south", "west", "delta", "ridge", "plain"}
 
-// drawConfiguration returns a configuration with some of the guests, and which those are.
+// drawConfiguration returns a configuration with some of the changing tenants, and which those are.
 func drawConfiguration(r *rand.Rand, revision int) (c Configuration, there map[string]bool) {
 	c.Revision, there = revision, map[string]bool{}
 	c.Tenants = append(c.Tenants, Tenant{"valley", 0.05 + r.Float64(), float64(r.IntN(40))})
@@ -374,7 +374,8 @@
 	return c, there
 }
 
-// awaitChangingTenants waits until each of the guests that are there is served at all schedulers, or each of the others unknown.
+// awaitChangingTenants waits until each of the changing tenants that are there is served at all schedulers, or each of the others
+// is unknown.
 func (f *trial) awaitChangingTenants(there map[string]bool, served bool) {
 	f.t.Helper()
 	for _, name := range changingTenants {
@@ -388,8 +389,8 @@
 	}
 }
 
-// Guards a course of changes drawn at random, each for some of the schedulers, while words are lost, one of them freezes and
-// one is killed: nobody who stays is refused, no job is lost, and in the end all have the last in force.
+// Guards a sequence of random changes, each for some of the schedulers, while datagrams are lost, one scheduler freezes and one is
+// killed: no job of a tenant that stays is rejected, no job is lost, and in the end all have the last configuration in force.
 func TestRandomTenantChanges(t *testing.T) {
 	r := rand.New(rand.NewPCG(*seed, 0x7ea))
 	first, _ := drawConfiguration(r, 1)
@@ -424,7 +425,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Duration(r.Int64N(int64(120 * time.Millisecond)))) // what is judged does not depend on it
+		time.Sleep(time.Duration(r.Int64N(int64(120 * time.Millisecond)))) // no check depends on it
 	}
 	if err := <-back; err != nil {
 		t.Fatal(err)
@@ -432,7 +433,7 @@
 	last, there := drawConfiguration(r, revision+1)
 	f.reconfigure(last, f.Schedulers...)
 	f.awaitChangingTenants(there, true)
-	f.awaitRevision(last.Revision, f.Schedulers...) // half of the words are lost still
+	f.awaitRevision(last.Revision, f.Schedulers...) // half of the datagrams are still lost
 	f.awaitChangingTenants(there, false)
 	f.Network.Heal()
 	if err := f.awaitAllAlive(); err != nil {
--- a/internal/faultinjection/trial_test.go
+++ b/internal/faultinjection/trial_test.go
@@ -13,7 +13,7 @@
 	"sedgevale/internal/fake"
 )
 
-// maxApplyTime is what a change may take until it is in force at a scheduler that has been told.
+// maxApplyTime is how long a change may take until it is in force at a scheduler that was signalled.
 const maxApplyTime = 15 * time.Second
 
 // trial is a cluster with clients of several tenants, and all answers to them.
@@ -30,7 +30,7 @@
 	since   time.Time // of the last change, or the beginning
 }
 
-// startTrial starts a cluster of sound workers that begins with a configuration.
+// startTrial starts a cluster of workers without faults that begins with a configuration.
 func startTrial(t *testing.T, schedulers int, c Configuration) *trial {
 	t.Helper()
 	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: schedulers, Initial: c}
@@ -46,37 +46,38 @@
 	return f
 }
 
-// startClients runs clients of one team at some schedulers until they are stopped, at the latest at the end.
+// startClients runs clients of one tenant at some schedulers until they are stopped, at the latest at the end.
 func (f *trial) startClients(team string, clients int, think time.Duration, at ...*Scheduler) (stop func()) {
 	ctx, stop := context.WithCancel(f.ctx)
 	f.clients.Go(func() {
-		told := f.RunClients(ctx, ClientLoad{Schedulers: at, Tenants: []string{team}, IDSuffix: "-" + team, Clients: clients, ThinkTime: think, Timeout: timeout})
+		answers := f.RunClients(ctx, ClientLoad{Schedulers: at, Tenants: []string{team}, IDSuffix: "-" + team, Clients: clients, ThinkTime: think, Timeout: timeout})
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.answers = append(f.answers, told...)
+		f.answers = append(f.answers, answers...)
 	})
 	return stop
 }
 
-// submit hands one job of a team in and returns what was told of it.
+// submit submits one job of a tenant and returns the response.
 func (f *trial) submit(s *Scheduler, team string) fake.Response {
 	f.mu.Lock()
 	f.probes++
 	id := fmt.Sprintf("%s-%s-probe-%d", s.Name, team, f.probes)
 	f.mu.Unlock()
-	told := s.Submit(f.t.Context(), id, "usage-view", team, timeout)
+	answer := s.Submit(f.t.Context(), id, "usage-view", team, timeout)
 	f.mu.Lock()
-	f.answers = append(f.answers, told)
+	f.answers = append(f.answers, answer)
 	f.mu.Unlock()
-	return told
+	return answer
 }
 
-// awaitServed asks at some schedulers with jobs of a team until one is served at each; stranger until one is told that its team
-// is not known.
+// awaitServed submits jobs of a tenant to some schedulers until one is served at each.
 func (f *trial) awaitServed(team string, at ...*Scheduler) {
 	f.t.Helper()
 	f.awaitStatus(team, http.StatusOK, at)
 }
+
+// awaitUnknownTenant submits jobs of a tenant to some schedulers until each rejects one since it does not know the tenant.
 func (f *trial) awaitUnknownTenant(team string, at ...*Scheduler) {
 	f.t.Helper()
 	f.awaitStatus(team, http.StatusBadRequest, at)
@@ -92,9 +93,9 @@
 	for _, s := range at {
 		go func() {
 			for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-				told := f.submit(s, team)
-				if told.Status == status || time.Since(began) > maxApplyTime {
-					answers <- answer{told, told.ReceivedAt.Sub(f.since)}
+				response := f.submit(s, team)
+				if response.Status == status || time.Since(began) > maxApplyTime {
+					answers <- answer{response, response.ReceivedAt.Sub(f.since)}
 					return
 				}
 			}
@@ -119,7 +120,7 @@
 	}
 }
 
-// finish ends all clients and judges what they were told.
+// finish ends all clients and checks the responses to them.
 func (f *trial) finish() {
 	f.t.Helper()
 	f.stop()
@@ -127,7 +128,7 @@
 	f.checkRules(f.t, f.answers)
 }
 
-// answersOf returns the answers to a team's jobs.
+// answersOf returns the responses to a tenant's jobs.
 func (f *trial) answersOf(team string) (out []fake.Response) {
 	for _, t := range f.answers {
 		if strings.Contains(t.Job, "-"+team+"-") {
@@ -137,32 +138,31 @@
 	return out
 }
 
-// checkStayingTenant reports what was told of the jobs of a team that stayed: each has its result but where its scheduler was out, and but
-// for want of time, which a loaded machine brings about: a change must not make refusals for that many, nor more than a few
-// that were out when their time ended.
+// checkStayingTenant checks the responses to a tenant that stayed: each job has its result unless its scheduler had an outage, or the
+// job ran out of time, as happens on a loaded machine: few may be rejected for that, and fewer time out at a worker.
 func (f *trial) checkStayingTenant(team string) {
 	f.t.Helper()
 	f.checkAnswers(team, func(t fake.Response) bool { return t.Status == http.StatusOK })
 }
 
-// checkChangingTenant does so for a team that comes and goes, whose jobs may also be told that it is not known, and returns how many
-// of its jobs were under way when a moment came.
-func (f *trial) checkChangingTenant(team string, at time.Time) (under int) {
+// checkChangingTenant does so for a tenant that is added and removed, whose jobs may also be rejected since it is not known, and
+// returns how many of its jobs were in flight at a moment.
+func (f *trial) checkChangingTenant(team string, at time.Time) (inFlight int) {
 	f.t.Helper()
 	f.checkAnswers(team, func(t fake.Response) bool {
 		if t.Status == http.StatusOK && t.SentAt.Before(at) && t.ReceivedAt.After(at) {
-			under++
+			inFlight++
 		}
 		return t.Status == http.StatusOK || t.Status == http.StatusBadRequest
 	})
-	return under
+	return inFlight
 }
 
-// answerTransitTime is what an answer may need from a box to its client on a machine that does much else.
+// answerTransitTime is how long a response may take from a worker to its client on a loaded machine.
 const answerTransitTime = 300 * time.Millisecond
 
-// lateByRunLog reports whether the boxes' ledger bears out that a job was still at a box when its time ended: it came to one, and none
-// had finished it in time for its answer. Else its scheduler has lost it, or kept it until it was too late.
+// lateByRunLog reports whether by the workers' run log a job was still at a worker when its time ended: it was sent to one, and none
+// had finished it in time for its response. Otherwise its scheduler has lost it, or queued it for too long.
 func (f *trial) lateByRunLog(t fake.Response) bool {
 	runs := f.RunLog.Runs(t.Job)
 	return len(runs) > 0 && !slices.ContainsFunc(runs, func(r fake.Run) bool {
@@ -183,22 +183,22 @@
 			refused++
 		case t.Status == http.StatusInternalServerError && strings.HasPrefix(t.Body, "no answer in time") && (e.hadOutage(scheduler, t.SentAt, t.ReceivedAt) || f.lateByRunLog(t)):
 			if !e.hadOutage(scheduler, t.SentAt, t.ReceivedAt) { // else its time ended while nobody could answer
-				f.t.Logf("late: %s, %s, asked %s, told after %v; outages %v; its runs %+v", t.Job, t.Class, t.SentAt.Format("05.000"),
+				f.t.Logf("late: %s, %s, sent %s, answered after %v; outages %v; its runs %+v", t.Job, t.Class, t.SentAt.Format("05.000"),
 					t.ReceivedAt.Sub(t.SentAt), e.Outages[scheduler], f.RunLog.Runs(t.Job))
 				late++
 			}
 		default:
-			f.t.Errorf("%s, %s, asked %s, was told %d %q after %v; outages %v; its runs %+v", t.Job, t.Class, t.SentAt.Format("05.000"),
+			f.t.Errorf("%s, %s, sent %s, answered with %d %q after %v; outages %v; its runs %+v", t.Job, t.Class, t.SentAt.Format("05.000"),
 				t.Status, t.Body, t.ReceivedAt.Sub(t.SentAt), e.Outages[scheduler], f.RunLog.Runs(t.Job))
 		}
 	}
-	f.t.Logf("%s: %d jobs, %d refused for want of time, %d late", team, len(all), refused, late)
+	f.t.Logf("%s: %d jobs, %d rejected for lack of time, %d late", team, len(all), refused, late)
 	if len(all) == 0 || refused > 5+len(all)/10 || late > 1+len(all)/100 {
-		f.t.Errorf("%s: of %d jobs %d were refused and %d late", team, len(all), refused, late)
+		f.t.Errorf("%s: of %d jobs %d were rejected and %d late", team, len(all), refused, late)
 	}
 }
 
-// peerPage is what a scheduler's page says of the configurations in force.
+// peerPage is the part of /admin/peers about the configurations in force.
 type peerPage struct {
 	Self    int `json:"self"`
 	Newest  int `json:"newest"`
@@ -219,15 +219,15 @@
 	} `json:"counts"`
 }
 
-// behind returns whether a member is told to be behind; it fails where nothing is told.
+// behind reports whether a member is reported to be behind; it fails where the page does not say.
 func (a *peerPage) behind(i int) (bool, error) {
 	if i >= len(a.Members) || a.Members[i].BehindMS == nil {
-		return false, fmt.Errorf("nothing is told of whether %d is behind", i)
+		return false, fmt.Errorf("the page does not say whether %d is behind", i)
 	}
 	return *a.Members[i].BehindMS >= 0, nil
 }
 
-// awaitPage asks for a scheduler's page until nothing is wrong with it.
+// awaitPage gets a scheduler's page until wrong returns nil for it.
 func (f *trial) awaitPage(s *Scheduler, what string, wrong func(*peerPage) error) peerPage {
 	f.t.Helper()
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
@@ -245,11 +245,11 @@
 	}
 }
 
-// awaitRevision awaits that each of some schedulers has all for level at a revision, by the same digest.
+// awaitRevision waits until each of some schedulers reports that all members have a revision, with the same digest.
 func (f *trial) awaitRevision(revision int, at ...*Scheduler) {
 	f.t.Helper()
 	for _, s := range at {
-		f.awaitPage(s, fmt.Sprintf("all are level at %d", revision), func(a *peerPage) error {
+		f.awaitPage(s, fmt.Sprintf("all have revision %d", revision), func(a *peerPage) error {
 			if a.Newest != revision {
 				return fmt.Errorf("the newest is %d", a.Newest)
 			}
@@ -263,7 +263,7 @@
 	}
 }
 
-// loseDatagrams has every datagram between schedulers lost by a chance.
+// loseDatagrams has each datagram between schedulers lost with a probability.
 func (f *trial) loseDatagrams(share float64) {
 	(&FaultScript{Cluster: f.Cluster}).setLinkFaults(func(int, int) (LinkFault, bool) { return LinkFault{Loss: share}, true })
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -22,9 +22,9 @@
 	return k
 }
 
-// jobModel is a job as one would note it on paper: what became of each attempt, as a word.
+// jobModel is a simple model of a job: the state of each attempt.
 type jobModel struct {
-	attempts []string // "out", "served", "unseen", "doubt"
+	attempts []string // "in flight", "served", "never ran", "unknown"
 	answered bool
 	died     bool
 }
@@ -33,44 +33,44 @@
 	switch {
 	case slices.Contains(p.attempts, "served"):
 		return Ran
-	case slices.Contains(p.attempts, "out"), slices.Contains(p.attempts, "doubt"), !p.answered && !p.died:
+	case slices.Contains(p.attempts, "in flight"), slices.Contains(p.attempts, "unknown"), !p.answered && !p.died:
 		return Unknown
 	}
 	return DidNotRun
 }
 
 func (p *jobModel) open() bool {
-	return !p.died && (!p.answered || slices.Contains(p.attempts, "out"))
+	return !p.died && (!p.answered || slices.Contains(p.attempts, "in flight"))
 }
 
-// applyIntent tells whether an intent of an attempt fits, and takes it.
+// applyIntent applies an intent and reports whether it fits the model.
 func (p *jobModel) applyIntent(attempt int) (fits bool) {
 	if fits = attempt == len(p.attempts) && !p.answered && !p.died; fits {
-		p.attempts = append(p.attempts, "out")
+		p.attempts = append(p.attempts, "in flight")
 	}
 	return fits
 }
 
-// isOut tells whether an attempt is under way.
+// isInFlight reports whether an attempt is in flight.
 func (p *jobModel) isOut(attempt int) bool {
-	return attempt < len(p.attempts) && p.attempts[attempt] == "out" && !p.died
+	return attempt < len(p.attempts) && p.attempts[attempt] == "in flight" && !p.died
 }
 
-// applyEnd tells whether the end of an attempt fits, and takes it.
+// applyEnd applies the end of an attempt and reports whether it fits the model.
 func (p *jobModel) applyEnd(r *Record) (fits bool) {
-	word := "doubt"
+	state := "unknown"
 	if Outcome(r.Code) == OutcomeServed {
-		word = "served"
+		state = "served"
 	} else if r.NeverRan {
-		word = "unseen"
+		state = "never ran"
 	}
 	if fits = p.isOut(r.Attempt); fits {
-		p.attempts[r.Attempt] = word
+		p.attempts[r.Attempt] = state
 	}
 	return fits || r.Attempt >= len(p.attempts) && r.NeverRan
 }
 
-// drawRecord draws a record of some kind and tells whether the model takes it; ok is false where the process dies instead.
+// drawRecord draws a record of some kind and reports whether it fits the model; ok is false where the process ends instead.
 func drawRecord(t *rapid.T, b *JobTable, p *jobModel) (r Record, fits, ok bool) {
 	r = Record{Serial: 1, Attempt: rapid.IntRange(0, 3).Draw(t, "attempt"), At: rapid.Int64Range(1, 9).Draw(t, "at")}
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
@@ -100,8 +100,8 @@
 	return r, true, true
 }
 
-// Guards against a verdict that says more than the records do, and against records that
-// are taken though nothing can follow on them.
+// Guards against a verdict that the records do not prove, and against records that are accepted though they contradict the
+// ones before.
 func TestJobAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, p := NewJobTable(), &jobModel{}
@@ -126,8 +126,8 @@
 	})
 }
 
-// A job that is settled says so, whatever else is known; a gap leaves no job that was
-// open without doubt.
+// A job that is settled says so, whatever else is known; after missing records the
+// verdict on a job that was open is unknown.
 func TestSettledAndGap(t *testing.T) {
 	b := NewJobTable()
 	j, _ := b.Apply(&Record{Kind: Accepted, Serial: 7, JobID: "j", At: 1})
@@ -149,8 +149,7 @@
 	}
 }
 
-// Guards the format: what is written is read again, and what is out of bounds is not
-// written past its reader.
+// Guards the format: what is encoded decodes to the same, and a truncated record is rejected.
 func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 40, 400)
@@ -206,7 +205,7 @@
 	return b
 }
 
-// walk reads a segment and returns how many records it has and what stands behind them.
+// walk reads a segment and returns how many records it has and what follows them.
 func walk(k *Key, b []byte) (n int, tail Tail, err error) {
 	_, mac, err := k.ReadHeader(b)
 	if err != nil {
@@ -225,22 +224,22 @@
 	}
 }
 
-// Guards against a record that is altered without a sign.
+// Guards against a record that is altered undetected.
 func TestTampering(t *testing.T) {
 	k := testKey(t)
-	whole := segmentOf(t, 5)
-	frame := (len(whole) - HeaderSize) / 5
-	if n, tail, err := walk(k, whole); n != 5 || tail != CleanTail || err != nil {
+	segment := segmentOf(t, 5)
+	frame := (len(segment) - HeaderSize) / 5
+	if n, tail, err := walk(k, segment); n != 5 || tail != CleanTail || err != nil {
 		t.Fatalf("untouched: %d records, %v, %v", n, tail, err)
 	}
-	for bit := range 8 * len(whole) {
-		b := slices.Clone(whole)
+	for bit := range 8 * len(segment) {
+		b := slices.Clone(segment)
 		b[bit/8] ^= 1 << (bit % 8)
 		n, tail, err := walk(k, b)
 		if err == nil && (n == 5 || tail == CleanTail) {
 			t.Fatalf("bit %d of byte %d was turned: %d records, %v", bit%8, bit/8, n, tail)
 		}
-		if last := len(whole) - frame; bit/8 < last && bit/8 >= HeaderSize && tail != DamagedTail && err == nil {
+		if last := len(segment) - frame; bit/8 < last && bit/8 >= HeaderSize && tail != DamagedTail && err == nil {
 			t.Fatalf("bit %d of byte %d was turned, and that is taken for %v", bit%8, bit/8, tail)
 		}
 	}
@@ -249,27 +248,27 @@
 // Guards against a record that is left out, moved, or cut off by the end of a process, and against another key or version.
 func TestTamperingWithRecords(t *testing.T) {
 	k := testKey(t)
-	whole := segmentOf(t, 5)
-	frame := (len(whole) - HeaderSize) / 5
+	segment := segmentOf(t, 5)
+	frame := (len(segment) - HeaderSize) / 5
 	at := func(i int) int { return HeaderSize + i*frame }
-	gone := slices.Concat(whole[:at(2)], whole[at(3):])
-	swapped := slices.Concat(whole[:at(1)], whole[at(2):at(3)], whole[at(1):at(2)], whole[at(3):])
-	for what, b := range map[string][]byte{"left out": gone, "swapped": swapped} {
+	removed := slices.Concat(segment[:at(2)], segment[at(3):])
+	swapped := slices.Concat(segment[:at(1)], segment[at(2):at(3)], segment[at(1):at(2)], segment[at(3):])
+	for what, b := range map[string][]byte{"left out": removed, "swapped": swapped} {
 		if n, tail, err := walk(k, b); n == 5 || tail != DamagedTail || err != nil {
 			t.Errorf("a record was %s: %d records, %v, %v", what, n, tail, err)
 		}
 	}
-	for cut := at(4) + 1; cut < len(whole); cut++ { // a process that was killed as it wrote
-		if n, tail, _ := walk(k, whole[:cut]); n != 4 || tail != TornTail {
+	for cut := at(4) + 1; cut < len(segment); cut++ { // a process that was killed as it wrote
+		if n, tail, _ := walk(k, segment[:cut]); n != 4 || tail != TornTail {
 			t.Fatalf("cut to %d bytes: %d records, %v", cut, n, tail)
 		}
 	}
 	if other, _ := NewKey(bytes.Repeat([]byte("x"), MinKeySize)); other != nil {
-		if _, _, err := walk(other, whole); !errors.Is(err, ErrKey) {
+		if _, _, err := walk(other, segment); !errors.Is(err, ErrKey) {
 			t.Errorf("another key: %v", err)
 		}
 	}
-	newer := slices.Clone(whole)
+	newer := slices.Clone(segment)
 	newer[8]++
 	if _, _, err := walk(k, newer); !errors.Is(err, ErrVersion) {
 		t.Errorf("another version: %v", err)
@@ -278,20 +277,20 @@
 
 // FuzzSegment: no bytes make the reader panic or read what is not authentic.
 func FuzzSegment(f *testing.F) {
-	whole := segmentOf(f, 3)
-	f.Add(whole, 0, byte(0))
-	f.Add(whole, 90, byte(0xff))
-	f.Add(whole[:len(whole)-3], 100, byte(1))
+	segment := segmentOf(f, 3)
+	f.Add(segment, 0, byte(0))
+	f.Add(segment, 90, byte(0xff))
+	f.Add(segment[:len(segment)-3], 100, byte(1))
 	k := testKey(f)
 	f.Fuzz(func(t *testing.T, b []byte, at int, x byte) {
 		if n, _, err := walk(k, b); err == nil && n > 3 {
 			t.Errorf("%d records of bytes that nobody has written", n)
 		}
-		if at >= 0 && at < len(whole) && x != 0 {
-			c := slices.Clone(whole)
+		if at >= 0 && at < len(segment) && x != 0 {
+			c := slices.Clone(segment)
 			c[at] ^= x
 			if n, tail, err := walk(k, c); err == nil && n == 3 && tail == CleanTail {
-				t.Errorf("byte %d was changed without a sign", at)
+				t.Errorf("byte %d was changed undetected", at)
 			}
 		}
 	})
--- a/internal/journal/store/diskcall_test.go
+++ b/internal/journal/store/diskcall_test.go
@@ -9,10 +9,10 @@
 	"sedgevale/internal/journal/store"
 )
 
-// slowDisk holds up syncs of files, as a disk does on which others sync too.
+// slowDisk delays syncs of files, as a busy disk does.
 type slowDisk struct {
 	store.FS
-	begun chan struct{} // told when a sync begins
+	begun chan struct{} // receives when a sync begins
 	goOn  chan struct{} // a sync waits for it
 }
 
@@ -33,7 +33,7 @@
 }
 
 // Guards that a record is with the operating system, and so outlives the end of the process, while a sync of earlier
-// records takes its time; and that nobody is told that it is durable before a sync that began after it.
+// records takes its time; and that it does not count as durable before a sync that began after it.
 func TestRecordsAreWrittenDuringASync(t *testing.T) {
 	memory := fake.NewDisk(1, 1<<20)
 	disk := &slowDisk{FS: memory, begun: make(chan struct{}), goOn: make(chan struct{})}
--- a/internal/journal/store/export_test.go
+++ b/internal/journal/store/export_test.go
@@ -22,7 +22,7 @@
 	return true
 }
 
-// WriteBatch writes what has come in.
+// WriteBatch writes what was put.
 func (s *Store) WriteBatch() { s.writeBatch(s.queue.TakeAll()) }
 
 // Sync makes what was written durable.
@@ -45,7 +45,7 @@
 // ShutDown ends the Store.
 func (s *Store) ShutDown() { s.shutDown() }
 
-// UnresolvedJobs returns how many jobs the Store has in memory.
+// UnresolvedJobs returns the number of unresolved jobs, which the Store has in memory.
 func (s *Store) UnresolvedJobs() int { return len(s.log.table.Jobs) }
 
 // Unlock releases the lock of the log without ending it, as a kill does.
--- a/internal/journal/store/powercut_test.go
+++ b/internal/journal/store/powercut_test.go
@@ -12,13 +12,13 @@
 	"sedgevale/internal/journal/store"
 )
 
-// CI plays some hundred seeds; `make powercut` plays as many as SEEDS says.
-var powerSeeds = flag.Int("seeds", 300, "power cuts: seeds to play")
+// CI runs some hundred seeds; `make powercut` as many as SEEDS says.
+var powerSeeds = flag.Int("seeds", 300, "power failures: seeds to run")
 
 var secret = []byte("0123456789abcdef0123456789abcdef")
 
-// world is a scheduler and its boxes, reduced to what the journal is told, on a disk
-// that fails and loses its power.
+// world is a scheduler and its workers, reduced to what the journal records, on a disk
+// that fails and loses power.
 type world struct {
 	r      *rand.Rand
 	disk   *fake.Disk
@@ -29,7 +29,7 @@
 	out    []*flight
 	early  bool            // a mutation: it is sent before the intent is durable
 	over   map[string]bool // served, and answered
-	call   func()          // of the disk, begun and not done
+	call   func()          // of the disk, begun and not finished
 }
 
 type flight struct {
@@ -47,7 +47,7 @@
 	w.store = s
 	w.call = nil
 	s.StartCallsWith(func(do func()) {
-		if w.r.IntN(2) == 0 { // done at once, but its end is heard of later
+		if w.r.IntN(2) == 0 { // done at once, but its result is taken later
 			do()
 			return
 		}
@@ -55,7 +55,7 @@
 	})
 }
 
-// await has the disk end what was begun.
+// await finishes the disk calls in flight.
 func (w *world) await() {
 	for {
 		if w.call != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// step is one of the things that happen, drawn at random.
+// step takes a step drawn at random.
 func (w *world) step() {
 	w.now = w.now.Add(time.Duration(w.r.IntN(20)-2) * time.Millisecond) // it steps back, too
 	switch n := w.r.IntN(20); {
@@ -120,7 +120,7 @@
 	w.store.Put(journal.Record{Kind: kind, Serial: f.serial, At: w.now.UnixMicro(), Code: code}, nil)
 }
 
-// progress has one of the jobs that are out go on.
+// progress continues one of the jobs in flight.
 func (w *world) progress() {
 	if len(w.out) == 0 {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-// play runs a world over some cuts and returns what its journal says that is not so.
+// play runs a world through some kills and power failures, and returns the violations of its journal.
 func play(t *testing.T, seed uint64, early bool) (breaches []string, jobs, unknown int) {
 	w := &world{r: rand.New(rand.NewPCG(seed, 1)), ledger: fake.NewRunLog(), now: time.UnixMicro(1e15), early: early,
 		over: map[string]bool{}}
@@ -180,7 +180,7 @@
 		breaches = append(breaches, fake.Audit(w.ledger, view.Jobs, all, all, all, dropped)...)
 		for _, p := range view.Problems {
 			if !p.Torn {
-				breaches = append(breaches, "taken for damage: "+p.String())
+				breaches = append(breaches, "reported as damage: "+p.String())
 			}
 		}
 		w.open(t)
@@ -199,8 +199,8 @@
 
 func all(string) bool { return true }
 
-// Guards the order of intent and sending, and that nothing durable is lost or wrongly
-// told, over power cuts, kills, full disks, and writes, syncs and names that fail.
+// Guards the order of intent and sending, and that nothing durable is lost or wrong, through
+// power failures, kills, full disks, and failing writes, syncs and renames.
 func TestPowerCuts(t *testing.T) {
 	jobs, unknown, bad := 0, 0, 0
 	for seed := range *powerSeeds {
@@ -215,7 +215,7 @@
 	t.Logf("%d seeds, %d jobs, %d unknown, %d violations", *powerSeeds, jobs, unknown, bad)
 }
 
-// The check has teeth: a scheduler that sends before its intent is durable is caught.
+// Guards the check itself: a scheduler that sends before its intent is durable is detected.
 func TestPowerCutsCatchEarlySending(t *testing.T) {
 	caught := 0
 	for seed := range 50 {
--- a/internal/journal/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -19,7 +19,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// desk is a stepped Store on a disk in memory.
+// desk is a Store on a disk in memory that the test runs step by step.
 type desk struct {
 	t    *testing.T
 	disk *fake.Disk
@@ -29,8 +29,8 @@
 	opt  store.Options
 }
 
-func newDesk(t *testing.T, room int64, change func(*store.Options)) *desk {
-	d := &desk{t: t, disk: fake.NewDisk(1, room), now: time.UnixMicro(1e15)}
+func newDesk(t *testing.T, capacity int64, change func(*store.Options)) *desk {
+	d := &desk{t: t, disk: fake.NewDisk(1, capacity), now: time.UnixMicro(1e15)}
 	d.opt = store.Options{FS: d.disk, Dir: "j", Secret: secret, Sync: true, Retention: time.Hour, ReservedBytes: 4 << 10, SegmentBytes: 4 << 10,
 		Owner: store.Owner{PID: 1, Name: "a"}, Now: func() time.Time { return d.now }, Log: slog.New(slog.NewTextHandler(&d.log, nil))}
 	if change != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// step does all that a Store does in a turn.
+// step does what a Store does in one iteration of its loop.
 func (d *desk) step() {
 	d.now = d.now.Add(50 * time.Millisecond)
 	d.s.WriteBatch()
@@ -63,7 +63,7 @@
 	}
 }
 
-// begin hands in a job with an intent and returns what becomes of that.
+// begin puts a job with an intent and returns what the intent's callback was called with.
 func (d *desk) begin(id string) (serial uint64, got func() error) {
 	serial = d.s.Serial()
 	at := d.now.UnixMicro()
@@ -73,7 +73,7 @@
 	return serial, func() error { return out }
 }
 
-// end hands in that a job ran and was answered.
+// end puts that a job ran and was answered.
 func (d *desk) end(serial uint64) {
 	at := d.now.UnixMicro()
 	d.s.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: at, Code: uint8(journal.OutcomeServed)}, nil)
@@ -100,8 +100,8 @@
 	return "absent"
 }
 
-// Guards the full disk: a new job is turned back, what closes an open one is written from
-// the reserve, and all is well again once there is room.
+// Guards the full disk: the journal reports that it is full, records that close open jobs are written from the reserve, and new
+// ones are accepted again once there is space.
 func TestFullDisk(t *testing.T) {
 	d := newDesk(t, 64<<10, nil)
 	open, got := d.begin("open")
@@ -113,39 +113,39 @@
 	d.disk.WriteFile("other", make([]byte, 1<<20)) // somebody else fills the disk
 	d.step()
 	if !d.s.Full() {
-		t.Fatal("there is no room, and new jobs are still taken")
+		t.Fatal("there is no space, and the journal is not full")
 	}
-	late, got := d.begin("late") // it had been taken just before
+	late, got := d.begin("late") // it had been accepted just before
 	d.end(open)
 	d.step()
 	if err := got(); !errors.Is(err, store.ErrWriteFailed) {
-		t.Errorf("an intent with no room: %v", err)
+		t.Errorf("an intent without space: %v", err)
 	}
 	d.s.Put(journal.Record{Kind: journal.Answered, Serial: late, At: 1, Code: uint8(journal.Refused)}, nil)
 	d.steps(5)
 	if !d.s.Full() || d.s.Stats().Buffered == 0 {
-		t.Errorf("full %v, held %d", d.s.Full(), d.s.Stats().Buffered)
+		t.Errorf("full %v, buffered %d", d.s.Full(), d.s.Stats().Buffered)
 	}
 	d.disk.SetCapacity(4 << 20)
 	d.steps(30)
 	if d.s.Full() || d.s.Stats().Buffered != 0 {
-		t.Errorf("with room again: full %v, held %d", d.s.Full(), d.s.Stats().Buffered)
+		t.Errorf("with space again: full %v, buffered %d", d.s.Full(), d.s.Stats().Buffered)
 	}
 	if _, got := d.begin("next"); got() == nil {
 		t.Error("done at once")
 	} else if d.step(); got() != nil {
-		t.Errorf("with room again: %v", got())
+		t.Errorf("with space again: %v", got())
 	}
 	if a, b := d.verdict("open"), d.verdict("late"); a != "ran" || b != "did_not_run" {
-		t.Errorf("what was open %s, what was turned back %s", a, b)
+		t.Errorf("the open job %s, the rejected one %s", a, b)
 	}
 	if n := strings.Count(d.log.String(), "is full"); n != 1 {
 		t.Errorf("%d lines say that it is full", n)
 	}
 }
 
-// Guards the reserve: with it given up, records that close jobs find room on a disk that
-// has none for others.
+// Guards the reserve: once it is released, records that close jobs can be written to a disk that
+// is full.
 func TestReserve(t *testing.T) {
 	d := newDesk(t, 64<<10, nil)
 	open, _ := d.begin("open")
@@ -186,12 +186,12 @@
 	d.disk = d.disk.PowerFail()
 	v := d.view()
 	if len(v.Jobs) != 2 || v.Damaged() {
-		t.Errorf("%d jobs after a power cut, problems %v", len(v.Jobs), v.Problems)
+		t.Errorf("%d jobs after a power failure, problems %v", len(v.Jobs), v.Problems)
 	}
 }
 
-// Guards retention: old jobs go, open ones and those of unknown fate stay until they are
-// settled, memory stays flat, and what is dropped on purpose is no damage.
+// Guards retention: old jobs are dropped, open ones and those with an unknown verdict stay until they are
+// settled, memory is bounded, and what retention has dropped is no damage.
 func TestRetention(t *testing.T) {
 	d := newDesk(t, 8<<20, func(o *store.Options) { o.Retention, o.MaxBytes = time.Minute, 1<<20 })
 	doubt, _ := d.begin("doubt")
@@ -215,7 +215,7 @@
 		t.Errorf("%d jobs are left, problems %v", len(v.Jobs), v.Problems)
 	}
 	if a, b := d.verdict("doubt"), d.verdict("open"); a != "unknown" || b == "absent" {
-		t.Errorf("a job of unknown fate is %s, an open one %s", a, b)
+		t.Errorf("a job with an unknown verdict is %s, an open one %s", a, b)
 	}
 	d.end(open)
 	d.step()
@@ -239,8 +239,8 @@
 	}
 }
 
-// Guards against a journal whose files are taken away, swapped or altered: each leaves a
-// sign, and the rest is still read.
+// Guards against a journal whose files are removed, swapped or altered undetected; the rest is still
+// read.
 func TestVerifyFindsWhatIsMissing(t *testing.T) {
 	fresh := func() *desk {
 		d := newDesk(t, 8<<20, nil)
@@ -273,7 +273,7 @@
 			b[len(b)/2] ^= 4
 			d.disk.WriteFile(f[1], b)
 		},
-		"cut short": func(d *desk, f []string) {
+		"truncated": func(d *desk, f []string) {
 			b, _ := d.disk.ReadFile(f[1])
 			d.disk.WriteFile(f[1], b[:len(b)-200])
 		},
@@ -289,7 +289,7 @@
 		if v := d.view(); !v.Damaged() || len(v.Jobs) < 100 {
 			t.Errorf("%s: problems %v, %d jobs", what, v.Problems, len(v.Jobs))
 		}
-		d.open() // it goes on all the same, and says so
+		d.open() // it continues all the same, and logs it
 		if !strings.Contains(d.log.String(), "damaged") {
 			t.Errorf("%s: no line says so", what)
 		}
@@ -304,7 +304,7 @@
 }
 
 // Guards against two schedulers in one directory; the two processes of an upgrade have a
-// log each, and a question finds the jobs of both.
+// log each, and a reader finds the jobs of both.
 func TestLogs(t *testing.T) {
 	d := newDesk(t, 8<<20, nil)
 	other := d.opt
@@ -334,8 +334,8 @@
 	d.open() // free again
 }
 
-// Guards against records that an operator cannot read any more: a missing key is no
-// reason to make another, and one that others may read is no key.
+// Guards against records that cannot be read any more: a missing key is not replaced by a new one, and
+// one that others may read is rejected.
 func TestKeyFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
 	if _, err := store.MakeKey(path, true); !errors.Is(err, os.ErrNotExist) || !strings.Contains(err.Error(), "put it back") {
@@ -359,7 +359,7 @@
 	}
 }
 
-// Guards against a key that is cut off or none, and against one that is shown.
+// Guards against a key that is truncated or malformed, and against one that an error shows.
 func TestBadKeyFiles(t *testing.T) {
 	for _, bad := range []string{"", "zz", "00ff", strings.Repeat("0", 63)} {
 		p := filepath.Join(t.TempDir(), "key")
@@ -408,8 +408,8 @@
 	}
 }
 
-// A question about one id finds it as a reading of all does, also on a real disk that is
-// written meanwhile, and a Store that is closed in order says so.
+// Guards Read of one id, which finds it as a reading of all does, also on a real disk that is
+// written meanwhile, and the record of a graceful end.
 func TestAskOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	s, err := store.Open(store.Options{Dir: dir, Secret: secret, Sync: true, MaxBytes: 64 << 20, ReservedBytes: 1 << 20})
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -14,7 +14,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// carrier notes where jobs are sent.
+// carrier records where attempts are sent.
 type carrier struct{ sent chan *dispatch.Attempt }
 
 func (c *carrier) Send(a *dispatch.Attempt)        { c.sent <- a }
@@ -29,7 +29,7 @@
 func (client) Progress(float64)       {}
 func (client) Answer(dispatch.Answer) {}
 
-// testScheduler is a scheduler's planner with its link.
+// testScheduler is a planner with its link to other schedulers.
 type testScheduler struct {
 	planner *dispatch.Planner
 	carrier *carrier
@@ -93,7 +93,7 @@
 	}
 }
 
-// Guards against schedulers that all go to the same box because none knows what the others have out.
+// Guards against schedulers that all use the same worker because none knows the load of the others.
 func TestJobsSpreadOverSchedulers(t *testing.T) {
 	addrs := addresses(t, 3)
 	all := []*testScheduler{startScheduler(t, 0, addrs), startScheduler(t, 1, addrs), startScheduler(t, 2, addrs)}
@@ -105,7 +105,7 @@
 			if j <= i {
 				tellers = i
 			}
-			until(t, "all others have heard of it", func() bool { return other.activeMembers() == tellers })
+			until(t, "all others have received its load", func() bool { return other.activeMembers() == tellers })
 		}
 	}
 	if len(seen) != 3 {
@@ -113,8 +113,8 @@
 	}
 }
 
-// Guards against a socket that strangers or garbage bring down, and one that keeps the address when another
-// process goes on as this scheduler.
+// Guards against a socket that unknown senders or garbage bring down, and one that keeps the address when another process takes
+// over as this scheduler.
 func TestLinkSurvivesGarbageAndTakeover(t *testing.T) {
 	addrs := addresses(t, 2)
 	a, b := startScheduler(t, 0, addrs), startScheduler(t, 1, addrs)
@@ -130,7 +130,7 @@
 		}
 	}
 	a.submit(t, "job-1")
-	until(t, "b has heard of a", func() bool { return b.activeMembers() == 1 })
+	until(t, "b has received of a", func() bool { return b.activeMembers() == 1 })
 	a.link.Pause()
 	taken, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addrs[0]))
 	if err != nil {
@@ -142,7 +142,7 @@
 	}
 	until(t, "it is bound again", a.bound)
 	b.submit(t, "job-2")
-	until(t, "a has heard of b", func() bool { return a.activeMembers() == 1 })
+	until(t, "a has received of b", func() bool { return a.activeMembers() == 1 })
 }
 
 func (s *testScheduler) bound() bool {
--- a/internal/peerlink/revision_test.go
+++ b/internal/peerlink/revision_test.go
@@ -25,7 +25,7 @@
 	return l
 }
 
-// Guards the way of a revision over real sockets: what is in force from the start, and what comes in force later.
+// Guards the exchange of revisions over real sockets: the one in force from the start, and later ones.
 func TestRevisionsReachOthers(t *testing.T) {
 	addrs := addresses(t, 3)
 	old := peers.Revision{Number: 41, Digest: 0xa1}
@@ -48,10 +48,10 @@
 		t.Errorf("0 and 1 are %d and %d ms behind; want 0 behind, 1 not", s.Members[0].BehindMS, s.Members[1].BehindMS)
 	}
 	links[1].SetRevision(old)
-	until(t, "all know that 1 took it back", shown(41, "000000a1"))
+	until(t, "all know that 1 reverted it", shown(41, "000000a1"))
 }
 
-// Guards schedulers that do not watch each other, as those of the platform: a new configuration sends nothing.
+// Guards schedulers without failure detection, as with the platform's configuration: a new revision sends nothing.
 func TestRevisionsWithoutFailureDetection(t *testing.T) {
 	addrs := addresses(t, 2)
 	links := []*Link{startLink(t, 0, addrs, false, peers.Revision{Number: 41}), startLink(t, 1, addrs, false, peers.Revision{Number: 41})}
@@ -74,7 +74,7 @@
 	}
 }
 
-// Guards the log: one line for each that is behind or level again, one for all where they are many, and none of the others.
+// Guards the log: a line for each member that is behind or has caught up, one for all where they are many, none for others.
 func TestLagsAreLogged(t *testing.T) {
 	addrs := addresses(t, 9)
 	var out bytes.Buffer
--- a/internal/peers/failuredetector_test.go
+++ b/internal/peers/failuredetector_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// newMemberNetwork is a net whose nodes watch who is there, all running for a while.
+// newMemberNetwork returns a network of nodes with failure detection that have run for 4 s.
 func newMemberNetwork(members int, seed uint64) *network {
 	n := &network{rand: rand.New(rand.NewPCG(seed, 1)), down: map[int]bool{}, nodes: make([]*Node, members)}
 	for m := range members {
@@ -25,7 +25,7 @@
 	n.nodes[m], n.down[m] = New(o), false
 }
 
-// countStates counts at all live nodes in which state they have those for which which is true.
+// countStates counts, over all nodes that are up, the states in which they have the members for which which returns true.
 func (n *network) countStates(which func(m int) bool) (c [Dead + 1]int) {
 	for i, node := range n.nodes {
 		if n.down[i] {
@@ -42,8 +42,8 @@
 
 func (n *network) up(m int) bool { return !n.down[m] }
 
-// Guards against dead schedulers that count as there, and live ones that do not: at all sizes, whether one dies or
-// seven in ten at once, all know within 3 s, and again within 3 s of the return.
+// Guards against failed members that count as alive, and live ones that do not: at all sizes, whether one fails or seven in ten
+// at once, all detect it within 3 s, and their return within 3 s.
 func TestFailuresAndRestartsAreDetected(t *testing.T) {
 	for _, c := range []struct{ members, die int }{{2, 1}, {8, 1}, {30, 1}, {100, 1}, {100, 70}, {300, 1}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
@@ -72,46 +72,46 @@
 	}
 }
 
-// Guards against a scheduler that wakes after ten seconds, takes all others for dead, and is not let in again.
+// Guards against a member that resumes after ten seconds, considers all others dead, and is not accepted again.
 func TestSuspendedMemberRejoins(t *testing.T) {
 	n := newMemberNetwork(20, 5)
 	n.down[4] = true
 	n.run(10 * time.Second)
 	if s := n.countStates(func(m int) bool { return m == 4 }); s[Dead] != 19 {
-		t.Fatalf("frozen for 10 s: %v, want gone at all", s)
+		t.Fatalf("suspended for 10 s: %v, want dead at all", s)
 	}
 	n.down[4] = false
 	n.nodes[4].Changes(func(Change) {})
 	n.run(3 * time.Second)
-	n.nodes[4].Changes(func(c Change) { t.Errorf("the one that woke changed its mind: %+v", c) })
+	n.nodes[4].Changes(func(c Change) { t.Errorf("the resumed member changed a state: %+v", c) })
 	if s := n.countStates(n.up); s[Alive] != 20*19 {
-		t.Errorf("3 s after it woke: %v, want all alive", s)
+		t.Errorf("3 s after it resumed: %v, want all alive", s)
 	}
 }
 
-// Guards against two halves that never find each other again, and one bad link that has a good scheduler taken for gone.
+// Guards against two partitions that never merge again, and one bad link by which a live member is declared dead.
 func TestPartitionsHeal(t *testing.T) {
 	n := newMemberNetwork(24, 7)
 	n.linkDown = func(from, to int) bool { return (from < 9) != (to < 9) }
 	n.run(6 * time.Second)
 	if s := n.countStates(n.up); s[Alive] != 9*8+15*14 {
-		t.Errorf("split for 6 s: %v, want the own half alive alone", s)
+		t.Errorf("partitioned for 6 s: %v, want only the own partition alive", s)
 	}
 	n.linkDown = nil
 	n.run(3 * time.Second)
 	if s := n.countStates(n.up); s[Alive] != 24*23 {
-		t.Errorf("3 s after the split: %v, want all alive", s)
+		t.Errorf("3 s after the partition: %v, want all alive", s)
 	}
 	n.linkDown = func(from, to int) bool { return from == 2 && to == 3 }
 	for range 40 {
 		n.run(500 * ms)
 		if s := n.countStates(n.up); s[Dead] > 0 || s[Alive] < 24*23-2*24 {
-			t.Fatalf("with one link cut one way: %v", s)
+			t.Fatalf("with one link down in one direction: %v", s)
 		}
 	}
 }
 
-// Guards the watch through all that a network does: three seconds after the last of it all agree on who is there.
+// Guards failure detection through all faults of a network: three seconds after the last of them the membership has converged.
 func TestMembershipConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(2, 9).Draw(t, "members")
@@ -125,7 +125,7 @@
 			case 0:
 				n.down[m] = true
 			case 1:
-				n.down[m] = false // it was frozen
+				n.down[m] = false // it was suspended
 			case 2:
 				runs[m]++
 				n.restart(m, 1+runs[m])
@@ -144,10 +144,10 @@
 			up += btoi(n.up(m))
 		}
 		if s := n.countStates(n.up); s[Alive] != up*(up-1) {
-			t.Fatalf("of %d that are there: %v", up, s)
+			t.Fatalf("of %d that are up: %v", up, s)
 		}
 		if s := n.countStates(func(m int) bool { return n.down[m] }); s[Alive] > 0 {
-			t.Fatalf("of those that are not: %v", s)
+			t.Fatalf("of those that are down: %v", s)
 		}
 	})
 }
@@ -159,8 +159,8 @@
 	return 0
 }
 
-// Guards against a claim in passing that is taken for a sign of life: while a fleet starts, every datagram claims that
-// this one and that one live, and the dead would be asked for again and again.
+// Guards against a gossiped claim that counts as an acknowledgement: while schedulers start, every datagram claims some members to
+// be alive, and dead ones would be probed again and again.
 func TestOnlyAcknowledgementEndsProbe(t *testing.T) {
 	n := newMemberNetwork(3, 9)
 	a, now := n.nodes[0], n.now
@@ -171,7 +171,7 @@
 		a.detector.probes = []probe{{number: 2, at: now, indirect: true}}
 		a.receiveDetectorMessage(now, 1, head{kind: c.kind, generation: 1}, appendClaim([]byte{0}, claim{2, Alive, 1, 0}))
 		if len(a.detector.probes) != c.want {
-			t.Errorf("kind %d: %d questions are open, want %d", c.kind, len(a.detector.probes), c.want)
+			t.Errorf("kind %d: %d probes are open, want %d", c.kind, len(a.detector.probes), c.want)
 		}
 	}
 }
--- a/internal/peers/lags_test.go
+++ b/internal/peers/lags_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// lagsOf returns what a member reports of lags since it was asked last.
+// lagsOf returns the lags that a member has reported since the last call.
 func (n *network) lagsOf(i int) (lags []Lag) {
 	n.nodes[i].Lags(func(l Lag) { lags = append(lags, l) })
 	return lags
@@ -34,8 +34,8 @@
 	}
 }
 
-// Guards against a scheduler that lost its operator's calls and counts as good: it is named for as long as the first of the changes
-// that it lacks is in force, reported once, and once again when it is level.
+// Guards against a scheduler that missed reloads and does not count as behind: it does since the first change that it lacks came in
+// force, and that is reported once, as is that it has caught up.
 func TestLagAfterThreeMissedChanges(t *testing.T) {
 	n := newRevisionNetwork(14, 5)
 	from := n.now
@@ -46,7 +46,7 @@
 	for i, node := range n.nodes {
 		b := node.Status(n.now).Members[5].BehindMS
 		if late := n.now - from - time.Duration(b)*ms; !slices.Equal(n.behindMembers(i), []int{5}) || late < 0 || late > 500*ms {
-			t.Errorf("%d names %v; 5 as %d ms behind, %v after the first change", i, n.behindMembers(i), b, n.now-from)
+			t.Errorf("%d reports %v as behind; 5 by %d ms, %v after the first change", i, n.behindMembers(i), b, n.now-from)
 		}
 		if lags := n.lagsOf(i); len(lags) > 0 {
 			t.Errorf("reported before it was behind for %v: %+v", LagThreshold, lags)
@@ -57,14 +57,14 @@
 	n.setRevision(5, Revision{43, 43})
 	n.run(2 * time.Second)
 	if b := n.nodes[0].Status(n.now).Members[5].BehindMS; time.Duration(b)*ms > n.now-from-3500*ms {
-		t.Errorf("with 43 in force it is %d ms behind, though 44 has come %v ago", b, n.now-from-4*time.Second)
+		t.Errorf("with 43 in force it is %d ms behind, though 44 came in force %v ago", b, n.now-from-4*time.Second)
 	}
 	n.setRevision(5, Revision{44, 44})
 	n.run(2 * time.Second)
-	n.checkLags(t, "5 is level again", func(l Lag) bool { return l.Over && l.Number == 5 })
+	n.checkLags(t, "5 has caught up", func(l Lag) bool { return l.Over && l.Number == 5 })
 	for i := range n.nodes {
 		if len(n.behindMembers(i)) > 0 {
-			t.Errorf("%d names %v as behind, want that 5 is level again", i, n.behindMembers(i))
+			t.Errorf("%d reports %v as behind, though 5 has caught up", i, n.behindMembers(i))
 		}
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -26,7 +26,7 @@
 	data     []byte
 }
 
-// network is some nodes and what is between them, in virtual time.
+// network is some nodes and the datagrams between them, in virtual time.
 type network struct {
 	nodes         []*Node
 	now           time.Duration
@@ -34,7 +34,7 @@
 	rand          *rand.Rand
 	lossRate      float64
 	duplicateRate float64
-	extraDelay    time.Duration // a fifth is so late
+	extraDelay    time.Duration // additional delay of a fifth of the datagrams
 	linkDown      func(from, to int) bool
 	down          map[int]bool
 }
@@ -82,7 +82,7 @@
 	n.nodes[m].Flush(n.now, n.sendFrom(m))
 }
 
-// run goes on for a time in steps of 5 ms.
+// run advances the virtual time by d in steps of 5 ms.
 func (n *network) run(d time.Duration) {
 	for end := n.now + d; n.now < end; {
 		n.now += 5 * ms
@@ -91,7 +91,7 @@
 			l := n.inFlight[0]
 			n.inFlight = n.inFlight[1:]
 			if !n.down[l.to] {
-				_ = n.nodes[l.to].Receive(n.now, l.from, l.data) // what is refused changes nothing
+				_ = n.nodes[l.to].Receive(n.now, l.from, l.data) // a rejected datagram changes nothing
 				n.nodes[l.to].Flush(n.now, n.sendFrom(l.to))
 			}
 		}
@@ -106,7 +106,7 @@
 	}
 }
 
-// reportedLoad returns what a node knows of others at a box.
+// reportedLoad returns the load of the others on a worker, as a node knows it.
 func (n *network) reportedLoad(m int, box string) (o Load) {
 	if b := n.nodes[m].workers[box]; b != nil {
 		for _, w := range b.reports {
@@ -117,7 +117,7 @@
 	return o
 }
 
-// wrongLoads returns what the members of audiences know that is not so.
+// wrongLoads compares the loads that subscribers know with the real ones and returns the differences.
 func (n *network) wrongLoads() (wrong []string) {
 	for id, b := range n.nodes[0].workers {
 		for _, m := range b.subscribers {
@@ -136,8 +136,8 @@
 	return wrong
 }
 
-// Guards the table through all that a network does: whatever was lost, repeated, overtaken or late, and
-// whoever died, started anew or was cut off, three seconds after the last of it all know again what is out.
+// Guards the exchange of loads through all faults of a network: whatever was lost, duplicated, reordered or delayed, and whichever
+// member restarted or was partitioned, three seconds after the last fault all subscribers know the real loads.
 func TestLoadsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members, boxes := rapid.IntRange(2, 9).Draw(t, "members"), ids(rapid.IntRange(1, 9).Draw(t, "boxes"))
@@ -147,7 +147,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			m := rapid.IntRange(0, members-1).Draw(t, "member")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0: // it starts anew, with nothing out
+			case 0: // it restarts, without load
 				o := n.nodes[m].options
 				o.Generation++
 				n.nodes[m] = New(o)
@@ -163,7 +163,7 @@
 			}
 			n.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "for")) * 5 * ms)
 		}
-		last := n.extraDelay + 30*ms // until the last that is under way has come
+		last := n.extraDelay + 30*ms // until the last datagram in flight has arrived
 		n.linkDown, n.lossRate, n.extraDelay = nil, 0, 0
 		n.run(last + 3*time.Second)
 		if wrong := n.wrongLoads(); len(wrong) > 0 {
@@ -172,29 +172,29 @@
 	})
 }
 
-// Guards against a scheduler that dies, freezes or is cut off with jobs out and fills boxes for ever.
+// Guards against a member that fails while it has load on workers, which would count for ever.
 func TestLoadsOfFailedMembersExpire(t *testing.T) {
 	boxes := ids(3)
 	n := newNet(3, boxes, 1)
 	n.setLoad(0, boxes[0], Load{5, 1})
 	n.run(10 * time.Second)
 	if got := n.reportedLoad(1, boxes[0]); got != (Load{5, 1}) {
-		t.Fatalf("after ten quiet seconds %v is known, want 5 and 1", got)
+		t.Fatalf("after ten seconds without a change %v is known, want 5 and 1", got)
 	}
 	n.down[0] = true
 	n.run(LoadTTL + 200*ms)
 	if got := n.reportedLoad(1, boxes[0]); got != (Load{}) {
-		t.Errorf("%v is known still, 2.2 s after its last word", got)
+		t.Errorf("%v is still known 2.2 s after its last datagram", got)
 	}
 	sum := 0
 	n.nodes[1].TakeLoadChanges(func(string, int, int) { sum++ })
 	if sum != 1 || n.nodes[1].Counts.Expired != 1 {
-		t.Errorf("%d boxes are news, %d words expired; want the one", sum, n.nodes[1].Counts.Expired)
+		t.Errorf("%d workers changed, %d reports expired; want one each", sum, n.nodes[1].Counts.Expired)
 	}
 }
 
-// Guards the price of a job: that an attempt waits is told only where it is sure to or has for a while, and nothing is told
-// that is as it was told last.
+// Guards the number of datagrams of a job: that an attempt waits is sent only where the worker is full or it has waited for a
+// while, and a load that has not changed is not sent again before RepeatInterval.
 func TestLoadsAreSentOnlyWhenNeeded(t *testing.T) {
 	boxes := ids(1)
 	sent := 0
@@ -220,26 +220,26 @@
 	}
 	step(0, Load{1, 1}, false, false, 1, Load{1, 0})                 // it should start at once
 	step(9*ms, Load{1, 0}, false, false, 1, Load{1, 0})              // and has
-	step(100*ms, Load{2, 1}, true, false, 2, Load{2, 1})             // where the box is full it will wait
+	step(100*ms, Load{2, 1}, true, false, 2, Load{2, 1})             // where the worker is full it will wait
 	step(120*ms, Load{2, 0}, false, false, 3, Load{2, 0})            // until it starts
 	step(200*ms, Load{3, 1}, false, false, 4, Load{3, 0})            // one that should start
 	step(230*ms, Load{}, false, true, 4, Load{3, 0})                 // does not yet
 	step(250*ms, Load{}, false, true, 5, Load{3, 1})                 // and waits for long
 	step(260*ms, Load{3, 1}, false, false, 5, Load{3, 1})            // nothing new
-	step(250*ms+RepeatInterval, Load{}, false, true, 6, Load{3, 1})  // told again, for what was lost
-	step(270*ms+RepeatInterval, Load{0, 0}, false, false, 7, Load{}) // nothing is out
-	step(270*ms+2*RepeatInterval, Load{}, false, true, 7, Load{})    // which needs no repeating
+	step(250*ms+RepeatInterval, Load{}, false, true, 6, Load{3, 1})  // repeated, to repair losses
+	step(270*ms+RepeatInterval, Load{0, 0}, false, false, 7, Load{}) // no load
+	step(270*ms+2*RepeatInterval, Load{}, false, true, 7, Load{})    // which is not repeated
 	step(270*ms+LoadTTL+2*RepeatInterval, Load{}, false, true, 7, Load{})
 }
 
-// Guards against old news told as new: of an earlier run, from before a freeze, or repeated.
+// Guards against stale datagrams that count as new: of an earlier generation, delayed by seconds, or duplicates.
 func TestStaleDatagramsAreRejected(t *testing.T) {
 	boxes := ids(2)
 	a, b := New(options(0, 2)), New(options(1, 2))
 	a.SetWorkers(boxes)
 	b.SetWorkers(boxes)
-	var told [][]byte
-	keep := func(_ int, data []byte) { told = append(told, bytes.Clone(data)) }
+	var datagrams [][]byte
+	keep := func(_ int, data []byte) { datagrams = append(datagrams, bytes.Clone(data)) }
 	say := func(slots int) {
 		a.SetLoad(0, boxes[0], Load{Slots: slots}, false)
 		a.Flush(0, keep)
@@ -249,7 +249,7 @@
 	say(3)
 	known := func() int { return b.workers[boxes[0]].reports[0].load.Slots }
 	for _, i := range []int{1, 0, 1, 2, 0, 1, 2} {
-		if err := b.Receive(time.Second, 0, told[i]); err != nil {
+		if err := b.Receive(time.Second, 0, datagrams[i]); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -258,11 +258,11 @@
 	}
 	for i := range 3 { // the window moves on
 		say(4 + i)
-		if err := b.Receive(time.Duration(2+2*i)*time.Second, 0, told[3+i]); err != nil {
+		if err := b.Receive(time.Duration(2+2*i)*time.Second, 0, datagrams[3+i]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := b.Receive(6*time.Second, 0, told[2]); !errors.Is(err, ErrStale) {
+	if err := b.Receive(6*time.Second, 0, datagrams[2]); !errors.Is(err, ErrStale) {
 		t.Errorf("a datagram that is seconds late: %v", err)
 	}
 	o := options(0, 2)
@@ -270,18 +270,18 @@
 	a = New(o)
 	a.SetWorkers(boxes)
 	say(1)
-	if err := b.Receive(6*time.Second, 0, told[6]); err != nil || known() != 1 {
-		t.Errorf("the new run's word: %v, %d is known", err, known())
+	if err := b.Receive(6*time.Second, 0, datagrams[6]); err != nil || known() != 1 {
+		t.Errorf("a datagram of the new generation: %v, %d is known", err, known())
 	}
-	if err := b.Receive(6*time.Second, 0, told[5]); !errors.Is(err, ErrStale) {
-		t.Errorf("a word of the run before: %v", err)
+	if err := b.Receive(6*time.Second, 0, datagrams[5]); !errors.Is(err, ErrStale) {
+		t.Errorf("a datagram of the generation before: %v", err)
 	}
-	if err := b.Receive(6*time.Second+minGenerationSilence, 0, told[5]); err != nil {
-		t.Errorf("a run that seems earlier, when nobody else has spoken for long: %v", err)
+	if err := b.Receive(6*time.Second+minGenerationSilence, 0, datagrams[5]); err != nil {
+		t.Errorf("an earlier generation, after minGenerationSilence: %v", err)
 	}
 }
 
-// Guards against datagrams that are damaged, foreign or of another make: they are refused and change nothing.
+// Guards against datagrams that are corrupt, of another site or of another version: they are rejected and change nothing.
 func TestInvalidDatagramsAreRejected(t *testing.T) {
 	boxes := ids(2)
 	sealed := func(o Options) []byte {
@@ -307,14 +307,14 @@
 		{"empty", 0, nil, ErrLength},
 		{"short", 0, good[:7], ErrLength},
 		{"long", 0, make([]byte, MaxDatagram+1), ErrLength},
-		{"cut off", 0, good[:len(good)-1], ErrCheck},
+		{"truncated", 0, good[:len(good)-1], ErrCheck},
 		{"another version", 0, next, ErrVersion},
 		{"another site", 0, sealed(other), ErrCheck},
 		{"an unknown kind", 0, newCodec(7).seal(kinds), ErrKind},
 		{"half an entry", 0, newCodec(7).seal(odd), ErrLength},
-		{"a stranger's", -1, good, ErrSender},
-		{"beyond all", 2, good, ErrSender},
-		{"our own", 1, good, ErrSender},
+		{"of an unknown sender", -1, good, ErrSender},
+		{"of a number out of range", 2, good, ErrSender},
+		{"of the receiver itself", 1, good, ErrSender},
 	} {
 		b := New(options(1, 2))
 		b.SetWorkers(boxes)
@@ -336,8 +336,8 @@
 	}
 }
 
-// Guards against boxes that nobody or everybody looks at first, and schedulers with far more or fewer than
-// others, at all sizes; and against two schedulers that see the same list in another order and disagree.
+// Guards against workers with too few or too many subscribers, and members with far more or fewer workers than others, at all
+// sizes; and against two members that have the same list in another order and disagree.
 func TestSubscribersAreBalanced(t *testing.T) {
 	for _, c := range []struct{ members, boxes int }{{2, 9}, {7, 7}, {24, 24}, {80, 60}, {300, 7}, {300, 150}, {300, 200}, {60, 2000}} {
 		hashes := make([]uint64, c.boxes)
@@ -354,24 +354,24 @@
 			}
 		}
 		if want := min(12, c.members); least < want || most > 2*max(want, c.members*6/c.boxes+1) {
-			t.Errorf("%v: audiences of %d to %d", c, least, most)
+			t.Errorf("%v: %d to %d subscribers", c, least, most)
 		}
 		small, large := slices.Min(parts), slices.Max(parts)
 		if small < min(6, c.boxes)-1 || large > small+2+small/4 {
-			t.Errorf("%v: parts of %d to %d", c, small, large)
+			t.Errorf("%v: subsets of %d to %d", c, small, large)
 		}
 		other := slices.Clone(hashes)
 		slices.Reverse(other)
 		for i, a := range assignSubscribers(c.members, other, 12, 6) {
 			if !slices.Equal(a, lists[c.boxes-1-i]) {
-				t.Fatalf("%v: box %d has another audience in another order", c, i)
+				t.Fatalf("%v: worker %d has other subscribers in another order", c, i)
 			}
 		}
 	}
 }
 
-// Guards the reader against whatever comes from a network: it neither panics nor believes more of one
-// sender at one box than fits.
+// Guards the parser against arbitrary datagrams: it neither panics nor accepts a load of one member on one worker beyond the
+// bounds.
 func FuzzReceive(f *testing.F) {
 	boxes := ids(4)
 	a := New(options(0, 2))
@@ -392,7 +392,7 @@
 	})
 }
 
-// The cost of a word, told to an audience of twelve and taken in by one, is in ns and must make no garbage.
+// BenchmarkLoadExchange measures the sending of a changed load to twelve subscribers and its receipt by one. It must not allocate.
 func BenchmarkLoadExchange(b *testing.B) {
 	for _, members := range []int{2, 30, 300, 1000} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
--- a/internal/peers/revisions_test.go
+++ b/internal/peers/revisions_test.go
@@ -11,17 +11,18 @@
 	"pgregory.net/rapid"
 )
 
-// large also plays what takes long under the race detector: 300 members that lose half of all, and the price of a change there.
-var large = flag.Bool("large", false, "play the large sites whole")
+// large also runs what takes long under the race detector: 300 members that lose half of all datagrams, and the traffic of a change
+// there.
+var large = flag.Bool("large", false, "run the tests of large sites completely")
 
-// begin starts a member's run with a configuration.
+// begin starts a generation of a member with a configuration.
 func (n *network) begin(m int, run uint16, r Revision) {
 	o := options(m, len(n.nodes))
 	o.Generation, o.DetectorRand, o.Revision = run, rand.New(rand.NewPCG(uint64(m), uint64(run))), r
 	n.nodes[m], n.down[m] = New(o), false
 }
 
-// newRevisionNetwork is a net whose members all have revision 41 in force, which all know.
+// newRevisionNetwork returns a network whose members all have revision 41 in force, and have converged.
 func newRevisionNetwork(members int, seed uint64) *network {
 	n := &network{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
 	for m := range members {
@@ -31,7 +32,7 @@
 	return n
 }
 
-// newConvergedNetwork is the same at once: all know of all, as long after their start. For sizes at which the start takes long to play.
+// newConvergedNetwork returns the same without simulating the start, for sizes at which that takes long.
 func newConvergedNetwork(members int, seed uint64) *network {
 	n := &network{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
 	for m := range members {
@@ -51,8 +52,8 @@
 	n.nodes[m].Flush(n.now, n.sendFrom(m))
 }
 
-// unknownRevisions returns how many pairs there are of a member that is up and one that it holds for there, but of which it does not know
-// what that has in force.
+// unknownRevisions returns the number of pairs of a member that is up and one that it considers present without knowing that one's
+// revision in force.
 func (n *network) unknownRevisions() (pairs int) {
 	for i, node := range n.nodes {
 		for m := range n.nodes {
@@ -64,7 +65,7 @@
 	return pairs
 }
 
-// awaitConvergence goes on until all know what all have in force, and returns how long that took.
+// awaitConvergence runs the network until all know the revisions of all, and returns how long that took.
 func (n *network) awaitConvergence(most time.Duration) time.Duration {
 	start := n.now
 	for n.unknownRevisions() > 0 && n.now-start < most {
@@ -73,7 +74,7 @@
 	return n.now - start
 }
 
-// newest returns the highest revision in force at one that is up.
+// newest returns the highest revision in force at a member that is up.
 func (n *network) newest() (newest uint32) {
 	for m, node := range n.nodes {
 		if n.up(m) {
@@ -83,7 +84,7 @@
 	return newest
 }
 
-// wrongStatus compares what all that are up tell of the others with what is so; empty: nothing is wrong.
+// wrongStatus compares the Status of all members that are up with the real state; empty: all agree.
 func (n *network) wrongStatus() string {
 	newest := n.newest()
 	for i, node := range n.nodes {
@@ -92,7 +93,7 @@
 		}
 		s := node.Status(n.now)
 		if s.Newest != newest {
-			return fmt.Sprintf("%d takes %d for the newest, it is %d", i, s.Newest, newest)
+			return fmt.Sprintf("%d reports %d as the newest, it is %d", i, s.Newest, newest)
 		}
 		for m, got := range s.Members {
 			if wrong := n.wrongMemberStatus(i, m, newest, got); wrong != "" {
@@ -103,21 +104,21 @@
 	return ""
 }
 
-// wrongMemberStatus compares what one tells of another with what is so.
+// wrongMemberStatus compares what one member reports of another with the real state.
 func (n *network) wrongMemberStatus(i, m int, newest uint32, got MemberStatus) string {
 	is := n.nodes[m].revisionTable.entries[m].Revision
 	switch behind := got.BehindMS >= 0; {
 	case n.down[m] && (got.Digest != "" || behind || got.Differs):
-		return fmt.Sprintf("%d still tells of %d, which is gone: %+v", i, m, got)
+		return fmt.Sprintf("%d still has an entry of %d, which is down: %+v", i, m, got)
 	case !n.down[m] && (got.Revision != is.Number || got.Digest != fmt.Sprintf("%08x", is.Digest)):
-		return fmt.Sprintf("%d says of %d %+v, it has %+v", i, m, got, is)
+		return fmt.Sprintf("%d reports of %d %+v, it has %+v", i, m, got, is)
 	case !n.down[m] && behind != (is.Number < newest):
-		return fmt.Sprintf("%d says of %d, of newest %d, %+v", i, m, newest, got)
+		return fmt.Sprintf("%d reports of %d, newest %d, %+v", i, m, newest, got)
 	}
 	return ""
 }
 
-// behindMembers returns whom a member names as behind.
+// behindMembers returns the members that a member reports as behind.
 func (n *network) behindMembers(i int) (who []int) {
 	for _, m := range n.nodes[i].Status(n.now).Members {
 		if m.BehindMS >= 0 {
@@ -127,7 +128,8 @@
 	return who
 }
 
-// Guards the times: what one changes, and what all change, is known to all within seconds, also with half of the datagrams lost.
+// Guards the time of convergence: a change at one member, and at all, is known to all within seconds, also with half of the
+// datagrams lost.
 func TestRevisionConvergenceTime(t *testing.T) {
 	for _, c := range []struct {
 		members int
@@ -158,8 +160,8 @@
 	}
 }
 
-// Guards the price: at rest a scheduler sends less than 200 bytes a second, those of the watch among them; and a change that
-// reaches all at once costs it no more than some tellings of each word.
+// Guards the traffic: at rest a member sends less than 200 bytes a second, those of failure detection included; and a change at all
+// members at once costs each of them no more than some transmissions of each entry.
 func TestRevisionTraffic(t *testing.T) {
 	for _, members := range []int{14, 60, 300} {
 		n := newConvergedNetwork(members, 4)
@@ -207,7 +209,7 @@
 	}
 }
 
-// Guards against a change that was taken back and goes on as the newest, by which all would count as behind.
+// Guards against a change that was reverted and still counts as the newest, by which all would be behind.
 func TestRevertedRevision(t *testing.T) {
 	n := newRevisionNetwork(14, 7)
 	n.extraDelay, n.duplicateRate = 600*ms, 0.5
@@ -227,16 +229,16 @@
 	}
 	for i := range n.nodes {
 		if b := n.behindMembers(i); len(b) > 0 {
-			t.Errorf("%d names %v though all took it back", i, b)
+			t.Errorf("%d reports %v as behind though all reverted it", i, b)
 		}
 	}
 	n.run(LagThreshold + minLagObservation)
 	for i, node := range n.nodes {
-		node.Lags(func(l Lag) { t.Errorf("%d reports %+v though all took it back", i, l) })
+		node.Lags(func(l Lag) { t.Errorf("%d reports %+v though all reverted it", i, l) })
 	}
 }
 
-// Guards against a process that was frozen during a change: meanwhile it does not count, then all name it, and it sees so itself.
+// Guards a member that was suspended during a change: meanwhile it does not count, then all report it as behind, itself included.
 func TestSuspendedDuringRevisionChange(t *testing.T) {
 	n := newRevisionNetwork(14, 8)
 	n.down[4] = true
@@ -248,26 +250,26 @@
 	}
 	n.run(9 * time.Second)
 	if w := n.wrongStatus(); w != "" {
-		t.Errorf("frozen: %s", w)
+		t.Errorf("suspended: %s", w)
 	}
 	n.down[4] = false
 	n.run(3 * time.Second)
 	if w := n.wrongStatus(); w != "" {
-		t.Errorf("3 s after it woke: %s", w)
+		t.Errorf("3 s after it resumed: %s", w)
 	}
 	for i := range n.nodes {
 		if b := n.behindMembers(i); !slices.Equal(b, []int{4}) {
-			t.Errorf("3 s after it woke %d names %v, want 4", i, b)
+			t.Errorf("3 s after it resumed %d reports %v as behind, want 4", i, b)
 		}
 	}
 	n.setRevision(4, Revision{42, 0xb2})
 	n.run(2 * time.Second)
 	if w := n.wrongStatus(); w != "" {
-		t.Errorf("once it has read again: %s", w)
+		t.Errorf("after its reload: %s", w)
 	}
 }
 
-// Guards the list of those that lack a change while half of them do, at half loss too.
+// Guards the list of members that lack a change while half of them do, also with half of the datagrams lost.
 func TestHalfOnTheOldRevision(t *testing.T) {
 	for _, loss := range []float64{0, 0.5} {
 		n := newRevisionNetwork(14, 9)
@@ -277,19 +279,19 @@
 		}
 		n.awaitConvergence(6 * time.Second)
 		n.lossRate = 0
-		n.run(3 * time.Second) // the watch may have wavered
+		n.run(3 * time.Second) // failure detection may have suspected some
 		if w := n.wrongStatus(); w != "" {
 			t.Errorf("loss %v: %s", loss, w)
 		}
 		for i := range n.nodes {
 			if b := n.behindMembers(i); !slices.Equal(b, []int{1, 3, 5, 7, 9, 11, 13}) {
-				t.Errorf("loss %v: %d names %v, want the odd ones", loss, i, b)
+				t.Errorf("loss %v: %d reports %v as behind, want the odd ones", loss, i, b)
 			}
 		}
 	}
 }
 
-// Guards against the word of one that is gone, by which all others count as behind for ever.
+// Guards against the entry of a member that has failed, by which all others would be behind for ever.
 func TestEntryExpiresWithItsMember(t *testing.T) {
 	n := newRevisionNetwork(14, 10)
 	n.setRevision(3, Revision{99, 0xff})
@@ -300,16 +302,16 @@
 	n.down[3] = true
 	n.run(3 * time.Second)
 	if w := n.wrongStatus(); w != "" {
-		t.Errorf("it is gone: %s", w)
+		t.Errorf("it is down: %s", w)
 	}
-	n.begin(3, 2, Revision{41, 0xa1}) // the former run's 99 was later than any that comes
+	n.begin(3, 2, Revision{41, 0xa1}) // the 99 of the generation before is higher than any that follows
 	n.run(2 * time.Second)
 	if w := n.wrongStatus(); w != "" {
-		t.Errorf("it is back: %s", w)
+		t.Errorf("it has restarted: %s", w)
 	}
 }
 
-// Guards against what a run said that is over, while nothing is heard of what the next has in force.
+// Guards against the entry of an earlier generation, while none of the next one has been received.
 func TestRestartInvalidatesEntry(t *testing.T) {
 	b := newReceiver()
 	b.revisionTable.entries[2] = revisionEntry{generation: 3, Revision: Revision{99, 0xff}, known: true, behindSince: -1}
@@ -322,7 +324,7 @@
 	}
 }
 
-// Guards against schedulers with other content under the same number, which nobody would name.
+// Guards against members with another content under the same revision number that are not reported.
 func TestDifferingDigests(t *testing.T) {
 	n := newRevisionNetwork(5, 11)
 	differ := func() (who []int) {
@@ -341,7 +343,7 @@
 		{42, [5]uint32{1, 1, 1, 1, 1}, nil},
 		{43, [5]uint32{9, 1, 1, 1, 1}, []int{0}},
 		{44, [5]uint32{9, 1, 9, 1, 5}, []int{1, 3, 4}}, // two of each: 0 decides
-		{0, [5]uint32{1, 1, 2, 1, 2}, []int{2, 4}},     // nobody counts: only the content tells
+		{0, [5]uint32{1, 1, 2, 1, 2}, []int{2, 4}},     // no revision numbers: only the digests differ
 	} {
 		for m, d := range c.digests {
 			n.setRevision(m, Revision{c.number, d})
@@ -358,7 +360,7 @@
 	}
 }
 
-// Guards how long one is behind: since the first that it lacks, not since the last; and what was taken back counts for nothing.
+// Guards the duration of a lag: since the first revision that the member lacks, not since the last; reverted ones do not count.
 func TestLagSinceFirstMissedRevision(t *testing.T) {
 	var k revisionTable
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -369,16 +371,16 @@
 		behind   float64
 		whatever string
 	}{
-		{0, 40, 40, 0, "all level"},
+		{0, 40, 40, 0, "none behind"},
 		{5, 41, 40, 0, "41 has just come"},
 		{10, 42, 40, 5, "two behind: since 41"},
 		{10, 42, 41, 0, "one behind: since 42"},
 		{20, 42, 41, 10, "the same, later"},
-		{21, 41, 40, 16, "42 is taken back"},
+		{21, 41, 40, 16, "42 is reverted"},
 		{22, 42, 41, 0, "and comes again"},
 		{30, 45, 40, 25, "one that skips some"},
 		{31, 44, 42, 1, "those that skipped go back by one: since 45 came"},
-		{32, 40, 40, 0, "all is taken back"},
+		{32, 40, 40, 0, "all are reverted"},
 	} {
 		k.updateHistory(at(c.at), c.newest)
 		if got := k.lagOf(at(c.at), c.of); got != at(c.behind) {
@@ -393,8 +395,8 @@
 	}
 }
 
-// Guards the table through all that members and a network do: whatever it holds was said, by that run; and once messages have
-// flowed for a while all agree with what is so.
+// Guards the table through all faults of members and network: each entry was stated by its member, in that generation; and once
+// datagrams arrive again for a while all tables are right.
 func TestRevisionsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(2, 9).Draw(t, "members")
@@ -419,7 +421,7 @@
 			m := rapid.IntRange(0, members-1).Draw(t, "member")
 			r := n.nodes[m].revisionTable.entries[m].Revision
 			switch what := rapid.IntRange(0, 7).Draw(t, "what"); what {
-			case 0, 1, 2: // a change, one taken back, other content
+			case 0, 1, 2: // a change, a reverted one, another content
 				r = Revision{max(1, r.Number+[]uint32{1, ^uint32(0), 0}[what]), uint32(rapid.IntRange(1, 3).Draw(t, "digest"))}
 				if !n.down[m] {
 					n.setRevision(m, r)
@@ -428,7 +430,7 @@
 			case 3:
 				n.down[m] = true
 			case 4:
-				n.down[m] = false // it was frozen
+				n.down[m] = false // it was suspended
 			case 5:
 				runs[m]++
 				n.begin(m, 1+runs[m], Revision{uint32(rapid.IntRange(0, 43).Draw(t, "read")), 7})
@@ -443,13 +445,13 @@
 			for i, node := range n.nodes {
 				for m := range n.nodes {
 					if w := node.activeEntry(m); w != nil && !log[said{m, w.generation, w.serial, w.Revision}] {
-						t.Fatalf("%d holds of %d what that run never said: %+v", i, m, *w)
+						t.Fatalf("%d has an entry of %d that this generation never stated: %+v", i, m, *w)
 					}
 				}
 			}
 		}
 		n.linkDown, n.lossRate, n.extraDelay, n.duplicateRate = nil, 0, 0, 0
-		n.run(900*ms + 3*time.Second + 2*time.Second) // what was late, the watch, then the table
+		n.run(900*ms + 3*time.Second + 2*time.Second) // delayed datagrams, failure detection, then the table
 		if w := n.wrongStatus(); w != "" {
 			t.Fatal(w)
 		}
--- a/internal/peers/revisions_wire_test.go
+++ b/internal/peers/revisions_wire_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// letters of both new kinds, as members send them.
-func revisionDatagrams(t testing.TB) (words, hashes []byte) {
+// revisionDatagrams returns a datagram of each kind of the revision table.
+func revisionDatagrams(t testing.TB) (entries, digests []byte) {
 	t.Helper()
 	a := New(Options{Self: 0, Members: 40, Site: 7, Generation: 1, DetectorRand: rand.New(rand.NewPCG(1, 1)), Revision: Revision{41, 0xa1}})
 	a.noteAlive(0, 1, 1, 0, true)
@@ -87,19 +87,19 @@
 	a.revisionTable.bucketReplies = []bucketReply{{1, 0}}
 	a.revisionTable.digestMessages = []digestMessage{{to: 1}}
 	a.sendRevisionMessages(func(_ int, data []byte) {
-		if kind(data[0]&15) == kindEntries && words == nil {
-			words = bytes.Clone(data)
+		if kind(data[0]&15) == kindEntries && entries == nil {
+			entries = bytes.Clone(data)
 		} else if kind(data[0]&15) == kindDigests {
-			hashes = bytes.Clone(data)
+			digests = bytes.Clone(data)
 		}
 	})
-	if words == nil || hashes == nil {
+	if entries == nil || digests == nil {
 		t.Fatal("a member does not send both kinds")
 	}
-	return words, hashes
+	return entries, digests
 }
 
-// newReceiver is a member that hears of those.
+// newReceiver returns a member that accepts those.
 func newReceiver() *Node {
 	b := New(Options{Self: 1, Members: 40, Site: 7, Generation: 1, DetectorRand: rand.New(rand.NewPCG(2, 1)), Revision: Revision{40, 0xa0}})
 	for m := range 30 {
@@ -108,7 +108,7 @@
 	return b
 }
 
-// checkRejected checks that a datagram is refused with an error and changes nothing.
+// checkRejected checks that a datagram is rejected with an error and changes nothing.
 func checkRejected(t *testing.T, what string, data []byte, want error) {
 	t.Helper()
 	b := newReceiver()
@@ -121,15 +121,15 @@
 	}
 }
 
-// Guards against datagrams of the new kinds that are cut or garbled: they are refused and change nothing.
+// Guards against datagrams of the revision table that are truncated or corrupt: they are rejected and change nothing.
 func TestTruncatedRevisionsAreRejected(t *testing.T) {
-	words, hashes := revisionDatagrams(t)
-	if b := newReceiver(); b.Receive(time.Second, 0, words) != nil || b.activeEntry(2) == nil || b.activeEntry(31) == nil || b.Receive(time.Second, 0, hashes) != nil {
-		t.Fatal("whole they are not taken in")
+	entries, digests := revisionDatagrams(t)
+	if b := newReceiver(); b.Receive(time.Second, 0, entries) != nil || b.activeEntry(2) == nil || b.activeEntry(31) == nil || b.Receive(time.Second, 0, digests) != nil {
+		t.Fatal("complete datagrams are rejected")
 	}
-	for name, whole := range map[string][]byte{"words": words, "hashes": hashes} {
+	for name, whole := range map[string][]byte{"entries": entries, "digests": digests} {
 		head, size := headSize+entriesHeadSize, entrySize
-		if name == "hashes" {
+		if name == "digests" {
 			head, size = headSize+digestsHeadSize, digestSize
 		}
 		for cut := range whole {
@@ -137,38 +137,38 @@
 			if cut < headSize+checkSize {
 				want = ErrLength
 			}
-			checkRejected(t, fmt.Sprint(name, ", cut to ", cut), whole[:cut], want)
-			if cut < headSize || cut > len(whole)-checkSize || cut > head && (cut-head)%size == 0 { // with whole entries it is one
+			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut), whole[:cut], want)
+			if cut < headSize || cut > len(whole)-checkSize || cut > head && (cut-head)%size == 0 { // it has complete entries, so it is valid
 				continue
 			}
-			checkRejected(t, fmt.Sprint(name, ", cut to ", cut, " and sealed"), newCodec(7).seal(bytes.Clone(whole[:cut])), ErrLength)
+			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut, " and sealed"), newCodec(7).seal(bytes.Clone(whole[:cut])), ErrLength)
 			bad := bytes.Clone(whole)
 			bad[cut] ^= 4
 			if newReceiver().Receive(time.Second, 0, bad) == nil {
-				t.Errorf("%s with byte %d changed is taken", name, cut)
+				t.Errorf("%s with byte %d changed is accepted", name, cut)
 			}
 		}
 	}
 }
 
-// Guards a program that does not watch: datagrams of the new kinds neither fail nor change nor are answered there.
+// Guards a node without failure detection: datagrams of the revision table are accepted, change nothing and are not answered.
 func TestRevisionsWithoutFailureDetection(t *testing.T) {
-	words, hashes := revisionDatagrams(t)
+	entries, digests := revisionDatagrams(t)
 	b := New(Options{Self: 1, Members: 40, Site: 7, Generation: 1, MinSubscribers: 4, MinSubset: 3})
-	if err := errors.Join(b.Receive(time.Second, 0, words), b.Receive(time.Second, 0, hashes)); err != nil {
+	if err := errors.Join(b.Receive(time.Second, 0, entries), b.Receive(time.Second, 0, digests)); err != nil {
 		t.Error(err)
 	}
-	b.Flush(time.Second, func(int, []byte) { t.Error("one that does not watch answers") })
+	b.Flush(time.Second, func(int, []byte) { t.Error("a node without failure detection answers") })
 	if b.revisionTable.entries[2].known {
-		t.Error("one that does not watch notes who has what in force")
+		t.Error("a node without failure detection stores entries")
 	}
 }
 
-// Guards the reader of the new kinds against whatever comes: it neither panics nor takes another's word for its own.
+// Guards the parser of the revision table's datagrams against arbitrary ones: it neither panics nor changes its own entry.
 func FuzzRevisions(f *testing.F) {
-	words, hashes := revisionDatagrams(f)
-	f.Add(byte(kindEntries), words[headSize:len(words)-checkSize])
-	f.Add(byte(kindDigests), hashes[headSize:len(hashes)-checkSize])
+	entries, digests := revisionDatagrams(f)
+	f.Add(byte(kindEntries), entries[headSize:len(entries)-checkSize])
+	f.Add(byte(kindDigests), digests[headSize:len(digests)-checkSize])
 	f.Add(byte(kindDigests), []byte{0xff, 0xff, 1, 2, 3, 4})
 	f.Add(byte(kindEntries), []byte{0, 0, 0, 9, 0, 0, 0, 9, 0, 1, 0, 1, 0, 9, 0xff, 0xff, 0, 1, 0, 9})
 	f.Fuzz(func(t *testing.T, k byte, body []byte) {
@@ -186,18 +186,18 @@
 		})
 		_ = b.Status(time.Second)
 		if me := b.revisionTable.entries[1]; me.Revision != (Revision{40, 0xa0}) || me.serial != 0 {
-			t.Errorf("its own word is %+v", me)
+			t.Errorf("its own entry is %+v", me)
 		}
 	})
 }
 
 // The bytes of the kinds of datagrams that carry loads and revisions: members of two releases exchange them.
 func TestDatagramBytes(t *testing.T) {
-	words, hashes := revisionDatagrams(t)
-	if got, want := fmt.Sprintf("%x", words), "160001000100000029000000a1000000010000000200030009000300030009000400030009000500030009000600030009000700030009000800030009000900030009000a00030009000b00030009000c00030009000d00030009000e00030009000f00030009001000030009001100030009001200030009001300030009001400030009001500030009001600030009001700030009001800030009001900030009001a00030009001b00030009001c00030009001d00030009001e00030009001f0003000930d1a2"; got != want {
+	entries, digests := revisionDatagrams(t)
+	if got, want := fmt.Sprintf("%x", entries), "160001000100000029000000a1000000010000000200030009000300030009000400030009000500030009000600030009000700030009000800030009000900030009000a00030009000b00030009000c00030009000d00030009000e00030009000f00030009001000030009001100030009001200030009001300030009001400030009001500030009001600030009001700030009001800030009001900030009001a00030009001b00030009001c00030009001d00030009001e00030009001f0003000930d1a2"; got != want {
 		t.Errorf("entries are got\n%q\nwant\n%q", got, want)
 	}
-	if got, want := fmt.Sprintf("%x", hashes), "17000100020000fd10b58d0000000081f6fd"; got != want {
+	if got, want := fmt.Sprintf("%x", digests), "17000100020000fd10b58d0000000081f6fd"; got != want {
 		t.Errorf("digests are got\n%q\nwant\n%q", got, want)
 	}
 	n := New(Options{Self: 0, Members: 2, Site: 7, Generation: 0x0102, MinSubscribers: 2, MinSubset: 1})
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -25,7 +25,7 @@
 
 const second = time.Second
 
-// Guards the shares: over any run each member has what its weight says, evenly spread.
+// Guards the shares of round robin: over any run each member has its share by weight, evenly spread.
 func TestRoundRobinByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Options
@@ -161,7 +161,7 @@
 	}
 }
 
-// Guards the rest of the ways to balance, and the slow start.
+// Guards the other balancing algorithms, and the slow start.
 func TestOtherBalances(t *testing.T) {
 	p := mustNew(t, Options{Balance: First, Members: []Member{{Name: "a", Weight: 1, MaxConn: 2}, {Name: "b", Weight: 1}}})
 	for i, want := range []int{0, 0, 1, 1} {
@@ -252,8 +252,8 @@
 	}
 }
 
-// Guards the bounds over any course of things: no member has more than its own, and
-// nobody waits while one with room could take him.
+// Guards the bounds over any sequence of events: no member has more than its own, and
+// no request waits while a member has capacity for it.
 func TestPoolModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Options
@@ -277,7 +277,7 @@
 	})
 }
 
-// poolModel counts what each member has, beside the pool's own count.
+// poolModel counts the requests in flight of each member, independently of the pool.
 type poolModel struct {
 	opt      Options
 	pool     *Pool
@@ -314,7 +314,7 @@
 			m.sent(t, i)
 		}
 		if _, v := p.Pick(m.now, Hint{}); v == Assigned && p.QueueLen() > 0 {
-			t.Fatal("somebody waits though a member has room")
+			t.Fatal("a request waits though a member has capacity")
 		}
 	}
 }
--- a/internal/reverseproxy/failure_test.go
+++ b/internal/reverseproxy/failure_test.go
@@ -19,7 +19,7 @@
 // faultyServer is a server that can be made to fail, and notes what it began.
 type faultyServer struct {
 	addr string
-	mode atomic.Value // "good", "sick" (its checks fail), "cut" (answers break off), "hang"
+	mode atomic.Value // "good", "unhealthy" (its checks fail), "cut" (responses are truncated), "hang"
 	mu   sync.Mutex
 	runs map[string]int
 	last time.Time // of the last request that began
@@ -41,7 +41,7 @@
 	go func(s *http.Server) { _ = s.Serve(l) }(b.srv)
 }
 
-// kill ends the box with all its connections; revive brings it back.
+// kill ends the server with all its connections; revive starts it again.
 func (b *faultyServer) kill() { _ = b.srv.Close() }
 
 func (b *faultyServer) revive(t *testing.T) {
@@ -54,13 +54,13 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the address is not given back")
+	t.Fatal("the address is still in use")
 }
 
 func (b *faultyServer) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	mode := b.mode.Load().(string)
 	if q.URL.Path == "/up" {
-		if mode == "sick" || mode == "hang" {
+		if mode == "unhealthy" || mode == "hang" {
 			http.Error(w, "no", 500)
 		}
 		return
@@ -92,16 +92,16 @@
 	return b.last
 }
 
-// Guards requests under load while servers are killed, fall sick, hang and break off
-// half-way: each is answered once and in time, none that may have run goes out again
-// unless its method allows it, and a server that fails gets nothing new after fall x inter.
+// Guards requests under load while servers are killed, fail their checks, hang and truncate
+// responses: each request is answered once and in time, none that may have run is sent again
+// unless its method is idempotent, and a failing server gets no new request after fall x inter.
 func TestFailuresUnderLoad(t *testing.T) {
 	const inter, fall = 50 * time.Millisecond, 2
-	boxes := make([]*faultyServer, 4)
+	faulty := make([]*faultyServer, 4)
 	var servers []dispatchconfig.WebServer
-	for i := range boxes {
-		boxes[i] = newFaultyServer(t)
-		servers = append(servers, dispatchconfig.WebServer{Addr: boxes[i].addr})
+	for i := range faulty {
+		faulty[i] = newFaultyServer(t)
+		servers = append(servers, dispatchconfig.WebServer{Addr: faulty[i].addr})
 	}
 	c := oneBackend(t, servers...)
 	c.Backends[0].ServerTimeout, c.Backends[0].ConnectTimeout = 0.8, 0.3
@@ -118,13 +118,13 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	var report []string
-	for i, how := range []string{"sick", "hang", "cut", "kill"} {
-		report = append(report, failAndRecover(t, s, boxes[i], i, how, fall*inter*3/2+100*time.Millisecond)...)
+	for i, how := range []string{"unhealthy", "hang", "cut", "kill"} {
+		report = append(report, failAndRecover(t, s, faulty[i], i, how, fall*inter*3/2+100*time.Millisecond)...)
 	}
 	time.Sleep(200 * time.Millisecond)
 	stop()
 	wg.Wait()
-	repeats := countRepeats(t, boxes)
+	repeats := countRepeats(t, faulty)
 	sent, good, refused, failed, lost, slow := &load.sent, &load.good, &load.refused, &load.failed, &load.lost, &load.slow
 	if slow.Load() > 0 || good.Load() < sent.Load()*8/10 {
 		t.Errorf("of %d: %d good, %d slow", sent.Load(), good.Load(), slow.Load())
@@ -132,7 +132,7 @@
 	if lost.Load() > 0 {
 		t.Errorf("%d requests got no answer", lost.Load())
 	}
-	until(t, "all rooms", func() bool {
+	until(t, "all capacity released", func() bool {
 		for _, x := range s.Status() {
 			if x.Busy != 0 {
 				return false
@@ -144,7 +144,7 @@
 		failed.Load(), lost.Load(), repeats, strings.Join(report, "; "))
 }
 
-// load sends requests and counts what becomes of them.
+// load sends requests and counts their results.
 type load struct {
 	t     *testing.T
 	front string
@@ -191,7 +191,7 @@
 	body, err := io.ReadAll(a.Body)
 	_ = a.Body.Close()
 	switch {
-	case err != nil: // it broke off, as the server did
+	case err != nil: // it was truncated, as the server's was
 		l.failed.Add(1)
 	case a.StatusCode == 200 && string(body) == fmt.Sprintf("%s %d", id, size):
 		l.good.Add(1)
@@ -204,8 +204,8 @@
 	}
 }
 
-// failAndRecover has the i-th server fail in a way and come back. Once it fails its last new request
-// may come most later.
+// failAndRecover has the i-th server fail in a way and recover. Its last new request may come at most
+// most after it has failed.
 func failAndRecover(t *testing.T, s *Proxy, b *faultyServer, i int, how string, most time.Duration) (report []string) {
 	t.Helper()
 	began := time.Now()
@@ -214,7 +214,7 @@
 	} else {
 		b.mode.Store(how)
 	}
-	if how == "cut" { // its checks pass while its answers break off: told to the clients, not hidden
+	if how == "cut" { // its checks pass while its responses are truncated, which the clients see
 		time.Sleep(200 * time.Millisecond)
 	} else {
 		took := awaitState(t, s, i, "down")
--- a/internal/reverseproxy/golden_test.go
+++ b/internal/reverseproxy/golden_test.go
@@ -8,7 +8,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// The keys of what operators are told of servers, each with the field that it stands for.
+// The JSON keys of ServerStatus, each with the field that it stands for.
 func TestKeysOfStatus(t *testing.T) {
 	var status reverseproxy.ServerStatus
 	testkit.Fill(&status)
--- a/internal/reverseproxy/helpers_test.go
+++ b/internal/reverseproxy/helpers_test.go
@@ -20,7 +20,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// serve runs a Site until the test ends and returns its address.
+// serve runs a Proxy until the test ends and returns its address.
 func serve(t testing.TB, w *dispatchconfig.Web) (*Proxy, string) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
--- a/internal/reverseproxy/proxy_test.go
+++ b/internal/reverseproxy/proxy_test.go
@@ -12,8 +12,8 @@
 	"sedgevale/internal/route"
 )
 
-// Guards rules, shares by weight, sticky clients, and backups that serve once all others
-// have failed their checks, until one is back.
+// Guards rules, shares by weight, persistence cookies, and backups that serve once all other servers
+// have failed their checks, until one is healthy again.
 func TestProxy(t *testing.T) {
 	var up [3]atomic.Bool
 	servers := make([]dispatchconfig.WebServer, 3)
@@ -44,7 +44,7 @@
 	testProxyFailures(u, c, &up)
 }
 
-// proxyUnderTest is what TestSite serves.
+// proxyUnderTest is what TestProxy serves.
 type proxyUnderTest struct {
 	t     *testing.T
 	proxy *Proxy
@@ -151,7 +151,7 @@
 	}
 }
 
-// Guards a reload: requests under way end as they began, and new ones go by the new rules.
+// Guards a reload: requests in flight continue by the old configuration, and new ones follow the new rules.
 func TestReload(t *testing.T) {
 	hold := make(chan struct{})
 	a := origin(t, func(w http.ResponseWriter, q *http.Request) {
@@ -199,7 +199,7 @@
 	}
 	close(hold)
 	if _, body := w.answer("GET"); body != "a" {
-		t.Errorf("the request under way: %q", body)
+		t.Errorf("the request in flight: %q", body)
 	}
-	until(t, "its room", func() bool { return s.Status()[0].Busy == 0 })
+	until(t, "its capacity", func() bool { return s.Status()[0].Busy == 0 })
 }
--- a/internal/reverseproxy/retry_test.go
+++ b/internal/reverseproxy/retry_test.go
@@ -14,12 +14,12 @@
 	"sedgevale/internal/testkit"
 )
 
-// Guards against repeats: a request that may have run is not sent again unless its method
-// and retry_on allow it; one whose connection failed goes elsewhere at once.
+// Guards retries: a request that may have run is not sent again unless its method and retry_on
+// allow it; one whose connection failed goes to another server at once.
 func TestRetries(t *testing.T) {
 	dead := testkit.RefusingAddr(t)
 	var cut atomic.Int64
-	cutting := testkit.Accept(t, func(c net.Conn) { // takes the request, says nothing, and breaks
+	cutting := testkit.Accept(t, func(c net.Conn) { // reads the request and closes the connection
 		in := bufio.NewReader(c)
 		if q, err := http.ReadRequest(in); err == nil {
 			_, _ = io.Copy(io.Discard, q.Body)
@@ -29,42 +29,42 @@
 	})
 	var good atomic.Int64
 	ok := origin(t, func(w http.ResponseWriter, _ *http.Request) { good.Add(1); _, _ = io.WriteString(w, "ok") })
-	ask := func(c *dispatchconfig.Web, method string) int {
+	statusOf := func(c *dispatchconfig.Web, method string) int {
 		t.Helper()
 		return askOnce(t, c, method)
 	}
 	first := func(addr string) *dispatchconfig.Web { return askedFirst(t, addr, ok) }
 	began := time.Now()
-	if got := ask(first(dead), "POST"); got != 200 || time.Since(began) > 2*time.Second {
+	if got := statusOf(first(dead), "POST"); got != 200 || time.Since(began) > 2*time.Second {
 		t.Errorf("a server that is not there: %d after %v", got, time.Since(began))
 	}
-	if got := ask(first(cutting), "POST"); got != 502 || cut.Load() != 1 {
+	if got := statusOf(first(cutting), "POST"); got != 502 || cut.Load() != 1 {
 		t.Errorf("a POST that may have run: %d, sent %d times", got, cut.Load())
 	}
-	if got := ask(first(cutting), "GET"); got != 502 || cut.Load() != 2 {
+	if got := statusOf(first(cutting), "GET"); got != 502 || cut.Load() != 2 {
 		t.Errorf("a GET without retry_on: %d, sent %d times in all", got, cut.Load())
 	}
 	c := first(cutting)
 	c.Backends[0].RetryOn = []string{"conn-failure", "empty-response"}
-	if got := ask(c, "GET"); got != 200 || cut.Load() != 3 {
+	if got := statusOf(c, "GET"); got != 200 || cut.Load() != 3 {
 		t.Errorf("a GET with retry_on: %d, sent %d times in all", got, cut.Load())
 	}
 	c = first(cutting)
 	c.Backends[0].RetryOn = []string{"conn-failure", "empty-response"}
-	if got := ask(c, "POST"); got != 502 || cut.Load() != 4 {
+	if got := statusOf(c, "POST"); got != 502 || cut.Load() != 4 {
 		t.Errorf("a POST with retry_on: %d, sent %d times in all", got, cut.Load())
 	}
 	testRetryStatus(t, ok)
 	none := oneBackend(t, dispatchconfig.WebServer{Addr: dead})
 	none.Backends[0].RetryAfter = 3
-	if got := ask(none, "GET"); got != 503 {
+	if got := statusOf(none, "GET"); got != 503 {
 		t.Errorf("nobody there: %d", got)
 	}
 	slow := testkit.Accept(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
 	late := oneBackend(t, dispatchconfig.WebServer{Addr: slow})
 	late.Backends[0].ServerTimeout, late.Backends[0].ConnectTimeout = 0.3, 0.2
-	if got := ask(late, "POST"); got != 504 {
-		t.Errorf("a server that says nothing: %d", got)
+	if got := statusOf(late, "POST"); got != 504 {
+		t.Errorf("a server that does not respond: %d", got)
 	}
 }
 
@@ -105,7 +105,7 @@
 }
 
 // Guards maxconn and the queue: never more at a server than it may have, all are served,
-// and those who wait too long are told so.
+// and one that waits too long gets 503 with Retry-After.
 func TestMaxConn(t *testing.T) {
 	var busy, most atomic.Int64
 	addr := origin(t, func(_ http.ResponseWriter, q *http.Request) {
@@ -155,7 +155,7 @@
 	until(t, "the first at the server", func() bool { return busy.Load() == 1 })
 	late.send("GET / HTTP/1.1\nHost: h\n\n")
 	if a, _ := late.answer("GET"); a.StatusCode != 503 || a.Header.Get("Retry-After") != "2" {
-		t.Errorf("one who waited in vain: %d %v", a.StatusCode, a.Header)
+		t.Errorf("one that waited too long: %d %v", a.StatusCode, a.Header)
 	}
 	if a, _ := w.answer("GET"); a.StatusCode != 200 {
 		t.Errorf("the one before: %d", a.StatusCode)
--- a/internal/reverseproxy/reverseproxy_test.go
+++ b/internal/reverseproxy/reverseproxy_test.go
@@ -19,8 +19,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// Guards what passes on and what does not: bodies of each framing, fields, trailers, and
-// connections that go on.
+// Guards what is forwarded and what is not: bodies of each framing, header fields, trailers; and
+// connections that are reused.
 func TestForwarding(t *testing.T) {
 	addr := origin(t, echoRequest)
 	c := oneBackend(t, dispatchconfig.WebServer{Addr: addr})
@@ -66,7 +66,7 @@
 	}
 }
 
-// echoRequest answers with what it has seen of a request, in a form that the path asks for.
+// echoRequest responds with what it has received, framed as the path says.
 func echoRequest(w http.ResponseWriter, q *http.Request) {
 	body, _ := io.ReadAll(q.Body)
 	w.Header().Set("X-Saw", fmt.Sprintf("%s %s host=%s xff=%s te=%v len=%d conn=%q mine=%q keep=%q expect=%q", q.Method, q.RequestURI, q.Host,
@@ -94,7 +94,7 @@
 	}
 }
 
-// Guards against smuggling: what two readers could cut up differently is refused, and
+// Guards against request smuggling: what two parsers could split differently is rejected, and
 // nothing of it reaches a server.
 func TestSmuggling(t *testing.T) {
 	var hits atomic.Int64
@@ -142,8 +142,8 @@
 
 func sum(b []byte) string { return fmt.Sprintf("%x", sha256.Sum256(b)) }
 
-// Guards long bodies both ways: they come whole, whatever their framing, and the
-// connection goes on after them.
+// Guards long bodies in both directions: they arrive complete, whatever their framing, and the
+// connection is reused after them.
 func TestLongBodies(t *testing.T) {
 	big := make([]byte, 5<<20)
 	r := rand.New(rand.NewPCG(1, 2))
@@ -194,7 +194,7 @@
 	}
 }
 
-// Guards memory: a client that reads slowly holds the server up, not our memory.
+// Guards memory: a client that reads slowly slows the server down instead of filling buffers.
 func TestSlowReader(t *testing.T) {
 	var sent atomic.Int64
 	addr := origin(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -211,7 +211,7 @@
 	w := dial(t, front)
 	w.send("GET / HTTP/1.1\nHost: h\n\n")
 	last := int64(-1)
-	for range 100 { // until the server is held up
+	for range 100 { // until the server blocks
 		time.Sleep(100 * time.Millisecond)
 		now := sent.Load()
 		if now == last && now > 0 {
@@ -220,7 +220,7 @@
 		last = now
 	}
 	if last > 40<<20 {
-		t.Errorf("%d bytes were taken of a server whose client reads nothing", last)
+		t.Errorf("%d bytes were read from a server whose client reads nothing", last)
 	}
 	a, err := http.ReadResponse(w.in, nil)
 	if err != nil {
@@ -232,7 +232,7 @@
 	}
 }
 
-// Guards tunnels: after 101 bytes pass both ways, also those sent at once.
+// Guards tunnels: after 101 bytes are forwarded in both directions, also those sent at once.
 func TestTunnel(t *testing.T) {
 	addr := testkit.Accept(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }()
@@ -279,7 +279,7 @@
 	until(t, "the tunnel's end", func() bool { return s.Status()[0].Busy == 0 })
 }
 
-// Guards against half an answer taken for a whole, and a room that is never given back.
+// Guards against a truncated response that counts as complete, and capacity that is never released.
 func TestTruncatedResponse(t *testing.T) {
 	addr := testkit.Accept(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }()
@@ -298,20 +298,20 @@
 			t.Fatal(err)
 		}
 		if body, err := io.ReadAll(a.Body); err == nil {
-			t.Errorf("%s: %q is taken for the whole", path, body)
+			t.Errorf("%s: %q counts as complete", path, body)
 		}
 		_ = a.Body.Close()
-		until(t, "the room", func() bool { return s.Status()[0].Busy == 0 })
+		until(t, "its capacity", func() bool { return s.Status()[0].Busy == 0 })
 	}
 }
 
-// Guards against clients that vanish: half-way through a body, before the answer, and in
-// it. Each gives its room back, and the server is not told that half a body is the whole.
+// Guards against clients that disconnect within a body, before the response, and within
+// it. Each time the capacity is released, and the server does not take the part for a complete body.
 func TestClientDisconnects(t *testing.T) {
-	var whole atomic.Int64
+	var completeBodies atomic.Int64
 	addr := origin(t, func(w http.ResponseWriter, q *http.Request) {
 		if _, err := io.Copy(io.Discard, q.Body); err == nil && q.Method == "POST" {
-			whole.Add(1)
+			completeBodies.Add(1)
 		}
 		chunk := make([]byte, 64<<10)
 		for range 400 {
@@ -330,14 +330,14 @@
 		w.send("%s", text)
 		until(t, "the request at the server", func() bool { return s.Status()[0].Busy == 1 })
 		w.close()
-		until(t, "the room", func() bool { return s.Status()[0].Busy == 0 })
+		until(t, "its capacity", func() bool { return s.Status()[0].Busy == 0 })
 	}
-	if whole.Load() != 0 {
-		t.Errorf("%d half bodies were taken for the whole", whole.Load())
+	if completeBodies.Load() != 0 {
+		t.Errorf("%d truncated bodies counted as complete", completeBodies.Load())
 	}
 }
 
-// Guards memory: a body of any length passes through the same few buffers.
+// Guards memory: a body of any length passes through a few buffers.
 func TestConstantMemory(t *testing.T) {
 	addr := origin(t, func(w http.ResponseWriter, q *http.Request) {
 		n, _ := io.Copy(io.Discard, q.Body)
