--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -338,10 +338,10 @@
 type ResultStore struct {
 	window time.Duration
 	mu     sync.Mutex // guards seen
-	seen   map[string]*resultEntry
+	seen   map[string]*storedResult
 }
 
-type resultEntry struct {
+type storedResult struct {
 	began  time.Time
 	done   chan struct{} // closed when the job has ended
 	result string
@@ -353,7 +353,7 @@
 	if window <= 0 {
 		window = 7500 * time.Millisecond
 	}
-	return &ResultStore{window: window, seen: map[string]*resultEntry{}}
+	return &ResultStore{window: window, seen: map[string]*storedResult{}}
 }
 
 // Take notes that a job with a key begins; End has to be called when it ends. If one with that
@@ -365,7 +365,7 @@
 		now := time.Now()
 		before := s.seen[key]
 		if before == nil || now.Sub(before.began) >= s.window {
-			s.seen[key] = &resultEntry{began: now, done: make(chan struct{})}
+			s.seen[key] = &storedResult{began: now, done: make(chan struct{})}
 			s.mu.Unlock()
 			return "", false, true
 		}
--- a/internal/haproxy/backend.go
+++ b/internal/haproxy/backend.go
@@ -9,7 +9,7 @@
 	"sedgevale/internal/route"
 )
 
-// backendDirectives deal with the directives of a backend, by their first two words or the first.
+// backendDirectives are the handlers of a backend's directives, by their first two words or the first.
 var backendDirectives = map[string]handler{
 	"server":               (*builder).server,
 	"server-template":      (*builder).template,
@@ -32,7 +32,7 @@
 	"option spop-check":    (*builder).connectCheck,
 	"option allbackups":    (*builder).allBackups,
 	"option forwardfor":    (*builder).forwardFor,
-	"option redispatch":    says(Differently, "always so: each further try goes to another server"),
+	"option redispatch":    noteOnly(Differently, "always so: each further try goes to another server"),
 	"retries":              (*builder).retries,
 	"retry-on":             (*builder).retryOn,
 	"timeout connect":      func(b *builder, w []string) { b.timeout(w, &b.backend.ConnectTimeout, "") },
@@ -41,7 +41,7 @@
 	},
 	"timeout queue": func(b *builder, w []string) { b.timeout(w, &b.backend.QueueTimeout, "") },
 	"timeout check": (*builder).checkTimeout,
-	"fullconn":      says(NotNeeded, "only for minconn, which is not carried over"),
+	"fullconn":      noteOnly(NotNeeded, "only for minconn, which is not carried over"),
 }
 
 func (b *builder) defaultServer(w []string) {
@@ -66,7 +66,7 @@
 	b.note(Carried, "a check that connects")
 }
 
-// connectCheck deals with checks in protocols that are not spoken here.
+// connectCheck handles checks in protocols that are not supported: they only connect.
 func (b *builder) connectCheck([]string) {
 	b.ensureCheck("tcp")
 	b.note(Differently, "a check that only connects")
@@ -99,7 +99,7 @@
 	}
 }
 
-// ensureCheck makes sure that there is a check, and says of which kind unless that is "".
+// ensureCheck makes a check if there is none, and sets its kind unless that is "".
 func (b *builder) ensureCheck(kind string) {
 	if b.check == nil {
 		b.check = &dispatchconfig.WebCheck{Kind: "tcp"}
@@ -151,7 +151,7 @@
 	}
 }
 
-// hash balances by hashing an expression. How is said behind it in the report.
+// hash balances by hashing an expression. The report has how after it.
 func (b *builder) hash(on, how string) {
 	b.backend.Balance, b.backend.HashOn = "hash", on
 	b.note(Differently, "by rendezvous hashing of %s%s: other servers than HAProxy's table has, one and the same for each value", on, how)
@@ -242,8 +242,8 @@
 	}
 }
 
-// optionHTTPCheck reads option httpchk: [METHOD] [URI] [VERSION], and the fields that some put
-// behind the version.
+// optionHTTPCheck reads option httpchk: [METHOD] [URI] [VERSION], and the header fields that may
+// follow the version.
 func (b *builder) optionHTTPCheck(w []string) {
 	w = w[2:]
 	b.ensureCheck("http")
@@ -296,7 +296,7 @@
 	}
 }
 
-// checkSend reads what stands behind http-check send.
+// checkSend parses the arguments of http-check send.
 func (b *builder) checkSend(rest []string) {
 	c := b.check
 	for len(rest) > 0 {
@@ -320,13 +320,13 @@
 	b.note(Carried, "")
 }
 
-// Words of http-check expect: options that are left out, each with its value, and what is expected.
+// Keywords of http-check expect: options that are left out, each with its value, and kinds of expectations.
 var (
 	expectOptions = []string{"min-recv", "comment", "ok-status", "error-status", "tout-status", "on-success", "on-error", "status-code"}
 	expectations  = []string{"status", "rstatus", "string", "rstring"}
 )
 
-// checkExpect reads what stands behind http-check expect.
+// checkExpect parses the arguments of http-check expect.
 func (b *builder) checkExpect(rest []string) {
 	for len(rest) > 1 && slices.Contains(expectOptions, rest[0]) {
 		rest = rest[2:]
--- a/internal/haproxy/explain.go
+++ b/internal/haproxy/explain.go
@@ -20,15 +20,15 @@
 	TLS      bool
 }
 
-// Explanation says where a request goes.
+// Explanation is the route of a request.
 type Explanation struct {
 	Frontend, Rule, Backend, Server string
 	Answer                          *route.Answer // in place of a server
 	Target                          string        // as the server sees it
 }
 
-// Explain says which frontend, rule, backend and server a request would take, while all
-// servers serve. Of several whose turn it may be the first is named.
+// Explain returns the frontend, rule, backend and server that a request would be routed to if all
+// servers were up. Of several servers that balancing may pick it returns the first.
 func Explain(w *dispatchconfig.Web, files route.Files, ask ExplainRequest) (*Explanation, error) {
 	f, err := findFrontend(w, ask.Frontend)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil, fmt.Errorf("no frontend is called %q", name)
 }
 
-// request makes the request as it comes to a frontend.
+// request returns the request as a frontend receives it.
 func (ask *ExplainRequest) request(f *dispatchconfig.WebFrontend) (*route.Request, error) {
 	method, target, ok := strings.Cut(strings.TrimSpace(ask.Line), " ")
 	target, _, _ = strings.Cut(target, " ") // the version does not matter
@@ -163,7 +163,7 @@
 	return true
 }
 
-// poolHint says what of the request counts in the choice of a server.
+// poolHint returns the part of the request that decides on the server.
 func poolHint(b *dispatchconfig.WebBackend, files route.Files, q *route.Request) (h pool.Hint, err error) {
 	if b.HashOn != "" {
 		on, err := route.ParseFormat("%["+b.HashOn+"]", files)
@@ -181,7 +181,7 @@
 	return h, nil
 }
 
-// String says it for a person, a line for each part.
+// String returns the explanation as text, a line for each part.
 func (w *Explanation) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "frontend %s\n", w.Frontend)
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -9,12 +9,12 @@
 	"sedgevale/internal/route"
 )
 
-// Options give what a configuration leaves to its environment.
+// Options are what a configuration depends on besides its text.
 type Options struct {
 	Env     map[string]string // environment variables
 	Defines map[string]bool   // names that .if defined(NAME) holds for, besides those of Env
 	Hosts   map[string]string // addresses of host names, which are not looked up
-	Files   route.Files       // what access lists and maps name; nil: none can be read
+	Files   route.Files       // reads files that access lists and maps name; nil: none can be read
 	Name    string            // of the scheduler; "": that of the first frontend
 }
 
@@ -22,7 +22,7 @@
 type Result struct {
 	File   dispatchconfig.File
 	Report Report
-	origin map[string]string // of frontends ("f NAME") and backends ("b NAME"): where they came from
+	origin map[string]string // of frontends ("f NAME") and backends ("b NAME"): section, file and line
 }
 
 // ErrNoFrontend is returned for a configuration of which no frontend can be carried over.
@@ -40,7 +40,7 @@
 	sockets  int
 }
 
-// position is where a directive stands.
+// position is the file and line of a directive.
 type position struct {
 	file string
 	line int
@@ -49,8 +49,8 @@
 // severity orders verdicts, the worst last.
 var severity = map[Verdict]int{NotNeeded: 1, Carried: 2, Differently: 3, NotCarried: 4}
 
-// Import maps a configuration. What is malformed is an error, with all others joined; what
-// cannot be carried over is in the report.
+// Import maps a configuration. Malformed directives are errors, all of them joined; directives
+// that cannot be carried over are in the report.
 func Import(sources []Source, opt Options) (*Result, error) {
 	if opt.Files == nil {
 		opt.Files = route.NoFiles
@@ -71,7 +71,7 @@
 		res.Report = append(res.Report, im.verdicts[p])
 	}
 	res.Report = append(res.Report, r.notes...)
-	res.Report.sorted(sources)
+	res.Report.sort(sources)
 	if len(im.web.Frontends) == 0 {
 		return res, ErrNoFrontend
 	}
@@ -83,7 +83,7 @@
 	return res, nil
 }
 
-// settingsSections deals with all sections that stand for no traffic.
+// settingsSections handles all sections that carry no traffic.
 func (im *importer) settingsSections() {
 	for _, s := range im.sections {
 		switch {
@@ -100,8 +100,8 @@
 	}
 }
 
-// proxySections maps the sections that stand for traffic. Backends come first: rules that lead to
-// one that is not carried over are not either.
+// proxySections maps the sections that carry traffic. Backends come first: rules that select
+// one that is not carried over are not carried over either.
 func (im *importer) proxySections() {
 	backends := map[string]bool{}
 	for _, kind := range []string{"backend", "listen", "frontend"} {
@@ -127,8 +127,8 @@
 	}
 }
 
-// note says what became of a directive. Of several verdicts on one, which several
-// sections inherit, the worst counts.
+// note adds the verdict on a directive. Of several verdicts on a directive that several
+// sections inherit, the worst is kept.
 func (im *importer) note(d directive, s *section, v Verdict, reason string) {
 	p := position{d.file, d.line}
 	old, ok := im.verdicts[p]
@@ -152,7 +152,7 @@
 	}
 }
 
-// defaultsOf returns the defaults that count for a section: those it names, or the last
+// defaultsOf returns the defaults section that applies to a section: the one it names, or the last
 // before it.
 func (im *importer) defaultsOf(s *section) (found *section) {
 	for _, d := range im.sections {
@@ -191,13 +191,13 @@
 	return all
 }
 
-// item is a directive and the section that it stands in, which may be a defaults section.
+// item is a directive and the section that contains it, which may be a defaults section.
 type item struct {
 	directive
 	in *section
 }
 
-// global deals with a global section.
+// global handles a global section.
 func (im *importer) global(s *section) {
 	im.note(s.directive, s, NotNeeded, "settings of the process; see each line")
 	for _, d := range s.body {
@@ -229,7 +229,7 @@
 	}
 }
 
-// lookup finds what is said of a directive by its first two words, or the first.
+// lookup returns the disposition of a directive, by its first two words or the first.
 func lookup(table map[string]disposition, words []string) (Verdict, string) {
 	if len(words) > 1 {
 		if f, ok := table[words[0]+" "+words[1]]; ok {
@@ -250,7 +250,7 @@
 // unknownDirective is the reason for a directive that no table has.
 const unknownDirective = "not known here"
 
-// disposition is what becomes of each directive of a name.
+// disposition is the verdict on all directives of a name, with its reason.
 type disposition struct {
 	verdict Verdict
 	reason  string
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -13,12 +13,12 @@
 	"sedgevale/internal/route"
 )
 
-// directive is one line of a configuration.
+// directive is one line of a configuration, split into words.
 type directive struct {
 	file  string
 	line  int
 	words []string
-	text  string // as it was written, without what is around it
+	text  string // as it was written, without leading and trailing blanks
 }
 
 func (d directive) String() string { return strings.Join(d.words, " ") }
@@ -44,8 +44,7 @@
 	return &Error{d.file, d.line, fmt.Sprintf(format, args...)}
 }
 
-// Sections that stand for traffic, those that hold settings, and those that nothing here
-// corresponds to.
+// Sections that carry traffic, those that hold settings, and those without a counterpart here.
 var (
 	proxySections       = map[string]bool{"frontend": true, "backend": true, "listen": true}
 	settingsSections    = map[string]bool{"global": true, "defaults": true}
@@ -63,7 +62,7 @@
 // maxLine is HAProxy's own bound, in bytes.
 const maxLine = 16 << 10
 
-// sectionReader cuts sources into sections, and notes what it leaves out.
+// sectionReader parses sources into sections, and notes directives that it leaves out.
 type sectionReader struct {
 	opt      *Options
 	sections []*section
@@ -81,16 +80,16 @@
 	sawElse  bool
 }
 
-// blockState says whether the directives of a block's current branch count.
+// blockState says whether the directives of a block's current branch apply.
 type blockState uint8
 
 const (
-	takenBranch   blockState = iota // what stands here counts
-	skippedBranch                   // it does not
+	takenBranch   blockState = iota // its directives apply
+	skippedBranch                   // they do not
 	unknownBranch                   // its condition cannot be evaluated
 )
 
-// read cuts one file.
+// read parses one file.
 func (r *sectionReader) read(s Source) {
 	lines := strings.Split(string(s.Text), "\n")
 	for i := 0; i < len(lines); i++ {
@@ -178,7 +177,7 @@
 // origin says where the section stands, for a comment in the operator's file.
 func (s *section) origin() string { return fmt.Sprintf("%s, %s:%d", s.title(), s.file, s.line) }
 
-// inForce reports whether a directive stands where it counts, and notes it if not.
+// inForce reports whether a directive is outside of skipped and unknown branches, and notes it if not.
 func (r *sectionReader) inForce(d directive) bool {
 	for _, b := range r.blocks {
 		switch b.state {
@@ -201,7 +200,7 @@
 	return r.sections[len(r.sections)-1].title()
 }
 
-// conditional deals with .if and its like, and with .notice and its like.
+// conditional handles the directives of conditional blocks, and messages such as .notice.
 func (r *sectionReader) conditional(d directive, bad error) {
 	switch d.words[0] {
 	case ".if":
@@ -227,7 +226,7 @@
 	}
 }
 
-// beginBlock deals with .if.
+// beginBlock handles .if.
 func (r *sectionReader) beginBlock(d directive) {
 	if n := len(r.blocks); n > 0 && r.blocks[n-1].state != takenBranch {
 		r.note(d, NotNeeded, "it stands in a block that does not count")
@@ -238,7 +237,7 @@
 	r.blocks = append(r.blocks, block{directive: d, state: s, anyTaken: s == takenBranch, unknown: s == unknownBranch})
 }
 
-// nextBranch deals with .elif and .else.
+// nextBranch handles .elif and .else.
 func (r *sectionReader) nextBranch(d directive) {
 	last := len(r.blocks) - 1
 	if last < 0 || r.blocks[last].sawElse {
@@ -278,7 +277,7 @@
 	return skippedBranch
 }
 
-// condition evaluates what .if asks: whether it holds, and whether that can be evaluated here.
+// condition evaluates the condition of .if: whether it holds, and whether it can be evaluated here.
 func (r *sectionReader) condition(text string) (holds, known bool) {
 	text = strings.TrimSpace(text)
 	if a, b, ok := cutOutside(text, "||"); ok {
@@ -323,21 +322,21 @@
 	return false, false
 }
 
-// either evaluates A || B, which one that is known to hold settles.
+// either evaluates A || B. It is known if one operand is known to hold, or both are known.
 func (r *sectionReader) either(a, b string) (holds, known bool) {
 	h1, k1 := r.condition(a)
 	h2, k2 := r.condition(b)
 	return h1 && k1 || h2 && k2, k1 && k2 || h1 && k1 || h2 && k2
 }
 
-// both evaluates A && B, which one that is known not to hold settles.
+// both evaluates A && B. It is known if one operand is known not to hold, or both are known.
 func (r *sectionReader) both(a, b string) (holds, known bool) {
 	h1, k1 := r.condition(a)
 	h2, k2 := r.condition(b)
 	return h1 && h2, k1 && k2 || k1 && !h1 || k2 && !h2
 }
 
-// cutOutside cuts at the first separator that is not within parentheses.
+// cutOutside cuts s at the first separator outside of parentheses.
 func cutOutside(s, sep string) (a, b string, ok bool) {
 	depth := 0
 	for i := range len(s) {
@@ -354,7 +353,7 @@
 	return s, "", false
 }
 
-// split cuts a line into words. Missing names environment variables that are not known.
+// split splits a line into words. Missing has the names of unknown environment variables.
 func (r *sectionReader) split(line string) (words, missing []string, err error) {
 	words, err = route.Splitter{Comments: true, Variable: func(s string) (string, int) {
 		value, n, name := r.variable(s)
@@ -409,7 +408,7 @@
 }{{"us", time.Microsecond}, {"ms", time.Millisecond}, {"s", time.Second}, {"m", time.Minute},
 	{"h", time.Hour}, {"d", 24 * time.Hour}}
 
-// duration reads a time: a whole number and a unit, milliseconds without one.
+// duration parses a time: an integer and a unit, milliseconds without one.
 func duration(s string) (time.Duration, error) {
 	unit, digits := time.Millisecond, s
 	for _, u := range units {
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -10,7 +10,7 @@
 	"sedgevale/internal/route"
 )
 
-// builder makes a frontend, a backend, or, of a listen section, both.
+// builder builds a frontend, a backend or, from a listen section, both.
 type builder struct {
 	importer *importer
 	section  *section
@@ -21,20 +21,19 @@
 	dropped  map[string]bool // access lists that are not carried over
 	defaults []string        // options of default-server, which come before each server's own
 	check    *dispatchconfig.WebCheck
-	redirect []string // redirect rules, which count behind http-request rules
-	current  item     // the directive that is dealt with
+	redirect []string // redirect rules, which apply after http-request rules
+	current  item     // the directive that is being handled
 }
 
-// handler deals with one directive of a section.
+// handler handles one directive of a section.
 type handler func(b *builder, words []string)
 
-// says returns a handler that only notes a verdict.
-func says(v Verdict, reason string) handler {
+// noteOnly returns a handler that only notes a verdict.
+func noteOnly(v Verdict, reason string) handler {
 	return func(b *builder, _ []string) { b.note(v, "%s", reason) }
 }
 
-// handle deals with a directive by its first two words or the first, and reports whether the table
-// has it.
+// handle calls the handler of a directive, found by its first two words or the first, and reports whether there is one.
 func (b *builder) handle(table map[string]handler, words []string) bool {
 	var h handler
 	if len(words) > 1 {
@@ -67,7 +66,7 @@
 	if s.kind != "frontend" {
 		b.backend = &dispatchconfig.WebBackend{Name: s.name}
 	}
-	for _, it := range items { // rules may name an access list that stands behind them
+	for _, it := range items { // rules may name an access list that follows them
 		if it.words[0] == "acl" {
 			b.current = it
 			b.acl(it.words)
@@ -82,7 +81,7 @@
 	b.finish()
 }
 
-// skipped says why a whole section is left out, if it is.
+// skipped reports whether a complete section is left out, and why.
 func skipped(s *section, items []item) (v Verdict, reason string, skip bool) {
 	mode := "tcp"
 	for _, it := range items {
@@ -96,18 +95,18 @@
 	return NotCarried, "in mode " + mode + ": only HTTP is relayed", mode != "http"
 }
 
-// note says what becomes of the directive that is dealt with.
+// note adds the verdict on the directive that is being handled.
 func (b *builder) note(v Verdict, format string, args ...any) {
 	b.importer.note(b.current.directive, b.current.in, v, fmt.Sprintf(format, args...))
 }
 
-// fail notes that the directive that is dealt with is malformed.
+// fail notes that the directive that is being handled is malformed.
 func (b *builder) fail(format string, args ...any) {
 	b.importer.fail(b.current.directive, format, args...)
 }
 
-// spec is where the section's rules go: a listen section's to its frontend, in which they
-// count for the same requests.
+// spec returns the Spec that the section's rules are added to: of a listen section its frontend's, where they
+// apply to the same requests.
 func (b *builder) spec() *route.Spec {
 	if b.frontend != nil {
 		return &b.frontend.Spec
@@ -124,7 +123,7 @@
 		b.note(Carried, "%s", how)
 	case errors.As(err, &unsupported):
 		b.note(NotCarried, "%s", unsupported.Error())
-	case isMissing(err):
+	case isUnreadable(err):
 		b.note(NotCarried, "%v", err)
 	default:
 		b.fail("%v", err)
@@ -183,7 +182,7 @@
 	}
 }
 
-// directive deals with one directive that is not an access list.
+// directive handles one directive that is not an access list.
 func (b *builder) directive(w []string) {
 	if b.frontend != nil && b.handle(frontendDirectives, w) || b.backend != nil && b.handle(backendDirectives, w) {
 		return
@@ -192,26 +191,26 @@
 		b.note(v, "%s", reason)
 		return
 	}
-	// In defaults stand also lines for sections of the other kind.
-	if b.current.in != b.section && (b.frontend == nil && among(frontWords, w) || b.backend == nil && among(backWords, w)) {
+	// A defaults section also has directives for sections of the other kind.
+	if b.current.in != b.section && (b.frontend == nil && hasDirective(frontendOnlyDirectives, w) || b.backend == nil && hasDirective(backendOnlyDirectives, w)) {
 		return
 	}
 	b.note(NotCarried, unknownDirective)
 }
 
-// frontWords and backWords are the directives that count only for frontends and only for backends, by
+// frontendOnlyDirectives and backWords are the directives that apply only to frontends and only to backends, by
 // their first two words or the first.
-var frontWords = []string{"bind", "use_backend", "default_backend", "monitor-uri", "monitor", "maxconn", "timeout client", "timeout client-fin",
+var frontendOnlyDirectives = []string{"bind", "use_backend", "default_backend", "monitor-uri", "monitor", "maxconn", "timeout client", "timeout client-fin",
 	"timeout http-request", "timeout http-keep-alive", "capture", "unique-id-format", "unique-id-header", "declare"}
 
-var backWords = []string{"server", "server-template", "default-server", "balance", "hash-type", "hash-balance-factor", "cookie", "http-check",
+var backendOnlyDirectives = []string{"server", "server-template", "default-server", "balance", "hash-type", "hash-balance-factor", "cookie", "http-check",
 	"tcp-check", "retries", "retry-on", "timeout server", "timeout connect", "timeout queue", "timeout check", "timeout tunnel",
 	"timeout server-fin", "fullconn", "http-reuse", "dispatch", "option httpchk", "option redispatch", "option allbackups", "option tcp-check",
 	"option abortonclose", "option persist", "option prefer-last-server", "option log-health-checks", "option http-server-close",
 	"load-server-state-from-file", "source", "http-send-name-header", "email-alert"}
 
-// among reports whether a directive's first two words, or the first, are among others.
-func among(all, w []string) bool {
+// hasDirective reports whether a list of directives has one, by its first two words or the first.
+func hasDirective(all, w []string) bool {
 	return slices.Contains(all, w[0]) || len(w) > 1 && slices.Contains(all, w[0]+" "+w[1])
 }
 
@@ -238,7 +237,7 @@
 	}
 }
 
-// frontendDirectives deal with the directives of a frontend, by their first two words or the first.
+// frontendDirectives are the handlers of a frontend's directives, by their first two words or the first.
 var frontendDirectives = map[string]handler{
 	"bind":              (*builder).bind,
 	"default_backend":   (*builder).defaultBackend,
@@ -253,7 +252,7 @@
 	"timeout http-keep-alive": func(b *builder, w []string) { b.timeout(w, &b.frontend.IdleTimeout, "idle_timeout") },
 	"timeout client":          (*builder).clientTimeout,
 	"monitor-uri":             (*builder).monitorURI,
-	"maxconn":                 says(Differently, "connections are bounded for all frontends together, by limits.sockets"),
+	"maxconn":                 noteOnly(Differently, "connections are bounded for all frontends together, by limits.sockets"),
 }
 
 func (b *builder) requestRule(w []string) {
@@ -346,7 +345,7 @@
 	}
 }
 
-// finish adds what was made to the result.
+// finish adds the frontend and the backend to the result.
 func (b *builder) finish() {
 	im, s := b.importer, b.section
 	spec := b.spec()
@@ -365,7 +364,7 @@
 // finishBackend adds the backend to the result, unless it is that of a listen section without
 // servers.
 func (b *builder) finishBackend() {
-	if b.frontend != nil { // its rules stand with the frontend
+	if b.frontend != nil { // its rules are the frontend's
 		b.backend.Spec = route.Spec{}
 		if b.frontend.Default == "" && len(b.backend.Servers) > 0 {
 			b.frontend.Default = b.backend.Name
@@ -397,7 +396,7 @@
 	}
 }
 
-// verdict says what becomes of the section itself.
+// verdict returns the verdict on the section itself.
 func (b *builder) verdict() (Verdict, string) {
 	switch {
 	case b.frontend == nil && len(b.backend.Servers) == 0:
--- a/internal/haproxy/report.go
+++ b/internal/haproxy/report.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Verdict says what became of a directive.
+// Verdict is the result of importing a directive.
 type Verdict string
 
 // The verdicts.
@@ -24,7 +24,7 @@
 // Verdicts are all of them.
 var Verdicts = []Verdict{Carried, Differently, NotNeeded, NotCarried}
 
-// Entry is what became of one directive.
+// Entry is the verdict on one directive.
 type Entry struct {
 	File      string  `json:"file"`
 	Line      int     `json:"line"`
@@ -38,7 +38,7 @@
 	return Entry{d.file, d.line, section, d.String(), v, reason}
 }
 
-// String says an entry in one line, FILE:LINE first.
+// String returns the entry as one line, FILE:LINE first.
 func (e Entry) String() string {
 	s := fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Verdict, e.Directive)
 	if e.Reason != "" {
@@ -47,7 +47,7 @@
 	return s
 }
 
-// Report is what became of every directive, in the order of the files.
+// Report has the verdict on each directive, in the order of the files.
 type Report []Entry
 
 // Count returns how many directives have a verdict.
@@ -60,7 +60,7 @@
 	return n
 }
 
-// Text writes the report for a person: what asks for attention line by line, then counts.
+// Text writes the report as text: a line for each directive that needs attention, then counts.
 // With all, it has a line for every directive.
 func (r Report) Text(w io.Writer, all bool) error {
 	var out strings.Builder
@@ -93,8 +93,8 @@
 	return out.Flush()
 }
 
-// sorted orders a report by file, in the order of the sources, and line.
-func (r Report) sorted(sources []Source) {
+// sort orders a report by file, in the order of the sources, and line.
+func (r Report) sort(sources []Source) {
 	at := map[string]int{}
 	for i, s := range sources {
 		at[s.Name] = i
--- a/internal/haproxy/server.go
+++ b/internal/haproxy/server.go
@@ -12,12 +12,12 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// isMissing reports whether a file that a rule names cannot be read.
-func isMissing(err error) bool {
+// isUnreadable reports whether a file that a rule names cannot be read.
+func isUnreadable(err error) bool {
 	return errors.Is(err, fs.ErrNotExist) || errors.Is(err, fs.ErrPermission)
 }
 
-// positive reads a whole number from 1 to 2^30.
+// positive parses an integer from 1 to 2^30.
 func positive(s string) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil || n <= 0 || n > 1<<30 {
@@ -26,7 +26,7 @@
 	return n, nil
 }
 
-// options are what a server's line says behind its address.
+// options are the options of a server's line, which follow its address.
 type options struct {
 	weight    *int // nil: not given
 	backup    bool
@@ -41,7 +41,7 @@
 	slowStart float64 // seconds
 }
 
-// read reads options and returns those that are not carried over, each with its reason.
+// read parses options and returns those that are not carried over, each with its reason.
 func (o *options) read(w []string) (without []string, err error) {
 	for i := 0; i < len(w); i++ {
 		name := w[i]
@@ -68,7 +68,7 @@
 	return without, err
 }
 
-// setOptions take the value of an option in, by the option's name; "": it takes none.
+// setOptions set an option, by its name, to a value; "" where it takes none.
 var setOptions = map[string]func(o *options, value string) error{
 	"weight": func(o *options, v string) error {
 		o.weight = new(int)
@@ -120,8 +120,8 @@
 	}
 }
 
-// unsupportedTransports are options without which a server cannot be spoken to, and why they are
-// not carried over. Of proto, h1 is none of them.
+// unsupportedTransports are options that change the protocol to the server, so that a server with them cannot be carried over,
+// and the reasons. Proto with the value h1 is supported.
 var unsupportedTransports = map[string]string{"ssl": "servers are spoken to without TLS", "send-proxy": "the PROXY protocol is not spoken",
 	"send-proxy-v2": "the PROXY protocol is not spoken", "send-proxy-v2-ssl": "the PROXY protocol is not spoken",
 	"proto": "servers are spoken to in HTTP/1.1"}
@@ -143,11 +143,11 @@
 	b.add(w[1], addr, reason, w[3:])
 }
 
-// add adds a server, unless a reason speaks against it.
+// add adds a server, unless there is a reason that it cannot be carried over.
 func (b *builder) add(name, addr, reason string, rest []string) {
 	o := &options{}
 	if _, err := o.read(b.defaults); err != nil {
-		return // said where default-server stands
+		return // reported at default-server
 	}
 	without, err := o.read(rest)
 	if err != nil {
--- a/internal/haproxy/tables.go
+++ b/internal/haproxy/tables.go
@@ -1,7 +1,6 @@
 package haproxy
 
-// sharedDirectives says what becomes of directives of a frontend or backend that need no code of
-// their own, by their first two words or the first; a * stands for any ending.
+// sharedDirectives are the dispositions of directives of a frontend or backend without a handler, by their first two words or the first; a * stands for any ending.
 var sharedDirectives = map[string]disposition{
 	"mode":                                {Carried, ""},
 	"enabled":                             {NotNeeded, "always so"},
--- a/internal/haproxy/write.go
+++ b/internal/haproxy/write.go
@@ -11,8 +11,8 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// Write writes the operator's file, without what is zero or usual, and with a comment on
-// where each part came from.
+// Write writes the operator's file, without zero and default values, and with a comment on
+// the origin of each part.
 func (r *Result) Write(w io.Writer) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "# Imported from HAProxy's configuration. `sedgevale check` says whether it is good.\nname = %q\n", r.File.Name)
@@ -33,7 +33,7 @@
 	return err
 }
 
-// maxInlineList is how long a list may be that stands on one line.
+// maxInlineList is the maximum length of a list on one line, in bytes.
 const maxInlineList = 80
 
 // writeTable writes one table of an array.
@@ -48,7 +48,7 @@
 	for line := range strings.Lines(text.String()) {
 		if t := strings.TrimSpace(line); t != "[web]" && t != "" {
 			if strings.Contains(line, " = [\"") && len(line) > maxInlineList { // a rule a line
-				// Quotes within a text are escaped, so this parts texts alone.
+				// Quotes within a text are escaped, so this splits between texts only.
 				line = strings.Replace(strings.ReplaceAll(line, `", "`, "\",\n    \""), `["`, "[\n    \"", 1)
 				line = strings.TrimSuffix(line, "]\n") + ",\n]\n"
 			}
--- a/internal/healthcheck/state.go
+++ b/internal/healthcheck/state.go
@@ -163,8 +163,8 @@
 type Target struct {
 	spec Spec
 	up   bool
-	// against counts the consecutive latest checks whose result contradicts up; one that agrees resets it.
-	against int
+	// contradicting counts the consecutive latest checks whose result contradicts up; one that agrees resets it.
+	contradicting int
 }
 
 // NewTarget returns a Target that is up or down at first. SetDefaults must have been called on the
@@ -177,25 +177,25 @@
 // Record notes the result of a check, and reports whether the member's state has changed.
 func (t *Target) Record(passed bool) (changed bool) {
 	if passed == t.up {
-		t.against = 0
+		t.contradicting = 0
 		return false
 	}
-	t.against++
+	t.contradicting++
 	threshold := t.spec.Fall
 	if !t.up {
 		threshold = t.spec.Rise
 	}
-	if t.against < threshold {
+	if t.contradicting < threshold {
 		return false
 	}
-	t.up, t.against = passed, 0
+	t.up, t.contradicting = passed, 0
 	return true
 }
 
 // NextInterval returns how long it is until the next check.
 func (t *Target) NextInterval() time.Duration {
 	switch {
-	case t.against > 0:
+	case t.contradicting > 0:
 		return t.spec.FastInterval
 	case !t.up:
 		return t.spec.DownInterval
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -74,9 +74,9 @@
 // member is a Member and what changes of it.
 type member struct {
 	Member
-	state   State
-	since   time.Duration // when it came up; 0: long ago
-	current float64       // current weight of smooth weighted round robin
+	state         State
+	since         time.Duration // when it came up; 0: long ago
+	currentWeight float64       // current weight of smooth weighted round robin
 	// inFlight counts the requests that the member has now: Acquire adds, Release subtracts.
 	inFlight int
 }
@@ -169,7 +169,7 @@
 			continue
 		}
 		o := &old.members[j]
-		m.inFlight, m.current, m.since = o.inFlight, o.current, o.since
+		m.inFlight, m.currentWeight, m.since = o.inFlight, o.currentWeight, o.since
 		if !m.Disabled && !o.Disabled {
 			m.state = o.state
 		}
@@ -191,7 +191,7 @@
 func (p *Pool) SetState(i int, s State, now time.Duration) {
 	m := &p.members[i]
 	if m.state != Up && s == Up {
-		m.since, m.current = now, 0
+		m.since, m.currentWeight = now, 0
 	}
 	m.state = s
 }
@@ -325,13 +325,13 @@
 	for _, i := range among {
 		m := &p.members[i]
 		w := p.weight(m, now)
-		m.current += w
+		m.currentWeight += w
 		sum += w
-		if best < 0 || m.current > p.members[best].current {
+		if best < 0 || m.currentWeight > p.members[best].currentWeight {
 			best = i
 		}
 	}
-	p.members[best].current -= sum
+	p.members[best].currentWeight -= sum
 	return best
 }
 
--- a/internal/route/acl.go
+++ b/internal/route/acl.go
@@ -34,7 +34,7 @@
 var methodSuffixes = map[string]string{"_beg": "beg", "_end": "end", "_sub": "sub", "_dir": "dir", "_dom": "dom", "_reg": "reg",
 	"_len": "len", "_str": "str"}
 
-// parseTest reads the words of an access list: a fetch, flags, and patterns.
+// parseTest parses the words of an access list: a fetch, flags, and patterns.
 func (l *ACLSet) parseTest(words []string) (*test, error) {
 	if len(words) == 0 {
 		return nil, fmt.Errorf("a condition without a sample")
@@ -136,7 +136,7 @@
 type ACLSet struct {
 	files   Files
 	named   map[string][]*test
-	fetches map[string]*fetch // by their text: rules that ask for the same share what was found
+	fetches map[string]*fetch // by their text: rules with the same fetch share its samples
 }
 
 // NewACLSet returns an ACLSet with only the predefined access lists.
@@ -176,7 +176,7 @@
 	negated bool
 }
 
-// CompileCondition reads a condition: "if" or "unless" and what follows. No words: it always holds.
+// CompileCondition compiles a condition: "if" or "unless" and what follows. Without words it always holds.
 func (l *ACLSet) CompileCondition(words []string) (*Condition, error) {
 	if len(words) == 0 {
 		return &Condition{alternatives: [][]term{{}}}, nil
--- a/internal/route/convert.go
+++ b/internal/route/convert.go
@@ -38,7 +38,7 @@
 	return nil, 0, unsupported("the converter %s", name)
 }
 
-// cutPort parts a host from its port; "": there is none.
+// cutPort splits a host and its port; "": there is none.
 func cutPort(s string) (host, port string) {
 	if i := strings.LastIndexByte(s, ':'); i >= 0 && !strings.HasSuffix(s, "]") {
 		return s[:i], s[i+1:]
@@ -46,7 +46,7 @@
 	return s, ""
 }
 
-// parseField reads field(N,DELIMITERS) and word(N,DELIMITERS), which counts no empty parts. A
+// parseField parses field(N,DELIMITERS) and word(N,DELIMITERS), which counts no empty parts. A
 // negative N counts from the end.
 func parseField(name string, args []string) (converter, error) {
 	if err := requireArgs(name, args, 2); err != nil {
@@ -73,7 +73,7 @@
 	}, nil
 }
 
-// parseRegsub reads regsub(REGEX,REPLACEMENT[,FLAGS]); of the flags, i ignores case and g replaces
+// parseRegsub parses regsub(REGEX,REPLACEMENT[,FLAGS]); of the flags, i ignores case and g replaces
 // every match.
 func parseRegsub(args []string) (converter, error) {
 	if err := requireArgs("regsub", args, 2); err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// parseMap reads map_MATCH(FILE[,DEFAULT]): lines of a key and a value.
+// parseMap parses map_MATCH(FILE[,DEFAULT]): lines of a key and a value.
 func parseMap(method string, args []string, files Files) (converter, error) {
 	if err := requireArgs("map", args, 1); err != nil {
 		return nil, err
@@ -149,7 +149,7 @@
 	}, nil
 }
 
-// cutMapLine parts a line of a map file into key and value at the first blanks.
+// cutMapLine splits a line of a map file into key and value at the first blanks.
 func cutMapLine(line string) (key, value string) {
 	i := strings.IndexAny(line, " \t")
 	if i < 0 {
--- a/internal/route/fetch.go
+++ b/internal/route/fetch.go
@@ -9,13 +9,13 @@
 	"sedgevale/internal/http1"
 )
 
-// Files gives the content of a file that a pattern or a map names.
+// Files reads a file that a pattern or a map names.
 type Files func(path string) ([]byte, error)
 
 // NoFiles is for rules that name none.
 func NoFiles(path string) ([]byte, error) { return nil, fmt.Errorf("%s: %w", path, os.ErrNotExist) }
 
-// fetch gives samples of a request: none, one, or several, as a header that comes twice.
+// fetch extracts samples from a request: none, one, or several, as of a repeated header field.
 type fetch struct {
 	text       string // as it was written, for index and messages
 	kind       kind
@@ -23,7 +23,7 @@
 	converters []converter
 }
 
-// kind is what samples are.
+// kind is the type of samples.
 type kind uint8
 
 const (
@@ -35,7 +35,7 @@
 
 type converter func(string) (string, bool)
 
-// samples returns what a fetch finds, and keeps it until the request is edited.
+// samples returns the samples of a request, and caches them until the request is edited.
 func (f *fetch) samples(q *Request) []string {
 	if got, ok := q.fetched[f]; ok {
 		return got
@@ -72,8 +72,7 @@
 	return single("0")
 }
 
-// UnsupportedError is wrapped by errors that say what is not known here though it may be
-// well formed.
+// UnsupportedError is wrapped by the errors for what is well formed and not supported.
 type UnsupportedError struct{ What string }
 
 func (e *UnsupportedError) Error() string { return e.What + " is not supported" }
@@ -82,7 +81,7 @@
 	return &UnsupportedError{fmt.Sprintf(format, args...)}
 }
 
-// parseFetch reads an expression: a fetch with its arguments, and converters behind commas.
+// parseFetch parses an expression: a fetch with its arguments, and converters after commas.
 func parseFetch(text string, files Files) (*fetch, error) {
 	name, rest := text, ""
 	if i := endOfCall(text); i < len(text) {
@@ -113,7 +112,7 @@
 	return f, nil
 }
 
-// endOfCall returns where the first comma stands that is not within parentheses.
+// endOfCall returns the index of the first comma outside of parentheses, or the length of s.
 func endOfCall(s string) int {
 	depth := 0
 	for i := range len(s) {
--- a/internal/route/format.go
+++ b/internal/route/format.go
@@ -18,7 +18,7 @@
 
 var shortForms = map[string]string{"ci": "src", "HM": "method", "HU": "url", "HP": "path", "HQ": "query"}
 
-// ParseFormat reads a format.
+// ParseFormat parses a format.
 func ParseFormat(s string, files Files) (*Format, error) {
 	f := &Format{}
 	var text strings.Builder
--- a/internal/route/frontend.go
+++ b/internal/route/frontend.go
@@ -34,7 +34,7 @@
 	text    string
 }
 
-// index finds the use rules that can hold by a text that the request must have.
+// index finds the use rules that can hold by a sample of the request.
 type index struct {
 	fetch      *fetch
 	ignoreCase bool
@@ -46,7 +46,7 @@
 // minIndexedRules is the number of use rules from which an index pays.
 const minIndexedRules = 8
 
-// Compile reads a Spec. Each error names the line.
+// Compile compiles a Spec. Each error names the line.
 func Compile(s Spec, files Files) (*Rules, error) {
 	acls := NewACLSet(files)
 	if _, err := compileLines("acl", s.ACL, func(w []string) (struct{}, error) {
@@ -91,7 +91,7 @@
 	return all, nil
 }
 
-// ParseUse reads the words of a use_backend rule: the backend, which may be a format, and
+// ParseUse parses the words of a use_backend rule: the backend, which may be a format, and
 // the condition.
 func (l *ACLSet) ParseUse(words []string) (UseRule, error) {
 	f, err := ParseFormat(words[0], l.files)
@@ -119,7 +119,7 @@
 	return slices.Compact(names), dynamic
 }
 
-// buildIndex makes the index.
+// buildIndex builds the index.
 func (r *Rules) buildIndex() {
 	if len(r.use) < minIndexedRules {
 		for i := range r.use {
@@ -202,7 +202,7 @@
 // EditsResponse reports whether there are rules on responses.
 func (r *Rules) EditsResponse() bool { return len(r.response) > 0 }
 
-// SelectBackend returns where a request goes, "" if nowhere, and the rule that says so, "" for
+// SelectBackend returns the backend of a request, "" if there is none, and the rule that selects it, "" for
 // the default. Exists is called with names that depend on the request: if it returns false, no further
 // rule is tried and the default applies.
 func (r *Rules) SelectBackend(q *Request, exists func(string) bool) (name, rule string) {
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// within reports whether p stands in s between delimiters, or its ends.
+// within reports whether s contains p between delimiters or its ends.
 func within(s, p, delimiters string) bool {
 	p = strings.Trim(p, delimiters)
 	for at := 0; ; {
@@ -86,7 +86,7 @@
 	}, nil
 }
 
-// matchInt takes numbers, ranges as 1:10, and an operator before them.
+// matchInt matches numbers and ranges such as 1:10; an operator may precede them.
 func matchInt(patterns []string, _ bool) (func(string) bool, error) {
 	type span struct{ from, to int64 }
 	var spans []span
@@ -101,24 +101,24 @@
 		if !isRange {
 			hi = lo
 		}
-		const least, most = -1 << 62, 1 << 62
-		from, err := number(lo, least)
+		const minValue, maxValue = -1 << 62, 1 << 62
+		from, err := number(lo, minValue)
 		if err != nil {
 			return nil, err
 		}
-		to, err := number(hi, most)
+		to, err := number(hi, maxValue)
 		if err != nil {
 			return nil, err
 		}
 		switch op {
 		case "ge":
-			to = most
+			to = maxValue
 		case "gt":
-			from, to = to+1, most
+			from, to = to+1, maxValue
 		case "le":
-			from = least
+			from = minValue
 		case "lt":
-			from, to = least, from-1
+			from, to = minValue, from-1
 		}
 		spans = append(spans, span{from, to})
 	}
@@ -147,7 +147,7 @@
 	return v, nil
 }
 
-// matchIP takes addresses and networks.
+// matchIP matches addresses and networks.
 func matchIP(patterns []string, _ bool) (func(string) bool, error) {
 	var nets []netip.Prefix
 	for _, p := range patterns {
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -1,7 +1,6 @@
-// Package route decides where a request goes and how it is changed on its way: by
-// conditions on what the request says, in the terms of HAProxy's access lists. It is
-// pure: it does no input or output, and time and randomness are given to it. A set of
-// rules is compiled once and may then be used by several goroutines.
+// Package route selects the backend of a request and edits requests and responses, by rules with
+// conditions in the language of HAProxy's access lists. It does no input or output, and takes
+// random numbers as an argument. Rules are compiled once and may then be used by several goroutines.
 package route
 
 import (
@@ -14,22 +13,22 @@
 // Request is what conditions are evaluated on. Rules that edit a request change it in place.
 type Request struct {
 	Method  string
-	Target  string // path and query, as they came
+	Target  string // path and query, as received
 	Version string // "1.1" or "1.0"
 	Fields  []http1.Field
 	Src     netip.Addr // the client
-	DstPort int        // the port of ours that it came to
+	DstPort int        // the local port
 	TLS     bool
 
 	Rand           uint64                   // drawn for this request
-	ServingServers func(backend string) int // how many members a backend has that serve; may be nil
+	ServingServers func(backend string) int // number of a backend's servers that take requests; may be nil
 
 	// Of the response, for its rules alone.
 	Status   int
 	Response []http1.Field
 
 	vars    map[string]string   // set by rules of this request
-	fetched map[*fetch][]string // what was fetched, until something is edited
+	fetched map[*fetch][]string // cache of samples, until something is edited
 }
 
 // Path returns the path, without the query.
@@ -49,7 +48,7 @@
 	return p
 }
 
-// Query returns what stands behind the first question mark.
+// Query returns the part after the first question mark.
 func (q *Request) Query() string {
 	_, query, _ := strings.Cut(q.Target, "?")
 	return query
@@ -76,7 +75,7 @@
 	q.edited()
 }
 
-// edited forgets what was fetched.
+// edited clears the cache of samples.
 func (q *Request) edited() { clear(q.fetched) }
 
 // Header returns the first value of a header field.
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -10,24 +10,23 @@
 	"sedgevale/internal/http1"
 )
 
-// Answer is what a request is answered with in place of being passed on.
+// Answer is a response of a rule: the request is not forwarded.
 type Answer struct {
 	Status int
 	Fields []http1.Field
 	Body   []byte
-	Reason string // the rule's words, for whoever asks why
+	Reason string // the text of the rule
 }
 
 // Rule is a compiled rule on requests or responses: what is done, and when.
 type Rule struct {
 	when *Condition
 	text string
-	// apply carries the rule out. It returns an answer that ends the matter, or whether the
-	// rules that follow still count.
+	// apply applies the rule. It returns an answer to the request, or nil and whether the rules that follow are skipped.
 	apply func(q *Request) (a *Answer, last bool)
 }
 
-// cutCondition parts the words of a rule from its condition.
+// cutCondition splits the words of a rule into action and condition.
 func cutCondition(words []string) (act, when []string) {
 	depth := 0
 	for i, w := range words {
@@ -45,20 +44,20 @@
 	return words, nil
 }
 
-// ParseRequestRule reads the words of an http-request rule.
+// ParseRequestRule parses the words of an http-request rule.
 func (l *ACLSet) ParseRequestRule(words []string) (*Rule, error) {
 	return l.parseRule(words, requestActions, "http-request")
 }
 
-// ParseResponseRule reads the words of an http-response rule.
+// ParseResponseRule parses the words of an http-response rule.
 func (l *ACLSet) ParseResponseRule(words []string) (*Rule, error) {
 	return l.parseRule(words, responseActions, "http-response")
 }
 
-// actionParser reads the arguments of an action. The function that it returns is a Rule's apply.
+// actionParser parses the arguments of an action. The function that it returns is a Rule's apply.
 type actionParser func(args []string, files Files) (func(q *Request) (*Answer, bool), error)
 
-// parseRule reads a rule: an action with its arguments, and a condition.
+// parseRule parses a rule: an action with its arguments, and a condition.
 func (l *ACLSet) parseRule(words []string, actions map[string]actionParser, what string) (*Rule, error) {
 	act, when := cutCondition(words)
 	if len(act) == 0 {
@@ -83,7 +82,7 @@
 	return r, nil
 }
 
-// Apply carries rules out in order, until one answers or says that it is the last.
+// Apply applies rules in order, until one returns an answer or says that it is the last.
 func Apply(rules []*Rule, q *Request) *Answer {
 	for _, r := range rules {
 		if !r.when.Holds(q) {
@@ -104,7 +103,7 @@
 var requestActions = map[string]actionParser{
 	"allow":          func([]string, Files) (func(*Request) (*Answer, bool), error) { return allow, nil },
 	"deny":           parseDeny,
-	"tarpit":         parseDeny, // answered at once: a refusal is not held back here
+	"tarpit":         parseDeny, // answered at once: delaying rejections is not supported
 	"redirect":       parseRedirect,
 	"return":         parseReturn,
 	"set-header":     headerAction(true, setHeader),
--- a/internal/route/words.go
+++ b/internal/route/words.go
@@ -11,11 +11,11 @@
 	errTrailingBackslash = errors.New("a backslash at the end of the line")
 )
 
-// SplitWords cuts a line into words by the rules of HAProxy's configuration: blanks part
-// words, quotes of both kinds and backslashes take their meaning away.
+// SplitWords splits a line into words by the rules of HAProxy's configuration: blanks separate
+// words unless they are quoted or escaped.
 func SplitWords(line string) ([]string, error) { return Splitter{}.Split(line) }
 
-// Splitter cuts lines as they stand in a configuration of HAProxy.
+// Splitter splits the lines of a configuration of HAProxy into words.
 type Splitter struct {
 	Comments bool // an unquoted # ends the line
 	// Variable reads an environment variable at the start of s, which begins with a dollar
@@ -23,9 +23,9 @@
 	Variable func(s string) (value string, n int)
 }
 
-// Split cuts a line into words. With an error the words before the fault are returned.
+// Split splits a line into words. With an error it returns the words before the fault.
 func (s Splitter) Split(line string) (words []string, err error) {
-	p := splitting{}
+	p := splitState{}
 	for i := 0; i < len(line); {
 		n, done, err := s.step(&p, line[i:])
 		if err != nil || done {
@@ -40,16 +40,16 @@
 	return p.words, nil
 }
 
-// splitting is the state of Split between two bytes.
-type splitting struct {
-	words []string        // those that have ended
-	word  strings.Builder // the one that has begun, without its quotes
-	begun bool            // also of an empty word in quotes
-	quote byte            // the one that is open; 0: none
+// splitState is the state of Split between two bytes.
+type splitState struct {
+	words []string        // complete words
+	word  strings.Builder // the current word, without its quotes
+	begun bool            // there is a current word, which may be empty in quotes
+	quote byte            // the open quote; 0: none
 }
 
-// end ends the word that has begun, if any.
-func (p *splitting) end() {
+// end ends the current word, if any.
+func (p *splitState) end() {
 	if p.begun {
 		p.words = append(p.words, p.word.String())
 	}
@@ -59,7 +59,7 @@
 
 // step reads what rest begins with and returns how many bytes of it that was, and whether the
 // line ends with it.
-func (s Splitter) step(p *splitting, rest string) (n int, done bool, err error) {
+func (s Splitter) step(p *splitState, rest string) (n int, done bool, err error) {
 	c := rest[0]
 	switch {
 	case c == '\\' && p.quote != '\'':
@@ -83,7 +83,7 @@
 
 // quoted reads what rest begins with within quotes, but for a backslash that is an escape, and
 // returns how many bytes that was.
-func (s Splitter) quoted(p *splitting, rest string) int {
+func (s Splitter) quoted(p *splitState, rest string) int {
 	switch c := rest[0]; {
 	case c == p.quote:
 		p.quote = 0
@@ -98,7 +98,7 @@
 }
 
 // escape reads a backslash and what stands behind it.
-func (p *splitting) escape(rest string) (n int, err error) {
+func (p *splitState) escape(rest string) (n int, err error) {
 	if len(rest) == 1 {
 		return 0, errTrailingBackslash
 	}
@@ -108,7 +108,7 @@
 	return 1 + n, nil
 }
 
-// Unescape reads what stands behind a backslash, and how many bytes of it that are. What
+// Unescape returns the meaning of what follows a backslash, and how many bytes of s that is. What
 // is no escape sequence keeps its backslash, as regular expressions need.
 func Unescape(s string) (out string, n int) {
 	switch s[0] {
@@ -130,7 +130,7 @@
 	return "\\" + s[:1], 1
 }
 
-// JoinWords puts words into a line that SplitWords cuts into the same words.
+// JoinWords joins words into a line that SplitWords splits into the same words.
 func JoinWords(words []string) string {
 	var b strings.Builder
 	for i, w := range words {
