--- a/internal/fake/ledger.go
+++ b/internal/fake/runlog.go
@@ -13,33 +13,33 @@
 // Run is a run of a job at a worker.
 type Run struct {
 	Job, Class, Worker string
-	Received           time.Time // when the worker had received it whole
+	Received           time.Time // when the worker had received all of it
 	Began, Finished    time.Time // Finished is zero until then
 }
 
-// RunLog records the runs of jobs at workers. It is the truth that a journal is compared with.
+// RunLog records the runs of jobs at workers. A journal is compared with it.
 // Several workers may share one.
 type RunLog struct {
 	mu   sync.Mutex        // guards runs
 	runs map[string][]*Run // by job
 }
 
-// NewRunLog returns an empty Ledger.
+// NewRunLog returns an empty RunLog.
 func NewRunLog() *RunLog { return &RunLog{runs: map[string][]*Run{}} }
 
 // Begin records that a worker begins a job, and when that was received.
-func (l *RunLog) Begin(job, class, box string, came time.Time) {
+func (l *RunLog) Begin(job, class, worker string, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs[job] = append(l.runs[job], &Run{Job: job, Class: class, Worker: box, Received: came, Began: time.Now()})
+	l.runs[job] = append(l.runs[job], &Run{Job: job, Class: class, Worker: worker, Received: received, Began: time.Now()})
 }
 
 // Finish records that a worker has finished a job.
-func (l *RunLog) Finish(job, box string) {
+func (l *RunLog) Finish(job, worker string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.runs[job] {
-		if r.Worker == box && r.Finished.IsZero() {
+		if r.Worker == worker && r.Finished.IsZero() {
 			r.Finished = time.Now()
 			return
 		}
@@ -74,9 +74,9 @@
 	clear(l.runs)
 }
 
-// Audit compares a journal with a ledger and returns each breach in words. Recorded says which
-// classes the journal keeps and single which must not run twice. It looks only at jobs that
-// the ledger has, and at those of the journal that keep returns true for. Dropped says of a
+// Audit compares a journal with a run log and returns each violation as a text. Recorded reports which
+// classes the journal keeps and single which must not run twice. It considers only jobs of the
+// run log, and those of the journal for which keep returns true. Dropped says of a
 // job that the journal does not have whether retention may have dropped it; nil: none was.
 func Audit(l *RunLog, jobs []store.Found, recorded, single, keep, dropped func(string) bool) (breaches []string) {
 	byID := map[string][]store.Found{}
@@ -96,7 +96,7 @@
 		}
 		for _, r := range runs {
 			if !intended(byID[id], r.Worker) {
-				breaches = append(breaches, fmt.Sprintf("box %s began job %s, and no intent names it", r.Worker, id))
+				breaches = append(breaches, fmt.Sprintf("worker %s began job %s, and no intent names it", r.Worker, id))
 			}
 		}
 	}
@@ -114,17 +114,17 @@
 	for _, j := range found {
 		switch v, reason, _ := j.Verdict(); {
 		case v == journal.DidNotRun && len(found) == 1 && len(runs) > 0:
-			breaches = append(breaches, fmt.Sprintf("job %s did not run (%s), but box %s began it", id, reason, runs[0].Worker))
+			breaches = append(breaches, fmt.Sprintf("job %s did not run (%s), but worker %s began it", id, reason, runs[0].Worker))
 		case v == journal.Ran && !finished:
-			breaches = append(breaches, fmt.Sprintf("job %s ran (%s), but no box has finished it", id, reason))
+			breaches = append(breaches, fmt.Sprintf("job %s ran (%s), but no worker has finished it", id, reason))
 		}
 	}
 	return breaches
 }
 
 // intended reports whether an attempt at a worker is on record.
-func intended(found []store.Found, box string) bool {
+func intended(found []store.Found, worker string) bool {
 	return slices.ContainsFunc(found, func(j store.Found) bool {
-		return slices.ContainsFunc(j.Attempts, func(a journal.Attempt) bool { return a.Worker == box })
+		return slices.ContainsFunc(j.Attempts, func(a journal.Attempt) bool { return a.Worker == worker })
 	})
 }
--- a/internal/faultinjection/checker.go
+++ b/internal/faultinjection/checker.go
@@ -10,18 +10,18 @@
 	"sedgevale/internal/fake"
 )
 
-// Observations is what the rules are checked against: the answers to clients and the ledgers of workers. Nothing of it comes from a
+// Observations is what the rules are checked against: the answers to clients and the run log of the workers. Nothing of it comes from a
 // scheduler.
 type Observations struct {
 	Answers []fake.Response // to clients; a job's id begins with the name of the scheduler that it was submitted to
-	Ledger  *fake.RunLog
+	RunLog  *fake.RunLog
 	CellOf  map[string]int        // of workers
 	Timeout time.Duration         // of clients
 	Outages map[string][]Interval // of schedulers that are down, frozen or being started
 	Drained map[string][]Interval // of workers that discovery says are draining
 }
 
-// Interval is a span of time. To is zero while it lasts.
+// Interval is a span of time. To is zero while it has not ended.
 type Interval struct{ From, To time.Time }
 
 // overlaps reports whether it has a moment in common with the span between two moments.
@@ -37,7 +37,7 @@
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("%s: request %s, box %q, %s: %s", v.Rule, v.Request, v.Worker, v.At.Format("15:04:05.000"), v.What)
+	return fmt.Sprintf("%s: request %s, worker %q, %s: %s", v.Rule, v.Request, v.Worker, v.At.Format("15:04:05.000"), v.What)
 }
 
 // Times that a loaded machine is given beyond those of the rules.
@@ -58,8 +58,8 @@
 	for i := range o.Answers {
 		v.checkAnswer(&o.Answers[i])
 	}
-	for _, id := range o.Ledger.Jobs() {
-		v.checkRuns(id, o.Ledger.Runs(id))
+	for _, id := range o.RunLog.Jobs() {
+		v.checkRuns(id, o.RunLog.Runs(id))
 	}
 	return v.found
 }
@@ -84,29 +84,29 @@
 // checkAnswer checks the answer to a client against the runs of its job.
 func (v *violations) checkAnswer(t *fake.Response) {
 	v.submitted[t.Job] = true
-	runs := v.observations.Ledger.Runs(t.Job)
+	runs := v.observations.RunLog.Runs(t.Job)
 	late := t.ReceivedAt.Sub(t.SentAt) > v.observations.Timeout+answerSlack
 	if (t.Status == 0 || late) && !v.observations.hadOutage(schedulerOf(t.Job), t.SentAt, t.ReceivedAt) {
 		v.add("one answer in time", t.Job, "", t.ReceivedAt, "status %d after %v", t.Status, t.ReceivedAt.Sub(t.SentAt))
 	}
 	rejected := t.Status == http.StatusTooManyRequests || t.Status == http.StatusServiceUnavailable
 	if rejected && t.Class != "usage-view" && len(runs) > 0 {
-		v.add("a refusal is harmless", t.Job, runs[0].Worker, runs[0].Began, "refused with %d, and begun there", t.Status)
+		v.add("a rejection is harmless", t.Job, runs[0].Worker, runs[0].Began, "rejected with %d, and begun there", t.Status)
 	}
 	if t.Status == http.StatusBadRequest && len(runs) > 0 {
-		v.add("no job is begun", t.Job, runs[0].Worker, runs[0].Began, "told that it is no job, and begun there")
+		v.add("no job is begun", t.Job, runs[0].Worker, runs[0].Began, "rejected as no job, and begun there")
 	}
 	if t.Status == http.StatusOK && !slices.ContainsFunc(runs, func(r fake.Run) bool {
 		return !r.Finished.IsZero() && strings.HasSuffix(t.Body, " by "+r.Worker)
 	}) {
-		v.add("served by a box", t.Job, "", t.ReceivedAt, "answered %q, which no box has finished", t.Body)
+		v.add("served by a worker", t.Job, "", t.ReceivedAt, "answered %q, which no worker has finished", t.Body)
 	}
 }
 
 // checkRuns checks the runs of a job, the earliest first.
 func (v *violations) checkRuns(id string, runs []fake.Run) {
 	if !v.submitted[id] {
-		v.add("asked for", id, runs[0].Worker, runs[0].Began, "begun, and no client has asked")
+		v.add("submitted", id, runs[0].Worker, runs[0].Began, "begun, and no client has submitted it")
 	}
 	for i, r := range runs {
 		v.checkDrains(id, r)
@@ -115,7 +115,7 @@
 		case r.Class == "plan-change":
 			v.add("once", id, r.Worker, r.Began, "begun before at %s", first.Worker)
 		case r.Class == "bill-pay" && v.observations.CellOf[r.Worker] != v.observations.CellOf[first.Worker]:
-			v.add("once a shelf", id, r.Worker, r.Began, "begun before at %s, of another cell", first.Worker)
+			v.add("once per cell", id, r.Worker, r.Began, "begun before at %s, of another cell", first.Worker)
 		}
 	}
 }
@@ -125,23 +125,23 @@
 	for _, d := range v.observations.Drained[r.Worker] {
 		late := r.Received.Sub(d.From)
 		if late > drainPropagation+drainSlack && d.overlaps(r.Received, r.Received) && !v.observations.hadOutage(schedulerOf(id), d.From, r.Received) {
-			v.add("drains kept", id, r.Worker, r.Received, "came %v after all were told that the box leaves", late)
+			v.add("drains observed", id, r.Worker, r.Received, "received %v after discovery said that the worker drains", late)
 		}
 	}
 }
 
 // Summary counts the answers to clients.
 type Summary struct {
-	Asked, Served, InTime, Refused, Failed, Silent int
+	Submitted, Served, InTime, Refused, Failed, Unanswered int
 }
 
 // Summarize counts the answers to jobs that were submitted at or after a moment; InTime are those that were served within a time.
-func Summarize(told []fake.Response, since time.Time, within time.Duration) (s Summary) {
-	for _, t := range told {
+func Summarize(answers []fake.Response, since time.Time, within time.Duration) (s Summary) {
+	for _, t := range answers {
 		if t.SentAt.Before(since) {
 			continue
 		}
-		s.Asked++
+		s.Submitted++
 		switch t.Status {
 		case http.StatusOK:
 			s.Served++
@@ -151,7 +151,7 @@
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 			s.Refused++
 		case 0:
-			s.Silent++
+			s.Unanswered++
 		default:
 			s.Failed++
 		}
--- a/internal/journal/store/store.go
+++ b/internal/journal/store/store.go
@@ -53,13 +53,13 @@
 	maxSegmentSize      = 16 << 20                // bytes
 )
 
-// ErrNoRoom is passed to the callback of a record that could not be written.
-var ErrNoRoom = errors.New("the journal has no room")
+// ErrWriteFailed is passed to the callback of a record that could not be written.
+var ErrWriteFailed = errors.New("the journal has no room")
 
 // ErrClosed is passed to callbacks that still wait when the Store closes.
 var ErrClosed = errors.New("the journal is closed")
 
-// request is what the Store's goroutine is asked for: a record to write, a call, or, without both, to shut down.
+// request is a request to the Store's goroutine: a record to write, a call to make or, with neither, to shut down.
 type request struct {
 	record journal.Record
 	done   func(error) // called once the record is durable, or cannot be; may be nil
--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -36,17 +36,17 @@
 		}
 	}
 	n.Counts.Workers, n.Counts.Subset, n.Counts.Shares = len(ids), len(n.subset), n.sharers
-	n.subsetChanged = n.subsetChanged || n.anyHeard
+	n.subsetChanged = n.subsetChanged || n.anyActive
 }
 
-// TakeSubsetChange calls f with the subset if that may have changed since the last call. While no member is heard there is none: all
-// workers are equal, as without other schedulers. The slice is valid until the list of workers is set again.
+// TakeSubsetChange calls f with the subset if that may have changed since the last call. While no other member is active there is no subset:
+// all workers are equal, as without other schedulers. The slice is valid until the list of workers is set again.
 func (n *Node) TakeSubsetChange(f func(workers []string, sharers int)) {
 	if !n.subsetChanged {
 		return
 	}
 	n.subsetChanged = false
-	if n.anyHeard {
+	if n.anyActive {
 		f(n.Subset())
 	} else {
 		f(nil, 0)
--- a/internal/peers/revisions_test.go
+++ b/internal/peers/revisions_test.go
@@ -11,19 +11,20 @@
 	"pgregory.net/rapid"
 )
 
-// large also plays what takes long under the race detector: 300 members that lose half of all, and the price of a change there.
-var large = flag.Bool("large", false, "play the large sites whole")
+// large also runs what takes long under the race detector: 300 members that lose half of all datagrams, and the traffic of a change
+// there.
+var large = flag.Bool("large", false, "run the tests of large sites completely")
 
-// begin starts a member's run with a configuration.
-func (n *net) begin(m int, run uint16, r Revision) {
+// begin starts a generation of a member with a configuration.
+func (n *network) begin(m int, run uint16, r Revision) {
 	o := options(m, len(n.nodes))
 	o.Generation, o.DetectorRand, o.Revision = run, rand.New(rand.NewPCG(uint64(m), uint64(run))), r
 	n.nodes[m], n.down[m] = New(o), false
 }
 
-// site is a net whose members all have revision 41 in force, which all know.
-func site(members int, seed uint64) *net {
-	n := &net{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
+// newRevisionNetwork returns a network whose members all have revision 41 in force, and have converged.
+func newRevisionNetwork(members int, seed uint64) *network {
+	n := &network{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
 	for m := range members {
 		n.begin(m, 1, Revision{41, 0xa1})
 	}
@@ -31,9 +32,9 @@
 	return n
 }
 
-// ready is the same at once: all know of all, as long after their start. For sizes at which the start takes long to play.
-func ready(members int, seed uint64) *net {
-	n := &net{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
+// newConvergedNetwork returns the same without simulating the start, for sizes at which that takes long.
+func newConvergedNetwork(members int, seed uint64) *network {
+	n := &network{rand: rand.New(rand.NewPCG(seed, 2)), down: map[int]bool{}, nodes: make([]*Node, members)}
 	for m := range members {
 		n.begin(m, 1, Revision{41, 0xa1})
 		w, k := &n.nodes[m].detector, &n.nodes[m].revisionTable
@@ -46,14 +47,14 @@
 	return n
 }
 
-func (n *net) revise(m int, r Revision) {
+func (n *network) setRevision(m int, r Revision) {
 	n.nodes[m].SetRevision(n.now, r)
-	n.nodes[m].Flush(n.now, n.post(m))
+	n.nodes[m].Flush(n.now, n.sendFrom(m))
 }
 
-// untold returns how many pairs there are of a member that is up and one that it holds for there, but of which it does not know
-// what that has in force.
-func (n *net) untold() (pairs int) {
+// unknownRevisions returns the number of pairs of a member that is up and one that it considers present without knowing that one's
+// revision in force.
+func (n *network) unknownRevisions() (pairs int) {
 	for i, node := range n.nodes {
 		for m := range n.nodes {
 			if w := node.activeEntry(m); !n.down[i] && node.isPresent(m) && (w == nil || w.Revision != n.nodes[m].revisionTable.entries[m].Revision) {
@@ -64,17 +65,17 @@
 	return pairs
 }
 
-// settle goes on until all know what all have in force, and returns how long that took.
-func (n *net) settle(most time.Duration) time.Duration {
+// awaitConvergence runs the network until all know the revisions of all, and returns how long that took.
+func (n *network) awaitConvergence(most time.Duration) time.Duration {
 	start := n.now
-	for n.untold() > 0 && n.now-start < most {
+	for n.unknownRevisions() > 0 && n.now-start < most {
 		n.run(50 * ms)
 	}
 	return n.now - start
 }
 
-// newest returns the highest revision in force at one that is up.
-func (n *net) newest() (newest uint32) {
+// newest returns the highest revision in force at a member that is up.
+func (n *network) newest() (newest uint32) {
 	for m, node := range n.nodes {
 		if n.up(m) {
 			newest = max(newest, node.revisionTable.entries[m].Number)
@@ -83,8 +84,8 @@
 	return newest
 }
 
-// untrue compares what all that are up tell of the others with what is so; empty: nothing is wrong.
-func (n *net) untrue() string {
+// wrongStatus compares the Status of all members that are up with the real state; empty: all agree.
+func (n *network) wrongStatus() string {
 	newest := n.newest()
 	for i, node := range n.nodes {
 		if n.down[i] {
@@ -92,10 +93,10 @@
 		}
 		s := node.Status(n.now)
 		if s.Newest != newest {
-			return fmt.Sprintf("%d takes %d for the newest, it is %d", i, s.Newest, newest)
+			return fmt.Sprintf("%d reports %d as the newest, it is %d", i, s.Newest, newest)
 		}
 		for m, got := range s.Members {
-			if wrong := n.untrueOf(i, m, newest, got); wrong != "" {
+			if wrong := n.wrongMemberStatus(i, m, newest, got); wrong != "" {
 				return wrong
 			}
 		}
@@ -103,22 +104,22 @@
 	return ""
 }
 
-// untrueOf compares what one tells of another with what is so.
-func (n *net) untrueOf(i, m int, newest uint32, got MemberStatus) string {
+// wrongMemberStatus compares what one member reports of another with the real state.
+func (n *network) wrongMemberStatus(i, m int, newest uint32, got MemberStatus) string {
 	is := n.nodes[m].revisionTable.entries[m].Revision
 	switch behind := got.BehindMS >= 0; {
 	case n.down[m] && (got.Digest != "" || behind || got.Differs):
-		return fmt.Sprintf("%d still tells of %d, which is gone: %+v", i, m, got)
+		return fmt.Sprintf("%d still has an entry of %d, which is down: %+v", i, m, got)
 	case !n.down[m] && (got.Revision != is.Number || got.Digest != fmt.Sprintf("%08x", is.Digest)):
-		return fmt.Sprintf("%d says of %d %+v, it has %+v", i, m, got, is)
+		return fmt.Sprintf("%d reports of %d %+v, it has %+v", i, m, got, is)
 	case !n.down[m] && behind != (is.Number < newest):
-		return fmt.Sprintf("%d says of %d, of newest %d, %+v", i, m, newest, got)
+		return fmt.Sprintf("%d reports of %d, newest %d, %+v", i, m, newest, got)
 	}
 	return ""
 }
 
-// behind returns whom a member names as behind.
-func (n *net) behind(i int) (who []int) {
+// behindMembers returns the members that a member reports as behind.
+func (n *network) behindMembers(i int) (who []int) {
 	for _, m := range n.nodes[i].Status(n.now).Members {
 		if m.BehindMS >= 0 {
 			who = append(who, m.Number)
@@ -127,8 +128,9 @@
 	return who
 }
 
-// Guards the times: what one changes, and what all change, is known to all within seconds, also with half of the datagrams lost.
-func TestAllLearnOfAChange(t *testing.T) {
+// Guards the time of convergence: a change at one member, and at all, is known to all within seconds, also with half of the
+// datagrams lost.
+func TestRevisionConvergenceTime(t *testing.T) {
 	for _, c := range []struct {
 		members int
 		loss    float64
@@ -138,19 +140,19 @@
 			if c.members > 100 && c.loss > 0 && !*large {
 				t.Skip("only with -large")
 			}
-			n := ready(c.members, 3)
-			n.loss = c.loss
+			n := newConvergedNetwork(c.members, 3)
+			n.lossRate = c.loss
 			n.run(time.Second)
-			n.revise(1, Revision{42, 0xb2})
-			one := n.settle(c.most)
-			if p := n.untold(); p > 0 {
+			n.setRevision(1, Revision{42, 0xb2})
+			one := n.awaitConvergence(c.most)
+			if p := n.unknownRevisions(); p > 0 {
 				t.Errorf("one has changed: %d pairs do not know it after %v", p, one)
 			}
 			for m := range c.members {
-				n.revise(m, Revision{43, 0xc3})
+				n.setRevision(m, Revision{43, 0xc3})
 			}
-			all := n.settle(c.most)
-			if p := n.untold(); p > 0 {
+			all := n.awaitConvergence(c.most)
+			if p := n.unknownRevisions(); p > 0 {
 				t.Errorf("all have changed: %d pairs do not know it after %v", p, all)
 			}
 			t.Logf("known after %v, and %v where all change at once", one, all)
@@ -158,11 +160,11 @@
 	}
 }
 
-// Guards the price: at rest a scheduler sends less than 200 bytes a second, those of the watch among them; and a change that
-// reaches all at once costs it no more than some tellings of each word.
-func TestTellingIsCheap(t *testing.T) {
+// Guards the traffic: at rest a member sends less than 200 bytes a second, those of failure detection included; and a change at all
+// members at once costs each of them no more than some transmissions of each entry.
+func TestRevisionTraffic(t *testing.T) {
 	for _, members := range []int{14, 60, 300} {
-		n := ready(members, 4)
+		n := newConvergedNetwork(members, 4)
 		n.run(time.Second)
 		before := n.sent()
 		n.run(4 * time.Second)
@@ -176,7 +178,7 @@
 		}
 		before = n.sent()
 		for m := range members {
-			n.revise(m, Revision{42, 0xb2})
+			n.setRevision(m, Revision{42, 0xb2})
 		}
 		n.run(5 * time.Second)
 		change := float64(n.sent()-before)/float64(members) - 5*rest
@@ -189,129 +191,129 @@
 
 // Guards against the first of two changes that overtakes the second.
 func TestTwoChangesInOneSecond(t *testing.T) {
-	n := site(14, 6)
-	n.late, n.repeat = 600*ms, 0.5
+	n := newRevisionNetwork(14, 6)
+	n.extraDelay, n.duplicateRate = 600*ms, 0.5
 	for number := uint32(42); number <= 43; number++ {
 		for m := range n.nodes {
-			n.revise(m, Revision{number, number})
+			n.setRevision(m, Revision{number, number})
 			n.run(25 * ms)
 		}
 	}
 	n.run(2 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Error(w)
 	}
 	n.run(5 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Errorf("later: %s", w)
 	}
 }
 
-// Guards against a change that was taken back and goes on as the newest, by which all would count as behind.
-func TestOneTakenBack(t *testing.T) {
-	n := site(14, 7)
-	n.late, n.repeat = 600*ms, 0.5
+// Guards against a change that was reverted and still counts as the newest, by which all would be behind.
+func TestRevertedRevision(t *testing.T) {
+	n := newRevisionNetwork(14, 7)
+	n.extraDelay, n.duplicateRate = 600*ms, 0.5
 	for m := range 6 {
-		n.revise(m, Revision{42, 0xb2})
+		n.setRevision(m, Revision{42, 0xb2})
 	}
 	n.run(time.Second)
-	if b := n.behind(9); len(b) != 8 {
+	if b := n.behindMembers(9); len(b) != 8 {
 		t.Errorf("before: %v are behind, want the 8 that lack the change", b)
 	}
 	for m := range 6 {
-		n.revise(m, Revision{41, 0xa1})
+		n.setRevision(m, Revision{41, 0xa1})
 	}
 	n.run(2 * time.Second)
-	if w := n.untrue(); w != "" {
+	if w := n.wrongStatus(); w != "" {
 		t.Error(w)
 	}
 	for i := range n.nodes {
-		if b := n.behind(i); len(b) > 0 {
-			t.Errorf("%d names %v though all took it back", i, b)
+		if b := n.behindMembers(i); len(b) > 0 {
+			t.Errorf("%d reports %v as behind though all reverted it", i, b)
 		}
 	}
 	n.run(LagThreshold + minLagObservation)
 	for i, node := range n.nodes {
-		node.Lags(func(l Lag) { t.Errorf("%d reports %+v though all took it back", i, l) })
+		node.Lags(func(l Lag) { t.Errorf("%d reports %+v though all reverted it", i, l) })
 	}
 }
 
-// Guards against a process that was frozen during a change: meanwhile it does not count, then all name it, and it sees so itself.
-func TestAProcessFrozenForTenSeconds(t *testing.T) {
-	n := site(14, 8)
+// Guards a member that was suspended during a change: meanwhile it does not count, then all report it as behind, itself included.
+func TestSuspendedDuringRevisionChange(t *testing.T) {
+	n := newRevisionNetwork(14, 8)
 	n.down[4] = true
 	n.run(time.Second)
 	for m := range n.nodes {
 		if m != 4 {
-			n.revise(m, Revision{42, 0xb2})
+			n.setRevision(m, Revision{42, 0xb2})
 		}
 	}
 	n.run(9 * time.Second)
-	if w := n.untrue(); w != "" {
-		t.Errorf("frozen: %s", w)
+	if w := n.wrongStatus(); w != "" {
+		t.Errorf("suspended: %s", w)
 	}
 	n.down[4] = false
 	n.run(3 * time.Second)
-	if w := n.untrue(); w != "" {
-		t.Errorf("3 s after it woke: %s", w)
+	if w := n.wrongStatus(); w != "" {
+		t.Errorf("3 s after it resumed: %s", w)
 	}
 	for i := range n.nodes {
-		if b := n.behind(i); !slices.Equal(b, []int{4}) {
-			t.Errorf("3 s after it woke %d names %v, want 4", i, b)
+		if b := n.behindMembers(i); !slices.Equal(b, []int{4}) {
+			t.Errorf("3 s after it resumed %d reports %v as behind, want 4", i, b)
 		}
 	}
-	n.revise(4, Revision{42, 0xb2})
+	n.setRevision(4, Revision{42, 0xb2})
 	n.run(2 * time.Second)
-	if w := n.untrue(); w != "" {
-		t.Errorf("once it has read again: %s", w)
+	if w := n.wrongStatus(); w != "" {
+		t.Errorf("after its reload: %s", w)
 	}
 }
 
-// Guards the list of those that lack a change while half of them do, at half loss too.
-func TestHalfOfTheSchedulersOnTheOldConfiguration(t *testing.T) {
+// Guards the list of members that lack a change while half of them do, also with half of the datagrams lost.
+func TestHalfOnTheOldRevision(t *testing.T) {
 	for _, loss := range []float64{0, 0.5} {
-		n := site(14, 9)
-		n.loss = loss
+		n := newRevisionNetwork(14, 9)
+		n.lossRate = loss
 		for m := 0; m < 14; m += 2 {
-			n.revise(m, Revision{42, 0xb2})
+			n.setRevision(m, Revision{42, 0xb2})
 		}
-		n.settle(6 * time.Second)
-		n.loss = 0
-		n.run(3 * time.Second) // the watch may have wavered
-		if w := n.untrue(); w != "" {
+		n.awaitConvergence(6 * time.Second)
+		n.lossRate = 0
+		n.run(3 * time.Second) // failure detection may have suspected some
+		if w := n.wrongStatus(); w != "" {
 			t.Errorf("loss %v: %s", loss, w)
 		}
 		for i := range n.nodes {
-			if b := n.behind(i); !slices.Equal(b, []int{1, 3, 5, 7, 9, 11, 13}) {
-				t.Errorf("loss %v: %d names %v, want the odd ones", loss, i, b)
+			if b := n.behindMembers(i); !slices.Equal(b, []int{1, 3, 5, 7, 9, 11, 13}) {
+				t.Errorf("loss %v: %d reports %v as behind, want the odd ones", loss, i, b)
 			}
 		}
 	}
 }
 
-// Guards against the word of one that is gone, by which all others count as behind for ever.
-func TestNoWordOutlivesItsSender(t *testing.T) {
-	n := site(14, 10)
-	n.revise(3, Revision{99, 0xff})
+// Guards against the entry of a member that has failed, by which all others would be behind for ever.
+func TestEntryExpiresWithItsMember(t *testing.T) {
+	n := newRevisionNetwork(14, 10)
+	n.setRevision(3, Revision{99, 0xff})
 	n.run(2 * time.Second)
-	if b := n.behind(0); len(b) != 13 {
+	if b := n.behindMembers(0); len(b) != 13 {
 		t.Fatalf("%v are behind, want all but 3", b)
 	}
 	n.down[3] = true
 	n.run(3 * time.Second)
-	if w := n.untrue(); w != "" {
-		t.Errorf("it is gone: %s", w)
+	if w := n.wrongStatus(); w != "" {
+		t.Errorf("it is down: %s", w)
 	}
-	n.begin(3, 2, Revision{41, 0xa1}) // the former run's 99 was later than any that comes
+	n.begin(3, 2, Revision{41, 0xa1}) // the 99 of the generation before is higher than any that follows
 	n.run(2 * time.Second)
-	if w := n.untrue(); w != "" {
-		t.Errorf("it is back: %s", w)
+	if w := n.wrongStatus(); w != "" {
+		t.Errorf("it has restarted: %s", w)
 	}
 }
 
-// Guards against what a run said that is over, while nothing is heard of what the next has in force.
-func TestARestartVoidsTheWordOfTheRunBefore(t *testing.T) {
-	b := hearer()
+// Guards against the entry of an earlier generation, while none of the next one has been received.
+func TestRestartInvalidatesEntry(t *testing.T) {
+	b := newReceiver()
 	b.revisionTable.entries[2] = revisionEntry{generation: 3, Revision: Revision{99, 0xff}, known: true, behindSince: -1}
 	if s := b.Status(time.Second); s.Newest != 99 || s.Members[2].Revision != 99 || s.Members[1].BehindMS < 0 {
 		t.Fatalf("before: newest %d, %+v", s.Newest, s.Members[1:3])
@@ -322,9 +324,9 @@
 	}
 }
 
-// Guards against schedulers with other content under the same number, which nobody would name.
-func TestOtherContentUnderTheSameNumber(t *testing.T) {
-	n := site(5, 11)
+// Guards against members with another content under the same revision number that are not reported.
+func TestDifferingDigests(t *testing.T) {
+	n := newRevisionNetwork(5, 11)
 	differ := func() (who []int) {
 		for _, m := range n.nodes[4].Status(n.now).Members {
 			if m.Differs {
@@ -341,25 +343,25 @@
 		{42, [5]uint32{1, 1, 1, 1, 1}, nil},
 		{43, [5]uint32{9, 1, 1, 1, 1}, []int{0}},
 		{44, [5]uint32{9, 1, 9, 1, 5}, []int{1, 3, 4}}, // two of each: 0 decides
-		{0, [5]uint32{1, 1, 2, 1, 2}, []int{2, 4}},     // nobody counts: only the content tells
+		{0, [5]uint32{1, 1, 2, 1, 2}, []int{2, 4}},     // no revision numbers: only the digests differ
 	} {
 		for m, d := range c.digests {
-			n.revise(m, Revision{c.number, d})
+			n.setRevision(m, Revision{c.number, d})
 		}
 		n.run(2 * time.Second)
-		if got := differ(); !slices.Equal(got, c.want) || len(n.behind(4)) > 0 {
-			t.Errorf("%v: %v differ and %v are behind, want %v and nobody", c.digests, got, n.behind(4), c.want)
+		if got := differ(); !slices.Equal(got, c.want) || len(n.behindMembers(4)) > 0 {
+			t.Errorf("%v: %v differ and %v are behind, want %v and nobody", c.digests, got, n.behindMembers(4), c.want)
 		}
 	}
-	n.revise(0, Revision{45, 1})
+	n.setRevision(0, Revision{45, 1})
 	n.run(2 * time.Second)
-	if got := differ(); len(got) > 0 || len(n.behind(4)) != 4 {
-		t.Errorf("with one on a later revision %v differ and %v are behind, want nobody and the other four", got, n.behind(4))
+	if got := differ(); len(got) > 0 || len(n.behindMembers(4)) != 4 {
+		t.Errorf("with one on a later revision %v differ and %v are behind, want nobody and the other four", got, n.behindMembers(4))
 	}
 }
 
-// Guards how long one is behind: since the first that it lacks, not since the last; and what was taken back counts for nothing.
-func TestForHowLong(t *testing.T) {
+// Guards the duration of a lag: since the first revision that the member lacks, not since the last; reverted ones do not count.
+func TestLagSinceFirstMissedRevision(t *testing.T) {
 	var k revisionTable
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for _, c := range []struct {
@@ -369,16 +371,16 @@
 		behind   float64
 		whatever string
 	}{
-		{0, 40, 40, 0, "all level"},
+		{0, 40, 40, 0, "none behind"},
 		{5, 41, 40, 0, "41 has just come"},
 		{10, 42, 40, 5, "two behind: since 41"},
 		{10, 42, 41, 0, "one behind: since 42"},
 		{20, 42, 41, 10, "the same, later"},
-		{21, 41, 40, 16, "42 is taken back"},
+		{21, 41, 40, 16, "42 is reverted"},
 		{22, 42, 41, 0, "and comes again"},
 		{30, 45, 40, 25, "one that skips some"},
 		{31, 44, 42, 1, "those that skipped go back by one: since 45 came"},
-		{32, 40, 40, 0, "all is taken back"},
+		{32, 40, 40, 0, "all are reverted"},
 	} {
 		k.updateHistory(at(c.at), c.newest)
 		if got := k.lagOf(at(c.at), c.of); got != at(c.behind) {
@@ -393,14 +395,14 @@
 	}
 }
 
-// Guards the table through all that members and a network do: whatever it holds was said, by that run; and once messages have
-// flowed for a while all agree with what is so.
-func TestRevisionsComeTrue(t *testing.T) {
+// Guards the table through all faults of members and network: each entry was stated by its member, in that generation; and once
+// datagrams arrive again for a while all tables are right.
+func TestRevisionsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := rapid.IntRange(2, 9).Draw(t, "members")
-		n := site(members, rapid.Uint64().Draw(t, "seed"))
-		n.loss, n.repeat = rapid.Float64Range(0, 0.5).Draw(t, "loss"), rapid.Float64Range(0, 0.5).Draw(t, "repeat")
-		n.late = rapid.SampledFrom([]time.Duration{0, 300 * ms, 900 * ms}).Draw(t, "late")
+		n := newRevisionNetwork(members, rapid.Uint64().Draw(t, "seed"))
+		n.lossRate, n.duplicateRate = rapid.Float64Range(0, 0.5).Draw(t, "loss"), rapid.Float64Range(0, 0.5).Draw(t, "repeat")
+		n.extraDelay = rapid.SampledFrom([]time.Duration{0, 300 * ms, 900 * ms}).Draw(t, "late")
 		type said struct {
 			member      int
 			run, serial uint16
@@ -419,38 +421,38 @@
 			m := rapid.IntRange(0, members-1).Draw(t, "member")
 			r := n.nodes[m].revisionTable.entries[m].Revision
 			switch what := rapid.IntRange(0, 7).Draw(t, "what"); what {
-			case 0, 1, 2: // a change, one taken back, other content
+			case 0, 1, 2: // a change, a reverted one, another content
 				r = Revision{max(1, r.Number+[]uint32{1, ^uint32(0), 0}[what]), uint32(rapid.IntRange(1, 3).Draw(t, "digest"))}
 				if !n.down[m] {
-					n.revise(m, r)
+					n.setRevision(m, r)
 					note(m)
 				}
 			case 3:
 				n.down[m] = true
 			case 4:
-				n.down[m] = false // it was frozen
+				n.down[m] = false // it was suspended
 			case 5:
 				runs[m]++
 				n.begin(m, 1+runs[m], Revision{uint32(rapid.IntRange(0, 43).Draw(t, "read")), 7})
 				note(m)
 			case 6:
 				cut := rapid.IntRange(0, members).Draw(t, "cut")
-				n.cut = func(from, to int) bool { return from < cut && to >= cut }
+				n.linkDown = func(from, to int) bool { return from < cut && to >= cut }
 			default:
-				n.cut = nil
+				n.linkDown = nil
 			}
 			n.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "for")) * 50 * ms)
 			for i, node := range n.nodes {
 				for m := range n.nodes {
 					if w := node.activeEntry(m); w != nil && !log[said{m, w.generation, w.serial, w.Revision}] {
-						t.Fatalf("%d holds of %d what that run never said: %+v", i, m, *w)
+						t.Fatalf("%d has an entry of %d that this generation never stated: %+v", i, m, *w)
 					}
 				}
 			}
 		}
-		n.cut, n.loss, n.late, n.repeat = nil, 0, 0, 0
-		n.run(900*ms + 3*time.Second + 2*time.Second) // what was late, the watch, then the table
-		if w := n.untrue(); w != "" {
+		n.linkDown, n.lossRate, n.extraDelay, n.duplicateRate = nil, 0, 0, 0
+		n.run(900*ms + 3*time.Second + 2*time.Second) // delayed datagrams, failure detection, then the table
+		if w := n.wrongStatus(); w != "" {
 			t.Fatal(w)
 		}
 	})
