--- a/internal/faultinjection/cluster_test.go
+++ b/internal/faultinjection/cluster_test.go
@@ -129,6 +129,15 @@
 	return came
 }
 
+// worstWindow returns the highest quotient of the arrivals in a window and its budget. Arrivals are sorted.
+func worstWindow(arrivals []time.Duration, window time.Duration, budget func(at time.Duration) float64) (worst float64) {
+	for first, at := range arrivals {
+		n, _ := slices.BinarySearch(arrivals[first:], at+window)
+		worst = max(worst, float64(n)/budget(at))
+	}
+	return worst
+}
+
 // Guards against cold workers that are overloaded by the sum of twenty schedulers: six of those have just restarted and learned
 // nothing yet, and half of them receive no datagrams of the other half.
 func TestColdWorkersUnderTwentySchedulers(t *testing.T) {
@@ -168,16 +177,16 @@
 	stop()
 	r.checkRules(t, <-answers)
 	came := r.arrivals(began)
+	// budget is how many attempts a worker may get in the window that begins at a time after its start, with slack for randomness.
+	budget := func(at time.Duration) float64 {
+		capacity := slots / work.Seconds() * (start + (1-start)*at.Seconds()/warmUp.Seconds())
+		mean := multiple * capacity * fall.Seconds()
+		return mean + 2*math.Sqrt(mean) + 2
+	}
 	for i := range cold {
 		all := came[workerName(i)]
 		slices.Sort(all)
-		worst := 0.0
-		for first, at := range all {
-			n, _ := slices.BinarySearch(all[first:], at+fall)
-			capacity := slots / work.Seconds() * (start + (1-start)*at.Seconds()/warmUp.Seconds())
-			budget := multiple * capacity * fall.Seconds()
-			worst = max(worst, float64(n)/(budget+2*math.Sqrt(budget)+2))
-		}
+		worst := worstWindow(all, fall, budget)
 		t.Logf("%s: %d jobs while cold, at most %.2f of its budget in %v", workerName(i), len(all), worst, fall)
 		if worst > 1 {
 			t.Errorf("%s got %.2f times its budget", workerName(i), worst)
--- a/internal/faultinjection/tenants_test.go
+++ b/internal/faultinjection/tenants_test.go
@@ -98,6 +98,17 @@
 	}
 }
 
+// acceptsAllSince returns a check that no datagram was rejected since an earlier page, and 20 were received.
+func acceptsAllSince(before peerPage) func(*peerPage) error {
+	return func(a *peerPage) error {
+		if a.Counts.Refused != before.Counts.Refused || a.Counts.Received < before.Counts.Received+20 {
+			return fmt.Errorf("rejected %d, before %d; received %d, before %d", a.Counts.Refused, before.Counts.Refused,
+				a.Counts.Received, before.Counts.Received)
+		}
+		return nil
+	}
+}
+
 // Guards schedulers of which half have new tenants, one of them since its start: they use each other's load reports, each knows
 // which are behind, and one that has missed three changes catches up by one reload.
 func TestHalfOnTheOldTenants(t *testing.T) {
@@ -139,13 +150,7 @@
 	}
 	stop()
 	for i, s := range f.Schedulers {
-		f.awaitPage(s, "no datagram is rejected", func(a *peerPage) error {
-			if a.Counts.Refused != before[i].Counts.Refused || a.Counts.Received < before[i].Counts.Received+20 {
-				return fmt.Errorf("rejected %d, before %d; received %d, before %d", a.Counts.Refused, before[i].Counts.Refused,
-					a.Counts.Received, before[i].Counts.Received)
-			}
-			return nil
-		})
+		f.awaitPage(s, "no datagram is rejected", acceptsAllSince(before[i]))
 	}
 	f.reconfigure(newest, old...)
 	f.awaitServed("south", old...)
@@ -389,6 +394,19 @@
 	}
 }
 
+// awaitLastConfiguration waits until all schedulers have the last revision, with the tenants that are there, while datagrams are
+// lost, and heals the network.
+func (f *trial) awaitLastConfiguration(revision int, there map[string]bool) {
+	f.t.Helper()
+	f.awaitChangingTenants(there, true)
+	f.awaitRevision(revision, f.Schedulers...) // half of the datagrams are still lost
+	f.awaitChangingTenants(there, false)
+	f.Network.Heal()
+	if err := f.awaitAllAlive(); err != nil {
+		f.t.Error(err)
+	}
+}
+
 // Guards a sequence of random changes, each for some of the schedulers, while datagrams are lost, one scheduler freezes and one is
 // killed: no job of a tenant that stays is rejected, no job is lost, and in the end all have the last configuration in force.
 func TestRandomTenantChanges(t *testing.T) {
@@ -432,13 +450,7 @@
 	}
 	last, there := drawConfiguration(r, revision+1)
 	f.reconfigure(last, f.Schedulers...)
-	f.awaitChangingTenants(there, true)
-	f.awaitRevision(last.Revision, f.Schedulers...) // half of the datagrams are still lost
-	f.awaitChangingTenants(there, false)
-	f.Network.Heal()
-	if err := f.awaitAllAlive(); err != nil {
-		t.Error(err)
-	}
+	f.awaitLastConfiguration(last.Revision, there)
 	f.finish()
 	f.checkStayingTenant("valley")
 	for _, name := range changingTenants {
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -19,8 +19,7 @@
 
 const head = "defaults\n mode http\nfrontend f\n bind :80\n default_backend b\nbackend b\n server s 10.0.0.1:80\n"
 
-// Guards errors: each malformed line is named, all of them and not only the first, and
-// nothing is written.
+// Guards errors: all malformed lines are named, not only the first, and there is no result.
 func TestErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"server s 1.2.3.4:80\n":                     `x.cfg:1: "server" stands before any section`,
@@ -61,9 +60,9 @@
 	}
 }
 
-// Guards what stands in the file that is written: no zeros, no usual values, and where
-// each part came from.
-func TestWritten(t *testing.T) {
+// Guards the content of the written file: no zeros, no default values, and the origin of each
+// part.
+func TestWrittenFile(t *testing.T) {
 	got, err := importText(head+" balance leastconn\n option httpchk GET /up\n server u 10.0.0.2:80 weight 0 check\n retries 0\n", haproxy.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +79,7 @@
 	}
 	for _, no := range []string{"= 0.0", "= \"\"", "= false", "kind = \"\"", "[]", "maxconn = 0", "rise", "settings"} {
 		if strings.Contains(text, no) {
-			t.Errorf("%q stands in\n%s", no, text)
+			t.Errorf("%q is in\n%s", no, text)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "o.toml")
@@ -121,7 +120,7 @@
 	}
 }
 
-// A file of ten thousand lines is imported in a moment, with every line accounted for.
+// Guards the import of a file of ten thousand lines: it is fast, and every line has its entry.
 func TestTenThousandLines(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("defaults\n mode http\nfrontend f\n bind :80\n")
@@ -141,7 +140,7 @@
 	}
 }
 
-// FuzzImport: no input panics or hangs, and no directive disappears.
+// FuzzImport checks that no input panics or hangs, and each directive has its entry.
 func FuzzImport(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*.cfg")
 	for _, file := range files {
@@ -159,7 +158,7 @@
 		got, err := importText(text, haproxy.Options{Env: map[string]string{"A": "1"}})
 		if got == nil {
 			if err == nil {
-				t.Error("nothing, and no error")
+				t.Error("neither a result nor an error")
 			}
 			return
 		}
@@ -173,7 +172,7 @@
 		for i, line := range strings.Split(text, "\n") {
 			line = strings.Trim(line, " \t\r")
 			if line != "" && !strings.HasPrefix(line, "#") && !at[i+1] {
-				t.Errorf("line %d disappears: %q", i+1, line)
+				t.Errorf("line %d has no entry: %q", i+1, line)
 			}
 		}
 		var b bytes.Buffer
--- a/internal/haproxy/reference_samples_test.go
+++ b/internal/haproxy/reference_samples_test.go
@@ -141,7 +141,7 @@
 	return false
 }
 
-// refMethod takes the way to match off a sample's name.
+// refMethod splits a sample's name into fetch and matching method.
 func refMethod(sample string) (expr, how string) {
 	expr = sample
 	name, _, _ := strings.Cut(expr, "(")
@@ -154,7 +154,7 @@
 	return expr, how
 }
 
-// refFlags reads the flags in front of the patterns.
+// refFlags parses the flags before the patterns.
 func refFlags(method string, words []string) (how string, fold bool, rest []string) {
 	how, rest = method, words
 	for len(rest) > 0 && strings.HasPrefix(rest[0], "-") {
@@ -198,7 +198,7 @@
 	return a == b
 }
 
-// holds evaluates the words from if or unless on.
+// holds evaluates a condition, whose first word is if or unless.
 func (c *refConf) holds(s *refSection, words []string, q *refRequest) bool {
 	if len(words) == 0 {
 		return true
@@ -248,7 +248,7 @@
 	return words, nil
 }
 
-// format fills %[...] in.
+// format expands %[...].
 func (c *refConf) format(s string, q *refRequest) string {
 	return regexp.MustCompile(`%\[([^\]]*)\]`).ReplaceAllStringFunc(s, func(m string) string {
 		got, _ := c.sample(m[2:len(m)-1], q)
--- a/internal/haproxy/reference_test.go
+++ b/internal/haproxy/reference_test.go
@@ -8,9 +8,8 @@
 	"strings"
 )
 
-// This is a model of what HAProxy's manual says that it does with a request. It is
-// written apart from the importer and shares nothing with it: it walks the text of the
-// configuration anew for each request.
+// This is a model of HAProxy by its manual. It is independent of the importer and shares no
+// code with it: it interprets the text of the configuration for each request.
 
 type refRequest struct {
 	method, path, query, host, src string
@@ -160,7 +159,7 @@
 	q.headers = slices.DeleteFunc(q.headers, func(h [2]string) bool { return strings.EqualFold(h[0], name) })
 }
 
-// rules walks http-request lines. It returns an answer if one of them gives it.
+// rules applies http-request lines. It returns an answer if one of them gives one.
 func (c *refConf) rules(s *refSection, q *refRequest) *refAnswer {
 	for _, l := range c.lines(s, "http-request") {
 		act, cond := refCut(l[1:])
@@ -233,8 +232,8 @@
 	return a
 }
 
-// ask says what becomes of a request that comes to a frontend or listen section.
-func (c *refConf) ask(front string, q refRequest) *refAnswer {
+// result returns what becomes of a request to a frontend or listen section.
+func (c *refConf) result(front string, q refRequest) *refAnswer {
 	q.headers = slices.Clone(q.headers)
 	s := c.find("frontend listen", front)
 	for _, l := range c.lines(s, "monitor-uri") {
@@ -346,7 +345,7 @@
 	return cookie
 }
 
-// weights returns each address's part of a backend's turns.
+// weights returns each address's share of a backend's requests.
 func (c *refConf) weights(b *refSection) map[string]float64 {
 	base := 1.0
 	for _, l := range c.lines(b, "default-server") {
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -27,14 +27,14 @@
 	"sedgevale/internal/testkit"
 )
 
-// seen is what a stand-in server tells of a request that it got.
+// seen is a request as a fake server received it.
 type seen struct {
 	Addr    string              `json:"addr"`
 	Target  string              `json:"target"`
 	Headers map[string][]string `json:"headers"`
 }
 
-// testbed is a sample, imported and served, with stand-in servers behind it.
+// testbed is a sample, imported and served, with fake servers as its backends.
 type testbed struct {
 	t      *testing.T
 	name   string
@@ -88,14 +88,14 @@
 	c, err := dispatchconfig.ReadOperator(out)
 	if err != nil {
 		text, _ := os.ReadFile(out)
-		t.Fatalf("what was written is not good: %v\n%s", err, text)
+		t.Fatalf("the written file is not valid: %v\n%s", err, text)
 	}
 	s.serve(c)
 	return s
 }
 
-// localAddresses puts free addresses in place of those that a sample listens on, and of stand-ins in
-// place of those of its servers.
+// localAddresses replaces the addresses that a sample listens on by free ones, and those of its servers by
+// addresses of fake servers.
 func (s *testbed) localAddresses(text string) string {
 	s.t.Helper()
 	addrs := map[string]string{}
@@ -162,7 +162,7 @@
 	return l
 }
 
-// server runs a stand-in for a server of the sample and returns where it listens.
+// server runs a fake of a server of the sample and returns its address.
 func (s *testbed) server(name string) string {
 	l := listen(s.t)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -184,7 +184,7 @@
 	return l.Addr().String()
 }
 
-// send sends a request to a frontend and returns what came of it.
+// send sends a request to a frontend and returns the response, and the request as a server received it.
 func (s *testbed) send(front string, q refRequest) (status int, location, body string, by *seen, a http.Header) {
 	s.t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(q.src)}}
@@ -212,7 +212,7 @@
 	return got.StatusCode, got.Header.Get("Location"), string(b), by, got.Header
 }
 
-// requests is the script: all that the samples tell apart, crossed.
+// requests returns all combinations of what the samples distinguish.
 func requests() (all []refRequest) {
 	paths := []string{"/", "/static/a.js", "/images/x", "/a/logo.PNG", "/api/logo.png", "/v1/users", "/v2/users", "/v3", "/v3x", "/login",
 		"/x/admin/y", "/administrators", "/health", "/ws/chat", "/report/1", "/old", "/moved/a", "/secure/b", "/p/1", "/q", "/ab", "/abc", "/soft", "/1",
@@ -238,9 +238,9 @@
 	return all
 }
 
-// Guards the import as a whole: each sample, imported, written, read and served, sends
-// every scripted request where a model of HAProxy says, in the form that it says, with
-// shares by weight; and every line is accounted for once.
+// Guards the complete import: each sample, imported, written, read and served, routes and edits
+// every request as a model of HAProxy does, with shares by weight; and every line has exactly one
+// entry in the report.
 func TestSamples(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.cfg")
 	if len(files) != 20 {
@@ -261,7 +261,7 @@
 	t.Logf("\n%s", strings.Join(table, "\n"))
 }
 
-// accounted checks that each directive of a file has one entry, and that no other has.
+// accounted checks that each directive of a file has one entry, and that there are no others.
 func (s *testbed) accounted(file string) {
 	s.t.Helper()
 	text, _ := os.ReadFile(file)
@@ -299,7 +299,7 @@
 		}
 		for _, q := range requests() {
 			all++
-			want := s.ref.ask(front, q)
+			want := s.ref.result(front, q)
 			status, location, body, by, header := s.send(front, q)
 			if why := s.differs(want, status, location, body, by, header); why != "" {
 				s.t.Errorf("%s: %s %s%s from %s %v: %s", front, q.method, q.host, q.target(), q.src, q.headers, why)
@@ -319,7 +319,7 @@
 	return mode
 }
 
-// differs says in what a result is not what the model says.
+// differs returns in what a result differs from the model's, "" if in nothing.
 func (s *testbed) differs(want *refAnswer, status int, location, body string, by *seen, header http.Header) string {
 	if want.status != 0 {
 		if by != nil || status != want.status || location != want.location {
@@ -355,7 +355,7 @@
 	return ""
 }
 
-// headersDiffer says in what the header fields that a server saw are not what the model says.
+// headersDiffer returns in what the header fields that a server received differ from the model's.
 func headersDiffer(want *refAnswer, by *seen) string {
 	for name, value := range want.headers {
 		if name == "cookie" {
@@ -373,7 +373,7 @@
 	return ""
 }
 
-// shares compares how often each server of a backend has its turn with its weight.
+// shares compares the share of requests of each server of a backend with its weight.
 func (s *testbed) shares() (worst float64) {
 	s.t.Helper()
 	const n = 400
@@ -383,7 +383,7 @@
 		if sec == nil || s.mode(sec) != "http" {
 			continue
 		}
-		want := s.ref.ask(front, q)
+		want := s.ref.result(front, q)
 		if want.status != 0 || len(want.servers) < 2 {
 			continue
 		}
@@ -400,15 +400,15 @@
 		for addr, w := range s.ref.weights(back) {
 			off := math.Abs(got[addr] - w)
 			if worst = max(worst, off); off > 0.05 {
-				s.t.Errorf("%s has %.3f of the turns, weight %.3f", addr, got[addr], w)
+				s.t.Errorf("%s has a share of %.3f, weight %.3f", addr, got[addr], w)
 			}
 		}
 	}
 	return worst
 }
 
-// Guards sticky clients: the cookie that is set leads back, and servers do not see it.
-func TestStickySample(t *testing.T) {
+// Guards persistence: the cookie that is set leads to the same server, and servers do not see it.
+func TestPersistenceSample(t *testing.T) {
 	s := newTestbed(t, "testdata/06-sticky.cfg")
 	q := refRequest{method: "GET", path: "/", host: "h", src: "127.0.0.1"}
 	_, _, _, by, header := s.send("www", q)
@@ -425,8 +425,8 @@
 	}
 }
 
-// Guards backups: servers fail one after another and come back, and each request goes
-// where the model says.
+// Guards backups: servers fail one after another and recover, and each request is routed as by
+// the model.
 func TestActiveStandbySample(t *testing.T) {
 	s := newTestbed(t, "testdata/07-active-standby.cfg")
 	q := refRequest{method: "GET", path: "/", host: "h", src: "127.0.0.1"}
--- a/internal/healthcheck/healthcheck_test.go
+++ b/internal/healthcheck/healthcheck_test.go
@@ -67,55 +67,56 @@
 	}
 }
 
-// Guards the asking: what is asked is what was set, each kind of failure counts, and a
-// member that is mended comes back.
+// responses are what a server responds with to a check, by its mode. In the others it closes the connection.
+var responses = map[string]string{
+	"good":       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nready",
+	"bad status": "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+	"garbage":    "hello\r\n\r\n",
+	"short":      "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nready",
+}
+
+// Guards the checks: the request is the configured one, each kind of failure counts, and a
+// member that recovers is up again.
 func TestDriver(t *testing.T) {
 	var mode atomic.Value
 	mode.Store("good")
-	asked := make(chan string, 64)
+	requests := make(chan string, 64)
 	addr := testkit.Accept(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }()
 		b := make([]byte, 4096)
 		n, _ := c.Read(b)
 		select {
-		case asked <- string(b[:n]):
+		case requests <- string(b[:n]):
 		default:
 		}
-		switch mode.Load() {
-		case "good":
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nready")
-		case "bad status":
-			_, _ = io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-		case "garbage":
-			_, _ = io.WriteString(c, "hello\r\n\r\n")
-		case "short":
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nready")
-		case "silent":
+		if mode.Load() == "silent" {
 			_, _ = io.Copy(io.Discard, c)
+			return
 		}
+		_, _ = io.WriteString(c, responses[mode.Load().(string)])
 	})
 	s := Spec{Kind: "http", Method: "GET", URI: "/up", Version: "1.1", Headers: []Header{{"Host", "app"}},
 		Expect: []Expect{{Kind: "string", Value: "ready"}}, Interval: 10 * time.Millisecond, Rise: 2, Fall: 2, Timeout: 50 * time.Millisecond}
 	if err := s.SetDefaults(); err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan bool, 16)
+	changes := make(chan bool, 16)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		NewDriver(slog.New(slog.DiscardHandler)).Run(ctx, []Check{{Name: "b/m", Addr: addr, Spec: s, OnChange: func(up bool, _ string) { told <- up }}})
+		NewDriver(slog.New(slog.DiscardHandler)).Run(ctx, []Check{{Name: "b/m", Addr: addr, Spec: s, OnChange: func(up bool, _ string) { changes <- up }}})
 		close(done)
 	}()
-	if got := testkit.Await(t, "a check", asked); !strings.HasPrefix(got, "GET /up HTTP/1.1\r\nHost: app\r\n") {
-		t.Errorf("asked %q", got)
+	if got := testkit.Await(t, "a check", requests); !strings.HasPrefix(got, "GET /up HTTP/1.1\r\nHost: app\r\n") {
+		t.Errorf("the request is %q", got)
 	}
 	for _, how := range []string{"bad status", "garbage", "short", "silent", "closed"} {
 		mode.Store(how)
-		if testkit.Await(t, "news of "+how, told) {
+		if testkit.Await(t, "the change by "+how, changes) {
 			t.Errorf("%s counts as up", how)
 		}
 		mode.Store("good")
-		if !testkit.Await(t, "news after "+how, told) {
+		if !testkit.Await(t, "the change after "+how, changes) {
 			t.Errorf("after %s it stays down", how)
 		}
 	}
--- a/internal/journal/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -239,6 +239,27 @@
 	}
 }
 
+// segmentFaults are ways to damage a journal, given its segment files.
+var segmentFaults = map[string]func(d *desk, files []string){
+	"first removed":  func(d *desk, f []string) { _ = d.disk.Remove(f[0]) },
+	"middle removed": func(d *desk, f []string) { _ = d.disk.Remove(f[len(f)/2]) },
+	"byte changed": func(d *desk, f []string) {
+		b, _ := d.disk.ReadFile(f[1])
+		b[len(b)/2] ^= 4
+		d.disk.WriteFile(f[1], b)
+	},
+	"truncated": func(d *desk, f []string) {
+		b, _ := d.disk.ReadFile(f[1])
+		d.disk.WriteFile(f[1], b[:len(b)-200])
+	},
+	"swapped": func(d *desk, f []string) {
+		a, _ := d.disk.ReadFile(f[1])
+		b, _ := d.disk.ReadFile(f[2])
+		d.disk.WriteFile(f[1], b)
+		d.disk.WriteFile(f[2], a)
+	},
+}
+
 // Guards against a journal whose files are removed, swapped or altered undetected; the rest is still
 // read.
 func TestVerifyFindsWhatIsMissing(t *testing.T) {
@@ -265,27 +286,9 @@
 	if v := d.view(); v.Damaged() || len(v.Problems) > 0 || !v.Logs[0].Closed || len(v.Jobs) != 200 {
 		t.Fatalf("untouched: %+v, %v", v.Logs, v.Problems)
 	}
-	for what, harm := range map[string]func(d *desk, files []string){
-		"first removed":  func(d *desk, f []string) { _ = d.disk.Remove(f[0]) },
-		"middle removed": func(d *desk, f []string) { _ = d.disk.Remove(f[len(f)/2]) },
-		"byte changed": func(d *desk, f []string) {
-			b, _ := d.disk.ReadFile(f[1])
-			b[len(b)/2] ^= 4
-			d.disk.WriteFile(f[1], b)
-		},
-		"truncated": func(d *desk, f []string) {
-			b, _ := d.disk.ReadFile(f[1])
-			d.disk.WriteFile(f[1], b[:len(b)-200])
-		},
-		"swapped": func(d *desk, f []string) {
-			a, _ := d.disk.ReadFile(f[1])
-			b, _ := d.disk.ReadFile(f[2])
-			d.disk.WriteFile(f[1], b)
-			d.disk.WriteFile(f[2], a)
-		},
-	} {
+	for what, damage := range segmentFaults {
 		d := fresh()
-		harm(d, names(d))
+		damage(d, names(d))
 		if v := d.view(); !v.Damaged() || len(v.Jobs) < 100 {
 			t.Errorf("%s: problems %v, %d jobs", what, v.Problems, len(v.Jobs))
 		}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -325,13 +325,19 @@
 			t.Errorf("%s has changed something", c.name)
 		}
 	}
+	testAlteredBytes(t, boxes, good)
+}
+
+// testAlteredBytes checks that a datagram is rejected if any of its bytes is altered.
+func testAlteredBytes(t *testing.T, boxes []string, good []byte) {
+	t.Helper()
 	for i := range good {
 		b := New(options(1, 2))
 		b.SetWorkers(boxes)
 		bad := bytes.Clone(good)
 		bad[i] ^= 0x10
 		if b.Receive(time.Second, 0, bad) == nil {
-			t.Errorf("with byte %d changed it is taken", i)
+			t.Errorf("with byte %d changed it is accepted", i)
 		}
 	}
 }
--- a/internal/peers/revisions_test.go
+++ b/internal/peers/revisions_test.go
@@ -395,6 +395,44 @@
 	}
 }
 
+// statement is an entry as its member has stated it.
+type statement struct {
+	member             int
+	generation, serial uint16
+	Revision
+}
+
+func statementOf(member int, e *revisionEntry) statement {
+	return statement{member, e.generation, e.serial, e.Revision}
+}
+
+// revisionStep draws a change of a member's revision, a failure or return of the member, or a change of the links. Runs counts
+// the restarts by member; note is called for a member that has stated something new.
+func (n *network) revisionStep(t *rapid.T, m int, runs []uint16, note func(m int)) {
+	r := n.nodes[m].revisionTable.entries[m].Revision
+	switch what := rapid.IntRange(0, 7).Draw(t, "what"); what {
+	case 0, 1, 2: // a change, a reverted one, another content
+		r = Revision{max(1, r.Number+[]uint32{1, ^uint32(0), 0}[what]), uint32(rapid.IntRange(1, 3).Draw(t, "digest"))}
+		if !n.down[m] {
+			n.setRevision(m, r)
+			note(m)
+		}
+	case 3:
+		n.down[m] = true
+	case 4:
+		n.down[m] = false // it was suspended
+	case 5:
+		runs[m]++
+		n.begin(m, 1+runs[m], Revision{uint32(rapid.IntRange(0, 43).Draw(t, "read")), 7})
+		note(m)
+	case 6:
+		cut := rapid.IntRange(0, len(n.nodes)).Draw(t, "cut")
+		n.linkDown = func(from, to int) bool { return from < cut && to >= cut }
+	default:
+		n.linkDown = nil
+	}
+}
+
 // Guards the table through all faults of members and network: each entry was stated by its member, in that generation; and once
 // datagrams arrive again for a while all tables are right.
 func TestRevisionsConverge(t *testing.T) {
@@ -403,48 +441,19 @@
 		n := newRevisionNetwork(members, rapid.Uint64().Draw(t, "seed"))
 		n.lossRate, n.duplicateRate = rapid.Float64Range(0, 0.5).Draw(t, "loss"), rapid.Float64Range(0, 0.5).Draw(t, "repeat")
 		n.extraDelay = rapid.SampledFrom([]time.Duration{0, 300 * ms, 900 * ms}).Draw(t, "late")
-		type said struct {
-			member      int
-			run, serial uint16
-			Revision
-		}
-		log := map[said]bool{}
-		note := func(m int) {
-			w := n.nodes[m].revisionTable.entries[m]
-			log[said{m, w.generation, w.serial, w.Revision}] = true
-		}
+		stated := map[statement]bool{}
+		note := func(m int) { stated[statementOf(m, &n.nodes[m].revisionTable.entries[m])] = true }
 		for m := range members {
 			note(m)
 		}
 		runs := make([]uint16, members)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			m := rapid.IntRange(0, members-1).Draw(t, "member")
-			r := n.nodes[m].revisionTable.entries[m].Revision
-			switch what := rapid.IntRange(0, 7).Draw(t, "what"); what {
-			case 0, 1, 2: // a change, a reverted one, another content
-				r = Revision{max(1, r.Number+[]uint32{1, ^uint32(0), 0}[what]), uint32(rapid.IntRange(1, 3).Draw(t, "digest"))}
-				if !n.down[m] {
-					n.setRevision(m, r)
-					note(m)
-				}
-			case 3:
-				n.down[m] = true
-			case 4:
-				n.down[m] = false // it was suspended
-			case 5:
-				runs[m]++
-				n.begin(m, 1+runs[m], Revision{uint32(rapid.IntRange(0, 43).Draw(t, "read")), 7})
-				note(m)
-			case 6:
-				cut := rapid.IntRange(0, members).Draw(t, "cut")
-				n.linkDown = func(from, to int) bool { return from < cut && to >= cut }
-			default:
-				n.linkDown = nil
-			}
+			n.revisionStep(t, m, runs, note)
 			n.run(time.Duration(rapid.IntRange(1, 40).Draw(t, "for")) * 50 * ms)
 			for i, node := range n.nodes {
 				for m := range n.nodes {
-					if w := node.activeEntry(m); w != nil && !log[said{m, w.generation, w.serial, w.Revision}] {
+					if w := node.activeEntry(m); w != nil && !stated[statementOf(m, w)] {
 						t.Fatalf("%d has an entry of %d that this generation never stated: %+v", i, m, *w)
 					}
 				}
--- a/internal/reverseproxy/bench_test.go
+++ b/internal/reverseproxy/bench_test.go
@@ -155,33 +155,10 @@
 		var wg sync.WaitGroup
 		for range conns {
 			wg.Go(func() {
-				var dialer net.Dialer
-				x, err := dialer.DialContext(b.Context(), "tcp", addr)
-				if err != nil {
-					b.Error(err)
-					return
-				}
-				defer func() { _ = x.Close() }()
-				in := bufio.NewReader(x)
-				var mine []int64
-				for next.Add(1) <= n {
-					began := time.Now()
-					if _, err := io.WriteString(x, "GET /some/page?x=1 HTTP/1.1\r\nHost: www.example\r\nUser-Agent: bench\r\nAccept: */*\r\n\r\n"); err != nil {
-						b.Error(err)
-						return
-					}
-					a, err := http.ReadResponse(in, nil)
-					if err != nil || a.StatusCode != 200 {
-						b.Error(a, err)
-						return
-					}
-					_, _ = io.Copy(io.Discard, a.Body)
-					_ = a.Body.Close()
-					mine = append(mine, time.Since(began).Microseconds())
-				}
+				latencies := benchClient(b, addr, func() bool { return next.Add(1) <= n })
 				mu.Lock()
 				defer mu.Unlock()
-				for _, v := range mine {
+				for _, v := range latencies {
 					_ = hist.RecordValue(max(1, v))
 				}
 			})
@@ -200,6 +177,35 @@
 	b.ReportMetric(memory(pid), "MB")
 }
 
+// benchClient sends requests on one connection while more returns true, and returns their latencies in microseconds. After an error,
+// which it reports, it returns none.
+func benchClient(b *testing.B, addr string, more func() bool) (latencies []int64) {
+	var dialer net.Dialer
+	x, err := dialer.DialContext(b.Context(), "tcp", addr)
+	if err != nil {
+		b.Error(err)
+		return nil
+	}
+	defer func() { _ = x.Close() }()
+	in := bufio.NewReader(x)
+	for more() {
+		began := time.Now()
+		if _, err := io.WriteString(x, "GET /some/page?x=1 HTTP/1.1\r\nHost: www.example\r\nUser-Agent: bench\r\nAccept: */*\r\n\r\n"); err != nil {
+			b.Error(err)
+			return nil
+		}
+		a, err := http.ReadResponse(in, nil)
+		if err != nil || a.StatusCode != 200 {
+			b.Error(a, err)
+			return nil
+		}
+		_, _ = io.Copy(io.Discard, a.Body)
+		_ = a.Body.Close()
+		latencies = append(latencies, time.Since(began).Microseconds())
+	}
+	return latencies
+}
+
 // BenchmarkLongBody passes 1 GB through and reports the proxy's memory.
 func BenchmarkLongBody(b *testing.B) {
 	got := make(chan int64, 1)
--- a/internal/reverseproxy/health.go
+++ b/internal/reverseproxy/health.go
@@ -36,35 +36,35 @@
 
 // startChecks starts the health checks of the active configuration, which end with the context or with the
 // next call. The lock is held.
-func (s *Proxy) startChecks(work context.Context) {
-	if s.stopChecks != nil {
-		s.stopChecks()
+func (p *Proxy) startChecks(work context.Context) {
+	if p.stopChecks != nil {
+		p.stopChecks()
 	}
 	ctx, stop := context.WithCancel(work)
-	s.stopChecks = stop
+	p.stopChecks = stop
 	var all []healthcheck.Check
-	t := s.active.Load()
-	for _, spec := range t.web.Backends {
+	active := p.active.Load()
+	for _, spec := range active.web.Backends {
 		for i := range spec.Servers {
-			if c, ok := t.checkOf(ctx, &spec, &spec.Servers[i]); ok {
+			if c, ok := active.checkOf(ctx, &spec, &spec.Servers[i]); ok {
 				all = append(all, c)
 			}
 		}
 	}
-	go healthcheck.NewDriver(s.opt.Log).Run(ctx, all)
+	go healthcheck.NewDriver(p.opt.Log).Run(ctx, all)
 }
 
 // checkOf returns the health check of a server, if it has one of its own.
-func (t *activeConfig) checkOf(ctx context.Context, spec *dispatchconfig.WebBackend, m *dispatchconfig.WebServer) (healthcheck.Check, bool) {
+func (active *activeConfig) checkOf(ctx context.Context, spec *dispatchconfig.WebBackend, m *dispatchconfig.WebServer) (healthcheck.Check, bool) {
 	c, addr, ok, err := spec.HealthCheck(m)
 	if !ok || err != nil || m.Disabled {
 		return healthcheck.Check{}, false
 	}
-	b := t.backends[spec.Name]
+	b := active.backends[spec.Name]
 	b.mu.Lock()
 	down := b.unhealthy[m.Name]
 	b.mu.Unlock()
-	followers := t.tracking(b.id(m.Name))
+	followers := active.tracking(b.id(m.Name))
 	return healthcheck.Check{Name: b.id(m.Name), Addr: addr, Spec: c, InitiallyDown: down, OnChange: func(up bool, _ string) {
 		if ctx.Err() != nil { // newer checks have taken over
 			return
@@ -83,11 +83,11 @@
 }
 
 // tracking returns the servers that track one of that id.
-func (t *activeConfig) tracking(id string) (out []follower) {
-	for _, spec := range t.web.Backends {
+func (active *activeConfig) tracking(id string) (out []follower) {
+	for _, spec := range active.web.Backends {
 		for _, m := range spec.Servers {
 			if m.Track == id {
-				out = append(out, follower{t.backends[spec.Name], m.Name})
+				out = append(out, follower{active.backends[spec.Name], m.Name})
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 // publishState works out a server's state and gives it to pool, transport and planner. The lock is
 // held when it is called, and released when it returns.
 func (b *backend) publishState(i int) {
-	s := b.proxy
+	p := b.proxy
 	m := &b.spec.Servers[i]
 	to := pool.Up
 	switch {
@@ -128,21 +128,21 @@
 		to = pool.Down
 	}
 	if was, _ := b.pool.State(i); was != to {
-		b.pool.SetState(i, to, s.opt.Clock.Now())
+		b.pool.SetState(i, to, p.opt.Clock.Now())
 	}
 	connect, _ := b.spec.Timeouts()
 	id, addr := b.id(m.Name), m.Addr
 	b.mu.Unlock()
-	s.transport.update(false, []serverInfo{{id, addr, connect, to == pool.Up}})
-	s.planners.WorkersUpdated(sedgevale.UpdateDelta, []sedgevale.WorkerInfo{{Worker: id, Kind: s.kind(id), State: workerState(to)}})
+	p.transport.update(false, []serverInfo{{id, addr, connect, to == pool.Up}})
+	p.planners.WorkersUpdated(sedgevale.UpdateDelta, []sedgevale.WorkerInfo{{Worker: id, Kind: p.kind(id), State: workerState(to)}})
 	b.dispatchQueue()
 }
 
 // Cordon cordons a server, BACKEND/SERVER, or uncordons it, and reports whether there is such a server.
 // Requests in flight there go on to their end.
-func (s *Proxy) Cordon(host string, out bool) (known bool) {
+func (p *Proxy) Cordon(host string, out bool) (known bool) {
 	name, server, _ := strings.Cut(host, "/")
-	b := s.active.Load().backends[name]
+	b := p.active.Load().backends[name]
 	if b == nil {
 		return false
 	}
@@ -158,15 +158,15 @@
 }
 
 // kind returns the module's kind of a worker.
-func (s *Proxy) kind(id string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.kinds[id]
+func (p *Proxy) kind(id string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.kinds[id]
 }
 
 // servingServers returns how many servers of a backend take new requests.
-func (s *Proxy) servingServers(name string) int {
-	b := s.active.Load().backends[name]
+func (p *Proxy) servingServers(name string) int {
+	b := p.active.Load().backends[name]
 	if b == nil {
 		return 0
 	}
@@ -187,10 +187,10 @@
 }
 
 // Status returns the states of all servers, in the order of the configuration.
-func (s *Proxy) Status() (out []ServerStatus) {
-	t := s.active.Load()
-	for _, spec := range t.web.Backends {
-		b := t.backends[spec.Name]
+func (p *Proxy) Status() (out []ServerStatus) {
+	active := p.active.Load()
+	for _, spec := range active.web.Backends {
+		b := active.backends[spec.Name]
 		b.mu.Lock()
 		for i, m := range b.spec.Servers {
 			state, busy := b.pool.State(i)
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -91,18 +91,18 @@
 
 // New returns a Proxy that does not serve yet. The error is about the configuration.
 func New(o Options) (*Proxy, error) {
-	s := &Proxy{opt: o, kinds: map[string]int{}}
-	s.transport = newTransport(s)
-	t, err := s.build(o.Config)
+	p := &Proxy{opt: o, kinds: map[string]int{}}
+	p.transport = newTransport(p)
+	active, err := p.build(o.Config)
 	if err != nil {
 		return nil, err
 	}
-	p, err := dispatch.NewPlanner(s.moduleSettings(t), o.Seed, o.Clock, s.transport, func() {}, o.Log)
+	planner, err := dispatch.NewPlanner(p.moduleSettings(active), o.Seed, o.Clock, p.transport, func() {}, o.Log)
 	if err != nil {
 		return nil, err
 	}
-	s.planners = dispatch.NewSet(p)
-	s.install(t)
+	p.planners = dispatch.NewSet(planner)
+	p.install(active)
 	for _, f := range o.Config.Frontends {
 		timeout := dispatchconfig.Seconds(f.RequestTimeout)
 		if f.RequestTimeout == 0 {
@@ -110,10 +110,10 @@
 		}
 		limits := httpd.Limits{FirstByte: timeout, FirstRequest: timeout, Request: timeout, Idle: dispatchconfig.Seconds(f.IdleTimeout)}
 		for _, addr := range f.Listen {
-			s.servers = append(s.servers, httpd.NewLimited(addr, o.Loops, &frontendHandler{s, f.Name}, limits, o.Budget, o.Log))
+			p.servers = append(p.servers, httpd.NewLimited(addr, o.Loops, &frontendHandler{p, f.Name}, limits, o.Budget, o.Log))
 		}
 	}
-	return s, nil
+	return p, nil
 }
 
 // defaultRequestTimeout is how long a request's head, and a body that is carried on the event loop,
@@ -121,43 +121,43 @@
 const defaultRequestTimeout = 10 * time.Second
 
 // Servers returns the listeners. The caller starts and stops them.
-func (s *Proxy) Servers() []*httpd.Server { return s.servers }
+func (p *Proxy) Servers() []*httpd.Server { return p.servers }
 
 // Run plans requests, checks servers and closes idle connections until the context ends. It is
 // called once.
-func (s *Proxy) Run(ctx context.Context) {
-	s.mu.Lock()
-	s.runCtx = ctx
-	s.startChecks(ctx)
-	s.mu.Unlock()
+func (p *Proxy) Run(ctx context.Context) {
+	p.mu.Lock()
+	p.runCtx = ctx
+	p.startChecks(ctx)
+	p.mu.Unlock()
 	var background sync.WaitGroup
-	background.Go(func() { s.transport.closeIdleConns(ctx) })
-	s.planners.Run(ctx)
+	background.Go(func() { p.transport.closeIdleConns(ctx) })
+	p.planners.Run(ctx)
 	background.Wait()
 }
 
 // Open returns the number of requests that wait for the head of a response.
-func (s *Proxy) Open(ctx context.Context) (int, error) { return s.planners.CountOpen(ctx) }
+func (p *Proxy) Open(ctx context.Context) (int, error) { return p.planners.CountOpen(ctx) }
 
 // Alive returns nil once the planner's goroutine has run, or the error of the context.
-func (s *Proxy) Alive(ctx context.Context) error { return s.planners.Ping(ctx) }
+func (p *Proxy) Alive(ctx context.Context) error { return p.planners.Ping(ctx) }
 
 // Reload replaces frontends and backends. Requests in flight go on by the old ones; servers that stay
 // keep their state. Changed addresses to listen on take effect at the next start only: the names of
 // their settings are returned. An error changes nothing.
-func (s *Proxy) Reload(w *dispatchconfig.Web) (waits []string, err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	t, err := s.build(w)
+func (p *Proxy) Reload(w *dispatchconfig.Web) (waits []string, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	active, err := p.build(w)
 	if err != nil {
 		return nil, err
 	}
-	s.planners.UpdateSettings(s.moduleSettings(t))
-	s.install(t)
-	if s.runCtx != nil {
-		s.startChecks(s.runCtx)
+	p.planners.UpdateSettings(p.moduleSettings(active))
+	p.install(active)
+	if p.runCtx != nil {
+		p.startChecks(p.runCtx)
 	}
-	old := s.opt.Config
+	old := p.opt.Config
 	for _, f := range w.Frontends {
 		i := slices.IndexFunc(old.Frontends, func(o dispatchconfig.WebFrontend) bool { return o.Name == f.Name })
 		if i < 0 || !slices.Equal(old.Frontends[i].Listen, f.Listen) {
@@ -168,32 +168,32 @@
 }
 
 // build compiles a configuration. It changes nothing that is in use.
-func (s *Proxy) build(w *dispatchconfig.Web) (*activeConfig, error) {
+func (p *Proxy) build(w *dispatchconfig.Web) (*activeConfig, error) {
 	if err := w.Check(); err != nil {
 		return nil, err
 	}
-	t := &activeConfig{web: w, frontends: map[string]*frontend{}, backends: map[string]*backend{}}
+	active := &activeConfig{web: w, frontends: map[string]*frontend{}, backends: map[string]*backend{}}
 	for _, f := range w.Frontends {
 		rules, err := route.Compile(f.Spec, w.ReadFile)
 		if err != nil {
 			return nil, err
 		}
-		t.frontends[f.Name] = &frontend{f, rules}
+		active.frontends[f.Name] = &frontend{f, rules}
 	}
 	for _, spec := range w.Backends {
-		b, err := s.buildBackend(w, spec)
+		b, err := p.buildBackend(w, spec)
 		if err != nil {
 			return nil, err
 		}
-		t.backends[spec.Name] = b
+		active.backends[spec.Name] = b
 	}
-	return t, nil
+	return active, nil
 }
 
 // buildBackend compiles a backend: its rules, its pool and, for each server, the module's classes
 // of requests that may and may not be sent again.
-func (s *Proxy) buildBackend(w *dispatchconfig.Web, spec dispatchconfig.WebBackend) (b *backend, err error) {
-	b = &backend{name: spec.Name, proxy: s, spec: spec, unhealthy: map[string]bool{}, cordoned: map[string]bool{}}
+func (p *Proxy) buildBackend(w *dispatchconfig.Web, spec dispatchconfig.WebBackend) (b *backend, err error) {
+	b = &backend{name: spec.Name, proxy: p, spec: spec, unhealthy: map[string]bool{}, cordoned: map[string]bool{}}
 	if b.rules, err = route.Compile(spec.Spec, w.ReadFile); err != nil {
 		return nil, err
 	}
@@ -211,10 +211,10 @@
 	limit := connect + server
 	for _, m := range spec.Servers {
 		id := b.id(m.Name)
-		kind, ok := s.kinds[id]
+		kind, ok := p.kinds[id]
 		if !ok {
-			kind = len(s.kinds)
-			s.kinds[id] = kind
+			kind = len(p.kinds)
+			p.kinds[id] = kind
 		}
 		class := sedgevale.Class{Name: id, Idempotency: sedgevale.Idempotent, LatencyTarget: limit, ClientTimeout: limit, LateValue: 1, Kinds: []int{kind}}
 		once := class
@@ -230,11 +230,11 @@
 
 // moduleSettings returns the decision module's settings: a class for each server, since the pool
 // picks the server, and one attempt for each request, since after a failure the pool picks again.
-func (s *Proxy) moduleSettings(t *activeConfig) sedgevale.Settings {
+func (p *Proxy) moduleSettings(active *activeConfig) sedgevale.Settings {
 	set := sedgevale.Settings{MaxAttempts: 1, AllowCancel: true, Dispatchers: 1}
-	for _, b := range t.web.Backends {
-		for i := range t.backends[b.Name].safeClasses {
-			set.Classes = append(set.Classes, *t.backends[b.Name].safeClasses[i], *t.backends[b.Name].unsafeClasses[i])
+	for _, b := range active.web.Backends {
+		for i := range active.backends[b.Name].safeClasses {
+			set.Classes = append(set.Classes, *active.backends[b.Name].safeClasses[i], *active.backends[b.Name].unsafeClasses[i])
 		}
 	}
 	if len(set.Classes) == 0 { // no backend has servers; the module requires a class
@@ -244,9 +244,9 @@
 }
 
 // install activates a configuration. Backends that existed before continue with their new settings.
-func (s *Proxy) install(t *activeConfig) {
-	old := s.active.Load()
-	for name, b := range t.backends {
+func (p *Proxy) install(active *activeConfig) {
+	old := p.active.Load()
+	for name, b := range active.backends {
 		if old == nil || old.backends[name] == nil {
 			continue
 		}
@@ -254,11 +254,11 @@
 		for _, c := range was.replace(b) {
 			c.(*proxyRequest).noServer()
 		}
-		t.backends[name] = was
+		active.backends[name] = was
 		was.applyStates()
 	}
-	s.active.Store(t)
-	s.publish(t)
+	p.active.Store(active)
+	p.publish(active)
 }
 
 // replace gives a backend the settings of another one, which is not in use yet. It returns the
@@ -281,23 +281,23 @@
 }
 
 // publish gives planner and transport the complete list of servers and their states.
-func (s *Proxy) publish(t *activeConfig) {
+func (p *Proxy) publish(active *activeConfig) {
 	var entries []sedgevale.WorkerInfo
 	var members []serverInfo
-	for _, b := range t.web.Backends {
-		be := t.backends[b.Name]
+	for _, b := range active.web.Backends {
+		be := active.backends[b.Name]
 		connect, _ := b.Timeouts()
 		be.mu.Lock()
 		for i, m := range b.Servers {
 			id := be.id(m.Name)
 			state, _ := be.pool.State(i)
-			entries = append(entries, sedgevale.WorkerInfo{Worker: id, Kind: s.kinds[id], State: workerState(state)})
+			entries = append(entries, sedgevale.WorkerInfo{Worker: id, Kind: p.kinds[id], State: workerState(state)})
 			members = append(members, serverInfo{id, m.Addr, connect, state == pool.Up || state == pool.Draining})
 		}
 		be.mu.Unlock()
 	}
-	s.transport.update(true, members)
-	s.planners.WorkersUpdated(sedgevale.UpdateFull, entries)
+	p.transport.update(true, members)
+	p.planners.WorkersUpdated(sedgevale.UpdateFull, entries)
 }
 
 // portOf returns the port of a TCP address, 0 of another.
@@ -309,8 +309,8 @@
 }
 
 // requestID returns the id of the next request.
-func (s *Proxy) requestID() string {
-	return "web-" + strconv.FormatUint(s.nextRequest.Add(1), 36)
+func (p *Proxy) requestID() string {
+	return "web-" + strconv.FormatUint(p.nextRequest.Add(1), 36)
 }
 
 // retryAfter returns the value of Retry-After for a 503, in seconds; "": there is none.
--- a/internal/reverseproxy/request.go
+++ b/internal/reverseproxy/request.go
@@ -73,34 +73,34 @@
 }
 
 // Serve is called with each request whose body is here.
-func (d *frontendHandler) Serve(c *httpd.Conn, q *httpd.Request) {
+func (h *frontendHandler) Serve(c *httpd.Conn, q *httpd.Request) {
 	up := requestedUpgrade(q.Head)
-	r := &proxyRequest{proxy: d.proxy, head: q.Head, body: q.Body, upgrade: up}
+	r := &proxyRequest{proxy: h.proxy, head: q.Head, body: q.Body, upgrade: up}
 	lr := &loopResponder{conn: c, request: r}
 	r.responder = lr
 	c.State = r
-	r.route(d.name, c.Remote().String(), portOf(c.Local()))
+	r.route(h.name, c.Remote().String(), portOf(c.Local()))
 }
 
 // Disconnected is called when the client has disconnected.
-func (d *frontendHandler) Disconnected(c *httpd.Conn) {
+func (h *frontendHandler) Disconnected(c *httpd.Conn) {
 	if r, ok := c.State.(*proxyRequest); ok {
 		r.clientGone()
 	}
 }
 
 // Overflow is called with a request whose body is too long for the event loop.
-func (d *frontendHandler) Overflow(q *httpd.Request, conn *httpd.Detached) {
-	r := &proxyRequest{proxy: d.proxy, head: q.Head, body: q.Body}
+func (h *frontendHandler) Overflow(q *httpd.Request, conn *httpd.Detached) {
+	r := &proxyRequest{proxy: h.proxy, head: q.Head, body: q.Body}
 	r.transfer = newTransfer(r, conn)
 	r.responder = r.transfer
-	go r.transfer.run(func() { r.route(d.name, conn.RemoteAddr().String(), portOf(conn.LocalAddr())) })
+	go r.transfer.run(func() { r.route(h.name, conn.RemoteAddr().String(), portOf(conn.LocalAddr())) })
 }
 
 // route applies the rules, selects the backend and begins the first attempt.
 func (r *proxyRequest) route(front, client string, port int) {
-	t := r.proxy.active.Load()
-	f := t.frontends[front]
+	active := r.proxy.active.Load()
+	f := active.frontends[front]
 	if f == nil { // removed by a reload; its address is still listened on
 		r.replyUnavailable(nil, "this address serves nothing any more")
 		return
@@ -110,8 +110,8 @@
 		r.replyByRule(a)
 		return
 	}
-	name, _ := f.rules.SelectBackend(&r.parsed, func(name string) bool { return t.backends[name] != nil })
-	b := t.backends[name]
+	name, _ := f.rules.SelectBackend(&r.parsed, func(name string) bool { return active.backends[name] != nil })
+	b := active.backends[name]
 	if b == nil {
 		r.replyUnavailable(nil, "no backend serves this request")
 		return
--- a/internal/reverseproxy/retry_test.go
+++ b/internal/reverseproxy/retry_test.go
@@ -104,28 +104,12 @@
 	}
 }
 
-// Guards maxconn and the queue: never more at a server than it may have, all are served,
-// and one that waits too long gets 503 with Retry-After.
-func TestMaxConn(t *testing.T) {
-	var busy, most atomic.Int64
-	addr := origin(t, func(_ http.ResponseWriter, q *http.Request) {
-		n := busy.Add(1)
-		defer busy.Add(-1)
-		for old := most.Load(); n > old; old = most.Load() {
-			if most.CompareAndSwap(old, n) {
-				break
-			}
-		}
-		time.Sleep(5 * time.Millisecond)
-		if q.URL.Path == "/slow" {
-			time.Sleep(600 * time.Millisecond)
-		}
-	})
-	c := oneBackend(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
-	_, front := serve(t, c)
+// getConcurrently sends so many GET requests at the same time and returns how many were not answered with 200.
+func getConcurrently(t *testing.T, front string, n int) (failed int64) {
+	t.Helper()
 	var wg sync.WaitGroup
 	var bad atomic.Int64
-	for range 20 {
+	for range n {
 		wg.Go(func() {
 			q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+front+"/", nil)
 			if err != nil {
@@ -144,8 +128,30 @@
 		})
 	}
 	wg.Wait()
-	if bad.Load() != 0 || most.Load() != 1 {
-		t.Errorf("%d failed, %d at a time", bad.Load(), most.Load())
+	return bad.Load()
+}
+
+// Guards maxconn and the queue: never more at a server than it may have, all are served,
+// and one that waits too long gets 503 with Retry-After.
+func TestMaxConn(t *testing.T) {
+	var busy, most atomic.Int64
+	addr := origin(t, func(_ http.ResponseWriter, q *http.Request) {
+		n := busy.Add(1)
+		defer busy.Add(-1)
+		for old := most.Load(); n > old; old = most.Load() {
+			if most.CompareAndSwap(old, n) {
+				break
+			}
+		}
+		time.Sleep(5 * time.Millisecond)
+		if q.URL.Path == "/slow" {
+			time.Sleep(600 * time.Millisecond)
+		}
+	})
+	c := oneBackend(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
+	_, front := serve(t, c)
+	if failed := getConcurrently(t, front, 20); failed != 0 || most.Load() != 1 {
+		t.Errorf("%d failed, %d at a time", failed, most.Load())
 	}
 	c = oneBackend(t, dispatchconfig.WebServer{Addr: addr, MaxConn: 1})
 	c.Backends[0].QueueTimeout, c.Backends[0].RetryAfter = 0.2, 2
--- a/internal/reverseproxy/transport.go
+++ b/internal/reverseproxy/transport.go
@@ -56,8 +56,8 @@
 	done     bool        // it has ended, or a transfer or goroutine has taken it over
 }
 
-func newTransport(s *Proxy) *transport {
-	return &transport{proxy: s, loop: s.opt.Loop, servers: map[string]*server{}, attempts: map[*dispatch.Attempt]*upstreamAttempt{},
+func newTransport(p *Proxy) *transport {
+	return &transport{proxy: p, loop: p.opt.Loop, servers: map[string]*server{}, attempts: map[*dispatch.Attempt]*upstreamAttempt{},
 		byRequest: map[*proxyRequest]*upstreamAttempt{}, ready: map[string]bool{}}
 }
 
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 300) }
 
-// ask reads a request as `METHOD TARGET [Name:Value ...] [src=ADDR] [port=N] [tls]`.
-func ask(line string) *Request {
+// parseRequest reads a request as `METHOD TARGET [Name:Value ...] [src=ADDR] [port=N] [tls]`.
+func parseRequest(line string) *Request {
 	words, _ := SplitWords(line)
 	q := &Request{Method: words[0], Target: words[1], Version: "1.1", Src: netip.MustParseAddr("192.0.2.7"), DstPort: 80}
 	for _, w := range words[2:] {
@@ -39,47 +39,49 @@
 	return q
 }
 
-// Guards the meaning of conditions, one line each: a test, a request that meets it and
-// one that does not.
+// conditionCases are conditions, each with a request that meets it and one that does not.
+var conditionCases = []struct{ test, yes, no string }{
+	{"path /a", "GET /a?x=1", "GET /a/b"},
+	{"path_beg /static /img", "GET /img/x", "GET /x/img"},
+	{"path_end .png .css", "GET /a.css?v=2", "GET /a.css.js"},
+	{"path_sub admin", "GET /x/admin/y", "GET /x"},
+	{"path_dir api", "GET /v1/api/x", "GET /apis"},
+	{"path_reg ^/v[0-9]+/", "GET /v12/x", "GET /x/v1/"},
+	{"path,lower -m beg /abc", "GET /ABC/d", "GET /x"},
+	{"path -i /A", "GET /a", "GET /b"},
+	{"path_len gt 5", "GET /abcdef", "GET /ab"},
+	{"hdr(host) -i example.com", "GET / Host:EXAMPLE.com", "GET / Host:example.org"},
+	{"hdr(host) -m end -i .example.com", "GET / Host:a.Example.com", "GET / Host:example.com"},
+	{"hdr_dom(host) example", "GET / Host:www.example.com:80", "GET / Host:myexample.com"},
+	{"hdr(x) b", "GET / X:a,b", "GET / X:ab"},
+	{"hdr(x) b", "GET / X:a X:b", "GET /"},
+	{"hdr(x,-1) b", "GET / X:a,b", "GET / X:b,a"},
+	{"hdr_cnt(x) ge 2", "GET / X:a X:b", "GET / X:a"},
+	{"hdr(x) -m found", "GET / X:", "GET / Y:1"},
+	{"req.fhdr(x) a,b", "GET / X:a,b", "GET / X:a"},
+	{"method GET HEAD", "HEAD /", "POST /"},
+	{"src 10.0.0.0/8 192.0.2.1", "GET / src=10.9.8.7", "GET / src=11.0.0.1"},
+	{"src 10.0.0.0/255.255.0.0", "GET / src=10.0.8.7", "GET / src=10.1.0.1"},
+	{"src -f nets", "GET / src=192.168.1.9", "GET / src=192.168.2.9"},
+	{"src 2001:db8::/32", "GET / src=2001:db8::1", "GET / src=2001:db9::1"},
+	{"url_param(id) 7", "GET /?a=1&id=7", "GET /?id=8"},
+	{"urlp(id) -m found", "GET /?id=", "GET /?idx=1"},
+	{"cook(s) a", "GET / Cookie:'x=1; s=a'", "GET / Cookie:s=b"},
+	{"dst_port 8000:9000", "GET / port=8443", "GET / port=443"},
+	{"ssl_fc", "GET / tls", "GET /"},
+	{"hdr(host),field(1,.) a", "GET / Host:a.b", "GET / Host:b.a"},
+	{"hdr(host),host_only -i h", "GET / Host:h:81", "GET / Host:i:81"},
+	{"path,regsub(^/x/,/) /y", "GET /x/y", "GET /z"},
+	{"always_true", "GET /", ""},
+	{"path_beg -- -x", "GET -x", "GET /x"},
+}
+
+// Guards the meaning of conditions.
 func TestConditions(t *testing.T) {
 	files := func(path string) ([]byte, error) {
 		return map[string][]byte{"nets": []byte("# ours\n10.0.0.0/8\n\n192.168.1.0/24\n")}[path], nil
 	}
-	for _, c := range []struct{ test, yes, no string }{
-		{"path /a", "GET /a?x=1", "GET /a/b"},
-		{"path_beg /static /img", "GET /img/x", "GET /x/img"},
-		{"path_end .png .css", "GET /a.css?v=2", "GET /a.css.js"},
-		{"path_sub admin", "GET /x/admin/y", "GET /x"},
-		{"path_dir api", "GET /v1/api/x", "GET /apis"},
-		{"path_reg ^/v[0-9]+/", "GET /v12/x", "GET /x/v1/"},
-		{"path,lower -m beg /abc", "GET /ABC/d", "GET /x"},
-		{"path -i /A", "GET /a", "GET /b"},
-		{"path_len gt 5", "GET /abcdef", "GET /ab"},
-		{"hdr(host) -i example.com", "GET / Host:EXAMPLE.com", "GET / Host:example.org"},
-		{"hdr(host) -m end -i .example.com", "GET / Host:a.Example.com", "GET / Host:example.com"},
-		{"hdr_dom(host) example", "GET / Host:www.example.com:80", "GET / Host:myexample.com"},
-		{"hdr(x) b", "GET / X:a,b", "GET / X:ab"},
-		{"hdr(x) b", "GET / X:a X:b", "GET /"},
-		{"hdr(x,-1) b", "GET / X:a,b", "GET / X:b,a"},
-		{"hdr_cnt(x) ge 2", "GET / X:a X:b", "GET / X:a"},
-		{"hdr(x) -m found", "GET / X:", "GET / Y:1"},
-		{"req.fhdr(x) a,b", "GET / X:a,b", "GET / X:a"},
-		{"method GET HEAD", "HEAD /", "POST /"},
-		{"src 10.0.0.0/8 192.0.2.1", "GET / src=10.9.8.7", "GET / src=11.0.0.1"},
-		{"src 10.0.0.0/255.255.0.0", "GET / src=10.0.8.7", "GET / src=10.1.0.1"},
-		{"src -f nets", "GET / src=192.168.1.9", "GET / src=192.168.2.9"},
-		{"src 2001:db8::/32", "GET / src=2001:db8::1", "GET / src=2001:db9::1"},
-		{"url_param(id) 7", "GET /?a=1&id=7", "GET /?id=8"},
-		{"urlp(id) -m found", "GET /?id=", "GET /?idx=1"},
-		{"cook(s) a", "GET / Cookie:'x=1; s=a'", "GET / Cookie:s=b"},
-		{"dst_port 8000:9000", "GET / port=8443", "GET / port=443"},
-		{"ssl_fc", "GET / tls", "GET /"},
-		{"hdr(host),field(1,.) a", "GET / Host:a.b", "GET / Host:b.a"},
-		{"hdr(host),host_only -i h", "GET / Host:h:81", "GET / Host:i:81"},
-		{"path,regsub(^/x/,/) /y", "GET /x/y", "GET /z"},
-		{"always_true", "GET /", ""},
-		{"path_beg -- -x", "GET -x", "GET /x"},
-	} {
+	for _, c := range conditionCases {
 		l := NewACLSet(files)
 		words, err := SplitWords(c.test)
 		if err == nil {
@@ -93,10 +95,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !cond.Holds(ask(c.yes)) {
+		if !cond.Holds(parseRequest(c.yes)) {
 			t.Errorf("%s does not hold for %s", c.test, c.yes)
 		}
-		if c.no != "" && cond.Holds(ask(c.no)) {
+		if c.no != "" && cond.Holds(parseRequest(c.no)) {
 			t.Errorf("%s holds for %s", c.test, c.no)
 		}
 	}
@@ -112,7 +114,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		value := map[string]bool{}
-		q := ask("GET /")
+		q := parseRequest("GET /")
 		for _, name := range []string{"a", "b", "c"} {
 			if value[name] = rapid.Bool().Draw(t, name); value[name] {
 				q.Fields = append(q.Fields, http1.Field{Name: name, Value: "1"})
@@ -207,7 +209,7 @@
 	exists := func(name string) bool { return strings.HasPrefix(name, "app_") }
 	for line, want := range map[string]string{"GET /special/x": "special", "GET / Host:A.example": "app_a", "GET / Host:b.example": "app_b",
 		"GET / Host:c.example": "main"} {
-		if got, _ := r.SelectBackend(ask(line), exists); got != want {
+		if got, _ := r.SelectBackend(parseRequest(line), exists); got != want {
 			t.Errorf("%s goes to %q, not %q", line, got, want)
 		}
 	}
@@ -238,12 +240,12 @@
 		{"GET /cdn/a?q=1 Host:h", "https://cdn.example/cdn/a", 302},
 		{"GET /hello", "", 200},
 	} {
-		a := r.ApplyRequest(ask(c.line))
+		a := r.ApplyRequest(parseRequest(c.line))
 		if a == nil || a.Status != c.status || c.location != "" && a.Fields[0].Value != c.location {
 			t.Errorf("%s: %+v", c.line, a)
 		}
 	}
-	if a := r.ApplyRequest(ask("GET /hello")); string(a.Body) != "hi 192.0.2.7" {
+	if a := r.ApplyRequest(parseRequest("GET /hello")); string(a.Body) != "hi 192.0.2.7" {
 		t.Errorf("body %q", a.Body)
 	}
 }
@@ -252,7 +254,7 @@
 func testEdits(t *testing.T, r *Rules) {
 	t.Helper()
 	run := func(line string) (q *Request, a *Answer) {
-		q = ask(line)
+		q = parseRequest(line)
 		return q, r.ApplyRequest(q)
 	}
 	q, a := run("GET /api/tag?x=1 X-Secret:1 x-secret:2 Cookie:'a=1; sid=123; b=2' X-Real:forged")
@@ -266,7 +268,7 @@
 	if q, a := run("GET /admin src=10.1.1.1"); a != nil || q.Header("X-Last") != "" {
 		t.Errorf("after allow: %+v %+v", q.Fields, a)
 	}
-	q = ask("GET /")
+	q = parseRequest("GET /")
 	q.Status, q.Response = 502, []http1.Field{{Name: "Server", Value: "x"}, {Name: "Content-Length", Value: "101"}}
 	if a := r.ApplyResponse(q); a != nil || q.Status != 503 || len(q.Response) != 3 {
 		t.Errorf("%+v %d %v", a, q.Status, q.Response)
@@ -279,7 +281,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	q := ask("GET /")
+	q := parseRequest("GET /")
 	q.Target = "/a\r\nX-Evil: 1?to=b\r\nSet-Cookie: c"
 	a := r.ApplyRequest(q)
 	for _, f := range append(q.Fields, a.Fields...) {
@@ -315,8 +317,8 @@
 		}
 		line := fmt.Sprintf("%s /%s Host:%s X:%d", rapid.SampledFrom([]string{"GET", "POST"}).Draw(t, "method"), word.Draw(t, "path"),
 			word.Draw(t, "host"), rapid.IntRange(0, 1).Draw(t, "x"))
-		a, _ := indexed.SelectBackend(ask(line), nil)
-		b, _ := linear.SelectBackend(ask(line), nil)
+		a, _ := indexed.SelectBackend(parseRequest(line), nil)
+		b, _ := linear.SelectBackend(parseRequest(line), nil)
 		if a != b {
 			t.Fatalf("%s: %s by the index, %s one by one: %v", line, a, b, spec.Use)
 		}
@@ -333,7 +335,7 @@
 		if err != nil {
 			return
 		}
-		q := ask("GET / Host:a X:1,2")
+		q := parseRequest("GET / Host:a X:1,2")
 		q.Target = target
 		r.ApplyRequest(q)
 		r.SelectBackend(q, func(string) bool { return true })
