--- a/Makefile
+++ b/Makefile
@@ -27,7 +27,7 @@
 # Power cuts over a disk in memory that fails.
 SEEDS ?= 10000
 powercut:
-	go test -count=1 -timeout 0 -v ./internal/journal/store -run TestPowerCuts -args -seeds $(SEEDS)
+	go test -count=1 -timeout 0 -v ./internal/journal/store -run TestPowerFailures -args -seeds $(SEEDS)
 
 # Many schedulers as processes of their own, with faults between them.
 ROUNDS ?= 300
--- a/internal/crashtest/kill_test.go
+++ b/internal/crashtest/kill_test.go
@@ -151,7 +151,7 @@
 			Mix: faultinjection.Mix}.Run(ctx)
 	}
 	for _, b := range a.workers {
-		b.Quiet()
+		b.AwaitIdle()
 	}
 	a.check(prefix+"-", answers, killed)
 	a.runLog.Forget()
--- a/internal/dispatchconfig/operator.go
+++ b/internal/dispatchconfig/operator.go
@@ -155,7 +155,7 @@
 	for _, f := range c.Web.Frontends {
 		for _, a := range f.Listen {
 			if a == c.Listen || a == c.Ops || c.SSE != nil && a == c.SSE.Listen {
-				return fmt.Errorf("web: frontend %q listens on %s, which is another front's", f.Name, a)
+				return fmt.Errorf("web: frontend %q listens on %s, which is the address of another frontend", f.Name, a)
 			}
 		}
 	}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -75,11 +75,11 @@
 	slots   chan struct{}
 	server  *http.Server
 
-	mu      sync.Mutex // guards all below
-	random  *rand.Rand
-	waiting int
-	busy    int           // jobs under way; not a WaitGroup, for jobs come while Quiet waits
-	quiet   chan struct{} // closed when none is; nil: nobody waits
+	mu       sync.Mutex // guards all below
+	random   *rand.Rand
+	waiting  int
+	inFlight int           // jobs in flight; not a WaitGroup, since jobs arrive while AwaitIdle waits
+	idle     chan struct{} // closed when none is in flight; nil: nobody waits
 }
 
 // NewWorker returns a Worker that does not listen yet.
@@ -101,17 +101,17 @@
 	if o.RunLog == nil {
 		o.RunLog = NewRunLog()
 	}
-	b := &Worker{options: o, runLog: o.RunLog, slots: make(chan struct{}, o.Slots), random: rand.New(rand.NewPCG(o.Seed, 0xb0c5))}
-	b.server = &http.Server{Handler: b}
-	return b
+	worker := &Worker{options: o, runLog: o.RunLog, slots: make(chan struct{}, o.Slots), random: rand.New(rand.NewPCG(o.Seed, 0xb0c5))}
+	worker.server = &http.Server{Handler: worker}
+	return worker
 }
 
 // RunLog returns the record of the worker's jobs.
-func (b *Worker) RunLog() *RunLog { return b.runLog }
+func (worker *Worker) RunLog() *RunLog { return worker.runLog }
 
 // Listen serves on an address, "127.0.0.1:0" for any, and returns it.
-func (b *Worker) Listen(addr string) (string, error) {
-	return listen(b.server, addr)
+func (worker *Worker) Listen(addr string) (string, error) {
+	return listen(worker.server, addr)
 }
 
 // listen has a server serve on an address until it is closed, and returns the address.
@@ -125,56 +125,56 @@
 }
 
 // Close closes all connections at once.
-func (b *Worker) Close() error { return b.server.Close() }
+func (worker *Worker) Close() error { return worker.server.Close() }
 
-// Quiet waits until no job is in flight, apart from those that hang.
-func (b *Worker) Quiet() {
-	b.mu.Lock()
-	if b.busy == 0 {
-		b.mu.Unlock()
+// AwaitIdle waits until no job is in flight, apart from those that hang.
+func (worker *Worker) AwaitIdle() {
+	worker.mu.Lock()
+	if worker.inFlight == 0 {
+		worker.mu.Unlock()
 		return
 	}
-	if b.quiet == nil {
-		b.quiet = make(chan struct{})
+	if worker.idle == nil {
+		worker.idle = make(chan struct{})
 	}
-	quiet := b.quiet
-	b.mu.Unlock()
-	<-quiet
+	idle := worker.idle
+	worker.mu.Unlock()
+	<-idle
 }
 
 // release gives a job's slot back.
-func (b *Worker) release() {
-	<-b.slots
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.busy--; b.busy == 0 && b.quiet != nil {
-		close(b.quiet)
-		b.quiet = nil
+func (worker *Worker) release() {
+	<-worker.slots
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	if worker.inFlight--; worker.inFlight == 0 && worker.idle != nil {
+		close(worker.idle)
+		worker.idle = nil
 	}
 }
 
 // draw decides at which point a job fails, "" for none, and how long it takes.
-func (b *Worker) draw(class string) (Fault, time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	work := b.options.Work(class, b.random)
-	at := b.random.Float64()
+func (worker *Worker) draw(class string) (Fault, time.Duration) {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	work := worker.options.Work(class, worker.random)
+	at := worker.random.Float64()
 	for _, p := range AllFaults {
-		if at -= b.options.Faults[p]; at < 0 {
+		if at -= worker.options.Faults[p]; at < 0 {
 			return p, work
 		}
 	}
 	return "", work
 }
 
-func (b *Worker) load() map[string]float64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return map[string]float64{"x0": float64(cap(b.slots) - len(b.slots)), "queue": float64(b.waiting)}
+func (worker *Worker) load() map[string]float64 {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	return map[string]float64{"x0": float64(cap(worker.slots) - len(worker.slots)), "queue": float64(worker.waiting)}
 }
 
-func (b *Worker) loadText() string {
-	l := b.load()
+func (worker *Worker) loadText() string {
+	l := worker.load()
 	return fmt.Sprintf("x0=%g,queue=%g", l["x0"], l["queue"])
 }
 
@@ -199,10 +199,10 @@
 }
 
 // ServeHTTP answers a health check or carries out a job.
-func (b *Worker) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (worker *Worker) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.Method == http.MethodGet {
-		w.Header().Set("Server-Load", b.loadText())
-		_, _ = io.WriteString(w, b.loadText()+"\n")
+		w.Header().Set("Server-Load", worker.loadText())
+		_, _ = io.WriteString(w, worker.loadText()+"\n")
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(q.Body, 1<<20))
@@ -212,8 +212,8 @@
 		return
 	}
 	j.class, _, _ = strings.Cut(strings.TrimPrefix(q.URL.Path, "/"), "/")
-	j.result = fmt.Sprintf("%s %s: %d bytes by %s", j.class, j.id, len(body), b.options.ID)
-	j.fault, j.work = b.draw(j.class)
+	j.result = fmt.Sprintf("%s %s: %d bytes by %s", j.class, j.id, len(body), worker.options.ID)
+	j.fault, j.work = worker.draw(j.class)
 	switch j.fault {
 	case FaultCutBeforeStart:
 		panic(http.ErrAbortHandler)
@@ -221,62 +221,62 @@
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
-	if j.fault == FaultRejected || !b.enqueue() {
+	if j.fault == FaultRejected || !worker.enqueue() {
 		w.Header().Set("Not-Started", "1")
-		w.Header().Set("Server-Load", b.loadText())
+		w.Header().Set("Server-Load", worker.loadText())
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
 	}
-	j.out = newLineWriter(w, j.id, b.options.ID)
-	b.slots <- struct{}{}
-	b.mu.Lock()
-	b.waiting--
-	b.mu.Unlock()
-	if j.key != "" && b.repeated(q.Context(), j) {
+	j.out = newLineWriter(w, j.id, worker.options.ID)
+	worker.slots <- struct{}{}
+	worker.mu.Lock()
+	worker.waiting--
+	worker.mu.Unlock()
+	if j.key != "" && worker.repeated(q.Context(), j) {
 		return
 	}
-	b.run(q.Context(), j)
+	worker.run(q.Context(), j)
 }
 
 // enqueue counts a job as waiting, unless the queue is full.
-func (b *Worker) enqueue() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.waiting >= b.options.Queue {
+func (worker *Worker) enqueue() bool {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	if worker.waiting >= worker.options.Queue {
 		return false
 	}
-	b.waiting++
-	b.busy++
+	worker.waiting++
+	worker.inFlight++
 	return true
 }
 
 // repeated answers a job whose key was used before by the former result, and reports whether the
 // job is over by that or by the end of its context.
-func (b *Worker) repeated(ctx context.Context, j *workerJob) bool {
-	former, repeat, ok := b.options.Results.Take(ctx, j.key)
+func (worker *Worker) repeated(ctx context.Context, j *workerJob) bool {
+	former, repeat, ok := worker.options.Results.Take(ctx, j.key)
 	if ok && !repeat {
 		return false
 	}
-	b.release()
+	worker.release()
 	if repeat {
-		j.out.line(line{State: "done", Result: &former, Load: b.load()})
+		j.out.line(line{State: "done", Result: &former, Load: worker.load()})
 	}
 	return true
 }
 
 // run carries out a job that has a slot.
-func (b *Worker) run(ctx context.Context, j *workerJob) {
-	b.runLog.Begin(j.id, j.class, b.options.ID, j.received)
+func (worker *Worker) run(ctx context.Context, j *workerJob) {
+	worker.runLog.Begin(j.id, j.class, worker.options.ID, j.received)
 	j.out.line(line{State: "started"})
 	switch j.fault {
 	case FaultHang:
-		b.release()
+		worker.release()
 		<-ctx.Done()
 		return
 	case FaultCutAfterStart:
 		go func() {
 			time.Sleep(j.work)
-			b.finish(j)
+			worker.finish(j)
 		}()
 		panic(http.ErrAbortHandler)
 	}
@@ -288,23 +288,23 @@
 	}
 	time.Sleep(j.work - j.work/2)
 	if j.fault == FaultFailed {
-		b.options.Results.End(j.key, "", false)
-		b.release()
-		j.out.line(line{State: "failed", Load: b.load()})
+		worker.options.Results.End(j.key, "", false)
+		worker.release()
+		j.out.line(line{State: "failed", Load: worker.load()})
 		return
 	}
-	b.finish(j)
+	worker.finish(j)
 	if j.fault == FaultCutAfterEnd {
 		panic(http.ErrAbortHandler)
 	}
-	j.out.line(line{State: "done", Result: &j.result, Load: b.load()})
+	j.out.line(line{State: "done", Result: &j.result, Load: worker.load()})
 }
 
 // finish notes that a job is finished and gives its slot back.
-func (b *Worker) finish(j *workerJob) {
-	b.runLog.Finish(j.id, b.options.ID)
-	b.options.Results.End(j.key, j.result, true)
-	b.release()
+func (worker *Worker) finish(j *workerJob) {
+	worker.runLog.Finish(j.id, worker.options.ID)
+	worker.options.Results.End(j.key, j.result, true)
+	worker.release()
 }
 
 // lineWriter writes the lines of a job's response. Errors are ignored: the job goes on without
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Guards a call of Quiet while jobs still arrive: with a WaitGroup the first job
-// after a pause raced with Quiet, and the race detector ended runs at random.
-func TestQuietWhileJobsCome(t *testing.T) {
+// Guards a call of AwaitIdle while jobs still arrive: with a WaitGroup the first job
+// after a pause raced with it, and the race detector ended runs at random.
+func TestAwaitIdleWhileJobsArrive(t *testing.T) {
 	b := NewWorker(WorkerOptions{ID: "box-1", Seed: 1})
 	var clients sync.WaitGroup
 	for i := range 50 {
@@ -21,10 +21,10 @@
 			q.Header.Set("Request-Id", strconv.Itoa(i))
 			b.ServeHTTP(httptest.NewRecorder(), q)
 		})
-		b.Quiet()
+		b.AwaitIdle()
 	}
 	clients.Wait()
-	b.Quiet()
+	b.AwaitIdle()
 	for _, id := range b.RunLog().Jobs() {
 		if runs := b.RunLog().Runs(id); len(runs) != 1 || runs[0].Finished.IsZero() {
 			t.Errorf("job %s: %+v, want one run that has ended by %v", id, runs, time.Now())
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -39,7 +39,7 @@
 	t      *testing.T
 	name   string
 	ref    *refConf
-	site   *reverseproxy.Proxy
+	proxy  *reverseproxy.Proxy
 	report haproxy.Report
 	front  map[string]string // address of each frontend
 	mu     sync.Mutex
@@ -130,19 +130,19 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if s.site, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loop: loop, Clock: dispatch.NewClock(), Seed: 1, Budget: fdlimit.New(0), Log: log}); err != nil {
+	if s.proxy, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loop: loop, Clock: dispatch.NewClock(), Seed: 1, Budget: fdlimit.New(0), Log: log}); err != nil {
 		s.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { s.site.Run(ctx); close(done) }()
-	for _, l := range s.site.Servers() {
+	go func() { s.proxy.Run(ctx); close(done) }()
+	for _, l := range s.proxy.Servers() {
 		if err := l.Start(ctx, nil); err != nil {
 			s.t.Fatal(err)
 		}
 	}
 	s.t.Cleanup(func() {
-		for _, l := range s.site.Servers() {
+		for _, l := range s.proxy.Servers() {
 			_ = l.Stop()
 		}
 		stop()
@@ -441,7 +441,7 @@
 		want := s.ref.servers(back, &q, s.down)
 		for until := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			downs := 0
-			for _, x := range s.site.Status() {
+			for _, x := range s.proxy.Status() {
 				if x.State == "down" {
 					downs++
 				}
--- a/internal/healthcheck/driver.go
+++ b/internal/healthcheck/driver.go
@@ -111,7 +111,7 @@
 		return err
 	}
 	if !c.Spec.Holds(status, body) {
-		return fmt.Errorf("the answer, status %d, is not what is expected", status)
+		return fmt.Errorf("the response, status %d, is not as expected", status)
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 	return append(b, "Connection: close\r\n\r\n"...)
 }
 
-var errTruncated = errors.New("the answer is cut short")
+var errTruncated = errors.New("the response is truncated")
 
 // readResponse reads a response; of a long body only the first maxResponseBody bytes.
 func readResponse(r io.Reader) (status int, body []byte, err error) {
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -18,7 +18,7 @@
 	{Record{Kind: Sent, Serial: 7, At: 3, Attempt: 3}, "dc0011030703a003a0a0a0a000c000c2a0a000c0"},
 	{Record{Kind: Started, Serial: 7, At: 4, Attempt: 3}, "dc0011040704a003a0a0a0a000c000c2a0a000c0"},
 	{Record{Kind: Ended, Serial: 7, At: 5, Attempt: 3, Code: uint8(OutcomeConnectionLost), NeverRan: true}, "dc0011050705a003a0a0a0a000c006c3a0a000c0"},
-	{Record{Kind: Answered, Serial: 7, At: 6, Code: uint8(Refused), Text: "why"}, "dc0011060706a000a0a0a0a000c002c2a3776879a000c0"},
+	{Record{Kind: Answered, Serial: 7, At: 6, Code: uint8(Rejected), Text: "why"}, "dc0011060706a000a0a0a0a000c002c2a3776879a000c0"},
 	{Record{Kind: ClientGone, Serial: 7, At: 7}, "dc0011070707a000a0a0a0a000c000c2a0a000c0"},
 	{Record{Kind: Settled, Serial: 7, At: 8, JobID: "job", Code: uint8(DidNotRun), Text: "why", Operator: "ann"}, "dc0011080708a36a6f6200a0a0a0a000c002c2a3776879a3616e6e00c0"},
 	{Record{Kind: CarriedOver, Serial: 7, At: 9, CarriedJob: &Job{
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -71,7 +71,7 @@
 // The kinds of answers.
 const (
 	Served AnswerKind = iota + 1
-	Refused
+	Rejected
 	Failed
 )
 
--- a/internal/journal/recorder/recorder.go
+++ b/internal/journal/recorder/recorder.go
@@ -105,7 +105,7 @@
 }
 
 var kinds = map[dispatch.AnswerKind]journal.AnswerKind{
-	dispatch.Served: journal.Served, dispatch.Rejected: journal.Refused, dispatch.Failed: journal.Failed,
+	dispatch.Served: journal.Served, dispatch.Rejected: journal.Rejected, dispatch.Failed: journal.Failed,
 }
 
 // Answered implements dispatch.Journal: it records the final answer to the client.
--- a/internal/journal/store/diskcall_test.go
+++ b/internal/journal/store/diskcall_test.go
@@ -12,8 +12,8 @@
 // slowDisk delays syncs of files, as a busy disk does.
 type slowDisk struct {
 	store.FS
-	begun chan struct{} // receives when a sync begins
-	goOn  chan struct{} // a sync waits for it
+	started chan struct{} // receives when a sync begins
+	proceed chan struct{} // a sync waits for it
 }
 
 type slowFile struct {
@@ -27,8 +27,8 @@
 }
 
 func (f *slowFile) Sync() error {
-	f.disk.begun <- struct{}{}
-	<-f.disk.goOn
+	f.disk.started <- struct{}{}
+	<-f.disk.proceed
 	return f.File.Sync()
 }
 
@@ -36,16 +36,16 @@
 // records takes its time; and that it does not count as durable before a sync that began after it.
 func TestRecordsAreWrittenDuringASync(t *testing.T) {
 	memory := fake.NewDisk(1, 1<<20)
-	disk := &slowDisk{FS: memory, begun: make(chan struct{}), goOn: make(chan struct{})}
+	disk := &slowDisk{FS: memory, started: make(chan struct{}), proceed: make(chan struct{})}
 	s, err := store.Open(store.Options{FS: disk, Dir: "j", Secret: secret, Sync: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	let := func() { <-disk.begun; disk.goOn <- struct{}{} }
+	let := func() { <-disk.started; disk.proceed <- struct{}{} }
 	first, second := make(chan error, 1), make(chan error, 1)
 	s.Put(journal.Record{Kind: journal.Accepted, Serial: 1, At: 1, JobID: "one", Class: "once"}, func(err error) { first <- err })
 	let() // the new segment's own
-	<-disk.begun
+	<-disk.started
 	s.Put(journal.Record{Kind: journal.Accepted, Serial: 2, At: 2, JobID: "two", Class: "once"}, func(err error) { second <- err })
 	deadline := time.Now().Add(10 * time.Second)
 	for !recorded(t, memory, "two") {
@@ -53,7 +53,7 @@
 			t.Fatal("a record waits in memory behind a sync of earlier ones")
 		}
 	}
-	disk.goOn <- struct{}{}
+	disk.proceed <- struct{}{}
 	if err := <-first; err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/journal/store/powerfailure_test.go
@@ -0,0 +1,230 @@
+package store_test
+
+import (
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"sedgevale/internal/fake"
+	"sedgevale/internal/journal"
+	"sedgevale/internal/journal/store"
+)
+
+// CI runs some hundred seeds; `make powercut` as many as SEEDS says.
+var powerSeeds = flag.Int("seeds", 300, "power failures: seeds to run")
+
+var secret = []byte("0123456789abcdef0123456789abcdef")
+
+// simulation is a scheduler and its workers, reduced to what the journal records, on a disk
+// that fails and loses power.
+type simulation struct {
+	rand      *rand.Rand
+	disk      *fake.Disk
+	runLog    *fake.RunLog
+	store     *store.Store
+	now       time.Time
+	jobs      int
+	inFlight  []*attempt
+	sendEarly bool            // a mutation: jobs are sent before the intent is durable
+	answered  map[string]bool // served, and answered
+	call      func()          // of the disk, begun and not finished
+}
+
+type attempt struct {
+	id, worker string
+	serial     uint64
+	begun      bool
+}
+
+func (sim *simulation) open(t *testing.T) {
+	s, err := store.OpenStepped(store.Options{FS: sim.disk, Dir: "j", Secret: secret, Sync: true, Retention: time.Minute,
+		MaxBytes: 64 << 10, ReservedBytes: 4 << 10, SegmentBytes: 2 << 10, Now: func() time.Time { return sim.now }})
+	if err != nil {
+		t.Fatalf("a journal that does not open: %v", err)
+	}
+	sim.store = s
+	sim.call = nil
+	s.StartCallsWith(func(do func()) {
+		if sim.rand.IntN(2) == 0 { // done at once, but its result is taken later
+			do()
+			return
+		}
+		sim.call = do
+	})
+}
+
+// await finishes the disk calls in flight.
+func (sim *simulation) await() {
+	for {
+		if sim.call != nil {
+			sim.call()
+			sim.call = nil
+		}
+		if !sim.store.FinishCall() {
+			return
+		}
+	}
+}
+
+// step takes a step drawn at random.
+func (sim *simulation) step() {
+	sim.now = sim.now.Add(time.Duration(sim.rand.IntN(20)-2) * time.Millisecond) // it steps back, too
+	switch n := sim.rand.IntN(20); {
+	case n < 5:
+		sim.submit()
+	case n < 9:
+		sim.store.WriteBatch()
+	case n < 11:
+		sim.store.BeginSync()
+	case n < 13:
+		sim.await()
+	case n < 14:
+		sim.await()
+		sim.store.BeginMaintenance()
+	case n < 15 && sim.rand.IntN(10) == 0:
+		sim.now = sim.now.Add(40 * time.Second) // segments grow old
+	default:
+		sim.progress()
+	}
+}
+
+func (sim *simulation) submit() {
+	if sim.store.Full() {
+		return
+	}
+	sim.jobs++
+	f := &attempt{id: fmt.Sprintf("job-%d", sim.jobs), worker: fmt.Sprintf("box-%d", sim.rand.IntN(3)), serial: sim.store.Serial()}
+	sim.store.Put(journal.Record{Kind: journal.Accepted, Serial: f.serial, At: sim.now.UnixMicro(), JobID: f.id, Class: "once"}, nil)
+	begin := func(err error) {
+		if err != nil {
+			sim.put(f, journal.Answered, uint8(journal.Rejected))
+			return
+		}
+		f.begun = true
+		sim.runLog.Begin(f.id, "once", f.worker, time.Now())
+		sim.put(f, journal.Sent, 0)
+		sim.inFlight = append(sim.inFlight, f)
+	}
+	intent := journal.Record{Kind: journal.Intent, Serial: f.serial, At: sim.now.UnixMicro(), JobID: f.id, Worker: f.worker}
+	if sim.sendEarly {
+		begin(nil)
+		sim.store.Put(intent, nil)
+		return
+	}
+	sim.store.Put(intent, begin)
+}
+
+func (sim *simulation) put(f *attempt, kind journal.Kind, code uint8) {
+	sim.store.Put(journal.Record{Kind: kind, Serial: f.serial, At: sim.now.UnixMicro(), Code: code}, nil)
+}
+
+// progress continues one of the jobs in flight.
+func (sim *simulation) progress() {
+	if len(sim.inFlight) == 0 {
+		return
+	}
+	i := sim.rand.IntN(len(sim.inFlight))
+	f := sim.inFlight[i]
+	sim.inFlight = append(sim.inFlight[:i], sim.inFlight[i+1:]...)
+	switch sim.rand.IntN(8) {
+	case 0:
+		sim.put(f, journal.Ended, uint8(journal.OutcomeTimedOut))
+		sim.put(f, journal.Answered, uint8(journal.Failed))
+	case 1:
+		sim.put(f, journal.Started, 0)
+		sim.inFlight = append(sim.inFlight, f)
+	default:
+		sim.runLog.Finish(f.id, f.worker)
+		sim.put(f, journal.Ended, uint8(journal.OutcomeServed))
+		sim.put(f, journal.Answered, uint8(journal.Served))
+		sim.answered[f.id] = true
+	}
+}
+
+// simulate runs a simulation through some kills and power failures, and returns the violations of its journal.
+func simulate(t *testing.T, seed uint64, early bool) (breaches []string, jobs, unknown int) {
+	sim := &simulation{rand: rand.New(rand.NewPCG(seed, 1)), runLog: fake.NewRunLog(), now: time.UnixMicro(1e15), sendEarly: early,
+		answered: map[string]bool{}}
+	sim.disk = fake.NewDisk(seed, []int64{1 << 20, 24 << 10, 10 << 10}[sim.rand.IntN(3)])
+	faults := []fake.Op{fake.OpWrite, fake.OpShort, fake.OpSync, fake.OpCreate,
+		fake.OpSyncDir, fake.OpRename, fake.OpRemove}
+	sim.open(t)
+	for range 3 {
+		for range 40 + sim.rand.IntN(120) {
+			if sim.rand.IntN(30) == 0 { // another fault, or none
+				sim.disk.Fail(faults[sim.rand.IntN(len(faults))], []float64{0, 0.3, 1}[sim.rand.IntN(3)])
+			}
+			if sim.rand.IntN(60) == 0 {
+				for _, op := range faults {
+					sim.disk.Fail(op, 0)
+				}
+			}
+			sim.step()
+		}
+		if sim.rand.IntN(4) == 0 {
+			sim.disk = sim.disk.Kill()
+		} else {
+			sim.disk = sim.disk.PowerFail()
+		}
+		sim.inFlight = nil
+		view, err := store.Read(sim.disk, "j", secret, "")
+		if err != nil {
+			t.Fatalf("seed %d: %v", seed, err)
+		}
+		var dropped func(string) bool
+		if len(view.Logs) > 0 && view.Logs[0].PrunedThrough > 0 {
+			dropped = func(id string) bool { return sim.answered[id] }
+		}
+		breaches = append(breaches, fake.Audit(sim.runLog, view.Jobs, all, all, all, dropped)...)
+		for _, p := range view.Problems {
+			if !p.Torn {
+				breaches = append(breaches, "reported as damage: "+p.String())
+			}
+		}
+		sim.open(t)
+	}
+	view, err := store.Read(sim.disk.Kill(), "j", secret, "")
+	if err != nil {
+		t.Fatalf("seed %d: %v", seed, err)
+	}
+	for _, j := range view.Jobs {
+		if v, _, _ := j.Verdict(); v == journal.Unknown {
+			unknown++
+		}
+	}
+	return breaches, sim.jobs, unknown
+}
+
+func all(string) bool { return true }
+
+// Guards the order of intent and sending, and that nothing durable is lost or wrong, through
+// power failures, kills, full disks, and failing writes, syncs and renames.
+func TestPowerFailures(t *testing.T) {
+	jobs, unknown, bad := 0, 0, 0
+	for seed := range *powerSeeds {
+		breaches, n, u := simulate(t, uint64(seed), false)
+		jobs, unknown = jobs+n, unknown+u
+		for _, b := range breaches {
+			if bad++; bad <= 10 {
+				t.Errorf("seed %d: %s", seed, b)
+			}
+		}
+	}
+	t.Logf("%d seeds, %d jobs, %d unknown, %d violations", *powerSeeds, jobs, unknown, bad)
+}
+
+// Guards the check itself: a scheduler that sends before its intent is durable is detected.
+func TestPowerFailuresDetectEarlySending(t *testing.T) {
+	caught := 0
+	for seed := range 50 {
+		if breaches, _, _ := simulate(t, uint64(seed), true); len(breaches) > 0 {
+			caught++
+		}
+	}
+	if caught < 10 {
+		t.Errorf("sending before the intent was noticed in %d of 50 seeds", caught)
+	}
+	t.Logf("caught in %d of 50 seeds", caught)
+}
--- a/internal/journal/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -19,8 +19,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// desk is a Store on a disk in memory that the test runs step by step.
-type desk struct {
+// steppedStore is a Store on a disk in memory that the test runs step by step.
+type steppedStore struct {
 	t    *testing.T
 	disk *fake.Disk
 	s    *store.Store
@@ -29,8 +29,8 @@
 	opt  store.Options
 }
 
-func newDesk(t *testing.T, capacity int64, change func(*store.Options)) *desk {
-	d := &desk{t: t, disk: fake.NewDisk(1, capacity), now: time.UnixMicro(1e15)}
+func newSteppedStore(t *testing.T, capacity int64, change func(*store.Options)) *steppedStore {
+	d := &steppedStore{t: t, disk: fake.NewDisk(1, capacity), now: time.UnixMicro(1e15)}
 	d.opt = store.Options{FS: d.disk, Dir: "j", Secret: secret, Sync: true, Retention: time.Hour, ReservedBytes: 4 << 10, SegmentBytes: 4 << 10,
 		Owner: store.Owner{PID: 1, Name: "a"}, Now: func() time.Time { return d.now }, Log: slog.New(slog.NewTextHandler(&d.log, nil))}
 	if change != nil {
@@ -40,7 +40,7 @@
 	return d
 }
 
-func (d *desk) open() {
+func (d *steppedStore) open() {
 	d.t.Helper()
 	d.opt.FS = d.disk
 	var err error
@@ -50,21 +50,21 @@
 }
 
 // step does what a Store does in one iteration of its loop.
-func (d *desk) step() {
+func (d *steppedStore) step() {
 	d.now = d.now.Add(50 * time.Millisecond)
 	d.s.WriteBatch()
 	d.s.Sync()
 	d.s.Maintain()
 }
 
-func (d *desk) steps(n int) {
+func (d *steppedStore) steps(n int) {
 	for range n {
 		d.step()
 	}
 }
 
 // begin puts a job with an intent and returns what the intent's callback was called with.
-func (d *desk) begin(id string) (serial uint64, got func() error) {
+func (d *steppedStore) begin(id string) (serial uint64, got func() error) {
 	serial = d.s.Serial()
 	at := d.now.UnixMicro()
 	out := errors.New("still waiting")
@@ -74,13 +74,13 @@
 }
 
 // end puts that a job ran and was answered.
-func (d *desk) end(serial uint64) {
+func (d *steppedStore) end(serial uint64) {
 	at := d.now.UnixMicro()
 	d.s.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: at, Code: uint8(journal.OutcomeServed)}, nil)
 	d.s.Put(journal.Record{Kind: journal.Answered, Serial: serial, At: at, Code: uint8(journal.Served)}, nil)
 }
 
-func (d *desk) view() *store.View {
+func (d *steppedStore) view() *store.View {
 	d.t.Helper()
 	v, err := store.Read(d.disk.Kill(), "j", secret, "")
 	if err != nil {
@@ -89,7 +89,7 @@
 	return v
 }
 
-func (d *desk) verdict(id string) string {
+func (d *steppedStore) verdict(id string) string {
 	d.t.Helper()
 	for _, j := range d.view().Jobs {
 		if j.ID == id {
@@ -103,7 +103,7 @@
 // Guards the full disk: the journal reports that it is full, records that close open jobs are written from the reserve, and new
 // ones are accepted again once there is space.
 func TestFullDisk(t *testing.T) {
-	d := newDesk(t, 64<<10, nil)
+	d := newSteppedStore(t, 64<<10, nil)
 	open, got := d.begin("open")
 	d.step()
 	d.step()
@@ -121,7 +121,7 @@
 	if err := got(); !errors.Is(err, store.ErrWriteFailed) {
 		t.Errorf("an intent without space: %v", err)
 	}
-	d.s.Put(journal.Record{Kind: journal.Answered, Serial: late, At: 1, Code: uint8(journal.Refused)}, nil)
+	d.s.Put(journal.Record{Kind: journal.Answered, Serial: late, At: 1, Code: uint8(journal.Rejected)}, nil)
 	d.steps(5)
 	if !d.s.Full() || d.s.Stats().Buffered == 0 {
 		t.Errorf("full %v, buffered %d", d.s.Full(), d.s.Stats().Buffered)
@@ -147,7 +147,7 @@
 // Guards the reserve: once it is released, records that close jobs can be written to a disk that
 // is full.
 func TestReserve(t *testing.T) {
-	d := newDesk(t, 64<<10, nil)
+	d := newSteppedStore(t, 64<<10, nil)
 	open, _ := d.begin("open")
 	d.step()
 	d.step() // the reserve is made
@@ -164,7 +164,7 @@
 // Guards against an intent that counts as durable after a failed sync, and against its
 // loss once the disk works again.
 func TestFailedSync(t *testing.T) {
-	d := newDesk(t, 1<<20, nil)
+	d := newSteppedStore(t, 1<<20, nil)
 	_, first := d.begin("first")
 	d.step()
 	d.disk.Fail(fake.OpSync, 1)
@@ -193,7 +193,7 @@
 // Guards retention: old jobs are dropped, open ones and those with an unknown verdict stay until they are
 // settled, memory is bounded, and what retention has dropped is no damage.
 func TestRetention(t *testing.T) {
-	d := newDesk(t, 8<<20, func(o *store.Options) { o.Retention, o.MaxBytes = time.Minute, 1<<20 })
+	d := newSteppedStore(t, 8<<20, func(o *store.Options) { o.Retention, o.MaxBytes = time.Minute, 1<<20 })
 	doubt, _ := d.begin("doubt")
 	d.s.Put(journal.Record{Kind: journal.Ended, Serial: doubt, At: 1, Code: uint8(journal.OutcomeConnectionLost)}, nil)
 	d.s.Put(journal.Record{Kind: journal.Answered, Serial: doubt, At: 1, Code: uint8(journal.Failed)}, nil)
@@ -240,19 +240,19 @@
 }
 
 // segmentFaults are ways to damage a journal, given its segment files.
-var segmentFaults = map[string]func(d *desk, files []string){
-	"first removed":  func(d *desk, f []string) { _ = d.disk.Remove(f[0]) },
-	"middle removed": func(d *desk, f []string) { _ = d.disk.Remove(f[len(f)/2]) },
-	"byte changed": func(d *desk, f []string) {
+var segmentFaults = map[string]func(d *steppedStore, files []string){
+	"first removed":  func(d *steppedStore, f []string) { _ = d.disk.Remove(f[0]) },
+	"middle removed": func(d *steppedStore, f []string) { _ = d.disk.Remove(f[len(f)/2]) },
+	"byte changed": func(d *steppedStore, f []string) {
 		b, _ := d.disk.ReadFile(f[1])
 		b[len(b)/2] ^= 4
 		d.disk.WriteFile(f[1], b)
 	},
-	"truncated": func(d *desk, f []string) {
+	"truncated": func(d *steppedStore, f []string) {
 		b, _ := d.disk.ReadFile(f[1])
 		d.disk.WriteFile(f[1], b[:len(b)-200])
 	},
-	"swapped": func(d *desk, f []string) {
+	"swapped": func(d *steppedStore, f []string) {
 		a, _ := d.disk.ReadFile(f[1])
 		b, _ := d.disk.ReadFile(f[2])
 		d.disk.WriteFile(f[1], b)
@@ -263,8 +263,8 @@
 // Guards against a journal whose files are removed, swapped or altered undetected; the rest is still
 // read.
 func TestVerifyFindsWhatIsMissing(t *testing.T) {
-	fresh := func() *desk {
-		d := newDesk(t, 8<<20, nil)
+	fresh := func() *steppedStore {
+		d := newSteppedStore(t, 8<<20, nil)
 		for i := range 200 {
 			serial, _ := d.begin(fmt.Sprint("job-", i))
 			d.end(serial)
@@ -273,7 +273,7 @@
 		d.s.ShutDown()
 		return d
 	}
-	names := func(d *desk) (out []string) {
+	names := func(d *steppedStore) (out []string) {
 		all, _ := d.disk.ReadDir("j/lane-0")
 		for _, n := range all {
 			if strings.HasSuffix(n, ".seg") {
@@ -309,7 +309,7 @@
 // Guards against two schedulers in one directory; the two processes of an upgrade have a
 // log each, and a reader finds the jobs of both.
 func TestLogs(t *testing.T) {
-	d := newDesk(t, 8<<20, nil)
+	d := newSteppedStore(t, 8<<20, nil)
 	other := d.opt
 	other.Owner = store.Owner{PID: 2, Name: "b"}
 	if _, err := store.OpenStepped(other); !errors.Is(err, store.ErrLocked) || !strings.Contains(err.Error(), `"a"`) {
@@ -377,7 +377,7 @@
 
 // Guards against a journal that is read or written with another key than its own, and against a key in the log.
 func TestAnotherKey(t *testing.T) {
-	d := newDesk(t, 1<<20, nil)
+	d := newSteppedStore(t, 1<<20, nil)
 	d.begin("j")
 	d.step()
 	wrong := bytes.Repeat([]byte{1}, 32)
@@ -413,7 +413,7 @@
 
 // Guards Read of one id, which finds it as a reading of all does, also on a real disk that is
 // written meanwhile, and the record of a graceful end.
-func TestAskOnDisk(t *testing.T) {
+func TestReadOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	s, err := store.Open(store.Options{Dir: dir, Secret: secret, Sync: true, MaxBytes: 64 << 20, ReservedBytes: 1 << 20})
 	if err != nil {
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -59,23 +59,23 @@
 		if i == n.options.Self {
 			one.State, one.HeardMS, one.Generation = "self", 0, n.options.Generation
 		}
-		if w := n.activeEntry(i); w != nil {
-			one.Revision, one.Digest, one.Differs = w.Number, fmt.Sprintf("%08x", w.Digest), differ[i]
-			if w.Number < s.Newest {
-				one.BehindMS = n.revisionTable.lagOf(now, w.Number).Milliseconds()
+		if entry := n.activeEntry(i); entry != nil {
+			one.Revision, one.Digest, one.Differs = entry.Number, fmt.Sprintf("%08x", entry.Digest), differ[i]
+			if entry.Number < s.Newest {
+				one.BehindMS = n.revisionTable.lagOf(now, entry.Number).Milliseconds()
 			}
 		}
 		s.Members = append(s.Members, one)
 	}
-	for _, b := range n.order {
-		if !b.listed && len(b.reports) == 0 {
+	for _, worker := range n.order {
+		if !worker.listed && len(worker.reports) == 0 {
 			continue
 		}
-		one := WorkerStatus{ID: b.id, Subscribers: b.subscribers, Ours: b.load, Reporters: len(b.reports)}
-		for _, w := range b.reports {
-			one.Others.Slots += w.load.Slots
-			one.Others.Waiting += w.load.Waiting
-			one.OldestMS = max(one.OldestMS, (now - w.at).Milliseconds())
+		one := WorkerStatus{ID: worker.id, Subscribers: worker.subscribers, Ours: worker.load, Reporters: len(worker.reports)}
+		for _, r := range worker.reports {
+			one.Others.Slots += r.load.Slots
+			one.Others.Waiting += r.load.Waiting
+			one.OldestMS = max(one.OldestMS, (now - r.at).Milliseconds())
 		}
 		s.Workers = append(s.Workers, one)
 	}
