--- a/internal/dispatchconfig/journal.go
+++ b/internal/dispatchconfig/journal.go
@@ -29,14 +29,14 @@
 )
 
 const (
-	defaultJournalKeep      = 7 * 24 * 3600 // seconds
+	defaultJournalRetention = 7 * 24 * 3600 // seconds
 	defaultJournalMaxMB     = 256
 	defaultJournalReserveMB = 8
 	minJournalMaxMB         = 4
 )
 
 func (j *Journal) defaults() {
-	j.Retention = cmp.Or(j.Retention, defaultJournalKeep)
+	j.Retention = cmp.Or(j.Retention, defaultJournalRetention)
 	j.MaxMB = cmp.Or(j.MaxMB, defaultJournalMaxMB)
 	j.ReserveMB = cmp.Or(j.ReserveMB, defaultJournalReserveMB)
 	j.Sync = cmp.Or(j.Sync, SyncGroup)
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -208,7 +208,7 @@
 	body, err := io.ReadAll(io.LimitReader(q.Body, 1<<20))
 	j := &workerJob{id: q.Header.Get("Request-Id"), key: q.Header.Get("Idempotency-Key"), received: time.Now()}
 	if err != nil || j.id == "" {
-		http.Error(w, "no whole request with an id", http.StatusNotFound)
+		http.Error(w, "incomplete request, or without an id", http.StatusNotFound)
 		return
 	}
 	j.class, _, _ = strings.Cut(strings.TrimPrefix(q.URL.Path, "/"), "/")
--- a/internal/faultinjection/cluster_test.go
+++ b/internal/faultinjection/cluster_test.go
@@ -24,11 +24,11 @@
 	aim     = 400 * time.Millisecond
 )
 
-// begin starts a cluster in which two workers are slow and one fails most jobs.
-func begin(t *testing.T, schedulers, boxes int, alone bool) *Cluster {
+// startCluster starts a cluster in which two workers are slow and one fails most jobs.
+func startCluster(t *testing.T, schedulers, workers int, alone bool) *Cluster {
 	t.Helper()
 	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: schedulers, Isolated: alone}
-	for i := range boxes {
+	for i := range workers {
 		b := WorkerOptions{Cell: i / 4, Slots: 2, Work: 60 * time.Millisecond}
 		switch i {
 		case 3, 11:
@@ -87,7 +87,7 @@
 func TestPeerLoadsHelpManySchedulers(t *testing.T) {
 	var inTime [2]float64
 	for i, alone := range []bool{true, false} {
-		r := begin(t, 8, 24, alone)
+		r := startCluster(t, 8, 24, alone)
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		since := time.Now().Add(time.Second)
 		answers := r.RunAllClients(ctx, 8, 10*time.Millisecond, timeout)
@@ -142,14 +142,14 @@
 // nothing yet, and half of them receive no datagrams of the other half.
 func TestColdWorkersUnderTwentySchedulers(t *testing.T) {
 	const (
-		boxes, cold  = 10, 5
-		slots, work  = 2, 60 * time.Millisecond
-		fall, warmUp = 2 * time.Second, 22 * time.Second // of Settings, and so are these
-		multiple     = 3
-		start        = 0.13
+		workers, cold = 10, 5
+		slots, work   = 2, 60 * time.Millisecond
+		fall, warmUp  = 2 * time.Second, 22 * time.Second // of Settings, and so are these
+		multiple      = 3
+		start         = 0.13
 	)
 	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: 20}
-	for i := range boxes {
+	for i := range workers {
 		o.Workers = append(o.Workers, WorkerOptions{Cell: i / 4, Slots: slots, Work: work})
 	}
 	r := run(t, o)
@@ -228,7 +228,7 @@
 // Guards the rules and the membership through kills, freezes, partitions in one or both directions, loss, delay and duplicates
 // between eight schedulers: no job is lost, run twice or sent to a draining worker, and the membership converges again.
 func TestManySchedulersThroughFaults(t *testing.T) {
-	r := begin(t, 8, 24, false)
+	r := startCluster(t, 8, 24, false)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	answers := make(chan []fake.Response, 1)
--- a/internal/faultinjection/tenants_test.go
+++ b/internal/faultinjection/tenants_test.go
@@ -40,7 +40,7 @@
 	restarted.Kill()
 	back := make(chan error, 1)
 	up := slices.DeleteFunc(slices.Clone(all), func(s *Scheduler) bool { return s == restarted })
-	gone := time.Now()
+	removedAt := time.Now()
 	f.reconfigure(third, all...)
 	go func() { back <- f.Start(restarted) }()
 	f.awaitUnknownTenant("west", up...)
@@ -60,15 +60,15 @@
 		t.Error(err)
 	}
 	f.finish()
-	for _, team := range []string{"valley", "east"} {
-		f.checkStayingTenant(team)
+	for _, tenant := range []string{"valley", "east"} {
+		f.checkStayingTenant(tenant)
 	}
-	f.checkChangingTenant("north", gone)
-	f.checkChangingTenant("south", gone)
-	if under := f.checkChangingTenant("west", gone); under == 0 {
+	f.checkChangingTenant("north", removedAt)
+	f.checkChangingTenant("south", removedAt)
+	if inFlight := f.checkChangingTenant("west", removedAt); inFlight == 0 {
 		t.Error("no job of west was in flight when it was removed")
 	} else {
-		t.Logf("%d jobs of west were in flight when it was removed", under)
+		t.Logf("%d jobs of west were in flight when it was removed", inFlight)
 	}
 }
 
@@ -224,8 +224,8 @@
 	}
 	f.finish()
 	f.checkStayingTenant("valley")
-	if under := f.checkChangingTenant("east", changed); under == 0 {
-		t.Error("no job of east was under way at the change")
+	if inFlight := f.checkChangingTenant("east", changed); inFlight == 0 {
+		t.Error("no job of east was in flight at the change")
 	}
 	f.checkChangingTenant("north", changed)
 }
@@ -267,8 +267,8 @@
 		t.Fatal(err)
 	}
 	f.awaitServed("north", frozen)
-	for _, team := range []string{"east", "passing"} {
-		f.awaitUnknownTenant(team, f.Schedulers...)
+	for _, tenant := range []string{"east", "passing"} {
+		f.awaitUnknownTenant(tenant, f.Schedulers...)
 	}
 	f.awaitRevision(3, f.Schedulers...)
 	if err := f.awaitAllAlive(); err != nil {
@@ -332,11 +332,11 @@
 		}
 	}
 	var submitted sync.WaitGroup
-	for team, want := range map[string]int{"valley": 200, "east": 200, "north": 400} {
+	for tenant, want := range map[string]int{"valley": 200, "east": 200, "north": 400} {
 		for _, s := range f.Schedulers {
 			submitted.Go(func() {
-				if answer := f.submit(s, team); answer.Status != want {
-					f.t.Errorf("%s: a job of %s was answered with %d, want %d", bad.what, team, answer.Status, want)
+				if answer := f.submit(s, tenant); answer.Status != want {
+					f.t.Errorf("%s: a job of %s was answered with %d, want %d", bad.what, tenant, answer.Status, want)
 				}
 			})
 		}
--- a/internal/faultinjection/trial_test.go
+++ b/internal/faultinjection/trial_test.go
@@ -47,10 +47,10 @@
 }
 
 // startClients runs clients of one tenant at some schedulers until they are stopped, at the latest at the end.
-func (f *trial) startClients(team string, clients int, think time.Duration, at ...*Scheduler) (stop func()) {
+func (f *trial) startClients(tenant string, clients int, think time.Duration, at ...*Scheduler) (stop func()) {
 	ctx, stop := context.WithCancel(f.ctx)
 	f.clients.Go(func() {
-		answers := f.RunClients(ctx, ClientLoad{Schedulers: at, Tenants: []string{team}, IDSuffix: "-" + team, Clients: clients, ThinkTime: think, Timeout: timeout})
+		answers := f.RunClients(ctx, ClientLoad{Schedulers: at, Tenants: []string{tenant}, IDSuffix: "-" + tenant, Clients: clients, ThinkTime: think, Timeout: timeout})
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.answers = append(f.answers, answers...)
@@ -59,12 +59,12 @@
 }
 
 // submit submits one job of a tenant and returns the response.
-func (f *trial) submit(s *Scheduler, team string) fake.Response {
+func (f *trial) submit(s *Scheduler, tenant string) fake.Response {
 	f.mu.Lock()
 	f.probes++
-	id := fmt.Sprintf("%s-%s-probe-%d", s.Name, team, f.probes)
+	id := fmt.Sprintf("%s-%s-probe-%d", s.Name, tenant, f.probes)
 	f.mu.Unlock()
-	answer := s.Submit(f.t.Context(), id, "usage-view", team, timeout)
+	answer := s.Submit(f.t.Context(), id, "usage-view", tenant, timeout)
 	f.mu.Lock()
 	f.answers = append(f.answers, answer)
 	f.mu.Unlock()
@@ -72,18 +72,18 @@
 }
 
 // awaitServed submits jobs of a tenant to some schedulers until one is served at each.
-func (f *trial) awaitServed(team string, at ...*Scheduler) {
+func (f *trial) awaitServed(tenant string, at ...*Scheduler) {
 	f.t.Helper()
-	f.awaitStatus(team, http.StatusOK, at)
+	f.awaitStatus(tenant, http.StatusOK, at)
 }
 
 // awaitUnknownTenant submits jobs of a tenant to some schedulers until each rejects one since it does not know the tenant.
-func (f *trial) awaitUnknownTenant(team string, at ...*Scheduler) {
+func (f *trial) awaitUnknownTenant(tenant string, at ...*Scheduler) {
 	f.t.Helper()
-	f.awaitStatus(team, http.StatusBadRequest, at)
+	f.awaitStatus(tenant, http.StatusBadRequest, at)
 }
 
-func (f *trial) awaitStatus(team string, status int, at []*Scheduler) {
+func (f *trial) awaitStatus(tenant string, status int, at []*Scheduler) {
 	f.t.Helper()
 	type answer struct {
 		fake.Response
@@ -93,7 +93,7 @@
 	for _, s := range at {
 		go func() {
 			for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-				response := f.submit(s, team)
+				response := f.submit(s, tenant)
 				if response.Status == status || time.Since(began) > maxApplyTime {
 					answers <- answer{response, response.ReceivedAt.Sub(f.since)}
 					return
@@ -105,10 +105,10 @@
 	for range at {
 		a := <-answers
 		if slowest = max(slowest, a.after); a.Status != status {
-			f.t.Errorf("%s: a job of %s is answered with %d %q after %v, want %d", a.Job, team, a.Status, a.Body, a.after, status)
+			f.t.Errorf("%s: a job of %s is answered with %d %q after %v, want %d", a.Job, tenant, a.Status, a.Body, a.after, status)
 		}
 	}
-	f.t.Logf("jobs of %s are answered with %d at all of %d at the latest %v after the signal", team, status, len(at), slowest.Round(time.Millisecond))
+	f.t.Logf("jobs of %s are answered with %d at all of %d at the latest %v after the signal", tenant, status, len(at), slowest.Round(time.Millisecond))
 }
 
 // reconfigure gives some schedulers a new configuration.
@@ -129,9 +129,9 @@
 }
 
 // answersOf returns the responses to a tenant's jobs.
-func (f *trial) answersOf(team string) (out []fake.Response) {
+func (f *trial) answersOf(tenant string) (out []fake.Response) {
 	for _, t := range f.answers {
-		if strings.Contains(t.Job, "-"+team+"-") {
+		if strings.Contains(t.Job, "-"+tenant+"-") {
 			out = append(out, t)
 		}
 	}
@@ -140,16 +140,16 @@
 
 // checkStayingTenant checks the responses to a tenant that stayed: each job has its result unless its scheduler had an outage, or the
 // job ran out of time, as happens on a loaded machine: few may be rejected for that, and fewer time out at a worker.
-func (f *trial) checkStayingTenant(team string) {
+func (f *trial) checkStayingTenant(tenant string) {
 	f.t.Helper()
-	f.checkAnswers(team, func(t fake.Response) bool { return t.Status == http.StatusOK })
+	f.checkAnswers(tenant, func(t fake.Response) bool { return t.Status == http.StatusOK })
 }
 
 // checkChangingTenant does so for a tenant that is added and removed, whose jobs may also be rejected since it is not known, and
 // returns how many of its jobs were in flight at a moment.
-func (f *trial) checkChangingTenant(team string, at time.Time) (inFlight int) {
+func (f *trial) checkChangingTenant(tenant string, at time.Time) (inFlight int) {
 	f.t.Helper()
-	f.checkAnswers(team, func(t fake.Response) bool {
+	f.checkAnswers(tenant, func(t fake.Response) bool {
 		if t.Status == http.StatusOK && t.SentAt.Before(at) && t.ReceivedAt.After(at) {
 			inFlight++
 		}
@@ -170,17 +170,17 @@
 	})
 }
 
-func (f *trial) checkAnswers(team string, well func(fake.Response) bool) {
+func (f *trial) checkAnswers(tenant string, well func(fake.Response) bool) {
 	f.t.Helper()
 	e := f.Observations(nil, timeout)
-	all, refused, late := f.answersOf(team), 0, 0
+	all, rejected, late := f.answersOf(tenant), 0, 0
 	for _, t := range all {
 		scheduler, _, _ := strings.Cut(t.Job, "-")
 		switch {
 		case well(t):
 		case t.Status == 0 && e.hadOutage(scheduler, t.SentAt, t.ReceivedAt): // else checkRules finds it
 		case t.Status == http.StatusServiceUnavailable && strings.HasPrefix(t.Body, "cannot be in time"):
-			refused++
+			rejected++
 		case t.Status == http.StatusInternalServerError && strings.HasPrefix(t.Body, "no answer in time") && (e.hadOutage(scheduler, t.SentAt, t.ReceivedAt) || f.lateByRunLog(t)):
 			if !e.hadOutage(scheduler, t.SentAt, t.ReceivedAt) { // else its time ended while nobody could answer
 				f.t.Logf("late: %s, %s, sent %s, answered after %v; outages %v; its runs %+v", t.Job, t.Class, t.SentAt.Format("05.000"),
@@ -192,9 +192,9 @@
 				t.Status, t.Body, t.ReceivedAt.Sub(t.SentAt), e.Outages[scheduler], f.RunLog.Runs(t.Job))
 		}
 	}
-	f.t.Logf("%s: %d jobs, %d rejected for lack of time, %d late", team, len(all), refused, late)
-	if len(all) == 0 || refused > 5+len(all)/10 || late > 1+len(all)/100 {
-		f.t.Errorf("%s: of %d jobs %d were rejected and %d late", team, len(all), refused, late)
+	f.t.Logf("%s: %d jobs, %d rejected for lack of time, %d late", tenant, len(all), rejected, late)
+	if len(all) == 0 || rejected > 5+len(all)/10 || late > 1+len(all)/100 {
+		f.t.Errorf("%s: of %d jobs %d were rejected and %d late", tenant, len(all), rejected, late)
 	}
 }
 
--- a/internal/journal/report_golden_test.go
+++ b/internal/journal/report_golden_test.go
@@ -8,7 +8,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// The keys of what operators are told of a job, each with the field that it stands for, and a whole answer.
+// The JSON keys of a Report, each with the field that it stands for, and a complete report.
 func TestReportBytes(t *testing.T) {
 	var report journal.Report
 	testkit.Fill(&report)
--- a/internal/journal/store/store.go
+++ b/internal/journal/store/store.go
@@ -54,7 +54,7 @@
 )
 
 // ErrWriteFailed is passed to the callback of a record that could not be written.
-var ErrWriteFailed = errors.New("the journal has no room")
+var ErrWriteFailed = errors.New("the journal cannot be written")
 
 // ErrClosed is passed to callbacks that still wait when the Store closes.
 var ErrClosed = errors.New("the journal is closed")
--- a/internal/journal/store/stored_data_test.go
+++ b/internal/journal/store/stored_data_test.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// A journal that an earlier release wrote is read whole: its finished, open, unknown and settled jobs, with their times.
+// A journal that an earlier release wrote is read completely: its finished, open, unknown and settled jobs, with their times.
 func TestStoredJournalIsRead(t *testing.T) {
 	if *updateStored {
 		if err := os.RemoveAll(storedJournal); err != nil {
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		t.Fatalf("the address is not free after Pause: %v", err)
 	}
-	a.link.Resume() // before the other has gone
+	a.link.Resume() // before the other process has ended
 	if err := taken.Close(); err != nil {
 		t.Error(err)
 	}
--- a/internal/peers/golden_test.go
+++ b/internal/peers/golden_test.go
@@ -8,7 +8,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// The keys of what operators are told of peers, each with the field that it stands for.
+// The JSON keys of Status, each with the field that it stands for.
 func TestKeysOfStatus(t *testing.T) {
 	var status peers.Status
 	testkit.Fill(&status)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -19,7 +19,7 @@
 
 const ms = time.Millisecond
 
-// inFlightDatagram is a datagram under way.
+// inFlightDatagram is a datagram between two nodes.
 type inFlightDatagram struct {
 	at       time.Duration
 	from, to int
@@ -50,11 +50,11 @@
 	return out
 }
 
-func newNet(members int, boxes []string, seed uint64) *network {
+func newNetwork(members int, workers []string, seed uint64) *network {
 	n := &network{rand: rand.New(rand.NewPCG(seed, 0)), down: map[int]bool{}}
 	for m := range members {
 		n.nodes = append(n.nodes, New(options(m, members)))
-		n.nodes[m].SetWorkers(boxes)
+		n.nodes[m].SetWorkers(workers)
 	}
 	return n
 }
@@ -77,8 +77,8 @@
 	}
 }
 
-func (n *network) setLoad(m int, box string, o Load) {
-	n.nodes[m].SetLoad(n.now, box, o, false)
+func (n *network) setLoad(m int, worker string, o Load) {
+	n.nodes[m].SetLoad(n.now, worker, o, false)
 	n.nodes[m].Flush(n.now, n.sendFrom(m))
 }
 
@@ -107,8 +107,8 @@
 }
 
 // reportedLoad returns the load of the others on a worker, as a node knows it.
-func (n *network) reportedLoad(m int, box string) (o Load) {
-	if b := n.nodes[m].workers[box]; b != nil {
+func (n *network) reportedLoad(m int, worker string) (o Load) {
+	if b := n.nodes[m].workers[worker]; b != nil {
 		for _, w := range b.reports {
 			o.Slots += w.load.Slots
 			o.Waiting += w.load.Waiting
@@ -140,8 +140,8 @@
 // member restarted or was partitioned, three seconds after the last fault all subscribers know the real loads.
 func TestLoadsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members, boxes := rapid.IntRange(2, 9).Draw(t, "members"), ids(rapid.IntRange(1, 9).Draw(t, "boxes"))
-		n := newNet(members, boxes, rapid.Uint64().Draw(t, "seed"))
+		members, workers := rapid.IntRange(2, 9).Draw(t, "members"), ids(rapid.IntRange(1, 9).Draw(t, "boxes"))
+		n := newNetwork(members, workers, rapid.Uint64().Draw(t, "seed"))
 		n.lossRate, n.duplicateRate = rapid.Float64Range(0, 0.5).Draw(t, "loss"), rapid.Float64Range(0, 0.5).Draw(t, "repeat")
 		n.extraDelay = rapid.SampledFrom([]time.Duration{0, 300 * ms, 5 * time.Second}).Draw(t, "late")
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -151,7 +151,7 @@
 				o := n.nodes[m].options
 				o.Generation++
 				n.nodes[m] = New(o)
-				n.nodes[m].SetWorkers(boxes)
+				n.nodes[m].SetWorkers(workers)
 			case 1:
 				cut := rapid.IntRange(0, members).Draw(t, "cut")
 				n.linkDown = func(from, to int) bool { return (from < cut) != (to < cut) }
@@ -159,7 +159,7 @@
 				n.linkDown = nil
 			default:
 				o := Load{rapid.IntRange(0, 40).Draw(t, "slots"), rapid.IntRange(0, 3).Draw(t, "waiting")}
-				n.setLoad(m, rapid.SampledFrom(boxes).Draw(t, "box"), o)
+				n.setLoad(m, rapid.SampledFrom(workers).Draw(t, "box"), o)
 			}
 			n.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "for")) * 5 * ms)
 		}
@@ -174,16 +174,16 @@
 
 // Guards against a member that fails while it has load on workers, which would count for ever.
 func TestLoadsOfFailedMembersExpire(t *testing.T) {
-	boxes := ids(3)
-	n := newNet(3, boxes, 1)
-	n.setLoad(0, boxes[0], Load{5, 1})
+	workers := ids(3)
+	n := newNetwork(3, workers, 1)
+	n.setLoad(0, workers[0], Load{5, 1})
 	n.run(10 * time.Second)
-	if got := n.reportedLoad(1, boxes[0]); got != (Load{5, 1}) {
+	if got := n.reportedLoad(1, workers[0]); got != (Load{5, 1}) {
 		t.Fatalf("after ten seconds without a change %v is known, want 5 and 1", got)
 	}
 	n.down[0] = true
 	n.run(LoadTTL + 200*ms)
-	if got := n.reportedLoad(1, boxes[0]); got != (Load{}) {
+	if got := n.reportedLoad(1, workers[0]); got != (Load{}) {
 		t.Errorf("%v is still known 2.2 s after its last datagram", got)
 	}
 	sum := 0
@@ -196,17 +196,17 @@
 // Guards the number of datagrams of a job: that an attempt waits is sent only where the worker is full or it has waited for a
 // while, and a load that has not changed is not sent again before RepeatInterval.
 func TestLoadsAreSentOnlyWhenNeeded(t *testing.T) {
-	boxes := ids(1)
+	workers := ids(1)
 	sent := 0
 	a, b := New(options(0, 2)), New(options(1, 2))
-	a.SetWorkers(boxes)
-	b.SetWorkers(boxes)
+	a.SetWorkers(workers)
+	b.SetWorkers(workers)
 	step := func(now time.Duration, o Load, full bool, tick bool, total int, known Load) {
 		t.Helper()
 		if tick {
 			a.Tick(now)
 		} else {
-			a.SetLoad(now, boxes[0], o, full)
+			a.SetLoad(now, workers[0], o, full)
 		}
 		a.Flush(now, func(_ int, data []byte) {
 			sent++
@@ -214,7 +214,7 @@
 				t.Fatal(err)
 			}
 		})
-		if got := b.workers[boxes[0]].reports; sent != total || len(got) > 0 && got[0].load != known {
+		if got := b.workers[workers[0]].reports; sent != total || len(got) > 0 && got[0].load != known {
 			t.Errorf("at %v: %d sent, want %d; known %v, want %v", now, sent, total, got, known)
 		}
 	}
@@ -234,20 +234,20 @@
 
 // Guards against stale datagrams that count as new: of an earlier generation, delayed by seconds, or duplicates.
 func TestStaleDatagramsAreRejected(t *testing.T) {
-	boxes := ids(2)
+	workers := ids(2)
 	a, b := New(options(0, 2)), New(options(1, 2))
-	a.SetWorkers(boxes)
-	b.SetWorkers(boxes)
+	a.SetWorkers(workers)
+	b.SetWorkers(workers)
 	var datagrams [][]byte
 	keep := func(_ int, data []byte) { datagrams = append(datagrams, bytes.Clone(data)) }
 	say := func(slots int) {
-		a.SetLoad(0, boxes[0], Load{Slots: slots}, false)
+		a.SetLoad(0, workers[0], Load{Slots: slots}, false)
 		a.Flush(0, keep)
 	}
 	say(1)
 	say(2)
 	say(3)
-	known := func() int { return b.workers[boxes[0]].reports[0].load.Slots }
+	known := func() int { return b.workers[workers[0]].reports[0].load.Slots }
 	for _, i := range []int{1, 0, 1, 2, 0, 1, 2} {
 		if err := b.Receive(time.Second, 0, datagrams[i]); err != nil {
 			t.Fatal(err)
@@ -268,7 +268,7 @@
 	o := options(0, 2)
 	o.Generation = 2
 	a = New(o)
-	a.SetWorkers(boxes)
+	a.SetWorkers(workers)
 	say(1)
 	if err := b.Receive(6*time.Second, 0, datagrams[6]); err != nil || known() != 1 {
 		t.Errorf("a datagram of the new generation: %v, %d is known", err, known())
@@ -283,12 +283,12 @@
 
 // Guards against datagrams that are corrupt, of another site or of another version: they are rejected and change nothing.
 func TestInvalidDatagramsAreRejected(t *testing.T) {
-	boxes := ids(2)
+	workers := ids(2)
 	sealed := func(o Options) []byte {
 		var data []byte
 		a := New(o)
-		a.SetWorkers(boxes)
-		a.SetLoad(0, boxes[0], Load{Slots: 3}, false)
+		a.SetWorkers(workers)
+		a.SetLoad(0, workers[0], Load{Slots: 3}, false)
 		a.Flush(0, func(_ int, d []byte) { data = bytes.Clone(d) })
 		return data
 	}
@@ -317,7 +317,7 @@
 		{"of the receiver itself", 1, good, ErrSender},
 	} {
 		b := New(options(1, 2))
-		b.SetWorkers(boxes)
+		b.SetWorkers(workers)
 		if err := b.Receive(time.Second, c.from, c.data); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
@@ -325,15 +325,15 @@
 			t.Errorf("%s has changed something", c.name)
 		}
 	}
-	testAlteredBytes(t, boxes, good)
+	testAlteredBytes(t, workers, good)
 }
 
 // testAlteredBytes checks that a datagram is rejected if any of its bytes is altered.
-func testAlteredBytes(t *testing.T, boxes []string, good []byte) {
+func testAlteredBytes(t *testing.T, workers []string, good []byte) {
 	t.Helper()
 	for i := range good {
 		b := New(options(1, 2))
-		b.SetWorkers(boxes)
+		b.SetWorkers(workers)
 		bad := bytes.Clone(good)
 		bad[i] ^= 0x10
 		if b.Receive(time.Second, 0, bad) == nil {
@@ -345,9 +345,9 @@
 // Guards against workers with too few or too many subscribers, and members with far more or fewer workers than others, at all
 // sizes; and against two members that have the same list in another order and disagree.
 func TestSubscribersAreBalanced(t *testing.T) {
-	for _, c := range []struct{ members, boxes int }{{2, 9}, {7, 7}, {24, 24}, {80, 60}, {300, 7}, {300, 150}, {300, 200}, {60, 2000}} {
-		hashes := make([]uint64, c.boxes)
-		for i, id := range ids(c.boxes) {
+	for _, c := range []struct{ members, workers int }{{2, 9}, {7, 7}, {24, 24}, {80, 60}, {300, 7}, {300, 150}, {300, 200}, {60, 2000}} {
+		hashes := make([]uint64, c.workers)
+		for i, id := range ids(c.workers) {
 			hashes[i] = hashOf(id)
 		}
 		parts := make([]int, c.members)
@@ -359,17 +359,17 @@
 				parts[m]++
 			}
 		}
-		if want := min(12, c.members); least < want || most > 2*max(want, c.members*6/c.boxes+1) {
+		if want := min(12, c.members); least < want || most > 2*max(want, c.members*6/c.workers+1) {
 			t.Errorf("%v: %d to %d subscribers", c, least, most)
 		}
 		small, large := slices.Min(parts), slices.Max(parts)
-		if small < min(6, c.boxes)-1 || large > small+2+small/4 {
+		if small < min(6, c.workers)-1 || large > small+2+small/4 {
 			t.Errorf("%v: subsets of %d to %d", c, small, large)
 		}
 		other := slices.Clone(hashes)
 		slices.Reverse(other)
 		for i, a := range assignSubscribers(c.members, other, 12, 6) {
-			if !slices.Equal(a, lists[c.boxes-1-i]) {
+			if !slices.Equal(a, lists[c.workers-1-i]) {
 				t.Fatalf("%v: worker %d has other subscribers in another order", c, i)
 			}
 		}
@@ -379,19 +379,19 @@
 // Guards the parser against arbitrary datagrams: it neither panics nor accepts a load of one member on one worker beyond the
 // bounds.
 func FuzzReceive(f *testing.F) {
-	boxes := ids(4)
+	workers := ids(4)
 	a := New(options(0, 2))
-	a.SetWorkers(boxes)
-	a.SetLoad(0, boxes[1], Load{3, 1}, false)
+	a.SetWorkers(workers)
+	a.SetLoad(0, workers[1], Load{3, 1}, false)
 	a.Flush(0, func(_ int, data []byte) { f.Add(bytes.Clone(data)) })
 	f.Fuzz(func(t *testing.T, data []byte) {
 		b := New(options(1, 2))
-		b.SetWorkers(boxes)
+		b.SetWorkers(workers)
 		_ = b.Receive(time.Second, 0, data)
 		_ = b.Receive(time.Second, 0, b.codec.seal(append(b.codec.begin(make([]byte, 0, MaxDatagram), head{kindLoads, 1, 1}),
 			data[:min(len(data), MaxDatagram-headSize-checkSize)]...)))
 		b.TakeLoadChanges(func(id string, slots, waiting int) {
-			if !slices.Contains(boxes, id) || slots > maxSlots || waiting > maxWaiting {
+			if !slices.Contains(workers, id) || slots > maxSlots || waiting > maxWaiting {
 				t.Errorf("%s: %d and %d", id, slots, waiting)
 			}
 		})
@@ -402,13 +402,13 @@
 func BenchmarkLoadExchange(b *testing.B) {
 	for _, members := range []int{2, 30, 300, 1000} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
-			boxes := ids(members/2 + 1)
+			workers := ids(members/2 + 1)
 			o := options(0, members)
 			o.MinSubscribers, o.MinSubset = 12, 6
 			n := New(o)
-			n.SetWorkers(boxes)
+			n.SetWorkers(workers)
 			other := New(Options{Self: 1, Members: members, Site: 7, Generation: 1, MinSubscribers: 12, MinSubset: 6})
-			other.SetWorkers(boxes)
+			other.SetWorkers(workers)
 			sent, now := 0, time.Duration(0)
 			take := func(to int, data []byte) {
 				if sent++; to == 1 {
@@ -418,7 +418,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += ms
-				n.SetLoad(now, boxes[i%len(boxes)], Load{Slots: i % 5}, false)
+				n.SetLoad(now, workers[i%len(workers)], Load{Slots: i % 5}, false)
 				n.Flush(now, take)
 				other.TakeLoadChanges(func(string, int, int) {})
 			}
--- a/internal/peers/revisions_wire_test.go
+++ b/internal/peers/revisions_wire_test.go
@@ -22,8 +22,8 @@
 // Guards programs that do not watch: not one more byte is sent, and what they sent before is the same to the bit. The sums are
 // those of the program before there were revisions.
 func TestWithoutAWatchNothingIsTold(t *testing.T) {
-	boxes := ids(6)
-	n := newNet(3, boxes, 1)
+	workers := ids(6)
+	n := newNetwork(3, workers, 1)
 	sum := fnv.New64a()
 	letters := 0
 	post := func(from int) func(int, []byte) {
@@ -44,7 +44,7 @@
 			}
 		}
 		m := step % 3
-		n.nodes[m].SetLoad(n.now, boxes[step%5], Load{step % 7, step % 2}, step%11 == 0)
+		n.nodes[m].SetLoad(n.now, workers[step%5], Load{step % 7, step % 2}, step%11 == 0)
 		n.nodes[m].Tick(n.now)
 		if m == 1 {
 			n.nodes[m].SetRevision(n.now, Revision{uint32(step), 5})
--- a/internal/route/words.go
+++ b/internal/route/words.go
@@ -42,19 +42,19 @@
 
 // splitState is the state of Split between two bytes.
 type splitState struct {
-	words []string        // complete words
-	word  strings.Builder // the current word, without its quotes
-	begun bool            // there is a current word, which may be empty in quotes
-	quote byte            // the open quote; 0: none
+	words  []string        // complete words
+	word   strings.Builder // the current word, without its quotes
+	inWord bool            // there is a current word, which may be empty in quotes
+	quote  byte            // the open quote; 0: none
 }
 
 // end ends the current word, if any.
 func (p *splitState) end() {
-	if p.begun {
+	if p.inWord {
 		p.words = append(p.words, p.word.String())
 	}
 	p.word.Reset()
-	p.begun = false
+	p.inWord = false
 }
 
 // step reads what rest begins with and returns how many bytes of it that was, and whether the
@@ -68,14 +68,14 @@
 	case p.quote != 0:
 		return s.quoted(p, rest), false, nil
 	case c == '"' || c == '\'':
-		p.quote, p.begun = c, true
+		p.quote, p.inWord = c, true
 	case c == '#' && s.Comments:
 		p.end()
 		return 1, true, nil
 	case c == ' ' || c == '\t' || c == '\r':
 		p.end()
 	default:
-		p.begun = true
+		p.inWord = true
 		p.word.WriteByte(c)
 	}
 	return 1, false, nil
@@ -102,7 +102,7 @@
 	if len(rest) == 1 {
 		return 0, errTrailingBackslash
 	}
-	p.begun = true
+	p.inWord = true
 	text, n := Unescape(rest[1:])
 	p.word.WriteString(text)
 	return 1 + n, nil
