--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -104,6 +104,7 @@
 // OutcomeOf returns the journal's number for a sedgevale.Outcome.
 func OutcomeOf(o sedgevale.Outcome) Outcome { return outcomeNumbers[o] }
 
+// String returns the outcome as reports for operators show it.
 func (o Outcome) String() string {
 	return nameOf([]string{"", "served", "error", "turned_away", "timed_out", "could_not_connect", "connection_lost",
 		"cancelled", "not_sent"}, int(o))
--- a/internal/journal/store/segmentlog.go
+++ b/internal/journal/store/segmentlog.go
@@ -37,7 +37,7 @@
 	durableSequence    uint64      // of the same
 	unsynced           []journal.Record
 	syncing            *syncMark // what the sync in flight makes durable; nil: none
-	unsyncedOfPriorRun bool      // unsynced was written by the process before, whose run was priorRun
+	unsyncedOfPriorRun bool      // unsynced was written by the process before, whose id was priorRun
 	priorRun           [16]byte
 
 	table        *journal.JobTable // jobs that are open or wait for an operator
--- a/internal/peers/failuredetector.go
+++ b/internal/peers/failuredetector.go
@@ -37,6 +37,7 @@
 	Dead
 )
 
+// String returns the state as /admin/peers and the log show it.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -49,12 +50,12 @@
 	return "unknown"
 }
 
-// claim is the state of a member, as of one of its runs.
+// claim is the state of a member, as of one of its generations.
 type claim struct {
 	number      uint16
 	state       State
-	generation  uint16 // of the run
-	incarnation uint8  // how often that run has refuted a suspicion
+	generation  uint16 // number of the member's process, raised with each start
+	incarnation uint8  // how often that process has refuted a suspicion
 }
 
 // supersedes reports whether a claim replaces another one of the same member.
