--- a/internal/faultinjection/cluster_test.go
+++ b/internal/faultinjection/cluster_test.go
@@ -24,11 +24,11 @@
 	aim     = 400 * time.Millisecond
 )
 
-// begin starts a cluster in which two workers are slow and one fails most jobs.
-func begin(t *testing.T, schedulers, boxes int, alone bool) *Cluster {
+// startCluster starts a cluster in which two workers are slow and one fails most jobs.
+func startCluster(t *testing.T, schedulers, workers int, alone bool) *Cluster {
 	t.Helper()
 	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: schedulers, Isolated: alone}
-	for i := range boxes {
+	for i := range workers {
 		b := WorkerOptions{Cell: i / 4, Slots: 2, Work: 60 * time.Millisecond}
 		switch i {
 		case 3, 11:
@@ -87,7 +87,7 @@
 func TestPeerLoadsHelpManySchedulers(t *testing.T) {
 	var inTime [2]float64
 	for i, alone := range []bool{true, false} {
-		r := begin(t, 8, 24, alone)
+		r := startCluster(t, 8, 24, alone)
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		since := time.Now().Add(time.Second)
 		answers := r.RunAllClients(ctx, 8, 10*time.Millisecond, timeout)
@@ -129,18 +129,27 @@
 	return came
 }
 
+// worstWindow returns the highest quotient of the arrivals in a window and its budget. Arrivals are sorted.
+func worstWindow(arrivals []time.Duration, window time.Duration, budget func(at time.Duration) float64) (worst float64) {
+	for first, at := range arrivals {
+		n, _ := slices.BinarySearch(arrivals[first:], at+window)
+		worst = max(worst, float64(n)/budget(at))
+	}
+	return worst
+}
+
 // Guards against cold workers that are overloaded by the sum of twenty schedulers: six of those have just restarted and learned
 // nothing yet, and half of them receive no datagrams of the other half.
 func TestColdWorkersUnderTwentySchedulers(t *testing.T) {
 	const (
-		boxes, cold  = 10, 5
-		slots, work  = 2, 60 * time.Millisecond
-		fall, warmUp = 2 * time.Second, 22 * time.Second // of Settings, and so are these
-		multiple     = 3
-		start        = 0.13
+		workers, cold = 10, 5
+		slots, work   = 2, 60 * time.Millisecond
+		fall, warmUp  = 2 * time.Second, 22 * time.Second // of Settings, and so are these
+		multiple      = 3
+		start         = 0.13
 	)
 	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: 20}
-	for i := range boxes {
+	for i := range workers {
 		o.Workers = append(o.Workers, WorkerOptions{Cell: i / 4, Slots: slots, Work: work})
 	}
 	r := run(t, o)
@@ -168,16 +177,16 @@
 	stop()
 	r.checkRules(t, <-answers)
 	came := r.arrivals(began)
+	// budget is how many attempts a worker may get in the window that begins at a time after its start, with slack for randomness.
+	budget := func(at time.Duration) float64 {
+		capacity := slots / work.Seconds() * (start + (1-start)*at.Seconds()/warmUp.Seconds())
+		mean := multiple * capacity * fall.Seconds()
+		return mean + 2*math.Sqrt(mean) + 2
+	}
 	for i := range cold {
 		all := came[workerName(i)]
 		slices.Sort(all)
-		worst := 0.0
-		for first, at := range all {
-			n, _ := slices.BinarySearch(all[first:], at+fall)
-			capacity := slots / work.Seconds() * (start + (1-start)*at.Seconds()/warmUp.Seconds())
-			budget := multiple * capacity * fall.Seconds()
-			worst = max(worst, float64(n)/(budget+2*math.Sqrt(budget)+2))
-		}
+		worst := worstWindow(all, fall, budget)
 		t.Logf("%s: %d jobs while cold, at most %.2f of its budget in %v", workerName(i), len(all), worst, fall)
 		if worst > 1 {
 			t.Errorf("%s got %.2f times its budget", workerName(i), worst)
@@ -219,7 +228,7 @@
 // Guards the rules and the membership through kills, freezes, partitions in one or both directions, loss, delay and duplicates
 // between eight schedulers: no job is lost, run twice or sent to a draining worker, and the membership converges again.
 func TestManySchedulersThroughFaults(t *testing.T) {
-	r := begin(t, 8, 24, false)
+	r := startCluster(t, 8, 24, false)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	answers := make(chan []fake.Response, 1)
