--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -171,11 +171,11 @@
 			c.fail(err)
 		case len(c.body) > maxListBytes:
 			c.fail(errListTooLong)
-		case ev == http1.Headed && !c.awaiting:
+		case ev == http1.HeadParsed && !c.awaiting:
 			c.fail(errUnsolicited)
 		case ev == http1.Ended && c.parser.Head.Status >= 200:
 			c.handleAnswer()
-		case ev == http1.More:
+		case ev == http1.NeedMore:
 			return true
 		}
 	}
--- a/internal/healthcheck/driver.go
+++ b/internal/healthcheck/driver.go
@@ -143,7 +143,7 @@
 		switch {
 		case ev == http1.Ended && p.Head.Status >= 200, len(body) >= maxResponseBody:
 			return p.Head.Status, bytes.Clone(body), nil
-		case ev != http1.More:
+		case ev != http1.NeedMore:
 			continue
 		}
 		chunk := make([]byte, 4096)
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -56,10 +56,10 @@
 // Event is what Parser.Next has parsed.
 type Event uint8
 
-// The events of a message, in their order: one Headed, any number of Body, one Ended. More means that more bytes are needed.
+// The events of a message, in their order: one HeadParsed, any number of Body, one Ended. NeedMore means that more bytes are needed.
 const (
-	More Event = iota
-	Headed
+	NeedMore Event = iota
+	HeadParsed
 	Body
 	Ended
 )
@@ -90,7 +90,7 @@
 // Parser parses messages incrementally. The caller keeps the bytes that Next has not consumed and passes them again, followed
 // by new ones.
 type Parser struct {
-	Head Head // of the current message; valid from Headed on
+	Head Head // of the current message; valid from HeadParsed on
 
 	// NoBody states that the next final response has no body, whatever its head says: it answers HEAD.
 	NoBody bool
@@ -114,7 +114,7 @@
 func (p *Parser) UntilClose() bool { return p.state == atBodyUntilClose }
 
 // Next parses buf up to the next event. It returns the number of bytes consumed, the event, and for Body the bytes
-// themselves, a part of buf. With More it needs more bytes. An error is an *Error, after which the Parser must not be used.
+// themselves, a part of buf. With NeedMore it needs more bytes. An error is an *Error, after which the Parser must not be used.
 func (p *Parser) Next(buf []byte) (n int, ev Event, body []byte, err error) {
 	for {
 		switch p.state {
@@ -122,9 +122,9 @@
 			k, done, err := p.nextHead(buf[n:])
 			n += k
 			if err != nil || !done {
-				return n, More, nil, err
+				return n, NeedMore, nil, err
 			}
-			return n, Headed, nil, nil
+			return n, HeadParsed, nil, nil
 		case atBody, atChunk, atBodyUntilClose:
 			if p.bodyRemaining == 0 && p.state != atBodyUntilClose {
 				p.state = map[state]state{atBody: atEnd, atChunk: atChunkEnd}[p.state]
@@ -136,14 +136,14 @@
 				p.bodyRemaining -= int64(k)
 			}
 			if k == 0 {
-				return n, More, nil, nil
+				return n, NeedMore, nil, nil
 			}
 			return n + k, Body, buf[n : n+k], nil
 		case atChunkLine, atChunkEnd, atTrailer:
 			k, done, err := p.nextLine(buf[n:])
 			n += k
 			if err != nil || !done {
-				return n, More, nil, err
+				return n, NeedMore, nil, err
 			}
 		case atEnd:
 			p.state = atHead
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				return seen, err
 			}
-			if ev == More {
+			if ev == NeedMore {
 				break
 			}
 			if ev == Ended {
@@ -159,7 +159,7 @@
 	p := NewParser(Response)
 	text := []byte("HTTP/1.1 200 OK\r\n\r\nabc")
 	n, ev, _, err := p.Next(text)
-	if ev != Headed || err != nil || !p.UntilClose() || !p.Head.Close {
+	if ev != HeadParsed || err != nil || !p.UntilClose() || !p.Head.Close {
 		t.Errorf("%v, %v, error %v", ev, p.Head, err)
 	}
 	if _, ev, body, _ := p.Next(text[n:]); ev != Body || string(body) != "abc" {
--- a/internal/httpd/conn.go
+++ b/internal/httpd/conn.go
@@ -170,11 +170,11 @@
 		return false
 	}
 	switch event {
-	case http1.Headed:
+	case http1.HeadParsed:
 		return c.onHead(buf[n:])
 	case http1.Ended:
 		c.onRequest()
-	case http1.More:
+	case http1.NeedMore:
 		return false
 	}
 	return true
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -95,11 +95,11 @@
 // that must not be read faster than it is forwarded, or a tunnel.
 type Detached struct {
 	net.Conn
-	Parser *http1.Parser // where it stands in the request
-	Rest   []byte        // read and not yet parsed
-	server *Server
-	opened time.Time
-	once   sync.Once
+	Parser   *http1.Parser // where it stands in the request
+	Unparsed []byte        // read and not yet parsed
+	server   *Server
+	opened   time.Time
+	once     sync.Once
 }
 
 // New returns a Server that is not yet listening.
--- a/internal/httpd/stream.go
+++ b/internal/httpd/stream.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Detached{Conn: conn, Parser: c.parser, Rest: rest, server: c.server, opened: c.opened}
+	d := &Detached{Conn: conn, Parser: c.parser, Unparsed: rest, server: c.server, opened: c.opened}
 	c.server.clients.Add(1) // still open, until it is closed or given back
 	c.server.descriptors.AcquireClient()
 	c.detached = true
--- a/internal/journal/recorder/recorder.go
+++ b/internal/journal/recorder/recorder.go
@@ -121,9 +121,9 @@
 // ErrBusy is returned while another call of Ask reads the files.
 var ErrBusy = errors.New("another question is being answered, ask again")
 
-// Ask returns the reports of the jobs of an id, a line of JSON each, by the time of their acceptance. It reads the files and waits
+// JobReports returns the reports of the jobs of an id, a line of JSON each, by the time of their acceptance. It reads the files and waits
 // for the disk until the context ends. The error is ErrBusy while another call reads, and store.ErrNotFound for an unknown id.
-func (r *Recorder) Ask(ctx context.Context, id string) ([]byte, error) {
+func (r *Recorder) JobReports(ctx context.Context, id string) ([]byte, error) {
 	select {
 	case r.reading <- struct{}{}:
 	default:
--- a/internal/ops/golden_test.go
+++ b/internal/ops/golden_test.go
@@ -22,7 +22,7 @@
 // goldenJournal records the calls and answers by a fixed text.
 type goldenJournal struct{ asked chan string }
 
-func (g *goldenJournal) Ask(_ context.Context, id string) ([]byte, error) {
+func (g *goldenJournal) JobReports(_ context.Context, id string) ([]byte, error) {
 	g.asked <- "ask " + id
 	if id == "absent" {
 		return nil, fmt.Errorf("%w: %s", store.ErrNotFound, id)
--- a/internal/ops/journal.go
+++ b/internal/ops/journal.go
@@ -17,7 +17,7 @@
 // records as JSON lines, Settle sets the verdict on a job whose outcome is unknown and returns
 // how many records it has settled, Stats returns counts as JSON.
 type Journal interface {
-	Ask(ctx context.Context, id string) (lines []byte, err error)
+	JobReports(ctx context.Context, id string) (lines []byte, err error)
 	Settle(ctx context.Context, id, verdict, by, why string) (int, error)
 	Stats() []byte
 }
@@ -70,7 +70,7 @@
 	if j.job == "" {
 		return journal.Stats(), nil
 	}
-	return journal.Ask(ctx, j.job)
+	return journal.JobReports(ctx, j.job)
 }
 
 // serveJournal answers a call to the journal, and reports whether it was one.
--- a/internal/reverseproxy/body_reader.go
+++ b/internal/reverseproxy/body_reader.go
@@ -29,7 +29,7 @@
 			return part, false, nil
 		case http1.Ended:
 			return nil, true, nil
-		case http1.Headed:
+		case http1.HeadParsed:
 			continue
 		}
 		if err := r.fill(); err != nil {
@@ -49,11 +49,11 @@
 			return nil, err
 		}
 		r.buf = r.buf[n:]
-		if ev == http1.Headed && r.parser.Head.Status >= 200 {
+		if ev == http1.HeadParsed && r.parser.Head.Status >= 200 {
 			h := r.parser.Head
 			return &h, nil
 		}
-		if ev != http1.More {
+		if ev != http1.NeedMore {
 			continue
 		}
 		if err := r.fill(); err != nil {
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -139,8 +139,8 @@
 // Open returns the number of requests that wait for the head of a response.
 func (p *Proxy) Open(ctx context.Context) (int, error) { return p.planners.CountOpen(ctx) }
 
-// Alive returns nil once the planner's goroutine has run, or the error of the context.
-func (p *Proxy) Alive(ctx context.Context) error { return p.planners.Ping(ctx) }
+// Ping returns nil once the planner's goroutine has run, or the error of the context.
+func (p *Proxy) Ping(ctx context.Context) error { return p.planners.Ping(ctx) }
 
 // Reload replaces frontends and backends. Requests in flight go on by the old ones; servers that stay
 // keep their state. Changed addresses to listen on take effect at the next start only: the names of
--- a/internal/reverseproxy/server_conn.go
+++ b/internal/reverseproxy/server_conn.go
@@ -124,10 +124,10 @@
 	case err != nil:
 		sc.failMalformed(err)
 		return false
-	case ev == http1.More:
+	case ev == http1.NeedMore:
 		sc.deliver(part)
 		return false
-	case ev == http1.Headed && !sc.takeHead(part):
+	case ev == http1.HeadParsed && !sc.takeHead(part):
 		return false
 	case ev == http1.Ended && sc.parser.Head.Status >= 200:
 		part.end, part.trailer = true, sc.parser.Head.Trailer
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -241,7 +241,7 @@
 // request was not uploaded, or no other may follow, the connection ends once the client has read it.
 func (t *transfer) release(uploaded bool) {
 	h := t.request.head
-	if uploaded && !h.Close && !h.HTTP10 && !t.client.Draining() && len(t.client.Rest) == 0 {
+	if uploaded && !h.Close && !h.HTTP10 && !t.client.Draining() && len(t.client.Unparsed) == 0 {
 		t.client.Reattach()
 		return
 	}
@@ -285,7 +285,7 @@
 	if err != nil {
 		return err
 	}
-	in := &bodyReader{conn: t.client.Conn, parser: t.client.Parser, buf: t.client.Rest, chunk: make([]byte, transferChunk)}
+	in := &bodyReader{conn: t.client.Conn, parser: t.client.Parser, buf: t.client.Unparsed, chunk: make([]byte, transferChunk)}
 	t.client.Parser.KeepTrailer = true
 	var out []byte
 	for {
@@ -296,7 +296,7 @@
 			return err
 		}
 		if end {
-			t.client.Rest = in.buf
+			t.client.Unparsed = in.buf
 			return t.uploadEnd(server, wait)
 		}
 		_ = server.SetWriteDeadline(time.Now().Add(bodyIdleTimeout))
--- a/internal/reverseproxy/tunnel.go
+++ b/internal/reverseproxy/tunnel.go
@@ -82,8 +82,8 @@
 	if _, err := client.Write(append(head, rest...)); err != nil {
 		return
 	}
-	if len(client.Rest) > 0 {
-		if _, err := server.Write(client.Rest); err != nil {
+	if len(client.Unparsed) > 0 {
+		if _, err := server.Write(client.Unparsed); err != nil {
 			return
 		}
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -156,7 +156,7 @@
 			c.malformed(err)
 			return true
 		}
-		if ev == http1.More {
+		if ev == http1.NeedMore {
 			return true
 		}
 		if ev == http1.Ended && !c.interim() {
@@ -183,7 +183,7 @@
 // handleEvent handles what the parser has found in the answer.
 func (c *conn) handleEvent(ev http1.Event, body []byte) error {
 	switch ev {
-	case http1.Headed:
+	case http1.HeadParsed:
 		return c.handleHead()
 	case http1.Body:
 		return c.handleBody(body)
--- a/scheduler/operate.go
+++ b/scheduler/operate.go
@@ -26,7 +26,7 @@
 		return fmt.Errorf("the planners have no turn: %w", err)
 	}
 	if s.reverseProxy != nil {
-		if err := s.reverseProxy.Alive(ctx); err != nil {
+		if err := s.reverseProxy.Ping(ctx); err != nil {
 			return fmt.Errorf("the reverse proxy's planner has no turn: %w", err)
 		}
 	}
