--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Ping returns once each planner has had a turn, or with the context's error.
+// Ping returns once each planner has run a call, or with the context's error.
 func (s *Set) Ping(ctx context.Context) error {
 	_, err := s.sumOverPlanners(ctx, func(p *Planner, reply func(int)) { p.Ping(func() { reply(0) }) })
 	return err
--- a/internal/httpd/accept.go
+++ b/internal/httpd/accept.go
@@ -82,10 +82,10 @@
 	}
 }
 
-// pause stops accepting and returns once it has stopped: an accept that was under way may
+// pauseAccepting stops accepting and returns once it has stopped: an accept that was under way may
 // still have taken a connection. The socket stays as it is, and its backlog waits for the
 // process that shares it.
-func (a *acceptor) pause() {
+func (a *acceptor) pauseAccepting() {
 	a.mu.Lock()
 	if a.resume != nil {
 		a.mu.Unlock()
@@ -101,8 +101,8 @@
 	}
 }
 
-// unpause accepts again.
-func (a *acceptor) unpause() {
+// resumeAccepting accepts again.
+func (a *acceptor) resumeAccepting() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.resume != nil {
--- a/internal/httpd/endings_test.go
+++ b/internal/httpd/endings_test.go
@@ -107,7 +107,7 @@
 		t.Errorf("after a crossing request: %v", err)
 	}
 	done := make(chan struct{})
-	s.Alive(func() { close(done) })
+	s.Ping(func() { close(done) })
 	testkit.Await(t, "the event loop", done)
 	if len(h.conns) > 0 {
 		t.Error("a request after the shutdown was served")
--- a/internal/httpd/eventloop.go
+++ b/internal/httpd/eventloop.go
@@ -37,7 +37,7 @@
 	for _, list := range []*connList{&l.idle, &l.fresh} {
 		for c := list.first; n > 0 && c != nil; {
 			next := c.next
-			if list == &l.fresh && now.Sub(c.opened) <= minSilentAge {
+			if list == &l.fresh && now.Sub(c.opened) <= minFreshAge {
 				return
 			}
 			if !c.hasUnread() {
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -32,7 +32,7 @@
 	lingerTimeout       = 2 * time.Second              // for a client to read the last response
 	closeTimeout        = 300 * time.Millisecond       // for a client to close an idle connection that the server ends
 	maxLingerBytes      = 1 << 20                      // that a client may still send meanwhile
-	minSilentAge        = 300 * time.Millisecond       // of a connection without any byte, before it is closed for lack of descriptors
+	minFreshAge         = 300 * time.Millisecond       // of a connection without any byte, before it is closed for lack of descriptors
 	sweepInterval       = 200 * time.Millisecond
 	readBuffer          = 32 << 10 // bytes
 	writeBuffer         = 64 << 10 // bytes
@@ -171,11 +171,11 @@
 // Listener returns the listening socket, to be passed on.
 func (s *Server) Listener() *net.TCPListener { return s.acceptor.listener }
 
-// Pause leaves new connections to the process that shares the listening socket.
-func (s *Server) Pause() { s.acceptor.pause() }
+// PauseAccepting leaves new connections to the process that shares the listening socket.
+func (s *Server) PauseAccepting() { s.acceptor.pauseAccepting() }
 
-// Resume accepts again.
-func (s *Server) Resume() { s.acceptor.unpause() }
+// ResumeAccepting accepts again.
+func (s *Server) ResumeAccepting() { s.acceptor.resumeAccepting() }
 
 // isListening reports whether a process listens on the address.
 func isListening(ctx context.Context, addr string) bool {
@@ -194,9 +194,9 @@
 // Clients returns how many connections are open.
 func (s *Server) Clients() int { return int(s.clients.Load()) }
 
-// Alive calls f once each event loop that has had a connection has taken a turn; if there is
-// none, at once.
-func (s *Server) Alive(f func()) {
+// Ping calls f once each event loop that has had a connection has run a call; if there is none,
+// immediately.
+func (s *Server) Ping(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	left := int64(len(s.eventLoops))
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -115,14 +115,14 @@
 			shut(t, c)
 		}
 	}
-	first.Pause()
+	first.PauseAccepting()
 	waiting, waitingReader := dial(t, addr) // in the queue, nobody accepts
 	if _, err := io.WriteString(waiting, post); err != nil {
 		t.Fatal(err)
 	}
-	first.Resume()
+	first.ResumeAccepting()
 	answer(t, waitingReader)
-	first.Pause()
+	first.PauseAccepting()
 	waiting, waitingReader = dial(t, addr)
 	if _, err := io.WriteString(waiting, post); err != nil {
 		t.Fatal(err)
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -150,7 +150,7 @@
 	done := make(chan struct{}, len(s.servers))
 	for _, server := range s.servers {
 		server.Refuse()
-		server.Alive(func() { done <- struct{}{} })
+		server.Ping(func() { done <- struct{}{} })
 	}
 	for range s.servers {
 		select {
--- a/scheduler/operate.go
+++ b/scheduler/operate.go
@@ -33,7 +33,7 @@
 	turn := make(chan struct{}, 1+len(s.servers))
 	s.workerLoop.Do(func() { turn <- struct{}{} })
 	for _, server := range s.servers {
-		server.Alive(func() { turn <- struct{}{} })
+		server.Ping(func() { turn <- struct{}{} })
 	}
 	for range cap(turn) {
 		select {
--- a/scheduler/siblings.go
+++ b/scheduler/siblings.go
@@ -143,7 +143,7 @@
 	if m.Serving {
 		s.options.Log.Info("the new process accepts connections, this one has stopped accepting")
 		for _, server := range s.servers {
-			server.Pause()
+			server.PauseAccepting()
 		}
 		if s.peerLink != nil {
 			s.peerLink.Pause()
@@ -188,7 +188,7 @@
 	s.rebalanceResources()
 	if serving {
 		for _, server := range s.servers {
-			server.Resume()
+			server.ResumeAccepting()
 		}
 		if s.peerLink != nil {
 			s.peerLink.Resume()
