--- a/sampling.go
+++ b/sampling.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// randomWorkers yields at most maxPickTries workers of the zones in random order.
+// randomWorkers yields at most maxSampledWorkers workers of the zones in random order.
 func (d *Dispatcher) randomWorkers(zones [][]*worker) iter.Seq[*worker] {
 	n := 0
 	for _, z := range zones {
