--- a/internal/sse/golden_test.go
+++ b/internal/sse/golden_test.go
@@ -116,6 +116,12 @@
 	if got, want := exchange(t, addr, get("/ready", "")), "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 10\r\n\r\nnot ready\n"; got != want {
 		t.Errorf("not ready: got\n%q\nwant\n%q", got, want)
 	}
+	checkMirroredStream(t, handler)
+}
+
+// checkMirroredStream checks what an upgrade's new process is sent of a stream.
+func checkMirroredStream(t *testing.T, handler *sse.Handler) {
+	t.Helper()
 	streams := map[string]string{}
 	handler.Mirror(1, func(stream *sse.Stream) {
 		text, err := json.Marshal(stream)
