--- a/internal/system/core/golden_test.go
+++ b/internal/system/core/golden_test.go
@@ -1,8 +1,6 @@
 package core
 
 import (
-	"encoding/hex"
-	"reflect"
 	"regexp"
 	"slices"
 	"testing"
@@ -12,8 +10,8 @@
 	"sedgevale/coord/membership"
 	"sedgevale/coord/register"
 	"sedgevale/coord/shard"
-	"sedgevale/internal/avrocodec"
 	"sedgevale/internal/system/api"
+	"sedgevale/internal/testkit"
 	"sedgevale/jobs"
 )
 
@@ -85,19 +83,7 @@
 
 func TestMessageBytes(t *testing.T) {
 	for _, one := range goldenMessages {
-		got, err := avrocodec.Encode(one.message)
-		if text := hex.EncodeToString(got); err != nil || text != one.want {
-			t.Errorf("%T: error %v, got\n%q\nwant\n%q", one.message, err, text, one.want)
-		}
-		bytesOf, err := hex.DecodeString(one.want)
-		if err != nil {
-			t.Error(err)
-			continue
-		}
-		back := reflect.New(reflect.TypeOf(one.message).Elem()).Interface()
-		if err := avrocodec.Decode(bytesOf, back); err != nil || !reflect.DeepEqual(back, one.message) {
-			t.Errorf("%T is read as %+v, error %v", one.message, back, err)
-		}
+		testkit.CheckAvro(t, one.message, one.want)
 	}
 }
 
