--- a/internal/system/core/admin.go
+++ b/internal/system/core/admin.go
@@ -10,20 +10,20 @@
 	"sedgevale/jobs"
 )
 
-// The methods that operators' commands call.
+// The methods of the internal protocol that the operators' command-line tool calls.
 const (
 	MethodMembers = "admin.members"
 	MethodQueues  = "admin.queues"
 )
 
-// MembersRequest asks for the core schedulers that one of them knows.
+// MembersRequest asks a core scheduler for its view of the cluster.
 type MembersRequest struct{}
 
 // MembersResponse is the cluster as one core scheduler sees it.
 type MembersResponse struct {
 	Address       string
 	ConfigVersion int64
-	ConfigFresh   bool // a quorum has confirmed it within the last 700 ms
+	ConfigFresh   bool // reports whether a quorum has confirmed the configuration within the last 700 ms
 	Membership    membership.Membership
 	Peers         []PeerInfo
 	Owners        []api.Owner
@@ -33,30 +33,30 @@
 type PeerInfo struct {
 	Address            string
 	Zone               string
-	LastHeartbeatAgeMS int64  // milliseconds since the last ping that it answered was sent; -1 for never
-	Draining           bool   // it drains
-	Member             string // the ID of its disk
-	Epoch              int64  // of the membership that it knows
+	LastHeartbeatAgeMS int64 // milliseconds since the last answered ping was sent; -1 if none was answered
+	Draining           bool
+	Member             string // ID of the peer's disk
+	Epoch              int64  // epoch of the newest membership that the peer knows
 }
 
-// QueuesRequest asks for the shards that a core scheduler owns.
+// QueuesRequest asks a core scheduler for the state of the shards that it owns.
 type QueuesRequest struct{}
 
-// QueuesResponse describes them.
+// QueuesResponse lists the shards that the responder owns.
 type QueuesResponse struct {
 	Shards []ShardInfo
 }
 
-// ShardInfo describes one shard.
+// ShardInfo describes an owned shard.
 type ShardInfo struct {
 	Shard         string
-	Token         int64 // the owner's fencing token
-	LeaseValid    bool  // the owner's lease is valid
-	Records       int64 // how many the shard has
-	InSync        int64 // replicas in sync
+	Token         int64 // fencing token of the owner
+	LeaseValid    bool
+	Records       int64 // number of records
+	InSync        int64 // number of replicas in sync
 	Queues        []jobs.QueueSummary
 	Workers       []jobs.WorkerSummary
-	Unschedulable []jobs.UnschedulableGroup // units that wait despite free capacity
+	Unschedulable []jobs.UnschedulableGroup // task groups that are pending despite free capacity
 }
 
 func (c *Core) handleAdmin(server *rpc.Server) {
@@ -68,15 +68,15 @@
 	})
 }
 
-// members describes the core as this scheduler sees it.
+// members returns this scheduler's view of the cluster.
 func (c *Core) members() *MembersResponse {
-	answer := &MembersResponse{Address: c.address, ConfigFresh: c.configFresh(), Membership: c.store.currentMembership()}
+	response := &MembersResponse{Address: c.address, ConfigFresh: c.configFresh(), Membership: c.store.currentMembership()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.config != nil {
-		answer.ConfigVersion = c.config.record.Version
+		response.ConfigVersion = c.config.record.Version
 	}
-	answer.Owners = c.knownOwners()
+	response.Owners = c.knownOwners()
 	for address, p := range c.peers {
 		if address == c.address {
 			continue
@@ -88,12 +88,12 @@
 		if !p.lastHeartbeat.IsZero() {
 			info.LastHeartbeatAgeMS = time.Since(p.lastHeartbeat).Milliseconds()
 		}
-		answer.Peers = append(answer.Peers, info)
+		response.Peers = append(response.Peers, info)
 	}
-	return answer
+	return response
 }
 
-// shardInfos describes the shards that this scheduler owns.
+// shardInfos returns the state of each shard that this scheduler owns.
 func (c *Core) shardInfos() []ShardInfo {
 	c.mu.Lock()
 	owners := make([]*owner, 0, len(c.owners))
--- a/internal/system/core/broadcast.go
+++ b/internal/system/core/broadcast.go
@@ -8,21 +8,21 @@
 	"sedgevale/internal/system/result"
 )
 
-const roundTimeout = 700 * time.Millisecond // of one call in a round of calls to the replicas
+const roundTimeout = 700 * time.Millisecond // limit on each call in a round of calls to several core schedulers
 
-// errShuttingDown says that a call was not made, since this scheduler ends.
-var errShuttingDown = result.Errorf(result.Unavailable, "this scheduler is shutting down")
+// errShuttingDown is the result of a call that was not sent because this scheduler is shutting down.
+var errShuttingDown = result.Errorf(result.Unavailable, "call not sent: this scheduler is shutting down")
 
-// reply is one replica's answer in a round.
+// reply is the result of one replica's call in a broadcast.
 type reply[Response any] struct {
 	member   membership.Member
 	response *Response
 	err      error
 }
 
-// broadcast sends a request to members, and returns the channel of their replies and how many come. The calls go on, up to
-// roundTimeout, when the caller's context ends, so that slow replicas are sent the request even after a majority has replied;
-// they end when this scheduler does.
+// broadcast sends a request to the members concurrently. It returns the channel on which their replies arrive and the
+// number of replies. The calls are independent of the caller's context: they continue for up to roundTimeout, so that slow
+// replicas receive the request even after a majority has replied. They are canceled when this scheduler shuts down.
 func broadcast[Request, Response any](c *Core, m membership.Membership, members []membership.Member,
 	method string, local func(context.Context, *Request) (*Response, error), request func(target) *Request,
 ) (<-chan reply[Response], int) {
@@ -42,7 +42,7 @@
 	return replies, len(members)
 }
 
-// awaitReply returns the next reply, or an error once the context has ended.
+// awaitReply returns the next reply, or the context's error if the context ends first.
 func awaitReply[Response any](ctx context.Context, replies <-chan reply[Response]) (reply[Response], error) {
 	select {
 	case r := <-replies:
@@ -52,13 +52,14 @@
 	}
 }
 
-// awaitQuorum takes replies until a quorum of them is accepted or the context ends. It returns those, and the last error.
+// awaitQuorum receives replies until it has accepted a quorum of them, all have arrived, or the context ends. It returns
+// the accepted replies and the last error.
 func awaitQuorum[Response any](ctx context.Context, replies <-chan reply[Response], count, quorum int, accept func(*Response) bool,
 ) (accepted []reply[Response], lastErr error) {
 	for range count {
-		r, ended := awaitReply(ctx, replies)
-		if ended != nil {
-			return accepted, ended
+		r, ctxErr := awaitReply(ctx, replies)
+		if ctxErr != nil {
+			return accepted, ctxErr
 		}
 		if r.err != nil {
 			lastErr = r.err
@@ -75,8 +76,8 @@
 	return accepted, lastErr
 }
 
-// replicaCall has one replica answer a call, the own one without the network. An answer of another replica or another
-// epoch than was asked has the code result.WrongReplica.
+// replicaCall calls one replica, bypassing the network if it is the local one. Its error has the code result.WrongReplica
+// if the response comes from another replica or epoch than the request was addressed to.
 func replicaCall[Request, Response any](ctx context.Context, c *Core, to target, address, method string,
 	local func(context.Context, *Request) (*Response, error), request *Request,
 ) (*Response, error) {
@@ -89,18 +90,18 @@
 		err = c.client.Call(ctx, address, method, request, response)
 	}
 	if err != nil {
-		c.onRejected(address, err)
+		c.onCallFailed(address, err)
 		return nil, err
 	}
 	wanted := origin{Member: to.Member, Epoch: to.Membership.Epoch}
-	if answer, ok := any(response).(replicaAnswer); ok && answer.from() != wanted {
-		return nil, result.Errorf(result.WrongReplica, "%s at %s: %+v answered, %+v was asked", method, address, answer.from(), wanted)
+	if named, ok := any(response).(replicaResponse); ok && named.from() != wanted {
+		return nil, result.Errorf(result.WrongReplica, "%s at %s: response from %+v, want %+v", method, address, named.from(), wanted)
 	}
 	return response, nil
 }
 
-// onRejected pings a replica that knows a newer membership, to learn it.
-func (c *Core) onRejected(address string, err error) {
+// onCallFailed handles the error of a call to a replica: if the replica knows a newer membership, it is pinged to learn it.
+func (c *Core) onCallFailed(address string, err error) {
 	if result.CodeOf(err) != result.EpochOutdated || address == c.address {
 		return
 	}
--- a/internal/system/core/config.go
+++ b/internal/system/core/config.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	configRegister = "config" // the name of the configuration's register
+	configRegister = "config" // name of the register that holds the configuration
 
-	// maxHistory is how many changes are remembered, so that a retry is distinguished from a new change. A change on a version
-	// from before them is answered with result.OutcomeUnknown: it may have been made.
+	// maxHistory is the number of applied changes that the register records in order to recognize retries. A change whose
+	// base version precedes all of them is rejected with result.OutcomeUnknown, since it may have been applied.
 	maxHistory = 512
 
-	maxPreviousConfigs = 8                      // kept so that subscribers can be sent a patch
-	configFreshnessTTL = 700 * time.Millisecond // how long a quorum's confirmation counts
+	maxPreviousConfigs = 8                      // number of earlier configurations kept to send subscribers a patch
+	configFreshnessTTL = 700 * time.Millisecond // period for which a quorum's confirmation remains valid
 )
 
-// configRecord is the value of the configuration's register.
+// configRecord is the value of the configuration register.
 type configRecord struct {
 	Version int64
-	Text    []byte          // JSON, as the operator sent it, or with patches applied
-	History []appliedChange // the newest maxHistory changes, the oldest first
+	Text    []byte          // JSON as sent by the operator, with later patches applied
+	History []appliedChange // newest maxHistory applied changes, oldest first
 }
 
-// appliedChange identifies a change that was made.
+// appliedChange identifies a change that was applied.
 type appliedChange struct {
-	Base   int64 // the version that it was made on
-	Digest int64 // operatorChange.digest
+	Base   int64 // version to which the change was applied
+	Digest int64 // configChange.digest
 }
 
 // configState is the newest configuration that this scheduler knows to be chosen.
@@ -40,42 +40,44 @@
 	record configRecord
 	config *clusterconfig.Config
 
-	patches map[int64][]byte // by the earlier version to which they apply, computed on demand; nil where there is no patch
+	// patches caches the patches from earlier versions to this one, keyed by the earlier version. An entry is nil if no
+	// patch exists.
+	patches map[int64][]byte
 }
 
-// operatorChange is an operator's change of the configuration.
-type operatorChange struct {
-	patch       bool
-	baseVersion int64  // the version that it is made on
-	body        []byte // a configuration or a patch
-	digest      int64  // identifies it
+// configChange is an operator's change of the configuration.
+type configChange struct {
+	patch       bool   // reports whether body is a patch rather than a complete configuration
+	baseVersion int64  // version that the change replaces
+	body        []byte // configuration or patch
+	digest      int64  // identifies the change across retries
 }
 
-// newOperatorChange returns a change whose digest is the first 8 bytes, little endian, of the SHA-256 of its body, for a patch
-// after "patch ".
-func newOperatorChange(patch bool, baseVersion int64, body []byte) *operatorChange {
+// newConfigChange returns a change whose digest is the first 8 bytes, in little-endian order, of the SHA-256 hash of the
+// body. For a patch the hashed text is the body with the prefix "patch ".
+func newConfigChange(patch bool, baseVersion int64, body []byte) *configChange {
 	hash := sha256.New()
 	if patch {
 		hash.Write([]byte("patch "))
 	}
 	hash.Write(body)
-	return &operatorChange{
+	return &configChange{
 		patch: patch, baseVersion: baseVersion, body: body, digest: int64(binary.LittleEndian.Uint64(hash.Sum(nil))),
 	}
 }
 
-// apply is the compare-and-swap: it returns the register's next value for the current one. A change that was made before
-// leaves the value as it is and is no error. Errors have the codes result.Conflict, result.Invalid and
-// result.OutcomeUnknown, and result.Unavailable where the current value cannot be decoded.
-func (o *operatorChange) apply(current []byte) ([]byte, error) {
+// apply is the compare-and-swap function of the change: it returns the register's next value for the current one. For a
+// change that was already applied it returns the current value and no error. Its errors have the code result.Conflict,
+// result.Invalid or result.OutcomeUnknown, or result.Unavailable if the current value cannot be decoded.
+func (o *configChange) apply(current []byte) ([]byte, error) {
 	var record configRecord
 	if current != nil {
 		if err := avrocodec.Decode(current, &record); err != nil {
-			return nil, result.Errorf(result.Unavailable, "current configuration: %w", err)
+			return nil, result.Errorf(result.Unavailable, "decoding the current configuration: %w", err)
 		}
 	}
-	for _, made := range record.History {
-		if made.Digest == o.digest {
+	for _, applied := range record.History {
+		if applied.Digest == o.digest {
 			return current, nil
 		}
 	}
@@ -110,26 +112,26 @@
 	return avrocodec.Encode(&configRecord{Version: config.Version, Text: text, History: history})
 }
 
-// conflictError is the answer to a change that is made on another version than the current one. Which change was made on a
-// version from before the history is not known.
-func (o *operatorChange) conflictError(record *configRecord) error {
+// conflictError returns the error for a change whose base version is not the current one. If the base version precedes the
+// history, it is unknown whether the change was applied.
+func (o *configChange) conflictError(record *configRecord) error {
 	if len(record.History) == maxHistory && o.baseVersion < record.History[0].Base {
-		return result.Errorf(result.OutcomeUnknown, "If-Match: version %d is current; what was taken on %d is not known any more",
+		return result.Errorf(result.OutcomeUnknown, "If-Match: version %d is current; the outcome of changes to version %d is no longer known",
 			record.Version, o.baseVersion)
 	}
 	return result.Errorf(result.Conflict, "If-Match: version %d is current, %d came", record.Version, o.baseVersion)
 }
 
-// applyConfig puts a newer configuration in force. c.mu is held.
+// applyConfig puts a newer configuration into effect here and in the owned shards. c.mu is held.
 func (c *Core) applyConfig(value []byte) {
 	state := &configState{patches: map[int64][]byte{}}
 	if err := avrocodec.Decode(value, &state.record); err != nil {
-		c.logger.Error(err, "configuration cannot be decoded")
+		c.logger.Error(err, "decoding the chosen configuration failed; the previous one remains in force")
 		return
 	}
 	config, err := clusterconfig.Parse(state.record.Text)
 	if err != nil {
-		c.logger.Error(err, "configuration cannot be decoded", "version", state.record.Version)
+		c.logger.Error(err, "parsing the chosen configuration failed; the previous one remains in force", "version", state.record.Version)
 		return
 	}
 	if c.config != nil {
@@ -146,7 +148,7 @@
 	c.logger.V(1).Info("configuration applied", "version", state.record.Version)
 }
 
-// currentConfig returns the newest configuration that is known, or nil.
+// currentConfig returns the newest known configuration, or nil if none is known.
 func (c *Core) currentConfig() *configState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,7 +158,7 @@
 // ReadConfig implements controlplane.ConfigStore.
 func (c *Core) ReadConfig(ctx context.Context) ([]byte, error) {
 	if err := c.read(ctx, configRegister); err != nil {
-		return nil, result.Errorf(result.Unavailable, "no quorum: %w", err)
+		return nil, result.Errorf(result.Unavailable, "reading the configuration from a quorum: %w", err)
 	}
 	state := c.currentConfig()
 	if state == nil {
@@ -167,7 +169,7 @@
 
 // ChangeConfig implements controlplane.ConfigStore.
 func (c *Core) ChangeConfig(ctx context.Context, patch bool, baseVersion int64, body []byte) error {
-	_, err := c.propose(ctx, configRegister, newOperatorChange(patch, baseVersion, body).apply)
+	_, err := c.propose(ctx, configRegister, newConfigChange(patch, baseVersion, body).apply)
 	return err
 }
 
--- a/internal/system/core/controlplane/controlplane.go
+++ b/internal/system/core/controlplane/controlplane.go
@@ -1,4 +1,4 @@
-// Package controlplane serves operators' HTTP requests: reading and changing the configuration of the cluster.
+// Package controlplane serves the HTTP API through which operators read and change the configuration of the cluster.
 package controlplane
 
 import (
@@ -20,26 +20,26 @@
 	maxConfigBytes = 16 << 20
 	readTimeout    = 800 * time.Millisecond
 
-	// ChangeTimeout bounds the wait for a change to be chosen by a quorum.
+	// ChangeTimeout limits the wait until a quorum has chosen a change.
 	ChangeTimeout = 1800 * time.Millisecond
 )
 
-// ConfigStore is the replicated configuration. Its errors have codes of package result.
+// ConfigStore gives access to the replicated configuration. Its errors have codes of package result.
 type ConfigStore interface {
-	// ReadConfig returns the newest configuration as its operator sent it, confirmed by a quorum.
+	// ReadConfig returns the text of the newest configuration, confirmed by a quorum.
 	ReadConfig(ctx context.Context) ([]byte, error)
-	// ChangeConfig replaces the configuration by the body, or changes it by the patch in the body, if the version given is
-	// the current one. It is idempotent: a change that was made before is no error.
+	// ChangeConfig replaces the configuration by the body, or applies the patch in the body to it, if baseVersion is the
+	// current version. It is idempotent: it returns no error for a change that was already applied.
 	ChangeConfig(ctx context.Context, patch bool, baseVersion int64, body []byte) error
 }
 
-// server answers requests out of a ConfigStore.
+// server serves requests from a ConfigStore.
 type server struct {
 	configs ConfigStore
 	logger  logr.Logger
 }
 
-// Handler serves GET, PUT and PATCH of the configuration.
+// Handler returns a handler of GET, PUT and PATCH requests for the configuration.
 func Handler(configs ConfigStore, logger logr.Logger) http.Handler {
 	s := &server{configs: configs, logger: logger}
 	mux := http.NewServeMux()
@@ -61,7 +61,7 @@
 	_, _ = w.Write(text)
 }
 
-// changeConfig makes a change, which goes on when the operator hangs up.
+// changeConfig applies a change. The change continues if the operator closes the connection.
 func (s *server) changeConfig(w http.ResponseWriter, r *http.Request, patch bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	var tooLarge *http.MaxBytesError
@@ -81,14 +81,14 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), ChangeTimeout)
 	defer cancel()
 	if err := s.configs.ChangeConfig(ctx, patch, baseVersion, body); err != nil {
-		s.logger.V(1).Info("configuration change rejected", "error", err.Error())
+		s.logger.V(1).Info("configuration change failed; returning the error to the operator", "error", err.Error())
 		writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// parseIfMatch returns the version in an If-Match header, 0 for an empty one.
+// parseIfMatch returns the version in an If-Match header, or 0 if the header is empty.
 func parseIfMatch(text string) (int64, error) {
 	text = strings.Trim(strings.TrimSpace(text), `"`)
 	if text == "" {
@@ -101,7 +101,7 @@
 	return version, nil
 }
 
-// writeError answers a request with an error, whose result code gives the status.
+// writeError responds with an error. The error's result code determines the HTTP status.
 func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch result.CodeOf(err) {
--- a/internal/system/core/controlplane/controlplane_test.go
+++ b/internal/system/core/controlplane/controlplane_test.go
@@ -13,14 +13,14 @@
 	"sedgevale/internal/system/result"
 )
 
-// fakeConfigs records the last change and answers with what it is given.
+// fakeConfigs is a ConfigStore that returns the given text and error and records the last change.
 type fakeConfigs struct {
 	text        string
 	err         error
 	patch       bool
 	baseVersion int64
 	body        string
-	canceled    bool // the change's context ended with the request
+	canceled    bool // reports whether the change's context was canceled with the request
 }
 
 func (f *fakeConfigs) ReadConfig(context.Context) ([]byte, error) { return []byte(f.text), f.err }
@@ -30,7 +30,7 @@
 	return f.err
 }
 
-// serve answers one request whose client has hung up already.
+// serve handles one request whose client has already closed the connection.
 func serve(t *testing.T, configs ConfigStore, method, ifMatch, body string) *httptest.ResponseRecorder {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -44,14 +44,14 @@
 	return recorder
 }
 
-func TestConfigurationIsSentAsItIs(t *testing.T) {
-	answer := serve(t, &fakeConfigs{text: `{"version":1}`}, http.MethodGet, "", "")
-	if answer.Code != http.StatusOK || answer.Body.String() != `{"version":1}` || answer.Header().Get("Content-Type") != "application/json" {
-		t.Errorf("%d %q %v", answer.Code, answer.Body, answer.Header())
+func TestConfigurationIsReturnedUnchanged(t *testing.T) {
+	response := serve(t, &fakeConfigs{text: `{"version":1}`}, http.MethodGet, "", "")
+	if response.Code != http.StatusOK || response.Body.String() != `{"version":1}` || response.Header().Get("Content-Type") != "application/json" {
+		t.Errorf("status %d, body %q, header %v", response.Code, response.Body, response.Header())
 	}
 }
 
-// A change goes on when its operator hangs up; its base version stands in If-Match, quoted or not.
+// A change continues if the operator closes the connection. Its base version is given by If-Match, with or without quotes.
 func TestChangesReachTheStore(t *testing.T) {
 	cases := []struct {
 		method, ifMatch string
@@ -62,14 +62,14 @@
 		{http.MethodPut, `"7"`, false, 7},
 		{http.MethodPatch, " 8 ", true, 8},
 	}
-	for _, one := range cases {
+	for _, tc := range cases {
 		configs := &fakeConfigs{}
-		answer := serve(t, configs, one.method, one.ifMatch, "body")
-		if answer.Code != http.StatusOK || answer.Body.Len() != 0 {
-			t.Errorf("%s: %d %q", one.method, answer.Code, answer.Body)
+		response := serve(t, configs, tc.method, tc.ifMatch, "body")
+		if response.Code != http.StatusOK || response.Body.Len() != 0 {
+			t.Errorf("%s: status %d, body %q", tc.method, response.Code, response.Body)
 		}
-		if want := (fakeConfigs{patch: one.patch, baseVersion: one.baseVersion, body: "body"}); *configs != want {
-			t.Errorf("%s: %+v, %+v wanted", one.method, *configs, want)
+		if want := (fakeConfigs{patch: tc.patch, baseVersion: tc.baseVersion, body: "body"}); *configs != want {
+			t.Errorf("%s: store called with %+v, want %+v", tc.method, *configs, want)
 		}
 	}
 }
@@ -83,32 +83,32 @@
 	}
 	for code, want := range cases {
 		for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodPatch} {
-			answer := serve(t, &fakeConfigs{err: result.Errorf(code, "why")}, method, "", "")
-			if answer.Code != want || !strings.Contains(answer.Body.String(), "why") {
-				t.Errorf("%s, code %d: %d %q, %d wanted", method, code, answer.Code, answer.Body, want)
+			response := serve(t, &fakeConfigs{err: result.Errorf(code, "why")}, method, "", "")
+			if response.Code != want || !strings.Contains(response.Body.String(), "why") {
+				t.Errorf("%s, result code %d: status %d, body %q, want status %d", method, code, response.Code, response.Body, want)
 			}
 		}
 	}
 }
 
-// What cannot be a change does not reach the store.
-func TestImpossibleRequestsAreRejected(t *testing.T) {
+// Malformed requests are rejected without a call of the store.
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	cases := map[string]struct {
 		ifMatch, body string
 		want          int
 	}{
-		"no version":    {"x", "body", http.StatusBadRequest},
-		"too long":      {"1", strings.Repeat("x", maxConfigBytes+1), http.StatusRequestEntityTooLarge},
-		"two versions":  {"1, 2", "body", http.StatusBadRequest},
-		"beyond 64 bit": {"9223372036854775808", "body", http.StatusBadRequest},
+		"not a number":      {"x", "body", http.StatusBadRequest},
+		"body too large":    {"1", strings.Repeat("x", maxConfigBytes+1), http.StatusRequestEntityTooLarge},
+		"two versions":      {"1, 2", "body", http.StatusBadRequest},
+		"overflows 64 bits": {"9223372036854775808", "body", http.StatusBadRequest},
 	}
-	for name, one := range cases {
-		configs := &fakeConfigs{err: errors.New("must not be asked")}
-		if answer := serve(t, configs, http.MethodPut, one.ifMatch, one.body); answer.Code != one.want || configs.body != "" {
-			t.Errorf("%s: %d %q, %d wanted", name, answer.Code, answer.Body, one.want)
+	for name, tc := range cases {
+		configs := &fakeConfigs{err: errors.New("must not be called")}
+		if response := serve(t, configs, http.MethodPut, tc.ifMatch, tc.body); response.Code != tc.want || configs.body != "" {
+			t.Errorf("%s: status %d, body %q, want status %d", name, response.Code, response.Body, tc.want)
 		}
 	}
-	if answer := serve(t, &fakeConfigs{}, http.MethodDelete, "", ""); answer.Code != http.StatusMethodNotAllowed {
-		t.Errorf("DELETE: %d", answer.Code)
+	if response := serve(t, &fakeConfigs{}, http.MethodDelete, "", ""); response.Code != http.StatusMethodNotAllowed {
+		t.Errorf("DELETE: status %d, want %d", response.Code, http.StatusMethodNotAllowed)
 	}
 }
--- a/internal/system/core/core.go
+++ b/internal/system/core/core.go
@@ -23,31 +23,32 @@
 
 const logCloseTimeout = 500 * time.Millisecond
 
-// Core is a scheduler on a core machine.
+// Core is the scheduler process of a core machine.
 type Core struct {
 	settings *settings.Settings
 	logger   logr.Logger
 	client   *rpc.Client
 	store    *store
 	address  string
-	proposer string          // names this incarnation of the disk in ballots
-	seeds    func() []string // the addresses of the seeds as the settings name them by now
+	proposer string          // proposer ID in ballots; unique to this incarnation of the disk
+	seeds    func() []string // returns the seed addresses in the current settings
 	timing   workeragent.Timing
 	started  time.Time
 
-	goroutines *taskgroup.Group // all that this scheduler starts
+	goroutines *taskgroup.Group // contains every goroutine that this scheduler starts
 
-	// mu guards the fields below and all of each peerState. It is taken before owner.mu and never held over a call.
+	// mu guards the fields below and all fields of each peerState. It is acquired before owner.mu and never held during a
+	// call.
 	mu                sync.Mutex
-	peers             map[string]*peerState  // by address
-	learned           map[string]chosenValue // by register, as far as values are known to be chosen; ballots only rise
+	peers             map[string]*peerState  // keyed by address
+	learned           map[string]chosenValue // newest known chosen value, keyed by register; the ballots only increase
 	config            *configState           // nil before the first configuration
-	previousConfigs   []configRecord         // those before config, the oldest first; at most maxPreviousConfigs
-	owners            map[string]*owner      // by shard
-	changed           chan struct{}          // closed and made anew when what watchers are sent changes
-	ballotCounter     int64                  // the highest ballot counter that was met; never falls
-	readsInFlight     map[string]bool        // by register
-	takeoverNotBefore map[string]time.Time   // by shard, when another attempt may be made
+	previousConfigs   []configRecord         // predecessors of config, oldest first; at most maxPreviousConfigs
+	owners            map[string]*owner      // keyed by shard
+	changed           chan struct{}          // closed and replaced when the content of watch responses changes
+	ballotCounter     int64                  // highest ballot counter seen; never decreases
+	readsInFlight     map[string]bool        // keyed by register
+	takeoverNotBefore map[string]time.Time   // earliest time of the next takeover attempt, keyed by shard
 	draining          bool                   // never reset
 	drainingSince     time.Time
 }
@@ -58,16 +59,16 @@
 	value  []byte
 }
 
-// Run is the role of a core machine: it serves until the context ends, and then drains, unless the cause of the end is
-// node.ErrKilled. It returns an error where the disk cannot be opened or an address cannot be listened on.
+// Run runs the core scheduler until the context is canceled, and then drains it unless the cause of the cancellation is
+// node.ErrKilled. It returns an error if it cannot open the disk or listen on an address.
 func Run(ctx context.Context, process *node.Process) error {
 	s := process.Settings
-	first := membership.Bootstrap(seatsFor(s.FaultTolerance, len(s.Seeds)), s.SeedAddresses())
+	first := membership.Bootstrap(seatCount(s.FaultTolerance, len(s.Seeds)), s.SeedAddresses())
 	store, err := openStore(s.DataDir, s.InternalAddress(), first, s.Bootstrap)
 	if err != nil {
 		return err
 	}
-	running, stop := context.WithCancel(context.WithoutCancel(ctx)) // the loops go on while this scheduler drains
+	running, stop := context.WithCancel(context.WithoutCancel(ctx)) // keeps the loops running during the drain
 	defer stop()
 	c := newCore(running, process, store)
 	defer c.closeLog(running)
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// newCore returns a scheduler whose goroutines end with the context.
+// newCore returns a scheduler whose goroutines end when the context is canceled.
 func newCore(ctx context.Context, process *node.Process, store *store) *Core {
 	s := process.Settings
 	return &Core{
@@ -105,17 +106,17 @@
 	}
 }
 
-// closeLog closes the disk's log. A disk that does not answer holds the end of the process up for logCloseTimeout at most;
-// what was acknowledged is durable before.
+// closeLog closes the store's log. A disk that does not respond delays the exit of the process by at most logCloseTimeout.
+// No acknowledged change is lost then, since each is durable before it is acknowledged.
 func (c *Core) closeLog(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, logCloseTimeout)
 	defer cancel()
 	if err := c.store.log.Close(ctx); err != nil {
-		c.logger.Info("log not closed", "error", err.Error())
+		c.logger.Info("closing the state log failed; exiting anyway", "error", err.Error())
 	}
 }
 
-// internalHandler serves the internal protocol.
+// internalHandler returns the handler of the internal protocol.
 func (c *Core) internalHandler() http.Handler {
 	server := rpc.NewServer()
 	c.handleRegisters(server)
@@ -128,7 +129,7 @@
 	return server.Handler()
 }
 
-// followMembership has the replicators of all owned shards look at a newer membership at once.
+// followMembership wakes the replicators of all owned shards when a newer membership is installed.
 func (c *Core) followMembership(ctx context.Context) {
 	for {
 		select {
@@ -147,10 +148,10 @@
 	}
 }
 
-// seatsFor returns how many seats tolerate the failures that a deployment names. Where a zone or a region may fail, there
-// are at least three; that they are in different ones is up to the seeds. Only the seeds of the first start vote at
-// first, so there are no more seats than they are a quorum of.
-func seatsFor(t settings.FaultTolerance, seeds int) int {
+// seatCount returns the number of seats that tolerates the failures given in the settings. It is at least three if a zone
+// or a region may fail; the choice of the seeds determines whether the seats are in different ones. Initially only the
+// seeds of the first start vote, so the number of seats is limited to the largest of which the seeds form a quorum.
+func seatCount(t settings.FaultTolerance, seeds int) int {
 	failures := t.Machines
 	if t.Zones > 0 || t.Regions > 0 {
 		failures = max(failures, 1)
@@ -158,13 +159,13 @@
 	return min(2*failures+1, 2*seeds-1)
 }
 
-// notifyWatchers wakes those who wait for a change of what watchers are sent. c.mu is held.
+// notifyWatchers wakes the watch calls in progress to re-evaluate their response. c.mu is held.
 func (c *Core) notifyWatchers() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// coreAddresses returns the addresses of all known core schedulers, sorted, this one's included. c.mu is held.
+// coreAddresses returns the sorted addresses of all known core schedulers, including this one. c.mu is held.
 func (c *Core) coreAddresses() []string {
 	addresses := []string{c.address}
 	for address, p := range c.peers {
--- a/internal/system/core/describe.go
+++ b/internal/system/core/describe.go
@@ -11,14 +11,14 @@
 	"sedgevale/internal/system/statefile"
 )
 
-// Describe writes what the state directory of a stopped core scheduler holds, in lines of text. It changes nothing there.
+// Describe writes a textual summary of the state directory of a stopped core scheduler. It does not modify the directory.
 func Describe(dir string, out io.Writer) error {
 	s := newStore("")
 	var text strings.Builder
 	if _, err := statefile.Replay(dir, s.replay); err != nil {
 		return err
 	}
-	fmt.Fprintf(&text, "disk %s of %s, life %d, joined in epoch %d\n", s.identity.ID, s.identity.Address, s.identity.Incarnation, s.identity.Joined)
+	fmt.Fprintf(&text, "disk %s of %s, life %d, joined in epoch %d\n", s.identity.ID, s.identity.Address, s.identity.Incarnation, s.identity.JoinEpoch)
 	fmt.Fprintf(&text, "epoch %d of deployment %s\n", s.membership.Epoch, s.membership.Deployment)
 	for i, member := range s.membership.Seats {
 		fmt.Fprintf(&text, "seat %d: disk %s at %s since epoch %d, voter %t\n", i, member.ID, member.Address, member.JoinEpoch, member.Voter)
@@ -36,7 +36,7 @@
 	return err
 }
 
-// versionOf returns the version in a value of the configuration's register, as text; nothing for other registers.
+// versionOf formats the version in a value of the configuration register. It returns "" for other registers.
 func versionOf(name string, value []byte) string {
 	var record configRecord
 	if name != configRegister || avrocodec.Decode(value, &record) != nil {
--- a/internal/system/core/draining.go
+++ b/internal/system/core/draining.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	maxDrainDuration  = 2500 * time.Millisecond // nor longer than half of the grace period
+	maxDrainDuration  = 2500 * time.Millisecond // upper limit; half of the grace period if that is shorter
 	drainPollInterval = 40 * time.Millisecond
-	finalPingTimeout  = 300 * time.Millisecond
-	shutdownMargin    = 100 * time.Millisecond // beyond the time-out of an operator's request
-	drainNoticeDelay  = 10 * time.Millisecond  // a ping sent so long after the decision to drain carries it
+	drainPingTimeout  = 300 * time.Millisecond // limit on each round of pings during the drain
+	shutdownMargin    = 100 * time.Millisecond // added to the timeout of an operator's request
+	drainNoticeDelay  = 10 * time.Millisecond  // delay after the start of the drain from which every ping announces it
 )
 
-// closeOwners begins to drain: it ends the ownership of all shards, for good.
+// closeOwners starts the drain: it permanently ends the ownership of all shards.
 func (c *Core) closeOwners() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,30 +27,30 @@
 	}
 }
 
-// drain announces to the peers that this scheduler shuts down, and goes on as a replica until nothing depends on its disk: another
-// machine holds its seat, where there is one for that, and all members that stay hold what was committed. It takes at most
-// half of the grace period, so that the process ends within it.
+// drain announces the shutdown to the peers and continues to serve as a replica until the cluster no longer depends on this
+// disk: another machine holds its seat, if one is available, and all remaining members hold all committed changes. It takes
+// at most half of the grace period, so that the process exits before the grace period ends.
 func (c *Core) drain(ctx context.Context) {
 	grace := time.Duration(c.settings.Bounds.GraceS * float64(time.Second))
 	deadline := time.Now().Add(min(maxDrainDuration, grace/2))
 	for first := true; first || time.Now().Before(deadline) && !c.safeToStop(); first = false {
-		round, cancel := context.WithTimeout(ctx, finalPingTimeout)
+		round, cancel := context.WithTimeout(ctx, drainPingTimeout)
 		c.pingAll(round)
 		cancel()
 		sleep(ctx, drainPollInterval)
 	}
 }
 
-// shutdownOperatorServer takes no more operators' requests and waits for those in flight to be answered.
+// shutdownOperatorServer stops accepting operators' requests and waits until those in flight are answered.
 func (c *Core) shutdownOperatorServer(ctx context.Context, operators *http.Server) {
 	ctx, cancel := context.WithTimeout(ctx, controlplane.ChangeTimeout+shutdownMargin)
 	defer cancel()
 	if err := operators.Shutdown(ctx); err != nil {
-		c.logger.Info("operator requests aborted at shutdown", "error", err.Error())
+		c.logger.Info("waiting for operator requests failed; aborting them and exiting", "error", err.Error())
 	}
 }
 
-// safeToStop reports whether the system no longer depends on this disk.
+// safeToStop reports whether the cluster no longer depends on this disk.
 func (c *Core) safeToStop() bool {
 	m := c.store.currentMembership()
 	_, _, seated := c.store.self()
@@ -58,16 +58,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.aliveAddresses()) == 0 {
-		return true // there is no peer to wait for
+		return true // no peer is alive that could take over
 	}
-	staying := 0 // members that are alive and do not drain
+	staying := 0 // number of other members that are alive and not draining
 	for _, member := range m.Members() {
 		if member.Address != c.address && c.peer(member.Address).alive() {
 			staying++
 		}
 	}
 	if seated && len(c.aliveAddresses()) > staying {
-		return false // a machine without a seat is alive and will take this one
+		return false // a core scheduler without a seat is alive and will replace this one
 	}
 	if state == nil {
 		return true
@@ -80,11 +80,11 @@
 	return true
 }
 
-// inSyncReplicas returns how many members that stay hold all that was committed of a shard, as its owner said in a ping
-// that it sent after it had learned that this scheduler drains. c.mu is held.
+// inSyncReplicas returns how many of the remaining members hold all committed changes of a shard. It uses the owner's claim
+// only from a ping sent after the owner had learned of the drain: an earlier claim still counts this replica. c.mu is held.
 func (c *Core) inSyncReplicas(shard string) int64 {
 	newest := ownershipClaim{}
-	for address, claim := range c.freshClaims() {
+	for address, claim := range c.validClaims() {
 		afterNotice := !c.peers[address].lastHeartbeat.Before(c.drainingSince.Add(drainNoticeDelay))
 		if afterNotice && claim.Shard == shard && claim.Token > newest.Token {
 			newest = claim
--- a/internal/system/core/draining_test.go
+++ b/internal/system/core/draining_test.go
@@ -8,8 +8,9 @@
 	"sedgevale/internal/system/clusterconfig"
 )
 
-// A member that drains waits for a claim of an owner that knew of it: before, the owner counted the draining one too.
-func TestDrainingMemberWaitsForAFreshClaim(t *testing.T) {
+// A draining member waits for a claim that the owner sent after it had learned of the drain. An earlier claim counts the
+// draining member itself among the replicas in sync, so the member would stop too early.
+func TestDrainingMemberWaitsForAClaimSentAfterTheNotice(t *testing.T) {
 	s := newStoreCluster(t)
 	since := time.Now().Add(-time.Second / 2)
 	c := &Core{address: "a", store: s.stores["a"], peers: map[string]*peerState{}, draining: true, drainingSince: since}
@@ -18,31 +19,31 @@
 		c.peers[address] = &peerState{known: true, lastHeartbeat: since.Add(after), status: pingMessage{Address: address, Claims: claims}}
 	}
 	owned := func(inSync int64) ownershipClaim {
-		return ownershipClaim{Shard: "s", Token: 2, Fresh: true, InSync: inSync}
+		return ownershipClaim{Shard: "s", Token: 2, LeaseValid: true, InSync: inSync}
 	}
 	cases := []struct {
 		name   string
-		age    time.Duration // of the claim, relative to the start of the drain
+		sentAt time.Duration // send time of the claim, relative to the start of the drain
 		inSync int64
 		want   bool
 	}{
-		{"the claim is from before", -time.Millisecond, 2, false},
-		{"one that stays is not in sync", 100 * time.Millisecond, 1, false},
-		{"all that stay are in sync", 100 * time.Millisecond, 2, true},
+		{"claim sent before the drain", -time.Millisecond, 2, false},
+		{"a remaining member is not in sync", 100 * time.Millisecond, 1, false},
+		{"all remaining members are in sync", 100 * time.Millisecond, 2, true},
 	}
 	for _, test := range cases {
-		setPeer("b", test.age, owned(test.inSync))
-		setPeer("c", test.age)
+		setPeer("b", test.sentAt, owned(test.inSync))
+		setPeer("c", test.sentAt)
 		if got := c.safeToStop(); got != test.want {
-			t.Errorf("%s: safe to stop: %t", test.name, got)
+			t.Errorf("%s: safeToStop() = %t, want %t", test.name, got, test.want)
 		}
 	}
 	setPeer("d", 100*time.Millisecond)
 	if c.safeToStop() {
-		t.Error("safe to stop before the spare that joins has its seat")
+		t.Error("safe to stop before the joining core scheduler has acquired the seat")
 	}
-	d := s.stores["b"].currentMembership()
-	next, err := membership.NextProposal(d, d, membership.AddLearner(d.SeatAt("a"), "x", "d"))
+	m := s.stores["b"].currentMembership()
+	next, err := membership.NextProposal(m, m, membership.AddLearner(m.SeatAt("a"), "x", "d"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,10 +51,10 @@
 		t.Fatal(err)
 	}
 	if c.safeToStop() {
-		t.Error("safe to stop before its successor is in sync")
+		t.Error("safe to stop before the new holder of the seat is in sync")
 	}
 	setPeer("b", 100*time.Millisecond, owned(3))
 	if !c.safeToStop() {
-		t.Error("not safe to stop though all that stay are in sync")
+		t.Error("not safe to stop although all remaining members are in sync")
 	}
 }
--- a/internal/system/core/golden_test.go
+++ b/internal/system/core/golden_test.go
@@ -15,7 +15,7 @@
 	"sedgevale/jobs"
 )
 
-// Values with another content in each field, of which the messages below are made.
+// Values with distinct content in each field, from which the messages below are composed.
 var (
 	goldenMembership = membership.Membership{
 		Deployment: "d", Epoch: 3, BaseEpoch: 2, Seats: []membership.Member{{ID: "i", Address: "a", JoinEpoch: 1, Voter: true}, {}},
@@ -28,8 +28,8 @@
 	goldenRanges  = []shard.Range{{Bucket: 8, Records: goldenRecords}}
 )
 
-// goldenMessages are the messages between core schedulers, and what their commands ask, with their Avro bytes. Core schedulers
-// of two releases talk to each other by them.
+// goldenMessages are the messages between core schedulers and those of the operators' commands, with their Avro encoding.
+// Core schedulers of different releases exchange them, so the encoding must not change.
 var goldenMessages = []struct {
 	message any
 	want    string
@@ -43,13 +43,13 @@
 	{&learnRequest{Name: "n", Ballot: goldenBallot, Value: []byte("v")}, "026e0802700276"},
 	{&empty{}, ""},
 	{&ackResponse{From: goldenOrigin}, "026d06"},
-	{&sealRequest{To: goldenTarget, Shard: "s", Token: 9}, "0264060403140269026102010000000000026d027312"},
-	{&sealResponse{From: goldenOrigin, Voter: true, InSync: 10, Digests: []int64{11, -12}}, "026d0601140304161700"},
+	{&fenceRequest{To: goldenTarget, Shard: "s", Token: 9}, "0264060403140269026102010000000000026d027312"},
+	{&fenceResponse{From: goldenOrigin, Voter: true, InSyncToken: 10, Digests: []int64{11, -12}}, "026d0601140304161700"},
 	{&fetchRequest{To: goldenTarget, Shard: "s", Buckets: []int64{13}}, "0264060403140269026102010000000000026d027301021a00"},
 	{&fetchResponse{From: goldenOrigin, Ranges: goldenRanges}, "026d06011a100112066b65790c0e0276010000"},
 	{&prefetchRequest{Shard: "s", Digests: []int64{14}}, "027301021c00"},
 	{&prefetchResponse{Ranges: goldenRanges}, "011a100112066b65790c0e0276010000"},
-	{&repairRequest{To: goldenTarget, Shard: "s", Token: 15, Number: 16, Ranges: goldenRanges, Last: true}, "0264060403140269026102010000000000026d02731e20011a100112066b65790c0e027601000001"},
+	{&repairRequest{To: goldenTarget, Shard: "s", Token: 15, RepairNumber: 16, Ranges: goldenRanges, Last: true}, "0264060403140269026102010000000000026d02731e20011a100112066b65790c0e027601000001"},
 	{&writeRequest{To: goldenTarget, Shard: "s", Token: 17, Records: goldenRecords}, "0264060403140269026102010000000000026d0273220112066b65790c0e02760100"},
 	{&stateRequest{To: goldenTarget}, "0264060403140269026102010000000000026d"},
 	{&stateResponse{
@@ -59,8 +59,8 @@
 	{&memberTimedOutRequest{Member: "m", Address: "a"}, "026d0261"},
 	{&memberTimedOutResponse{TimedOut: true}, "01"},
 	{&pingMessage{
-		Address: "a", Zone: "z", Member: "m", Membership: goldenMembership, Known: []string{"x"}, Draining: true,
-		Claims: []ownershipClaim{{Shard: "s", Token: 19, Fresh: true, InSync: 20}}, Accepted: map[string]register.Ballot{"n": goldenBallot},
+		Address: "a", Zone: "z", Member: "m", Membership: goldenMembership, Alive: []string{"x"}, Draining: true,
+		Claims: []ownershipClaim{{Shard: "s", Token: 19, LeaseValid: true, InSync: 20}}, Accepted: map[string]register.Ballot{"n": goldenBallot},
 	}, "0261027a026d02640604031402690261020100000000000104027800010a027326012800010a026e0802700001"},
 	{&ownerRecord{Address: "a", Token: 21}, "02612a"},
 	{&configRecord{Version: 22, Text: []byte("t"), History: []appliedChange{{Base: 23, Digest: -24}}}, "2c027401042e2f00"},
@@ -82,35 +82,35 @@
 }
 
 func TestMessageBytes(t *testing.T) {
-	for _, one := range goldenMessages {
-		testkit.CheckAvro(t, one.message, one.want)
+	for _, golden := range goldenMessages {
+		testkit.CheckAvro(t, golden.message, golden.want)
 	}
 }
 
-// The methods' names are part of the protocol.
+// The method names are part of the protocol and must not change.
 func TestMethodNames(t *testing.T) {
 	for got, want := range map[string]string{
 		methodPrepare: "register.prepare", methodAccept: "register.accept", methodReadAccepted: "register.peek", methodLearn: "register.learn",
-		methodSeal: "shard.seal", methodFetch: "shard.fetch", methodPrefetch: "shard.copy", methodRepair: "shard.repair", methodWrite: "shard.write",
+		methodFence: "shard.seal", methodFetch: "shard.fetch", methodPrefetch: "shard.copy", methodRepair: "shard.repair", methodWrite: "shard.write",
 		methodState: "membership.state", methodMemberTimedOut: "membership.silent", methodPing: "core.ping",
 		MethodMembers: "admin.members", MethodQueues: "admin.queues",
 	} {
 		if got != want {
-			t.Errorf("a method is called %s, want %s", got, want)
+			t.Errorf("method name %s, want %s", got, want)
 		}
 	}
 }
 
-// The names and labels of metrics, which dashboards may name.
+// Dashboards depend on the names and labels of the metrics, so they must not change.
 func TestMetricNames(t *testing.T) {
 	descriptions := make(chan *prometheus.Desc, 100)
 	collector{}.Describe(descriptions)
 	close(descriptions)
 	var got []string
-	for one := range descriptions {
-		name := regexp.MustCompile(`fqName: "([a-z_]+)".*variableLabels: \{([a-z,]*)\}`).FindStringSubmatch(one.String())
+	for desc := range descriptions {
+		name := regexp.MustCompile(`fqName: "([a-z_]+)".*variableLabels: \{([a-z,]*)\}`).FindStringSubmatch(desc.String())
 		if name == nil {
-			t.Fatalf("no name in %s", one)
+			t.Fatalf("no metric name in %s", desc)
 		}
 		got = append(got, name[1]+" "+name[2])
 	}
--- a/internal/system/core/goroutines_test.go
+++ b/internal/system/core/goroutines_test.go
@@ -23,13 +23,13 @@
 	"sedgevale/jobs"
 )
 
-// dialNobody waits for an answer that never comes.
-func dialNobody(ctx context.Context, _, _ string) (net.Conn, error) {
+// dialUnreachable is a dial function that blocks until the context ends, as with an unreachable peer.
+func dialUnreachable(ctx context.Context, _, _ string) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// A round ends with its context, and not when the last call times out.
+// A round of calls returns when its context ends, rather than when the last call times out.
 func TestRoundsEndWithTheirContext(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	rounds := map[string]func(*Core, context.Context) error{
@@ -39,7 +39,7 @@
 		},
 		"read": func(c *Core, ctx context.Context) error { return c.read(ctx, "r") },
 		"seal": func(c *Core, ctx context.Context) error {
-			_, err := c.sealQuorum(ctx, c.store.currentMembership(), "s", 1)
+			_, err := c.fenceQuorum(ctx, c.store.currentMembership(), "s", 1)
 			return err
 		},
 		"states": func(c *Core, ctx context.Context) error {
@@ -51,27 +51,27 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := &Core{
-					address: "d:1", logger: logr.Discard(), store: newStore("d:1"), client: rpc.NewClient(dialNobody), proposer: "p",
+					address: "d:1", logger: logr.Discard(), store: newStore("d:1"), client: rpc.NewClient(dialUnreachable), proposer: "p",
 					learned: map[string]chosenValue{}, goroutines: taskgroup.New(t.Context()),
 				}
 				c.store.membership = membership.Bootstrap(3, []string{"a:1", "b:1", "c:1"})
 				ctx, cancel := context.WithTimeout(t.Context(), timeout)
 				defer cancel()
-				began := time.Now()
-				if err := round(c, ctx); result.CodeOf(err) != result.Unavailable || time.Since(began) != timeout {
-					t.Errorf("%v after %v", err, time.Since(began))
+				start := time.Now()
+				if err := round(c, ctx); result.CodeOf(err) != result.Unavailable || time.Since(start) != timeout {
+					t.Errorf("error %v after %v, want code %d after %v", err, time.Since(start), result.Unavailable, timeout)
 				}
 				c.goroutines.Shutdown()
-				c.client.Close() // ends the dials
-				if time.Since(began) != timeout {
-					t.Errorf("the calls of the round went on until %v after it", time.Since(began)-timeout)
+				c.client.Close() // cancels the pending dials
+				if time.Since(start) != timeout {
+					t.Errorf("calls of the round continued for %v after its end", time.Since(start)-timeout)
 				}
 			})
 		})
 	}
 }
 
-// Once Run has returned none of this scheduler's goroutines is left, though its peers have not answered.
+// When Run returns, none of the scheduler's goroutines is left, even if the peers have not responded.
 func TestRunLeavesNoGoroutine(t *testing.T) {
 	for name, cause := range map[string]error{"killed": node.ErrKilled, "terminated": context.Canceled} {
 		t.Run(name, func(t *testing.T) {
@@ -80,23 +80,23 @@
 				Seeds: []string{"127.0.0.1", "127.0.0.2", "127.0.0.3"}, FaultTolerance: settings.FaultTolerance{Machines: 1},
 				BindAddrs: settings.BindAddrs{ControlPlane: "control"}, Bounds: settings.Bounds{GraceS: 0.2, MaxLeaseMS: 1000},
 			}
-			process := node.NewProcess(s, logr.Discard(), dialNobody, func(string) (net.Listener, error) {
+			process := node.NewProcess(s, logr.Discard(), dialUnreachable, func(string) (net.Listener, error) {
 				return new(net.ListenConfig).Listen(context.Background(), "tcp4", "127.0.0.1:0")
 			})
 			defer process.Close()
 			ctx, cancel := context.WithCancelCause(t.Context())
-			time.AfterFunc(300*time.Millisecond, func() { cancel(cause) }) // by then calls to the peers are in flight
+			time.AfterFunc(300*time.Millisecond, func() { cancel(cause) }) // calls to the peers are in flight by then
 			if err := Run(ctx, process); err != nil {
 				t.Fatal(err)
 			}
 			for _, stack := range testkit.Goroutines("core.(*Core)", "statefile.(*Log)") {
-				t.Errorf("left running:\n%s", stack)
+				t.Errorf("goroutine still running after Run returned:\n%s", stack)
 			}
 		})
 	}
 }
 
-// Only a body that is invalid is answered as the client's fault.
+// Only an invalid body is reported as a client error.
 func TestCodesOfRejectedJobs(t *testing.T) {
 	for _, test := range []struct {
 		err  error
@@ -107,13 +107,13 @@
 		{errors.New("record of the job: no schema"), result.Unavailable},
 	} {
 		if got := submitError("a", test.err); result.CodeOf(got) != test.want || !strings.Contains(got.Error(), "job a: "+test.err.Error()) {
-			t.Errorf("%v: %v", test.err, got)
+			t.Errorf("submitError for %v: %v, want code %d", test.err, got, test.want)
 		}
 	}
 	scheduler := jobs.New(jobs.Options{}, rand.New(rand.NewPCG(1, 1)))
 	_, err := scheduler.Submit(0, 0, "a", "q", []byte(`{"spec":`))
 	var invalid *jobs.InvalidJobError
 	if !errors.As(err, &invalid) {
-		t.Errorf("a body that is no JSON: %v", err)
+		t.Errorf("body that is not JSON: error %v, want a jobs.InvalidJobError", err)
 	}
 }
--- a/internal/system/core/jobsapi.go
+++ b/internal/system/core/jobsapi.go
@@ -18,50 +18,51 @@
 	rpc.Handle(server, api.MethodReport, c.report)
 }
 
-// activeOwner returns the owner of a shard on this scheduler, if its lease is valid. Its error has the code result.NotOwner
-// or result.NotReady.
+// activeOwner returns the owner of a shard on this scheduler. Its error has the code result.NotOwner if there is none, or
+// result.NotReady if the owner's lease is not valid.
 func (c *Core) activeOwner(name string) (*owner, error) {
 	c.mu.Lock()
 	o := c.owners[name]
 	c.mu.Unlock()
 	if o == nil || !o.active() {
-		return nil, result.Errorf(result.NotOwner, "%s does not own %s", c.address, name)
+		return nil, result.Errorf(result.NotOwner, "%s does not own shard %s", c.address, name)
 	}
 	if !o.leaseValid() {
-		return nil, result.Errorf(result.NotReady, "%s has no quorum for %s", c.address, name)
+		return nil, result.Errorf(result.NotReady, "shard %s: owner %s has no valid lease from a quorum", name, c.address)
 	}
 	return o, nil
 }
 
-// catchUp reads the configuration's register if the configuration here is older than the caller's.
-func (c *Core) catchUp(ctx context.Context, version int64) error {
+// ensureConfig reads the configuration register unless the configuration in force has at least the given version.
+func (c *Core) ensureConfig(ctx context.Context, version int64) error {
 	state := c.currentConfig()
 	if state != nil && state.record.Version >= version {
 		return nil
 	}
 	if err := c.read(ctx, configRegister); err != nil {
-		return result.Errorf(result.NotReady, "configuration %d is not known here: %w", version, err)
+		return result.Errorf(result.NotReady, "reading configuration version %d: %w", version, err)
 	}
 	return nil
 }
 
-// submit accepts a job, and answers once it is committed. It is idempotent by the job's ID.
+// submit accepts a job and returns once the job is committed. It is idempotent: a retry with the same job ID does not
+// create another job.
 func (c *Core) submit(ctx context.Context, r *api.SubmitRequest) (*api.Empty, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.catchUp(ctx, r.ConfigVersion); err != nil {
+	if err := c.ensureConfig(ctx, r.ConfigVersion); err != nil {
 		return nil, err
 	}
 	o.mu.Lock()
 	if !o.scheduler.HasQueue(r.Queue) {
 		o.mu.Unlock()
-		return nil, result.Errorf(result.NoRoute, "queue %s is not in the newest configuration", r.Queue)
+		return nil, result.Errorf(result.NoRoute, "shard %s: no queue %s in the configuration in force", r.Shard, r.Queue)
 	}
 	if o.scheduler.ActiveJobs() > maxUnfinishedJobs {
 		o.mu.Unlock()
-		return nil, result.Errorf(result.Overloaded, "shard %s: %d jobs have not ended", r.Shard, maxUnfinishedJobs)
+		return nil, result.Errorf(result.Overloaded, "shard %s: more than %d unfinished jobs", r.Shard, maxUnfinishedJobs)
 	}
 	durable, err := o.scheduler.Submit(o.monotonicNow(), wallClockMS(), r.ID, r.Queue, r.Body)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return &api.Empty{}, o.waitCommitted(ctx, sequence)
 }
 
-// submitError returns the answer to a job that the scheduler did not accept: only a body that is invalid is the client's fault.
+// submitError returns the error for a job that the scheduler rejected. Only an invalid body is a client error.
 func submitError(id string, err error) error {
 	var invalid *jobs.InvalidJobError
 	if errors.As(err, &invalid) {
@@ -86,7 +87,7 @@
 	return result.Errorf(result.Unavailable, "job %s: %w", id, err)
 }
 
-// status returns a job's state. It waits for the commit of a state that is not yet durable.
+// status returns a job's state. If that state is not yet committed, it waits for the commit first.
 func (c *Core) status(ctx context.Context, r *api.JobRequest) (*api.JobResponse, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return &api.JobResponse{State: string(state)}, nil
 }
 
-// cancel cancels a job, and answers once that is committed.
+// cancel cancels a job and returns once the cancellation is committed.
 func (c *Core) cancel(ctx context.Context, r *api.JobRequest) (*api.Empty, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
@@ -126,7 +127,7 @@
 	return &api.Empty{}, o.waitCommitted(ctx, sequence)
 }
 
-// pending returns how many unfinished jobs of a queue have no task that a worker has started.
+// pending returns the number of unfinished jobs of a queue of which no worker has started a task.
 func (c *Core) pending(_ context.Context, r *api.PendingRequest) (*api.PendingResponse, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
@@ -137,8 +138,8 @@
 	return &api.PendingResponse{Pending: int64(o.scheduler.PendingJobs(r.Queue))}, nil
 }
 
-// report applies a side agent's report on its worker and renews the agent's lease. A report outside the current session
-// changes nothing, and is answered with the session to use for the next one.
+// report applies a worker agent's report and renews the agent's lease. A report outside the current session is ignored; the
+// response names the session to use for the next one.
 func (c *Core) report(_ context.Context, r *api.ReportRequest) (*api.ReportResponse, error) {
 	o, err := c.activeOwner(r.Shard)
 	if err != nil {
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	memberTimeout      = 2200 * time.Millisecond // without an answer, after which a member's seat may be taken
-	joinInterval       = 120 * time.Millisecond
+	memberTimeout      = 2200 * time.Millisecond // time without a response after which a member may be replaced
+	joinInterval       = 120 * time.Millisecond  // minimum time between two attempts; up to the same again is added at random
 	joinTimeout        = 1500 * time.Millisecond
 	prefetchTimeout    = 900 * time.Millisecond
 	membershipRegister = "membership"
@@ -27,7 +27,7 @@
 	})
 }
 
-// memberTimedOut reports whether a member has not answered this scheduler for memberTimeout, or drains.
+// memberTimedOut reports whether a member is draining or has not responded to this scheduler for memberTimeout.
 func (c *Core) memberTimedOut(id, address string) bool {
 	if address == c.address {
 		own, _, _ := c.store.self()
@@ -41,8 +41,8 @@
 	return time.Since(c.started) > memberTimeout
 }
 
-// joinLoop has this scheduler take a seat that nobody holds, that its own lost disk held or whose holder has timed out, and
-// become a voter there.
+// joinLoop makes this scheduler a member: it acquires a seat that is free, that its own lost disk held or whose holder has
+// timed out, first as a learner, and then becomes a voter.
 func (c *Core) joinLoop(ctx context.Context) {
 	for sleep(ctx, joinInterval+jitter(joinInterval)) {
 		c.mu.Lock()
@@ -59,12 +59,12 @@
 			err = c.takeSeat(ctx, seat, id)
 		}
 		if err != nil {
-			c.logger.V(1).Info("join attempt failed", "error", err.Error())
+			c.logger.V(1).Info("joining the membership failed; retrying", "error", err.Error())
 		}
 	}
 }
 
-// freeSeat returns the seat that this scheduler should take, or -1.
+// freeSeat returns the seat that this scheduler should acquire, or -1 if there is none.
 func (c *Core) freeSeat() int {
 	m := c.store.currentMembership()
 	if seat := m.SeatAt(c.address); seat >= 0 {
@@ -82,8 +82,8 @@
 	return free[rand.IntN(len(free))]
 }
 
-// takeSeat has the voters agree that this disk is the learner of a seat. Before it replaces a voter it prefetches the shards,
-// so that it is a learner for a short time only.
+// takeSeat makes this disk the learner of a seat by a membership change. Before it replaces a voter it prefetches the
+// shards, which shortens the time during which the seat has no voter.
 func (c *Core) takeSeat(ctx context.Context, seat int, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout+prefetchTimeout)
 	defer cancel()
@@ -103,11 +103,11 @@
 	if err := c.changeMembership(ctx, m.Epoch, membership.AddLearner(seat, id, c.address)); err != nil {
 		return err
 	}
-	c.logger.Info("joined as learner", "seat", seat, "instead_of", holder.Address)
+	c.logger.Info("joined as learner", "seat", seat, "replaced", holder.Address)
 	return nil
 }
 
-// isDraining reports whether a peer that answered lately drains.
+// isDraining reports whether a peer has announced within memberTimeout that it is draining.
 func (c *Core) isDraining(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,12 +115,12 @@
 	return p.status.Draining && time.Since(p.lastHeartbeat) <= memberTimeout
 }
 
-// confirmTimedOut asks whether a member has timed out for a quorum of the voters too, so that a machine which a partition
-// separates from that member alone does not take its seat. Its error has the code result.Conflict.
+// confirmTimedOut returns nil if a quorum of the voters agrees that a member has timed out. This prevents a machine that a
+// network partition separates from that member alone from replacing it. Its error has the code result.Conflict.
 func (c *Core) confirmTimedOut(ctx context.Context, m membership.Membership, holder membership.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	answers := make(chan bool, len(m.Seats))
+	confirmations := make(chan bool, len(m.Seats))
 	asked := 0
 	for _, voter := range m.Voters() {
 		if voter.ID == holder.ID {
@@ -130,22 +130,22 @@
 		go func() {
 			response := &memberTimedOutResponse{}
 			err := c.client.Call(ctx, voter.Address, methodMemberTimedOut, &memberTimedOutRequest{Member: holder.ID, Address: holder.Address}, response)
-			answers <- err == nil && response.TimedOut
+			confirmations <- err == nil && response.TimedOut
 		}()
 	}
 	agreed := 0
 	for range asked {
-		if <-answers {
+		if <-confirmations {
 			agreed++
 		}
 	}
 	if agreed < m.Quorum() {
-		return result.Errorf(result.Conflict, "%s has timed out for %d of %d voters", holder.Address, agreed, asked)
+		return result.Errorf(result.Conflict, "%d of %d voters agree that %s has timed out, want %d", agreed, asked, holder.Address, m.Quorum())
 	}
 	return nil
 }
 
-// prefetchShards copies what voters store of the shards and this disk does not.
+// prefetchShards copies from the voters the key ranges in which their replicas of the shards differ from those on this disk.
 func (c *Core) prefetchShards(ctx context.Context, m membership.Membership) {
 	ctx, cancel := context.WithTimeout(ctx, prefetchTimeout)
 	defer cancel()
@@ -168,13 +168,13 @@
 	}
 }
 
-// changeMembership has a quorum of the voters choose another membership, derived from that of the epoch given. Its error has
-// the code result.EpochOutdated where another epoch is known by now.
+// changeMembership applies a change to the membership of the given epoch and proposes the result to the voters. Its error
+// has the code result.EpochOutdated if another epoch is known by then.
 func (c *Core) changeMembership(ctx context.Context, epoch int64, change membership.Change) error {
 	value, err := c.propose(ctx, membershipRegister, func(current []byte) ([]byte, error) {
 		installed := c.store.currentMembership()
 		if installed.Epoch != epoch {
-			return nil, result.Errorf(result.EpochOutdated, "epoch %d was meant, %d is known", epoch, installed.Epoch)
+			return nil, result.Errorf(result.EpochOutdated, "membership change is based on epoch %d, current is %d", epoch, installed.Epoch)
 		}
 		var newest membership.Membership
 		if current != nil {
@@ -197,14 +197,14 @@
 	}
 	id, _, _ := c.store.self()
 	if _, seated := chosen.Member(id); !seated {
-		return result.Errorf(result.Conflict, "epoch %d was chosen without this disk", chosen.Epoch)
+		return result.Errorf(result.Conflict, "the chosen membership of epoch %d does not include this disk", chosen.Epoch)
 	}
 	return nil
 }
 
-// becomeVoter has a learner restore what a quorum of the voters hold, and then the voters promote it. The voters answer
-// under the epoch that the learner knows, in which it holds its seat already; so nothing can have been chosen without the
-// learner hearing of it here or taking part.
+// becomeVoter restores the state of a quorum of the voters on this learner and then promotes it. The voters respond under
+// the epoch known to the learner, in which it already holds its seat. Every chosen value is therefore either part of the
+// restored state or chosen with the learner's participation.
 func (c *Core) becomeVoter(ctx context.Context, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -224,17 +224,17 @@
 	return nil
 }
 
-// quorumStates asks the voters for their state until a quorum has answered.
+// quorumStates requests the state of the voters and returns it once a quorum has responded.
 func (c *Core) quorumStates(ctx context.Context, m membership.Membership) ([]*stateResponse, error) {
 	replies, count := broadcast(c, m, m.Voters(), methodState, c.store.serveState, func(to target) *stateRequest {
 		return &stateRequest{To: to}
 	})
-	answered, lastErr := awaitQuorum(ctx, replies, count, m.Quorum(), func(*stateResponse) bool { return true })
-	if len(answered) < m.Quorum() {
-		return nil, result.Errorf(result.Unavailable, "%d of %d voters sent their state, last failure: %w", len(answered), count, lastErr)
+	received, lastErr := awaitQuorum(ctx, replies, count, m.Quorum(), func(*stateResponse) bool { return true })
+	if len(received) < m.Quorum() {
+		return nil, result.Errorf(result.Unavailable, "%d of %d voters sent their state, want %d; last error: %w", len(received), count, m.Quorum(), lastErr)
 	}
 	var states []*stateResponse
-	for _, r := range answered {
+	for _, r := range received {
 		states = append(states, r.response)
 	}
 	return states, nil
--- a/internal/system/core/learner.go
+++ b/internal/system/core/learner.go
@@ -12,11 +12,12 @@
 
 const (
 	asyncReadTimeout = time.Second
-	asyncReadBackoff = 20 * time.Millisecond // before a register may be read again
+	asyncReadBackoff = 20 * time.Millisecond // minimum time between two reads of the same register
 )
 
-// announce sends the other core schedulers a value that was chosen. Voters that can have accepted it are sent its ballot only.
-func (c *Core) announce(ctx context.Context, name string, ballot register.Ballot, value []byte) {
+// announceChosen sends a chosen value to the other core schedulers. Voters are sent only its ballot, since they receive the
+// value in the accept phase, except for a membership.
+func (c *Core) announceChosen(ctx context.Context, name string, ballot register.Ballot, value []byte) {
 	m := c.store.currentMembership()
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
@@ -41,8 +42,8 @@
 	}
 }
 
-// handleLearn takes an announcement. Where it has no value and this replica has not accepted the ballot, the message that
-// brought the value here is late or lost, and the register is read.
+// handleLearn handles an announced value. If the announcement has only a ballot that this replica has not accepted, the
+// accept message with the value is late or lost, and the register is read instead.
 func (c *Core) handleLearn(r *learnRequest) error {
 	value := r.Value
 	if len(value) == 0 {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// learn takes a chosen value, if it is newer than the one that is known.
+// learn records a chosen value if it is newer than the known one.
 func (c *Core) learn(name string, ballot register.Ballot, value []byte) error {
 	if name == membershipRegister {
 		if err := c.learnMembership(value); err != nil {
@@ -78,17 +79,17 @@
 	return nil
 }
 
-// learnMembership takes a chosen membership.
+// learnMembership decodes a chosen membership and installs it if it is newer than the current one.
 func (c *Core) learnMembership(value []byte) error {
 	var m membership.Membership
 	if err := avrocodec.Decode(value, &m); err != nil {
-		return result.Errorf(result.BadRequest, "membership: %w", err)
+		return result.Errorf(result.BadRequest, "decoding a chosen membership: %w", err)
 	}
 	return c.store.learnMembership(m)
 }
 
-// read learns the chosen value of a register. Where a majority has accepted the same ballot last, one round trip does;
-// else the current value is proposed again, which completes or replaces what single replicas have accepted.
+// read learns the chosen value of a register. If a quorum of voters report the same last accepted ballot, one round trip
+// suffices. Otherwise the current value is proposed again, which completes or supersedes partially accepted values.
 func (c *Core) read(ctx context.Context, name string) error {
 	m := c.store.currentMembership()
 	if m.Epoch == 0 {
@@ -102,9 +103,9 @@
 	})
 	votes := map[register.Ballot]int{}
 	for range count {
-		r, ended := awaitReply(ctx, replies)
-		if ended != nil {
-			return result.Errorf(result.Unavailable, "register %s: %w", name, ended)
+		r, ctxErr := awaitReply(ctx, replies)
+		if ctxErr != nil {
+			return result.Errorf(result.Unavailable, "reading register %s: %w", name, ctxErr)
 		}
 		if r.err != nil {
 			continue
@@ -123,7 +124,7 @@
 	return err
 }
 
-// readAsync reads a register in the background, unless a read of it is in flight. c.mu is held.
+// readAsync reads a register in the background unless a background read of it is already in flight. c.mu is held.
 func (c *Core) readAsync(name string) {
 	if c.readsInFlight[name] {
 		return
@@ -132,7 +133,7 @@
 		reading, cancel := context.WithTimeout(ctx, asyncReadTimeout)
 		defer cancel()
 		if err := c.read(reading, name); err != nil {
-			c.logger.V(1).Info("register read failed", "register", name, "error", err.Error())
+			c.logger.V(1).Info("reading a register failed; retrying on the next announcement or ping", "register", name, "error", err.Error())
 		}
 		sleep(ctx, asyncReadBackoff)
 		c.mu.Lock()
--- a/internal/system/core/liveness.go
+++ b/internal/system/core/liveness.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// quorumAlive reports whether a quorum of the voters, this one included, is alive.
+// quorumAlive reports whether a quorum of the voters is alive, counting this scheduler if it is one.
 func (c *Core) quorumAlive() bool {
 	m := c.store.currentMembership()
 	c.mu.Lock()
@@ -19,8 +19,8 @@
 	return len(m.Seats) > 0 && n >= m.Quorum()
 }
 
-// allPeersAlive reports whether all holders of seats, and all whom others count as alive, have answered lately, so that no
-// owner of a shard has yet to claim it.
+// allPeersAlive reports whether all members and all core schedulers that other peers report as alive are alive for this one
+// too. If so, it has received the claims of all owners of shards.
 func (c *Core) allPeersAlive() bool {
 	m := c.store.currentMembership()
 	c.mu.Lock()
@@ -38,9 +38,10 @@
 	return true
 }
 
-// confirmedAt returns the time at which the learned value of a register was certainly the newest: the sending of the pings
-// that a quorum of one epoch has answered without knowing a newer one. None of them had left the epoch then, so nothing
-// newer can have been chosen under a later one either. It is the zero time where there is no such quorum.
+// confirmedAt returns the latest time at which the learned value of a register is known to have been the newest. It is the
+// send time of pings that a quorum of voters of one epoch has answered without reporting a newer ballot. None of them had
+// left the epoch at that time, so no newer value can have been chosen under a later epoch either. It returns the zero time
+// if there is no such quorum.
 func (c *Core) confirmedAt(name string) time.Time {
 	m := c.store.currentMembership()
 	own := c.store.accepted()[name]
@@ -64,7 +65,8 @@
 	return quorumTime(times, m.Quorum())
 }
 
-// quorumTime returns the latest time that a quorum has reached, the zero time where too few have any. It sorts the times.
+// quorumTime returns the latest time that a quorum of the given times have reached, or the zero time if there are fewer
+// times than a quorum. It sorts the slice.
 func quorumTime(times []time.Time, quorum int) time.Time {
 	if quorum == 0 || len(times) < quorum {
 		return time.Time{}
--- a/internal/system/core/messages.go
+++ b/internal/system/core/messages.go
@@ -6,15 +6,16 @@
 	"sedgevale/coord/shard"
 )
 
-// All messages are Avro records: fields are read in their order here, and must be neither moved nor retyped.
+// All messages are encoded as Avro records. The order and the types of the fields define the encoding and must not change.
 
-// The methods of the internal protocol that core schedulers serve. The names are part of the protocol.
+// The methods of the internal protocol that core schedulers serve. Their values are part of the protocol and must not
+// change.
 const (
 	methodPrepare        = "register.prepare"
 	methodAccept         = "register.accept"
 	methodReadAccepted   = "register.peek"
 	methodLearn          = "register.learn"
-	methodSeal           = "shard.seal"
+	methodFence          = "shard.seal"
 	methodFetch          = "shard.fetch"
 	methodPrefetch       = "shard.copy"
 	methodRepair         = "shard.repair"
@@ -24,29 +25,29 @@
 	methodPing           = "core.ping"
 )
 
-// target says which replica a message is meant for, and under which membership. A replica answers only messages for
-// itself and of the epoch that it has reached; it installs a newer membership that a message brings, since only chosen ones
-// are sent.
+// target names the replica that a request is addressed to and the membership under which it is sent. A replica rejects
+// requests for another replica or of an older epoch. It installs a newer membership found in a request, since only chosen
+// memberships are sent.
 type target struct {
 	Membership membership.Membership
-	Member     string
+	Member     string // ID of the replica's disk
 }
 
-// origin says which replica has answered, and under which epoch.
+// origin names the replica that sent a response and the epoch under which it did.
 type origin struct {
-	Member string
+	Member string // ID of the replica's disk
 	Epoch  int64
 }
 
-// replicaAnswer is an answer that names its origin.
-type replicaAnswer interface{ from() origin }
+// replicaResponse is a response that names its origin.
+type replicaResponse interface{ from() origin }
 
-// prepareRequest is the prepare of a register's ballot (Paxos phase 1). The value accepted under Known need not be sent.
+// prepareRequest asks a voter for a promise for a ballot of a register (Paxos phase 1).
 type prepareRequest struct {
 	To     target
 	Name   string
 	Ballot register.Ballot
-	Known  register.Ballot
+	Known  register.Ballot // ballot whose value the proposer has; the response omits a value accepted under it
 }
 
 type prepareResponse struct {
@@ -71,17 +72,17 @@
 
 func (r *acceptResponse) from() origin { return r.From }
 
-// readAcceptedRequest asks a voter what it has accepted last. It promises nothing.
+// readAcceptedRequest asks a voter for the ballot and the value that it accepted last, without a promise.
 type readAcceptedRequest struct {
 	To    target
 	Name  string
-	Known register.Ballot
+	Known register.Ballot // ballot whose value the reader has
 }
 
 type readAcceptedResponse struct {
 	From     origin
 	Accepted register.Ballot
-	Value    []byte // left out where Accepted is known
+	Value    []byte // omitted if Accepted equals the request's Known
 }
 
 func (r *readAcceptedResponse) from() origin { return r.From }
@@ -90,10 +91,10 @@
 type learnRequest struct {
 	Name   string
 	Ballot register.Ballot
-	Value  []byte // empty to a voter, which has accepted it
+	Value  []byte // empty if the receiver is a voter, which is sent the value in the accept phase
 }
 
-// empty is an answer without content.
+// empty is a response without content.
 type empty struct{}
 
 // ackResponse acknowledges a repair or a write.
@@ -101,23 +102,23 @@
 
 func (r *ackResponse) from() origin { return r.From }
 
-// sealRequest has a replica reject all owners of a shard with a lower fencing token.
-type sealRequest struct {
+// fenceRequest asks a replica to reject all owners of a shard with a lower fencing token.
+type fenceRequest struct {
 	To    target
 	Shard string
 	Token int64
 }
 
-type sealResponse struct {
-	From    origin
-	Voter   bool    // it holds all that its seat has acknowledged of the shard
-	InSync  int64   // the fencing token of the owner with which the replica was in sync last; 0 for none
-	Digests []int64 // of its key ranges
+type fenceResponse struct {
+	From        origin
+	Voter       bool    // reports whether the replica holds everything that its seat has acknowledged
+	InSyncToken int64   // fencing token of the last owner that the replica was in sync with; 0 if none
+	Digests     []int64 // digests of the replica's key ranges
 }
 
-func (r *sealResponse) from() origin { return r.From }
+func (r *fenceResponse) from() origin { return r.From }
 
-// fetchRequest asks for the records of key ranges, by their numbers.
+// fetchRequest asks a replica for the records of the given key ranges.
 type fetchRequest struct {
 	To      target
 	Shard   string
@@ -131,25 +132,25 @@
 
 func (r *fetchResponse) from() origin { return r.From }
 
-// prefetchRequest asks any core scheduler for the key ranges of a shard in which its replica differs from the sender's.
-// What is prefetched does not count as replicated before an owner has repaired it; it only makes that repair short.
+// prefetchRequest asks a core scheduler for the key ranges of a shard in which its replica differs from the sender's.
+// Prefetched records do not count as replicated until an owner has repaired the replica; they only shorten that repair.
 type prefetchRequest struct {
 	Shard   string
-	Digests []int64 // of the sender's key ranges
+	Digests []int64 // digests of the sender's key ranges
 }
 
 type prefetchResponse struct {
 	Ranges []shard.Range
 }
 
-// repairRequest brings key ranges of a replica to the owner's state.
+// repairRequest replaces key ranges of a replica by the owner's.
 type repairRequest struct {
-	To     target
-	Shard  string
-	Token  int64
-	Number int64 // of the owner's repairs of this replica
-	Ranges []shard.Range
-	Last   bool // the replica is in sync after it
+	To           target
+	Shard        string
+	Token        int64
+	RepairNumber int64 // counts the owner's repairs of this replica
+	Ranges       []shard.Range
+	Last         bool // reports whether the replica is in sync after this request
 }
 
 // writeRequest replicates changed records.
@@ -157,23 +158,23 @@
 	To      target
 	Shard   string
 	Token   int64
-	Records []shard.Record // none in a heartbeat
+	Records []shard.Record // empty in a heartbeat
 }
 
-// stateRequest asks a voter for all that a learner has to hold before it votes.
+// stateRequest asks a voter for the state that a learner must restore before it becomes a voter.
 type stateRequest struct{ To target }
 
 type stateResponse struct {
 	From      origin
 	Registers map[string]register.Acceptor
-	Shards    map[string]int64 // the highest fencing token that was met, by shard
+	Shards    map[string]int64 // highest fencing token seen, keyed by shard
 }
 
 func (r *stateResponse) from() origin { return r.From }
 
-// memberTimedOutRequest asks whether the holder of a seat has timed out for the receiver too.
+// memberTimedOutRequest asks whether the receiver also considers a member as timed out.
 type memberTimedOutRequest struct {
-	Member  string // the ID of its disk
+	Member  string // ID of the member's disk
 	Address string
 }
 
@@ -181,22 +182,22 @@
 	TimedOut bool
 }
 
-// pingMessage is the heartbeat between core schedulers, both the call and its answer.
+// pingMessage is the heartbeat between core schedulers. It is both the request and the response.
 type pingMessage struct {
 	Address    string
 	Zone       string
-	Member     string // the ID of the sender's disk
+	Member     string // ID of the sender's disk
 	Membership membership.Membership
-	Known      []string // core schedulers that are alive for the sender
+	Alive      []string // addresses of the core schedulers that the sender considers alive
 	Claims     []ownershipClaim
-	Accepted   map[string]register.Ballot // what the sender's replica has accepted last, by register
+	Accepted   map[string]register.Ballot // last ballot accepted by the sender's replica, keyed by register
 	Draining   bool
 }
 
-// ownershipClaim says that the sender owns a shard.
+// ownershipClaim announces that the sender owns a shard.
 type ownershipClaim struct {
-	Shard  string
-	Token  int64 // its fencing token
-	Fresh  bool  // its lease is valid
-	InSync int64 // voters that hold all that was committed, without those that drain
+	Shard      string
+	Token      int64 // fencing token of the ownership
+	LeaseValid bool
+	InSync     int64 // number of voters that hold all committed changes, excluding draining ones
 }
--- a/internal/system/core/order_sender.go
+++ b/internal/system/core/order_sender.go
@@ -10,13 +10,13 @@
 
 const orderTimeout = 700 * time.Millisecond
 
-// orderSender sends one side agent what to start and stop on a worker.
+// orderSender sends the agent of one worker the orders to start and stop runs.
 type orderSender struct {
 	worker *jobs.Worker
-	wake   signal // has it look for orders
+	wake   signal // wakes sendOrdersLoop to check for orders
 }
 
-// orderSenderFor returns the sender of a worker, started if there is none. o.mu is held.
+// orderSenderFor returns the sender of a worker and starts one if there is none. o.mu is held.
 func (o *owner) orderSenderFor(w *jobs.Worker) *orderSender {
 	s := o.orderSenders[w.Ref]
 	if s == nil || s.worker != w {
@@ -27,9 +27,9 @@
 	return s
 }
 
-// sendOrdersLoop sends orders to a side agent, one call at a time, for as long as its worker is known.
+// sendOrdersLoop sends orders to a worker's agent, one call at a time, until the scheduler removes the worker.
 func (o *owner) sendOrdersLoop(ctx context.Context, s *orderSender) {
-	acknowledged := int64(0) // the highest Orders.DurableCompletions that the side agent has acknowledged
+	acknowledged := int64(0) // highest Orders.DurableCompletions that the agent has acknowledged
 	for {
 		select {
 		case <-s.wake:
@@ -62,7 +62,7 @@
 	request := &api.OrdersRequest{Token: o.token, Orders: *orders}
 	err := o.core.client.Call(ctx, address, api.MethodOrders, request, &api.Empty{})
 	if err != nil {
-		o.core.logger.V(1).Info("sending orders failed", "side", address, "error", err.Error())
+		o.core.logger.V(1).Info("sending orders to a worker agent failed; retrying", "agent", address, "error", err.Error())
 	}
 	return err
 }
--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -14,37 +14,39 @@
 
 const (
 	tickInterval             = 100 * time.Millisecond
-	ticksPerSummary          = 10                      // between two summaries in the log
-	ownerLeaseTTL            = 1500 * time.Millisecond // how long an owner acts after a quorum's last acknowledgement
-	maxUnfinishedJobs        = 20000                   // of a shard; more are rejected
-	endedJobRetentionFactor  = 1.25                    // times status_s
-	unschedulableReportDelay = 2500 * time.Millisecond // from which on a unit that waits despite free capacity is reported
-	maxUnschedulableLogged   = 4                       // lines about such units per summary
+	ticksPerSummary          = 10                      // ticks from one summary in the log to the next
+	ownerLeaseTTL            = 1500 * time.Millisecond // validity of the ownership after a quorum's last acknowledgement
+	maxUnfinishedJobs        = 20000                   // limit per shard; further jobs are rejected
+	endedJobRetentionFactor  = 1.25                    // multiple of the setting status_s for which ended jobs are kept
+	unschedulableReportDelay = 2500 * time.Millisecond // waiting time from which an unschedulable task group is reported
+	maxUnschedulableLogged   = 4                       // limit on the unschedulable task groups logged per summary
 )
 
-// owner is a shard that this scheduler owns: its jobs, and the replication of their records.
+// owner is a shard that this scheduler owns. It schedules the shard's jobs and replicates their records.
 type owner struct {
 	core       *Core
-	name       string // of the shard
-	token      int64  // the fencing token of this ownership
+	name       string // name of the shard
+	token      int64  // fencing token of this ownership
 	goroutines *taskgroup.Group
 
-	// mu guards the fields below and those of each replicator. Core.mu may be held when it is taken, not the other way.
+	// mu guards the fields below and those of each replicator. It may be acquired while Core.mu is held; Core.mu must not
+	// be acquired while it is held.
 	mu            sync.Mutex
 	primary       *shard.Primary
 	scheduler     *jobs.Scheduler
-	replicators   []*replicator           // by seat; the slice itself never changes
-	orderSenders  map[string]*orderSender // by the worker's reference
+	replicators   []*replicator           // indexed by seat; the slice itself never changes
+	orderSenders  map[string]*orderSender // keyed by worker reference
 	sessions      sessions
-	committed     int64 // the highest change that a quorum has stored; never falls
+	committed     int64 // sequence number of the last committed change; never decreases
 	commitWaiters []commitWaiter
-	deposed       bool // closed, or a newer fencing token was met; never reset
-	started       bool // the jobs are restored, and the scheduler decides
+	deposed       bool // set when the owner is closed or a newer fencing token is seen; never reset
+	started       bool // set once the jobs are restored and scheduling has begun
 	config        *configState
-	inSyncChanged chan struct{} // closed and made anew when a replica has acknowledged something, or the owner is deposed
+	inSyncChanged chan struct{} // closed and replaced when a replica acknowledges a call or the owner is deposed
 }
 
-// newOwner returns the owner of a shard over the merged records of a quorum. Its goroutines are counted by c.goroutines.
+// newOwner returns the owner of a shard with the merged records of a quorum. Its goroutines belong to a group derived from
+// c.goroutines.
 func newOwner(c *Core, name string, token int64, m membership.Membership, set *shard.RecordSet) *owner {
 	o := &owner{
 		core: c, name: name, token: token, goroutines: c.goroutines.Derive(),
@@ -64,7 +66,7 @@
 	return o
 }
 
-// close ends the owner for good.
+// close permanently ends the ownership and cancels the owner's goroutines.
 func (o *owner) close() {
 	o.goroutines.Cancel()
 	o.mu.Lock()
@@ -78,7 +80,7 @@
 	return o.deposed
 }
 
-// active reports whether the owner has taken over and not been deposed.
+// active reports whether the owner has completed the takeover and has not been deposed.
 func (o *owner) active() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -92,7 +94,7 @@
 	return o.leaseValidLocked()
 }
 
-// leaseValidLocked is leaseValid while o.mu is held.
+// leaseValidLocked is leaseValid for callers that hold o.mu.
 func (o *owner) leaseValidLocked() bool {
 	var times []time.Time
 	for _, r := range o.replicators {
@@ -103,7 +105,7 @@
 	return !o.deposed && time.Since(quorumTime(times, o.primary.Quorum())) < ownerLeaseTTL
 }
 
-// inSyncWithout returns how many voters hold all that was committed, without those at the addresses given.
+// inSyncWithout returns the number of voters that hold all committed changes, not counting those at excluded addresses.
 func (o *owner) inSyncWithout(excluded map[string]bool) int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -116,20 +118,19 @@
 	return n
 }
 
-// recordCount returns how many records the shard has.
 func (o *owner) recordCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.primary.Records.Len()
 }
 
-// monotonicNow is the clock of jobs.Scheduler: the time since this process started.
+// monotonicNow is the clock of jobs.Scheduler. It returns the time since this process started.
 func (o *owner) monotonicNow() time.Duration { return time.Since(o.core.started) }
 
-// wallClockMS returns the time of day in milliseconds since 1970, for start times that users give.
+// wallClockMS returns the Unix time, in milliseconds since 1970, with which start times given by users are compared.
 func wallClockMS() int64 { return time.Now().UnixMilli() }
 
-// start restores the jobs from the records that were taken over, and begins to schedule them.
+// start restores the jobs from the merged records and starts scheduling them.
 func (o *owner) start(state *configState) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -148,14 +149,14 @@
 	return nil
 }
 
-// configure applies a newer configuration.
+// configure applies a configuration if it is newer than the current one.
 func (o *owner) configure(state *configState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.configureLocked(state)
 }
 
-// configureLocked is configure while o.mu is held.
+// configureLocked is configure for callers that hold o.mu.
 func (o *owner) configureLocked(state *configState) {
 	if o.config != nil && o.config.record.Version >= state.record.Version {
 		return
@@ -175,7 +176,7 @@
 	o.scheduler.Configure(queues)
 }
 
-// tickLoop runs the scheduler's timers, retries undelivered orders, and logs the state of the shard.
+// tickLoop periodically runs the scheduler's timers, retries undelivered orders and logs the state of the shard.
 func (o *owner) tickLoop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -201,18 +202,18 @@
 	}
 }
 
-// logUnschedulable logs which units have waited for longer than unschedulableReportDelay though a worker has capacity for
-// them, and why. On a healthy system it logs nothing. o.mu is held.
+// logUnschedulable logs the task groups that have been pending for longer than unschedulableReportDelay although a worker
+// has capacity for them, with the reason. A healthy system logs none. o.mu is held.
 func (o *owner) logUnschedulable() {
-	units := o.scheduler.UnschedulableGroups(o.monotonicNow(), unschedulableReportDelay)
-	for _, unit := range units[:min(len(units), maxUnschedulableLogged)] {
-		o.core.logger.Info("task unschedulable despite free capacity", "shard", o.name, "queue", unit.Queue, "job", unit.Job,
-			"stage", unit.Stage, "tasks", unit.Tasks, "waited_ms", unit.WaitedMS, "reason", unit.Reason, "worker", unit.Worker,
-			"kept_for", unit.ReservedFor)
+	groups := o.scheduler.UnschedulableGroups(o.monotonicNow(), unschedulableReportDelay)
+	for _, group := range groups[:min(len(groups), maxUnschedulableLogged)] {
+		o.core.logger.Info("task group pending despite free capacity", "shard", o.name, "queue", group.Queue, "job", group.Job,
+			"stage", group.Stage, "tasks", group.Tasks, "waited_ms", group.WaitedMS, "reason", group.Reason, "worker", group.Worker,
+			"reserved_for", group.ReservedFor)
 	}
 }
 
-// logSummary logs the state of queues and workers, at the verbose level. o.mu is held.
+// logSummary logs the state of the queues and workers at verbosity 1. o.mu is held.
 func (o *owner) logSummary() {
 	logger := o.core.logger.V(1)
 	if !logger.Enabled() {
@@ -220,11 +221,11 @@
 	}
 	queues, workers := o.scheduler.Summary()
 	for _, q := range queues {
-		logger.Info("queue", "shard", o.name, "name", q.Name, "priority", q.Priority, "unended", q.Active, "pending", q.Pending,
-			"held", q.Allocated, "wanted", q.PendingDemand, "sigma", q.Limit, "usual_ms", q.MeanRunMS)
+		logger.Info("queue", "shard", o.name, "name", q.Name, "priority", q.Priority, "active", q.Active, "pending", q.Pending,
+			"allocated", q.Allocated, "pending_demand", q.PendingDemand, "limit", q.Limit, "mean_run_ms", q.MeanRunMS)
 	}
 	for _, w := range workers {
-		logger.Info("worker", "shard", o.name, "ref", w.Ref, "state", w.State, "runs", w.Runs, "held", w.Allocated,
-			"sigma", w.LoadLimit, "failing", w.FailureRate, "pace", w.Slowdown, "free", w.Free)
+		logger.Info("worker", "shard", o.name, "ref", w.Ref, "state", w.State, "runs", w.Runs, "allocated", w.Allocated,
+			"load_limit", w.LoadLimit, "failure_rate", w.FailureRate, "slowdown", w.Slowdown, "free", w.Free)
 	}
 }
--- a/internal/system/core/owner_commit.go
+++ b/internal/system/core/owner_commit.go
@@ -8,15 +8,15 @@
 	"sedgevale/jobs"
 )
 
-const commitTimeout = 2500 * time.Millisecond // of a call's wait for a quorum
+const commitTimeout = 2500 * time.Millisecond // limit on the wait for a quorum to store a change
 
-// commitWaiter waits until a change is committed.
+// commitWaiter represents a call that waits until a change is committed.
 type commitWaiter struct {
-	sequence int64         // of the change
-	done     chan struct{} // closed when it is committed
+	sequence int64         // sequence number of the change
+	done     chan struct{} // closed once the change is committed
 }
 
-// flush runs a scheduling cycle, queues all changed records for replication and sends the orders of those that are
+// flush runs a scheduling cycle, queues the changed records for replication and triggers the orders whose records are
 // committed. It returns the sequence number of the last change. o.mu is held.
 func (o *owner) flush() int64 {
 	o.scheduler.Schedule(o.monotonicNow())
@@ -27,7 +27,7 @@
 		return o.primary.Put(change.Key, change.Value)
 	}, o.primary.Sequence())
 	if err != nil {
-		o.core.logger.Error(err, "records cannot be encoded", "shard", o.name)
+		o.core.logger.Error(err, "encoding a changed record failed; retrying at the next flush", "shard", o.name)
 	}
 	for _, r := range o.replicators {
 		if o.primary.HasPending(r.seat) {
@@ -38,8 +38,8 @@
 	return last
 }
 
-// onCommitAdvanced releases what has become committed: the effects in the scheduler, the calls that wait, and the orders
-// to workers. o.mu is held.
+// onCommitAdvanced makes newly committed changes take effect: it informs the scheduler, completes the waiting calls and
+// triggers the orders to workers. o.mu is held.
 func (o *owner) onCommitAdvanced() {
 	o.committed = max(o.committed, o.primary.Committed())
 	o.scheduler.Committed(o.committed)
@@ -57,8 +57,8 @@
 	}
 }
 
-// waitCommitted waits for at most commitTimeout until a change is committed. Its error has the code
-// result.OutcomeUnknown: the change may still be committed, by this owner or the next.
+// waitCommitted waits for at most commitTimeout until a change is committed. Its error has the code result.OutcomeUnknown,
+// since the change may still be committed by this owner or the next one.
 func (o *owner) waitCommitted(ctx context.Context, sequence int64) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -74,8 +74,8 @@
 	case <-w.done:
 		return nil
 	case <-ctx.Done():
-		return result.Errorf(result.OutcomeUnknown, "shard %s: not durable in time", o.name)
+		return result.Errorf(result.OutcomeUnknown, "shard %s: the change was not committed in time", o.name)
 	case <-o.goroutines.Done():
-		return result.Errorf(result.OutcomeUnknown, "shard %s: deposed", o.name)
+		return result.Errorf(result.OutcomeUnknown, "shard %s: the owner was deposed before the change was committed", o.name)
 	}
 }
--- a/internal/system/core/owner_test.go
+++ b/internal/system/core/owner_test.go
@@ -16,7 +16,7 @@
 	"sedgevale/internal/taskgroup"
 )
 
-// A job is acknowledged once a quorum has stored it, and not before, also when it is submitted again.
+// A job is not acknowledged before a quorum has stored it, even if it is submitted again.
 func TestJobIsAcknowledgedOnceAQuorumHasStoredIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		config := &clusterconfig.Config{
@@ -45,31 +45,31 @@
 		}
 		stored := func(seat int) { o.onReplicaAck(o.replicators[seat], o.primary.Sequence(), time.Now()) }
 		if code := submit(); code != result.OutcomeUnknown {
-			t.Errorf("no replica has stored it: code %d", code)
+			t.Errorf("no replica has stored the job: code %d, want %d", code, result.OutcomeUnknown)
 		}
 		stored(0)
 		o.mu.Lock()
 		for _, r := range o.replicators {
-			r.lastConfirmed = time.Now() // heartbeats keep the lease
+			r.lastConfirmed = time.Now() // simulates heartbeats, which keep the lease valid
 		}
 		o.mu.Unlock()
 		if code := submit(); code != result.OutcomeUnknown {
-			t.Errorf("one of three replicas has stored it: code %d", code)
+			t.Errorf("one of three replicas has stored the job: code %d, want %d", code, result.OutcomeUnknown)
 		}
 		stored(0)
 		stored(1)
 		if code := submit(); code != result.OK {
-			t.Errorf("two of three replicas have stored it: code %d", code)
+			t.Errorf("two of three replicas have stored the job: code %d, want %d", code, result.OK)
 		}
 		status, err := c.status(t.Context(), &api.JobRequest{Shard: "s", Queue: "q", ID: "00000000000000aa"})
 		if err != nil || status.State == "" {
-			t.Errorf("status %+v, %v", status, err)
+			t.Errorf("status %+v, error %v, want a state", status, err)
 		}
 	})
 }
 
-// An owner whose last quorum was too long ago answers nothing.
-func TestOwnerWithoutALeaseAnswersNothing(t *testing.T) {
+// An owner rejects calls unless a quorum has acknowledged it within the lease.
+func TestOwnerWithoutValidLeaseRejectsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &Core{address: "a", logger: logr.Discard(), store: newStore("a"), settings: &settings.Settings{}, owners: map[string]*owner{},
 			goroutines: taskgroup.New(t.Context())}
@@ -81,26 +81,26 @@
 			return result.CodeOf(err)
 		}
 		if got := code(); got != result.NotOwner {
-			t.Errorf("before it has taken over: code %d", got)
+			t.Errorf("before the takeover is complete: code %d, want %d", got, result.NotOwner)
 		}
 		if err := o.start(nil); err != nil {
 			t.Fatal(err)
 		}
 		o.onReplicaAck(o.replicators[0], 0, time.Now())
 		if got := code(); got != result.NotReady {
-			t.Errorf("one replica has acknowledged: code %d", got)
+			t.Errorf("one replica has acknowledged: code %d, want %d", got, result.NotReady)
 		}
 		o.onReplicaAck(o.replicators[1], 0, time.Now())
 		if got := code(); got != result.OK {
-			t.Errorf("a quorum has acknowledged: code %d", got)
+			t.Errorf("a quorum has acknowledged: code %d, want %d", got, result.OK)
 		}
 		time.Sleep(ownerLeaseTTL)
 		if got := code(); got != result.NotReady {
-			t.Errorf("after the lease: code %d", got)
+			t.Errorf("after the lease has expired: code %d, want %d", got, result.NotReady)
 		}
 		o.close()
 		if got := code(); got != result.NotOwner {
-			t.Errorf("after it was closed: code %d", got)
+			t.Errorf("after the owner was closed: code %d, want %d", got, result.NotOwner)
 		}
 	})
 }
--- a/internal/system/core/ownership.go
+++ b/internal/system/core/ownership.go
@@ -10,17 +10,17 @@
 
 const (
 	ownershipCheckInterval = 60 * time.Millisecond
-	startupTakeoverDelay   = 250 * time.Millisecond // after the start, for owners to claim their shards, if not all peers have answered
+	startupTakeoverDelay   = 250 * time.Millisecond // wait after the start for claims of owners, until all peers have responded
 )
 
 func (c *Core) handleShards(server *rpc.Server) {
-	rpc.Handle(server, methodSeal, c.store.seal)
+	rpc.Handle(server, methodFence, c.store.fence)
 	rpc.Handle(server, methodFetch, c.store.fetch)
 	rpc.Handle(server, methodRepair, c.store.repair)
 	rpc.Handle(server, methodWrite, c.store.write)
 }
 
-// ownershipLoop takes over the shards that no living core scheduler owns and that this one is to own.
+// ownershipLoop takes over the shards that have no live owner and for which this scheduler is the preferred one.
 func (c *Core) ownershipLoop(ctx context.Context) {
 	for sleep(ctx, ownershipCheckInterval) {
 		state := c.currentConfig()
@@ -35,11 +35,12 @@
 				c.goroutines.Go(func(ctx context.Context) { c.takeOver(ctx, service.Name) })
 			}
 		}
-		c.dropDeposed()
+		c.removeDeposedOwners()
 	}
 }
 
-// shouldTakeOver reports whether nobody owns a shard and this scheduler is the first of those alive in its rendezvous order.
+// shouldTakeOver reports whether a shard has no owner and this scheduler ranks highest for it, by rendezvous hashing, among
+// the core schedulers that are alive.
 func (c *Core) shouldTakeOver(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +50,7 @@
 	if o := c.owners[name]; o != nil && !o.isDeposed() {
 		return false
 	}
-	for _, claim := range c.freshClaims() {
+	for _, claim := range c.validClaims() {
 		if claim.Shard == name {
 			return false
 		}
@@ -58,8 +59,8 @@
 	return rendezvous.Highest(name, candidates) == c.address
 }
 
-// dropDeposed removes the owners that were deposed.
-func (c *Core) dropDeposed() {
+// removeDeposedOwners removes the owners that were deposed.
+func (c *Core) removeDeposedOwners() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, o := range c.owners {
--- a/internal/system/core/peers.go
+++ b/internal/system/core/peers.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	peerLivenessTTL = 800 * time.Millisecond // how long a peer counts as alive after the last ping that it answered
-	unseenPeerTTL   = 30 * time.Second       // after which a peer that nobody mentions is forgotten
+	peerLivenessTTL = 800 * time.Millisecond // period for which a peer is alive after the last answered ping was sent
+	unseenPeerTTL   = 30 * time.Second       // period after which a peer that is neither seen nor reported is removed
 )
 
-// peerState is what is known of another core scheduler. Core.mu guards it.
+// peerState is the local state of another core scheduler. Core.mu guards it.
 type peerState struct {
-	known         bool        // it has answered, or another core scheduler counts it as alive
-	lastHeartbeat time.Time   // when the last ping that it answered was sent
-	lastSeen      time.Time   // when it last answered or pinged, or was named first
-	status        pingMessage // its last answer
+	known         bool        // set once the peer sent a message or another core scheduler reported it alive
+	lastHeartbeat time.Time   // send time of the last answered ping
+	lastSeen      time.Time   // last time the peer sent a message or was reported alive; initially the time of creation
+	status        pingMessage // last response to a ping
 	pingInFlight  bool
 }
 
-// alive reports whether a peer has answered lately and does not drain.
+// alive reports whether the peer has answered a ping within peerLivenessTTL and is not draining.
 func (p *peerState) alive() bool {
 	return time.Since(p.lastHeartbeat) < peerLivenessTTL && !p.status.Draining
 }
 
-// peer returns the state of a peer. c.mu is held.
+// peer returns the state of a peer and creates it if there is none. c.mu is held.
 func (c *Core) peer(address string) *peerState {
 	p := c.peers[address]
 	if p == nil {
@@ -55,19 +55,20 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m.Draining = c.draining
-	m.Known = c.aliveAddresses()
+	m.Alive = c.aliveAddresses()
 	draining := c.drainingAddresses()
 	for name, o := range c.owners {
 		if o.active() {
 			m.Claims = append(m.Claims, ownershipClaim{
-				Shard: name, Token: o.token, Fresh: o.leaseValid(), InSync: o.inSyncWithout(draining),
+				Shard: name, Token: o.token, LeaseValid: o.leaseValid(), InSync: o.inSyncWithout(draining),
 			})
 		}
 	}
 	return m
 }
 
-// onPing takes a peer's message. sentAt is when the ping was sent that it answers; zero for a ping itself.
+// onPing processes a ping or a response to one. sentAt is the time at which the answered ping was sent, or zero if the
+// message is itself a ping.
 func (c *Core) onPing(m *pingMessage, sentAt time.Time) error {
 	if err := c.store.learnMembership(m.Membership); err != nil {
 		return err
@@ -78,7 +79,7 @@
 	p := c.peer(m.Address)
 	p.known = true
 	p.lastSeen = now
-	for _, address := range m.Known {
+	for _, address := range m.Alive {
 		c.peer(address).known = true
 		c.peer(address).lastSeen = now
 	}
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// claimsOf returns what watchers are sent of a scheduler's claims, by shard.
+// claimsOf returns the claims in a message, keyed by shard, with only the fields that watchers are sent.
 func claimsOf(m *pingMessage) map[string]ownershipClaim {
 	claims := map[string]ownershipClaim{}
 	for _, claim := range m.Claims {
@@ -111,7 +112,7 @@
 	return claims
 }
 
-// drainingAddresses returns the set of core schedulers that drain, this one included. c.mu is held.
+// drainingAddresses returns the set of core schedulers that are draining, including this one if it is. c.mu is held.
 func (c *Core) drainingAddresses() map[string]bool {
 	draining := map[string]bool{c.address: c.draining}
 	for address, p := range c.peers {
@@ -120,7 +121,7 @@
 	return draining
 }
 
-// aliveAddresses returns the core schedulers that are alive, without this one. c.mu is held.
+// aliveAddresses returns the addresses of the other core schedulers that are alive. c.mu is held.
 func (c *Core) aliveAddresses() []string {
 	var alive []string
 	for address, p := range c.peers {
@@ -131,16 +132,16 @@
 	return alive
 }
 
-// freshClaims yields the addresses of peers that are alive, with the claims to shards for which they had a quorum when they
-// last answered. c.mu is held.
-func (c *Core) freshClaims() iter.Seq2[string, ownershipClaim] {
+// validClaims yields the address and the claim for each shard claimed by a live peer whose lease was valid when it last
+// answered a ping. c.mu is held.
+func (c *Core) validClaims() iter.Seq2[string, ownershipClaim] {
 	return func(yield func(string, ownershipClaim) bool) {
 		for address, p := range c.peers {
 			if !p.alive() {
 				continue
 			}
 			for _, claim := range p.status.Claims {
-				if claim.Fresh && !yield(address, claim) {
+				if claim.LeaseValid && !yield(address, claim) {
 					return
 				}
 			}
--- a/internal/system/core/pinger.go
+++ b/internal/system/core/pinger.go
@@ -9,11 +9,11 @@
 
 const (
 	pingInterval        = 150 * time.Millisecond
-	startupPingInterval = 50 * time.Millisecond // until a quorum is alive
+	startupPingInterval = 50 * time.Millisecond // interval while no quorum is alive
 	pingTimeout         = 450 * time.Millisecond
 )
 
-// pingLoop pings all other core schedulers.
+// pingLoop periodically pings all other core schedulers.
 func (c *Core) pingLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.pingAll(ctx)
@@ -25,8 +25,8 @@
 	}
 }
 
-// pingAll sends a round of pings, and while this scheduler drains waits for the answers, so that the announcement arrives
-// before the process exits. A peer to which a ping is in flight is left out.
+// pingAll pings all peers that have no ping in flight. While this scheduler is draining it waits for the responses, so that
+// the peers learn of the drain before the process exits.
 func (c *Core) pingAll(ctx context.Context) {
 	targets := c.pingTargets()
 	m := c.pingMessage()
@@ -46,8 +46,8 @@
 	}
 }
 
-// pingTargets returns whom to ping now: the members, the seeds as they are by now, and all who were seen lately. It marks
-// them as being pinged.
+// pingTargets returns the addresses to ping and marks their pings as in flight. They are the members, the current seeds and
+// the peers seen within unseenPeerTTL, except those with a ping in flight. Other peers are removed.
 func (c *Core) pingTargets() []string {
 	always := c.seeds()
 	for _, member := range c.store.currentMembership().Members() {
@@ -73,20 +73,20 @@
 	return targets
 }
 
-// ping sends one ping, for which the peer's pingInFlight was set.
+// ping sends one ping and processes the response. The caller has set the peer's pingInFlight, which ping resets.
 func (c *Core) ping(ctx context.Context, address string, m *pingMessage) {
 	call, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	sentAt := time.Now()
-	answer := &pingMessage{}
-	err := c.client.Call(call, address, methodPing, m, answer)
+	response := &pingMessage{}
+	err := c.client.Call(call, address, methodPing, m, response)
 	c.mu.Lock()
 	c.peer(address).pingInFlight = false
 	c.mu.Unlock()
-	if err != nil || answer.Address != address {
+	if err != nil || response.Address != address {
 		return
 	}
-	if err := c.onPing(answer, sentAt); err != nil {
-		c.logger.Info("core scheduler message rejected", "address", address, "error", err.Error())
+	if err := c.onPing(response, sentAt); err != nil {
+		c.logger.Info("ping response from a core scheduler rejected; treating the ping as unanswered", "address", address, "error", err.Error())
 	}
 }
--- a/internal/system/core/proposer.go
+++ b/internal/system/core/proposer.go
@@ -11,12 +11,12 @@
 	"sedgevale/internal/system/rpc"
 )
 
-const retryBackoff = 40 * time.Millisecond // between two attempts: from half of it to one and a half, at random
+const retryBackoff = 40 * time.Millisecond // mean time between two attempts, randomized by up to half of it
 
-// errNoMembership says that no message has yet brought this scheduler the membership.
-var errNoMembership = errors.New("no membership of the core is known yet")
+// errNoMembership is the error of operations on registers before this scheduler has received a membership.
+var errNoMembership = errors.New("no membership known yet")
 
-// registerUpdate returns a register's next value for the current one. An error leaves the value as it is.
+// registerUpdate computes a register's next value from the current one. If it returns an error, the value is not changed.
 type registerUpdate func(current []byte) ([]byte, error)
 
 func (c *Core) handleRegisters(server *rpc.Server) {
@@ -28,12 +28,12 @@
 	})
 }
 
-// propose changes a register and returns its new value. It retries until the context ends; its error has the code
-// result.OutcomeUnknown where a value may have been accepted somewhere, else result.Unavailable, or is that of the update.
+// propose updates a register and returns its new value. It retries until the context ends. Its error is that of the update,
+// or has the code result.OutcomeUnknown if a replica may have accepted a new value, and result.Unavailable otherwise.
 func (c *Core) propose(ctx context.Context, name string, update registerUpdate) ([]byte, error) {
-	begun := false // a value may have been accepted somewhere
+	acceptSent := false // set once a replica may have accepted a new value
 	for {
-		value, retry, err := c.proposeOnce(ctx, name, update, &begun)
+		value, retry, err := c.proposeOnce(ctx, name, update, &acceptSent)
 		if !retry {
 			return value, err
 		}
@@ -41,7 +41,7 @@
 		select {
 		case <-ctx.Done():
 			backoff.Stop()
-			if begun {
+			if acceptSent {
 				return nil, result.Errorf(result.OutcomeUnknown, "register %s: %w", name, err)
 			}
 			return nil, result.Errorf(result.Unavailable, "register %s: %w", name, err)
@@ -50,10 +50,10 @@
 	}
 }
 
-// proposeOnce runs one attempt: a prepare and an accept round (CASPaxos). It reports whether a retry may succeed. An update
-// that is rejected still has the current value accepted again: only then is the value chosen that the rejection is based
-// on, and not one that a single replica has accepted and that may never be chosen.
-func (c *Core) proposeOnce(ctx context.Context, name string, update registerUpdate, begun *bool) (value []byte, retry bool, err error) {
+// proposeOnce makes one attempt, which consists of a prepare and an accept phase (CASPaxos), and reports whether a retry may
+// succeed. If the update is rejected, the current value is proposed again: the rejection must be based on a chosen value,
+// and the current one may have been accepted by a single replica and never be chosen.
+func (c *Core) proposeOnce(ctx context.Context, name string, update registerUpdate, acceptSent *bool) (value []byte, retry bool, err error) {
 	m := c.store.currentMembership()
 	if m.Epoch == 0 {
 		return nil, true, errNoMembership
@@ -73,11 +73,11 @@
 		next = current
 	}
 	if next == nil || rejection != nil && name == membershipRegister {
-		return nil, false, rejection // reading a membership must not complete one that was accepted and never chosen
+		return nil, false, rejection // a rejected update must not complete a membership that was accepted but never chosen
 	}
 	proposal.BeginAccept()
 	if rejection == nil {
-		*begun = true
+		*acceptSent = true
 	}
 	if err := c.acceptRound(ctx, name, m, proposal, next); err != nil {
 		return nil, true, err
@@ -85,7 +85,7 @@
 	if err := c.learn(name, ballot, next); err != nil {
 		return nil, false, err
 	}
-	c.goroutines.Go(func(ctx context.Context) { c.announce(ctx, name, ballot, next) })
+	c.goroutines.Go(func(ctx context.Context) { c.announceChosen(ctx, name, ballot, next) })
 	return next, false, rejection
 }
 
@@ -113,32 +113,33 @@
 	})
 }
 
-// collectReplies passes the replies of replicas to a proposal until a majority has agreed or can no longer do so, or the context ends.
+// collectReplies passes replies to the handler until it reports that a quorum has agreed. It returns an error once a quorum
+// can no longer agree or the context ends.
 func collectReplies[Response any](ctx context.Context, m membership.Membership, proposal *register.Proposal, replies <-chan reply[Response], count int,
-	take func(seat int, response *Response) (enough bool),
+	handle func(seat int, response *Response) (quorum bool),
 ) error {
 	phase := proposal.Phase
 	var lastErr error
 	for range count {
-		r, ended := awaitReply(ctx, replies)
-		if ended != nil {
-			lastErr = ended
+		r, ctxErr := awaitReply(ctx, replies)
+		if ctxErr != nil {
+			lastErr = ctxErr
 			break
 		}
 		if r.err != nil {
 			lastErr = r.err
 			proposal.OnFailure(m.SeatOf(r.member.ID))
-		} else if take(m.SeatOf(r.member.ID), r.response) {
+		} else if handle(m.SeatOf(r.member.ID), r.response) {
 			return nil
 		}
 		if proposal.Phase == register.Failed {
 			break
 		}
 	}
-	return result.Errorf(result.Unavailable, "no majority in phase %d, last failure: %w", phase, lastErr)
+	return result.Errorf(result.Unavailable, "no quorum in phase %d, last error: %w", phase, lastErr)
 }
 
-// observeBallot raises the counter of the next ballot above one that was met.
+// observeBallot ensures that the next ballot of this proposer is higher than a ballot seen elsewhere.
 func (c *Core) observeBallot(counter int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/system/core/replication.go
+++ b/internal/system/core/replication.go
@@ -14,19 +14,19 @@
 	repairBackoff     = 120 * time.Millisecond
 )
 
-// replicator keeps the replica of one seat in sync. Its fields are guarded by owner.mu; member, sealed and repairCount
-// are written by its own goroutine alone, which reads them without the lock.
+// replicator keeps the replica of one seat in sync. owner.mu guards its fields. Only its own goroutine writes member, fenced
+// and repairCount, and therefore reads them without the lock.
 type replicator struct {
 	seat          int               // index into the membership's seats; never changes
-	member        membership.Member // who holds the seat
-	sealed        bool              // the replica was sealed for this token in the takeover, and its disk is still the same
-	inSync        bool              // it takes writes, and has acknowledged one or a repair
-	lastConfirmed time.Time         // when the last call that it has acknowledged was sent
-	repairCount   int64             // repairs begun so far
-	wake          signal            // has it look for changes to send and for a newer membership
+	member        membership.Member // holder of the seat
+	fenced        bool              // set if the replica was fenced in the takeover and its disk has not changed since
+	inSync        bool              // set while the replica accepts writes; requires an acknowledged write or repair
+	lastConfirmed time.Time         // send time of the last acknowledged call
+	repairCount   int64             // number of repairs started
+	wake          signal            // wakes replicate to check for changes and for a newer membership
 }
 
-// wakeReplicators has all replicators look at the membership.
+// wakeReplicators makes all replicators check for a newer membership.
 func (o *owner) wakeReplicators() {
 	for _, r := range o.replicators {
 		r.wake.notify()
@@ -39,14 +39,14 @@
 	}
 }
 
-// waitInSync waits until a majority of the replicas that were sealed, with the same disks, hold the complete state.
+// waitInSync waits until a quorum of replicas are in sync that were fenced in the takeover and still have the same disk.
 func (o *owner) waitInSync(ctx context.Context) error {
 	for {
 		o.mu.Lock()
 		changed := o.inSyncChanged
 		inSync := 0
 		for _, r := range o.replicators {
-			if r.sealed && r.inSync {
+			if r.fenced && r.inSync {
 				inSync++
 			}
 		}
@@ -57,21 +57,21 @@
 			return nil
 		}
 		if deposed {
-			return result.Errorf(result.Fenced, "shard %s: a newer fencing token is known", o.name)
+			return result.Errorf(result.Fenced, "shard %s: deposed by a newer fencing token", o.name)
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return result.Errorf(result.Unavailable, "shard %s: %d replicas are in sync", o.name, inSync)
+			return result.Errorf(result.Unavailable, "shard %s: %d replicas in sync, fewer than a quorum", o.name, inSync)
 		}
 	}
 }
 
-// replicate keeps one replica in sync: it is repaired first, then sent each change, and a heartbeat every
-// heartbeatInterval, which also asks whether the owner's token still holds.
+// replicate keeps one replica in sync until the context ends. It repairs the replica and then sends it each change, and a
+// heartbeat after heartbeatInterval without one, which also verifies that the owner's fencing token is still the highest.
 func (o *owner) replicate(ctx context.Context, r *replicator) {
 	for ctx.Err() == nil {
-		m := o.followMembership(r)
+		m := o.updateMember(r)
 		if r.member.ID == "" {
 			sleep(ctx, heartbeatInterval)
 			continue
@@ -100,8 +100,8 @@
 	}
 }
 
-// followMembership updates who holds the seat, and returns the membership.
-func (o *owner) followMembership(r *replicator) membership.Membership {
+// updateMember updates the holder of the replicator's seat and returns the current membership.
+func (o *owner) updateMember(r *replicator) membership.Membership {
 	m := o.core.store.currentMembership()
 	member := m.Seats[r.seat]
 	if member == r.member {
@@ -113,15 +113,15 @@
 	r.member = member
 	o.primary.SetVoter(r.seat, member.Voter)
 	if sameDisk {
-		return m // a learner that was promoted; it is in sync as before
+		return m // the learner was promoted; its replica remains in sync
 	}
 	o.primary.MarkOutOfSync(r.seat)
-	r.sealed, r.inSync, r.lastConfirmed = false, false, time.Time{}
+	r.fenced, r.inSync, r.lastConfirmed = false, false, time.Time{}
 	return m
 }
 
-// onReplicationFailure has the replica repaired before it is sent more changes. A replica that knows a newer fencing token
-// deposes the owner.
+// onReplicationFailure marks the replica for a repair before it is sent further changes. If the replica knows a newer
+// fencing token, the owner is deposed.
 func (o *owner) onReplicationFailure(r *replicator, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -131,28 +131,28 @@
 		return
 	}
 	o.deposed = true
-	o.core.logger.Info("shard lost to a newer fencing token", "shard", o.name, "token", o.token)
+	o.core.logger.Info("shard lost to a newer fencing token; closing its owner", "shard", o.name, "token", o.token)
 	o.goroutines.Cancel()
 	o.notifyInSyncChanged()
 }
 
-// repair brings a replica to the owner's state, by the digests of its key ranges (anti-entropy).
+// repair brings a replica to the owner's state by replacing the key ranges whose digests differ (anti-entropy repair).
 func (o *owner) repair(ctx context.Context, m membership.Membership, r *replicator) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*replicaTimeout)
 	defer cancel()
 	c := o.core
 	to := target{Membership: m, Member: r.member.ID}
 	sentAt := time.Now()
-	seal := &sealRequest{To: to, Shard: o.name, Token: o.token}
-	sealed, err := replicaCall(ctx, c, to, r.member.Address, methodSeal, c.store.seal, seal)
+	fence := &fenceRequest{To: to, Shard: o.name, Token: o.token}
+	fenced, err := replicaCall(ctx, c, to, r.member.Address, methodFence, c.store.fence, fence)
 	if err != nil {
 		return err
 	}
 	o.mu.Lock()
 	r.repairCount++
-	ranges, upTo := o.primary.BeginRepair(r.seat, sealed.Digests)
+	ranges, upTo := o.primary.BeginRepair(r.seat, fenced.Digests)
 	o.mu.Unlock()
-	request := &repairRequest{To: to, Shard: o.name, Token: o.token, Number: r.repairCount, Ranges: ranges, Last: true}
+	request := &repairRequest{To: to, Shard: o.name, Token: o.token, RepairNumber: r.repairCount, Ranges: ranges, Last: true}
 	if _, err := replicaCall(ctx, c, to, r.member.Address, methodRepair, c.store.repair, request); err != nil {
 		return err
 	}
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// writeChanges sends a replica the pending changes; where there are none, the call is a heartbeat.
+// writeChanges sends a replica the pending changes. A call without changes is a heartbeat.
 func (o *owner) writeChanges(ctx context.Context, m membership.Membership, r *replicator) error {
 	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// onReplicaAck records that a replica holds all changes up to a sequence number, by a call that was sent at the time given.
+// onReplicaAck records that a replica has acknowledged all changes up to a sequence number, in a call sent at sentAt.
 func (o *owner) onReplicaAck(r *replicator, upTo int64, sentAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/system/core/sessions.go
+++ b/internal/system/core/sessions.go
@@ -1,27 +1,28 @@
 package core
 
-// session is an owner's conversation with a side scheduler. A report that was delayed on its way, by a partition after
-// which its sender has retried, is of an earlier session or not above the last sequence number. It must not be applied: by
-// it a worker that has crashed would seem to be back in place of its next incarnation.
+// session orders the reports of one worker agent to an owner. A report that a network partition has delayed, and that the
+// agent has retried meanwhile, belongs to an earlier session or has a sequence number that is not higher than the last one.
+// It must not be applied: it would make a crashed worker appear alive in place of its next incarnation.
 type session struct {
 	name         string
-	lastSequence int64 // of the reports that were admitted
+	lastSequence int64 // sequence number of the last admitted report
 }
 
-// sessions are an owner's conversations, by the address of the side scheduler.
+// sessions holds an owner's sessions, keyed by the address of the agent.
 type sessions map[string]*session
 
-// admit reports whether a report is the newest of the current session, and returns the session for the sender's next.
-func (s sessions) admit(side, name string, sequence int64) (string, bool) {
-	known := s[side]
-	if known == nil || name != known.name {
-		known = &session{name: newID()}
-		s[side] = known
-		return known.name, false
+// admit reports whether a report is newer than all others of the current session. It returns the session that the agent
+// must use for its next report.
+func (s sessions) admit(agent, name string, sequence int64) (string, bool) {
+	current := s[agent]
+	if current == nil || name != current.name {
+		current = &session{name: newID()}
+		s[agent] = current
+		return current.name, false
 	}
-	if sequence <= known.lastSequence {
-		return known.name, false
+	if sequence <= current.lastSequence {
+		return current.name, false
 	}
-	known.lastSequence = sequence
-	return known.name, true
+	current.lastSequence = sequence
+	return current.name, true
 }
--- a/internal/system/core/sessions_test.go
+++ b/internal/system/core/sessions_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// A report that was delayed by a partition is of no current session: found by a hunt on fosse-sedgevale-grown
-// (trouble-2 --seed 734137710468, TWICE), where one of a crashed worker arrived after its next incarnation had started runs.
-func TestLateReportIsNotTaken(t *testing.T) {
+// A report that a network partition has delayed is rejected, since it does not belong to the current session. Fault
+// injection (trouble-2 --seed 734137710468, TWICE) found a report of a crashed worker that arrived after the worker's next
+// incarnation had started runs.
+func TestDelayedReportIsRejected(t *testing.T) {
 	s := sessions{}
 	first, ok := s.admit("side", "", 1)
 	if ok {
@@ -14,10 +15,10 @@
 		t.Error("the next report was not admitted")
 	}
 	if _, ok := s.admit("side", first, 2); ok {
-		t.Error("an earlier report of the session was admitted")
+		t.Error("a report with a lower sequence number was admitted")
 	}
 	second, _ := s.admit("side", "of an earlier owner", 9)
 	if _, ok := s.admit("side", first, 10); ok || second == first {
-		t.Error("a session was continued after a newer one had begun")
+		t.Error("a report of an earlier session was admitted, or the new session reused its name")
 	}
 }
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -16,67 +16,69 @@
 	"sedgevale/internal/system/statefile"
 )
 
-// identity identifies the disk. It is written before the disk is used. It is part of an Avro record: fields are not moved.
+// identity identifies the disk. It is durable before the disk is used. It is part of an Avro record: the order and the types
+// of the fields must not change.
 type identity struct {
 	ID          string
-	Address     string // of the machine that the disk belongs to
-	Incarnation int64  // how often it was opened; part of its ballots
-	Joined      int64  // the epoch in which it took the seat that it holds or held last
-	Restored    bool   // it has restored what a quorum of voters held after it had taken its seat
+	Address     string // address of the machine that the disk belongs to
+	Incarnation int64  // number of times the disk was opened; part of the proposer ID in ballots
+	JoinEpoch   int64  // epoch in which the disk acquired its current or last seat
+	Restored    bool   // set once the disk has restored the state of a quorum of voters in that seat
 }
 
-// The kinds of entries, with the fields that each uses. The numbers are stored: they are never reused.
+// The kinds of entries, with the fields that each uses. The numbers are stored and must not be reused.
 const (
-	entryIdentity   = iota + 1 // Identity
-	entryMembership            // Membership
-	entryPromise               // Name, Promised
-	entryAccept                // Name, Ballot, Value
-	entryRegister              // a complete acceptor: Name, Promised, Ballot, Value
-	entrySeal                  // Name, Token
-	entryWrite                 // Name, Token, Records
-	entryRepair                // Name, Token, Number, Ranges; Flag for the last part
-	entryReplica               // a complete replica: Name, Token, InSync, Number, Records; Flag for a voter
-	entryPrefetch              // Name, Ranges
-	entryTrust                 // Name, Token
+	entryIdentity   = iota + 1 // uses Identity
+	entryMembership            // uses Membership
+	entryPromise               // uses Name, Promised
+	entryAccept                // uses Name, Ballot, Value
+	entryRegister              // holds a complete acceptor in Name, Promised, Ballot, Value
+	entryFence                 // uses Name, Token
+	entryWrite                 // uses Name, Token, Records
+	entryRepair                // uses Name, Token, RepairNumber, Ranges; Flag marks the last request of a repair
+	entryReplica               // holds a complete replica in Name, Token, InSyncToken, RepairNumber, Records; Flag marks a voter
+	entryPrefetch              // uses Name, Ranges
+	entryLearnToken            // uses Name, Token
 )
 
-// entry is one record of the log and of snapshots: a change of the store. It is an Avro record, so that fields are read by
-// their order, and must be neither moved nor retyped.
+// entry is one record of the log and of snapshots and describes a change of the store. It is encoded as an Avro record: the
+// order and the types of the fields must not change.
 type entry struct {
-	Kind       int
-	Name       string // of a register or a shard
-	Identity   identity
-	Membership membership.Membership
-	Ballot     register.Ballot // under which Value was accepted
-	Promised   register.Ballot
-	Value      []byte
-	Token      int64 // the fencing token of an owner
-	Number     int64 // of an owner's repairs of this replica
-	InSync     int64 // the fencing token of the owner with which the replica was in sync last; 0 for none
-	Flag       bool
-	Records    []shard.Record
-	Ranges     []shard.Range
+	Kind         int
+	Name         string // name of a register or a shard
+	Identity     identity
+	Membership   membership.Membership
+	Ballot       register.Ballot // ballot under which Value was accepted
+	Promised     register.Ballot
+	Value        []byte
+	Token        int64 // fencing token of an owner
+	RepairNumber int64 // counts the owner's repairs of this replica
+	InSyncToken  int64 // fencing token of the last owner that the replica was in sync with; 0 if none
+	Flag         bool
+	Records      []shard.Record
+	Ranges       []shard.Range
 }
 
-// store is the durable state of a core scheduler: the membership, its acceptors of the registers and its replicas of the
-// shards. Every change is in the log before it is acknowledged.
+// store is the durable state of a core scheduler: the membership, the acceptors of the registers and the replicas of the
+// shards. Each change is durable in the log before it is acknowledged.
 type store struct {
 	address           string
 	membershipChanged signal // sent when a newer membership was installed
 
-	// mu guards the fields below. It is taken with no other lock held, and held while an entry is queued in the log, so that
-	// the entries are in the order of the changes; never while the disk writes.
+	// mu guards the fields below. It is acquired with no other lock held. It is held while an entry is queued in the log, so
+	// that the log has the entries in the order of the changes, but never during a disk write.
 	mu         sync.Mutex
 	log        *statefile.Log
-	lastTicket *statefile.Ticket // of the newest entry; nil before the first
+	lastTicket *statefile.Ticket // ticket of the newest entry; nil before the first
 	identity   identity
 	membership membership.Membership
-	registers  map[string]*register.Acceptor // by name
-	replicas   map[string]*shard.Replica     // by shard
+	registers  map[string]*register.Acceptor // keyed by name
+	replicas   map[string]*shard.Replica     // keyed by shard
 }
 
-// openStore opens the disk of the machine at an address. bootstrap says that the disks of all machines are new; only then
-// the first membership is installed on an empty disk. A disk of another machine is an error with the code result.WrongDisk.
+// openStore opens the disk of the machine with the given address. If bootstrap is set, the disks of all machines are new and
+// the first membership is installed on an empty disk. If the disk belongs to another machine, the error has the code
+// result.WrongDisk.
 func openStore(dir, address string, first membership.Membership, bootstrap bool) (*store, error) {
 	s := newStore(address)
 	log, err := statefile.Open(dir, s.replay, s.snapshotFunc(first, bootstrap))
@@ -94,24 +96,24 @@
 	}
 }
 
-// snapshotFunc returns what writes snapshots. Its first call, before any entry is appended, gives a new disk its identity,
-// and each disk its next incarnation.
+// snapshotFunc returns the function that writes snapshots. Its first call, which precedes the first append, assigns an
+// identity to a new disk and increments the incarnation.
 func (s *store) snapshotFunc(first membership.Membership, bootstrap bool) func(func([]byte) error) error {
-	started := false
+	initialized := false
 	return func(emit func([]byte) error) error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !started {
+		if !initialized {
 			if err := s.initIdentity(first, bootstrap); err != nil {
 				return err
 			}
-			started = true
+			initialized = true
 		}
 		return s.snapshot(emit)
 	}
 }
 
-// initIdentity gives a new disk its identity and counts the incarnation. s.mu is held.
+// initIdentity assigns an identity to a new disk and increments the incarnation. s.mu is held.
 func (s *store) initIdentity(first membership.Membership, bootstrap bool) error {
 	if s.identity.ID == "" {
 		s.identity = identity{ID: newID(), Address: s.address}
@@ -120,7 +122,7 @@
 		}
 	}
 	if s.identity.Address != s.address {
-		return result.Errorf(result.WrongDisk, "the disk is that of %s, this machine is %s", s.identity.Address, s.address)
+		return result.Errorf(result.WrongDisk, "the disk belongs to %s, but the address of this machine is %s", s.identity.Address, s.address)
 	}
 	s.identity.Incarnation++
 	return nil
@@ -131,26 +133,25 @@
 	s.membership = first.Clone()
 	if seat := first.SeatAt(s.address); seat >= 0 {
 		member := first.Seats[seat]
-		s.identity.ID, s.identity.Joined, s.identity.Restored = member.ID, member.JoinEpoch, true
+		s.identity.ID, s.identity.JoinEpoch, s.identity.Restored = member.ID, member.JoinEpoch, true
 	}
 }
 
-// newID returns a unique name: 64 random bits in hexadecimal.
+// newID returns a unique ID of 64 random bits in hexadecimal.
 func newID() string {
 	var random [8]byte
 	_, _ = rand.Read(random[:])
 	return hex.EncodeToString(random[:])
 }
 
-// proposer returns the name under which this incarnation of the disk makes ballots: no two incarnations of any disk share
-// one.
+// proposer returns the proposer ID for the ballots of this incarnation. It is unique among all incarnations of all disks.
 func (s *store) proposer() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.identity.ID + "#" + strconv.FormatInt(s.identity.Incarnation, 10)
 }
 
-// highestBallot returns the highest ballot counter that this disk has met.
+// highestBallot returns the highest ballot counter that this disk has promised or accepted.
 func (s *store) highestBallot() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,7 +171,7 @@
 	return s.apply(e)
 }
 
-// apply repeats a change of an earlier incarnation.
+// apply applies a replayed entry to the state.
 func (s *store) apply(e *entry) error {
 	switch e.Kind {
 	case entryIdentity:
@@ -183,38 +184,38 @@
 		s.acceptor(e.Name).Accept(e.Ballot, e.Value)
 	case entryRegister:
 		s.registers[e.Name] = &register.Acceptor{Promised: e.Promised, Accepted: e.Ballot, Value: e.Value}
-	case entrySeal:
+	case entryFence:
 		s.replica(e.Name).Fence(e.Token)
 	case entryWrite:
 		s.replica(e.Name).Write(e.Token, e.Records)
 	case entryRepair:
-		s.replica(e.Name).Repair(e.Token, e.Number, e.Ranges, e.Flag)
+		s.replica(e.Name).Repair(e.Token, e.RepairNumber, e.Ranges, e.Flag)
 	case entryPrefetch:
 		s.replica(e.Name).ReplaceRanges(e.Ranges)
-	case entryTrust:
+	case entryLearnToken:
 		s.replica(e.Name).LearnToken(e.Token)
 	case entryReplica:
 		s.replicas[e.Name] = replicaOf(e, s.identity.Restored)
 	default:
-		return fmt.Errorf("core: entry of unknown kind %d", e.Kind)
+		return fmt.Errorf("core: unknown kind %d of a log entry", e.Kind)
 	}
 	return nil
 }
 
-// replicaOf returns the replica in a snapshot's entry.
-func replicaOf(e *entry, trusted bool) *shard.Replica {
-	replica := shard.NewReplica(trusted)
+// replicaOf returns the replica that a snapshot's entry holds. restored is the Restored field of the disk's identity.
+func replicaOf(e *entry, restored bool) *shard.Replica {
+	replica := shard.NewReplica(restored)
 	replica.Voter = e.Flag
 	replica.FencingToken = e.Token
-	replica.InSyncToken = e.InSync
-	replica.LastRepair = e.Number
+	replica.InSyncToken = e.InSyncToken
+	replica.LastRepair = e.RepairNumber
 	for _, record := range e.Records {
 		replica.Records.Apply(record)
 	}
 	return replica
 }
 
-// snapshot emits the complete state. s.mu is held.
+// snapshot emits entries that hold the complete state. s.mu is held.
 func (s *store) snapshot(emit func([]byte) error) error {
 	entries := []*entry{{Kind: entryMembership, Membership: s.membership}, {Kind: entryIdentity, Identity: s.identity}}
 	for name := range s.registers {
@@ -243,15 +244,15 @@
 func (s *store) replicaEntry(name string) *entry {
 	r := s.replicas[name]
 	return &entry{
-		Kind: entryReplica, Name: name, Token: r.FencingToken, InSync: r.InSyncToken, Number: r.LastRepair, Flag: r.Voter, Records: r.Records.All(),
+		Kind: entryReplica, Name: name, Token: r.FencingToken, InSyncToken: r.InSyncToken, RepairNumber: r.LastRepair, Flag: r.Voter, Records: r.Records.All(),
 	}
 }
 
-// append queues the entry of a change that was applied. s.mu is held.
+// append queues the entry of an applied change in the log. s.mu is held.
 func (s *store) append(e *entry) (*statefile.Ticket, error) {
 	payload, err := avrocodec.Encode(e)
 	if err != nil {
-		return nil, fmt.Errorf("core: %w", err)
+		return nil, fmt.Errorf("core: encoding a log entry: %w", err)
 	}
 	s.lastTicket = s.log.Append(payload)
 	return s.lastTicket, nil
@@ -269,11 +270,12 @@
 		}
 		return nil
 	case <-ctx.Done():
-		return result.Errorf(result.StorageFailed, "the disk did not answer in time")
+		return result.Errorf(result.StorageFailed, "the disk did not complete a write in time")
 	}
 }
 
-// waitAllDurable waits until all that was applied so far is durable, so that no answer depends on what a power loss could undo.
+// waitAllDurable waits until all changes applied so far are durable, so that a response never depends on a change that a
+// power loss could undo. Its error has the code result.StorageFailed.
 func (s *store) waitAllDurable(ctx context.Context) error {
 	s.mu.Lock()
 	last := s.lastTicket
--- a/internal/system/core/store_membership.go
+++ b/internal/system/core/store_membership.go
@@ -8,15 +8,15 @@
 	"sedgevale/internal/system/result"
 )
 
-// admit checks whom and which epoch a message is meant for. It installs a newer membership, since only chosen ones are
-// sent. s.mu is held.
+// admit checks that a message is addressed to this replica in the current epoch. It first installs the message's membership
+// if that is newer, since only chosen memberships are sent. s.mu is held.
 func (s *store) admit(to target) (origin, membership.Member, error) {
 	none := membership.Member{}
 	if err := s.admitMembership(to.Membership); err != nil {
 		return origin{}, none, err
 	}
 	if to.Member != s.identity.ID {
-		return origin{}, none, result.Errorf(result.WrongReplica, "for replica %s, this is %s", to.Member, s.identity.ID)
+		return origin{}, none, result.Errorf(result.WrongReplica, "message for replica %s received by replica %s", to.Member, s.identity.ID)
 	}
 	member, seated := s.membership.Member(s.identity.ID)
 	if !seated {
@@ -25,15 +25,15 @@
 	return origin{Member: s.identity.ID, Epoch: s.membership.Epoch}, member, nil
 }
 
-// admitSeated is admit for what voters and learners answer alike. s.mu is held.
+// admitSeated admits a message that both voters and learners handle. s.mu is held.
 func (s *store) admitSeated(to target) (origin, error) {
 	from, _, err := s.admit(to)
 	return from, err
 }
 
-// commitChange handles a message that changes what this disk holds: it is admitted, applied, and answered once the entry
-// that apply returns is durable. apply is called while s.mu is held, and returns nil where there is nothing to store.
-func (s *store) commitChange(ctx context.Context, admit func(target) (origin, error), to target, apply func(origin) (*entry, error)) error {
+// applyDurably handles a message that changes the state: it admits the message, applies it and returns once the entry that
+// apply returns is durable. apply is called with s.mu held and returns a nil entry if there is nothing to store.
+func (s *store) applyDurably(ctx context.Context, admit func(target) (origin, error), to target, apply func(origin) (*entry, error)) error {
 	s.mu.Lock()
 	from, err := admit(to)
 	var change *entry
@@ -49,20 +49,22 @@
 	return waitDurable(ctx, ticket, err)
 }
 
-// readDurable answers from what this disk holds, once all that the answer may depend on is durable.
-func (s *store) readDurable(ctx context.Context, to target, answer func(origin)) error {
+// readDurable handles a message that reads the state: it calls respond with s.mu held and returns once all changes that the
+// response may depend on are durable.
+func (s *store) readDurable(ctx context.Context, to target, respond func(origin)) error {
 	s.mu.Lock()
 	from, err := s.admitVoter(to)
 	if err != nil {
 		s.mu.Unlock()
 		return err
 	}
-	answer(from)
+	respond(from)
 	s.mu.Unlock()
 	return s.waitAllDurable(ctx)
 }
 
-// admitMembership installs the membership that a message brings if it is newer, or rejects the message. s.mu is held.
+// admitMembership installs the membership in a message if it is newer. It returns an error if the message must be rejected
+// because of its membership. s.mu is held.
 func (s *store) admitMembership(sent membership.Membership) error {
 	install, err := s.membership.CheckSender(sent)
 	switch {
@@ -78,7 +80,7 @@
 	return nil
 }
 
-// admitVoter is admit for what only voters answer. s.mu is held.
+// admitVoter admits a message that only voters handle. s.mu is held.
 func (s *store) admitVoter(to target) (origin, error) {
 	from, member, err := s.admit(to)
 	if err == nil && !member.Voter {
@@ -87,7 +89,7 @@
 	return from, err
 }
 
-// install puts a newer membership, which was chosen, in force and appends it to the log. s.mu is held.
+// install applies a newer chosen membership and appends it to the log. s.mu is held.
 func (s *store) install(m membership.Membership) error {
 	s.applyMembership(m)
 	_, err := s.append(&entry{Kind: entryMembership, Membership: m})
@@ -95,22 +97,23 @@
 	return err
 }
 
-// applyMembership applies a membership to the state. A disk that takes a seat anew may have missed anything since it held
-// one: it is no voter for its shards before an owner has repaired it. s.mu is held, or the log is being replayed.
+// applyMembership applies a membership to the state. If this disk has acquired a seat with it, the disk may have missed
+// changes since it last held one, so it is no voter for any shard until an owner has repaired its replica. s.mu is held,
+// or the log is being replayed.
 func (s *store) applyMembership(m membership.Membership) {
 	s.membership = m.Clone()
 	member, seated := m.Member(s.identity.ID)
-	if !seated || member.JoinEpoch == s.identity.Joined {
+	if !seated || member.JoinEpoch == s.identity.JoinEpoch {
 		return
 	}
-	s.identity.Joined = member.JoinEpoch
+	s.identity.JoinEpoch = member.JoinEpoch
 	s.identity.Restored = false
 	for _, replica := range s.replicas {
 		replica.Invalidate()
 	}
 }
 
-// learnMembership installs a newer membership that another scheduler sent.
+// learnMembership installs a membership sent by another scheduler if it is newer.
 func (s *store) learnMembership(m membership.Membership) error {
 	if m.Epoch == 0 {
 		return nil
@@ -130,7 +133,7 @@
 	return s.membership.Clone()
 }
 
-// self returns the ID of this disk and its seat, if it holds one.
+// self returns the ID of this disk and, if it holds a seat, its member record.
 func (s *store) self() (id string, member membership.Member, seated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/core/store_registers.go
+++ b/internal/system/core/store_registers.go
@@ -8,7 +8,7 @@
 	"sedgevale/internal/system/statefile"
 )
 
-// acceptor returns the acceptor of a register, a new one where there is none. s.mu is held.
+// acceptor returns the acceptor of a register and creates it if there is none. s.mu is held.
 func (s *store) acceptor(name string) *register.Acceptor {
 	a := s.registers[name]
 	if a == nil {
@@ -18,12 +18,12 @@
 	return a
 }
 
-// prepare handles the prepare of a ballot: the promise is durable before it is sent.
+// prepare handles a prepareRequest. A promise is durable before it is sent.
 func (s *store) prepare(ctx context.Context, r *prepareRequest) (*prepareResponse, error) {
-	answer := &prepareResponse{}
-	err := s.commitChange(ctx, s.admitVoter, r.To, func(from origin) (*entry, error) {
-		*answer = prepareResponse{From: from, Promise: s.acceptor(r.Name).Prepare(r.Ballot, r.Known)}
-		if !answer.Promise.Granted {
+	response := &prepareResponse{}
+	err := s.applyDurably(ctx, s.admitVoter, r.To, func(from origin) (*entry, error) {
+		*response = prepareResponse{From: from, Promise: s.acceptor(r.Name).Prepare(r.Ballot, r.Known)}
+		if !response.Promise.Granted {
 			return nil, nil
 		}
 		return &entry{Kind: entryPromise, Name: r.Name, Promised: r.Ballot}, nil
@@ -31,15 +31,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
-// accept handles the proposal of a value: the acceptance is durable before it is sent.
+// accept handles an acceptRequest. An accepted value is durable before the response is sent.
 func (s *store) accept(ctx context.Context, r *acceptRequest) (*acceptResponse, error) {
-	answer := &acceptResponse{}
-	err := s.commitChange(ctx, s.admitVoter, r.To, func(from origin) (*entry, error) {
-		*answer = acceptResponse{From: from, Accepted: s.acceptor(r.Name).Accept(r.Ballot, r.Value)}
-		if !answer.Accepted {
+	response := &acceptResponse{}
+	err := s.applyDurably(ctx, s.admitVoter, r.To, func(from origin) (*entry, error) {
+		*response = acceptResponse{From: from, Accepted: s.acceptor(r.Name).Accept(r.Ballot, r.Value)}
+		if !response.Accepted {
 			return nil, nil
 		}
 		return &entry{Kind: entryAccept, Name: r.Name, Ballot: r.Ballot, Value: r.Value}, nil
@@ -47,44 +47,44 @@
 	if err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
-// readAccepted returns what was accepted last, without a promise, once that is durable.
+// readAccepted returns the last accepted ballot and value, without a promise, once they are durable.
 func (s *store) readAccepted(ctx context.Context, r *readAcceptedRequest) (*readAcceptedResponse, error) {
-	answer := &readAcceptedResponse{}
+	response := &readAcceptedResponse{}
 	err := s.readDurable(ctx, r.To, func(from origin) {
 		a := s.acceptor(r.Name)
-		*answer = readAcceptedResponse{From: from, Accepted: a.Accepted}
+		*response = readAcceptedResponse{From: from, Accepted: a.Accepted}
 		if a.Accepted != r.Known {
-			answer.Value = a.Value
+			response.Value = a.Value
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
-// serveState returns all that a learner has to hold before it votes.
+// serveState returns the state that a learner must restore before it becomes a voter.
 func (s *store) serveState(ctx context.Context, r *stateRequest) (*stateResponse, error) {
-	answer := &stateResponse{Registers: map[string]register.Acceptor{}, Shards: map[string]int64{}}
+	response := &stateResponse{Registers: map[string]register.Acceptor{}, Shards: map[string]int64{}}
 	err := s.readDurable(ctx, r.To, func(from origin) {
-		answer.From = from
+		response.From = from
 		for name, a := range s.registers {
-			answer.Registers[name] = *a
+			response.Registers[name] = *a
 		}
 		for name, replica := range s.replicas {
-			answer.Shards[name] = replica.FencingToken
+			response.Shards[name] = replica.FencingToken
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
-// distinctVoters returns how many members sent their state in an epoch.
+// distinctVoters returns the number of distinct members that sent their state under the given epoch.
 func distinctVoters(epoch int64, states []*stateResponse) int {
 	members := map[string]bool{}
 	for _, state := range states {
@@ -95,17 +95,17 @@
 	return len(members)
 }
 
-// restore takes over the state of a quorum of voters, which they sent this learner after it had taken its seat. Its error
-// has the code result.EpochOutdated where the seat was lost meanwhile, result.Unavailable where they are no quorum.
+// restore merges the state that a quorum of voters sent after this learner had acquired its seat. Its error has the code
+// result.EpochOutdated if the seat has been lost meanwhile, and result.Unavailable if fewer than a quorum sent their state.
 func (s *store) restore(ctx context.Context, epoch int64, states []*stateResponse) error {
 	s.mu.Lock()
-	if _, seated := s.membership.Member(s.identity.ID); !seated || s.identity.Joined > epoch {
+	if _, seated := s.membership.Member(s.identity.ID); !seated || s.identity.JoinEpoch > epoch {
 		s.mu.Unlock()
-		return result.Errorf(result.EpochOutdated, "the seat was lost since epoch %d", epoch)
+		return result.Errorf(result.EpochOutdated, "this disk no longer holds the seat that it held in epoch %d", epoch)
 	}
 	if voters := distinctVoters(epoch, states); voters < s.membership.Quorum() {
 		s.mu.Unlock()
-		return result.Errorf(result.Unavailable, "%d voters sent their state in epoch %d, %d are a quorum", voters, epoch, s.membership.Quorum())
+		return result.Errorf(result.Unavailable, "%d voters sent their state in epoch %d, want %d", voters, epoch, s.membership.Quorum())
 	}
 	var ticket *statefile.Ticket
 	var err error
@@ -118,7 +118,7 @@
 	return waitDurable(ctx, ticket, err)
 }
 
-// mergeStates merges the state of voters into this replica's and returns the entries of the change. s.mu is held.
+// mergeStates merges the state of voters into that of this replica and returns the entries of the change. s.mu is held.
 func (s *store) mergeStates(states []*stateResponse) []*entry {
 	var entries []*entry
 	tokens := map[string]int64{}
@@ -135,7 +135,7 @@
 	}
 	for name, token := range tokens {
 		s.replica(name).LearnToken(token)
-		entries = append(entries, &entry{Kind: entryTrust, Name: name, Token: token})
+		entries = append(entries, &entry{Kind: entryLearnToken, Name: name, Token: token})
 	}
 	for name := range s.registers {
 		entries = append(entries, s.registerEntry(name))
@@ -144,7 +144,7 @@
 	return append(entries, &entry{Kind: entryIdentity, Identity: s.identity})
 }
 
-// acceptedValue returns the value that this replica has accepted under a ballot, or nil.
+// acceptedValue returns the value of a register if this replica accepted it last under the given ballot, and nil otherwise.
 func (s *store) acceptedValue(name string, ballot register.Ballot) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// accepted returns the last accepted ballot of each register but the membership's: a membership that was accepted and
-// never chosen must not be completed by a read.
+// accepted returns the last accepted ballot of each register except that of the membership, which is omitted so that no
+// read completes a membership that was accepted but never chosen.
 func (s *store) accepted() map[string]register.Ballot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/core/store_shards.go
+++ b/internal/system/core/store_shards.go
@@ -7,8 +7,9 @@
 	"sedgevale/internal/system/result"
 )
 
-// replica returns the replica of a shard, a new one where there is none. On a disk that has held its seat from the start, or
-// has restored a quorum's state, a new one votes at once: there is nothing that it may have lost. s.mu is held.
+// replica returns the replica of a shard and creates it if there is none. A new replica is a voter at once if the disk has
+// held its seat since the bootstrap or has restored a quorum's state, since then it cannot have lost any record of the
+// shard. s.mu is held.
 func (s *store) replica(name string) *shard.Replica {
 	r := s.replicas[name]
 	if r == nil {
@@ -18,24 +19,24 @@
 	return r
 }
 
-// seal handles a sealRequest. Its error has the code result.Fenced where a higher fencing token is known.
-func (s *store) seal(ctx context.Context, r *sealRequest) (*sealResponse, error) {
-	answer := &sealResponse{}
-	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
+// fence handles a fenceRequest. Its error has the code result.Fenced if a higher fencing token is known.
+func (s *store) fence(ctx context.Context, r *fenceRequest) (*fenceResponse, error) {
+	response := &fenceResponse{}
+	err := s.applyDurably(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		replica := s.replica(r.Shard)
 		if !replica.Fence(r.Token) {
-			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.FencingToken, r.Token)
+			return nil, result.Errorf(result.Fenced, "shard %s: fencing token %d is lower than the known %d", r.Shard, r.Token, replica.FencingToken)
 		}
-		*answer = sealResponse{From: from, Voter: replica.Voter, InSync: replica.InSyncToken, Digests: replica.Records.Digests()}
-		return &entry{Kind: entrySeal, Name: r.Shard, Token: r.Token}, nil
+		*response = fenceResponse{From: from, Voter: replica.Voter, InSyncToken: replica.InSyncToken, Digests: replica.Records.Digests()}
+		return &entry{Kind: entryFence, Name: r.Shard, Token: r.Token}, nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
-// fetch returns the records of key ranges.
+// fetch returns the records of the requested key ranges.
 func (s *store) fetch(_ context.Context, r *fetchRequest) (*fetchResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,18 +44,18 @@
 	if err != nil {
 		return nil, err
 	}
-	answer := &fetchResponse{From: from}
+	response := &fetchResponse{From: from}
 	set := shard.NewRecordSet()
 	if replica := s.replicas[r.Shard]; replica != nil {
 		set = replica.Records
 	}
 	for _, bucket := range r.Buckets {
 		if bucket < 0 || bucket >= shard.Buckets {
-			return nil, result.Errorf(result.BadRequest, "shard %s: there is no key range %d", r.Shard, bucket)
+			return nil, result.Errorf(result.BadRequest, "shard %s: key range %d does not exist", r.Shard, bucket)
 		}
-		answer.Ranges = append(answer.Ranges, shard.Range{Bucket: bucket, Records: set.InBucket(int(bucket))})
+		response.Ranges = append(response.Ranges, shard.Range{Bucket: bucket, Records: set.InBucket(int(bucket))})
 	}
-	return answer, nil
+	return response, nil
 }
 
 // servePrefetch returns the key ranges of a shard in which this replica differs from the sender's.
@@ -68,7 +69,7 @@
 	return &prefetchResponse{Ranges: shard.DifferingRanges(replica.Records, r.Digests)}, nil
 }
 
-// storePrefetched stores key ranges ahead of a repair, as long as this disk holds no seat.
+// storePrefetched stores key ranges ahead of a repair. It does nothing if this disk holds a seat.
 func (s *store) storePrefetched(ctx context.Context, name string, ranges []shard.Range) error {
 	s.mu.Lock()
 	if _, seated := s.membership.Member(s.identity.ID); seated || len(ranges) == 0 {
@@ -92,37 +93,36 @@
 	return replica.Records.Digests()
 }
 
-// repair handles a repairRequest. Its error has the code result.Fenced where a higher fencing token or a later repair is
-// known.
+// repair handles a repairRequest. Its error has the code result.Fenced if a higher fencing token or a later repair is known.
 func (s *store) repair(ctx context.Context, r *repairRequest) (*ackResponse, error) {
-	answer := &ackResponse{}
-	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
-		answer.From = from
-		if !s.replica(r.Shard).Repair(r.Token, r.Number, r.Ranges, r.Last) {
-			return nil, result.Errorf(result.Fenced, "shard %s: a token above %d or a later repair is known", r.Shard, r.Token)
+	response := &ackResponse{}
+	err := s.applyDurably(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
+		response.From = from
+		if !s.replica(r.Shard).Repair(r.Token, r.RepairNumber, r.Ranges, r.Last) {
+			return nil, result.Errorf(result.Fenced, "shard %s: a fencing token above %d or a repair after number %d is known", r.Shard, r.Token, r.RepairNumber)
 		}
-		return &entry{Kind: entryRepair, Name: r.Shard, Token: r.Token, Number: r.Number, Ranges: r.Ranges, Flag: r.Last}, nil
+		return &entry{Kind: entryRepair, Name: r.Shard, Token: r.Token, RepairNumber: r.RepairNumber, Ranges: r.Ranges, Flag: r.Last}, nil
 	})
-	return answer, err
+	return response, err
 }
 
-// write handles a writeRequest. Its error has the code result.Fenced where a higher fencing token is known, and
-// result.NotRecovered where the replica has to be repaired first.
+// write handles a writeRequest. Its error has the code result.Fenced if a higher fencing token is known, and
+// result.NotRecovered if the replica must be repaired first.
 func (s *store) write(ctx context.Context, r *writeRequest) (*ackResponse, error) {
-	answer := &ackResponse{}
-	err := s.commitChange(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
-		answer.From = from
+	response := &ackResponse{}
+	err := s.applyDurably(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
+		response.From = from
 		replica := s.replica(r.Shard)
 		written := replica.Write(r.Token, r.Records)
 		switch {
 		case !written && replica.FencingToken > r.Token:
-			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.FencingToken, r.Token)
+			return nil, result.Errorf(result.Fenced, "shard %s: fencing token %d is lower than the known %d", r.Shard, r.Token, replica.FencingToken)
 		case !written:
-			return nil, result.Errorf(result.NotRecovered, "shard %s: the replica is not in sync", r.Shard)
+			return nil, result.Errorf(result.NotRecovered, "shard %s: the replica must be repaired before it accepts writes", r.Shard)
 		case len(r.Records) == 0: // a heartbeat
 			return nil, nil
 		}
 		return &entry{Kind: entryWrite, Name: r.Shard, Token: r.Token, Records: r.Records}, nil
 	})
-	return answer, err
+	return response, err
 }
--- a/internal/system/core/store_test.go
+++ b/internal/system/core/store_test.go
@@ -12,7 +12,7 @@
 	"sedgevale/internal/system/result"
 )
 
-// storeCluster is the stores of three core machines, which tests call directly.
+// storeCluster holds the stores of three core machines, which tests call without a network.
 type storeCluster struct {
 	t      *testing.T
 	first  membership.Membership
@@ -29,7 +29,7 @@
 	return s
 }
 
-// start opens the disk of an address, as after a power loss.
+// start opens the disk of an address, as a machine does after a power failure.
 func (s *storeCluster) start(address string, bootstrap bool) *store {
 	s.t.Helper()
 	opened, err := openStore(s.dirs[address], address, s.first, bootstrap)
@@ -45,8 +45,8 @@
 	return opened
 }
 
-// wipe gives an address an empty disk.
-func (s *storeCluster) wipe(address string) *store {
+// replaceDisk restarts an address with an empty disk.
+func (s *storeCluster) replaceDisk(address string) *store {
 	s.dirs[address] = s.t.TempDir()
 	return s.start(address, false)
 }
@@ -57,15 +57,15 @@
 	return ctx
 }
 
-// to is the target of a message to an address under the membership that another store knows.
-func (s *storeCluster) to(address, by string) target {
-	return target{Membership: s.stores[by].currentMembership(), Member: s.stores[address].identity.ID}
+// to returns the target of a message to an address under the membership known to the store sender.
+func (s *storeCluster) to(address, sender string) target {
+	return target{Membership: s.stores[sender].currentMembership(), Member: s.stores[address].identity.ID}
 }
 
-// change has the stores named choose another membership, all of them, and sends it to them and to others.
-func (s *storeCluster) change(change membership.Change, by []string, others ...string) {
+// changeMembership makes all given voters accept a changed membership and installs it on them and on the others.
+func (s *storeCluster) changeMembership(change membership.Change, voters []string, others ...string) {
 	s.t.Helper()
-	installed := s.stores[by[0]].currentMembership()
+	installed := s.stores[voters[0]].currentMembership()
 	next, err := membership.NextProposal(installed, installed, change)
 	if err != nil {
 		s.t.Fatal(err)
@@ -74,49 +74,49 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	for _, address := range by {
+	for _, address := range voters {
 		r := &acceptRequest{
-			To: s.to(address, by[0]), Name: membershipRegister, Ballot: register.Ballot{Counter: 100 + next.Epoch, Proposer: "m"}, Value: value,
+			To: s.to(address, voters[0]), Name: membershipRegister, Ballot: register.Ballot{Counter: 100 + next.Epoch, Proposer: "m"}, Value: value,
 		}
-		if answer, err := s.stores[address].accept(s.ctx(), r); err != nil || !answer.Accepted {
-			s.t.Fatalf("%s: %v", address, err)
+		if response, err := s.stores[address].accept(s.ctx(), r); err != nil || !response.Accepted {
+			s.t.Fatalf("%s did not accept the membership: response %+v, error %v", address, response, err)
 		}
 	}
-	for _, address := range append(by, others...) {
+	for _, address := range append(voters, others...) {
 		s.wantCode(s.stores[address].learnMembership(next), result.OK)
 	}
 }
 
-// rejoin has an address take a seat with the state that the others send, and vote.
-func (s *storeCluster) rejoin(address string, seat int, from ...string) error {
+// rejoin makes an address acquire a seat as a learner, restore the state of the given voters and become a voter.
+func (s *storeCluster) rejoin(address string, seat int, voters ...string) error {
 	s.t.Helper()
 	st := s.stores[address]
-	s.change(membership.AddLearner(seat, st.identity.ID, address), from, address)
-	var learned []*stateResponse
-	for _, other := range from {
+	s.changeMembership(membership.AddLearner(seat, st.identity.ID, address), voters, address)
+	var states []*stateResponse
+	for _, other := range voters {
 		response, err := s.stores[other].serveState(s.ctx(), &stateRequest{To: s.to(other, address)})
 		if err != nil {
 			return err
 		}
-		learned = append(learned, response)
+		states = append(states, response)
 	}
-	if err := st.restore(s.ctx(), st.membership.Epoch, learned); err != nil {
+	if err := st.restore(s.ctx(), st.membership.Epoch, states); err != nil {
 		return err
 	}
-	s.change(membership.Promote(st.identity.ID), from, address)
+	s.changeMembership(membership.Promote(st.identity.ID), voters, address)
 	return nil
 }
 
 func (s *storeCluster) accept(address string, to target, ballot int64, value string) error {
 	r := &acceptRequest{To: to, Name: "config", Ballot: register.Ballot{Counter: ballot, Proposer: "p"}, Value: []byte(value)}
-	answer, err := s.stores[address].accept(s.ctx(), r)
-	if err == nil && !answer.Accepted {
-		return result.Errorf(result.BallotOutdated, "rejected")
+	response, err := s.stores[address].accept(s.ctx(), r)
+	if err == nil && !response.Accepted {
+		return result.Errorf(result.BallotOutdated, "ballot %d rejected by %s", ballot, address)
 	}
 	return err
 }
 
-// writeToken is the fencing token under which tests write.
+// writeToken is the fencing token under which tests write records.
 const writeToken = 3
 
 func (s *storeCluster) write(address, key string) error {
@@ -137,36 +137,36 @@
 func (s *storeCluster) wantCode(err error, want result.Code) {
 	s.t.Helper()
 	if result.CodeOf(err) != want {
-		s.t.Errorf("error %v, code %d wanted", err, want)
+		s.t.Errorf("error %v, want code %d", err, want)
 	}
 }
 
-// What was acknowledged is there after a power loss, with promises and fencing tokens.
-func TestStoreSurvivesPowerLoss(t *testing.T) {
+// Acknowledged values, promises, records and fencing tokens survive a power failure.
+func TestStoreSurvivesPowerFailure(t *testing.T) {
 	s := newStoreCluster(t)
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "value"), result.OK)
 	s.wantCode(s.repair("a", 3), result.OK)
 	s.wantCode(s.write("a", "key"), result.OK)
 	st := s.start("a", false)
 	if string(st.registers["config"].Value) != "value" || st.replicas["s"].FencingToken != 3 || st.replicas["s"].Records.Len() != 1 {
-		t.Errorf("registers %+v, replicas %+v", st.registers["config"], st.replicas["s"])
+		t.Errorf("after the restart: register %+v, replica %+v", st.registers["config"], st.replicas["s"])
 	}
 	s.wantCode(s.accept("a", s.to("a", "a"), 4, "older"), result.BallotOutdated)
 	s.wantCode(s.repair("a", 2), result.Fenced)
 }
 
-// A disk that came back empty neither votes nor acknowledges, whether it is addressed by the name of the lost
-// disk or by its own.
+// An empty disk in place of a lost one neither votes nor acknowledges writes, whether messages are addressed to the ID of
+// the lost disk or to its own.
 func TestEmptyDiskDoesNotVote(t *testing.T) {
 	s := newStoreCluster(t)
 	lost := s.to("c", "a")
 	s.wantCode(s.accept("c", lost, 5, "value"), result.OK)
-	st := s.wipe("c")
+	st := s.replaceDisk("c")
 	for to, want := range map[*target]result.Code{&lost: result.WrongReplica, {lost.Membership, st.identity.ID}: result.NotRecovered} {
 		s.wantCode(s.accept("c", *to, 6, "other"), want)
 		_, err := st.prepare(s.ctx(), &prepareRequest{To: *to, Name: "config", Ballot: register.Ballot{Counter: 9}})
 		s.wantCode(err, want)
-		_, err = st.seal(s.ctx(), &sealRequest{To: *to, Shard: "s", Token: 1})
+		_, err = st.fence(s.ctx(), &fenceRequest{To: *to, Shard: "s", Token: 1})
 		s.wantCode(err, want)
 		_, err = st.repair(s.ctx(), &repairRequest{To: *to, Shard: "s", Token: 9, Last: true})
 		s.wantCode(err, want)
@@ -177,29 +177,29 @@
 	}
 }
 
-// Once it has learned from the two others it votes, knows what they hold, and what was on its way to them
-// takes no effect any more.
-func TestEmptyDiskLearnsFromTheOthers(t *testing.T) {
+// An empty disk that has restored the state of the two other voters holds their values and votes. Messages that were sent to
+// the others before are rejected from then on.
+func TestEmptyDiskRestoresStateOfTheOthers(t *testing.T) {
 	s := newStoreCluster(t)
-	late, again := s.to("b", "b"), s.to("a", "a")
-	s.wantCode(s.accept("a", again, 5, "chosen"), result.OK)
+	earlierToB, earlierToA := s.to("b", "b"), s.to("a", "a")
+	s.wantCode(s.accept("a", earlierToA, 5, "chosen"), result.OK)
 	s.wantCode(s.accept("c", s.to("c", "c"), 5, "chosen"), result.OK)
-	s.wipe("c")
+	s.replaceDisk("c")
 	s.wantCode(s.rejoin("c", 2, "a", "b"), result.OK)
 	if got := string(s.stores["c"].registers["config"].Value); got != "chosen" {
 		t.Errorf("learned %q", got)
 	}
-	// The acceptance that was still on its way to b would have made a quorum with the lost disk.
-	s.wantCode(s.accept("b", late, 5, "chosen"), result.EpochOutdated)
-	s.wantCode(s.accept("a", again, 5, "chosen"), result.EpochOutdated)
+	// A delayed accept message to b would have formed a quorum with the lost disk.
+	s.wantCode(s.accept("b", earlierToB, 5, "chosen"), result.EpochOutdated)
+	s.wantCode(s.accept("a", earlierToA, 5, "chosen"), result.EpochOutdated)
 	s.wantCode(s.accept("c", s.to("c", "a"), 9, "next"), result.OK)
 }
 
-// A learner that has not read the state of a quorum yet does not vote, though it holds the seat.
+// A learner does not vote before it has restored the state of a quorum, although it holds a seat.
 func TestLearnerDoesNotVote(t *testing.T) {
 	s := newStoreCluster(t)
-	st := s.wipe("c")
-	s.change(membership.AddLearner(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
+	st := s.replaceDisk("c")
+	s.changeMembership(membership.AddLearner(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
 	s.wantCode(s.accept("c", s.to("c", "c"), 5, "value"), result.NotRecovered)
 	_, err := st.readAccepted(s.ctx(), &readAcceptedRequest{To: s.to("c", "c"), Name: "config"})
 	s.wantCode(err, result.NotRecovered)
@@ -207,9 +207,9 @@
 	s.wantCode(err, result.NotRecovered)
 }
 
-// A disk that gave its seat up and takes one anew has missed what was written meanwhile, though the owner is still the one
-// that it was in sync with: it votes about no shard before that owner has repaired it, also after a power loss.
-func TestSeatTakenAnewIsNoVoterForItsShards(t *testing.T) {
+// A disk that was replaced and then acquires a seat again has missed the writes in between, even if the owner that it was in
+// sync with is still the same. It is no voter for a shard until that owner has repaired it, also after a power failure.
+func TestRejoinedDiskIsNoVoterBeforeARepair(t *testing.T) {
 	s := newStoreCluster(t)
 	for _, address := range []string{"a", "b", "c"} {
 		s.wantCode(s.repair(address, 3), result.OK)
@@ -220,33 +220,34 @@
 	s.wantCode(s.write("a", "later"), result.OK)
 	s.wantCode(s.write("b", "later"), result.OK)
 	s.wantCode(s.rejoin("c", 2, "a", "b"), result.OK)
-	votes := func() bool {
-		answer, err := s.stores["c"].seal(s.ctx(), &sealRequest{To: s.to("c", "c"), Shard: "s", Token: 3})
+	isVoter := func() bool {
+		response, err := s.stores["c"].fence(s.ctx(), &fenceRequest{To: s.to("c", "c"), Shard: "s", Token: 3})
 		s.wantCode(err, result.OK)
-		return answer.Voter
+		return response.Voter
 	}
-	if votes() {
-		t.Error("it votes about what it has missed")
+	if isVoter() {
+		t.Error("the replica is a voter although it has missed writes")
 	}
 	s.start("c", false)
-	if votes() {
-		t.Error("it votes about what it has missed, after a power loss")
+	if isVoter() {
+		t.Error("after a power failure: the replica is a voter although it has missed writes")
 	}
 	s.wantCode(s.repair("c", 3), result.OK)
-	if !votes() {
-		t.Error("it does not vote after the repair")
+	if !isVoter() {
+		t.Error("the replica is not a voter after the repair")
 	}
 }
 
-// A learner restores what a quorum sent it in its own epoch, each member counted once; fewer answers may lack what was chosen.
-func TestLearnerReadsAQuorum(t *testing.T) {
+// A learner restores only the state of a quorum of distinct members in its own epoch. The state of fewer may lack a chosen
+// value.
+func TestLearnerRestoresStateOfAQuorum(t *testing.T) {
 	s := newStoreCluster(t)
 	s.wantCode(s.accept("b", s.to("b", "b"), 5, "chosen"), result.OK)
 	s.wantCode(s.accept("c", s.to("c", "c"), 5, "chosen"), result.OK)
-	st := s.wipe("c")
+	st := s.replaceDisk("c")
 	before, err := s.stores["a"].serveState(s.ctx(), &stateRequest{To: s.to("a", "a")})
 	s.wantCode(err, result.OK)
-	s.change(membership.AddLearner(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
+	s.changeMembership(membership.AddLearner(2, st.identity.ID, "c"), []string{"a", "b"}, "c")
 	states := map[string]*stateResponse{}
 	for _, other := range []string{"a", "b"} {
 		states[other], err = s.stores[other].serveState(s.ctx(), &stateRequest{To: s.to(other, "c")})
@@ -257,7 +258,7 @@
 	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{states["a"], states["a"]}), result.Unavailable)
 	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{before, states["b"]}), result.Unavailable)
 	if st.identity.Restored || st.registers["config"] != nil {
-		t.Error("something was taken over from less than a quorum")
+		t.Error("the state of less than a quorum was restored")
 	}
 	s.wantCode(st.restore(s.ctx(), epoch, []*stateResponse{states["a"], states["b"]}), result.OK)
 	if got := string(st.registers["config"].Value); got != "chosen" {
@@ -265,47 +266,46 @@
 	}
 }
 
-// A replica with a new disk may have forgotten records: it takes writes, but no part in a takeover before an owner has
-// brought it in sync.
-func TestNewDiskIsNoVoterForItsShards(t *testing.T) {
+// A replica with a new disk may have lost records. It is no voter in a takeover until an owner has repaired it.
+func TestNewDiskIsNoVoterBeforeARepair(t *testing.T) {
 	s := newStoreCluster(t)
 	s.wantCode(s.repair("a", 3), result.OK)
 	s.wantCode(s.repair("c", 3), result.OK)
 	s.wantCode(s.write("c", "key"), result.OK)
-	s.wipe("c")
+	s.replaceDisk("c")
 	s.wantCode(s.rejoin("c", 2, "a", "b"), result.OK)
-	seal := func() *sealResponse {
-		answer, err := s.stores["c"].seal(s.ctx(), &sealRequest{To: s.to("c", "c"), Shard: "s", Token: 4})
+	fence := func() *fenceResponse {
+		response, err := s.stores["c"].fence(s.ctx(), &fenceRequest{To: s.to("c", "c"), Shard: "s", Token: 4})
 		s.wantCode(err, result.OK)
-		return answer
+		return response
 	}
-	if seal().Voter {
-		t.Error("it votes about what it may have forgotten")
+	if fence().Voter {
+		t.Error("the replica is a voter although it may have lost records")
 	}
 	s.wantCode(s.repair("c", 4), result.OK)
-	if !seal().Voter {
-		t.Error("it does not vote after the repair")
+	if !fence().Voter {
+		t.Error("the replica is not a voter after the repair")
 	}
 }
 
-// Writes of an owner that addresses the disk which was lost are rejected.
+// Writes addressed to a lost disk are rejected by the disk that replaced it.
 func TestWritesToALostDiskAreRejected(t *testing.T) {
 	s := newStoreCluster(t)
 	s.wantCode(s.repair("c", 3), result.OK)
 	lost := s.stores["c"].identity.ID
-	s.wipe("c")
+	s.replaceDisk("c")
 	s.wantCode(s.rejoin("c", 2, "a", "b"), result.OK)
 	r := &writeRequest{To: target{s.stores["c"].currentMembership(), lost}, Shard: "s", Token: 3}
 	_, err := s.stores["c"].write(s.ctx(), r)
 	s.wantCode(err, result.WrongReplica)
 }
 
-// Two disks in a row, and a machine at another address for one that is gone.
-func TestDisksAreLostInARow(t *testing.T) {
+// A chosen value survives the loss of one disk followed by the replacement of another machine by one at a new address.
+func TestConsecutiveDiskLosses(t *testing.T) {
 	s := newStoreCluster(t)
 	s.wantCode(s.accept("a", s.to("a", "a"), 5, "chosen"), result.OK)
 	s.wantCode(s.accept("b", s.to("b", "b"), 5, "chosen"), result.OK)
-	s.wipe("a")
+	s.replaceDisk("a")
 	s.wantCode(s.rejoin("a", 0, "b", "c"), result.OK)
 	s.dirs["d"] = t.TempDir()
 	s.start("d", false)
@@ -313,13 +313,13 @@
 	if got := string(s.stores["d"].registers["config"].Value); got != "chosen" {
 		t.Errorf("learned %q", got)
 	}
-	// The machine that was replaced has kept its disk, and votes no more once it learns that.
+	// The replaced machine still has its disk. It no longer votes once it learns of its replacement.
 	s.wantCode(s.accept("b", s.to("b", "d"), 9, "late"), result.NotRecovered)
 }
 
-// A replica that was replaced takes no part in confirming an old value. Its former membership is known to two of
-// three, and the one of these that stays has reached the next epoch.
-func TestReplacedReplicaConfirmsNothing(t *testing.T) {
+// A replaced replica cannot confirm an old value: a quorum of the previous epoch needs one of the remaining members, which
+// have reached the next epoch and reject reads of the previous one.
+func TestReplacedReplicaCannotConfirmAnOldValue(t *testing.T) {
 	s := newStoreCluster(t)
 	for _, address := range []string{"a", "b", "c"} {
 		s.wantCode(s.accept(address, s.to(address, address), 5, "old"), result.OK)
@@ -330,14 +330,15 @@
 	s.wantCode(s.rejoin("d", 0, "b", "c"), result.OK)
 	s.wantCode(s.accept("d", s.to("d", "d"), 9, "new"), result.OK)
 	s.wantCode(s.accept("c", s.to("c", "d"), 9, "new"), result.OK)
-	if answer, err := s.stores["a"].readAccepted(s.ctx(), &readAcceptedRequest{To: s.to("a", "a"), Name: "config"}); err != nil || string(answer.Value) != "old" {
-		t.Errorf("the replaced replica has not learned that yet: %v", err)
+	if response, err := s.stores["a"].readAccepted(s.ctx(), &readAcceptedRequest{To: s.to("a", "a"), Name: "config"}); err != nil || string(response.Value) != "old" {
+		t.Errorf("read from the replaced replica, which has not learned of its replacement: error %v, want value \"old\"", err)
 	}
 	_, err := s.stores["b"].readAccepted(s.ctx(), &readAcceptedRequest{To: toB, Name: "config"})
 	s.wantCode(err, result.EpochOutdated)
 }
 
-// Ballots of two incarnations of a disk, and of two disks at one address, differ, and the counter is restored.
+// The ballots of different incarnations of a disk and of different disks at one address differ, and the ballot counter is
+// restored after a restart.
 func TestBallotsAreUniqueAcrossIncarnations(t *testing.T) {
 	s := newStoreCluster(t)
 	to := s.to("a", "a")
@@ -346,18 +347,18 @@
 	s.wantCode(err, result.OK)
 	st := s.start("a", false)
 	if second := st.proposer(); second == first {
-		t.Errorf("two incarnations propose as %s", second)
+		t.Errorf("two incarnations have the proposer ID %s", second)
 	}
 	if st.highestBallot() != 7 {
-		t.Errorf("the counter begins at %d, 7 was promised", st.highestBallot())
+		t.Errorf("highest ballot %d after the restart, want 7", st.highestBallot())
 	}
-	s.wipe("a")
+	s.replaceDisk("a")
 	if third := s.stores["a"].proposer(); third == first || third == st.proposer() {
-		t.Errorf("another disk proposes as %s", third)
+		t.Errorf("a different disk has the same proposer ID %s", third)
 	}
 }
 
-// What was applied and is not durable yet is not acknowledged: a power loss may undo it.
+// A change that was applied but is not durable is not acknowledged, since a power failure may undo it.
 func TestOnlyDurableStateIsAcknowledged(t *testing.T) {
 	s := newStoreCluster(t)
 	st := s.stores["a"]
@@ -371,23 +372,23 @@
 	s.wantCode(err, result.StorageFailed)
 }
 
-// A machine that comes after the first start takes the membership from those that are there, not from its list of seeds.
+// A machine that joins after the bootstrap takes the membership from its peers rather than building one from its seeds.
 func TestLateMachineBuildsNoMembership(t *testing.T) {
 	s := newStoreCluster(t)
 	s.first = membership.Bootstrap(3, []string{"b", "c", "d"})
 	s.dirs["d"] = t.TempDir()
 	st := s.start("d", false)
 	if m := st.currentMembership(); m.Epoch != 0 {
-		t.Errorf("it knows %+v", m)
+		t.Errorf("membership %+v before any message, want none", m)
 	}
 	s.wantCode(st.learnMembership(s.stores["a"].currentMembership()), result.OK)
 	if _, _, seated := st.self(); seated {
-		t.Error("it holds a seat that nobody gave it")
+		t.Error("the machine holds a seat of a membership that does not include it")
 	}
 }
 
-// Bad input: each is rejected with the code of its error, and changes nothing.
-func TestImpossibleMessagesChangeNothing(t *testing.T) {
+// Invalid messages are rejected with the matching result code and do not change the state.
+func TestInvalidMessagesChangeNothing(t *testing.T) {
 	s := newStoreCluster(t)
 	good := s.to("a", "a")
 	bad := func(change func(*membership.Membership)) target {
@@ -404,24 +405,24 @@
 			m.Seats = append(m.Seats, membership.Member{}, membership.Member{})
 			m.Epoch = 2
 		}), result.MembershipInvalid},
-		"two of one disk":      {bad(func(m *membership.Membership) { m.Seats[1].ID = m.Seats[0].ID }), result.MembershipInvalid},
-		"two at one address":   {bad(func(m *membership.Membership) { m.Seats[1].Address = m.Seats[0].Address }), result.MembershipInvalid},
-		"epoch zero":           {bad(func(m *membership.Membership) { m.Epoch = 0 }), result.MembershipInvalid},
-		"made on a later one":  {bad(func(m *membership.Membership) { m.BaseEpoch = 9 }), result.MembershipInvalid},
-		"another of one epoch": {bad(func(m *membership.Membership) { m.Seats[2].Address = "x" }), result.MembershipInvalid},
-		"another deployment":   {bad(func(m *membership.Membership) { m.Deployment = "x"; m.Epoch = 9 }), result.WrongDeployment},
-		"another replica":      {target{good.Membership, "x"}, result.WrongReplica},
-	}
-	for name, one := range cases {
-		err := s.accept("a", one.to, 5, "value")
-		if result.CodeOf(err) != one.want {
-			t.Errorf("%s: %v, code %d wanted", name, err, one.want)
+		"duplicate disk":        {bad(func(m *membership.Membership) { m.Seats[1].ID = m.Seats[0].ID }), result.MembershipInvalid},
+		"duplicate address":     {bad(func(m *membership.Membership) { m.Seats[1].Address = m.Seats[0].Address }), result.MembershipInvalid},
+		"epoch zero":            {bad(func(m *membership.Membership) { m.Epoch = 0 }), result.MembershipInvalid},
+		"base is a later epoch": {bad(func(m *membership.Membership) { m.BaseEpoch = 9 }), result.MembershipInvalid},
+		"conflict in one epoch": {bad(func(m *membership.Membership) { m.Seats[2].Address = "x" }), result.MembershipInvalid},
+		"another deployment":    {bad(func(m *membership.Membership) { m.Deployment = "x"; m.Epoch = 9 }), result.WrongDeployment},
+		"another replica":       {target{good.Membership, "x"}, result.WrongReplica},
+	}
+	for name, tc := range cases {
+		err := s.accept("a", tc.to, 5, "value")
+		if result.CodeOf(err) != tc.want {
+			t.Errorf("%s: error %v, want code %d", name, err, tc.want)
 		}
 	}
 	if st := s.stores["a"]; len(st.registers) != 0 || !st.membership.Equal(good.Membership) {
-		t.Error("something was changed")
+		t.Error("a rejected message changed the state")
 	}
 	if _, err := openStore(s.dirs["a"], "b", s.first, false); result.CodeOf(err) != result.WrongDisk {
-		t.Errorf("the disk of another machine: %v", err)
+		t.Errorf("disk of another machine: error %v, want code %d", err, result.WrongDisk)
 	}
 }
--- a/internal/system/core/stored_data_test.go
+++ b/internal/system/core/stored_data_test.go
@@ -11,8 +11,8 @@
 	"sedgevale/internal/system/statefile"
 )
 
-// storedStates are the data directories of core machines under statefile/testdata and what is said of each. The line of
-// a disk is that after one more start.
+// storedStates holds the data directories of core machines under statefile/testdata and the expected output of Describe for
+// each, after the disk was opened once more.
 var storedStates = map[string]struct {
 	address, text string
 }{
@@ -49,7 +49,7 @@
 
 const storedDirectory = "../statefile/testdata/"
 
-// A core scheduler that starts on a directory of an earlier release holds the same registers, seats and shards.
+// A core scheduler that starts with the data directory of an earlier release restores its registers, seats and shards.
 func TestStoredStateIsRestored(t *testing.T) {
 	for name, want := range storedStates {
 		t.Run(name, func(t *testing.T) {
@@ -66,10 +66,10 @@
 			}
 			var text strings.Builder
 			if err := Describe(dir, &text); err != nil || text.String() != want.text {
-				t.Errorf("error %v, the state is\n%s\nwant\n%s", err, text.String(), want.text)
+				t.Errorf("error %v, restored state\n%s\nwant\n%s", err, text.String(), want.text)
 			}
 			if !opened.identity.Restored {
-				t.Error("the disk counts as one that has not been restored")
+				t.Error("the disk's identity is not marked as restored")
 			}
 			type storedOwner struct {
 				Address string
@@ -77,18 +77,18 @@
 			}
 			var owner storedOwner
 			if err := avrocodec.Decode(opened.registers["owner/svc"].Value, &owner); err != nil || owner != (storedOwner{"10.0.0.3:7000", 2}) {
-				t.Errorf("the shard is owned by %+v, error %v", owner, err)
+				t.Errorf("stored owner of the shard is %+v, error %v", owner, err)
 			}
 			var record ownerRecord
 			if err := avrocodec.Decode(opened.registers["owner/svc"].Value, &record); err != nil || record.Address != owner.Address || record.Token != 2 {
-				t.Errorf("the owner is read as %+v, error %v", record, err)
+				t.Errorf("ownerRecord decoded as %+v, error %v", record, err)
 			}
 			checkStoredConfig(t, name, opened.registers["config"].Value)
 		})
 	}
 }
 
-// checkStoredConfig checks the value of the configuration's register.
+// checkStoredConfig checks the value of the configuration register.
 func checkStoredConfig(t *testing.T, name string, value []byte) {
 	t.Helper()
 	var record configRecord
@@ -101,28 +101,28 @@
 	}
 	if record.Version != version || len(record.History) != changes || record.History[1].Base != 1 ||
 		record.History[1].Digest != -1703480582370182761 || !bytes.HasPrefix(record.Text, []byte(`{"version":`)) || !bytes.HasSuffix(record.Text, []byte(`"services":[{"name":"svc"}]}`)) {
-		t.Errorf("the configuration is read as %+v", record)
+		t.Errorf("configRecord decoded as %+v", record)
 	}
 }
 
-// Each entry is written again as it was: no field was moved, dropped, added or given another type.
-func TestStoredEntriesAreWrittenAgainAlike(t *testing.T) {
+// Re-encoding a stored entry yields the same bytes: no field of entry was moved, removed, added or given another type.
+func TestStoredEntriesAreReencodedIdentically(t *testing.T) {
 	for name := range storedStates {
 		count := 0
 		_, err := statefile.Replay(storedDirectory+name, func(payload []byte) error {
 			count++
-			var one entry
-			if err := avrocodec.Decode(payload, &one); err != nil {
+			var decoded entry
+			if err := avrocodec.Decode(payload, &decoded); err != nil {
 				return err
 			}
-			again, err := avrocodec.Encode(&one)
-			if err == nil && !bytes.Equal(again, payload) {
-				t.Errorf("%s: entry %d of kind %d is written as %x, was %x", name, count, one.Kind, again, payload)
+			encoded, err := avrocodec.Encode(&decoded)
+			if err == nil && !bytes.Equal(encoded, payload) {
+				t.Errorf("%s: entry %d of kind %d encoded as %x, want %x", name, count, decoded.Kind, encoded, payload)
 			}
 			return err
 		})
 		if err != nil || count == 0 {
-			t.Errorf("%s: %d entries, error %v", name, count, err)
+			t.Errorf("%s: replayed %d entries, error %v", name, count, err)
 		}
 	}
 }
--- a/internal/system/core/takeover.go
+++ b/internal/system/core/takeover.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	takeoverBackoff = 400 * time.Millisecond // after an attempt: from this to twice as long, at random
+	takeoverBackoff = 400 * time.Millisecond // minimum time between two attempts; up to the same again is added at random
 	takeoverTimeout = 2500 * time.Millisecond
-	ownerPrefix     = "owner/" // of the names of the ownership registers, before the shard
+	ownerPrefix     = "owner/" // prefix of a shard's name in the name of its ownership register
 )
 
-// ownerRecord is the value of a shard's ownership register.
+// ownerRecord is the value of a shard's ownership register. It is an Avro record: the order and the types of the fields must
+// not change.
 type ownerRecord struct {
 	Address string
 	Token   int64
 }
 
-// takeOver makes this scheduler the owner of a shard, under the next fencing token.
+// takeOver tries once to make this scheduler the owner of a shard under the next fencing token.
 func (c *Core) takeOver(ctx context.Context, name string) {
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
 	startedAt := time.Now()
-	o, err := c.acquire(ctx, name)
+	o, err := c.acquireShard(ctx, name)
 	c.mu.Lock()
 	c.takeoverNotBefore[name] = time.Now().Add(takeoverBackoff + jitter(takeoverBackoff))
 	if err == nil && c.draining {
@@ -38,33 +39,33 @@
 	}
 	c.mu.Unlock()
 	if err != nil {
-		c.logger.Info("shard takeover failed", "shard", name, "error", err.Error())
+		c.logger.Info("shard takeover failed; retrying after a backoff", "shard", name, "error", err.Error())
 		return
 	}
 	c.logger.Info("shard taken over", "shard", name, "token", o.token, "records", o.recordCount(),
-		"took_ms", time.Since(startedAt).Milliseconds())
+		"duration_ms", time.Since(startedAt).Milliseconds())
 	c.goroutines.Go(c.pingAll)
 }
 
-// acquire fences all earlier owners of a shard, merges what a quorum of the replicas hold, and returns an owner with which
-// a quorum is in sync.
-func (c *Core) acquire(ctx context.Context, name string) (*owner, error) {
+// acquireShard fences all earlier owners of a shard, merges the records of a quorum of the replicas and returns an owner
+// with which a quorum of the replicas is in sync.
+func (c *Core) acquireShard(ctx context.Context, name string) (*owner, error) {
 	token, err := c.nextToken(ctx, name)
 	if err != nil {
 		return nil, err
 	}
 	m := c.store.currentMembership()
-	sealed, err := c.sealQuorum(ctx, m, name, token)
+	fenced, err := c.fenceQuorum(ctx, m, name, token)
 	if err != nil {
 		return nil, err
 	}
-	set, err := c.mergeRecords(ctx, m, name, sealed)
+	set, err := c.mergeRecords(ctx, m, name, fenced)
 	if err != nil {
 		return nil, err
 	}
 	o := newOwner(c, name, token, m, set)
-	for seat := range sealed {
-		o.replicators[seat].sealed = true
+	for seat := range fenced {
+		o.replicators[seat].fenced = true
 	}
 	o.startReplicators()
 	if err := o.waitInSync(ctx); err != nil {
@@ -78,7 +79,7 @@
 	return o, nil
 }
 
-// nextToken raises the fencing token of a shard in its ownership register.
+// nextToken increments the fencing token in a shard's ownership register and returns it.
 func (c *Core) nextToken(ctx context.Context, name string) (int64, error) {
 	value, err := c.propose(ctx, ownerPrefix+name, func(current []byte) ([]byte, error) {
 		var record ownerRecord
@@ -97,35 +98,35 @@
 	return record.Token, err
 }
 
-// sealQuorum has a quorum of the voters whose replicas are complete reject all earlier owners, and returns their answers by
-// seat.
-func (c *Core) sealQuorum(ctx context.Context, m membership.Membership, name string, token int64) (map[int]*sealResponse, error) {
-	replies, count := broadcast(c, m, m.Voters(), methodSeal, c.store.seal, func(to target) *sealRequest {
-		return &sealRequest{To: to, Shard: name, Token: token}
+// fenceQuorum makes a quorum of voters with complete replicas reject all earlier owners of a shard. It returns their
+// responses, keyed by seat.
+func (c *Core) fenceQuorum(ctx context.Context, m membership.Membership, name string, token int64) (map[int]*fenceResponse, error) {
+	replies, count := broadcast(c, m, m.Voters(), methodFence, c.store.fence, func(to target) *fenceRequest {
+		return &fenceRequest{To: to, Shard: name, Token: token}
 	})
-	complete, lastErr := awaitQuorum(ctx, replies, count, m.Quorum(), func(r *sealResponse) bool { return r.Voter })
+	complete, lastErr := awaitQuorum(ctx, replies, count, m.Quorum(), func(r *fenceResponse) bool { return r.Voter })
 	if len(complete) < m.Quorum() {
-		return nil, result.Errorf(result.Unavailable, "shard %s: %d replicas sealed, last failure: %w", name, len(complete), lastErr)
+		return nil, result.Errorf(result.Unavailable, "shard %s: %d complete replicas fenced, want %d; last error: %w", name, len(complete), m.Quorum(), lastErr)
 	}
-	sealed := map[int]*sealResponse{}
+	fenced := map[int]*fenceResponse{}
 	for _, r := range complete {
-		sealed[m.SeatOf(r.member.ID)] = r.response
+		fenced[m.SeatOf(r.member.ID)] = r.response
 	}
-	return sealed, nil
+	return fenced, nil
 }
 
-// mergeRecords merges the records of the sealed replicas that were in sync with the newest owner before.
-func (c *Core) mergeRecords(ctx context.Context, m membership.Membership, name string, sealed map[int]*sealResponse) (*shard.RecordSet, error) {
-	answers := map[int]shard.FenceResponse{}
-	for seat, answer := range sealed {
-		answers[seat] = shard.FenceResponse{InSyncToken: answer.InSync, Digests: answer.Digests}
+// mergeRecords merges the records of those fenced replicas that were in sync with the most recent of the earlier owners.
+func (c *Core) mergeRecords(ctx context.Context, m membership.Membership, name string, fenced map[int]*fenceResponse) (*shard.RecordSet, error) {
+	responses := map[int]shard.FenceResponse{}
+	for seat, response := range fenced {
+		responses[seat] = shard.FenceResponse{InSyncToken: response.InSyncToken, Digests: response.Digests}
 	}
 	set := shard.NewRecordSet()
-	for _, seat := range shard.NewestInSync(answers) {
+	for _, seat := range shard.NewestInSync(responses) {
 		member := m.Seats[seat]
 		to := target{Membership: m, Member: member.ID}
 		request := &fetchRequest{To: to, Shard: name}
-		for _, bucket := range shard.DifferingBuckets(set.Digests(), answers[seat].Digests) {
+		for _, bucket := range shard.DifferingBuckets(set.Digests(), responses[seat].Digests) {
 			request.Buckets = append(request.Buckets, int64(bucket))
 		}
 		response, err := replicaCall(ctx, c, to, member.Address, methodFetch, c.store.fetch, request)
--- a/internal/system/core/watch.go
+++ b/internal/system/core/watch.go
@@ -13,51 +13,53 @@
 	"sedgevale/internal/system/rpc"
 )
 
-const maxWatchWait = time.Second // of one long poll
+const maxWatchWait = time.Second // upper limit on the duration of a long poll
 
 func (c *Core) handleWatch(server *rpc.Server) {
 	rpc.Handle(server, api.MethodWatch, c.watch)
 }
 
-// watch is a long poll: it answers once something differs from what the subscriber knows, or after the time that it asks for.
+// watch serves a long poll: it responds as soon as the state differs from the subscriber's, no quorum confirms the
+// configuration, or the requested time has passed.
 func (c *Core) watch(ctx context.Context, r *api.WatchRequest) (*api.WatchResponse, error) {
 	timeout := time.NewTimer(min(time.Duration(r.WaitMS)*time.Millisecond, maxWatchWait))
 	defer timeout.Stop()
 	for {
 		c.mu.Lock()
 		changed := c.changed
-		answer := c.watchResponse(r)
+		response := c.watchResponse(r)
 		c.mu.Unlock()
-		answer.Confirmed = c.configFresh()
-		if !answer.Confirmed || answer.ConfigVersion != r.ConfigVersion || answer.OwnersDigest != r.OwnersDigest {
-			return answer, nil
+		response.Confirmed = c.configFresh()
+		if !response.Confirmed || response.ConfigVersion != r.ConfigVersion || response.OwnersDigest != r.OwnersDigest {
+			return response, nil
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			return answer, nil
+			return response, nil
 		case <-ctx.Done():
-			return answer, nil
+			return response, nil
 		}
 	}
 }
 
-// watchResponse returns what is known now. c.mu is held.
+// watchResponse returns the response to a watch request for the current state. c.mu is held.
 func (c *Core) watchResponse(r *api.WatchRequest) *api.WatchResponse {
-	answer := &api.WatchResponse{Owners: c.knownOwners(), Cores: c.coreAddresses()}
-	answer.OwnersDigest = ownersDigest(answer)
+	response := &api.WatchResponse{Owners: c.knownOwners(), Cores: c.coreAddresses()}
+	response.OwnersDigest = ownersDigest(response)
 	if c.config == nil {
-		return answer
+		return response
 	}
-	answer.ConfigVersion = c.config.record.Version
-	if r.WantConfig && answer.ConfigVersion > r.ConfigVersion {
-		answer.Config, answer.ConfigBase = c.configSince(r.ConfigVersion)
+	response.ConfigVersion = c.config.record.Version
+	if r.WantConfig && response.ConfigVersion > r.ConfigVersion {
+		response.Config, response.ConfigBase = c.configSince(r.ConfigVersion)
 	}
-	return answer
+	return response
 }
 
-// configSince returns the configuration as a patch on a version, where that is known here and the patch is shorter,
-// else complete. Each patch is computed once. c.mu is held.
+// configSince returns the configuration as a patch on the given version if that version is known and the patch is shorter
+// than the configuration. Otherwise it returns the complete configuration and base 0. Each patch is computed once. c.mu is
+// held.
 func (c *Core) configSince(version int64) (text []byte, base int64) {
 	complete := c.config.record.Text
 	for _, past := range c.previousConfigs {
@@ -76,7 +78,8 @@
 	return complete, 0
 }
 
-// knownOwners returns the claim with the highest fencing token to each shard, sorted by shard. c.mu is held.
+// knownOwners returns for each shard the owner with the highest fencing token among the valid claims, sorted by shard. c.mu
+// is held.
 func (c *Core) knownOwners() []api.Owner {
 	newest := map[string]api.Owner{}
 	consider := func(name, address string, token int64) {
@@ -89,7 +92,7 @@
 			consider(name, c.address, o.token)
 		}
 	}
-	for address, claim := range c.freshClaims() {
+	for address, claim := range c.validClaims() {
 		consider(claim.Shard, address, claim.Token)
 	}
 	owners := make([]api.Owner, 0, len(newest))
@@ -100,7 +103,7 @@
 	return owners
 }
 
-// ownersDigest is a hash of the owners and core schedulers of an answer.
+// ownersDigest returns a hash of the owners and the core schedulers in a response.
 func ownersDigest(r *api.WatchResponse) int64 {
 	hash := xxhash.New()
 	for _, o := range r.Owners {
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -42,7 +42,7 @@
 mutate "changes from before the history are rejected" internal/system/core/config.go 's/o\.baseVersion < record\.History\[0\]\.Base/false/'
 mutate "net/http repeats a call" internal/system/rpc/rpc.go 's/call\.GetBody = nil/call.Header.Set("Idempotency-Key", "x")/'
 mutate "accepted before it is durable" internal/system/core/jobsapi.go 's/sequence := o\.flush\(\)\n\to\.mu\.Unlock\(\)\n\treturn &api\.Empty\{\}, o\.waitCommitted\(ctx, sequence\)/o.flush()\n\to.mu.Unlock()\n\treturn &api.Empty{}, nil/'
-mutate "a retried change is rejected" internal/system/core/config.go 's/if made\.Digest == o\.digest/if false \&\& made.Digest == o.digest/'
+mutate "a retried change is rejected" internal/system/core/config.go 's/if applied\.Digest == o\.digest/if false \&\& applied.Digest == o.digest/'
 mutate "no backfill on reserved workers" jobs/reservation.go 's/reserved\.backfillCapacity\(\)\.Holds\(demand\)/false/' ./jobs
 mutate "reservations hold without end" jobs/overdue.go 's/c\.ignoreReservations = idle \|\| group\.isLongRunning\(\)/c.ignoreReservations = idle && false/' ./jobs
 mutate "overdue work is not placed" jobs/cycle.go 's/if s\.overdueCycle \{/if false {/' ./jobs
