--- a/jobs/assign.go
+++ b/jobs/assign.go
@@ -1,6 +1,6 @@
 package jobs
 
-// placeTasks places the tasks of a group one by one. It reports whether the queue still has credit.
+// placeTasks places the tasks of a group one at a time. It reports whether the queue still has credit.
 func (s *Scheduler) placeTasks(c *cycle, group *taskGroup) bool {
 	for len(group.tasks) > 0 {
 		if group.queue.isAtLimit(group) {
@@ -27,7 +27,7 @@
 	return group.queue.deficit.Charge(work)
 }
 
-// assign assigns a task to a worker. The start may be sent once the assignment is committed.
+// assign assigns a task to a worker. The start is sent only after the assignment is committed.
 func (s *Scheduler) assign(c *cycle, group *taskGroup, w *Worker, index int) {
 	task := &group.occurrence.Stages[group.stage].Tasks[index]
 	group.job.setTaskState(task, TaskAssigned)
@@ -50,8 +50,8 @@
 	})
 }
 
-// markUnschedulable leaves a group out of the rest of the cycle. If no worker is feasible for it, it claims no share of the
-// capacity; otherwise it may reserve workers for its members.
+// markUnschedulable excludes a group from the rest of the cycle. If no worker is feasible for the group, its demand does not
+// count towards its queue's claim on the capacity. Otherwise the group may reserve workers for its members.
 func (s *Scheduler) markUnschedulable(c *cycle, group *taskGroup, members int) {
 	c.unschedulable[group] = true
 	if !c.feasibleAnywhere(group) {
--- a/jobs/backlog.go
+++ b/jobs/backlog.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// taskGroup is the pending tasks of one stage in one occurrence of a job: the unit of the queues. Its tasks are alike; those
-// of a gang are placed together.
+// taskGroup holds the pending tasks of one stage in one occurrence of a job and is the element of a queue. Its tasks are
+// identical. The tasks of a gang are placed together.
 type taskGroup struct {
 	job        *Job
 	occurrence *Occurrence
@@ -11,11 +11,11 @@
 	queue      *Queue
 	tasks      []int // indexes of the pending tasks
 	deadline   time.Duration
-	sequence   uint64 // breaks ties of deadlines
+	sequence   uint64 // orders groups with equal deadlines
 	queuedAt   time.Duration
 	gang       bool
-	class      triageClass // set by triage; see Queue.classOf
-	triage     int         // the number of the queue's triage that has set class; 0 for none
+	class      triageClass // class assigned by the triage with the number in triage; see Queue.classOf
+	triage     int         // number of the queue's triage that set class; 0 if none did
 }
 
 // spec returns the stage's specification.
@@ -24,7 +24,7 @@
 // isLongRunning reports whether the group's tasks run until their job is cancelled.
 func (g *taskGroup) isLongRunning() bool { return g.job.isLongRunning(g.stage) }
 
-// lessGroup orders groups by earliest deadline.
+// lessGroup orders groups by ascending deadline.
 func lessGroup(a, b *taskGroup) bool {
 	if a.deadline != b.deadline {
 		return a.deadline < b.deadline
@@ -32,7 +32,7 @@
 	return a.sequence < b.sequence
 }
 
-// enqueueStage enqueues the pending tasks of a stage once its dependencies are completed.
+// enqueueStage enqueues the pending tasks of a stage if its dependencies have completed.
 func (s *Scheduler) enqueueStage(now time.Duration, job *Job, occurrence *Occurrence, stageIndex int) {
 	if !job.dependenciesCompleted(occurrence, stageIndex) {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// requeueStage enqueues the pending tasks of a stage; those of a gang only once none of its members is assigned.
+// requeueStage enqueues the pending tasks of a stage. A gang is enqueued only if none of its members is assigned.
 func (s *Scheduler) requeueStage(now time.Duration, job *Job, occurrence *Occurrence, stageIndex int) {
 	if job.Spec.Stages[stageIndex].Gang {
 		for index := range occurrence.Stages[stageIndex].Tasks {
@@ -56,7 +56,7 @@
 	s.enqueueStage(now, job, occurrence, stageIndex)
 }
 
-// enqueue adds a task to its stage's group, and the group to its queue if it is new.
+// enqueue adds a task to the group of its stage and adds a new group to its queue.
 func (s *Scheduler) enqueue(now time.Duration, job *Job, occurrence *Occurrence, stageIndex, index int) {
 	stage := &job.Spec.Stages[stageIndex]
 	for _, group := range job.pending {
@@ -79,7 +79,7 @@
 	s.needsCycle = true
 }
 
-// dequeue removes the first tasks from a group, and an empty group from its queue and job.
+// dequeue removes the first count tasks from a group, and removes an empty group from its queue and job.
 func (s *Scheduler) dequeue(group *taskGroup, count int) {
 	q := group.queue
 	group.tasks = group.tasks[count:]
@@ -89,7 +89,7 @@
 	}
 	q.pending.Delete(group)
 	if q.pending.Len() == 0 {
-		q.pendingDemand = 0 // no rounding error may remain as demand
+		q.pendingDemand = 0 // discards accumulated rounding errors
 	}
 	for i, other := range group.job.pending {
 		if other == group {
@@ -99,8 +99,8 @@
 	}
 }
 
-// withdraw removes the task with an index from a group.
-func (s *Scheduler) withdraw(group *taskGroup, index int) {
+// removeTask removes the task with the given index from a group.
+func (s *Scheduler) removeTask(group *taskGroup, index int) {
 	for i, other := range group.tasks {
 		if other == index {
 			group.tasks[0], group.tasks[i] = group.tasks[i], group.tasks[0]
@@ -110,24 +110,24 @@
 	}
 }
 
-// deadline returns when an occurrence should be completed: the queue's latency target and the expected run time of the
-// critical path, times the queue's extension, after it became due.
+// deadline returns the time by which an occurrence should complete: the time at which it became due, plus the queue's target
+// latency, plus the expected run time of the critical path multiplied by the queue's extension.
 func (q *Queue) deadline(job *Job, occurrence *Occurrence) time.Duration {
-	chain := make([]time.Duration, len(job.Spec.Stages))
-	longest := time.Duration(0)
+	pathLengths := make([]time.Duration, len(job.Spec.Stages)) // expected time from the start of the job to the end of each stage
+	criticalPath := time.Duration(0)
 	for i := range job.Spec.Stages {
-		before := time.Duration(0)
+		start := time.Duration(0)
 		for _, earlier := range job.Spec.Stages[i].DependsOn {
-			before = max(before, chain[earlier])
+			start = max(start, pathLengths[earlier])
 		}
-		chain[i] = before + q.expectedRunTime(&job.Spec.Stages[i])
-		longest = max(longest, chain[i])
+		pathLengths[i] = start + q.expectedRunTime(&job.Spec.Stages[i])
+		criticalPath = max(criticalPath, pathLengths[i])
 	}
 	target := time.Duration(q.TargetLatencyMS * float64(time.Millisecond))
-	return occurrence.dueAt + target + time.Duration(q.Extension*float64(longest))
+	return occurrence.dueAt + target + time.Duration(q.Extension*float64(criticalPath))
 }
 
-// taskShare returns a task's dominant share of a mean worker, 1 at most, and 0 while no worker is known.
+// taskShare returns the dominant share of one task of the stage on a mean worker, capped at 1, or 0 while the mean is unknown.
 func (s *Scheduler) taskShare(stage *Stage) float64 {
 	if s.meanCapacity.CPU == 0 {
 		return 0
@@ -135,7 +135,7 @@
 	return min(1, s.meanCapacity.dominantShare(stage.demand()))
 }
 
-// recountPendingDemand computes the pending demand of all queues after the mean worker has changed.
+// recountPendingDemand recomputes the pending demand of all queues after a change of the mean capacity.
 func (s *Scheduler) recountPendingDemand() {
 	for _, q := range s.queues {
 		q.pendingDemand = 0
@@ -146,7 +146,8 @@
 	}
 }
 
-// updateMeanCapacity computes the mean capacity of ready workers, the unit of demand. Without one the last value stays.
+// updateMeanCapacity recomputes the mean capacity of the ready workers, which is the unit of demand. The last value remains if
+// no worker is ready.
 func (s *Scheduler) updateMeanCapacity() {
 	var sum Resources
 	n := int64(0)
@@ -166,9 +167,9 @@
 	}
 }
 
-// scanFrom visits pending groups by deadline, from a cursor on (nil for the first), until the budget is used up. It reports
-// whether it reached the end of the queue, and moves the cursor to the first group not visited, or nil. The visitor may
-// change the budget.
+// scanFrom visits pending groups in order of deadline, starting at the cursor (nil for the first group), until the budget is
+// used up. It sets the cursor to the first group that was not visited, or to nil at the end of the queue, and reports whether
+// it reached the end. The visit function may change the budget.
 func (q *Queue) scanFrom(cursor **taskGroup, budget *int, visit func(*taskGroup)) (ended bool) {
 	ended = true
 	next := func(group *taskGroup) bool {
--- a/jobs/changes.go
+++ b/jobs/changes.go
@@ -1,18 +1,18 @@
 package jobs
 
-// Change is a write to the shard's replicated records; a nil value deletes the key.
+// Change is a write to the shard's replicated records. A nil Value deletes the key.
 type Change struct {
 	Key   string
 	Value []byte
 }
 
-// durableEffect is a step that must wait until a change is committed.
-type durableEffect struct {
-	sequence int64 // of the change
+// commitCallback is a function to call after a change is committed.
+type commitCallback struct {
+	sequence int64 // sequence number of the change
 	run      func()
 }
 
-// markDirty has the next Flush write a job's record.
+// markDirty marks a job's record to be written by the next Flush.
 func (s *Scheduler) markDirty(job *Job) {
 	if !job.dirty {
 		job.dirty = true
@@ -20,11 +20,11 @@
 	}
 }
 
-// onDurable defers a step until all changes up to the next Flush are committed.
-func (s *Scheduler) onDurable(run func()) { s.newEffects = append(s.newEffects, run) }
+// onDurable registers a function to call after all changes up to and including the next Flush are committed.
+func (s *Scheduler) onDurable(run func()) { s.newCallbacks = append(s.newCallbacks, run) }
 
-// Flush passes all changes since the last call to put, which returns their sequence numbers. It returns the last of these,
-// or the given one where nothing changed.
+// Flush passes all changes since the last Flush to put, which returns the sequence number of each change. Flush returns the
+// sequence number of the last change, or the argument last if there was none.
 func (s *Scheduler) Flush(put func(Change) int64, last int64) (int64, error) {
 	for _, change := range s.newSpecs {
 		last = put(change)
@@ -43,19 +43,19 @@
 		last = put(Change{Key: key})
 	}
 	s.deletedKeys = s.deletedKeys[:0]
-	for _, run := range s.newEffects {
-		s.unconfirmedEffects = append(s.unconfirmedEffects, durableEffect{last, run})
+	for _, run := range s.newCallbacks {
+		s.uncommittedCallbacks = append(s.uncommittedCallbacks, commitCallback{last, run})
 	}
-	s.newEffects = s.newEffects[:0]
+	s.newCallbacks = s.newCallbacks[:0]
 	return last, nil
 }
 
-// Committed runs the steps that waited for changes up to a sequence number.
+// Committed calls the functions that waited for the commit of changes up to a sequence number.
 func (s *Scheduler) Committed(sequence int64) {
 	n := 0
-	for n < len(s.unconfirmedEffects) && s.unconfirmedEffects[n].sequence <= sequence {
-		s.unconfirmedEffects[n].run()
+	for n < len(s.uncommittedCallbacks) && s.uncommittedCallbacks[n].sequence <= sequence {
+		s.uncommittedCallbacks[n].run()
 		n++
 	}
-	s.unconfirmedEffects = s.unconfirmedEffects[n:]
+	s.uncommittedCallbacks = s.uncommittedCallbacks[n:]
 }
--- a/jobs/completion.go
+++ b/jobs/completion.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// outcomeGain is the weight of one run in a worker's failure rate and slowdown.
+// outcomeGain is the EWMA weight of one run in a worker's failure rate and slowdown.
 const outcomeGain = 0.2
 
-// maxSlowdownSample bounds what one run adds to a worker's slowdown.
+// maxSlowdownSample is the maximum slowdown of one run that enters a worker's EWMA.
 const maxSlowdownSample = 10
 
-// applyFinished applies the finished runs of a report that were not applied before. They are acknowledged to the worker once
-// that is committed.
+// applyFinished applies the finished runs of a report that were not applied before. They are acknowledged to the agent after
+// the resulting changes are committed.
 func (s *Scheduler) applyFinished(now time.Duration, w *Worker, r *Report) {
 	last := w.appliedCompletions
 	for _, end := range r.Finished {
@@ -29,7 +29,7 @@
 	})
 }
 
-// finishRun applies the end of a run, with its last checkpoint.
+// finishRun applies the outcome and the final checkpoint of a run.
 func (s *Scheduler) finishRun(now time.Duration, w *Worker, key RunRef, outcome, checkpoint string) {
 	s.needsCycle = true
 	run := w.Runs[key]
@@ -42,7 +42,7 @@
 		s.markRan(run.job)
 	}
 	w.remove(run)
-	learnOutcome(now, w, run, outcome)
+	observeOutcome(now, w, run, outcome)
 	occurrence, _, task := run.task()
 	if task == nil || task.State != TaskAssigned || task.Attempt != key.Attempt || task.Worker != w.Ref {
 		return
@@ -50,7 +50,7 @@
 	s.advanceTask(now, run.job, occurrence, run.position, outcome)
 }
 
-// applyLateSuccess applies the success of a run that had been given up, as long as its task was not assigned again.
+// applyLateSuccess applies the success of a run that was already written off, unless its task has been assigned again.
 func (s *Scheduler) applyLateSuccess(now time.Duration, w *Worker, key RunRef, outcome string) {
 	position, ok := parseTaskName(key.Task)
 	if outcome != outcomeSucceeded || !ok {
@@ -62,7 +62,7 @@
 	}
 	for _, group := range job.pending {
 		if group.occurrence == occurrence && group.stage == position.stage {
-			s.withdraw(group, position.index)
+			s.removeTask(group, position.index)
 			break
 		}
 	}
@@ -70,13 +70,14 @@
 	s.advanceTask(now, job, occurrence, position, outcome)
 }
 
-// pendingTask returns the job and occurrence of a task, or nils unless the task is pending after an attempt on a worker.
+// pendingTask returns the job and occurrence of a task if the task is pending and its latest attempt was the given one on the
+// given worker, or nil values otherwise.
 func (s *Scheduler) pendingTask(position taskPosition, attempt int64, worker string) (*Job, *Occurrence) {
-	job := s.jobs[position.id]
+	job := s.jobs[position.jobID]
 	if job == nil || job.hasEnded() {
 		return nil, nil
 	}
-	occurrence := job.occurrence(position.number)
+	occurrence := job.occurrence(position.occurrence)
 	if occurrence == nil || occurrence.Done || position.stage >= len(occurrence.Stages) {
 		return nil, nil
 	}
@@ -91,8 +92,8 @@
 	return job, occurrence
 }
 
-// learnOutcome updates what is learned about a worker and the run's queue.
-func learnOutcome(now time.Duration, w *Worker, run *Run, outcome string) {
+// observeOutcome updates the statistics of the worker and of the run's queue with the outcome of a run.
+func observeOutcome(now time.Duration, w *Worker, run *Run, outcome string) {
 	failed := 0.0
 	switch outcome {
 	case outcomeRejected, outcomeLeaseExpired:
@@ -113,13 +114,13 @@
 		return
 	}
 	expected := run.queue.expectedRunTime(run.spec())
-	took := now - run.assignedAt
-	run.queue.learnRunTime(took, time.Duration(estimate)*time.Millisecond)
-	slowdown := min(took.Seconds()/max(expected.Seconds(), minRunSeconds), maxSlowdownSample)
+	runTime := now - run.assignedAt
+	run.queue.observeRunTime(runTime, time.Duration(estimate)*time.Millisecond)
+	slowdown := min(runTime.Seconds()/max(expected.Seconds(), minRunSeconds), maxSlowdownSample)
 	w.slowdown += outcomeGain * (slowdown - w.slowdown)
 }
 
-// advanceTask moves an assigned task on after the end of its run: it is completed, enqueued again, or fails its job.
+// advanceTask updates an assigned task after its run has ended: the task completes, is enqueued again, or fails its job.
 func (s *Scheduler) advanceTask(now time.Duration, job *Job, occurrence *Occurrence, position taskPosition, outcome string) {
 	progress := &occurrence.Stages[position.stage]
 	s.markDirty(job)
@@ -146,7 +147,7 @@
 	s.requeueStage(now, job, occurrence, position.stage)
 }
 
-// countFailure counts a failed run, once for all members of a gang, and reports whether the queue's retries are used up.
+// countFailure counts a failed run, once per attempt of a gang, and reports whether the queue's retries are exhausted.
 func (s *Scheduler) countFailure(job *Job, progress *StageProgress, position taskPosition) bool {
 	attempt := progress.Tasks[position.index].Attempt
 	counter := &progress.Tasks[position.index]
@@ -160,8 +161,8 @@
 	return counter.Failures >= max(1, s.queue(job.Queue).Retries)
 }
 
-// completeTask completes a task, or all members of a gang after the success of one member, and what that completes in turn: the stage,
-// the occurrence, the job.
+// completeTask marks a task as completed, or all members of a gang after the success of one member. If that completes the
+// stage, it enqueues the dependent stages or completes the occurrence and the job.
 func (s *Scheduler) completeTask(now time.Duration, job *Job, occurrence *Occurrence, position taskPosition) {
 	progress := &occurrence.Stages[position.stage]
 	if job.Spec.Stages[position.stage].Gang {
--- a/jobs/cost_test.go
+++ b/jobs/cost_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-var fullTable = flag.Bool("full", false, "measure up to the operators' size, and print the table")
+var fullTable = flag.Bool("full", false, "measure all sizes up to the largest supported deployment and print the table")
 
-// size is a point of the sweep: workers, tasks that run, queues.
+// size is the size of a measured scheduler: the numbers of workers, running tasks and queues.
 type size struct{ workers, running, queues int }
 
-// TestSlopes measures what a scheduler costs as workers, running tasks and queues grow. In CI it only bounds the growth of
-// heap; with -args -full it prints the table of docs/CAPACITY.md.
-func TestSlopes(t *testing.T) {
+// TestSchedulerCostGrowth measures the heap and time that a scheduler uses as workers, running tasks and queues grow. By
+// default it only bounds the growth of the heap. With -args -full it prints the table of docs/CAPACITY.md.
+func TestSchedulerCostGrowth(t *testing.T) {
 	sizes := []size{{50, 500, 5}, {100, 1000, 5}, {200, 2000, 5}}
 	if *fullTable {
 		sizes = []size{
@@ -27,19 +27,21 @@
 	var heaps []float64
 	for _, s := range sizes {
 		m := measureScheduler(t, s)
-		heaps = append(heaps, m.heap)
-		t.Logf("workers %5d running %6d queues %4d: heap %7.2f MB, report %6.1f us, start %7.1f us, round %8.1f us, record %5.0f B a task",
-			s.workers, s.running, s.queues, m.heap, m.report, m.start, m.round, m.record)
+		heaps = append(heaps, m.heapMB)
+		t.Logf("workers %5d running %6d queues %4d: heap %7.2f MB, report %6.1f us, start %7.1f us, cycle %8.1f us, record %5.0f B/task",
+			s.workers, s.running, s.queues, m.heapMB, m.reportUS, m.startUS, m.cycleUS, m.recordBytes)
 	}
 	if !*fullTable && heaps[2] > 3.5*heaps[0] && heaps[2] > 2 {
-		t.Errorf("heap %v MB at four times the size is more than linear", heaps)
+		t.Errorf("heap %v MB grows more than linearly over four times the size", heaps)
 	}
 }
 
-type measured struct{ heap, report, start, round, record float64 }
+// costs are the measured costs of a scheduler: the heap, the time per HandleReport, per started task and per tick with its
+// cycle, and the bytes of records per task.
+type costs struct{ heapMB, reportUS, startUS, cycleUS, recordBytes float64 }
 
-// measureScheduler measures a scheduler of a size: heap in MB, times in microseconds a call, bytes of records a task.
-func measureScheduler(t *testing.T, s size) (m measured) {
+// measureScheduler measures the costs of a scheduler of the given size.
+func measureScheduler(t *testing.T, s size) (m costs) {
 	t.Helper()
 	before := heapMB()
 	scheduler := New(Options{LeaseTimeout: time.Minute, EndedJobTTL: time.Minute, RemoteSlowdown: 1.5}, rand.New(rand.NewPCG(1, 1)))
@@ -56,31 +58,32 @@
 		}
 		scheduler.HandleReport(0, reports[i])
 	}
-	began := time.Now()
-	now, bytes := fill(t, scheduler, queues, s.running)
-	m.start = float64(time.Since(began).Microseconds()) / float64(s.running)
-	m.record = float64(bytes) / float64(s.running)
-	began = time.Now()
-	const rounds = 5
-	for range rounds {
+	start := time.Now()
+	now, bytes := submitAndStart(t, scheduler, queues, s.running)
+	m.startUS = float64(time.Since(start).Microseconds()) / float64(s.running)
+	m.recordBytes = float64(bytes) / float64(s.running)
+	start = time.Now()
+	const cycles = 5
+	for range cycles {
 		scheduler.Tick(now, 0)
 		scheduler.Schedule(now)
 	}
-	m.round = float64(time.Since(began).Microseconds()) / rounds
+	m.cycleUS = float64(time.Since(start).Microseconds()) / cycles
 	reportRuns(scheduler, reports)
-	began = time.Now()
+	start = time.Now()
 	for _, r := range reports {
 		scheduler.HandleReport(now, r)
 	}
-	m.report = float64(time.Since(began).Microseconds()) / float64(len(reports))
-	m.heap = heapMB() - before
+	m.reportUS = float64(time.Since(start).Microseconds()) / float64(len(reports))
+	m.heapMB = heapMB() - before
 	runtime.KeepAlive(scheduler)
 	runtime.KeepAlive(reports)
 	return m
 }
 
-// fill submits jobs of 16 tasks, has them assigned, and returns the time and the bytes of all records written.
-func fill(t *testing.T, scheduler *Scheduler, queues []QueueConfig, running int) (now time.Duration, bytes int) {
+// submitAndStart submits jobs of 16 tasks until the given number of tasks is assigned. It returns the time and the number of
+// bytes of all written records.
+func submitAndStart(t *testing.T, scheduler *Scheduler, queues []QueueConfig, running int) (now time.Duration, bytes int) {
 	t.Helper()
 	body := []byte(`{"spec":"0123456789012345678901234567890123456789","stages":[{"count":16,"cpu":800,"mem_mb":3000,"estimate_ms":60000}]}`)
 	put := func(c Change) int64 { bytes += len(c.Value); return 1 }
@@ -94,7 +97,7 @@
 		if _, err := scheduler.Submit(now, 0, fmt.Sprintf("%016x", n), queues[n/16%len(queues)].Name, body); err != nil {
 			t.Fatal(err)
 		}
-		for _, q := range scheduler.queueOrder { // the limits are not what is measured
+		for _, q := range scheduler.queueOrder { // keeps the admission limits from restricting the assignments
 			q.limit, q.localShare = 1e6, 1e6
 		}
 		scheduler.Schedule(now)
@@ -106,7 +109,7 @@
 	return now, bytes
 }
 
-// reportRuns adds the workers' runs to their reports as active.
+// reportRuns adds the workers' runs to their reports as active runs.
 func reportRuns(scheduler *Scheduler, reports []*Report) {
 	for ref, w := range scheduler.workers {
 		r := reports[0]
--- a/jobs/cycle.go
+++ b/jobs/cycle.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	quantum           = 200.0                  // core-seconds of credit that a queue gets in a turn
-	maxTurns          = 64                     // of all queues of a priority in one cycle
-	maxGroupsPerTurn  = 256                    // of a queue that are considered in one turn
-	readyListInterval = 50 * time.Millisecond  // between two lists of ready workers while their states stay
-	agentTimeout      = 900 * time.Millisecond // a worker without a report for so long gets no starts
+	quantumCoreSeconds   = 200.0                  // credit that a queue receives per turn
+	maxTurnsPerCycle     = 64                     // maximum turns of each queue in one cycle
+	maxGroupsPerTurn     = 256                    // maximum groups of a queue that are considered in one turn
+	readyRefreshInterval = 50 * time.Millisecond  // interval between refreshes of the ready workers without state changes
+	agentTimeout         = 900 * time.Millisecond // time after its latest report at which a worker receives no more starts
 )
 
 // cycle is the state of one scheduling cycle.
 type cycle struct {
 	now                time.Duration
 	ready              []*Worker
-	meanAllocated      float64              // mean of the shares allocated on ready workers
-	workersByRack      map[string][]*Worker // of ready; built on demand
-	assigned           int                  // tasks so far
-	unschedulable      map[*taskGroup]bool  // groups that could not be placed
+	meanAllocated      float64              // mean of allocated over the ready workers
+	workersByRack      map[string][]*Worker // ready workers by rack; built on demand
+	assigned           int                  // number of tasks assigned in this cycle
+	unschedulable      map[*taskGroup]bool  // groups that could not be placed in this cycle
 	reservations       map[*Worker]*reservation
 	ignoreReservations bool
 }
 
-// Schedule runs one scheduling cycle, if anything has changed since the last. Queues are served by strict priority, and those
-// of one priority by deficit round robin (Shreedhar and Varghese, SIGCOMM 1995) over estimated work, each up to its limit.
-// Then overdue groups are placed, once a tick, and runs are preempted for what is still pending in the first priority.
+// Schedule runs one scheduling cycle if anything has changed since the last cycle. Queues are served in strict order of
+// priority. Queues of equal priority are served by deficit round robin (Shreedhar and Varghese, SIGCOMM 1995) over estimated
+// work, each up to its limit. Then the cycle places overdue groups, once per tick, and preempts runs in favor of the highest
+// priority.
 func (s *Scheduler) Schedule(now time.Duration) {
 	if !s.needsCycle {
 		return
@@ -59,13 +60,13 @@
 	s.preempt(c)
 }
 
-// refreshReady lists the ready workers: at once when one comes, leaves or changes its state, otherwise once an interval, so
-// that the cost of a cycle does not grow with the number of workers.
+// refreshReady rebuilds the list of ready workers immediately after a worker was added, was removed or changed its state, and
+// otherwise at most once per readyRefreshInterval, so that the cost of most cycles does not grow with the number of workers.
 func (s *Scheduler) refreshReady(now time.Duration) {
-	if !s.readyStale && now-s.readyListedAt < readyListInterval {
+	if !s.readyStale && now-s.readyRefreshedAt < readyRefreshInterval {
 		return
 	}
-	s.readyStale, s.readyListedAt = false, now
+	s.readyStale, s.readyRefreshedAt = false, now
 	s.readyWorkers, s.leastAllocated, s.meanAllocated = s.readyWorkers[:0], nil, 0
 	for _, w := range s.workers {
 		if w.State == Ready && now-w.lastReport < agentTimeout {
@@ -78,13 +79,13 @@
 	}
 }
 
-// serveQueues serves the queues of one priority in turns until none can place more.
+// serveQueues serves the queues of one priority in turns until no queue can place more tasks.
 func (s *Scheduler) serveQueues(c *cycle, queues []*Queue) {
-	for range maxTurns {
+	for range maxTurnsPerCycle {
 		before := c.assigned
 		more := false
 		for _, q := range queues {
-			q.deficit.BeginTurn(quantum, q.pending.Len() > 0)
+			q.deficit.BeginTurn(quantumCoreSeconds, q.pending.Len() > 0)
 			if q.pending.Len() > 0 && s.serveQueue(c, q) {
 				more = true
 			}
@@ -98,8 +99,8 @@
 	}
 }
 
-// skipTurns gives the queues the credit of all the turns at once in which none of them could place a task, since those that
-// are not done are in debt.
+// skipTurns grants the indebted queues at once the credit of all the turns in which none of them could place a task. This keeps
+// capacity from staying idle while a queue pays off the debt of a long task over many turns.
 func skipTurns(queues []*Queue) {
 	var debts []admission.Deficit
 	for _, q := range queues {
@@ -107,15 +108,15 @@
 			debts = append(debts, q.deficit)
 		}
 	}
-	turns := admission.TurnsUntilCredit(debts, quantum)
+	turns := admission.TurnsUntilCredit(debts, quantumCoreSeconds)
 	for _, q := range queues {
 		if q.pending.Len() > 0 && q.deficit <= 0 {
-			q.deficit.BeginTurn(turns*quantum, true)
+			q.deficit.BeginTurn(turns*quantumCoreSeconds, true)
 		}
 	}
 }
 
-// serveQueue places groups of a queue while it has credit. It reports whether another turn may place more.
+// serveQueue places groups of a queue while the queue has credit. It reports whether another turn may place more tasks.
 func (s *Scheduler) serveQueue(c *cycle, q *Queue) bool {
 	if q.deficit <= 0 {
 		return true
@@ -142,11 +143,11 @@
 	return false
 }
 
-// nextGroups returns groups of a queue that are not known to be unschedulable, by triage class and then by deadline, and the
-// first group behind them. If none of them can be placed, the next cycle resumes there: groups that no worker has capacity
-// for must not hide others.
+// nextGroups returns the next groups of a queue that are not known to be unschedulable, sorted by triage class and then by
+// deadline, and the first group after them. If none of them can be placed, the next cycle resumes at that group, so that
+// unschedulable groups cannot starve the groups behind them.
 func (c *cycle) nextGroups(q *Queue) (groups []*taskGroup, more *taskGroup) {
-	var byClass [triageClasses][]*taskGroup
+	var byClass [numTriageClasses][]*taskGroup
 	budget := maxGroupsPerTurn
 	cursor := q.resumeAt
 	q.scanFrom(&cursor, &budget, func(group *taskGroup) {
--- a/jobs/cycle_test.go
+++ b/jobs/cycle_test.go
@@ -7,46 +7,48 @@
 	"time"
 )
 
-// Work without a feasible worker claims no share of the capacity, so that others are not held back for it.
-// Found by a hunt: mix --seed 122610384008 of a deployment whose only worker of a kind had left (LOST).
-func TestUnschedulableWorkHoldsNobodyBack(t *testing.T) {
-	line := newTimeline(t)
-	line.step(0, strings.Fields("worker a cpu=4000"), "")
-	line.step(1*time.Millisecond, strings.Fields("client submit stuck 400x cpu=1000 label=none est=1000"), "")
+// Tasks without a feasible worker claim no share of the capacity. Otherwise they keep the queues of lower priority from using
+// it. Such tasks arise when the only worker with a required label has departed; found by the randomized test run mix --seed
+// 122610384008 (LOST).
+func TestInfeasibleTasksDoNotBlockLowerPriority(t *testing.T) {
+	sc := newScenario(t)
+	sc.step(0, strings.Fields("worker a cpu=4000"), "")
+	sc.step(1*time.Millisecond, strings.Fields("client submit stuck 400x cpu=1000 label=none est=1000"), "")
 	for ms := 100; ms < 2000; ms += 100 {
 		now := time.Duration(ms) * time.Millisecond
-		line.step(now, strings.Fields("worker a cpu=4000"), "")
-		line.step(now, []string{"tick"}, "")
+		sc.step(now, strings.Fields("worker a cpu=4000"), "")
+		sc.step(now, []string{"tick"}, "")
 		if ms == 500 {
-			line.step(now, strings.Fields("client submit low 8x cpu=1000 est=60000"), "")
+			sc.step(now, strings.Fields("client submit low 8x cpu=1000 est=60000"), "")
 		}
 	}
-	for _, w := range line.scheduler.workers {
+	for _, w := range sc.scheduler.workers {
 		if len(w.Runs) != 4 {
-			t.Errorf("%d runs on an idle worker with capacity for 4", len(w.Runs))
+			t.Errorf("%d runs on a worker with capacity for 4 pending tasks", len(w.Runs))
 		}
 	}
 }
 
-// More unschedulable groups than one cycle considers stand before one that can be placed.
-func TestWorkIsNotHiddenBehindUnschedulableWork(t *testing.T) {
-	line := play(t, `
+// A schedulable group is placed even if it is queued behind more unschedulable groups than one cycle considers.
+func TestUnschedulableGroupsDoNotStarveOthers(t *testing.T) {
+	sc := runScenario(t, `
 	0 worker a cpu=4000`)
 	for i := range 3 * maxGroupsPerTurn {
-		line.step(time.Millisecond, []string{"client", "submit", fmt.Sprint("never", i), "1x", "cpu=100", "est=10", "label=absent"}, "hopeless")
+		words := []string{"client", "submit", fmt.Sprint("never", i), "1x", "cpu=100", "est=10", "label=absent"}
+		sc.step(time.Millisecond, words, "submit an unschedulable job")
 	}
-	line.step(2*time.Millisecond, []string{"client", "submit", "j", "1x", "cpu=100", "est=5000"}, "j")
-	for round := range 5 {
-		line.step(time.Duration(100*(round+1))*time.Millisecond, []string{"tick"}, "tick")
+	sc.step(2*time.Millisecond, []string{"client", "submit", "j", "1x", "cpu=100", "est=5000"}, "j")
+	for i := range 5 {
+		sc.step(time.Duration(100*(i+1))*time.Millisecond, []string{"tick"}, "tick")
 	}
-	line.store.commit(line.scheduler)
-	line.step(510*time.Millisecond, []string{"orders", "a", "=", "start", "j.0.0.0/1"}, "j is started within half a second")
+	sc.store.commit(sc.scheduler)
+	sc.step(510*time.Millisecond, []string{"orders", "a", "=", "start", "j.0.0.0/1"}, "the schedulable job starts within half a second")
 }
 
-// A queue that has just started the work of hours is in debt for thousands of turns. While no other queue wants the capacity, its
-// next work does not wait for them.
-func TestDebtLeavesNoCapacityIdle(t *testing.T) {
-	play(t, `
+// A queue that has just started tasks of many hours is in debt for thousands of turns. While no other queue can use the
+// capacity, its next task is placed without waiting for these turns.
+func TestQueueInDebtUsesIdleCapacity(t *testing.T) {
+	runScenario(t, `
 	0  worker a cpu=32000 gpu=8
 	0  worker b cpu=32000 gpu=8
 	0  worker c cpu=32000 gpu=8
--- a/jobs/drain.go
+++ b/jobs/drain.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// minTrustedPercent is the progress from which on a run's end is extrapolated.
-const minTrustedPercent = 10
+// minExtrapolationPercent is the reported progress from which a run's remaining time is extrapolated.
+const minExtrapolationPercent = 10
 
-// evacuate stops those runs of a worker that would not end before it leaves. They resume elsewhere, from their checkpoints if
-// they have any.
-func (s *Scheduler) evacuate(now time.Duration, w *Worker) {
+// stopRunsBeforeDrain stops the runs of a draining or departed worker that are not expected to end before its drain deadline.
+// Their tasks resume on other workers, from their checkpoints if they have any.
+func (s *Scheduler) stopRunsBeforeDrain(now time.Duration, w *Worker) {
 	for _, run := range w.Runs {
 		if run.stopping || run.job == nil || run.job.hasEnded() || run.queue == nil {
 			continue
@@ -18,14 +18,14 @@
 	}
 }
 
-// remainingTime estimates how long the run may still take.
+// remainingTime returns the expected remaining run time.
 func (r *Run) remainingTime(now time.Duration) time.Duration {
 	expected := r.queue.expectedRunTime(r.spec())
 	if r.runningSince == 0 {
 		return expected
 	}
 	elapsed := now - r.runningSince
-	if r.percent >= minTrustedPercent {
+	if r.percent >= minExtrapolationPercent {
 		return elapsed * time.Duration(100-r.percent) / time.Duration(r.percent)
 	}
 	return max(expected-elapsed, expected/4)
--- a/jobs/estimate.go
+++ b/jobs/estimate.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	runTimeGain    = 0.05  // least weight of one run in the means
-	minCompletions = 8     // runs from which on the means are used
-	minRunSeconds  = 0.001 // bound below for logarithms and ratios
+	runTimeGain    = 0.05  // minimum weight of one run in the means
+	minCompletions = 8     // number of runs from which the means are used
+	minRunSeconds  = 0.001 // lower bound on run times in logarithms and ratios
 )
 
-// learnRunTime takes in the run time of a task that succeeded, with its estimate.
-func (q *Queue) learnRunTime(took, estimate time.Duration) {
+// observeRunTime updates the queue's means with the run time and the estimate of a task that succeeded.
+func (q *Queue) observeRunTime(runTime, estimate time.Duration) {
 	q.completions++
 	gain := max(runTimeGain, 1/float64(q.completions))
-	seconds := max(took.Seconds(), minRunSeconds)
+	seconds := max(runTime.Seconds(), minRunSeconds)
 	q.meanLogRunTime += gain * (math.Log(seconds) - q.meanLogRunTime)
 	q.meanLogBias += gain * (math.Log(seconds/max(estimate.Seconds(), minRunSeconds)) - q.meanLogBias)
 }
 
-// expectedRunTime returns the expected run time of a task: the geometric mean of its queue's mean run time and of its own
-// estimate, corrected by the queue's mean bias. The errors of the two are nearly independent.
+// expectedRunTime returns the expected run time of a task of the stage: the geometric mean of the queue's mean run time and the
+// task's own estimate corrected by the queue's mean bias. Averaging helps because the errors of the two are nearly independent.
 func (q *Queue) expectedRunTime(s *Stage) time.Duration {
 	estimate := float64(s.EstimateMS) / 1000
 	if q.completions < minCompletions || estimate <= 0 {
@@ -31,7 +31,7 @@
 	return time.Duration(math.Exp((q.meanLogRunTime+corrected)/2) * float64(time.Second))
 }
 
-// coresPerGPU is the number of cores that an accelerator counts as.
+// coresPerGPU is the number of cores that one accelerator counts as in estimated work.
 const coresPerGPU = 8
 
 // estimatedWork returns the expected work of one of the group's tasks, in core-seconds.
--- a/jobs/filter.go
+++ b/jobs/filter.go
@@ -3,13 +3,13 @@
 import "slices"
 
 const (
-	maxFullScanWorkers = 64 // ready workers of a shard up to which all are filtered
-	maxSampledWorkers  = 16 // workers that pass the filter and are enough in a larger shard
+	maxFullScanWorkers = 64 // number of ready workers up to which all are filtered
+	maxSampledWorkers  = 16 // number of fitting workers at which the search in a larger shard ends
 )
 
-// findFitting returns workers that can take a task of a group now, in addition to what a plan has assigned to them already. In a large
-// shard it looks for a sample, from a random worker on, so that the cost of a placement is bounded; workers in the rack of
-// the data come first there.
+// findFitting returns workers that can take one more task of a group now, in addition to the tasks that the plan places on
+// them. In a large shard it returns a sample, to bound the cost of a placement: it first searches the rack of the group's input
+// data and then all workers, starting at a random one.
 func (s *Scheduler) findFitting(c *cycle, group *taskGroup, plan *gangPlan) []*Worker {
 	if len(c.ready) <= maxFullScanWorkers {
 		return c.filterWorkers(group, plan, c.ready, len(c.ready))
@@ -38,7 +38,7 @@
 	return c.workersByRack[rack]
 }
 
-// filterWorkers returns the first workers, limit at most, that can take a task of a group now. The plan may be nil.
+// filterWorkers returns the first workers, up to limit, that can take a task of a group now. The plan may be nil.
 func (c *cycle) filterWorkers(group *taskGroup, plan *gangPlan, workers []*Worker, limit int) []*Worker {
 	demand := group.spec().demand()
 	var fitting []*Worker
@@ -62,8 +62,8 @@
 	return fitting
 }
 
-// isFeasible reports whether the worker could take a task of a group if it were idle, apart from some tasks of the group that
-// are planned for it: by its capacity, its labels and the stage's anti-affinity.
+// isFeasible reports whether the worker's total capacity, its labels and the stage's anti-affinity permit a task of a group,
+// regardless of the free capacity. The argument planned is the number of the group's tasks that a plan already places on it.
 func (w *Worker) isFeasible(group *taskGroup, planned int) bool {
 	stage := group.spec()
 	if !w.Capacity.Holds(stage.demand()) || !w.hasLabels(stage.Constraints) {
@@ -72,24 +72,24 @@
 	return stage.AntiAffinity <= 0 || w.countRuns(group)+planned < stage.AntiAffinity
 }
 
-// feasibleAnywhere reports whether a ready worker is feasible for a group.
+// feasibleAnywhere reports whether any ready worker is feasible for a group.
 func (c *cycle) feasibleAnywhere(group *taskGroup) bool {
 	return slices.ContainsFunc(c.ready, func(w *Worker) bool { return w.isFeasible(group, 0) })
 }
 
-// countRuns counts the worker's runs of a group's stage and occurrence.
+// countRuns returns the number of the worker's runs of the group's stage and occurrence.
 func (w *Worker) countRuns(group *taskGroup) int {
 	n := 0
 	for _, run := range w.Runs {
-		at := run.position
-		if at.id == group.job.ID && at.number == group.occurrence.Number && at.stage == group.stage {
+		position := run.position
+		if position.jobID == group.job.ID && position.occurrence == group.occurrence.Number && position.stage == group.stage {
 			n++
 		}
 	}
 	return n
 }
 
-// prefer returns the workers that satisfy a soft constraint, or all if none does.
+// prefer returns the workers that satisfy a soft constraint, or all workers if none does.
 func prefer(workers []*Worker, satisfies func(*Worker) bool) []*Worker {
 	var preferred []*Worker
 	for _, w := range workers {
--- a/jobs/gang.go
+++ b/jobs/gang.go
@@ -2,15 +2,14 @@
 
 import "slices"
 
-// gangPlan is the tentative placement of a gang: what its members would take of the workers. It is carried out only if there
-// is a worker for each member.
+// gangPlan is a tentative placement of a gang. It is executed only if there is a worker for every member.
 type gangPlan struct {
-	rack   string // the only one to use; "" for any
-	demand map[*Worker]Resources
-	tasks  map[*Worker]int
+	rack   string                // rack to which the placement is restricted; "" for no restriction
+	demand map[*Worker]Resources // planned demand per worker
+	tasks  map[*Worker]int       // number of planned tasks per worker
 }
 
-// placeGang places all members of a gang or none. It reports whether the queue still has credit.
+// placeGang places either all members of a gang or none. It reports whether the queue still has credit.
 func (s *Scheduler) placeGang(c *cycle, group *taskGroup) bool {
 	members := group.spec().Count
 	if len(group.tasks) < members {
@@ -30,7 +29,8 @@
 	return group.queue.deficit.Charge(group.estimatedWork() * float64(len(indexes)))
 }
 
-// planGang returns a worker for each member, or nil. A rack-local gang prefers one rack, and waits a little for it.
+// planGang returns a worker for each member, or nil if there is no placement. A rack-local gang waits for a bounded time for a
+// placement within one rack before it uses several.
 func (s *Scheduler) planGang(c *cycle, group *taskGroup) []*Worker {
 	if group.spec().RackLocal {
 		racks := map[string]bool{}
@@ -49,7 +49,7 @@
 	return s.planGangIn(c, group, "")
 }
 
-// planGangIn returns a worker for each member, or nil, in one rack if it is named.
+// planGangIn returns a worker for each member, or nil if there is no placement. It uses only the given rack unless that is "".
 func (s *Scheduler) planGangIn(c *cycle, group *taskGroup, rack string) []*Worker {
 	plan := &gangPlan{rack: rack, demand: map[*Worker]Resources{}, tasks: map[*Worker]int{}}
 	demand := group.spec().demand()
--- a/jobs/gang_test.go
+++ b/jobs/gang_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// All members of a gang start, or none.
+// All members of a gang start together; none starts while one member cannot be placed.
 func TestGangStartsTogether(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000 gpu=8
 	10  client submit j 2x cpu=500 gpu=8 gang est=100
 	20  disk commit
@@ -15,23 +15,23 @@
 	60  orders b = start j.0.0.?/1`)
 }
 
-// Two gangs that both need all workers do not get half of them each.
+// Of two gangs that each need all workers, one is placed. They must not each hold half of the workers.
 func TestGangsDoNotDeadlock(t *testing.T) {
-	line := play(t, `
+	sc := runScenario(t, `
 	0   worker a cpu=4000 gpu=8
 	0   worker b cpu=4000 gpu=8
 	10  client submit j 2x cpu=500 gpu=8 gang est=100
 	10  client submit k 2x cpu=500 gpu=8 gang est=100
 	20  disk commit`)
-	running := runsByJob(line.scheduler, func(id string, _ *Worker) string { return id })
+	running := runsByJob(sc.scheduler, func(id string, _ *Worker) string { return id })
 	if len(running) != 1 {
-		t.Errorf("runs by job: %v", running)
+		t.Errorf("runs by job are %v, want runs of one gang only", running)
 	}
 }
 
-// When one member of a gang fails, the others are stopped and all restart together; the failure counts once.
+// After the members of a gang have failed, all of them restart together, and the failure counts once.
 func TestGangRestartsTogether(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000 gpu=8
 	0   worker b cpu=4000 gpu=8
 	10  client submit j 2x cpu=500 gpu=8 gang est=100
@@ -45,7 +45,7 @@
 }
 
 func TestOneSuccessCompletesGang(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000 gpu=8
 	0   worker b cpu=4000 gpu=8
 	10  client submit j 2x cpu=500 gpu=8 gang est=100
@@ -55,9 +55,9 @@
 	70  client j = completed`)
 }
 
-// A rack-local gang waits a little for one rack, and then starts in more than one.
-func TestGangWaitsForItsRack(t *testing.T) {
-	play(t, `
+// A rack-local gang waits for a bounded time for capacity in one rack and then starts in several racks.
+func TestRackLocalGangWaitsForOneRack(t *testing.T) {
+	runScenario(t, `
 	0    worker a cpu=4000 gpu=8 rack=r1
 	0    worker b cpu=4000 gpu=8 rack=r2
 	10   client submit j 2x cpu=500 gpu=8 gang racklocal est=1000
--- a/jobs/golden_test.go
+++ b/jobs/golden_test.go
@@ -8,8 +8,8 @@
 	"sedgevale/jobs"
 )
 
-// A job as clients submit it, with each key, is read field by field.
-func TestSpecBytes(t *testing.T) {
+// Guards the JSON form of a job specification, with every key, in both directions.
+func TestSpecJSON(t *testing.T) {
 	const text = `{"spec":"x","stages":[{"count":1,"cpu":2,"mem_mb":3,"gpu":4,"estimate_ms":5,"depends_on":[0],"checkpoints":true,"gang":true,` +
 		`"rack_local":true,"at_least_once":true,"long_running":true,"constraints":["k"],"affinity_to":"a","anti_affinity":6}],` +
 		`"repeat":7,"start_at_ms":8,"interval_ms":9,"long_running":true}`
@@ -22,14 +22,14 @@
 	}
 	var spec jobs.Spec
 	if err := spec.UnmarshalJSON([]byte(text)); err != nil || !reflect.DeepEqual(spec, want) {
-		t.Errorf("the job is read as %+v, error %v", spec, err)
+		t.Errorf("decoded as %+v, error %v, want %+v", spec, err, want)
 	}
 	if got, err := json.Marshal(&want); err != nil || string(got) != text {
-		t.Errorf("error %v, the job is written as\n%s\nwant\n%s", err, got, text)
+		t.Errorf("encoded as\n%s\nerror %v, want\n%s", got, err, text)
 	}
 }
 
-// The names of the states of jobs and workers, of reasons and of tasks are known to clients, workers and stored data.
+// Guards the texts of states, reasons and names, which clients, agents and stored records depend on.
 func TestNamesOfStatesAndReasons(t *testing.T) {
 	for got, want := range map[string]string{
 		string(jobs.Queued): "queued", string(jobs.Running): "running", string(jobs.Completed): "completed", string(jobs.Failed): "failed",
@@ -40,10 +40,10 @@
 		jobs.TaskName("0123", 1, 2, 3): "0123.1.2.3", jobs.WorkerRef("i", "a:1"): "i@a:1",
 	} {
 		if got != want {
-			t.Errorf("%q is written, want %q", got, want)
+			t.Errorf("text is %q, want %q", got, want)
 		}
 	}
 	if jobs.TaskPending != 0 || jobs.TaskAssigned != 1 || jobs.TaskCompleted != 2 {
-		t.Error("a task's state has another number")
+		t.Error("the stored number of a task state has changed")
 	}
 }
--- a/jobs/headroom.go
+++ b/jobs/headroom.go
@@ -1,26 +1,24 @@
 package jobs
 
-// Preemption costs the first priority the time until other runs have stopped. So some capacity, the headroom, is kept free of
-// other queues: as much as the first priority's demand has exceeded its present one within the last seconds. It follows how
-// much that demand varies, and is nothing without such demand.
-
-// peakDecay is the fraction by which the peak of the urgent demand falls towards the present demand in a tick.
+// peakDecay is the fraction per tick by which headroom.peak decays towards the current demand.
 const peakDecay = 0.02
 
-// headroom is the capacity that is reserved for queues of the first priority, in workers.
+// headroom is the capacity, in workers, that is kept free for the queues of the highest priority. It avoids preemption, which
+// would delay their tasks until other runs have stopped. Its size is the difference between the recent peak of their demand,
+// which decays over some seconds, and their current demand. So it follows the variation of that demand and is 0 without it.
 type headroom struct {
-	peak        float64 // decaying peak of the demand of the first priority
-	othersLimit float64 // limit on what all other queues have allocated together
+	peak        float64 // decaying peak of the demand of the highest priority
+	othersLimit float64 // limit on the total allocation of all other queues
 }
 
-// update takes the present demand of the first priority and the capacity of all workers.
-func (h *headroom) update(urgent, capacity float64) {
-	h.peak = max(urgent, h.peak-peakDecay*(h.peak-urgent))
+// update recomputes the headroom from the current demand of the highest priority and the total capacity.
+func (h *headroom) update(demand, capacity float64) {
+	h.peak = max(demand, h.peak-peakDecay*(h.peak-demand))
 	h.othersLimit = max(0, capacity-h.peak)
 }
 
-// limitWithHeadroom returns what a queue may have allocated in its turn: its limit, lowered to what the headroom
-// leaves, but not below its guaranteed share.
+// limitWithHeadroom returns the limit on a queue's allocation in its turn: the queue's limit, reduced to what the headroom
+// leaves but not below its guaranteed share.
 func (s *Scheduler) limitWithHeadroom(q *Queue) float64 {
 	if q.Priority == 0 || s.headroom.peak == 0 {
 		return q.limit
--- a/jobs/headroom_test.go
+++ b/jobs/headroom_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Capacity that the first priority has wanted lately is kept free of other queues, so that it need not preempt; after a while
-// without such demand the others have it.
-func TestHeadroomFollowsRecentUrgentDemand(t *testing.T) {
+// Capacity that the highest priority recently demanded is kept free of other queues, so that it need not preempt. Other queues
+// use the capacity after a period without such demand.
+func TestHeadroomFollowsRecentDemand(t *testing.T) {
 	const text = `
 	0   worker a cpu=4000
 	10  client submit u 2x cpu=1000 est=100
@@ -25,23 +25,23 @@
 	220 client submit v 2x cpu=1000 est=100
 	230 disk commit
 	240 orders a = start v.0.0.0/1 start v.0.0.1/1`
-	play(t, text)
-	line := play(t, text+`
+	runScenario(t, text)
+	sc := runScenario(t, text+`
 	300 worker a cpu=4000 active low-j.0.0.0/1 active low-j.0.0.1/1 end 3/v.0.0.0/1/done end 4/v.0.0.1/1/done
 	310 disk commit
 	320 orders a = acked 4`)
 	for range 200 {
-		line.scheduler.headroom.update(0, 1)
+		sc.scheduler.headroom.update(0, 1)
 	}
-	line.scheduler.needsCycle = true
-	line.step(330*1e6, []string{"disk", "commit"}, "")
-	line.step(335*1e6, []string{"disk", "commit"}, "")
-	line.step(340*1e6, strings.Fields("orders a = start low-j.0.0.2/1 start low-j.0.0.3/1"), "room that nobody urgent wanted for 20 s")
+	sc.scheduler.needsCycle = true
+	sc.step(330*1e6, []string{"disk", "commit"}, "")
+	sc.step(335*1e6, []string{"disk", "commit"}, "")
+	sc.step(340*1e6, strings.Fields("orders a = start low-j.0.0.2/1 start low-j.0.0.3/1"), "headroom after 20 s without demand")
 }
 
-// Without urgent demand there is no headroom.
-func TestNoHeadroomWithoutUrgentDemand(t *testing.T) {
-	play(t, `
+// Without demand of the highest priority there is no headroom.
+func TestNoHeadroomWithoutDemand(t *testing.T) {
+	runScenario(t, `
 	0   worker a cpu=4000
 	100 tick
 	180 client submit low-j 4x cpu=1000 est=5000
@@ -51,7 +51,7 @@
 
 // Long-running tasks may use the headroom.
 func TestLongRunningTasksUseHeadroom(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit u 4x cpu=1000 est=100
 	20  disk commit
--- a/jobs/helpers_test.go
+++ b/jobs/helpers_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// newTestScheduler returns a scheduler with some queues and a lease time-out.
+// newTestScheduler returns a scheduler with the given lease timeout and queues.
 func newTestScheduler(lease time.Duration, random *rand.Rand, queues []QueueConfig) *Scheduler {
 	s := New(Options{LeaseTimeout: lease, EndedJobTTL: time.Minute, RemoteSlowdown: 1.5}, random)
 	s.Configure(queues)
 	return s
 }
 
-// recordStore holds the records of a shard, with changes that are not committed yet.
+// recordStore holds the records of a shard and the changes that are not yet committed.
 type recordStore struct {
-	records map[string][]byte // committed
-	pending []Change
-	last    int64 // sequence number
+	records map[string][]byte // committed records
+	pending []Change          // changes that are not yet committed
+	last    int64             // sequence number of the last change
 }
 
-// flush takes the scheduler's changes.
+// flush flushes the scheduler's changes to the pending ones.
 func (r *recordStore) flush(t *testing.T, s *Scheduler) {
 	t.Helper()
 	last, err := s.Flush(func(c Change) int64 {
@@ -34,11 +34,11 @@
 		t.Fatal(err)
 	}
 	if last != r.last {
-		t.Fatalf("flush returns %d, the last change has number %d", last, r.last)
+		t.Fatalf("Flush returned sequence number %d, want %d of the last change", last, r.last)
 	}
 }
 
-// commit makes all changes so far durable.
+// commit commits all pending changes.
 func (r *recordStore) commit(s *Scheduler) {
 	for _, c := range r.pending {
 		if c.Value == nil {
@@ -51,7 +51,7 @@
 	s.Committed(r.last)
 }
 
-// restore has a new owner's scheduler take over the committed records.
+// restore discards the pending changes and restores a new owner's scheduler from the committed records.
 func (r *recordStore) restore(t *testing.T, s *Scheduler, now time.Duration) {
 	t.Helper()
 	r.pending = nil
@@ -64,12 +64,12 @@
 	}
 }
 
-// finished returns a finished run as a worker reports it.
+// finished returns a finished run as an agent reports it.
 func finished(number int64, ref RunRef, outcome string) FinishedRun {
 	return FinishedRun{Number: number, Task: ref.Task, Attempt: ref.Attempt, Outcome: outcome}
 }
 
-// runsByJob counts the runs at some workers by a key, which is given the job's ID.
+// runsByJob counts the runs of all workers by the key that the function returns for a job ID and a worker.
 func runsByJob(s *Scheduler, key func(id string, w *Worker) string) map[string]int {
 	counts := map[string]int{}
 	for _, w := range s.workers {
@@ -81,17 +81,18 @@
 	return counts
 }
 
-// number parses a number of a timeline.
+// number parses a number of a scenario.
 func number(t *testing.T, text string) int64 {
 	t.Helper()
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		t.Fatalf("%q is no number", text)
+		t.Fatalf("%q is not a number", text)
 	}
 	return n
 }
 
-// The words of a stage in jobBody that are not JSON keys themselves: those without a value and those with one.
+// The JSON keys of the words in jobBody that are not JSON keys themselves, by the type of the value: boolean words without a
+// value, numbers and strings of a stage, and numbers of a job.
 var (
 	stageFlags = map[string]string{"gang": "gang", "racklocal": "rack_local", "checkpoints": "checkpoints", "longrunning": "long_running"}
 	stageKeys  = map[string]string{"mem": "mem_mb", "antiaffinity": "anti_affinity", "est": "estimate_ms"}
@@ -99,7 +100,7 @@
 	jobKeys    = map[string]string{"repeat": "repeat", "start": "start_at_ms", "interval": "interval_ms"}
 )
 
-// jobBody returns the body of a job from the words of a timeline (see play).
+// jobBody returns the JSON body of a job from the words of a scenario; see scenario for the syntax.
 func jobBody(words []string) []byte {
 	var stages []string
 	stage := map[string]string{}
@@ -133,7 +134,7 @@
 	return []byte(`{"spec":"text","stages":[` + strings.Join(stages, ",") + `]` + job + `}`)
 }
 
-// stageEntry returns the JSON key and value of a word about a stage.
+// stageEntry returns the JSON key and value for a word of a stage.
 func stageEntry(name, value string) (key, text string) {
 	if key, ok := stageFlags[name]; ok {
 		return key, "true"
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// State is the state of a job as clients see it.
+// State is the state of a job as clients see it. The values are stored and sent to clients.
 type State string
 
-// The states of a job. Queued and Running are one stored state, Queued: a job is shown as running once a task was assigned.
+// The states of a job. Running is never stored: a job that is stored as queued is reported as running once one of its tasks has
+// been assigned.
 const (
 	Queued    State = "queued"
 	Running   State = "running"
@@ -22,36 +23,36 @@
 
 // The states of a task.
 const (
-	TaskPending   TaskState = iota // is or will be enqueued
-	TaskAssigned                   // has a run at a worker
-	TaskCompleted                  // has succeeded; it is never assigned again
+	TaskPending   TaskState = iota // waits for its dependencies or for placement
+	TaskAssigned                   // has a run on a worker
+	TaskCompleted                  // succeeded and is never assigned again
 )
 
-// Task is the state of one task in one occurrence.
+// Task is the state of one task in one occurrence of a job.
 type Task struct {
 	State       TaskState
-	Attempt     int64  // the number of its last run, counted from 1; 0 before the first
-	Failures    int64  // runs that failed; a gang counts them at its first task
-	LastFailure int64  // the last attempt that is counted in Failures
-	Worker      string // Ref of the worker of the last run
-	Checkpoint  string // the newest checkpoint
+	Attempt     int64  // number of the latest run, counted from 1; 0 before the first run
+	Failures    int64  // number of failed runs; a gang counts them in its first task
+	LastFailure int64  // latest attempt that is counted in Failures
+	Worker      string // Ref of the worker of the latest run
+	Checkpoint  string // latest checkpoint
 }
 
-// StageProgress is the state of one stage in one occurrence.
+// StageProgress is the state of one stage in one occurrence of a job.
 type StageProgress struct {
 	Tasks     []Task
-	completed int // tasks in TaskCompleted
+	completed int // number of tasks in TaskCompleted
 }
 
 // isCompleted reports whether all tasks of the stage have succeeded.
 func (p *StageProgress) isCompleted() bool { return p.completed >= len(p.Tasks) }
 
-// Occurrence is one run through all stages of a job. A job that does not repeat has number 0 alone.
+// Occurrence is one execution of all stages of a job. A job that does not repeat has only occurrence 0.
 type Occurrence struct {
 	Number int
-	Done   bool            // all stages are completed
+	Done   bool            // all stages have completed
 	Stages []StageProgress // nil once Done
-	dueAt  time.Duration   // when it became due; after a recovery, when the job was restored
+	dueAt  time.Duration   // time at which it became due or, after a failover, at which the job was restored
 }
 
 // allStagesCompleted reports whether all tasks of the occurrence have succeeded.
@@ -64,23 +65,23 @@
 	return true
 }
 
-// Job is a job and its progress.
+// Job is a submitted job with its progress.
 type Job struct {
 	ID             string
-	Queue          string // name
+	Queue          string // name of the queue
 	Spec           *Spec
-	State          State // Queued until the job ends, never Running
+	State          State // Queued until the job ends; never Running
 	Occurrences    []*Occurrence
-	NextOccurrence int  // the number of the next occurrence to become due
-	everAssigned   bool // a task was assigned to a worker once
-	everRan        bool // a worker has run one of its tasks, as far as this owner knows
-	assigned       int  // tasks in TaskAssigned
+	NextOccurrence int  // number of the next occurrence to become due
+	everAssigned   bool // a task has been assigned to a worker
+	everRan        bool // a worker is known to have run one of its tasks
+	assigned       int  // number of tasks in TaskAssigned
 
 	pending      []*taskGroup
-	durableState State // State as committed
-	durable      bool  // its record is committed
+	durableState State // committed value of State
+	durable      bool  // the job record is committed
 	endedAt      time.Duration
-	dirty        bool // State or progress changed since the last Flush
+	dirty        bool // the job record must be written by the next Flush
 }
 
 // addOccurrence adds an occurrence with all tasks pending.
@@ -93,7 +94,7 @@
 	return occurrence
 }
 
-// occurrence returns the occurrence with a number, or nil.
+// occurrence returns the occurrence with the given number, or nil.
 func (j *Job) occurrence(number int) *Occurrence {
 	for _, occurrence := range j.Occurrences {
 		if occurrence.Number == number {
@@ -103,10 +104,10 @@
 	return nil
 }
 
-// occurrenceCount returns the number of occurrences, past and future.
+// occurrenceCount returns the total number of occurrences, past and future.
 func (j *Job) occurrenceCount() int { return max(1, j.Spec.Repeat) }
 
-// setTaskState changes the state of a task and the count of assigned ones.
+// setTaskState changes the state of a task and updates the number of assigned tasks.
 func (j *Job) setTaskState(task *Task, state TaskState) {
 	if task.State == TaskAssigned {
 		j.assigned--
@@ -120,12 +121,12 @@
 // hasEnded reports whether the job is completed, failed or cancelled.
 func (j *Job) hasEnded() bool { return j.State != Queued }
 
-// isLongRunning reports whether the tasks of a stage run until the job is cancelled.
+// isLongRunning reports whether the tasks of the stage run until the job is cancelled.
 func (j *Job) isLongRunning(stageIndex int) bool {
 	return j.Spec.LongRunning || j.Spec.Stages[stageIndex].LongRunning
 }
 
-// dependenciesCompleted reports whether all stages that a stage depends on are completed.
+// dependenciesCompleted reports whether all stages that the stage depends on have completed.
 func (j *Job) dependenciesCompleted(occurrence *Occurrence, stageIndex int) bool {
 	for _, earlier := range j.Spec.Stages[stageIndex].DependsOn {
 		if !occurrence.Stages[earlier].isCompleted() {
@@ -135,12 +136,12 @@
 	return true
 }
 
-// dependsOn reports whether a stage depends directly on an earlier one.
+// dependsOn reports whether the stage depends directly on the earlier stage.
 func (j *Job) dependsOn(stageIndex, earlier int) bool {
 	return slices.Contains(j.Spec.Stages[stageIndex].DependsOn, earlier)
 }
 
-// visibleState returns the state that clients see: the committed one.
+// visibleState returns the state that clients see, which is derived from the committed state.
 func (j *Job) visibleState() State {
 	if j.durableState == Queued && j.everAssigned {
 		return Running
--- a/jobs/labels.go
+++ b/jobs/labels.go
@@ -7,10 +7,10 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Labels are labels that a worker must have. In JSON they are a string or a list of strings.
+// Labels is a set of labels that a worker must have. Its JSON form is a string or a list of strings.
 type Labels []string
 
-// UnmarshalEasyJSON reads a string or a list of strings; null and the empty string are no labels.
+// UnmarshalEasyJSON decodes a string or a list of strings. Null and the empty string decode to no labels.
 func (l *Labels) UnmarshalEasyJSON(in *jlexer.Lexer) {
 	*l = nil
 	switch value := in.Interface().(type) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// MarshalEasyJSON writes the labels as a list.
+// MarshalEasyJSON encodes the labels as a list.
 func (l Labels) MarshalEasyJSON(out *jwriter.Writer) {
 	out.RawByte('[')
 	for i, label := range l {
--- a/jobs/lifecycle.go
+++ b/jobs/lifecycle.go
@@ -7,17 +7,16 @@
 	"sedgevale/internal/avrocodec"
 )
 
-// InvalidJobError is returned for a job whose body is invalid; its text is the cause's, which names the item.
+// InvalidJobError is the error for a job with an invalid body. Its text is that of Cause, which names the invalid field.
 type InvalidJobError struct{ Cause error }
 
 func (e *InvalidJobError) Error() string { return e.Cause.Error() }
 
-// Unwrap returns the cause.
 func (e *InvalidJobError) Unwrap() error { return e.Cause }
 
-// Submit accepts a job; it is idempotent by the job's ID. Durable reports whether the job's record is already committed;
-// otherwise it is once all changes up to the next Flush are. The error is an *InvalidJobError
-// where the body is invalid; after any other nothing was accepted either.
+// Submit accepts a job. It is idempotent: a job with a known ID is not accepted again. The result durable reports whether the
+// job's record is already committed; otherwise it is durable once all changes up to and including the next Flush are. On any
+// error the job was not accepted. The error is an *InvalidJobError if the body is invalid.
 func (s *Scheduler) Submit(now time.Duration, wallMS int64, id, queue string, body []byte) (durable bool, err error) {
 	if known := s.jobs[id]; known != nil {
 		return known.durable, nil
@@ -28,7 +27,7 @@
 	}
 	record, err := avrocodec.Encode(&specRecord{Queue: queue, Body: body})
 	if err != nil {
-		return false, fmt.Errorf("record of the job: %w", err)
+		return false, fmt.Errorf("cannot encode the specification record: %w", err)
 	}
 	s.newSpecs = append(s.newSpecs, Change{Key: specPrefix + id, Value: record})
 	s.jobs[id] = job
@@ -39,7 +38,7 @@
 	return false, nil
 }
 
-// parseJob parses and checks the body of a submitted job.
+// parseJob parses and validates the body of a submitted job.
 func parseJob(id, queue string, body []byte) (*Job, error) {
 	spec := &Spec{}
 	if err := spec.UnmarshalJSON(body); err != nil {
@@ -51,7 +50,7 @@
 	return &Job{ID: id, Queue: queue, Spec: spec, State: Queued, durableState: Queued}, nil
 }
 
-// startDueOccurrences enqueues the occurrences of a job that are due. StartAtMS is the only time that is compared with the
+// startDueOccurrences enqueues the due occurrences of a job. Only the schedule that starts at StartAtMS is compared with the
 // wall clock.
 func (s *Scheduler) startDueOccurrences(now time.Duration, wallMS int64, job *Job) {
 	for job.NextOccurrence < job.occurrenceCount() && !job.hasEnded() {
@@ -70,7 +69,8 @@
 	delete(s.delayed, job.ID)
 }
 
-// Cancel ends a job and reports whether it is known. The cancellation is durable with all changes up to the next Flush.
+// Cancel cancels a job unless it has ended, and reports whether the job is known. The cancellation is durable once all changes
+// up to and including the next Flush are.
 func (s *Scheduler) Cancel(now time.Duration, id string) (known bool) {
 	job := s.jobs[id]
 	if job == nil {
@@ -82,7 +82,7 @@
 	return true
 }
 
-// endJob moves a job to its final state and dequeues and stops what is left of it.
+// endJob moves a job to a final state, dequeues its pending tasks and, unless the job completed, stops its runs.
 func (s *Scheduler) endJob(now time.Duration, job *Job, state State) {
 	job.State = state
 	job.endedAt = now
@@ -100,7 +100,7 @@
 	s.onDurable(func() { job.durableState = state })
 }
 
-// completeJobIfDone completes a job after its last occurrence.
+// completeJobIfDone completes a job if all of its occurrences are done.
 func (s *Scheduler) completeJobIfDone(now time.Duration, job *Job) {
 	if job.NextOccurrence < job.occurrenceCount() {
 		return
@@ -124,7 +124,7 @@
 	}
 }
 
-// stopTask stops the run of a task, if it has one.
+// stopTask stops the run of a task if it has one.
 func (s *Scheduler) stopTask(job *Job, occurrence *Occurrence, stageIndex, index int) {
 	task := &occurrence.Stages[stageIndex].Tasks[index]
 	w := s.workers[task.Worker]
@@ -138,7 +138,7 @@
 	}
 }
 
-// deleteEndedJobs deletes the records of ended jobs whose TTL is over.
+// deleteEndedJobs deletes jobs that ended more than EndedJobTTL ago, together with their records.
 func (s *Scheduler) deleteEndedJobs(now time.Duration) {
 	n := 0
 	for n < len(s.ended) && now-s.ended[n].endedAt > s.options.EndedJobTTL {
--- a/jobs/lifecycle_test.go
+++ b/jobs/lifecycle_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A start is ordered, and a job visible, only once it is committed.
-func TestNothingHappensBeforeItIsDurable(t *testing.T) {
-	play(t, `
+// Starts are sent, jobs are visible and finished runs are acknowledged only after the change is committed.
+func TestEffectsWaitForCommit(t *testing.T) {
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit j 1x cpu=500 est=100
 	20  client j = unknown
@@ -21,9 +21,9 @@
 	220 orders a = acked 1`)
 }
 
-// A finished run that is reported again changes nothing; a task that has succeeded never starts again.
+// A finished run that is reported again has no effect, also after a failover, and a task that succeeded never starts again.
 func TestFinishedRunsAreAppliedOnce(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit j 2x cpu=500 est=100
 	20  disk commit
@@ -40,9 +40,9 @@
 	140 client j = completed`)
 }
 
-// A stage starts once all tasks of the stages it depends on have succeeded.
+// A stage starts only after all tasks of the stages that it depends on have succeeded.
 func TestStagesWaitForDependencies(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit j 2x cpu=500 est=100 | 1x cpu=500 est=100 after=0
 	20  disk commit
@@ -55,9 +55,9 @@
 	110 orders a = acked 2 start j.0.1.0/1`)
 }
 
-// A job fails when a task has failed as often as the queue's retries allow; other outcomes do not count.
-func TestFailuresCount(t *testing.T) {
-	play(t, `
+// A job fails when the failures of one task reach the queue's retries. Other outcomes do not count as failures.
+func TestJobFailsAfterRetries(t *testing.T) {
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit j 1x cpu=500 est=100
 	20  disk commit
@@ -72,9 +72,9 @@
 	95  orders a = acked 3`)
 }
 
-// A cancel stops active runs and withdraws starts that were not sent.
+// Cancelling a job stops its active runs.
 func TestCancelStopsRuns(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit j 1x cpu=500 est=100
 	20  disk commit
@@ -90,9 +90,9 @@
 	95  orders a = acked 1`)
 }
 
-// Only start_at_ms reads the time of day.
+// Occurrences start at start_at_ms and at intervals after it.
 func TestOccurrencesBecomeDue(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0    worker a cpu=4000
 	10   client submit j 1x cpu=500 est=100 start=1000 interval=500 repeat=2
 	20   disk commit
@@ -114,7 +114,7 @@
 }
 
 func TestLongRunningTasksRestart(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit j 1x cpu=500 longrunning est=100
 	20  disk commit
@@ -129,9 +129,10 @@
 	130 orders a = acked 3 start j.0.0.0/4`)
 }
 
-// The same ID is submitted again: before its 2xx, seconds after it, after a failover and after the job's end. It stays one job.
+// A job that is submitted again under the same ID is not run again: before the first submission is acknowledged, seconds later,
+// after a failover and after the end of the job.
 func TestSubmitIsIdempotent(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0    worker a cpu=4000
 	10   client submit j 1x cpu=500 est=100
 	15   client submit j 1x cpu=500 est=100
@@ -156,9 +157,9 @@
 	6030 client j = completed`)
 }
 
-// GET of a queue returns the accepted jobs of which no task ever ran, also after a failover.
+// PendingJobs counts the accepted jobs of which no task has ever run, also after a failover.
 func TestPendingCountsJobsThatNeverRan(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=1000
 	10  client submit j 2x cpu=1000 est=100
 	10  client submit k 1x cpu=1000 est=100
--- a/jobs/orders.go
+++ b/jobs/orders.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	resendInterval   = 300 * time.Millisecond // between two sends of an order that is not confirmed
-	maxStartsPerCall = 1000                   // a few megabytes with the longest texts
+	resendInterval   = 300 * time.Millisecond // interval between sends of an unconfirmed order
+	maxStartsPerCall = 1000                   // limits the orders to a few megabytes even with the longest Spec.Text
 )
 
-// WorkersWithOrders returns the workers whose agents have orders due, and resets which these are.
+// WorkersWithOrders returns the workers that have had orders due since the last call.
 func (s *Scheduler) WorkersWithOrders() []*Worker {
-	var dirty []*Worker
+	var due []*Worker
 	for _, w := range s.workers {
 		if w.ordersDue {
 			w.ordersDue = false
-			dirty = append(dirty, w)
+			due = append(due, w)
 		}
 	}
-	return dirty
+	return due
 }
 
-// Orders returns what is to be sent to a worker's agent now, or nil for nothing; starts above maxStartsPerCall are left for
-// the next call. Acknowledged is the number of committed finished runs that the agent knows of.
+// Orders returns the orders to send to a worker's agent now, or nil if there are none. Starts in excess of maxStartsPerCall are
+// left for the next call. The argument acknowledged is the highest DurableCompletions that the agent has confirmed.
 func (s *Scheduler) Orders(now time.Duration, w *Worker, acknowledged int64) *Orders {
 	if w.State == Unconfirmed || w.State == LeaseExpired {
 		return nil
@@ -34,7 +34,7 @@
 		due := run.lastSent == 0 || now-run.lastSent >= resendInterval
 		switch {
 		case !run.durable || !due:
-		case run.stopping || !run.isWanted():
+		case run.stopping || !run.isCurrent():
 			run.lastSent = now
 			orders.Stops = append(orders.Stops, key)
 		case run.reported || len(orders.Starts) == maxStartsPerCall:
@@ -49,7 +49,7 @@
 	return orders
 }
 
-// runDemands returns the demand of each run, for an agent that has just started.
+// runDemands returns the demand of each run, for an agent that does not know all of them.
 func (w *Worker) runDemands() []Start {
 	var demands []Start
 	for key, run := range w.Runs {
@@ -58,7 +58,7 @@
 	return demands
 }
 
-// startOrder returns the order to start a wanted run.
+// startOrder returns the order to start the run, which must be current.
 func (r *Run) startOrder() Start {
 	_, _, task := r.task()
 	return Start{
@@ -66,5 +66,5 @@
 	}
 }
 
-// DurableCompletions returns the number up to which a worker's finished runs are committed.
+// DurableCompletions returns the number up to which the worker's finished runs are committed.
 func (s *Scheduler) DurableCompletions(w *Worker) int64 { return w.durableCompletions }
--- a/jobs/orders_test.go
+++ b/jobs/orders_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A start that the agent reports as dropped is assigned anew.
+// A task whose start the agent reports as dropped is assigned again.
 func TestDroppedStartIsReassigned(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit j 1x cpu=500 est=100
 	20  disk commit
@@ -18,9 +18,9 @@
 	70  orders b = start j.0.0.0/2`)
 }
 
-// A start that the agent does not report is sent again, as the same attempt.
+// A start that the agent does not report is sent again with the same attempt.
 func TestUnconfirmedStartIsResent(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit j 1x cpu=500 est=100
 	20  disk commit
@@ -34,15 +34,15 @@
 }
 
 // An active run without an assignment is stopped.
-func TestStrayRunIsStopped(t *testing.T) {
-	play(t, `
+func TestOrphanedRunIsStopped(t *testing.T) {
+	runScenario(t, `
 	0   worker a cpu=4000 active x.0.0.0/1
 	10  orders a = stop x.0.0.0/1`)
 }
 
-// A success that is reported after the worker had expired still counts while the task is pending.
+// A success that is reported after the worker has expired still counts while the task is pending.
 func TestLateSuccessCounts(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0    worker a cpu=4000
 	10   client submit j 1x cpu=500 est=100
 	20   disk commit
@@ -54,16 +54,16 @@
 	5040 client j = completed`)
 }
 
-// One call to an agent carries a bounded number of starts; the others follow in the next.
+// One call to an agent carries a bounded number of starts. The remaining starts follow in the next calls.
 func TestOrdersAreSplit(t *testing.T) {
-	line := play(t, `
+	sc := runScenario(t, `
 	0  worker a cpu=64000
 	10 client submit j 2500x cpu=10 est=1000
 	20 disk commit`)
-	for part, want := range []int{maxStartsPerCall, maxStartsPerCall, 2500 - 2*maxStartsPerCall} {
-		orders := line.scheduler.Orders(time.Duration(30+part)*time.Millisecond, line.scheduler.Worker("i-a@side-a"), 0)
+	for call, want := range []int{maxStartsPerCall, maxStartsPerCall, 2500 - 2*maxStartsPerCall} {
+		orders := sc.scheduler.Orders(time.Duration(30+call)*time.Millisecond, sc.scheduler.Worker("i-a@agent-a"), 0)
 		if orders == nil || len(orders.Starts) != want {
-			t.Fatalf("part %d: %+v", part, orders)
+			t.Fatalf("call %d: got orders %+v, want %d starts", call, orders, want)
 		}
 	}
 }
--- a/jobs/overdue.go
+++ b/jobs/overdue.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Limits, headroom and reservations decide what is placed first. A group that has waited for long, and whose job has nothing
-// assigned, is no longer held back by limits and headroom. Reservations hold it back as long as there is load, unless its
-// tasks are long-running.
+// A group becomes overdue when it has waited too long while its job has no assigned tasks; a long-running group becomes overdue
+// regardless of assigned tasks. Limits and headroom do not apply to overdue groups. Reservations still apply under load, except
+// to long-running groups.
 const (
-	minOverdueWait          = 1500 * time.Millisecond // of a long-running task, or of any while the workers are mostly idle
-	minOverdueWaitUnderLoad = 6 * time.Second         // of others
-	maxOverdueScan          = 1024                    // pending groups that are visited in a tick
-	maxOverdueGroups        = 64                      // of these, groups that are tried
-	maxIdleUtilization      = 0.6                     // utilization of cores up to which workers are mostly idle
+	minOverdueWait          = 1500 * time.Millisecond // wait of a long-running group, or of any group below maxIdleUtilization
+	minOverdueWaitUnderLoad = 6 * time.Second         // wait of other groups
+	maxOverdueScan          = 1024                    // maximum pending groups that are visited per tick
+	maxOverdueGroups        = 64                      // maximum overdue groups that are placed per tick
+	maxIdleUtilization      = 0.6                     // core utilization below which the workers count as mostly idle
 )
 
-// placeOverdueGroups places overdue groups in the capacity that the queues within their limits have left in this cycle: one
-// task of each job, or all long-running ones, each of which has to run all the time.
+// placeOverdueGroups places overdue groups in the capacity that remains after the queues were served within their limits: one
+// task per group, or all tasks of a long-running group, because each of them must run all the time.
 func (s *Scheduler) placeOverdueGroups(c *cycle) {
 	idle := c.coreUtilization() < maxIdleUtilization
 	for _, group := range s.overdueGroups(c, idle) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// coreUtilization returns the fraction of the cores of ready workers that runs take.
+// coreUtilization returns the fraction of the ready workers' cores that is used by runs.
 func (c *cycle) coreUtilization() float64 {
 	used, all := int64(0), int64(0)
 	for _, w := range c.ready {
@@ -33,8 +33,8 @@
 	return ratio(used, all)
 }
 
-// overdueGroups returns overdue groups among those that one tick scans; the next scan resumes behind them. A group that was
-// found unschedulable in this cycle is tried again only if it may now ignore reservations.
+// overdueGroups scans a bounded number of pending groups and returns the overdue ones. The next scan resumes where this one
+// ended. A group that was unschedulable in this cycle is returned only if it may now ignore reservations.
 func (s *Scheduler) overdueGroups(c *cycle, idle bool) []*taskGroup {
 	var found []*taskGroup
 	budget := maxOverdueScan
@@ -56,7 +56,7 @@
 	return found
 }
 
-// isOverdue reports whether a group has waited for too long.
+// isOverdue reports whether a group is overdue. The argument idle says whether the workers are mostly idle.
 func (c *cycle) isOverdue(group *taskGroup, idle bool) bool {
 	waited := c.now - group.queuedAt
 	if group.isLongRunning() {
@@ -65,7 +65,7 @@
 	return group.job.assigned == 0 && (waited >= minOverdueWaitUnderLoad || idle && waited >= minOverdueWait)
 }
 
-// placeOverdueGroup places all members of a gang, all tasks of a long-running stage, or one task of another.
+// placeOverdueGroup places all members of a gang, all tasks of a long-running group, or one task of any other group.
 func (s *Scheduler) placeOverdueGroup(c *cycle, group *taskGroup) {
 	if group.gang {
 		s.placeGang(c, group)
--- a/jobs/overdue_test.go
+++ b/jobs/overdue_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Under load a queue at its limit waits for its share, but not while there is capacity that the queues before it cannot use.
-func TestOverdueWorkTakesWhatOthersCannotUse(t *testing.T) {
-	play(t, `
+// An overdue task of a queue at its limit is placed in capacity that the queues of higher priority cannot use.
+func TestOverdueTaskUsesIdleCapacity(t *testing.T) {
+	runScenario(t, `
 	0    worker a cpu=32000 gpu=8
 	0    worker b cpu=32000 gpu=8 kind=z
 	10   client submit low1 1x cpu=1000 gpu=1 est=60000 label=k
@@ -31,9 +31,9 @@
 	1810 orders b = start low2.0.0.0/1`)
 }
 
-// Under load limits keep capacity for urgent work, but not for longer than some seconds.
-func TestOverdueWorkWaitsLongerUnderLoad(t *testing.T) {
-	const beats = `
+// Under load a task at its queue's limit waits longer, but only until minOverdueWaitUnderLoad.
+func TestOverdueTaskWaitsLongerUnderLoad(t *testing.T) {
+	const reports = `
 	%[1]d worker a cpu=32000 gpu=8 active large.0.0.0/1 active low1.0.0.0/1
 	%[1]d worker b cpu=32000 gpu=8 kind=z active large.0.0.1/1
 	%[1]d tick`
@@ -44,16 +44,16 @@
 	11   client submit large 20x cpu=25000 gpu=7 est=60000
 	20   disk commit
 	20   orders a = start large.0.0.0/1 start low1.0.0.0/1
-	20   orders b = start large.0.0.1/1` + fmt.Sprintf(beats, 100) + `
+	20   orders b = start large.0.0.1/1` + fmt.Sprintf(reports, 100) + `
 	210  client submit low2 1x cpu=1000 gpu=1 est=60000
 	220  disk commit`
 	for ms := 600; ms <= 6000; ms += 600 {
-		rows += fmt.Sprintf(beats, ms)
+		rows += fmt.Sprintf(reports, ms)
 	}
 	rows += `
 	6010 disk commit
-	6010 orders b = nothing` + fmt.Sprintf(beats, 6300) + `
+	6010 orders b = nothing` + fmt.Sprintf(reports, 6300) + `
 	6310 disk commit
 	6310 orders b = start low2.0.0.0/1`
-	play(t, rows)
+	runScenario(t, rows)
 }
--- a/jobs/pick.go
+++ b/jobs/pick.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	pickMargin       = 0.1                     // share above the mean up to which a worker may be picked at random
-	maxFailureRate   = 0.35                    // workers above it are avoided while others fit
-	maxSlowdown      = 2.2                     // workers above it are avoided while others fit
-	rackWaitFraction = 0.5                     // of the expected loss by a run in another rack, that a group waits at most
-	maxRackWait      = 1500 * time.Millisecond // and never longer, while workers elsewhere are idle
+	pickMargin       = 0.1                     // allocation above the mean, in workers, up to which a worker is a candidate
+	maxFailureRate   = 0.35                    // failure rate above which a worker is avoided if others fit
+	maxSlowdown      = 2.2                     // slowdown above which a worker is avoided if others fit
+	rackWaitFraction = 0.5                     // maximum wait as a fraction of the extra run time in another rack
+	maxRackWait      = 1500 * time.Millisecond // maximum wait while workers in other racks are idle
 )
 
-// pickWorker returns a worker for one task of a group, or nil: a random one of those that fit and are not above the mean by
-// more than a margin. Tasks with accelerators are packed instead, so that some workers remain idle for gangs.
+// pickWorker returns a worker for one task of a group, or nil if none fits or the task should wait for a rack. It picks a
+// random one of the fitting workers that are allocated less than pickMargin above the mean, or else the least allocated one.
+// Tasks with accelerators are packed instead, so that some workers remain idle for gangs.
 func (s *Scheduler) pickWorker(c *cycle, group *taskGroup, plan *gangPlan) *Worker {
 	stage := group.spec()
 	fitting := s.findFitting(c, group, plan)
@@ -41,7 +42,7 @@
 	return fitting[admission.PickBelowThreshold(candidates, c.meanAllocated+pickMargin, s.random.IntN)]
 }
 
-// pickPacked returns the worker with the fewest free accelerators, a random one among equals.
+// pickPacked returns the worker with the fewest free accelerators and breaks ties at random.
 func (s *Scheduler) pickPacked(fitting []*Worker, plan *gangPlan) *Worker {
 	var best *Worker
 	least, equal := int64(0), 0
@@ -63,9 +64,9 @@
 	return best
 }
 
-// shouldWaitForRack reports whether a group should wait for free capacity in the rack of its data, or in one rack for a gang,
-// rather than run elsewhere: until the wait costs a fraction of what a run elsewhere would, and only if the rack has a worker
-// that could run it.
+// shouldWaitForRack reports whether a group should wait for free capacity in the rack of its input data, or in one rack for a
+// gang, rather than run elsewhere. The wait is bounded by a fraction of the extra run time in another rack and by maxRackWait.
+// A group does not wait for a rack without a feasible worker.
 func (s *Scheduler) shouldWaitForRack(c *cycle, group *taskGroup) bool {
 	stage := group.spec()
 	maxWait := time.Duration((s.options.RemoteSlowdown - 1) * rackWaitFraction * float64(group.queue.expectedRunTime(stage)))
--- a/jobs/preemption.go
+++ b/jobs/preemption.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	minPreemptionWait     = 150 * time.Millisecond // wait from which on a group of the first priority preempts
-	preemptionInterval    = 100 * time.Millisecond
-	maxPreemptedShare     = 0.5 // sum of the shares that are being freed at a time, in workers
-	maxPreemptiblePercent = 80  // progress from which on a run is left to end by itself
+	minPreemptionWait     = 150 * time.Millisecond // wait after which a group of the highest priority preempts runs
+	preemptionInterval    = 100 * time.Millisecond // minimum interval between preemptions
+	maxPreemptedShare     = 0.5                    // maximum share, in workers, that is being freed at a time
+	maxPreemptiblePercent = 80                     // progress at and above which a run is not preempted
 )
 
-// preempt stops runs of lower priorities while the first priority waits for capacity. Victims are tasks that save
-// checkpoints, the latest assigned first, so that little work is lost.
+// preempt stops runs of lower priorities while groups of the highest priority wait for capacity. It stops only runs that save
+// checkpoints, the most recently assigned first within a priority, so that little work is lost.
 func (s *Scheduler) preempt(c *cycle) {
 	if c.now < s.nextPreemption {
 		return
@@ -34,8 +34,8 @@
 	}
 }
 
-// preemptingDemand returns the demand of the groups of the first priority that wait for capacity and can still meet their
-// deadlines, up to maxPreemptedShare, and the constraints of the first of them.
+// preemptingDemand returns the demand of the groups that may preempt, counted until it reaches maxPreemptedShare, and the
+// constraints of the first of these groups.
 func (s *Scheduler) preemptingDemand(c *cycle) (demand float64, labels Labels) {
 	for _, q := range s.queueOrder {
 		if q.Priority != 0 {
@@ -55,13 +55,14 @@
 	return demand, labels
 }
 
-// mayPreempt reports whether a group of the first priority may have others preempted.
+// mayPreempt reports whether a group of the highest priority may preempt runs: it was unschedulable for long enough although a
+// worker is feasible, its deadline has not passed, and it is not a gang.
 func (c *cycle) mayPreempt(group *taskGroup) bool {
 	return c.unschedulable[group] && c.now-group.queuedAt >= minPreemptionWait && group.deadline >= c.now && !group.gang &&
 		c.feasibleAnywhere(group)
 }
 
-// shareBeingFreed returns the sum of the shares of runs that are being stopped on ready workers.
+// shareBeingFreed returns the sum of the shares of the runs that are stopping on ready workers.
 func (s *Scheduler) shareBeingFreed() float64 {
 	sum := 0.0
 	for _, w := range s.workers {
@@ -77,8 +78,8 @@
 	return sum
 }
 
-// preemptionVictims returns the runs that may be preempted on ready workers with some labels, those of the lowest priority
-// first and of these the latest.
+// preemptionVictims returns the preemptible runs on ready workers with the given labels, sorted by lowest priority first and
+// then by most recent assignment first.
 func (s *Scheduler) preemptionVictims(labels Labels) []*Run {
 	var victims []*Run
 	for _, w := range s.workers {
@@ -100,7 +101,7 @@
 	return victims
 }
 
-// isPreemptible reports whether the run can be stopped with little loss for work of a higher priority.
+// isPreemptible reports whether the run may be stopped in favor of the highest priority with little loss of work.
 func (r *Run) isPreemptible() bool {
 	if r.stopping || !r.reported || r.job == nil || r.queue == nil || r.queue.Priority == 0 {
 		return false
--- a/jobs/preemption_test.go
+++ b/jobs/preemption_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// The first priority preempts lower priorities that save checkpoints, once it has waited for a while.
-func TestFirstPriorityPreempts(t *testing.T) {
-	play(t, `
+// A task of the highest priority preempts a run of a lower priority that saves checkpoints after it has waited.
+func TestHighestPriorityPreempts(t *testing.T) {
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit low 4x cpu=1000 est=60000 checkpoints
 	20  disk commit
@@ -17,9 +17,9 @@
 	310 orders a = stop low.0.0.?/1`)
 }
 
-// Work without checkpoints is not preempted.
-func TestWorkWithoutCheckpointsIsNotPreempted(t *testing.T) {
-	play(t, `
+// Runs without checkpoints are not preempted.
+func TestRunsWithoutCheckpointsAreNotPreempted(t *testing.T) {
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit low 4x cpu=1000 est=60000
 	20  disk commit
--- a/jobs/protocol.go
+++ b/jobs/protocol.go
@@ -1,64 +1,64 @@
 package jobs
 
-// The messages between the owner of a shard and the agents of its workers. They are Avro, read by the order of the fields:
-// none may be moved, added, dropped or retyped within a release.
+// The types below are messages between the owner of a shard and the agents of its workers. They are encoded as Avro and read by
+// field order: within a release, no field may be moved, added, removed or given another type.
 
 // RunRef identifies one run of a task.
 type RunRef struct {
-	Task    string // TaskName
+	Task    string // task name, see TaskName
 	Attempt int64  // counted from 1
 }
 
-// Report is what an agent reports about one incarnation of its worker.
+// Report is an agent's status report about one incarnation of its worker.
 type Report struct {
-	AgentAddress     string // address of the agent
-	AgentIncarnation string // incarnation of the agent's process
-	Service          string // name of the workers' service
-	Instance         string // identifies the worker's incarnation
-	State            string // a WorkerState
-	DrainRemainingMS int64  // with Draining: time until the worker leaves
+	AgentAddress     string // network address of the agent
+	AgentIncarnation string // identifies the incarnation of the agent process
+	Service          string // name of the service that the worker belongs to
+	Instance         string // identifies the incarnation of the worker
+	State            string // the worker's WorkerState
+	DrainRemainingMS int64  // time until the worker departs; set while draining
 	Capacity         Resources
-	Labels           []string // the last one is the rack
+	Labels           []string // the last label is the rack
 	Active           []ActiveRun
 	Finished         []FinishedRun
-	InFlight         []RunRef // starts that are in flight: received, and not seen active yet
-	Dropped          []RunRef // starts that never reached the worker and never will
-	MissedMessages   int64    // heartbeats that were missed and answers that were dropped, in the agent's incarnation
-	HeartbeatAgeMS   int64    // age of the last heartbeat
-	UnknownDemands   int64    // active runs whose demand the agent does not know
-	LeaseRemainingMS int64    // time until the leases of all runs have expired, when they are no longer renewed; else 0
+	InFlight         []RunRef // starts that the agent received but the worker does not report as active yet
+	Dropped          []RunRef // starts that did not reach the worker and never will
+	MissedMessages   int64    // missed heartbeats and dropped responses during the agent's incarnation
+	HeartbeatAgeMS   int64    // age of the worker's latest heartbeat
+	UnknownDemands   int64    // number of active runs whose demand the agent does not know
+	LeaseRemainingMS int64    // time until all run leases have expired; 0 while they are renewed
 }
 
 // ActiveRun is a run that the worker reports as active.
 type ActiveRun struct {
 	Task       string
 	Attempt    int64
-	Checkpoint string // the newest checkpoint, if any
-	Percent    int64  // progress, 0 to 100
+	Checkpoint string // latest checkpoint, if any
+	Percent    int64  // progress from 0 to 100
 }
 
 // FinishedRun is a run that the worker reports as finished.
 type FinishedRun struct {
-	Number     int64 // counts the finished runs of the worker's incarnation, from 1
+	Number     int64 // sequence number of the finished run in the worker's incarnation, from 1
 	Task       string
 	Attempt    int64
-	Outcome    string // one of the outcomes below
-	Checkpoint string // the newest checkpoint, if any
+	Outcome    string // one of the outcome constants
+	Checkpoint string // latest checkpoint, if any
 }
 
-// The outcomes of a run.
+// The outcomes of a run. The values are sent by agents.
 const (
 	outcomeSucceeded    = "done"    // the task succeeded
-	outcomeFailed       = "failed"  // by the fault of the task or the worker
-	outcomeStopped      = "stopped" // on order
+	outcomeFailed       = "failed"  // the task or the worker failed
+	outcomeStopped      = "stopped" // the owner ordered the stop
 	outcomeGangEnded    = "broken"  // another member of the gang ended without success
-	outcomeGangTimeout  = "alone"   // the other members of the gang did not start within the gang's time-out
+	outcomeGangTimeout  = "alone"   // the other members of the gang did not start within the gang timeout
 	outcomeRejected     = "refused" // the worker rejected the start
 	outcomeDropped      = "dropped" // the start never reached the worker
 	outcomeLeaseExpired = "lapsed"  // the lease expired
 )
 
-// hasRun reports whether a run with an outcome has certainly run at the worker.
+// hasRun reports whether a run with this outcome is certain to have run on the worker.
 func hasRun(outcome string) bool {
 	switch outcome {
 	case outcomeSucceeded, outcomeFailed, outcomeStopped, outcomeGangEnded, outcomeGangTimeout:
@@ -67,21 +67,21 @@
 	return false
 }
 
-// Orders are what the owner orders about one incarnation of a worker.
+// Orders are the owner's instructions to an agent about one incarnation of its worker.
 type Orders struct {
-	Instance           string  // the worker's incarnation
-	AgentIncarnation   string  // the agent's incarnation as the owner knows it; an agent of a later one rejects the orders
-	KnownDemands       []Start // the demands of runs that the agent may not know
+	Instance           string  // identifies the incarnation of the worker
+	AgentIncarnation   string  // incarnation of the agent known to the owner; a later incarnation rejects the orders
+	KnownDemands       []Start // demands of assigned runs, for an agent that does not know all of them
 	Starts             []Start
 	Stops              []RunRef
-	DurableCompletions int64 // finished runs up to this number are committed
+	DurableCompletions int64 // number up to which finished runs are committed
 }
 
-// Start orders a run.
+// Start is an order to start a run.
 type Start struct {
 	Task       string
 	Attempt    int64
-	Text       string // Spec.Text
-	Checkpoint string // the checkpoint to resume from, if any
+	Text       string // copy of Spec.Text
+	Checkpoint string // checkpoint to resume from, if any
 	Demand     Resources
 }
--- a/jobs/queuelimit.go
+++ b/jobs/queuelimit.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	priorityWeightStep = 8    // a queue's weight over that of the next lower priority
-	rampStep           = 0.2  // fraction of the unused capacity by which limits ramp up in a tick
-	minIdleFraction    = 0.25 // unused fraction of the capacity from which on all queues' limits ramp up
+	priorityWeightStep = 8    // ratio of a queue's weight to that of the next lower priority
+	rampStep           = 0.2  // fraction of the unused capacity by which a limit may rise per tick
+	minIdleFraction    = 0.25 // unused fraction of the capacity above which the limits of all queues rise
 )
 
-// priorityWeight returns the weight of a queue among the others.
+// priorityWeight returns the weight in the fair sharing of capacity of a queue with the given priority.
 func priorityWeight(priority int64) float64 {
 	weight := 1.0
 	for range min(priority, 6) {
@@ -21,8 +21,8 @@
 	return weight
 }
 
-// updateLimits sets the admission limits of workers and queues once a tick: each queue's is the lower one of its fair share
-// and of what its workers' limits let it use.
+// updateLimits updates the admission limits of workers and queues once per tick and triages the queues. The limit of a queue is
+// the minimum of its fair share of the capacity and its learned limit.
 func (s *Scheduler) updateLimits(now time.Duration) {
 	capacity, allocated := 0.0, 0.0
 	for _, w := range s.workers {
@@ -33,14 +33,14 @@
 		}
 	}
 	demand := s.updateClaimants()
-	urgent := 0.0
+	highestPriorityDemand := 0.0
 	for i, q := range s.queueOrder {
 		q.guaranteed = capacity * s.claimants[i].Share
 		if q.Priority == 0 {
-			urgent += s.claimants[i].Demand
+			highestPriorityDemand += s.claimants[i].Demand
 		}
 	}
-	s.headroom.update(urgent, capacity)
+	s.headroom.update(highestPriorityDemand, capacity)
 	level := 0.0
 	if demand > capacity {
 		level = admission.MaxMinLevel(s.claimants, capacity)
@@ -48,8 +48,8 @@
 	unused := max(0, capacity-allocated)
 	for i, q := range s.queueOrder {
 		q.localShare = admission.LocalShare(q.localShare, s.claimants[i], demand, capacity, level, rampStep)
-		learned := q.learnedLimit(s.workers, s.scratch)
-		if unused > minIdleFraction*capacity { // others claim it and cannot use it
+		learned := q.learnedLimit(s.workers, s.workerLimits)
+		if unused > minIdleFraction*capacity { // other queues claim the unused capacity but cannot use it
 			ramped := q.allocated + rampStep*unused
 			q.localShare = max(q.localShare, ramped)
 			learned = max(learned, ramped)
@@ -59,7 +59,8 @@
 	}
 }
 
-// updateClaimants sets the queues' demands and weights, in the order of queueOrder, and returns the sum of the demands.
+// updateClaimants rebuilds claimants from the queues' demands and weights, in the order of queueOrder. It returns the total
+// demand.
 func (s *Scheduler) updateClaimants() (demand float64) {
 	weights := 0.0
 	for _, q := range s.queueOrder {
--- a/jobs/record.go
+++ b/jobs/record.go
@@ -6,14 +6,14 @@
 	"sedgevale/internal/avrocodec"
 )
 
-// A job has two records in its shard; the prefix of a key is followed by the job's ID.
+// The key prefixes of the two records of a job. The job ID follows the prefix.
 const (
-	specPrefix = "s/" // specRecord, written once
-	jobPrefix  = "d/" // jobRecord, written on every change
+	specPrefix = "s/" // key prefix of a specRecord, which is written once
+	jobPrefix  = "d/" // key prefix of a jobRecord, which is written on every change
 )
 
-// specRecord is the stored form of a submitted job. Like all records it is Avro, read by the order of its fields: none may be
-// moved, added, dropped or retyped.
+// specRecord is the stored form of a submitted job. Like all records it is encoded as Avro and read by field order: no field
+// may be moved, added, removed or given another type.
 type specRecord struct {
 	Queue string
 	Body  []byte
@@ -30,7 +30,7 @@
 type occurrenceRecord struct {
 	Number int
 	Done   bool
-	Stages []stageRecord // none once Done
+	Stages []stageRecord // empty once Done
 }
 
 // stageRecord is the stored form of a StageProgress.
@@ -48,7 +48,7 @@
 	Checkpoint  string
 }
 
-// encode returns the job's jobRecord.
+// encode returns the encoded jobRecord of the job.
 func (j *Job) encode() ([]byte, error) {
 	record := jobRecord{State: string(j.State), NextOccurrence: j.NextOccurrence}
 	for _, occurrence := range j.Occurrences {
@@ -60,7 +60,7 @@
 	}
 	value, err := avrocodec.Encode(&record)
 	if err != nil {
-		return nil, fmt.Errorf("job %s: %w", j.ID, err)
+		return nil, fmt.Errorf("cannot encode the record of job %s: %w", j.ID, err)
 	}
 	return value, nil
 }
@@ -79,11 +79,12 @@
 	return records
 }
 
-// decode sets the job's state from its jobRecord, and from that what is not stored: which tasks were ever assigned or ran.
+// decode restores the job's state from an encoded jobRecord and derives the fields that are not stored: whether a task of the
+// job was ever assigned or has run.
 func (j *Job) decode(value []byte) error {
 	var record jobRecord
 	if err := avrocodec.Decode(value, &record); err != nil {
-		return fmt.Errorf("job %s: %w", j.ID, err)
+		return fmt.Errorf("cannot decode the record of job %s: %w", j.ID, err)
 	}
 	j.State = State(record.State)
 	j.NextOccurrence = record.NextOccurrence
--- a/jobs/recovery.go
+++ b/jobs/recovery.go
@@ -8,16 +8,16 @@
 	"sedgevale/internal/avrocodec"
 )
 
-// Restore sets the state of a new scheduler from the records of its shard. Runs whose starts the former owner may have sent
-// are assumed to be active until their workers report or their leases have certainly expired. An error names the record that
-// cannot be decoded.
+// Restore initializes a new scheduler from the records of its shard. It assumes that every run whose start the previous owner
+// may have sent is active until the worker is reported or the lease is certain to have expired. An error names the job or
+// record that cannot be decoded.
 func (s *Scheduler) Restore(now time.Duration, records []Change) error {
 	specs := map[string]specRecord{}
 	for _, r := range records {
 		if id, ok := strings.CutPrefix(r.Key, specPrefix); ok {
 			var spec specRecord
 			if err := avrocodec.Decode(r.Value, &spec); err != nil {
-				return fmt.Errorf("record %s: %w", r.Key, err)
+				return fmt.Errorf("cannot decode record %s: %w", r.Key, err)
 			}
 			specs[id] = spec
 		}
@@ -39,7 +39,7 @@
 func (s *Scheduler) restoreJob(now time.Duration, id string, spec specRecord, value []byte) error {
 	job, err := parseJob(id, spec.Queue, spec.Body)
 	if err != nil {
-		return fmt.Errorf("job %s: %w", id, err)
+		return fmt.Errorf("cannot restore the specification of job %s: %w", id, err)
 	}
 	if err := job.decode(value); err != nil {
 		return err
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// restoreRuns restores the runs of a stage's assigned tasks, and their workers as far as they are not known yet.
+// restoreRuns restores the runs of a stage's assigned tasks and adds their workers if they are unknown.
 func (s *Scheduler) restoreRuns(now time.Duration, job *Job, occurrence *Occurrence, stageIndex int) {
 	for index := range occurrence.Stages[stageIndex].Tasks {
 		task := &occurrence.Stages[stageIndex].Tasks[index]
@@ -84,11 +84,11 @@
 		run := newRun(now, taskPosition{job.ID, occurrence.Number, stageIndex, index}, job, task, s.queue(job.Queue))
 		run.durable = true
 		run.stopping = job.hasEnded()
-		w.add(run) // without a share: the worker's capacity is not known yet
+		w.add(run) // the share stays 0 until the capacity of the worker is known
 	}
 }
 
-// restoreWorker adds a worker that is known from records alone.
+// restoreWorker adds a worker that is known only from restored records.
 func (s *Scheduler) restoreWorker(now time.Duration, ref string) *Worker {
 	instance, agent, _ := strings.Cut(ref, "@")
 	w := newWorker(now, ref, instance, agent)
--- a/jobs/recovery_test.go
+++ b/jobs/recovery_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A new owner assumes that every committed start was sent. It sends the same one again, and starts the task elsewhere only
-// once the lease has certainly expired.
+// A new owner assumes that every committed start was sent. It sends the same start again to the same worker, and assigns the
+// task to another worker only after the lease is certain to have expired.
 func TestNewOwnerWaitsForRunsThatMayBeActive(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0     worker a cpu=4000
 	10    client submit j 1x cpu=500 est=100
 	20    disk commit
@@ -22,7 +22,7 @@
 	13040 tick
 	13040 disk commit
 	13050 orders b = start j.0.0.0/2`)
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit j 1x cpu=500 est=100
 	20  disk commit
@@ -31,9 +31,10 @@
 	50  orders a = start j.0.0.0/1`)
 }
 
-// The same as long as ticks and commits go on: nothing may start on another worker before the lease has expired.
-func TestRestoredRunKeepsItsTaskUntilItsLeaseExpires(t *testing.T) {
-	play(t, `
+// While ticks and commits continue after a failover, the task of a restored run must not start on another worker before the
+// lease has expired.
+func TestRestoredRunBlocksReassignmentUntilLeaseExpiry(t *testing.T) {
+	runScenario(t, `
 	0     worker a cpu=4000
 	10    client submit j 1x cpu=500 est=100
 	20    disk commit
@@ -52,9 +53,9 @@
 	13060 orders b = start j.0.0.0/2`)
 }
 
-// A start that was not committed when the owner died was never sent; the next owner decides anew.
+// A start that was not committed before a failover was never sent, so the new owner assigns the task again.
 func TestUncommittedStartIsDiscarded(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	10  client submit j 1x cpu=500 est=100
 	20  disk commit
 	30  worker a cpu=4000
@@ -65,7 +66,7 @@
 }
 
 func TestCancelSurvivesFailover(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit j 1x cpu=500 est=100
 	20  disk commit
@@ -78,51 +79,50 @@
 	95  client j = cancelled`)
 }
 
-// A queue that was removed stays removed when a new owner restores jobs of it: whoever has an older configuration submits
-// nothing more to it. Its jobs still run.
+// A removed queue stays removed when a new owner restores jobs of it, so that clients with an older configuration cannot submit
+// to it. Its existing jobs still run.
 func TestRemovedQueueStaysRemovedAfterFailover(t *testing.T) {
-	line := play(t, `
+	sc := runScenario(t, `
 	0  worker a cpu=1000
 	10 client submit low1 1x cpu=100 est=100
 	20 disk commit`)
 	testQueues, all := testQueues[:1], testQueues
-	line.scheduler.Configure(testQueues)
-	if line.scheduler.HasQueue("low") {
-		t.Error("a queue that was dropped is known")
+	sc.scheduler.Configure(testQueues)
+	if sc.scheduler.HasQueue("low") {
+		t.Error("HasQueue reports a removed queue")
 	}
-	line.configs = testQueues
+	sc.configs = testQueues
 	for now, row := range []string{"failover", "worker a cpu=1000 active low1.0.0.0/1", "worker a cpu=1000 end 1/low1.0.0.0/1/done",
 		"disk commit", "client low1 = completed"} {
-		line.step(time.Duration(30+now)*time.Millisecond, strings.Fields(row), row)
+		sc.step(time.Duration(30+now)*time.Millisecond, strings.Fields(row), row)
 	}
-	if line.scheduler.HasQueue("low") {
-		t.Error("a queue that was dropped is known again after a takeover")
+	if sc.scheduler.HasQueue("low") {
+		t.Error("HasQueue reports a removed queue after a failover")
 	}
-	line.scheduler.Configure(all)
-	if !line.scheduler.HasQueue("low") {
-		t.Error("a queue that a configuration names is not known")
+	sc.scheduler.Configure(all)
+	if !sc.scheduler.HasQueue("low") {
+		t.Error("HasQueue does not report a configured queue")
 	}
 }
 
-// Pending demand is measured in mean workers. After a failover the mean is not known until workers have
-// reported, and it changes as they come and go; demand that was counted by an earlier mean must be counted anew, or its
-// queue's limit stays at what it has allocated.
+// Pending demand is measured in mean workers. The mean capacity is unknown after a failover until workers are reported, and it
+// changes as workers are added and removed. Unless the demand is then recounted, the queue's limit stays at its allocation.
 func TestPendingDemandFollowsMeanWorker(t *testing.T) {
-	line := play(t, `
+	sc := runScenario(t, `
 	0    worker a cpu=4000
 	10   client submit j 12x cpu=2000 est=1000
 	20   disk commit
 	30   failover
 	40   worker a cpu=4000 active j.0.0.0/1 active j.0.0.1/1`)
-	if got := line.scheduler.queues["q"].pendingDemand; got != 5 {
-		t.Errorf("10 tasks of half a worker wait: wanted is %v, 5 is right", got)
+	if got := sc.scheduler.queues["q"].pendingDemand; got != 5 {
+		t.Errorf("pending demand of 10 tasks of half a worker is %v, want 5", got)
 	}
-	line.step(50*time.Millisecond, []string{"worker", "b", "cpu=12000"}, "a larger worker")
-	waiting := 0
-	for _, group := range line.scheduler.jobs["j"].pending {
-		waiting += len(group.tasks)
+	sc.step(50*time.Millisecond, []string{"worker", "b", "cpu=12000"}, "add a larger worker")
+	pending := 0
+	for _, group := range sc.scheduler.jobs["j"].pending {
+		pending += len(group.tasks)
 	}
-	if got, want := line.scheduler.queues["q"].pendingDemand, float64(waiting)*0.25; got != want {
-		t.Errorf("%d tasks of a quarter of the usual worker wait: wanted is %v, %v is right", waiting, got, want)
+	if got, want := sc.scheduler.queues["q"].pendingDemand, float64(pending)*0.25; got != want {
+		t.Errorf("pending demand of %d tasks of a quarter of the mean worker is %v, want %v", pending, got, want)
 	}
 }
--- a/jobs/report.go
+++ b/jobs/report.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// heartbeatTimeoutMS is the age of a worker's last heartbeat from which on it gets no starts.
+// heartbeatTimeoutMS is the heartbeat age above which a ready worker counts as unresponsive and receives no starts.
 const heartbeatTimeoutMS = 2500
 
-// HandleReport applies a report of an agent and returns the worker that it is about.
+// HandleReport applies an agent's report and returns the worker that it describes.
 func (s *Scheduler) HandleReport(now time.Duration, r *Report) *Worker {
 	w := s.reportingWorker(now, r)
 	if now-w.lastReport >= agentTimeout {
@@ -42,7 +42,7 @@
 	return w
 }
 
-// reportingWorker returns the worker of a report, which may be new.
+// reportingWorker returns the worker that the report describes and adds it if it is new.
 func (s *Scheduler) reportingWorker(now time.Duration, r *Report) *Worker {
 	ref := WorkerRef(r.Instance, r.AgentAddress)
 	w := s.workers[ref]
@@ -53,7 +53,7 @@
 	return w
 }
 
-// addWorker makes a worker known.
+// addWorker adds a worker to the scheduler's indexes.
 func (s *Scheduler) addWorker(w *Worker) {
 	s.workers[w.Ref] = w
 	if s.workersByAgent[w.AgentAddress] == nil {
@@ -63,7 +63,7 @@
 	s.readyStale = true
 }
 
-// removeWorker forgets a worker, which must have no runs.
+// removeWorker removes a worker without runs from the scheduler's indexes.
 func (s *Scheduler) removeWorker(w *Worker) {
 	delete(s.workers, w.Ref)
 	delete(s.workersByAgent[w.AgentAddress], w.Ref)
@@ -76,8 +76,9 @@
 	s.readyStale = true
 }
 
-// supersede expires the other incarnations at the agent of a report. An agent serves one worker, so a new incarnation has
-// replaced one that crashed; only one that is draining or has left may have active runs beside it.
+// supersede expires and removes the earlier incarnations of the worker at the reporting agent once the new one is ready. An
+// agent serves a single worker, so a new incarnation means that the earlier one crashed. Only a draining or departed
+// incarnation may still have active runs next to its successor.
 func (s *Scheduler) supersede(now time.Duration, r *Report) {
 	for _, old := range s.workersByAgent[r.AgentAddress] {
 		if old.Instance == r.Instance || old.State == Draining || old.State == Departed {
@@ -90,7 +91,7 @@
 	}
 }
 
-// updateWorker applies the worker's reported state, capacity and labels.
+// updateWorker applies the reported state, capacity and labels of the worker.
 func (s *Scheduler) updateWorker(now time.Duration, w *Worker, r *Report) {
 	state := WorkerState(r.State)
 	if state == Ready && r.HeartbeatAgeMS > heartbeatTimeoutMS {
@@ -117,17 +118,17 @@
 	}
 	w.Labels = r.Labels
 	if state == Draining || state == Departed {
-		s.evacuate(now, w)
+		s.stopRunsBeforeDrain(now, w)
 	}
 }
 
-// applyActive applies the active runs of a report.
+// applyActive applies the active runs of a report. Runs without an assignment are added so that they are stopped.
 func (s *Scheduler) applyActive(now time.Duration, w *Worker, r *Report) {
 	for _, active := range r.Active {
 		key := RunRef{active.Task, active.Attempt}
 		run := w.Runs[key]
 		if run == nil {
-			run = s.strayRun(key)
+			run = s.newOrphanedRun(key)
 			w.add(run)
 		}
 		run.reported = true
@@ -140,15 +141,15 @@
 	}
 }
 
-// strayRun returns a run for one that is active without an assignment, which is to be stopped.
-func (s *Scheduler) strayRun(key RunRef) *Run {
+// newOrphanedRun returns a run in the stopping state for an active run that has no assignment.
+func (s *Scheduler) newOrphanedRun(key RunRef) *Run {
 	run := &Run{Key: key, durable: true, stopping: true}
 	position, ok := parseTaskName(key.Task)
 	if !ok {
 		return run
 	}
 	run.position = position
-	if job := s.jobs[position.id]; job != nil && position.stage < len(job.Spec.Stages) {
+	if job := s.jobs[position.jobID]; job != nil && position.stage < len(job.Spec.Stages) {
 		run.demand = job.Spec.Stages[position.stage].demand()
 	}
 	return run
--- a/jobs/reservation.go
+++ b/jobs/reservation.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	minReservationWait  = 300 * time.Millisecond // wait from which on a group reserves workers
-	minReservationShare = 0.2                    // of a mean worker, from which on a task is large
+	minReservationWait  = 300 * time.Millisecond // wait after which a group reserves workers
+	minReservationShare = 0.2                    // share of a mean worker from which a task reserves workers
 )
 
-// reservation reserves a worker for one task of a group that waits for capacity there, as in backfill scheduling: other
-// groups may use what does not delay that task. It is valid for one cycle.
+// reservation reserves a worker for one task of a group that waits for capacity, as in backfill scheduling: other groups may
+// use only capacity whose use does not delay that task. A reservation is valid for one cycle.
 type reservation struct {
 	group         *taskGroup
 	worker        *Worker
-	backfill      Resources // what others may take without delaying the holder
-	backfillKnown bool      // spare is computed
+	backfill      Resources // capacity that other groups may use
+	backfillKnown bool      // backfill has been computed
 }
 
-// backfillCapacity returns what others may take of the worker without delaying the holder.
+// backfillCapacity returns the capacity of the worker that other groups may use without delaying the reserving group.
 func (r *reservation) backfillCapacity() Resources {
 	if !r.backfillKnown {
 		r.backfillKnown = true
@@ -29,7 +29,7 @@
 	return r.backfill
 }
 
-// takeBackfill subtracts what another group takes.
+// takeBackfill subtracts the demand of a task of another group from the backfill capacity.
 func (r *reservation) takeBackfill(demand Resources) {
 	if r.backfillKnown {
 		left := r.backfill.minus(demand)
@@ -37,8 +37,8 @@
 	}
 }
 
-// reserve reserves workers for the members of a group of large tasks that has waited for some time: the least allocated ones
-// that are feasible. At most half of the ready workers are reserved in all.
+// reserve reserves a worker for each member of a group of large tasks that has waited long enough. It chooses the least
+// allocated feasible workers and reserves at most half of all ready workers.
 func (s *Scheduler) reserve(c *cycle, group *taskGroup, members int) {
 	if c.now-group.queuedAt < minReservationWait || s.taskShare(group.spec()) < minReservationShare {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// leastAllocatedFirst returns the ready workers, sorted by what they had allocated at the first call since they were listed.
+// leastAllocatedFirst returns the ready workers in ascending order of their allocation at the first call after a refresh.
 func (s *Scheduler) leastAllocatedFirst() []*Worker {
 	if len(s.leastAllocated) != len(s.readyWorkers) {
 		s.leastAllocated = slices.Clone(s.readyWorkers)
@@ -64,8 +64,9 @@
 	return s.leastAllocated
 }
 
-// backfillCapacity returns what a worker has left for others once a task with some demand runs there. Of the present runs the
-// smallest stay, as far as they fit beside that task; the others have to end before it can start anyway.
+// backfillCapacity returns the capacity that remains on the worker for other tasks once a task with the given demand runs
+// there. It assumes that the smallest current runs stay as long as they fit next to that task. The other runs must end before
+// the task can start in any case.
 func (w *Worker) backfillCapacity(demand Resources) Resources {
 	left := w.Capacity.minus(demand)
 	runs := make([]*Run, 0, len(w.Runs))
@@ -84,7 +85,7 @@
 	return left
 }
 
-// reservationAllows reports whether reservations let a group take so much of a worker.
+// reservationAllows reports whether the reservations permit a group to use the given demand on a worker.
 func (c *cycle) reservationAllows(w *Worker, group *taskGroup, demand Resources) bool {
 	reserved := c.reservations[w]
 	return reserved == nil || reserved.group == group || c.ignoreReservations || reserved.backfillCapacity().Holds(demand)
--- a/jobs/reservation_test.go
+++ b/jobs/reservation_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// docs/incidents/inc1.md: tasks of one job run one after the other on the only worker with their label. The capacity
-// that they leave is enough for another job with that label, which waited until the first one had ended.
-func TestWorkRunsBesideReservation(t *testing.T) {
-	play(t, `
+// Guards against the failure in docs/incidents/inc1.md: the tasks of one job run one at a time on the only worker with their
+// label, which is reserved for the next one. Another job with that label fits into the remaining capacity, but waited until the
+// first job had ended.
+func TestBackfillOnReservedWorker(t *testing.T) {
+	runScenario(t, `
 	0    worker a cpu=32000 mem=131072 gpu=8 kind=a
 	0    worker b cpu=32000 mem=131072 gpu=8 kind=b
 	0    worker c cpu=32000 mem=131072 gpu=8 kind=b
@@ -21,9 +22,9 @@
 	1020 orders a = start low.0.0.0/1 start low.0.0.1/1 start low.0.0.2/1`)
 }
 
-// Workers are reserved among the ready ones, not among those of an earlier list of the same length.
+// Only ready workers are reserved, not workers of an earlier list of ready workers that has the same length.
 func TestReservedWorkersAreReady(t *testing.T) {
-	line := play(t, `
+	sc := runScenario(t, `
 	0    worker a cpu=8000
 	0    worker b cpu=8000 kind=z
 	10   client submit busy 1x cpu=5000 est=60000 label=k
@@ -41,19 +42,19 @@
 	1400 worker a cpu=8000 active busy.0.0.0/1
 	1400 worker b cpu=8000 kind=z instance=i-next
 	1400 tick`)
-	if len(line.scheduler.reservations) == 0 {
-		t.Fatal("no worker is reserved for what is pending")
+	if len(sc.scheduler.reservations) == 0 {
+		t.Fatal("no worker is reserved for the pending group")
 	}
-	for w := range line.scheduler.reservations {
-		if line.scheduler.Worker(w.Ref) != w {
-			t.Errorf("%s is reserved, which is not known any more", w.Ref)
+	for w := range sc.scheduler.reservations {
+		if sc.scheduler.Worker(w.Ref) != w {
+			t.Errorf("worker %s is reserved although it was removed", w.Ref)
 		}
 	}
 }
 
-// A worker is reserved for a task only if it is feasible: not where anti-affinity forbids another task of the stage.
+// A worker is reserved for a task only if it is feasible. Here anti-affinity forbids a second task of the stage on one worker.
 func TestOnlyFeasibleWorkersAreReserved(t *testing.T) {
-	line := play(t, `
+	sc := runScenario(t, `
 	0   worker a cpu=4000 rack=r1
 	0   worker b cpu=4000 rack=r2
 	10  client submit x 1x cpu=3500 label=r2 est=9000
@@ -62,12 +63,12 @@
 	600 worker a cpu=4000 rack=r1
 	600 worker b cpu=4000 rack=r2
 	610 tick`)
-	if len(line.scheduler.reservations) == 0 {
+	if len(sc.scheduler.reservations) == 0 {
 		t.Fatal("no worker is reserved for the pending task")
 	}
-	for w := range line.scheduler.reservations {
+	for w := range sc.scheduler.reservations {
 		if w.Instance != "i-b" {
-			t.Errorf("%s is reserved, where one of the stage's tasks runs already", w.Instance)
+			t.Errorf("worker %s is reserved although a task of the stage already runs there", w.Instance)
 		}
 	}
 }
--- a/jobs/resources.go
+++ b/jobs/resources.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Resources are the demand of a task or the capacity of a worker.
+// Resources is the demand of a task or the capacity of a worker.
 type Resources struct {
-	CPU   int64 // in thousandths of a core
-	MemMB int64 // in units of 2^20 bytes
-	GPU   int64 // accelerators
+	CPU   int64 // in millicores
+	MemMB int64 // in MiB
+	GPU   int64 // number of accelerators
 }
 
 func (r Resources) plus(o Resources) Resources {
@@ -17,18 +17,18 @@
 	return Resources{r.CPU - o.CPU, r.MemMB - o.MemMB, r.GPU - o.GPU}
 }
 
-// Holds reports whether a demand fits into r in each resource.
+// Holds reports whether the demand fits into r in every resource.
 func (r Resources) Holds(demand Resources) bool {
 	return demand.CPU <= r.CPU && demand.MemMB <= r.MemMB && demand.GPU <= r.GPU
 }
 
-// dominantShare returns the largest fraction of r that a demand takes of any resource, as in dominant resource fairness
-// (Ghodsi et al., NSDI 2011). It is infinite where r has nothing of a resource that is asked for.
+// dominantShare returns the maximum over all resources of the fraction of r that the demand uses, as in dominant resource
+// fairness (Ghodsi et al., NSDI 2011). It is infinite if r has none of a requested resource.
 func (r Resources) dominantShare(demand Resources) float64 {
 	return max(ratio(demand.CPU, r.CPU), ratio(demand.MemMB, r.MemMB), ratio(demand.GPU, r.GPU))
 }
 
-// ratio returns part/total: 0 if part is 0, infinity if only total is 0.
+// ratio returns part/total. It returns 0 if part is 0, and infinity if only total is 0.
 func ratio(part, total int64) float64 {
 	if part == 0 {
 		return 0
--- a/jobs/run.go
+++ b/jobs/run.go
@@ -2,49 +2,48 @@
 
 import "time"
 
-// Run is one attempt at a task on a worker: from the decision until the worker's report of its end was applied.
+// Run is one attempt of a task on a worker. It exists from the assignment until the reported end of the run has been applied.
 type Run struct {
 	Key          RunRef
 	position     taskPosition
-	job          *Job // nil where the job is not known (any more)
+	job          *Job // nil if the job is unknown or deleted
 	demand       Resources
-	share        float64       // dominant share of the worker; 0 while its capacity is not known
-	queue        *Queue        // nil where job was not known from the start
+	share        float64       // dominant share of the worker; 0 until the capacity of the worker is known
+	queue        *Queue        // nil if the job was unknown when the run was added
 	durable      bool          // the assignment is committed, so the start may be sent
-	reported     bool          // the agent's last report names it
-	stopping     bool          // a stop is ordered, or is about to be
-	lastSent     time.Duration // when the start or the stop was sent last; 0 before
-	runningSince time.Duration // when it was first reported as active; 0 before
-	percent      int64         // progress, 0 to 100
+	reported     bool          // the agent's latest report lists the run
+	stopping     bool          // a stop has been or will be ordered
+	lastSent     time.Duration // time at which the start or stop was last sent; 0 before the first send
+	runningSince time.Duration // time at which the run was first reported as active; 0 before
+	percent      int64         // progress from 0 to 100
 	assignedAt   time.Duration
-	worker       string // Ref
+	worker       string // Ref of the worker
 }
 
-// newRun returns a run of a task's present attempt.
+// newRun returns a run for the current attempt of a task.
 func newRun(now time.Duration, position taskPosition, job *Job, task *Task, queue *Queue) *Run {
 	return &Run{
-		Key:      RunRef{TaskName(position.id, position.number, position.stage, position.index), task.Attempt},
+		Key:      RunRef{TaskName(position.jobID, position.occurrence, position.stage, position.index), task.Attempt},
 		position: position, job: job, demand: job.Spec.Stages[position.stage].demand(), queue: queue,
 		assignedAt: now, worker: task.Worker,
 	}
 }
 
-// spec returns the specification of the run's stage; the job must be known.
+// spec returns the specification of the run's stage. The job must not be nil.
 func (r *Run) spec() *Stage { return &r.job.Spec.Stages[r.position.stage] }
 
-// stop has the agent be ordered to stop the run, at once.
+// stop marks the run as stopping and makes its stop order due immediately.
 func (r *Run) stop() {
 	r.stopping = true
 	r.lastSent = 0
 }
 
-// task returns the state of the run's task with its stage and occurrence, or nils where there is none any more: the job is
-// unknown, or the occurrence done.
+// task returns the run's occurrence, stage progress and task, or nil values if the job is unknown or the occurrence is done.
 func (r *Run) task() (*Occurrence, *StageProgress, *Task) {
 	if r.job == nil {
 		return nil, nil, nil
 	}
-	occurrence := r.job.occurrence(r.position.number)
+	occurrence := r.job.occurrence(r.position.occurrence)
 	if occurrence == nil || occurrence.Done || r.position.stage >= len(occurrence.Stages) {
 		return nil, nil, nil
 	}
@@ -52,8 +51,8 @@
 	return occurrence, progress, &progress.Tasks[r.position.index]
 }
 
-// isWanted reports whether the run is the present attempt of an assigned task of a job that has not ended.
-func (r *Run) isWanted() bool {
+// isCurrent reports whether the run is the current attempt of an assigned task and its job has not ended.
+func (r *Run) isCurrent() bool {
 	if r.job == nil || r.job.hasEnded() {
 		return false
 	}
@@ -61,7 +60,7 @@
 	return task != nil && task.State == TaskAssigned && task.Attempt == r.Key.Attempt
 }
 
-// saveCheckpoint keeps the newest checkpoint of the run's task; a gang shares the checkpoints of its members.
+// saveCheckpoint stores the latest checkpoint of the run's task. All members of a gang share one checkpoint.
 func (r *Run) saveCheckpoint(checkpoint string) {
 	if checkpoint == "" {
 		return
--- a/jobs/scheduler.go
+++ b/jobs/scheduler.go
@@ -8,61 +8,61 @@
 	"sedgevale/admission"
 )
 
-// Options are the settings of a scheduler.
+// Options configures a Scheduler.
 type Options struct {
-	// LeaseTimeout is the time since the last report of a worker's agent after which the leases of all its runs have
-	// certainly expired: the agent's own lease, the longest run lease on a clock that runs slow, and a margin.
+	// LeaseTimeout is the time after the latest report of a worker's agent at which all run leases on the worker are certain to
+	// have expired. It is the sum of the agent's own lease, the longest run lease on a slow clock, and a margin.
 	LeaseTimeout time.Duration
-	// EndedJobTTL is how long the state of a job can be queried after the job has ended.
+	// EndedJobTTL is the time after the end of a job during which its state can be queried.
 	EndedJobTTL time.Duration
-	// RemoteSlowdown is the factor by which a task runs longer outside the rack of its data.
+	// RemoteSlowdown is the factor by which a task's run time increases outside the rack of its input data.
 	RemoteSlowdown float64
 }
 
-// Scheduler is the scheduler of one shard: its jobs, queues and workers, and all decisions about them. It is not safe for
-// concurrent use. Times are offsets on the owner's monotonic clock, except wallMS, which is Unix time in milliseconds.
+// Scheduler holds the jobs, queues and workers of one shard and assigns tasks to workers. It is not safe for concurrent use.
+// Times are offsets on the owner's monotonic clock, except for wallMS, which is Unix time in milliseconds.
 type Scheduler struct {
 	options Options
 	random  *rand.Rand
 
-	jobs         map[string]*Job // by ID; ended ones until their TTL is over
-	queues       map[string]*Queue
-	queueOrder   []*Queue           // by priority, then name
-	workers      map[string]*Worker // by Ref
-	meanCapacity Resources          // mean over the ready workers
-	delayed      map[string]*Job    // jobs with occurrences that are not due yet
-	ended        []*Job             // in the order of their ends
+	jobs         map[string]*Job    // keyed by ID; includes ended jobs until EndedJobTTL has elapsed
+	queues       map[string]*Queue  // keyed by name
+	queueOrder   []*Queue           // sorted by priority, then name
+	workers      map[string]*Worker // keyed by Ref
+	meanCapacity Resources          // mean capacity of the ready workers
+	delayed      map[string]*Job    // jobs with occurrences that are not yet due, keyed by ID
+	ended        []*Job             // ended jobs, in the order in which they ended
 
-	// What changed since the last Flush, and what waits for changes to be committed.
-	dirtyJobs          []*Job
-	deletedKeys        []string
-	newSpecs           []Change
-	newEffects         []func()
-	unconfirmedEffects []durableEffect // by sequence
+	// Changes since the last Flush, and callbacks that wait for commits.
+	dirtyJobs            []*Job
+	deletedKeys          []string
+	newSpecs             []Change
+	newCallbacks         []func()
+	uncommittedCallbacks []commitCallback // sorted by sequence
 
-	groupSequence  uint64                        // of the last task group
-	workersByAgent map[string]map[string]*Worker // by the agent's address and Ref
+	groupSequence  uint64                        // sequence of the latest task group
+	workersByAgent map[string]map[string]*Worker // keyed by AgentAddress, then Ref
 
-	// The ready workers, listed anew by refreshReady.
-	readyWorkers   []*Worker
-	leastAllocated []*Worker // the same, least allocated first; built on demand
-	meanAllocated  float64   // mean of their allocated shares
-	readyListedAt  time.Duration
-	readyStale     bool
+	// The ready workers, as of the last refreshReady.
+	readyWorkers     []*Worker
+	leastAllocated   []*Worker // readyWorkers in ascending order of allocated; built on demand
+	meanAllocated    float64   // mean of allocated over readyWorkers
+	readyRefreshedAt time.Duration
+	readyStale       bool // readyWorkers must be refreshed by the next cycle
 
 	needsCycle     bool                     // a task may have become schedulable since the last cycle
-	reservations   map[*Worker]*reservation // of the last cycle
-	overdueCycle   bool                     // the next cycle places overdue groups
-	overdueQueue   int                      // index into queueOrder, modulo its length, at which the overdue scan resumes
-	nextPreemption time.Duration            // not before then
+	reservations   map[*Worker]*reservation // reservations of the last cycle
+	overdueCycle   bool                     // the next cycle also places overdue groups
+	overdueQueue   int                      // index into queueOrder, modulo its length, at which the next overdue scan resumes
+	nextPreemption time.Duration            // earliest time of the next preemption
 	headroom       headroom
 
-	// Buffers of updateLimits.
-	claimants []admission.Claimant
-	scratch   []float64
+	// Buffers that updateLimits reuses.
+	claimants    []admission.Claimant
+	workerLimits []float64
 }
 
-// New returns a scheduler without jobs, queues and workers. All its random draws come from random.
+// New returns a scheduler without jobs, queues and workers. It draws all random numbers from random.
 func New(options Options, random *rand.Rand) *Scheduler {
 	return &Scheduler{
 		options: options, random: random,
@@ -71,8 +71,8 @@
 	}
 }
 
-// Configure replaces the queues by those of a configuration. A queue that was removed accepts no more jobs; its present
-// jobs still run.
+// Configure replaces the queue configurations. A queue that is no longer configured is marked as removed, so HasQueue no longer
+// reports it, but its existing jobs still run. Configure deletes a removed queue that has no active jobs and no allocation.
 func (s *Scheduler) Configure(configs []QueueConfig) {
 	for _, q := range s.queues {
 		q.removed = true
@@ -100,8 +100,8 @@
 	s.needsCycle = true
 }
 
-// queue returns the queue of a name. One that no configuration names belongs to jobs that were accepted under an earlier
-// configuration; it is created with conservative settings and marked as removed.
+// queue returns the queue with the given name. A missing queue belongs to jobs that were accepted under an earlier
+// configuration. It is created with conservative settings and marked as removed.
 func (s *Scheduler) queue(name string) *Queue {
 	q := s.queues[name]
 	if q == nil {
@@ -113,11 +113,11 @@
 	return q
 }
 
-// HasQueue reports whether the present configuration has a queue.
+// HasQueue reports whether the current configuration contains the queue.
 func (s *Scheduler) HasQueue(queue string) bool {
 	q := s.queues[queue]
 	return q != nil && !q.removed
 }
 
-// Worker returns the worker with a Ref, or nil.
+// Worker returns the worker with the given Ref, or nil.
 func (s *Scheduler) Worker(ref string) *Worker { return s.workers[ref] }
--- a/jobs/status.go
+++ b/jobs/status.go
@@ -1,6 +1,6 @@
 package jobs
 
-// Status returns the committed state of a job, and whether the job is known and committed.
+// Status returns the committed state of a job and whether the job is known and its record committed.
 func (s *Scheduler) Status(id string) (State, bool) {
 	job := s.jobs[id]
 	if job == nil || !job.durable {
@@ -9,13 +9,13 @@
 	return job.visibleState(), true
 }
 
-// CommitPending reports whether a job was accepted but its record is not committed yet.
+// CommitPending reports whether a job was accepted but its record is not yet committed.
 func (s *Scheduler) CommitPending(id string) bool {
 	job := s.jobs[id]
 	return job != nil && !job.durable
 }
 
-// PendingJobs returns how many jobs of a queue have not ended and have no task that ever ran.
+// PendingJobs returns the number of active jobs of a queue of which no task has ever run.
 func (s *Scheduler) PendingJobs(queue string) int {
 	if q := s.queues[queue]; q != nil {
 		return q.pendingJobs
@@ -35,7 +35,7 @@
 	}
 }
 
-// uncountJob removes a job that ends from the counts.
+// uncountJob removes an ending job from the counts of active jobs.
 func (s *Scheduler) uncountJob(job *Job) {
 	q := s.queue(job.Queue)
 	q.activeJobs--
@@ -44,7 +44,7 @@
 	}
 }
 
-// markRan records that a worker has run a task of a job; job may be nil.
+// markRan records that a worker has run a task of the job, which may be nil.
 func (s *Scheduler) markRan(job *Job) {
 	if job == nil || job.everRan {
 		return
--- a/jobs/stored_data_test.go
+++ b/jobs/stored_data_test.go
@@ -14,7 +14,7 @@
 	"sedgevale/internal/system/statefile"
 )
 
-// storedEntry is an entry of a core machine's data directory, with its fields in the order of the stored bytes.
+// storedEntry is an entry of a core machine's data directory. The order of the fields is that of the stored bytes.
 type storedEntry struct {
 	Kind       int
 	Name       string
@@ -39,20 +39,20 @@
 	Restored    bool
 }
 
-// storedRecords returns the records of the one shard in a stored directory.
+// storedRecords returns the records of the single shard in a stored data directory.
 func storedRecords(t *testing.T, name string) []Change {
 	t.Helper()
 	set := shard.NewRecordSet()
 	_, err := statefile.Replay("../internal/system/statefile/testdata/"+name, func(payload []byte) error {
-		var one storedEntry
-		if err := avrocodec.Decode(payload, &one); err != nil {
+		var entry storedEntry
+		if err := avrocodec.Decode(payload, &entry); err != nil {
 			return err
 		}
-		for _, record := range one.Records {
+		for _, record := range entry.Records {
 			set.Apply(record)
 		}
-		for _, part := range one.Ranges {
-			for _, record := range part.Records {
+		for _, recordRange := range entry.Ranges {
+			for _, record := range recordRange.Records {
 				set.Apply(record)
 			}
 		}
@@ -68,14 +68,14 @@
 	return records
 }
 
-// describeJob writes all that is durable of a job.
+// describeJob returns a description of all stored fields of a job.
 func describeJob(job *Job) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s in %s is %s, next %d, spec %q", job.ID, job.Queue, job.State, job.NextOccurrence, job.Spec.Text)
-	for _, run := range job.Occurrences {
-		fmt.Fprintf(&text, "\n time %d, done %t", run.Number, run.Done)
-		for stage := range run.Stages {
-			for i, task := range run.Stages[stage].Tasks {
+	for _, occurrence := range job.Occurrences {
+		fmt.Fprintf(&text, "\n time %d, done %t", occurrence.Number, occurrence.Done)
+		for stage := range occurrence.Stages {
+			for i, task := range occurrence.Stages[stage].Tasks {
 				fmt.Fprintf(&text, "\n  task %d.%d: state %d, attempt %d, fails %d, failed %d, worker %q, saved %q", stage, i,
 					task.State, task.Attempt, task.Failures, task.LastFailure, task.Worker, task.Checkpoint)
 			}
@@ -84,7 +84,8 @@
 	return text.String()
 }
 
-// The jobs of a stored shard are restored with their states, attempts, failures, workers and checkpoints.
+// The jobs of stored shards are restored with their states, attempts, failures, workers and checkpoints, and are encoded again
+// to the same bytes.
 func TestStoredJobsAreRestored(t *testing.T) {
 	for name, want := range storedJobs {
 		t.Run(name, func(t *testing.T) {
@@ -93,23 +94,23 @@
 				t.Fatal(err)
 			}
 			if len(restored.jobs) != len(want) {
-				t.Errorf("%d jobs, want %d", len(restored.jobs), len(want))
+				t.Errorf("restored %d jobs, want %d", len(restored.jobs), len(want))
 			}
-			for id, one := range want {
+			for id, stored := range want {
 				job := restored.jobs[id]
 				if job == nil {
 					t.Errorf("job %s is missing", id)
 					continue
 				}
-				if got := describeJob(job); got != one.text {
-					t.Errorf("job %s:\n%s\nwant\n%s", id, got, one.text)
+				if got := describeJob(job); got != stored.text {
+					t.Errorf("job %s:\n%s\nwant\n%s", id, got, stored.text)
 				}
-				if state, known := restored.Status(id); !known || string(state) != one.shown {
-					t.Errorf("job %s is shown as %q, want %q", id, state, one.shown)
+				if state, known := restored.Status(id); !known || string(state) != stored.visibleState {
+					t.Errorf("visible state of job %s is %q, want %q", id, state, stored.visibleState)
 				}
 				encoded, err := job.encode()
 				if err != nil || string(encoded) != valueOf(storedRecords(t, name), "d/"+id) {
-					t.Errorf("job %s is written as %x, error %v", id, encoded, err)
+					t.Errorf("job %s is encoded as %x, error %v, which differs from the stored record", id, encoded, err)
 				}
 			}
 		})
@@ -125,8 +126,8 @@
 	return ""
 }
 
-// storedJob is what a job of a stored shard is restored as, and how clients see it.
-type storedJob struct{ shown, text string }
+// storedJob is the expected state of a restored job: the state that clients see and the text of describeJob.
+type storedJob struct{ visibleState, text string }
 
 var storedJobs = map[string]map[string]storedJob{
 	"takeover": {
--- a/jobs/summary.go
+++ b/jobs/summary.go
@@ -5,31 +5,31 @@
 	"sort"
 )
 
-// QueueSummary is the state of a queue for operators. It is sent as Avro, read by the order of the fields.
+// QueueSummary is the state of a queue as shown to operators. It is encoded as Avro and read by field order.
 type QueueSummary struct {
 	Name          string
 	Priority      int64
-	Active        int64   // jobs that have not ended
-	Pending       int64   // of these, jobs of which no task ever ran
-	Allocated     float64 // sum of the shares of its runs, in workers
-	PendingDemand float64 // demand of its pending tasks, in workers
-	Limit         float64 // the admission limit on the shares of its runs
-	MeanRunMS     float64 // mean run time of a task (geometric)
+	Active        int64   // number of jobs that have not ended
+	Pending       int64   // number of active jobs of which no task has ever run
+	Allocated     float64 // sum of the shares of the queue's runs, in workers
+	PendingDemand float64 // demand of the pending tasks, in workers
+	Limit         float64 // admission limit on Allocated, in workers
+	MeanRunMS     float64 // geometric mean of the run times
 }
 
-// WorkerSummary is the state of a worker for operators. It is sent as Avro, read by the order of the fields.
+// WorkerSummary is the state of a worker as shown to operators. It is encoded as Avro and read by field order.
 type WorkerSummary struct {
-	Ref         string // WorkerRef
-	State       string // a WorkerState
-	Runs        int64
-	Allocated   float64 // sum of the shares of its runs
-	LoadLimit   float64 // learned limit on its load, in (0, 1]
-	FailureRate float64 // EWMA of failures among finished runs
-	Slowdown    float64 // EWMA of run time over expected run time
-	Free        Resources
+	Ref         string    // unique name, see WorkerRef
+	State       string    // the worker's WorkerState
+	Runs        int64     // number of assigned runs
+	Allocated   float64   // sum of the shares of the worker's runs
+	LoadLimit   float64   // learned limit on the load, in (0, 1]
+	FailureRate float64   // EWMA of the fraction of finished runs that failed, decayed per tick
+	Slowdown    float64   // EWMA of the ratio of run time to expected run time
+	Free        Resources // capacity that is not used by runs
 }
 
-// Summary returns the state of all queues by priority and of all workers by Ref.
+// Summary returns the state of all queues, sorted by priority and name, and of all workers, sorted by Ref.
 func (s *Scheduler) Summary() ([]QueueSummary, []WorkerSummary) {
 	var queues []QueueSummary
 	for _, q := range s.queueOrder {
--- a/jobs/taskname.go
+++ b/jobs/taskname.go
@@ -5,28 +5,29 @@
 	"strings"
 )
 
-// TaskName returns the name by which workers know a task: the job's ID, the occurrence, the stage and the task's index.
-func TaskName(id string, number, stageIndex, index int) string {
-	return id + "." + strconv.Itoa(number) + "." + strconv.Itoa(stageIndex) + "." + strconv.Itoa(index)
+// TaskName returns the name of a task in messages to workers: the job ID, the occurrence number, the stage index and the task
+// index, separated by dots.
+func TaskName(jobID string, occurrence, stageIndex, index int) string {
+	return jobID + "." + strconv.Itoa(occurrence) + "." + strconv.Itoa(stageIndex) + "." + strconv.Itoa(index)
 }
 
-// taskPosition identifies a task; its name is the text form.
+// taskPosition identifies a task within a shard. Its text form is the task name.
 type taskPosition struct {
-	id     string // of the job
-	number int    // of the occurrence
-	stage  int
-	index  int // within the stage
+	jobID      string
+	occurrence int // number of the occurrence
+	stage      int // index of the stage
+	index      int // index of the task within the stage
 }
 
-// parseTaskName reverses TaskName. It reports false for a name of another form.
+// parseTaskName parses a name that TaskName returned. It reports false if the name is malformed.
 func parseTaskName(name string) (taskPosition, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
 		return taskPosition{}, false
 	}
-	number, err1 := strconv.Atoi(parts[1])
+	occurrence, err1 := strconv.Atoi(parts[1])
 	stageIndex, err2 := strconv.Atoi(parts[2])
 	index, err3 := strconv.Atoi(parts[3])
-	ok := err1 == nil && err2 == nil && err3 == nil && number >= 0 && stageIndex >= 0 && index >= 0
-	return taskPosition{parts[0], number, stageIndex, index}, ok
+	ok := err1 == nil && err2 == nil && err3 == nil && occurrence >= 0 && stageIndex >= 0 && index >= 0
+	return taskPosition{parts[0], occurrence, stageIndex, index}, ok
 }
--- a/jobs/tick.go
+++ b/jobs/tick.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// failureRateDecay is the factor on a worker's failure rate in a tick, so that an avoided worker is tried again.
+// failureRateDecay is the factor applied to a worker's failure rate per tick, so that an avoided worker is tried again.
 const failureRateDecay = 0.98
 
-// Tick does what is due by time; the owner calls it at a fixed interval. It starts due occurrences, expires workers, updates
-// the limits of admission and deletes ended jobs.
+// Tick performs the time-driven work: it starts due occurrences, expires workers, updates the admission limits and deletes
+// ended jobs. The owner calls it at a fixed interval.
 func (s *Scheduler) Tick(now time.Duration, wallMS int64) {
 	for _, job := range s.delayed {
 		s.startDueOccurrences(now, wallMS, job)
@@ -31,7 +31,7 @@
 	s.deleteEndedJobs(now)
 }
 
-// expireWorker ends all runs of a worker whose lease has certainly expired.
+// expireWorker ends all runs of a worker whose lease is certain to have expired.
 func (s *Scheduler) expireWorker(now time.Duration, w *Worker) {
 	for key := range w.Runs {
 		s.finishRun(now, w, key, outcomeLeaseExpired, "")
--- a/jobs/triage.go
+++ b/jobs/triage.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// Earliest deadline first makes all jobs tardy under overload. So each tick classifies the pending groups of a queue by what
-// they can still reach, with the algorithm of Moore and Hodgson (Management Science 15, 1968): groups are admitted by
-// deadline, and whenever one would be tardy, the largest admitted so far is deferred, which minimizes the number of tardy
-// jobs. Without overload none is deferred.
-
-// triageClass is what a pending group can still reach.
+// triageClass is the best completion time that a pending group can still achieve. Groups are placed in ascending order of
+// class.
+//
+// Earliest deadline first alone makes all jobs tardy under overload. Therefore each tick classifies the pending groups of a
+// queue with the algorithm of Moore and Hodgson (Management Science 15, 1968), which minimizes the number of tardy jobs: it
+// admits groups in order of deadline and, whenever a group would be tardy, defers the largest group admitted so far. Without
+// overload, no group is deferred.
 type triageClass int
 
 const (
-	onTime        triageClass = iota // its deadline
-	tardy                            // tardyFactor times its latency objective; a job completed until then still has some value
-	missed                           // neither
-	triageClasses                    // their number
+	onTime           triageClass = iota // the job can meet its deadline
+	tardy                               // the job can complete by its tardy limit (see tardyFactor), when it still has some value
+	missed                              // the job can meet neither limit
+	numTriageClasses                    // number of classes
 )
 
 const (
-	tardyFactor       = 3.0
-	maxTriagedGroups  = 512  // of a queue, in a tick
-	meanAllocatedGain = 0.05 // weight of one tick in Queue.meanAllocated
-	minMeanAllocated  = 0.25 // assumed rate of service at least, in workers
+	tardyFactor       = 3.0  // ratio of the tardy limit to the time from dueAt to the deadline
+	maxTriagedGroups  = 512  // maximum groups of a queue that are triaged per tick
+	meanAllocatedGain = 0.05 // EWMA weight of one tick in Queue.meanAllocated
+	minMeanAllocated  = 0.25 // lower bound on the assumed service rate, in workers
 )
 
 // triageCandidate is a pending group with the remaining work of its job.
 type triageCandidate struct {
 	group *taskGroup
-	order int     // its position in the queue, which is by deadline
-	work  float64 // in seconds of a worker's full capacity
-	tail  float64 // seconds from the start of the group's last task to the end of the job
+	order int     // position of the group in the queue, by deadline
+	work  float64 // remaining work, in seconds of one worker's full capacity
+	tail  float64 // expected seconds from the start of the group's last task to the end of the job
 }
 
-// largestFirst is a heap (container/heap) of candidates by descending work.
+// largestFirst implements heap.Interface with the candidate of the most work at the root.
 type largestFirst []triageCandidate
 
 func (h largestFirst) Len() int { return len(h) }
@@ -55,8 +56,8 @@
 	return top
 }
 
-// triage classifies a queue's pending groups by what they can still reach at the rate at which the queue is served. The
-// capacity is that of all ready workers.
+// triage classifies a queue's pending groups by the completion times that they can achieve at the queue's current service rate.
+// The argument capacity is the total capacity of the ready workers.
 func (s *Scheduler) triage(now time.Duration, q *Queue, capacity float64) {
 	q.triages++
 	q.lastTriaged = nil
@@ -90,9 +91,9 @@
 	}
 }
 
-// classOf returns the class of a pending group. What has come since the last tick counts as on time. So does a group behind the
-// last one that a tick looks at, unless groups before it were deferred: then it goes behind those that are tardy, since its
-// deadline is later, and before those that have missed theirs.
+// classOf returns the class of a pending group. A group that was enqueued since the latest triage counts as on time. A group
+// after the last triaged one also counts as on time unless the triage deferred groups. In that case it counts as tardy, which
+// places it after the tardy groups, since its deadline is later, and before the missed ones.
 func (q *Queue) classOf(group *taskGroup) triageClass {
 	switch {
 	case group.triage == q.triages:
@@ -103,17 +104,18 @@
 	return onTime
 }
 
-// classify gives a class to as many candidates, which come by deadline, as reach it, behind the work that is ahead of them. It
-// returns the work that is then ahead of others, and the deferred candidates, which do not reach the class, by deadline.
+// classify assigns a class to as many candidates as can achieve it if the work in workAhead is done first. The candidates must
+// be in order of deadline. It returns the total work of workAhead and the admitted candidates, and the deferred candidates in
+// order of deadline.
 func classify(
-	now time.Duration, class triageClass, all []triageCandidate, before, rate float64,
+	now time.Duration, class triageClass, all []triageCandidate, workAhead, rate float64,
 ) (ahead float64, deferred []triageCandidate) {
 	var admitted largestFirst
-	ahead = before
+	ahead = workAhead
 	for _, c := range all {
 		heap.Push(&admitted, c)
 		ahead += c.work
-		for admitted.Len() > 0 && !c.reaches(now, class, ahead, rate) {
+		for admitted.Len() > 0 && !c.canAchieve(now, class, ahead, rate) {
 			largest := heap.Pop(&admitted).(triageCandidate)
 			ahead -= largest.work
 			deferred = append(deferred, largest)
@@ -129,8 +131,9 @@
 	return ahead, deferred
 }
 
-// reaches reports whether a candidate's job completes within a class if the work ahead, its own included, is done at a rate.
-func (c triageCandidate) reaches(now time.Duration, class triageClass, ahead, rate float64) bool {
+// canAchieve reports whether the candidate's job completes in time for a class if the work ahead, which includes the
+// candidate's own, is done at the given rate in workers.
+func (c triageCandidate) canAchieve(now time.Duration, class triageClass, ahead, rate float64) bool {
 	lastStart := max(0, ahead-c.work/float64(max(1, len(c.group.tasks)))) / rate
 	end := now + time.Duration((lastStart+c.tail)*float64(time.Second))
 	if class == onTime {
@@ -140,11 +143,11 @@
 	return end <= due+time.Duration(tardyFactor*float64(c.group.deadline-due))
 }
 
-// newTriageCandidate returns a group with the remaining work of its job, all stages behind the group's included.
+// newTriageCandidate returns a group with the remaining work of its stage and of all later stages of its job.
 func (s *Scheduler) newTriageCandidate(group *taskGroup) triageCandidate {
 	c := triageCandidate{group: group}
 	stages := group.job.Spec.Stages
-	tail := make([]float64, len(stages)) // seconds from the start of a stage to the end of all that depend on it
+	tail := make([]float64, len(stages)) // expected seconds from the start of a stage to the end of all stages that depend on it
 	for stageIndex := len(stages) - 1; stageIndex >= group.stage; stageIndex-- {
 		expected := group.queue.expectedRunTime(&stages[stageIndex]).Seconds()
 		for later := stageIndex + 1; later < len(stages); later++ {
--- a/jobs/triage_test.go
+++ b/jobs/triage_test.go
@@ -11,9 +11,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// A job that would make itself and all jobs behind it tardy is deferred; what can be on time goes first.
+// A job that would be tardy and make all later jobs tardy is deferred. The jobs that can be on time are placed first.
 func TestTriageDefersTardyJobs(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0    worker a cpu=1000
 	10   client submit x 1x cpu=1000 est=500
 	20   disk commit
@@ -28,9 +28,9 @@
 	520  orders a = acked 1 start one.0.0.0/1`)
 }
 
-// Without overload the earliest deadline goes first, wide jobs included.
+// Without overload the group with the earliest deadline is placed first, even if it has many tasks.
 func TestEarliestDeadlineFirstWithoutOverload(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0    worker a cpu=1000
 	10   client submit x 1x cpu=1000 est=500
 	20   disk commit
@@ -45,66 +45,67 @@
 	520  orders a = acked 1 start wide.0.0.0/1`)
 }
 
-// Work without any value left waits behind tardy work that still has some.
-func TestMissedWorkGoesLast(t *testing.T) {
+// Groups that missed their tardy limit are placed after tardy groups, which still have some value.
+func TestMissedGroupsArePlacedLast(t *testing.T) {
 	now := 20 * time.Second
 	q := newQueue(QueueConfig{Name: "q", TargetLatencyMS: 1000, Extension: 2})
-	old := groupOf(q, 1, 0, 3*time.Second)
-	overdue := groupOf(q, 2, 14*time.Second, 17*time.Second)
-	fresh := groupOf(q, 3, now, now+3*time.Second)
-	b := New(Options{}, nil)
-	b.meanCapacity = Resources{CPU: 1000}
-	for _, group := range []*taskGroup{old, overdue, fresh} {
+	missedGroup := groupOf(q, 1, 0, 3*time.Second)
+	tardyGroup := groupOf(q, 2, 14*time.Second, 17*time.Second)
+	onTimeGroup := groupOf(q, 3, now, now+3*time.Second)
+	s := New(Options{}, nil)
+	s.meanCapacity = Resources{CPU: 1000}
+	for _, group := range []*taskGroup{missedGroup, tardyGroup, onTimeGroup} {
 		q.pending.ReplaceOrInsert(group)
 	}
 	q.allocated, q.meanAllocated = 1, 1
-	b.triage(now, q, 1)
+	s.triage(now, q, 1)
 	c := &cycle{now: now, unschedulable: map[*taskGroup]bool{}}
-	units, _ := c.nextGroups(q)
-	if len(units) != 3 || units[0] != fresh || units[1] != overdue || units[2] != old {
-		t.Errorf("prospects %v, %v, %v for fresh, late and hopeless work", fresh.class, overdue.class, old.class)
+	groups, _ := c.nextGroups(q)
+	if len(groups) != 3 || groups[0] != onTimeGroup || groups[1] != tardyGroup || groups[2] != missedGroup {
+		t.Errorf("classes are %v, %v, %v, want on time, tardy, missed in this order", onTimeGroup.class, tardyGroup.class, missedGroup.class)
 	}
 }
 
+// groupOf returns a group of one task with an estimate of 1 s on a full worker of 1000 millicores.
 func groupOf(q *Queue, order uint64, due, deadline time.Duration) *taskGroup {
 	spec := &Spec{Stages: []Stage{{Count: 1, CPU: 1000, EstimateMS: 1000}}}
 	job := &Job{ID: "j", Spec: spec, State: Queued}
 	return &taskGroup{job: job, occurrence: job.addOccurrence(0, due), queue: q, tasks: []int{0}, deadline: deadline, sequence: order}
 }
 
-// For any jobs: those that are admitted are on time if they run by deadline, and they are no fewer than those that
-// would be on time if all ran by deadline.
-func TestTriageKeepsAsManyOnTimeAsDeadlineOrder(t *testing.T) {
+// For any jobs, the admitted jobs are on time if they run in order of deadline, and they are at least as many as would be on
+// time if all jobs ran in order of deadline.
+func TestTriageAdmitsAsManyAsDeadlineOrder(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
-	properties.Property("kept jobs are in time and no fewer", prop.ForAll(func(work []int) bool {
+	properties.Property("admitted jobs are on time and at least as many as in deadline order", prop.ForAll(func(work []int) bool {
 		var all []triageCandidate
 		q := newQueue(QueueConfig{})
-		inOrder, ahead := 0, 0.0
+		onTimeInOrder, ahead := 0, 0.0
 		deadline := time.Duration(0)
 		for i, w := range work {
 			deadline += time.Duration(w%7) * 400 * time.Millisecond
 			c := triageCandidate{group: groupOf(q, uint64(i), 0, deadline+2*time.Second), work: float64(w) / 4, tail: 0.5}
 			all = append(all, c)
 			ahead += c.work
-			if c.reaches(0, onTime, ahead, 1) {
-				inOrder++
+			if c.canAchieve(0, onTime, ahead, 1) {
+				onTimeInOrder++
 			}
 		}
-		kept, putOff := classify(0, onTime, all, 0, 1)
-		if kept < -1e-9 || len(all)-len(putOff) < inOrder {
+		admittedWork, deferred := classify(0, onTime, all, 0, 1)
+		if admittedWork < -1e-9 || len(all)-len(deferred) < onTimeInOrder {
 			return false
 		}
 		done := 0.0
-		off := map[*taskGroup]bool{}
-		for _, c := range putOff {
-			off[c.group] = true
+		isDeferred := map[*taskGroup]bool{}
+		for _, c := range deferred {
+			isDeferred[c.group] = true
 		}
 		for _, c := range all {
-			if off[c.group] {
+			if isDeferred[c.group] {
 				continue
 			}
 			done += c.work
-			if c.group.class != onTime || !c.reaches(0, onTime, done, 1) {
+			if c.group.class != onTime || !c.canAchieve(0, onTime, done, 1) {
 				return false
 			}
 		}
@@ -113,10 +114,11 @@
 	properties.TestingRun(t)
 }
 
-// Deferred groups come to the next class by deadline, as the algorithm wants, and not in the order in which they were deferred.
-func TestDeferredGroupsStayInTheOrderOfDeadlines(t *testing.T) {
+// The deferred groups are passed to the next class in order of deadline, as the algorithm requires, and not in the order in
+// which they were deferred.
+func TestDeferredGroupsAreSortedByDeadline(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
-	properties.Property("deferred groups are by deadline", prop.ForAll(func(work []int) bool {
+	properties.Property("deferred groups are sorted by deadline", prop.ForAll(func(work []int) bool {
 		var all []triageCandidate
 		q := newQueue(QueueConfig{})
 		for i, w := range work {
@@ -129,45 +131,45 @@
 	properties.TestingRun(t)
 }
 
-// Under overload, groups behind the last one that triage looks at go behind tardy groups, whose deadlines are sooner, and before
-// those that have missed theirs. What has just come goes first, and so do all where nothing was deferred.
-func TestGroupsBehindTheTriagedOnes(t *testing.T) {
+// Under overload, groups after the last triaged group count as tardy: they are placed after the tardy groups, whose deadlines
+// are earlier, and before the missed ones. New groups count as on time, and so do all groups if none was deferred.
+func TestClassOfGroupsAfterLastTriaged(t *testing.T) {
 	now := 20 * time.Second
 	s := New(Options{}, nil)
 	s.meanCapacity = Resources{CPU: 1000}
-	fill := func(rate float64) (q *Queue, behind, come *taskGroup) {
+	triagedQueue := func(rate float64) (q *Queue, untriaged, added *taskGroup) {
 		q = newQueue(QueueConfig{Name: "q", TargetLatencyMS: 1000, Extension: 2})
 		for i := range maxTriagedGroups {
 			q.pending.ReplaceOrInsert(groupOf(q, uint64(i), now, now+3*time.Second))
 		}
-		behind = groupOf(q, maxTriagedGroups, now, now+4*time.Second)
-		q.pending.ReplaceOrInsert(behind)
+		untriaged = groupOf(q, maxTriagedGroups, now, now+4*time.Second)
+		q.pending.ReplaceOrInsert(untriaged)
 		q.allocated, q.meanAllocated = rate, rate
 		s.triage(now, q, rate)
-		come = groupOf(q, maxTriagedGroups+1, now, now+2*time.Second)
-		q.pending.ReplaceOrInsert(come)
-		return q, behind, come
+		added = groupOf(q, maxTriagedGroups+1, now, now+2*time.Second)
+		q.pending.ReplaceOrInsert(added)
+		return q, untriaged, added
 	}
-	q, behind, come := fill(1)
-	if got := q.classOf(behind); got != tardy {
-		t.Errorf("behind the triaged groups of an overloaded queue: class %v", got)
+	q, untriaged, added := triagedQueue(1)
+	if got := q.classOf(untriaged); got != tardy {
+		t.Errorf("class of a group after the triaged ones of an overloaded queue is %v, want tardy", got)
 	}
-	if got := q.classOf(come); got != onTime {
-		t.Errorf("a group that has just come: class %v", got)
+	if got := q.classOf(added); got != onTime {
+		t.Errorf("class of a group added since the triage is %v, want on time", got)
 	}
 	q.pending.Delete(q.lastTriaged)
 	s.triage(now, q, 1)
 	q.pending.ReplaceOrInsert(groupOf(q, maxTriagedGroups+2, now, now+5*time.Second))
-	if got := q.classOf(behind); got != tardy {
-		t.Errorf("a tick later: class %v", got)
+	if got := q.classOf(untriaged); got != tardy {
+		t.Errorf("class after the next triage is %v, want tardy", got)
 	}
-	q, behind, _ = fill(10_000)
-	if got := q.classOf(behind); got != onTime {
-		t.Errorf("behind the triaged groups of a queue that keeps up: class %v", got)
+	q, untriaged, _ = triagedQueue(10_000)
+	if got := q.classOf(untriaged); got != onTime {
+		t.Errorf("class of a group after the triaged ones of a queue without overload is %v, want on time", got)
 	}
 }
 
-// BenchmarkTriage measures a tick of a queue with as many pending groups as are considered, far beyond what can be on time.
+// BenchmarkTriage measures the triage of a heavily overloaded queue with maxTriagedGroups pending groups.
 func BenchmarkTriage(b *testing.B) {
 	q := newQueue(QueueConfig{Name: "q", TargetLatencyMS: 1000, Extension: 2})
 	for i := range maxTriagedGroups {
--- a/jobs/unschedulable.go
+++ b/jobs/unschedulable.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// UnschedulableReason is why a pending group was not placed although a worker has the free capacity for one of its tasks.
+// UnschedulableReason is the reason why a pending group was not placed although a worker has free capacity for one of its
+// tasks.
 type UnschedulableReason string
 
-// The reasons. Their texts are label values of a metric.
+// The reasons for not placing a group. The texts are label values of a metric.
 const (
-	ReasonQueueLimit  UnschedulableReason = "queue limit"  // the queue has as much allocated as its limit allows
-	ReasonHeadroom    UnschedulableReason = "headroom"     // the capacity is kept free for the first priority
-	ReasonCredit      UnschedulableReason = "credit"       // the queue has no credit in deficit round robin
+	ReasonQueueLimit  UnschedulableReason = "queue limit"  // the queue's allocation has reached its limit
+	ReasonHeadroom    UnschedulableReason = "headroom"     // the capacity is kept free for the highest priority
+	ReasonCredit      UnschedulableReason = "credit"       // the queue has no credit left in deficit round robin
 	ReasonReservation UnschedulableReason = "reservation"  // the workers with free capacity are reserved for other groups
 	ReasonWorkerLimit UnschedulableReason = "worker limit" // the workers with free capacity are at their learned limits
-	ReasonNotChosen   UnschedulableReason = "choice"       // anything else, such as a wait for a rack or for the next cycle
+	ReasonNotChosen   UnschedulableReason = "choice"       // any other reason, such as a wait for a rack or for the next cycle
 )
 
 // UnschedulableGroup is a pending group that was not placed although a worker has free capacity for one of its tasks.
 type UnschedulableGroup struct {
-	Queue       string
-	Job         string // ID
+	Queue       string // name of the queue
+	Job         string // ID of the job
 	Occurrence  int    // number of the occurrence
-	Stage       int
-	Tasks       int // pending ones
+	Stage       int    // index of the stage
+	Tasks       int    // number of pending tasks
 	WaitedMS    int64
 	Reason      UnschedulableReason
 	Worker      string // Ref of a worker with free capacity
-	ReservedFor string // ID of the job that the worker is reserved for, with ReasonReservation
+	ReservedFor string // with ReasonReservation, ID of the job that the worker is reserved for
 }
 
-// Bounds on the cost of a diagnosis.
+// Bounds on the cost of UnschedulableGroups.
 const (
-	maxDiagnosedGroups  = 8   // of a queue, those with the earliest deadlines
-	maxDiagnoses        = 64  // of a shard
-	maxDiagnosedWorkers = 256 // for a group
+	maxDiagnosedGroups  = 8   // maximum groups per queue, those with the earliest deadlines
+	maxDiagnoses        = 64  // maximum results per shard
+	maxDiagnosedWorkers = 256 // maximum workers per group
 )
 
-// UnschedulableGroups returns the groups that have waited for longer than a time although a worker has free capacity for one of their
-// tasks, with the reason. Groups of jobs that have tasks assigned are left out, unless they are long-running, and gangs.
-func (s *Scheduler) UnschedulableGroups(now, longer time.Duration) []UnschedulableGroup {
+// UnschedulableGroups returns the groups that have waited longer than minWait although a worker has free capacity for one of
+// their tasks, with the reasons. It omits gangs, and groups of jobs with assigned tasks unless they are long-running.
+func (s *Scheduler) UnschedulableGroups(now, minWait time.Duration) []UnschedulableGroup {
 	var found []UnschedulableGroup
 	for _, q := range s.queueOrder {
 		diagnosed := 0
 		q.pending.Ascend(func(group *taskGroup) bool {
-			if now-group.queuedAt <= longer || group.gang || (group.job.assigned > 0 && !group.isLongRunning()) {
+			if now-group.queuedAt <= minWait || group.gang || (group.job.assigned > 0 && !group.isLongRunning()) {
 				return true
 			}
 			diagnosed++
@@ -55,7 +56,7 @@
 	return found
 }
 
-// diagnose reports whether a worker has free capacity for one of a group's tasks, and why the task is not there.
+// diagnose reports whether a worker has free capacity for one of the group's tasks, and why the group was not placed there.
 func (s *Scheduler) diagnose(now time.Duration, group *taskGroup) (UnschedulableGroup, bool) {
 	demand := group.spec().demand()
 	diagnosis := UnschedulableGroup{
@@ -90,7 +91,7 @@
 	return diagnosis, diagnosis.Worker != ""
 }
 
-// limitingReason returns what keeps the queue from placing tasks.
+// limitingReason returns the reason why the queue does not place more tasks.
 func (q *Queue) limitingReason() UnschedulableReason {
 	switch {
 	case q.allocated >= q.limit && q.allocated > 0:
--- a/jobs/validate.go
+++ b/jobs/validate.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Bounds on a job, which keep its memory and its records small.
+// Limits on a job, which bound its memory and the size of its records.
 const (
-	maxSpecBytes = 4000 // of Spec.Text
-	maxStages    = 64
-	maxTasks     = 5000 // of all stages together
-	maxRepeats   = 10000
+	maxSpecBytes = 4000  // maximum length of Spec.Text
+	maxStages    = 64    // maximum stages of a job
+	maxTasks     = 5000  // maximum tasks per occurrence, over all stages
+	maxRepeats   = 10000 // maximum occurrences of a job
 )
 
-// Check returns an error that names the first invalid field of a job, or nil.
+// Check validates the specification and returns an error that names the first invalid field, or nil.
 func (s *Spec) Check() error {
 	if len(s.Text) > maxSpecBytes {
 		return fmt.Errorf("spec: %d bytes, %d at most", len(s.Text), maxSpecBytes)
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// check is Check for the stage with an index.
+// check validates the stage, which has the given index in its job.
 func (s *Stage) check(index int) error {
 	switch {
 	case s.Count < 1:
--- a/jobs/workconserving_test.go
+++ b/jobs/workconserving_test.go
@@ -14,75 +14,75 @@
 )
 
 var (
-	idleWorlds = flag.Int("idle.worlds", 60, "random histories in which nothing may wait while capacity is idle")
-	idleSeed   = flag.Int64("idle.seed", 44, "where their seeds begin")
+	idleHistories = flag.Int("idle.worlds", 60, "number of random histories to check for tasks that wait while capacity is idle")
+	idleSeed      = flag.Int64("idle.seed", 44, "seed from which the seeds of the histories are drawn")
 )
 
-// A world is a simulation of workers that follow their orders.
 const (
-	worldStep     = 50 * time.Millisecond
-	worldLength   = 40 * time.Second
-	worldArrivals = 25 * time.Second // jobs come until then
-	maxWait       = 2500 * time.Millisecond
+	simulationStep   = 50 * time.Millisecond
+	simulationLength = 40 * time.Second
+	arrivalPeriod    = 25 * time.Second        // period in which jobs are submitted
+	maxIdleWait      = 2500 * time.Millisecond // maximum wait of a task despite idle capacity
 )
 
-type worldRun struct {
-	ref   RunRef
-	until time.Duration // 0 for a long-running task
+type simulatedRun struct {
+	ref RunRef
+	end time.Duration // time at which the run ends; 0 for a long-running task
 }
 
-type worldWorker struct {
+type simulatedWorker struct {
 	report Report
-	runs   []worldRun
-	ended  int64
+	runs   []simulatedRun
+	ended  int64 // number of finished runs
 }
 
-type world struct {
-	t            *testing.T
-	random       *rand.Rand
-	scheduler    *Scheduler
-	workers      []*worldWorker
-	store        recordStore
-	jobs         int
-	waitingSince map[string]time.Duration // since when a pending group could have run, by its name
-	worst        string                   // what waited for too long; "" for nothing
+// simulation runs a scheduler with random jobs on workers that execute their orders.
+type simulation struct {
+	t                *testing.T
+	random           *rand.Rand
+	scheduler        *Scheduler
+	workers          []*simulatedWorker
+	store            recordStore
+	jobs             int                      // number of IDs used for jobs and worker incarnations
+	schedulableSince map[string]time.Duration // time since which a pending group could run, by group name
+	violation        string                   // description of a group that waited too long; "" if there is none
 }
 
-func newWorld(t *testing.T, seed int64) *world {
+func newSimulation(t *testing.T, seed int64) *simulation {
 	random := rand.New(rand.NewPCG(uint64(seed), 7))
-	s := &world{t: t, random: random, store: recordStore{records: map[string][]byte{}}, waitingSince: map[string]time.Duration{}}
+	s := &simulation{t: t, random: random, store: recordStore{records: map[string][]byte{}}, schedulableSince: map[string]time.Duration{}}
 	s.newScheduler()
 	for i := range 1 + random.IntN(6) {
 		kind := []string{"a", "b"}[i%2]
-		s.workers = append(s.workers, &worldWorker{report: Report{
-			AgentAddress: fmt.Sprint("side-", i), AgentIncarnation: "1", Instance: fmt.Sprint("i-", i), State: string(Ready),
+		s.workers = append(s.workers, &simulatedWorker{report: Report{
+			AgentAddress: fmt.Sprint("agent-", i), AgentIncarnation: "1", Instance: fmt.Sprint("i-", i), State: string(Ready),
 			Capacity: Resources{CPU: 32000, MemMB: 131072, GPU: 8}, Labels: []string{kind, fmt.Sprint("r", i/3)},
 		}})
 	}
 	return s
 }
 
-var worldQueues = []QueueConfig{
+var simulationQueues = []QueueConfig{
 	{Name: "urgent", Priority: 0, Retries: 3, Extension: 1.5, TargetLatencyMS: 800},
 	{Name: "large", Priority: 1, Retries: 3, Extension: 2.2, TargetLatencyMS: 1500},
-	{Name: "lasting", Priority: 1, Retries: 3, Extension: 2.2, TargetLatencyMS: 3000},
+	{Name: "service", Priority: 1, Retries: 3, Extension: 2.2, TargetLatencyMS: 3000},
 	{Name: "low", Priority: 2, Retries: 3, Extension: 4, TargetLatencyMS: 3000},
 }
 
-// newScheduler gives the shard to a new owner without any state.
-func (s *world) newScheduler() {
-	s.scheduler = newTestScheduler(time.Minute, rand.New(rand.NewPCG(s.random.Uint64(), 8)), worldQueues)
+// newScheduler replaces the scheduler by that of a new owner without jobs.
+func (s *simulation) newScheduler() {
+	s.scheduler = newTestScheduler(time.Minute, rand.New(rand.NewPCG(s.random.Uint64(), 8)), simulationQueues)
 }
 
-// failover has a new owner take over the durable records.
-func (s *world) failover(now time.Duration) {
+// failover replaces the owner by a new one that restores the committed records.
+func (s *simulation) failover(now time.Duration) {
 	s.newScheduler()
 	s.store.restore(s.t, s.scheduler, now)
-	clear(s.waitingSince)
+	clear(s.schedulableSince)
 }
 
-// crash ends a worker's incarnation with all its runs; the next one has the same agent.
-func (s *world) crash(w *worldWorker) {
+// crash replaces the incarnation of a worker, which loses all its runs, by a new one at the same agent.
+func (s *simulation) crash(w *simulatedWorker) {
 	s.jobs++
 	w.report.Instance = fmt.Sprint("i-new-", s.jobs)
 	w.report.Active, w.report.Finished = nil, nil
@@ -90,7 +90,7 @@
 }
 
 // submit submits a random job to a queue.
-func (s *world) submit(now time.Duration, queue string) {
+func (s *simulation) submit(now time.Duration, queue string) {
 	label := ""
 	if s.random.IntN(4) == 0 {
 		label = []string{"label=a", "label=b"}[s.random.IntN(2)]
@@ -103,7 +103,7 @@
 	case "large":
 		gang := []string{"", "gang"}[s.random.IntN(2)]
 		spec = fmt.Sprintf("%dx cpu=15000 mem=81000 gpu=%d est=5600 %s", 1+s.random.IntN(4), []int{2, 4, 8}[s.random.IntN(3)], gang)
-	case "lasting":
+	case "service":
 		spec = fmt.Sprintf("%dx cpu=640 mem=900 est=400 longrunning antiaffinity=%d", count, 1+s.random.IntN(3))
 	case "low":
 		spec = fmt.Sprintf("%dx cpu=2800 mem=15000 gpu=1 est=3000 checkpoints", count)
@@ -115,13 +115,14 @@
 	}
 }
 
-// step lets workers run and report, the scheduler decide, and its changes be committed.
-func (s *world) step(now time.Duration) {
+// step advances the runs, applies the workers' reports, runs a tick and a scheduling cycle, commits the changes and executes
+// the orders.
+func (s *simulation) step(now time.Duration) {
 	for _, w := range s.workers {
 		s.runTasks(now, w)
 		s.scheduler.HandleReport(now, &w.report)
 	}
-	if now%(2*worldStep) == 0 {
+	if now%(2*simulationStep) == 0 {
 		s.scheduler.Tick(now, now.Milliseconds())
 	}
 	s.scheduler.Schedule(now)
@@ -132,62 +133,63 @@
 	}
 }
 
-// runTasks ends the runs whose time is over and sets the worker's next report.
-func (s *world) runTasks(now time.Duration, w *worldWorker) {
-	kept := w.runs[:0]
+// runTasks finishes the runs that end by now and updates the worker's report.
+func (s *simulation) runTasks(now time.Duration, w *simulatedWorker) {
+	active := w.runs[:0]
 	w.report.Active = nil
 	for _, run := range w.runs {
-		if run.until > 0 && now >= run.until {
-			s.end(w, run.ref, outcomeSucceeded)
+		if run.end > 0 && now >= run.end {
+			s.finish(w, run.ref, outcomeSucceeded)
 			continue
 		}
-		kept = append(kept, run)
+		active = append(active, run)
 		w.report.Active = append(w.report.Active, ActiveRun{Task: run.ref.Task, Attempt: run.ref.Attempt})
 	}
-	w.runs = kept
+	w.runs = active
 }
 
-func (s *world) end(w *worldWorker, ref RunRef, outcome string) {
+func (s *simulation) finish(w *simulatedWorker, ref RunRef, outcome string) {
 	w.ended++
 	w.report.Finished = append(w.report.Finished, finished(w.ended, ref, outcome))
 }
 
-// executeOrders executes a worker's orders.
-func (s *world) executeOrders(now time.Duration, w *worldWorker) {
+// executeOrders executes the orders to a worker.
+func (s *simulation) executeOrders(now time.Duration, w *simulatedWorker) {
 	orders := s.scheduler.Orders(now, s.scheduler.Worker(WorkerRef(w.report.Instance, w.report.AgentAddress)), 0)
 	if orders == nil {
 		return
 	}
-	left := w.report.Finished[:0]
-	for _, end := range w.report.Finished {
-		if end.Number > orders.DurableCompletions {
-			left = append(left, end)
+	unacknowledged := w.report.Finished[:0]
+	for _, run := range w.report.Finished {
+		if run.Number > orders.DurableCompletions {
+			unacknowledged = append(unacknowledged, run)
 		}
 	}
-	w.report.Finished = left
+	w.report.Finished = unacknowledged
 	for _, ref := range orders.Stops {
 		for i, run := range w.runs {
 			if run.ref == ref {
 				w.runs = append(w.runs[:i], w.runs[i+1:]...)
-				s.end(w, ref, outcomeStopped)
+				s.finish(w, ref, outcomeStopped)
 				break
 			}
 		}
 	}
 	for _, start := range orders.Starts {
-		run := worldRun{ref: RunRef{start.Task, start.Attempt}}
-		if !strings.HasPrefix(start.Task, "lasting") {
-			run.until = now + time.Duration(300+s.random.IntN(9000))*time.Millisecond
+		run := simulatedRun{ref: RunRef{start.Task, start.Attempt}}
+		if !strings.HasPrefix(start.Task, "service") {
+			run.end = now + time.Duration(300+s.random.IntN(9000))*time.Millisecond
 		}
 		w.runs = append(w.runs, run)
 	}
 }
 
-// checkWaits records what is pending although workers have free capacity for two such tasks, by what the workers run and not by
-// what the scheduler believes.
-func (s *world) checkWaits(now time.Duration) {
-	seen := map[string]bool{}
-	idle := s.inUse() < 0.5
+// checkIdleWaits records since when groups have been pending although the workers have free capacity for two of their tasks,
+// and reports a violation if one waits too long. It computes free capacity from the simulated runs, not from the scheduler's
+// state.
+func (s *simulation) checkIdleWaits(now time.Duration) {
+	schedulable := map[string]bool{}
+	idle := s.coreUtilization() < 0.5
 	for _, job := range s.scheduler.jobs {
 		for _, group := range job.pending {
 			longRunning := job.isLongRunning(group.stage)
@@ -195,58 +197,59 @@
 				continue
 			}
 			name := fmt.Sprint(job.ID, "/", group.stage)
-			seen[name] = true
-			if _, known := s.waitingSince[name]; !known {
-				s.waitingSince[name] = now
+			schedulable[name] = true
+			if _, known := s.schedulableSince[name]; !known {
+				s.schedulableSince[name] = now
 			}
-			if waited := now - s.waitingSince[name]; waited > maxWait && s.worst == "" {
-				s.worst = fmt.Sprintf("%s waits for %v at %v: %v", name, waited, now, s.scheduler.UnschedulableGroups(now, maxWait))
+			if waited := now - s.schedulableSince[name]; waited > maxIdleWait && s.violation == "" {
+				s.violation = fmt.Sprintf("group %s has waited %v despite free capacity at %v: %v",
+					name, waited, now, s.scheduler.UnschedulableGroups(now, maxIdleWait))
 			}
 		}
 	}
-	for name := range s.waitingSince {
-		if !seen[name] {
-			delete(s.waitingSince, name)
+	for name := range s.schedulableSince {
+		if !schedulable[name] {
+			delete(s.schedulableSince, name)
 		}
 	}
 }
 
-// inUse returns the fraction of all cores that runs take.
-func (s *world) inUse() float64 {
+// coreUtilization returns the fraction of all cores that is used by runs.
+func (s *simulation) coreUtilization() float64 {
 	used, all := int64(0), int64(0)
 	for _, w := range s.workers {
 		all += w.report.Capacity.CPU
-		used += w.report.Capacity.CPU - s.free(w).CPU
+		used += w.report.Capacity.CPU - s.freeCapacity(w).CPU
 	}
 	return float64(used) / float64(all)
 }
 
-func (s *world) free(w *worldWorker) Resources {
+func (s *simulation) freeCapacity(w *simulatedWorker) Resources {
 	free := w.report.Capacity
 	for _, run := range w.runs {
-		at, _ := parseTaskName(run.ref.Task)
-		if job := s.scheduler.jobs[at.id]; job != nil {
-			free = free.minus(job.Spec.Stages[at.stage].demand())
+		position, _ := parseTaskName(run.ref.Task)
+		if job := s.scheduler.jobs[position.jobID]; job != nil {
+			free = free.minus(job.Spec.Stages[position.stage].demand())
 		}
 	}
 	return free
 }
 
-// slotsFor returns how many tasks of a group the workers could take now, counting two a worker at most.
-func (s *world) slotsFor(group *taskGroup) int {
+// slotsFor returns the number of tasks of a group that the workers could take now, counting at most two per worker.
+func (s *simulation) slotsFor(group *taskGroup) int {
 	stage := &group.job.Spec.Stages[group.stage]
 	slots := 0
 	for _, w := range s.workers {
-		known := s.scheduler.Worker(WorkerRef(w.report.Instance, w.report.AgentAddress))
-		if known == nil || !known.hasLabels(stage.Constraints) {
+		worker := s.scheduler.Worker(WorkerRef(w.report.Instance, w.report.AgentAddress))
+		if worker == nil || !worker.hasLabels(stage.Constraints) {
 			continue
 		}
-		most := 2
+		maxTasks := 2
 		if stage.AntiAffinity > 0 {
-			most = stage.AntiAffinity - s.colocated(w, group)
+			maxTasks = stage.AntiAffinity - s.countColocated(w, group)
 		}
-		free := s.free(w)
-		for n := 0; n < most && free.Holds(stage.demand()); n++ {
+		free := s.freeCapacity(w)
+		for n := 0; n < maxTasks && free.Holds(stage.demand()); n++ {
 			free = free.minus(stage.demand())
 			slots++
 		}
@@ -254,51 +257,51 @@
 	return slots
 }
 
-func (s *world) colocated(w *worldWorker, group *taskGroup) int {
+func (s *simulation) countColocated(w *simulatedWorker, group *taskGroup) int {
 	n := 0
 	for _, run := range w.runs {
-		if at, _ := parseTaskName(run.ref.Task); at.id == group.job.ID && at.stage == group.stage {
+		if position, _ := parseTaskName(run.ref.Task); position.jobID == group.job.ID && position.stage == group.stage {
 			n++
 		}
 	}
 	return n
 }
 
-// play runs the world and returns what waited for too long while capacity was idle, or "".
-func (s *world) play() string {
-	rates := map[string]int{}
-	for _, queue := range []string{"urgent", "large", "lasting", "low"} {
-		rates[queue] = 1 + s.random.IntN(60)
+// run runs the simulation and returns a description of a group that waited too long while capacity was idle, or "".
+func (s *simulation) run() string {
+	meanIntervals := map[string]int{} // mean steps between submissions per queue, minus 10
+	for _, queue := range []string{"urgent", "large", "service", "low"} {
+		meanIntervals[queue] = 1 + s.random.IntN(60)
 	}
-	queues := []string{"urgent", "large", "lasting", "low"}
-	takeover := time.Duration(s.random.IntN(40)) * time.Second // or never, within the time that is played
-	lost := time.Duration(s.random.IntN(60)) * time.Second
-	for now := time.Duration(0); now < worldLength && s.worst == ""; now += worldStep {
-		if now == takeover {
+	queues := []string{"urgent", "large", "service", "low"}
+	failoverAt := time.Duration(s.random.IntN(40)) * time.Second
+	crashAt := time.Duration(s.random.IntN(60)) * time.Second // no crash if not below simulationLength
+	for now := time.Duration(0); now < simulationLength && s.violation == ""; now += simulationStep {
+		if now == failoverAt {
 			s.failover(now)
 		}
-		if now == lost {
+		if now == crashAt {
 			s.crash(s.workers[s.random.IntN(len(s.workers))])
 		}
 		for _, queue := range queues {
-			if now < worldArrivals && s.random.IntN(rates[queue]+10) == 0 {
+			if now < arrivalPeriod && s.random.IntN(meanIntervals[queue]+10) == 0 {
 				s.submit(now, queue)
 			}
 		}
 		s.step(now)
-		s.checkWaits(now)
+		s.checkIdleWaits(now)
 	}
-	return s.worst
+	return s.violation
 }
 
-// The property of docs/incidents/inc1.md: however work comes, a job without a run does not wait despite free capacity while most of
-// the shard is idle, and a long-running task never does.
+// Guards against the failure in docs/incidents/inc1.md: for any sequence of submissions, a job without runs does not wait
+// despite free capacity while most of the shard is idle, and a long-running task never does.
 func TestSchedulerIsWorkConserving(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(*idleSeed)
-	parameters.MinSuccessfulTests = *idleWorlds
+	parameters.MinSuccessfulTests = *idleHistories
 	properties := gopter.NewProperties(parameters)
-	properties.Property("nothing waits while capacity is idle", prop.ForAllNoShrink(func(seed int64) string {
-		return newWorld(t, seed).play()
+	properties.Property("no schedulable group waits while capacity is idle", prop.ForAllNoShrink(func(seed int64) string {
+		return newSimulation(t, seed).run()
 	}, gen.Int64Range(1, 1<<40)))
 	properties.TestingRun(t)
 }
--- a/jobs/worker.go
+++ b/jobs/worker.go
@@ -6,62 +6,63 @@
 	"time"
 )
 
-// WorkerState is the state of a worker: as its agent reports it, or as the owner concludes.
+// WorkerState is the state of a worker as its agent reports it or as the owner infers it. The values are sent by agents.
 type WorkerState string
 
-// The states of a worker. Only a ready one gets starts.
+// The states of a worker. Only a ready worker receives starts.
 const (
 	Ready        WorkerState = "ready"
-	Draining     WorkerState = "draining" // it leaves at its DrainDeadline
-	Departed     WorkerState = "gone"     // it has announced its end
-	Unresponsive WorkerState = "silent"   // no heartbeat reached the agent for heartbeatTimeoutMS
-	LeaseExpired WorkerState = "lapsed"   // its lease has certainly expired: no run of this shard is active there
-	Unconfirmed  WorkerState = "unheard"  // known from restored records, not reported yet
+	Draining     WorkerState = "draining" // the worker departs at its DrainDeadline
+	Departed     WorkerState = "gone"     // the worker has announced its shutdown
+	Unresponsive WorkerState = "silent"   // the agent received no heartbeat for more than heartbeatTimeoutMS
+	LeaseExpired WorkerState = "lapsed"   // the lease is certain to have expired, so no run of this shard is active
+	Unconfirmed  WorkerState = "unheard"  // the worker is known from restored records and has not been reported yet
 )
 
-// Worker is one incarnation of a worker with the runs that are assigned to it.
+// Worker is one incarnation of a worker with its assigned runs.
 type Worker struct {
-	Ref              string // WorkerRef
-	Instance         string // the worker's incarnation
-	AgentAddress     string // address of its agent
-	AgentIncarnation string // of the agent's process
+	Ref              string // unique name, see WorkerRef
+	Instance         string // identifies the incarnation of the worker
+	AgentAddress     string // network address of the agent
+	AgentIncarnation string // identifies the incarnation of the agent process
 	Capacity         Resources
-	Labels           []string // the last one is the rack
+	Labels           []string // the last label is the rack
 	State            WorkerState
-	DrainDeadline    time.Duration // with Draining: when it leaves
+	DrainDeadline    time.Duration // time at which the worker departs; set while draining
 
 	Runs            map[RunRef]*Run
 	used            Resources // sum of the demands of Runs
-	allocated       float64   // sum of the shares of Runs; above the load where these want different resources
+	allocated       float64   // sum of the shares of Runs; exceeds the load if the runs' dominant resources differ
 	loadLimit       float64   // learned limit on the load, in (0, 1]
-	failureRate     float64   // EWMA of failures among finished runs
-	slowdown        float64   // EWMA of run time over expected run time
-	countsForQueues bool      // its runs count as allocated for their queues
-	agentTimedOut   bool      // no report for agentTimeout, as of the last tick
+	failureRate     float64   // EWMA of the fraction of finished runs that failed, decayed per tick
+	slowdown        float64   // EWMA of the ratio of run time to expected run time
+	countsForQueues bool      // the runs count towards Queue.allocated
+	agentTimedOut   bool      // no report arrived within agentTimeout before the last tick
 	limitDecreased  bool      // loadLimit was decreased since the last tick
 
 	lastReport         time.Duration
-	leaseExpiry        time.Duration // when the leases of all runs have certainly expired, without another report
-	appliedCompletions int64         // finished runs up to this number were applied
-	durableCompletions int64         // finished runs up to this number are committed
-	ordersDue          bool          // its agent is to be sent Orders
-	demandsUnknown     bool          // its agent does not know the demands of all active runs
+	leaseExpiry        time.Duration // time at which all run leases are certain to have expired unless a report arrives
+	appliedCompletions int64         // number up to which finished runs have been applied
+	durableCompletions int64         // number up to which finished runs are committed
+	ordersDue          bool          // the agent may have to be sent Orders
+	demandsUnknown     bool          // the agent lacks the demands of some active runs
 }
 
-// newWorker returns a worker without runs, with its full capacity as the limit. Its capacity and state come with a report.
+// newWorker returns a worker without runs whose load limit is its full capacity. A report sets its capacity and state.
 func newWorker(now time.Duration, ref, instance, agent string) *Worker {
 	return &Worker{
 		Ref: ref, Instance: instance, AgentAddress: agent, loadLimit: 1, slowdown: 1, Runs: map[RunRef]*Run{}, lastReport: now,
 	}
 }
 
-// WorkerRef returns the name of a worker's incarnation with the address of its agent.
+// WorkerRef returns the unique name of a worker's incarnation at an agent.
 func WorkerRef(instance, agent string) string { return instance + "@" + agent }
 
-// freeCapacity returns the capacity that no run takes. It is negative in a resource after a worker has shrunk.
+// freeCapacity returns the capacity that is not used by runs. It is negative in a resource if the worker's capacity was reduced
+// below the usage.
 func (w *Worker) freeCapacity() Resources { return w.Capacity.minus(w.used) }
 
-// add adds a run, whose share must be set.
+// add adds a run and its share to the worker and to the run's queue.
 func (w *Worker) add(r *Run) {
 	w.Runs[r.Key] = r
 	w.used = w.used.plus(r.demand)
@@ -69,21 +70,21 @@
 	w.countForQueue(r, r.share)
 }
 
-// remove removes a run.
+// remove removes a run and its share from the worker and from the run's queue.
 func (w *Worker) remove(r *Run) {
 	delete(w.Runs, r.Key)
 	w.used = w.used.minus(r.demand)
 	w.allocated -= r.share
 	if len(w.Runs) == 0 {
-		w.allocated = 0 // no rounding error may remain
+		w.allocated = 0 // discards accumulated rounding errors
 	}
 	w.countForQueue(r, -r.share)
 }
 
-// shareOf returns the dominant share that a demand takes of the worker, 1 at most.
+// shareOf returns the dominant share of a demand on the worker, capped at 1.
 func (w *Worker) shareOf(demand Resources) float64 { return min(1, w.Capacity.dominantShare(demand)) }
 
-// updateShare computes a run's share anew after the worker's capacity has changed.
+// updateShare recomputes a run's share after a change of the worker's capacity.
 func (w *Worker) updateShare(r *Run) {
 	share := w.shareOf(r.demand)
 	w.allocated += share - r.share
@@ -91,7 +92,7 @@
 	r.share = share
 }
 
-// setState changes the state, and with it whether the worker's runs count for their queues.
+// setState changes the state and updates whether the worker's runs count towards their queues' allocation.
 func (w *Worker) setState(state WorkerState) {
 	w.State = state
 	if counts := state == Ready || state == Unresponsive; counts != w.countsForQueues {
@@ -105,23 +106,23 @@
 	}
 }
 
-// countForQueue adds a share to what the run's queue has allocated. Runs on workers that get no starts do not count: their
-// capacity could not be used otherwise.
+// countForQueue adds a share to the allocation of the run's queue. Runs count only on ready and unresponsive workers. In the
+// other states no other queue could use the capacity either.
 func (w *Worker) countForQueue(r *Run, share float64) {
 	if r.queue == nil || !w.countsForQueues {
 		return
 	}
 	r.queue.allocated += share
 	if math.Abs(r.queue.allocated) < roundingError {
-		r.queue.allocated = 0 // a rounding error must not count as a run
+		r.queue.allocated = 0 // a rounding error must not count as an allocation
 	}
 }
 
-// roundingError is above the error of sums of shares.
+// roundingError is an upper bound on the rounding error of a sum of shares.
 const roundingError = 1e-9
 
-// fits reports whether a demand fits by free capacity and by the learned limit. The limit does not hold for an idle worker,
-// which must be able to run any feasible task.
+// fits reports whether a demand fits into the free capacity and the learned load limit of a ready worker. The limit does not
+// apply to an idle worker, which must be able to run any feasible task.
 func (w *Worker) fits(demand Resources) bool {
 	if w.State != Ready || !w.freeCapacity().Holds(demand) {
 		return false
@@ -129,7 +130,7 @@
 	return len(w.Runs) == 0 || w.Capacity.dominantShare(w.used.plus(demand)) <= w.loadLimit+roundingError
 }
 
-// hasLabels reports whether the worker has all of some labels.
+// hasLabels reports whether the worker has all of the given labels.
 func (w *Worker) hasLabels(labels Labels) bool {
 	for _, label := range labels {
 		if !slices.Contains(w.Labels, label) {
@@ -139,7 +140,7 @@
 	return true
 }
 
-// rack returns the label of the worker's rack, the last of its labels, or "".
+// rack returns the label of the worker's rack, which is its last label, or "" if it has no labels.
 func (w *Worker) rack() string {
 	if len(w.Labels) == 0 {
 		return ""
--- a/jobs/workers_test.go
+++ b/jobs/workers_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestTasksOfExpiredWorkerAreReassigned(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0    worker a cpu=4000
 	10   client submit j 1x cpu=500 est=100 checkpoints
 	20   disk commit
@@ -21,7 +21,7 @@
 }
 
 func TestNewIncarnationSupersedesCrashedWorker(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0    worker a cpu=4000
 	10   client submit j 1x cpu=500 est=100
 	20   disk commit
@@ -32,9 +32,9 @@
 	920  orders a2 = start j.0.0.0/2`)
 }
 
-// A worker that announced its end may still have active runs when its successor comes.
+// A draining worker may still have active runs when its successor is reported.
 func TestDrainingWorkerIsNotSuperseded(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0    worker a cpu=4000
 	10   client submit j 1x cpu=500 est=100
 	20   disk commit
@@ -45,9 +45,10 @@
 	920  orders a2 = nothing`)
 }
 
-// Runs that cannot end before the worker leaves move, with their checkpoints; the others stay.
-func TestDrainEvacuatesRunsThatCannotEnd(t *testing.T) {
-	play(t, `
+// Runs that cannot end before the drain deadline of their worker are stopped and resume elsewhere from their checkpoints. The
+// other runs continue.
+func TestDrainStopsRunsThatCannotEnd(t *testing.T) {
+	runScenario(t, `
 	0   worker a cpu=4000
 	10  client submit long 1x cpu=500 est=60000 checkpoints
 	10  client submit short 1x cpu=500 est=100
@@ -63,9 +64,9 @@
 	320 client short = completed`)
 }
 
-// After a crash the next incarnation at the same address may have other labels and another capacity.
+// After a crash, the next incarnation of the worker at the same agent may have other labels and another capacity.
 func TestNextIncarnationMayHaveOtherLabels(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0    worker a cpu=4000
 	10   client submit j 1x cpu=500 est=100 label=k
 	20   disk commit
@@ -78,9 +79,10 @@
 	940  client j = running`)
 }
 
-// docs/incidents/inc-a454.md: starts that were assigned to a partitioned worker waited there for the end of the partition.
+// Guards against the failure in docs/incidents/inc-a454.md: tasks that were assigned to a partitioned worker waited for the end
+// of the partition.
 func TestTimedOutAgentGetsNoStarts(t *testing.T) {
-	play(t, `
+	runScenario(t, `
 	0    worker a cpu=4000
 	1000 client submit j 1x cpu=500 est=100
 	1010 disk commit
@@ -90,14 +92,13 @@
 	1050 orders b = start j.0.0.0/1`)
 }
 
-// A limit that was decreased below the load increases again, also where the runs are
-// long-running. Found on the bench, in the day scale-1 of the second site: some plays left one of five workers at a tenth
-// from second 11 to the end.
-func TestLimitRisesBelowWhatRuns(t *testing.T) {
-	line := newTimeline(t)
-	line.step(0, strings.Fields("worker a cpu=4000"), "")
-	line.step(1*time.Millisecond, strings.Fields("client submit stays 2x cpu=1000 longrunning est=1000"), "")
-	for _, w := range line.scheduler.workers {
+// A limit that was decreased below the load increases again even if all runs are long-running. In some benchmark runs of the
+// day scale-1 of the second site, the limit of one of five workers stayed at a tenth from second 11 to the end.
+func TestLimitBelowLoadIncreases(t *testing.T) {
+	sc := newScenario(t)
+	sc.step(0, strings.Fields("worker a cpu=4000"), "")
+	sc.step(1*time.Millisecond, strings.Fields("client submit service 2x cpu=1000 longrunning est=1000"), "")
+	for _, w := range sc.scheduler.workers {
 		for range 20 {
 			w.decreaseLimit()
 			w.limitDecreased = false
@@ -105,12 +106,12 @@
 	}
 	for ms := 100; ms <= 4000; ms += 100 {
 		now := time.Duration(ms) * time.Millisecond
-		line.step(now, strings.Fields("worker a cpu=4000 active stays.0.0.0/1 active stays.0.0.1/1"), "")
-		line.step(now, []string{"tick"}, "")
+		sc.step(now, strings.Fields("worker a cpu=4000 active service.0.0.0/1 active service.0.0.1/1"), "")
+		sc.step(now, []string{"tick"}, "")
 	}
-	for _, w := range line.scheduler.workers {
+	for _, w := range sc.scheduler.workers {
 		if w.loadLimit < 1 {
-			t.Errorf("limit %v after 4 s of clean rounds", w.loadLimit)
+			t.Errorf("load limit is %v after 4 s without a decrease, want 1", w.loadLimit)
 		}
 	}
 }
