--- a/jobs/preemption.go
+++ b/jobs/preemption.go
@@ -78,8 +78,8 @@
 	return sum
 }
 
-// preemptionVictims returns the preemptible runs on ready workers with the given labels, sorted by lowest priority first and
-// then by most recent assignment first.
+// preemptionVictims returns the preemptible runs on ready workers with the given labels, the lowest priority first and,
+// within a priority, the most recently assigned first.
 func (s *Scheduler) preemptionVictims(labels Labels) []*Run {
 	var victims []*Run
 	for _, w := range s.workers {
--- a/jobs/triage.go
+++ b/jobs/triage.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// triageClass is the best completion time that a pending group can still achieve. Groups are placed in ascending order of
-// class.
+// triageClass classifies a pending group by the completion time that its job can still achieve. A turn of a queue places groups
+// in ascending order of class.
 //
 // Earliest deadline first alone makes all jobs tardy under overload. Therefore each tick classifies the pending groups of a
 // queue with the algorithm of Moore and Hodgson (Management Science 15, 1968), which minimizes the number of tardy jobs: it
