--- a/coord/membership/change.go
+++ b/coord/membership/change.go
@@ -6,34 +6,34 @@
 	"slices"
 )
 
-// Errors of a Change that a membership does not allow.
+// Errors returned by a Change that does not apply to a membership.
 var (
-	ErrUnknownSeat   = errors.New("membership: no such seat")
-	ErrAlreadyMember = errors.New("membership: the disk or its address holds another seat")
-	ErrNoQuorum      = errors.New("membership: too few voters would be left")
+	ErrUnknownSeat   = errors.New("membership: seat index out of range")
+	ErrAlreadyMember = errors.New("membership: the disk or its address is already a member")
+	ErrNoQuorum      = errors.New("membership: the remaining voters would not form a quorum")
 	ErrNotLearner    = errors.New("membership: the disk is not a learner")
 )
 
-// Change computes the membership that follows another one. NextProposal sets the epochs.
+// Change derives a new membership from an installed one. It leaves the epochs to NextProposal.
 type Change func(Membership) (Membership, error)
 
-// AddLearner returns the change that gives a seat to the replica on another disk, as a learner. The holder of the seat loses
-// its vote at once, so the change fails with ErrNoQuorum unless the other voters form a quorum.
+// AddLearner returns the change that assigns a seat to the replica on another disk, as a learner. The previous holder of the
+// seat loses its vote at once, so the change fails with ErrNoQuorum unless the remaining voters form a quorum.
 func AddLearner(seat int, id, address string) Change {
 	return func(m Membership) (Membership, error) {
 		if seat < 0 || seat >= len(m.Seats) {
-			return m, fmt.Errorf("%w: %d of %d", ErrUnknownSeat, seat, len(m.Seats))
+			return m, fmt.Errorf("%w: seat %d of %d", ErrUnknownSeat, seat, len(m.Seats))
 		}
-		at := m.SeatAt(address)
-		if m.SeatOf(id) >= 0 || at >= 0 && at != seat {
-			return m, fmt.Errorf("%w: %s at %s", ErrAlreadyMember, id, address)
+		addressSeat := m.SeatAt(address)
+		if m.SeatOf(id) >= 0 || addressSeat >= 0 && addressSeat != seat {
+			return m, fmt.Errorf("%w: disk %s at %s", ErrAlreadyMember, id, address)
 		}
-		left := len(m.Voters())
+		remaining := len(m.Voters())
 		if m.Seats[seat].Voter {
-			left--
+			remaining--
 		}
-		if left < m.Quorum() {
-			return m, fmt.Errorf("%w: %d of %d", ErrNoQuorum, left, m.Quorum())
+		if remaining < m.Quorum() {
+			return m, fmt.Errorf("%w: %d voters remain, the quorum is %d", ErrNoQuorum, remaining, m.Quorum())
 		}
 		next := m.Clone()
 		next.Seats[seat] = Member{ID: id, Address: address}
@@ -41,13 +41,13 @@
 	}
 }
 
-// Promote returns the change that makes a learner a voter. The caller must ensure that the learner holds what a quorum of
-// voters held after they had entered the learner's epoch.
+// Promote returns the change that makes a learner a voter. The caller must ensure that the learner holds all state that a
+// quorum of voters held after they had installed the learner's epoch.
 func Promote(id string) Change {
 	return func(m Membership) (Membership, error) {
 		seat := m.SeatOf(id)
 		if seat < 0 || m.Seats[seat].Voter {
-			return m, fmt.Errorf("%w: %s", ErrNotLearner, id)
+			return m, fmt.Errorf("%w: disk %s", ErrNotLearner, id)
 		}
 		next := m.Clone()
 		next.Seats[seat].Voter = true
@@ -55,13 +55,13 @@
 	}
 }
 
-// NextProposal returns the value that a proposer writes to the membership's register.
+// NextProposal returns the value that a proposer writes to the membership register.
 //
-// Installed is the membership under which the proposer prepared; current is the newest value among the promises, the zero
-// value if there was none. If current is based on the installed membership it may or may not have been chosen; a value
-// that is based on the installed membership as well may replace it, since the quorums of all memberships with one base
-// intersect. If current is newer and has another base it may already be in effect elsewhere: it is proposed again as it
-// is, and the change has to wait.
+// Installed is the membership under which the proposer prepared; current is the newest value among the promises, or the
+// zero value if there was none. If current is based on the installed membership, it may or may not have been chosen.
+// Another value with the same base may replace it, because the quorums of all memberships with the same base intersect.
+// If current is newer and has another base, it may already be in effect at other replicas: NextProposal returns it
+// unchanged, and the caller has to retry its own change after current is installed.
 func NextProposal(installed, current Membership, change Change) (Membership, error) {
 	if current.Epoch > installed.Epoch && current.BaseEpoch != installed.Epoch {
 		return current, nil
@@ -83,7 +83,7 @@
 	return next, nil
 }
 
-// sameMembers reports whether the seats of two memberships differ at most in the epochs in which their holders joined.
+// sameMembers reports whether two memberships have the same members, ignoring the epochs in which they joined.
 func sameMembers(a, b Membership) bool {
 	return slices.EqualFunc(a.Seats, b.Seats, func(x, y Member) bool {
 		return x.ID == y.ID && x.Address == y.Address && x.Voter == y.Voter
--- a/coord/membership/membership.go
+++ b/coord/membership/membership.go
@@ -1,17 +1,17 @@
-// Package membership determines which replicas of the core form quorums: a fixed number of seats, each held by the
-// replica on one disk, under an epoch that rises with each change.
+// Package membership defines which replicas of the core may vote and how that set changes. A membership has a fixed number of
+// seats, each held by the replica on one disk, and an epoch that increases with each change.
 //
 // Reconfiguration changes one server at a time, with learners, as in D. Ongaro, "Consensus: Bridging Theory and
 // Practice" (2014), sections 4.1 and 4.2.1. A membership is itself the value of a register (coord/register) that the
-// voters of the membership before it choose, as in L. Lamport, D. Malkhi and L. Zhou, "Vertical Paxos and
-// Primary-Backup Replication" (2009). A change concerns one seat: it gives the seat to another disk, whose replica is a
-// learner, or it promotes a learner to a voter. A learner may be promoted once it holds what a quorum of the voters held
-// after they had entered the learner's epoch.
+// voters of the previous membership choose, as in L. Lamport, D. Malkhi and L. Zhou, "Vertical Paxos and
+// Primary-Backup Replication" (2009). Each change affects one seat: it assigns the seat to another disk, whose replica
+// joins as a learner, or it promotes a learner to a voter. A learner may be promoted once it holds all state that a quorum
+// of the voters held after they had installed the learner's epoch.
 //
 // Invariants:
-//   - A quorum is a majority of all seats, filled or not; its size never changes.
-//   - A learner replaces the vote of its predecessor in the seat and no other, so the quorums of a membership and of all
-//     memberships based on it share a voter pairwise.
+//   - A quorum is a majority of all seats, including empty ones; its size never changes.
+//   - A learner takes away only the vote of its predecessor in the seat, so any two quorums of a membership and of the
+//     memberships based on it share a voter.
 //   - A replica answers only messages of its own epoch.
 //   - A membership takes effect at a replica once the replica learns that it was chosen. A proposal that some replicas
 //     have accepted and that was not chosen has no effect, and a later proposer may replace it.
@@ -29,31 +29,32 @@
 // MaxSeats is the largest number of seats of a membership.
 const MaxSeats = 9
 
-// Errors of a message that was sent under another membership than the one that its receiver knows.
+// Errors returned by Validate and CheckSender.
 var (
 	ErrInvalid         = errors.New("membership: invalid")
 	ErrWrongDeployment = errors.New("membership: of another deployment")
 	ErrOutdatedEpoch   = errors.New("membership: outdated epoch")
 )
 
-// Member is the holder of a seat. The zero Member stands for an empty seat.
+// Member is the holder of a seat. The zero Member is an empty seat.
 type Member struct {
-	ID        string // identifies a disk from its first use until it is lost
+	ID        string // identifies the disk, from its first use until its loss
 	Address   string // host:port at which other schedulers reach the replica
-	JoinEpoch int64  // the epoch in which the replica joined; at most the epoch of the membership
+	JoinEpoch int64  // epoch in which the replica joined; at most the epoch of the membership
 	Voter     bool   // false for a learner
 }
 
-// Membership is the assignment of seats under one epoch. The zero Membership has no seats and stands for an unknown one.
+// Membership is the assignment of seats under one epoch. The zero Membership, without seats, means that none is known.
 type Membership struct {
 	Deployment string   // identifies the system; memberships of two deployments are never compared
-	Epoch      int64    // positive; rises with each proposed change
-	BaseEpoch  int64    // the epoch of the membership from which this one differs by one seat; below Epoch
-	Seats      []Member // an odd number, the same in all memberships of a deployment
+	Epoch      int64    // positive; increases with each proposed change
+	BaseEpoch  int64    // epoch of the membership from which this one differs by one seat; below Epoch
+	Seats      []Member // an odd number of seats, the same in all memberships of a deployment
 }
 
-// Bootstrap returns the membership of a cluster whose disks are all empty: the machines at the given addresses hold the first
-// seats as voters. It does not depend on the order of the addresses, so machines with the same list agree.
+// Bootstrap returns the initial membership of a cluster whose disks are all empty: the machines at the given addresses hold
+// the first seats as voters. The result does not depend on the order of the addresses, so all machines that are configured
+// with the same addresses compute the same membership.
 func Bootstrap(seats int, addresses []string) Membership {
 	m := Membership{Epoch: 1, Seats: make([]Member, seats)}
 	hash := xxhash.New()
@@ -70,10 +71,10 @@
 	return m
 }
 
-// BootstrapID returns the ID of the disk with which the machine at an address takes part in the first membership.
+// BootstrapID returns the disk ID in the initial membership of the machine at an address.
 func BootstrapID(address string) string { return "first@" + address }
 
-// Quorum returns the number of voters that have to agree.
+// Quorum returns the number of voters that form a quorum.
 func (m Membership) Quorum() int { return len(m.Seats)/2 + 1 }
 
 // Voters returns the members that vote.
@@ -98,7 +99,7 @@
 	return members
 }
 
-// SeatOf returns the index of the seat that a disk holds, or -1.
+// SeatOf returns the index of the seat that the disk with an ID holds, or -1.
 func (m Membership) SeatOf(id string) int {
 	return slices.IndexFunc(m.Seats, func(member Member) bool { return id != "" && member.ID == id })
 }
@@ -108,7 +109,7 @@
 	return slices.IndexFunc(m.Seats, func(member Member) bool { return member.ID != "" && member.Address == address })
 }
 
-// Member returns the member with a disk's ID and whether there is one.
+// Member returns the member with a disk ID and whether there is one.
 func (m Membership) Member(id string) (Member, bool) {
 	seat := m.SeatOf(id)
 	if seat < 0 {
@@ -117,7 +118,7 @@
 	return m.Seats[seat], true
 }
 
-// Clone returns a copy that shares no seats with m.
+// Clone returns a deep copy of m.
 func (m Membership) Clone() Membership {
 	m.Seats = slices.Clone(m.Seats)
 	return m
@@ -128,7 +129,7 @@
 	return m.Deployment == other.Deployment && m.Epoch == other.Epoch && m.BaseEpoch == other.BaseEpoch && slices.Equal(m.Seats, other.Seats)
 }
 
-// Validate validates a membership. The error wraps ErrInvalid.
+// Validate checks the invariants of a single membership. The error wraps ErrInvalid.
 func (m Membership) Validate() error {
 	if len(m.Seats) == 0 || len(m.Seats) > MaxSeats || len(m.Seats)%2 == 0 {
 		return fmt.Errorf("%w: %d seats, want an odd number up to %d", ErrInvalid, len(m.Seats), MaxSeats)
@@ -153,9 +154,9 @@
 	return nil
 }
 
-// CheckSender checks the membership of a message's sender against that of its receiver. With install the sent membership is
-// newer and the receiver has to install it before it answers: a membership is sent only after it was chosen. The error
-// wraps ErrInvalid, ErrWrongDeployment or, for an older epoch, ErrOutdatedEpoch.
+// CheckSender compares the membership under which a message was sent with m, the receiver's. If install is true, the sent
+// membership is newer and the receiver must install it before it answers; it can do so because a membership is sent only
+// after it was chosen. The error wraps ErrInvalid, ErrWrongDeployment or, for an older epoch, ErrOutdatedEpoch.
 func (m Membership) CheckSender(sent Membership) (install bool, err error) {
 	if err := sent.Validate(); err != nil {
 		return false, err
--- a/coord/membership/model_check_test.go
+++ b/coord/membership/model_check_test.go
@@ -8,51 +8,53 @@
 )
 
 var (
-	modelDepth  = flag.Int("model.depth", 60, "depth of the exhaustive check of the model, in steps")
+	modelDepth  = flag.Int("model.depth", 60, "maximum depth of the exhaustive model check, in steps")
 	modelStates = flag.Int("model.states", 12_000, "number of states after which the exhaustive check of a scope stops")
-	modelSeeds  = flag.Int("model.seeds", 1500, "number of random runs of the model")
+	modelSeeds  = flag.Int("model.seeds", 1500, "number of random walks through the model")
 )
 
+// scope is a small instance of the model: the proposers that run and their ballots.
 type scope struct {
 	name     string
 	kinds    []roundKind
 	ballots  []int8
-	wipeable bool
+	wipeable bool // whether disk a may be lost
 }
 
 var scopes = []scope{
 	{"two appends and a read", []roundKind{appendRound, appendRound, readRound}, []int8{1, 2, 3}, false},
-	{"two appends and a read, ballots the other way", []roundKind{appendRound, appendRound, readRound}, []int8{2, 1, 3}, false},
+	{"two appends and a read, first two ballots swapped", []roundKind{appendRound, appendRound, readRound}, []int8{2, 1, 3}, false},
 	{"append, replace, append", []roundKind{appendRound, addLearnerX, promoteX, appendRound}, []int8{1, 2, 3, 4}, true},
-	{"append below, replace, append", []roundKind{appendRound, addLearnerX, promoteX, appendRound}, []int8{5, 2, 3, 4}, true},
-	{"replace while two others read and append", []roundKind{addLearnerX, promoteX, appendRound, readRound}, []int8{1, 2, 4, 3}, false},
-	{"two rival replacements", []roundKind{addLearnerX, addLearnerY, promoteY, appendRound}, []int8{1, 2, 3, 4}, false},
+	{"append with the highest ballot, replace, append", []roundKind{appendRound, addLearnerX, promoteX, appendRound}, []int8{5, 2, 3, 4}, true},
+	{"replace with a concurrent append and read", []roundKind{addLearnerX, promoteX, appendRound, readRound}, []int8{1, 2, 4, 3}, false},
+	{"two concurrent replacements", []roundKind{addLearnerX, addLearnerY, promoteY, appendRound}, []int8{1, 2, 3, 4}, false},
 	{"two learners for one seat", []roundKind{addLearnerX, addLearnerYAtA, promoteX, appendRound}, []int8{2, 1, 3, 4}, true},
 }
 
-// TestModelIsLinearizable visits all interleavings of small scopes, breadth first up to the limit of states.
+// TestModelIsLinearizable explores all interleavings of small scopes breadth-first, up to the limits of depth and states.
 func TestModelIsLinearizable(t *testing.T) {
-	for _, one := range scopes {
-		t.Run(one.name, func(t *testing.T) {
+	for _, scope := range scopes {
+		t.Run(scope.name, func(t *testing.T) {
 			t.Parallel()
-			m, start := newModel(one.kinds, one.ballots, one.wipeable, injectedFaults{})
-			seen, reached := m.explore(start, *modelDepth, *modelStates)
+			m, start := newModel(scope.kinds, scope.ballots, scope.wipeable, injectedFaults{})
+			visited, depth := m.explore(start, *modelDepth, *modelStates)
 			if m.violation != "" {
 				t.Error(m.violation)
 			}
-			t.Logf("%d states, all of %d steps", seen, reached)
+			t.Logf("visited %d states, including all up to depth %d", visited, depth)
 		})
 	}
 }
 
-// walkKinds are the rounds of a random run, drawn with the frequency in which they are listed.
+// walkKinds is the weighted list from which the rounds of a random walk are drawn.
 var walkKinds = []roundKind{
 	appendRound, appendRound, appendRound, appendRound, appendRound, readRound, readRound, readRound,
 	addLearnerX, addLearnerX, promoteX, promoteX, promoteX, addLearnerY, addLearnerYAtA, promoteY, promoteY,
 }
 
-// walkOnce plays one random run and returns a violation, if any. Later rounds have higher ballots, with some exceptions.
-func walkOnce(seed uint64, faults injectedFaults) string {
+// randomWalk runs one random walk and returns a violation, or "". Later rounds have higher ballots, except for some pairs
+// that are swapped.
+func randomWalk(seed uint64, faults injectedFaults) string {
 	random := rand.New(rand.NewPCG(seed, 77))
 	kinds := make([]roundKind, roundsPerWalk)
 	ballots := make([]int8, roundsPerWalk)
@@ -70,18 +72,18 @@
 	}
 	m, start := newModel(kinds, ballots, random.IntN(2) == 0, faults)
 	m.walk(&start, random)
-	if m.violation == "" && !m.outOfMemberships && start.wipes == 0 {
-		m.checkSurvivesOneLoss(start)
+	if m.violation == "" && !m.membershipLimitReached && start.wipes == 0 {
+		m.checkToleratesOneLoss(start)
 	}
 	return m.violation
 }
 
-// checkSurvivesOneLoss checks availability: with all links restored and voters in all seats, the loss of any one of them
-// leaves the others able to commit.
-func (m *model) checkSurvivesOneLoss(s modelState) {
+// checkToleratesOneLoss checks availability: if all links work and all seats have voters, the remaining voters can commit after
+// the loss of any one.
+func (m *model) checkToleratesOneLoss(s modelState) {
 	newest := int8(0)
-	for i, is := range s.chosen {
-		if is && m.memberships[i].Epoch > m.memberships[newest].Epoch {
+	for i, chosen := range s.chosen {
+		if chosen && m.memberships[i].Epoch > m.memberships[newest].Epoch {
 			newest = int8(i)
 		}
 	}
@@ -101,49 +103,49 @@
 			m.deliverAccept(&after, 0, disk, true)
 		}
 		if after.rounds[0].phase != committed && m.violation == "" {
-			m.violation = fmt.Sprintf("nothing can be committed once %s is lost", diskNames[lost])
+			m.violation = fmt.Sprintf("no value can be committed after the loss of disk %s", diskNames[lost])
 		}
 	}
 }
 
 func TestModelIsLinearizableAtRandom(t *testing.T) {
 	for seed := range uint64(*modelSeeds) {
-		if wrong := walkOnce(seed, injectedFaults{}); wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
+		if violation := randomWalk(seed, injectedFaults{}); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-// TestModelSeesPlantedFaults injects one fault at a time: random runs have to detect each. To save time the first seed of
-// each is a little below one that does.
-func TestModelSeesPlantedFaults(t *testing.T) {
-	faults := map[string]struct {
-		plan injectedFaults
-		from uint64
+// TestModelDetectsInjectedFaults injects one fault at a time and checks that random walks detect it. To keep the test short,
+// the first seed for each fault is slightly below one that detects it.
+func TestModelDetectsInjectedFaults(t *testing.T) {
+	cases := map[string]struct {
+		faults    injectedFaults
+		firstSeed uint64
 	}{
-		"epochs are ignored":                            {injectedFaults{epochsIgnored: true}, 1590},
-		"a learner restores too early":                  {injectedFaults{restoreBeforeEpoch: true}, 11335},
-		"a learner votes without restoring":             {injectedFaults{noRestore: true}, 5845},
-		"ballots are reused":                            {injectedFaults{ballotsReused: true}, 205},
-		"an uncommitted change takes effect":            {injectedFaults{uncommittedChangeTakesEffect: true}, 0},
-		"reads ignore the epoch":                        {injectedFaults{readsIgnoreEpoch: true}, 0},
-		"a wiped replica votes":                         {injectedFaults{wipedReplicaVotes: true}, 870},
-		"quorums are one voter too small":               {injectedFaults{quorumOneShort: true}, 0},
-		"a pending change with another base is ignored": {injectedFaults{pendingChangeIgnored: true}, 11215},
+		"epochs are ignored":                              {injectedFaults{epochsIgnored: true}, 1590},
+		"a learner restores before voters have its epoch": {injectedFaults{restoreBeforeEpoch: true}, 11335},
+		"a learner votes without restoring":               {injectedFaults{noRestore: true}, 5845},
+		"ballots are reused":                              {injectedFaults{ballotsReused: true}, 205},
+		"an uncommitted change takes effect":              {injectedFaults{uncommittedChangeTakesEffect: true}, 0},
+		"reads ignore the epoch":                          {injectedFaults{readsIgnoreEpoch: true}, 0},
+		"a wiped replica votes":                           {injectedFaults{wipedReplicaVotes: true}, 870},
+		"quorums are one voter too small":                 {injectedFaults{quorumOneShort: true}, 0},
+		"a pending change with another base is ignored":   {injectedFaults{pendingChangeIgnored: true}, 11215},
 	}
-	for name, one := range faults {
+	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for seed := one.from; seed < one.from+seedsPerFault; seed++ {
-				if wrong := walkOnce(seed, one.plan); wrong != "" {
-					t.Logf("seed %d: %s", seed, wrong)
+			for seed := c.firstSeed; seed < c.firstSeed+seedsPerFault; seed++ {
+				if violation := randomWalk(seed, c.faults); violation != "" {
+					t.Logf("seed %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Errorf("not seen in %d seeds", seedsPerFault)
+			t.Errorf("no violation detected in %d seeds", seedsPerFault)
 		})
 	}
 }
 
-// seedsPerFault is the number of runs within which an injected fault has to be detected.
+// seedsPerFault is the number of random walks within which an injected fault must be detected.
 const seedsPerFault = 4000
--- a/coord/membership/model_search_test.go
+++ b/coord/membership/model_search_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// maxReachableMemberships bounds the number of memberships of a scope.
+// maxReachableMemberships returns an upper bound on the number of memberships that a scope can reach.
 func (m *model) maxReachableMemberships() int8 {
 	changes := int8(1)
 	for _, kind := range m.kinds {
@@ -17,15 +17,15 @@
 	return min(2*changes, maxMemberships)
 }
 
-// step is one of all possible steps: of a round or none, at a disk or none.
+// step is a transition of the model.
 type step struct {
-	round, disk int
-	do          func(s *modelState) bool // reports whether the step was possible
+	round, disk int                      // index of the round and of the disk; none if the step has no round or disk
+	do          func(s *modelState) bool // reports whether the step is enabled; changes s if it is
 }
 
 const none = -1
 
-// steps returns all steps of a scope.
+// steps returns all transitions of a scope, enabled or not.
 func (m *model) steps() []step {
 	var all []step
 	add := func(round, disk int, do func(s *modelState) bool) { all = append(all, step{round, disk, do}) }
@@ -56,21 +56,21 @@
 	return all
 }
 
-// key encodes a state, to recognise it.
+// key appends a unique encoding of a state to a buffer.
 func (s *modelState) key(buffer []byte) []byte {
-	bools := func(set [disks]bool) {
+	addSet := func(set [disks]bool) {
 		bits := byte(0)
-		for i, is := range set {
-			if is {
+		for i, present := range set {
+			if present {
 				bits |= 1 << i
 			}
 		}
 		buffer = append(buffer, bits)
 	}
-	text := func(t string) { buffer = append(append(buffer, byte(len(t))), t...) }
-	one := func(a acceptor) {
+	addString := func(t string) { buffer = append(append(buffer, byte(len(t))), t...) }
+	addAcceptor := func(a acceptor) {
 		buffer = append(buffer, byte(a.promised), byte(a.accepted))
-		text(a.value)
+		addString(a.value)
 	}
 	for _, d := range s.replicas {
 		flags := byte(0)
@@ -81,97 +81,98 @@
 			flags |= 2
 		}
 		buffer = append(buffer, flags, byte(d.installed), byte(d.joinEpoch))
-		bools(d.restoredFrom)
+		addSet(d.restoredFrom)
 		for _, a := range []acceptor{d.config, d.members, d.merged[0], d.merged[1]} {
-			one(a)
+			addAcceptor(a)
 		}
 	}
 	for _, r := range s.rounds {
 		buffer = append(buffer, byte(r.phase), byte(r.base))
-		bools(r.promised)
-		bools(r.accepted)
-		one(r.current)
-		text(r.value)
-		text(r.committedBefore)
+		addSet(r.promised)
+		addSet(r.accepted)
+		addAcceptor(r.current)
+		addString(r.value)
+		addString(r.committedBefore)
 		for _, vote := range r.votes {
 			buffer = append(buffer, byte(vote))
 		}
 	}
-	for i, is := range s.chosen {
-		if is {
+	for i, chosen := range s.chosen {
+		if chosen {
 			buffer = append(buffer, byte(i))
 		}
 	}
-	text(s.longestCommitted)
+	addString(s.longestCommitted)
 	return binary.AppendVarint(buffer, int64(s.wipes))
 }
 
-// explore visits all states up to a depth, breadth first, and returns their number and the depth reached.
-func (m *model) explore(start modelState, depth, states int) (seen, reached int) {
+// explore visits the reachable states breadth-first up to a depth and a number of states. It returns the number of states
+// visited and the depth up to which it visited all.
+func (m *model) explore(start modelState, maxDepth, maxStates int) (states, depth int) {
 	steps := m.steps()
-	known := map[string]bool{string(start.key(nil)): true}
+	visited := map[string]bool{string(start.key(nil)): true}
 	level := []modelState{start}
 	var buffer []byte
-	for reached < depth && len(level) > 0 {
+	for depth < maxDepth && len(level) > 0 {
 		var next []modelState
 		for _, s := range level {
-			for _, one := range steps {
-				after := s
-				after.rounds = slices.Clone(s.rounds)
-				if !one.do(&after) {
+			for _, transition := range steps {
+				successor := s
+				successor.rounds = slices.Clone(s.rounds)
+				if !transition.do(&successor) {
 					continue
 				}
 				if m.violation != "" {
-					return len(known), reached
+					return len(visited), depth
 				}
-				buffer = after.key(buffer[:0])
-				if known[string(buffer)] {
+				buffer = successor.key(buffer[:0])
+				if visited[string(buffer)] {
 					continue
 				}
-				known[string(buffer)] = true
-				next = append(next, after)
+				visited[string(buffer)] = true
+				next = append(next, successor)
 			}
-			if len(known) > states {
-				return len(known), reached
+			if len(visited) > maxStates {
+				return len(visited), depth
 			}
 		}
 		level = next
-		reached++
+		depth++
 	}
-	return len(known), reached
+	return len(visited), depth
 }
 
-// walk tries steps at random; most of them are not possible when they are tried. Rounds begin one after another, and
-// mostly messages of the last few are delivered, while those of older ones are delayed. Every now and then other links are
-// partitioned: each round reaches some replicas and not others, and some replicas learn nothing.
+// walk tries random steps, most of which are not enabled. Rounds begin one after another; mostly messages of the latest rounds
+// are delivered, while those of older rounds are delayed. Every stepsBetweenLinkChanges steps a new random partition begins:
+// each round reaches only some of the replicas, and some replicas learn nothing.
 func (m *model) walk(s *modelState, random *rand.Rand) {
 	byRound := make([][]step, len(m.kinds)+1)
-	for _, one := range m.steps() {
-		byRound[one.round+1] = append(byRound[one.round+1], one)
+	for _, transition := range m.steps() {
+		byRound[transition.round+1] = append(byRound[transition.round+1], transition)
 	}
-	reach := make([][disks]bool, len(byRound))
+	reachable := make([][disks]bool, len(byRound))
 	for i := range walkSteps {
 		if i%stepsBetweenLinkChanges == 0 {
-			for row := range reach {
+			for row := range reachable {
 				for disk := range disks {
-					reach[row][disk] = random.IntN(5) < 3
+					reachable[row][disk] = random.IntN(5) < 3
 				}
 			}
 		}
 		newest := i * len(m.kinds) / walkSteps
-		row := 0 // steps that belong to no round
+		row := 0 // steps without a round
 		switch pick := random.IntN(10); {
 		case pick < 6:
 			row = 1 + max(0, newest-random.IntN(maxConcurrentRounds))
 		case pick < 7:
 			row = 1 + random.IntN(newest+1)
 		}
-		one := byRound[row][random.IntN(len(byRound[row]))]
-		if one.disk != none && !reach[row][one.disk] || row == 0 && one.disk == none && random.IntN(50) > 0 {
+		transition := byRound[row][random.IntN(len(byRound[row]))]
+		if transition.disk != none && !reachable[row][transition.disk] || row == 0 && transition.disk == none && random.IntN(50) > 0 {
 			continue
 		}
-		one.do(s)
-		if m.violation != "" || m.outOfMemberships {
+		transition.do(s)
+		if m.violation != "" || m.membershipLimitReached {
 			return
 		}
 	}
--- a/coord/membership/model_test.go
+++ b/coord/membership/model_test.go
@@ -7,52 +7,51 @@
 	"sedgevale/coord/register"
 )
 
-// The model: three replicas with disks a, b and c, two more disks x and y that may take seats, and proposers that append
-// to a register, read it, and change the membership. Messages stay in the network, so each may be delayed, duplicated or
-// never delivered; answers may be lost. A disk may be lost. The code under test is not modelled: register.Acceptor and all
-// of this package.
+// The model has three replicas with disks a, b and c, two spare disks x and y that may be assigned seats, and proposers that
+// append to a register, read it, and change the membership. Messages may be delayed, duplicated or lost, responses may be
+// lost, and disk a may be lost. The model runs the real code of register.Acceptor and of this package.
 
 const (
 	disks                   = 5
-	maxMemberships          = 24 // of one run
+	maxMemberships          = 24 // memberships that one run may create
 	roundsPerWalk           = 36
 	walkSteps               = 6000
 	maxBallot               = 120
-	maxConcurrentRounds     = 3   // rounds of which new messages are delivered at a time
-	stepsBetweenLinkChanges = 150 // steps between two changes of which links are partitioned
+	maxConcurrentRounds     = 3   // number of latest rounds whose messages are delivered without delay
+	stepsBetweenLinkChanges = 150 // number of steps between two changes of the partitioned links
 )
 
 var diskNames = [disks]string{BootstrapID("a"), BootstrapID("b"), BootstrapID("c"), "x", "y"}
 
-// injectedFaults breaks the protocol, one way at a time, to show that the checks detect it.
+// injectedFaults selects violations of the protocol that the model check must detect.
 type injectedFaults struct {
 	epochsIgnored                bool // replicas answer messages of older epochs
-	restoreBeforeEpoch           bool // a learner reads before the voters have entered its epoch
-	noRestore                    bool // a learner votes without having read a quorum
+	restoreBeforeEpoch           bool // a learner restores from voters that have not installed its epoch
+	noRestore                    bool // a learner votes without having restored from a quorum
 	ballotsReused                bool // two incarnations of a proposer use the same ballots
-	uncommittedChangeTakesEffect bool // a change takes effect at the replicas that have accepted it
-	readsIgnoreEpoch             bool // reads are answered in any epoch
-	wipedReplicaVotes            bool // an empty disk keeps the ID and the vote of the lost one
+	uncommittedChangeTakesEffect bool // a change takes effect at each replica that has accepted it
+	readsIgnoreEpoch             bool // replicas answer reads of any epoch
+	wipedReplicaVotes            bool // the replica keeps its ID and its vote after its disk was lost
 	quorumOneShort               bool // quorums are one voter too small
 	pendingChangeIgnored         bool // a proposer replaces a pending change with another base
 }
 
-// acceptor is a register.Acceptor in a form that can be compared and copied.
+// acceptor is a comparable and copyable form of register.Acceptor.
 type acceptor struct {
-	promised, accepted int8 // ballots by number
+	promised, accepted int8 // ballot counters
 	value              string
 }
 
 // modelReplica is the state of the replica on one disk.
 type modelReplica struct {
 	up           bool
-	installed    int8 // index of the membership, -1 for none
+	installed    int8 // index of the installed membership
 	restored     bool
 	joinEpoch    int64
-	config       acceptor
-	members      acceptor // its value is the index of a membership as text
-	restoredFrom [disks]bool
-	merged       [2]acceptor
+	config       acceptor    // acceptor of the register that rounds append to and read
+	members      acceptor    // acceptor of the membership register; its value is 'A' plus the index of a membership
+	restoredFrom [disks]bool // replicas from which a learner has restored
+	merged       [2]acceptor // merged states of config and members at those replicas
 }
 
 type roundKind int8
@@ -60,9 +59,9 @@
 const (
 	appendRound roundKind = iota
 	readRound
-	addLearnerX // to the seat of a
-	addLearnerY // to the seat of c
-	addLearnerYAtA
+	addLearnerX    // for the seat of a
+	addLearnerY    // for the seat of c
+	addLearnerYAtA // for the seat of a
 	promoteX
 	promoteY
 )
@@ -82,32 +81,32 @@
 	kind            roundKind
 	phase           phase
 	ballot          int8
-	base            int8 // the membership that the proposer knew
+	base            int8 // index of the membership under which the proposer runs
 	promised        [disks]bool
 	accepted        [disks]bool
-	current         acceptor // the value with the highest ballot among the promises
+	current         acceptor // value with the highest ballot among the promises
 	value           string
-	committedBefore string // the longest value that was committed when the round began
-	votes           [disks]int8
+	committedBefore string      // longest committed value when the round began
+	votes           [disks]int8 // accepted ballots that a read has received
 }
 
 type modelState struct {
 	replicas         [disks]modelReplica
 	rounds           []modelRound
-	chosen           [maxMemberships]bool // memberships that are known to be chosen
-	longestCommitted string               // the longest value that was committed
+	chosen           [maxMemberships]bool // memberships that a proposer knows to be chosen
+	longestCommitted string               // longest committed value
 	wipes            int8
 }
 
-// model holds what all states of a check share.
+// model holds the scope of a check and the data shared by all of its states.
 type model struct {
-	faults           injectedFaults
-	kinds            []roundKind
-	ballots          []int8
-	wipeable         bool
-	memberships      []Membership
-	violation        string
-	outOfMemberships bool // a run that knows too many memberships ends
+	faults                 injectedFaults
+	kinds                  []roundKind
+	ballots                []int8
+	wipeable               bool
+	memberships            []Membership
+	violation              string
+	membershipLimitReached bool // maxMemberships was reached, so the run must end
 }
 
 func newModel(kinds []roundKind, ballots []int8, wipeable bool, faults injectedFaults) (*model, modelState) {
@@ -127,33 +126,33 @@
 	return m, s
 }
 
-// intern returns the index of a membership.
-func (m *model) intern(one Membership) int8 {
+// intern returns the index of a membership in m.memberships and adds it if it is new.
+func (m *model) intern(membership Membership) int8 {
 	if len(m.memberships) == maxMemberships {
-		m.outOfMemberships = true
+		m.membershipLimitReached = true
 		return 0
 	}
 	for i, known := range m.memberships {
-		if known.Equal(one) {
+		if known.Equal(membership) {
 			return int8(i)
 		}
 	}
-	m.memberships = append(m.memberships, one)
+	m.memberships = append(m.memberships, membership)
 	return int8(len(m.memberships) - 1)
 }
 
-func (m *model) quorum(one Membership) int {
+func (m *model) quorum(membership Membership) int {
 	if m.faults.quorumOneShort {
-		return one.Quorum() - 1
+		return membership.Quorum() - 1
 	}
-	return one.Quorum()
+	return membership.Quorum()
 }
 
-// enter installs a membership at a replica.
-func (m *model) enter(d *modelReplica, disk int, index int8) {
+// install installs a membership at a replica.
+func (m *model) install(d *modelReplica, disk int, index int8) {
 	d.installed = index
-	member, seated := m.memberships[index].Member(diskNames[disk])
-	if seated && member.JoinEpoch != d.joinEpoch {
+	member, isMember := m.memberships[index].Member(diskNames[disk])
+	if isMember && member.JoinEpoch != d.joinEpoch {
 		d.joinEpoch = member.JoinEpoch
 		d.restored = false
 		d.restoredFrom = [disks]bool{}
@@ -161,7 +160,8 @@
 	}
 }
 
-// acceptsMessage reports whether a replica is a voter that handles a message sent under a membership.
+// acceptsMessage delivers a message that was sent under a membership to a replica, which installs the membership if it is
+// newer. It reports whether the replica is a voter that handles the message.
 func (m *model) acceptsMessage(s *modelState, disk int, base int8) bool {
 	d := &s.replicas[disk]
 	if !d.up {
@@ -173,11 +173,11 @@
 			return false
 		}
 		if install {
-			m.enter(d, disk, base)
+			m.install(d, disk, base)
 		}
 	}
-	member, seated := m.memberships[d.installed].Member(diskNames[disk])
-	return seated && member.Voter
+	member, isMember := m.memberships[d.installed].Member(diskNames[disk])
+	return isMember && member.Voter
 }
 
 func toAcceptor(a acceptor) register.Acceptor {
@@ -189,16 +189,16 @@
 	return acceptor{int8(a.Promised.Counter), int8(a.Accepted.Counter), string(a.Value)}
 }
 
-func (r *modelRound) isMembership() bool { return r.kind >= addLearnerX }
+func (r *modelRound) changesMembership() bool { return r.kind >= addLearnerX }
 
 func (d *modelReplica) acceptorOf(r *modelRound) *acceptor {
-	if r.isMembership() {
+	if r.changesMembership() {
 		return &d.members
 	}
 	return &d.config
 }
 
-// begin starts a round under a membership that its proposer may know.
+// begin starts a round under a membership and reports whether the round could start.
 func (m *model) begin(s *modelState, i int, base int8) bool {
 	r := &s.rounds[i]
 	if r.phase != idle || !s.chosen[base] && (!m.faults.uncommittedChangeTakesEffect || !m.isInstalled(s, base)) {
@@ -244,7 +244,7 @@
 	}
 }
 
-// deliverPrepare delivers the prepare message of a round to a replica.
+// deliverPrepare delivers the prepare message of a round to a replica; the response is lost unless answered is set.
 func (m *model) deliverPrepare(s *modelState, i, disk int, answered bool) bool {
 	r := &s.rounds[i]
 	if r.phase == idle || r.kind == readRound || m.memberships[r.base].SeatOf(diskNames[disk]) < 0 {
@@ -266,26 +266,26 @@
 	if got := int8(promise.Accepted.Counter); got > r.current.accepted {
 		r.current = acceptor{accepted: got, value: string(promise.Value)}
 	}
-	if count(r.promised) >= m.quorum(m.memberships[r.base]) {
+	if countTrue(r.promised) >= m.quorum(m.memberships[r.base]) {
 		m.propose(r, i)
 	}
 	return true
 }
 
-func count(set [disks]bool) int {
+func countTrue(set [disks]bool) int {
 	n := 0
-	for _, is := range set {
-		if is {
+	for _, present := range set {
+		if present {
 			n++
 		}
 	}
 	return n
 }
 
-// propose computes the value of a round.
+// propose computes the value of a round and begins its accept phase.
 func (m *model) propose(r *modelRound, i int) {
 	r.phase = accepting
-	if !r.isMembership() {
+	if !r.changesMembership() {
 		r.value = r.current.value + string(rune('1'+i))
 		return
 	}
@@ -305,7 +305,7 @@
 	r.value = string(rune('A' + m.intern(next)))
 }
 
-// deliverAccept delivers the accept message of a round to a replica.
+// deliverAccept delivers the accept message of a round to a replica; the response is lost unless answered is set.
 func (m *model) deliverAccept(s *modelState, i, disk int, answered bool) bool {
 	r := &s.rounds[i]
 	if r.phase != accepting && r.phase != committed || m.memberships[r.base].SeatOf(diskNames[disk]) < 0 {
@@ -318,28 +318,28 @@
 		return false
 	}
 	a := toAcceptor(*s.replicas[disk].acceptorOf(r))
-	ok := a.Accept(register.Ballot{Counter: int64(r.ballot)}, []byte(r.value))
+	taken := a.Accept(register.Ballot{Counter: int64(r.ballot)}, []byte(r.value))
 	*s.replicas[disk].acceptorOf(r) = fromAcceptor(a)
-	if ok && r.isMembership() && m.faults.uncommittedChangeTakesEffect {
-		m.enter(&s.replicas[disk], disk, int8(r.value[0]-'A'))
+	if taken && r.changesMembership() && m.faults.uncommittedChangeTakesEffect {
+		m.install(&s.replicas[disk], disk, int8(r.value[0]-'A'))
 	}
-	if !ok || !answered {
+	if !taken || !answered {
 		return true
 	}
 	r.accepted[disk] = true
-	if count(r.accepted) >= m.quorum(m.memberships[r.base]) {
+	if countTrue(r.accepted) >= m.quorum(m.memberships[r.base]) {
 		r.phase = committed
 		m.commit(s, r)
 	}
 	return true
 }
 
-// commit checks a value that its proposer knows to be chosen against what was chosen before.
+// commit records that a proposer knows its value to be chosen and checks it against earlier chosen values.
 func (m *model) commit(s *modelState, r *modelRound) {
-	if r.isMembership() {
+	if r.changesMembership() {
 		index := r.value[0] - 'A'
-		for i, is := range s.chosen {
-			if is && i != int(index) && m.memberships[i].Epoch == m.memberships[index].Epoch {
+		for i, chosen := range s.chosen {
+			if chosen && i != int(index) && m.memberships[i].Epoch == m.memberships[index].Epoch {
 				m.violation = fmt.Sprintf("two memberships of epoch %d were chosen", m.memberships[index].Epoch)
 			}
 		}
@@ -351,12 +351,12 @@
 		longer, shorter = shorter, longer
 	}
 	if !strings.HasPrefix(longer, shorter) || !strings.HasPrefix(r.value, r.committedBefore) {
-		m.violation = fmt.Sprintf("%q was committed as well as %q, after %q", r.value, s.longestCommitted, r.committedBefore)
+		m.violation = fmt.Sprintf("%q was committed in addition to %q, after %q", r.value, s.longestCommitted, r.committedBefore)
 	}
 	s.longestCommitted = longer
 }
 
-// deliverRead delivers the message of a read to a replica.
+// deliverRead delivers the message of a read to a replica. The read ends once a quorum has returned the same ballot.
 func (m *model) deliverRead(s *modelState, i, disk int) bool {
 	r := &s.rounds[i]
 	if r.kind != readRound || r.phase != preparing || r.promised[disk] || m.memberships[r.base].SeatOf(diskNames[disk]) < 0 {
@@ -372,13 +372,13 @@
 	a := s.replicas[disk].config
 	r.promised[disk] = true
 	r.votes[disk] = a.accepted
-	same := 0
+	matching := 0
 	for other := range disks {
 		if r.promised[other] && r.votes[other] == a.accepted {
-			same++
+			matching++
 		}
 	}
-	if same < m.quorum(m.memberships[r.base]) {
+	if matching < m.quorum(m.memberships[r.base]) {
 		return true
 	}
 	r.phase = committed
@@ -388,7 +388,7 @@
 	return true
 }
 
-// learn has a replica learn a membership that was chosen.
+// learn informs a replica of a chosen membership, which it installs if it is newer.
 func (m *model) learn(s *modelState, disk int, index int8) bool {
 	d := &s.replicas[disk]
 	if !d.up || !s.chosen[index] {
@@ -398,15 +398,15 @@
 	if err != nil || !install {
 		return false
 	}
-	m.enter(d, disk, index)
+	m.install(d, disk, index)
 	return true
 }
 
-// restore has a learner read the state of a voter.
+// restore merges the state of a voter into a learner. The learner is restored once it has merged a quorum.
 func (m *model) restore(s *modelState, disk, from int) bool {
 	d := &s.replicas[disk]
-	member, seated := m.memberships[d.installed].Member(diskNames[disk])
-	if !d.up || !seated || member.Voter || d.restored || d.restoredFrom[from] || from == disk {
+	member, isMember := m.memberships[d.installed].Member(diskNames[disk])
+	if !d.up || !isMember || member.Voter || d.restored || d.restoredFrom[from] || from == disk {
 		return false
 	}
 	if m.faults.restoreBeforeEpoch {
@@ -422,7 +422,7 @@
 		d.merged[i] = fromAcceptor(merged)
 	}
 	d.restoredFrom[from] = true
-	if count(d.restoredFrom) < m.quorum(m.memberships[d.installed]) {
+	if countTrue(d.restoredFrom) < m.quorum(m.memberships[d.installed]) {
 		return true
 	}
 	for i, a := range []*acceptor{&d.config, &d.members} {
@@ -434,7 +434,7 @@
 	return true
 }
 
-// wipe loses the disk of a. The next disk of its machine is x.
+// wipe simulates the loss of disk a, which x may replace.
 func (m *model) wipe(s *modelState) bool {
 	if !m.wipeable || s.wipes > 0 || !s.replicas[0].up {
 		return false
--- a/coord/register/proposal.go
+++ b/coord/register/proposal.go
@@ -5,28 +5,28 @@
 
 // The phases of a Proposal.
 const (
-	Preparing Phase = iota // waits for promises
-	Accepting              // waits for acceptances; entered by BeginAccept
+	Preparing Phase = iota // waiting for a quorum of promises
+	Accepting              // waiting for a quorum to accept the value; entered by BeginAccept
 	Committed              // a quorum has accepted the value
-	Failed                 // a quorum is out of reach; a round with a higher ballot may succeed
+	Failed                 // a quorum is no longer possible; an attempt with a higher ballot may succeed
 )
 
-// Proposal is one attempt of a proposer to change a register: the pure part of the proposer.
+// Proposal is the state of one attempt of a proposer to change a register.
 type Proposal struct {
 	Ballot        Ballot
 	Phase         Phase
-	HighestBallot Ballot // the highest ballot seen in an answer; the next attempt has to exceed it
+	HighestBallot Ballot // highest ballot seen in a response; the next attempt must use a higher one
 
-	latestBallot Ballot // of latestValue
-	latestValue  []byte // the value with the highest ballot among the promises and what the proposer knew
+	latestBallot Ballot // ballot of latestValue
+	latestValue  []byte // value with the highest ballot among the promises and the proposer's initial value
 	quorum       int
 	replicas     int
-	acked        map[int]bool // replicas that have answered positively in this phase
-	rejected     map[int]bool // replicas that have rejected the ballot, or failed, in this phase
+	acked        map[int]bool // replicas that have granted the promise, or accepted the value, in this phase
+	rejected     map[int]bool // replicas that have rejected the ballot or failed to answer in this phase
 }
 
-// NewProposal begins an attempt among the given number of replicas, of which quorum have to agree. Known and value are the
-// newest accepted ballot that the proposer knows and its value.
+// NewProposal returns an attempt in the Preparing phase among the given number of replicas, quorum of which must agree.
+// Known and value are the newest accepted ballot that the proposer knows and its value.
 func NewProposal(ballot Ballot, replicas, quorum int, known Ballot, value []byte) *Proposal {
 	return &Proposal{
 		Ballot: ballot, HighestBallot: ballot, latestBallot: known, latestValue: value, quorum: quorum, replicas: replicas,
@@ -34,7 +34,7 @@
 	}
 }
 
-// OnPromise handles a replica's answer to a prepare message. It reports whether a quorum has promised: the proposer then
+// OnPromise handles a replica's response to a prepare message and reports whether a quorum has promised. The proposer then
 // derives the next value from Value and calls BeginAccept.
 func (p *Proposal) OnPromise(replica int, promise Promise) bool {
 	if p.Phase != Preparing {
@@ -55,17 +55,17 @@
 	return len(p.acked) >= p.quorum
 }
 
-// Value returns the newest value among the promises, and its ballot.
+// Value returns the newest value among the promises and the proposer's initial value, with its ballot.
 func (p *Proposal) Value() ([]byte, Ballot) { return p.latestValue, p.latestBallot }
 
-// BeginAccept begins the accept phase.
+// BeginAccept moves the proposal to the Accepting phase.
 func (p *Proposal) BeginAccept() {
 	p.Phase = Accepting
 	clear(p.acked)
 	clear(p.rejected)
 }
 
-// OnAccepted handles a replica's answer to an accept message and reports whether the value is committed.
+// OnAccepted handles a replica's response to an accept message and reports whether the value is committed.
 func (p *Proposal) OnAccepted(replica int, accepted bool) bool {
 	if p.Phase != Accepting {
 		return p.Phase == Committed
@@ -81,7 +81,7 @@
 	return p.Phase == Committed
 }
 
-// OnFailure records that a replica does not answer.
+// OnFailure records that a replica failed to answer.
 func (p *Proposal) OnFailure(replica int) { p.reject(replica) }
 
 func (p *Proposal) reject(replica int) {
--- a/coord/rendezvous/rendezvous.go
+++ b/coord/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
 // Package rendezvous assigns keys to members by highest random weight hashing: D. Thaler and C. Ravishankar, "Using
-// Name-Based Mappings to Increase Hit Rates", IEEE/ACM Transactions on Networking 6(1), 1998. All who know the same
-// members choose alike, and a member that joins or leaves moves only its own keys.
+// Name-Based Mappings to Increase Hit Rates", IEEE/ACM Transactions on Networking 6(1), 1998. Schedulers with the same set
+// of members compute the same assignment, and adding or removing a member reassigns only that member's keys.
 package rendezvous
 
 import (
@@ -19,7 +19,7 @@
 	return hash.Sum64()
 }
 
-// Rank returns the members by descending weight for a key; ties are broken by name.
+// Rank returns the members in descending order of weight for a key; ties are broken by name.
 func Rank(key string, members []string) []string {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b string) int {
--- a/coord/rendezvous/rendezvous_test.go
+++ b/coord/rendezvous/rendezvous_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-func TestOnlyKeysOfTheLostMemberMove(t *testing.T) {
+func TestRemovalMovesOnlyTheMembersKeys(t *testing.T) {
 	members := []string{"a", "b", "c", "d"}
 	for i := range 200 {
 		key := fmt.Sprint("key", i)
 		before := Highest(key, members)
 		after := Highest(key, []string{"a", "b", "c"})
 		if before != "d" && before != after {
-			t.Errorf("%s moved from %s to %s though d was lost", key, before, after)
+			t.Errorf("%s moved from %s to %s although only d was removed", key, before, after)
 		}
 	}
 }
 
-func TestHighestOfNobody(t *testing.T) {
+func TestHighestWithoutMembers(t *testing.T) {
 	if Highest("x", nil) != "" {
-		t.Error("nobody to choose from")
+		t.Error("Highest returned a member of an empty list")
 	}
 }
--- a/coord/shard/record.go
+++ b/coord/shard/record.go
@@ -8,16 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is the number of key ranges, by hash, that have a digest each.
+// Buckets is the number of buckets into which the keys of a shard are divided by hash. Each bucket has its own digest.
 const Buckets = 64
 
-// Version orders the states of a record: by the fencing token of the owner that wrote it, then by the owner's sequence.
+// Version orders the states of a record by the fencing token of the owner that wrote it, then by the owner's sequence number.
 type Version struct {
 	Token    int64
 	Sequence int64
 }
 
-// Compare orders versions; it returns -1, 0 or 1.
+// Compare returns -1, 0 or 1 if v is older than other, equal to it or newer.
 func (v Version) Compare(other Version) int {
 	if c := cmp.Compare(v.Token, other.Token); c != 0 {
 		return c
@@ -25,7 +25,7 @@
 	return cmp.Compare(v.Sequence, other.Sequence)
 }
 
-// Record is one key of a shard with its value. A Deleted record removes the key when it is applied and is not kept.
+// Record is one key of a shard with its value. A Deleted record removes the key when it is applied and is not itself stored.
 type Record struct {
 	Key     string
 	Version Version
@@ -33,29 +33,29 @@
 	Deleted bool
 }
 
-// Range is all records of one key range.
+// Range holds all records of one bucket.
 type Range struct {
 	Bucket  int64 // 0 to Buckets-1
 	Records []Record
 }
 
-// BucketOf returns the key range of a key.
+// BucketOf returns the bucket of a key.
 func BucketOf(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
 
 func recordDigest(key string, v Version) int64 {
-	var tail [16]byte
-	binary.LittleEndian.PutUint64(tail[:8], uint64(v.Token))
-	binary.LittleEndian.PutUint64(tail[8:], uint64(v.Sequence))
+	var version [16]byte
+	binary.LittleEndian.PutUint64(version[:8], uint64(v.Token))
+	binary.LittleEndian.PutUint64(version[8:], uint64(v.Sequence))
 	hash := xxhash.New()
 	_, _ = hash.WriteString(key)
-	_, _ = hash.Write(tail[:])
+	_, _ = hash.Write(version[:])
 	return int64(hash.Sum64())
 }
 
-// RecordSet is a set of records, one for each key, with a digest for each key range.
+// RecordSet is a set of records with distinct keys and a digest of each bucket.
 type RecordSet struct {
 	records map[string]Record
-	digests [Buckets]int64 // the exclusive or of recordDigest over the records of a range; independent of their order
+	digests [Buckets]int64 // XOR of recordDigest over the records of each bucket, so independent of their order
 }
 
 // NewRecordSet returns an empty set.
@@ -70,14 +70,15 @@
 // Len returns the number of records.
 func (s *RecordSet) Len() int { return len(s.records) }
 
-// Apply takes a record unless the set has the same version or a newer one, and reports whether it took it.
+// Apply stores a record, or removes its key if it is Deleted, unless the set holds the same version of the record or a
+// newer one. It reports whether the set has changed.
 func (s *RecordSet) Apply(r Record) bool {
-	old, known := s.records[r.Key]
-	if known && old.Version.Compare(r.Version) >= 0 {
+	old, exists := s.records[r.Key]
+	if exists && old.Version.Compare(r.Version) >= 0 {
 		return false
 	}
 	bucket := BucketOf(r.Key)
-	if known {
+	if exists {
 		s.digests[bucket] ^= recordDigest(r.Key, old.Version)
 	}
 	if r.Deleted {
@@ -89,21 +90,21 @@
 	return true
 }
 
-// Digests returns the digest of each key range.
+// Digests returns the digests of all buckets.
 func (s *RecordSet) Digests() []int64 { return slices.Clone(s.digests[:]) }
 
-// InBucket returns the records of a key range, unordered.
+// InBucket returns the records of a bucket in no particular order.
 func (s *RecordSet) InBucket(bucket int) []Record {
-	var found []Record
+	var records []Record
 	for key, r := range s.records {
 		if BucketOf(key) == bucket {
-			found = append(found, r)
+			records = append(records, r)
 		}
 	}
-	return found
+	return records
 }
 
-// All returns all records, unordered.
+// All returns all records in no particular order.
 func (s *RecordSet) All() []Record {
 	all := make([]Record, 0, len(s.records))
 	for _, r := range s.records {
@@ -112,7 +113,7 @@
 	return all
 }
 
-// ReplaceBucket replaces the content of a key range.
+// ReplaceBucket replaces the content of a bucket.
 func (s *RecordSet) ReplaceBucket(bucket int, records []Record) {
 	for _, r := range s.InBucket(bucket) {
 		delete(s.records, r.Key)
@@ -124,7 +125,7 @@
 	}
 }
 
-// DifferingRanges returns the key ranges of a set whose digests differ from those given.
+// DifferingRanges returns the content of the buckets of a set whose digests differ from the given ones.
 func DifferingRanges(set *RecordSet, digests []int64) []Range {
 	var ranges []Range
 	for _, bucket := range DifferingBuckets(set.Digests(), digests) {
@@ -133,7 +134,7 @@
 	return ranges
 }
 
-// DifferingBuckets returns the key ranges in which two lists of digests differ. A digest that is missing differs.
+// DifferingBuckets returns the buckets in which two lists of digests differ. A missing digest counts as different.
 func DifferingBuckets(a, b []int64) []int {
 	var buckets []int
 	for i := range Buckets {
--- a/coord/shard/replica.go
+++ b/coord/shard/replica.go
@@ -1,45 +1,47 @@
 // Package shard replicates the records of a shard from its single owner to the replicas of the core.
 //
-// It is primary-backup replication with fencing tokens, after L. Lamport, D. Malkhi and L. Zhou, "Vertical Paxos and
-// Primary-Backup Replication" (2009): the register of the shard's owner takes the place of the configuration master, and
-// its fencing token that of the ballot. A new owner
+// The protocol is primary-backup replication with fencing tokens, after L. Lamport, D. Malkhi and L. Zhou, "Vertical Paxos and
+// Primary-Backup Replication" (2009): the register that holds the shard's owner replaces the configuration master, and the
+// owner's fencing token replaces the ballot. A new owner
 //
-//  1. fences a quorum of replicas with its token, so that no earlier owner can commit anything more,
-//  2. merges the records of those among them that were in sync with the newest owner before it (NewestInSync),
-//  3. repairs a quorum of replicas, by which they are in sync with it, and
+//  1. fences a quorum of replicas with its token, so that no earlier owner can commit further changes,
+//  2. merges the records of those replicas among them that were in sync with the newest previous owner (NewestInSync),
+//  3. repairs a quorum of replicas, which are then in sync with it, and
 //  4. writes records, each with a version; a change is committed once a quorum of voters has acknowledged it.
 //
-// There is no log. A replica that fell behind is repaired by comparing digests of key ranges (anti-entropy repair, as in
-// G. DeCandia et al., "Dynamo" (2007), section 4.7, with one level in place of a Merkle tree).
+// There is no log. A replica that has fallen behind is repaired by comparing digests of hash buckets (anti-entropy repair,
+// as in G. DeCandia et al., "Dynamo" (2007), section 4.7, with a single level instead of a Merkle tree).
 //
-// The types are pure state machines without clock and I/O: the caller carries the messages and makes a Replica's state
-// durable before it sends an answer.
+// The types are pure state machines without a clock or I/O: the caller transports the messages and makes a Replica's state
+// durable before it sends a response.
 package shard
 
-// Replica is the durable state that one core machine has of a shard.
+// Replica is the durable state of a shard on one core machine.
 type Replica struct {
 	Records *RecordSet
-	// FencingToken is the highest fencing token met; messages with a lower one are rejected. It never decreases.
+	// FencingToken is the highest fencing token seen; messages with a lower one are rejected. It never decreases.
 	FencingToken int64
-	// InSyncToken is the token of the owner with which the replica is in sync: the last one that has repaired it completely.
-	// 0 if there is none; at most FencingToken.
+	// InSyncToken is the token of the owner with which the replica is in sync: the last owner that has repaired it
+	// completely, or 0 if there is none. It is at most FencingToken.
 	InSyncToken int64
 	// LastRepair is the number of the last repair by the owner with token FencingToken.
 	LastRepair int64
-	// Voter is false while the replica may lack something that the holder of its seat once acknowledged. Its
-	// acknowledgements and its records then count for no quorum.
+	// Voter is false while the replica may lack a change that the holder of its seat has acknowledged. Its acknowledgements
+	// and its records then count for no quorum.
 	Voter bool
-	// TokenKnown reports that this disk has learnt the tokens of all shards from a quorum: from then on a repair, which can then
-	// only be by an owner that is not deposed, makes the replica a voter.
+	// TokenKnown is true once this disk has learnt the tokens of all shards from a quorum. Deposed owners are fenced from then
+	// on, so a completed repair makes the replica a voter.
 	TokenKnown bool
 }
 
-// NewReplica returns an empty replica. On a disk that knows the tokens of all shards (trusted) it is a voter at once.
+// NewReplica returns an empty replica. It is a voter from the start if trusted is set, which requires that the disk knows
+// the tokens of all shards.
 func NewReplica(trusted bool) *Replica {
 	return &Replica{Records: NewRecordSet(), Voter: trusted, TokenKnown: trusted}
 }
 
-// Fence rejects all lower fencing tokens from now on. It reports false, and changes nothing, if a higher one is known.
+// Fence sets the fencing token below which messages are rejected. It reports false, and changes nothing, if the replica
+// knows a higher token.
 func (r *Replica) Fence(token int64) bool {
 	if token < r.FencingToken {
 		return false
@@ -51,8 +53,8 @@
 	return true
 }
 
-// Write applies records of the owner with a fencing token. It reports false if the token is not the highest one met, or
-// if the replica is not in sync with that owner.
+// Write applies records of the owner with a fencing token. It reports false, and changes nothing, if the token is not the
+// highest one seen or the replica is not in sync with that owner.
 func (r *Replica) Write(token int64, records []Record) bool {
 	if token != r.FencingToken || r.InSyncToken != token {
 		return false
@@ -63,23 +65,24 @@
 	return true
 }
 
-// ReplaceRanges replaces key ranges by those of another replica. It shortens a later repair and has no other effect: the replica
-// is not in sync by it.
+// ReplaceRanges replaces the content of buckets with that of another replica. This shortens a later repair but does not
+// bring the replica in sync.
 func (r *Replica) ReplaceRanges(ranges []Range) {
-	for _, part := range ranges {
-		r.Records.ReplaceBucket(int(part.Bucket), part.Records)
+	for _, replacement := range ranges {
+		r.Records.ReplaceBucket(int(replacement.Bucket), replacement.Records)
 	}
 }
 
-// Invalidate records that the replica may have missed changes: it is neither in sync nor a voter until LearnToken and a repair.
+// Invalidate records that the replica may have missed changes. It is not in sync until the next repair, and not a voter until
+// LearnToken and a repair.
 func (r *Replica) Invalidate() {
 	r.Voter = false
 	r.TokenKnown = false
 	r.InSyncToken = 0
 }
 
-// LearnToken takes the highest fencing token of the shard that a quorum knows. If the owner with that token, or a later one,
-// has repaired the replica already, the replica is a voter from now on. A repair by an earlier owner does not count: that
+// LearnToken handles the highest fencing token of the shard that a quorum knows. If the owner with that token or a later one
+// has already repaired the replica, the replica becomes a voter. A repair by an earlier owner does not count, because that
 // owner may have been deposed without knowing it.
 func (r *Replica) LearnToken(token int64) {
 	r.Fence(token)
@@ -87,9 +90,9 @@
 	r.Voter = r.InSyncToken > 0 && r.InSyncToken >= token
 }
 
-// Repair replaces key ranges by those of the owner with a fencing token. The last message of a repair makes the replica in
-// sync. Number counts the owner's repairs of this replica: a delayed message of an earlier repair must not undo what came
-// after it. It reports false if the message is outdated.
+// Repair replaces the content of buckets with that of the owner with a fencing token. The last message of a repair brings the
+// replica in sync. Number counts the owner's repairs of this replica, so that a delayed message of an earlier repair cannot
+// undo later changes. Repair reports false, and changes nothing, if the message is outdated.
 func (r *Replica) Repair(token, number int64, ranges []Range, last bool) bool {
 	if token == r.FencingToken && number < r.LastRepair {
 		return false
--- a/coord/shard/shard_test.go
+++ b/coord/shard/shard_test.go
@@ -12,36 +12,37 @@
 	return Record{Key: key, Version: Version{token, sequence}, Value: []byte(key)}
 }
 
-func TestSetKeepsTheNewestVersion(t *testing.T) {
+func TestRecordSetKeepsNewestVersion(t *testing.T) {
 	s := NewRecordSet()
 	if !s.Apply(record("a", 1, 2)) || s.Apply(record("a", 1, 1)) || s.Apply(record("a", 1, 2)) || !s.Apply(record("a", 2, 1)) {
-		t.Error("a set takes just newer versions")
+		t.Error("a record set did not apply exactly the newer versions")
 	}
 	s.Apply(Record{Key: "a", Version: Version{2, 2}, Deleted: true})
 	if s.Len() != 0 {
-		t.Error("a deleted record stayed")
+		t.Error("a deleted record is still in the set")
 	}
 }
 
-// Sets with equal records have equal digests, in whatever order they were applied; a different version changes one.
+// Record sets with equal records have equal digests in whatever order the records were applied; another version of one record
+// changes exactly one digest.
 func TestDigestsDifferWithVersions(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
-	properties.Property("order does not matter, versions do", prop.ForAll(func(keys []string) bool {
-		one, two := NewRecordSet(), NewRecordSet()
+	properties.Property("digests depend on the versions of records but not on their order", prop.ForAll(func(keys []string) bool {
+		ascending, descending := NewRecordSet(), NewRecordSet()
 		for i, key := range keys {
-			one.Apply(record(key, 1, int64(i+1)))
+			ascending.Apply(record(key, 1, int64(i+1)))
 		}
 		for i := len(keys) - 1; i >= 0; i-- {
-			two.Apply(record(keys[i], 1, int64(i+1)))
+			descending.Apply(record(keys[i], 1, int64(i+1)))
 		}
-		if len(DifferingBuckets(one.Digests(), two.Digests())) != 0 {
+		if len(DifferingBuckets(ascending.Digests(), descending.Digests())) != 0 {
 			return false
 		}
 		if len(keys) == 0 {
 			return true
 		}
-		two.Apply(record(keys[0], 2, 1))
-		return len(DifferingBuckets(one.Digests(), two.Digests())) == 1
+		descending.Apply(record(keys[0], 2, 1))
+		return len(DifferingBuckets(ascending.Digests(), descending.Digests())) == 1
 	}, gen.SliceOf(gen.Identifier())))
 	properties.TestingRun(t)
 }
@@ -55,16 +56,16 @@
 	replica := NewReplica(false)
 	replica.LearnToken(1)
 	replica.Records.Apply(record("a", 1, 1))
-	replica.Records.Apply(record("stale", 1, 9)) // was never acknowledged by a majority
+	replica.Records.Apply(record("stale", 1, 9)) // never acknowledged by a quorum
 	ranges, upTo := p.BeginRepair(0, replica.Records.Digests())
 	if !replica.Repair(2, 1, ranges, true) || !replica.Voter || replica.InSyncToken != 2 {
-		t.Fatalf("replica %+v", replica)
+		t.Fatalf("replica after the repair: %+v", replica)
 	}
 	if len(DifferingBuckets(set.Digests(), replica.Records.Digests())) != 0 {
-		t.Error("the replica differs after the repair")
+		t.Error("the replica's digests differ from the owner's after the repair")
 	}
-	if _, there := replica.Records.Get("stale"); there {
-		t.Error("a record that the owner does not have stayed")
+	if _, found := replica.Records.Get("stale"); found {
+		t.Error("the repair did not remove a record that the owner does not have")
 	}
 	p.Acknowledge(0, upTo)
 }
@@ -77,14 +78,14 @@
 	}
 	replica.Fence(4)
 	if replica.Write(3, []Record{record("a", 3, 2)}) || replica.Fence(3) || replica.Repair(3, 1, nil, true) {
-		t.Error("an older token still works")
+		t.Error("a message with an older fencing token was accepted")
 	}
 	if replica.Write(4, nil) {
-		t.Error("an owner wrote to a replica that is not in sync with it")
+		t.Error("a replica accepted a write from an owner with which it is not in sync")
 	}
 }
 
-func TestCommittedNeedsAMajority(t *testing.T) {
+func TestCommittedNeedsQuorum(t *testing.T) {
 	p := NewPrimary(1, NewRecordSet(), 3, 2)
 	for i := range 3 {
 		p.BeginRepair(i, p.Records.Digests())
@@ -92,19 +93,19 @@
 	n := p.Put("a", []byte("x"))
 	p.Acknowledge(0, n)
 	if p.Committed() >= n {
-		t.Error("one replica of three is no majority")
+		t.Error("committed after the acknowledgement of one replica of three")
 	}
 	p.Acknowledge(2, n)
 	if p.Committed() != n {
-		t.Errorf("committed %d of %d", p.Committed(), n)
+		t.Errorf("committed up to %d, want %d", p.Committed(), n)
 	}
 	p.MarkOutOfSync(2)
 	if p.Committed() >= n {
-		t.Error("a replica that is out of sync still counts")
+		t.Error("a replica that is out of sync counts for the quorum")
 	}
 }
 
-func TestPendingChangesAreTakenOnce(t *testing.T) {
+func TestTakePendingRemovesChanges(t *testing.T) {
 	p := NewPrimary(1, NewRecordSet(), 3, 2)
 	p.BeginRepair(1, p.Records.Digests())
 	p.Put("a", []byte("x"))
@@ -116,31 +117,31 @@
 	}
 }
 
-func TestNewestAreInSyncWithTheLastOwner(t *testing.T) {
+func TestNewestInSyncReturnsHighestToken(t *testing.T) {
 	got := NewestInSync(map[int]FenceResponse{0: {InSyncToken: 3}, 1: {InSyncToken: 5}, 2: {InSyncToken: 5}})
 	if len(got) != 2 || got[0] != 1 || got[1] != 2 {
-		t.Errorf("newest %v", got)
+		t.Errorf("replicas %v, want [1 2]", got)
 	}
 }
 
-// A repair message that a network partition has delayed must not undo later writes.
+// A repair message that was delayed by a network partition must not undo later writes.
 func TestDelayedRepairIsRejected(t *testing.T) {
 	replica := NewReplica(true)
 	old := []Range{{Bucket: int64(BucketOf("a")), Records: []Record{record("a", 1, 1)}}}
 	replica.Repair(3, 2, nil, true)
 	replica.Write(3, []Record{record("a", 3, 7)})
 	if replica.Repair(3, 1, old, true) {
-		t.Error("an earlier repair was taken")
+		t.Error("a delayed message of an earlier repair was applied")
 	}
 	if got, _ := replica.Records.Get("a"); got.Version.Sequence != 7 {
-		t.Errorf("record %+v", got)
+		t.Errorf("record after the delayed message: %+v", got)
 	}
 	if !replica.Repair(4, 1, nil, true) {
 		t.Error("the first repair of the next owner was rejected")
 	}
 }
 
-// A learner is kept in sync and counts for no quorum: a rival membership may be chosen that lacks it.
+// A learner is kept in sync but counts for no quorum, because a concurrent membership without it may be chosen.
 func TestLearnerCountsForNoQuorum(t *testing.T) {
 	p := NewPrimary(1, NewRecordSet(), 3, 2)
 	p.SetVoter(0, false)
@@ -151,33 +152,33 @@
 	p.Acknowledge(0, n)
 	p.Acknowledge(1, n)
 	if p.Committed() >= n || !p.HasAcknowledged(0, n) {
-		t.Error("a learner's acknowledgement made a quorum")
+		t.Error("a learner's acknowledgement counted for the quorum, or was not recorded")
 	}
 	p.SetVoter(0, true)
 	if p.Committed() != n {
-		t.Error("what a learner stored does not count once it votes")
+		t.Error("acknowledgements of a former learner do not count after it became a voter")
 	}
 }
 
-// An owner that was deposed without knowing it repairs a new replica before the replica's disk has learnt the newer token
-// from a quorum: the records of that repair may lack what the newer owner committed.
-func TestRepairByADeposedOwnerMakesNoVoter(t *testing.T) {
+// An owner that was deposed without knowing it may repair a new replica before the replica's disk has learnt the newer token
+// from a quorum. The records of that repair may lack changes that the newer owner has committed.
+func TestRepairByDeposedOwnerMakesNoVoter(t *testing.T) {
 	replica := NewReplica(true)
 	replica.Invalidate()
 	if !replica.Repair(3, 1, nil, true) || replica.Voter {
-		t.Error("a repair made a voter of a replica whose disk has not learnt the tokens of a quorum")
+		t.Error("a replica became a voter by a repair before its disk had learnt the tokens from a quorum")
 	}
 	replica.LearnToken(4)
 	if replica.Voter || replica.Repair(3, 2, nil, true) {
-		t.Error("it votes with the state of a deposed owner")
+		t.Error("the replica is a voter with the state of a deposed owner, or accepted another repair by it")
 	}
 	if !replica.Repair(4, 1, nil, true) || !replica.Voter {
-		t.Error("it does not vote after the repair by the newer owner")
+		t.Error("the replica is no voter after the repair by the newer owner")
 	}
-	again := NewReplica(false)
-	again.Repair(3, 1, nil, true)
-	again.LearnToken(3)
-	if !again.Voter {
-		t.Error("a repair by the newest owner is not remembered")
+	repaired := NewReplica(false)
+	repaired.Repair(3, 1, nil, true)
+	repaired.LearnToken(3)
+	if !repaired.Voter {
+		t.Error("an earlier repair by the newest owner does not count")
 	}
 }
--- a/internal/system/statefile/close_test.go
+++ b/internal/system/statefile/close_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// descriptors returns how many descriptors of this process are files below a directory, or the one at the path.
-func descriptors(t *testing.T, below ...string) int {
+// openDescriptors returns the number of open file descriptors of this process that refer to one of the paths or to a file
+// directly inside one of them.
+func openDescriptors(t *testing.T, paths ...string) int {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -22,9 +23,9 @@
 	for _, entry := range entries {
 		target, err := os.Readlink(filepath.Join("/proc/self/fd", entry.Name()))
 		if err != nil {
-			continue // closed meanwhile
+			continue // closed after ReadDir
 		}
-		for _, path := range below {
+		for _, path := range paths {
 			if target == path || filepath.Dir(target) == path {
 				n++
 			}
@@ -33,15 +34,15 @@
 	return n
 }
 
-// Close waits until what is queued is durable, and leaves no file open. A closed log takes no appends.
-func TestCloseWaitsForTheWriter(t *testing.T) {
+// Close waits until all queued entries are durable and leaves no file open. A closed log rejects appends.
+func TestCloseWaitsForWriter(t *testing.T) {
 	dir := t.TempDir()
-	m := &memory{}
-	l := m.open(t, dir)
+	s := &testState{}
+	l := s.open(t, dir)
 	var tickets []*Ticket
 	for i := range 200 {
 		entry := fmt.Sprint("entry", i)
-		m.entries = append(m.entries, entry)
+		s.entries = append(s.entries, entry)
 		tickets = append(tickets, l.Append([]byte(entry)))
 	}
 	if err := l.Close(t.Context()); err != nil {
@@ -51,80 +52,81 @@
 		select {
 		case <-ticket.Done():
 		default:
-			t.Fatalf("entry %d is not done", i)
+			t.Fatalf("entry %d is not done after Close", i)
 		}
 		if ticket.Err() != nil {
 			t.Errorf("entry %d: %v", i, ticket.Err())
 		}
 	}
-	if n := descriptors(t, dir); n != 0 {
-		t.Errorf("%d files are open", n)
+	if n := openDescriptors(t, dir); n != 0 {
+		t.Errorf("%d files are open after Close", n)
 	}
 	if late := l.Append([]byte("late")); !errors.Is(late.Err(), os.ErrClosed) {
-		t.Errorf("a closed log: %v", late.Err())
+		t.Errorf("append to a closed log: error %v, want os.ErrClosed", late.Err())
 	}
 	if err := l.Close(t.Context()); err != nil {
-		t.Errorf("closed twice: %v", err)
+		t.Errorf("second Close: %v", err)
 	}
 }
 
-// Close waits for a disk that does not answer until its context ends; the writer ends when the disk answers.
-func TestCloseGivesUpOnASlowDisk(t *testing.T) {
+// If disk I/O blocks, Close returns when its context ends, and the writer ends once the I/O completes.
+func TestCloseReturnsWhenContextEnds(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		answers := make(chan struct{})
-		starting := true
+		unblock := make(chan struct{})
+		opening := true
 		l, err := Open(dir, func([]byte) error { return nil }, func(func([]byte) error) error {
-			if !starting {
-				<-answers
+			if !opening {
+				<-unblock
 			}
 			return nil
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		starting = false
+		opening = false
 		l.writtenBytes = maxLogBytes + 1 // the next append begins a new generation
 		ticket := l.Append([]byte("a"))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		began := time.Now()
-		if err := l.Close(ctx); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != time.Second {
-			t.Errorf("%v after %v", err, time.Since(began))
+		start := time.Now()
+		if err := l.Close(ctx); !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != time.Second {
+			t.Errorf("Close returned %v after %v, want context.DeadlineExceeded after 1s", err, time.Since(start))
 		}
-		close(answers)
+		close(unblock)
 		if err := l.Close(t.Context()); err != nil || ticket.Err() != nil {
-			t.Errorf("once the disk answers: %v, %v", err, ticket.Err())
+			t.Errorf("after the I/O has completed: Close %v, append %v", err, ticket.Err())
 		}
 	})
 }
 
-// A rotation whose sync fails leaves no descriptor behind, however often it is retried. /dev/full can be opened and not synced.
-func TestFailedRotationLeavesNoDescriptor(t *testing.T) {
+// A rotation whose sync fails leaks no file descriptor, however often it is retried. The test links the next logs to /dev/full,
+// which can be opened but not synced.
+func TestFailedRotationLeaksNoDescriptor(t *testing.T) {
 	dir := t.TempDir()
-	m := &memory{}
-	l := m.open(t, dir)
+	s := &testState{}
+	l := s.open(t, dir)
 	const retries = 5
 	for i := range int64(retries) {
 		if err := os.Symlink("/dev/full", filepath.Join(dir, fileName(logPrefix, l.generation+1+i))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	before := descriptors(t, dir, "/dev/full")
+	before := openDescriptors(t, dir, "/dev/full")
 	for range retries {
 		if err := l.rotate(); err == nil {
-			t.Fatal("a log that cannot be synced was begun")
+			t.Fatal("rotate succeeded with a log that cannot be synced")
 		}
 	}
-	if after := descriptors(t, dir, "/dev/full"); after != before {
-		t.Errorf("%d descriptors, %d before", after, before)
+	if after := openDescriptors(t, dir, "/dev/full"); after != before {
+		t.Errorf("%d descriptors are open, %d before the rotations", after, before)
 	}
 	for i := range int64(retries) {
 		if err := os.Remove(filepath.Join(dir, fileName(logPrefix, l.generation+1+i))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m.append(t, l, "a")
+	s.append(t, l, "a")
 	if err := l.Close(t.Context()); err != nil {
 		t.Error(err)
 	}
--- a/internal/system/statefile/doc.go
+++ b/internal/system/statefile/doc.go
@@ -1,7 +1,8 @@
-// Package statefile keeps the durable state of a core scheduler on its disk.
+// Package statefile persists the state of a core scheduler on its local disk as a snapshot and an append-only log.
 //
-// A generation is a snapshot file, written under a temporary name, synced and renamed, and a log of the entries after it.
-// Each start and each compaction begins a new generation; the older ones are removed once the names of the new one are
-// durable. Frames have a length and a CRC-32C, so a write that a power loss tore is found and ignored: nothing after the
-// first bad frame was ever acknowledged. Appends are committed in groups, one sync for all that wait.
+// A generation consists of a snapshot file, which is written under a temporary name, synced and renamed, and a log of the
+// entries appended after the snapshot. Each start and each compaction begins a new generation; older generations are removed
+// once the directory entries of the new one are durable. Each frame has a length and a CRC-32C, so a write that a power loss
+// left incomplete is detected and ignored: nothing after the first invalid frame was ever acknowledged. Appends use group
+// commit: one write and one sync for all entries that are queued.
 package statefile
--- a/internal/system/statefile/frame.go
+++ b/internal/system/statefile/frame.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	frameHeader   = 8        // bytes: the length and the CRC-32C of the payload, little endian
-	maxFrameBytes = 64 << 20 // of a payload
+	frameHeaderBytes = 8        // the length and the CRC-32C of the payload, both little-endian uint32
+	maxPayloadBytes  = 64 << 20 // maximum payload size of a valid frame
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// appendFrame appends a frame with a payload to a buffer.
+// appendFrame appends a frame that holds a payload to a buffer.
 func appendFrame(buffer, payload []byte) []byte {
 	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(payload)))
 	buffer = binary.LittleEndian.AppendUint32(buffer, crc32.Checksum(payload, crcTable))
 	return append(buffer, payload...)
 }
 
-// readFrames returns the payloads of the complete frames of a file from an offset on, and how many bytes after them are no
-// frame. A file that cannot be read has none.
-func readFrames(path string, from int64) (payloads [][]byte, torn int64) {
-	text, err := os.ReadFile(path)
-	if err != nil || int64(len(text)) < from {
+// readFrames returns the payloads of the valid frames of a file from an offset up to the first invalid one, and the number of
+// bytes after them. A file that cannot be read counts as empty.
+func readFrames(path string, offset int64) (payloads [][]byte, tornBytes int64) {
+	data, err := os.ReadFile(path)
+	if err != nil || int64(len(data)) < offset {
 		return nil, 0
 	}
-	text = text[from:]
-	for len(text) >= frameHeader {
-		size := binary.LittleEndian.Uint32(text)
-		sum := binary.LittleEndian.Uint32(text[4:])
-		if size > maxFrameBytes || int(size) > len(text)-frameHeader {
+	data = data[offset:]
+	for len(data) >= frameHeaderBytes {
+		size := binary.LittleEndian.Uint32(data)
+		checksum := binary.LittleEndian.Uint32(data[4:])
+		if size > maxPayloadBytes || int(size) > len(data)-frameHeaderBytes {
 			break
 		}
-		payload := text[frameHeader : frameHeader+int(size)]
-		if crc32.Checksum(payload, crcTable) != sum {
+		payload := data[frameHeaderBytes : frameHeaderBytes+int(size)]
+		if crc32.Checksum(payload, crcTable) != checksum {
 			break
 		}
 		payloads = append(payloads, payload)
-		text = text[frameHeader+int(size):]
+		data = data[frameHeaderBytes+int(size):]
 	}
-	return payloads, int64(len(text))
+	return payloads, int64(len(data))
 }
--- a/internal/system/statefile/generation.go
+++ b/internal/system/statefile/generation.go
@@ -11,16 +11,16 @@
 
 const logPrefix = "log-"
 
-// fileName returns the name of a file of a generation.
+// fileName returns the name of the snapshot or log of a generation.
 func fileName(prefix string, generation int64) string {
 	return fmt.Sprintf("%s%08d", prefix, generation)
 }
 
-// generationOf returns the generation of a file by its name; false for a file of another kind.
-func generationOf(file string) (int64, bool) {
-	file = strings.TrimSuffix(file, tempSuffix)
+// generationOf parses the generation from a file name. It returns false if the file is neither a snapshot nor a log.
+func generationOf(name string) (int64, bool) {
+	name = strings.TrimSuffix(name, tempSuffix)
 	for _, prefix := range []string{snapshotPrefix, logPrefix} {
-		if digits, ok := strings.CutPrefix(file, prefix); ok {
+		if digits, ok := strings.CutPrefix(name, prefix); ok {
 			n, err := strconv.ParseInt(digits, 10, 64)
 			return n, err == nil
 		}
@@ -28,14 +28,14 @@
 	return 0, false
 }
 
-// generations are the generations of which a directory holds files.
+// generations lists the generations of the files in a directory.
 type generations struct {
-	snapshots []int64 // descending
-	logs      []int64 // ascending
-	newest    int64   // of any file, also of a snapshot that was not renamed; 0 for none
+	snapshots []int64 // generations with a snapshot, descending
+	logs      []int64 // generations with a log, ascending
+	newest    int64   // highest generation of any file, including temporary ones; 0 if there is none
 }
 
-// listGenerations returns the generations of which a directory holds files.
+// listGenerations returns the generations of the files in a directory.
 func listGenerations(dir string) (generations, error) {
 	var found generations
 	entries, err := os.ReadDir(dir)
@@ -61,26 +61,26 @@
 	return found, nil
 }
 
-// removeBelow removes older generations. What cannot be removed is retried at the next rotation.
+// removeBelow removes the files of all generations below one. A file that cannot be removed is retried at the next rotation.
 func (l *Log) removeBelow(generation int64) {
 	entries, err := os.ReadDir(l.dir)
 	if err != nil {
 		return
 	}
 	for _, entry := range entries {
-		old, ok := generationOf(entry.Name())
-		if ok && old < generation {
+		older, ok := generationOf(entry.Name())
+		if ok && older < generation {
 			_ = os.Remove(filepath.Join(l.dir, entry.Name()))
 		}
 	}
 }
 
-// syncDir makes the names in a directory durable.
-func syncDir(dir string) error {
-	handle, err := os.Open(dir)
+// syncDir makes the entries of a directory durable.
+func syncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = handle.Close() }()
-	return handle.Sync()
+	defer func() { _ = dir.Close() }()
+	return dir.Sync()
 }
--- a/internal/system/statefile/inspect.go
+++ b/internal/system/statefile/inspect.go
@@ -11,54 +11,55 @@
 type FileInfo struct {
 	Name     string
 	Bytes    int64
-	Frames   int   // complete frames
-	Torn     int64 // bytes at the end that are no complete frame
-	Complete bool  // a snapshot with its end marker; always true for a log
-	Live     bool  // it is read at a start
+	Frames   int   // number of valid frames, without the end marker of a snapshot
+	Torn     int64 // number of bytes after the last valid frame
+	Complete bool  // whether a snapshot has its end marker; always true for a log
+	Live     bool  // whether Open reads the file
 }
 
-// Inspect describes the files of a state directory. It changes nothing.
+// Inspect describes the snapshots and logs in a state directory without changing them.
 func Inspect(dir string) ([]FileInfo, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, fmt.Errorf("statefile: %w", err)
 	}
 	var infos []FileInfo
-	newest := int64(-1)
+	newestSnapshot := int64(-1)
 	for _, entry := range entries {
 		generation, ok := generationOf(entry.Name())
 		if !ok {
 			continue
 		}
 		info := inspectFile(dir, entry.Name())
-		snapshot := strings.HasPrefix(entry.Name(), snapshotPrefix) && !strings.HasSuffix(entry.Name(), tempSuffix)
-		if snapshot && info.Complete {
-			newest = max(newest, generation)
+		isSnapshot := strings.HasPrefix(entry.Name(), snapshotPrefix) && !strings.HasSuffix(entry.Name(), tempSuffix)
+		if isSnapshot && info.Complete {
+			newestSnapshot = max(newestSnapshot, generation)
 		}
 		infos = append(infos, info)
 	}
 	for i := range infos {
 		generation, _ := generationOf(infos[i].Name)
 		isLog := strings.HasPrefix(infos[i].Name, logPrefix)
-		infos[i].Live = newest >= 0 && infos[i].Complete && (isLog && generation >= newest || !isLog && generation == newest)
+		infos[i].Live = newestSnapshot >= 0 && infos[i].Complete &&
+			(isLog && generation >= newestSnapshot || !isLog && generation == newestSnapshot)
 	}
 	return infos, nil
 }
 
-// inspectFile describes one file, but for FileInfo.Live.
-func inspectFile(dir, file string) FileInfo {
-	path := filepath.Join(dir, file)
-	info := FileInfo{Name: file}
+// inspectFile describes one file, without setting FileInfo.Live.
+func inspectFile(dir, name string) FileInfo {
+	path := filepath.Join(dir, name)
+	info := FileInfo{Name: name}
 	if stat, err := os.Stat(path); err == nil {
 		info.Bytes = stat.Size()
 	}
-	if strings.HasPrefix(file, logPrefix) {
+	if strings.HasPrefix(name, logPrefix) {
 		payloads, torn := readFrames(path, 0)
 		info.Frames, info.Torn, info.Complete = len(payloads), torn, true
 		return info
 	}
 	payloads, complete := readSnapshot(path)
-	info.Frames, info.Complete = len(payloads), complete && !strings.HasSuffix(file, tempSuffix)
+	info.Frames, info.Complete = len(payloads), complete && !strings.HasSuffix(name, tempSuffix)
 	if !complete {
 		info.Torn = info.Bytes
 	}
--- a/internal/system/statefile/log.go
+++ b/internal/system/statefile/log.go
@@ -12,52 +12,52 @@
 )
 
 const (
-	maxLogBytes    = 6 << 20  // from which on the next commit begins a new generation
-	maxQueuedBytes = 48 << 20 // of entries that wait for the disk
+	maxLogBytes    = 6 << 20  // log size above which the next commit begins a new generation
+	maxQueuedBytes = 48 << 20 // size of queued entries above which appends are rejected
 )
 
-// ErrQueueFull says that more than 48 MB of entries wait for the disk.
+// ErrQueueFull is returned while more than 48 MiB of entries are queued for writing.
 var ErrQueueFull = errors.New("statefile: append queue is full")
 
-// ErrLayout says that a directory was written by another release.
+// ErrLayout is returned for a directory that was written by a release with another file layout.
 var ErrLayout = errors.New("statefile: written by another release")
 
-// Log appends entries to the newest generation. Its methods may be called concurrently.
+// Log appends entries to the newest generation. Its methods are safe for concurrent use.
 type Log struct {
 	dir      string
 	snapshot func(emit func([]byte) error) error
 
-	// mu guards the fields below. It is held for no write to the disk and over no call of snapshot.
+	// mu guards the fields below. It is never held during disk I/O or a call of snapshot.
 	mu          sync.Mutex
-	queue       []*Ticket // not yet taken by the writer, in the order of Append
-	queuedBytes int       // of their payloads
+	queue       []*Ticket // appends that the writer has not yet taken, in order
+	queuedBytes int       // total size of the payloads in queue
 	closed      bool
-	wake        chan struct{} // holds a signal while the queue is not empty; closed by Close
+	wake        chan struct{} // signalled while queue is not empty; closed by Close
 
-	ended    chan struct{} // closed when the writer has ended
-	closeErr error         // of file; written before ended is closed
+	writerDone chan struct{} // closed when the writer goroutine has ended
+	closeErr   error         // from closing file; set before writerDone is closed
 
-	// Only Open, and then the writer, uses the fields below.
+	// The fields below are used only by Open and then by the writer goroutine.
 	generation   int64
-	file         *os.File // the log of the generation; nil after a write to it has failed
-	writtenBytes int64    // to file
+	file         *os.File // the log of generation; nil after a failed write
+	writtenBytes int64    // size of file
 }
 
-// Ticket is an append in flight.
+// Ticket is the pending result of an append.
 type Ticket struct {
 	payload []byte
 	done    chan struct{}
-	err     error // written before done is closed
+	err     error // set before done is closed
 }
 
-// Done is closed when the entry is durable or has failed.
+// Done returns a channel that is closed once the entry is durable or the append has failed.
 func (t *Ticket) Done() <-chan struct{} { return t.done }
 
-// Err returns how the append ended, once Done is closed.
+// Err returns the error of the append, or nil if the entry is durable. It is valid once Done is closed.
 func (t *Ticket) Err() error { return t.err }
 
-// Open replays the newest complete generation in dir, entry by entry, and begins a new one. The state that snapshot emits
-// must hold every entry that was appended so far; it is called by Open first and then from the writer's goroutine.
+// Open replays the newest complete generation in dir, entry by entry, and begins a new one. Snapshot must emit a state that
+// includes every entry appended so far. It is called once by Open and later on the writer goroutine.
 func Open(dir string, replay func([]byte) error, snapshot func(emit func([]byte) error) error) (*Log, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("statefile: %w", err)
@@ -66,17 +66,17 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{dir: dir, snapshot: snapshot, wake: make(chan struct{}, 1), ended: make(chan struct{}), generation: newest}
+	l := &Log{dir: dir, snapshot: snapshot, wake: make(chan struct{}, 1), writerDone: make(chan struct{}), generation: newest}
 	if err := l.rotate(); err != nil {
 		return nil, err
 	}
-	go l.write()
+	go l.runWriter()
 	return l, nil
 }
 
-// Append queues an entry, which is durable or has failed when the ticket is done. The state that snapshots are made of must
-// hold it already, so the caller's order of changes and appends must be one. Tickets fail with ErrQueueFull, os.ErrClosed or
-// the error of the write; after a failed write the next commit begins a new generation.
+// Append queues an entry and returns a ticket that is done once the entry is durable or has failed. The caller must have
+// applied the entry to the state that snapshot emits, and must append entries in the order in which it applied them. Tickets
+// fail with ErrQueueFull, os.ErrClosed or the write error; after a failed write the next commit begins a new generation.
 func (l *Log) Append(payload []byte) *Ticket {
 	t := &Ticket{payload: payload, done: make(chan struct{})}
 	l.mu.Lock()
@@ -100,8 +100,8 @@
 	return t
 }
 
-// Close ends the writer once what is queued is written, waits for it, and closes the file. Later appends fail with
-// os.ErrClosed. If the context ends first, its error is returned, and the writer ends when the disk answers.
+// Close waits until the writer goroutine has written all queued entries and closed the file. Later appends fail with
+// os.ErrClosed. If the context ends first, Close returns its error, and the writer ends once the pending disk I/O completes.
 func (l *Log) Close(ctx context.Context) error {
 	l.mu.Lock()
 	if !l.closed {
@@ -110,16 +110,16 @@
 	}
 	l.mu.Unlock()
 	select {
-	case <-l.ended:
+	case <-l.writerDone:
 		return l.closeErr
 	case <-ctx.Done():
-		return fmt.Errorf("statefile: the disk has not written what is queued: %w", ctx.Err())
+		return fmt.Errorf("statefile: close: queued entries are not yet written: %w", ctx.Err())
 	}
 }
 
-// write commits what is queued, in groups, until the log is closed.
-func (l *Log) write() {
-	defer close(l.ended)
+// runWriter commits the queued entries in batches until the log is closed.
+func (l *Log) runWriter() {
+	defer close(l.writerDone)
 	for range l.wake {
 		l.mu.Lock()
 		batch := l.queue
@@ -140,8 +140,8 @@
 	}
 }
 
-// commit makes a batch durable: by one write and one sync of the log, or by a new generation, whose snapshot holds the
-// batch, where the log is long or a write to it has failed.
+// commit makes a batch durable with one write and one sync of the log. If the log exceeds maxLogBytes or a write to it has
+// failed, commit begins a new generation instead, whose snapshot includes the batch.
 func (l *Log) commit(batch []*Ticket) error {
 	if l.file == nil || l.writtenBytes > maxLogBytes {
 		return l.rotate()
@@ -155,7 +155,7 @@
 		err = unix.Fdatasync(int(l.file.Fd()))
 	}
 	if err != nil {
-		_ = l.file.Close() // the write's error counts
+		_ = l.file.Close() // the write error is returned
 		l.file = nil
 		return fmt.Errorf("statefile: %w", err)
 	}
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// rotate writes a snapshot of the complete state and begins an empty log after it.
+// rotate begins a new generation: a snapshot of the complete state and an empty log.
 func (l *Log) rotate() error {
 	next := l.generation + 1
 	if err := l.writeSnapshot(next); err != nil {
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// createLog creates the empty log of a generation and makes its name durable.
+// createLog creates the empty log of a generation and makes its directory entry durable.
 func (l *Log) createLog(generation int64) (*os.File, error) {
 	file, err := os.OpenFile(filepath.Join(l.dir, fileName(logPrefix, generation)), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -194,7 +194,7 @@
 		err = syncDir(l.dir)
 	}
 	if err != nil {
-		_ = file.Close() // nothing was written to it
+		_ = file.Close() // the file is empty
 		return nil, err
 	}
 	return file, nil
--- a/internal/system/statefile/replay.go
+++ b/internal/system/statefile/replay.go
@@ -5,9 +5,9 @@
 	"path/filepath"
 )
 
-// Replay reads the newest generation whose snapshot is complete, and the logs from it on, and returns the newest generation
-// that any file in dir bears. A directory without a complete snapshot has no entries, also where it has a log. Errors are
-// those of replay, of the directory, and ErrLayout.
+// Replay calls replay with the entries of the newest complete snapshot and of all logs from its generation on. It returns the
+// highest generation of any file in dir. A directory without a complete snapshot has no entries, even if it has a log. The
+// error is that of replay or of reading the directory, or wraps ErrLayout.
 func Replay(dir string, replay func([]byte) error) (newest int64, err error) {
 	found, err := listGenerations(dir)
 	if err != nil {
@@ -31,7 +31,8 @@
 	return found.newest, nil
 }
 
-// replaySnapshot replays the first complete one of the snapshots and returns its generation, 0 for none.
+// replaySnapshot replays the first complete snapshot in a list of generations and returns its generation, or 0 if there is
+// none.
 func replaySnapshot(dir string, generations []int64, replay func([]byte) error) (int64, error) {
 	for _, generation := range generations {
 		path := filepath.Join(dir, fileName(snapshotPrefix, generation))
--- a/internal/system/statefile/snapshot.go
+++ b/internal/system/statefile/snapshot.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	formatVersion  = 2 // of the layout; another one is rejected, never taken for an empty disk
+	layoutVersion  = 2 // a snapshot with another version is rejected; it must never count as an empty disk
 	snapshotPrefix = "state-"
-	tempSuffix     = ".aside" // of a snapshot that is being written
+	tempSuffix     = ".aside" // suffix of a snapshot that is being written
 )
 
 var (
 	magic     = []byte("sedgevale-state\x00")
-	endMarker = []byte("end") // the payload of a snapshot's last frame
+	endMarker = []byte("end") // payload of the last frame of a complete snapshot
 )
 
-// writeSnapshot writes a snapshot of the complete state under a temporary name, syncs and renames it.
+// writeSnapshot writes a snapshot of the complete state under a temporary name, syncs it and renames it.
 func (l *Log) writeSnapshot(generation int64) error {
 	temp := filepath.Join(l.dir, fileName(snapshotPrefix, generation)+tempSuffix)
 	file, err := os.Create(temp)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // synced before
+	defer func() { _ = file.Close() }() // Sync has reported any write error
 	buffer := append([]byte{}, magic...)
-	buffer = append(buffer, formatVersion)
+	buffer = append(buffer, layoutVersion)
 	err = l.snapshot(func(payload []byte) error {
 		buffer = appendFrame(buffer, payload)
 		return nil
@@ -49,38 +49,39 @@
 	return syncDir(l.dir)
 }
 
-// checkLayout returns ErrLayout where a snapshot has a layout other than this release's.
+// checkLayout returns an error that wraps ErrLayout if a snapshot has another layout version than this release. Version 0
+// passes and is left to readSnapshot, which treats the snapshot as incomplete.
 func checkLayout(path string) error {
-	head, err := readHead(path)
-	if err != nil || string(head[:len(magic)]) != string(magic) {
-		return nil // torn, or not there any more
+	header, err := readHeader(path)
+	if err != nil || string(header[:len(magic)]) != string(magic) {
+		return nil // incomplete or removed
 	}
-	if version := head[len(magic)]; version != 0 && version != formatVersion {
-		return fmt.Errorf("%w: %s has layout %d, this release writes %d; where the other members of the core are up, "+
-			"move the directory away, and this machine joins them with an empty disk", ErrLayout, path, version, formatVersion)
+	if version := header[len(magic)]; version != 0 && version != layoutVersion {
+		return fmt.Errorf("%w: %s has layout version %d, this release supports only %d; if the other members of the core are up, "+
+			"move the directory away and restart: this machine rejoins with an empty disk", ErrLayout, path, version, layoutVersion)
 	}
 	return nil
 }
 
-// readHead returns the first bytes of a snapshot: the magic and the layout's number.
-func readHead(path string) ([]byte, error) {
+// readHeader returns the header of a snapshot: the magic and the layout version.
+func readHeader(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	head := make([]byte, len(magic)+1)
-	_, err = io.ReadFull(file, head)
-	return head, err
+	header := make([]byte, len(magic)+1)
+	_, err = io.ReadFull(file, header)
+	return header, err
 }
 
 // readSnapshot returns the entries of a snapshot and whether it is complete.
 func readSnapshot(path string) ([][]byte, bool) {
-	head, err := readHead(path)
-	if err != nil || string(head[:len(magic)]) != string(magic) || head[len(magic)] != formatVersion {
+	header, err := readHeader(path)
+	if err != nil || string(header[:len(magic)]) != string(magic) || header[len(magic)] != layoutVersion {
 		return nil, false
 	}
-	payloads, _ := readFrames(path, int64(len(head)))
+	payloads, _ := readFrames(path, int64(len(header)))
 	if len(payloads) == 0 || string(payloads[len(payloads)-1]) != string(endMarker) {
 		return nil, false
 	}
--- a/internal/system/statefile/statefile_test.go
+++ b/internal/system/statefile/statefile_test.go
@@ -11,16 +11,16 @@
 	"testing"
 )
 
-// memory is a state that is just the list of its entries.
-type memory struct{ entries []string }
+// testState is a state that consists of the list of its entries.
+type testState struct{ entries []string }
 
-func (m *memory) replay(payload []byte) error {
-	m.entries = append(m.entries, string(payload))
+func (s *testState) replay(payload []byte) error {
+	s.entries = append(s.entries, string(payload))
 	return nil
 }
 
-func (m *memory) snapshot(emit func([]byte) error) error {
-	for _, e := range m.entries {
+func (s *testState) snapshot(emit func([]byte) error) error {
+	for _, e := range s.entries {
 		if err := emit([]byte(e)); err != nil {
 			return err
 		}
@@ -28,20 +28,20 @@
 	return nil
 }
 
-func (m *memory) open(t *testing.T, dir string) *Log {
+func (s *testState) open(t *testing.T, dir string) *Log {
 	t.Helper()
-	m.entries = nil
-	l, err := Open(dir, m.replay, m.snapshot)
+	s.entries = nil
+	l, err := Open(dir, s.replay, s.snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close(context.Background()) }) // a test may have closed its file
+	t.Cleanup(func() { _ = l.Close(context.Background()) }) // some tests close the file themselves
 	return l
 }
 
-func (m *memory) append(t *testing.T, l *Log, entry string) {
+func (s *testState) append(t *testing.T, l *Log, entry string) {
 	t.Helper()
-	m.entries = append(m.entries, entry)
+	s.entries = append(s.entries, entry)
 	ticket := l.Append([]byte(entry))
 	<-ticket.Done()
 	if ticket.Err() != nil {
@@ -49,52 +49,52 @@
 	}
 }
 
-func TestEntriesOutliveTheProcess(t *testing.T) {
+func TestEntriesSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
-	m := &memory{}
-	l := m.open(t, dir)
+	s := &testState{}
+	l := s.open(t, dir)
 	for i := range 10 {
-		m.append(t, l, fmt.Sprint("entry", i))
+		s.append(t, l, fmt.Sprint("entry", i))
 	}
-	want := slices.Clone(m.entries)
+	want := slices.Clone(s.entries)
 	for range 3 {
-		m.open(t, dir)
-		if !slices.Equal(m.entries, want) {
-			t.Fatalf("entries %v", m.entries)
+		s.open(t, dir)
+		if !slices.Equal(s.entries, want) {
+			t.Fatalf("entries after a restart: %v, want %v", s.entries, want)
 		}
 	}
 	files, _ := os.ReadDir(dir)
 	if len(files) != 2 {
-		t.Errorf("%d files, one snapshot and one log wanted", len(files))
+		t.Errorf("%d files, want one snapshot and one log", len(files))
 	}
 }
 
-// A power loss tears or drops what was written after the last sync; what was acknowledged stays, and what is
-// appended after the start is not written behind the torn part, where a replay would miss it.
-func TestTornEndIsCutOff(t *testing.T) {
+// A power loss may corrupt or truncate a write that was not synced. Acknowledged entries must survive, and entries appended
+// after the restart must not be written behind the corrupt frame, where a replay would not find them.
+func TestCorruptTailIsIgnored(t *testing.T) {
 	for seed := range uint64(60) {
 		dir := t.TempDir()
-		m := &memory{}
-		l := m.open(t, dir)
+		s := &testState{}
+		l := s.open(t, dir)
 		for i := range 5 {
-			m.append(t, l, fmt.Sprint("entry", i, strings.Repeat("x", i*10)))
+			s.append(t, l, fmt.Sprint("entry", i, strings.Repeat("x", i*10)))
 		}
-		want := slices.Clone(m.entries)
-		tear(t, dir, seed)
-		l = m.open(t, dir)
-		if !slices.Equal(m.entries, want) {
-			t.Fatalf("seed %d: entries %v", seed, m.entries)
+		want := slices.Clone(s.entries)
+		corruptTail(t, dir, seed)
+		l = s.open(t, dir)
+		if !slices.Equal(s.entries, want) {
+			t.Fatalf("seed %d: entries after the power loss: %v, want %v", seed, s.entries, want)
 		}
-		m.append(t, l, "later")
-		m.open(t, dir)
-		if !slices.Equal(m.entries, append(want, "later")) {
-			t.Fatalf("seed %d: entries %v after the tear", seed, m.entries)
+		s.append(t, l, "later")
+		s.open(t, dir)
+		if !slices.Equal(s.entries, append(want, "later")) {
+			t.Fatalf("seed %d: entries after a further append: %v", seed, s.entries)
 		}
 	}
 }
 
-// tear appends a damaged frame, as a power loss during a write leaves it.
-func tear(t *testing.T, dir string, seed uint64) {
+// corruptTail appends a truncated or corrupted frame to the newest log, as a power loss during a write may leave it.
+func corruptTail(t *testing.T, dir string, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 3))
 	logs, _ := filepath.Glob(filepath.Join(dir, logPrefix+"*"))
@@ -122,72 +122,72 @@
 	}
 }
 
-// An incomplete snapshot is ignored, and the generation before it counts.
+// An incomplete snapshot is ignored, and the previous generation is replayed.
 func TestIncompleteSnapshotIsIgnored(t *testing.T) {
 	dir := t.TempDir()
-	m := &memory{}
-	l := m.open(t, dir)
-	m.append(t, l, "a")
-	m.append(t, l, "b")
+	s := &testState{}
+	l := s.open(t, dir)
+	s.append(t, l, "a")
+	s.append(t, l, "b")
 	generation := l.generation
-	half := filepath.Join(dir, fileName(snapshotPrefix, generation+1))
-	if err := os.WriteFile(half, append(slices.Clone(magic), formatVersion, 9, 9), 0o644); err != nil {
+	incomplete := filepath.Join(dir, fileName(snapshotPrefix, generation+1))
+	if err := os.WriteFile(incomplete, append(slices.Clone(magic), layoutVersion, 9, 9), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	m.open(t, dir)
-	if !slices.Equal(m.entries, []string{"a", "b"}) {
-		t.Errorf("entries %v", m.entries)
+	s.open(t, dir)
+	if !slices.Equal(s.entries, []string{"a", "b"}) {
+		t.Errorf("entries after a restart: %v", s.entries)
 	}
 }
 
-func TestLongLogBeginsANewGeneration(t *testing.T) {
+func TestLongLogBeginsNewGeneration(t *testing.T) {
 	dir := t.TempDir()
-	m := &memory{}
-	l := m.open(t, dir)
+	s := &testState{}
+	l := s.open(t, dir)
 	before := l.generation
 	big := strings.Repeat("x", 2<<20)
 	for range 5 {
-		m.append(t, l, big)
-		m.entries = m.entries[:0] // superseded
+		s.append(t, l, big)
+		s.entries = s.entries[:0] // keeps snapshots small
 	}
-	m.append(t, l, "last")
+	s.append(t, l, "last")
 	if l.generation == before {
-		t.Error("no compaction after 10 MB")
+		t.Error("no new generation after 10 MiB of entries")
 	}
-	m.open(t, dir)
-	if m.entries[len(m.entries)-1] != "last" {
-		t.Error("the last entry is lost")
+	s.open(t, dir)
+	if s.entries[len(s.entries)-1] != "last" {
+		t.Error("the last entry is lost after a restart")
 	}
 }
 
-// A disk that rejects a write fails the appends that wait; the next ones begin a new generation with all that is known.
-func TestFailedWriteBeginsANewGeneration(t *testing.T) {
+// A failed write fails the queued appends; the next append begins a new generation with the complete state.
+func TestFailedWriteBeginsNewGeneration(t *testing.T) {
 	dir := t.TempDir()
-	m := &memory{}
-	l := m.open(t, dir)
-	m.append(t, l, "a")
+	s := &testState{}
+	l := s.open(t, dir)
+	s.append(t, l, "a")
 	if err := l.file.Close(); err != nil { // the next write fails
 		t.Fatal(err)
 	}
-	m.entries = append(m.entries, "b")
+	s.entries = append(s.entries, "b")
 	ticket := l.Append([]byte("b"))
 	<-ticket.Done()
 	if ticket.Err() == nil {
 		t.Fatal("a write to a closed file succeeded")
 	}
-	m.append(t, l, "c")
-	m.open(t, dir)
-	if !slices.Equal(m.entries, []string{"a", "b", "c"}) {
-		t.Errorf("entries %v", m.entries)
+	s.append(t, l, "c")
+	s.open(t, dir)
+	if !slices.Equal(s.entries, []string{"a", "b", "c"}) {
+		t.Errorf("entries after a restart: %v", s.entries)
 	}
 }
 
-// A log without its snapshot is no state: the disk counts as empty, and a check says so.
-func TestLogWithoutItsSnapshotIsIgnored(t *testing.T) {
+// A log without a complete snapshot is not replayed: the directory counts as empty, and Inspect marks no file as live.
+func TestLogWithoutSnapshotIsIgnored(t *testing.T) {
 	dir := t.TempDir()
-	m := &memory{}
-	l := m.open(t, dir)
-	m.append(t, l, "a")
+	s := &testState{}
+	l := s.open(t, dir)
+	s.append(t, l, "a")
 	snapshot := filepath.Join(dir, fileName(snapshotPrefix, l.generation))
 	if err := os.Truncate(snapshot, 20); err != nil {
 		t.Fatal(err)
@@ -198,11 +198,11 @@
 	}
 	for _, f := range files {
 		if f.Live {
-			t.Errorf("%s is said to be read at a start", f.Name)
+			t.Errorf("Inspect reports %s as live", f.Name)
 		}
 	}
-	m.open(t, dir)
-	if len(m.entries) != 0 {
-		t.Errorf("entries %v", m.entries)
+	s.open(t, dir)
+	if len(s.entries) != 0 {
+		t.Errorf("entries after a restart: %v", s.entries)
 	}
 }
--- a/internal/system/statefile/stored_data_test.go
+++ b/internal/system/statefile/stored_data_test.go
@@ -12,14 +12,14 @@
 	"sedgevale/internal/system/statefile"
 )
 
-// storedDirectory is a core machine's data directory under testdata, as TestCoreDirectoryHoldsTheWholeState of
-// internal/system/simulation wrote it with -update.
+// storedDirectory describes a data directory of a core scheduler under testdata, which TestCoreDirectoryHoldsTheWholeState of
+// internal/system/simulation wrote with -update.
 type storedDirectory struct {
 	name       string
 	generation int64
 	files      []statefile.FileInfo
-	kinds      map[int64]int // entries by kind, snapshot and log together
-	digest     string        // of all entries in their order
+	kinds      map[int64]int // number of entries of each kind in snapshot and log
+	digest     string        // digest of all entries in order
 }
 
 var storedDirectories = []storedDirectory{
@@ -49,7 +49,7 @@
 	},
 }
 
-// kindOf returns the first field of an entry, an Avro long.
+// kindOf returns the kind of an entry, which is its first field, an Avro long.
 func kindOf(payload []byte) int64 {
 	kind, _ := binary.Varint(payload)
 	return kind
@@ -63,22 +63,22 @@
 	return fmt.Sprintf("%x", hash.Sum(nil)[:8])
 }
 
-// What an earlier release wrote is read completely: each file, and each entry in order.
+// Directories written by earlier releases are read completely: each file, and each entry in order.
 func TestStoredDirectoriesAreReadCompletely(t *testing.T) {
 	for _, stored := range storedDirectories {
 		t.Run(stored.name, func(t *testing.T) {
 			dir := filepath.Join("testdata", stored.name)
 			files, err := statefile.Inspect(dir)
 			if err != nil || !slices.Equal(files, stored.files) {
-				t.Errorf("files %+v, error %v", files, err)
+				t.Errorf("files %+v, error %v, want %+v", files, err, stored.files)
 			}
-			payloads := replayed(t, dir, stored.generation)
+			payloads := replayEntries(t, dir, stored.generation)
 			kinds := map[int64]int{}
 			for _, payload := range payloads {
 				kinds[kindOf(payload)]++
 			}
 			if len(kinds) != len(stored.kinds) {
-				t.Errorf("kinds %v, want %v", kinds, stored.kinds)
+				t.Errorf("entries by kind: %v, want %v", kinds, stored.kinds)
 			}
 			for kind, want := range stored.kinds {
 				if kinds[kind] != want {
@@ -92,8 +92,8 @@
 	}
 }
 
-// replayed returns the entries of a directory, whose newest generation must be the one given.
-func replayed(t *testing.T, dir string, generation int64) [][]byte {
+// replayEntries returns the entries of a directory and checks its newest generation.
+func replayEntries(t *testing.T, dir string, generation int64) [][]byte {
 	t.Helper()
 	var payloads [][]byte
 	newest, err := statefile.Replay(dir, func(payload []byte) error {
@@ -106,8 +106,8 @@
 	return payloads
 }
 
-// A start on a stored directory replays the same entries and begins the next generation, whose snapshot has the layout
-// of the stored one.
+// Open replays the entries of a stored directory and begins the next generation, whose snapshot has the same layout as the
+// stored one.
 func TestStoredDirectoriesAreOpened(t *testing.T) {
 	for _, stored := range storedDirectories {
 		t.Run(stored.name, func(t *testing.T) {
@@ -136,12 +136,12 @@
 			if got := digestOf(payloads); got != stored.digest {
 				t.Errorf("the entries have the digest %s, want %s", got, stored.digest)
 			}
-			if got := digestOf(replayed(t, dir, stored.generation+1)); got != stored.digest {
-				t.Errorf("the next generation has the digest %s, want %s", got, stored.digest)
+			if got := digestOf(replayEntries(t, dir, stored.generation+1)); got != stored.digest {
+				t.Errorf("the entries of the next generation have the digest %s, want %s", got, stored.digest)
 			}
-			head, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("state-%08d", stored.generation+1)))
-			if err != nil || len(head) < 16 || string(head[:16]) != "sedgevale-state\x00" || head[16] != 2 {
-				t.Errorf("the snapshot begins with %q, error %v", head[:min(17, len(head))], err)
+			snapshot, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("state-%08d", stored.generation+1)))
+			if err != nil || len(snapshot) < 16 || string(snapshot[:16]) != "sedgevale-state\x00" || snapshot[16] != 2 {
+				t.Errorf("the snapshot begins with %q, error %v", snapshot[:min(17, len(snapshot))], err)
 			}
 		})
 	}
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -37,7 +37,7 @@
 mutate "the ballot counter is not restored" internal/system/core/store.go 's/highest = max\(highest, a\.Promised/highest = min(highest, a.Promised/'
 mutate "an answer before it is durable" internal/system/core/store.go 's/if last == nil \{/if true {/'
 mutate "a pending membership change is overridden" coord/membership/change.go 's/current\.Epoch > installed\.Epoch && current\.BaseEpoch != installed\.Epoch/current.Epoch > installed.Epoch/'
-mutate "a learner replaces a voter without a quorum" coord/membership/change.go 's/if left < m\.Quorum\(\)/if left < 1/'
+mutate "a learner replaces a voter without a quorum" coord/membership/change.go 's/if remaining < m\.Quorum\(\)/if remaining < 1/'
 mutate "a late machine bootstraps a membership" internal/system/core/store.go 's/if bootstrap \{\s+s\.bootstrapMembership\(first\)\s+\}/s.membership = first.Clone()/'
 mutate "changes from before the history are rejected" internal/system/core/config.go 's/o\.baseVersion < record\.History\[0\]\.Base/false/'
 mutate "net/http repeats a call" internal/system/rpc/rpc.go 's/call\.GetBody = nil/call.Header.Set("Idempotency-Key", "x")/'
--- a/workeragent/agent.go
+++ b/workeragent/agent.go
@@ -9,79 +9,83 @@
 
 // Timing holds the durations of the two leases.
 type Timing struct {
-	WorkerLease time.Duration // the lease that each answer grants to the worker: its runs end when it expires
-	AgentLease  time.Duration // the lease that an owner's answer grants to the agent: the agent renews the worker's only while it is valid
+	// WorkerLease is the lease that each answer grants to the worker. The worker ends its runs when the lease expires.
+	WorkerLease time.Duration
+	// AgentLease is the lease that an owner's response grants to the agent. The agent renews the worker's lease only while it
+	// holds this one.
+	AgentLease time.Duration
 }
 
 const (
-	// maxClockDrift bounds how slow a worker's clock may run, as a factor of a duration on it.
+	// maxClockDrift is the highest assumed ratio of a duration on the agent's clock to the same duration on a worker's clock.
 	maxClockDrift = 1.0205
-	// pollSlack covers the time between an instant and the check that notices it.
+	// pollSlack bounds the delay between an expiry and the periodic check that detects it.
 	pollSlack = 100 * time.Millisecond
 
-	maxFinished = 500             // ends of runs that one heartbeat lists at most
-	droppedTTL  = 5 * time.Second // how long a dropped order is reported
-	rejectedTTL = time.Minute     // how long orders for a dropped run are rejected
+	maxFinishedRuns = 500             // maximum number of finished runs in one heartbeat
+	droppedTTL      = 5 * time.Second // duration for which a dropped order is reported to the owner
+	rejectedTTL     = time.Minute     // duration for which further orders to start a dropped run are rejected
 )
 
-// RunsExpireAfter returns the time after the owner's last grant of a lease to the agent by which the lease of the worker has
-// expired, so that none of its runs can be active.
+// RunsExpireAfter returns the time after the owner's last grant of an agent lease after which the worker's lease has expired
+// as well, so that none of its runs can be active.
 func (t Timing) RunsExpireAfter() time.Duration {
-	return t.AgentLease + stretch(t.WorkerLease) + 2*pollSlack
+	return t.AgentLease + withClockDrift(t.WorkerLease) + 2*pollSlack
 }
 
-// stretch returns how long a duration on the worker's clock may take on the agent's.
-func stretch(d time.Duration) time.Duration { return time.Duration(float64(d) * maxClockDrift) }
+// withClockDrift returns the longest duration on the agent's clock that a duration on the worker's clock may take.
+func withClockDrift(d time.Duration) time.Duration { return time.Duration(float64(d) * maxClockDrift) }
 
-// pendingStart is the order to start a run that no heartbeat has confirmed yet.
+// pendingStart is an order to start a run that no heartbeat has confirmed yet.
 type pendingStart struct {
 	start    jobs.Start
-	inFlight bool // it is in the answer to the last heartbeat
+	inFlight bool // whether the answer to the last heartbeat contains it
 }
 
-// Agent decides for one incarnation of a worker. It is not safe for concurrent use. Times are durations on a monotonic
-// clock of the caller.
+// Agent holds the state of the agent for one incarnation of a worker. It is not safe for concurrent use. Times are durations
+// on a monotonic clock of the caller.
 type Agent struct {
-	Instance string // the worker's instance, as its heartbeats and the owner name it
+	Instance string // instance ID of the worker in its heartbeats and in the owner's orders
 	timing   Timing
-	process  string // the agent's process
+	process  string // ID of the agent's process
 
-	heartbeat     Heartbeat // the one with the highest sequence number
-	heartbeats    int64     // how many have come
-	heartbeatAt   time.Duration
-	runsExpireAt  time.Duration // when all runs of the worker have ended unless its lease is renewed; never decreases
-	expiries      int64         // how often that has happened; part of the incarnation
-	expired       bool          // it has happened since the last heartbeat
-	deregistered  bool          // the worker has deregistered
-	missedAnswers int64         // answers that the worker has not acted on, and expiries
+	heartbeat     Heartbeat     // the heartbeat with the highest sequence number
+	heartbeats    int64         // number of heartbeats received
+	heartbeatAt   time.Duration // time at which heartbeat was received, or of New before the first
+	runsExpireAt  time.Duration // time by which all runs have ended unless the worker's lease is renewed; never decreases
+	expiries      int64         // number of times that the worker's lease has expired; part of the incarnation
+	expired       bool          // whether the worker's lease has expired since the last heartbeat
+	deregistered  bool          // whether the worker has deregistered
+	missedAnswers int64         // number of starts in flight that the worker has not acted on, plus expiries
 
-	token        int64         // the highest fencing token met; never decreases
-	leaseUntil   time.Duration // until when the owner lets the agent renew the worker's lease
-	acknowledged int64         // all ends of runs up to this number are stored by the owner; never decreases
+	token        int64         // highest fencing token seen; never decreases
+	leaseUntil   time.Duration // expiry of the agent's lease; until then the agent may renew the worker's lease
+	acknowledged int64         // the owner has stored all finished runs up to this number; never decreases
 
 	// A run is in at most one of starts and active after reconcile.
 	starts   map[jobs.RunRef]*pendingStart
-	demands  map[jobs.RunRef]jobs.Resources // of all runs that are active or in starts, as far as the owner has sent it
-	stops    map[jobs.RunRef]bool           // runs to be stopped, until a heartbeat confirms it
-	dropped  map[jobs.RunRef]time.Duration  // runs that did not begin, to be reported to the owner: since when
-	rejected map[jobs.RunRef]time.Duration  // runs that must not begin any more: since when
-	active   map[jobs.RunRef]bool           // as the last heartbeat lists them
-	finished map[jobs.RunRef]bool           // as the last heartbeat lists them
+	demands  map[jobs.RunRef]jobs.Resources // demands of the runs in active and starts, as far as the owner has sent them
+	stops    map[jobs.RunRef]bool           // runs to stop, until a heartbeat confirms that they have ended
+	dropped  map[jobs.RunRef]time.Duration  // runs that were not started, to report to the owner, with the time of the drop
+	rejected map[jobs.RunRef]time.Duration  // runs that must not be started any more, with the time of the drop
+	active   map[jobs.RunRef]bool           // active runs in the last heartbeat
+	finished map[jobs.RunRef]bool           // finished runs in the last heartbeat
 }
 
-// New returns the agent of an incarnation of a worker. Process identifies the agent's process. An earlier one may have
-// granted the worker a lease just before, so its runs may be active for the length of one.
+// New returns the agent for an incarnation of a worker. Process identifies the agent's process. An earlier process may have
+// granted the worker a lease just before, so the worker's runs may be active for the duration of one more lease.
 func New(now time.Duration, instance, process string, timing Timing) *Agent {
 	return &Agent{
 		Instance: instance, timing: timing, process: process, heartbeatAt: now,
-		runsExpireAt: now + stretch(timing.WorkerLease) + pollSlack,
+		runsExpireAt: now + withClockDrift(timing.WorkerLease) + pollSlack,
 		starts:       map[jobs.RunRef]*pendingStart{}, demands: map[jobs.RunRef]jobs.Resources{}, stops: map[jobs.RunRef]bool{},
 		dropped: map[jobs.RunRef]time.Duration{}, rejected: map[jobs.RunRef]time.Duration{},
 		active: map[jobs.RunRef]bool{}, finished: map[jobs.RunRef]bool{},
 	}
 }
 
-// OnHeartbeat handles a heartbeat. It reports false, and changes nothing, if a later one has come before.
+// OnHeartbeat handles a heartbeat. It reports false, and changes nothing, if the sequence number is not higher than that of
+// the last heartbeat.
 func (a *Agent) OnHeartbeat(now time.Duration, heartbeat Heartbeat) bool {
 	if a.heartbeats > 0 && heartbeat.Sequence <= a.heartbeat.Sequence {
 		return false
@@ -104,15 +108,15 @@
 	return true
 }
 
-// reconcile compares the orders with the heartbeat that follows the answer in which they were: an order of which the
-// heartbeat shows nothing has not reached the worker.
+// reconcile compares the pending orders with the last heartbeat. A heartbeat reflects the answer before it, so a start in
+// flight that it does not list has not reached the worker and is sent again.
 func (a *Agent) reconcile(now time.Duration) {
-	for ref, o := range a.starts {
+	for ref, pending := range a.starts {
 		switch {
 		case a.active[ref] || a.finished[ref]:
 			delete(a.starts, ref)
-		case o.inFlight:
-			o.inFlight = false
+		case pending.inFlight:
+			pending.inFlight = false
 			a.missedAnswers++
 		}
 	}
@@ -121,7 +125,7 @@
 			delete(a.demands, ref)
 		}
 	}
-	if len(a.heartbeat.Finished) >= maxFinished { // the list may be truncated, so a run that it lacks may have ended
+	if len(a.heartbeat.Finished) >= maxFinishedRuns { // the list may be truncated: an unlisted run may have finished
 		return
 	}
 	for ref := range a.stops {
@@ -136,28 +140,29 @@
 	}
 }
 
-// acceptsRuns reports whether the worker takes new runs.
+// acceptsRuns reports whether the worker is ready for new runs.
 func (a *Agent) acceptsRuns() bool { return a.heartbeat.State == string(jobs.Ready) && !a.deregistered }
 
-// OnDeregister handles the worker's deregistration. Runs that are active may still end, and be reported.
+// OnDeregister handles the worker's deregistration. Active runs may still finish and be reported.
 func (a *Agent) OnDeregister(now time.Duration) {
 	a.deregistered = true
-	for ref, o := range a.starts {
-		if !o.inFlight {
+	for ref, pending := range a.starts {
+		if !pending.inFlight {
 			a.dropOrder(now, ref)
 		}
 	}
 }
 
-// CheckExpiry checks whether the worker's lease has expired. It reports true once for each expiry.
+// CheckExpiry checks whether the worker's lease has expired and forgets outdated dropped orders. It reports true once for
+// each expiry.
 func (a *Agent) CheckExpiry(now time.Duration) bool {
-	for ref, at := range a.dropped {
-		if now-at > droppedTTL {
+	for ref, droppedAt := range a.dropped {
+		if now-droppedAt > droppedTTL {
 			delete(a.dropped, ref)
 		}
 	}
-	for ref, at := range a.rejected {
-		if now-at > rejectedTTL {
+	for ref, rejectedAt := range a.rejected {
+		if now-rejectedAt > rejectedTTL {
 			delete(a.rejected, ref)
 		}
 	}
@@ -174,23 +179,24 @@
 	return true
 }
 
-// Incarnation returns the incarnation: the agent's process and how often the worker's lease has expired in it. Orders for an
-// earlier incarnation are void.
+// Incarnation returns the ID of the incarnation: the agent's process and the number of expiries of the worker's lease during
+// it. Orders for an earlier incarnation are rejected.
 func (a *Agent) Incarnation() string { return a.process + "/" + strconv.FormatInt(a.expiries, 10) }
 
 // RunsExpired reports whether the worker's lease has expired, so that no run of this incarnation can be active.
 func (a *Agent) RunsExpired() bool { return a.expired }
 
-// Idle reports whether the worker accepts runs and has none, active or ordered: its next heartbeat may wait for an order.
+// Idle reports whether the worker accepts runs but has no active, finished or pending ones. The answer to an idle worker may be
+// delayed until there is an order.
 func (a *Agent) Idle() bool {
 	return a.acceptsRuns() && len(a.active) == 0 && len(a.heartbeat.Finished) == 0 && len(a.starts) == 0
 }
 
-// Draining reports whether the worker has announced that it will leave.
+// Draining reports whether the worker drains or has deregistered.
 func (a *Agent) Draining() bool { return a.deregistered || a.heartbeat.State != string(jobs.Ready) }
 
-// IsNewest reports whether no heartbeat has come after the one with a sequence number.
+// IsNewest reports whether the heartbeat with a sequence number is the last one received.
 func (a *Agent) IsNewest(sequence int64) bool { return a.heartbeat.Sequence == sequence }
 
-// Heartbeats returns how many heartbeats have come.
+// Heartbeats returns the number of heartbeats received.
 func (a *Agent) Heartbeats() int64 { return a.heartbeats }
--- a/workeragent/agent_test.go
+++ b/workeragent/agent_test.go
@@ -12,70 +12,80 @@
 	"sedgevale/jobs"
 )
 
-// timeline plays a script with one event a line: the time in milliseconds, who acts (the worker, the agent's own clock, or
-// an owner with its fencing token) and what it does. Lines with => hold the expected answer.
+// scriptRunner runs a script against an Agent. Each line has a time in milliseconds and one event or expectation:
 //
-//	heartbeat S:1 a:t1 f:3/t2/done ready   a heartbeat: sequence, active runs, finished ones, state
-//	=> answer lease start t1 stop t2   what the answer holds
-//	7: start t1 500 | stop t1 | lease | acked 3   an owner's orders under token 7
-//	restart                           the agent's process is a new one
-type timeline struct {
-	t            *testing.T
-	agent        *Agent
-	incarnations int
+//	heartbeat S:1 a:t1 f:3/t2/done ready  the worker sends a heartbeat: sequence, active runs, finished runs, state
+//	deregister                            the worker deregisters
+//	=> lease seen1 start t1 stop t2       the answer to the last heartbeat must have this content
+//	dropped t1 t2                         the report must list these dropped runs
+//	check true                            CheckExpiry must return this value
+//	7: start t1 500                       the owner with fencing token 7 orders to start t1, with a demand of 500
+//	7: known t1 500                       the owner sends the demand of t1
+//	7: stop t1                            the owner orders to stop t1
+//	7: acked 3                            the owner acknowledges the finished runs up to number 3
+//	7: lease                              the owner grants the agent a lease
+//	7: old-incarnation                    the owner sends orders for an earlier incarnation
+//	restart                               a new agent process replaces the old one
+//
+// An owner's line that ends with "rejected" must return an error.
+type scriptRunner struct {
+	t         *testing.T
+	agent     *Agent
+	processes int // number of agent processes so far
 }
 
 var testTiming = Timing{WorkerLease: 4 * time.Second, AgentLease: 8 * time.Second}
 
-func play(t *testing.T, text string) *Agent {
+// runScript runs a script and returns the agent in its final state.
+func runScript(t *testing.T, script string) *Agent {
 	t.Helper()
-	line := &timeline{t: t}
-	for _, row := range strings.Split(text, "\n") {
-		row = strings.TrimSpace(row)
-		if row == "" || strings.HasPrefix(row, "#") {
+	s := &scriptRunner{t: t}
+	for _, line := range strings.Split(script, "\n") {
+		line = strings.TrimSpace(line)
+		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		at, rest, _ := strings.Cut(row, " ")
-		ms, err := strconv.Atoi(at)
+		timestamp, event, _ := strings.Cut(line, " ")
+		ms, err := strconv.Atoi(timestamp)
 		if err != nil {
-			t.Fatalf("%q: %v", row, err)
+			t.Fatalf("line %q: %v", line, err)
 		}
-		line.step(time.Duration(ms)*time.Millisecond, strings.TrimSpace(rest), row)
+		s.step(time.Duration(ms)*time.Millisecond, strings.TrimSpace(event), line)
 	}
-	return line.agent
+	return s.agent
 }
 
-func (l *timeline) step(now time.Duration, what, row string) {
-	l.t.Helper()
-	if l.agent == nil || what == "restart" {
-		l.incarnations++
-		l.agent = New(now, "i-1", "process"+strconv.Itoa(l.incarnations), testTiming)
+func (s *scriptRunner) step(now time.Duration, event, line string) {
+	s.t.Helper()
+	if s.agent == nil || event == "restart" {
+		s.processes++
+		s.agent = New(now, "i-1", "process"+strconv.Itoa(s.processes), testTiming)
 	}
-	fields := strings.Fields(what)
+	fields := strings.Fields(event)
 	switch {
-	case what == "restart":
+	case event == "restart":
 	case fields[0] == "heartbeat":
-		l.agent.OnHeartbeat(now, parseHeartbeat(fields[1:]))
+		s.agent.OnHeartbeat(now, parseHeartbeat(fields[1:]))
 	case fields[0] == "check":
-		l.expect(row, fmt.Sprint(l.agent.CheckExpiry(now)), fields[1])
+		s.expect(line, fmt.Sprint(s.agent.CheckExpiry(now)), fields[1])
 	case fields[0] == "deregister":
-		l.agent.OnDeregister(now)
+		s.agent.OnDeregister(now)
 	case fields[0] == "=>":
-		l.expect(row, describe(l.agent.Answer(now)), strings.Join(fields[1:], " "))
+		s.expect(line, describeAnswer(s.agent.Answer(now)), strings.Join(fields[1:], " "))
 	case fields[0] == "dropped":
-		l.expect(row, droppedOf(l.agent.Report(now)), strings.Join(fields[1:], " "))
+		s.expect(line, describeDropped(s.agent.Report(now)), strings.Join(fields[1:], " "))
 	default:
 		token, err := strconv.ParseInt(strings.TrimSuffix(fields[0], ":"), 10, 64)
 		if err != nil {
-			l.t.Fatalf("%q: %v", row, err)
+			s.t.Fatalf("line %q: %v", line, err)
 		}
-		l.handleOwner(now, token, fields[1:], row)
+		s.handleOwner(now, token, fields[1:], line)
 	}
 }
 
-func (l *timeline) handleOwner(now time.Duration, token int64, fields []string, row string) {
-	l.t.Helper()
-	orders := &jobs.Orders{Instance: "i-1", AgentIncarnation: l.agent.Incarnation()}
+func (s *scriptRunner) handleOwner(now time.Duration, token int64, fields []string, line string) {
+	s.t.Helper()
+	orders := &jobs.Orders{Instance: "i-1", AgentIncarnation: s.agent.Incarnation()}
 	rejected := fields[len(fields)-1] == "rejected"
 	if rejected {
 		fields = fields[:len(fields)-1]
@@ -83,10 +93,10 @@
 	var err error
 	switch fields[0] {
 	case "lease":
-		err = l.agent.OnLease(now, token, 0)
+		err = s.agent.OnLease(now, token, 0)
 	case "acked":
 		orders.DurableCompletions, _ = strconv.ParseInt(fields[1], 10, 64)
-		err = l.agent.OnOrders(now, token, orders)
+		err = s.agent.OnOrders(now, token, orders)
 	case "start", "known":
 		start := jobs.Start{Task: fields[1], Attempt: 1, Text: "text"}
 		start.Demand.CPU, _ = strconv.ParseInt(fields[2], 10, 64)
@@ -95,26 +105,26 @@
 		} else {
 			orders.Starts = []jobs.Start{start}
 		}
-		err = l.agent.OnOrders(now, token, orders)
+		err = s.agent.OnOrders(now, token, orders)
 	case "stop":
 		orders.Stops = []jobs.RunRef{{Task: fields[1], Attempt: 1}}
-		err = l.agent.OnOrders(now, token, orders)
+		err = s.agent.OnOrders(now, token, orders)
 	case "old-incarnation":
 		orders.AgentIncarnation = "process0/0"
-		err = l.agent.OnOrders(now, token, orders)
+		err = s.agent.OnOrders(now, token, orders)
 	}
 	if (err != nil) != rejected {
-		l.t.Errorf("%q: error %v", row, err)
+		s.t.Errorf("line %q: error %v", line, err)
 	}
 	if rejected && result.CodeOf(err) != result.Fenced && result.CodeOf(err) != result.WrongInstance {
-		l.t.Errorf("%q: code of %v", row, err)
+		s.t.Errorf("line %q: error %v has an unexpected code", line, err)
 	}
 }
 
-func (l *timeline) expect(row, got, want string) {
-	l.t.Helper()
+func (s *scriptRunner) expect(line, got, want string) {
+	s.t.Helper()
 	if got != want {
-		l.t.Errorf("%q: got %q", row, got)
+		s.t.Errorf("line %q: got %q, want %q", line, got, want)
 	}
 }
 
@@ -138,7 +148,8 @@
 	return heartbeat
 }
 
-func describe(a Answer) string {
+// describeAnswer formats an answer as scripts expect it.
+func describeAnswer(a Answer) string {
 	var words []string
 	if a.LeaseMS > 0 {
 		words = append(words, "lease")
@@ -160,7 +171,8 @@
 	return strings.Join(words, " ")
 }
 
-func droppedOf(r *jobs.Report) string {
+// describeDropped formats the dropped runs of a report as scripts expect them.
+func describeDropped(r *jobs.Report) string {
 	var names []string
 	for _, ref := range r.Dropped {
 		names = append(names, ref.Task)
@@ -172,8 +184,8 @@
 	return strings.Join(names, " ")
 }
 
-func TestOrderStartsInTheNextAnswer(t *testing.T) {
-	play(t, `
+func TestStartIsSentInNextAnswer(t *testing.T) {
+	runScript(t, `
 	0    7: lease
 	10   heartbeat S:1
 	20   7: start t1 500
@@ -182,9 +194,9 @@
 	50   => lease`)
 }
 
-// The next heartbeat shows that the worker has not received an answer, and the order is sent again.
-func TestDroppedAnswerIsRepeated(t *testing.T) {
-	play(t, `
+// If the next heartbeat shows that the worker has not received an answer, the order is sent again.
+func TestStartIsResentAfterLostAnswer(t *testing.T) {
+	runScript(t, `
 	0    7: lease
 	10   heartbeat S:1
 	20   7: start t1 500
@@ -196,8 +208,8 @@
 }
 
 // Active, stopping and possibly started runs count against the capacity of 1000.
-func TestCapacityCountsAllRunsThatMayBeActive(t *testing.T) {
-	play(t, `
+func TestCapacityIncludesAllRunsThatMayBeActive(t *testing.T) {
+	runScript(t, `
 	0    7: lease
 	10   heartbeat S:1
 	20   7: start t1 700
@@ -214,10 +226,9 @@
 	120  => lease start t2`)
 }
 
-// A new agent process starts nothing before it knows the active runs and their demand, from the next heartbeat
-// and from the owner.
-func TestNewAgentStartsNothingBesideUnknownRuns(t *testing.T) {
-	play(t, `
+// A new agent process starts no runs until it knows the active runs from a heartbeat and their demands from the owner.
+func TestNewAgentStartsNothingBeforeDemandsAreKnown(t *testing.T) {
+	runScript(t, `
 	0    7: lease
 	0    restart
 	10   7: lease
@@ -228,9 +239,9 @@
 	60   => lease start t2`)
 }
 
-// An older fencing token is rejected, also after a pause of the process.
+// Orders and leases with an older fencing token are rejected, even long after the newer token was seen.
 func TestOlderOwnerIsFenced(t *testing.T) {
-	play(t, `
+	runScript(t, `
 	0    7: lease
 	10   heartbeat S:1
 	20   8: lease
@@ -240,16 +251,16 @@
 	6030 => lease`)
 }
 
-func TestOrdersForAnEarlierIncarnationAreVoid(t *testing.T) {
-	play(t, `
+func TestOrdersForEarlierIncarnationAreRejected(t *testing.T) {
+	runScript(t, `
 	0    7: lease
 	10   heartbeat S:1
 	20   7: old-incarnation rejected`)
 }
 
-// Without a lease from the owner the agent neither renews the worker's lease nor starts anything.
-func TestWorkerLeaseNeedsAnOwnersLease(t *testing.T) {
-	play(t, `
+// Without a lease from the owner, the agent neither renews the worker's lease nor starts runs.
+func TestWorkerLeaseRequiresAgentLease(t *testing.T) {
+	runScript(t, `
 	0     7: lease
 	10    heartbeat S:1
 	20    7: start t1 500
@@ -260,9 +271,10 @@
 	8130  => lease`)
 }
 
-// The worker's lease expires on a clock that runs 2% slow, from the heartbeat whose answer may have reached it.
+// The agent waits until the worker's lease has expired even on a clock that runs 2% slow. The lease begins with the heartbeat
+// whose answer may have reached the worker.
 func TestWorkerLeaseExpiresOnASlowClock(t *testing.T) {
-	a := play(t, `
+	a := runScript(t, `
 	0    7: lease
 	0    heartbeat S:1
 	10   7: start t1 500
@@ -273,24 +285,24 @@
 	5190 check true
 	5200 check false`)
 	if a.State() != jobs.LeaseExpired || len(a.Report(0).Active) != 0 {
-		t.Errorf("state %s", a.State())
+		t.Errorf("after the expiry: state %s, active runs %v", a.State(), a.Report(0).Active)
 	}
 }
 
-// Without the 2% the expiry would be reported before the worker's clock has reached it.
+// Without an allowance for a clock that runs 2% slow, the agent would report the expiry before the worker's clock reaches it.
 func TestExpiryAllowsForClockDrift(t *testing.T) {
-	if stretch(4*time.Second) < 4*time.Second*100/98 {
-		t.Errorf("%v for a clock that runs 2%% slow", stretch(4*time.Second))
+	if withClockDrift(4*time.Second) < 4*time.Second*100/98 {
+		t.Errorf("4s on a clock that runs 2%% slow may last only %v", withClockDrift(4*time.Second))
 	}
 	if testTiming.RunsExpireAfter() < testTiming.AgentLease+testTiming.WorkerLease*100/98 {
-		t.Errorf("an owner waits only %v", testTiming.RunsExpireAfter())
+		t.Errorf("an owner waits only %v for the runs to expire", testTiming.RunsExpireAfter())
 	}
 }
 
-// An order that was in no answer can be dropped at once; one that may have reached the worker only after the next
-// heartbeat.
-func TestStopOfARunThatMayNotHaveStarted(t *testing.T) {
-	play(t, `
+// A start that was in no answer is dropped at once. A start that may have reached the worker is dropped only once a heartbeat
+// does not list it.
+func TestStopOfRunThatMayNotHaveStarted(t *testing.T) {
+	runScript(t, `
 	0    7: lease
 	10   heartbeat S:1
 	20   7: start t1 900
@@ -306,9 +318,9 @@
 	120  => lease`)
 }
 
-// Nothing starts on a worker that drains or has deregistered; pending orders are dropped and reported.
-func TestDrainStartsNothing(t *testing.T) {
-	play(t, `
+// No run is started on a worker that drains; pending starts are dropped and reported.
+func TestDrainingWorkerStartsNothing(t *testing.T) {
+	runScript(t, `
 	0    7: lease
 	10   heartbeat S:1
 	20   7: start t1 900
@@ -320,7 +332,7 @@
 }
 
 func TestDeregistrationWithoutDraining(t *testing.T) {
-	a := play(t, `
+	a := runScript(t, `
 	0    7: lease
 	10   heartbeat S:1 a:t1
 	20   => lease
@@ -329,91 +341,92 @@
 	50   heartbeat S:2 a:t1
 	60   => nothing`)
 	if r := a.Report(60 * time.Millisecond); r.LeaseRemainingMS <= 0 || r.State != string(jobs.Departed) {
-		t.Errorf("report %+v", r)
+		t.Errorf("report after the deregistration: %+v", r)
 	}
 }
 
-// A heartbeat that arrives out of order changes nothing.
+// A heartbeat with a lower sequence number than the last one changes nothing.
 func TestOutdatedHeartbeatIsIgnored(t *testing.T) {
-	a := play(t, `
+	a := runScript(t, `
 	0    7: lease
 	10   heartbeat S:5 a:t1
 	900  heartbeat S:4 a:t9
 	910  => lease`)
 	if r := a.Report(0); len(r.Active) != 1 || r.Active[0].Task != "t1" {
-		t.Errorf("active %+v", r.Active)
+		t.Errorf("active runs %+v, want only t1", r.Active)
 	}
 }
 
-// An end is reported until the owner has acknowledged it, and last_seen never passes one that it has not.
-func TestLastSeenWaitsForTheOwner(t *testing.T) {
-	a := play(t, `
+// A finished run is reported until the owner has acknowledged it, and last_seen covers only acknowledged runs.
+func TestLastSeenFollowsAcknowledgements(t *testing.T) {
+	a := runScript(t, `
 	0    7: lease
 	10   heartbeat S:1 f:1/t1/done f:2/t2/failed
 	20   => lease
 	30   7: acked 1
 	40   => lease seen1`)
 	if r := a.Report(0); len(r.Finished) != 1 || r.Finished[0].Number != 2 {
-		t.Errorf("finished %+v", r.Finished)
+		t.Errorf("finished runs %+v, want only number 2", r.Finished)
 	}
 }
 
-func TestTuplesAreReadAndWritten(t *testing.T) {
+func TestTupleEncoding(t *testing.T) {
 	text := `{"sequence":3,"state":"ready","active":[["j.0.1.17",2,"0bb8",41.5]],"finished":[[58,"j.0.1.9",1,"done",""]]}`
 	heartbeat := Heartbeat{}
 	if err := heartbeat.UnmarshalJSON([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
 	if heartbeat.Active[0] != (ActiveRun{"j.0.1.17", 2, "0bb8", 41.5}) || heartbeat.Finished[0] != (FinishedRun{58, "j.0.1.9", 1, "done", ""}) {
-		t.Errorf("heartbeat %+v", heartbeat)
+		t.Errorf("decoded heartbeat: %+v", heartbeat)
 	}
 	answer := Answer{LeaseMS: 4, Started: []Start{{"t", 1, "x", ""}}, Stopped: []RunRef{{"u", 2}}}
 	out, _ := answer.MarshalJSON()
 	if string(out) != `{"hold_ms":4,"started":[["t",1,"x",""]],"stopped":[["u",2]]}` {
-		t.Errorf("answer %s", out)
+		t.Errorf("encoded answer: %s", out)
 	}
 	if err := heartbeat.UnmarshalJSON([]byte(`{"active":[["j",{}]]}`)); err == nil {
-		t.Error("a number was read from an object")
+		t.Error("an object was accepted in place of a number")
 	}
 }
 
-// The digest changes with what the owner has to learn at once.
-func TestDigestChangesWithTheState(t *testing.T) {
-	a := play(t, `
+// The digest changes with each change that the owner must learn without delay, and not with a heartbeat that changes nothing.
+func TestStateDigestChangesWithState(t *testing.T) {
+	a := runScript(t, `
 	0    7: lease
 	10   heartbeat S:1 a:t1`)
 	first := a.StateDigest()
 	a.OnHeartbeat(0, parseHeartbeat([]string{"S:2", "a:t1"}))
 	if a.StateDigest() != first {
-		t.Error("a heartbeat like the last one changes the digest")
+		t.Error("a heartbeat with the same runs and state changed the digest")
 	}
 	changes := map[string][]string{
-		"a run more": {"S:3", "a:t1", "a:t2"}, "an end": {"S:4", "f:1/t1/done"}, "a drain": {"S:5", "a:t1", "draining"},
+		"another run": {"S:3", "a:t1", "a:t2"}, "a finished run": {"S:4", "f:1/t1/done"}, "a drain": {"S:5", "a:t1", "draining"},
 	}
 	for name, heartbeat := range changes {
-		b := play(t, "0 7: lease")
-		b.OnHeartbeat(0, parseHeartbeat(heartbeat))
-		if b.StateDigest() == first {
-			t.Errorf("%s does not change the digest", name)
+		changed := runScript(t, "0 7: lease")
+		changed.OnHeartbeat(0, parseHeartbeat(heartbeat))
+		if changed.StateDigest() == first {
+			t.Errorf("%s did not change the digest", name)
 		}
 	}
 }
 
-// Only the heartbeat of an idle worker may wait for an order. One that announces a drain is answered at once.
-func TestOnlyAnIdleWorkerWaits(t *testing.T) {
+// Only the answer to an idle worker may be delayed until there is an order. A heartbeat that announces draining is answered at
+// once.
+func TestIdle(t *testing.T) {
 	cases := map[string]bool{"S:1": true, "S:1 a:t1": false, "S:1 f:1/t1/done": false, "S:1 draining": false}
 	for heartbeat, want := range cases {
-		a := play(t, "0 7: lease")
+		a := runScript(t, "0 7: lease")
 		a.OnHeartbeat(0, parseHeartbeat(strings.Fields(heartbeat)))
 		if a.Idle() != want {
-			t.Errorf("%s: idle %t", heartbeat, a.Idle())
+			t.Errorf("after heartbeat %s: idle %t, want %t", heartbeat, a.Idle(), want)
 		}
 	}
 }
 
-// A worker takes an answer of 4 MiB at most. Orders beyond that wait for the next one.
-func TestAnswerIsNeverTooLong(t *testing.T) {
-	const workerTakes = 4 << 20
+// Workers accept answers of up to 4 MiB. Starts that do not fit are sent in later answers.
+func TestAnswerSizeIsBounded(t *testing.T) {
+	const maxAnswerBytes = 4 << 20
 	now := time.Second
 	agent := New(now, "i-1", "process1", testTiming)
 	heartbeat := Heartbeat{State: string(jobs.Ready), Sequence: 1, Capacity: Capacity{CPU: 64000, MemMB: 1 << 20}}
@@ -432,12 +445,12 @@
 	started := 0
 	for answers := 1; started < len(orders.Starts); answers++ {
 		answer := agent.Answer(now)
-		wire, err := answer.MarshalJSON()
+		encoded, err := answer.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(wire) > workerTakes || len(answer.Started) == 0 {
-			t.Fatalf("answer %d has %d bytes and %d starts", answers, len(wire), len(answer.Started))
+		if len(encoded) > maxAnswerBytes || len(answer.Started) == 0 {
+			t.Fatalf("answer %d has %d bytes and %d starts", answers, len(encoded), len(answer.Started))
 		}
 		started += len(answer.Started)
 		for _, start := range answer.Started {
--- a/workeragent/answer.go
+++ b/workeragent/answer.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	// maxStartBytes bounds the starts of one answer. A worker takes 4 MiB; the rest is for stops.
+	// maxStartBytes bounds the JSON size of the starts in one answer. Workers accept answers of up to 4 MiB; the rest is
+	// reserved for stops.
 	maxStartBytes = 3 << 20
-	// startOverhead is an upper bound of the JSON of a start without its texts, in bytes.
-	startOverhead = 48
-	// escapedByteSize is the length of a byte that JSON escapes.
+	// startOverheadBytes is an upper bound on the JSON size of a start without its strings.
+	startOverheadBytes = 48
+	// escapedByteSize is the JSON size, in bytes, of a byte that must be escaped (\u00XX).
 	escapedByteSize = 6
 )
 
@@ -25,12 +26,12 @@
 		return answer
 	}
 	answer.LeaseMS = a.timing.WorkerLease.Milliseconds()
-	a.runsExpireAt = max(a.runsExpireAt, a.heartbeatAt+stretch(a.timing.WorkerLease)+pollSlack)
+	a.runsExpireAt = max(a.runsExpireAt, a.heartbeatAt+withClockDrift(a.timing.WorkerLease)+pollSlack)
 	answer.Started = a.nextStarts()
 	return answer
 }
 
-// nextStarts returns the orders that fit into the free capacity, as many as one answer may carry.
+// nextStarts returns the pending starts that fit into the free capacity and into one answer, and marks them as in flight.
 func (a *Agent) nextStarts() []Start {
 	if !a.acceptsRuns() {
 		return nil
@@ -41,12 +42,12 @@
 	}
 	var starts []Start
 	bytesLeft := maxStartBytes
-	for ref, o := range a.starts {
-		demand := o.start.Demand
-		if o.inFlight || !free.Holds(demand) {
+	for ref, pending := range a.starts {
+		demand := pending.start.Demand
+		if pending.inFlight || !free.Holds(demand) {
 			continue
 		}
-		size := maxJSONSize(ref.Task) + maxJSONSize(o.start.Text) + maxJSONSize(o.start.Checkpoint) + startOverhead
+		size := maxJSONSize(ref.Task) + maxJSONSize(pending.start.Text) + maxJSONSize(pending.start.Checkpoint) + startOverheadBytes
 		if size > bytesLeft && len(starts) > 0 {
 			continue
 		}
@@ -54,19 +55,19 @@
 		free.CPU -= demand.CPU
 		free.MemMB -= demand.MemMB
 		free.GPU -= demand.GPU
-		o.inFlight = true
-		starts = append(starts, Start{ref.Task, ref.Attempt, o.start.Text, o.start.Checkpoint})
+		pending.inFlight = true
+		starts = append(starts, Start{ref.Task, ref.Attempt, pending.start.Text, pending.start.Checkpoint})
 	}
 	return starts
 }
 
-// freeCapacity returns the worker's capacity without what active, stopping and possibly started runs take, and whether
-// the demand of all of them is known.
+// freeCapacity returns the worker's capacity minus the demands of its active, stopping and possibly started runs, and whether
+// the demands of all active runs are known.
 func (a *Agent) freeCapacity() (jobs.Resources, bool) {
 	c := a.heartbeat.Capacity
 	free := jobs.Resources{CPU: c.CPU, MemMB: c.MemMB, GPU: c.GPU}
 	known := true
-	take := func(demand jobs.Resources) {
+	subtract := func(demand jobs.Resources) {
 		free.CPU -= demand.CPU
 		free.MemMB -= demand.MemMB
 		free.GPU -= demand.GPU
@@ -74,17 +75,18 @@
 	for ref := range a.active {
 		demand, ok := a.demands[ref]
 		known = known && ok
-		take(demand)
+		subtract(demand)
 	}
-	for ref, o := range a.starts {
-		if o.inFlight && !a.active[ref] {
-			take(o.start.Demand)
+	for ref, pending := range a.starts {
+		if pending.inFlight && !a.active[ref] {
+			subtract(pending.start.Demand)
 		}
 	}
 	return free, known
 }
 
-// HasOrders reports whether an answer at this time would carry an order. It doesn't consider the free capacity.
+// HasOrders reports whether there are orders to send at this time. It ignores the free capacity, so an answer may still be
+// without one.
 func (a *Agent) HasOrders(now time.Duration) bool {
 	if len(a.stops) > 0 {
 		return true
@@ -92,19 +94,19 @@
 	if now >= a.leaseUntil || !a.acceptsRuns() {
 		return false
 	}
-	for _, o := range a.starts {
-		if !o.inFlight {
+	for _, pending := range a.starts {
+		if !pending.inFlight {
 			return true
 		}
 	}
 	return false
 }
 
-// maxJSONSize returns an upper bound of a text's length in JSON, in bytes, without its quotes.
-func maxJSONSize(text string) int {
-	size := len(text)
-	for i := range len(text) {
-		switch c := text[i]; {
+// maxJSONSize returns an upper bound on the size in bytes of a JSON string, without its quotes.
+func maxJSONSize(s string) int {
+	size := len(s)
+	for i := range len(s) {
+		switch c := s[i]; {
 		case c < ' ', c >= 0x7f, c == '"', c == '\\', c == '<', c == '>', c == '&':
 			size += escapedByteSize - 1
 		}
--- a/workeragent/golden_test.go
+++ b/workeragent/golden_test.go
@@ -7,7 +7,7 @@
 	"sedgevale/workeragent"
 )
 
-// A heartbeat as workers send it, with each key, is read field by field; what is written has the same keys.
+// Heartbeats are decoded and encoded with exactly the keys of the worker protocol.
 func TestHeartbeatBytes(t *testing.T) {
 	const text = `{"service":"svc","address":"a:1","zone":"z","version":"v","slots":1,"state":"draining","warmup_left_ms":2,"remaining_ms":3,` +
 		`"capacity":{"cpu":4,"mem_mb":5,"gpu":6},"labels":["k","r"],"clock_ms":7,"sequence":8,` +
@@ -18,22 +18,22 @@
 		Active:   []workeragent.ActiveRun{{Task: "t", Attempt: 9, Checkpoint: "s", Percent: 10.5}},
 		Finished: []workeragent.FinishedRun{{Number: 11, Task: "f", Attempt: 12, Outcome: "done", Checkpoint: "sf"}},
 	}
-	var beat workeragent.Heartbeat
-	if err := beat.UnmarshalJSON([]byte(text)); err != nil || !reflect.DeepEqual(beat, want) {
-		t.Errorf("the heartbeat is read as %+v, error %v", beat, err)
+	var heartbeat workeragent.Heartbeat
+	if err := heartbeat.UnmarshalJSON([]byte(text)); err != nil || !reflect.DeepEqual(heartbeat, want) {
+		t.Errorf("decoded heartbeat: %+v, error %v", heartbeat, err)
 	}
 	if got, err := want.MarshalJSON(); err != nil || string(got) != text {
-		t.Errorf("error %v, the heartbeat is written as\n%s\nwant\n%s", err, got, text)
+		t.Errorf("error %v, encoded heartbeat:\n%s\nwant\n%s", err, got, text)
 	}
-	var loose workeragent.Heartbeat
-	const more = `{"service":null,"other":{"a":[1]},"active":[["t",9.0,null,1,"more"],["u"]],"finished":[[1]]}`
-	if err := loose.UnmarshalJSON([]byte(more)); err != nil || len(loose.Active) != 2 || loose.Active[0].Attempt != 9 ||
-		loose.Active[1].Task != "u" || loose.Finished[0].Number != 1 {
-		t.Errorf("a heartbeat with other items is read as %+v, error %v", loose, err)
+	var extended workeragent.Heartbeat
+	const extendedText = `{"service":null,"other":{"a":[1]},"active":[["t",9.0,null,1,"more"],["u"]],"finished":[[1]]}`
+	if err := extended.UnmarshalJSON([]byte(extendedText)); err != nil || len(extended.Active) != 2 || extended.Active[0].Attempt != 9 ||
+		extended.Active[1].Task != "u" || extended.Finished[0].Number != 1 {
+		t.Errorf("decoded heartbeat with null, unknown, excess and missing elements: %+v, error %v", extended, err)
 	}
 }
 
-// The answer to a heartbeat, with each key and with none.
+// Answers are encoded and decoded with exactly the keys of the worker protocol; zero fields are omitted.
 func TestAnswerBytes(t *testing.T) {
 	answer := workeragent.Answer{
 		LeaseMS: 1, LastSeen: 2, FenceToken: 3, Started: []workeragent.Start{{Task: "t", Attempt: 4, Spec: "x<y", Checkpoint: "s"}},
@@ -41,13 +41,13 @@
 	}
 	const text = `{"hold_ms":1,"last_seen":2,"fence_token":3,"started":[["t",4,"x\u003cy","s"]],"stopped":[["u",5]],"retry_after_ms":6}`
 	if got, err := answer.MarshalJSON(); err != nil || string(got) != text {
-		t.Errorf("error %v, the answer is\n%s\nwant\n%s", err, got, text)
+		t.Errorf("error %v, encoded answer:\n%s\nwant\n%s", err, got, text)
 	}
-	var back workeragent.Answer
-	if err := back.UnmarshalJSON([]byte(text)); err != nil || !reflect.DeepEqual(back, answer) {
-		t.Errorf("the answer is read as %+v, error %v", back, err)
+	var decoded workeragent.Answer
+	if err := decoded.UnmarshalJSON([]byte(text)); err != nil || !reflect.DeepEqual(decoded, answer) {
+		t.Errorf("decoded answer: %+v, error %v", decoded, err)
 	}
 	if got, err := (workeragent.Answer{}).MarshalJSON(); err != nil || string(got) != "{}" {
-		t.Errorf("error %v, an empty answer is %s", err, got)
+		t.Errorf("error %v, encoded empty answer: %s", err, got)
 	}
 }
--- a/workeragent/orders.go
+++ b/workeragent/orders.go
@@ -11,7 +11,7 @@
 // known, and result.WrongInstance if the orders are for another incarnation of the worker.
 func (a *Agent) OnOrders(now time.Duration, token int64, orders *jobs.Orders) error {
 	if token < a.token {
-		return a.fenced(token)
+		return a.fencedError(token)
 	}
 	a.token = token
 	if orders.Instance != a.Instance || orders.AgentIncarnation != a.Incarnation() {
@@ -31,11 +31,11 @@
 	return nil
 }
 
-// OnLease handles an owner's answer to a report that was sent at sentAt: it grants the agent another lease, and
-// acknowledges the ends of runs up to a number. The error has the code result.Fenced if a higher token is known.
+// OnLease handles an owner's response to the report that was sent at sentAt: it renews the agent's lease and acknowledges
+// the finished runs up to a number. The error has the code result.Fenced if a higher token is known.
 func (a *Agent) OnLease(sentAt time.Duration, token, acknowledged int64) error {
 	if token < a.token {
-		return a.fenced(token)
+		return a.fencedError(token)
 	}
 	a.token = token
 	a.acknowledged = max(a.acknowledged, acknowledged)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (a *Agent) fenced(token int64) error {
+func (a *Agent) fencedError(token int64) error {
 	return result.Errorf(result.Fenced, "fencing token %d is known, %d was sent", a.token, token)
 }
 
@@ -66,10 +66,11 @@
 	}
 }
 
-// addStop orders that a run end. A run that cannot have reached the worker is dropped at once.
+// addStop handles the order to stop a run. If the order to start it cannot have reached the worker, the run is dropped at
+// once.
 func (a *Agent) addStop(now time.Duration, ref jobs.RunRef) {
-	o := a.starts[ref]
-	if a.active[ref] || (o != nil && o.inFlight) || a.heartbeats == 0 {
+	pending := a.starts[ref]
+	if a.active[ref] || (pending != nil && pending.inFlight) || a.heartbeats == 0 {
 		a.stops[ref] = true
 		return
 	}
@@ -79,7 +80,8 @@
 	a.dropOrder(now, ref)
 }
 
-// dropOrder records that a run has not begun and must not begin any more.
+// dropOrder removes the pending orders for a run that has not started, reports it to the owner as dropped, and prevents that
+// it is started later.
 func (a *Agent) dropOrder(now time.Duration, ref jobs.RunRef) {
 	delete(a.starts, ref)
 	delete(a.stops, ref)
--- a/workeragent/report.go
+++ b/workeragent/report.go
@@ -9,7 +9,7 @@
 	"sedgevale/jobs"
 )
 
-// State returns the worker's state as it is reported to the owner.
+// State returns the worker's state that Report sends to the owner.
 func (a *Agent) State() jobs.WorkerState {
 	switch {
 	case a.expired:
@@ -23,15 +23,15 @@
 	}
 }
 
-// StateDigest returns a digest of what the owner should learn soon: the state, which runs are active, which ends are not
-// acknowledged, and what became of orders. While it stays the same, progress and checkpoints can wait for the next regular
-// report.
+// StateDigest returns a digest of the state that must be reported without delay: the worker's state, its active runs, the
+// finished runs that are not acknowledged, and the pending and dropped orders. Changes of progress and checkpoints do not
+// change the digest and can wait for the next periodic report.
 func (a *Agent) StateDigest() uint64 {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(string(a.State()) + a.Incarnation())
-	sum := hash.Sum64()
+	digest := hash.Sum64()
 	add := func(kind string, ref jobs.RunRef) {
-		sum ^= xxhash.Sum64String(kind + ref.Task + "/" + strconv.FormatInt(ref.Attempt, 10))
+		digest ^= xxhash.Sum64String(kind + ref.Task + "/" + strconv.FormatInt(ref.Attempt, 10))
 	}
 	for ref := range a.active {
 		add("active ", ref)
@@ -47,10 +47,10 @@
 	for ref := range a.dropped {
 		add("dropped ", ref)
 	}
-	return sum
+	return digest
 }
 
-// Report returns the report to the owner.
+// Report returns the worker's state, runs and orders for the owner.
 func (a *Agent) Report(now time.Duration) *jobs.Report {
 	c := a.heartbeat.Capacity
 	r := &jobs.Report{
