--- a/coord/membership/change.go
+++ b/coord/membership/change.go
@@ -22,7 +22,7 @@
 func AddLearner(seat int, id, address string) Change {
 	return func(m Membership) (Membership, error) {
 		if seat < 0 || seat >= len(m.Seats) {
-			return m, fmt.Errorf("%w: seat %d of %d", ErrUnknownSeat, seat, len(m.Seats))
+			return m, fmt.Errorf("%w: %d, the membership has %d seats", ErrUnknownSeat, seat, len(m.Seats))
 		}
 		addressSeat := m.SeatAt(address)
 		if m.SeatOf(id) >= 0 || addressSeat >= 0 && addressSeat != seat {
