--- a/admission/pick.go
+++ b/admission/pick.go
@@ -2,12 +2,12 @@
 
 // Candidate is a worker that may take a task.
 type Candidate struct {
-	InFlight float64 // the work of this scheduler that the worker has in flight
+	InFlight float64 // work of this scheduler in flight at the worker
 }
 
-// PickBelowThreshold returns the index of a random candidate with less in flight than the threshold, else of the one with the least
-// in flight; -1 if there are no candidates. Draw returns a uniform random number in [0, n); it is called once for each
-// candidate below the threshold, in order.
+// PickBelowThreshold returns the index of a random candidate with less in flight than the threshold, or of the candidate
+// with the least in flight if there is none, or -1 if there are no candidates. It calls draw, which returns a uniform random
+// number in [0, n), once for each candidate below the threshold, in order.
 func PickBelowThreshold(candidates []Candidate, threshold float64, draw func(n int) int) int {
 	below, least := 0, -1
 	pick := -1
--- a/dispatcher/accounting.go
+++ b/dispatcher/accounting.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Accounting of slots and attempts in flight.
+// This file accounts for slots and attempts in flight.
 
-// addInFlight adds slots of this dispatcher, or of its sibling, at the worker.
+// addInFlight adds slots in flight of this dispatcher, or of its siblings, at the worker.
 func (d *Dispatcher) addInFlight(w *worker, slots float64) {
 	d.capacity.inFlight += slots
 	d.workers.addOccupied(w, slots)
 	d.loadChanges.note(w)
 }
 
-// startAttempt adds an attempt and returns its number.
+// startAttempt records a new attempt of the request and returns its number.
 func (d *Dispatcher) startAttempt(now time.Duration, r *request, w *worker) int {
 	r.attempts = append(r.attempts, attempt{worker: w, sentAt: now})
 	r.inFlight++
@@ -29,9 +29,9 @@
 	return len(r.attempts) - 1
 }
 
-// endAttempt marks an attempt as ended.
+// endAttempt records the end of an attempt.
 func (d *Dispatcher) endAttempt(now time.Duration, r *request, a *attempt, o Outcome) {
-	d.writeOff(r, a)
+	d.releaseSlots(r, a)
 	a.ended, a.neverRan = true, d.provesNeverRan(o)
 	a.avoidWorker = a.avoidWorker || o != NotSent && o != Cancelled && d.workers.pools[0].active > 1
 	r.inFlight--
@@ -43,12 +43,13 @@
 	}
 }
 
-// writeOff stops counting an attempt as in flight: when it ends, or before.
-func (d *Dispatcher) writeOff(r *request, a *attempt) {
-	if a.writtenOff {
+// releaseSlots stops counting the attempt's slots as in flight, when it ends or when its
+// connection is taken to be unresponsive.
+func (d *Dispatcher) releaseSlots(r *request, a *attempt) {
+	if a.slotsReleased {
 		return
 	}
-	a.writtenOff = true
+	a.slotsReleased = true
 	r.class.inFlight--
 	r.tenant.inFlight -= r.Slots
 	d.addInFlight(a.worker, -r.Slots)
@@ -57,16 +58,16 @@
 	}
 }
 
-// writeBack counts a running attempt as in flight again that was written off, or that
-// had waited until now.
-func (d *Dispatcher) writeBack(r *request, a *attempt) {
-	a.writtenOff = false
+// reacquireSlots counts the slots of a running attempt as in flight again after
+// releaseSlots.
+func (d *Dispatcher) reacquireSlots(r *request, a *attempt) {
+	a.slotsReleased = false
 	r.class.inFlight++
 	r.tenant.inFlight += r.Slots
 	d.addInFlight(a.worker, r.Slots)
 }
 
-// provesNeverRan reports whether the outcome proves that the worker did not begin
+// provesNeverRan reports whether the outcome proves that the worker did not begin to run
 // the attempt.
 func (d *Dispatcher) provesNeverRan(o Outcome) bool {
 	return o == ConnectFailed || o == NotSent || o == Rejected && !d.settings.RejectedMayHaveRun
--- a/dispatcher/actions_test.go
+++ b/dispatcher/actions_test.go
@@ -19,20 +19,22 @@
 	"sedgevale/dispatcher"
 )
 
-var updateActions = flag.Bool("update-actions", false, "write the hashes of the actions anew")
+var updateActions = flag.Bool("update-actions", false, "rewrite the file of action hashes")
 
 const (
-	actionsFile  = "testdata/actions.txt" // as 18ab6f8 wrote it with -update-actions
-	actionWorlds = 96
-	actionSteps  = 4000
+	actionsFile       = "testdata/actions.txt" // written by commit 18ab6f8 with -update-actions
+	actionSimulations = 96
+	actionSteps       = 4000
 )
 
-// The same settings, seed and events give the same actions as they gave in 18ab6f8, before the module was cut into components (with
-// the mend of TestSettingsChangeWhileARemovedWorkerIsBusy, without which it panics in some worlds): each world switches other features on, and the hash covers every call of the Host and all that the Dispatcher returns.
+// Guards against changes of decisions: the same settings, seed and events must give the same actions as in commit 18ab6f8,
+// before the module was split into components (with the fix for TestSettingsChangeWhileARemovedWorkerIsBusy, without which
+// some simulations panic). Each simulation enables other features, and the hash covers every call of the Host and all that
+// the Dispatcher returns.
 func TestActionsAreUnchanged(t *testing.T) {
 	var got []string
-	for seed := range uint64(actionWorlds) {
-		w := newActionWorld(t, seed)
+	for seed := range uint64(actionSimulations) {
+		w := newActionSimulation(t, seed)
 		for range actionSteps {
 			w.step()
 		}
@@ -49,16 +51,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	lines := bufio.NewScanner(file)
 	for i := range got {
 		if !lines.Scan() || lines.Text() != got[i] {
-			t.Errorf("world %d: %q, want %q", i, got[i], lines.Text())
+			t.Errorf("simulation %d: %q, want %q", i, got[i], lines.Text())
 		}
 	}
 }
 
-// openAttempt is an attempt that the world has not ended yet.
+// openAttempt is an attempt that the simulation has not ended yet.
 type openAttempt struct {
 	id      string
 	n       int
@@ -74,8 +76,8 @@
 	token uint64
 }
 
-// actionWorld is a Host with workers and clients that act at random.
-type actionWorld struct {
+// actionSimulation is a Host with simulated workers and clients that act at random.
+type actionSimulation struct {
 	t        *testing.T
 	rng      *rand.Rand
 	now      time.Duration
@@ -89,17 +91,17 @@
 	open     []openAttempt
 	sends    map[string]int
 	ended    map[string]bool
-	requests []string // not ended
+	requests []string // IDs of requests that have not ended
 	probes   []string
 	timers   []timer
 	order    int
 	serial   int
 	loads    []dispatcher.WorkerLoad
-	tenants  []string // ever named by the settings
+	tenants  []string // names of all tenants that the settings had at any time
 }
 
-func newActionWorld(t *testing.T, seed uint64) *actionWorld {
-	w := &actionWorld{t: t, rng: rand.New(rand.NewPCG(seed, 99)), now: time.Hour, hash: sha256.New(), sends: map[string]int{}, ended: map[string]bool{}}
+func newActionSimulation(t *testing.T, seed uint64) *actionSimulation {
+	w := &actionSimulation{t: t, rng: rand.New(rand.NewPCG(seed, 99)), now: time.Hour, hash: sha256.New(), sends: map[string]int{}, ended: map[string]bool{}}
 	w.set = w.drawSettings(seed)
 	for _, tenant := range w.set.Tenants {
 		w.tenants = append(w.tenants, tenant.Name)
@@ -114,15 +116,15 @@
 		t.Fatal(err)
 	}
 	w.d = d
-	if w.flip("peers") {
+	if w.drawFeature("peers") {
 		d.TrackLoadChanges()
 	}
 	d.WorkersUpdated(w.now, dispatcher.UpdateStale, w.list)
 	return w
 }
 
-// flip draws whether a feature is on, and notes it.
-func (w *actionWorld) flip(name string) bool {
+// drawFeature draws at random whether a feature is enabled, and records it.
+func (w *actionSimulation) drawFeature(name string) bool {
 	on := w.rng.IntN(2) == 0
 	if on {
 		w.features = append(w.features, name)
@@ -130,9 +132,9 @@
 	return on
 }
 
-func (w *actionWorld) has(name string) bool { return slices.Contains(w.features, name) }
+func (w *actionSimulation) has(name string) bool { return slices.Contains(w.features, name) }
 
-func (w *actionWorld) drawSettings(seed uint64) dispatcher.Settings {
+func (w *actionSimulation) drawSettings(seed uint64) dispatcher.Settings {
 	const ms = time.Millisecond
 	class := func(name string, idempotency dispatcher.Idempotency) dispatcher.Class {
 		return dispatcher.Class{
@@ -145,67 +147,65 @@
 		Classes:     []dispatcher.Class{class("safe", dispatcher.Idempotent), class("keyed", dispatcher.IdempotentByKey), class("unsafe", dispatcher.NotIdempotent)},
 		MaxAttempts: 1 + w.rng.IntN(5), Weights: dispatcher.WeightMeaning(seed % 3), Zone: int(seed % 4), Dispatchers: 1 + int(seed%3),
 	}
-	set.AllowHedging, set.AllowCancel, set.StartNotified = w.flip("hedging"), w.flip("cancel"), w.flip("notified")
-	set.FIFOWorkers, set.LoadByProbe, set.WatchOnDemand = w.flip("fifo"), w.flip("probes"), w.flip("watch")
-	set.RejectedMayHaveRun = w.flip("rejected-may-have-run")
-	if w.flip("tenants") {
+	set.AllowHedging, set.AllowCancel, set.StartNotified = w.drawFeature("hedging"), w.drawFeature("cancel"), w.drawFeature("notified")
+	set.FIFOWorkers, set.LoadByProbe, set.WatchOnDemand = w.drawFeature("fifo"), w.drawFeature("probes"), w.drawFeature("watch")
+	set.RejectedMayHaveRun = w.drawFeature("rejected-may-have-run")
+	if w.drawFeature("tenants") {
 		set.Tenants = []dispatcher.Tenant{{Name: "a", Share: 3}, {Name: "b", Share: 1, Quota: 20}, {Name: "c", Share: 2}}
 	}
-	if w.flip("budget") {
+	if w.drawFeature("budget") {
 		set.RetryBudget = dispatcher.RetryBudget{FreeRetries: 3, RetryRatio: 0.2, Window: time.Second}
 	}
-	if w.flip("slow-start") {
+	if w.drawFeature("slow-start") {
 		set.SlowStartCapacity, set.SlowStartDuration, set.OverloadMultiple, set.OverloadWindow = 0.3, 2*time.Second, 2.5, 500*ms
 	}
-	if w.flip("drain-close") {
+	if w.drawFeature("drain-close") {
 		set.DrainCloseTimeout = 400 * ms
 	}
-	if w.flip("retry-after") {
+	if w.drawFeature("retry-after") {
 		set.MaxRetryAfter = time.Second
 	}
-	if w.flip("kinds") {
+	if w.drawFeature("kinds") {
 		set.Classes[0].Kinds, set.Classes[2].Zones = []int{1}, []int{0, 2}
 	}
-	if w.flip("stream") {
+	if w.drawFeature("stream") {
 		set.Classes[1].Streaming = true
 	}
 	for _, name := range []string{"reports", "keys", "hints", "settings", "cordons", "siblings", "subsets", "stalls", "learned"} {
-		w.flip(name)
+		w.drawFeature(name)
 	}
 	return set
 }
 
-// note adds an action to the hash.
-func (w *actionWorld) note(format string, args ...any) {
+// record adds an action to the hash.
+func (w *actionSimulation) record(format string, args ...any) {
 	w.actions++
 	_, _ = fmt.Fprintf(w.hash, "%d "+format+"\n", append([]any{w.now}, args...)...)
 }
 
-// The calls of the Host.
-
-func (w *actionWorld) Send(id, worker string, timeout time.Duration) {
-	w.note("send %s %s %d", id, worker, timeout)
+func (w *actionSimulation) Send(id, worker string, timeout time.Duration) {
+	w.record("send %s %s %d", id, worker, timeout)
 	w.open = append(w.open, openAttempt{id: id, n: w.sends[id], worker: worker, sentAt: w.now})
 	w.sends[id]++
 }
 
-func (w *actionWorld) end(id string) {
+func (w *actionSimulation) end(id string) {
 	w.ended[id] = true
 	w.requests = slices.DeleteFunc(w.requests, func(other string) bool { return other == id })
 }
 
-func (w *actionWorld) Reject(id string, after time.Duration) {
-	w.note("reject %s %d", id, after)
+func (w *actionSimulation) Reject(id string, after time.Duration) {
+	w.record("reject %s %d", id, after)
 	w.end(id)
 }
 
-func (w *actionWorld) Fail(id string) {
-	w.note("fail %s", id)
+func (w *actionSimulation) Fail(id string) {
+	w.record("fail %s", id)
 	w.end(id)
 }
 
-func (w *actionWorld) Cancel(id string, n int) {
-	w.note("cancel %s %d", id, n)
+func (w *actionSimulation) Cancel(id string, n int) {
+	w.record("cancel %s %d", id, n)
 	for i := range w.open {
 		if w.open[i].id == id && w.open[i].n == n {
 			w.open[i].cancel = true
@@ -213,25 +213,25 @@
 	}
 }
 
-func (w *actionWorld) SetTimer(after time.Duration, token uint64) {
-	w.note("timer %d %d", after, token)
+func (w *actionSimulation) SetTimer(after time.Duration, token uint64) {
+	w.record("timer %d %d", after, token)
 	w.order++
 	w.timers = append(w.timers, timer{w.now + after, w.order, token})
 }
 
-func (w *actionWorld) Probe(worker string) {
-	w.note("probe %s", worker)
+func (w *actionSimulation) Probe(worker string) {
+	w.record("probe %s", worker)
 	w.probes = append(w.probes, worker)
 }
 
-func (w *actionWorld) CloseIdleConnections(worker string) { w.note("close %s", worker) }
+func (w *actionSimulation) CloseIdleConnections(worker string) { w.record("close %s", worker) }
 
-func (w *actionWorld) WatchWorkers() { w.note("watch") }
+func (w *actionSimulation) WatchWorkers() { w.record("watch") }
 
-func (w *actionWorld) Log(text string) { w.note("log %s", text) }
+func (w *actionSimulation) Log(text string) { w.record("log %s", text) }
 
-// advance lets time pass and timers fire.
-func (w *actionWorld) advance(by time.Duration) {
+// advance advances the clock and fires due timers.
+func (w *actionSimulation) advance(by time.Duration) {
 	to := w.now + by
 	for {
 		next := -1
@@ -251,10 +251,10 @@
 	}
 }
 
-// step lets a moment pass and draws an event.
-func (w *actionWorld) step() {
+// step advances the clock by a random time and simulates a random event.
+func (w *actionSimulation) step() {
 	if w.has("stalls") && w.rng.IntN(400) == 0 {
-		w.now += time.Duration(30+w.rng.IntN(500)) * time.Millisecond // without its timers, which are late
+		w.now += time.Duration(30+w.rng.IntN(500)) * time.Millisecond // a stall: timers fire late
 	}
 	w.advance(time.Duration(w.rng.IntN(12_000)) * time.Microsecond)
 	switch n := w.rng.IntN(100); {
@@ -273,17 +273,17 @@
 	case n < 95:
 		w.updateList()
 	default:
-		w.rare()
+		w.rareEvent()
 	}
 }
 
-func (w *actionWorld) submit() {
+func (w *actionSimulation) submit() {
 	w.serial++
 	q := dispatcher.Request{ID: fmt.Sprint("r", w.serial), Class: w.rng.IntN(len(w.set.Classes)), TimeLeft: time.Duration(w.rng.IntN(3000)) * time.Millisecond}
-	if len(w.tenants) > 0 { // also one that the settings have removed
+	if len(w.tenants) > 0 { // including removed tenants
 		q.Tenant = w.d.TenantIndex(w.tenants[w.rng.IntN(len(w.tenants))])
 		if q.Tenant < 0 {
-			w.note("tenant gone")
+			w.record("tenant gone")
 			return
 		}
 	}
@@ -298,37 +298,37 @@
 	}
 	q.ClientRetry = w.rng.IntN(10) == 0
 	w.requests = append(w.requests, q.ID)
-	w.note("submit %v", w.d.SubmitRequest(w.now, q))
+	w.record("submit %v", w.d.SubmitRequest(w.now, q))
 }
 
-// pick returns the index of a random open attempt, -1 for none.
-func (w *actionWorld) pick() int {
+// pick returns the index of a random open attempt, or -1 if there is none.
+func (w *actionSimulation) pick() int {
 	if len(w.open) == 0 {
 		return -1
 	}
 	return w.rng.IntN(len(w.open))
 }
 
-func (w *actionWorld) start() {
+func (w *actionSimulation) start() {
 	i := w.pick()
 	if i < 0 || w.open[i].started || !w.set.StartNotified {
 		return
 	}
 	w.open[i].started = true
 	a := w.open[i]
-	w.note("start %v", w.d.AttemptStarted(w.now, a.id, a.n))
+	w.record("start %v", w.d.AttemptStarted(w.now, a.id, a.n))
 	if w.has("stream") && w.rng.IntN(4) == 0 {
-		w.note("stream %v", w.d.StreamStarted(w.now, a.id, a.n))
+		w.record("stream %v", w.d.StreamStarted(w.now, a.id, a.n))
 	}
 }
 
-func (w *actionWorld) progress() {
+func (w *actionSimulation) progress() {
 	if i := w.pick(); i >= 0 && w.open[i].started {
-		w.note("progress %v", w.d.AttemptProgressed(w.now, w.open[i].id, w.open[i].n, 0.5))
+		w.record("progress %v", w.d.AttemptProgressed(w.now, w.open[i].id, w.open[i].n, 0.5))
 	}
 }
 
-func (w *actionWorld) endAttempt() {
+func (w *actionSimulation) endAttempt() {
 	i := w.pick()
 	if i < 0 {
 		return
@@ -351,14 +351,14 @@
 	if result.Answered {
 		w.end(a.id)
 	}
-	w.note("end %v", w.d.AttemptEnded(w.now, result))
+	w.record("end %v", w.d.AttemptEnded(w.now, result))
 }
 
-func (w *actionWorld) report() *dispatcher.LoadReport {
+func (w *actionSimulation) report() *dispatcher.LoadReport {
 	return &dispatcher.LoadReport{HasFreeSlots: true, FreeSlots: float64(w.rng.IntN(6)) - 1, HasInFlight: true, InFlight: float64(w.rng.IntN(5))}
 }
 
-func (w *actionWorld) answerProbe() {
+func (w *actionSimulation) answerProbe() {
 	if len(w.probes) == 0 {
 		return
 	}
@@ -372,7 +372,7 @@
 	w.d.ProbeResult(w.now, name, w.report())
 }
 
-func (w *actionWorld) disconnect() {
+func (w *actionSimulation) disconnect() {
 	if len(w.requests) > 0 {
 		id := w.requests[w.rng.IntN(len(w.requests))]
 		w.end(id)
@@ -380,8 +380,8 @@
 	}
 }
 
-// updateList changes an entry of the list, and sends it, all of the list, or the failure of the watch.
-func (w *actionWorld) updateList() {
+// updateList changes an entry of the worker list, and reports the entry, the whole list or a failure of the watch.
+func (w *actionSimulation) updateList() {
 	e := &w.list[w.rng.IntN(len(w.list))]
 	switch w.rng.IntN(6) {
 	case 0:
@@ -406,14 +406,14 @@
 	}
 }
 
-// rare draws one of the events that only some worlds have.
-func (w *actionWorld) rare() {
+// rareEvent simulates a random one of the events that depend on a feature.
+func (w *actionSimulation) rareEvent() {
 	events := []struct {
 		feature string
 		event   func(worker string)
 	}{
 		{"cordons", w.cordon}, {"siblings", w.siblingLoad}, {"peers", w.peerLoad}, {"subsets", w.subset},
-		{"settings", func(string) { w.sometimes(4, w.changeSettings) }}, {"learned", func(string) { w.sometimes(10, w.handOver) }},
+		{"settings", func(string) { w.oneTimeIn(4, w.changeSettings) }}, {"learned", func(string) { w.oneTimeIn(10, w.handOver) }},
 	}
 	worker := w.list[w.rng.IntN(len(w.list))].Worker
 	if drawn := events[w.rng.IntN(len(events))]; w.has(drawn.feature) {
@@ -421,30 +421,30 @@
 	}
 }
 
-// sometimes has something happen one time in so many.
-func (w *actionWorld) sometimes(oneIn int, event func()) {
+// oneTimeIn simulates the event with a probability of 1 in oneIn.
+func (w *actionSimulation) oneTimeIn(oneIn int, event func()) {
 	if w.rng.IntN(oneIn) == 0 {
 		event()
 	}
 }
 
-func (w *actionWorld) cordon(worker string) {
-	w.note("cordon %v", w.d.Cordon(w.now, worker, w.rng.IntN(2) == 0))
+func (w *actionSimulation) cordon(worker string) {
+	w.record("cordon %v", w.d.Cordon(w.now, worker, w.rng.IntN(2) == 0))
 }
 
-func (w *actionWorld) siblingLoad(worker string) {
+func (w *actionSimulation) siblingLoad(worker string) {
 	load := dispatcher.Load{InFlight: float64(w.rng.IntN(3)), NotStarted: w.rng.IntN(2), WorkSent: float64(w.serial)}
 	w.d.SetSiblingLoad(w.now, map[string]dispatcher.Load{worker: load})
 }
 
-func (w *actionWorld) peerLoad(worker string) {
+func (w *actionSimulation) peerLoad(worker string) {
 	w.loads = w.d.AppendLoadChanges(w.loads[:0])
-	w.note("changes %v", w.loads)
+	w.record("changes %v", w.loads)
 	load := dispatcher.Load{InFlight: float64(w.rng.IntN(4)), NotStarted: w.rng.IntN(2)}
 	w.d.UpdatePeerLoad(w.now, []dispatcher.WorkerLoad{{Worker: worker, Load: load}})
 }
 
-func (w *actionWorld) subset(string) {
+func (w *actionSimulation) subset(string) {
 	var subset []string
 	for _, e := range w.list {
 		if w.rng.IntN(2) == 0 {
@@ -454,8 +454,8 @@
 	w.d.SetSubset(w.now, subset, 1+w.rng.IntN(3))
 }
 
-// changeSettings changes a class, the tenants or the limits.
-func (w *actionWorld) changeSettings() {
+// changeSettings changes a class, the tenants and the limits on attempts.
+func (w *actionSimulation) changeSettings() {
 	set := w.set
 	set.Classes = slices.Clone(set.Classes)
 	c := &set.Classes[w.rng.IntN(len(set.Classes))]
@@ -473,18 +473,18 @@
 	if w.has("budget") {
 		set.RetryBudget.Window = time.Duration(1+w.rng.IntN(2)) * time.Second
 	}
-	w.note("settings %v", w.d.UpdateSettings(set))
+	w.record("settings %v", w.d.UpdateSettings(set))
 	w.set = set
 }
 
-// handOver hands what was learned to a new Dispatcher, which goes on with requests of its own.
-func (w *actionWorld) handOver() {
+// handOver hands the learned state to a new Dispatcher, which continues with new requests.
+func (w *actionSimulation) handOver() {
 	state := w.d.LearnedState(w.now)
 	text, err := json.Marshal(state)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.note("learned %s", text)
+	w.record("learned %s", text)
 	w.noteLoads()
 	d, err := dispatcher.New(w.set, uint64(w.serial), w)
 	if err != nil {
@@ -499,15 +499,15 @@
 	d.RestoreLearnedState(w.now, state)
 }
 
-func (w *actionWorld) noteLoads() {
+func (w *actionSimulation) noteLoads() {
 	loads := w.d.LoadByWorker()
 	for _, name := range slices.Sorted(maps.Keys(loads)) {
-		w.note("load %s %v", name, loads[name])
+		w.record("load %s %v", name, loads[name])
 	}
 }
 
-// finish ends all attempts and notes what was learned.
-func (w *actionWorld) finish() {
+// finish ends all attempts and records the learned state.
+func (w *actionSimulation) finish() {
 	for len(w.open) > 0 {
 		w.advance(time.Millisecond)
 		w.endAttempt()
@@ -517,6 +517,6 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.note("learned %s", text)
+	w.record("learned %s", text)
 	w.noteLoads()
 }
--- a/dispatcher/api.go
+++ b/dispatcher/api.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// WorkerState is what the list says of a worker.
+// WorkerState is the state of a worker in the worker list.
 type WorkerState uint8
 
 // The states of a worker.
 const (
 	Active   WorkerState = iota
-	Draining             // finishes its attempts in flight, gets nothing new
-	Removed              // removed from the list
+	Draining             // finishes its attempts in flight and gets no new ones
+	Removed              // removed from the worker list
 )
 
-// WorkerInfo is an entry of the list of workers. A Dispatcher keeps no
-// reference to the slices that carry it.
+// WorkerInfo is an entry of the worker list. A Dispatcher keeps no reference to the
+// slices that carry it.
 type WorkerInfo struct {
-	Worker    string // its name
+	Worker    string // name of the worker
 	Zone      int
-	Kind      int // of machine
-	Cell      int // workers of a cell share faults and, in some classes, the memory of keys
+	Kind      int // machine kind
+	Cell      int // failure domain; in classes with DedupCell its workers also share the deduplication keys
 	State     WorkerState
 	Weight    float64       // see [WeightMeaning]
-	StartedAt time.Duration // when it last started, on the host's clock; 0: long ago
+	StartedAt time.Duration // last start on the host's clock; 0 means that it is long past
 }
 
-// UpdateKind says what an update of the list of workers holds.
+// UpdateKind is the kind of an update of the worker list.
 type UpdateKind uint8
 
 // The kinds of updates.
 const (
 	UpdateDelta  UpdateKind = iota // changed entries only
-	UpdateFull                     // all workers; one that is absent has been removed
-	UpdateStale                    // all workers as last known, maybe long ago
-	UpdateFailed                   // no entries: a watch failed or broke, the last list stands
+	UpdateFull                     // all workers; an absent worker has been removed
+	UpdateStale                    // all workers as last known, which may be out of date
+	UpdateFailed                   // no entries; the watch failed and the last list remains in use
 )
 
-// Request is a request taken from a client.
+// Request is a request received from a client.
 type Request struct {
 	ID          string
 	Class       int           // index into Settings.Classes
-	Tenant      int           // as by [Dispatcher.TenantIndex]; -1 where there are no tenants
-	AffinityKey string        // affinity key: what a worker may have cached for the request; may be empty
-	TimeLeft    time.Duration // how long the client still waits
-	RuntimeHint time.Duration // an estimate of its running time; 0: none
-	Slots       float64       // that it takes at a worker; 0 counts as 1
-	ClientRetry bool          // the client has tried before
+	Tenant      int           // index from [Dispatcher.TenantIndex], -1 if the settings have no tenants
+	AffinityKey string        // requests with the same key prefer the same worker, which may have cached data; may be empty
+	TimeLeft    time.Duration // time until the client stops waiting
+	RuntimeHint time.Duration // estimated running time; 0 means none
+	Slots       float64       // slots that the request occupies at a worker; 0 counts as 1
+	ClientRetry bool          // the client repeats an earlier request
 }
 
 // Outcome is how an attempt ended.
@@ -55,77 +55,76 @@
 
 // The outcomes.
 const (
-	Served         Outcome = iota // the answer went to the client
-	Errored                       // the worker answered with an error
-	Rejected                      // the worker rejected it; the settings say whether it may have begun it
-	TimedOut                      // no answer in time
-	ConnectFailed                 // no connection could be made
+	Served         Outcome = iota // the response went to the client
+	Errored                       // the worker responded with an error
+	Rejected                      // the worker rejected the attempt; see [Settings.RejectedMayHaveRun]
+	TimedOut                      // no response arrived before the timeout
+	ConnectFailed                 // no connection to the worker could be established
 	ConnectionLost                // the connection broke while the attempt was in flight
-	Cancelled                     // by [Host.Cancel]
-	NotSent                       // the host did not send it
+	Cancelled                     // the attempt was cancelled by [Host.Cancel]
+	NotSent                       // the host did not send the attempt
 )
 
-// LoadReport is a worker's load report. Reports are late and inexact.
+// LoadReport is a worker's load report. Reports are delayed and inexact.
 type LoadReport struct {
 	HasFreeSlots bool
-	FreeSlots    float64 // free slots
+	FreeSlots    float64
 	HasInFlight  bool
-	InFlight     float64 // requests in flight or queued there
+	InFlight     float64 // requests in flight or queued at the worker
 }
 
-// AttemptResult is the end of an attempt.
+// AttemptResult is the result of an attempt that has ended.
 type AttemptResult struct {
 	ID       string
-	Attempt  int // counted from 0 in the order of the request's sends
+	Attempt  int // number of the attempt, from 0 in the order of the request's sends
 	Outcome  Outcome
-	Answered bool        // the client has its final answer, by this outcome or before
-	Report   *LoadReport // nil: none came with it. The Dispatcher does not keep it
+	Answered bool        // the client has its final response, from this attempt or earlier
+	Report   *LoadReport // load report of the worker, nil if none; the Dispatcher does not retain it
 }
 
-// Host carries out what a Dispatcher decides. The calls come from within the
-// Dispatcher's methods, in the order in which they are to take effect; they
-// must not call back into it.
+// Host carries out the decisions of a Dispatcher. A Dispatcher calls it from within
+// its own methods, in the order in which the calls are to take effect. The calls must
+// not call back into the Dispatcher.
 type Host interface {
-	// Send sends the request's next attempt to the worker. A time-out of 0
-	// means as long as the client waits.
+	// Send sends the request's next attempt to the worker. A timeout of 0 means as
+	// long as the client waits.
 	Send(id, worker string, timeout time.Duration)
-	// Reject ends the request unserved. The client may safely come again,
-	// after the given time if that is not 0.
+	// Reject ends the request without a response. The client may safely retry it,
+	// after the given delay if that is not 0.
 	Reject(id string, retryAfter time.Duration)
-	// Fail ends the request unserved. It may have run.
+	// Fail ends the request without a response. The request may have run.
 	Fail(id string)
 	// Cancel cancels an attempt. Its outcome must still be reported.
 	Cancel(id string, attempt int)
-	// SetTimer asks for [Dispatcher.TimerFired] with the token once the time
-	// has passed. Timers cannot be stopped.
+	// SetTimer schedules a call of [Dispatcher.TimerFired] with the token after the
+	// given time. Timers cannot be stopped.
 	SetTimer(after time.Duration, token uint64)
-	// Probe asks a worker for its load, for [Dispatcher.ProbeResult].
+	// Probe queries a worker for its load; the host reports the result by
+	// [Dispatcher.ProbeResult].
 	Probe(worker string)
-	// CloseIdleConnections closes the connections to a worker that carry no
-	// attempt.
+	// CloseIdleConnections closes the connections to a worker that carry no attempt.
 	CloseIdleConnections(worker string)
-	// WatchWorkers asks for the list of workers and all its updates, for
-	// [Dispatcher.WorkersUpdated].
+	// WatchWorkers starts a watch on the worker list; the host reports the list and its
+	// updates by [Dispatcher.WorkersUpdated].
 	WatchWorkers()
-	// Log writes a line to the operators' log.
+	// Log writes a line to the log.
 	Log(text string)
 }
 
-// Errors for a host's mistakes. The Dispatcher did nothing on an event for which it
-// returned one.
+// Errors for invalid events. A Dispatcher ignores an event for which it returns one.
 var (
 	ErrUnknownRequest   = errors.New("sedgevale: no such request")
-	ErrUnknownAttempt   = errors.New("sedgevale: no such attempt, or it has ended")
-	ErrDuplicateRequest = errors.New("sedgevale: request id already taken")
-	errNoHost           = errors.New("sedgevale: no host")
-	ErrBadRequest       = errors.New("sedgevale: class or tenant out of range")
+	ErrUnknownAttempt   = errors.New("sedgevale: no such attempt in flight")
+	ErrDuplicateRequest = errors.New("sedgevale: a request with this ID is already open")
+	errNoHost           = errors.New("sedgevale: the host of a dispatcher must not be nil")
+	ErrBadRequest       = errors.New("sedgevale: the request's class or tenant index is out of range")
 )
 
 // Load is a dispatcher's load at a worker.
 type Load struct {
 	InFlight   float64 `json:"held"`              // slots in flight
 	NotStarted int     `json:"waiting,omitempty"` // attempts in flight that have not started
-	WorkSent   float64 `json:"sent,omitempty"`    // work ever sent, in slot seconds
+	WorkSent   float64 `json:"sent,omitempty"`    // total work sent, in slot seconds
 }
 
 // Plus returns the sum of two loads.
@@ -133,9 +132,9 @@
 	return Load{l.InFlight + m.InFlight, l.NotStarted + m.NotStarted, l.WorkSent + m.WorkSent}
 }
 
-// WorkerLoad is somebody's load at a worker.
+// WorkerLoad is the load of one or more dispatchers at a worker.
 type WorkerLoad struct {
 	Worker string
 	Load
-	Saturated bool // all dispatchers together have more in flight there than the worker has slots
+	Saturated bool // all dispatchers together have more slots in flight at the worker than it has
 }
--- a/dispatcher/budget.go
+++ b/dispatcher/budget.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// The budget of attempts beyond each request's first.
+// This file enforces the retry budget.
 
-// slidingCounter counts the events of a sliding window, by buckets, in constant
-// memory.
+// slidingCounter counts events within a sliding window in a fixed number of buckets.
 type slidingCounter struct {
-	bucketLength time.Duration // the time that one bucket counts
-	newest       int64         // the number of the newest bucket
+	bucketLength time.Duration
+	newest       int64 // number of the newest bucket
 	buckets      [counterBuckets + 1]int
 }
 
-// counterBuckets is how many buckets a window has.
+// counterBuckets is the number of buckets in a window.
 const counterBuckets = 64
 
-// advance forgets what is older than the window.
+// advance clears the buckets that are older than the window.
 func (c *slidingCounter) advance(now time.Duration) {
 	at := int64(now / c.bucketLength)
 	for range min(at-c.newest, counterBuckets+1) {
@@ -31,8 +30,8 @@
 	c.buckets[c.newest%(counterBuckets+1)]++
 }
 
-// counts returns how many events the last window has had at most, and how many at
-// least: with and without the bucket in which it begins.
+// counts returns bounds on the number of events in the window that ends now: with and
+// without the bucket in which the window begins.
 func (c *slidingCounter) counts(now time.Duration) (most, least int) {
 	c.advance(now)
 	for _, n := range c.buckets {
@@ -41,14 +40,14 @@
 	return most, most - c.buckets[(c.newest+1)%(counterBuckets+1)]
 }
 
-// retryBudget counts what the settings' budget is about.
+// retryBudget enforces the RetryBudget of the settings.
 type retryBudget struct {
 	settings RetryBudget
-	retries  slidingCounter // attempts beyond each request's first
+	retries  slidingCounter // attempts after each request's first
 	requests slidingCounter
 }
 
-// configure takes over the settings. Another window is counted anew.
+// configure applies the settings. A change of the window resets the counters.
 func (b *retryBudget) configure(set RetryBudget) {
 	if length := max(1, set.Window/counterBuckets); set.Window != b.settings.Window || b.retries.bucketLength == 0 {
 		b.retries, b.requests = slidingCounter{bucketLength: length}, slidingCounter{bucketLength: length}
@@ -56,9 +55,9 @@
 	b.settings = set
 }
 
-// admits reports whether an attempt beyond a request's first keeps the
-// budget. Attempts count for a 64th of the window longer, and requests for as much
-// less, than they must, so that the budget holds in every window.
+// admits reports whether another attempt after a request's first stays within the budget.
+// Attempts count for a 64th of the window longer than necessary and requests for a 64th
+// less, so that the budget holds in every window.
 func (b *retryBudget) admits(now time.Duration) bool {
 	if b.settings.Window == 0 {
 		return true
--- a/dispatcher/budget_test.go
+++ b/dispatcher/budget_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// In no window do retries exceed what the requests
-// of that window allow, whatever the outcomes.
+// In no window do the retries exceed what the requests of that window allow, whatever the
+// outcomes.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -36,7 +36,7 @@
 				return n
 			}
 			if got, most := count(further), float64(set.RetryBudget.FreeRetries)+0.1*float64(count(taken)); float64(got) > most {
-				t.Fatalf("seed %d: %d further attempts where %.1f are allowed", seed, got, most)
+				t.Fatalf("seed %d: %d retries in a window, want at most %.1f", seed, got, most)
 			}
 		}
 		for i := range 800 {
@@ -52,30 +52,30 @@
 			}
 		}
 		if len(further) < 25 {
-			t.Errorf("seed %d: only %d further attempts", seed, len(further))
+			t.Errorf("seed %d: only %d retries, want at least 25", seed, len(further))
 		}
 	}
 }
 
-// Just after its start a dispatcher has no requests of the last span behind it.
+// Just after its start a dispatcher has no requests of an earlier window to count.
 func TestBudgetAtTheStart(t *testing.T) {
 	set := settings()
 	set.RetryBudget = RetryBudget{FreeRetries: 0, RetryRatio: 0.5, Window: 5 * time.Second}
 	d, h := start(t, set, fleet(4)...)
 	h.submit(d, "a", 2)
 	h.endAttempt(d, "a", 0, Rejected)
-	if len(h.sends) != 1 || h.ends["a"] != "refused" {
-		t.Errorf("%d sends, end %q: half an attempt is none", len(h.sends), h.ends["a"])
+	if len(h.sends) != 1 || h.ends["a"] != "rejected" {
+		t.Errorf("%d sends, end %q; a budget of half a retry must allow none", len(h.sends), h.ends["a"])
 	}
 	h.submit(d, "b", 0)
 	h.endAttempt(d, "b", 0, ConnectFailed)
 	if h.attempts["b"] != 2 {
-		t.Error("two requests allow one further attempt")
+		t.Error("no retry, although two requests allow one")
 	}
 }
 
-// A retry that was queued is checked when it is sent: what was left of the budget
-// may have been used by another.
+// A queued retry is checked again when it is sent, since another request may have used up
+// the budget.
 func TestBudgetIsCheckedAtTheSend(t *testing.T) {
 	set := settings()
 	set.RetryBudget = RetryBudget{FreeRetries: 1, Window: 5 * time.Second}
@@ -85,12 +85,12 @@
 	r.attempts[0].ended = true
 	r.inFlight = 0
 	if w := d.workers.all[1]; !d.mayAttempt(h.now, r, w) {
-		t.Fatal("the free attempt is not allowed")
+		t.Fatal("the free retry is not allowed")
 	}
 	d.budget.retries.add(h.now)
 	for _, w := range d.workers.all {
 		if d.mayAttempt(h.now, r, w) {
-			t.Error("one free attempt, and it is used up")
+			t.Error("a second retry is allowed, want one free retry")
 		}
 	}
 }
--- a/dispatcher/capacity.go
+++ b/dispatcher/capacity.go
@@ -1,19 +1,17 @@
 package dispatcher
 
-// Capacity: what this dispatcher has in flight, and at how much it found capacity.
-
-// capacityEstimate is the slots that are in flight, and how many were when capacity
-// was last found.
+// capacityEstimate estimates the capacity that is available to this dispatcher from the
+// slots in flight at which requests still found free capacity.
 type capacityEstimate struct {
-	inFlight float64 // slots of this dispatcher's and its sibling's attempts
-	short    bool    // in this round a request found no free capacity
-	slots    float64 // in flight that found capacity, at most
+	inFlight  float64 // slots in flight of this dispatcher and its siblings
+	exhausted bool    // a request found no free capacity in this round
+	slots     float64 // estimated capacity: the most slots in flight with free capacity left
 }
 
-// endRound updates the estimate from a round, and returns a bound on the slots in flight,
-// which is the given one at most.
+// endRound updates the estimate at the end of a round. It returns the limit on the slots
+// in flight: the bound, or the estimate if capacity was exhausted and the estimate is lower.
 func (c *capacityEstimate) endRound(bound float64) float64 {
-	if c.short {
+	if c.exhausted {
 		c.slots += 0.2 * (c.inFlight - c.slots)
 		return min(bound, max(1, c.slots))
 	}
--- a/dispatcher/classes.go
+++ b/dispatcher/classes.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Classes of requests, with what was learned of them.
+// This file holds the classes of requests and their learned running times.
 
 const (
-	completionDecay = 0.02 // by which a round draws a mean completion time towards the running time
+	completionDecay = 0.02 // fraction by which a round moves a mean completion time towards the mean running time
 )
 
-// class is a class of requests and what was learned of it. Requests point to it: it
-// stays as it is for those in flight when the settings change.
+// class is a class of requests with its learned state. Requests in flight keep their
+// class when the settings change.
 type class struct {
 	Class
-	index          int // in tenant.pendingWork and Dispatcher.classesInUse
+	index          int // index into tenant.pendingWork and classSet.inUse
 	pool           *pool
-	meanRuntime    float64 // seconds
-	baseRuntime    float64 // seconds, over long, and rather low: latency targets grow by it
-	meanHint       float64 // seconds, of the same requests as meanRuntime
-	meanCompletion float64 // seconds from send to answer
-	samples        float64 // answers that the means are made of
-	inFlight       int     // attempts that are counted as in flight
+	meanRuntime    float64 // mean running time, in seconds
+	baseRuntime    float64 // long-term low estimate of the running time, in seconds, which extends latency targets
+	meanHint       float64 // mean runtime hint of the requests in meanRuntime, in seconds
+	meanCompletion float64 // mean time from send to response, in seconds
+	samples        float64 // number of responses in the means
+	inFlight       int     // number of attempts that are counted as in flight
 }
 
-// classSet is the classes of the settings, and former ones.
+// classSet holds the classes of the current settings, and removed classes that requests
+// in flight still use.
 type classSet struct {
-	current []*class // by the settings' index
-	inUse   []*class // those, and former ones that requests in flight still have
+	current []*class // classes by index in the settings
+	inUse   []*class // current classes and removed ones in use
 }
 
-// longestTimeout returns how long the most patient clients wait.
+// longestTimeout returns the longest client timeout of all classes in use.
 func (s *classSet) longestTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.inUse {
@@ -37,7 +38,7 @@
 	return longest
 }
 
-// meanLatencyTarget returns the mean over the settings' classes, in seconds.
+// meanLatencyTarget returns the mean latency target of the current classes, in seconds.
 func (s *classSet) meanLatencyTarget() float64 {
 	sum := 0.0
 	for _, c := range s.current {
@@ -46,21 +47,22 @@
 	return sum / float64(len(s.current))
 }
 
-// decayCompletions draws the mean completion times towards the running times, a round.
+// decayCompletions moves the mean completion times towards the mean running times. It is
+// called once per round, so that a class whose requests are all rejected recovers.
 func (s *classSet) decayCompletions() {
 	for _, c := range s.inUse {
 		c.meanCompletion += completionDecay * min(0, c.meanRuntime-c.meanCompletion)
 	}
 }
 
-// slack returns how many seconds a request of the class can wait when it arrives.
+// slack returns how long a request of the class can wait on arrival, in seconds.
 func (c *class) slack() float64 {
 	return c.LatencyTarget.Seconds() + c.TargetStretch*c.meanRuntime - c.meanCompletion
 }
 
-// mayRepeatAt reports whether the worker may get the request again though the attempt
-// may have run: always if the class is idempotent; if it is idempotent by key, while
-// the worker still drops the repeat.
+// mayRepeatAt reports whether the request may be sent to the worker although the attempt
+// may have run: always if the class is idempotent, and as long as the worker deduplicates
+// the repeat if it is idempotent by key.
 func (c *class) mayRepeatAt(now time.Duration, a *attempt, w *worker) bool {
 	switch c.Idempotency {
 	case Idempotent:
--- a/dispatcher/connections.go
+++ b/dispatcher/connections.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Connections that fall silent, and starts that come late.
+// This file detects unresponsive connections and delayed starts.
 
 const (
 	promptStartGain              = 1.0 / 32 // EWMA weight of one start
-	minPromptStartRate           = 0.35     // share of attempts that start at once, for a reschedule to be worth it
-	minUnresponsiveConnections   = 1.0      // decayed count, for running attempts to be hedged
-	unresponsiveConnectionsDecay = 0.01     // of that count, a round
+	minPromptStartRate           = 0.35     // share of prompt starts below which attempts are not rescheduled
+	minUnresponsiveConnections   = 1.0      // decayed count above which running attempts are hedged
+	unresponsiveConnectionsDecay = 0.01     // fraction by which that count decays per round
 )
 
-// connectionHealth is what attempts tell of connections and of queues at workers.
+// connectionHealth summarizes what attempts show of connections and of queues at workers.
 type connectionHealth struct {
-	silent              float64 // decayed count of connections that fell silent under an attempt
-	promptStartRate     float64 // EWMA share of attempts that started at once
+	unresponsive        float64 // decayed count of connections that became unresponsive with an attempt in flight
+	promptStartRate     float64 // EWMA share of attempts that started promptly
 	rescheduleAllowedAt time.Duration
 }
 
-// observeStart notes whether an attempt had started when it should have.
+// observeStart records whether an attempt had started when its start was due.
 func (c *connectionHealth) observeStart(started bool) {
 	c.promptStartRate += promptStartGain * (boolToFloat(started) - c.promptStartRate)
 }
 
-// endRound decays the count.
-func (c *connectionHealth) endRound() { c.silent *= 1 - unresponsiveConnectionsDecay }
+func (c *connectionHealth) endRound() { c.unresponsive *= 1 - unresponsiveConnectionsDecay }
 
-// becomeUnresponsive reports whether connections are known to fall silent now.
-func (c *connectionHealth) becomeUnresponsive() bool { return c.silent > minUnresponsiveConnections }
+// recentlyUnresponsive reports whether connections have become unresponsive recently.
+func (c *connectionHealth) recentlyUnresponsive() bool {
+	return c.unresponsive > minUnresponsiveConnections
+}
 
-// mayReschedule reports whether to cancel an attempt can be worth it: most attempts start
-// at once, and no worker has rejected any lately.
+// mayReschedule reports whether cancelling an attempt to try another worker is worthwhile:
+// enough attempts start promptly, and no worker has rejected one recently.
 func (c *connectionHealth) mayReschedule(now time.Duration) bool {
 	return c.promptStartRate > minPromptStartRate && now >= c.rescheduleAllowedAt
 }
--- a/dispatcher/controlround.go
+++ b/dispatcher/controlround.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// The control round of Wisp's Algorithm 1.
+// This file runs the periodic control round, which updates the tenants' limits.
 
 const (
-	runtimeRatioDecay = 0.01 // by which a round draws a runtime ratio towards 1, so that a slow worker is tried again
+	runtimeRatioDecay = 0.01 // fraction by which a round moves a runtime ratio towards 1, so that a slow worker is tried again
 )
 
-// endRound is the control round of Wisp's Algorithm 1.
+// endRound ends a control round of Wisp's Algorithm 1: it updates the learned state and the
+// tenants' limits, and starts the next round.
 func (d *Dispatcher) endRound(now time.Duration) {
 	d.rounds.number++
 	d.limits.round = d.rounds.number
@@ -25,7 +26,7 @@
 	for _, w := range d.workers.all {
 		if w != nil && d.settings.StartNotified && !d.rounds.catchingUp {
 			w.runtimeRatio += runtimeRatioDecay * (1 - w.runtimeRatio)
-			d.writeOffOverdue(now, w)
+			d.releaseOverdue(now, w)
 		}
 	}
 	d.tenants.retire(now, d.classes.longestTimeout())
@@ -35,20 +36,20 @@
 		t.arrivals *= 1 - arrivalsDecay
 	}
 	d.tenants.arrivals *= 1 - arrivalsDecay
-	d.capacity.short = false
+	d.capacity.exhausted = false
 	d.workers.capacityChanged()
 	d.rounds.due = now + roundInterval
 	d.host.SetTimer(roundInterval, tokenRound)
 	d.releasePending(now)
 }
 
-// updateLocalShares sets the tenants' local shares, in slots: they rise while the
-// demand is met, else each is the tenant's max-min fair share. None is below the
-// tenant's quota share, since a demand can appear within the round.
+// updateLocalShares sets the tenants' local shares, in slots. They rise while the total
+// demand is within the limit; otherwise each is the tenant's max-min fair share. None
+// falls below the tenant's share of the limit, since demand can arise within the round.
 func (d *Dispatcher) updateLocalShares() {
 	limit := unlimited
 	all := d.workers.pools[0]
-	if all.limitedWorkers*2 > all.active { // a worker without a limit counts at the mean of the others
+	if all.limitedWorkers*2 > all.active { // a worker without a limit counts with the mean limit of the others
 		limit = all.limitSum / float64(all.limitedWorkers) * float64(all.active)
 	}
 	limit = d.capacity.endRound(limit)
@@ -57,6 +58,6 @@
 		level = d.tenants.fairLevel(limit)
 	}
 	for _, t := range d.tenants.all {
-		t.localShare = admission.LocalShare(t.localShare, t.claim(), demand, limit, level, limitIncreaseStep)
+		t.localShare = admission.LocalShare(t.localShare, t.claimant(), demand, limit, level, limitIncreaseStep)
 	}
 }
--- a/dispatcher/cordon.go
+++ b/dispatcher/cordon.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// The operator's cordon.
+// This file lets operators cordon workers.
 
 // Cordon cordons a worker, or uncordons it if cordon is false. Nothing is sent to a
-// cordoned worker, whatever the list says of it meanwhile, also if it vanishes and
-// returns. Once uncordoned it warms up: from now, or from the restart that the
-// list has shown meanwhile. Cordon returns false for an unknown worker, and then
-// changes nothing.
+// cordoned worker, whatever its state in the worker list, even if it is removed and
+// listed again. An uncordoned worker begins a slow start as of now, or as of a restart
+// that the list showed while it was cordoned. Cordon returns false without a change if
+// the worker is unknown.
 func (d *Dispatcher) Cordon(now time.Duration, name string, cordon bool) bool {
 	w := d.workers.byName[name]
 	if w == nil && !d.workers.cordons[name] {
@@ -33,10 +33,10 @@
 		w.resetHealth()
 		if d.settings.SlowStartDuration > 0 {
 			from := now
-			if w.StartedAt > w.cordonedAt { // the list has shown its restart
+			if w.StartedAt > w.cordonedAt { // restarted while it was cordoned
 				from = min(now, w.StartedAt)
 			}
-			d.slowStart.begin(now, w, from, d.firstCredit)
+			d.slowStart.begin(now, w, from, d.initialCredit)
 		}
 		d.workers.addToPools(w)
 	}
@@ -45,8 +45,8 @@
 	return true
 }
 
-// RestoreCordon cordons a worker as it was in an earlier run, also one that no list
-// has named yet.
+// RestoreCordon restores the cordon of a worker from an earlier run. The worker need not
+// be in the worker list yet.
 func (d *Dispatcher) RestoreCordon(name string) {
 	d.workers.cordons[name] = true
 	if w := d.workers.byName[name]; w != nil && !w.cordoned {
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -5,28 +5,26 @@
 	"time"
 )
 
-// The kinds of timers, in the lowest 4 bits of a token. The next 5 bits are the
-// attempt's number, the rest is the request's serial number.
+// The kinds of timers. A token holds the kind in its lowest 4 bits, the number of the
+// attempt in the next 5 bits, and the serial number of the request in the others.
 const (
-	tokenRound    = iota // the next round
-	tokenWatch           // retry the watch on the list of workers
-	tokenDeadline        // the request's client stops waiting
-	tokenSendBy          // the request must have been sent
-	tokenStartDue        // the attempt should have started
-	tokenProbe           // answers to the request's probes are overdue
-	tokenCaughtUp        // all that came during a stall has been read
+	tokenRound    = iota // the next round is due
+	tokenWatch           // the watch on the worker list is to be retried
+	tokenDeadline        // the client of the request stops waiting
+	tokenSendBy          // the queued request is ended if it was not sent
+	tokenStartDue        // the start notice of the attempt is due
+	tokenProbe           // the results of the request's probes are overdue
+	tokenCaughtUp        // all events that arrived during a stall have been read
 )
 
-// Dispatcher makes the decisions of one dispatcher. Use [New] to make one. It
-// is not safe for concurrent use.
+// Dispatcher admits, queues and places requests. Use [New] to create one. It is not
+// safe for concurrent use.
 //
-// Its state is in components, each with its own invariants; a component knows no
-// other one, and the Dispatcher passes it what it needs. The Dispatcher's own
-// methods compose them: they handle events, take decisions that concern several,
-// and call the Host.
+// Its state is divided into components, each with its own invariants. Components do not
+// refer to each other: the methods of Dispatcher handle the events, make the decisions
+// that concern several components, and call the Host.
 //
-// Work is counted in slot seconds, times in seconds of the host's clock unless
-// they are a [time.Duration].
+// Work is in slot seconds, and times are in seconds unless they are a [time.Duration].
 type Dispatcher struct {
 	settings Settings
 	host     Host
@@ -50,28 +48,28 @@
 	placement   placementScratch
 }
 
-// startRounds starts the rounds with the first event that needs them.
+// startRounds starts the control rounds on the first event that needs them.
 func (d *Dispatcher) startRounds(now time.Duration) {
 	if d.rounds.start(now) {
 		d.host.SetTimer(roundInterval, tokenRound)
 	}
 }
 
-// setTimer sets a timer of the request's attempt n, or of the request with n 0.
+// setTimer sets a timer for attempt n of the request, or for the request itself with n 0.
 func (d *Dispatcher) setTimer(after time.Duration, kind uint64, r *request, n int) {
 	d.host.SetTimer(max(after, time.Millisecond), kind|uint64(n)<<4|r.serial<<9)
 }
 
-// detectStall notices, by an overdue round, that this dispatcher did not
-// run for a while. Nothing is sent until all events that came meanwhile have been
-// read: a drain or an outcome may be among them, and durations measured across the
-// stall say nothing about workers.
+// detectStall detects by an overdue round that this process did not run for a while.
+// After a stall nothing is sent until all events that arrived during it have been read,
+// since they may include drains and outcomes, and no durations are learned, since those
+// measured across a stall say nothing about workers.
 func (d *Dispatcher) detectStall(now time.Duration) {
 	if d.rounds.detectStall(now) {
 		d.host.SetTimer(catchUpDelay, tokenCaughtUp)
 	}
 }
 
-// firstCredit returns the credit with which a slow start begins: minus a random part of a
-// request, so that dispatchers do not all begin at once.
-func (d *Dispatcher) firstCredit() float64 { return -d.rng.Float64() * d.estimates.expected() }
+// initialCredit returns the credit with which a slow start begins: a random debt of up to
+// one request, so that dispatchers do not all begin to send at once.
+func (d *Dispatcher) initialCredit() float64 { return -d.rng.Float64() * d.estimates.expected() }
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// A seeded random sequence of events: one end each (the host checks that
-// nothing is sent after it), no repeat of what must not be repeated, nothing
-// to workers that drain, and all state freed at the end.
-func TestRandomEventsKeepTheRules(t *testing.T) {
+// Under random events each request ends once, nothing is sent after its end (the host
+// checks this), no request is repeated that must not be, nothing is sent to draining
+// workers, and all state is freed at the end.
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range uint64(20) {
-		p := newRandomPlay(t, seed)
+		p := newRandomRun(t, seed)
 		for i := range 3000 {
 			p.h.run(p.d, p.h.now+time.Duration(p.rng.IntN(20))*ms)
 			p.check()
@@ -28,47 +28,47 @@
 			p.check()
 			p.endSome()
 			if p.rng.IntN(40) == 0 {
-				p.drainOrReturn()
+				p.changeWorkerState()
 			}
 		}
 		p.finish()
 	}
 }
 
-// randomPlay is a Dispatcher under random events.
-type randomPlay struct {
+// randomRun is a Dispatcher under random events.
+type randomRun struct {
 	t         *testing.T
 	seed      uint64
 	rng       *rand.Rand
 	d         *Dispatcher
 	h         *fakeHost
-	uncertain map[string]string // request to the worker where it may have run
+	uncertain map[string]string // by request, the worker at which it may have run
 	class     map[string]int
 	drained   map[string]bool
-	checked   int             // sends
-	open      map[string]sent // by "request attempt"
+	checked   int             // number of sends that were checked
+	open      map[string]sent // attempts in flight, by "request attempt"
 }
 
-func newRandomPlay(t *testing.T, seed uint64) *randomPlay {
+func newRandomRun(t *testing.T, seed uint64) *randomRun {
 	set := settings()
 	set.StartNotified, set.AllowHedging = seed%2 == 0, seed%3 > 0
 	d, h := start(t, set, fleet(6)...)
-	return &randomPlay{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), d: d, h: h,
+	return &randomRun{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), d: d, h: h,
 		uncertain: map[string]string{}, class: map[string]int{}, drained: map[string]bool{}, open: map[string]sent{}}
 }
 
-// check checks what was sent since the last check.
-func (p *randomPlay) check() {
+// check checks the sends since the last call.
+func (p *randomRun) check() {
 	p.t.Helper()
 	for ; p.checked < len(p.h.sends); p.checked++ {
 		s := p.h.sends[p.checked]
 		if p.drained[s.worker] {
-			p.t.Fatalf("seed %d: sent to drained %s", p.seed, s.worker)
+			p.t.Fatalf("seed %d: sent to draining worker %s", p.seed, s.worker)
 		}
 		if before := p.uncertain[s.id]; before != "" && p.class[s.id] == 2 {
-			p.t.Fatalf("seed %d: unsafe %s sent again", p.seed, s.id)
+			p.t.Fatalf("seed %d: request %s, which is not idempotent, was sent again", p.seed, s.id)
 		} else if before != "" && p.class[s.id] == 1 && p.d.workers.byName[before].Zone != p.d.workers.byName[s.worker].Zone {
-			p.t.Fatalf("seed %d: keyed %s left its zone", p.seed, s.id)
+			p.t.Fatalf("seed %d: request %s, which is idempotent by key, was sent to another zone", p.seed, s.id)
 		}
 		p.uncertain[s.id] = s.worker
 		p.open[fmt.Sprint(s.id, " ", s.n)] = s
@@ -76,7 +76,7 @@
 }
 
 // endSome ends some attempts at random.
-func (p *randomPlay) endSome() {
+func (p *randomRun) endSome() {
 	for _, k := range slices.Sorted(maps.Keys(p.open)) {
 		if p.rng.IntN(4) > 0 {
 			continue
@@ -98,8 +98,8 @@
 	}
 }
 
-// drainOrReturn has a random worker drain, or come back.
-func (p *randomPlay) drainOrReturn() {
+// changeWorkerState changes the state of a random worker to draining or active.
+func (p *randomRun) changeWorkerState() {
 	w := WorkerInfo{Worker: fmt.Sprint("w", p.rng.IntN(6)), Weight: 1}
 	w.Zone, w.Cell = p.d.workers.byName[w.Worker].Zone, p.d.workers.byName[w.Worker].Cell
 	if p.rng.IntN(2) == 0 {
@@ -110,31 +110,31 @@
 	p.check()
 }
 
-// finish ends all that is open and checks that nothing is left.
-func (p *randomPlay) finish() {
+// finish ends all open attempts and checks that no request is left.
+func (p *randomRun) finish() {
 	for _, s := range p.open {
 		_ = p.d.AttemptEnded(p.h.now, AttemptResult{ID: s.id, Attempt: s.n, Outcome: Rejected, Answered: p.h.ends[s.id] != ""})
 	}
 	p.h.run(p.d, p.h.now+6*time.Second)
 	for id := range p.class {
 		if p.h.ends[id] == "" {
-			p.t.Errorf("seed %d: %s has no end", p.seed, id)
+			p.t.Errorf("seed %d: request %s has not ended", p.seed, id)
 		}
 	}
 	leaked := len(p.d.requests.byID)
 	for id, r := range p.d.requests.byID {
 		if r.inFlight > 0 {
-			leaked-- // sent again by the outcomes just above
+			leaked-- // retried because of the outcomes above
 		} else {
 			p.t.Logf("%s: %+v", id, r)
 		}
 	}
 	if leaked > 0 {
-		p.t.Errorf("seed %d: %d requests kept", p.seed, leaked)
+		p.t.Errorf("seed %d: %d requests are still in the table", p.seed, leaked)
 	}
 }
 
-// The same events give the same actions, whoever else is in the process.
+// The same events give the same actions, also if another Dispatcher runs in the process.
 func TestDeterminism(t *testing.T) {
 	play := func(withAnother bool) string {
 		d, h := start(t, settings(), fleet(20)...)
@@ -155,11 +155,11 @@
 	}
 	a, b := play(false), play(true)
 	if a != b || len(a) < 1000 {
-		t.Error("two runs differ")
+		t.Errorf("two runs with the same events differ, or have only %d bytes of actions", len(a))
 	}
 }
 
-func TestMisuse(t *testing.T) {
+func TestInvalidEvents(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	h.submit(d, "r", 0)
 	for what, got := range map[string][2]error{
@@ -178,12 +178,12 @@
 		}
 	}
 	if err := d.AttemptEnded(h.now, AttemptResult{ID: "r"}); !errors.Is(err, ErrUnknownRequest) {
-		t.Errorf("outcome after the end: %v", err)
+		t.Errorf("second result of an attempt: error %v, want %v", err, ErrUnknownRequest)
 	}
 	d.ClientDisconnected(h.now, "r")
 }
 
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for what, change := range map[string]func(*Settings){
 		"no class":    func(s *Settings) { s.Classes = nil },
 		"no limit":    func(s *Settings) { s.Classes[0].ClientTimeout = 0 },
@@ -202,7 +202,7 @@
 		set.Classes = slices.Clone(set.Classes)
 		change(&set)
 		if _, err := New(set, 1, &fakeHost{}); err == nil {
-			t.Errorf("%s: no error", what)
+			t.Errorf("invalid settings (%s): no error", what)
 		}
 	}
 	if _, err := New(settings(), 1, nil); err == nil {
@@ -210,21 +210,21 @@
 	}
 }
 
-// All events that came during a stall are read before
-// anything is sent: the drain of the only idle worker may be the last of it.
-func TestNothingIsSentBeforeAllIsReadAfterAStall(t *testing.T) {
+// All events that arrived during a stall are read before anything is sent, since the last
+// of them may be the drain of the only idle worker.
+func TestNothingIsSentBeforeEventsAreReadAfterStall(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	h.submit(d, "old", 0)
 	h.endAttempt(d, "old", 0, Served)
 	h.run(d, h.now+time.Second)
-	h.now += 260 * ms // no turn
+	h.now += 260 * ms // stall
 	sends := len(h.sends)
 	for i := range 6 {
 		h.submit(d, fmt.Sprint("r", i), 0)
 	}
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
 	if len(h.sends) != sends {
-		t.Fatal("sent while the batch is still being read")
+		t.Fatal("sent before all events were read")
 	}
 	h.run(d, h.now+10*ms)
 	if len(h.sends) == sends {
@@ -232,19 +232,19 @@
 	}
 	for _, s := range h.sends[sends:] {
 		if s.worker == "w0" {
-			t.Error("sent to the worker whose drain came in the same batch")
+			t.Error("sent to a worker whose drain was among the events")
 		}
 	}
 }
 
-// A start notice that came during a stall must not count
-// against the worker because a timer was read first.
-func TestAStallIsNoSignOfWorkers(t *testing.T) {
+// A start notice that arrived during a stall must not count as overdue because the timer
+// was read first.
+func TestStallsAreNotAttributedToWorkers(t *testing.T) {
 	d, h := start(t, settings(), fleet(1)...)
 	h.run(d, h.now+time.Second)
 	h.submit(d, "r", 0)
 	due := h.timers
-	h.now += 2 * time.Second // no turn
+	h.now += 2 * time.Second // stall
 	h.timers = nil
 	for _, x := range due {
 		if x.at <= h.now {
@@ -257,6 +257,6 @@
 	h.endAttempt(d, "r", 0, Served)
 	h.run(d, h.now+20*ms)
 	if w := d.workers.byName["w0"]; w.limit != unlimited || w.unhealthyUntil != 0 || d.classes.current[0].samples > 0 {
-		t.Errorf("sigma %v, doubt %v, %v jobs learned from", w.limit, w.unhealthyUntil, d.classes.current[0].samples)
+		t.Errorf("limit %v, unhealthy until %v, %v samples; want none of them affected by the stall", w.limit, w.unhealthyUntil, d.classes.current[0].samples)
 	}
 }
--- a/dispatcher/doc.go
+++ b/dispatcher/doc.go
@@ -1,35 +1,39 @@
-// Package dispatcher makes the decisions of a dispatcher that pushes jobs to
-// workers. It does no input or output of its own: the host reports events to a
-// Dispatcher, and the Dispatcher answers by calls on a Host.
+// Package dispatcher implements the request dispatcher: it admits, queues and
+// places client requests on workers, and retries or hedges them. It is a
+// deterministic state machine without I/O: the host reports events to a
+// Dispatcher, and the Dispatcher responds with calls on its Host.
 //
-// A Dispatcher bounds every tenant by a quantile of per-worker limits that it
-// learns from outcomes, queues what is over the bound, releases queued jobs
-// fairly by estimated work, rejects early what cannot be in time, and places
-// jobs on workers that hold fewer of its slots than a threshold.
+// A Dispatcher limits the concurrency of each tenant to a quantile of per-worker
+// limits that it learns from outcomes. It queues requests over the limit, releases
+// queued requests by deficit round robin over their estimated work, rejects
+// requests early that cannot meet their latency target, and places requests on
+// workers where it has fewer slots in flight than a threshold.
 //
-// The ordinary path follows Algorithm 1 of Wisp (L. Suresh et al., "Distributed
-// Resource Management Across Process Boundaries", SoCC 2017); "the paper" in
-// comments is that one. A request is submitted (Dispatcher.SubmitRequest),
-// rejected if it cannot be in time (rejection.go), else queued with its tenant.
-// The release (queue.go) serves the tenants by deficit round robin and sends what
-// the tenant's limit and some worker's free capacity allow (placement.go).
-// Outcomes teach the limits of workers (learning.go, limits.go), and a round
-// every 100 ms turns those into the tenants' limits. What departs from the paper
-// says in its comment what it guards against.
+// The design follows Algorithm 1 of Wisp (L. Suresh et al., "Distributed Resource
+// Management Across Process Boundaries", SoCC 2017), which comments call the
+// paper. Dispatcher.SubmitRequest rejects a request that cannot meet its target
+// (rejection.go) or adds it to the queue of its tenant. The release (queue.go)
+// serves the tenants by deficit round robin and sends what the tenant's limit and
+// the free capacity of workers allow (placement.go). Outcomes update the workers'
+// limits (learning.go, limits.go), and a control round every 100 ms derives the
+// tenants' limits from them. Where the code departs from the paper, a comment
+// names the failure that it guards against.
 //
-// A worker's runtime ratio is the EWMA of its running times over the mean of the
-// class: above 1 it is slower than the others. A limit is learned by additive
-// increase and multiplicative decrease. Capacity that is learned or reported is
-// counted in slots, work in slot seconds.
+// The runtime ratio of a worker is the EWMA of its running times over the mean of
+// the class; a worker with a ratio above 1 is slower than the others. Limits change
+// by additive increase and multiplicative decrease. Capacity is counted in slots,
+// work in slot seconds.
 //
-// Four rules hold whatever was learned. An attempt goes only where the request may
-// run (pool.admits). A request that may have run is sent or rejected again only as
-// its idempotency allows (mayAttempt, request.mayReject). A worker that drains or was removed
-// gets nothing more (pool.admits). A worker that warms up gets no more than its slow
-// start allows, summed over all dispatchers (slowStart.admits).
+// Four invariants hold regardless of the learned state:
+//   - An attempt is sent only to a worker that the request's class allows
+//     (pool.admits).
+//   - A request that may have run is sent again or rejected only as its idempotency
+//     allows (mayAttempt, request.mayReject).
+//   - Nothing is sent to a draining or removed worker (pool.admits).
+//   - All dispatchers together send a worker no more than its slow start allows
+//     (slowStart.admits).
 //
-// Every event takes the host's clock as a [time.Duration] from any fixed
-// origin. A Dispatcher is not safe for concurrent use; several of them in one
-// process share nothing. The same settings, seed and events give the same
-// actions.
+// Every event takes the host's clock as a [time.Duration] since any fixed origin. A
+// Dispatcher is not safe for concurrent use. Dispatchers of one process share no
+// state. The same settings, seed and events produce the same actions.
 package dispatcher
--- a/dispatcher/eligibility.go
+++ b/dispatcher/eligibility.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Eligibility: where a request may go, and how long it can wait.
+// This file decides which workers are eligible for a request and how long the request can wait.
 
 const (
-	slotThresholdMargin = 0.5 // slot threshold over the mean of the slots in flight at workers
-	maxQueuedAtWorker   = 1   // attempts that may wait at a worker that is known to be busy
-	waitSafetyFactor    = 1.5 // what a wait at a worker may come to, over the mean
+	slotThresholdMargin = 0.5 // slots by which the slot threshold exceeds the mean of the slots in flight at workers
+	maxQueuedAtWorker   = 1   // maximum number of attempts queued at a worker that is known to be busy
+	waitSafetyFactor    = 1.5 // factor from the mean wait at a worker to the wait that is assumed
 )
 
-// candidateZones returns where to look for a worker first, and then: the own subset
-// or zone, and all. Once a request that is idempotent by key may have run, it
-// returns only the group of workers that drops a repeat.
+// candidateZones returns the workers to consider first, which are those of the
+// dispatcher's own subset or zone, and all workers to fall back to. For a request
+// that is idempotent by key and may have run, both hold at most the group of workers
+// that deduplicates it.
 func (d *Dispatcher) candidateZones(r *request) (near, all [][]*worker) {
 	all = r.class.pool.zones
 	if w := r.mayHaveRunAt(); w != nil {
@@ -28,7 +29,8 @@
 	return near, all
 }
 
-// usable reports whether the request may go to the worker at all.
+// usable reports whether the worker can take the request, regardless of the slot
+// threshold.
 func (d *Dispatcher) usable(now time.Duration, w *worker, r *request, withinShare bool) bool {
 	if !r.class.pool.admits(w) || w.ejected(now) || r.avoids(w) {
 		return false
@@ -45,8 +47,9 @@
 	return w.warmAt <= now || (d.workers.subsetSize == 0 || w.inSubset) && d.slowStart.admits(now, w, r, &d.estimates)
 }
 
-// belowSlotThreshold reports whether the worker is below the slot threshold for the
-// request.
+// belowSlotThreshold reports whether the slots in flight at the worker are below the
+// threshold, and no start notice or load report shows that it has no free slot for
+// the request.
 func (d *Dispatcher) belowSlotThreshold(now time.Duration, w *worker, r *request, withinShare bool) bool {
 	if d.settings.StartNotified && w.notStarted > 0 {
 		return false
@@ -54,7 +57,7 @@
 	if w.inFlight >= slotThresholdMargin+r.class.pool.meanInFlight(w)*w.size {
 		return false
 	}
-	// In the own subset the load of all dispatchers is known.
+	// The load of all dispatchers is known at workers of the own subset.
 	if w.inSubset && w.inFlight > max(0, d.workers.maxFreeByKind[w.Kind]-r.Slots) {
 		return false
 	}
@@ -62,8 +65,8 @@
 }
 
 // mayQueueAt reports whether a request that finds no free slot at the worker may wait
-// there. It guards against queues at workers, which make all requests late, where
-// those that are pending here could be rejected.
+// there. It guards against queues at workers: they make all requests late, whereas a
+// request that is queued here can still be rejected.
 func (d *Dispatcher) mayQueueAt(now time.Duration, w *worker, r *request) bool {
 	if !d.settings.StartNotified {
 		return true
@@ -76,23 +79,23 @@
 	return d.meetsTargetAt(now, w, r, waitSafetyFactor*wait)
 }
 
-// meetsTargetAt reports whether the request can be expected to meet its latency
-// target at the worker, by its runtime ratio, after a wait in seconds. It guards against
-// workers that have become slow, where all requests would be late.
+// meetsTargetAt reports whether the request is expected to meet its latency target at
+// the worker after a wait in seconds, given the worker's runtime ratio. It guards
+// against sending requests to a worker that has become too slow for them.
 func (d *Dispatcher) meetsTargetAt(now time.Duration, w *worker, r *request, wait float64) bool {
 	return !d.settings.StartNotified || wait <= r.slackAt(now, w.runtimeRatio)
 }
 
-// timeToSend returns how long the request can still wait to be sent: the time left
-// less its running time and the class's mean wait at workers.
+// timeToSend returns how long the request can still wait before it is sent: the time
+// until its latency target less its running time and the class's mean wait at workers.
 func (d *Dispatcher) timeToSend(now time.Duration, r *request) time.Duration {
 	c := r.class
 	return seconds(r.slackAt(now, d.estimates.lowRuntimeRatio) - max(0, c.meanCompletion-c.meanRuntime))
 }
 
-// mayAttempt reports whether the request may be sent to this worker: it has attempts
-// and retry budget left, none in flight there, and none that may have run forbids a
-// repeat there. Nothing else decides that.
+// mayAttempt reports whether another attempt of the request may be sent to this worker:
+// attempts and retry budget are left, no attempt is in flight there, and no attempt that
+// may have run rules out a repeat there. It is the only place that decides this.
 func (d *Dispatcher) mayAttempt(now time.Duration, r *request, w *worker) bool {
 	if r.ended || len(r.attempts) >= d.settings.MaxAttempts || r.inFlight > 0 && !d.settings.AllowHedging ||
 		len(r.attempts) > 0 && !d.budget.admits(now) {
--- a/dispatcher/events.go
+++ b/dispatcher/events.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Events of requests: from a client's request to its one final answer.
+// This file handles the events of requests, from their submission to their final result.
 
 const (
-	hintTrust = 0.01 // seconds of running time by which hints are trusted at first
+	hintSmoothing = 0.01 // seconds added to mean hint and mean running time, so that first hints are used almost unscaled
 )
 
-// ProbeResult brings a worker's answer to [Host.Probe], or nil where none came in
-// time. The worker may have left the list meanwhile.
+// ProbeResult reports the result of a [Host.Probe], or nil if none arrived in time.
+// The worker may have been removed in the meantime.
 func (d *Dispatcher) ProbeResult(now time.Duration, name string, rep *LoadReport) {
 	d.detectStall(now)
 	w := d.workers.byName[name]
@@ -24,9 +24,9 @@
 	d.releasePending(now)
 }
 
-// SubmitRequest takes a request from a client. The request may be rejected, sent
-// or queued before it returns. It returns [ErrBadRequest] or
-// [ErrDuplicateRequest] for a request that it did not take.
+// SubmitRequest submits a request from a client. The request may be rejected, sent or
+// queued before SubmitRequest returns. It returns [ErrBadRequest] or
+// [ErrDuplicateRequest] for a request that it does not accept.
 func (d *Dispatcher) SubmitRequest(now time.Duration, q Request) error {
 	if q.Class < 0 || q.Class >= len(d.classes.current) || d.tenants.at(q.Tenant) == nil {
 		return ErrBadRequest
@@ -46,7 +46,7 @@
 	d.tenants.arrivals++
 	d.addRequest(r)
 	if q.TimeLeft <= 0 || !d.feasible(now, r, true) {
-		d.endUnserved(now, r)
+		d.rejectOrFail(now, r)
 		return nil
 	}
 	d.setTimer(r.deadline-now, tokenDeadline, r, 0)
@@ -59,30 +59,30 @@
 	return nil
 }
 
-// estimate sets the request's work, running time and latency target.
+// estimate sets the request's estimated work and running time, and its latency target.
 func (d *Dispatcher) estimate(now time.Duration, r *request) {
 	c := r.class
 	run := c.meanRuntime
 	r.work = r.Slots * run
-	if r.RuntimeHint > 0 { // a hint counts on an average core, the mean on the workers met
+	if r.RuntimeHint > 0 { // a hint is for an average core, and is scaled to the workers in use
 		run = r.RuntimeHint.Seconds()
-		r.work = r.Slots * run * (c.meanRuntime + hintTrust) / (c.meanHint + hintTrust)
+		r.work = r.Slots * run * (c.meanRuntime + hintSmoothing) / (c.meanHint + hintSmoothing)
 	}
 	d.estimates.meanWork += (r.work - d.estimates.meanWork) * max(meanGain, 1/float64(r.serial))
 	d.estimates.observe(r)
 	if r.RuntimeHint <= 0 {
-		run = c.baseRuntime // the target counts the job's own time, however slow workers are now
+		run = c.baseRuntime // the target must not grow while workers are slow
 	}
 	r.runtime = run
 	r.targetAt = now + c.LatencyTarget + seconds(c.TargetStretch*run)
-	if r.ClientRetry { // the target counts from the client's first try
+	if r.ClientRetry { // the target counts from the client's first request
 		r.targetAt -= max(0, c.ClientTimeout-r.TimeLeft)
 	}
 }
 
-// AttemptStarted reports that a worker has begun attempt n of the request. It
-// returns [ErrUnknownRequest] or [ErrUnknownAttempt], like the other reports of
-// an attempt.
+// AttemptStarted reports that a worker has begun to run attempt n of the request. Like
+// the other reports on attempts, it returns [ErrUnknownRequest] or [ErrUnknownAttempt]
+// if there is no such attempt in flight.
 func (d *Dispatcher) AttemptStarted(now time.Duration, id string, n int) error {
 	r, a, err := d.requests.attempt(id, n)
 	if err != nil {
@@ -91,18 +91,18 @@
 	d.detectStall(now)
 	a.worker.markAlive(now)
 	if a.startedAt == 0 {
-		d.writeOff(r, a)
+		d.releaseSlots(r, a)
 		a.startedAt = now
-		d.writeOffOvertaken(now, a)
-		d.writeBack(r, a)
+		d.releaseOvertaken(now, a)
+		d.reacquireSlots(r, a)
 		d.workers.capacityChanged()
 		d.releasePending(now)
 	}
 	return nil
 }
 
-// AttemptProgressed reports that a worker goes on with attempt n of the request.
-// The share done, 0 to 1, is not used.
+// AttemptProgressed reports progress of attempt n of the request at a worker. The
+// completed fraction, 0 to 1, is not used.
 func (d *Dispatcher) AttemptProgressed(now time.Duration, id string, n int, _ float64) error {
 	r, a, err := d.requests.attempt(id, n)
 	if err != nil {
@@ -110,14 +110,14 @@
 	}
 	a.worker.markAlive(now)
 	a.progressAt = now
-	if a.writtenOff && a.startedAt > 0 {
-		d.writeBack(r, a)
+	if a.slotsReleased && a.startedAt > 0 {
+		d.reacquireSlots(r, a)
 	}
 	return nil
 }
 
-// StreamStarted reports that the answer of a streamed class has begun: from here
-// on the request is not cancelled, hedged or ended at its deadline.
+// StreamStarted reports that the response to a request of a streaming class has begun.
+// The request is no longer cancelled, hedged or ended at its deadline.
 func (d *Dispatcher) StreamStarted(now time.Duration, id string, n int) error {
 	r, a, err := d.requests.attempt(id, n)
 	if err != nil {
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// AttemptEnded reports how an attempt ended, and the load that came with it. It
-// may send the request again or give it its final answer.
+// AttemptEnded reports the result of an attempt. The Dispatcher may retry or end the
+// request before AttemptEnded returns.
 func (d *Dispatcher) AttemptEnded(now time.Duration, res AttemptResult) error {
 	r, a, err := d.requests.attempt(res.ID, res.Attempt)
 	if err != nil {
@@ -147,16 +147,16 @@
 	if !r.ended && r.inFlight == 0 && !r.queued {
 		d.retryOrEnd(now, r)
 	}
-	d.forgetIfDone(r)
+	d.removeIfDone(r)
 	d.closeIdleConns(now, a.worker)
 	d.workers.capacityChanged()
 	d.releasePending(now)
 	return nil
 }
 
-// ClientDisconnected reports that the client of a request has left: nothing more
-// is sent for it, and its attempts are cancelled where that is allowed. An unknown
-// request is no error, for it may have ended just then.
+// ClientDisconnected reports that the client of a request has disconnected. Nothing more
+// is sent for the request, and its attempts are cancelled if that is allowed. An unknown
+// request is ignored, since it may have just ended.
 func (d *Dispatcher) ClientDisconnected(now time.Duration, id string) {
 	if r := d.requests.byID[id]; r != nil && !r.ended {
 		d.closeRequest(r)
@@ -164,12 +164,12 @@
 	}
 }
 
-// addRequest registers a request that has come.
+// addRequest registers a submitted request with its tenant.
 func (d *Dispatcher) addRequest(r *request) {
 	t := r.tenant
 	t.arrivals++
 	t.openRequests++
-	if t.removed && t.openRequests == 1 { // it has its share back
+	if t.removed && t.openRequests == 1 { // a removed tenant regains its share with its first open request
 		d.tenants.updateShares()
 	}
 	d.requests.add(r)
--- a/dispatcher/example_test.go
+++ b/dispatcher/example_test.go
@@ -7,14 +7,14 @@
 	"sedgevale/dispatcher"
 )
 
-// printer is a host that prints what a dispatcher decides.
+// printer is a Host that prints the decisions of a Dispatcher.
 type printer struct{}
 
 func (printer) Send(id, worker string, _ time.Duration) { fmt.Println("send", id, "to", worker) }
-func (printer) Reject(id string, _ time.Duration)       { fmt.Println("refuse", id) }
+func (printer) Reject(id string, _ time.Duration)       { fmt.Println("reject", id) }
 func (printer) Fail(id string)                          { fmt.Println("fail", id) }
 func (printer) Cancel(id string, attempt int)           { fmt.Println("cancel", id, attempt) }
-func (printer) SetTimer(time.Duration, uint64)          {} // call Dispatcher.Timer with the token after that time
+func (printer) SetTimer(time.Duration, uint64)          {} // a real host calls Dispatcher.TimerFired with the token after that time
 func (printer) Probe(worker string)                     { fmt.Println("probe", worker) }
 func (printer) CloseIdleConnections(worker string)      { fmt.Println("close idle to", worker) }
 func (printer) WatchWorkers()                           { fmt.Println("watch the list") }
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// Ejected workers, which reject or fail requests, and unhealthy ones, which may have crashed.
+// This file holds the health of workers: a worker that rejects or fails requests is ejected, and one that may
+// have crashed is unhealthy.
 
 const (
-	errorRateGain       = 0.25 // EWMA weight of one answer in a worker's error rate
-	maxErrorRate        = 0.4  // a worker with a higher error rate is ejected
+	errorRateGain       = 0.25 // EWMA weight of one response in a worker's error rate
+	maxErrorRate        = 0.4  // error rate above which a worker is ejected
 	minEjectionBackoff  = 100 * time.Millisecond
 	maxEjectionBackoff  = 2 * time.Second
 	minUnhealthyBackoff = 500 * time.Millisecond
 	maxUnhealthyBackoff = 8 * time.Second
 )
 
-// ejected reports whether nothing is sent to the worker because it rejected or failed requests.
-// One with a high error rate gets one request at a time.
+// ejected reports whether the worker is excluded because it rejected or failed requests.
+// A worker with a high error rate gets one request at a time.
 func (w *worker) ejected(now time.Duration) bool {
 	return now < w.ejectedUntil || w.errorRate > maxErrorRate && w.inFlight > 0
 }
 
-// unhealthy reports whether nothing is sent to the worker because it may have crashed,
-// or has had a trial request since.
+// unhealthy reports whether the worker is excluded because it may have crashed, or
+// because a trial request was sent to it within the backoff.
 func (w *worker) unhealthy(now time.Duration) bool {
 	return w.unhealthyUntil > 0 && now < max(w.unhealthyUntil, w.lastTrial+w.unhealthyBackoff)
 }
 
-// eject sends nothing for a while to a worker that answers, but rejects or fails
-// requests: twice as long each time until it serves one. It guards against workers
-// that draw all requests because they hold none.
+// eject excludes a worker that rejects or fails requests, for a jittered backoff that
+// doubles each time until the worker serves a request. It guards against a worker that
+// fails fast: it always has the fewest slots in flight and would attract all requests.
 func (w *worker) eject(now time.Duration, rng *rand.Rand) {
 	if now >= w.ejectedUntil {
 		w.ejectionBackoff = min(max(minEjectionBackoff, 2*w.ejectionBackoff), maxEjectionBackoff)
@@ -39,10 +40,10 @@
 	}
 }
 
-// markUnhealthy sends nothing to a worker for a while after an attempt that was lost
-// there or found no connection: twice as long each time. Then it gets one trial
-// request, and others once it is known to be alive. It guards against crashed workers that
-// are still listed.
+// markUnhealthy excludes a worker after an attempt there that was lost or could not
+// connect, for a jittered backoff that doubles each time. After it the worker gets one
+// trial request, and more once it is known to be alive. It guards against crashed
+// workers that are still in the worker list.
 func (w *worker) markUnhealthy(now time.Duration, rng *rand.Rand) {
 	if now < w.unhealthyUntil {
 		return
@@ -51,17 +52,17 @@
 	w.unhealthyUntil = now + w.unhealthyBackoff/2 + time.Duration(rng.Int64N(int64(w.unhealthyBackoff)))
 }
 
-// mayBeAlive reports whether a worker may be alive though an attempt there got no
-// answer: it has given a sign of life since, or, where the attempt's connection
-// broke, others there go on or none broke just before. It guards against the
-// exclusion of workers for faults of single connections.
+// mayBeAlive reports whether a worker may be alive although an attempt there got no
+// response: the worker was heard from after the send, or only this attempt's connection
+// failed while other attempts there are still in flight or no other connection failed
+// before. It guards against excluding workers for failures of single connections.
 func (w *worker) mayBeAlive(a *attempt, o Outcome) bool {
 	switch {
 	case o != TimedOut && w.connFailures == 1:
 		return true
 	case o == ConnectionLost:
 		return slices.ContainsFunc(w.attempts, func(ref attemptRef) bool {
-			return !ref.request.attempts[ref.number].writtenOff
+			return !ref.request.attempts[ref.number].slotsReleased
 		})
 	}
 	return w.lastSeen > a.sentAt
--- a/dispatcher/host_test.go
+++ b/dispatcher/host_test.go
@@ -1,6 +1,6 @@
 package dispatcher
 
-// A Host for tests, and the helpers of all tests of the package.
+// This file holds the fake host and helpers of the tests.
 
 import (
 	"fmt"
@@ -28,7 +28,7 @@
 	worker string
 }
 
-// fakeHost is a host that records its calls, and a clock.
+// fakeHost is a Host that records its calls, with a simulated clock.
 type fakeHost struct {
 	t        *testing.T
 	now      time.Duration
@@ -49,7 +49,7 @@
 
 func (h *fakeHost) Send(id, worker string, timeout time.Duration) {
 	if h.ends[id] != "" {
-		h.t.Errorf("%s sent after its end", id)
+		h.t.Errorf("request %s was sent after its end", id)
 	}
 	h.sends = append(h.sends, sent{id, worker, h.attempts[id], h.now})
 	h.attempts[id]++
@@ -58,13 +58,13 @@
 
 func (h *fakeHost) end(id, how string) {
 	if h.ends[id] != "" {
-		h.t.Errorf("%s ended twice: %s, %s", id, h.ends[id], how)
+		h.t.Errorf("request %s ended twice: %s, %s", id, h.ends[id], how)
 	}
 	h.ends[id] = how
 	h.note("%s %s", how, id)
 }
 
-func (h *fakeHost) Reject(id string, _ time.Duration) { h.end(id, "refused") }
+func (h *fakeHost) Reject(id string, _ time.Duration) { h.end(id, "rejected") }
 
 func (h *fakeHost) Fail(id string) { h.end(id, "failed") }
 
@@ -92,15 +92,15 @@
 
 func (h *fakeHost) Log(text string) { h.note("log %s", text) }
 
-// last returns the worker of the last send, or "".
-func (h *fakeHost) last() string {
+// lastWorker returns the worker of the last send, or "" if there was none.
+func (h *fakeHost) lastWorker() string {
 	if len(h.sends) == 0 {
 		return ""
 	}
 	return h.sends[len(h.sends)-1].worker
 }
 
-// run lets the timers up to a time pass.
+// run advances the clock to a time and fires the timers due by then.
 func (h *fakeHost) run(d *Dispatcher, to time.Duration) {
 	for {
 		next := -1
@@ -168,4 +168,4 @@
 	}
 }
 
-func inTwo(h *fakeHost) time.Duration { return h.now + 2*time.Second }
+func twoSecondsFrom(h *fakeHost) time.Duration { return h.now + 2*time.Second }
--- a/dispatcher/learned.go
+++ b/dispatcher/learned.go
@@ -5,66 +5,67 @@
 	"time"
 )
 
-// The learned state that a dispatcher hands to the one that takes over.
+// This file exports the learned state of a dispatcher and restores it in its successor.
 
-// handoverSamples is how many jobs means that were handed over stand for.
+// handoverSamples is the number of samples that a restored mean counts for.
 const handoverSamples = 64
 
-// LearnedState is what a dispatcher has learned, for one that takes over from it.
-// Times are in seconds, before or after now; work is in slot seconds. Workers,
-// classes and tenants go by their names. A limit below 0 stands for none.
+// LearnedState is the learned state of a dispatcher, for the one that takes over from
+// it. Times are in seconds, points in time are relative to now, and work is in slot
+// seconds. Workers, classes and tenants are identified by name. A negative limit means
+// no limit.
 type LearnedState struct {
 	Classes                 []LearnedClass  `json:"classes"`
 	Tenants                 []LearnedTenant `json:"tenants"`
 	Workers                 []LearnedWorker `json:"workers"`
-	MaxWeights              []float64       `json:"size"`    // by kind
-	MaxFreeSlots            []float64       `json:"room"`    // by kind
-	Capacity                float64         `json:"jobs"`    // slots in flight that found capacity, at most
-	MeanWork                float64         `json:"work"`    // of a request
-	WorkRate                float64         `json:"carry"`   // work a second, for each unit of weight
+	MaxWeights              []float64       `json:"size"`    // largest weight seen, by machine kind
+	MaxFreeSlots            []float64       `json:"room"`    // most free slots reported, by machine kind
+	Capacity                float64         `json:"jobs"`    // most slots in flight with free capacity left
+	MeanWork                float64         `json:"work"`    // mean work of a request
+	WorkRate                float64         `json:"carry"`   // work per second and unit of weight
 	Arrivals                float64         `json:"arrived"` // decayed count of requests
-	PromptStartRate         float64         `json:"prompt"`  // share of attempts that started at once
-	UnresponsiveConnections float64         `json:"silent"`  // decayed count
-	MeteredSeconds          float64         `json:"metered"` // between probes of one worker, decayed
-	ReportChanges           float64         `json:"changes"` // in that time
+	PromptStartRate         float64         `json:"prompt"`  // share of attempts that started promptly
+	UnresponsiveConnections float64         `json:"silent"`  // decayed count of connections that became unresponsive
+	MeteredSeconds          float64         `json:"metered"` // decayed sum of the times between two probes of a worker
+	ReportChanges           float64         `json:"changes"` // decayed count of changed reports in MeteredSeconds
 }
 
-// LearnedClass is what was learned of a class.
+// LearnedClass is the learned state of a class.
 type LearnedClass struct {
 	Name           string  `json:"name"`
 	MeanRuntime    float64 `json:"run"`
-	BaseRuntime    float64 `json:"base"` // over long, and rather low
+	BaseRuntime    float64 `json:"base"` // long-term low estimate
 	MeanHint       float64 `json:"hint"`
-	MeanCompletion float64 `json:"complete"` // from send to answer
+	MeanCompletion float64 `json:"complete"` // from send to response
 	Samples        float64 `json:"runs"`
 }
 
-// LearnedTenant is what was learned of a tenant.
+// LearnedTenant is the learned state of a tenant.
 type LearnedTenant struct {
 	Name       string  `json:"name"`
 	Limit      float64 `json:"sigma"`   // slots
 	LocalShare float64 `json:"local"`   // slots
 	Arrivals   float64 `json:"arrived"` // decayed count of requests
-	Tokens     float64 `json:"tokens"`  // of its quota
+	Tokens     float64 `json:"tokens"`  // unused tokens of its quota
 }
 
-// LearnedWorker is what was learned of a worker.
+// LearnedWorker is the learned state of a worker.
 type LearnedWorker struct {
 	Worker           string  `json:"worker"`
 	Limit            float64 `json:"sigma"`              // slots
 	RuntimeRatio     float64 `json:"pace"`               // running time over the class's mean
-	ErrorRate        float64 `json:"bad,omitempty"`      // share of answers
-	FreeSlots        float64 `json:"free,omitempty"`     // by the last report
-	FreeSlotsAge     float64 `json:"free_age"`           // of that report; below 0: none yet
-	WarmIn           float64 `json:"cold,omitempty"`     // until its slow start ends
-	SlowStartCredit  float64 `json:"credit,omitempty"`   // work
-	UnhealthyFor     float64 `json:"suspect,omitempty"`  // not to be sent to for so long
-	UnhealthyBackoff float64 `json:"backoff,omitempty"`  // the last one
-	EjectedFor       float64 `json:"rest,omitempty"`     // not to be sent to for so long
-	EjectionBackoff  float64 `json:"rest_for,omitempty"` // the last one
+	ErrorRate        float64 `json:"bad,omitempty"`      // share of responses that are errors
+	FreeSlots        float64 `json:"free,omitempty"`     // free slots by the last report
+	FreeSlotsAge     float64 `json:"free_age"`           // age of that report; negative if there was none
+	WarmIn           float64 `json:"cold,omitempty"`     // remaining time of its slow start
+	SlowStartCredit  float64 `json:"credit,omitempty"`   // work that may be sent to it now
+	UnhealthyFor     float64 `json:"suspect,omitempty"`  // remaining time for which it counts as unhealthy
+	UnhealthyBackoff float64 `json:"backoff,omitempty"`  // last backoff
+	EjectedFor       float64 `json:"rest,omitempty"`     // remaining time for which it is ejected
+	EjectionBackoff  float64 `json:"rest_for,omitempty"` // last backoff
 }
 
-// encodeLimit returns -1 for no limit, which JSON cannot express.
+// encodeLimit encodes an unlimited value as -1, since JSON cannot represent infinity.
 func encodeLimit(v float64) float64 {
 	if v == unlimited {
 		return -1
@@ -80,7 +81,7 @@
 	return v
 }
 
-// LearnedState returns what this dispatcher has learned.
+// LearnedState returns the learned state of this dispatcher.
 func (d *Dispatcher) LearnedState(now time.Duration) LearnedState {
 	l := LearnedState{
 		MaxWeights:              slices.Clone(d.workers.maxWeightByKind),
@@ -90,7 +91,7 @@
 		WorkRate:                d.estimates.workRate,
 		Arrivals:                d.tenants.arrivals,
 		PromptStartRate:         d.connections.promptStartRate,
-		UnresponsiveConnections: d.connections.silent,
+		UnresponsiveConnections: d.connections.unresponsive,
 		MeteredSeconds:          d.meter.seconds,
 		ReportChanges:           d.meter.changes,
 	}
@@ -143,8 +144,8 @@
 	}
 }
 
-// RestoreLearnedState goes on from what another dispatcher has learned, as far as it
-// concerns classes, tenants and workers that are known here.
+// RestoreLearnedState restores the learned state of another dispatcher for the classes,
+// tenants and workers that are known here.
 func (d *Dispatcher) RestoreLearnedState(now time.Duration, l LearnedState) {
 	d.startRounds(now)
 	for _, k := range d.classes.current {
@@ -172,7 +173,7 @@
 		d.workers.maxFreeByKind[kind] = max(d.workers.maxFreeByKind[kind], free)
 	}
 	d.capacity.slots, d.estimates.meanWork, d.estimates.workRate, d.tenants.arrivals = l.Capacity, l.MeanWork, l.WorkRate, l.Arrivals
-	d.connections.promptStartRate, d.connections.silent = l.PromptStartRate, l.UnresponsiveConnections
+	d.connections.promptStartRate, d.connections.unresponsive = l.PromptStartRate, l.UnresponsiveConnections
 	d.meter.seconds, d.meter.changes = l.MeteredSeconds, l.ReportChanges
 	d.requests.lastSerial = max(d.requests.lastSerial, handoverSamples)
 	if l.MeanWork > 0 {
@@ -192,7 +193,7 @@
 	if l.FreeSlotsAge >= 0 {
 		w.freeSlotsAt = now - seconds(l.FreeSlotsAge)
 	}
-	if l.WarmIn > 0 { // the credit stays with the other dispatcher, which goes on sending
+	if l.WarmIn > 0 { // the credit remains with the other dispatcher, which still sends
 		w.warmAt = max(w.warmAt, now+seconds(l.WarmIn))
 		w.slowStartCredit, w.slowStartCreditAt = min(0, l.SlowStartCredit), now
 	}
--- a/dispatcher/learning.go
+++ b/dispatcher/learning.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// What is learned from outcomes: running times of classes, runtime ratios of workers, expected work.
+// This file updates the learned state from outcomes: running times of classes, runtime ratios, limits and health
+// of workers.
 
 const (
-	maxSampleMeans   = 10         // one sample counts for at most this many means
-	runtimeRatioGain = 1.0 / 8    // EWMA weight of one answer in a worker's runtime ratio
-	baseRuntimeGain  = 1.0 / 4096 // EWMA weight of one answer in its class's base running time
-	maxWaitTargets   = 2          // latency targets for which a wait counts at most in the mean completion time
+	maxSampleMeans   = 10         // multiple of the mean at which one sample is capped
+	runtimeRatioGain = 1.0 / 8    // EWMA weight of one response in a worker's runtime ratio
+	baseRuntimeGain  = 1.0 / 4096 // EWMA weight of one response in its class's base running time
+	maxWaitTargets   = 2          // multiple of the latency target at which a wait is capped in the mean completion time
 )
 
-// learn updates the worker's and the class's figures from an outcome.
+// learn updates the estimates of the worker, the class and the tenant from an outcome.
 func (d *Dispatcher) learn(now time.Duration, r *request, a *attempt, o Outcome) {
 	w := a.worker
 	switch o {
 	case Served:
 		d.learnServed(now, r, a)
 	case Rejected:
-		r.tenant.forgetWorker(w)
-		if now-a.sentAt < roundInterval { // else a draining worker has returned what it had not begun
+		r.tenant.removeRecentWorker(w)
+		if now-a.sentAt < roundInterval { // a later rejection comes from a draining worker that returns attempts it has not begun
 			d.connections.rescheduleAllowedAt = now + rescheduleBackoff
 		}
 		w.freeSlots, w.freeSlotsAt = 0, now
@@ -36,15 +37,16 @@
 	}
 }
 
-// learnServed updates running times, the runtime ratio and the worker's health from an answer.
+// learnServed updates running times, the runtime ratio and the worker's health from a
+// served attempt.
 func (d *Dispatcher) learnServed(now time.Duration, r *request, a *attempt) {
 	w, c := a.worker, r.class
 	w.errorRate *= 1 - errorRateGain
 	if w.errorRate < maxErrorRate {
 		w.ejectedUntil, w.ejectionBackoff = 0, 0
 	}
-	delete(d.slowStart.brokenByCell, w.Cell)
-	if d.rounds.catchingUp { // durations measured across the stall say nothing
+	delete(d.slowStart.lastFailureByCell, w.Cell)
+	if d.rounds.catchingUp { // durations measured across a stall of this process are not the worker's
 		return
 	}
 	completion := (now - a.sentAt).Seconds()
@@ -57,7 +59,7 @@
 	if c.samples > 8 {
 		run, completion = min(run, maxSampleMeans*c.meanRuntime), min(completion, maxSampleMeans*c.meanCompletion)
 	}
-	// Without a start notice the time may hold a wait for a slot.
+	// Without a start notice the measured time may include a wait for a slot.
 	if a.startedAt > 0 || run < c.meanRuntime || w.freeSlotsAt < now || w.freeSlots >= 0.5 {
 		c.meanRuntime += gain * (run - c.meanRuntime)
 		c.meanHint += gain * (r.RuntimeHint.Seconds() - c.meanHint)
@@ -68,23 +70,23 @@
 		c.baseRuntime += baseGain * (run - c.baseRuntime)
 		w.runtimeRatio += runtimeRatioGain * (run/max(1e-6, c.meanRuntime) - w.runtimeRatio)
 	}
-	maxWait := maxWaitTargets * c.LatencyTarget.Seconds() // one bad worker must not have all rejected
+	maxWait := maxWaitTargets * c.LatencyTarget.Seconds() // otherwise one slow worker could cause all requests of the class to be rejected
 	c.meanCompletion += gain * (min(completion, c.meanRuntime+maxWait) - c.meanCompletion)
 	d.estimates.roundWork += r.Slots * run
 	d.limits.addClean(w)
 	if now < r.targetAt {
-		r.tenant.rememberWorker(w)
+		r.tenant.addRecentWorker(w)
 	}
 }
 
-// learnUnanswered updates the worker's health from an attempt that got no answer.
+// learnUnanswered updates the worker's health from an attempt that got no response.
 func (d *Dispatcher) learnUnanswered(now time.Duration, r *request, a *attempt, o Outcome) {
 	w := a.worker
 	if o != TimedOut {
 		w.connFailures++
 	}
-	if w.mayBeAlive(a, o) { // then the connection was at fault
-		d.connections.silent += boolToFloat(o == TimedOut && !a.startOverdue)
+	if w.mayBeAlive(a, o) { // the failure is attributed to the connection
+		d.connections.unresponsive += boolToFloat(o == TimedOut && !a.startOverdue)
 		return
 	}
 	d.limits.decrease(&d.workers, w, r.Slots)
@@ -94,22 +96,22 @@
 	}
 }
 
-// presumeRestart presumes workers restarted before the list says so: one that broke
-// or refused connections, and all of its cell if another there did lately and none
-// has served since. It guards against workers that come back cold and are
-// overloaded by dispatchers that do not know it yet. If that holds for most
-// workers, the fault is not theirs.
+// presumeRestart presumes that workers have restarted before the worker list shows it:
+// a worker whose connections broke or were refused, and its whole cell if another worker
+// of the cell failed likewise within presumedRestartTTL and none has served since. It
+// guards against overloading workers that come back cold. If the presumption covers more
+// than half of the workers, the failure is not theirs and all presumptions are cleared.
 func (d *Dispatcher) presumeRestart(now time.Duration, w *worker) {
 	restarted := []*worker{w}
-	before := d.slowStart.brokenByCell[w.Cell]
-	d.slowStart.brokenByCell[w.Cell] = brokenConnection{w, now}
+	before := d.slowStart.lastFailureByCell[w.Cell]
+	d.slowStart.lastFailureByCell[w.Cell] = connFailure{w, now}
 	if before.worker != nil && before.worker != w && now < before.at+presumedRestartTTL {
 		restarted = d.workers.cells[w.Cell]
 	}
 	for _, v := range restarted {
-		d.slowStart.presumeRestarted(now, v, d.firstCredit)
+		d.slowStart.presumeRestarted(now, v, d.initialCredit)
 	}
-	if d.slowStart.presumed*2 > d.workers.pools[0].active {
+	if d.slowStart.presumedRestarts*2 > d.workers.pools[0].active {
 		d.slowStart.clearPresumed(d.workers.all...)
 	}
 }
--- a/dispatcher/limits.go
+++ b/dispatcher/limits.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// Limits: of each worker, learned from failures, and of each tenant, a quantile of those (Wisp's Algorithm 1).
+// This file learns a concurrency limit for each worker from failures, and derives each tenant's limit as a quantile
+// of those (Wisp's Algorithm 1).
 
 const (
-	limitQuantileQ      = 0.25 // the quantile over workers; Wisp starts from 0.5
-	limitDecreaseFactor = 0.7  // a worker's limit after a failure, over the slots in flight there
-	limitIncreaseStep   = 0.1  // what a clean round adds to a limit, of the spare slots
-	minLimit            = 0.1  // slots: one slot for a tenth of the time
-	maxQuantileSamples  = 64   // workers sampled for a quantile, so that a round stays cheap
+	limitQuantileQ      = 0.25 // quantile over the workers' limits; Wisp starts from 0.5
+	limitDecreaseFactor = 0.7  // factor from the slots in flight at a worker to its limit after a failure
+	limitIncreaseStep   = 0.1  // fraction of the spare slots by which a round without failure raises a limit
+	minLimit            = 0.1  // slots; 0.1 stands for one slot during a tenth of the time
+	maxQuantileSamples  = 64   // maximum number of workers sampled for a quantile, which bounds the cost of a round
 )
 
 var limitTuning = admission.LimitTuning{DecreaseFactor: limitDecreaseFactor, IncreaseStep: limitIncreaseStep, MinLimit: minLimit}
 
-// limitLearning is which workers have earned a higher limit.
+// limitLearning tracks which workers' limits may rise after the current round.
 type limitLearning struct {
-	round  int64     // the number of the current round
-	clean  []*worker // with a clean outcome in this round
-	buffer []float64 // reused by quantile
+	round  int64     // number of the current round
+	clean  []*worker // workers that served a request in this round
+	buffer []float64 // scratch space of quantile
 }
 
-// decrease lowers a worker's limit after a failure, at most once a round. Slots are
-// those of the failed attempt, which are not in flight any more.
+// decrease lowers a worker's limit after a failure, at most once per round. The slots of
+// the failed attempt are passed separately, since they are no longer in flight.
 func (l *limitLearning) decrease(workers *workerSet, w *worker, slots float64) {
 	if w.lastDecreaseRound == l.round {
 		return
@@ -34,8 +35,8 @@
 	workers.setLimit(w, limitTuning.Decrease(w.limit, w.inFlight+slots))
 }
 
-// increase raises the limits of workers that had only clean outcomes in the
-// last round, by a fraction of their spare capacity.
+// increase raises the limits of workers that had no failure in the last round by a
+// fraction of their spare capacity.
 func (l *limitLearning) increase(now, reportTTL time.Duration, workers *workerSet) {
 	for _, w := range l.clean {
 		w.cleanRound = false
@@ -51,12 +52,12 @@
 }
 
 // quantile returns the paper's Q(sigma_d/alpha_d, q): the quantile, over the
-// workers that the tenant used, of a worker's limit over the tenant's share of
-// jobs sent there. With few jobs to a worker that share is mostly noise, so it is
-// drawn to the even share by as many jobs as there are workers.
+// workers that the tenant used, of a worker's limit divided by the share of the
+// tenant's requests sent there. With few requests to a worker that share is mostly
+// noise, so it is smoothed towards the even share with a weight of one request per worker.
 func (l *limitLearning) quantile(t *tenant, workers *workerSet) float64 {
 	n := float64(max(1, workers.pools[0].active))
-	jobs := min(float64(t.sentJobs), 1/sendShareGain)
+	jobs := min(float64(t.sentRequests), 1/sendShareGain)
 	l.buffer = l.buffer[:0]
 	step := 1 + len(t.usedWorkers)/maxQuantileSamples
 	for i := int(l.round) % step; i < len(t.usedWorkers); i += step {
@@ -64,13 +65,13 @@
 		if w == nil || w.State != Active {
 			continue
 		}
-		share := t.sendShares[t.usedWorkers[i]].DecayedTo(t.sentJobs, sendShareGain)
+		share := t.sendShares[t.usedWorkers[i]].DecayedTo(t.sentRequests, sendShareGain)
 		l.buffer = append(l.buffer, w.limit/admission.SmoothedShare(share, jobs, n))
 	}
 	return admission.Quantile(l.buffer, limitQuantileQ)
 }
 
-// addClean notes that the worker had a clean outcome in this round.
+// addClean records that the worker served a request in this round.
 func (l *limitLearning) addClean(w *worker) {
 	if !w.cleanRound {
 		w.cleanRound = true
--- a/dispatcher/limits_test.go
+++ b/dispatcher/limits_test.go
@@ -9,13 +9,13 @@
 	d, h := start(t, settings(), fleet(1)...)
 	w := d.workers.byName["w0"]
 	if w.limit != unlimited {
-		t.Fatalf("sigma %v before any failure", w.limit)
+		t.Fatalf("limit %v before any failure", w.limit)
 	}
 	w.inFlight = 4
 	d.limits.decrease(&d.workers, w, 0)
 	d.limits.decrease(&d.workers, w, 0)
 	if want := limitDecreaseFactor * 4; w.limit != want {
-		t.Errorf("sigma %v after two failures in a round, want %v", w.limit, want)
+		t.Errorf("limit %v after two failures in a round, want %v", w.limit, want)
 	}
 	d.endRound(h.now)
 	d.endRound(h.now)
@@ -24,54 +24,54 @@
 	before := w.limit
 	d.endRound(h.now)
 	if want := before + limitIncreaseStep*(before-1); math.Abs(w.limit-want) > 1e-9 {
-		t.Errorf("sigma %v after a clean round, want %v", w.limit, want)
+		t.Errorf("limit %v after a clean round, want %v", w.limit, want)
 	}
 	w.cleanRound, w.freeSlots, w.freeSlotsAt = true, 3, h.now
 	d.estimates.meanWork, d.limits.clean, before = 1, []*worker{w}, w.limit
 	d.endRound(h.now)
 	if want := before + limitIncreaseStep*3; math.Abs(w.limit-want) > 1e-9 {
-		t.Errorf("sigma %v with three slots reported free, want %v", w.limit, want)
+		t.Errorf("limit %v with three slots reported free, want %v", w.limit, want)
 	}
 	d.workers.setLimit(w, minLimit)
 	w.lastDecreaseRound = -1
 	w.inFlight = 0
 	d.limits.decrease(&d.workers, w, 0)
 	if w.limit != minLimit {
-		t.Errorf("sigma %v fell below its least", w.limit)
+		t.Errorf("limit %v fell below its minimum", w.limit)
 	}
 }
 
-// Q(sigma_d/alpha_d, 0.25) over five workers with 128 and more jobs behind.
+// The quantile is Q(sigma_d/alpha_d, 0.25) over five workers, after 128 or more requests.
 func TestQuantile(t *testing.T) {
 	d, _ := start(t, settings(), fleet(5)...)
 	tn := d.tenants.all[0]
-	for i, sigma := range []float64{1, 2, 6, 8, 3} {
-		d.workers.setLimit(d.workers.all[i], sigma)
+	for i, limit := range []float64{1, 2, 6, 8, 3} {
+		d.workers.setLimit(d.workers.all[i], limit)
 		tn.countSent(d.workers.all[i])
 		tn.sendShares[i] = sendShare{Value: []float64{0.5, 0.125, 0.125, 0.125, 0.125}[i], AsOfJob: 1000, Used: true}
 	}
-	tn.sentJobs = 1000
-	// The share sent there is drawn to a fifth by 5 jobs of 133: 65/133, then 17/133 four times; the second lowest of five.
+	tn.sentRequests = 1000
+	// Smoothing with 5 requests of 133 moves each share towards a fifth: 65/133, then 17/133 four times. The quantile is the second lowest of five.
 	want := 2.0 / (17.0 / 133.0)
 	if got := d.limits.quantile(tn, &d.workers); math.Abs(got-want) > 1e-9 {
-		t.Errorf("Q = %v, want %v, above %v and below %v", got, want, 1/(65.0/133), 3/(17.0/133))
+		t.Errorf("quantile %v, want %v, above %v and below %v", got, want, 1/(65.0/133), 3/(17.0/133))
 	}
 }
 
-func TestSendShareDecaysByJobs(t *testing.T) {
+func TestSendShareDecaysByRequests(t *testing.T) {
 	d, _ := start(t, settings(), fleet(2)...)
 	tn := d.tenants.all[0]
 	for range 2000 {
 		tn.countSent(d.workers.all[0])
 	}
-	if a := tn.sendShares[0].DecayedTo(tn.sentJobs, sendShareGain); math.Abs(a-1) > 0.01 {
-		t.Errorf("alpha %v of the only worker used", a)
+	if a := tn.sendShares[0].DecayedTo(tn.sentRequests, sendShareGain); math.Abs(a-1) > 0.01 {
+		t.Errorf("share %v of the only worker used, want 1", a)
 	}
 	for range 128 {
 		tn.countSent(d.workers.all[1])
 	}
-	if a := tn.sendShares[0].DecayedTo(tn.sentJobs, sendShareGain); math.Abs(a-math.Pow(1-sendShareGain, 128)) > 0.01 {
-		t.Errorf("alpha %v after 128 jobs elsewhere", a)
+	if a := tn.sendShares[0].DecayedTo(tn.sentRequests, sendShareGain); math.Abs(a-math.Pow(1-sendShareGain, 128)) > 0.01 {
+		t.Errorf("share %v after 128 requests to another worker", a)
 	}
 }
 
@@ -86,7 +86,7 @@
 		d.tenants.all[i].inFlight = demand
 	}
 	d.updateLocalShares()
-	// 8 slots: the second tenant's 1 is met, the rest go 2 to 1; nobody falls below its share of 8.
+	// Of 8 slots the second tenant gets its demand of 1, and the rest is split 2 to 1. No tenant falls below its share of 8.
 	for i, want := range []float64{14.0 / 3, 2, 7.0 / 3} {
 		if got := d.tenants.all[i].localShare; math.Abs(got-want) > 1e-9 {
 			t.Errorf("tenant %d: %v slots, want %v", i, got, want)
@@ -97,6 +97,6 @@
 	}
 	d.updateLocalShares()
 	if want := 1 + limitIncreaseStep*5; math.Abs(d.tenants.all[0].localShare-want) > 1e-9 {
-		t.Errorf("local share ramps to %v, want %v", d.tenants.all[0].localShare, want)
+		t.Errorf("local share grows to %v, want %v", d.tenants.all[0].localShare, want)
 	}
 }
--- a/dispatcher/membership.go
+++ b/dispatcher/membership.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// Updates of the list of workers, and the connections of workers that drain.
+// This file applies updates of the worker list, and closes connections to draining workers.
 
-// WorkersUpdated brings the list of workers or changes of it, as kind says. Workers
-// that drain or are removed get nothing more from here on; attempts that they have
-// in flight go on.
+// WorkersUpdated reports the worker list or changes of it, depending on kind. Nothing
+// more is sent to workers that drain or are removed; their attempts in flight continue.
 func (d *Dispatcher) WorkersUpdated(now time.Duration, kind UpdateKind, entries []WorkerInfo) {
 	first := !d.rounds.running
 	d.startRounds(now)
@@ -40,7 +39,7 @@
 	d.releasePending(now)
 }
 
-// updateWorker applies one entry of the list.
+// updateWorker applies one entry of the worker list.
 func (d *Dispatcher) updateWorker(now time.Duration, e *WorkerInfo) {
 	w := d.workers.byName[e.Worker]
 	if w == nil {
@@ -48,14 +47,14 @@
 			return
 		}
 		w = d.workers.add(e)
-		d.slowStart.beginIfRecent(now, w, d.firstCredit)
+		d.slowStart.beginIfRecent(now, w, d.initialCredit)
 	} else {
 		restarted := e.StartedAt > w.StartedAt
 		d.workers.removeFromPools(w)
 		w.WorkerInfo = *e
 		if restarted {
 			w.limit, w.unhealthyUntil, w.unhealthyBackoff, w.freeSlotsAt = unlimited, 0, 0, 0
-			d.slowStart.beginIfRecent(now, w, d.firstCredit)
+			d.slowStart.beginIfRecent(now, w, d.initialCredit)
 		}
 	}
 	d.workers.growKindTables(e.Kind)
@@ -73,11 +72,11 @@
 	d.closeIdleConns(now, w)
 }
 
-// closeIdleConns closes the idle connections to a worker that drains: at the
-// notice, after each outcome there, and once more later, since a connection may
-// still be made for an attempt that was cancelled.
+// closeIdleConns closes the idle connections to a draining worker when it begins to
+// drain and after each outcome there, and schedules another close, since a connection
+// may still be established for an attempt that was cancelled.
 func (d *Dispatcher) closeIdleConns(now time.Duration, w *worker) {
-	listed := d.workers.byName[w.Worker] // an entry of that name may have replaced w
+	listed := d.workers.byName[w.Worker] // a new worker of the same name may have replaced w
 	if d.settings.DrainCloseTimeout == 0 || w.State == Active || listed != nil && listed.State == Active {
 		return
 	}
@@ -85,8 +84,8 @@
 	d.draining.closed(now, w)
 }
 
-// closeIdleConnsAgain closes idle connections once more, half the allowed time after
-// the last notice or outcome.
+// closeIdleConnsAgain closes the idle connections to draining workers once more, half of
+// DrainCloseTimeout after they were last closed.
 func (d *Dispatcher) closeIdleConnsAgain(now time.Duration) {
 	for _, w := range d.draining.due(now, d.settings.DrainCloseTimeout/2) {
 		if listed := d.workers.byName[w.Worker]; listed == nil || listed.State != Active {
@@ -95,8 +94,8 @@
 	}
 }
 
-// removeWorker forgets a worker that has left the list, and the load of others there.
-// Its attempts in flight keep it until they end.
+// removeWorker removes a worker that is no longer listed, with the load of other
+// dispatchers there. Its attempts in flight refer to it until they end.
 func (d *Dispatcher) removeWorker(w *worker) {
 	delete(d.workers.byName, w.Worker)
 	d.addInFlight(w, -w.siblingLoad.InFlight)
--- a/dispatcher/membership_test.go
+++ b/dispatcher/membership_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Drained and removed workers get nothing from the moment of the update on.
+// Draining and removed workers get nothing from the time of the update on.
 func TestDrainingWorkersGetNothing(t *testing.T) {
 	d, h := start(t, settings(), fleet(3)...)
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
@@ -20,7 +20,7 @@
 	}
 	for _, s := range h.sends {
 		if s.worker != "w1" {
-			t.Errorf("sent to %s", s.worker)
+			t.Errorf("sent to %s, want only w1", s.worker)
 		}
 	}
 	if len(h.sends) == 0 {
@@ -28,9 +28,8 @@
 	}
 }
 
-// A list that must be asked for is watched from the start, and again whenever
-// the watch breaks.
-func TestWatch(t *testing.T) {
+// A worker list on demand is watched from the start, and again whenever the watch fails.
+func TestWatchIsRetriedAfterFailure(t *testing.T) {
 	set := settings()
 	set.WatchOnDemand = true
 	d, h := start(t, set, fleet(2)...)
@@ -41,37 +40,37 @@
 		d.WorkersUpdated(h.now, UpdateFailed, nil)
 		h.run(d, h.now+2*maxWatchBackoff)
 		if h.watches != i {
-			t.Fatalf("%d watches after %d breaks", h.watches, i-1)
+			t.Fatalf("%d watches after %d failures", h.watches, i-1)
 		}
 	}
 	h.submit(d, "r", 0)
 	if len(h.sends) != 1 {
-		t.Error("the old list does not stand")
+		t.Error("the last list is not used after the watch failed")
 	}
 }
 
-// Guards against a list that is watched again too late: what discovery has counts as known here 6 s after it could be reached
-// again, and of those connecting, a call that fails and its answer need 4 (internal/discovery).
+// Guards against a watch that is retried too late: the list must be current 6 s after discovery can be reached again, and
+// the connection, a failed call and its response take 4 s of these (internal/discovery).
 func TestWatchIsRetriedSoon(t *testing.T) {
 	set := settings()
 	set.WatchOnDemand = true
 	d, h := start(t, set, fleet(2)...)
-	for i := range 40 { // the waits have a spread
+	for i := range 40 { // the delays are jittered
 		began, before := h.now, h.watches
 		d.WorkersUpdated(h.now, UpdateFailed, nil)
 		for h.watches == before {
 			if h.run(d, h.now+ms); h.now > began+10*time.Second {
-				t.Fatal("not asked for again")
+				t.Fatal("the watch was not retried")
 			}
 		}
 		if waited := h.now - began; waited > 1500*ms || waited < 100*ms || i == 0 && waited > 300*ms {
-			t.Errorf("asked for after %v, at failure %d on end", waited, i+1)
+			t.Errorf("the watch was retried after %v, at failure %d in a row", waited, i+1)
 		}
 	}
 }
 
-// Idle connections are closed at the notice, after each outcome there, also
-// once the worker has left the list, and once more a while later.
+// Idle connections to a worker are closed when it begins to drain, after each outcome
+// there, also after the worker was removed from the list, and once more later.
 func TestConnectionsAreClosedOnDrains(t *testing.T) {
 	set := settings()
 	set.DrainCloseTimeout = 1500 * ms
@@ -79,7 +78,7 @@
 	h.submit(d, "r", 0)
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
 	if len(h.closes) != 1 {
-		t.Fatalf("%d closes at the notice", len(h.closes))
+		t.Fatalf("%d closes when the drain begins, want 1", len(h.closes))
 	}
 	h.run(d, h.now+400*ms)
 	d.WorkersUpdated(h.now, UpdateFull, nil)
@@ -97,11 +96,11 @@
 	}
 	h.run(d, h.now+5*time.Second)
 	if len(h.closes) != before+2 {
-		t.Error("closed again for nothing")
+		t.Error("closed again without a reason")
 	}
 	d, h = start(t, settings(), fleet(1)...)
 	d.WorkersUpdated(h.now, UpdateFull, nil)
 	if len(h.closes) != 0 {
-		t.Error("closed where that is not asked for")
+		t.Error("closed although the settings have no DrainCloseTimeout")
 	}
 }
--- a/dispatcher/meter.go
+++ b/dispatcher/meter.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// How often reports of load change.
+// This file measures how often load reports change.
 
 const (
-	minMeteredSeconds   = 0.6 // of metering before it counts
-	meterIntervalRounds = 32  // later a worker is metered every so many rounds
-	maxReportChangeJobs = 2.0 // mean work between changes of a report, at most, for it to be timely
+	minMeteredSeconds       = 0.6 // seconds of metering before reports can count as timely
+	meterIntervalRounds     = 32  // rounds between two measurements after that
+	maxReportChangeMultiple = 2.0 // maximum time between changes of a timely report, in multiples of the mean work
 )
 
-// reportMeter learns how often a worker's report changes, by probing one worker in two
-// rounds in a row.
+// reportMeter learns how often load reports change, by probing one worker in two
+// consecutive rounds.
 type reportMeter struct {
 	worker  *worker
-	seconds float64 // between such probes, summed and decayed
-	changes float64 // of the report in that time
+	seconds float64 // decayed sum of the times between two probes, in seconds
+	changes float64 // decayed count of changed reports in that time
 }
 
-// due reports whether to probe a worker in a round: often at first, then every so many.
+// due reports whether to probe a worker in this round: in every round at first, later in
+// two rounds of every meterIntervalRounds.
 func (m *reportMeter) due(round int64) bool {
 	return m.seconds <= minMeteredSeconds || round%meterIntervalRounds <= 1
 }
 
-// observe takes the report of a worker that was probed before.
+// observe records the second report of a worker and whether it differs from the first.
 func (m *reportMeter) observe(since time.Duration, changed bool) {
 	m.seconds = m.seconds*(1-meanGain) + since.Seconds()
 	m.changes *= 1 - meanGain
@@ -32,9 +33,9 @@
 	}
 }
 
-// timely reports whether a report changes often enough to show the next request's slot,
-// not one of those before: all dispatchers that see an old free slot send there at
-// once. No setting tells how often reports change.
+// timely reports whether load reports change often enough to be used for placement. All
+// dispatchers that see the same outdated free slot would send there at once. The rate of
+// change is measured because no setting provides it.
 func (m *reportMeter) timely(meanWork float64) bool {
-	return m.seconds >= minMeteredSeconds && m.seconds < maxReportChangeJobs*meanWork*m.changes
+	return m.seconds >= minMeteredSeconds && m.seconds < maxReportChangeMultiple*meanWork*m.changes
 }
--- a/dispatcher/peers.go
+++ b/dispatcher/peers.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Load of other dispatchers: of siblings, which are the same scheduler while one process takes over from another, and
-// of peers, which are other schedulers of one site.
+// This file accounts for the load of other dispatchers. Siblings are dispatchers of the same scheduler, while one process
+// takes over from another. Peers are other schedulers of the same site.
 
-// LoadByWorker returns this dispatcher's own load at each worker, without that of its
+// LoadByWorker returns this dispatcher's own load at each worker, without the load of its
 // siblings.
 func (d *Dispatcher) LoadByWorker() map[string]Load {
 	loads := map[string]Load{}
@@ -20,8 +20,8 @@
 	return loads
 }
 
-// SetSiblingLoad sets the load of other dispatchers of the same scheduler, by worker.
-// It counts like this dispatcher's own, for limits and for workers that warm up.
+// SetSiblingLoad sets the load of other dispatchers of the same scheduler, by worker. It
+// counts as this dispatcher's own load against limits and slow start credit.
 func (d *Dispatcher) SetSiblingLoad(now time.Duration, loads map[string]Load) {
 	d.startRounds(now)
 	for _, w := range d.workers.all {
@@ -40,11 +40,11 @@
 	d.releasePending(now)
 }
 
-// TrackLoadChanges has [Dispatcher.AppendLoadChanges] work from now on.
+// TrackLoadChanges starts to record load changes for [Dispatcher.AppendLoadChanges].
 func (d *Dispatcher) TrackLoadChanges() { d.loadChanges.tracked = true }
 
-// AppendLoadChanges appends the load at each worker where it has changed since the
-// last call. Siblings' load is in it, since they are the same scheduler.
+// AppendLoadChanges appends to buf the load at each worker where it has changed since the
+// last call. The load includes that of siblings, which belong to the same scheduler.
 func (d *Dispatcher) AppendLoadChanges(buf []WorkerLoad) []WorkerLoad {
 	for i, w := range d.loadChanges.workers {
 		w.loadChanged, d.loadChanges.workers[i] = false, nil
@@ -55,10 +55,9 @@
 	return buf
 }
 
-// UpdatePeerLoad brings the load of other schedulers of the site at some workers. Each
-// is the sum over all peers and replaces the last one. It counts against the worker's
-// capacity, but not as this dispatcher's load. Workers that no list has named are
-// ignored.
+// UpdatePeerLoad sets the load of other schedulers of the site at some workers. Each load
+// is the sum over all peers and replaces the previous one. It counts against the worker's
+// capacity, but not as this dispatcher's load. Unknown workers are ignored.
 func (d *Dispatcher) UpdatePeerLoad(now time.Duration, loads []WorkerLoad) {
 	d.startRounds(now)
 	for i := range loads {
@@ -75,18 +74,18 @@
 	d.releasePending(now)
 }
 
-// SetSubset sets the subset of the workers that this dispatcher prefers. Sharers is
-// how many dispatchers have a worker in their subsets, this one included. An empty
-// subset means no preference, as at the start. Workers that no list names yet do not
-// count.
-func (d *Dispatcher) SetSubset(now time.Duration, workers []string, sharers int) {
+// SetSubset sets the subset of the workers that this dispatcher prefers.
+// DispatchersPerWorker is the number of dispatchers that have a worker in their subsets,
+// including this one. An empty subset, which is the default, means no preference. Workers
+// that are not in the worker list yet are ignored.
+func (d *Dispatcher) SetSubset(now time.Duration, workers []string, dispatchersPerWorker int) {
 	subset := make(map[string]bool, len(workers))
 	for _, name := range workers {
 		subset[name] = true
 	}
-	d.workers.subsetSize, d.slowStart.sharers = 0, max(1, sharers)
+	d.workers.subsetSize, d.slowStart.dispatchersPerWorker = 0, max(1, dispatchersPerWorker)
 	if len(workers) == 0 {
-		d.slowStart.sharers = d.settings.Dispatchers
+		d.slowStart.dispatchersPerWorker = d.settings.Dispatchers
 	}
 	for _, w := range d.workers.all {
 		if w == nil {
--- a/dispatcher/pending.go
+++ b/dispatcher/pending.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Queued requests.
+// This file adds requests to the tenants' queues and removes them.
 
-const maxSlackFraction = 0.4 // a request is queued for at most this fraction of its slack, since means hide a spread
+const maxSlackFraction = 0.4 // maximum fraction of a request's slack spent in the queue; the rest covers the variance of running times
 
-// enqueue queues the request and sets until when it must be sent.
+// enqueue queues the request and sets the time by which it must be sent.
 func (d *Dispatcher) enqueue(now time.Duration, r *request) {
 	r.sendBy = now + seconds(maxSlackFraction*d.timeToSend(now, r).Seconds())
 	d.pushPending(r)
@@ -24,7 +24,7 @@
 	heap.Push(&r.tenant.queue, r)
 }
 
-// removePending takes the request out of its tenant's queue.
+// removePending removes the request from its tenant's queue.
 func (d *Dispatcher) removePending(r *request) {
 	t := r.tenant
 	r.queued = false
--- a/dispatcher/placement.go
+++ b/dispatcher/placement.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Placement: which worker gets a job.
+// This file selects the worker for a request.
 
-// pickHome picks a worker for a request with a key: the key has one home in each
-// zone, the first worker that follows its hash on the ring. The home in the own zone
-// comes first. All dispatchers have the same rings, so they agree without messages.
-func (d *Dispatcher) pickHome(now time.Duration, r *request) *worker {
-	for _, w := range d.homeWorkers(r) {
+// pickAffinityWorker picks a worker for a request with an affinity key by consistent
+// hashing: in each zone the key is owned by the first worker that follows its hash on
+// the ring. The owner in the dispatcher's own zone is preferred. All dispatchers build
+// the same rings, so they agree without communication.
+func (d *Dispatcher) pickAffinityWorker(now time.Duration, r *request) *worker {
+	for _, w := range d.affinityWorkers(r) {
 		if d.usable(now, w, r, false) && d.belowSlotThreshold(now, w, r, true) && d.mayAttempt(now, r, w) {
 			return w
 		}
@@ -19,20 +20,20 @@
 	return nil
 }
 
-// homeWorkers returns the homes of the request's key. The slice is valid until the next
-// call.
-func (d *Dispatcher) homeWorkers(r *request) []*worker {
-	d.placement.homes = r.class.pool.homeWorkers(d.placement.homes, r.keyHash, d.settings.Zone)
-	return d.placement.homes
+// affinityWorkers returns the owners of the request's affinity key, one per zone. The
+// slice is valid until the next call.
+func (d *Dispatcher) affinityWorkers(r *request) []*worker {
+	d.placement.owners = r.class.pool.affinityWorkers(d.placement.owners, r.keyHash, d.settings.Zone)
+	return d.placement.owners
 }
 
-// pickWorker returns a random worker below the slot threshold, drawn by size: with
-// few requests to a worker the threshold alone does not tell sizes apart. Without
-// one, a request within its tenant's share goes to the worker with the lowest load
-// for its size, others wait (nil).
+// pickWorker returns a random worker below the slot threshold, weighted by size: with
+// few requests per worker the threshold alone does not distinguish sizes. If there is
+// none, a request within its tenant's share goes to the worker with the lowest load per
+// size, and any other request stays queued (nil).
 func (d *Dispatcher) pickWorker(now time.Duration, r *request, withinShare bool) *worker {
 	if r.keyHash != 0 {
-		return d.pickHome(now, r)
+		return d.pickAffinityWorker(now, r)
 	}
 	if len(r.probed) > 0 {
 		if w, decided := d.pickProbed(now, r, withinShare); decided {
@@ -41,8 +42,8 @@
 	}
 	d.placement.reset()
 	near, all := d.candidateZones(r)
-	// Where the own subset is full, those of other dispatchers are too, and their
-	// load is not known here.
+	// When the own subset is full, the subsets of other dispatchers are likely full too,
+	// and the load there is not known here.
 	if w := d.sampleWorkers(now, r, near, withinShare); w != nil || d.placement.subsetUsable > 0 {
 		return cmp.Or(w, d.placement.leastLoaded)
 	}
@@ -53,9 +54,9 @@
 }
 
 // sampleWorkers returns a worker below the slot threshold from a random sample, and
-// notes the least loaded where the request may wait.
+// records the least loaded worker of the sample at which the request may wait.
 func (d *Dispatcher) sampleWorkers(now time.Duration, r *request, zones [][]*worker, withinShare bool) *worker {
-	var small *worker
+	var fallback *worker
 	for w := range randomWorkers(d.rng, zones) {
 		if w.inSubset && r.class.pool.admits(w) && now >= max(w.ejectedUntil, w.unhealthyUntil) {
 			d.placement.subsetUsable++
@@ -64,18 +65,18 @@
 			continue
 		}
 		if !d.meetsTargetAt(now, w, r, 0) {
-			continue // too slow for this request
+			continue
 		}
 		if d.belowSlotThreshold(now, w, r, withinShare) {
 			if d.rng.Float64()*d.workers.maxSize > w.size {
-				small = w // its size lost the draw; it serves if no other is found
+				fallback = w // lost the draw by size; used if no other worker is found
 				continue
 			}
 			return w
 		}
 		if withinShare && d.mayQueueAt(now, w, r) {
-			d.placement.consider(w, w.loadForSize())
+			d.placement.consider(w, w.loadPerSize())
 		}
 	}
-	return small
+	return fallback
 }
--- a/dispatcher/pool.go
+++ b/dispatcher/pool.go
@@ -5,38 +5,39 @@
 	"slices"
 )
 
-// Pools: the workers that some classes may be sent to, and the homes of keys among them.
+// This file holds the pools of workers that are eligible for some classes, and the consistent hashing of affinity keys to
+// the workers of a pool.
 
-const ringPoints = 16 // of each worker on its zone's ring
+const ringPoints = 16 // virtual nodes of each worker on its zone's hash ring
 
-// ringPoint is one of a worker's points on a ring.
+// ringPoint is a virtual node of a worker on a hash ring.
 type ringPoint struct {
 	hash   uint64
 	worker *worker
 }
 
-// homeWorkers returns the first worker that follows the hash on each zone's ring, the
-// own zone's first, in the slice that it is given.
-func (p *pool) homeWorkers(homes []*worker, hash uint64, zone int) []*worker {
+// affinityWorkers returns the first worker that follows the hash on each zone's ring. The
+// worker of the given zone comes first. The result reuses the slice owners.
+func (p *pool) affinityWorkers(owners []*worker, hash uint64, zone int) []*worker {
 	if p.ringsStale {
 		p.buildRings()
 	}
-	homes = homes[:0]
+	owners = owners[:0]
 	for z, ring := range p.rings {
 		if len(ring) == 0 {
 			continue
 		}
 		i, _ := slices.BinarySearchFunc(ring, hash, func(p ringPoint, h uint64) int { return cmp.Compare(p.hash, h) })
-		homes = append(homes, ring[i%len(ring)].worker)
+		owners = append(owners, ring[i%len(ring)].worker)
 		if z == zone {
-			last := len(homes) - 1
-			homes[0], homes[last] = homes[last], homes[0]
+			last := len(owners) - 1
+			owners[0], owners[last] = owners[last], owners[0]
 		}
 	}
-	return homes
+	return owners
 }
 
-// buildRings builds the rings anew, after the pool's workers have changed.
+// buildRings rebuilds the hash rings after the pool's workers have changed.
 func (p *pool) buildRings() {
 	p.ringsStale = false
 	for z, ws := range p.zones {
@@ -52,40 +53,41 @@
 	}
 }
 
-// admits reports whether the pool's classes may be sent to the worker, by
-// their kinds and zones, the worker's state and its cordon. Nothing else decides that.
+// admits reports whether requests of the pool's classes may be sent to the worker, given
+// the allowed kinds and zones, and the worker's state and cordon. It is the only place
+// that decides this.
 func (p *pool) admits(w *worker) bool {
 	return w.State == Active && !w.cordoned && (p.allowedKinds == nil || slices.Contains(p.allowedKinds, w.Kind)) &&
 		(p.allowedZones == nil || slices.Contains(p.allowedZones, w.Zone))
 }
 
-// pool is the workers that some classes may be sent to. The first pool is for
-// classes that may go anywhere.
+// pool holds the workers that some classes may be sent to. The first pool is for
+// classes without restrictions.
 type pool struct {
-	allowedKinds, allowedZones []int // nil: any
+	allowedKinds, allowedZones []int // nil allows any
 
-	zones      [][]*worker   // by zone, the workers that may be sent to
-	rings      [][]ringPoint // by zone
-	ringsStale bool          // rings must be built again
+	zones      [][]*worker   // admitted workers by zone
+	rings      [][]ringPoint // hash rings by zone
+	ringsStale bool          // rings must be rebuilt
 
-	active         int     // workers in zones
-	weight         float64 // the sum of their sizes
-	inFlight       float64 // slots there that are known to be taken
-	limitedWorkers int     // of them, those with a finite limit
-	limitSum       float64 // the sum of those limits
+	active         int     // number of workers in zones
+	weight         float64 // sum of their sizes
+	inFlight       float64 // slots known to be in flight at them
+	limitedWorkers int     // number of them with a finite limit
+	limitSum       float64 // sum of those limits
 
-	subset         [1][]*worker // those of the dispatcher's subset, as if of one zone
+	subset         [1][]*worker // workers of the dispatcher's subset, as a single zone
 	subsetStale    bool
-	subsetWeight   float64 // the sum of their sizes
-	subsetInFlight float64 // slots there that are known to be taken
+	subsetWeight   float64 // sum of their sizes
+	subsetInFlight float64 // slots known to be in flight at them
 
-	noCapacity bool // no request found capacity since capacity last changed
-	jobBlocked bool // in this release a request found no capacity
+	noCapacity     bool // no request found capacity since capacity last changed
+	releaseBlocked bool // a request found no capacity in this release
 }
 
-// meanInFlight returns the slots that are known to be taken for each unit of weight:
-// in the subset, where the load of other dispatchers is known, or outside it,
-// wherever the worker is.
+// meanInFlight returns the slots known to be in flight per unit of weight, over the
+// workers of the subset if the worker is in it, and over the others otherwise. The two
+// are separate because the load of other dispatchers is known in the subset only.
 func (p *pool) meanInFlight(w *worker) float64 {
 	if w.inSubset {
 		return p.subsetInFlight / max(1e-9, p.subsetWeight)
@@ -95,7 +97,7 @@
 
 // targetWeight returns the weight of the workers that this dispatcher sends to.
 func (p *pool) targetWeight() float64 {
-	if p.subsetWeight > 1e-6 { // sums of floats leave traces
+	if p.subsetWeight > 1e-6 { // an empty subset may have a small weight by rounding errors
 		return p.subsetWeight
 	}
 	return max(1e-9, p.weight)
--- a/dispatcher/probe.go
+++ b/dispatcher/probe.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Load probes and reports: asking workers for their load, and how far to trust the answers.
+// This file probes workers for their load and applies their load reports.
 
 const (
-	probeFanout          = 2 // workers probed for one request at a time
-	maxProbeRounds       = 2 // rounds of probes for one request, when none has free slots
+	probeFanout          = 2 // workers probed in parallel for one request
+	maxProbeRounds       = 2 // maximum rounds of probes for one request while no probed worker has free slots
 	probeTimeout         = 15 * time.Millisecond
-	probeResultTTL       = 40 * time.Millisecond // a worker that has answered is not probed again for so long
-	maxQueueWaitFraction = 0.35                  // of the time left: what a queue's wait, by a report, may take
+	probeResultTTL       = 40 * time.Millisecond // time for which a probe result is used instead of another probe
+	maxQueueWaitFraction = 0.35                  // maximum reported wait at a worker, as a fraction of the time left to wait
 )
 
-// probeForLoad probes a few workers for their load before a request is placed, where
-// reports come only as answers to probes. Without them a dispatcher with few
-// requests a second does not know a worker's free capacity, whoever has taken it.
+// probeForLoad probes a few workers for their load before a request is placed, if load
+// reports arrive only as probe results and are timely. Without probes a dispatcher with
+// few requests per second does not know the free capacity that other dispatchers leave.
 func (d *Dispatcher) probeForLoad(now time.Duration, r *request) {
 	if r.keyHash != 0 || !d.meter.timely(d.estimates.meanWork) {
 		return
@@ -51,13 +51,13 @@
 	}
 }
 
-// pickProbed returns the worker with the most free capacity of those that were
-// probed. If none has any, others are probed; in the end a request within its
-// tenant's share goes where the wait is shortest. Without any answer nothing is
-// decided.
+// pickProbed returns the probed worker with the most free capacity. If none has any,
+// other workers are probed; after the last round a request within its tenant's share
+// goes to the worker with the shortest wait. Decided is false if no probe result is
+// available, so that the caller picks a worker without one.
 func (d *Dispatcher) pickProbed(now time.Duration, r *request, withinShare bool) (best *worker, decided bool) {
 	mostFree, leastWait := 0.0, unlimited
-	var shortest *worker
+	var leastWaiting *worker
 	for _, w := range r.probed {
 		if now-w.freeSlotsAt > probeResultTTL+probeTimeout || !d.usable(now, w, r, withinShare) || !d.mayAttempt(now, r, w) {
 			continue
@@ -67,7 +67,7 @@
 			best, mostFree = w, free
 		}
 		if wait := d.workers.reportedWait(w, r); withinShare && wait < leastWait {
-			shortest, leastWait = w, wait
+			leastWaiting, leastWait = w, wait
 		}
 	}
 	switch {
@@ -78,12 +78,13 @@
 		return nil, r.probesPending > 0
 	}
 	if left := min(r.deadline, r.targetAt) - now; leastWait > maxQueueWaitFraction*(left.Seconds()-r.work/r.Slots) {
-		shortest = nil
+		leastWaiting = nil
 	}
-	return shortest, decided
+	return leastWaiting, decided
 }
 
-// applyReport takes over free slots from a report; none at all decrease the limit.
+// applyReport records the free slots of a load report. A report of no free slot decreases
+// the worker's limit.
 func (d *Dispatcher) applyReport(now time.Duration, w *worker, p *LoadReport) {
 	w.freeSlots, w.freeSlotsAt = p.FreeSlots, now
 	d.workers.maxFreeByKind[w.Kind] = max(d.workers.maxFreeByKind[w.Kind], p.FreeSlots)
@@ -92,8 +93,8 @@
 	}
 }
 
-// probeMeteredWorker probes one worker in two rounds in a row, often at first, to
-// learn how fast reports change.
+// probeMeteredWorker probes one worker in two consecutive rounds, more often at first,
+// to learn how quickly load reports change.
 func (d *Dispatcher) probeMeteredWorker() {
 	if !d.settings.LoadByProbe || !d.meter.due(d.rounds.number) {
 		return
@@ -106,8 +107,8 @@
 	}
 }
 
-// meterReports counts whether the report of a worker that was probed twice within two
-// rounds has changed.
+// meterReports records whether the load report of a worker that was probed twice within
+// two rounds has changed.
 func (d *Dispatcher) meterReports(now time.Duration, w *worker, p *LoadReport) {
 	if since := now - w.freeSlotsAt; w.freeSlotsAt > 0 && since <= 2*roundInterval && since >= roundInterval/2 {
 		d.meter.observe(since, w.lastReport != *p)
--- a/dispatcher/queue.go
+++ b/dispatcher/queue.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// The tenants' queues, and the release from them by deficit round robin.
+// This file releases requests from the tenants' queues by deficit round robin.
 
 const (
-	maxReleaseTurns     = 64 // turns of each tenant in one release
-	maxQueueScan        = 32 // queued requests of a tenant scanned in one turn
-	maxFailedPlacements = 4  // of those, requests tried in a row without a send
+	maxReleaseTurns     = 64 // maximum turns per tenant in one release
+	maxQueueScan        = 32 // maximum queued requests of a tenant scanned in one turn
+	maxFailedPlacements = 4  // maximum consecutive requests of a scan that are tried without a send
 )
 
 // releasePending sends queued requests by deficit round robin while workers have
@@ -17,9 +17,9 @@
 		return
 	}
 	idleTurns, turnsLeft := 0, maxReleaseTurns*len(d.tenants.all)
-	resume := -1 // index of the tenant that the next release begins with; -1: the next in turn
+	resume := -1 // index of the tenant with which the next release begins; -1 means the next in turn
 	for _, p := range d.workers.pools {
-		p.jobBlocked = false
+		p.releaseBlocked = false
 	}
 	for ; d.requests.pending > 0 && idleTurns < len(d.tenants.all) && turnsLeft > 0; idleTurns, turnsLeft = idleTurns+1, turnsLeft-1 {
 		t := d.tenants.all[d.tenants.turn]
@@ -36,9 +36,9 @@
 			if sent {
 				idleTurns = -1
 			}
-			// Capacity comes slot by slot. If each turn ended with one request, all
-			// tenants would get the same, so a tenant with credit left resumes when
-			// there is capacity again.
+			// Slots become free one at a time. If each turn ended after one request, all
+			// tenants would get equal service regardless of their shares, so a tenant with
+			// credit left resumes its turn when capacity becomes free.
 			if t.blockedByCapacity && resume < 0 {
 				resume = d.tenants.turn
 			} else if t.blockedByCapacity && !sent {
@@ -52,8 +52,8 @@
 	}
 }
 
-// serveTenant sends what the tenant's credit and limit allow, and reports whether
-// another turn may send more.
+// serveTenant sends the queued requests that the tenant's credit and limit allow, and
+// reports whether another turn may send more.
 func (d *Dispatcher) serveTenant(now time.Duration, t *tenant) (sent bool) {
 	t.blockedByCapacity = false
 	for i, tried := 0, 0; i < min(len(t.queue), maxQueueScan) && tried < maxFailedPlacements; i++ {
@@ -68,8 +68,8 @@
 			if tried > 1 {
 				continue
 			}
-			t.blockedByCapacity = p.jobBlocked
-			return sent || !p.jobBlocked // another turn brings the credit
+			t.blockedByCapacity = p.releaseBlocked
+			return sent || !p.releaseBlocked // further turns add the missing credit
 		}
 		if !withinShare && t.inFlight > 0 && t.inFlight+r.Slots > t.limit {
 			return sent
@@ -90,19 +90,20 @@
 	return sent
 }
 
-// placementFailed notes that no worker has capacity for the request, and ends it if
-// nothing more will be known in time.
+// placementFailed records that no worker has capacity for the request, and ends the
+// request if all of its probe rounds are used up.
 func (d *Dispatcher) placementFailed(now time.Duration, r *request) {
 	p := r.class.pool
-	d.capacity.short, r.tenant.blockedByCapacity, p.jobBlocked = true, true, true
+	d.capacity.exhausted, r.tenant.blockedByCapacity, p.releaseBlocked = true, true, true
 	if r.probeRounds >= maxProbeRounds && r.inFlight == 0 {
-		d.endUnserved(now, r)
+		d.rejectOrFail(now, r)
 	} else if r.AffinityKey == "" && len(r.attempts) == 0 {
 		p.noCapacity = true
 	}
 }
 
-// send sends the request's next attempt to the worker and waits for its start.
+// send sends the request's next attempt to the worker and sets the timer for its start
+// notice.
 func (d *Dispatcher) send(now time.Duration, r *request, w *worker) {
 	if len(r.attempts) > 0 {
 		d.budget.retries.add(now)
@@ -118,7 +119,7 @@
 	if d.settings.StartNotified {
 		wait := (min(r.deadline, r.targetAt) - now - seconds(r.class.meanRuntime)) / 2
 		if w.inFlight <= d.workers.maxFreeByKind[w.Kind] && d.settings.FIFOWorkers && d.overdueStartImpliesUnresponsiveConn() {
-			wait = min(wait, promptStartTimeout) // a slot should be free
+			wait = min(wait, promptStartTimeout) // a slot is expected to be free
 		}
 		d.setTimer(min(max(wait, minStartTimeout), maxStartTimeout), tokenStartDue, r, n)
 	}
--- a/dispatcher/queue_test.go
+++ b/dispatcher/queue_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Deficit round robin: of the queued requests for one worker, tenants get work by share.
+// By deficit round robin, tenants with requests queued for one worker are served in proportion to their shares.
 func TestReleaseIsFairByWork(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 3, Quota: 1e9}, {Share: 1, Quota: 1e9}}
@@ -22,26 +22,26 @@
 		}
 	}
 	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{{Worker: "w", Weight: 1}})
-	for i := 0; len(h.sends) < 40; i++ { // one at a time waits there, so each that ends lets another out
+	for i := 0; len(h.sends) < 40; i++ { // only one request may wait at the worker, so each end releases another
 		h.now += ms
 		h.endAttempt(d, h.sends[i].id, 0, Served)
 	}
-	// All is within the quotas, so all may go out; the order is what is fair.
+	// All requests are within the quotas and may be sent; fairness determines their order.
 	count := map[byte]int{}
 	for _, s := range h.sends[:40] {
 		count[s.id[0]]++
 	}
 	if count['0'] < 28 || count['0'] > 32 {
-		t.Errorf("of the first 40 jobs the tenant with three quarters got %d", count['0'])
+		t.Errorf("the tenant with three quarters of the shares got %d of the first 40 requests", count['0'])
 	}
 }
 
-// Guards against a queue at each worker in which all jobs get late alike, while
-// more come: what finds no free capacity is queued here, where it can still go elsewhere or
-// be rejected in time.
+// Guards against queues at workers in which all requests miss their targets: requests that
+// find no free capacity are queued here, where they can still go to another worker or be
+// rejected early.
 func TestBusyWorkersGetNoQueue(t *testing.T) {
 	set := settings()
-	set.Tenants = []Tenant{{Share: 1, Quota: 1e6}} // within it, sigma does not bind
+	set.Tenants = []Tenant{{Share: 1, Quota: 1e6}} // within its quota the limit does not apply
 	d, h := start(t, set, fleet(3)...)
 	for i := range 60 {
 		h.submit(d, fmt.Sprint("r", i), 0)
@@ -52,7 +52,7 @@
 	}
 	for w, n := range at {
 		if n > 1 {
-			t.Errorf("%d jobs wait at %s", n, w)
+			t.Errorf("%d requests wait at %s, want at most 1", n, w)
 		}
 	}
 	for _, s := range slices.Clone(h.sends) {
@@ -61,22 +61,22 @@
 		}
 	}
 	if len(h.sends) != 6 {
-		t.Errorf("%d jobs sent once the first 3 run, want 3 more", len(h.sends))
+		t.Errorf("%d requests sent after the first 3 started, want 6", len(h.sends))
 	}
-	h.run(d, h.now+time.Second) // past the aims
-	refused := 0
+	h.run(d, h.now+time.Second) // past the latency targets
+	rejected := 0
 	for _, how := range h.ends {
-		if how == "refused" {
-			refused++
+		if how == "rejected" {
+			rejected++
 		}
 	}
-	if refused < 50 || len(h.sends)+refused != 60 {
-		t.Errorf("%d sent, %d refused", len(h.sends), refused)
+	if rejected < 50 || len(h.sends)+rejected != 60 {
+		t.Errorf("%d requests sent and %d rejected of 60", len(h.sends), rejected)
 	}
 }
 
-// A job larger than any credit so far still gets its turn.
-func TestLargeJobIsNotStarved(t *testing.T) {
+// A request with more work than any credit so far is still sent.
+func TestLargeRequestIsNotStarved(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	for i := range 50 {
 		id := fmt.Sprint("r", i)
@@ -88,11 +88,11 @@
 	_ = d.SubmitRequest(h.now, Request{ID: "large", TimeLeft: 5 * time.Second, RuntimeHint: 800 * ms, Slots: 4})
 	h.run(d, h.now+200*ms)
 	if h.attempts["large"] != 1 {
-		t.Errorf("large job sent %d times, ended %q", h.attempts["large"], h.ends["large"])
+		t.Errorf("the large request was sent %d times and ended as %q", h.attempts["large"], h.ends["large"])
 	}
 }
 
-// Beyond its quota a tenant uses only free slots that the last report showed.
+// Beyond its quota a tenant may use only slots that the last load report showed as free.
 func TestBeyondTheQuotaOnlyReportedFreeSlots(t *testing.T) {
 	set := settings()
 	set.StartNotified = false
@@ -105,6 +105,6 @@
 		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), TimeLeft: 5 * time.Second})
 	}
 	if len(h.sends) != int(2*quotaFactor) {
-		t.Errorf("%d sent, quota of 2 jobs a second", len(h.sends))
+		t.Errorf("%d requests sent, with a quota of 2 requests per second", len(h.sends))
 	}
 }
--- a/dispatcher/reconfigure.go
+++ b/dispatcher/reconfigure.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Changes of settings while jobs are under way.
+// This file creates a Dispatcher and changes its settings while requests are in flight.
 
-// New returns a Dispatcher that calls host and draws its random numbers from
-// seed. The error is that of the settings, or says that there is no host.
+// New returns a Dispatcher that calls host and seeds its random numbers with seed. It
+// returns an error if the settings are invalid or host is nil.
 func New(set Settings, seed uint64, host Host) (*Dispatcher, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
@@ -24,27 +24,27 @@
 		requests:    newRequestTable(),
 		workers:     newWorkerSet(),
 		estimates:   workEstimates{lowRuntimeRatio: 1},
-		slowStart:   slowStart{brokenByCell: map[int]brokenConnection{}},
+		slowStart:   slowStart{lastFailureByCell: map[int]connFailure{}},
 		connections: connectionHealth{promptStartRate: 1},
 		watch:       listWatch{backoff: minWatchBackoff},
 	}
 	d.slowStart.settings = &d.settings
 	d.budget.configure(set.RetryBudget)
 	d.settings.Dispatchers = max(1, set.Dispatchers)
-	d.slowStart.sharers = d.settings.Dispatchers
+	d.slowStart.dispatchersPerWorker = d.settings.Dispatchers
 	d.tenants.update(set.Tenants, d.settings.Dispatchers, len(d.classes.inUse))
 	d.settings.MaxAttempts = attemptLimit(set)
 	d.updateClasses(set.Classes)
 	return d, nil
 }
 
-// UpdateSettings takes over new settings. Requests in flight keep their class as it
-// was; what was learned of a class holds for the next of its name. Tenants go by
-// their names: one that stays keeps its turn, its credit and all that was learned,
-// whatever becomes of the others; one that is removed keeps its share until its last
-// request is over (see [Dispatcher.TenantIndex]). Zone, peers, the meaning of weights
-// and how the list comes stay: they change with a new Dispatcher. Invalid settings
-// are an error and change nothing.
+// UpdateSettings applies new settings. Requests in flight keep their former class. The
+// learned state of a class carries over to the class of the same name. Tenants are
+// matched by name: a tenant that remains keeps its turn, its credit and its learned
+// state, whatever happens to the others, and a removed tenant keeps its share until its
+// last request has ended (see [Dispatcher.TenantIndex]). Zone, Dispatchers, Weights and
+// WatchOnDemand keep their values; changing them requires a new Dispatcher. Invalid
+// settings return an error and change nothing.
 func (d *Dispatcher) UpdateSettings(set Settings) error {
 	if err := set.Validate(); err != nil {
 		return err
@@ -59,13 +59,13 @@
 	return nil
 }
 
-// attemptLimit returns how many attempts a request may have.
+// attemptLimit returns the maximum number of attempts of a request.
 func attemptLimit(set Settings) int {
-	return min(max(1, set.MaxAttempts), 31) // a timer's token has 5 bits for it
+	return min(max(1, set.MaxAttempts), 31) // a timer token has 5 bits for the attempt
 }
 
-// updateClasses makes the classes of new settings. One that has not changed stays the
-// same; another of the same name goes on from what was learned.
+// updateClasses creates the classes of new settings. An unchanged class is kept, and a
+// changed one takes over the learned state of its predecessor of the same name.
 func (d *Dispatcher) updateClasses(classes []Class) {
 	former := d.classes.current
 	d.classes.current = make([]*class, len(classes))
@@ -87,10 +87,10 @@
 		updated.pool = d.workers.poolOf(c.Kinds, c.Zones)
 		d.classes.current[i] = updated
 	}
-	// Until running times are known, a class's is taken to be like its latency target.
+	// Until running times are known, they are assumed to equal the latency targets.
 	d.estimates.assumedWork = d.classes.meanLatencyTarget()
 	d.compactClasses()
-	for _, w := range d.workers.all { // the classes may need new pools
+	for _, w := range d.workers.all { // add the workers to pools that the classes have added
 		if w != nil && len(w.poolPositions) < len(d.workers.pools) {
 			w.poolPositions = append(w.poolPositions, slices.Repeat([]int{-1}, len(d.workers.pools)-len(w.poolPositions))...)
 			d.workers.addToPools(w)
@@ -99,8 +99,7 @@
 	d.workers.capacityChanged()
 }
 
-// compactClasses keeps the classes of the settings and of requests in flight, and
-// forgets the others.
+// compactClasses drops former classes that no request uses, and reindexes the others.
 func (d *Dispatcher) compactClasses() {
 	work := make([]map[*class]float64, len(d.tenants.all))
 	for i, t := range d.tenants.all {
@@ -131,11 +130,11 @@
 	}
 }
 
-// TenantIndex returns the index by which [Request] knows the tenant of that name now:
-// its index in the settings or, for a removed tenant, one that holds until the next
-// event. A request that was taken before its tenant was removed may come later, as
-// from a queue before the Dispatcher. The index is -1 once all of those must be over,
-// and for an unknown name.
+// TenantIndex returns the current index of the tenant with that name for [Request]: its
+// index in the settings or, for a removed tenant, an index that is valid until the next
+// event. Removed tenants remain known because a request may have been accepted before
+// the removal and be submitted after it, for example from a queue in front of the
+// Dispatcher. The index is -1 once no such request can arrive, and for an unknown name.
 func (d *Dispatcher) TenantIndex(name string) int {
 	for i := range d.settings.Tenants {
 		if d.settings.Tenants[i].Name == name {
--- a/dispatcher/reconfigure_test.go
+++ b/dispatcher/reconfigure_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against jobs in flight that change their class with the settings, against
-// attempts beyond a lower number, and against pending work that stays counted for a class
-// which is removed.
+// Guards against requests in flight that change their class with the settings, against
+// attempts beyond a lowered maximum, and against pending work that remains counted for a
+// removed class.
 func TestUpdateSettings(t *testing.T) {
 	set := settings()
 	d, h := start(t, set, fleet(3)...)
@@ -20,28 +20,28 @@
 	next := set
 	next.MaxAttempts = 1
 	next.Classes = []Class{{Name: "new", LatencyTarget: 200 * ms, ClientTimeout: 5 * time.Second, Kinds: []int{7}}, set.Classes[0]}
-	next.Classes[1].Idempotency, next.Classes[1].TargetStretch = NotIdempotent, 9 // stricter
+	next.Classes[1].Idempotency, next.Classes[1].TargetStretch = NotIdempotent, 9 // a stricter class
 	if err := d.UpdateSettings(Settings{}); err == nil || len(d.classes.current) != 3 {
-		t.Error("settings without a class were taken")
+		t.Error("settings without a class were applied")
 	}
 	if err := d.UpdateSettings(next); err != nil {
 		t.Fatal(err)
 	}
 	if k := d.classes.current[1]; k.meanRuntime != learned || k.Idempotency != NotIdempotent || len(d.classes.inUse) != 4 {
-		t.Errorf("the class goes on as %+v, %d are kept", k, len(d.classes.inUse))
+		t.Errorf("the class is %+v after the change, %d classes in use", k, len(d.classes.inUse))
 	}
 	h.endAttempt(d, "once", 0, ConnectionLost)
 	if h.ends["once"] != "failed" {
-		t.Errorf("what must not run twice, and whose class is gone, was %q", h.ends["once"])
+		t.Errorf("a request that is not idempotent, of a removed class, ended as %q, want failed", h.ends["once"])
 	}
 	h.endAttempt(d, "free", 0, ConnectionLost)
-	if h.ends["free"] != "refused" || h.attempts["free"] != 1 { // 1 attempt now; by its class it is harmless to try again
-		t.Errorf("was %q after %d attempts", h.ends["free"], h.attempts["free"])
+	if h.ends["free"] != "rejected" || h.attempts["free"] != 1 { // 1 attempt is allowed now; by its former class it may be retried by the client
+		t.Errorf("ended as %q after %d attempts", h.ends["free"], h.attempts["free"])
 	}
 	checkRequestsOfFormerClasses(t, d, h, next)
 }
 
-// checkRequestsOfFormerClasses goes on with a request that is older than the settings, and with new ones.
+// checkRequestsOfFormerClasses checks a request that was submitted before the change of settings, and new requests.
 func checkRequestsOfFormerClasses(t *testing.T, d *Dispatcher, h *fakeHost, next Settings) {
 	t.Helper()
 	next.MaxAttempts = 4
@@ -50,17 +50,17 @@
 	}
 	h.endAttempt(d, "many", 0, ConnectionLost)
 	if h.attempts["many"] != 2 {
-		t.Errorf("a job that came as harmless to repeat had %d attempts", h.attempts["many"])
+		t.Errorf("a request that was submitted as idempotent had %d attempts, want 2", h.attempts["many"])
 	}
 	h.submit(d, "strict", 1)
 	h.endAttempt(d, "strict", 0, ConnectionLost)
 	if h.ends["strict"] != "failed" || h.attempts["strict"] != 1 {
-		t.Errorf("a job of the stricter class was %q after %d attempts", h.ends["strict"], h.attempts["strict"])
+		t.Errorf("a request of the stricter class ended as %q after %d attempts", h.ends["strict"], h.attempts["strict"])
 	}
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "special", Kind: 7, Weight: 1}})
 	h.submit(d, "new", 0)
-	if h.last() != "special" {
-		t.Errorf("the new class went to %s", h.last())
+	if h.lastWorker() != "special" {
+		t.Errorf("a request of the new class went to %s", h.lastWorker())
 	}
 	h.endAttempt(d, "new", 0, Served)
 	h.endAttempt(d, "many", 1, Served)
@@ -69,16 +69,16 @@
 		t.Fatal(err)
 	}
 	if len(d.classes.inUse) != 2 || d.capacity.inFlight != 0 || len(d.requests.byID) != 0 {
-		t.Errorf("%d classes are kept, %v slots booked, %d requests open", len(d.classes.inUse), d.capacity.inFlight, len(d.requests.byID))
+		t.Errorf("%d classes in use, %v slots in flight, %d requests open", len(d.classes.inUse), d.capacity.inFlight, len(d.requests.byID))
 	}
 	for _, tn := range d.tenants.all {
 		if len(tn.pendingWork) != 2 || slices.Max(tn.pendingWork) > 1e-9 {
-			t.Errorf("work held: %v", tn.pendingWork)
+			t.Errorf("pending work %v, want none for 2 classes", tn.pendingWork)
 		}
 	}
 }
 
-// Pending jobs stay pending, with their work counted for their former class.
+// Queued requests remain queued, with their work counted for their former class.
 func TestUpdateSettingsWithPendingRequests(t *testing.T) {
 	set := settings()
 	d, h := start(t, set)
@@ -92,24 +92,24 @@
 		t.Fatal(err)
 	}
 	if len(d.classes.inUse) != 4 || d.requests.pending != 3 {
-		t.Errorf("%d classes are kept for %d held jobs", len(d.classes.inUse), d.requests.pending)
+		t.Errorf("%d classes in use for %d queued requests", len(d.classes.inUse), d.requests.pending)
 	}
 	d.WorkersUpdated(h.now, UpdateFull, fleet(3))
 	for _, id := range []string{"a", "b", "c"} {
 		if h.attempts[id] != 1 {
-			t.Errorf("%s was sent %d times", id, h.attempts[id])
+			t.Errorf("request %s was sent %d times, want once", id, h.attempts[id])
 		}
 	}
 }
 
-// A worker that has left the list, and still has an attempt, knows none of the pools that a change of settings makes. Its attempt
-// ends as any other.
+// Guards against a panic when an attempt ends at a removed worker after a change of settings: the worker has no positions for
+// the pools that the change has created.
 func TestSettingsChangeWhileARemovedWorkerIsBusy(t *testing.T) {
 	set := settings()
 	d, h := start(t, set, WorkerInfo{Worker: "a", Weight: 1})
 	h.submit(d, "r", 0)
-	if h.last() != "a" {
-		t.Fatalf("sent to %q", h.last())
+	if h.lastWorker() != "a" {
+		t.Fatalf("sent to %q", h.lastWorker())
 	}
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "a", State: Removed}})
 	set.Classes = append(set.Classes, Class{Name: "other", LatencyTarget: 200 * ms, ClientTimeout: time.Second, Kinds: []int{3}})
@@ -119,7 +119,7 @@
 	h.endAttempt(d, "r", 0, Served)
 	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "a", Kind: 3, Weight: 1}})
 	h.submit(d, "next", 3)
-	if h.last() != "a" {
-		t.Errorf("after its return it gets nothing: %q", h.last())
+	if h.lastWorker() != "a" {
+		t.Errorf("the worker gets nothing after it is listed again: sent to %q", h.lastWorker())
 	}
 }
--- a/dispatcher/rejection.go
+++ b/dispatcher/rejection.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Early rejection: which requests cannot be in time, and how a request ends.
+// This file rejects requests early that cannot meet their latency target, and ends requests.
 
-// feasible reports whether the request can be in time: on arrival, behind the pending
-// work of its tenant that has less slack.
+// feasible reports whether the request can meet its latency target. On arrival it counts
+// the wait behind the tenant's pending work in classes with no more slack.
 func (d *Dispatcher) feasible(now time.Duration, r *request, onArrival bool) bool {
 	wait := 0.0
 	if onArrival {
@@ -16,16 +16,17 @@
 		}
 		wait /= max(minLimit, min(r.tenant.limit, max(1, d.capacity.slots))*d.workers.weightShare(r.class.pool))
 	}
-	// Guards against rejecting a class for ever by a mean that no request updates.
+	// Admit a request if none of the class is in flight: otherwise a high mean completion
+	// time, which only outcomes lower, could cause the class to be rejected forever.
 	if wait == 0 && r.class.inFlight == 0 {
 		return now < min(r.deadline, r.targetAt)
 	}
 	return wait <= maxSlackFraction*d.timeToSend(now, r).Seconds()
 }
 
-// endUnserved gives the request its one final answer: rejected where that is allowed,
-// else failed.
-func (d *Dispatcher) endUnserved(now time.Duration, r *request) {
+// rejectOrFail ends a request without a response: it rejects the request if the client may
+// safely retry, and fails it otherwise.
+func (d *Dispatcher) rejectOrFail(now time.Duration, r *request) {
 	if r.ended {
 		return
 	}
@@ -37,9 +38,9 @@
 	d.closeRequest(r)
 }
 
-// retryAfter returns the advice to a rejected client: soon enough for its request to
-// be in time yet, or after about the mean work, when slots have changed hands. It is
-// drawn at random, so that not all come back at once.
+// retryAfter returns the retry delay for a rejected client, drawn at random so that clients
+// do not return all at once. The maximum still lets the request meet its target; if it
+// cannot, the maximum is the mean work, after which slots have become free.
 func (d *Dispatcher) retryAfter(now time.Duration, r *request) time.Duration {
 	after := maxSlackFraction * d.timeToSend(now, r).Seconds()
 	if after <= 0 {
@@ -48,8 +49,8 @@
 	return min(d.settings.MaxRetryAfter, seconds(after*d.rng.Float64()))
 }
 
-// closeRequest marks the request as ended and cancels its attempts where that is
-// allowed; nothing is sent for it from here on.
+// closeRequest marks the request as ended, so that nothing more is sent for it, and
+// cancels its attempts if that is allowed.
 func (d *Dispatcher) closeRequest(r *request) {
 	if r.ended {
 		return
@@ -65,11 +66,12 @@
 			}
 		}
 	}
-	d.forgetIfDone(r)
+	d.removeIfDone(r)
 }
 
-// forgetIfDone forgets the request once it has its answer and its attempts have ended.
-func (d *Dispatcher) forgetIfDone(r *request) {
+// removeIfDone removes the request once it has its final result and none of its attempts
+// is in flight.
+func (d *Dispatcher) removeIfDone(r *request) {
 	if r.ended && r.inFlight == 0 && d.requests.byID[r.ID] == r {
 		r.tenant.openRequests--
 		d.requests.remove(r)
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Requests and attempts, and the table of those that are open.
+// This file holds the state of requests and their attempts.
 
 const (
-	shortJobFraction = 0.4 // of the mean: a request may run for so short a time, and its target be as near
+	shortRequestFraction = 0.4 // fraction of the mean running time that is assumed for a request without a hint
 )
 
-// awaitsProbes reports whether the request waits for answers to its probes.
+// awaitsProbes reports whether the request waits for results of its probes.
 func (r *request) awaitsProbes(now time.Duration) bool {
 	return r.probesPending > 0 && now < r.probeDeadline
 }
 
-// slackAt returns how many seconds the request can still wait if a worker of that
-// runtime ratio runs it. Without a hint its running time is not known; it may be short, and
-// then its latency target is near too. For a retry the mean is good enough.
+// slackAt returns how long the request can still wait, in seconds, if a worker with that
+// runtime ratio runs it. Without a hint the running time is unknown. Since the request
+// may be short and its latency target correspondingly early, slackAt assumes
+// shortRequestFraction of the mean for a first attempt, and the mean for a retry.
 func (r *request) slackAt(now time.Duration, runtimeRatio float64) float64 {
-	fraction := shortJobFraction
+	fraction := shortRequestFraction
 	if r.RuntimeHint > 0 || len(r.attempts) > 0 {
 		fraction = 1
 	}
 	return (min(r.deadline, r.targetAt) - now).Seconds() - (1-fraction)*r.class.TargetStretch*r.runtime - fraction*runtimeRatio*r.work/r.Slots
 }
 
-// mayReject reports whether the request may be rejected, which tells the client that
-// it may safely come again. It may not if an attempt may have run whose repeat would
-// not be dropped.
+// mayReject reports whether the request may be rejected, which tells the client that it
+// may safely retry. It may not if an attempt may have run and a repeat would not be
+// deduplicated.
 func (r *request) mayReject() bool {
 	c := r.class
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupAll {
@@ -43,55 +44,55 @@
 	return true
 }
 
-// attempt is one sending of a request to a worker. It stays in its request's list
-// once it has ended.
+// attempt is an attempt of a request at a worker. It remains in the request's list of
+// attempts after its end.
 type attempt struct {
-	worker       *worker
-	sentAt       time.Duration
-	startedAt    time.Duration
-	progressAt   time.Duration // the last report of progress
-	ended        bool
-	neverRan     bool // ended, and the worker surely did not begin it
-	avoidWorker  bool // the request must not go there again: it failed, or was cancelled to try another worker
-	writtenOff   bool // not counted as in flight any more; nothing is expected of it
-	startOverdue bool // no start notice came in time
+	worker        *worker
+	sentAt        time.Duration
+	startedAt     time.Duration
+	progressAt    time.Duration // last progress report
+	ended         bool
+	neverRan      bool // ended, and the worker has certainly not begun to run it
+	avoidWorker   bool // the request must not be sent to the worker again: the attempt failed or was rescheduled
+	slotsReleased bool // its slots are no longer counted as in flight
+	startOverdue  bool // the start notice did not arrive in time
 }
 
-// request is a request that has not got its final answer, or has attempts in flight.
+// request is a request that has no final result yet or has attempts in flight.
 type request struct {
 	Request
 	class         *class
-	serial        uint64 // names it in timers' tokens
+	serial        uint64 // identifies the request in timer tokens
 	tenant        *tenant
-	keyHash       uint64  // 0: no key
-	work          float64 // estimated, in slot seconds
-	runtime       float64 // estimated, in seconds; the latency target grows by it
+	keyHash       uint64  // hash of the affinity key, 0 if there is none
+	work          float64 // estimated work, in slot seconds
+	runtime       float64 // estimated running time, in seconds, which extends the latency target
 	deadline      time.Duration
-	targetAt      time.Duration // an answer by then earns the full value
-	sendBy        time.Duration // while queued: rejected if not sent by then
+	targetAt      time.Duration // time until which a response has its full value
+	sendBy        time.Duration // time by which a queued request must be sent
 	attempts      []attempt
-	inFlight      int  // attempts that have not ended
-	ended         bool // it has its final answer
+	inFlight      int  // number of attempts that have not ended
+	ended         bool // the request has its final result
 	queued        bool
-	streaming     bool      // its answer has begun to stream
-	probed        []*worker // probed for their load on its behalf
-	probesPending int       // answers of those still to come
+	streaming     bool      // the response has begun to stream
+	probed        []*worker // workers of the last round of probes
+	probesPending int       // outstanding probe results
 	probeRounds   int
-	probeDeadline time.Duration // when answers are no longer waited for
+	probeDeadline time.Duration // time until which probe results are awaited
 }
 
-// avoids reports whether the request must not go to the worker again.
+// avoids reports whether the request must not be sent to the worker again.
 func (r *request) avoids(w *worker) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.avoidWorker && a.worker == w })
 }
 
-// requestTable is the requests that have no final answer, or attempts in flight.
+// requestTable holds the requests that have no final result or have attempts in flight.
 // Invariant: byID and bySerial hold the same requests.
 type requestTable struct {
 	byID       map[string]*request
 	bySerial   map[uint64]*request
 	lastSerial uint64
-	pending    int // of them, those that are queued
+	pending    int // number of queued requests
 }
 
 func newRequestTable() requestTable {
@@ -111,7 +112,7 @@
 	delete(t.bySerial, r.serial)
 }
 
-// attempt returns a request and its attempt n, which has not ended.
+// attempt returns a request and its attempt n, or an error if that is not in flight.
 func (t *requestTable) attempt(id string, n int) (*request, *attempt, error) {
 	r := t.byID[id]
 	if r == nil {
--- a/dispatcher/rounds.go
+++ b/dispatcher/rounds.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Rounds and stalls.
+// This file counts the control rounds and detects stalls of the process.
 
 const (
-	roundInterval  = 100 * time.Millisecond // Wisp's control interval
-	stallThreshold = 25 * time.Millisecond  // a round overdue by more means that this process did not run meanwhile
-	catchUpDelay   = time.Millisecond       // its timer fires after all events that wait to be read
+	roundInterval  = 100 * time.Millisecond // control interval of Wisp
+	stallThreshold = 25 * time.Millisecond  // delay of a round beyond which the process must have stalled
+	catchUpDelay   = time.Millisecond       // a timer after this delay fires once all waiting events have been read
 )
 
-// roundClock counts the control rounds and notices, by an overdue one, that the
-// process did not run for a while.
+// roundClock counts the control rounds and detects by an overdue round that the process
+// did not run for a while.
 type roundClock struct {
 	running    bool // rounds have begun
 	number     int64
-	due        time.Duration // of the next round
-	catchingUp bool          // after a stall, until all that came meanwhile has been read
+	due        time.Duration // time at which the next round is due
+	catchingUp bool          // events that arrived during a stall are still being read
 }
 
-// start reports whether the rounds begin with this call: it is the first.
+// start starts the rounds, and reports whether they were not running before.
 func (c *roundClock) start(now time.Duration) bool {
 	if c.running {
 		return false
@@ -29,7 +29,7 @@
 	return true
 }
 
-// detectStall reports whether a stall is noticed by this call.
+// detectStall reports whether this call has detected a new stall.
 func (c *roundClock) detectStall(now time.Duration) bool {
 	if !c.running || c.catchingUp || now <= c.due+stallThreshold {
 		return false
--- a/dispatcher/sampling.go
+++ b/dispatcher/sampling.go
@@ -5,14 +5,14 @@
 	"math/rand/v2"
 )
 
-// Random samples of workers.
+// This file draws random samples of workers.
 
 const (
-	maxSampledWorkers = 16 // workers sampled for one placement
+	maxSampledWorkers = 16 // maximum number of workers sampled for one placement
 )
 
-// recentThenRandom yields the recent workers from a random one on, then a few of the
-// zones in random order.
+// recentThenRandom yields all recent workers, beginning with a random one, and then a
+// random sample of the workers of the zones.
 func recentThenRandom(rng *rand.Rand, recent []*worker, zones [][]*worker) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		for i, at := 0, rng.IntN(len(recent)+1); i < len(recent); i++ {
@@ -24,7 +24,7 @@
 	}
 }
 
-// randomWorkers yields at most maxSampledWorkers workers of the zones in random order.
+// randomWorkers yields at most maxSampledWorkers random workers of the zones.
 func randomWorkers(rng *rand.Rand, zones [][]*worker) iter.Seq[*worker] {
 	n := 0
 	for _, z := range zones {
@@ -47,7 +47,7 @@
 	}
 }
 
-// nthWorker returns worker i of all zones together.
+// nthWorker returns worker i of the concatenated zones.
 func nthWorker(zones [][]*worker, i int) *worker {
 	for _, z := range zones {
 		if i < len(z) {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// random returns a random worker that may be sent to, or nil.
+// random returns a random worker of the first pool, or nil if that is empty.
 func (s *workerSet) random(rng *rand.Rand) *worker {
 	for w := range randomWorkers(rng, s.pools[0].zones) {
 		return w
@@ -66,20 +66,20 @@
 	return nil
 }
 
-// placementScratch is what one placement has found so far.
+// placementScratch holds the intermediate results of one placement.
 type placementScratch struct {
-	leastLoaded  *worker   // by the last sample, for a request that may wait at a worker
-	leastLoad    float64   // of leastLoaded, in slots for each unit of size
-	subsetUsable int       // workers of the subset that were met and are usable
-	homes        []*worker // reused by homeWorkers
+	leastLoaded  *worker   // least loaded worker at which the request may wait
+	leastLoad    float64   // load of leastLoaded, in slots per unit of size
+	subsetUsable int       // number of sampled workers of the subset that are in service
+	owners       []*worker // scratch space of affinityWorkers
 }
 
-// reset begins another placement.
+// reset clears the results before another placement.
 func (p *placementScratch) reset() {
 	p.leastLoaded, p.leastLoad, p.subsetUsable = nil, unlimited, 0
 }
 
-// consider notes a worker if its load is the least so far.
+// consider records the worker if its load is the lowest so far.
 func (p *placementScratch) consider(w *worker, load float64) {
 	if load < p.leastLoad {
 		p.leastLoaded, p.leastLoad = w, load
--- a/dispatcher/settings.go
+++ b/dispatcher/settings.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Idempotency says whether a request may run more than once.
+// Idempotency states whether a request may run more than once.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // workers of one group drop repeats by a key, for a while
+	IdempotentByKey                    // a group of workers deduplicates repeats by a key within a time window
 	NotIdempotent                      // must never run twice
 )
 
-// DedupScope is the group of workers that drops repeats of a request by its key.
+// DedupScope is the group of workers that deduplicates repeats of a request by its key.
 type DedupScope uint8
 
 // The groups of workers.
@@ -27,97 +27,98 @@
 	DedupCell                   // the workers of one cell
 )
 
-// Class describes one class of requests.
+// Class configures a class of requests.
 type Class struct {
 	Name        string      `json:"Name"`
 	Idempotency Idempotency `json:"Effect"`
 
-	// Where repeats are dropped by key: the group of workers that does so, and for
-	// how long, from the first send that may have run.
+	// DedupScope and DedupWindow apply to IdempotentByKey: the group of workers that
+	// deduplicates repeats, and for how long after the first send that may have run.
 	DedupScope  DedupScope    `json:"Scope"`
 	DedupWindow time.Duration `json:"Window"`
 
-	// An answer earns its full value within the latency target, to which the stretch
-	// adds so many times the request's own running time. A later answer earns LateShare
-	// of it, 0 to 1. Limit is how long a client waits in all, over all its attempts.
+	// A response has its full value within the latency target, which is LatencyTarget
+	// plus TargetStretch times the request's own running time. A later response has the
+	// fraction LateValue of it, 0 to 1. ClientTimeout is how long a client waits in total,
+	// over all its attempts.
 	LatencyTarget time.Duration `json:"Aim"`
 	TargetStretch float64       `json:"Stretch"`
 	ClientTimeout time.Duration `json:"Limit"`
 	LateValue     float64       `json:"LateShare"`
 
-	Streaming bool `json:"Stream"` // the answer is streamed; see [Dispatcher.StreamStarted]
+	Streaming bool `json:"Stream"` // the response is streamed; see [Dispatcher.StreamStarted]
 
-	// The only machine kinds and the only zones whose workers the class may be
-	// sent to. Nil means any; an empty list that is not nil means none at all,
-	// and such a class is only ever rejected.
+	// Kinds and Zones are the machine kinds and zones whose workers the class may be sent
+	// to. Nil allows any. An empty list that is not nil allows none: all requests of the
+	// class are rejected.
 	Kinds []int `json:"Kinds"`
 	Zones []int `json:"Zones"`
 }
 
-// RetryBudget bounds the attempts of one Dispatcher beyond each request's first. In any
-// window there may be a fixed number of them, and a ratio of the requests that it
-// took in that window. The zero value does not bind.
+// RetryBudget limits the attempts of one Dispatcher after each request's first. Any window
+// may contain FreeRetries of them, plus RetryRatio for each request submitted in that
+// window. The zero value means no limit.
 type RetryBudget struct {
-	FreeRetries int           // the fixed number
-	RetryRatio  float64       // attempts for each request
-	Window      time.Duration // the window's length
+	FreeRetries int           // retries allowed regardless of the number of requests
+	RetryRatio  float64       // retries per request
+	Window      time.Duration // length of the sliding window
 }
 
-// Tenant describes one of the tenants that share the workers.
+// Tenant configures one of the tenants that share the workers.
 type Tenant struct {
 	Name  string
-	Share float64 // quota share; only the proportions count
-	Quota float64 // requests a second, over all dispatchers, within its share; 0: not known
+	Share float64 // share of the capacity, relative to the shares of the other tenants
+	Quota float64 // requests per second within its share, over all dispatchers; 0 means unknown
 }
 
-// WeightMeaning says what WorkerInfo.Weight stands for.
+// WeightMeaning is the meaning of WorkerInfo.Weight.
 type WeightMeaning uint8
 
 // The meanings of weights.
 const (
-	WeightNone WeightMeaning = iota // nothing
-	WeightSize                      // the worker's size, exactly or roughly
-	WeightLive                      // size over 1 + requests in flight per core, sampled a while ago
+	WeightNone WeightMeaning = iota // the weight is ignored
+	WeightSize                      // the worker's size, exact or approximate
+	WeightLive                      // the worker's size divided by 1 + requests in flight per core, with a delay
 )
 
-// Settings are the settings of a Dispatcher. Most of them may change while it runs;
-// see [Dispatcher.UpdateSettings].
+// Settings configures a Dispatcher. Most settings can change while it runs; see
+// [Dispatcher.UpdateSettings].
 type Settings struct {
 	Classes     []Class
-	Tenants     []Tenant // may be empty: then all requests have one queue
-	Zone        int      // this dispatcher's zone
-	Dispatchers int      // how many dispatchers there are, this one included; 0 counts as 1
+	Tenants     []Tenant // if empty, all requests share one queue
+	Zone        int      // zone of this dispatcher
+	Dispatchers int      // number of dispatchers, including this one; 0 counts as 1
 	Weights     WeightMeaning
 
-	MaxAttempts   int  // for one request; 0 means 1
+	MaxAttempts   int  // maximum attempts of one request; 0 means 1
 	AllowHedging  bool // two attempts of one request may be in flight at once
 	AllowCancel   bool // [Host.Cancel] is allowed
-	WatchOnDemand bool // the list of workers comes only after [Host.WatchWorkers]
+	WatchOnDemand bool // the worker list arrives only after [Host.WatchWorkers]
 
 	StartNotified bool // workers report when they start a request
-	FIFOWorkers   bool // workers start requests in the order in which they come
-	LoadByProbe   bool // load reports come only as answers to [Host.Probe], which is allowed
+	FIFOWorkers   bool // workers start requests in the order of arrival
+	LoadByProbe   bool // load reports arrive only as results of [Host.Probe], which is allowed
 
-	RetryBudget        RetryBudget   // of attempts beyond each request's first
-	RejectedMayHaveRun bool          // workers reject also work that they had begun
-	DrainCloseTimeout  time.Duration // idle connections to a draining worker are closed within it; 0: they need not be
+	RetryBudget        RetryBudget   // limit on attempts after each request's first
+	RejectedMayHaveRun bool          // a worker may reject an attempt that it has begun to run
+	DrainCloseTimeout  time.Duration // time within which idle connections to a draining worker must be closed; 0 leaves them open
 
-	MaxRetryAfter time.Duration // the longest advice that clients follow; 0: none
+	MaxRetryAfter time.Duration // longest retry delay that clients observe; 0 sends none
 
-	// Slow start. A worker that has just started has a part of its capacity, in (0,
-	// 1], and all of it after the duration; 0 means that workers need no slow start.
-	// It breaks down if for the overload window it is sent more than the overload
-	// multiple of what it can do.
+	// Slow start: a worker that has just started has SlowStartCapacity of its capacity, in
+	// (0, 1], which grows to the full capacity within SlowStartDuration; a duration of 0
+	// disables slow start. The worker fails if it is sent more than OverloadMultiple times
+	// its current capacity during OverloadWindow.
 	SlowStartCapacity float64
 	SlowStartDuration time.Duration
 	OverloadMultiple  float64
 	OverloadWindow    time.Duration
 }
 
-// Validate returns an error for invalid settings.
+// Validate returns an error if the settings are invalid.
 func (s *Settings) Validate() error {
 	if len(s.Classes) == 0 {
-		return errors.New("sedgevale: no class in the settings")
+		return errors.New("sedgevale: the settings must have at least one class")
 	}
 	for i := range s.Classes {
 		if err := s.Classes[i].validate(); err != nil {
@@ -129,14 +130,14 @@
 	}
 	for i, t := range s.Tenants {
 		if !(t.Share > 0) || t.Quota < 0 {
-			return fmt.Errorf("sedgevale: tenant %d (%s): share must be positive, quota not negative", i, t.Name)
+			return fmt.Errorf("sedgevale: tenant %d (%s): share must be positive and quota must not be negative", i, t.Name)
 		}
 	}
 	if !s.slowStartValid() {
-		return errors.New("sedgevale: slow start capacity must be in (0, 1], overload window and multiple positive")
+		return errors.New("sedgevale: slow start capacity must be in (0, 1], and overload window and multiple must be positive")
 	}
 	if s.Zone < 0 || s.MaxAttempts < 0 || s.Dispatchers < 0 || s.DrainCloseTimeout < 0 || s.MaxRetryAfter < 0 {
-		return errors.New("sedgevale: zone, attempts, dispatchers, drain close timeout and retry-after must not be negative")
+		return errors.New("sedgevale: zone, maximum attempts, dispatchers, drain close timeout and maximum retry-after must not be negative")
 	}
 	return nil
 }
@@ -147,18 +148,18 @@
 
 func (c *Class) validate() error {
 	if c.ClientTimeout <= 0 || c.LatencyTarget <= 0 || c.TargetStretch < 0 || c.Idempotency == IdempotentByKey && c.DedupWindow <= 0 {
-		return errors.New("client timeout, latency target and dedup window must be positive, stretch not negative")
+		return errors.New("client timeout, latency target and, for a class idempotent by key, dedup window must be positive, and target stretch must not be negative")
 	}
 	negative := func(i int) bool { return i < 0 }
 	if slices.ContainsFunc(c.Kinds, negative) || slices.ContainsFunc(c.Zones, negative) {
-		return errors.New("kinds and zones must not be negative")
+		return errors.New("machine kinds and zones must not be negative")
 	}
 	return nil
 }
 
 func (b RetryBudget) validate() error {
 	if b.FreeRetries < 0 || !(b.RetryRatio >= 0) || b.Window < 0 || b.Window == 0 && b != (RetryBudget{}) {
-		return errors.New("the retry budget must not be negative, and needs a window")
+		return errors.New("retry budget must not be negative, and must have a window unless it is zero")
 	}
 	return nil
 }
--- a/dispatcher/tenants.go
+++ b/dispatcher/tenants.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Tenants: their shares, quotas and queues, and what is counted for each.
+// This file holds the tenants with their shares, quotas and queues.
 
 const (
 	sendShareGain    = 1.0 / 128 // EWMA weight of one request in a tenant's share sent to a worker
-	arrivalsDecay    = 0.01      // of the counts of arrivals, a round
-	maxRecentWorkers = 8         // that served a tenant in time, and are probed first
-	belowShareFactor = 1.4       // of its quota, for a tenant that sends less than its share of what arrives here
-	quotaFactor      = 1.5       // of its even part of a tenant's quota that a dispatcher may use
+	arrivalsDecay    = 0.01      // fraction by which the counts of arrivals decay per round
+	maxRecentWorkers = 8         // number of workers probed first because they served the tenant within its target
+	belowShareFactor = 1.4       // factor on the quota of a tenant with at most its share of the requests that arrive here
+	quotaFactor      = 1.5       // factor on a dispatcher's even part of a tenant's quota
 )
 
 // sendShare is the EWMA share of a tenant's requests that went to a worker.
 type sendShare = admission.Share
 
-// queue is a heap of a tenant's pending requests by slack (the paper's section
-// 4.2): the one that must be sent soonest comes first. Requests that are not
-// queued any more stay until they are popped.
+// queue is a heap of a tenant's pending requests, ordered by the time by which they must
+// be sent (the paper's section 4.2). Requests that are no longer queued remain in the heap
+// until they are popped.
 type queue []*request
 
 func (q queue) Len() int { return len(q) }
@@ -40,57 +40,57 @@
 	return r
 }
 
-// tenant is a tenant of the settings, or one that they have removed until its last
-// request is over.
+// tenant is a tenant of the settings, or a removed tenant until its last request has
+// ended.
 type tenant struct {
 	name         string
-	weight       float64       // its share as the settings give it
-	openRequests int           // that are not forgotten yet
-	removed      bool          // the settings do not have it any more
-	retireAt     time.Duration // when it is removed: no request that was taken before can come after it; 0: not set yet
-	share        float64       // normalized over all tenants; 0: removed, and without requests
+	weight       float64       // share from the settings
+	openRequests int           // number of its requests in the requestTable
+	removed      bool          // no longer in the settings
+	retireAt     time.Duration // time at which a removed tenant is dropped, after which no earlier request can arrive; 0 if not set
+	share        float64       // share normalized over all tenants; 0 for a removed tenant without requests
 
-	quota    float64 // requests a second here within its share; 0: none is set
-	tokens   float64 // of the quota, not yet used
+	quota    float64 // requests per second at this dispatcher within its share; 0 means no quota
+	tokens   float64 // unused tokens of the quota
 	tokensAt time.Duration
 
 	queue             queue
-	pendingWork       []float64 // by a class's index
+	pendingWork       []float64 // slot seconds of queued requests, by class index
 	pendingSlots      float64
-	inFlight          float64 // slots
+	inFlight          float64 // slots in flight
 	deficit           float64 // credit of the deficit round robin, in slot seconds
 	blockedByCapacity bool    // its turn ended for lack of capacity, not of credit
 	arrivals          float64 // decayed count of requests
 
-	limit         float64 // bound on slots in flight beyond its share
-	localShare    float64 // slots
-	sentJobs      uint64
-	sendShares    []sendShare // by a worker's index
-	usedWorkers   []int       // indexes of workers with a share
-	recentWorkers []*worker   // the last that served it in time
+	limit         float64 // limit on the slots in flight beyond its share
+	localShare    float64 // local share of the capacity, in slots
+	sentRequests  uint64
+	sendShares    []sendShare // by worker index
+	usedWorkers   []int       // indexes of workers with a sendShare in use
+	recentWorkers []*worker   // last workers that served it within its target
 }
 
-// tenantSet is the tenants, and whose turn it is. Invariants: byIndex are those that the
-// settings have, all has those and the removed ones until their last request is over;
-// the shares of all sum to 1.
+// tenantSet holds the tenants and the state of the round robin. Invariants: byIndex holds
+// the tenants of the settings; all holds these and the removed tenants until their last
+// request has ended; the shares of all sum to 1.
 type tenantSet struct {
-	all          []*tenant // in the order of their turns
-	byIndex      []*tenant // by the settings' index; without tenants one that all requests have
-	removed      int
+	all          []*tenant            // in the order of their turns
+	byIndex      []*tenant            // by index in the settings; a single tenant for all requests if the settings have none
+	removed      int                  // number of removed tenants in all
 	turn         int                  // index into all
-	turnCredited bool                 // the tenant whose turn it is has had its credit
+	turnCredited bool                 // the current tenant has received the credit of this turn
 	arrivals     float64              // decayed count of requests
-	claimants    []admission.Claimant // reused by fairLevel
+	claimants    []admission.Claimant // scratch space of fairLevel
 }
 
-// claim returns the slots that the tenant wants, and its share.
-func (t *tenant) claim() admission.Claimant {
+// claimant returns the tenant's demand for slots and its share.
+func (t *tenant) claimant() admission.Claimant {
 	return admission.Claimant{Demand: t.inFlight + t.pendingSlots, Share: t.share}
 }
 
-// countSent notes that a request of the tenant was sent to the worker.
+// countSent records that a request of the tenant was sent to the worker.
 func (t *tenant) countSent(w *worker) {
-	t.sentJobs++
+	t.sentRequests++
 	for len(t.sendShares) <= w.index {
 		t.sendShares = append(t.sendShares, sendShare{})
 	}
@@ -98,27 +98,27 @@
 	if !a.Used {
 		t.usedWorkers = append(t.usedWorkers, w.index)
 	}
-	*a = a.AddJob(t.sentJobs, sendShareGain)
+	*a = a.AddJob(t.sentRequests, sendShareGain)
 }
 
-// rememberWorker notes that the worker served the tenant in time.
-func (t *tenant) rememberWorker(w *worker) {
-	t.forgetWorker(w)
+// addRecentWorker records that the worker served a request of the tenant within its target.
+func (t *tenant) addRecentWorker(w *worker) {
+	t.removeRecentWorker(w)
 	if len(t.recentWorkers) == maxRecentWorkers {
 		t.recentWorkers = slices.Delete(t.recentWorkers, 0, 1)
 	}
 	t.recentWorkers = append(t.recentWorkers, w)
 }
 
-// forgetWorker takes the worker off the tenant's recent ones.
-func (t *tenant) forgetWorker(w *worker) {
+// removeRecentWorker removes the worker from the tenant's recent workers.
+func (t *tenant) removeRecentWorker(w *worker) {
 	t.recentWorkers = slices.DeleteFunc(t.recentWorkers, func(v *worker) bool { return v == w })
 }
 
-// withinShare reports whether the tenant has sent less than its quota. The quota is
-// larger for one that sends less than its share of what arrives here, since a
-// dispatcher may get more than its even part of all tenants. Without a quota the
-// tenant's share of the capacity, in slots, counts.
+// withinShare reports whether the tenant has a token of its quota left, or, if it has no
+// quota, whether its slots in flight are below its share of the capacity in slots. The
+// quota is larger for a tenant with at most its share of the requests that arrive here,
+// since a dispatcher may receive more than its even part of the requests of all tenants.
 func (s *tenantSet) withinShare(now time.Duration, t *tenant, capacity float64) bool {
 	if t.quota == 0 {
 		return t.inFlight < t.share*capacity
@@ -132,8 +132,8 @@
 	return t.tokens >= 1
 }
 
-// updateShares normalizes the tenants' shares. A removed tenant without requests has
-// none.
+// updateShares normalizes the tenants' shares. A removed tenant without requests has a
+// share of 0.
 func (s *tenantSet) updateShares() {
 	sum := 0.0
 	for _, t := range s.all {
@@ -148,7 +148,7 @@
 	}
 }
 
-// removedIndex returns the index of a removed tenant, -1 for none of that name.
+// removedIndex returns the index of a removed tenant, or -1 if there is none of that name.
 func (s *tenantSet) removedIndex(name string) int {
 	at := len(s.byIndex)
 	for _, t := range s.all {
@@ -160,8 +160,8 @@
 	return -1
 }
 
-// at returns the tenant of an index as TenantIndex gives it, or nil. A
-// negative index is that of the one tenant where the settings have none.
+// at returns the tenant with an index from TenantIndex, or nil. A negative index stands
+// for the first tenant, which is the only one if the settings have none.
 func (s *tenantSet) at(index int) *tenant {
 	index = max(0, index)
 	if index < len(s.byIndex) {
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// update takes over the settings' tenants, matched by name. New ones have their
+// update applies the tenants of the settings, matched by name. New tenants have their
 // turns after all others.
 func (s *tenantSet) update(tenants []Tenant, dispatchers, classes int) {
 	byName := make(map[string]*tenant, len(s.all))
@@ -194,7 +194,7 @@
 	for i, set := range tenants {
 		quota := quotaFactor * set.Quota / float64(dispatchers)
 		t := byName[set.Name]
-		delete(byName, set.Name) // a name that is there twice is two tenants
+		delete(byName, set.Name) // two tenants of the same name remain two tenants
 		if t == nil {
 			t = &tenant{name: set.Name, limit: unlimited, localShare: unlimited, tokens: quota, pendingWork: make([]float64, classes)}
 			s.all = append(s.all, t)
@@ -206,9 +206,9 @@
 	s.updateShares()
 }
 
-// retire gives the shares of removed tenants back to the others once they have
-// no requests, and forgets them after the longest time in which a request that was
-// taken before can still come.
+// retire returns the shares of removed tenants without requests to the other tenants, and
+// drops such a tenant once no request that was accepted before its removal can arrive,
+// which takes the longest client timeout.
 func (s *tenantSet) retire(now, longest time.Duration) {
 	if s.removed == 0 {
 		return
@@ -241,7 +241,7 @@
 func (s *tenantSet) fairLevel(limit float64) float64 {
 	s.claimants = s.claimants[:0]
 	for _, t := range s.all {
-		s.claimants = append(s.claimants, t.claim())
+		s.claimants = append(s.claimants, t.claimant())
 	}
 	return admission.MaxMinLevel(s.claimants, limit)
 }
@@ -255,5 +255,5 @@
 	return demand
 }
 
-// nextTurn passes the turn on.
+// nextTurn gives the turn to the next tenant.
 func (s *tenantSet) nextTurn() { s.turn, s.turnCredited = (s.turn+1)%len(s.all), false }
--- a/dispatcher/timers.go
+++ b/dispatcher/timers.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Timers.
+// This file handles timers.
 
-// TimerFired reports that the time asked for by [Host.SetTimer] has passed.
+// TimerFired reports that a timer set by [Host.SetTimer] has fired.
 func (d *Dispatcher) TimerFired(now time.Duration, token uint64) {
 	d.detectStall(now)
 	kind, r, n := token&15, d.requests.bySerial[token>>9], int(token>>4&31)
-	// A request that is over by now started at once.
+	// A request that has already ended counts as started promptly.
 	if kind == tokenStartDue && !d.rounds.catchingUp && (r == nil || !r.attempts[n].startOverdue) {
 		d.connections.observeStart(r == nil || r.attempts[n].startedAt > 0)
 	}
@@ -30,25 +30,25 @@
 func (d *Dispatcher) requestTimerFired(now time.Duration, kind uint64, r *request, n int) {
 	switch kind {
 	case tokenStartDue:
-		if d.rounds.catchingUp { // the start may be among what came meanwhile
+		if d.rounds.catchingUp { // the start notice may be among the events that have not been read yet
 			d.setTimer(catchUpDelay, kind, r, n)
 			return
 		}
-		d.checkStart(now, r, n)
+		d.handleOverdueStart(now, r, n)
 	case tokenProbe:
 		d.releasePending(now)
 	case tokenSendBy:
 		if !r.queued || now < r.sendBy {
 			return
 		}
-		if r.inFlight > 0 { // a hedge that found no worker: the first attempt goes on
+		if r.inFlight > 0 { // no worker was found for a hedged attempt; the first attempt continues
 			d.removePending(r)
 			return
 		}
-		d.endUnserved(now, r)
+		d.rejectOrFail(now, r)
 	case tokenDeadline:
 		if !r.streaming {
-			d.endUnserved(now, r)
+			d.rejectOrFail(now, r)
 		}
 	}
 }
--- a/dispatcher/units.go
+++ b/dispatcher/units.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Units, and helpers of all files.
+// This file holds helper functions.
 
-// hashOf returns a key's hash by FNV-1a and a finalizer; it is 0 only for no key.
+// hashOf returns the hash of a key by FNV-1a and a finalizer. It is 0 only for an empty key.
 func hashOf(s string) uint64 {
 	if s == "" {
 		return 0
@@ -26,10 +26,10 @@
 	return h ^ h>>33
 }
 
-// unlimited stands for no limit.
+// unlimited is the value of a limit that is not set.
 var unlimited = admission.Unlimited
 
-// boolToFloat returns 1 for true.
+// boolToFloat returns 1 for true and 0 for false.
 func boolToFloat(is bool) float64 {
 	if is {
 		return 1
