--- a/dispatcher/watch.go
+++ b/dispatcher/watch.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// The watch on the list of workers, and connections of workers that drain.
+// This file paces the retries of the watch on the worker list and the closing of connections to draining workers.
 
 const (
 	minWatchBackoff = 200 * time.Millisecond
-	maxWatchBackoff = time.Second // with jitter and a failed call: retried within 6 s of discovery's return
+	maxWatchBackoff = time.Second // with jitter and a failed call, the list is current within 6 s of discovery's recovery
 )
 
-// listWatch paces the retries of the watch on the list.
+// listWatch holds the backoff of the watch on the worker list.
 type listWatch struct{ backoff time.Duration }
 
-// retryDelay returns when to retry after a failure: twice as late each time.
+// retryDelay returns the jittered delay before the next retry and doubles the backoff.
 func (w *listWatch) retryDelay(rng *rand.Rand) time.Duration {
 	delay := w.backoff/2 + time.Duration(rng.Int64N(int64(w.backoff)))
 	w.backoff = min(2*w.backoff, maxWatchBackoff)
 	return delay
 }
 
-// drainingConnections are the workers whose idle connections are closed once more.
+// drainingConnections holds the workers whose idle connections are to be closed once more.
 type drainingConnections struct{ workers []*worker }
 
-// closed notes that the idle connections to a worker were closed.
+// closed records that the idle connections to a worker were closed.
 func (c *drainingConnections) closed(now time.Duration, w *worker) {
 	if w.idleClosedAt == 0 {
 		c.workers = append(c.workers, w)
@@ -34,7 +34,8 @@
 	w.idleClosedAt = now
 }
 
-// due removes and returns the workers for which the given time has passed since.
+// due removes and returns the workers whose idle connections were closed at least the
+// given time ago.
 func (c *drainingConnections) due(now, after time.Duration) (due []*worker) {
 	c.workers = slices.DeleteFunc(c.workers, func(w *worker) bool {
 		if now < w.idleClosedAt+after {
--- a/dispatcher/workers.go
+++ b/dispatcher/workers.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The set of workers, their pools, and the sums over these.
+// This file holds the set of workers and maintains their pools.
 
-// poolOf returns the pool for classes with these kinds and zones, where nil means any
-// and an empty list none.
+// poolOf returns the pool for classes with these kinds and zones, where nil allows any
+// and an empty list allows none. It creates the pool if necessary.
 func (s *workerSet) poolOf(kinds, zones []int) *pool {
 	for _, p := range s.pools {
 		if slices.Equal(p.allowedKinds, kinds) && slices.Equal(p.allowedZones, zones) &&
@@ -21,8 +21,8 @@
 	return p
 }
 
-// weightShare returns the part, by weight, of all active workers that are in a pool;
-// it is 1 while there is none.
+// weightShare returns the fraction, by weight, of all active workers that are in the
+// pool, or 1 if the pool is empty.
 func (s *workerSet) weightShare(p *pool) float64 {
 	if p.weight > 0 {
 		return p.weight / s.pools[0].weight
@@ -30,8 +30,7 @@
 	return 1
 }
 
-// addToPools puts a worker into each pool that admits it now, and takes it out of the
-// others.
+// addToPools adds a worker to each pool that admits it, and removes it from the others.
 func (s *workerSet) addToPools(w *worker) {
 	s.removeFromPools(w)
 	for i, p := range s.pools {
@@ -51,7 +50,7 @@
 	s.adjustPoolSums(w, 1)
 }
 
-// removeFromPools takes a worker out of all pools.
+// removeFromPools removes a worker from all pools.
 func (s *workerSet) removeFromPools(w *worker) {
 	s.adjustPoolSums(w, -1)
 	if w.poolPositions[0] >= 0 {
@@ -75,8 +74,8 @@
 	}
 }
 
-// adjustPoolSums adds the worker to the sums of its pools (sign 1) or subtracts it
-// (-1). A change of what is summed needs a call before and after it.
+// adjustPoolSums adds the worker to the sums of its pools (sign 1) or subtracts it from
+// them (-1). It must be called before and after each change of a summed value.
 func (s *workerSet) adjustPoolSums(w *worker, sign int) {
 	for i, p := range s.pools {
 		if !w.inPool(i) {
@@ -96,7 +95,7 @@
 	}
 }
 
-// subsetZones returns the pool's workers of the subset as one zone, or nil if there
+// subsetZones returns the pool's workers in the subset as a single zone, or nil if there
 // are none.
 func (s *workerSet) subsetZones(p *pool) [][]*worker {
 	if s.subsetSize == 0 {
@@ -118,7 +117,8 @@
 	return p.subset[:]
 }
 
-// lightlyLoaded reports whether less than a slot for each worker is known to be taken.
+// lightlyLoaded reports whether fewer slots are known to be in flight than there are
+// workers, in the subset if there is one.
 func (s *workerSet) lightlyLoaded() bool {
 	if s.subsetSize > 0 {
 		return s.pools[0].subsetInFlight < float64(s.subsetSize)
@@ -126,14 +126,14 @@
 	return s.pools[0].inFlight < float64(s.pools[0].active)
 }
 
-// capacityChanged has pools without capacity tried again.
+// capacityChanged makes the next release try pools again in which no capacity was found.
 func (s *workerSet) capacityChanged() {
 	for _, p := range s.pools {
 		p.noCapacity = false
 	}
 }
 
-// addOccupied adds slots at the worker, whichever dispatcher has them.
+// addOccupied adds slots in flight at the worker, of any dispatcher.
 func (s *workerSet) addOccupied(w *worker, slots float64) {
 	w.inFlight += slots
 	for i, p := range s.pools {
@@ -147,50 +147,49 @@
 	}
 }
 
-// setLimit sets the worker's limit and keeps the sums of its pools.
+// setLimit sets the worker's limit and updates the sums of its pools.
 func (s *workerSet) setLimit(w *worker, to float64) {
 	s.adjustPoolSums(w, -1)
 	w.limit = to
 	s.adjustPoolSums(w, 1)
 }
 
-// reportedWait returns how many seconds a request would wait at a worker by its last
-// report.
+// reportedWait returns the time that a request would wait at a worker by its last load
+// report, in seconds.
 func (s *workerSet) reportedWait(w *worker, r *request) float64 {
 	slots := s.maxFreeByKind[w.Kind]
 	return max(0, w.lastReport.InFlight+r.Slots-slots-min(0, w.freeSlots)) / slots * r.class.meanRuntime
 }
 
-// applyLiveWeight takes over free slots from a live weight, which is the size over 1
-// + requests in flight per core. It guards against slots that other dispatchers
-// fill.
+// applyLiveWeight derives the worker's free slots from a live weight, which is the size
+// divided by 1 + requests in flight per core. It guards against sending to slots that
+// other dispatchers occupy.
 func (s *workerSet) applyLiveWeight(now time.Duration, w *worker) {
 	perCore := s.maxWeightByKind[w.Kind]/w.Weight - 1
 	w.freeSlots, w.freeSlotsAt = (1-perCore)*s.maxFreeByKind[w.Kind], now
 }
 
-// workerSet is the workers, listed or with attempts in flight, and the pools that they
-// are in. Invariants: a worker is in byName and all while the list has it; the sums of
-// a pool are those of its workers' sizes, slots in flight and limits, so whoever
-// changes one of those calls adjustPoolSums before and after, or addOccupied.
+// workerSet holds the listed workers and the pools that they are in. Invariants: a worker
+// is in byName and all while it is listed; the sums of a pool are those of its workers'
+// sizes, slots in flight and limits, so a change of one of these must be enclosed in calls
+// of adjustPoolSums or made by addOccupied.
 type workerSet struct {
 	byName          map[string]*worker
-	all             []*worker // by index; nil: free index
+	all             []*worker // by index; nil for a free index
 	pools           []*pool
-	cells           map[int][]*worker // the workers of a cell that may be sent to
-	cordons         map[string]bool   // by name, also of workers not listed
+	cells           map[int][]*worker // by cell, its workers in the first pool
+	cordons         map[string]bool   // names of cordoned workers, which need not be listed
 	maxWeightByKind []float64
-	maxFreeByKind   []float64 // most free slots ever reported, 1 at least
+	maxFreeByKind   []float64 // most free slots ever reported, at least 1
 	maxSize         float64
-	subsetSize      int // workers in this dispatcher's subset; 0: there is none
+	subsetSize      int // number of workers in this dispatcher's subset; 0 if there is no subset
 }
 
 func newWorkerSet() workerSet {
 	return workerSet{byName: map[string]*worker{}, pools: []*pool{{}}, cells: map[int][]*worker{}, cordons: map[string]bool{}}
 }
 
-// add adds a worker that the list names for the first time. The lowest free
-// index is taken again.
+// add adds a newly listed worker and gives it the lowest free index.
 func (s *workerSet) add(e *WorkerInfo) *worker {
 	w := &worker{WorkerInfo: *e, poolPositions: slices.Repeat([]int{-1}, len(s.pools)), limit: unlimited, runtimeRatio: 1,
 		index: len(s.all), lastDecreaseRound: -1, cordoned: s.cordons[e.Worker]}
@@ -204,9 +203,9 @@
 	return w
 }
 
-// sizeOf returns the worker's size: its listed weight, or 1 where weights mean
-// nothing. Live weights sink below the size, so there it is the largest weight
-// seen of the kind.
+// sizeOf returns the worker's size: its listed weight, or 1 if weights are ignored or not
+// positive. Live weights fall below the size under load, so for these the size is the
+// largest weight seen of the kind.
 func (s *workerSet) sizeOf(e *WorkerInfo, meaning WeightMeaning) float64 {
 	if meaning == WeightNone || e.Weight <= 0 {
 		return 1
@@ -217,16 +216,16 @@
 	return e.Weight
 }
 
-// growKindTables extends the tables that are indexed by kind up to this one.
+// growKindTables extends the tables that are indexed by kind to include this kind.
 func (s *workerSet) growKindTables(kind int) {
 	for len(s.maxWeightByKind) <= kind {
 		s.maxWeightByKind, s.maxFreeByKind = append(s.maxWeightByKind, 0), append(s.maxFreeByKind, 1)
 	}
 }
 
-// secondLowestRuntimeRatio returns the runtime ratio of the second fastest active
-// worker, 1 at most: a request takes at least that much of its class's mean running
-// time.
+// secondLowestRuntimeRatio returns the runtime ratio of the second fastest active worker,
+// at most 1. It serves as the lower bound on a request's running time, relative to the
+// mean of its class.
 func (s *workerSet) secondLowestRuntimeRatio() float64 {
 	first, second := 1.0, 1.0
 	for _, w := range s.all {
@@ -240,7 +239,7 @@
 	return second
 }
 
-// missing returns the workers that a complete list no longer has.
+// missing returns the known workers that a complete worker list does not contain.
 func (s *workerSet) missing(entries []WorkerInfo) (missing []*worker) {
 	named := make(map[string]bool, len(entries))
 	for i := range entries {
