--- a/dispatcher/accounting.go
+++ b/dispatcher/accounting.go
@@ -10,7 +10,7 @@
 // addInFlight adds slots in flight of this dispatcher, or of its siblings, at the worker.
 func (d *Dispatcher) addInFlight(w *worker, slots float64) {
 	d.capacity.inFlight += slots
-	d.workers.addOccupied(w, slots)
+	d.workers.addInFlight(w, slots)
 	d.loadChanges.note(w)
 }
 
--- a/dispatcher/eligibility.go
+++ b/dispatcher/eligibility.go
@@ -16,7 +16,7 @@
 // that deduplicates it.
 func (d *Dispatcher) candidateZones(r *request) (near, all [][]*worker) {
 	all = r.class.pool.zones
-	if w := r.mayHaveRunAt(); w != nil {
+	if w := r.dedupWorker(); w != nil {
 		switch r.class.DedupScope {
 		case DedupCell:
 			all = [][]*worker{d.workers.cells[w.Cell]}
--- a/dispatcher/learning.go
+++ b/dispatcher/learning.go
@@ -109,7 +109,7 @@
 		restarted = d.workers.cells[w.Cell]
 	}
 	for _, v := range restarted {
-		d.slowStart.presumeRestarted(now, v, d.initialCredit)
+		d.slowStart.beginPresumed(now, v, d.initialCredit)
 	}
 	if d.slowStart.presumedRestarts*2 > d.workers.pools[0].active {
 		d.slowStart.clearPresumed(d.workers.all...)
--- a/dispatcher/membership.go
+++ b/dispatcher/membership.go
@@ -100,7 +100,7 @@
 	delete(d.workers.byName, w.Worker)
 	d.addInFlight(w, -w.siblingLoad.InFlight)
 	w.notStarted -= w.siblingLoad.NotStarted
-	d.workers.addOccupied(w, -w.peerLoad.InFlight)
+	d.workers.addInFlight(w, -w.peerLoad.InFlight)
 	w.notStarted -= w.peerLoad.NotStarted
 	w.siblingLoad, w.peerLoad = Load{}, Load{}
 	w.endProbe()
--- a/dispatcher/peers.go
+++ b/dispatcher/peers.go
@@ -66,7 +66,7 @@
 		if w == nil {
 			continue
 		}
-		d.workers.addOccupied(w, l.InFlight-w.peerLoad.InFlight)
+		d.workers.addInFlight(w, l.InFlight-w.peerLoad.InFlight)
 		w.notStarted += l.NotStarted - w.peerLoad.NotStarted
 		w.peerLoad = l.Load
 	}
--- a/dispatcher/request.go
+++ b/dispatcher/request.go
@@ -124,9 +124,10 @@
 	return r, &r.attempts[n], nil
 }
 
-// mayHaveRunAt returns, for a request that is idempotent by key, the worker of its first
-// attempt that may have run, or nil.
-func (r *request) mayHaveRunAt() *worker {
+// dedupWorker returns the worker whose group deduplicates the request: that of the first
+// attempt that may have run. It is nil if there is none or the request is not idempotent by
+// key.
+func (r *request) dedupWorker() *worker {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.neverRan && r.class.Idempotency == IdempotentByKey {
 			return a.worker
--- a/dispatcher/settings.go
+++ b/dispatcher/settings.go
@@ -118,7 +118,7 @@
 // Validate returns an error if the settings are invalid.
 func (s *Settings) Validate() error {
 	if len(s.Classes) == 0 {
-		return errors.New("sedgevale: the settings must have at least one class")
+		return errors.New("sedgevale: no class in the settings")
 	}
 	for i := range s.Classes {
 		if err := s.Classes[i].validate(); err != nil {
--- a/dispatcher/slowstart.go
+++ b/dispatcher/slowstart.go
@@ -63,9 +63,9 @@
 	return w.slowStartCredit > 0 && estimates.expectedOf(r) <= max(mean, maxWork)
 }
 
-// presumeRestarted begins the slow start of a worker that is presumed restarted, unless
-// the worker list shows that it is already in slow start.
-func (s *slowStart) presumeRestarted(now time.Duration, w *worker, credit func() float64) {
+// beginPresumed begins the slow start of a worker that is presumed restarted, unless the
+// worker is in slow start because of the worker list.
+func (s *slowStart) beginPresumed(now time.Duration, w *worker, credit func() float64) {
 	if s.settings.SlowStartDuration > 0 && (w.presumedRestartAt > 0 || w.warmAt <= now) {
 		s.clearPresumed(w)
 		s.presumedRestarts++
--- a/dispatcher/workers.go
+++ b/dispatcher/workers.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// addOccupied adds slots in flight at the worker, of any dispatcher.
-func (s *workerSet) addOccupied(w *worker, slots float64) {
+// addInFlight adds slots in flight at the worker, of any dispatcher.
+func (s *workerSet) addInFlight(w *worker, slots float64) {
 	w.inFlight += slots
 	for i, p := range s.pools {
 		if !w.inPool(i) {
@@ -172,7 +172,7 @@
 // workerSet holds the listed workers and the pools that they are in. Invariants: a worker
 // is in byName and all while it is listed; the sums of a pool are those of its workers'
 // sizes, slots in flight and limits, so a change of one of these must be enclosed in calls
-// of adjustPoolSums or made by addOccupied.
+// of adjustPoolSums or made by addInFlight.
 type workerSet struct {
 	byName          map[string]*worker
 	all             []*worker // by index; nil for a free index
