--- a/internal/avrocodec/codec.go
+++ b/internal/avrocodec/codec.go
@@ -1,8 +1,9 @@
-// Package avrocodec encodes the messages of the internal protocol and stored records in Avro's binary encoding.
+// Package avrocodec encodes and decodes structs in Avro's binary encoding, for the messages of the internal protocol and
+// for stored records.
 //
-// Schemas are derived from Go types by reflection and are not part of the encoded data. A record is encoded field by field
-// in the order of the struct, so its fields may be renamed, but must never be moved, retyped, added or removed: other
-// programs and stored data would then be read wrongly.
+// Schemas are derived from Go types by reflection and are not part of the encoded data. The fields of a record are encoded
+// in the order of the struct. Fields may be renamed, but must never be reordered, retyped, added or removed: messages of
+// other releases and stored data would be decoded incorrectly.
 package avrocodec
 
 import (
@@ -16,9 +17,9 @@
 	"github.com/hamba/avro/v2"
 )
 
-var schemas sync.Map // a cache: reflect.Type to avro.Schema
+var schemas sync.Map // cache of avro.Schema by reflect.Type
 
-// SchemaOf returns the Avro schema of a struct type. It panics for a type with a field of a kind that has no schema here.
+// SchemaOf returns the Avro schema of a struct type. It panics if a field has an unsupported kind.
 func SchemaOf(message reflect.Type) (avro.Schema, error) {
 	if known, ok := schemas.Load(message); ok {
 		return known.(avro.Schema), nil
@@ -32,7 +33,7 @@
 	return schema, nil
 }
 
-// schemaText returns the schema of a type as JSON. A record that was defined before is referred to by its name.
+// schemaText returns the JSON schema of a type. A record type that is already in named is referenced by its name.
 func schemaText(t reflect.Type, named map[reflect.Type]bool) string {
 	switch t.Kind() {
 	case reflect.String:
@@ -53,7 +54,7 @@
 	case reflect.Struct:
 		return recordText(t, named)
 	default:
-		panic(fmt.Sprintf("avrocodec: no schema for %v", t))
+		panic(fmt.Sprintf("avrocodec: unsupported type %v", t))
 	}
 }
 
@@ -71,7 +72,7 @@
 	return `{"type":"record","name":"` + name + `","fields":[` + strings.Join(fields, ",") + `]}`
 }
 
-// Encode returns the encoding of the struct to which message points.
+// Encode encodes the struct to which message points.
 func Encode(message any) ([]byte, error) {
 	schema, err := SchemaOf(reflect.TypeOf(message).Elem())
 	if err != nil {
@@ -80,11 +81,11 @@
 	return avro.Marshal(schema, message)
 }
 
-// ErrTruncated is returned for a body that ends before all fields are read.
-var ErrTruncated = errors.New("avrocodec: the body is truncated")
+// ErrTruncated is returned for a body that ends before all fields are decoded.
+var ErrTruncated = errors.New("avrocodec: truncated body")
 
-// Decode decodes body into the struct to which message points. A body that lacks fields is ErrTruncated; message is then set in
-// part.
+// Decode decodes body into the struct to which message points. If the body ends before the last field, it returns an error
+// that wraps ErrTruncated, and message is partially set.
 func Decode(body []byte, message any) error {
 	schema, err := SchemaOf(reflect.TypeOf(message).Elem())
 	if err != nil {
@@ -93,7 +94,7 @@
 	reader := avro.NewReader(nil, 0).Reset(body)
 	reader.ReadVal(schema, message)
 	if errors.Is(reader.Error, io.EOF) || errors.Is(reader.Error, io.ErrUnexpectedEOF) { // avro.Unmarshal would ignore the former
-		return fmt.Errorf("%w: %d bytes are no %v", ErrTruncated, len(body), reflect.TypeOf(message).Elem())
+		return fmt.Errorf("%w: %d bytes are not a complete %v", ErrTruncated, len(body), reflect.TypeOf(message).Elem())
 	}
 	return reader.Error
 }
--- a/internal/avrocodec/codec_test.go
+++ b/internal/avrocodec/codec_test.go
@@ -31,7 +31,7 @@
 	Bytes   []byte
 }
 
-// A body that lacks bytes is rejected, wherever it ends; a complete one is not.
+// TestTruncatedBodyIsRejected checks that each proper prefix of a body is rejected and that the complete body is decoded.
 func TestTruncatedBodyIsRejected(t *testing.T) {
 	body, err := Encode(&record{Flag: true, Items: []inner{{"a", 7}, {"b", 300}}, ByKey: map[string]float64{"k": 1.5}, Raw: []byte("raw")})
 	if err != nil {
@@ -39,18 +39,19 @@
 	}
 	for n := range len(body) {
 		if err := Decode(body[:n], &record{}); !errors.Is(err, ErrTruncated) {
-			t.Errorf("%d of %d bytes: %v", n, len(body), err)
+			t.Errorf("Decode of %d of %d bytes returned error %v, want %v", n, len(body), err, ErrTruncated)
 		}
 	}
 	if err := Decode(body, &record{}); err != nil {
-		t.Errorf("all bytes: %v", err)
+		t.Errorf("Decode of the complete body returned error %v", err)
 	}
 	if err := Decode(nil, &struct{}{}); err != nil {
-		t.Errorf("a message without fields: %v", err)
+		t.Errorf("Decode of a message without fields returned error %v", err)
 	}
 }
 
-// Stored records and messages are read by the order of fields: names may change, the bytes stay.
+// TestFieldNamesAreNotEncoded checks that records are decoded by the order of their fields, so that renaming a field
+// changes neither the encoding nor the decoded values.
 func TestFieldNamesAreNotEncoded(t *testing.T) {
 	body, err := Encode(&record{Flag: true, Items: []inner{{"a", 7}}, ByKey: map[string]float64{"k": 1.5}, Raw: []byte("raw")})
 	if err != nil {
@@ -62,10 +63,10 @@
 	}
 	want := renamed{Set: true, Entries: []renamedInner{{"a", 7}}, Weights: map[string]float64{"k": 1.5}, Bytes: []byte("raw")}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v", got)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 	again, err := Encode(&want)
 	if err != nil || !bytes.Equal(again, body) {
-		t.Errorf("%x and %x, %v", body, again, err)
+		t.Errorf("encoded %x and %x, error %v; want equal bytes", body, again, err)
 	}
 }
--- a/internal/system/api/api.go
+++ b/internal/system/api/api.go
@@ -1,10 +1,10 @@
-// Package api holds the messages that schedulers on edge and side machines exchange with core schedulers. They are encoded
-// by avrocodec, in the order of their fields.
+// Package api defines the requests and responses that edge and side schedulers exchange with core schedulers. avrocodec
+// encodes the fields of a message in their order.
 package api
 
 import "sedgevale/jobs"
 
-// The methods of the internal protocol. Core schedulers serve all but MethodOrders.
+// The methods of the internal protocol. Core schedulers serve all of them except MethodOrders.
 const (
 	MethodWatch   = "core.watch"
 	MethodSubmit  = "jobs.submit"
@@ -15,24 +15,24 @@
 	MethodOrders  = "worker.orders" // served by side schedulers
 )
 
-// WatchRequest asks for updates by long poll: the call returns once something differs from what the sender knows, and after
-// WaitMS, of at most 1000, at the latest.
+// WatchRequest is a long poll for updates: the call returns as soon as the configuration or the owners differ from the
+// sender's, or after WaitMS, which is at most 1000.
 type WatchRequest struct {
 	Node          string
-	ConfigVersion int64 // the version that the sender has, 0 for none
-	WantConfig    bool
-	OwnersDigest  int64 // of the last response
+	ConfigVersion int64 // version that the sender has; 0 if it has none
+	WantConfig    bool  // false if the sender needs only the version
+	OwnersDigest  int64 // OwnersDigest of the last response
 	WaitMS        int64 // milliseconds
 }
 
-// WatchResponse holds the newest configuration, the owners of the shards and the addresses of the core schedulers.
+// WatchResponse holds the current configuration, the owners of the shards and the addresses of the core schedulers.
 type WatchResponse struct {
-	Confirmed     bool // a quorum has confirmed the configuration within 700 ms
+	Confirmed     bool // a quorum has confirmed the configuration within the last 700 ms
 	ConfigVersion int64
-	Config        []byte // JSON; empty if the sender has this version or wants none
-	ConfigBase    int64  // if not 0, Config is a patch (package clusterconfig) on this version
+	Config        []byte // JSON; empty if the sender has this version or wants no configuration
+	ConfigBase    int64  // if not 0, Config is a patch (package clusterconfig) against this version
 	Owners        []Owner
-	OwnersDigest  int64    // of Owners and Cores, for the next request
+	OwnersDigest  int64    // digest of Owners and Cores, for the next request
 	Cores         []string // addresses
 }
 
@@ -43,19 +43,19 @@
 	Token   int64
 }
 
-// SubmitRequest submits a job. It is idempotent by ID within a shard.
+// SubmitRequest submits a job. Within a shard, submissions with the same ID are idempotent.
 type SubmitRequest struct {
 	Shard         string
-	ConfigVersion int64 // that the edge has; an owner with an older one catches up first
+	ConfigVersion int64 // version that the edge scheduler has; an owner with an older version catches up first
 	Queue         string
 	ID            string
-	Body          []byte // jobs.Spec as JSON, as the client sent it
+	Body          []byte // jobs.Spec as JSON, unchanged from the client's request
 }
 
-// JobRequest names a job, to read its state or to cancel it.
+// JobRequest identifies a job whose state is read or that is cancelled.
 type JobRequest struct {
 	Shard string
-	Queue string // not used: IDs are unique in a shard
+	Queue string // unused, since IDs are unique within a shard
 	ID    string
 }
 
@@ -64,38 +64,38 @@
 	State string // a jobs.State
 }
 
-// PendingRequest asks for the number of unfinished jobs of a queue of which no task ever ran.
+// PendingRequest requests the number of unfinished jobs of a queue of which no task has ever started.
 type PendingRequest struct {
 	Shard string
 	Queue string
 }
 
-// PendingResponse is the answer to a PendingRequest.
+// PendingResponse is the response to a PendingRequest.
 type PendingResponse struct {
 	Pending int64
 }
 
-// ReportRequest is a side scheduler's report on a worker to the owner of the worker's shard.
+// ReportRequest reports the state of a worker from its side scheduler to the owner of the worker's shard.
 type ReportRequest struct {
 	Shard    string
-	Session  string // from the last response; the owner rejects a delayed report by its old session
-	Sequence int64  // increases with each report of a side scheduler's process
+	Session  string // Session of the last response; the owner rejects delayed reports of an earlier session
+	Sequence int64  // increases with each report of a side scheduler process
 	Report   jobs.Report
 }
 
-// ReportResponse grants the side agent another lease (workeragent.Timing).
+// ReportResponse renews the lease of the worker's agent (workeragent.Timing).
 type ReportResponse struct {
 	Token        int64
-	Acknowledged int64  // the owner has stored all ends of runs up to this number
-	Session      string // for the next report
-	Accepted     bool   // false if the report was in no valid session and was ignored
+	Acknowledged int64  // highest number up to which the owner has stored all finished runs
+	Session      string // session of the next report
+	Accepted     bool   // false if the session was invalid and the owner ignored the report
 }
 
-// OrdersRequest tells a side agent which runs to start and stop.
+// OrdersRequest sends a worker's agent the runs to start and to stop.
 type OrdersRequest struct {
 	Token  int64
 	Orders jobs.Orders
 }
 
-// Empty is a response without content.
+// Empty is a response without fields.
 type Empty struct{}
--- a/internal/system/api/golden_test.go
+++ b/internal/system/api/golden_test.go
@@ -8,7 +8,7 @@
 	"sedgevale/jobs"
 )
 
-// goldenReport and goldenOrders have another value in each field.
+// goldenReport and goldenOrders have a distinct value in each field.
 var (
 	goldenReport = jobs.Report{
 		AgentAddress: "side", AgentIncarnation: "life", Service: "svc", Instance: "i-1", State: "ready", DrainRemainingMS: 11,
@@ -26,8 +26,7 @@
 	}
 )
 
-// goldenMessages are all messages between schedulers on edge and side machines and core schedulers, and their Avro bytes.
-// Programs of two releases talk to each other by them.
+// goldenMessages are all messages of package api with their Avro encoding, which must stay compatible between releases.
 var goldenMessages = []struct {
 	message any
 	want    string
@@ -49,19 +48,19 @@
 }
 
 func TestMessageBytes(t *testing.T) {
-	for _, one := range goldenMessages {
-		testkit.CheckAvro(t, one.message, one.want)
+	for _, golden := range goldenMessages {
+		testkit.CheckAvro(t, golden.message, golden.want)
 	}
 }
 
-// The methods' names are part of the protocol.
+// TestMethodNames pins the method names, which are part of the protocol.
 func TestMethodNames(t *testing.T) {
 	for got, want := range map[string]string{
 		api.MethodWatch: "core.watch", api.MethodSubmit: "jobs.submit", api.MethodStatus: "jobs.status", api.MethodCancel: "jobs.cancel",
 		api.MethodPending: "jobs.pending", api.MethodReport: "worker.report", api.MethodOrders: "worker.orders",
 	} {
 		if got != want {
-			t.Errorf("a method is called %s, want %s", got, want)
+			t.Errorf("method name %s, want %s", got, want)
 		}
 	}
 }
--- a/internal/system/clusterconfig/clusterconfig.go
+++ b/internal/system/clusterconfig/clusterconfig.go
@@ -1,10 +1,10 @@
-// Package clusterconfig holds the configuration that operators give the system: its types, its validation, patches of named
-// items, and the table that finds the route of a request.
+// Package clusterconfig defines the cluster configuration that operators manage: its types, validation, patches and diffs
+// of its JSON text, and the routing table.
 package clusterconfig
 
 //go:generate go run github.com/mailru/easyjson/easyjson -all clusterconfig.go
 
-// Config is a complete configuration. Keys for which there is no field here are kept in its text.
+// Config is a complete configuration. Keys without a field here are preserved in the JSON text only.
 type Config struct {
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
@@ -12,21 +12,22 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// Route is a queue: which requests it takes and how its jobs are scheduled.
+// Route defines a queue: the requests that it matches and how its jobs are scheduled.
 type Route struct {
-	Name            string  `json:"name"`              // of the queue
-	Host            string  `json:"host"`              // of the requests, without a port; case is ignored
-	PathPrefix      string  `json:"path_prefix"`       // of the requests; the longest that matches counts
+	Name            string  `json:"name"`              // name of the queue
+	Host            string  `json:"host"`              // host to match, without a port; case-insensitive
+	PathPrefix      string  `json:"path_prefix"`       // path prefix to match; the longest match is selected
 	Type            string  `json:"type,omitempty"`    // has no effect
-	TimeoutMS       int64   `json:"timeout_ms"`        // of one request
-	TargetLatencyMS float64 `json:"target_latency_ms"` // latency target of a job
+	TimeoutMS       int64   `json:"timeout_ms"`        // timeout of one request in milliseconds
+	TargetLatencyMS float64 `json:"target_latency_ms"` // latency target of a job in milliseconds
 	Priority        int64   `json:"priority"`          // 0 is served first
-	Service         string  `json:"service"`           // whose workers run the jobs; also the shard
-	Retries         int64   `json:"retries"`           // failures of a task that fail its job, 1 at least
-	Extension       float64 `json:"extension"`         // factor on the expected time of a job's critical path in its deadline
+	Service         string  `json:"service"`           // service whose workers run the jobs; also the name of the shard
+	Retries         int64   `json:"retries"`           // number of failures of a task that fail its job; at least 1
+	Extension       float64 `json:"extension"`         // factor on the critical path's expected duration in a job's deadline
 }
 
-// Service is a group of workers that run the same jobs; its name is that of its shard. The other fields have no effect.
+// Service is a group of workers that run the same jobs. Its name is also the name of its shard. The other fields have no
+// effect.
 type Service struct {
 	Name           string `json:"name"`
 	HealthPath     string `json:"health_path,omitempty"`
@@ -36,7 +37,7 @@
 	Preconditions  bool   `json:"preconditions"`
 }
 
-// Limits bound clients' requests, in bytes and milliseconds. Only MaxBodyBytes has an effect; 0 stands for 256 KiB.
+// Limits are limits on client requests, in bytes and milliseconds. Only MaxBodyBytes has an effect; 0 means 256 KiB.
 type Limits struct {
 	MaxHeaderBytes  int64 `json:"max_header_bytes"`
 	MaxBodyBytes    int64 `json:"max_body_bytes"`
@@ -44,7 +45,7 @@
 	IdleTimeoutMS   int64 `json:"idle_timeout_ms"`
 }
 
-// Patch changes named items of a configuration.
+// Patch is a change of named items of a configuration, and of its limits.
 type Patch struct {
 	Version int64  `json:"version"`
 	Upsert  Items  `json:"upsert"`
--- a/internal/system/clusterconfig/diff.go
+++ b/internal/system/clusterconfig/diff.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Diff returns a patch that turns the configuration before into the one after, or false if they differ in more
-// than their lists of named items, version and limits.
+// Diff returns a patch that turns the configuration before into the configuration after. It returns false if they differ
+// in anything other than their lists of named items, version and limits.
 func Diff(before, after []byte) ([]byte, bool) {
 	old, err := splitObject(before)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return joinObject(patch), true
 }
 
-// diffLists compares two lists of named items. It returns the items that are new or differ, and the names of those that
-// were removed as a JSON text.
+// diffLists compares two lists of named items. It returns the items that were added or changed, and the names of the
+// removed items as a JSON array.
 func diffLists(before, after []byte) (upserted []item, removed []byte, ok bool) {
 	old, err := splitList(before)
 	if err != nil {
--- a/internal/system/clusterconfig/document.go
+++ b/internal/system/clusterconfig/document.go
@@ -8,16 +8,16 @@
 	"github.com/mailru/easyjson/jlexer"
 )
 
-// Configurations are patched as JSON texts, so that unknown keys are kept. A text is split once into the spans of its
-// keys and of the items of its lists; spans that a patch leaves alone are copied without a look inside.
+// Configurations are patched as JSON text, so that unknown keys are preserved. The text is split once into the spans of
+// its keys and of the items of its lists. Spans that a patch does not change are copied without being parsed.
 
-// field is a key of an object and the text of its value.
+// field is a key of a JSON object and the text of its value.
 type field struct {
 	key   string
 	value []byte
 }
 
-// splitObject returns the fields of an object in their order.
+// splitObject returns the fields of a JSON object in order.
 func splitObject(text []byte) ([]field, error) {
 	var fields []field
 	lexer := jlexer.Lexer{Data: text}
@@ -33,7 +33,7 @@
 	return fields, lexer.Error()
 }
 
-// fieldValue returns the value of a key, or nil.
+// fieldValue returns the value of a key, or nil if the key is missing.
 func fieldValue(fields []field, key string) []byte {
 	for _, f := range fields {
 		if f.key == key {
@@ -54,27 +54,27 @@
 	return append(fields, field{key, value})
 }
 
-// joinObject returns the text of an object.
+// joinObject returns the JSON text of an object with the given fields.
 func joinObject(fields []field) []byte {
 	text := []byte{'{'}
 	for i, f := range fields {
 		if i > 0 {
 			text = append(text, ',')
 		}
-		key, _ := json.Marshal(f.key) // a string can always be encoded
+		key, _ := json.Marshal(f.key) // encoding a string cannot fail
 		text = append(append(text, key...), ':')
 		text = append(text, f.value...)
 	}
 	return append(text, '}')
 }
 
-// item is a named item of a list and its text.
+// item is a named item of a list and its JSON text.
 type item struct {
 	name string
 	text []byte
 }
 
-// splitList returns the items of a list in their order; none for nil and null.
+// splitList returns the items of a JSON array in order. It returns no items for nil and for null.
 func splitList(text []byte) ([]item, error) {
 	if text == nil {
 		return nil, nil
@@ -102,7 +102,7 @@
 	return items, lexer.Error()
 }
 
-// itemName returns the name of an item.
+// itemName returns the value of an item's "name" key.
 func itemName(text []byte) (string, error) {
 	lexer := jlexer.Lexer{Data: text}
 	name := ""
@@ -127,7 +127,7 @@
 	return name, nil
 }
 
-// joinList returns the text of a list.
+// joinList returns the JSON array of the given items.
 func joinList(items []item) []byte {
 	text := []byte{'['}
 	for i, it := range items {
--- a/internal/system/clusterconfig/golden_test.go
+++ b/internal/system/clusterconfig/golden_test.go
@@ -7,7 +7,7 @@
 	"sedgevale/internal/system/clusterconfig"
 )
 
-// A configuration with each key is read field by field, and written with the same keys.
+// TestConfigBytes pins the JSON keys of a configuration.
 func TestConfigBytes(t *testing.T) {
 	const text = `{"version":1,"routes":[{"name":"q","host":"h","path_prefix":"/p","type":"t","timeout_ms":2,"target_latency_ms":3.5,"priority":4,` +
 		`"service":"s","retries":5,"extension":6.5}],"services":[{"name":"s","health_path":"/h","max_connections":7,"protocol":"p","tls":true,` +
@@ -24,14 +24,14 @@
 	}
 	got, err := clusterconfig.Parse([]byte(text))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("the configuration is read as %+v, error %v", got, err)
+		t.Errorf("decoded configuration %+v, error %v", got, err)
 	}
 	if written, err := want.MarshalJSON(); err != nil || string(written) != text {
-		t.Errorf("error %v, the configuration is written as\n%s\nwant\n%s", err, written, text)
+		t.Errorf("error %v, encoded configuration\n%s\nwant\n%s", err, written, text)
 	}
 }
 
-// A change of named items with each key.
+// TestPatchBytes pins the JSON keys of a patch.
 func TestPatchBytes(t *testing.T) {
 	const text = `{"version":1,"upsert":{"routes":[{"name":"q","host":"","path_prefix":"","timeout_ms":0,"target_latency_ms":0,"priority":0,` +
 		`"service":"","retries":0,"extension":0}],"services":[{"name":"s","tls":false,"preconditions":false}]},` +
@@ -43,9 +43,9 @@
 	}
 	var got clusterconfig.Patch
 	if err := got.UnmarshalJSON([]byte(text)); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("the patch is read as %+v, error %v", got, err)
+		t.Errorf("decoded patch %+v, error %v", got, err)
 	}
 	if written, err := want.MarshalJSON(); err != nil || string(written) != text {
-		t.Errorf("error %v, the patch is written as\n%s\nwant\n%s", err, written, text)
+		t.Errorf("error %v, encoded patch\n%s\nwant\n%s", err, written, text)
 	}
 }
--- a/internal/system/clusterconfig/patch.go
+++ b/internal/system/clusterconfig/patch.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Apply returns the configuration after a patch. Both are JSON texts; unknown keys are kept. An error names the key of
-// the patch that cannot be applied.
+// Apply applies a patch to the current configuration and returns the new one. All are JSON texts; unknown keys are
+// preserved. An error names the key of the patch that cannot be applied.
 func Apply(current, patch []byte) ([]byte, error) {
 	config, err := splitObject(current)
 	if err != nil {
@@ -17,28 +17,28 @@
 	if !json.Valid(patch) {
 		return nil, errNotJSON
 	}
-	change, err := splitObject(patch)
+	patchFields, err := splitObject(patch)
 	if err != nil {
-		return nil, fmt.Errorf("cannot be read: %w", err)
+		return nil, fmt.Errorf("decode JSON: %w", err)
 	}
-	version := fieldValue(change, "version")
+	version := fieldValue(patchFields, "version")
 	if version == nil {
 		return nil, errors.New("version: missing")
 	}
 	config = setField(config, "version", version)
-	if limits := fieldValue(change, "limits"); limits != nil {
+	if limits := fieldValue(patchFields, "limits"); limits != nil {
 		config = setField(config, "limits", limits)
 	}
-	if config, err = removeItems(config, fieldValue(change, "remove")); err != nil {
+	if config, err = removeItems(config, fieldValue(patchFields, "remove")); err != nil {
 		return nil, err
 	}
-	if config, err = upsertItems(config, fieldValue(change, "upsert")); err != nil {
+	if config, err = upsertItems(config, fieldValue(patchFields, "upsert")); err != nil {
 		return nil, err
 	}
 	return joinObject(config), nil
 }
 
-// removeItems removes the items whose names a patch lists.
+// removeItems removes the items that the patch's remove value names.
 func removeItems(config []field, remove []byte) ([]field, error) {
 	if remove == nil {
 		return config, nil
@@ -58,7 +58,7 @@
 	return config, nil
 }
 
-// upsertItems adds the items of a patch, or replaces those of the same names.
+// upsertItems adds the items of the patch's upsert value, and replaces existing items with the same names.
 func upsertItems(config []field, upsert []byte) ([]field, error) {
 	if upsert == nil || string(upsert) == "null" {
 		return config, nil
@@ -81,7 +81,7 @@
 	return config, nil
 }
 
-// mergeItems replaces items by those of the same names, and appends the others.
+// mergeItems replaces items with the upserted items of the same name, and appends the other upserted items.
 func mergeItems(items, upserted []item) []item {
 	indexes := make(map[string]int, len(items))
 	for i, it := range items {
--- a/internal/system/clusterconfig/patch_test.go
+++ b/internal/system/clusterconfig/patch_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// randomConfig returns a configuration with some of a few routes.
+// randomConfig returns a configuration with a random subset of 12 routes.
 func randomConfig(random *rand.Rand, version int) []byte {
 	routes := ""
 	for i := range 12 {
@@ -27,7 +27,8 @@
 		version, routes, random.IntN(3)))
 }
 
-// routesByName returns the routes by name, since a patch may reorder them, and the rest of the configuration.
+// routesByName returns the routes of a configuration by name, since a patch may reorder them, and the rest of the
+// configuration.
 func routesByName(t *testing.T, text []byte) (map[string]Route, Config) {
 	t.Helper()
 	c, err := Parse(text)
@@ -43,14 +44,15 @@
 	return routes, rest
 }
 
-// A difference, applied to the old configuration, makes the new one.
-func TestDifferenceTurnsOldIntoNew(t *testing.T) {
+// TestDiffYieldsNewConfiguration checks with random routes that Apply of the patch that Diff returns yields the new
+// configuration.
+func TestDiffYieldsNewConfiguration(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 300 {
 		before, after := randomConfig(random, i+1), randomConfig(random, i+2)
 		patch, ok := Diff(before, after)
 		if !ok {
-			t.Fatalf("no difference of %s and %s", before, after)
+			t.Fatalf("Diff returned no patch from %s to %s", before, after)
 		}
 		got, err := Apply(before, patch)
 		if err != nil {
@@ -59,22 +61,23 @@
 		gotRoutes, gotRest := routesByName(t, got)
 		wantRoutes, wantRest := routesByName(t, after)
 		if !reflect.DeepEqual(gotRoutes, wantRoutes) || !reflect.DeepEqual(gotRest, wantRest) {
-			t.Fatalf("%s with %s makes %s, want %s", before, patch, got, after)
+			t.Fatalf("configuration %s with patch %s yields %s, want %s", before, patch, got, after)
 		}
 	}
 }
 
-func TestDifferenceRejectsUnpatchableKeys(t *testing.T) {
+func TestDiffRejectsUnpatchableKeys(t *testing.T) {
 	if _, ok := Diff([]byte(`{"version":1,"routes":[],"other":1}`), []byte(`{"version":2,"routes":[]}`)); ok {
-		t.Error("a removed key cannot be expressed by a patch")
+		t.Error("Diff returned a patch for a removed key, which a patch cannot express")
 	}
 	if _, ok := Diff([]byte(`{"version":1,"other":1}`), []byte(`{"version":2,"other":2}`)); ok {
-		t.Error("a change of a key that is no list of named items cannot be expressed by a patch")
+		t.Error("Diff returned a patch for a change of a key that is not a list of named items, which a patch cannot express")
 	}
 }
 
-// A difference, applied to the text before, makes the text after, for random changes of named items.
-func TestDifferenceKeepsUnknownKeys(t *testing.T) {
+// TestDiffPreservesUnknownKeys checks with random changes of named items that Diff and Apply preserve keys that the types
+// of this package do not define.
+func TestDiffPreservesUnknownKeys(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 9))
 	text := func(version int, items map[string]int) []byte {
 		var routes []string
@@ -98,20 +101,20 @@
 		after := text(version, items)
 		patch, ok := Diff(before, after)
 		if !ok {
-			t.Fatalf("no patch from %s to %s", before, after)
+			t.Fatalf("Diff returned no patch from %s to %s", before, after)
 		}
 		got, err := Apply(before, patch)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !sameItems(t, got, after) {
-			t.Fatalf("%s\nwith %s\nmakes %s", before, patch, got)
+			t.Fatalf("configuration %s\nwith patch %s\nyields %s", before, patch, got)
 		}
 		before = got
 	}
 }
 
-// sameItems compares two texts, but for the order of items.
+// sameItems reports whether two configurations are equal apart from the order of their routes.
 func sameItems(t *testing.T, a, b []byte) bool {
 	t.Helper()
 	read := func(text []byte) map[string]any {
@@ -129,15 +132,15 @@
 	return reflect.DeepEqual(read(a), read(b))
 }
 
-func TestApplyRejectsBadPatches(t *testing.T) {
-	good := []byte(`{"version":1,"routes":[{"name":"a"}]}`)
-	for _, bad := range []string{
+func TestApplyRejectsInvalidPatches(t *testing.T) {
+	current := []byte(`{"version":1,"routes":[{"name":"a"}]}`)
+	for _, patch := range []string{
 		``, `[]`, `{`, `{"version":2`, `{"version":2}}`, `{"upsert":{}}`, `{"version":2,"upsert":[]}`, `{"version":2,"upsert":{"routes":{}}}`,
 		`{"version":2,"upsert":{"routes":[{"name":7}]}}`, `{"version":2,"upsert":{"routes":[7]}}`, `{"version":2,"remove":{"routes":"a"}}`,
 		`{"version":2,"upsert":{"routes":[{"host":"h"}]}}`, `{"version":2,"remove":["a"]}`, `{"version":2,"upsert":{"routes":[{"name":"b"},]}}`,
 	} {
-		if got, err := Apply(good, []byte(bad)); err == nil {
-			t.Errorf("%s makes %s", bad, got)
+		if got, err := Apply(current, []byte(patch)); err == nil {
+			t.Errorf("Apply accepted the invalid patch %s and returned %s", patch, got)
 		}
 	}
 }
--- a/internal/system/clusterconfig/routing.go
+++ b/internal/system/clusterconfig/routing.go
@@ -6,14 +6,13 @@
 	"strings"
 )
 
-// Table finds the route of a request. It is built once for a configuration and not changed, so that goroutines may share
-// it.
+// Table is the routing table of a configuration. It is immutable and safe for concurrent use.
 type Table struct {
 	Config *Config
-	byHost map[string][]*Route // by host in lower case; longest path prefix first
+	byHost map[string][]*Route // keyed by lowercase host; sorted by path prefix, the longest first
 }
 
-// NewTable builds the table of a configuration, which must not be changed afterwards.
+// NewTable builds the routing table of a configuration. The configuration must not be modified afterwards.
 func NewTable(c *Config) *Table {
 	t := &Table{Config: c, byHost: map[string][]*Route{}}
 	for i := range c.Routes {
@@ -27,8 +26,8 @@
 	return t
 }
 
-// Match returns the route of a host, with or without a port, and a path, and the rest of the path behind the prefix. The
-// route is nil if there is none.
+// Match returns the route of a request and the part of its path after the route's prefix. The host may include a port. The
+// route is nil if no route matches.
 func (t *Table) Match(host, path string) (route *Route, rest string) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/internal/system/clusterconfig/routing_test.go
+++ b/internal/system/clusterconfig/routing_test.go
@@ -12,7 +12,7 @@
 			got = route.Name
 		}
 		if got != want {
-			t.Errorf("%s goes to %q", path, got)
+			t.Errorf("path %s matches route %q, want %q", path, got, want)
 		}
 	}
 }
--- a/internal/system/clusterconfig/validate.go
+++ b/internal/system/clusterconfig/validate.go
@@ -7,38 +7,38 @@
 	"strings"
 )
 
-// Errors without further detail. They are wrapped with the key that they are about.
+// Errors that callers wrap with the key that is invalid.
 var (
 	errNotJSON     = errors.New("the body is no whole JSON value")
 	errMissingName = errors.New("name: missing")
 )
 
-// Parse reads a complete configuration. A truncated text is an error. Unknown keys are skipped here; whoever
-// stores the text keeps them.
+// Parse decodes a complete configuration. A truncated text is an error. Unknown keys are ignored; a caller that stores the
+// text preserves them.
 func Parse(text []byte) (*Config, error) {
 	if !json.Valid(text) {
 		return nil, errNotJSON
 	}
 	c := &Config{}
 	if err := c.UnmarshalJSON(text); err != nil {
-		return nil, fmt.Errorf("cannot be read: %w", err)
+		return nil, fmt.Errorf("decode JSON: %w", err)
 	}
 	return c, nil
 }
 
-// Validate returns an error that names the invalid item and key, or nil if the configuration is valid.
+// Validate checks the configuration. The error names the invalid item and key.
 func (c *Config) Validate() error {
 	if c.Version <= 0 {
-		return fmt.Errorf("version: %d is not above 0", c.Version)
+		return fmt.Errorf("version: %d is not positive", c.Version)
 	}
-	services, err := c.checkServices()
+	services, err := c.validateServices()
 	if err != nil {
 		return err
 	}
 	names := map[string]bool{}
-	prefixes := map[string]string{} // name of the route by host and path prefix
+	prefixes := map[string]string{} // route names by host and path prefix
 	for i, route := range c.Routes {
-		if err := route.check(services); err != nil {
+		if err := route.validate(services); err != nil {
 			return fmt.Errorf("routes[%d] %q: %w", i, route.Name, err)
 		}
 		if names[route.Name] {
@@ -47,15 +47,15 @@
 		names[route.Name] = true
 		prefix := strings.ToLower(route.Host) + " " + route.PathPrefix
 		if other, taken := prefixes[prefix]; taken {
-			return fmt.Errorf("routes[%d] %q: has the host and prefix of %q", i, route.Name, other)
+			return fmt.Errorf("routes[%d] %q: duplicates the host and path prefix of route %q", i, route.Name, other)
 		}
 		prefixes[prefix] = route.Name
 	}
 	return nil
 }
 
-// checkServices returns the names of the services.
-func (c *Config) checkServices() (map[string]bool, error) {
+// validateServices validates the services and returns the set of their names.
+func (c *Config) validateServices() (map[string]bool, error) {
 	names := map[string]bool{}
 	for i, service := range c.Services {
 		if service.Name == "" {
@@ -69,18 +69,18 @@
 	return names, nil
 }
 
-func (r *Route) check(services map[string]bool) error {
+func (r *Route) validate(services map[string]bool) error {
 	switch {
 	case r.Name == "":
 		return errMissingName
 	case !services[r.Service]:
 		return fmt.Errorf("service: %q is not known", r.Service)
 	case r.TimeoutMS <= 0:
-		return fmt.Errorf("timeout_ms: %d is not above 0", r.TimeoutMS)
+		return fmt.Errorf("timeout_ms: %d is not positive", r.TimeoutMS)
 	case !strings.HasPrefix(r.PathPrefix, "/"):
 		return fmt.Errorf("path_prefix: %q does not begin with /", r.PathPrefix)
 	case r.Retries < 0:
-		return errors.New("retries: below 0")
+		return errors.New("retries: must not be negative")
 	}
 	return nil
 }
--- a/internal/system/directory/directory.go
+++ b/internal/system/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory keeps a scheduler on an edge or side machine informed of the core: which core schedulers there are, who
-// owns which shard, and the newest configuration. It subscribes to one core scheduler by long polls, and fails over to
-// another when that times out or has lost its quorum.
+// Package directory caches the state of the core on edge and side machines: the addresses of the core schedulers, the
+// owners of the shards and the current cluster configuration. It watches one core scheduler with long polls, and fails over
+// to another when a poll fails or the core scheduler has lost its quorum.
 package directory
 
 import (
@@ -24,33 +24,34 @@
 	retryBackoff     = 60 * time.Millisecond
 )
 
-// Directory is what a scheduler knows of the core. Its methods may be called concurrently.
+// Directory is a cache of the state of the core. It is safe for concurrent use.
 type Directory struct {
 	process    *node.Process
 	logger     logr.Logger
 	wantConfig bool
 
-	// mu guards the fields below. It is never held over a call.
-	mu          sync.Mutex
-	cores       []string             // the addresses of the core schedulers, as named by the last answer that named any
-	owners      map[string]api.Owner // by shard; fencing tokens never fall
-	digest      int64                // of the owners and core schedulers in the last answer
-	table       *clusterconfig.Table // nil where no configuration is known or wanted
-	text        []byte               // of the configuration, as it came; nil where none is known
-	version     int64                // of the configuration; 0 where none is known
-	confirmedAt time.Time            // when the newest answer that a quorum had confirmed was asked for
-	changed     chan struct{}        // closed and made anew at each answer
+	// mu guards the fields below. It is not held during a remote call.
+	mu           sync.Mutex
+	cores        []string             // addresses of the core schedulers, from the last response that contained any
+	owners       map[string]api.Owner // by shard; the fencing token of a shard never decreases
+	ownersDigest int64                // OwnersDigest of the last response
+	table        *clusterconfig.Table // nil if no configuration is known, or none is wanted
+	text         []byte               // JSON text of the configuration; nil if none is known
+	version      int64                // version of the configuration; 0 if none is known
+	confirmedAt  time.Time            // time of the request whose response last confirmed the configuration by a quorum
+	updated      chan struct{}        // closed and replaced on each response
 }
 
-// New returns a Directory that knows the seeds. Without wantConfig it receives versions of the configuration only.
+// New returns a Directory that initially knows only the seeds. If wantConfig is false, it tracks only the version of the
+// configuration.
 func New(p *node.Process, wantConfig bool) *Directory {
 	return &Directory{
 		process: p, logger: p.Logger, wantConfig: wantConfig, owners: map[string]api.Owner{},
-		changed: make(chan struct{}),
+		updated: make(chan struct{}),
 	}
 }
 
-// Run keeps the directory up to date until the context ends.
+// Run keeps the directory up to date until ctx is cancelled.
 func (d *Directory) Run(ctx context.Context) {
 	next := 0
 	for ctx.Err() == nil {
@@ -69,24 +70,25 @@
 	}
 }
 
-// candidates returns the core schedulers to subscribe to, the preferred one first.
+// candidates returns the addresses of the known core schedulers and the seeds in the order of preference: their rendezvous
+// hash with the node's name.
 func (d *Directory) candidates() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := slices.Clone(d.cores)
+	addresses := slices.Clone(d.cores)
 	for _, seed := range d.process.CurrentSettings().SeedAddresses() {
-		if !slices.Contains(known, seed) {
-			known = append(known, seed)
+		if !slices.Contains(addresses, seed) {
+			addresses = append(addresses, seed)
 		}
 	}
-	return rendezvous.Rank(d.process.Settings.Node, known)
+	return rendezvous.Rank(d.process.Settings.Node, addresses)
 }
 
-// watch makes one long poll of a core scheduler. It reports whether the answer was confirmed by a quorum.
+// watch sends one long poll to a core scheduler. It reports whether the response was confirmed by a quorum.
 func (d *Directory) watch(ctx context.Context, target string) bool {
 	d.mu.Lock()
 	request := &api.WatchRequest{
-		Node: d.process.Settings.Node, ConfigVersion: d.version, WantConfig: d.wantConfig, OwnersDigest: d.digest,
+		Node: d.process.Settings.Node, ConfigVersion: d.version, WantConfig: d.wantConfig, OwnersDigest: d.ownersDigest,
 		WaitMS: longPollDuration.Milliseconds(),
 	}
 	stale := time.Since(d.confirmedAt) > watchTimeout
@@ -94,88 +96,90 @@
 	if stale {
 		request.WaitMS = 0
 	}
-	call, cancel := context.WithTimeout(ctx, watchTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	sentAt := time.Now()
-	answer := &api.WatchResponse{}
-	if err := d.process.Client.Call(call, target, api.MethodWatch, request, answer); err != nil {
-		d.logger.V(1).Info("core scheduler unreachable", "address", target, "error", err.Error())
+	response := &api.WatchResponse{}
+	if err := d.process.Client.Call(callCtx, target, api.MethodWatch, request, response); err != nil {
+		d.logger.V(1).Info("failed to watch core scheduler; trying the next one", "address", target, "error", err.Error())
 		return false
 	}
-	d.apply(answer, sentAt)
-	return answer.Confirmed
+	d.apply(response, sentAt)
+	return response.Confirmed
 }
 
-// apply takes over what is newer in an answer to a request that was sent at the time given.
-func (d *Directory) apply(answer *api.WatchResponse, sentAt time.Time) {
+// apply updates the directory with everything that is newer in the response to a request that was sent at sentAt.
+func (d *Directory) apply(response *api.WatchResponse, sentAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(answer.Cores) > 0 {
-		d.cores = answer.Cores
+	if len(response.Cores) > 0 {
+		d.cores = response.Cores
 	}
-	for _, o := range answer.Owners {
+	for _, o := range response.Owners {
 		if o.Token >= d.owners[o.Shard].Token {
 			d.owners[o.Shard] = o
 		}
 	}
-	d.digest = answer.OwnersDigest
-	if answer.ConfigVersion > d.version {
-		d.applyConfig(answer)
+	d.ownersDigest = response.OwnersDigest
+	if response.ConfigVersion > d.version {
+		d.applyConfig(response)
 	}
-	if answer.Confirmed && answer.ConfigVersion >= d.version {
+	if response.Confirmed && response.ConfigVersion >= d.version {
 		d.confirmedAt = sentAt
 	}
-	close(d.changed)
-	d.changed = make(chan struct{})
+	close(d.updated)
+	d.updated = make(chan struct{})
 }
 
-// applyConfig takes a newer configuration. d.mu is held.
-func (d *Directory) applyConfig(answer *api.WatchResponse) {
+// applyConfig applies a newer configuration. The caller holds d.mu.
+func (d *Directory) applyConfig(response *api.WatchResponse) {
 	if !d.wantConfig {
-		d.version = answer.ConfigVersion
+		d.version = response.ConfigVersion
 		return
 	}
-	if len(answer.Config) == 0 {
+	if len(response.Config) == 0 {
 		return
 	}
-	text, err := d.completeText(answer)
+	text, err := d.fullConfigText(response)
 	var config *clusterconfig.Config
 	if err == nil {
 		config, err = clusterconfig.Parse(text)
 	}
 	if err != nil {
-		d.logger.Error(err, "configuration cannot be decoded", "version", answer.ConfigVersion)
-		d.text, d.version = nil, 0 // the next answer brings all of it
+		d.logger.Error(err, "failed to apply configuration; requesting the full text", "version", response.ConfigVersion)
+		d.text, d.version = nil, 0 // the next response contains the full text
 		return
 	}
 	d.text = text
 	d.table = clusterconfig.NewTable(config)
-	d.version = answer.ConfigVersion
-	d.logger.V(1).Info("configuration applied", "version", d.version)
+	d.version = response.ConfigVersion
+	d.logger.V(1).Info("applied configuration", "version", d.version)
 }
 
-// completeText returns the configuration that an answer brings, as its text or as a patch on the one that is known. d.mu is
-// held.
-func (d *Directory) completeText(answer *api.WatchResponse) ([]byte, error) {
-	if answer.ConfigBase == 0 {
-		return answer.Config, nil
+// fullConfigText returns the full text of the configuration in a response, which contains either the full text or a patch
+// against the known configuration. The caller holds d.mu.
+func (d *Directory) fullConfigText(response *api.WatchResponse) ([]byte, error) {
+	if response.ConfigBase == 0 {
+		return response.Config, nil
 	}
-	if answer.ConfigBase != d.version || d.text == nil {
-		return nil, fmt.Errorf("a patch on version %d came, %d is known", answer.ConfigBase, d.version)
+	if response.ConfigBase != d.version || d.text == nil {
+		return nil, fmt.Errorf("patch applies to version %d, but version %d is known", response.ConfigBase, d.version)
 	}
-	return clusterconfig.Apply(d.text, answer.Config)
+	return clusterconfig.Apply(d.text, response.Config)
 }
 
-// Table returns the newest configuration, or nil, its version, and how long ago it was confirmed.
+// Table returns the routing table of the current configuration (nil if there is none), its version, and the time since it
+// was last confirmed by a quorum.
 func (d *Directory) Table() (table *clusterconfig.Table, version int64, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table, d.version, time.Since(d.confirmedAt)
 }
 
-// Owner returns the address of a shard's owner, or "", and a channel that is closed at the next answer of a core scheduler.
+// Owner returns the address of a shard's owner, or "" if it is unknown, and a channel that is closed on the next response
+// of a core scheduler.
 func (d *Directory) Owner(shard string) (string, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.owners[shard].Address, d.changed
+	return d.owners[shard].Address, d.updated
 }
--- a/internal/system/edge/edge.go
+++ b/internal/system/edge/edge.go
@@ -1,5 +1,5 @@
-// Package edge is the scheduler that clients call. It finds the queue of a request by the configuration's routes,
-// forwards the request to the owner of the queue's shard and answers for it. It keeps no state of its own.
+// Package edge implements the edge scheduler, the HTTP front end for clients. It matches a request to a route of the
+// cluster configuration, forwards it to the owner of the route's shard and returns the owner's response. It is stateless.
 package edge
 
 import (
@@ -18,8 +18,8 @@
 
 const (
 	readinessPath      = "/sedgevale/readyz"
-	readinessTimeout   = 1600 * time.Millisecond // after the configuration was last confirmed
-	maxDrainDelay      = 2600 * time.Millisecond // until the platform has noticed that a scheduler is not ready
+	readinessTimeout   = 1600 * time.Millisecond // from the last confirmation of the configuration until not ready
+	maxDrainDelay      = 2600 * time.Millisecond // allows the platform to notice that the scheduler is not ready
 	minShutdownTimeout = 600 * time.Millisecond
 	headerTimeout      = 3 * time.Second
 	idleTimeout        = 15 * time.Second
@@ -34,17 +34,19 @@
 	responses *prometheus.CounterVec
 }
 
-// Run serves until the context ends, and then until requests in flight have ended or the grace period of the settings (bounds.grace_s) is over.
+// Run serves clients until ctx is cancelled, and then shuts down gracefully: it returns once the requests in flight have
+// completed, or once the grace period of the settings (bounds.grace_s) has elapsed.
 func Run(ctx context.Context, p *node.Process) error {
 	s := &Scheduler{
 		client: p.Client, directory: directory.New(p, true), draining: make(chan struct{}), responses: newResponseCounter(),
 	}
 	p.RegisterMetrics(s.responses)
-	following, stop := context.WithCancel(context.WithoutCancel(ctx)) // requests in flight need the owners after ctx's end
+	// Requests in flight need the owners of the shards after ctx is cancelled.
+	directoryCtx, stopDirectory := context.WithCancel(context.WithoutCancel(ctx))
 	var background sync.WaitGroup
 	defer background.Wait()
-	defer stop()
-	background.Go(func() { s.directory.Run(following) })
+	defer stopDirectory()
+	background.Go(func() { s.directory.Run(directoryCtx) })
 	readiness := http.NewServeMux()
 	readiness.HandleFunc("GET "+readinessPath, s.handleReadiness)
 	if err := p.Listen(ctx, p.Settings.BindAddrs.Readiness, readiness); err != nil {
@@ -59,11 +61,11 @@
 	}
 	<-ctx.Done()
 	close(s.draining)
-	return shutDown(following, server, time.Duration(p.Settings.Bounds.GraceS*float64(time.Second)))
+	return shutDown(directoryCtx, server, time.Duration(p.Settings.Bounds.GraceS*float64(time.Second)))
 }
 
-// shutDown goes on accepting requests until the platform has noticed that the scheduler is not ready, and then waits for
-// those in flight within the grace.
+// shutDown keeps accepting requests until the platform has had time to notice that the scheduler is not ready. Then it
+// stops accepting and waits for the requests in flight for the rest of the grace period.
 func shutDown(ctx context.Context, server *http.Server, grace time.Duration) error {
 	time.Sleep(min(maxDrainDelay, grace/2))
 	ctx, cancel := context.WithTimeout(ctx, max(grace-maxDrainDelay-minShutdownTimeout, minShutdownTimeout))
@@ -71,7 +73,7 @@
 	if err := server.Shutdown(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
-	return nil // the grace is over; requests in flight are aborted
+	return nil // the grace period has elapsed; requests in flight are aborted
 }
 
 // isDraining reports whether the shutdown has begun.
@@ -84,8 +86,8 @@
 	}
 }
 
-// handleReadiness says whether the platform may send new connections: there is a configuration, and a core scheduler in
-// touch with a quorum confirmed it a moment ago.
+// handleReadiness reports whether the platform may route new connections to this scheduler: it has a configuration that a
+// quorum of the core has confirmed within readinessTimeout, and it is not draining.
 func (s *Scheduler) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	table, _, age := s.directory.Table()
 	if table == nil || age > readinessTimeout || s.isDraining() {
--- a/internal/system/edge/forward.go
+++ b/internal/system/edge/forward.go
@@ -11,27 +11,28 @@
 
 const (
 	attemptTimeout    = 900 * time.Millisecond
-	minAttemptTime    = 200 * time.Millisecond // no attempt is begun with less time left
+	minAttemptTime    = 200 * time.Millisecond // no attempt is started with less time remaining
 	retryBackoff      = 40 * time.Millisecond
-	ownerBackoff      = retryBackoff / 4 // after an update of the owners
-	retryAfterSeconds = "1"              // of the Retry-After header
-	maxRequestTime    = 2600 * time.Millisecond
-	minRequestTime    = 300 * time.Millisecond
-	responseReserve   = 150 * time.Millisecond // a response needs so long to reach the client
+	ownerBackoff      = retryBackoff / 4 // before the retry that follows an update of the owners
+	retryAfterSeconds = "1"              // value of the Retry-After header
+	maxRequestTimeout = 2600 * time.Millisecond
+	minRequestTimeout = 300 * time.Millisecond
+	responseReserve   = 150 * time.Millisecond // reserved for the transfer of the response to the client
 )
 
-// request is a client's request that is forwarded to the owner of its route's shard.
+// request is a client request that is forwarded to the owner of its route's shard.
 type request struct {
 	scheduler     *Scheduler
 	route         *clusterconfig.Route
 	configVersion int64
 	configAge     time.Duration // since the configuration was last confirmed
 	jobID         string
-	changes       bool // the request changes a job: it is a submission or a cancellation
-	maybeApplied  bool // an attempt failed so that the owner may have acted on it
+	mutatesJob    bool // the request submits or cancels a job
+	maybeApplied  bool // an attempt failed with an unknown outcome; the owner may have applied it
 }
 
-// forward calls the owner of the shard until it gives an answer that no retry can change, or too little time is left.
+// forward calls the owner of the shard until the call succeeds, fails with an error that is not retryable, or less than
+// minAttemptTime remains.
 func (r *request) forward(ctx context.Context, method string, message, response any) error {
 	err := result.Errorf(result.NotReady, "no owner of %s is known", r.route.Service)
 	for {
@@ -56,17 +57,17 @@
 	}
 }
 
-// remainingTime returns how long the request may still take. An attempt that the deadline interrupts leaves
-// its outcome unknown.
+// remainingTime returns the time until the request's deadline. The outcome of an attempt that the deadline interrupts is
+// unknown.
 func remainingTime(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		return maxRequestTime
+		return maxRequestTimeout
 	}
 	return time.Until(deadline)
 }
 
-// attempt calls an owner once.
+// attempt calls an owner once, and records whether the owner may have applied the call although it failed.
 func (r *request) attempt(ctx context.Context, owner, method string, message, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -77,7 +78,7 @@
 	return err
 }
 
-// retryable reports whether another attempt, perhaps at another owner, may succeed.
+// retryable reports whether another attempt, possibly to another owner, may succeed.
 func retryable(err error) bool {
 	switch result.CodeOf(err) {
 	case result.NotOwner, result.NotReady, result.Unavailable, result.Fenced, result.OutcomeUnknown,
@@ -87,16 +88,16 @@
 	return false
 }
 
-// fail answers a request that no owner served. Clients take 429, 503 and 404 as a rejection, after which the job never runs;
-// so these are given only if no attempt can have been applied. A route may be removed between two attempts, which ends no job
-// that was accepted.
-func (r *request) fail(w http.ResponseWriter, err error) {
+// writeError writes the error response. Clients treat 429, 503 and 404 as a rejection, after which the job never runs, so
+// these are returned only if no attempt can have been applied. This includes result.NoRoute: a route may be removed between
+// two attempts, and its removal does not end jobs that were accepted.
+func (r *request) writeError(w http.ResponseWriter, err error) {
 	code := result.CodeOf(err)
 	if code == result.NoJob {
 		http.Error(w, "no such job", http.StatusGone)
 		return
 	}
-	if code == result.NoRoute && (!r.maybeApplied || !r.changes) {
+	if code == result.NoRoute && (!r.maybeApplied || !r.mutatesJob) {
 		http.Error(w, "no such route", http.StatusNotFound)
 		return
 	}
@@ -111,12 +112,12 @@
 	case result.Invalid, result.BadRequest:
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	default:
-		unavailable(w, err.Error())
+		writeUnavailable(w, err.Error())
 	}
 }
 
-// unavailable answers with 503 and asks the client to retry.
-func unavailable(w http.ResponseWriter, text string) {
+// writeUnavailable writes a 503 response with a Retry-After header.
+func writeUnavailable(w http.ResponseWriter, text string) {
 	w.Header().Set("Retry-After", retryAfterSeconds)
 	http.Error(w, text, http.StatusServiceUnavailable)
 }
--- a/internal/system/edge/handler.go
+++ b/internal/system/edge/handler.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	confirmationTTL     = 1500 * time.Millisecond // how long a configuration counts as current without confirmation
+	confirmationTTL     = 1500 * time.Millisecond // how long a confirmed configuration is considered current
 	jobIDLength         = 16                      // hexadecimal digits
 	defaultMaxBodyBytes = 262144
 	deadlineHeader      = "Deadline-Ms"
 )
 
-// ServeHTTP serves a client's request: it submits, shows or cancels a job, or counts the pending jobs of a queue.
+// ServeHTTP serves a client request: it submits, shows or cancels a job, or counts the pending jobs of a queue.
 func (s *Scheduler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.isDraining() {
 		w.Header().Set("Connection", "close")
 	}
 	table, version, age := s.directory.Table()
 	if table == nil {
-		unavailable(w, "no configuration yet")
+		writeUnavailable(w, "no configuration yet")
 		return
 	}
 	route, id := table.Match(r.Host, r.URL.Path)
 	if route == nil {
 		if age > confirmationTTL {
-			unavailable(w, "the configuration is not confirmed")
+			writeUnavailable(w, "the configuration is not confirmed")
 			return
 		}
 		http.Error(w, "no such route", http.StatusNotFound)
@@ -42,31 +42,31 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout(r, route))
 	defer cancel()
-	forwarded := &request{scheduler: s, route: route, configVersion: version, configAge: age, jobID: id}
+	req := &request{scheduler: s, route: route, configVersion: version, configAge: age, jobID: id}
 	switch {
 	case id == "" && r.Method == http.MethodGet:
-		forwarded.countPending(ctx, w)
+		req.handlePending(ctx, w)
 	case !validJobID(id):
 		http.Error(w, "path: an ID of 16 hex digits is wanted behind the prefix", http.StatusBadRequest)
 	case r.Method == http.MethodPost:
-		forwarded.submit(ctx, w, r.Body, table.Config.Limits.MaxBodyBytes)
+		req.handleSubmit(ctx, w, r.Body, table.Config.Limits.MaxBodyBytes)
 	case r.Method == http.MethodGet:
-		forwarded.showStatus(ctx, w)
+		req.handleStatus(ctx, w)
 	case r.Method == http.MethodDelete:
-		forwarded.cancel(ctx, w)
+		req.handleCancel(ctx, w)
 	default:
 		http.Error(w, "method: POST, GET or DELETE is wanted", http.StatusMethodNotAllowed)
 	}
 }
 
-// requestTimeout returns how long a request may take here: the least of the bound, the route's timeout and the client's
-// deadline, less the time that the response takes.
+// requestTimeout returns the timeout of a request: the minimum of maxRequestTimeout, the route's timeout and the client's
+// deadline, the latter two less responseReserve. It is never less than minRequestTimeout.
 func requestTimeout(r *http.Request, route *clusterconfig.Route) time.Duration {
-	timeout := min(maxRequestTime, time.Duration(route.TimeoutMS)*time.Millisecond-responseReserve)
+	timeout := min(maxRequestTimeout, time.Duration(route.TimeoutMS)*time.Millisecond-responseReserve)
 	if deadline, err := strconv.ParseInt(r.Header.Get(deadlineHeader), 10, 64); err == nil && deadline > 0 {
 		timeout = min(timeout, time.Duration(deadline)*time.Millisecond-responseReserve)
 	}
-	return max(timeout, minRequestTime)
+	return max(timeout, minRequestTimeout)
 }
 
 func validJobID(id string) bool {
@@ -81,12 +81,12 @@
 	return true
 }
 
-// submit checks a job and submits it to the owner of the route's shard.
-func (r *request) submit(ctx context.Context, w http.ResponseWriter, content io.ReadCloser, maxBytes int64) {
+// handleSubmit validates a job and submits it to the owner of the route's shard.
+func (r *request) handleSubmit(ctx context.Context, w http.ResponseWriter, requestBody io.ReadCloser, maxBytes int64) {
 	if maxBytes <= 0 {
 		maxBytes = defaultMaxBodyBytes
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, content, maxBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, requestBody, maxBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		http.Error(w, "body: more than "+strconv.FormatInt(maxBytes, 10)+" bytes", http.StatusRequestEntityTooLarge)
@@ -96,23 +96,23 @@
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := checkJob(body); err != nil {
+	if err := validateJob(body); err != nil {
 		http.Error(w, "job: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	message := &api.SubmitRequest{
 		Shard: r.route.Service, ConfigVersion: r.configVersion, Queue: r.route.Name, ID: r.jobID, Body: body,
 	}
-	r.changes = true
+	r.mutatesJob = true
 	if err := r.forward(ctx, api.MethodSubmit, message, &api.Empty{}); err != nil {
-		r.fail(w, err)
+		r.writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// checkJob returns an error that names what makes a job invalid, or nil.
-func checkJob(body []byte) error {
+// validateJob validates the body of a submission. The error names the invalid field.
+func validateJob(body []byte) error {
 	spec := &jobs.Spec{}
 	if err := spec.UnmarshalJSON(body); err != nil {
 		return err
@@ -124,36 +124,35 @@
 	return &api.JobRequest{Shard: r.route.Service, Queue: r.route.Name, ID: r.jobID}
 }
 
-// showStatus answers with a job's state.
-func (r *request) showStatus(ctx context.Context, w http.ResponseWriter) {
+// handleStatus writes a job's state.
+func (r *request) handleStatus(ctx context.Context, w http.ResponseWriter) {
 	response := &api.JobResponse{}
 	if err := r.forward(ctx, api.MethodStatus, r.jobMessage(), response); err != nil {
-		r.fail(w, err)
+		r.writeError(w, err)
 		return
 	}
 	writeJSON(w, map[string]any{"state": response.State})
 }
 
-// cancel cancels a job.
-func (r *request) cancel(ctx context.Context, w http.ResponseWriter) {
-	r.changes = true
+func (r *request) handleCancel(ctx context.Context, w http.ResponseWriter) {
+	r.mutatesJob = true
 	if err := r.forward(ctx, api.MethodCancel, r.jobMessage(), &api.Empty{}); err != nil {
-		r.fail(w, err)
+		r.writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// countPending answers with the number of the queue's jobs of which no task has started.
-func (r *request) countPending(ctx context.Context, w http.ResponseWriter) {
+// handlePending writes the number of the queue's jobs of which no task has started.
+func (r *request) handlePending(ctx context.Context, w http.ResponseWriter) {
 	if r.configAge > confirmationTTL {
-		unavailable(w, "the configuration is not confirmed")
+		writeUnavailable(w, "the configuration is not confirmed")
 		return
 	}
 	response := &api.PendingResponse{}
 	message := &api.PendingRequest{Shard: r.route.Service, Queue: r.route.Name}
 	if err := r.forward(ctx, api.MethodPending, message, response); err != nil {
-		r.fail(w, err)
+		r.writeError(w, err)
 		return
 	}
 	writeJSON(w, map[string]any{"pending": response.Pending})
--- a/internal/system/edge/metrics.go
+++ b/internal/system/edge/metrics.go
@@ -7,14 +7,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// newResponseCounter returns the counter of responses to clients, by method and status.
+// newResponseCounter returns a counter of client responses by method and status.
 func newResponseCounter() *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "sedgevale_edge_answers_total", Help: "Answers to clients.",
 	}, []string{"method", "status"})
 }
 
-// countResponses wraps a handler so that its responses are counted.
+// countResponses wraps a handler with middleware that counts its responses.
 func (s *Scheduler) countResponses(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := &statusRecorder{ResponseWriter: w, status: http.StatusOK}
@@ -23,7 +23,7 @@
 	})
 }
 
-// methodLabel bounds the number of label values that clients can cause.
+// methodLabel maps methods to a fixed set of label values, so that clients cannot create new ones.
 func methodLabel(method string) string {
 	switch method {
 	case http.MethodGet, http.MethodPost, http.MethodDelete:
@@ -32,13 +32,13 @@
 	return "other"
 }
 
-// statusRecorder records the status of a response.
+// statusRecorder is an http.ResponseWriter that records the status code.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
 }
 
-// WriteHeader sends a status.
+// WriteHeader implements http.ResponseWriter.
 func (s *statusRecorder) WriteHeader(status int) {
 	s.status = status
 	s.ResponseWriter.WriteHeader(status)
--- a/internal/system/fakeworker/worker.go
+++ b/internal/system/fakeworker/worker.go
@@ -1,5 +1,5 @@
-// Package fakeworker simulates workers: they send heartbeats to their side scheduler, start and stop tasks as ordered and
-// kill all tasks when their lease expires. Tests and the system on loopback use it.
+// Package fakeworker simulates workers for tests and the demo system. A fake worker sends heartbeats to its side scheduler,
+// starts and stops simulated tasks as ordered, and kills all tasks when its lease expires.
 package fakeworker
 
 import (
@@ -15,29 +15,30 @@
 	"sedgevale/workeragent"
 )
 
-// Observer is called at each event of a worker, in order, from the worker's goroutine.
+// Observer receives the events of a worker, in order, on the worker's goroutine.
 type Observer interface {
-	// TaskStarted takes the CPU that the worker uses with the task, and its capacity, in millicores.
+	// TaskStarted is called when a task starts, with the worker's CPU use including the task and its CPU capacity, both in
+	// millicores.
 	TaskStarted(task, worker string, cpu, capacity int64)
 	TaskEnded(task, worker string)
-	// EndAcknowledged says that the side scheduler has acknowledged a task's successful end.
-	EndAcknowledged(task string)
-	// InvalidAnswer says that an answer cannot be read.
-	InvalidAnswer(err error)
+	// CompletionAcknowledged is called when the side scheduler has acknowledged the successful end of a task.
+	CompletionAcknowledged(task string)
+	// InvalidMessage is called when a heartbeat or its response cannot be encoded or decoded.
+	InvalidMessage(err error)
 }
 
-// Options of a worker. Times are of the worker's own clock.
+// Options are the options of a worker. Durations are measured by the worker's clock.
 type Options struct {
-	ID          string // of the incarnation
+	ID          string // instance ID of the incarnation
 	Service     string
-	SideAddress string // host:port of its side scheduler
+	SideAddress string // host:port of the side scheduler
 	Capacity    workeragent.Capacity
 	Labels      []string
-	TaskCPU     int64         // millicores that a task is taken to use, since orders do not say
-	MinTaskTime time.Duration // tasks run for random times in
-	MaxTaskTime time.Duration // [MinTaskTime, MaxTaskTime)
-	FailOneIn   int           // one task in so many fails; 0 for none
-	ClockDrift  float64       // how much slower than real time its clock runs: 0.02 is 2%
+	TaskCPU     int64         // CPU use of each task in millicores, since orders do not contain it
+	MinTaskTime time.Duration // minimum run time of a task; run times are uniformly distributed
+	MaxTaskTime time.Duration // maximum run time of a task, exclusive
+	FailOneIn   int           // one task in FailOneIn fails; 0 means that none fails
+	ClockDrift  float64       // fraction by which the worker's clock is slower than real time; 0.02 is 2%
 	Client      *http.Client
 	Observer    Observer
 	Random      *rand.Rand
@@ -53,29 +54,29 @@
 type Worker struct {
 	Options
 
-	mu             sync.Mutex // guards the fields below
-	fencingToken   int64      // the highest that was seen
-	sequence       int64      // of the last heartbeat
-	lastEnd        int64      // number of the last end
-	expiredUpTo    int64      // ends up to this number came before the lease expired
-	active         map[string]*attempt
-	unacknowledged []workeragent.FinishedRun // ends that heartbeats repeat
-	lastAttempt    map[string]int64          // by task: the highest attempt that ended here
-	leaseUntil     time.Time                 // zero before the first lease
+	mu              sync.Mutex // guards the fields below
+	fencingToken    int64      // highest token received
+	sequence        int64      // sequence number of the last heartbeat
+	lastFinished    int64      // number of the last finished run
+	expiredAtNumber int64      // value of lastFinished when the lease last expired
+	active          map[string]*attempt
+	unacknowledged  []workeragent.FinishedRun // finished runs that heartbeats repeat until acknowledged
+	lastAttempt     map[string]int64          // highest attempt that ended on this worker, by task
+	leaseExpiry     time.Time                 // zero before the first lease
 }
 
 // attempt is a running attempt of a task.
 type attempt struct {
 	number int64
-	until  time.Time
+	endsAt time.Time
 }
 
-// New returns a worker that runs nothing.
+// New returns a worker with no running tasks.
 func New(options Options) *Worker {
 	return &Worker{Options: options, active: map[string]*attempt{}, lastAttempt: map[string]int64{}}
 }
 
-// Run sends heartbeats until the context ends, as if the worker crashed then.
+// Run sends heartbeats until ctx is cancelled, which simulates a crash of the worker.
 func (w *Worker) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		delay := w.heartbeat(ctx)
@@ -92,50 +93,51 @@
 	w.Client.CloseIdleConnections()
 }
 
-// advance ends the attempts that are over, or all of them if the lease has expired. w.mu is held.
-func (w *Worker) advance() {
+// endFinishedAttempts ends the attempts whose run time has elapsed, or all attempts if the lease has expired. The caller
+// holds w.mu.
+func (w *Worker) endFinishedAttempts() {
 	now := time.Now()
-	expired := !w.leaseUntil.IsZero() && now.After(w.leaseUntil)
+	expired := !w.leaseExpiry.IsZero() && now.After(w.leaseExpiry)
 	if expired {
-		w.expiredUpTo = w.lastEnd
+		w.expiredAtNumber = w.lastFinished
 	}
 	for task, running := range w.active {
 		switch {
 		case expired:
-			w.end(task, running.number, "lapsed")
-		case now.After(running.until):
+			w.endAttempt(task, running.number, "lapsed")
+		case now.After(running.endsAt):
 			outcome := "done"
 			if w.FailOneIn > 0 && w.Random.IntN(w.FailOneIn) == 0 {
 				outcome = "failed"
 			}
-			w.end(task, running.number, outcome)
+			w.endAttempt(task, running.number, outcome)
 		}
 	}
 }
 
-// end ends an attempt. w.mu is held.
-func (w *Worker) end(task string, attempt int64, outcome string) {
+// endAttempt ends an attempt and queues its outcome for the next heartbeats. The caller holds w.mu.
+func (w *Worker) endAttempt(task string, attempt int64, outcome string) {
 	delete(w.active, task)
 	w.lastAttempt[task] = max(w.lastAttempt[task], attempt)
-	w.lastEnd++
-	w.unacknowledged = append(w.unacknowledged, workeragent.FinishedRun{Number: w.lastEnd, Task: task, Attempt: attempt, Outcome: outcome})
+	w.lastFinished++
+	w.unacknowledged = append(w.unacknowledged, workeragent.FinishedRun{Number: w.lastFinished, Task: task, Attempt: attempt, Outcome: outcome})
 	w.Observer.TaskEnded(task, w.ID)
 }
 
-// heartbeat sends one heartbeat, applies the answer and returns the time until the next.
+// heartbeat sends one heartbeat, applies the response and returns the delay before the next heartbeat.
 func (w *Worker) heartbeat(ctx context.Context) time.Duration {
 	text, err := w.nextHeartbeat().MarshalJSON()
 	if err != nil {
-		w.Observer.InvalidAnswer(err)
+		w.Observer.InvalidMessage(err)
 		return retryBackoff
 	}
 	sentAt := time.Now()
-	call, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	url := "http://" + w.SideAddress + "/sedgevale/instances/" + w.ID
-	request, err := http.NewRequestWithContext(call, http.MethodPut, url, bytes.NewReader(text))
+	request, err := http.NewRequestWithContext(callCtx, http.MethodPut, url, bytes.NewReader(text))
 	if err != nil {
-		w.Observer.InvalidAnswer(err)
+		w.Observer.InvalidMessage(err)
 		return retryBackoff
 	}
 	response, err := w.Client.Do(request)
@@ -149,7 +151,7 @@
 	answer := workeragent.Answer{}
 	if len(body) > 0 {
 		if err := answer.UnmarshalJSON(body); err != nil {
-			w.Observer.InvalidAnswer(err)
+			w.Observer.InvalidMessage(err)
 			return retryBackoff
 		}
 	}
@@ -157,11 +159,11 @@
 	return heartbeatInterval
 }
 
-// nextHeartbeat returns the content of the next heartbeat.
+// nextHeartbeat returns the next heartbeat.
 func (w *Worker) nextHeartbeat() workeragent.Heartbeat {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advance()
+	w.endFinishedAttempts()
 	w.sequence++
 	heartbeat := workeragent.Heartbeat{
 		Service: w.Service, State: "ready", Sequence: w.sequence, Capacity: w.Capacity, Labels: w.Labels, Finished: w.unacknowledged,
@@ -172,11 +174,11 @@
 	return heartbeat
 }
 
-// apply follows the answer to a heartbeat that was sent at a time, unless its fencing token is outdated.
+// apply applies the response to a heartbeat that was sent at sentAt. Orders with an outdated fencing token are ignored.
 func (w *Worker) apply(a workeragent.Answer, sentAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advance()
+	w.endFinishedAttempts()
 	w.acknowledge(a.LastSeen)
 	if a.FenceToken < w.fencingToken {
 		return
@@ -184,7 +186,7 @@
 	w.fencingToken = a.FenceToken
 	for _, ref := range a.Stopped {
 		if running := w.active[ref.Task]; running != nil && running.number == ref.Attempt {
-			w.end(ref.Task, ref.Attempt, "stopped")
+			w.endAttempt(ref.Task, ref.Attempt, "stopped")
 		}
 		w.lastAttempt[ref.Task] = max(w.lastAttempt[ref.Task], ref.Attempt)
 	}
@@ -192,31 +194,33 @@
 		return
 	}
 	lease := time.Duration(float64(a.LeaseMS) / (1 - w.ClockDrift) * float64(time.Millisecond))
-	if until := sentAt.Add(lease); until.After(w.leaseUntil) {
-		w.leaseUntil = until
+	if expiry := sentAt.Add(lease); expiry.After(w.leaseExpiry) {
+		w.leaseExpiry = expiry
 	}
 	for _, start := range a.Started {
-		w.start(start)
+		w.startTask(start)
 	}
 }
 
-// start starts a task, unless it runs or a later attempt has ended here. w.mu is held.
-func (w *Worker) start(start workeragent.Start) {
+// startTask starts a task, unless the task is running or this attempt or a later one has ended on this worker. The caller
+// holds w.mu.
+func (w *Worker) startTask(start workeragent.Start) {
 	if w.active[start.Task] != nil || start.Attempt <= w.lastAttempt[start.Task] {
 		return
 	}
 	w.Observer.TaskStarted(start.Task, w.ID, int64(len(w.active)+1)*w.TaskCPU, w.Capacity.CPU)
 	spread := max(1, int64(w.MaxTaskTime-w.MinTaskTime))
 	duration := w.MinTaskTime + time.Duration(w.Random.Int64N(spread))
-	w.active[start.Task] = &attempt{number: start.Attempt, until: time.Now().Add(duration)}
+	w.active[start.Task] = &attempt{number: start.Attempt, endsAt: time.Now().Add(duration)}
 }
 
-// acknowledge drops the ends up to a number. A successful end counts as acknowledged unless the lease has expired since:
-// its task may have been started elsewhere by then. w.mu is held.
+// acknowledge removes finished runs up to a number. The acknowledgement of a successful run is reported to the observer
+// unless the lease has expired since the run ended: its task may have been started on another worker by then. The caller
+// holds w.mu.
 func (w *Worker) acknowledge(upTo int64) {
 	for len(w.unacknowledged) > 0 && w.unacknowledged[0].Number <= upTo {
-		if w.unacknowledged[0].Outcome == "done" && w.unacknowledged[0].Number > w.expiredUpTo {
-			w.Observer.EndAcknowledged(w.unacknowledged[0].Task)
+		if w.unacknowledged[0].Outcome == "done" && w.unacknowledged[0].Number > w.expiredAtNumber {
+			w.Observer.CompletionAcknowledged(w.unacknowledged[0].Task)
 		}
 		w.unacknowledged = w.unacknowledged[1:]
 	}
--- a/internal/system/local/client.go
+++ b/internal/system/local/client.go
@@ -13,44 +13,45 @@
 
 const (
 	submitInterval = 300 * time.Millisecond
-	statusDelay    = 3 * time.Second // after which a job's state is looked at
+	statusDelay    = 3 * time.Second // between the submission of a job and the query of its state
 	callTimeout    = 3 * time.Second
-	jobsPerLine    = 10 // of the output
+	jobsPerLine    = 10 // number of submissions per line of output
 )
 
-// submission is a job that was accepted.
+// submission is an accepted job.
 type submission struct {
 	id string
 	at time.Time
 }
 
-// clientStats counts jobs by what became of them.
+// clientStats counts jobs by outcome.
 type clientStats struct {
 	accepted, rejected, completed, other int
 }
 
-// runClient submits a job at an interval, looks at its state some time later, and prints counts until the context ends.
+// runClient submits a job every submitInterval, queries the state of each after statusDelay, and prints the counts, until
+// ctx is cancelled.
 func (s *system) runClient(ctx context.Context) {
-	var open []submission // the oldest first
+	var pending []submission // oldest first
 	stats := clientStats{}
 	for n := 1; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%016x", rand.Uint64())
 		if submit(ctx, id) {
 			stats.accepted++
-			open = append(open, submission{id, time.Now()})
+			pending = append(pending, submission{id, time.Now()})
 		} else {
 			stats.rejected++
 		}
-		for len(open) > 0 && time.Since(open[0].at) > statusDelay {
-			if jobState(ctx, open[0].id) == "completed" {
+		for len(pending) > 0 && time.Since(pending[0].at) > statusDelay {
+			if jobState(ctx, pending[0].id) == "completed" {
 				stats.completed++
 			} else {
 				stats.other++
 			}
-			open = open[1:]
+			pending = pending[1:]
 		}
 		if n%jobsPerLine == 0 {
-			_, _ = fmt.Fprintf(s.out, "jobs: %d accepted, %d not taken, %d completed within 3 s, %d not yet or failed\n",
+			_, _ = fmt.Fprintf(s.out, "jobs: %d accepted, %d not accepted, %d completed within 3 s, %d unfinished or failed\n",
 				stats.accepted, stats.rejected, stats.completed, stats.other)
 		}
 		select {
@@ -60,7 +61,7 @@
 	}
 }
 
-// submit submits a job of two stages and reports whether it was accepted.
+// submit submits a job with two stages and reports whether it was accepted.
 func submit(ctx context.Context, id string) bool {
 	body := fmt.Sprintf(`{"spec":"demo","stages":[{"count":%d,"cpu":%d,"mem_mb":64,"estimate_ms":500},`+
 		`{"count":1,"cpu":%d,"mem_mb":64,"estimate_ms":500,"depends_on":[0]}]}`, 1+rand.IntN(4), taskCPU, taskCPU)
@@ -68,7 +69,7 @@
 	return err == nil && status == http.StatusOK
 }
 
-// jobState returns a job's state, or "unknown".
+// jobState returns a job's state, or "unknown" if it cannot be determined.
 func jobState(ctx context.Context, id string) string {
 	_, text, err := call(ctx, http.MethodGet, id, "")
 	if err != nil {
@@ -82,11 +83,11 @@
 	return "unknown"
 }
 
-// call makes a client's call about a job.
+// call sends a client request for a job to the edge scheduler.
 func call(ctx context.Context, method, id, body string) (status int, text string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+edgeAddress()+prefix+id, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+edgeAddress()+pathPrefix+id, strings.NewReader(body))
 	if err != nil {
 		return 0, "", err
 	}
--- a/internal/system/local/local.go
+++ b/internal/system/local/local.go
@@ -1,5 +1,5 @@
-// Package local runs a small system on loopback for people who try it out: three core schedulers, an edge scheduler and
-// four side schedulers as processes, and in this process a fake worker beside each side scheduler and a client.
+// Package local runs a complete demo system on loopback: three core schedulers, an edge scheduler and four side schedulers
+// as child processes, and a fake worker for each side scheduler and a client in this process.
 package local
 
 import (
@@ -19,43 +19,43 @@
 )
 
 const (
-	coreCount   = 3
-	sideCount   = 4
-	service     = "demo"
-	host        = "jobs.example"
-	prefix      = "/demo/"
-	taskCPU     = 500  // millicores
-	workerCPU   = 8000 // millicores
-	workerMemMB = 32768
-	controlPort = 18144
-	clientPort  = 18149
-	readyPort   = 18141
-	firstPort   = 18160
-	lastPort    = 18169
+	coreCount      = 3
+	sideCount      = 4
+	service        = "demo"
+	host           = "jobs.example"
+	pathPrefix     = "/demo/"
+	taskCPU        = 500  // millicores
+	workerCPU      = 8000 // millicores
+	workerMemMB    = 32768
+	controlPort    = 18144
+	clientPort     = 18149
+	readinessPort  = 18141
+	portRangeStart = 18160
+	portRangeEnd   = 18169
 
 	configureAttempts = 100
 	configureBackoff  = 100 * time.Millisecond
 )
 
-// system is a small system on loopback.
+// system is a demo system on loopback.
 type system struct {
-	dir       string // of state, settings and logs
-	program   string
+	dir       string // directory of state, settings and logs
+	program   string // path of the program that runs the schedulers
 	out       io.Writer
 	processes []*exec.Cmd
 }
 
-// Addresses on loopback. Each machine has an IP address of its own.
+// Loopback addresses. Each machine has its own IP address.
 func coreIP(i int) string    { return fmt.Sprintf("127.0.40.%d", i+1) }
 func sideIP(i int) string    { return fmt.Sprintf("127.0.42.%d", i+1) }
 func edgeAddress() string    { return fmt.Sprintf("%s:%d", edgeIP, clientPort) }
 func controlAddress() string { return fmt.Sprintf("%s:%d", coreIP(0), controlPort) }
-func coreAddress() string    { return fmt.Sprintf("%s:%d", coreIP(0), firstPort) }
+func coreAddress() string    { return fmt.Sprintf("%s:%d", coreIP(0), portRangeStart) }
 
 const edgeIP = "127.0.41.1"
 
-// Run starts a system that keeps its state in dir, with the given program, and runs workers and a client until the
-// context ends. It returns once all processes have ended.
+// Run starts a system that runs the given program and stores its state in dir, and runs workers and a client until ctx is
+// cancelled. It returns once all processes have exited.
 func Run(ctx context.Context, dir, program string, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &system{dir: dir, program: program, out: out}
@@ -68,7 +68,7 @@
 		return err
 	}
 	_, _ = fmt.Fprintf(out, "clients: http://%s%s (Host: %s); operator: http://%s/sedgevale/config; members: %s\n",
-		edgeAddress(), prefix, host, controlAddress(), coreAddress())
+		edgeAddress(), pathPrefix, host, controlAddress(), coreAddress())
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	defer cancel()
@@ -79,14 +79,15 @@
 	return nil
 }
 
-// configuration returns the first configuration of the system.
+// configuration returns the initial cluster configuration.
 func configuration() string {
 	return fmt.Sprintf(`{"version":1,"routes":[{"name":"demo","host":%q,"path_prefix":%q,"timeout_ms":3000,`+
 		`"target_latency_ms":1000,"priority":0,"service":%q,"retries":3,"extension":2}],"services":[{"name":%q}],`+
-		`"limits":{"max_body_bytes":262144}}`, host, prefix, service, service)
+		`"limits":{"max_body_bytes":262144}}`, host, pathPrefix, service, service)
 }
 
-// configure puts the first configuration, unless there is one from an earlier run.
+// configure sets the initial configuration, unless an earlier run has set one. It makes up to configureAttempts
+// attempts.
 func (s *system) configure(ctx context.Context) error {
 	for range configureAttempts {
 		status, err := putConfiguration(ctx)
@@ -99,10 +100,10 @@
 		case <-time.After(configureBackoff):
 		}
 	}
-	return fmt.Errorf("no core scheduler took the configuration; see the logs in %s", s.dir)
+	return fmt.Errorf("no core scheduler accepted the configuration; see the logs in %s", s.dir)
 }
 
-// putConfiguration puts the first configuration once and returns the status.
+// putConfiguration sends the initial configuration to a core scheduler once, and returns the HTTP status.
 func putConfiguration(ctx context.Context) (int, error) {
 	url := "http://" + controlAddress() + "/sedgevale/config"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader([]byte(configuration())))
@@ -117,7 +118,7 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-// runWorker simulates the worker beside a side scheduler until the context ends.
+// runWorker simulates the worker of a side scheduler until ctx is cancelled.
 func runWorker(ctx context.Context, i int) {
 	fakeworker.New(fakeworker.Options{
 		ID: fmt.Sprintf("i-%d-%d", i+1, os.Getpid()), Service: service, SideAddress: fmt.Sprintf("%s:%d", sideIP(i), controlPort),
@@ -128,10 +129,10 @@
 	}).Run(ctx)
 }
 
-// discard is an observer that ignores all events.
+// discard is a fakeworker.Observer that ignores all events.
 type discard struct{}
 
 func (discard) TaskStarted(string, string, int64, int64) {}
 func (discard) TaskEnded(string, string)                 {}
-func (discard) EndAcknowledged(string)                   {}
-func (discard) InvalidAnswer(error)                      {}
+func (discard) CompletionAcknowledged(string)            {}
+func (discard) InvalidMessage(error)                     {}
--- a/internal/system/local/process.go
+++ b/internal/system/local/process.go
@@ -14,9 +14,9 @@
 	"sedgevale/internal/system/settings"
 )
 
-const shutdownTimeout = 8 * time.Second // from SIGTERM to SIGKILL
+const shutdownTimeout = 8 * time.Second // between SIGTERM and SIGKILL
 
-// startAll starts all schedulers. They get SIGTERM when the context ends.
+// startAll starts all schedulers. They receive SIGTERM when ctx is cancelled.
 func (s *system) startAll(ctx context.Context) error {
 	var seeds []string
 	for i := range coreCount {
@@ -35,7 +35,7 @@
 	return s.start(ctx, "edge", "edge-1", edgeIP, seeds)
 }
 
-// start writes the settings of a scheduler and starts its process.
+// start writes the settings of a scheduler and starts its process, whose output goes to a log file.
 func (s *system) start(ctx context.Context, role, name, ip string, seeds []string) error {
 	path, err := s.writeSettings(role, name, ip, seeds)
 	if err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own file descriptor
 	command := exec.CommandContext(ctx, s.program, role, "--metrics")
 	command.Cancel = func() error { return command.Process.Signal(syscall.SIGTERM) }
 	command.WaitDelay = shutdownTimeout
@@ -53,14 +53,14 @@
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
-		return fmt.Errorf("%s: %w", name, err)
+		return fmt.Errorf("start scheduler %s: %w", name, err)
 	}
 	s.processes = append(s.processes, command)
 	return nil
 }
 
-// writeSettings writes the settings file of a scheduler and returns its path. A scheduler without a data directory
-// bootstraps.
+// writeSettings writes the settings file of a scheduler and returns its path. Bootstrap is set if the scheduler has no data
+// directory yet.
 func (s *system) writeSettings(role, name, ip string, seeds []string) (string, error) {
 	data := filepath.Join(s.dir, name)
 	_, err := os.Stat(data)
@@ -70,11 +70,11 @@
 	}
 	file := settings.Settings{
 		Node: name, Role: role, MachineClass: role, IP: ip, Zone: "loopback", Region: "loopback",
-		PortRange: []int{firstPort, lastPort}, Seeds: seeds, Bootstrap: bootstrap, DataDir: data, Service: service,
+		PortRange: []int{portRangeStart, portRangeEnd}, Seeds: seeds, Bootstrap: bootstrap, DataDir: data, Service: service,
 		FaultTolerance: settings.FaultTolerance{Machines: 1}, HeartbeatMS: 1500,
 		Limits: settings.Limits{MemoryMB: 200},
 		BindAddrs: settings.BindAddrs{
-			Frontend: fmt.Sprintf("%s:%d", ip, clientPort), Readiness: fmt.Sprintf("%s:%d", ip, readyPort),
+			Frontend: fmt.Sprintf("%s:%d", ip, clientPort), Readiness: fmt.Sprintf("%s:%d", ip, readinessPort),
 			ControlPlane: fmt.Sprintf("%s:%d", ip, controlPort),
 		},
 	}
@@ -86,9 +86,9 @@
 	return path, os.WriteFile(path, text, 0o644)
 }
 
-// wait waits until all processes have ended. The context that they were started with has ended.
+// wait waits until all processes have exited. The context that they were started with must have been cancelled.
 func (s *system) wait() {
 	for _, command := range s.processes {
-		_ = command.Wait() // kills a scheduler that does not end in time
+		_ = command.Wait() // kills a scheduler that does not exit within shutdownTimeout
 	}
 }
--- a/internal/system/node/metrics.go
+++ b/internal/system/node/metrics.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// serveMetrics serves Prometheus metrics at a port; 0 stands for the last port of port_range.
+// serveMetrics serves Prometheus metrics on a port. Port 0 selects the last port of port_range.
 func (p *Process) serveMetrics(ctx context.Context, port int) error {
 	if port == 0 {
 		port = p.Settings.PortRange[1]
@@ -23,14 +23,14 @@
 	return p.Listen(ctx, net.JoinHostPort(p.Settings.IP, strconv.Itoa(port)), mux)
 }
 
-// RegisterMetrics registers collectors with the metrics endpoint, if there is one.
+// RegisterMetrics registers collectors with the metrics endpoint. It does nothing if metrics are not served.
 func (p *Process) RegisterMetrics(collectors ...prometheus.Collector) {
 	if p.metrics == nil {
 		return
 	}
 	for _, collector := range collectors {
 		if err := p.metrics.Register(collector); err != nil {
-			p.Logger.Error(err, "metrics not registered")
+			p.Logger.Error(err, "failed to register metrics collector; continuing without it")
 		}
 	}
 }
--- a/internal/system/node/node.go
+++ b/internal/system/node/node.go
@@ -1,4 +1,5 @@
-// Package node holds what all roles of the system share: settings, logs, listeners, signals, metrics and limits.
+// Package node provides the process runtime that all roles share: settings, logging, listeners, signal handling, metrics
+// and resource limits.
 package node
 
 import (
@@ -25,11 +26,11 @@
 )
 
 const (
-	maxSettingsReads      = 100 // at the start
-	maxSettingsRereads    = 5   // after SIGHUP
-	settingsRetryInterval = 50 * time.Millisecond
+	maxSettingsReadAttempts   = 100 // attempts to read the settings file at the start
+	maxSettingsReloadAttempts = 5   // attempts to read the settings file after SIGHUP
+	settingsRetryInterval     = 50 * time.Millisecond
 
-	memoryLimitFraction = 0.7 // of limits.memory_mb, above which the garbage collector runs more often
+	memoryLimitFraction = 0.7 // the soft memory limit of the Go runtime as a fraction of limits.memory_mb
 
 	idleTimeout       = 30 * time.Second
 	headerTimeout     = 5 * time.Second
@@ -40,21 +41,21 @@
 	agentLease     = 8 * time.Second
 )
 
-// Process is a running role.
+// Process is the runtime of one role.
 type Process struct {
 	Settings *settings.Settings
 	Logger   logr.Logger
 	Client   *rpc.Client
 	current  atomic.Pointer[settings.Settings]
-	metrics  *prometheus.Registry // nil if they are not served
+	metrics  *prometheus.Registry // nil if metrics are not served
 	listen   func(address string) (net.Listener, error)
 
 	mu      sync.Mutex // guards servers
 	servers []*http.Server
-	serving sync.WaitGroup // the goroutines of servers
+	serving sync.WaitGroup // one for each goroutine that serves a listener
 }
 
-// NewProcess returns a process on the network of dial and listen. Run makes one on TCP; tests simulate a network.
+// NewProcess returns a process that uses dial and listen for all connections. Run uses TCP; tests use a simulated network.
 func NewProcess(s *settings.Settings, logger logr.Logger, dial rpc.Dial, listen func(string) (net.Listener, error)) *Process {
 	p := &Process{Settings: s, Logger: logger, Client: rpc.NewClient(dial), listen: listen}
 	p.current.Store(s)
@@ -65,18 +66,18 @@
 func (p *Process) Close() {
 	p.mu.Lock()
 	for _, server := range p.servers {
-		_ = server.Close() // the process ends; a listener that fails to close holds nothing up
+		_ = server.Close() // the process exits, which closes a listener that failed to close
 	}
 	p.Client.Close()
 	p.mu.Unlock()
 	p.serving.Wait()
 }
 
-// ErrKilled as the cause of a role's context makes the role end at once, without a graceful shutdown, as a loss of power
-// would.
+// ErrKilled, as the cancellation cause of a role's context, makes the role stop immediately without a graceful shutdown.
+// It simulates a power failure.
 var ErrKilled = errors.New("killed")
 
-// Role serves until its context ends.
+// Role runs a scheduler until its context is cancelled.
 type Role func(context.Context, *Process) error
 
 // Options are command-line options of a process.
@@ -86,7 +87,7 @@
 	MetricsPort int  // serve metrics at this port unless it is 0
 }
 
-// Run reads the settings and runs a role until SIGTERM or SIGINT. On SIGHUP it reads the settings again.
+// Run reads the settings and runs a role until SIGTERM or SIGINT. SIGHUP reloads the settings.
 func Run(role Role, options Options) error {
 	level := slog.LevelInfo
 	if options.Verbose {
@@ -99,15 +100,15 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	path := settings.Path()
-	read, err := settings.ReadRetrying(ctx, path, maxSettingsReads, settingsRetryInterval)
+	initial, err := settings.ReadRetrying(ctx, path, maxSettingsReadAttempts, settingsRetryInterval)
 	if err != nil {
 		return err
 	}
-	if read.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(read.Limits.MemoryMB) * memoryLimitFraction * (1 << 20)))
+	if initial.Limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(float64(initial.Limits.MemoryMB) * memoryLimitFraction * (1 << 20)))
 	}
 	listen := func(address string) (net.Listener, error) { return new(net.ListenConfig).Listen(ctx, "tcp4", address) }
-	p := NewProcess(read, logger.WithName(read.Node), rpc.DialTCP(), listen)
+	p := NewProcess(initial, logger.WithName(initial.Node), rpc.DialTCP(), listen)
 	if options.Metrics || options.MetricsPort != 0 {
 		if err := p.serveMetrics(ctx, options.MetricsPort); err != nil {
 			return err
@@ -121,7 +122,7 @@
 	return err
 }
 
-// reload reads the settings again at each SIGHUP until ctx ends. A file that is invalid changes nothing.
+// reload reloads the settings on each SIGHUP until ctx is cancelled. An invalid file leaves the current settings in place.
 func (p *Process) reload(ctx context.Context, path string, hangup <-chan os.Signal) {
 	for {
 		select {
@@ -129,29 +130,29 @@
 			return
 		case <-hangup:
 		}
-		read, err := settings.ReadRetrying(ctx, path, maxSettingsRereads, settingsRetryInterval)
+		reloaded, err := settings.ReadRetrying(ctx, path, maxSettingsReloadAttempts, settingsRetryInterval)
 		if err != nil {
-			p.Logger.Error(err, "settings not reloaded")
+			p.Logger.Error(err, "failed to reload settings; keeping the current settings", "path", path)
 			continue
 		}
-		p.current.Store(read)
-		p.Logger.Info("settings reloaded")
+		p.current.Store(reloaded)
+		p.Logger.Info("reloaded settings", "path", path)
 	}
 }
 
-// CurrentSettings returns the newest settings. Only the seeds take effect after the start.
+// CurrentSettings returns the settings as of the last reload. Only a change of the seeds takes effect without a restart.
 func (p *Process) CurrentSettings() *settings.Settings { return p.current.Load() }
 
-// Listen serves HTTP at an address in the background, until Close. It retries for 2 s while the address is in use.
+// Listen serves HTTP on an address in the background until Close. It retries for 2 s if the address cannot be bound.
 func (p *Process) Listen(ctx context.Context, address string, handler http.Handler) error {
 	_, err := p.ListenServer(ctx, address, &http.Server{Handler: handler})
 	return err
 }
 
-// ListenServer is like Listen, for a server with settings of its own.
+// ListenServer is like Listen, but serves with the given server, which may set timeouts and limits.
 func (p *Process) ListenServer(ctx context.Context, address string, server *http.Server) (*http.Server, error) {
 	if address == "" {
-		return nil, errors.New("no address to listen on in bind_addrs")
+		return nil, errors.New("bind_addrs: the address that this role listens on is missing")
 	}
 	listener, err := p.bind(ctx, address)
 	if err != nil {
@@ -167,11 +168,11 @@
 	p.mu.Lock()
 	p.servers = append(p.servers, server)
 	p.mu.Unlock()
-	p.serving.Go(func() { _ = server.Serve(listener) }) // returns once the server is closed
+	p.serving.Go(func() { _ = server.Serve(listener) }) // Serve returns once the server is closed
 	return server, nil
 }
 
-// bind opens a listener, with retries until ctx ends.
+// bind opens a listener. It retries until it has made maxBindAttempts or ctx is cancelled.
 func (p *Process) bind(ctx context.Context, address string) (listener net.Listener, err error) {
 	retry := time.NewTicker(bindRetryInterval)
 	defer retry.Stop()
@@ -189,7 +190,7 @@
 	return nil, err
 }
 
-// LeaseTiming returns the leases of workers and their agents, within hold_max_ms.
+// LeaseTiming returns the lease durations of workers and their agents. The worker lease is at most bounds.hold_max_ms.
 func LeaseTiming(s *settings.Settings) workeragent.Timing {
 	bound := time.Duration(s.Bounds.MaxLeaseMS) * time.Millisecond
 	return workeragent.Timing{WorkerLease: min(maxWorkerLease, bound), AgentLease: agentLease}
--- a/internal/system/node/node_test.go
+++ b/internal/system/node/node_test.go
@@ -17,8 +17,8 @@
 
 var errInUse = errors.New("address in use")
 
-// processWith returns a process whose listen fails at the first so many attempts.
-func processWith(t *testing.T, failures int) *Process {
+// newFailingProcess returns a process for which the given number of attempts to listen fail before one succeeds.
+func newFailingProcess(t *testing.T, failures int) *Process {
 	t.Helper()
 	return NewProcess(&settings.Settings{}, logr.Discard(), rpc.DialTCP(), func(string) (net.Listener, error) {
 		if failures--; failures >= 0 {
@@ -29,32 +29,32 @@
 }
 
 func TestListenRetriesWhileTheAddressIsInUse(t *testing.T) {
-	p := processWith(t, 2)
+	p := newFailingProcess(t, 2)
 	server, err := p.ListenServer(t.Context(), "a:1", &http.Server{Handler: http.NotFoundHandler()})
 	if err != nil || server.IdleTimeout != idleTimeout || server.ReadHeaderTimeout != headerTimeout {
-		t.Fatalf("%+v, %v", server, err)
+		t.Fatalf("ListenServer returned %+v, error %v; want default timeouts and no error", server, err)
 	}
-	p.Close() // waits for the goroutine that serves
+	p.Close() // waits for the serving goroutine
 }
 
 func TestListenGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		err := processWith(t, 1000).Listen(t.Context(), "a:1", http.NotFoundHandler())
+		err := newFailingProcess(t, 1000).Listen(t.Context(), "a:1", http.NotFoundHandler())
 		if !errors.Is(err, errInUse) || time.Since(began) != maxBindAttempts*bindRetryInterval {
-			t.Errorf("%v after %v", err, time.Since(began))
+			t.Errorf("Listen returned error %v after %v", err, time.Since(began))
 		}
 	})
 }
 
-func TestListenEndsWithItsContext(t *testing.T) {
+func TestListenStopsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), bindRetryInterval*3/2)
 		defer cancel()
-		err := processWith(t, 1000).Listen(ctx, "a:1", http.NotFoundHandler())
+		err := newFailingProcess(t, 1000).Listen(ctx, "a:1", http.NotFoundHandler())
 		if !errors.Is(err, errInUse) || time.Since(began) != bindRetryInterval*3/2 {
-			t.Errorf("%v after %v", err, time.Since(began))
+			t.Errorf("Listen returned error %v after %v", err, time.Since(began))
 		}
 	})
 }
@@ -63,9 +63,9 @@
 	short, long := &settings.Settings{}, &settings.Settings{}
 	short.Bounds.MaxLeaseMS, long.Bounds.MaxLeaseMS = 1000, 60_000
 	if got := LeaseTiming(short).WorkerLease; got != time.Second {
-		t.Errorf("lease %v", got)
+		t.Errorf("worker lease is %v, want %v", got, time.Second)
 	}
 	if got := LeaseTiming(long).WorkerLease; got != maxWorkerLease {
-		t.Errorf("lease %v", got)
+		t.Errorf("worker lease is %v, want %v", got, maxWorkerLease)
 	}
 }
--- a/internal/system/result/golden_test.go
+++ b/internal/system/result/golden_test.go
@@ -6,8 +6,9 @@
 	"sedgevale/internal/system/result"
 )
 
-// The numbers are known to operators and to other releases; docs/RESULTS.md explains them.
-func TestNumbersOfCodes(t *testing.T) {
+// TestCodeValues pins the numbers of the codes, which operators and other releases depend on. docs/RESULTS.md documents
+// them.
+func TestCodeValues(t *testing.T) {
 	for got, want := range map[result.Code]int{
 		result.OK: 0, result.BadRequest: 1001, result.NotOwner: 1002, result.NotReady: 1003, result.Fenced: 1004, result.EpochOutdated: 1005,
 		result.NotRecovered: 1006, result.NoRoute: 1007, result.NoJob: 1008, result.Overloaded: 1009, result.Conflict: 1010, result.Invalid: 1011,
@@ -16,10 +17,10 @@
 		result.OutcomeUnknown: 2002, result.TransportFailed: 2003,
 	} {
 		if int(got) != want {
-			t.Errorf("a code is %d, want %d", got, want)
+			t.Errorf("code %d, want %d", got, want)
 		}
 	}
 	if got := result.Errorf(result.NoJob, "job %s", "a").Error(); got != "[1008] job a" {
-		t.Errorf("an error reads %q", got)
+		t.Errorf("error text %q", got)
 	}
 }
--- a/internal/system/result/result.go
+++ b/internal/system/result/result.go
@@ -1,5 +1,5 @@
-// Package result holds the numbered result codes of the system: every error that one scheduler returns to another, or to
-// an operator, has a code. docs/RESULTS.md explains them.
+// Package result defines the result codes of the internal protocol. Every error that a scheduler returns to another
+// scheduler or to an operator has a code. docs/RESULTS.md documents the codes.
 package result
 
 import (
@@ -7,55 +7,56 @@
 	"fmt"
 )
 
-// Code identifies an outcome. A code keeps its meaning and is never reused.
+// Code identifies the outcome of a call. The meaning of a code never changes, and no code is reused.
 type Code int
 
-// The codes. Below 2000 the call has changed nothing; from 2000 on that is unknown, and the call, being idempotent, may be
-// repeated.
+// The result codes. An error below 2000 means that the call has changed nothing. From 2000 on it is unknown whether the
+// call was applied; it may be retried, since all calls are idempotent.
 const (
 	OK                Code = 0
 	BadRequest        Code = 1001 // the message cannot be decoded, or names a key range that does not exist
 	NotOwner          Code = 1002 // this scheduler does not own the shard
-	NotReady          Code = 1003 // no configuration, or no quorum confirmed the ownership lately
+	NotReady          Code = 1003 // there is no configuration, or no quorum has confirmed the ownership recently
 	Fenced            Code = 1004 // a newer fencing token is known
-	EpochOutdated     Code = 1005 // the sender's membership of the core is older
-	NotRecovered      Code = 1006 // the replica holds no seat, is a learner, or has to be repaired first
-	NoRoute           Code = 1007 // no such route in the newest configuration
-	NoJob             Code = 1008 // no such job
+	EpochOutdated     Code = 1005 // the sender has an older core membership
+	NotRecovered      Code = 1006 // the replica has no seat, is a learner, or must be repaired first
+	NoRoute           Code = 1007 // the current configuration has no such route
+	NoJob             Code = 1008 // the job does not exist
 	Overloaded        Code = 1009 // the shard has too many unfinished jobs; the job was not accepted
-	Conflict          Code = 1010 // another version of the configuration is current, or a seat is held by another disk
+	Conflict          Code = 1010 // another version of the configuration is current, or another disk holds the seat
 	Invalid           Code = 1011 // the configuration or job is invalid
 	WrongInstance     Code = 1012 // the orders are for another incarnation of the worker
 	BallotOutdated    Code = 1013 // a higher ballot was promised; no longer returned
-	WrongReplica      Code = 1014 // another replica than was asked, or one in another epoch, answers at the address
-	Unavailable       Code = 1015 // no connection was made, or no quorum was reached before anything was accepted
+	WrongReplica      Code = 1014 // the replica at the address is not the one addressed, or is in another epoch
+	Unavailable       Code = 1015 // no connection was established, or no quorum was reached before anything was accepted
 	MembershipInvalid Code = 1016 // the membership violates an invariant
-	WrongDeployment   Code = 1017 // the message is of another deployment
+	WrongDeployment   Code = 1017 // the message belongs to another deployment
 	WrongDisk         Code = 1018 // the disk belongs to another machine
-	StorageFailed     Code = 2001 // a write to the disk failed, or may have
-	OutcomeUnknown    Code = 2002 // a commit was begun and its outcome is unknown
-	TransportFailed   Code = 2003 // the connection failed before the answer
+	StorageFailed     Code = 2001 // a disk write failed, or may have failed
+	OutcomeUnknown    Code = 2002 // a commit was started and its outcome is unknown
+	TransportFailed   Code = 2003 // the connection failed before the response was received
 )
 
-// Error is an error with a code. Only the code and the text are sent to other schedulers.
+// Error is an error with a result code. Only the code and the text are sent to other schedulers.
 type Error struct {
 	Code  Code
 	Text  string
-	cause error // nil if the error came from another scheduler
+	cause error // nil if the error was received from another scheduler
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("[%d] %s", e.Code, e.Text) }
 
-// Unwrap returns the local cause, if any.
+// Unwrap returns the local cause, or nil if there is none.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Errorf returns an Error with a text like fmt.Errorf's; %w wraps a cause.
+// Errorf returns an *Error with the given code. The format is that of fmt.Errorf, including %w.
 func Errorf(code Code, format string, args ...any) error {
 	cause := fmt.Errorf(format, args...)
 	return &Error{Code: code, Text: cause.Error(), cause: cause}
 }
 
-// CodeOf returns the code of an error: OK for nil, TransportFailed for an error without a code.
+// CodeOf returns the code of the outermost *Error that err wraps. It returns OK for nil and TransportFailed for an error
+// without a code.
 func CodeOf(err error) Code {
 	if err == nil {
 		return OK
@@ -67,7 +68,7 @@
 	return TransportFailed
 }
 
-// Unchanged reports whether the call that returned the error has certainly changed nothing.
+// Unchanged reports whether the call that returned err has failed and has certainly changed nothing.
 func Unchanged(err error) bool {
 	code := CodeOf(err)
 	return code != OK && code < StorageFailed
--- a/internal/system/rpc/golden_test.go
+++ b/internal/system/rpc/golden_test.go
@@ -14,9 +14,9 @@
 
 type goldenMessage struct{ Text string }
 
-// A call of the internal protocol as it goes over the wire: its path, and the answers of a method that succeeds, that fails
-// with a numbered result, and that is not there.
-func TestCallBytes(t *testing.T) {
+// TestServerWireFormat pins the wire format of the server: the path of a method, and the responses of a method that
+// succeeds, of one that fails with a result code, and of one that does not exist.
+func TestServerWireFormat(t *testing.T) {
 	server := rpc.NewServer()
 	rpc.Handle(server, "some.method", func(_ context.Context, r *goldenMessage) (*goldenMessage, error) {
 		if r.Text == "" {
@@ -24,12 +24,12 @@
 		}
 		return &goldenMessage{Text: r.Text + "!"}, nil
 	})
-	for _, one := range []struct{ path, body, want string }{
+	for _, tc := range []struct{ path, body, want string }{
 		{"/rpc/some.method", "\x04hi", "200|avro/binary||\x06hi!"},
 		{"/rpc/some.method", "\x00", "409||1004|a newer token"},
 		{"/rpc/other.method", "\x00", "404|text/plain; charset=utf-8||404 page not found\n"},
 	} {
-		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, one.path, strings.NewReader(one.body))
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, tc.path, strings.NewReader(tc.body))
 		recorder := httptest.NewRecorder()
 		server.Handler().ServeHTTP(recorder, request)
 		response := recorder.Result()
@@ -43,21 +43,21 @@
 		got := strings.Join([]string{
 			response.Status[:3], response.Header.Get("Content-Type"), response.Header.Get("Sedgevale-Result"), string(text),
 		}, "|")
-		if got != one.want {
-			t.Errorf("%s %q: %q, want %q", one.path, one.body, got, one.want)
+		if got != tc.want {
+			t.Errorf("%s %q: response %q, want %q", tc.path, tc.body, got, tc.want)
 		}
 	}
 }
 
-// What the client sends, and how it reads answers.
-func TestClientBytes(t *testing.T) {
-	var asked string
+// TestClientWireFormat pins the wire format of the client: the request that it sends, and how it decodes responses.
+func TestClientWireFormat(t *testing.T) {
+	var sent string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Error(err)
 		}
-		asked = r.Method + " " + r.URL.Path + " " + string(body)
+		sent = r.Method + " " + r.URL.Path + " " + string(body)
 		if string(body) == "\x00" {
 			w.Header().Set("Sedgevale-Result", "1004")
 			w.WriteHeader(http.StatusConflict)
@@ -68,14 +68,14 @@
 	client := rpc.NewClient(rpc.DialTCP())
 	t.Cleanup(client.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
-	var answer goldenMessage
-	if err := client.Call(t.Context(), address, "some.method", &goldenMessage{"hi"}, &answer); err != nil || answer.Text != "hi!" {
-		t.Errorf("the answer is %+v, error %v", answer, err)
+	var response goldenMessage
+	if err := client.Call(t.Context(), address, "some.method", &goldenMessage{"hi"}, &response); err != nil || response.Text != "hi!" {
+		t.Errorf("response %+v, error %v", response, err)
 	}
-	if asked != "POST /rpc/some.method \x04hi" {
-		t.Errorf("it sends %q", asked)
+	if sent != "POST /rpc/some.method \x04hi" {
+		t.Errorf("the client sent %q", sent)
 	}
-	if err := client.Call(t.Context(), address, "some.method", &goldenMessage{}, &answer); result.CodeOf(err) != result.Fenced {
-		t.Errorf("a numbered result is read as %v", err)
+	if err := client.Call(t.Context(), address, "some.method", &goldenMessage{}, &response); result.CodeOf(err) != result.Fenced {
+		t.Errorf("the response with result code 1004 was decoded as error %v", err)
 	}
 }
--- a/internal/system/rpc/rpc.go
+++ b/internal/system/rpc/rpc.go
@@ -1,5 +1,6 @@
-// Package rpc carries the internal protocol between schedulers: Avro bodies in HTTP/1.1 requests, numbered result codes in
-// place of status codes, and connections that time out when the peer stops acknowledging.
+// Package rpc implements the transport of the internal protocol between schedulers: remote procedure calls with Avro
+// bodies over HTTP/1.1, numbered result codes in place of HTTP status codes, and connections that time out when the peer
+// stops acknowledging data.
 package rpc
 
 import (
@@ -35,16 +36,16 @@
 	http *http.Client
 }
 
-// Dial opens a connection to an address, as net.Dialer.DialContext does.
+// Dial opens a connection to an address. Its signature is that of net.Dialer.DialContext.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// DialTCP returns a Dial for TCP connections that fail when sent data stays unacknowledged for 1.5 s.
+// DialTCP returns a Dial for TCP connections that fail when sent data remains unacknowledged for 1.5 s.
 func DialTCP() Dial {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: time.Second, Control: setUserTimeout}
 	return dialer.DialContext
 }
 
-// NewClient returns a Client that connects with dial.
+// NewClient returns a Client that opens connections with dial.
 func NewClient(dial Dial) *Client {
 	transport := &http.Transport{
 		DialContext:         dial,
@@ -58,85 +59,86 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// setUserTimeout sets the TCP user timeout (RFC 5482), after which the kernel ends a connection with unacknowledged data.
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
+// setUserTimeout sets the TCP user timeout (RFC 5482), after which the kernel closes a connection with unacknowledged data.
+func setUserTimeout(_, _ string, rawConn syscall.RawConn) error {
+	var optionErr error
+	err := rawConn.Control(func(descriptor uintptr) {
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-// Call calls a method at an address: request and response point to structs that avrocodec encodes. An error of the method
-// is a *result.Error. An error of the transport has the code result.TransportFailed, or result.Unavailable if no connection
-// was made, so that the method has certainly not been called. No call is ever sent twice.
+// Call calls a method of the scheduler at an address. request and response point to structs that avrocodec can encode. An
+// error that the method returns is a *result.Error. A transport error has the code result.Unavailable if no connection was
+// established, in which case the method has certainly not been called, and result.TransportFailed otherwise. A request is
+// never sent more than once.
 func (c *Client) Call(ctx context.Context, address, method string, request, response any) error {
 	body, err := avrocodec.Encode(request)
 	if err != nil {
 		return result.Errorf(result.BadRequest, "%s: %w", method, err)
 	}
-	call, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+pathPrefix+method, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+pathPrefix+method, bytes.NewReader(body))
 	if err != nil {
 		return result.Errorf(result.BadRequest, "%s: %w", method, err)
 	}
-	call.GetBody = nil // without it http.Transport cannot repeat a request that the peer may have read
-	answer, err := c.http.Do(call)
+	httpRequest.GetBody = nil // without GetBody, http.Transport cannot resend a request that the peer may have read
+	httpResponse, err := c.http.Do(httpRequest)
 	if err != nil {
-		if dialFailed(err) {
+		if isDialError(err) {
 			return result.Errorf(result.Unavailable, "%s at %s: %w", method, address, err)
 		}
 		return result.Errorf(result.TransportFailed, "%s at %s: %w", method, address, err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	text, err := readAnswer(answer.Body)
+	defer func() { _ = httpResponse.Body.Close() }()
+	responseBody, err := readResponse(httpResponse.Body)
 	if err != nil {
 		return result.Errorf(result.TransportFailed, "%s at %s: %w", method, address, err)
 	}
-	if code, _ := strconv.Atoi(answer.Header.Get(resultHeader)); code != 0 {
-		return &result.Error{Code: result.Code(code), Text: string(text)}
+	if code, _ := strconv.Atoi(httpResponse.Header.Get(resultHeader)); code != 0 {
+		return &result.Error{Code: result.Code(code), Text: string(responseBody)}
 	}
-	if answer.StatusCode != http.StatusOK {
-		return result.Errorf(result.TransportFailed, "%s at %s: status %d", method, address, answer.StatusCode)
+	if httpResponse.StatusCode != http.StatusOK {
+		return result.Errorf(result.TransportFailed, "%s at %s: status %d", method, address, httpResponse.StatusCode)
 	}
-	if err := avrocodec.Decode(text, response); err != nil {
+	if err := avrocodec.Decode(responseBody, response); err != nil {
 		return result.Errorf(result.TransportFailed, "%s at %s: %w", method, address, err)
 	}
 	return nil
 }
 
-// errAnswerTooLong is returned for an answer of more than maxMessageBytes.
-var errAnswerTooLong = fmt.Errorf("rpc: the answer has more than %d bytes", maxMessageBytes)
+// errResponseTooLong is returned for a response body of more than maxMessageBytes.
+var errResponseTooLong = fmt.Errorf("rpc: the response body exceeds %d bytes", maxMessageBytes)
 
-// readAnswer reads the body of an answer.
-func readAnswer(body io.Reader) ([]byte, error) {
+// readResponse reads a response body of at most maxMessageBytes.
+func readResponse(body io.Reader) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(body, maxMessageBytes+1))
 	if err == nil && len(text) > maxMessageBytes {
-		return nil, errAnswerTooLong
+		return nil, errResponseTooLong
 	}
 	return text, err
 }
 
-// dialFailed reports whether the error is one of dialling.
-func dialFailed(err error) bool {
+// isDialError reports whether an error occurred while the connection was being established.
+func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// Server dispatches calls to methods.
+// Server dispatches calls to registered methods.
 type Server struct {
 	mux *http.ServeMux
 }
 
-// NewServer returns a Server without methods.
+// NewServer returns a Server with no methods registered.
 func NewServer() *Server { return &Server{mux: http.NewServeMux()} }
 
 // Handler returns the HTTP handler of all methods.
 func (s *Server) Handler() http.Handler { return s.mux }
 
-// Handle registers a method. An error of serve is sent with its result.CodeOf.
+// Handle registers a method. An error that serve returns is sent to the caller with the code that result.CodeOf returns.
 func Handle[Request, Response any](s *Server, method string, serve func(context.Context, *Request) (*Response, error)) {
 	s.mux.HandleFunc("POST "+pathPrefix+method, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
--- a/internal/system/rpc/rpc_test.go
+++ b/internal/system/rpc/rpc_test.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// peer is a server that reads requests and has serve answer each, with its number.
-func peer(t *testing.T, serve func(n int64, c net.Conn)) (address string, requests *atomic.Int64) {
+// startPeer starts a server that reads HTTP requests and calls serve for each, with the request's number, starting at 1. It
+// returns the server's address and the number of requests.
+func startPeer(t *testing.T, serve func(n int64, c net.Conn)) (address string, requests *atomic.Int64) {
 	t.Helper()
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +42,7 @@
 				return
 			}
 			go func() {
-				defer func() { _ = c.Close() }() // serve may have closed it
+				defer func() { _ = c.Close() }() // serve may already have closed c
 				in := bufio.NewReader(c)
 				for {
 					r, err := http.ReadRequest(in)
@@ -57,7 +58,8 @@
 	return listener.Addr().String(), requests
 }
 
-func answer(t *testing.T, c net.Conn, text string) {
+// writeResponse writes a successful response with the given text to a connection.
+func writeResponse(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	body, err := avrocodec.Encode(&message{text})
 	if err != nil {
@@ -67,9 +69,9 @@
 	_ = response.Write(c)
 }
 
-// A call on an idle connection that the peer closes once it has read the request is sent once; net/http does not
-// retry it.
-func TestCallIsNeverRepeated(t *testing.T) {
+// TestCallIsSentOnce guards against automatic retries by net/http: a call on an idle connection that the peer closes
+// after reading the request is sent only once.
+func TestCallIsSentOnce(t *testing.T) {
 	endings := map[string]func(c net.Conn){
 		"closed": func(c net.Conn) { closeConn(t, c) },
 		"reset": func(c net.Conn) {
@@ -83,9 +85,9 @@
 	}
 	for name, end := range endings {
 		t.Run(name, func(t *testing.T) {
-			address, requests := peer(t, func(n int64, c net.Conn) {
+			address, requests := startPeer(t, func(n int64, c net.Conn) {
 				if n == 1 {
-					answer(t, c, "first")
+					writeResponse(t, c, "first")
 					return
 				}
 				end(c)
@@ -100,7 +102,7 @@
 			}
 			err := client.Call(ctx, address, "m", &message{"ask"}, &message{})
 			if result.CodeOf(err) != result.TransportFailed || result.Unchanged(err) {
-				t.Errorf("error %v; the call may have been acted on", err)
+				t.Errorf("error %v, want TransportFailed, since the peer may have applied the call", err)
 			}
 			if requests.Load() != 2 {
 				t.Errorf("%d requests for two calls", requests.Load())
@@ -109,30 +111,31 @@
 	}
 }
 
-// An answer that arrives after its caller has given up is dropped, and is not the answer to a later call.
-func TestLateAnswerIsDropped(t *testing.T) {
-	given := make(chan struct{})
-	address, requests := peer(t, func(n int64, c net.Conn) {
+// TestLateResponseIsDiscarded checks that a response that arrives after its call has timed out is discarded and not
+// returned by a later call.
+func TestLateResponseIsDiscarded(t *testing.T) {
+	timedOut := make(chan struct{})
+	address, requests := startPeer(t, func(n int64, c net.Conn) {
 		if n == 1 {
-			<-given
-			answer(t, c, "late")
+			<-timedOut
+			writeResponse(t, c, "late")
 			return
 		}
-		answer(t, c, "second")
+		writeResponse(t, c, "second")
 	})
 	client := NewClient(DialTCP())
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if err := client.Call(ctx, address, "m", &message{"one"}, &message{}); result.CodeOf(err) != result.TransportFailed {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want TransportFailed after the timeout", err)
 	}
-	close(given)
+	close(timedOut)
 	for range 20 {
 		next, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		got := &message{}
 		if err := client.Call(next, address, "m", &message{"two"}, got); err != nil || got.Text != "second" {
-			t.Errorf("%q came, %v", got.Text, err)
+			t.Errorf("response %q, error %v; want %q", got.Text, err, "second")
 		}
 		cancel()
 	}
@@ -141,13 +144,14 @@
 	}
 }
 
-// An answer longer than the bound is an error; its first part is not taken for it.
-func TestAnswerOverTheBound(t *testing.T) {
+// TestOversizedResponseIsAnError checks that a response longer than maxMessageBytes is an error, even if it starts with a
+// complete message.
+func TestOversizedResponseIsAnError(t *testing.T) {
 	body, err := avrocodec.Encode(&message{"a complete message"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	address, _ := peer(t, func(_ int64, c net.Conn) {
+	address, _ := startPeer(t, func(_ int64, c net.Conn) {
 		long := io.MultiReader(bytes.NewReader(body), bytes.NewReader(make([]byte, maxMessageBytes)))
 		response := http.Response{StatusCode: http.StatusOK, ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(body) + maxMessageBytes), Body: io.NopCloser(long)}
 		_ = response.Write(c)
@@ -155,7 +159,7 @@
 	client := NewClient(DialTCP())
 	defer client.Close()
 	err = client.Call(t.Context(), address, "m", &message{"ask"}, &message{})
-	if !errors.Is(err, errAnswerTooLong) || result.CodeOf(err) != result.TransportFailed {
-		t.Errorf("error %v", err)
+	if !errors.Is(err, errResponseTooLong) || result.CodeOf(err) != result.TransportFailed {
+		t.Errorf("error %v, want TransportFailed that wraps %v", err, errResponseTooLong)
 	}
 }
--- a/internal/system/settings/golden_test.go
+++ b/internal/system/settings/golden_test.go
@@ -8,7 +8,7 @@
 	"sedgevale/internal/system/settings"
 )
 
-// A settings file with each key is read field by field.
+// TestSettingsKeys pins the JSON key of each field.
 func TestSettingsKeys(t *testing.T) {
 	const text = `{"node":"n","role":"r","machine_class":"c","ip":"10.0.0.1","zone":"z","region":"g","zones":{"z":"g"},` +
 		`"bind_addrs":{"frontend":"10.0.0.1:1","readiness":"10.0.0.1:2","control_plane":"10.0.0.1:3"},"port_range":[4,5],"seeds":["10.0.0.2:80"],` +
@@ -30,14 +30,14 @@
 	}
 	got, err := settings.Parse([]byte(text))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("the settings are read as %+v, error %v", got, err)
+		t.Errorf("decoded settings %+v, error %v", got, err)
 	}
 	if written, err := json.Marshal(want); err != nil || string(written) != text {
-		t.Errorf("error %v, the settings are written as\n%s\nwant\n%s", err, written, text)
+		t.Errorf("error %v, encoded settings\n%s\nwant\n%s", err, written, text)
 	}
 }
 
-// What is left out has the documented defaults.
+// TestSettingsDefaults pins the defaults of missing keys.
 func TestSettingsDefaults(t *testing.T) {
 	got, err := settings.Parse([]byte(`{"node":"n","ip":"10.0.0.1","port_range":[4,5],"seeds":["10.0.0.2:80"],"other":1}`))
 	if err != nil {
@@ -47,6 +47,6 @@
 		MaxLeaseMS: 10000, StopMS: 400, DrainMS: 2000, GangMS: 3000, CancelMS: 3000, ContactMS: 3000, AckMS: 4000, GraceS: 6, EndedJobRetentionS: 120, RemoteSlowdown: 1.5,
 	}
 	if got.Bounds != want || got.HeartbeatMS != 1500 {
-		t.Errorf("the defaults are %+v and %d, want %+v and 1500", got.Bounds, got.HeartbeatMS, want)
+		t.Errorf("default bounds %+v and heartbeat interval %d ms, want %+v and 1500 ms", got.Bounds, got.HeartbeatMS, want)
 	}
 }
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and validates the settings file of a process. Errors name the file and the key.
+// Package settings defines, reads and validates the settings file of a process. Errors name the file and the invalid key.
 package settings
 
 import (
@@ -12,32 +12,32 @@
 	"time"
 )
 
-// DefaultPath is the path of the file unless EnvironmentKey is set.
+// DefaultPath is the path of the settings file if EnvironmentKey is not set.
 const DefaultPath = "/etc/sedgevale/boot.json"
 
-// EnvironmentKey is the environment variable with the path of the file.
+// EnvironmentKey is the environment variable that holds the path of the settings file.
 const EnvironmentKey = "SEDGEVALE_SETTINGS"
 
-// Settings are the settings of one process. Unknown keys of the file are ignored. Fields without a comment are read, since the
-// file holds them, and change nothing.
+// Settings are the settings of one process. Unknown keys of the file are ignored. Fields without a comment are part of the
+// file format but have no effect.
 type Settings struct {
-	Node            string            `json:"node"` // the name of the process in its logs and to other schedulers
+	Node            string            `json:"node"` // name of the process in logs and in messages to other schedulers
 	Role            string            `json:"role"`
 	MachineClass    string            `json:"machine_class"`
-	IP              string            `json:"ip"`   // the address of the machine
+	IP              string            `json:"ip"`   // address of the machine
 	Zone            string            `json:"zone"` // shown by the members command
 	Region          string            `json:"region"`
 	Zones           map[string]string `json:"zones"`
-	BindAddrs       BindAddrs         `json:"bind_addrs"` // where clients, operators and the platform reach it
-	PortRange       []int             `json:"port_range"` // the first and the last port; the first is for other schedulers
+	BindAddrs       BindAddrs         `json:"bind_addrs"` // addresses for clients, operators and the platform
+	PortRange       []int             `json:"port_range"` // first and last port; the first serves other schedulers
 	Seeds           []string          `json:"seeds"`      // control_plane addresses of core schedulers, as host:port
-	Bootstrap       bool              `json:"bootstrap"`  // all disks are new: the seeds form the first membership
+	Bootstrap       bool              `json:"bootstrap"`  // all disks are new, and the seeds form the first membership
 	CountsForQuorum bool              `json:"counts_for_quorum"`
-	Limits          Limits            `json:"limits"`   // of the process
-	DataDir         string            `json:"data_dir"` // of a core scheduler: its snapshot and log
+	Limits          Limits            `json:"limits"`   // resource limits of the process
+	DataDir         string            `json:"data_dir"` // directory of a core scheduler's snapshot and log
 	HeartbeatMS     int               `json:"heartbeat_ms"`
-	FaultTolerance  FaultTolerance    `json:"fault_tolerance"` // gives the number of seats of the core
-	Bounds          Bounds            `json:"bounds"`          // durations, of which few have an effect
+	FaultTolerance  FaultTolerance    `json:"fault_tolerance"` // determines the number of seats of the core
+	Bounds          Bounds            `json:"bounds"`          // time limits, most of which have no effect
 	Commands        string            `json:"commands"`
 	App             string            `json:"app"`
 	Service         string            `json:"service"`
@@ -45,48 +45,49 @@
 
 // BindAddrs are the addresses to listen on, as host:port.
 type BindAddrs struct {
-	Frontend     string `json:"frontend"`      // of an edge scheduler, for clients
-	Readiness    string `json:"readiness"`     // of an edge scheduler, for the platform
-	ControlPlane string `json:"control_plane"` // for operators at a core scheduler, for the worker at a side scheduler
+	Frontend     string `json:"frontend"`      // serves clients; edge schedulers only
+	Readiness    string `json:"readiness"`     // serves the platform's readiness probes; edge schedulers only
+	ControlPlane string `json:"control_plane"` // serves operators (core schedulers) or the worker (side schedulers)
 }
 
-// Limits are the resources that the process may use. Only the memory is limited here.
+// Limits are the resource limits of the process. Only MemoryMB has an effect.
 type Limits struct {
 	CPUShares       float64 `json:"cpu_shares"`
-	MemoryMB        int64   `json:"memory_mb"` // in MiB; 0 for no limit
+	MemoryMB        int64   `json:"memory_mb"` // MiB; 0 means no limit
 	FileDescriptors int     `json:"file_descriptors"`
 	DiskMB          int64   `json:"disk_mb"`
 }
 
-// FaultTolerance is the number of simultaneous losses that the system has to survive. A zone or region counts as one machine.
+// FaultTolerance is the number of simultaneous failures that the system must tolerate. Zones or Regions above 0 require a
+// tolerance of at least one machine.
 type FaultTolerance struct {
 	Machines int `json:"machines"`
 	Zones    int `json:"zones"`
 	Regions  int `json:"regions"`
 }
 
-// Bounds are the durations that the system has to keep, in milliseconds (MS) or seconds (S). Fields without a comment are read
-// and change nothing.
+// Bounds are time limits of the system, in milliseconds (suffix MS) or seconds (suffix S). Fields without a comment have no
+// effect.
 type Bounds struct {
 	ContactMS          int64   `json:"contact_ms"`
 	AckMS              int64   `json:"ack_ms"`
 	CatchUpS           float64 `json:"catch_up_s"`
 	DrainMS            int64   `json:"drain_ms"`
-	GraceS             float64 `json:"grace_s"` // from SIGTERM until a process must have ended
+	GraceS             float64 `json:"grace_s"` // grace period between SIGTERM and the exit of a process
 	ConfigApplyMS      int64   `json:"config_apply_ms"`
-	MaxLeaseMS         int64   `json:"hold_max_ms"` // the longest lease of a worker
+	MaxLeaseMS         int64   `json:"hold_max_ms"` // maximum lease of a worker
 	StopMS             int64   `json:"stop_ms"`
 	GangMS             int64   `json:"gang_ms"`
 	CancelMS           int64   `json:"cancel_ms"`
 	VisibleMS          int64   `json:"visible_ms"`
 	EarlyMS            int64   `json:"early_ms"`
 	EndedJobRetentionS float64 `json:"status_s"` // how long the state of an ended job can be queried
-	RemoteSlowdown     float64 `json:"far_x"`    // factor on a task's run time outside the rack of its data
+	RemoteSlowdown     float64 `json:"far_x"`    // factor by which a task runs longer outside the rack of its data
 	CheckpointS        float64 `json:"save_s"`
 	RestoreMS          int64   `json:"restore_ms"`
 }
 
-// Path returns the path of the settings file.
+// Path returns the path of the settings file: the value of EnvironmentKey, or DefaultPath.
 func Path() string {
 	if path := os.Getenv(EnvironmentKey); path != "" {
 		return path
@@ -94,7 +95,7 @@
 	return DefaultPath
 }
 
-// Read reads and validates the file.
+// Read reads and validates a settings file.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -107,8 +108,8 @@
 	return parsed, nil
 }
 
-// ReadRetrying reads the file with so many attempts at an interval, since it may be replaced while it is read. It returns
-// the error of the last attempt, also when ctx ends before.
+// ReadRetrying is like Read, but makes up to the given number of attempts at an interval, since the file may be read while
+// it is being replaced. It returns the error of the last attempt, also if ctx is cancelled earlier.
 func ReadRetrying(ctx context.Context, path string, attempts int, interval time.Duration) (read *Settings, err error) {
 	retry := time.NewTicker(interval)
 	defer retry.Stop()
@@ -130,10 +131,10 @@
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := json.Unmarshal(text, s); err != nil {
-		return nil, fmt.Errorf("cannot be read: %w", err)
+		return nil, fmt.Errorf("decode JSON: %w", err)
 	}
 	s.setDefaults()
-	return s, s.check()
+	return s, s.validate()
 }
 
 func (s *Settings) setDefaults() {
@@ -159,28 +160,28 @@
 	}
 }
 
-func setDefault(value *int64, to int64) {
+func setDefault(value *int64, defaultValue int64) {
 	if *value == 0 {
-		*value = to
+		*value = defaultValue
 	}
 }
 
-// check returns an error for the first key whose value is invalid.
-func (s *Settings) check() error {
+// validate validates the settings. The error names the first key whose value is invalid.
+func (s *Settings) validate() error {
 	if s.Node == "" {
 		return errors.New("node: missing")
 	}
 	if net.ParseIP(s.IP) == nil {
-		return fmt.Errorf("ip: %q is no address", s.IP)
+		return fmt.Errorf("ip: %q is not an IP address", s.IP)
 	}
 	if len(s.PortRange) != 2 || s.PortRange[0] < 1 || s.PortRange[1] < s.PortRange[0] || s.PortRange[1] > 65535 {
-		return fmt.Errorf("port_range: %v is no range of ports", s.PortRange)
+		return fmt.Errorf("port_range: %v is not a valid range of ports", s.PortRange)
 	}
-	if err := s.checkAddresses(); err != nil {
+	if err := s.validateAddresses(); err != nil {
 		return err
 	}
 	if s.Limits.MemoryMB < 0 {
-		return errors.New("limits.memory_mb: below 0")
+		return errors.New("limits.memory_mb: must not be negative")
 	}
 	if s.FaultTolerance.Machines < 0 || s.FaultTolerance.Machines > 4 {
 		return fmt.Errorf("fault_tolerance.machines: %d is not between 0 and 4", s.FaultTolerance.Machines)
@@ -188,9 +189,9 @@
 	return nil
 }
 
-func (s *Settings) checkAddresses() error {
+func (s *Settings) validateAddresses() error {
 	if len(s.Seeds) == 0 {
-		return errors.New("seeds: none")
+		return errors.New("seeds: at least one is required")
 	}
 	for i, seed := range s.Seeds {
 		if _, _, err := net.SplitHostPort(seed); err != nil {
@@ -209,8 +210,8 @@
 	return nil
 }
 
-// InternalAddress returns the address of this process for other schedulers: the first port of port_range. A machine runs
-// one role only.
+// InternalAddress returns the address on which this process serves other schedulers: the first port of port_range on the
+// machine's IP address. A machine runs only one role.
 func (s *Settings) InternalAddress() string {
 	return s.internalAt(s.IP)
 }
@@ -219,7 +220,8 @@
 	return net.JoinHostPort(ip, strconv.Itoa(s.PortRange[0]))
 }
 
-// SeedAddresses returns the internal addresses of the seeds, in the order of the settings.
+// SeedAddresses returns the internal addresses of the seeds, in the order of the seeds. The seeds are assumed to use the
+// same port_range as this process.
 func (s *Settings) SeedAddresses() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
--- a/internal/system/side/heartbeat.go
+++ b/internal/system/side/heartbeat.go
@@ -10,12 +10,13 @@
 
 const (
 	maxHeartbeatBytes = 8 << 20
-	orderWaitTimeout  = 700 * time.Millisecond // for the answer to the heartbeat of an idle worker
-	heartbeatDelayMS  = 25                     // between an answer and the next heartbeat
+	orderWaitTimeout  = 700 * time.Millisecond // maximum delay of the response to an idle worker
+	heartbeatDelayMS  = 25                     // milliseconds between a response and the worker's next heartbeat
 )
 
-// handleHeartbeat takes a worker's heartbeat and answers with orders. If the worker runs nothing, so that no task can
-// end meanwhile, the answer is delayed until there are orders (long poll), so that they start at once.
+// handleHeartbeat applies a worker's heartbeat and responds with the orders for the worker. The heartbeat of an idle
+// worker is a long poll: no task can end in the meantime, and the response is delayed until there are orders, so that
+// tasks start without waiting for the next heartbeat.
 func (s *Scheduler) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
 	if err != nil {
@@ -27,81 +28,82 @@
 		http.Error(w, "heartbeat: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	reporting, outcome := s.applyHeartbeat(r.PathValue("id"), heartbeat)
+	sender, outcome := s.applyHeartbeat(r.PathValue("id"), heartbeat)
 	switch outcome {
 	case heartbeatOutdated:
 		http.Error(w, "sequence: a later heartbeat came before", http.StatusConflict)
 		return
 	case heartbeatReplaced:
-		w.WriteHeader(http.StatusOK) // without a lease it runs nothing
+		w.WriteHeader(http.StatusOK) // a response without a lease, so that the worker runs no tasks
 		return
 	case heartbeatIdle:
 		select {
-		case <-reporting.ordersReady:
+		case <-sender.ordersReady:
 		case <-time.After(orderWaitTimeout):
 		case <-r.Context().Done():
 			return
 		}
 	case heartbeatApplied:
 	}
-	s.answer(w, reporting, heartbeat.Sequence)
+	s.respond(w, sender, heartbeat.Sequence)
 }
 
-// heartbeatOutcome is what a heartbeat came to.
+// heartbeatOutcome is the result of applying a heartbeat.
 type heartbeatOutcome int
 
 const (
 	heartbeatApplied  heartbeatOutcome = iota
-	heartbeatIdle                      // applied; the worker runs nothing and there are no orders for it
-	heartbeatOutdated                  // a later heartbeat came before
+	heartbeatIdle                      // applied; the worker runs no tasks and there are no orders for it
+	heartbeatOutdated                  // a later heartbeat was received before this one
 	heartbeatReplaced                  // a newer incarnation has replaced this one
 )
 
-// applyHeartbeat updates the state of an incarnation and has a report to the owner sent if that has changed it.
+// applyHeartbeat updates the state of an incarnation. If the state has changed, it triggers a report to the owner.
 func (s *Scheduler) applyHeartbeat(instance string, heartbeat workeragent.Heartbeat) (*worker, heartbeatOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	present := s.workerOf(instance)
-	present.service = heartbeat.Service
-	if !present.agent.OnHeartbeat(s.now(), heartbeat) {
-		return present, heartbeatOutdated
+	w := s.workerFor(instance)
+	w.service = heartbeat.Service
+	if !w.agent.OnHeartbeat(s.now(), heartbeat) {
+		return w, heartbeatOutdated
 	}
-	if present.replaced {
-		return present, heartbeatReplaced
+	if w.replaced {
+		return w, heartbeatReplaced
 	}
-	s.confirm(present)
-	idle := present.confirmed && present.agent.Idle() && !present.agent.HasOrders(s.now())
-	if state := present.agent.StateDigest(); state != present.reported {
-		present.reported = state
-		signal(present.reportDue)
+	s.confirm(w)
+	idle := w.confirmed && w.agent.Idle() && !w.agent.HasOrders(s.now())
+	if state := w.agent.StateDigest(); state != w.reported {
+		w.reported = state
+		signal(w.reportDue)
 	}
 	if idle {
-		return present, heartbeatIdle
+		return w, heartbeatIdle
 	}
-	return present, heartbeatApplied
+	return w, heartbeatApplied
 }
 
-// answer sends the agent's answer to the heartbeat of a sequence number, unless a later one has come meanwhile.
-func (s *Scheduler) answer(w http.ResponseWriter, to *worker, sequence int64) {
+// respond writes the agent's response to the heartbeat with the given sequence number, unless a later heartbeat has been
+// received in the meantime.
+func (s *Scheduler) respond(w http.ResponseWriter, target *worker, sequence int64) {
 	s.mu.Lock()
-	if !to.agent.IsNewest(sequence) {
+	if !target.agent.IsNewest(sequence) {
 		s.mu.Unlock()
 		http.Error(w, "sequence: a later heartbeat came meanwhile", http.StatusConflict)
 		return
 	}
-	answer := to.agent.Answer(s.now())
+	answer := target.agent.Answer(s.now())
 	s.mu.Unlock()
 	answer.RetryAfterMS = heartbeatDelayMS
-	text, err := answer.MarshalJSON()
+	encoded, err := answer.MarshalJSON()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(text)
+	_, _ = w.Write(encoded)
 }
 
-// handleDeregister handles a worker's deregistration: it takes no more runs and will end.
+// handleDeregister handles the deregistration of a worker, which accepts no more runs and is about to exit.
 func (s *Scheduler) handleDeregister(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/side/report.go
+++ b/internal/system/side/report.go
@@ -10,11 +10,11 @@
 const (
 	reportInterval = 400 * time.Millisecond
 	reportTimeout  = 700 * time.Millisecond
-	reportBackoff  = 50 * time.Millisecond // after a report that reached no owner
+	reportBackoff  = 50 * time.Millisecond // before the retry of a failed report
 )
 
-// reportLoop reports an incarnation to the owner of its shard at each change, and at an interval without one, until
-// another incarnation replaces it or the context ends.
+// reportLoop reports an incarnation to the owner of its shard on every change, and every reportInterval otherwise, until
+// another incarnation replaces it or ctx is cancelled.
 func (s *Scheduler) reportLoop(ctx context.Context, w *worker) {
 	for {
 		select {
@@ -23,7 +23,7 @@
 		case <-w.reportDue:
 		case <-time.After(reportInterval):
 		}
-		if !s.isPresent(w) {
+		if !s.isCurrent(w) {
 			return
 		}
 		if s.report(ctx, w) {
@@ -34,17 +34,19 @@
 			return
 		case <-time.After(reportBackoff):
 		}
-		signal(w.reportDue) // to this owner again, or to the next
+		signal(w.reportDue) // retries, with the new owner if it has changed
 	}
 }
 
-func (s *Scheduler) isPresent(w *worker) bool {
+// isCurrent reports whether the incarnation is known and has not been replaced.
+func (s *Scheduler) isCurrent(w *worker) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.workers[w.agent.Instance] == w && !w.replaced
 }
 
-// report sends one report and applies the owner's answer, which renews the lease. It returns false if no answer came.
+// report sends one report and applies the owner's response, which renews the lease. It returns false if the owner is
+// unknown or the call failed.
 func (s *Scheduler) report(ctx context.Context, w *worker) bool {
 	owner, sentAt, request := s.nextReport(w)
 	if owner == "" || request.Shard == "" {
@@ -54,15 +56,15 @@
 	defer cancel()
 	response := &api.ReportResponse{}
 	if err := s.client.Call(ctx, owner, api.MethodReport, request, response); err != nil {
-		s.logger.V(1).Info("worker report failed", "owner", owner, "error", err.Error())
+		s.logger.V(1).Info("failed to report worker to shard owner; retrying", "owner", owner, "error", err.Error())
 		return false
 	}
 	s.applyReportResponse(w, owner, sentAt, response)
 	return true
 }
 
-// nextReport returns the owner's address, which is empty if it is not known, the time of the report since the start of
-// the process, and the report. Another owner than the last one begins another session.
+// nextReport returns the owner's address (empty if the owner is unknown), the time of the report since the start of the
+// process, and the report. A change of owner starts a new session.
 func (s *Scheduler) nextReport(w *worker) (owner string, at time.Duration, request *api.ReportRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +81,7 @@
 	}
 }
 
-// applyReportResponse applies an owner's answer to a report that was sent at the given time.
+// applyReportResponse applies the owner's response to a report that was sent at sentAt.
 func (s *Scheduler) applyReportResponse(w *worker, owner string, sentAt time.Duration, response *api.ReportResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +93,7 @@
 		return
 	}
 	if err := w.agent.OnLease(sentAt, response.Token, response.Acknowledged); err != nil {
-		s.logger.V(1).Info("owner has an outdated fencing token", "owner", owner, "error", err.Error())
+		s.logger.V(1).Info("ignored lease with outdated fencing token", "owner", owner, "error", err.Error())
 		return
 	}
 	if w.agent.HasOrders(s.now()) {
--- a/internal/system/side/side.go
+++ b/internal/system/side/side.go
@@ -1,6 +1,6 @@
-// Package side is the scheduler beside a worker: the only process that talks to that worker. It answers the worker's
-// heartbeats, passes on the orders of the owner of the worker's shard, and reports the worker's state to that owner.
-// The decisions are in package workeragent; this package does the I/O.
+// Package side implements the side scheduler, a sidecar that connects one worker to the owner of the worker's shard. It
+// responds to the worker's heartbeats, relays the owner's orders to the worker and reports the worker's state to the
+// owner. Package workeragent makes the decisions; this package does the I/O.
 package side
 
 import (
@@ -24,10 +24,10 @@
 
 const (
 	expiryCheckInterval = 50 * time.Millisecond
-	expiredRetention    = 20 * time.Second // an incarnation is forgotten so long after its lease expired
+	expiredRetention    = 20 * time.Second // how long the state of an incarnation is kept after its lease has expired
 
-	// minConfirmingHeartbeats is how many heartbeats confirm an incarnation: a delayed heartbeat of an incarnation
-	// that has crashed is not followed by another.
+	// minConfirmingHeartbeats is the number of heartbeats that confirm an incarnation. One is not enough: it may be a
+	// delayed heartbeat of an incarnation that has crashed, which no other heartbeat follows.
 	minConfirmingHeartbeats = 2
 )
 
@@ -38,17 +38,17 @@
 	client      *rpc.Client
 	directory   *directory.Directory
 	timing      workeragent.Timing
-	incarnation string // names this process to owners
+	incarnation string // random ID that identifies this process to owners
 	started     time.Time
-	ctx         context.Context // of the process, for loops that heartbeats start
+	ctx         context.Context // the process's context, for the loops that heartbeats start
 	loops       sync.WaitGroup
 
-	mu             sync.Mutex // guards the fields below and the workers
-	workers        map[string]*worker
-	newestInstance string // of the incarnation that was confirmed last
+	mu             sync.Mutex         // guards the fields below and the workers
+	workers        map[string]*worker // by instance
+	newestInstance string             // the instance that was confirmed last
 	reportSequence int64
-	owner          string // address of the owner that the session is with
-	session        string // as the owner gave it; empty before its first answer
+	owner          string // address of the owner of the current session
+	session        string // session ID assigned by the owner; empty before its first response
 	stopped        bool   // no further loops are started
 }
 
@@ -57,14 +57,14 @@
 	agent       *workeragent.Agent
 	service     string
 	ordersReady chan struct{} // signalled when there are orders for the worker
-	reportDue   chan struct{} // signalled when a report must be sent at once
+	reportDue   chan struct{} // signalled when a report must be sent immediately
 	reported    uint64        // digest of the agent's state when reportDue was last signalled
-	expiredAt   time.Duration // since the start of the process; 0 before the worker's lease has expired
-	replaced    bool          // another incarnation has taken its place
-	confirmed   bool
+	expiredAt   time.Duration // when the lease expired, since the start of the process; 0 if it has not expired
+	replaced    bool          // another incarnation has replaced this one
+	confirmed   bool          // minConfirmingHeartbeats have been received
 }
 
-// signal wakes the receiver of a channel of capacity one. It never blocks.
+// signal wakes the receiver of a channel of capacity 1 without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -72,7 +72,7 @@
 	}
 }
 
-// Run serves until the context ends.
+// Run serves the worker and the shard owner until ctx is cancelled.
 func Run(ctx context.Context, p *node.Process) error {
 	ctx, cancel := context.WithCancel(ctx)
 	s := newScheduler(ctx, p)
@@ -96,7 +96,7 @@
 
 func newScheduler(ctx context.Context, p *node.Process) *Scheduler {
 	var random [6]byte
-	_, _ = rand.Read(random[:]) // never fails
+	_, _ = rand.Read(random[:]) // crypto/rand.Read never returns an error
 	return &Scheduler{
 		settings: p.Settings, logger: p.Logger, client: p.Client, directory: directory.New(p, false),
 		timing: node.LeaseTiming(p.Settings), incarnation: hex.EncodeToString(random[:]), started: time.Now(),
@@ -104,7 +104,7 @@
 	}
 }
 
-// stop ends all loops and waits for them.
+// stop cancels all loops and waits for them.
 func (s *Scheduler) stop(cancel context.CancelFunc) {
 	cancel()
 	s.mu.Lock()
@@ -116,8 +116,8 @@
 // now returns the time since the start of the process.
 func (s *Scheduler) now() time.Duration { return time.Since(s.started) }
 
-// workerOf returns the state of an incarnation, made at its first heartbeat. s.mu is held.
-func (s *Scheduler) workerOf(instance string) *worker {
+// workerFor returns the state of an incarnation, and creates it on the first heartbeat. The caller holds s.mu.
+func (s *Scheduler) workerFor(instance string) *worker {
 	if known := s.workers[instance]; known != nil {
 		return known
 	}
@@ -129,8 +129,9 @@
 	return added
 }
 
-// confirm makes an incarnation the present one after enough heartbeats. A worker that crashed comes back under
-// another name, so this replaces all others, except those that are draining and may still run tasks. s.mu is held.
+// confirm makes an incarnation the current one once it has sent minConfirmingHeartbeats. A worker that restarts after a
+// crash has a new instance name, so the new incarnation replaces all others except those that are draining, which may
+// still run tasks. The caller holds s.mu.
 func (s *Scheduler) confirm(w *worker) {
 	if w.confirmed || w.agent.Heartbeats() < minConfirmingHeartbeats {
 		return
@@ -147,13 +148,13 @@
 	}
 }
 
-// handleOrders passes an owner's orders to the agent.
+// handleOrders applies an owner's orders to the agent of the worker.
 func (s *Scheduler) handleOrders(_ context.Context, r *api.OrdersRequest) (*api.Empty, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.workers[r.Orders.Instance]
 	if w == nil || w.replaced {
-		return nil, result.Errorf(result.WrongInstance, "instance %s is not here", r.Orders.Instance)
+		return nil, result.Errorf(result.WrongInstance, "worker instance %s is unknown or was replaced", r.Orders.Instance)
 	}
 	if err := w.agent.OnOrders(s.now(), r.Token, &r.Orders); err != nil {
 		return nil, err
@@ -164,7 +165,7 @@
 	return &api.Empty{}, nil
 }
 
-// expiryLoop looks for expired leases of workers until the context ends.
+// expiryLoop checks the workers' leases every expiryCheckInterval until ctx is cancelled.
 func (s *Scheduler) expiryLoop(ctx context.Context) {
 	ticker := time.NewTicker(expiryCheckInterval)
 	defer ticker.Stop()
@@ -173,13 +174,14 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.expire()
+			s.expireLeases()
 		}
 	}
 }
 
-// expire has expired leases reported to the owner, and forgets incarnations whose lease expired long ago.
-func (s *Scheduler) expire() {
+// expireLeases triggers a report to the owner for each lease that has expired, and deletes incarnations whose lease expired
+// more than expiredRetention ago.
+func (s *Scheduler) expireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
--- a/internal/system/simulation/checker_test.go
+++ b/internal/system/simulation/checker_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// checker checks invariants by what workers do: no task runs twice at a time, none after its completion was acknowledged,
-// none without a submit, and no worker exceeds its capacity.
+// checker checks invariants of the events that fake workers report: no task runs on two workers at a time, no task starts
+// after its completion was acknowledged, no task starts whose job was not submitted, and no worker exceeds its capacity.
 type checker struct {
 	mu           sync.Mutex
-	running      map[string]string        // task: worker
-	acknowledged map[string]time.Duration // when
-	starts       map[string]int
-	submitted    map[string]bool
+	running      map[string]string        // worker by task
+	acknowledged map[string]time.Duration // time of the acknowledgement by task
+	starts       map[string]int           // number of starts by task
+	submitted    map[string]bool          // by job ID
 	violations   []string
 	started      time.Time
 }
@@ -24,31 +24,32 @@
 	return &checker{started: started, running: map[string]string{}, acknowledged: map[string]time.Duration{}, starts: map[string]int{}, submitted: map[string]bool{}}
 }
 
+// violation records a violation of an invariant. The caller holds c.mu.
 func (c *checker) violation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("%.2f s: ", time.Since(c.started).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// TaskStarted checks the start of a task.
+// TaskStarted implements fakeworker.Observer.
 func (c *checker) TaskStarted(task, worker string, cpu, capacity int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if other := c.running[task]; other != "" {
-		c.violation("TWICE: %s starts at %s and runs at %s", task, worker, other)
+		c.violation("TWICE: task %s started on %s while it was running on %s", task, worker, other)
 	}
 	if at, acknowledged := c.acknowledged[task]; acknowledged {
-		c.violation("TWICE: %s starts at %s after its completion was acknowledged at %.2f s", task, worker, at.Seconds())
+		c.violation("TWICE: task %s started on %s after its completion was acknowledged at %.2f s", task, worker, at.Seconds())
 	}
 	if !c.submitted[task[:16]] {
-		c.violation("UNASKED: %s", task)
+		c.violation("UNSUBMITTED: task %s started without a submission of its job", task)
 	}
 	if cpu > capacity {
-		c.violation("LIMIT: %s uses %d of %d", worker, cpu, capacity)
+		c.violation("LIMIT: worker %s uses %d of %d millicores", worker, cpu, capacity)
 	}
 	c.running[task] = worker
 	c.starts[task]++
 }
 
-// TaskEnded takes the end of an attempt.
+// TaskEnded implements fakeworker.Observer.
 func (c *checker) TaskEnded(task, worker string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,30 +58,30 @@
 	}
 }
 
-// EndAcknowledged takes the acknowledgement of a task's completion.
-func (c *checker) EndAcknowledged(task string) {
+// CompletionAcknowledged implements fakeworker.Observer.
+func (c *checker) CompletionAcknowledged(task string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.acknowledged[task] = time.Since(c.started)
 }
 
-// InvalidAnswer takes an answer to a heartbeat that cannot be read.
-func (c *checker) InvalidAnswer(err error) {
+// InvalidMessage implements fakeworker.Observer.
+func (c *checker) InvalidMessage(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violation("answer: %v", err)
+	c.violation("invalid heartbeat or response: %v", err)
 }
 
-// checkFinalState checks that the acknowledged configuration is in force and all jobs have completed.
+// checkFinalState checks that the last acknowledged configuration is current and that all jobs have completed.
 func (c *cluster) checkFinalState(t *testing.T, ids []string) {
 	t.Helper()
 	if status, version := c.getConfigurationFrom("core1"); status != http.StatusOK || version != c.acknowledgedVersion {
-		t.Errorf("CONFIG: version %d was acknowledged, read back status %d, version %d", c.acknowledgedVersion, status, version)
+		t.Errorf("CONFIG: version %d was acknowledged, but a read returned status %d, version %d", c.acknowledgedVersion, status, version)
 	}
 	c.checkJobs(t, ids)
 }
 
-// checkJobs checks that all jobs have completed, and that workers observed no violation.
+// checkJobs checks that all jobs were accepted and have completed, and that no invariant was violated.
 func (c *cluster) checkJobs(t *testing.T, ids []string) {
 	t.Helper()
 	done := 0
@@ -90,7 +91,7 @@
 			continue
 		}
 		if state := c.jobState(id); state != "completed" {
-			t.Errorf("job %s is %s", id, state)
+			t.Errorf("job %s has state %s, want completed", id, state)
 			continue
 		}
 		done++
@@ -100,5 +101,5 @@
 	for _, violation := range c.checker.violations {
 		t.Error(violation)
 	}
-	t.Logf("%d jobs completed, %d tasks started, version %d", done, len(c.checker.starts), c.acknowledgedVersion)
+	t.Logf("%d jobs completed, %d tasks started, configuration version %d", done, len(c.checker.starts), c.acknowledgedVersion)
 }
--- a/internal/system/simulation/client_test.go
+++ b/internal/system/simulation/client_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// call makes an HTTP call of a client or an operator. The status is 0 if no response came within three seconds.
+// call sends an HTTP request as a client or an operator. The status is 0 if no response arrives within three seconds.
 func (c *cluster) call(method, address, path, hostName, match, body string) (int, string) {
 	h := c.network.host("10.9.9.9")
 	client := &http.Client{Transport: &http.Transport{DialContext: h.dial, DisableKeepAlives: true}}
@@ -43,14 +43,15 @@
 	return status, version
 }
 
-// putConfigurationTo puts a configuration to one core machine, without retries, and returns the status.
+// putConfigurationTo sends a configuration to one core machine, without retries, and returns the HTTP status.
 func (c *cluster) putConfigurationTo(name string, baseVersion, version int64, marker string) int {
 	status, _ := c.call(http.MethodPut, c.machine(name).ip+":80", "/sedgevale/config", "", strconv.FormatInt(baseVersion, 10),
 		configurationText(version, marker))
 	return status
 }
 
-// putNextVersion puts the version after the newest to one core machine, and reports whether it was acknowledged.
+// putNextVersion sends the version after the last acknowledged one to a core machine, and reports whether it was
+// acknowledged.
 func (c *cluster) putNextVersion(name string) bool {
 	status := c.putConfigurationTo(name, c.acknowledgedVersion, c.acknowledgedVersion+1, "")
 	if status == http.StatusOK {
@@ -59,8 +60,8 @@
 	return status == http.StatusOK
 }
 
-// putConfiguration puts a configuration on the base version, and retries until the outcome is known. It returns false
-// if the configuration was rejected, or no outcome is known in the end.
+// putConfiguration replaces the base version of the configuration, and retries until the outcome is known. It returns false
+// if the configuration was rejected or the outcome is still unknown after all attempts.
 func (c *cluster) putConfiguration(version, baseVersion int64) bool {
 	body := fmt.Sprintf(`{"version":%d,"routes":[{"name":"q","host":"h","path_prefix":"/q/","timeout_ms":3000,`+
 		`"target_latency_ms":1000,"priority":0,"service":%q,"retries":20,"extension":2}],"services":[{"name":%q}]}`,
@@ -81,7 +82,7 @@
 	return false
 }
 
-// submitJobs submits jobs at random times within 30 seconds, in the background, and returns their IDs.
+// submitJobs submits jobs in the background at random times within 30 seconds, and returns their IDs.
 func (c *cluster) submitJobs(count int) []string {
 	var ids []string
 	random := rand.New(rand.NewPCG(c.random.Uint64(), 2))
@@ -99,7 +100,7 @@
 	return ids
 }
 
-// submitJob submits a job, and retries until it is accepted.
+// submitJob submits a job, and retries until it is accepted, at most 30 times.
 func (c *cluster) submitJob(id string, width int) {
 	defer c.background.Done()
 	c.checker.mu.Lock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// jobState returns a job's state; it retries until there is a response.
+// jobState returns a job's state. It retries until there is a response, at most 10 times.
 func (c *cluster) jobState(id string) string {
 	for range 10 {
 		status, text := c.call(http.MethodGet, "10.0.1.1:90", "/q/"+id, "h", "", "")
--- a/internal/system/simulation/cluster_test.go
+++ b/internal/system/simulation/cluster_test.go
@@ -30,11 +30,11 @@
 const (
 	service   = "svc"
 	taskCPU   = 500 // millicores
-	coreCount = 4   // of the default topology: three seeds and a spare
+	coreCount = 4   // core machines of the default topology: three seeds and a spare
 	sideCount = 3
 )
 
-// topology is the number of core machines that a cluster begins with, and how many of them may fail at once.
+// topology is the initial number of core machines of a cluster, and how many simultaneous failures of them it tolerates.
 type topology struct {
 	cores, tolerance int
 }
@@ -43,7 +43,7 @@
 
 var defaultTopology = topology{cores: coreCount, tolerance: 1}
 
-// machine is one machine of the cluster, through all incarnations of its process.
+// machine is a machine of the cluster. It persists across restarts of its process.
 type machine struct {
 	name      string
 	ip        string
@@ -55,8 +55,8 @@
 	bootstrap bool
 }
 
-// cluster is a small system: real schedulers and fake workers on a simulated network, and the calls of clients and
-// operators on it.
+// cluster is a simulated cluster: real schedulers and fake workers on a simulated network, with methods that act as clients
+// and operators and inject faults.
 type cluster struct {
 	t                  *testing.T
 	network            *network
@@ -64,11 +64,11 @@
 	checker            *checker
 	machines           map[string]*machine
 	columns            []string                      // names of the machines in the order of the timeline's columns
-	workers            map[string]context.CancelFunc // by side machine
+	workers            map[string]context.CancelFunc // stops the worker of a side machine, by the machine's name
 	workerIncarnations int
 	topology           topology
-	seeds              []string // in settings files that are written from now on
-	coresAdded         int      // so far, which numbers the next one
+	seeds              []string // seeds in the settings of processes that are started from now on
+	coresAdded         int      // number of core machines added so far
 	decommissioned     map[string]bool
 	started            time.Time
 	background         sync.WaitGroup
@@ -76,7 +76,7 @@
 	mu                  sync.Mutex // guards random, machines, columns and the fields below
 	timeline            []string
 	acceptedJobs        map[string]bool
-	acknowledgedVersion int64 // of the newest configuration that an operator got an acknowledgement for
+	acknowledgedVersion int64 // newest version of the configuration that was acknowledged to an operator
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster { return newClusterOf(t, seed, defaultTopology) }
@@ -103,6 +103,7 @@
 	return c
 }
 
+// add adds a machine with an empty disk, and does not start it.
 func (c *cluster) add(class string, index int, ip string) {
 	name := class + strconv.Itoa(index)
 	c.machines[name] = &machine{name: name, ip: ip, class: class, dir: c.t.TempDir(), bootstrap: true}
@@ -120,7 +121,7 @@
 	return name
 }
 
-// coreNames returns the names of the core machines that are not decommissioned.
+// coreNames returns the names of the core machines that have not been decommissioned.
 func (c *cluster) coreNames() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +149,7 @@
 	return c.random.IntN(n)
 }
 
-// rotateSeeds has settings files name other core machines from now on.
+// rotateSeeds replaces the seeds in the settings of processes that are started from now on.
 func (c *cluster) rotateSeeds() {
 	names := c.coreNames()
 	c.mu.Lock()
@@ -159,7 +160,7 @@
 	}
 }
 
-// logger returns a logger that records changes of ownership and membership in a machine's column of the timeline.
+// logger returns a logger that records changes of ownership and membership in the machine's column of the timeline.
 func (c *cluster) logger(name string) logr.Logger {
 	return funcr.New(func(_, line string) {
 		for _, about := range []string{"shard taken over", "shard lost", "membership", "voter"} {
@@ -170,7 +171,7 @@
 	}, funcr.Options{})
 }
 
-// record adds an event to a machine's column of the timeline.
+// record adds an event to the machine's column of the timeline.
 func (c *cluster) record(name, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,6 +180,7 @@
 		strings.Repeat("          ", column), fmt.Sprintf(format, args...)))
 }
 
+// violation records a violation of an invariant.
 func (c *cluster) violation(format string, args ...any) {
 	c.checker.mu.Lock()
 	defer c.checker.mu.Unlock()
@@ -198,7 +200,7 @@
 	return s
 }
 
-// start starts another incarnation of a machine's process.
+// start starts a new incarnation of a machine's process.
 func (c *cluster) start(name string) {
 	c.mu.Lock()
 	m := c.machines[name]
@@ -214,7 +216,7 @@
 	go func() {
 		defer c.background.Done()
 		if err := role(ctx, process); err != nil && !errors.Is(context.Cause(ctx), node.ErrKilled) {
-			c.violation("%s stopped by itself: %v", name, err)
+			c.violation("process of %s stopped unexpectedly: %v", name, err)
 		}
 		process.Close()
 		close(ended)
@@ -223,7 +225,7 @@
 	c.record(name, "start")
 }
 
-// kill ends a machine's process at once, as a power failure does.
+// kill stops a machine's process immediately, as in a power failure.
 func (c *cluster) kill(name string) {
 	m := c.machine(name)
 	m.host.kill()
@@ -232,7 +234,7 @@
 	<-m.ended
 }
 
-// terminate shuts a machine's process down gracefully, and waits for it within its grace.
+// terminate shuts down a machine's process gracefully, and waits for it to exit within its grace period.
 func (c *cluster) terminate(name string) {
 	m := c.machine(name)
 	c.record(name, "term")
@@ -240,7 +242,7 @@
 	select {
 	case <-m.ended:
 	case <-time.After(6 * time.Second):
-		c.violation("%s runs on beyond its grace", name)
+		c.violation("process of %s did not exit within its grace period", name)
 		c.kill(name)
 	}
 	m.host.kill()
@@ -259,7 +261,7 @@
 	c.record(name, "wipe")
 }
 
-// tearLog appends half a record to a stopped machine's log, as a power failure during a write does.
+// tearLog appends a partial record to a stopped machine's log, as left by a power failure during a write.
 func (c *cluster) tearLog(name string) {
 	logs, _ := filepath.Glob(filepath.Join(c.machine(name).dir, "log-*"))
 	if len(logs) == 0 {
@@ -276,7 +278,7 @@
 	c.record(name, "torn")
 }
 
-// startWorker starts another incarnation of the worker beside a side machine.
+// startWorker starts a new incarnation of a side machine's worker.
 func (c *cluster) startWorker(name string) {
 	c.mu.Lock()
 	m := c.machines[name]
--- a/internal/system/simulation/control_test.go
+++ b/internal/system/simulation/control_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// The scenarios of docs/design/control.md, one test each.
+// The tests of this file are the scenarios of docs/design/control.md.
 
-// runScenario runs a scenario on a cluster with a first configuration, and prints the timeline if it fails.
+// runScenario runs a scenario on a cluster with an initial configuration, and prints the timeline if the test fails.
 func runScenario(t *testing.T, size topology, scenario func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, 1, size)
@@ -23,7 +23,7 @@
 		}()
 		time.Sleep(3 * time.Second)
 		if !c.putConfiguration(1, 0) {
-			t.Error("the first configuration was not applied")
+			t.Error("the initial configuration was not applied")
 		}
 		time.Sleep(2 * time.Second)
 		scenario(t, c)
@@ -37,9 +37,10 @@
 	})
 }
 
-// A core machine that is partitioned for over 20 seconds, in any way, serves no stale configuration, rejects no change
-// and confirms none. It serves again within a second of the heal.
-func TestPartitionedCoreServesNothingStale(t *testing.T) {
+// TestPartitionedCoreServesNoStaleConfiguration checks that a core machine that is partitioned for more than 20
+// seconds, fully, partially or in one direction, serves no stale configuration and neither rejects nor acknowledges a
+// change. It serves the current configuration within a second after the partition heals.
+func TestPartitionedCoreServesNoStaleConfiguration(t *testing.T) {
 	partitions := map[string]func(c *cluster, active bool){
 		"wholly":     func(c *cluster, active bool) { c.partition("core0", active, false) },
 		"one way":    func(c *cluster, active bool) { c.partition("core0", active, true) },
@@ -53,15 +54,15 @@
 				partition(c, true)
 				time.Sleep(time.Second)
 				if !c.putNextVersion("core1") {
-					t.Error("the others do not apply a change")
+					t.Error("the other core machines did not apply a change")
 				}
 				for range 8 {
 					if status, version := c.getConfigurationFrom("core0"); status == http.StatusOK && version != c.acknowledgedVersion {
-						t.Errorf("it serves version %d, %d is in force", version, c.acknowledgedVersion)
+						t.Errorf("the partitioned machine serves version %d, but version %d is current", version, c.acknowledgedVersion)
 					}
 					for _, baseVersion := range []int64{c.acknowledgedVersion - 1, c.acknowledgedVersion} {
 						if status := c.putConfigurationTo("core0", baseVersion, c.acknowledgedVersion+1, "cut"); status < 500 && status != 0 {
-							t.Errorf("it answers a change on base %d with status %d", baseVersion, status)
+							t.Errorf("the partitioned machine responds to a change of base version %d with status %d", baseVersion, status)
 						}
 					}
 					time.Sleep(time.Second)
@@ -69,26 +70,26 @@
 				partition(c, false)
 				time.Sleep(time.Second)
 				if status, version := c.getConfigurationFrom("core0"); status != http.StatusOK || version != c.acknowledgedVersion {
-					t.Errorf("a second after the heal it answers status %d with version %d, %d is in force", status, version, c.acknowledgedVersion)
+					t.Errorf("one second after the partition healed: status %d, version %d, but version %d is current", status, version, c.acknowledgedVersion)
 				}
 			})
 		})
 	}
 }
 
-// Two operators pick one version for different changes, and retry them at all machines as if each response were
-// lost. One change is acknowledged, always the same, and the other never.
-func TestConcurrentOperatorsWithOneVersion(t *testing.T) {
+// TestConcurrentChangesWithSameVersion checks that of two changes with the same version exactly one is ever acknowledged,
+// although both operators retry their change on all machines as if each response were lost.
+func TestConcurrentChangesWithSameVersion(t *testing.T) {
 	runScenario(t, topology{cores: 4, tolerance: 1}, func(t *testing.T, c *cluster) {
 		for round := range 12 {
 			version := c.acknowledgedVersion
 			acknowledged := make(chan string, 40)
-			var sent sync.WaitGroup
+			var senders sync.WaitGroup
 			for _, marker := range []string{"one", "two"} {
 				for core := range 4 {
-					sent.Add(1)
+					senders.Add(1)
 					go func() {
-						defer sent.Done()
+						defer senders.Done()
 						for range 3 {
 							status := c.putConfigurationTo(fmt.Sprint("core", core), version, version+1, marker)
 							if status == http.StatusOK {
@@ -98,28 +99,29 @@
 					}()
 				}
 			}
-			sent.Wait()
+			senders.Wait()
 			close(acknowledged)
-			notes := map[string]int{}
+			counts := map[string]int{}
 			for marker := range acknowledged {
-				notes[marker]++
+				counts[marker]++
 			}
-			if len(notes) != 1 {
-				t.Fatalf("round %d: acknowledged %v", round, notes)
+			if len(counts) != 1 {
+				t.Fatalf("round %d: acknowledgements by change: %v, want those of exactly one change", round, counts)
 			}
 			c.acknowledgedVersion++
 			for marker, other := range map[string]string{"one": "two", "two": "one"} {
-				if notes[marker] > 0 && (c.putConfigurationTo("core3", version, version+1, marker) != http.StatusOK ||
+				if counts[marker] > 0 && (c.putConfigurationTo("core3", version, version+1, marker) != http.StatusOK ||
 					c.putConfigurationTo("core2", version, version+1, other) != http.StatusPreconditionFailed) {
-					t.Errorf("round %d: a retry was answered otherwise", round)
+					t.Errorf("round %d: a retry got another result than the first attempt", round)
 				}
 			}
 		}
 	})
 }
 
-// An interrupted replacement, and then one loss. The first member is partitioned and a spare seeks its
-// seat, but the spare is partitioned from the third member. The first partition heals, then the third member is lost.
+// TestInterruptedReplacementToleratesALoss checks that an interrupted replacement does not reduce the fault tolerance. The
+// first member is partitioned, and a spare tries to take its seat, but is itself partitioned from the third member. The
+// first partition heals, and then the third member is lost.
 func TestInterruptedReplacementToleratesALoss(t *testing.T) {
 	runScenario(t, topology{cores: 4, tolerance: 1}, func(t *testing.T, c *cluster) {
 		c.partition("core0", true, false)
@@ -131,13 +133,13 @@
 		c.kill("core2")
 		time.Sleep(catchUpTimeout)
 		if !c.putConfiguration(2, 1) {
-			t.Error("three machines are up and connected, but for one link, and no change is applied")
+			t.Error("three machines are up and connected except for one link, but a change was not applied")
 		}
 	})
 }
 
-// Successive replacements, planned and unplanned, each followed by the loss of another disk as soon as the new
-// machine votes, with and without spares. All jobs complete.
+// TestLossesAfterReplacements checks that all jobs complete through successive planned and unplanned replacements, with and
+// without spares, each followed by the loss of another disk as soon as the new machine votes.
 func TestLossesAfterReplacements(t *testing.T) {
 	for _, size := range []topology{{3, 1}, {5, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d machines tolerate %d", size.cores, size.tolerance), func(t *testing.T) {
@@ -156,7 +158,7 @@
 					c.powerCycle("")
 					time.Sleep(catchUpTimeout)
 					if !c.putConfiguration(int64(2+round), int64(1+round)) {
-						t.Fatalf("round %d: no change is applied", round)
+						t.Fatalf("round %d: a change of the configuration was not applied", round)
 					}
 				}
 				time.Sleep(20 * time.Second)
@@ -166,9 +168,9 @@
 	}
 }
 
-// A member that shuts down gracefully does not end before its state is replicated elsewhere. Another
-// member loses its disk at the moment in which it ends.
-func TestLeavingMemberHandsOver(t *testing.T) {
+// TestGracefulShutdownReplicatesState checks that a member that shuts down gracefully does not exit before its state is
+// replicated to other members: no state is lost although another member loses its disk at the moment of the exit.
+func TestGracefulShutdownReplicatesState(t *testing.T) {
 	runScenario(t, topology{cores: 5, tolerance: 1}, func(t *testing.T, c *cluster) {
 		ids := c.submitJobs(30)
 		for round := range 4 {
@@ -179,7 +181,7 @@
 			c.start(name)
 			time.Sleep(catchUpTimeout)
 			if !c.putConfiguration(int64(2+round), int64(1+round)) {
-				t.Fatalf("round %d: no change is applied", round)
+				t.Fatalf("round %d: a change of the configuration was not applied", round)
 			}
 		}
 		time.Sleep(20 * time.Second)
@@ -187,52 +189,52 @@
 	})
 }
 
-// A member that missed hundreds of changes, and whose log is torn, serves no stale configuration when it is back,
-// and has caught up within catchUpTimeout. Then one member loses its disk and all the others power: what was
-// acknowledged is still there.
-func TestMemberAfterHundredsOfChanges(t *testing.T) {
+// TestMemberCatchesUpAfterManyChanges checks that a member that has missed hundreds of changes, and whose log is torn,
+// serves no stale configuration after its restart, and catches up within catchUpTimeout. Then one member loses its disk
+// and all others lose power, after which the acknowledged configuration is still served.
+func TestMemberCatchesUpAfterManyChanges(t *testing.T) {
 	runScenario(t, topology{cores: 3, tolerance: 1}, func(t *testing.T, c *cluster) {
 		c.kill("core0")
 		c.tearLog("core0")
 		for range 1500 {
 			if !c.putNextVersion("core1") && !c.putNextVersion("core2") {
-				t.Fatal("two of three apply no change")
+				t.Fatal("two of three members did not apply a change")
 			}
 		}
 		c.start("core0")
 		for began := time.Now(); time.Since(began) < catchUpTimeout; time.Sleep(100 * time.Millisecond) {
 			if status, version := c.getConfigurationFrom("core0"); status == http.StatusOK && version != c.acknowledgedVersion {
-				t.Errorf("it serves version %d, %d is in force", version, c.acknowledgedVersion)
+				t.Errorf("the restarted member serves version %d, but version %d is current", version, c.acknowledgedVersion)
 			}
 		}
 		if status, version := c.getConfigurationFrom("core0"); status != http.StatusOK || version != c.acknowledgedVersion {
-			t.Errorf("after %v it answers status %d with version %d, %d is in force", catchUpTimeout, status, version, c.acknowledgedVersion)
+			t.Errorf("%v after the restart: status %d, version %d, but version %d is current", catchUpTimeout, status, version, c.acknowledgedVersion)
 		}
 		c.loseDisk("core1")
 		c.powerCycle("")
 		time.Sleep(catchUpTimeout)
 		if status, version := c.getConfigurationFrom("core0"); status != http.StatusOK || version != c.acknowledgedVersion {
-			t.Errorf("after the loss of a disk and of power it answers status %d with version %d, %d is in force", status, version, c.acknowledgedVersion)
+			t.Errorf("after the loss of a disk and of power: status %d, version %d, but version %d is current", status, version, c.acknowledgedVersion)
 		}
 	})
 }
 
-// A graceful shutdown answers what was read: an operator's call in flight when it begins gets its response, also if there
-// is no member that the machine would wait for.
-func TestGracefulShutdownAnswersOperators(t *testing.T) {
+// TestGracefulShutdownCompletesOperatorRequests checks that an operator's request in flight at the start of a graceful
+// shutdown gets a response, even if the machine is partitioned from all members that it could hand over to.
+func TestGracefulShutdownCompletesOperatorRequests(t *testing.T) {
 	runScenario(t, defaultTopology, func(t *testing.T, c *cluster) {
 		others := c.coreNames()[1:]
 		c.partitionFrom("core0", true, others...)
 		time.Sleep(4 * time.Second)
-		answered := make(chan int)
+		statuses := make(chan int)
 		go func() {
 			status, _ := c.getConfigurationFrom("core0")
-			answered <- status
+			statuses <- status
 		}()
 		time.Sleep(100 * time.Millisecond)
 		c.terminate("core0")
-		if status := <-answered; status == 0 {
-			t.Error("a call that was read got no response")
+		if status := <-statuses; status == 0 {
+			t.Error("a request in flight got no response")
 		}
 		c.partitionFrom("core0", false, others...)
 	})
--- a/internal/system/simulation/core_faults_test.go
+++ b/internal/system/simulation/core_faults_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// faultBudget bounds how many core machines are faulty at a time. It waits on channels: a goroutine that waits for a mutex
-// stops the virtual clock.
+// faultBudget limits how many core machines are faulty at a time. It waits on channels, since a goroutine that waits for a
+// mutex stops the virtual clock.
 type faultBudget struct {
 	mu        sync.Mutex
 	faulty    map[string]bool
-	permits   chan bool // one for each machine that may be faulty at a time
-	exclusive chan bool // held by whoever takes all permits
+	permits   chan bool // one permit for each machine that may be faulty at a time
+	exclusive chan bool // held while all permits are acquired
 }
 
 func newFaultBudget(n int) *faultBudget {
@@ -23,7 +23,8 @@
 	return b
 }
 
-// withoutFaults does an action while no machine is faulty, though some may be catching up, and lets all catch up.
+// withoutFaults runs an action while no machine is faulty, although some may be catching up. Then it waits for all machines
+// to catch up.
 func (b *faultBudget) withoutFaults(action func()) {
 	<-b.exclusive
 	for range cap(b.permits) {
@@ -37,7 +38,7 @@
 	b.exclusive <- true
 }
 
-// pick returns a core machine that is not faulty, and marks it.
+// pick selects a random core machine that is not faulty, and marks it as faulty.
 func (b *faultBudget) pick(c *cluster) string {
 	names := c.coreNames()
 	b.mu.Lock()
@@ -57,7 +58,7 @@
 	delete(b.faulty, name)
 }
 
-// injectCoreFaults injects faults at one core machine after another until stop is closed, and lets each catch up.
+// injectCoreFaults injects faults on one core machine after another until stop is closed, and waits for each to catch up.
 func (c *cluster) injectCoreFaults(budget *faultBudget, stop <-chan struct{}) {
 	for waitUnlessStopped(stop, time.Duration(c.intN(1500))*time.Millisecond) {
 		name := budget.pick(c)
@@ -72,7 +73,7 @@
 	}
 }
 
-// injectCoreFault injects a random fault at a core machine and heals it.
+// injectCoreFault injects a random fault on a core machine and heals it.
 func (c *cluster) injectCoreFault(name string) {
 	wait := time.Duration(100+c.intN(4000)) * time.Millisecond
 	switch c.intN(9) {
@@ -121,7 +122,7 @@
 	}
 }
 
-// loseDisk kills a core machine and starts it again with an empty disk.
+// loseDisk kills a core machine and restarts it with an empty disk.
 func (c *cluster) loseDisk(name string) {
 	c.kill(name)
 	c.wipeDisk(name)
@@ -129,7 +130,7 @@
 	c.start(name)
 }
 
-// replaceLost kills a core machine for good and starts a new one for it.
+// replaceLost kills a core machine permanently and starts a new one in its place.
 func (c *cluster) replaceLost(name string) {
 	c.kill(name)
 	c.decommission(name)
@@ -140,7 +141,7 @@
 	c.start(c.addCore(false))
 }
 
-// replacePlanned starts a new core machine and then shuts the one that it replaces down.
+// replacePlanned starts a new core machine, and then shuts down the one that it replaces.
 func (c *cluster) replacePlanned(name string) {
 	if c.intN(2) == 0 {
 		c.rotateSeeds()
@@ -151,14 +152,14 @@
 	c.terminate(name)
 }
 
-// decommission takes a core machine out of coreNames for good.
+// decommission removes a core machine from coreNames permanently.
 func (c *cluster) decommission(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.decommissioned[name] = true
 }
 
-// powerCycle has all core machines but one lose power for a moment. Some of them get a torn log.
+// powerCycle simulates a short power failure of all core machines except one. Random logs are left torn.
 func (c *cluster) powerCycle(except string) {
 	var names []string
 	for _, name := range c.coreNames() {
--- a/internal/system/simulation/edge_test.go
+++ b/internal/system/simulation/edge_test.go
@@ -19,43 +19,44 @@
 )
 
 const (
-	goodJob  = `{"spec":"x","stages":[{"count":1,"cpu":100,"estimate_ms":100}]}`
-	jobPath  = "/q/00000000000000aa"
-	edgeAddr = "10.0.1.1:90"
+	validJob    = `{"spec":"x","stages":[{"count":1,"cpu":100,"estimate_ms":100}]}`
+	jobPath     = "/q/00000000000000aa"
+	edgeAddress = "10.0.1.1:90"
 )
 
-// stubCore answers an edge scheduler as the core scheduler that owns the shard does.
+// stubCore is a stub of the core scheduler that owns the shard.
 type stubCore struct {
-	noQuorum        atomic.Bool        // the configuration is not confirmed by a quorum
+	noQuorum        atomic.Bool        // no quorum confirms the configuration
 	noConfiguration atomic.Bool        // there is no configuration yet
-	stop            context.CancelFunc // shuts the edge scheduler down as SIGTERM does
-	submit          func() error       // also answers a cancellation
-	status          func() error
-	calls           atomic.Int64
+	stop            context.CancelFunc // shuts down the edge scheduler as SIGTERM does
+	submit          func() error       // result of submissions and cancellations
+	status          func() error       // result of status queries
+	calls           atomic.Int64       // number of calls except watches
 }
 
+// start serves the stub on the address of the first seed.
 func (s *stubCore) start(c *cluster) *node.Process {
 	h := c.network.host("10.0.0.1")
 	server := rpc.NewServer()
 	rpc.Handle(server, api.MethodWatch, func(ctx context.Context, r *api.WatchRequest) (*api.WatchResponse, error) {
-		answer := &api.WatchResponse{
+		response := &api.WatchResponse{
 			Confirmed: !s.noQuorum.Load(), ConfigVersion: 1, Owners: []api.Owner{{Shard: service, Address: "10.0.0.1:7000", Token: 1}},
 			OwnersDigest: 1, Cores: []string{"10.0.0.1:7000"},
 		}
 		if s.noConfiguration.Load() {
 			time.Sleep(time.Duration(r.WaitMS) * time.Millisecond)
-			return &api.WatchResponse{Confirmed: true, Cores: answer.Cores}, nil
+			return &api.WatchResponse{Confirmed: true, Cores: response.Cores}, nil
 		}
 		if r.ConfigVersion < 1 {
-			answer.Config = []byte(`{"version":1,"routes":[{"name":"q","host":"h","path_prefix":"/q/","timeout_ms":3000,` +
+			response.Config = []byte(`{"version":1,"routes":[{"name":"q","host":"h","path_prefix":"/q/","timeout_ms":3000,` +
 				`"service":"svc","retries":2}],"services":[{"name":"svc"}],"limits":{"max_body_bytes":200}}`)
-			return answer, nil
+			return response, nil
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(r.WaitMS) * time.Millisecond):
 		}
-		return answer, nil
+		return response, nil
 	})
 	rpc.Handle(server, api.MethodSubmit, func(context.Context, *api.SubmitRequest) (*api.Empty, error) {
 		s.calls.Add(1)
@@ -76,8 +77,8 @@
 	return p
 }
 
-// runEdge runs an edge scheduler against a stub of the core, and then check.
-func runEdge(t *testing.T, stub *stubCore, check func(c *cluster)) {
+// runEdgeTest runs check on an edge scheduler that uses the given stub of the core.
+func runEdgeTest(t *testing.T, stub *stubCore, check func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{t: t, seeds: initialSeeds, network: newNetwork(), checker: newChecker(time.Now()), machines: map[string]*machine{}, started: time.Now()}
 		core := stub.start(c)
@@ -95,13 +96,13 @@
 		}
 		p.Close()
 		core.Close()
-		time.Sleep(5 * time.Second) // calls in flight time out
+		time.Sleep(5 * time.Second) // until calls in flight time out
 	})
 }
 
-// Requirement 1: 503 and 429 are rejections, after which a job never runs. They are given only if nothing can have been
-// applied.
-func TestRejectionOnlyIfNothingWasApplied(t *testing.T) {
+// TestRejectionOnlyIfNotApplied covers requirement 1: 503 and 429 are rejections, after which a job never runs, so
+// they are returned only if the submission cannot have been applied.
+func TestRejectionOnlyIfNotApplied(t *testing.T) {
 	cases := []struct {
 		name string
 		fail error
@@ -117,17 +118,18 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			stub := &stubCore{submit: func() error { return tc.fail }}
-			runEdge(t, stub, func(c *cluster) {
-				if got, _ := c.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob); got != tc.want {
-					t.Errorf("status %d, %d wanted", got, tc.want)
+			runEdgeTest(t, stub, func(c *cluster) {
+				if got, _ := c.call(http.MethodPost, edgeAddress, jobPath, "h", "", validJob); got != tc.want {
+					t.Errorf("status %d, want %d", got, tc.want)
 				}
 			})
 		})
 	}
 }
 
-// Once an attempt may have been committed, the failure of a later one does not reject the job.
-func TestNoRejectionAfterAnUnknownOutcome(t *testing.T) {
+// TestNoRejectionAfterUnknownOutcome checks that once an attempt may have been committed, the failure of a later attempt
+// does not reject the job.
+func TestNoRejectionAfterUnknownOutcome(t *testing.T) {
 	stub := &stubCore{}
 	stub.submit = func() error {
 		if stub.calls.Load() == 1 {
@@ -135,82 +137,84 @@
 		}
 		return result.Errorf(result.Overloaded, "no")
 	}
-	runEdge(t, stub, func(c *cluster) {
-		if got, _ := c.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob); got != http.StatusGatewayTimeout {
-			t.Errorf("status %d", got)
+	runEdgeTest(t, stub, func(c *cluster) {
+		if got, _ := c.call(http.MethodPost, edgeAddress, jobPath, "h", "", validJob); got != http.StatusGatewayTimeout {
+			t.Errorf("status %d, want %d", got, http.StatusGatewayTimeout)
 		}
 	})
 }
 
-// Nor does the removal of the route before a later attempt: 404 says that there is no such queue, and the job may run.
-func TestNoNotFoundAfterAnUnknownOutcome(t *testing.T) {
+// TestNoNotFoundAfterUnknownOutcome checks that the removal of the route between two attempts does not reject the job
+// with 404 if the first attempt may have been committed: the job may still run.
+func TestNoNotFoundAfterUnknownOutcome(t *testing.T) {
 	stub := &stubCore{}
-	answer := func() error {
+	fail := func() error {
 		if stub.calls.Load() == 1 {
 			return result.Errorf(result.OutcomeUnknown, "no")
 		}
 		return result.Errorf(result.NoRoute, "no")
 	}
-	stub.submit, stub.status = answer, answer
+	stub.submit, stub.status = fail, fail
 	for method, want := range map[string]int{
 		http.MethodPost: http.StatusGatewayTimeout, http.MethodDelete: http.StatusGatewayTimeout, http.MethodGet: http.StatusNotFound,
 	} {
 		stub.calls.Store(0)
-		runEdge(t, stub, func(c *cluster) {
-			if got, _ := c.call(method, edgeAddr, jobPath, "h", "", goodJob); got != want {
-				t.Errorf("%s: status %d, %d wanted", method, got, want)
+		runEdgeTest(t, stub, func(c *cluster) {
+			if got, _ := c.call(method, edgeAddress, jobPath, "h", "", validJob); got != want {
+				t.Errorf("%s: status %d, want %d", method, got, want)
 			}
 		})
 	}
 }
 
-// 404 is given only while a quorum confirms the configuration.
+// TestNotFoundOnlyWhileConfirmed checks that 404 is returned only while a quorum confirms the configuration.
 func TestNotFoundOnlyWhileConfirmed(t *testing.T) {
 	stub := &stubCore{}
-	runEdge(t, stub, func(c *cluster) {
-		if got, _ := c.call(http.MethodGet, edgeAddr, "/x/", "h", "", ""); got != http.StatusNotFound {
-			t.Errorf("status %d", got)
+	runEdgeTest(t, stub, func(c *cluster) {
+		if got, _ := c.call(http.MethodGet, edgeAddress, "/x/", "h", "", ""); got != http.StatusNotFound {
+			t.Errorf("status %d, want %d", got, http.StatusNotFound)
 		}
 		stub.noQuorum.Store(true)
 		time.Sleep(3 * time.Second)
-		if got, _ := c.call(http.MethodGet, edgeAddr, "/x/", "h", "", ""); got != http.StatusServiceUnavailable {
-			t.Errorf("status %d without a quorum's confirmation", got)
+		if got, _ := c.call(http.MethodGet, edgeAddress, "/x/", "h", "", ""); got != http.StatusServiceUnavailable {
+			t.Errorf("status %d without confirmation by a quorum, want %d", got, http.StatusServiceUnavailable)
 		}
 		if got, _ := c.call(http.MethodGet, "10.0.1.1:91", "/sedgevale/readyz", "h", "", ""); got != http.StatusServiceUnavailable {
-			t.Errorf("ready: %d without a quorum's confirmation", got)
+			t.Errorf("readiness status %d without confirmation by a quorum, want %d", got, http.StatusServiceUnavailable)
 		}
 	})
 }
 
-// Before the first configuration no queue is known: 503, which asks for a retry, never 404.
+// TestUnavailableBeforeFirstConfiguration checks that requests get 503, which asks for a retry, and not 404 while there is
+// no configuration.
 func TestUnavailableBeforeFirstConfiguration(t *testing.T) {
 	stub := &stubCore{}
 	stub.noConfiguration.Store(true)
-	runEdge(t, stub, func(c *cluster) {
+	runEdgeTest(t, stub, func(c *cluster) {
 		for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
-			if got, _ := c.call(method, edgeAddr, jobPath, "h", "", goodJob); got != http.StatusServiceUnavailable {
-				t.Errorf("%s: status %d", method, got)
+			if got, _ := c.call(method, edgeAddress, jobPath, "h", "", validJob); got != http.StatusServiceUnavailable {
+				t.Errorf("%s: status %d, want %d", method, got, http.StatusServiceUnavailable)
 			}
 		}
 		if got, _ := c.call(http.MethodGet, "10.0.1.1:91", "/sedgevale/readyz", "h", "", ""); got != http.StatusServiceUnavailable {
-			t.Errorf("ready: %d without a configuration", got)
+			t.Errorf("readiness status %d without a configuration, want %d", got, http.StatusServiceUnavailable)
 		}
 	})
 }
 
-// Requests that an edge scheduler reads, also after SIGTERM until it stops accepting, get their complete response,
-// however long the owner takes.
-func TestGracefulShutdownAnswersClients(t *testing.T) {
+// TestGracefulShutdownCompletesClientRequests checks that all requests that an edge scheduler accepts, including those
+// between SIGTERM and the close of its listener, get a complete response from a slow owner.
+func TestGracefulShutdownCompletesClientRequests(t *testing.T) {
 	stub := &stubCore{submit: func() error {
 		time.Sleep(700 * time.Millisecond)
 		return nil
 	}}
-	runEdge(t, stub, func(c *cluster) {
-		answers := make(chan int)
+	runEdgeTest(t, stub, func(c *cluster) {
+		statuses := make(chan int)
 		send := func(wait time.Duration) {
 			time.Sleep(wait)
-			status, _ := c.call(http.MethodPost, edgeAddr, jobPath, "h", "", goodJob)
-			answers <- status
+			status, _ := c.call(http.MethodPost, edgeAddress, jobPath, "h", "", validJob)
+			statuses <- status
 		}
 		waits := []time.Duration{0, 150 * time.Millisecond, 900 * time.Millisecond, 1900 * time.Millisecond}
 		for _, wait := range waits {
@@ -219,32 +223,32 @@
 		time.Sleep(100 * time.Millisecond)
 		stub.stop()
 		for range waits {
-			if status := <-answers; status != http.StatusOK {
-				t.Errorf("status %d", status)
+			if status := <-statuses; status != http.StatusOK {
+				t.Errorf("status %d, want %d", status, http.StatusOK)
 			}
 		}
 	})
 }
 
-func TestBadRequestsAreNamed(t *testing.T) {
+func TestInvalidRequestsNameTheError(t *testing.T) {
 	cases := []struct{ name, path, body, want string }{
-		{"cut short", jobPath, goodJob[:20], "job:"},
+		{"cut short", jobPath, validJob[:20], "job:"},
 		{"no stages", jobPath, `{"spec":"x"}`, "stages"},
 		{"zero count", jobPath, `{"stages":[{"count":0}]}`, "stages[0].count"},
 		{"later step", jobPath, `{"stages":[{"count":1,"depends_on":[1]}]}`, "depends_on"},
-		{"no ID", "/q/xyz", goodJob, "ID"},
+		{"no ID", "/q/xyz", validJob, "ID"},
 		{"too large", jobPath, strings.Repeat("x", 300), "200 bytes"},
 	}
 	stub := &stubCore{submit: func() error { return nil }}
-	runEdge(t, stub, func(c *cluster) {
+	runEdgeTest(t, stub, func(c *cluster) {
 		for _, tc := range cases {
-			got, text := c.call(http.MethodPost, edgeAddr, tc.path, "h", "", tc.body)
+			got, text := c.call(http.MethodPost, edgeAddress, tc.path, "h", "", tc.body)
 			if got/100 != 4 || !strings.Contains(text, tc.want) {
-				t.Errorf("%s: %d %s", tc.name, got, text)
+				t.Errorf("%s: status %d, body %q; want a 4xx status and a body with %q", tc.name, got, text, tc.want)
 			}
 		}
 	})
 	if calls := stub.calls.Load(); calls != 0 {
-		t.Errorf("%d bad jobs reached the owner", calls)
+		t.Errorf("%d invalid jobs were forwarded to the owner", calls)
 	}
 }
--- a/internal/system/simulation/faults_test.go
+++ b/internal/system/simulation/faults_test.go
@@ -11,12 +11,12 @@
 )
 
 var (
-	seedCount = flag.Int("seeds", 3, "how many seeds are run")
-	firstSeed = flag.Uint64("first", 1, "the first seed")
+	seedCount = flag.Int("seeds", 3, "number of seeds to run")
+	firstSeed = flag.Uint64("first", 1, "first seed")
 )
 
-// TestSystemThroughFaults injects random faults one after another and checks what workers and callers observed: nothing
-// that was acknowledged is lost, no task runs twice, no configuration is reverted, and all jobs complete.
+// TestSystemThroughFaults injects random faults one at a time, and checks from the events at workers and callers that
+// nothing acknowledged is lost, no task runs twice, no configuration is reverted, and all jobs complete.
 func TestSystemThroughFaults(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -35,18 +35,18 @@
 	}()
 	time.Sleep(2 * time.Second)
 	if !c.putConfiguration(1, 0) {
-		t.Error("the first configuration was not applied")
+		t.Error("the initial configuration was not applied")
 	}
 	ids := c.submitJobs(60)
 	for round := range 5 {
 		c.injectFault()
 		c.putConfiguration(int64(2+round), c.acknowledgedVersion)
-		time.Sleep(5 * time.Second) // the next machine fails only after the last has caught up
+		time.Sleep(5 * time.Second) // the faulty machine catches up before the next fault
 	}
 	time.Sleep(25 * time.Second)
 	c.checkFinalState(t, ids)
 	c.stop()
-	time.Sleep(5 * time.Second) // calls in flight time out
+	time.Sleep(5 * time.Second) // until calls in flight time out
 }
 
 // injectFault injects one random fault and heals it.
