--- a/internal/system/simulation/golden_test.go
+++ b/internal/system/simulation/golden_test.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// exchange is a call to a daemon and what it must answer.
+// exchange is a request to a scheduler and the expected response.
 type exchange struct{ method, url, match, body, want string }
 
-// answerTo makes a call and returns all of the answer that says anything: status, header fields but the date, and body.
-func (c *cluster) answerTo(t *testing.T, one exchange) string {
+// responseTo sends a request and returns the response's status, header fields (sorted, without the date) and body as text.
+func (c *cluster) responseTo(t *testing.T, e exchange) string {
 	t.Helper()
 	h := c.network.host("10.9.9.9")
 	client := &http.Client{Transport: &http.Transport{DialContext: h.dial, DisableKeepAlives: true}}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, one.method, "http://"+one.url, strings.NewReader(one.body))
+	request, err := http.NewRequestWithContext(ctx, e.method, "http://"+e.url, strings.NewReader(e.body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Host = "h"
-	if one.match != "" {
-		request.Header.Set("If-Match", one.match)
+	if e.match != "" {
+		request.Header.Set("If-Match", e.match)
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return "no answer: " + err.Error()
+		return "no response: " + err.Error()
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -51,17 +51,18 @@
 	return fmt.Sprintf("%d|%s|%s", response.StatusCode, strings.Join(fields, "|"), body)
 }
 
-func (c *cluster) checkAnswers(t *testing.T, calls []exchange) {
+// checkResponses sends the requests in order and checks the responses.
+func (c *cluster) checkResponses(t *testing.T, exchanges []exchange) {
 	t.Helper()
-	for _, one := range calls {
-		if got := c.answerTo(t, one); got != one.want {
-			t.Errorf("%s %s %s %s: got\n%q\nwant\n%q", one.method, one.url, one.match, one.body, got, one.want)
+	for _, e := range exchanges {
+		if got := c.responseTo(t, e); got != e.want {
+			t.Errorf("%s %s, If-Match %q, body %s: response\n%q\nwant\n%q", e.method, e.url, e.match, e.body, got, e.want)
 		}
 	}
 }
 
-// configured is a configuration with each key that one may have, at the version given.
-const configured = `{"version":%d,"note":"kept as it came","routes":[{"name":"q","host":"h","path_prefix":"/q/","type":"batch","timeout_ms":3000,` +
+// fullConfigurationFormat is the format of a configuration with all keys; its argument is the version.
+const fullConfigurationFormat = `{"version":%d,"note":"kept as it came","routes":[{"name":"q","host":"h","path_prefix":"/q/","type":"batch","timeout_ms":3000,` +
 	`"target_latency_ms":1000,"priority":1,"service":"svc","retries":2,"extension":2.5}],"services":[{"name":"svc","health_path":"/h",` +
 	`"max_connections":5,"protocol":"http","tls":false,"preconditions":true}],` +
 	`"limits":{"max_header_bytes":4096,"max_body_bytes":200,"header_timeout_ms":1000,"idle_timeout_ms":1000}}`
@@ -72,40 +73,41 @@
 	workerURL = "10.0.2.1:80/sedgevale/instances/i-9"
 )
 
-func configText(version int) string { return fmt.Sprintf(configured, version) }
+func fullConfiguration(version int) string { return fmt.Sprintf(fullConfigurationFormat, version) }
 
-// The answers of all daemons to operators, clients, workers and those who ask whether they are ready, byte by byte.
-func TestAnswersOfTheDaemons(t *testing.T) {
+// TestHTTPResponses pins the HTTP responses of the schedulers to operators, clients, workers and readiness probes, byte
+// by byte.
+func TestHTTPResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, 1, topology{cores: 3, tolerance: 1})
 		for i := range sideCount {
 			c.workers[fmt.Sprint("side", i)]()
 		}
 		time.Sleep(3 * time.Second)
-		c.checkAnswers(t, []exchange{
+		c.checkResponses(t, []exchange{
 			{"GET", configURL, "", "", "503|Content-Length: 28|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|[1003] no configuration yet\n"},
 			{"GET", "10.0.1.1:91/sedgevale/readyz", "", "", "503|Content-Length: 0|"},
 			{"GET", jobURL, "", "", "503|Content-Length: 21|Content-Type: text/plain; charset=utf-8|Retry-After: 1|X-Content-Type-Options: nosniff|no configuration yet\n"},
 			{"PATCH", configURL, "0", `{"version":1}`, "412|Content-Length: 46|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|[1010] If-Match: version 0 is current, 0 came\n"},
-			{"PUT", configURL, "0", configText(1), "200|Content-Length: 0|"},
+			{"PUT", configURL, "0", fullConfiguration(1), "200|Content-Length: 0|"},
 		})
 		time.Sleep(3 * time.Second)
-		c.checkAnswers(t, operatorExchanges)
+		c.checkResponses(t, operatorExchanges)
 		time.Sleep(3 * time.Second)
-		c.checkAnswers(t, clientExchanges)
-		c.checkAnswers(t, workerExchanges)
+		c.checkResponses(t, clientExchanges)
+		c.checkResponses(t, workerExchanges)
 		c.stop()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// operatorExchanges are an operator's calls on configuration 1.
+// operatorExchanges are an operator's requests, beginning with configuration version 1.
 var operatorExchanges = []exchange{
 	{"GET", configURL, "", "", `200|Content-Length: 430|Content-Type: application/json|{"version":1,"note":"kept as it came","routes":[{"name":"q","host":"h","path_prefix":"/q/","type":"batch","timeout_ms":3000,"target_latency_ms":1000,"priority":1,"service":"svc","retries":2,"extension":2.5}],"services":[{"name":"svc","health_path":"/h","max_connections":5,"protocol":"http","tls":false,"preconditions":true}],"limits":{"max_header_bytes":4096,"max_body_bytes":200,"header_timeout_ms":1000,"idle_timeout_ms":1000}}`},
-	{"PUT", configURL, "0", configText(1), "200|Content-Length: 0|"},
-	{"PUT", configURL, "0", configText(2), "412|Content-Length: 46|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|[1010] If-Match: version 1 is current, 0 came\n"},
-	{"PUT", configURL, "1", configText(1), "200|Content-Length: 0|"},
-	{"PUT", configURL, "one", configText(2), "400|Content-Length: 37|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|[1011] If-Match: \"one\" is no version\n"},
+	{"PUT", configURL, "0", fullConfiguration(1), "200|Content-Length: 0|"},
+	{"PUT", configURL, "0", fullConfiguration(2), "412|Content-Length: 46|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|[1010] If-Match: version 1 is current, 0 came\n"},
+	{"PUT", configURL, "1", fullConfiguration(1), "200|Content-Length: 0|"},
+	{"PUT", configURL, "one", fullConfiguration(2), "400|Content-Length: 37|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|[1011] If-Match: \"one\" is no version\n"},
 	{"PUT", configURL, "1", `{"version":2`, "400|Content-Length: 54|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|[1011] configuration: the body is no whole JSON value\n"},
 	{"PUT", configURL, "1", `{"version":2,"routes":[{"name":"q","service":"other"}]}`, "400|Content-Length: 67|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|[1011] configuration: routes[0] \"q\": service: \"other\" is not known\n"},
 	{"PUT", configURL, "1", `{"version":2,"services":[{"name":"s"},{"name":"s"}]}`, "400|Content-Length: 59|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|[1011] configuration: services[1].name: \"s\" is there twice\n"},
@@ -117,7 +119,7 @@
 	{"GET", "10.0.0.1:80/other", "", "", "404|Content-Length: 19|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|404 page not found\n"},
 }
 
-// clientExchanges are a client's calls on configuration 2, and the edge's readiness.
+// clientExchanges are a readiness probe and a client's requests with configuration version 2.
 var clientExchanges = []exchange{
 	{"GET", "10.0.1.1:91/sedgevale/readyz", "", "", "200|Content-Length: 0|"},
 	{"GET", "10.0.1.1:90/q/", "", "", "200|Content-Length: 14|Content-Type: application/json|{\"pending\":0}\n"},
@@ -138,7 +140,7 @@
 	{"POST", "10.0.1.1:90/q/00000000000000a2", "", `{"spec":"` + strings.Repeat("x", 200) + `"}`, "413|Content-Length: 26|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|body: more than 200 bytes\n"},
 }
 
-// workerExchanges are heartbeats of a new worker, of which the first ones grant no hold, and its good-bye.
+// workerExchanges are heartbeats of a new worker, the first of which get no lease, and its deregistration.
 var workerExchanges = []exchange{
 	{"PUT", workerURL, "", `{"service":"svc","state":"ready","sequence":1,"capacity":{"cpu":10,"mem_mb":10,"gpu":0}}`, `200|Content-Length: 21|Content-Type: application/json|{"retry_after_ms":25}`},
 	{"PUT", workerURL, "", `{"service":"svc","state":"ready","sequence":1}`, "409|Content-Length: 40|Content-Type: text/plain; charset=utf-8|X-Content-Type-Options: nosniff|sequence: a later heartbeat came before\n"},
--- a/internal/system/simulation/network_test.go
+++ b/internal/system/simulation/network_test.go
@@ -10,13 +10,13 @@
 
 const latency = 500 * time.Microsecond
 
-// network is a simulated network. Partitions are silent: what is written waits until they heal.
+// network is a simulated network. A partition causes no errors on open connections: writes block until it heals.
 type network struct {
 	mu         sync.Mutex
 	listeners  map[string]*listener
 	conns      map[*conn]bool
-	partitions map[[2]string]bool // from, to
-	healed     chan struct{}      // closed, and replaced, when a partition heals
+	partitions map[[2]string]bool // blocked directions, as the addresses of the sender and the receiver
+	healed     chan struct{}      // closed and replaced when a partition heals
 }
 
 func newNetwork() *network {
@@ -25,7 +25,7 @@
 	}
 }
 
-// host is one incarnation of a machine on the network. A dead one reaches nobody.
+// host is one incarnation of a machine on the network. A dead host can neither listen nor connect.
 type host struct {
 	network *network
 	ip      string
@@ -65,7 +65,7 @@
 	}
 }
 
-// reset closes selected connections of a machine, also with calls in flight.
+// reset closes the connections of a machine for which selected returns true, including those with calls in flight.
 func (n *network) reset(ip string, selected func() bool) {
 	n.mu.Lock()
 	var closing []*conn
@@ -80,7 +80,7 @@
 	}
 }
 
-// partition stops traffic from one machine to another, or heals that.
+// partition blocks traffic from one machine to another, or unblocks it.
 func (n *network) partition(from, to string, active bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -93,6 +93,7 @@
 	n.healed = make(chan struct{})
 }
 
+// blocked reports whether a direction is blocked, and returns a channel that is closed when a partition heals.
 func (n *network) blocked(from, to string) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -178,19 +179,19 @@
 func (h *host) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer cancel()
-	fail := func(err error) (net.Conn, error) { return nil, &net.OpError{Op: "dial", Err: err} }
+	dialError := func(err error) (net.Conn, error) { return nil, &net.OpError{Op: "dial", Err: err} }
 	n := h.network
 	ip, _, _ := net.SplitHostPort(address)
 	for {
-		there, changed := n.blocked(h.ip, ip)
-		back, _ := n.blocked(ip, h.ip)
-		if !there && !back {
+		outbound, changed := n.blocked(h.ip, ip)
+		inbound, _ := n.blocked(ip, h.ip)
+		if !outbound && !inbound {
 			break
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return fail(ctx.Err())
+			return dialError(ctx.Err())
 		}
 	}
 	n.mu.Lock()
@@ -198,20 +199,20 @@
 	n.mu.Unlock()
 	if l == nil || h.isDead() {
 		time.Sleep(latency)
-		return fail(errors.New("connection refused"))
+		return dialError(errors.New("connection refused"))
 	}
-	near, far := net.Pipe()
-	mine := &conn{Conn: near, from: h, to: l.host, network: n, closed: make(chan struct{})}
-	theirs := &conn{Conn: far, from: l.host, to: h, network: n, closed: make(chan struct{})}
+	localPipe, remotePipe := net.Pipe()
+	localConn := &conn{Conn: localPipe, from: h, to: l.host, network: n, closed: make(chan struct{})}
+	remoteConn := &conn{Conn: remotePipe, from: l.host, to: h, network: n, closed: make(chan struct{})}
 	select {
-	case l.accepts <- theirs:
+	case l.accepts <- remoteConn:
 	case <-l.closed:
-		return fail(errors.New("connection refused"))
+		return dialError(errors.New("connection refused"))
 	case <-ctx.Done():
-		return fail(ctx.Err())
+		return dialError(ctx.Err())
 	}
 	n.mu.Lock()
-	n.conns[mine], n.conns[theirs] = true, true
+	n.conns[localConn], n.conns[remoteConn] = true, true
 	n.mu.Unlock()
-	return mine, nil
+	return localConn, nil
 }
--- a/internal/system/simulation/operators_test.go
+++ b/internal/system/simulation/operators_test.go
@@ -11,28 +11,28 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// The outcomes of a change.
+// The outcomes of a configuration change.
 const (
 	changeApplied  = iota
-	changeRejected // another version is current; the change has had no effect and never will
-	changeUnknown  // the outcome is unknown
+	changeRejected // another version is current; the change is not and will not be applied
+	changeUnknown  // the change may have been applied, or may still be
 )
 
-// configChange is an operator's change of the configuration, or a read of it if read is set.
+// configChange is an operator's request: a change of the configuration, or a read of it if read is set.
 type configChange struct {
 	read        bool
 	baseVersion int64
 	version     int64
-	marker      string // distinguishes two changes of one version
+	marker      string // distinguishes changes with the same version
 }
 
 type changeResult struct {
 	outcome int
-	version int64 // what was read
-	marker  string
+	version int64  // version that was read
+	marker  string // marker that was read
 }
 
-// history holds all calls of the operators, for the check of linearizability.
+// history records the calls of all operators, for the check of linearizability.
 type history struct {
 	mu      sync.Mutex
 	calls   []porcupine.Operation
@@ -46,18 +46,18 @@
 		ClientId: client, Input: input, Output: output, Call: call.Sub(h.started).Nanoseconds(), Return: back.Sub(h.started).Nanoseconds(),
 	}
 	if output.outcome == changeUnknown {
-		operation.Return = time.Hour.Nanoseconds() // it may take effect at any time after the call, or never
+		operation.Return = time.Hour.Nanoseconds() // the change may be applied at any time after the call, or never
 	}
 	h.calls = append(h.calls, operation)
 }
 
-// registerState is the state of the register in the model.
+// registerState is the state of casRegister.
 type registerState struct {
 	version int64
 	marker  string
 }
 
-// casRegister is the model of the configuration: a register with compare-and-swap by version.
+// casRegister models the configuration as a compare-and-swap register. A change applies if its base version is current.
 var casRegister = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{registerState{}} },
 	Step: func(state, input, output any) []any {
@@ -83,7 +83,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// linearizable reports whether the history is linearizable, or could not be checked in 20 seconds.
+// linearizable reports whether the history is linearizable. It returns true if the check does not finish within 20 seconds.
 func (h *history) linearizable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -91,15 +91,15 @@
 	return porcupine.CheckOperationsTimeout(model, h.calls, 20*time.Second) != porcupine.Illegal
 }
 
-// configurationText returns a configuration with a route for jobs.
+// configurationText returns a configuration with a single route.
 func configurationText(version int64, marker string) string {
 	return fmt.Sprintf(`{"version":%d,"note":%q,"routes":[{"name":"q","host":"h","path_prefix":"/q/","timeout_ms":3000,`+
 		`"target_latency_ms":1000,"priority":0,"service":%q,"retries":20,"extension":2}],"services":[{"name":%q}]}`,
 		version, marker, service, service)
 }
 
-// putUntilClear retries a change at random core machines until its outcome is known, for 15 seconds at most.
-func (c *cluster) putUntilClear(client int, change configChange, h *history) int {
+// putUntilOutcomeKnown sends a change to random core machines until its outcome is known, for at most 15 seconds.
+func (c *cluster) putUntilOutcomeKnown(client int, change configChange, h *history) int {
 	began := time.Now()
 	body := configurationText(change.version, change.marker)
 	result := changeResult{outcome: changeUnknown}
@@ -123,7 +123,7 @@
 	return result.outcome
 }
 
-// readConfiguration reads the configuration; it retries at random core machines until a timeout.
+// readConfiguration reads the configuration. It retries with random core machines until the timeout.
 func (c *cluster) readConfiguration(client int, h *history, timeout time.Duration) (registerState, bool) {
 	for began := time.Now(); time.Since(began) < timeout; time.Sleep(200 * time.Millisecond) {
 		sent := time.Now()
@@ -133,7 +133,7 @@
 			continue
 		}
 		if _, err := fmt.Sscanf(text, `{"version":%d,"note":%q,`, &got.version, &got.marker); err != nil {
-			c.violation("CONFIG: read %q: %v", text, err)
+			c.violation("CONFIG: cannot decode the response %q: %v", text, err)
 			return got, false
 		}
 		h.add(client, configChange{read: true}, changeResult{version: got.version, marker: got.marker}, sent, time.Now())
@@ -142,8 +142,8 @@
 	return registerState{}, false
 }
 
-// runOperator has an operator change the configuration repeatedly until stop is closed. Two of them pick the same
-// versions.
+// runOperator simulates an operator who changes the configuration repeatedly until stop is closed. Concurrent operators
+// choose the same versions.
 func (c *cluster) runOperator(client int, h *history, stop <-chan struct{}) {
 	defer c.background.Done()
 	for n := 0; ; n++ {
@@ -156,6 +156,6 @@
 		if !ok {
 			continue
 		}
-		c.putUntilClear(client, configChange{baseVersion: current.version, version: current.version + 1, marker: fmt.Sprintf("%d-%d", client, n)}, h)
+		c.putUntilOutcomeKnown(client, configChange{baseVersion: current.version, version: current.version + 1, marker: fmt.Sprintf("%d-%d", client, n)}, h)
 	}
 }
--- a/internal/system/simulation/overlap_test.go
+++ b/internal/system/simulation/overlap_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	catchUpTimeout  = 4 * time.Second // in which a machine that came back or is new becomes a voter
+	catchUpTimeout  = 4 * time.Second // within which a new or restarted core machine becomes a voter
 	faultPhase      = 40 * time.Second
 	recoveryPhase   = 30 * time.Second
 	overlapJobCount = 40
@@ -18,9 +18,9 @@
 
 var overlapTopologies = []topology{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {7, 2}}
 
-// TestSystemThroughOverlappingFaults injects faults that overlap: as many core machines at a time as the topology
-// tolerates are partitioned, restarted, replaced or lose their disks, while two operators change the configuration,
-// workers and the edge fail, connections are reset and seeds rotate.
+// TestSystemThroughOverlappingFaults injects overlapping faults: as many core machines at a time as the topology tolerates
+// are partitioned, restarted or replaced or lose their disks, while two operators change the configuration, side machines,
+// workers and the edge machine fail, connections are reset and seeds are rotated.
 func TestSystemThroughOverlappingFaults(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -39,8 +39,8 @@
 	}()
 	time.Sleep(2 * time.Second)
 	h := &history{started: time.Now()}
-	if c.putUntilClear(0, configChange{version: 1}, h) != changeApplied {
-		t.Error("the first configuration was not applied")
+	if c.putUntilOutcomeKnown(0, configChange{version: 1}, h) != changeApplied {
+		t.Error("the initial configuration was not applied")
 	}
 	ids := c.submitJobs(overlapJobCount)
 	stop := make(chan struct{})
@@ -69,18 +69,18 @@
 	injectors.Wait()
 	time.Sleep(recoveryPhase)
 	if _, ok := c.readConfiguration(0, h, 3*time.Second); !ok {
-		t.Error("CONFIG: it cannot be read at the end")
+		t.Error("CONFIG: the configuration cannot be read after the recovery phase")
 	}
 	if !h.linearizable() {
 		t.Errorf("CONFIG: the operators' calls are not linearizable: %+v", h.calls)
 	}
 	c.checkJobs(t, ids)
-	t.Logf("%d calls of operators", len(h.calls))
+	t.Logf("%d operator calls", len(h.calls))
 	c.stop()
 	time.Sleep(10 * time.Second)
 }
 
-// waitUnlessStopped waits for a delay. It returns false as soon as stop is closed.
+// waitUnlessStopped waits for a delay and returns true, or returns false as soon as stop is closed.
 func waitUnlessStopped(stop <-chan struct{}, delay time.Duration) bool {
 	select {
 	case <-stop:
--- a/internal/system/simulation/partition_test.go
+++ b/internal/system/simulation/partition_test.go
@@ -10,17 +10,18 @@
 
 const (
 	partitionPhase           = 40 * time.Second
-	maxGoroutinesInPartition = 600 // above those at rest, of eight processes, during the partition
-	maxGoroutinesAfterHeal   = 150 // and after it
+	maxGoroutinesInPartition = 600 // additional goroutines of all eight processes at the end of the partition
+	maxGoroutinesAfterHeal   = 150 // additional goroutines of all eight processes after the partition
 )
 
-// During a partition everything waits with a timeout, so that no goroutine and no connection leaks.
-func TestLongPartitionIsBounded(t *testing.T) {
+// TestLongPartitionLeaksNoGoroutines checks that goroutines do not accumulate during a long partition of all machines,
+// which requires that every wait has a timeout, and that the edge scheduler is ready again after the partition.
+func TestLongPartitionLeaksNoGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
 		time.Sleep(2 * time.Second)
 		if !c.putConfiguration(1, 0) {
-			t.Error("the first configuration was not applied")
+			t.Error("the initial configuration was not applied")
 		}
 		time.Sleep(3 * time.Second)
 		before := runtime.NumGoroutine()
@@ -42,20 +43,20 @@
 		}
 		time.Sleep(30 * time.Second)
 		after := runtime.NumGoroutine() - before
-		t.Logf("at rest %d goroutines, %d more at the end of the partition, %d more after it", before, during, after)
+		t.Logf("%d goroutines before the partition, %d more at its end, %d more after it", before, during, after)
 		if during > maxGoroutinesInPartition || after > maxGoroutinesAfterHeal {
-			t.Errorf("%d goroutines more during the partition, %d after it", during, after)
+			t.Errorf("%d additional goroutines at the end of the partition (limit %d), %d after it (limit %d)", during, maxGoroutinesInPartition, after, maxGoroutinesAfterHeal)
 		}
 		if status, _ := c.call("GET", "10.0.1.1:91", "/sedgevale/readyz", "", "", ""); status != 200 {
-			t.Errorf("ready: %d after the partition", status)
+			t.Errorf("readiness status %d after the partition, want 200", status)
 		}
 		c.stop()
 		time.Sleep(5 * time.Second)
 	})
 }
 
-// partition partitions a machine from all core machines, or heals the partition. One way, only what the machine sends
-// is held back.
+// partition partitions a machine from all core machines, or heals the partition. If oneWay is set, only traffic from the
+// machine is blocked.
 func (c *cluster) partition(name string, active, oneWay bool) {
 	m := c.machine(name)
 	for _, other := range c.coreNames() {
@@ -66,7 +67,8 @@
 	c.record(name, "%s", map[bool]string{true: "partition", false: "heal"}[active])
 }
 
-// partitionLink stops traffic from one address to another, and back too unless it is one way, or heals both directions.
+// partitionLink blocks traffic from one address to another, and in the opposite direction unless oneWay is set. If
+// active is false, it unblocks both directions.
 func (c *cluster) partitionLink(from, to string, active, oneWay bool) {
 	c.network.partition(from, to, active)
 	if !oneWay || !active {
@@ -82,7 +84,7 @@
 	c.record(name, "%s", map[bool]string{true: "w-partition", false: "w-heal"}[active])
 }
 
-// partitionInbound stops traffic to a core machine from all others, or heals that.
+// partitionInbound blocks traffic to a core machine from all other core machines, or unblocks it.
 func (c *cluster) partitionInbound(name string, active bool) {
 	for _, other := range c.coreNames() {
 		if other != name {
@@ -91,7 +93,7 @@
 	}
 }
 
-// partitionFrom partitions a core machine from some others, or heals the partition.
+// partitionFrom partitions a core machine from the given others, or heals the partition.
 func (c *cluster) partitionFrom(name string, active bool, others ...string) {
 	c.record(name, "%s", map[bool]string{true: "partition", false: "heal"}[active])
 	for _, other := range others {
@@ -99,7 +101,7 @@
 	}
 }
 
-// partitionFromSome partitions a core machine from random others for a while, in one direction or both.
+// partitionFromSome partitions a core machine from random others for the given time, in one direction or both.
 func (c *cluster) partitionFromSome(name string, wait time.Duration) {
 	var others []string
 	for _, other := range c.coreNames() {
--- a/internal/system/simulation/peripheral_faults_test.go
+++ b/internal/system/simulation/peripheral_faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// peripheralFault is a fault outside the core.
+// peripheralFault is a kind of fault outside the core.
 type peripheralFault int
 
 const (
@@ -14,10 +14,10 @@
 	workerCrashed
 	workerPartitioned
 	edgeKilled
-	peripheralFaults // their number
+	peripheralFaults // number of kinds
 )
 
-// injectPeripheralFault injects a fault at a side machine, its worker or the edge, and heals it after a while.
+// injectPeripheralFault injects a fault on a side machine, its worker or the edge machine, and heals it after wait.
 func (c *cluster) injectPeripheralFault(kind peripheralFault, name string, wait time.Duration, oneWay bool) {
 	switch kind {
 	case sideKilled:
@@ -44,7 +44,7 @@
 	}
 }
 
-// injectPeripheralFaults injects faults at side machines, workers and the edge until stop is closed.
+// injectPeripheralFaults injects random peripheral faults until stop is closed.
 func (c *cluster) injectPeripheralFaults(stop <-chan struct{}) {
 	for waitUnlessStopped(stop, time.Duration(500+c.intN(2500))*time.Millisecond) {
 		name := fmt.Sprint("side", c.intN(sideCount))
--- a/internal/system/simulation/stored_data_test.go
+++ b/internal/system/simulation/stored_data_test.go
@@ -19,18 +19,19 @@
 	"sedgevale/workeragent"
 )
 
-var updateStored = flag.Bool("update", false, "write the stored data of other tests anew")
+var updateStored = flag.Bool("update", false, "regenerate the data directories that other tests read")
 
-// storedData is where tests of what reads a core machine's data directory find those of this test.
+// storedData is the directory of the generated data directories of core machines, which other tests read.
 const storedData = "../statefile/testdata"
 
-// storedConfiguration is the configuration under which the stored jobs were submitted.
+// storedConfiguration is the format of the configuration with which the stored jobs are submitted; its argument is the
+// version.
 const storedConfiguration = `{"version":%d,"routes":[` +
 	`{"name":"q","host":"h","path_prefix":"/q/","timeout_ms":3000,"target_latency_ms":1000,"priority":0,"service":"svc","retries":2,"extension":2},` +
 	`{"name":"r","host":"h","path_prefix":"/r/","timeout_ms":4000,"target_latency_ms":2000,"priority":1,"service":"svc","retries":0,"extension":2}],` +
 	`"services":[{"name":"svc"}]}`
 
-// storedJobs are the submitted jobs, by queue and ID. scriptedWorker documents what their texts mean to the worker.
+// storedJobs are the submitted jobs. scriptedWorker documents how their specs control the worker.
 var storedJobs = []struct{ path, body string }{
 	{"/q/00000000000000d1", `{"spec":"short","stages":[{"count":2,"cpu":100,"estimate_ms":200},{"count":1,"cpu":100,"depends_on":[0]}]}`},
 	{"/q/00000000000000f1", `{"spec":"fail","stages":[{"count":1,"cpu":100,"estimate_ms":200}]}`},
@@ -40,34 +41,34 @@
 	{"/q/00000000000000e1", `{"spec":"short","stages":[{"count":1,"cpu":100,"estimate_ms":200}],"repeat":40,"start_at_ms":946684810000,"interval_ms":4000}`},
 }
 
-// scriptedWorker beats like a worker and ends its runs by the text of their job: those of "short" are done after a moment,
-// those of "fail" fail, those of "save" report a checkpoint and go on, but for the first attempt of the second, which fails
-// then; all others go on.
+// scriptedWorker simulates a worker whose runs are controlled by the spec of their job. Runs of "short" succeed at the next
+// heartbeat, and runs of "fail" fail. Runs of "save" report a checkpoint and continue, except that the first attempt of the
+// second task fails after its checkpoint. All other runs continue until they are stopped.
 type scriptedWorker struct {
-	cluster  *cluster
-	client   *http.Client
-	sequence int64
-	number   int64
-	active   []workeragent.ActiveRun
-	text     map[string]string
-	finished []workeragent.FinishedRun
+	cluster      *cluster
+	client       *http.Client
+	sequence     int64
+	lastFinished int64
+	active       []workeragent.ActiveRun
+	specs        map[string]string // spec of the job by task
+	finished     []workeragent.FinishedRun
 }
 
 func (s *scriptedWorker) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
-		s.beat(ctx)
+		s.sendHeartbeat(ctx)
 	}
 	s.client.CloseIdleConnections()
 }
 
-func (s *scriptedWorker) beat(ctx context.Context) {
+func (s *scriptedWorker) sendHeartbeat(ctx context.Context) {
 	s.sequence++
-	beat := workeragent.Heartbeat{
+	heartbeat := workeragent.Heartbeat{
 		Service: service, Zone: "z", Version: "v1", State: "ready", Sequence: s.sequence, Active: s.active, Finished: s.finished,
 		Capacity: workeragent.Capacity{CPU: 4000, MemMB: 4096, GPU: 1}, Labels: []string{"k", "r1"},
 	}
-	text, err := beat.MarshalJSON()
+	text, err := heartbeat.MarshalJSON()
 	if err != nil {
 		s.cluster.violation("heartbeat: %v", err)
 		return
@@ -89,54 +90,54 @@
 	if err != nil || response.StatusCode != http.StatusOK || len(body) == 0 || answer.UnmarshalJSON(body) != nil {
 		return
 	}
-	s.obey(&answer)
+	s.applyAnswer(&answer)
 }
 
-func (s *scriptedWorker) obey(answer *workeragent.Answer) {
+func (s *scriptedWorker) applyAnswer(answer *workeragent.Answer) {
 	for len(s.finished) > 0 && s.finished[0].Number <= answer.LastSeen {
 		s.finished = s.finished[1:]
 	}
 	stopped := map[string]bool{}
-	for _, one := range answer.Stopped {
-		stopped[one.Task] = true
+	for _, run := range answer.Stopped {
+		stopped[run.Task] = true
 	}
 	running := s.active
 	s.active = nil
-	for _, one := range running {
+	for _, run := range running {
 		switch {
-		case stopped[one.Task]:
-			s.end(one, "stopped")
-		case s.text[one.Task] == "short":
-			s.end(one, "done")
-		case s.text[one.Task] == "fail", one.Checkpoint != "" && one.Attempt == 1 && strings.HasSuffix(one.Task, ".1"):
-			s.end(one, "failed")
+		case stopped[run.Task]:
+			s.end(run, "stopped")
+		case s.specs[run.Task] == "short":
+			s.end(run, "done")
+		case s.specs[run.Task] == "fail", run.Checkpoint != "" && run.Attempt == 1 && strings.HasSuffix(run.Task, ".1"):
+			s.end(run, "failed")
 		default:
-			if s.text[one.Task] == "save" {
-				one.Checkpoint, one.Percent = fmt.Sprintf("saved/%s/%d", one.Task, one.Attempt), 40
+			if s.specs[run.Task] == "save" {
+				run.Checkpoint, run.Percent = fmt.Sprintf("saved/%s/%d", run.Task, run.Attempt), 40
 			}
-			s.active = append(s.active, one)
+			s.active = append(s.active, run)
 		}
 	}
 	for _, start := range answer.Started {
-		s.text[start.Task] = start.Spec
+		s.specs[start.Task] = start.Spec
 		s.active = append(s.active, workeragent.ActiveRun{Task: start.Task, Attempt: start.Attempt, Checkpoint: start.Checkpoint})
 	}
 }
 
 func (s *scriptedWorker) end(run workeragent.ActiveRun, outcome string) {
-	s.number++
-	s.finished = append(s.finished, workeragent.FinishedRun{Number: s.number, Task: run.Task, Attempt: run.Attempt, Outcome: outcome, Checkpoint: run.Checkpoint})
+	s.lastFinished++
+	s.finished = append(s.finished, workeragent.FinishedRun{Number: s.lastFinished, Task: run.Task, Attempt: run.Attempt, Outcome: outcome, Checkpoint: run.Checkpoint})
 }
 
-// A whole system writes what a core machine keeps: registers, seats, shards and jobs, before and after the takeover of a
-// shard, the loss of a disk and the start of a new generation. With -update its directories become the stored data that
-// other tests read.
-func TestCoreDirectoryHoldsTheWholeState(t *testing.T) {
+// TestCoreDataDirectoryContents checks the data directories of core machines: they hold the registers, seats, shards
+// and jobs of a cluster after the takeover of a shard, the loss of a disk and the start of a new generation. With
+// -update it copies the directories to storedData.
+func TestCoreDataDirectoryContents(t *testing.T) {
 	runScenario(t, topology{cores: 3, tolerance: 1}, func(t *testing.T, c *cluster) {
-		defer c.startScripted()()
-		c.submitStored(t)
+		defer c.startScriptedWorker()()
+		c.submitStoredJobs(t)
 		first := c.coreNames()
-		owner := ownerAmong(c, first)
+		owner := rendezvousOwner(c, first)
 		var others []string
 		for _, name := range first {
 			if name != owner {
@@ -152,7 +153,7 @@
 		c.wipeDisk(owner)
 		c.start(owner)
 		time.Sleep(catchUpTimeout)
-		c.putStored(t, 3)
+		c.putStoredConfiguration(t, 3)
 		c.submitStoredJob(t, "/r/00000000000000b2", storedJobs[4].body)
 		c.kill(others[0])
 		c.start(others[0])
@@ -166,14 +167,14 @@
 	})
 }
 
-// startScripted replaces the fake workers by a scripted one and returns the function that ends it.
-func (c *cluster) startScripted() context.CancelFunc {
+// startScriptedWorker replaces the fake workers by a scripted worker and returns the function that stops it.
+func (c *cluster) startScriptedWorker() context.CancelFunc {
 	for i := range sideCount {
 		c.workers[fmt.Sprint("side", i)]()
 	}
 	h := c.network.host("w10.0.2.1")
 	worker := &scriptedWorker{
-		cluster: c, client: &http.Client{Transport: &http.Transport{DialContext: h.dial}, Timeout: 2 * time.Second}, text: map[string]string{},
+		cluster: c, client: &http.Client{Transport: &http.Transport{DialContext: h.dial}, Timeout: 2 * time.Second}, specs: map[string]string{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.background.Add(1)
@@ -184,38 +185,38 @@
 	return cancel
 }
 
-// submitStored submits the stored jobs and cancels one of them.
-func (c *cluster) submitStored(t *testing.T) {
+// submitStoredJobs submits the stored jobs and cancels one of them.
+func (c *cluster) submitStoredJobs(t *testing.T) {
 	t.Helper()
-	c.putStored(t, 2)
+	c.putStoredConfiguration(t, 2)
 	time.Sleep(2 * time.Second)
 	for _, job := range storedJobs {
 		c.submitStoredJob(t, job.path, job.body)
 	}
 	time.Sleep(6 * time.Second)
 	if status, _ := c.call(http.MethodDelete, "10.0.1.1:90", storedJobs[3].path, "h", "", ""); status != http.StatusOK {
-		t.Fatalf("cancelling: status %d", status)
+		t.Fatalf("cancellation of a stored job: status %d", status)
 	}
 	time.Sleep(2 * time.Second)
 }
 
-func (c *cluster) putStored(t *testing.T, version int64) {
+func (c *cluster) putStoredConfiguration(t *testing.T, version int64) {
 	t.Helper()
 	status, text := c.call(http.MethodPut, "10.0.0.2:80", "/sedgevale/config", "", fmt.Sprint(version-1), fmt.Sprintf(storedConfiguration, version))
 	if status != http.StatusOK {
-		t.Fatalf("configuration %d: %d %s", version, status, text)
+		t.Fatalf("configuration version %d: status %d, body %s", version, status, text)
 	}
 }
 
 func (c *cluster) submitStoredJob(t *testing.T, path, body string) {
 	t.Helper()
 	if status, text := c.call(http.MethodPost, "10.0.1.1:90", path, "h", "", body); status != http.StatusOK {
-		t.Fatalf("%s: %d %s", path, status, text)
+		t.Fatalf("submission of %s: status %d, body %s", path, status, text)
 	}
 }
 
-// ownerAmong returns the core machine that owns the shard as long as all are up.
-func ownerAmong(c *cluster, names []string) string {
+// rendezvousOwner returns the core machine that owns the shard while all of the given machines are up.
+func rendezvousOwner(c *cluster, names []string) string {
 	var addresses []string
 	byAddress := map[string]string{}
 	for _, name := range names {
@@ -226,7 +227,8 @@
 	return byAddress[rendezvous.Highest(service, addresses)]
 }
 
-// checkDirectory checks what the directory of a dead core machine says, and stores a copy where that was asked for.
+// checkDirectory checks that the description of a stopped core machine's data directory contains the given parts and that
+// its files are complete. With -update it copies the directory to storedData.
 func (c *cluster) checkDirectory(t *testing.T, name, stored string, parts ...string) {
 	t.Helper()
 	dir := c.machine(name).dir
@@ -236,7 +238,7 @@
 	}
 	for _, part := range parts {
 		if !strings.Contains(text.String(), part) {
-			t.Errorf("%s: no %q in\n%s", stored, part, text.String())
+			t.Errorf("%s: the description does not contain %q:\n%s", stored, part, text.String())
 		}
 	}
 	files, err := statefile.Inspect(dir)
@@ -253,5 +255,5 @@
 	if err := os.CopyFS(to, os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%s is that of %s:\n%s", to, name, text.String())
+	t.Logf("copied the data directory of %s to %s:\n%s", name, to, text.String())
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -40,7 +40,7 @@
 mutate "a learner replaces a voter without a quorum" coord/membership/change.go 's/if left < m\.Quorum\(\)/if left < 1/'
 mutate "a late machine bootstraps a membership" internal/system/core/store.go 's/if bootstrap \{\s+s\.bootstrapMembership\(first\)\s+\}/s.membership = first.Clone()/'
 mutate "changes from before the history are rejected" internal/system/core/config.go 's/o\.baseVersion < record\.History\[0\]\.Base/false/'
-mutate "net/http repeats a call" internal/system/rpc/rpc.go 's/call\.GetBody = nil/call.Header.Set("Idempotency-Key", "x")/'
+mutate "net/http repeats a call" internal/system/rpc/rpc.go 's/httpRequest\.GetBody = nil/httpRequest.Header.Set("Idempotency-Key", "x")/'
 mutate "accepted before it is durable" internal/system/core/jobsapi.go 's/sequence := o\.flush\(\)\n\to\.mu\.Unlock\(\)\n\treturn &api\.Empty\{\}, o\.waitCommitted\(ctx, sequence\)/o.flush()\n\to.mu.Unlock()\n\treturn &api.Empty{}, nil/'
 mutate "a retried change is rejected" internal/system/core/config.go 's/if made\.Digest == o\.digest/if false \&\& made.Digest == o.digest/'
 mutate "no backfill on reserved workers" jobs/reservation.go 's/reserved\.backfillCapacity\(\)\.Holds\(demand\)/false/' ./jobs
