--- a/internal/system/node/node.go
+++ b/internal/system/node/node.go
@@ -73,8 +73,8 @@
 	p.serving.Wait()
 }
 
-// ErrKilled, as the cancellation cause of a role's context, makes the role stop immediately without a graceful shutdown.
-// It simulates a power failure.
+// ErrKilled is a cancellation cause for a role's context that makes the role stop immediately, without a graceful
+// shutdown. It simulates a power failure.
 var ErrKilled = errors.New("killed")
 
 // Role runs a scheduler until its context is cancelled.
