--- a/internal/system/simulation/stored_data_test.go
+++ b/internal/system/simulation/stored_data_test.go
@@ -129,10 +129,10 @@
 	s.finished = append(s.finished, workeragent.FinishedRun{Number: s.lastFinished, Task: run.Task, Attempt: run.Attempt, Outcome: outcome, Checkpoint: run.Checkpoint})
 }
 
-// TestCoreDataDirectoryContents checks the data directories of core machines: they hold the registers, seats, shards
+// TestCoreDirectoryHoldsTheWholeState checks the data directories of core machines: they hold the registers, seats, shards
 // and jobs of a cluster after the takeover of a shard, the loss of a disk and the start of a new generation. With
 // -update it copies the directories to storedData.
-func TestCoreDataDirectoryContents(t *testing.T) {
+func TestCoreDirectoryHoldsTheWholeState(t *testing.T) {
 	runScenario(t, topology{cores: 3, tolerance: 1}, func(t *testing.T, c *cluster) {
 		defer c.startScriptedWorker()()
 		c.submitStoredJobs(t)
