--- a/internal/avrocodec/codec.go
+++ b/internal/avrocodec/codec.go
@@ -82,7 +82,7 @@
 }
 
 // ErrTruncated is returned for a body that ends before all fields are decoded.
-var ErrTruncated = errors.New("avrocodec: truncated body")
+var ErrTruncated = errors.New("avrocodec: the body is truncated")
 
 // Decode decodes body into the struct to which message points. If the body ends before the last field, it returns an error
 // that wraps ErrTruncated, and message is partially set.
@@ -94,7 +94,7 @@
 	reader := avro.NewReader(nil, 0).Reset(body)
 	reader.ReadVal(schema, message)
 	if errors.Is(reader.Error, io.EOF) || errors.Is(reader.Error, io.ErrUnexpectedEOF) { // avro.Unmarshal would ignore the former
-		return fmt.Errorf("%w: %d bytes are not a complete %v", ErrTruncated, len(body), reflect.TypeOf(message).Elem())
+		return fmt.Errorf("%w: %d bytes are no %v", ErrTruncated, len(body), reflect.TypeOf(message).Elem())
 	}
 	return reader.Error
 }
--- a/internal/system/clusterconfig/patch.go
+++ b/internal/system/clusterconfig/patch.go
@@ -19,7 +19,7 @@
 	}
 	patchFields, err := splitObject(patch)
 	if err != nil {
-		return nil, fmt.Errorf("decode JSON: %w", err)
+		return nil, fmt.Errorf("cannot be read: %w", err)
 	}
 	version := fieldValue(patchFields, "version")
 	if version == nil {
--- a/internal/system/clusterconfig/validate.go
+++ b/internal/system/clusterconfig/validate.go
@@ -21,7 +21,7 @@
 	}
 	c := &Config{}
 	if err := c.UnmarshalJSON(text); err != nil {
-		return nil, fmt.Errorf("decode JSON: %w", err)
+		return nil, fmt.Errorf("cannot be read: %w", err)
 	}
 	return c, nil
 }
@@ -29,7 +29,7 @@
 // Validate checks the configuration. The error names the invalid item and key.
 func (c *Config) Validate() error {
 	if c.Version <= 0 {
-		return fmt.Errorf("version: %d is not positive", c.Version)
+		return fmt.Errorf("version: %d is not above 0", c.Version)
 	}
 	services, err := c.validateServices()
 	if err != nil {
@@ -47,7 +47,7 @@
 		names[route.Name] = true
 		prefix := strings.ToLower(route.Host) + " " + route.PathPrefix
 		if other, taken := prefixes[prefix]; taken {
-			return fmt.Errorf("routes[%d] %q: duplicates the host and path prefix of route %q", i, route.Name, other)
+			return fmt.Errorf("routes[%d] %q: has the host and prefix of %q", i, route.Name, other)
 		}
 		prefixes[prefix] = route.Name
 	}
@@ -76,11 +76,11 @@
 	case !services[r.Service]:
 		return fmt.Errorf("service: %q is not known", r.Service)
 	case r.TimeoutMS <= 0:
-		return fmt.Errorf("timeout_ms: %d is not positive", r.TimeoutMS)
+		return fmt.Errorf("timeout_ms: %d is not above 0", r.TimeoutMS)
 	case !strings.HasPrefix(r.PathPrefix, "/"):
 		return fmt.Errorf("path_prefix: %q does not begin with /", r.PathPrefix)
 	case r.Retries < 0:
-		return errors.New("retries: must not be negative")
+		return errors.New("retries: below 0")
 	}
 	return nil
 }
--- a/internal/system/core/broadcast.go
+++ b/internal/system/core/broadcast.go
@@ -11,7 +11,7 @@
 const roundTimeout = 700 * time.Millisecond // limit on each call in a round of calls to several core schedulers
 
 // errShuttingDown is the result of a call that was not sent because this scheduler is shutting down.
-var errShuttingDown = result.Errorf(result.Unavailable, "call not sent: this scheduler is shutting down")
+var errShuttingDown = result.Errorf(result.Unavailable, "this scheduler is shutting down")
 
 // reply is the result of one replica's call in a broadcast.
 type reply[Response any] struct {
@@ -95,7 +95,7 @@
 	}
 	wanted := origin{Member: to.Member, Epoch: to.Membership.Epoch}
 	if named, ok := any(response).(replicaResponse); ok && named.from() != wanted {
-		return nil, result.Errorf(result.WrongReplica, "%s at %s: response from %+v, want %+v", method, address, named.from(), wanted)
+		return nil, result.Errorf(result.WrongReplica, "%s at %s: %+v answered, %+v was asked", method, address, named.from(), wanted)
 	}
 	return response, nil
 }
--- a/internal/system/core/config.go
+++ b/internal/system/core/config.go
@@ -73,7 +73,7 @@
 	var record configRecord
 	if current != nil {
 		if err := avrocodec.Decode(current, &record); err != nil {
-			return nil, result.Errorf(result.Unavailable, "decoding the current configuration: %w", err)
+			return nil, result.Errorf(result.Unavailable, "current configuration: %w", err)
 		}
 	}
 	for _, applied := range record.History {
@@ -116,7 +116,7 @@
 // history, it is unknown whether the change was applied.
 func (o *configChange) conflictError(record *configRecord) error {
 	if len(record.History) == maxHistory && o.baseVersion < record.History[0].Base {
-		return result.Errorf(result.OutcomeUnknown, "If-Match: version %d is current; the outcome of changes to version %d is no longer known",
+		return result.Errorf(result.OutcomeUnknown, "If-Match: version %d is current; what was taken on %d is not known any more",
 			record.Version, o.baseVersion)
 	}
 	return result.Errorf(result.Conflict, "If-Match: version %d is current, %d came", record.Version, o.baseVersion)
@@ -158,7 +158,7 @@
 // ReadConfig implements controlplane.ConfigStore.
 func (c *Core) ReadConfig(ctx context.Context) ([]byte, error) {
 	if err := c.read(ctx, configRegister); err != nil {
-		return nil, result.Errorf(result.Unavailable, "reading the configuration from a quorum: %w", err)
+		return nil, result.Errorf(result.Unavailable, "no quorum: %w", err)
 	}
 	state := c.currentConfig()
 	if state == nil {
--- a/internal/system/core/jobsapi.go
+++ b/internal/system/core/jobsapi.go
@@ -25,10 +25,10 @@
 	o := c.owners[name]
 	c.mu.Unlock()
 	if o == nil || !o.active() {
-		return nil, result.Errorf(result.NotOwner, "%s does not own shard %s", c.address, name)
+		return nil, result.Errorf(result.NotOwner, "%s does not own %s", c.address, name)
 	}
 	if !o.leaseValid() {
-		return nil, result.Errorf(result.NotReady, "shard %s: owner %s has no valid lease from a quorum", name, c.address)
+		return nil, result.Errorf(result.NotReady, "%s has no quorum for %s", c.address, name)
 	}
 	return o, nil
 }
@@ -40,7 +40,7 @@
 		return nil
 	}
 	if err := c.read(ctx, configRegister); err != nil {
-		return result.Errorf(result.NotReady, "reading configuration version %d: %w", version, err)
+		return result.Errorf(result.NotReady, "configuration %d is not known here: %w", version, err)
 	}
 	return nil
 }
@@ -58,11 +58,11 @@
 	o.mu.Lock()
 	if !o.scheduler.HasQueue(r.Queue) {
 		o.mu.Unlock()
-		return nil, result.Errorf(result.NoRoute, "shard %s: no queue %s in the configuration in force", r.Shard, r.Queue)
+		return nil, result.Errorf(result.NoRoute, "queue %s is not in the newest configuration", r.Queue)
 	}
 	if o.scheduler.ActiveJobs() > maxUnfinishedJobs {
 		o.mu.Unlock()
-		return nil, result.Errorf(result.Overloaded, "shard %s: more than %d unfinished jobs", r.Shard, maxUnfinishedJobs)
+		return nil, result.Errorf(result.Overloaded, "shard %s: %d jobs have not ended", r.Shard, maxUnfinishedJobs)
 	}
 	durable, err := o.scheduler.Submit(o.monotonicNow(), wallClockMS(), r.ID, r.Queue, r.Body)
 	if err != nil {
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -140,7 +140,7 @@
 		}
 	}
 	if agreed < m.Quorum() {
-		return result.Errorf(result.Conflict, "%d of %d voters agree that %s has timed out, want %d", agreed, asked, holder.Address, m.Quorum())
+		return result.Errorf(result.Conflict, "%s has timed out for %d of %d voters", holder.Address, agreed, asked)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 	value, err := c.propose(ctx, membershipRegister, func(current []byte) ([]byte, error) {
 		installed := c.store.currentMembership()
 		if installed.Epoch != epoch {
-			return nil, result.Errorf(result.EpochOutdated, "membership change is based on epoch %d, current is %d", epoch, installed.Epoch)
+			return nil, result.Errorf(result.EpochOutdated, "epoch %d was meant, %d is known", epoch, installed.Epoch)
 		}
 		var newest membership.Membership
 		if current != nil {
@@ -197,7 +197,7 @@
 	}
 	id, _, _ := c.store.self()
 	if _, seated := chosen.Member(id); !seated {
-		return result.Errorf(result.Conflict, "the chosen membership of epoch %d does not include this disk", chosen.Epoch)
+		return result.Errorf(result.Conflict, "epoch %d was chosen without this disk", chosen.Epoch)
 	}
 	return nil
 }
@@ -231,7 +231,7 @@
 	})
 	received, lastErr := awaitQuorum(ctx, replies, count, m.Quorum(), func(*stateResponse) bool { return true })
 	if len(received) < m.Quorum() {
-		return nil, result.Errorf(result.Unavailable, "%d of %d voters sent their state, want %d; last error: %w", len(received), count, m.Quorum(), lastErr)
+		return nil, result.Errorf(result.Unavailable, "%d of %d voters sent their state, last failure: %w", len(received), count, lastErr)
 	}
 	var states []*stateResponse
 	for _, r := range received {
--- a/internal/system/core/learner.go
+++ b/internal/system/core/learner.go
@@ -83,7 +83,7 @@
 func (c *Core) learnMembership(value []byte) error {
 	var m membership.Membership
 	if err := avrocodec.Decode(value, &m); err != nil {
-		return result.Errorf(result.BadRequest, "decoding a chosen membership: %w", err)
+		return result.Errorf(result.BadRequest, "membership: %w", err)
 	}
 	return c.store.learnMembership(m)
 }
@@ -105,7 +105,7 @@
 	for range count {
 		r, ctxErr := awaitReply(ctx, replies)
 		if ctxErr != nil {
-			return result.Errorf(result.Unavailable, "reading register %s: %w", name, ctxErr)
+			return result.Errorf(result.Unavailable, "register %s: %w", name, ctxErr)
 		}
 		if r.err != nil {
 			continue
--- a/internal/system/core/owner_commit.go
+++ b/internal/system/core/owner_commit.go
@@ -74,8 +74,8 @@
 	case <-w.done:
 		return nil
 	case <-ctx.Done():
-		return result.Errorf(result.OutcomeUnknown, "shard %s: the change was not committed in time", o.name)
+		return result.Errorf(result.OutcomeUnknown, "shard %s: not durable in time", o.name)
 	case <-o.goroutines.Done():
-		return result.Errorf(result.OutcomeUnknown, "shard %s: the owner was deposed before the change was committed", o.name)
+		return result.Errorf(result.OutcomeUnknown, "shard %s: deposed", o.name)
 	}
 }
--- a/internal/system/core/proposer.go
+++ b/internal/system/core/proposer.go
@@ -14,7 +14,7 @@
 const retryBackoff = 40 * time.Millisecond // mean time between two attempts, randomized by up to half of it
 
 // errNoMembership is the error of operations on registers before this scheduler has received a membership.
-var errNoMembership = errors.New("no membership known yet")
+var errNoMembership = errors.New("no membership of the core is known yet")
 
 // registerUpdate computes a register's next value from the current one. If it returns an error, the value is not changed.
 type registerUpdate func(current []byte) ([]byte, error)
@@ -136,7 +136,7 @@
 			break
 		}
 	}
-	return result.Errorf(result.Unavailable, "no quorum in phase %d, last error: %w", phase, lastErr)
+	return result.Errorf(result.Unavailable, "no majority in phase %d, last failure: %w", phase, lastErr)
 }
 
 // observeBallot ensures that the next ballot of this proposer is higher than a ballot seen elsewhere.
--- a/internal/system/core/replication.go
+++ b/internal/system/core/replication.go
@@ -57,12 +57,12 @@
 			return nil
 		}
 		if deposed {
-			return result.Errorf(result.Fenced, "shard %s: deposed by a newer fencing token", o.name)
+			return result.Errorf(result.Fenced, "shard %s: a newer fencing token is known", o.name)
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return result.Errorf(result.Unavailable, "shard %s: %d replicas in sync, fewer than a quorum", o.name, inSync)
+			return result.Errorf(result.Unavailable, "shard %s: %d replicas are in sync", o.name, inSync)
 		}
 	}
 }
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -122,7 +122,7 @@
 		}
 	}
 	if s.identity.Address != s.address {
-		return result.Errorf(result.WrongDisk, "the disk belongs to %s, but the address of this machine is %s", s.identity.Address, s.address)
+		return result.Errorf(result.WrongDisk, "the disk is that of %s, this machine is %s", s.identity.Address, s.address)
 	}
 	s.identity.Incarnation++
 	return nil
@@ -252,7 +252,7 @@
 func (s *store) append(e *entry) (*statefile.Ticket, error) {
 	payload, err := avrocodec.Encode(e)
 	if err != nil {
-		return nil, fmt.Errorf("core: encoding a log entry: %w", err)
+		return nil, fmt.Errorf("core: %w", err)
 	}
 	s.lastTicket = s.log.Append(payload)
 	return s.lastTicket, nil
@@ -270,7 +270,7 @@
 		}
 		return nil
 	case <-ctx.Done():
-		return result.Errorf(result.StorageFailed, "the disk did not complete a write in time")
+		return result.Errorf(result.StorageFailed, "the disk did not answer in time")
 	}
 }
 
--- a/internal/system/core/store_membership.go
+++ b/internal/system/core/store_membership.go
@@ -16,7 +16,7 @@
 		return origin{}, none, err
 	}
 	if to.Member != s.identity.ID {
-		return origin{}, none, result.Errorf(result.WrongReplica, "message for replica %s received by replica %s", to.Member, s.identity.ID)
+		return origin{}, none, result.Errorf(result.WrongReplica, "for replica %s, this is %s", to.Member, s.identity.ID)
 	}
 	member, seated := s.membership.Member(s.identity.ID)
 	if !seated {
--- a/internal/system/core/store_registers.go
+++ b/internal/system/core/store_registers.go
@@ -101,11 +101,11 @@
 	s.mu.Lock()
 	if _, seated := s.membership.Member(s.identity.ID); !seated || s.identity.JoinEpoch > epoch {
 		s.mu.Unlock()
-		return result.Errorf(result.EpochOutdated, "this disk no longer holds the seat that it held in epoch %d", epoch)
+		return result.Errorf(result.EpochOutdated, "the seat was lost since epoch %d", epoch)
 	}
 	if voters := distinctVoters(epoch, states); voters < s.membership.Quorum() {
 		s.mu.Unlock()
-		return result.Errorf(result.Unavailable, "%d voters sent their state in epoch %d, want %d", voters, epoch, s.membership.Quorum())
+		return result.Errorf(result.Unavailable, "%d voters sent their state in epoch %d, %d are a quorum", voters, epoch, s.membership.Quorum())
 	}
 	var ticket *statefile.Ticket
 	var err error
--- a/internal/system/core/store_shards.go
+++ b/internal/system/core/store_shards.go
@@ -25,7 +25,7 @@
 	err := s.applyDurably(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		replica := s.replica(r.Shard)
 		if !replica.Fence(r.Token) {
-			return nil, result.Errorf(result.Fenced, "shard %s: fencing token %d is lower than the known %d", r.Shard, r.Token, replica.FencingToken)
+			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.FencingToken, r.Token)
 		}
 		*response = fenceResponse{From: from, Voter: replica.Voter, InSyncToken: replica.InSyncToken, Digests: replica.Records.Digests()}
 		return &entry{Kind: entryFence, Name: r.Shard, Token: r.Token}, nil
@@ -51,7 +51,7 @@
 	}
 	for _, bucket := range r.Buckets {
 		if bucket < 0 || bucket >= shard.Buckets {
-			return nil, result.Errorf(result.BadRequest, "shard %s: key range %d does not exist", r.Shard, bucket)
+			return nil, result.Errorf(result.BadRequest, "shard %s: there is no key range %d", r.Shard, bucket)
 		}
 		response.Ranges = append(response.Ranges, shard.Range{Bucket: bucket, Records: set.InBucket(int(bucket))})
 	}
@@ -99,7 +99,7 @@
 	err := s.applyDurably(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		response.From = from
 		if !s.replica(r.Shard).Repair(r.Token, r.RepairNumber, r.Ranges, r.Last) {
-			return nil, result.Errorf(result.Fenced, "shard %s: a fencing token above %d or a repair after number %d is known", r.Shard, r.Token, r.RepairNumber)
+			return nil, result.Errorf(result.Fenced, "shard %s: a token above %d or a later repair is known", r.Shard, r.Token)
 		}
 		return &entry{Kind: entryRepair, Name: r.Shard, Token: r.Token, RepairNumber: r.RepairNumber, Ranges: r.Ranges, Flag: r.Last}, nil
 	})
@@ -116,9 +116,9 @@
 		written := replica.Write(r.Token, r.Records)
 		switch {
 		case !written && replica.FencingToken > r.Token:
-			return nil, result.Errorf(result.Fenced, "shard %s: fencing token %d is lower than the known %d", r.Shard, r.Token, replica.FencingToken)
+			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.FencingToken, r.Token)
 		case !written:
-			return nil, result.Errorf(result.NotRecovered, "shard %s: the replica must be repaired before it accepts writes", r.Shard)
+			return nil, result.Errorf(result.NotRecovered, "shard %s: the replica is not in sync", r.Shard)
 		case len(r.Records) == 0: // a heartbeat
 			return nil, nil
 		}
--- a/internal/system/core/takeover.go
+++ b/internal/system/core/takeover.go
@@ -106,7 +106,7 @@
 	})
 	complete, lastErr := awaitQuorum(ctx, replies, count, m.Quorum(), func(r *fenceResponse) bool { return r.Voter })
 	if len(complete) < m.Quorum() {
-		return nil, result.Errorf(result.Unavailable, "shard %s: %d complete replicas fenced, want %d; last error: %w", name, len(complete), m.Quorum(), lastErr)
+		return nil, result.Errorf(result.Unavailable, "shard %s: %d replicas sealed, last failure: %w", name, len(complete), lastErr)
 	}
 	fenced := map[int]*fenceResponse{}
 	for _, r := range complete {
--- a/internal/system/rpc/rpc.go
+++ b/internal/system/rpc/rpc.go
@@ -110,7 +110,7 @@
 }
 
 // errResponseTooLong is returned for a response body of more than maxMessageBytes.
-var errResponseTooLong = fmt.Errorf("rpc: the response body exceeds %d bytes", maxMessageBytes)
+var errResponseTooLong = fmt.Errorf("rpc: the answer has more than %d bytes", maxMessageBytes)
 
 // readResponse reads a response body of at most maxMessageBytes.
 func readResponse(body io.Reader) ([]byte, error) {
--- a/internal/system/side/side.go
+++ b/internal/system/side/side.go
@@ -154,7 +154,7 @@
 	defer s.mu.Unlock()
 	w := s.workers[r.Orders.Instance]
 	if w == nil || w.replaced {
-		return nil, result.Errorf(result.WrongInstance, "worker instance %s is unknown or was replaced", r.Orders.Instance)
+		return nil, result.Errorf(result.WrongInstance, "instance %s is not here", r.Orders.Instance)
 	}
 	if err := w.agent.OnOrders(s.now(), r.Token, &r.Orders); err != nil {
 		return nil, err
--- a/jobs/lifecycle.go
+++ b/jobs/lifecycle.go
@@ -27,7 +27,7 @@
 	}
 	record, err := avrocodec.Encode(&specRecord{Queue: queue, Body: body})
 	if err != nil {
-		return false, fmt.Errorf("cannot encode the specification record: %w", err)
+		return false, fmt.Errorf("record of the job: %w", err)
 	}
 	s.newSpecs = append(s.newSpecs, Change{Key: specPrefix + id, Value: record})
 	s.jobs[id] = job
