--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -1,8 +1,9 @@
-// Package dispatch drives the decision module: a [Planner] owns a
-// [dispatcher.Dispatcher] and its timers, an [Exchange] is one request with its
-// attempts and its one final answer, a [Set] is the planners of a program. The
-// package stands between the servers, which read clients' requests, and the carriers,
-// which send attempts to workers; it knows no protocol and decides nothing.
+// Package dispatch runs [dispatcher.Dispatcher] instances: it feeds them events, keeps
+// their timers and carries out their decisions. A [Planner] is the event loop of one
+// Dispatcher, an [Exchange] is one request with its attempts and its single final answer,
+// and a [Set] holds all planners of a process. Servers submit the requests of clients, and
+// a [Carrier] sends the attempts to workers. The package does not depend on any wire
+// protocol and makes no scheduling decisions.
 package dispatch
 
 import (
@@ -11,73 +12,77 @@
 	"sedgevale/dispatcher"
 )
 
-// Job is what a client asks for.
+// Job is a client's request, independent of the protocol by which it arrived.
 type Job struct {
 	ID          string
-	Class       *dispatcher.Class // as it was when the job came; immutable
-	Tenant      int               // index into the settings by which the job was parsed; -1: there were no tenants
+	Class       *dispatcher.Class // class at the time the job was parsed; immutable
+	Tenant      int               // index into the tenants of the settings used for parsing; -1 if those had no tenants
 	TenantName  string
-	Client      string        // of the tenant; may be empty
-	AffinityKey string        // what a worker may have cached for the job; may be empty
-	Slots       float64       // that it takes at a worker
-	RuntimeHint time.Duration // an estimate of its running time; 0: none
-	ClientRetry bool          // the client has tried before
+	Client      string        // client ID within the tenant; may be empty
+	AffinityKey string        // identifies data that a worker may have cached; may be empty
+	Slots       float64       // number of worker slots that the job occupies
+	RuntimeHint time.Duration // client's estimate of the run time; 0 if there is none
+	ClientRetry bool          // true if the client has submitted the job before
 
-	// Passed to the worker as they are.
+	// The following fields are passed to the worker unchanged.
 	Method, Target string
-	IdempotencyKey string // the key by which workers drop repeats; may be empty
+	IdempotencyKey string // key by which workers discard duplicates; may be empty
 	Body           []byte
-	Payload        any // of a server that has its own carrier
+	Payload        any // opaque value for the carrier of the server that created the job
 }
 
-// AnswerKind tells the final answers apart.
+// AnswerKind is the kind of a final answer.
 type AnswerKind uint8
 
 // The kinds of final answers.
 const (
-	Served   AnswerKind = iota // a worker's result
-	Rejected                   // not served; the client may safely try again
-	Failed                     // not served; it may have run
+	Served   AnswerKind = iota // a worker returned a result
+	Rejected                   // the job was not served; the client may safely retry
+	Failed                     // the job was not served and may have run
 )
 
-// Answer is the one final answer of an Exchange.
+// Answer is the single final answer of an Exchange.
 type Answer struct {
 	Kind       AnswerKind
-	Result     []byte        // Served
-	RetryAfter time.Duration // when to try again, if it may safely; 0: no advice
-	Reason     string        // why it was not served, for a person
-	MayHaveRun bool          // Failed: an attempt may have run
+	Result     []byte        // the worker's result, if Kind is Served
+	RetryAfter time.Duration // suggested delay before a retry, if Kind is Rejected; 0 if there is no suggestion
+	Reason     string        // human-readable reason why the job was not served
+	MayHaveRun bool          // an attempt may have run, if Kind is Failed
 }
 
-// Client is the client side of an Exchange. The calls come from [Planner.Run] and must
-// not block.
+// Client is the client side of an Exchange. Its methods are called from [Planner.Run] and
+// must not block.
 type Client interface {
-	Started()               // a worker has begun an attempt; may come again
-	Progress(share float64) // done, 0 to 1
-	Answer(Answer)          // comes once, as the last call
+	// Started reports that a worker has started an attempt. It may be called several times.
+	Started()
+	// Progress reports the completed fraction of the job, from 0 to 1.
+	Progress(share float64)
+	// Answer delivers the final answer. It is called once, after all other calls.
+	Answer(Answer)
 }
 
-// Exchange is one request between its client side and its server side. It belongs to
-// its Planner once it has been submitted.
+// Exchange is one request with its client and its attempts. After it has been submitted,
+// only its Planner may access it.
 type Exchange struct {
 	Job
 	client       Client
-	deadline     time.Duration // on the Clock
+	deadline     time.Duration // time on the Clock
 	attempts     []*Attempt
-	inFlight     int                // attempts that have not ended
-	answered     bool               // or the client has disconnected
-	lastOutcome  dispatcher.Outcome // of the attempt that ended last
-	journal      Journal            // nil: the job is not recorded
-	recordNumber uint64             // in the journal; 0: not recorded
+	inFlight     int                // number of attempts that have not ended
+	answered     bool               // true once the final answer is sent or the client has disconnected
+	lastOutcome  dispatcher.Outcome // outcome of the attempt that ended last
+	journal      Journal            // nil if the job is not recorded
+	recordNumber uint64             // number of the job in the journal; 0 if the job is not recorded
 }
 
-// NewExchange returns an Exchange for a job whose client waits until the deadline, a
-// time on the [Clock].
+// NewExchange returns an Exchange for a job whose client waits until the deadline, which is
+// a time on the [Clock].
 func NewExchange(job Job, deadline time.Duration, client Client) *Exchange {
 	return &Exchange{Job: job, deadline: deadline, client: client}
 }
 
-// answer gives the client its one final answer.
+// answer sends the final answer to the client unless the client has its final answer or has
+// disconnected.
 func (x *Exchange) answer(a Answer) {
 	if !x.answered {
 		x.answered = true
@@ -88,72 +93,73 @@
 	}
 }
 
-// mayHaveRun reports whether an attempt may have run.
-func (x *Exchange) mayHaveRun() bool { return x.mayHaveRunBesides(nil) }
+// mayHaveRun reports whether any attempt may have run.
+func (x *Exchange) mayHaveRun() bool { return x.mayHaveRunExcept(nil) }
 
-// Attempt is one sending of an Exchange to a worker.
+// Attempt is one transmission of an Exchange to a worker.
 type Attempt struct {
 	*Exchange
 	Worker     string
-	Number     int
-	Deadline   time.Duration // on the Clock: when it is no longer waited for
-	Planner    *Planner      // what becomes of the attempt is reported to it
-	AtMostOnce bool          // it must not run twice, so there is no retry after a broken connection
-
-	timer           *timer
-	attemptCounters               //lint:ignore U1000 it is empty in builds without the counters tag
-	dispatchedAt    time.Duration // on the Clock: when the Dispatcher sent it
-	expiry          time.Duration // on the Clock: not to be sent from then on; 0: its Deadline alone
-	awaitsIntent    bool          // not given to the carrier yet: its intent is not durable
+	Number     int           // index of the attempt within its Exchange, from 0
+	Deadline   time.Duration // time on the Clock at which the attempt times out
+	Planner    *Planner      // receives the events of the attempt
+	AtMostOnce bool          // the job must not run twice, so a broken connection is not retried
+
+	timer           *timer        // timeout of the attempt
+	attemptCounters               //lint:ignore U1000 the struct is empty in builds without the tally tag
+	dispatchedAt    time.Duration // time on the Clock at which the Dispatcher issued the attempt
+	expiry          time.Duration // time on the Clock from which the attempt must not be sent; 0 if only Deadline applies
+	awaitingIntent  bool          // true until the intent is durable and the carrier has the attempt
 	ended           bool
-	neverRan        bool // ended, and no worker began it
+	neverRan        bool // the attempt has ended without being started by a worker
 }
 
-// Expired reports whether the attempt must not be sent any more, because workers may
-// no longer drop it as a repeat of an earlier one that may have run.
+// Expired reports whether it is too late to send the attempt: workers may no longer
+// recognize it as a duplicate of an earlier attempt that may have run.
 func (a *Attempt) Expired(now time.Duration) bool { return a.expiry > 0 && now >= a.expiry }
 
-// Carrier is the server side: it carries attempts to workers. Its methods must not
-// block. What becomes of an attempt is reported to the attempt's Planner.
+// Carrier is the transport to the workers. Its methods must not block. It reports the
+// progress and the outcome of each attempt to the attempt's Planner.
 type Carrier interface {
 	// Send sends an attempt to its worker.
 	Send(*Attempt)
-	// Cancel ends an attempt as cancelled, unless it has ended by then.
+	// Cancel ends an attempt with the outcome Cancelled, unless it has already ended.
 	Cancel(*Attempt)
-	// CancelUnsent ends an attempt as not sent if no byte of it is on its way yet; any
-	// other goes on.
+	// CancelUnsent ends an attempt with the outcome NotSent if none of its bytes have been
+	// sent. Otherwise the attempt continues.
 	CancelUnsent(*Attempt)
-	// Probe asks a worker for its load, and reports the answer to p.
+	// Probe requests a load report from a worker and passes it to p.ProbeResult.
 	Probe(worker string, p *Planner)
 	// CloseIdleConnections closes the connections to a worker that carry no attempt.
 	CloseIdleConnections(worker string)
 }
 
-// Clock is the one clock of the program. It is monotonic, and Unix times can be
-// converted to it.
+// Clock is the monotonic clock of the process. Its times are durations since an origin
+// before the start of the process. Unix times can be converted to it.
 type Clock struct {
 	start     time.Time
-	startUnix time.Duration
+	startUnix time.Duration // start as a Unix time
 }
 
-// clockOrigin is how far the Clock's zero lies before its start, so that what happened
-// not long before has a time of its own. Zero means long ago.
+// clockOrigin is the time between the Clock's zero and the creation of the Clock, so that
+// events up to a day before the start have distinct, positive times. Zero stands for any
+// earlier time.
 const clockOrigin = 24 * time.Hour
 
-// NewClock returns a Clock that starts now.
+// NewClock returns a Clock that starts at the current time.
 func NewClock() Clock {
 	now := time.Now()
 	return Clock{now, time.Duration(now.UnixNano())}
 }
 
-// Now returns the time.
+// Now returns the current time on the Clock.
 func (c Clock) Now() time.Duration { return c.At(time.Now()) }
 
-// At returns the time at which time.Now gave t.
+// At converts a time returned by time.Now to a time on the Clock.
 func (c Clock) At(t time.Time) time.Duration { return t.Sub(c.start) + clockOrigin }
 
-// FromUnixMilli returns the time on the Clock of a Unix time in milliseconds. Values of
-// 0 or less, and times before the Clock's zero, give 0.
+// FromUnixMilli converts a Unix time in milliseconds to a time on the Clock. It returns 0
+// for values of 0 or less and for times before the Clock's zero.
 func (c Clock) FromUnixMilli(ms int64) time.Duration {
 	if ms <= 0 || ms > 1<<50 {
 		return 0
@@ -161,14 +167,14 @@
 	return max(0, time.Duration(ms)*time.Millisecond-c.startUnix+clockOrigin)
 }
 
-// TimeLeft returns how long the client still waits. It may be negative.
+// TimeLeft returns the time until the client's deadline. It is negative after the deadline.
 func (x *Exchange) TimeLeft(now time.Duration) time.Duration { return x.deadline - now }
 
-// WrapClient wraps an Exchange's client. It must be called before the Exchange is
-// submitted.
+// WrapClient replaces the Exchange's client by f(client). It must be called before the
+// Exchange is submitted.
 func (x *Exchange) WrapClient(f func(Client) Client) { x.client = f(x.client) }
 
-// Reject rejects an Exchange that has not been submitted.
+// Reject answers an Exchange that has not been submitted as rejected.
 func (x *Exchange) Reject(after time.Duration, reason string) {
 	x.answer(Answer{Kind: Rejected, RetryAfter: after, Reason: reason})
 }
--- a/internal/dispatch/journal.go
+++ b/internal/dispatch/journal.go
@@ -6,41 +6,43 @@
 	"sedgevale/dispatcher"
 )
 
-// Journal keeps a durable record of jobs that must not run twice. Its methods must not
-// block; they are called from a Planner's Run. A job is known to it by a number.
+// Journal keeps a durable record of jobs that must not run twice, each identified by a
+// number. Its methods are called from [Planner.Run] and must not block.
 type Journal interface {
-	// Register registers a job that is about to be accepted. Number 0 says that the
-	// journal does not keep this job; not ok, that it should but cannot, and that the job
-	// must not be accepted.
+	// Register assigns a number to a job that is about to be accepted. Number 0 means that
+	// the journal does not record the job. If ok is false, the job would have to be recorded
+	// but cannot be, and must not be accepted.
 	Register(j *Job) (number uint64, ok bool)
-	// RecordIntent records that an attempt is about to go to a worker. Done is called, from any
-	// goroutine, once that is durable, or with false once it cannot be.
+	// RecordIntent records that an attempt is about to be sent to a worker. It calls done,
+	// from any goroutine, with true once the record is durable, or with false if it cannot
+	// become durable.
 	RecordIntent(number uint64, attempt int, id, worker string, done func(ok bool))
 	AttemptSent(number uint64, attempt int)
 	AttemptStarted(number uint64, attempt int)
-	// AttemptEnded records how an attempt ended, and whether it surely never ran.
+	// AttemptEnded records the outcome of an attempt, and whether it is known that no worker
+	// started it.
 	AttemptEnded(number uint64, attempt int, o dispatcher.Outcome, neverRan bool)
 	Answered(number uint64, a Answer)
 	ClientDisconnected(number uint64)
 }
 
-// unrecordedRetryAfter is the advice to a client whose job cannot be recorded, where
-// the settings allow advice.
-const unrecordedRetryAfter = time.Second
+// unrecordableRetryAfter is the RetryAfter of a job that is rejected because it cannot be
+// recorded, limited by the setting MaxRetryAfter.
+const unrecordableRetryAfter = time.Second
 
-// SetJournal sets the journal that jobs are recorded in. It must be called before Run.
+// SetJournal sets the journal in which jobs are recorded. It must be called before Run.
 func (p *Planner) SetJournal(j Journal) { p.journal = j }
 
-// InJournal reports whether the attempt's job is in a journal. If so, [Planner.AttemptSent]
-// must be called.
+// InJournal reports whether the attempt's job is recorded in a journal. If so, the carrier
+// must call [Planner.AttemptSent].
 func (a *Attempt) InJournal() bool { return a.recordNumber != 0 }
 
-// AttemptSent reports that an attempt's bytes were written to its worker's connection, which
-// only a journal needs.
+// AttemptSent reports that an attempt's bytes were written to the connection to its worker.
+// The call is required only for attempts whose job is recorded in a journal.
 func (p *Planner) AttemptSent(a *Attempt) { p.queue.Put(event{kind: eventSent, attempt: a}) }
 
-// registerInJournal registers a job in the journal, if there is one, and reports
-// whether it may be accepted.
+// registerInJournal registers a job in the journal, if there is one, and reports whether
+// the job may be accepted.
 func (p *Planner) registerInJournal(x *Exchange) bool {
 	if p.journal == nil {
 		return true
@@ -52,50 +54,52 @@
 	return ok
 }
 
-// sendAttempt sends an attempt: where a journal keeps the job, once the intent is
-// durable.
+// sendAttempt passes an attempt to the carrier. If the job is recorded in the journal, it
+// does so only once the intent is durable.
 func (p *Planner) sendAttempt(a *Attempt) {
 	if a.recordNumber == 0 {
 		p.carrier.Send(a)
 		return
 	}
-	a.awaitsIntent = true
+	a.awaitingIntent = true
 	p.journal.RecordIntent(a.recordNumber, a.Number, a.ID, a.Worker, func(ok bool) {
 		p.queue.Put(event{kind: eventIntentRecorded, attempt: a, ok: ok})
 	})
 }
 
-// intentRecorded sends an attempt whose intent is durable, or rejects it. The worker may
-// have begun to drain since, which the carrier checks.
-func (p *Planner) intentRecorded(a *Attempt, ok bool) {
-	if !a.awaitsIntent || a.ended {
+// handleIntentRecorded passes an attempt to the carrier if its intent is durable, and rejects
+// its job otherwise. The carrier checks whether the worker has started to drain in the
+// meantime.
+func (p *Planner) handleIntentRecorded(a *Attempt, ok bool) {
+	if !a.awaitingIntent || a.ended {
 		return
 	}
 	if !ok {
-		p.rejectUnrecorded(a)
+		p.rejectUnrecordable(a)
 		return
 	}
-	a.awaitsIntent = false
+	a.awaitingIntent = false
 	p.carrier.Send(a)
 }
 
-// rejectUnrecorded rejects the job of an attempt that was not sent because its intent
-// could not be recorded in time. Earlier attempts go on.
-func (p *Planner) rejectUnrecorded(a *Attempt) {
+// rejectUnrecordable ends an attempt whose intent could not be recorded in time, and answers
+// its job: as failed if another attempt may have run, as rejected otherwise. Other attempts
+// of the job continue.
+func (p *Planner) rejectUnrecordable(a *Attempt) {
 	if x := a.Exchange; !x.answered {
-		if x.mayHaveRunBesides(a) {
+		if x.mayHaveRunExcept(a) {
 			x.answer(Answer{Kind: Failed, Reason: "it cannot be recorded where it goes next", MayHaveRun: true})
 		} else {
-			x.answer(Answer{Kind: Rejected, RetryAfter: min(unrecordedRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
+			x.answer(Answer{Kind: Rejected, RetryAfter: min(unrecordableRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
 		}
 	}
 	p.endAttempt(a, dispatcher.NotSent, nil, nil)
 }
 
-// mayHaveRunBesides reports whether an attempt other than the given one may have run.
-func (x *Exchange) mayHaveRunBesides(other *Attempt) bool {
+// mayHaveRunExcept reports whether any attempt except the given one may have run.
+func (x *Exchange) mayHaveRunExcept(except *Attempt) bool {
 	for _, a := range x.attempts {
-		if a != other && (!a.ended || !a.neverRan) {
+		if a != except && (!a.ended || !a.neverRan) {
 			return true
 		}
 	}
--- a/internal/dispatch/journal_test.go
+++ b/internal/dispatch/journal_test.go
@@ -10,155 +10,156 @@
 	"sedgevale/internal/testkit"
 )
 
-// fakeJournal is a Journal that keeps the class "once" and lets the test say when an intent is
-// durable.
+// fakeJournal is a Journal that records the jobs of class "once". An intent becomes durable when
+// the test calls the function received from intents.
 type fakeJournal struct {
 	mu      sync.Mutex
 	last    uint64
 	full    bool
-	notes   []string
+	records []string
 	intents chan func(bool)
 }
 
-func (b *fakeJournal) Register(j *Job) (uint64, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if j.Class.Name != "once" {
+func (j *fakeJournal) Register(job *Job) (uint64, bool) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if job.Class.Name != "once" {
 		return 0, true
 	}
-	if b.full {
+	if j.full {
 		return 0, false
 	}
-	b.last++
-	return b.last, true
+	j.last++
+	return j.last, true
 }
 
-func (b *fakeJournal) note(s string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.notes = append(b.notes, s)
+func (j *fakeJournal) record(s string) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.records = append(j.records, s)
 }
 
-func (b *fakeJournal) RecordIntent(_ uint64, _ int, _, worker string, done func(bool)) {
-	b.note("intent " + worker)
-	b.intents <- done
+func (j *fakeJournal) RecordIntent(_ uint64, _ int, _, worker string, done func(bool)) {
+	j.record("intent " + worker)
+	j.intents <- done
 }
-func (b *fakeJournal) AttemptSent(uint64, int)    { b.note("sent") }
-func (b *fakeJournal) AttemptStarted(uint64, int) { b.note("started") }
-func (b *fakeJournal) AttemptEnded(_ uint64, _ int, _ dispatcher.Outcome, neverRan bool) {
+func (j *fakeJournal) AttemptSent(uint64, int)    { j.record("sent") }
+func (j *fakeJournal) AttemptStarted(uint64, int) { j.record("started") }
+func (j *fakeJournal) AttemptEnded(_ uint64, _ int, _ dispatcher.Outcome, neverRan bool) {
 	if neverRan {
-		b.note("ended unseen")
+		j.record("never ran")
 	} else {
-		b.note("ended")
+		j.record("ended")
 	}
 }
-func (b *fakeJournal) Answered(_ uint64, a Answer) {
-	b.note([]string{"served", "refused", "failed"}[a.Kind])
+func (j *fakeJournal) Answered(_ uint64, a Answer) {
+	j.record([]string{"served", "rejected", "failed"}[a.Kind])
 }
-func (b *fakeJournal) ClientDisconnected(uint64) { b.note("gone") }
+func (j *fakeJournal) ClientDisconnected(uint64) { j.record("client disconnected") }
 
-func (b *fakeJournal) checkNotes(t *testing.T, want ...string) {
+func (j *fakeJournal) checkRecords(t *testing.T, want ...string) {
 	t.Helper()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !slices.Equal(b.notes, want) {
-		t.Errorf("recorded: %q, want %q", b.notes, want)
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if !slices.Equal(j.records, want) {
+		t.Errorf("journal recorded %q, want %q", j.records, want)
 	}
 }
 
-func recorded(t *testing.T) (*Planner, *carrier, Clock, *fakeJournal) {
+func startPlannerWithJournal(t *testing.T) (*Planner, *fakeCarrier, Clock, *fakeJournal) {
 	t.Helper()
-	p, carry, clock := begin(t, "w")
-	b := &fakeJournal{intents: make(chan func(bool), 16)}
-	p.enqueueCall(func() { p.SetJournal(b) })
-	return p, carry, clock, b
+	p, carrier, clock := startPlanner(t, "w")
+	j := &fakeJournal{intents: make(chan func(bool), 16)}
+	p.enqueueCall(func() { p.SetJournal(j) })
+	return p, carrier, clock, j
 }
 
-func once(id string, deadline time.Duration, c Client) *Exchange {
+func newOnceExchange(id string, deadline time.Duration, c Client) *Exchange {
 	return NewExchange(Job{ID: id, Class: &classes()[1], Tenant: -1}, deadline, c)
 }
 
-// Guards the order of steps: nothing is sent to a worker before the intent is durable,
-// others go on meanwhile, and each step is recorded once.
-func TestIntentComesFirst(t *testing.T) {
-	p, carry, clock, b := recorded(t)
-	c, free := newClient(), newClient()
-	p.SubmitRequest(once("r", clock.Now()+5*time.Second, c))
-	durable := testkit.Await(t, "an intent", b.intents)
-	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, free))
-	if a := testkit.Await(t, "a send", carry.sent); a.ID != "free" || a.InJournal() {
-		t.Fatalf("%s was sent first", a.ID)
+// Tests that an attempt is not sent before its intent is durable, that other jobs are sent in
+// the meantime, and that each step is recorded once.
+func TestIntentIsDurableBeforeSend(t *testing.T) {
+	p, carrier, clock, j := startPlannerWithJournal(t)
+	c, idempotentClient := newClient(), newClient()
+	p.SubmitRequest(newOnceExchange("r", clock.Now()+5*time.Second, c))
+	intentDone := testkit.Await(t, "an intent", j.intents)
+	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, idempotentClient))
+	if a := testkit.Await(t, "an attempt", carrier.sent); a.ID != "free" || a.InJournal() {
+		t.Fatalf("job %s was sent first, in journal %v; want free, not in the journal", a.ID, a.InJournal())
 	}
-	durable(true)
-	a := testkit.Await(t, "a send", carry.sent)
+	intentDone(true)
+	a := testkit.Await(t, "an attempt", carrier.sent)
 	if a.ID != "r" || !a.InJournal() {
-		t.Fatalf("%s was sent", a.ID)
+		t.Fatalf("job %s was sent, in journal %v; want r, in the journal", a.ID, a.InJournal())
 	}
 	p.AttemptSent(a)
 	p.AttemptStarted(a)
 	p.AttemptEnded(a, dispatcher.Served, []byte("x"), nil)
 	if got := testkit.Await(t, "an answer", c.first); got.Kind != Served {
-		t.Errorf("answered %+v", got)
+		t.Errorf("answer %+v, want Served", got)
 	}
-	openNow(t, p)
-	b.checkNotes(t, "intent w", "sent", "started", "ended", "served")
+	countOpen(t, p)
+	j.checkRecords(t, "intent w", "sent", "started", "ended", "served")
 }
 
-// Guards against an answer that is too late, or missing, because the disk is slow, and
-// against sending once the client has been rejected.
-func TestIntentNotDurableInTime(t *testing.T) {
-	p, carry, clock, b := recorded(t)
+// Guards against a late or missing answer when the disk is slow, and against an attempt that is
+// sent after its job has been rejected.
+func TestSlowIntentRejectsJobAtDeadline(t *testing.T) {
+	p, carrier, clock, j := startPlannerWithJournal(t)
 	c := newClient()
 	deadline := clock.Now() + 300*time.Millisecond
-	p.SubmitRequest(once("r", deadline, c))
-	durable := testkit.Await(t, "an intent", b.intents)
+	p.SubmitRequest(newOnceExchange("r", deadline, c))
+	intentDone := testkit.Await(t, "an intent", j.intents)
 	got := testkit.Await(t, "an answer", c.first)
 	if late := clock.Now() - deadline; got.Kind != Rejected || late < 0 || late > 200*time.Millisecond {
-		t.Errorf("answered %+v, %v after the deadline", got, late)
+		t.Errorf("answer %+v, %v after the deadline; want Rejected within 200ms", got, late)
 	}
-	durable(true)
-	if n := openNow(t, p); n != 0 || len(carry.sent) != 0 || c.count() != 1 {
-		t.Errorf("%d open, %d sent, %d answers", n, len(carry.sent), c.count())
+	intentDone(true)
+	if n := countOpen(t, p); n != 0 || len(carrier.sent) != 0 || c.count() != 1 {
+		t.Errorf("%d open exchanges, %d attempts sent and %d answers, want 0, 0 and 1", n, len(carrier.sent), c.count())
 	}
-	b.checkNotes(t, "intent w", "refused", "ended unseen")
+	j.checkRecords(t, "intent w", "rejected", "never ran")
 }
 
-// Guards against an attempt that is sent though its intent cannot be written, and against
-// a job that is accepted while the journal is full.
-func TestFullJournalRejects(t *testing.T) {
-	p, carry, clock, b := recorded(t)
+// Guards against an attempt that is sent although its intent cannot be written, and against a
+// job that is accepted while the journal is full.
+func TestFullJournalRejectsJobs(t *testing.T) {
+	p, carrier, clock, j := startPlannerWithJournal(t)
 	c := newClient()
-	p.SubmitRequest(once("r", clock.Now()+5*time.Second, c))
-	testkit.Await(t, "an intent", b.intents)(false)
+	p.SubmitRequest(newOnceExchange("r", clock.Now()+5*time.Second, c))
+	testkit.Await(t, "an intent", j.intents)(false)
 	if got := testkit.Await(t, "an answer", c.first); got.Kind != Rejected {
-		t.Errorf("answered %+v", got)
+		t.Errorf("answer %+v after a failed intent, want Rejected", got)
 	}
-	b.mu.Lock()
-	b.full = true
-	b.mu.Unlock()
+	j.mu.Lock()
+	j.full = true
+	j.mu.Unlock()
 	c = newClient()
-	p.SubmitRequest(once("s", clock.Now()+5*time.Second, c))
+	p.SubmitRequest(newOnceExchange("s", clock.Now()+5*time.Second, c))
 	if got := testkit.Await(t, "an answer", c.first); got.Kind != Rejected {
-		t.Errorf("answered %+v while the journal is full", got)
+		t.Errorf("answer %+v while the journal is full, want Rejected", got)
 	}
-	free := newClient()
-	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, free))
-	if a := testkit.Await(t, "a send", carry.sent); a.ID != "free" {
-		t.Errorf("%s was sent", a.ID)
+	idempotentClient := newClient()
+	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, idempotentClient))
+	if a := testkit.Await(t, "an attempt", carrier.sent); a.ID != "free" {
+		t.Errorf("job %s was sent, want free", a.ID)
 	}
-	b.checkNotes(t, "intent w", "refused", "ended unseen")
+	j.checkRecords(t, "intent w", "rejected", "never ran")
 }
 
-// Guards against a client's disconnect, or a fault of the module, that sends what awaits its intent.
-func TestAttemptThatAwaitsItsIntentIsCancelled(t *testing.T) {
-	p, carry, clock, b := recorded(t)
-	p.SubmitRequest(once("r", clock.Now()+5*time.Second, newClient()))
-	durable := testkit.Await(t, "an intent", b.intents)
-	p.enqueueCall(func() { panic("a fault") })
-	openNow(t, p)
-	durable(true)
-	if n := openNow(t, p); n != 0 || len(carry.sent) != 0 {
-		t.Errorf("%d open, %d sent", n, len(carry.sent))
+// Guards against an attempt that is sent once its intent is durable although a panic of the
+// dispatcher has ended it in the meantime.
+func TestPanicEndsAttemptAwaitingIntent(t *testing.T) {
+	p, carrier, clock, j := startPlannerWithJournal(t)
+	p.SubmitRequest(newOnceExchange("r", clock.Now()+5*time.Second, newClient()))
+	intentDone := testkit.Await(t, "an intent", j.intents)
+	p.enqueueCall(func() { panic("injected fault") })
+	countOpen(t, p)
+	intentDone(true)
+	if n := countOpen(t, p); n != 0 || len(carrier.sent) != 0 {
+		t.Errorf("%d open exchanges and %d attempts sent, want none", n, len(carrier.sent))
 	}
-	b.checkNotes(t, "intent w", "ended unseen", "failed")
+	j.checkRecords(t, "intent w", "never ran", "failed")
 }
--- a/internal/dispatch/peer_load.go
+++ b/internal/dispatch/peer_load.go
@@ -6,35 +6,36 @@
 	"sedgevale/dispatcher"
 )
 
-// peerSignals is what a Planner exchanges with other schedulers of the site.
-type peerSignals struct {
-	onLoadChange  func([]dispatcher.WorkerLoad) // nil: load changes are not tracked
-	loadChanges   []dispatcher.WorkerLoad
-	subset        []string
+// peerState is a Planner's state for the exchange of load with other schedulers of the site.
+type peerState struct {
+	onLoadChange  func([]dispatcher.WorkerLoad) // nil if load changes are not tracked
+	loadChanges   []dispatcher.WorkerLoad       // reused between calls of onLoadChange
+	subset        []string                      // last arguments of SetSubset, for a new Dispatcher
 	subsetSharers int
 
-	peerLoadMu   sync.Mutex              // guards peerLoad
-	peerLoad     []dispatcher.WorkerLoad // of other schedulers, not read by Run yet
-	peerLoadRead []dispatcher.WorkerLoad // swapped with peerLoad by Run
+	peerLoadMu      sync.Mutex              // guards pendingPeerLoad
+	pendingPeerLoad []dispatcher.WorkerLoad // load of other schedulers that Run has yet to apply
+	peerLoadBatch   []dispatcher.WorkerLoad // buffer that Run swaps with pendingPeerLoad
 }
 
-// OnLoadChange has f called with the planner's load at each worker where that has changed.
-// The calls come from Run; f must not block, nor keep the slice. OnLoadChange must be
-// called before Run.
+// OnLoadChange registers f to be called with the planner's load at each worker where the
+// load has changed. f is called from Run; it must neither block nor retain the slice.
+// OnLoadChange must be called before Run.
 func (p *Planner) OnLoadChange(f func([]dispatcher.WorkerLoad)) {
 	p.onLoadChange = f
 	p.dispatcher.TrackLoadChanges()
 }
 
-// UpdatePeerLoad brings the load of other schedulers at some workers. The slice is not kept.
+// UpdatePeerLoad updates the load of other schedulers at the given workers. The slice is not
+// retained.
 func (p *Planner) UpdatePeerLoad(loads []dispatcher.WorkerLoad) {
 	p.peerLoadMu.Lock()
-	p.peerLoad = append(p.peerLoad, loads...)
+	p.pendingPeerLoad = append(p.pendingPeerLoad, loads...)
 	p.peerLoadMu.Unlock()
 	p.wakeUp()
 }
 
-// SetSubset sets the planner's subset of the workers; see
+// SetSubset sets the subset of workers that the planner uses; see
 // [dispatcher.Dispatcher.SetSubset].
 func (p *Planner) SetSubset(workers []string, sharers int) {
 	p.enqueueCall(func() {
@@ -43,18 +44,19 @@
 	})
 }
 
-// readPeerLoad gives the Dispatcher the load of other schedulers that has come.
-func (p *Planner) readPeerLoad() {
+// applyPeerLoad passes the pending load of other schedulers to the Dispatcher.
+func (p *Planner) applyPeerLoad() {
 	p.peerLoadMu.Lock()
-	p.peerLoadRead, p.peerLoad = p.peerLoad, p.peerLoadRead[:0]
+	p.peerLoadBatch, p.pendingPeerLoad = p.pendingPeerLoad, p.peerLoadBatch[:0]
 	p.peerLoadMu.Unlock()
-	if len(p.peerLoadRead) > 0 {
+	if len(p.peerLoadBatch) > 0 {
 		p.now = p.clock.Now()
-		p.recoverPanics(func() { p.dispatcher.UpdatePeerLoad(p.now, p.peerLoadRead) })
+		p.recoverPanics(func() { p.dispatcher.UpdatePeerLoad(p.now, p.peerLoadBatch) })
 	}
 }
 
-// publishLoadChanges publishes the load that has changed here.
+// publishLoadChanges calls onLoadChange with the load at each worker where the load has
+// changed since the last call.
 func (p *Planner) publishLoadChanges() {
 	if p.onLoadChange == nil {
 		return
@@ -64,8 +66,8 @@
 	}
 }
 
-// republishLoad publishes the load of a fresh Dispatcher, which is none at all workers.
-// The load of others comes to it as that changes.
+// republishLoad publishes the load of a new Dispatcher, which is zero at all workers. The
+// new Dispatcher learns the load of other schedulers only as they report changes.
 func (p *Planner) republishLoad() {
 	if p.onLoadChange == nil {
 		return
--- a/internal/dispatch/planner.go
+++ b/internal/dispatch/planner.go
@@ -14,35 +14,34 @@
 	"sedgevale/internal/unbounded"
 )
 
-// Planner owns one Dispatcher and is its Host. All events come in through its queue
-// and are read by one goroutine, that of Run, which also keeps the timers. Exported
-// methods may be called from any goroutine unless they say otherwise; those of the
-// Host come from Run.
+// Planner runs one Dispatcher and implements its Host. Run is an event loop on a single
+// goroutine: it handles the events in the queue and fires the timers. The exported methods
+// may be called from any goroutine unless they say otherwise, except for the methods of
+// [dispatcher.Host], which the Dispatcher calls from Run.
 type Planner struct {
-	clock    Clock
-	carrier  Carrier
-	watch    func()
-	log      *slog.Logger
-	settings dispatcher.Settings
-	seed     uint64
-
-	dispatcher *dispatcher.Dispatcher
-	queue      *unbounded.Queue[event]
-	commands   *unbounded.Queue[func()] // of operators: run before each event
-	wake       chan struct{}            // holds a token while something waits in queue or commands
-	timers     timers
-	lastTimer  uint64                           // serial number
-	now        time.Duration                    // of the event that is handled
-	exchanges  map[string]*Exchange             // by ID: not answered, or with attempts in flight
-	workers    map[string]dispatcher.WorkerInfo // the list, for a fresh Dispatcher
-	cordoned   map[string]bool                  // workers by name, for the same
-	journal    Journal                          // nil: none
-	counters   counters                         // counts for a log line, with -tags tally
-	sharing
-	peerSignals
+	clock        Clock
+	carrier      Carrier
+	watchWorkers func()
+	log          *slog.Logger
+	settings     dispatcher.Settings
+	seed         uint64
+
+	dispatcher      *dispatcher.Dispatcher
+	queue           *unbounded.Queue[event]
+	commands        *unbounded.Queue[func()] // operators' commands, which run before the next event
+	wake            chan struct{}            // holds a token while queue or commands has unread items
+	timers          timerHeap
+	lastTimerSerial uint64
+	now             time.Duration                    // time on the Clock of the event being handled
+	exchanges       map[string]*Exchange             // by ID; unanswered, or with attempts in flight
+	workers         map[string]dispatcher.WorkerInfo // by name; for a new Dispatcher after a panic
+	cordoned        map[string]bool                  // by worker name; for a new Dispatcher after a panic
+	journal         Journal                          // nil if there is no journal
+	counters        counters                         // empty unless built with the tag tally
+	siblingTracker
+	peerState
 }
 
-// eventKind says what an event is.
 type eventKind uint8
 
 const (
@@ -60,44 +59,44 @@
 
 // event is an entry of the planner's queue. Only the fields of its kind are set.
 type event struct {
-	kind     eventKind
-	exchange *Exchange
-	attempt  *Attempt
-	outcome  dispatcher.Outcome
-	report   *dispatcher.LoadReport
-	result   []byte
-	progress float64
-	ok       bool
-	worker   string
-	listKind dispatcher.UpdateKind
-	entries  []dispatcher.WorkerInfo
-	call     func()
+	kind       eventKind
+	exchange   *Exchange
+	attempt    *Attempt
+	outcome    dispatcher.Outcome
+	report     *dispatcher.LoadReport
+	result     []byte
+	progress   float64
+	ok         bool
+	worker     string
+	updateKind dispatcher.UpdateKind
+	entries    []dispatcher.WorkerInfo
+	call       func()
 }
 
-// NewPlanner returns a Planner. Watch is called when the Dispatcher asks for the list
-// of workers. The error is that of the settings.
-func NewPlanner(set dispatcher.Settings, seed uint64, clock Clock, carrier Carrier, watch func(),
+// NewPlanner returns a Planner. It calls watchWorkers from Run when the Dispatcher requests
+// the list of workers. It returns an error if the settings are invalid.
+func NewPlanner(settings dispatcher.Settings, seed uint64, clock Clock, carrier Carrier, watchWorkers func(),
 	log *slog.Logger) (*Planner, error) {
 	p := &Planner{
-		clock:     clock,
-		carrier:   carrier,
-		watch:     watch,
-		log:       log,
-		settings:  set,
-		seed:      seed,
-		wake:      make(chan struct{}, 1),
-		exchanges: map[string]*Exchange{},
-		workers:   map[string]dispatcher.WorkerInfo{},
-		cordoned:  map[string]bool{},
-		sharing:   sharing{siblings: map[int]*sibling{}},
+		clock:          clock,
+		carrier:        carrier,
+		watchWorkers:   watchWorkers,
+		log:            log,
+		settings:       settings,
+		seed:           seed,
+		wake:           make(chan struct{}, 1),
+		exchanges:      map[string]*Exchange{},
+		workers:        map[string]dispatcher.WorkerInfo{},
+		cordoned:       map[string]bool{},
+		siblingTracker: siblingTracker{siblings: map[int]*sibling{}},
 	}
 	p.queue, p.commands = unbounded.New[event](p.wakeUp), unbounded.New[func()](p.wakeUp)
 	var err error
-	p.dispatcher, err = dispatcher.New(set, seed, p)
+	p.dispatcher, err = dispatcher.New(settings, seed, p)
 	return p, err
 }
 
-// wakeUp has Run look at its queues.
+// wakeUp makes Run check its queues.
 func (p *Planner) wakeUp() {
 	select {
 	case p.wake <- struct{}{}:
@@ -105,41 +104,43 @@
 	}
 }
 
-// SubmitRequest submits an Exchange, which belongs to the Planner from here on.
+// SubmitRequest submits an Exchange. The caller must not access the Exchange afterwards.
 func (p *Planner) SubmitRequest(x *Exchange) { p.queue.Put(event{kind: eventRequest, exchange: x}) }
 
-// ClientDisconnected reports that the client has disconnected: nobody waits for an answer any more.
+// ClientDisconnected reports that the client has disconnected and no longer waits for an
+// answer.
 func (p *Planner) ClientDisconnected(x *Exchange) {
 	p.queue.Put(event{kind: eventClientDisconnected, exchange: x})
 }
 
-// AttemptStarted reports that the worker has begun the attempt.
+// AttemptStarted reports that the worker has started the attempt.
 func (p *Planner) AttemptStarted(a *Attempt) { p.queue.Put(event{kind: eventStarted, attempt: a}) }
 
-// AttemptProgressed reports the share of the job that is done, 0 to 1.
+// AttemptProgressed reports the completed fraction of the job, from 0 to 1.
 func (p *Planner) AttemptProgressed(a *Attempt, share float64) {
 	p.queue.Put(event{kind: eventProgress, attempt: a, progress: share})
 }
 
-// AttemptEnded reports how an attempt ended. Result is the worker's answer if it was served.
+// AttemptEnded reports the outcome of an attempt. Result is the worker's result if the
+// outcome is Served. Report is nil if the worker sent no load report.
 func (p *Planner) AttemptEnded(a *Attempt, o dispatcher.Outcome, result []byte, report *dispatcher.LoadReport) {
 	p.queue.Put(event{kind: eventEnded, attempt: a, outcome: o, result: result, report: report})
 }
 
-// ProbeResult brings the answer to a probe, or nil where none came in time.
+// ProbeResult reports a worker's response to a probe, or nil if there was none in time.
 func (p *Planner) ProbeResult(worker string, report *dispatcher.LoadReport) {
 	p.queue.Put(event{kind: eventProbeResult, worker: worker, report: report})
 }
 
-// WorkersUpdated brings an update of the list of workers. The Planner keeps the entries.
-func (p *Planner) WorkersUpdated(list dispatcher.UpdateKind, entries []dispatcher.WorkerInfo) {
-	p.queue.Put(event{kind: eventWorkersUpdated, listKind: list, entries: entries})
+// WorkersUpdated reports an update of the list of workers. The Planner retains the entries.
+func (p *Planner) WorkersUpdated(kind dispatcher.UpdateKind, entries []dispatcher.WorkerInfo) {
+	p.queue.Put(event{kind: eventWorkersUpdated, updateKind: kind, entries: entries})
 }
 
-// Cordon cordons a worker, or uncordons it if cordon is false, before any event that waits
-// to be read. Done is called with whether the worker is known, from Run.
+// Cordon cordons a worker, or uncordons it if cordon is false, ahead of all queued events.
+// It calls done from Run with whether the worker is known.
 func (p *Planner) Cordon(worker string, cordon bool, done func(known bool)) {
-	p.putCommand(func() {
+	p.enqueueCommand(func() {
 		known := p.dispatcher.Cordon(p.now, worker, cordon)
 		if delete(p.cordoned, worker); known && cordon {
 			p.cordoned[worker] = true
@@ -148,21 +149,21 @@
 	})
 }
 
-// RestoreCordon cordons a worker as it was in an earlier run, also one that no list has named
-// yet.
+// RestoreCordon restores a cordon of an earlier run of the process. The worker need not be
+// in the list of workers yet.
 func (p *Planner) RestoreCordon(worker string) {
-	p.putCommand(func() {
+	p.enqueueCommand(func() {
 		p.cordoned[worker] = true
 		p.dispatcher.RestoreCordon(worker)
 	})
 }
 
-// Ping calls f from Run, which shows that it is alive.
-func (p *Planner) Ping(f func()) { p.putCommand(f) }
+// Ping calls f from Run, which shows that the event loop makes progress.
+func (p *Planner) Ping(f func()) { p.enqueueCommand(f) }
 
-func (p *Planner) putCommand(f func()) { p.commands.Put(f) }
+func (p *Planner) enqueueCommand(f func()) { p.commands.Put(f) }
 
-// runCommands runs the operators' commands.
+// runCommands runs the queued commands of operators.
 func (p *Planner) runCommands() {
 	p.now = p.clock.Now()
 	for _, f := range p.commands.TakeAll() {
@@ -170,13 +171,13 @@
 	}
 }
 
-// CountOpen calls f with the number of exchanges that are not over, once all that was
-// submitted before has been read.
+// CountOpen calls f from Run with the number of open exchanges, after all events that were
+// queued before the call.
 func (p *Planner) CountOpen(f func(int)) {
 	p.enqueueCall(func() { f(len(p.exchanges)) })
 }
 
-// FailOpen answers all open exchanges as failed and calls f with the number of those.
+// FailOpen answers all unanswered exchanges as failed and calls f from Run with their number.
 func (p *Planner) FailOpen(f func(int)) {
 	p.enqueueCall(func() {
 		n := 0
@@ -190,14 +191,14 @@
 	})
 }
 
-// Run handles events until the context ends.
+// Run handles events until the context is done.
 func (p *Planner) Run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		items := p.queue.TakeAll()
 		p.runCommands()
-		p.readPeerLoad()
+		p.applyPeerLoad()
 		for i := range items {
 			if p.commands.HasItems() {
 				p.runCommands()
@@ -206,8 +207,8 @@
 		}
 		p.recoverPanics(p.runTimers)
 		p.publishLoadChanges()
-		p.counters.out(p.log, p.now)
-		wait := p.notifySiblings()
+		p.counters.logIfDue(p.log, p.now)
+		wait := p.sendSiblingUpdates()
 		if len(p.timers) > 0 {
 			wait = min(wait, max(0, p.timers[0].due-p.clock.Now()))
 		}
@@ -220,20 +221,21 @@
 	}
 }
 
-// recoverPanics calls f and keeps the program up if it panics: what is open fails, and
-// a fresh Dispatcher begins with the list as it stands.
+// recoverPanics calls f. If f panics, recoverPanics fails all open exchanges and replaces the
+// Dispatcher by a new one with the current list of workers, so that a fault in the Dispatcher
+// does not end the process.
 func (p *Planner) recoverPanics(f func()) {
 	defer func() {
-		fault := recover()
-		if fault == nil {
+		reason := recover()
+		if reason == nil {
 			return
 		}
-		p.log.Error("decision module panicked, restarting it", "panic", fmt.Sprint(fault),
+		p.log.Error("dispatcher panicked; failing all open jobs and restarting it", "panic", fmt.Sprint(reason),
 			"open", len(p.exchanges), "stack", string(debug.Stack()))
 		for _, x := range p.exchanges {
 			for _, a := range x.attempts {
 				if !a.ended {
-					a.ended, a.neverRan = true, a.awaitsIntent
+					a.ended, a.neverRan = true, a.awaitingIntent
 					p.carrier.Cancel(a)
 					if a.recordNumber != 0 {
 						p.journal.AttemptEnded(a.recordNumber, a.Number, dispatcher.Cancelled, a.neverRan)
@@ -247,7 +249,7 @@
 		p.seed++
 		d, err := dispatcher.New(p.settings, p.seed, p)
 		if err != nil {
-			p.log.Error("decision module did not start", "err", err)
+			p.log.Error("creating a new dispatcher after a panic failed; continuing with the one that panicked", "err", err)
 			return
 		}
 		p.dispatcher = d
@@ -270,7 +272,7 @@
 	case eventRequest:
 		p.submit(e.exchange)
 	case eventClientDisconnected:
-		p.clientDisconnected(e.exchange)
+		p.handleClientDisconnect(e.exchange)
 	case eventIntentRecorded, eventSent, eventStarted, eventProgress:
 		if !e.attempt.ended {
 			p.handleAttemptEvent(e, e.attempt)
@@ -280,7 +282,7 @@
 	case eventProbeResult:
 		p.dispatcher.ProbeResult(p.now, e.worker, e.report)
 	case eventWorkersUpdated:
-		p.updateWorkers(e.listKind, e.entries)
+		p.updateWorkers(e.updateKind, e.entries)
 	case eventCall:
 		e.call()
 	}
@@ -290,7 +292,7 @@
 func (p *Planner) handleAttemptEvent(e *event, a *Attempt) {
 	switch e.kind {
 	case eventIntentRecorded:
-		p.intentRecorded(a, e.ok)
+		p.handleIntentRecorded(a, e.ok)
 	case eventSent:
 		p.journal.AttemptSent(a.recordNumber, a.Number)
 	case eventStarted:
@@ -301,7 +303,7 @@
 		if !a.answered {
 			a.client.Started()
 		}
-		p.loadChanged = true
+		p.siblingUpdateDue = true
 		p.logUnexpected(p.dispatcher.AttemptStarted(p.now, a.ID, a.Number))
 	case eventProgress:
 		if !a.answered {
@@ -311,7 +313,7 @@
 	}
 }
 
-func (p *Planner) clientDisconnected(x *Exchange) {
+func (p *Planner) handleClientDisconnect(x *Exchange) {
 	if x.answered {
 		return
 	}
@@ -320,53 +322,53 @@
 		x.journal.ClientDisconnected(x.recordNumber)
 	}
 	p.dispatcher.ClientDisconnected(p.now, x.ID)
-	p.withdrawUnsent(x)
-	p.forgetIfDone(x)
+	p.cancelUnsent(x)
+	p.removeIfDone(x)
 }
 
-// submit passes a request on to the Dispatcher, or answers it where that is not
-// possible.
+// submit passes a request to the Dispatcher, or answers it if it cannot be accepted.
 func (p *Planner) submit(x *Exchange) {
-	left := x.deadline - p.now
+	timeLeft := x.deadline - p.now
 	if p.exchanges[x.ID] != nil || p.openAtSibling(x.ID) {
 		x.answer(Answer{Kind: Failed, Reason: "request id in use"})
 		return
 	}
-	class := p.classOf(x)
+	class := p.classIndex(x)
 	if class < 0 {
 		x.answer(Answer{Kind: Failed, Reason: "the class is gone"})
 		return
 	}
-	tenant := p.tenantOf(x)
+	tenant := p.tenantIndex(x)
 	if tenant < 0 && len(p.settings.Tenants) > 0 {
 		x.answer(Answer{Kind: Failed, Reason: "the tenant is gone"})
 		return
 	}
 	if !p.registerInJournal(x) {
-		x.answer(Answer{Kind: Rejected, RetryAfter: min(unrecordedRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
+		x.answer(Answer{Kind: Rejected, RetryAfter: min(unrecordableRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
 		return
 	}
 	p.exchanges[x.ID] = x
 	p.announceOpened(x.ID)
 	err := p.dispatcher.SubmitRequest(p.now, dispatcher.Request{ID: x.ID, Class: class, Tenant: tenant, AffinityKey: x.AffinityKey,
-		TimeLeft: left, RuntimeHint: x.RuntimeHint, Slots: x.Slots, ClientRetry: x.ClientRetry})
+		TimeLeft: timeLeft, RuntimeHint: x.RuntimeHint, Slots: x.Slots, ClientRetry: x.ClientRetry})
 	if err != nil {
-		p.log.Error("decision module rejected a request", "err", err)
+		p.log.Error("dispatcher returned an error for a new job; answering the job as failed", "err", err)
 		x.answer(Answer{Kind: Failed, Reason: "internal error"})
 	}
-	p.forgetIfDone(x)
+	p.removeIfDone(x)
 }
 
-// classOf returns the index of a job's class in the settings, or -1. While the job
-// was on its way here the settings may have changed, and its class with them.
-func (p *Planner) classOf(x *Exchange) int {
+// classIndex returns the index of a job's class in the current settings, or -1 if the class
+// has been removed since the job was parsed.
+func (p *Planner) classIndex(x *Exchange) int {
 	return slices.IndexFunc(p.settings.Classes, func(c dispatcher.Class) bool { return x.Class != nil && c.Name == x.Class.Name })
 }
 
-// tenantOf returns the Dispatcher's index of a job's tenant, or -1. The index that the
-// job brings is of the settings by which it was parsed; a job that was taken before
-// its tenant was removed is still served.
-func (p *Planner) tenantOf(x *Exchange) int {
+// tenantIndex returns the Dispatcher's index of a job's tenant, or -1 if there is no such
+// tenant. The tenant is looked up by name if the index in the job, which refers to the
+// settings used for parsing, is no longer valid. A job that was parsed before its tenant was
+// removed is still served.
+func (p *Planner) tenantIndex(x *Exchange) int {
 	if x.Tenant >= 0 && x.Tenant < len(p.settings.Tenants) && p.settings.Tenants[x.Tenant].Name == x.TenantName ||
 		x.Tenant < 0 && len(p.settings.Tenants) == 0 {
 		return x.Tenant
@@ -374,16 +376,17 @@
 	return p.dispatcher.TenantIndex(x.TenantName)
 }
 
-// UpdateSettings takes over new settings, which must not be changed any more. Jobs in flight
+// UpdateSettings replaces the settings, except for those that [dispatcher.Dispatcher.UpdateSettings]
+// leaves unchanged. The caller must not modify the new settings afterwards. Jobs in flight
 // keep their class.
-func (p *Planner) UpdateSettings(set dispatcher.Settings) {
+func (p *Planner) UpdateSettings(settings dispatcher.Settings) {
 	p.enqueueCall(func() {
-		if err := p.dispatcher.UpdateSettings(set); err != nil {
-			p.log.Error("decision module rejected new settings", "err", err)
+		if err := p.dispatcher.UpdateSettings(settings); err != nil {
+			p.log.Error("dispatcher rejected new settings; keeping the current settings", "err", err)
 			return
 		}
-		set.Zone, set.Dispatchers, set.Weights, set.WatchOnDemand = p.settings.Zone, p.settings.Dispatchers, p.settings.Weights, p.settings.WatchOnDemand
-		p.settings = set
+		settings.Zone, settings.Dispatchers, settings.Weights, settings.WatchOnDemand = p.settings.Zone, p.settings.Dispatchers, p.settings.Weights, p.settings.WatchOnDemand
+		p.settings = settings
 	})
 }
 
@@ -393,29 +396,29 @@
 	}
 	a.ended = true
 	p.counters.ended(o)
-	if a.timer.index >= 0 { // it would keep the request's body in memory until the deadline
+	if a.timer.index >= 0 { // a timer left in the heap would keep the request's body in memory until the deadline
 		heap.Remove(&p.timers, a.timer.index)
 	}
-	a.neverRan = a.awaitsIntent || o == dispatcher.ConnectFailed || o == dispatcher.NotSent ||
+	a.neverRan = a.awaitingIntent || o == dispatcher.ConnectFailed || o == dispatcher.NotSent ||
 		o == dispatcher.Rejected && !p.settings.RejectedMayHaveRun
 	if a.recordNumber != 0 {
 		p.journal.AttemptEnded(a.recordNumber, a.Number, o, a.neverRan)
 	}
 	x := a.Exchange
 	x.inFlight--
-	p.loadChanged = true
+	p.siblingUpdateDue = true
 	x.lastOutcome = o
 	if o == dispatcher.Served {
 		x.answer(Answer{Kind: Served, Result: result})
-		p.withdrawUnsent(x)
+		p.cancelUnsent(x)
 	}
 	p.logUnexpected(p.dispatcher.AttemptEnded(p.now, dispatcher.AttemptResult{ID: x.ID, Attempt: a.Number, Outcome: o,
 		Answered: x.answered, Report: report}))
-	p.forgetIfDone(x)
+	p.removeIfDone(x)
 }
 
-func (p *Planner) updateWorkers(list dispatcher.UpdateKind, entries []dispatcher.WorkerInfo) {
-	if list == dispatcher.UpdateFull || list == dispatcher.UpdateStale {
+func (p *Planner) updateWorkers(kind dispatcher.UpdateKind, entries []dispatcher.WorkerInfo) {
+	if kind == dispatcher.UpdateFull || kind == dispatcher.UpdateStale {
 		clear(p.workers)
 	}
 	for _, e := range entries {
@@ -423,26 +426,26 @@
 			delete(p.workers, e.Worker)
 		}
 	}
-	p.dispatcher.WorkersUpdated(p.now, list, entries)
+	p.dispatcher.WorkersUpdated(p.now, kind, entries)
 }
 
-// forgetIfDone forgets an exchange that is answered and has no attempt in flight.
-func (p *Planner) forgetIfDone(x *Exchange) {
+// removeIfDone removes an exchange that is answered and has no attempt in flight.
+func (p *Planner) removeIfDone(x *Exchange) {
 	if x.answered && x.inFlight == 0 && p.exchanges[x.ID] == x {
 		delete(p.exchanges, x.ID)
 		p.announceEnded(x.ID)
 	}
 }
 
-// logUnexpected logs an error of the Dispatcher, unless it is about a request or an
-// attempt that has ended meanwhile.
+// logUnexpected logs an error returned by the Dispatcher for an event of an attempt, unless it
+// only says that the request or the attempt has ended in the meantime.
 func (p *Planner) logUnexpected(err error) {
 	if err != nil && !errors.Is(err, dispatcher.ErrUnknownRequest) && !errors.Is(err, dispatcher.ErrUnknownAttempt) {
-		p.log.Error("decision module rejected an event", "err", err)
+		p.log.Error("dispatcher returned an error for an event of an attempt; ignoring the event", "err", err)
 	}
 }
 
-// runTimers runs the timers that are due.
+// runTimers fires the timers that are due.
 func (p *Planner) runTimers() {
 	p.now = p.clock.Now()
 	for len(p.timers) > 0 && p.timers[0].due <= p.now {
@@ -451,8 +454,8 @@
 		case t.attempt == nil:
 			p.dispatcher.TimerFired(p.now, t.token)
 		case t.attempt.ended:
-		case t.attempt.awaitsIntent:
-			p.rejectUnrecorded(t.attempt)
+		case t.attempt.awaitingIntent:
+			p.rejectUnrecordable(t.attempt)
 		default:
 			p.carrier.Cancel(t.attempt)
 			p.endAttempt(t.attempt, dispatcher.TimedOut, nil, nil)
--- a/internal/dispatch/planner_host.go
+++ b/internal/dispatch/planner_host.go
@@ -21,9 +21,9 @@
 	p.counters.sent(a, p.now)
 	x.attempts = append(x.attempts, a)
 	x.inFlight++
-	p.loadChanged = true
+	p.siblingUpdateDue = true
 	a.timer = &timer{due: a.Deadline, attempt: a}
-	p.setTimer(a.timer)
+	p.pushTimer(a.timer)
 	p.sendAttempt(a)
 }
 
@@ -32,8 +32,8 @@
 	if x := p.exchanges[id]; x != nil {
 		p.counters.reject()
 		x.answer(Answer{Kind: Rejected, RetryAfter: after, Reason: "cannot be in time"})
-		p.withdrawUnsent(x)
-		p.forgetIfDone(x)
+		p.cancelUnsent(x)
+		p.removeIfDone(x)
 	}
 }
 
@@ -42,19 +42,20 @@
 	if x := p.exchanges[id]; x != nil {
 		p.counters.fail()
 		x.answer(Answer{Kind: Failed, Reason: x.failureReason(), MayHaveRun: x.mayHaveRun()})
-		p.withdrawUnsent(x)
-		p.forgetIfDone(x)
+		p.cancelUnsent(x)
+		p.removeIfDone(x)
 	}
 }
 
-// withdrawUnsent withdraws the attempts of an exchange that is answered, or whose
-// client has disconnected, while they are being dialled or wait to be recorded. That
-// is allowed also where the Dispatcher may not cancel attempts.
-func (p *Planner) withdrawUnsent(x *Exchange) {
+// cancelUnsent ends the attempts of an exchange that have not been sent: those whose
+// connection is still being established and those whose intent is not durable. It is called
+// once the exchange is answered or its client has disconnected. It does not depend on the
+// setting AllowCancel, since the worker has not seen these attempts.
+func (p *Planner) cancelUnsent(x *Exchange) {
 	for _, a := range x.attempts {
 		switch {
 		case a.ended:
-		case a.awaitsIntent:
+		case a.awaitingIntent:
 			p.AttemptEnded(a, dispatcher.NotSent, nil, nil)
 		default:
 			p.carrier.CancelUnsent(a)
@@ -69,7 +70,7 @@
 		return
 	}
 	p.counters.cancel()
-	if a := x.attempts[attempt]; a.awaitsIntent { // the carrier does not have it
+	if a := x.attempts[attempt]; a.awaitingIntent { // the carrier does not have the attempt yet
 		p.AttemptEnded(a, dispatcher.NotSent, nil, nil)
 	} else {
 		p.carrier.Cancel(a)
@@ -78,7 +79,7 @@
 
 // SetTimer implements [dispatcher.Host].
 func (p *Planner) SetTimer(after time.Duration, token uint64) {
-	p.setTimer(&timer{due: p.now + after, token: token})
+	p.pushTimer(&timer{due: p.now + after, token: token})
 }
 
 // Probe implements [dispatcher.Host].
@@ -88,18 +89,18 @@
 func (p *Planner) CloseIdleConnections(worker string) { p.carrier.CloseIdleConnections(worker) }
 
 // WatchWorkers implements [dispatcher.Host].
-func (p *Planner) WatchWorkers() { p.watch() }
+func (p *Planner) WatchWorkers() { p.watchWorkers() }
 
 // Log implements [dispatcher.Host].
 func (p *Planner) Log(text string) { p.log.Warn(text) }
 
-// dedupWindowMargin is kept of the window in which workers drop repeats, for the time
-// that an attempt takes to reach them.
+// dedupWindowMargin is subtracted from a class's DedupWindow to allow for the time that an
+// attempt takes to reach the worker.
 const dedupWindowMargin = 10 * time.Millisecond
 
-// retryExpiry returns until when a retry may be sent, or 0 for no bound: the end of the
-// window in which workers drop repeats, counted from the first attempt that may have
-// run.
+// retryExpiry returns the time on the Clock from which a retry must not be sent, or 0 if
+// there is no such time. It is the end of the class's DedupWindow, in which workers discard
+// duplicates, counted from the first attempt that may have run.
 func (x *Exchange) retryExpiry() time.Duration {
 	if x.Class.Idempotency != dispatcher.IdempotentByKey {
 		return 0
@@ -112,7 +113,7 @@
 	return 0
 }
 
-// failureReason says, for a person, why the exchange failed.
+// failureReason returns the human-readable reason of a failed exchange.
 func (x *Exchange) failureReason() string {
 	if x.inFlight > 0 {
 		return "no answer in time"
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -17,35 +17,35 @@
 	"sedgevale/internal/testkit"
 )
 
-// carrier records the attempts that it is given.
-type carrier struct {
-	sent      chan *Attempt
-	cancelled chan *Attempt
-	withdrawn chan *Attempt // nil: not looked at
+// fakeCarrier is a Carrier that passes the attempts it is called with to channels.
+type fakeCarrier struct {
+	sent            chan *Attempt
+	cancelled       chan *Attempt
+	cancelledUnsent chan *Attempt // nil if the test ignores CancelUnsent
 }
 
-func (c *carrier) Send(a *Attempt)   { c.sent <- a }
-func (c *carrier) Cancel(a *Attempt) { c.cancelled <- a }
-func (c *carrier) CancelUnsent(a *Attempt) {
-	if c.withdrawn != nil {
-		c.withdrawn <- a
+func (c *fakeCarrier) Send(a *Attempt)   { c.sent <- a }
+func (c *fakeCarrier) Cancel(a *Attempt) { c.cancelled <- a }
+func (c *fakeCarrier) CancelUnsent(a *Attempt) {
+	if c.cancelledUnsent != nil {
+		c.cancelledUnsent <- a
 	}
 }
-func (c *carrier) Probe(string, *Planner)      {}
-func (c *carrier) CloseIdleConnections(string) {}
+func (c *fakeCarrier) Probe(string, *Planner)      {}
+func (c *fakeCarrier) CloseIdleConnections(string) {}
 
-// client records its answers.
-type client struct {
+// fakeClient is a Client that records its answers.
+type fakeClient struct {
 	mu      sync.Mutex
 	answers []Answer
-	first   chan Answer
+	first   chan Answer // receives the first answer
 }
 
-func newClient() *client             { return &client{first: make(chan Answer, 1)} }
-func (c *client) Started()           {}
-func (c *client) Progress(_ float64) {}
+func newClient() *fakeClient             { return &fakeClient{first: make(chan Answer, 1)} }
+func (c *fakeClient) Started()           {}
+func (c *fakeClient) Progress(_ float64) {}
 
-func (c *client) Answer(a Answer) {
+func (c *fakeClient) Answer(a Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.answers = append(c.answers, a); len(c.answers) == 1 {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (c *client) count() int {
+func (c *fakeClient) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.answers)
@@ -66,10 +66,10 @@
 	}
 }
 
-// begin runs a planner with so many workers until the test ends.
-func begin(t *testing.T, workers ...string) (*Planner, *carrier, Clock) {
+// startPlanner runs a planner with the given workers until the test ends.
+func startPlanner(t *testing.T, workers ...string) (*Planner, *fakeCarrier, Clock) {
 	t.Helper()
-	c := &carrier{sent: make(chan *Attempt, 16), cancelled: make(chan *Attempt, 16)}
+	c := &fakeCarrier{sent: make(chan *Attempt, 16), cancelled: make(chan *Attempt, 16)}
 	clock := NewClock()
 	p, err := NewPlanner(dispatcher.Settings{Classes: classes(), MaxAttempts: 3, AllowCancel: true}, 1, clock, c,
 		func() {}, slog.New(slog.DiscardHandler))
@@ -88,136 +88,138 @@
 	return p, c, clock
 }
 
-func openNow(t *testing.T, p *Planner) int {
+// countOpen returns the number of open exchanges once the planner has handled all queued
+// events.
+func countOpen(t *testing.T, p *Planner) int {
 	t.Helper()
 	n := make(chan int, 1)
 	p.CountOpen(func(open int) { n <- open })
-	return testkit.Await(t, "an event", n)
+	return testkit.Await(t, "the number of open exchanges", n)
 }
 
-// Guards against exchanges that are kept when a timer of the module
-// ends them: the program waited for them for ever after SIGTERM.
-func TestRejectedByTimerIsForgotten(t *testing.T) {
-	p, _, clock := begin(t)
+// Guards against exchanges that stay open after a timer of the dispatcher has ended them: the
+// process then waited for them forever after SIGTERM.
+func TestJobRejectedByTimerIsRemoved(t *testing.T) {
+	p, _, clock := startPlanner(t)
 	c := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+200*time.Millisecond, c))
-	if a := testkit.Await(t, "an event", c.first); a.Kind != Rejected {
-		t.Errorf("answered %v without any worker", a)
+	if a := testkit.Await(t, "the answer", c.first); a.Kind != Rejected {
+		t.Errorf("answer %v without any worker, want Rejected", a)
 	}
-	if n := openNow(t, p); n != 0 {
-		t.Errorf("%d exchanges still open", n)
+	if n := countOpen(t, p); n != 0 {
+		t.Errorf("%d exchanges open, want 0", n)
 	}
 }
 
-// Guards against a job without an answer when the worker sends nothing, and
-// against a second answer when it sends one later.
-func TestSilentWorkerFailsAtTheDeadlineOnce(t *testing.T) {
-	p, carry, clock := begin(t, "w")
+// Guards against a missing answer when the worker does not respond, and against a second answer
+// when it responds after the deadline.
+func TestUnresponsiveWorkerFailsJobOnceAtDeadline(t *testing.T) {
+	p, carrier, clock := startPlanner(t, "w")
 	c := newClient()
 	deadline := clock.Now() + 300*time.Millisecond
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, deadline, c))
-	a := testkit.Await(t, "an event", carry.sent)
-	got := testkit.Await(t, "an event", c.first)
+	a := testkit.Await(t, "an attempt", carrier.sent)
+	got := testkit.Await(t, "the answer", c.first)
 	if late := clock.Now() - deadline; got.Kind != Failed || !got.MayHaveRun || late > 200*time.Millisecond || late < 0 {
-		t.Errorf("answered %+v, %v after the deadline", got, late)
+		t.Errorf("answer %+v, %v after the deadline; want Failed with MayHaveRun within 200ms", got, late)
 	}
-	if testkit.Await(t, "an event", carry.cancelled) != a {
-		t.Error("another attempt was called off")
+	if testkit.Await(t, "the cancellation", carrier.cancelled) != a {
+		t.Error("another attempt was cancelled")
 	}
 	p.AttemptEnded(a, dispatcher.Served, []byte("late"), nil)
-	if n := openNow(t, p); n != 0 || c.count() != 1 {
-		t.Errorf("%d exchanges open, %d answers", n, c.count())
+	if n := countOpen(t, p); n != 0 || c.count() != 1 {
+		t.Errorf("%d exchanges open and %d answers, want 0 and 1", n, c.count())
 	}
 }
 
-// Guards against a job that is not idempotent and is retried after it may have run, and
-// against a rejection, which would invite the client to send it again.
-func TestUnsafeJobIsNotRepeated(t *testing.T) {
-	p, carry, clock := begin(t, "v", "w")
+// Guards against the retry of a job that is not idempotent and may have run, and against its
+// rejection, after which the client would retry it.
+func TestNonIdempotentJobIsNotRetried(t *testing.T) {
+	p, carrier, clock := startPlanner(t, "v", "w")
 	c := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
-	p.AttemptEnded(testkit.Await(t, "an event", carry.sent), dispatcher.ConnectionLost, nil, nil)
-	if got := testkit.Await(t, "an event", c.first); got.Kind != Failed || !got.MayHaveRun {
-		t.Errorf("answered %+v", got)
+	p.AttemptEnded(testkit.Await(t, "an attempt", carrier.sent), dispatcher.ConnectionLost, nil, nil)
+	if got := testkit.Await(t, "the answer", c.first); got.Kind != Failed || !got.MayHaveRun {
+		t.Errorf("answer %+v, want Failed with MayHaveRun", got)
 	}
-	openNow(t, p)
-	if len(carry.sent) > 0 {
-		t.Error("sent again")
+	countOpen(t, p)
+	if len(carrier.sent) > 0 {
+		t.Error("the job was retried")
 	}
 }
 
-// Guards against a send that was delayed until its worker began to drain being
-// counted as a failure: it never ran, so another worker gets it.
-func TestNotSentIsRetriedElsewhere(t *testing.T) {
-	p, carry, clock := begin(t, "v", "w")
+// Guards against the failure of a job whose attempt was delayed until its worker started to
+// drain: the attempt was not sent, so the job is retried on another worker.
+func TestUnsentAttemptIsRetriedOnAnotherWorker(t *testing.T) {
+	p, carrier, clock := startPlanner(t, "v", "w")
 	c := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
-	first := testkit.Await(t, "an event", carry.sent)
+	first := testkit.Await(t, "an attempt", carrier.sent)
 	p.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Worker: first.Worker, State: dispatcher.Draining}})
 	p.AttemptEnded(first, dispatcher.NotSent, nil, nil)
-	second := testkit.Await(t, "an event", carry.sent)
+	second := testkit.Await(t, "an attempt", carrier.sent)
 	if second.Worker == first.Worker {
-		t.Error("sent to the worker that drains")
+		t.Error("the job was retried on the draining worker")
 	}
 	p.AttemptEnded(second, dispatcher.Served, []byte("ok"), nil)
-	if got := testkit.Await(t, "an event", c.first); got.Kind != Served || string(got.Result) != "ok" {
-		t.Errorf("answered %+v", got)
+	if got := testkit.Await(t, "the answer", c.first); got.Kind != Served || string(got.Result) != "ok" {
+		t.Errorf("answer %+v, want Served with result ok", got)
 	}
 }
 
-// Guards against one fault in the decisions taking the program down with all
-// that it holds.
-func TestPanicFailsWhatIsOpenAndGoesOn(t *testing.T) {
-	p, carry, clock := begin(t, "w")
+// Guards against a panic of the dispatcher that ends the process.
+func TestPanicFailsOpenJobsAndRestartsDispatcher(t *testing.T) {
+	p, carrier, clock := startPlanner(t, "w")
 	c := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c))
-	testkit.Await(t, "an event", carry.sent)
-	p.queue.Put(event{kind: eventCall, call: func() { panic("fault") }})
-	if got := testkit.Await(t, "an event", c.first); got.Kind != Failed {
-		t.Errorf("answered %+v", got)
+	testkit.Await(t, "an attempt", carrier.sent)
+	p.queue.Put(event{kind: eventCall, call: func() { panic("injected fault") }})
+	if got := testkit.Await(t, "the answer", c.first); got.Kind != Failed {
+		t.Errorf("answer to the open job %+v, want Failed", got)
 	}
-	again := newClient()
-	p.SubmitRequest(NewExchange(Job{ID: "s", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, again))
-	p.AttemptEnded(testkit.Await(t, "an event", carry.sent), dispatcher.Served, nil, nil)
-	if got := testkit.Await(t, "an event", again.first); got.Kind != Served {
-		t.Errorf("answered %+v", got)
+	second := newClient()
+	p.SubmitRequest(NewExchange(Job{ID: "s", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, second))
+	p.AttemptEnded(testkit.Await(t, "an attempt", carrier.sent), dispatcher.Served, nil, nil)
+	if got := testkit.Await(t, "the answer", second.first); got.Kind != Served {
+		t.Errorf("answer to a job after the panic %+v, want Served", got)
 	}
 }
 
-// Guards against jobs that are lost when the program ends: each client that still waits
-// is answered, once.
+// Guards against open jobs that get no answer when the process ends: FailOpen answers each
+// client once.
 func TestFailOpen(t *testing.T) {
-	p, carry, clock := begin(t, "w")
+	p, carrier, clock := startPlanner(t, "w")
 	c := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
-	testkit.Await(t, "an event", carry.sent)
+	testkit.Await(t, "an attempt", carrier.sent)
 	for _, want := range []int{1, 0} {
 		counted := make(chan int, 1)
 		p.FailOpen(func(n int) { counted <- n })
 		if n := testkit.Await(t, "the count", counted); n != want {
-			t.Errorf("%d abandoned, want %d", n, want)
+			t.Errorf("FailOpen answered %d jobs, want %d", n, want)
 		}
 	}
-	if got := testkit.Await(t, "an event", c.first); got.Kind != Failed || !got.MayHaveRun || c.count() != 1 {
-		t.Errorf("answered %+v, %d times", got, c.count())
+	if got := testkit.Await(t, "the answer", c.first); got.Kind != Failed || !got.MayHaveRun || c.count() != 1 {
+		t.Errorf("answer %+v, %d times; want Failed with MayHaveRun, once", got, c.count())
 	}
 }
 
-// A start before the program's own is a time of its own; only 0 is long ago.
-func TestClockMapsStarts(t *testing.T) {
+// Tests that a worker's start time before the start of this process converts to a distinct time
+// on the Clock, and that only times long before convert to 0.
+func TestFromUnixMilli(t *testing.T) {
 	c := NewClock()
 	start := time.Now().Add(-10 * time.Second)
 	got := c.FromUnixMilli(start.UnixMilli())
 	if want := c.Now() - 10*time.Second; got < want-time.Second || got > want+time.Second {
-		t.Errorf("a start 10 s ago is at %v, now is %v", got, c.Now())
+		t.Errorf("10 s ago converts to %v, now is %v", got, c.Now())
 	}
 	if c.FromUnixMilli(0) != 0 || c.FromUnixMilli(1) != 0 {
-		t.Error("long ago is not 0")
+		t.Error("0 ms and 1 ms do not convert to 0")
 	}
 }
 
-// sourcesOf parses the files of a package in a folder, as far as their imports.
-func sourcesOf(t *testing.T, dir, name string) map[string]*ast.File {
+// parseImports parses the imports of the files of a package in a directory.
+func parseImports(t *testing.T, dir, name string) map[string]*ast.File {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
@@ -239,12 +241,13 @@
 	return files
 }
 
-// Client side and server side meet only in an Exchange.
-func TestSidesAreApart(t *testing.T) {
+// Tests that the packages of the client side and those of the worker side do not import each
+// other: an Exchange is their only connection.
+func TestClientSideAndWorkerSideAreIndependent(t *testing.T) {
 	sides := [][]string{{"httpd", "platformapi", "sse", "jobrequest"}, {"upstream", "discovery"}}
 	for i, side := range sides {
 		for _, name := range side {
-			for file, f := range sourcesOf(t, "../"+name, name) {
+			for file, f := range parseImports(t, "../"+name, name) {
 				for _, imported := range f.Imports {
 					for _, other := range sides[1-i] {
 						if strings.HasSuffix(strings.Trim(imported.Path.Value, `"`), "/internal/"+other) {
@@ -257,92 +260,92 @@
 	}
 }
 
-// Package dispatch deals in requests, attempts and outcomes, and knows no protocol.
-func TestDispatchKnowsNoProtocol(t *testing.T) {
+// Tests that package dispatch does not depend on a wire protocol.
+func TestNoProtocolImports(t *testing.T) {
 	files := 0
-	for name, f := range sourcesOf(t, ".", "dispatch") {
+	for name, f := range parseImports(t, ".", "dispatch") {
 		files++
-		for _, i := range f.Imports {
-			for _, wire := range []string{"net", "gnet", "http", "httpd", "http1", "sse", "json", "upstream"} {
-				path := strings.Trim(i.Path.Value, `"`)
-				if path == wire || strings.HasSuffix(path, "/"+wire) || strings.HasPrefix(path, wire+"/") {
+		for _, imported := range f.Imports {
+			for _, protocol := range []string{"net", "gnet", "http", "httpd", "http1", "sse", "json", "upstream"} {
+				path := strings.Trim(imported.Path.Value, `"`)
+				if path == protocol || strings.HasSuffix(path, "/"+protocol) || strings.HasPrefix(path, protocol+"/") {
 					t.Errorf("%s imports %s", name, path)
 				}
 			}
 		}
 	}
 	if files < 3 {
-		t.Errorf("only %d files seen", files)
+		t.Errorf("%d files parsed, want at least 3", files)
 	}
 }
 
-// Guards against operators who wait behind clients: an order is carried out before
-// events that came earlier.
-func TestCommandsComeFirst(t *testing.T) {
-	p, _, _ := begin(t, "w")
-	openNow(t, p) // the list has been read
-	hold, known := make(chan struct{}), make(chan bool, 1)
-	p.queue.Put(event{kind: eventCall, call: func() { <-hold }})
-	events := make(chan string, 200)
+// Guards against operators' commands that are delayed by clients' events: a command runs before
+// events that were queued earlier.
+func TestCommandsPrecedeQueuedEvents(t *testing.T) {
+	p, _, _ := startPlanner(t, "w")
+	countOpen(t, p) // waits until the planner has handled the list of workers
+	unblock, known := make(chan struct{}), make(chan bool, 1)
+	p.queue.Put(event{kind: eventCall, call: func() { <-unblock }})
+	executed := make(chan string, 200)
 	for range 100 {
-		p.queue.Put(event{kind: eventCall, call: func() { events <- "client" }})
+		p.queue.Put(event{kind: eventCall, call: func() { executed <- "event" }})
 	}
-	p.Cordon("w", true, func(is bool) { events <- "order"; known <- is })
-	close(hold)
-	if !testkit.Await(t, "the order", known) {
+	p.Cordon("w", true, func(isKnown bool) { executed <- "command"; known <- isKnown })
+	close(unblock)
+	if !testkit.Await(t, "the cordon", known) {
 		t.Error("the worker is not known")
 	}
-	if first := <-events; first != "order" {
-		t.Error("the order waited behind a client's event")
+	if first := <-executed; first != "command" {
+		t.Error("the command ran after a queued event")
 	}
 }
 
-// Guards against a cordon that a panic of the module undoes.
-func TestCordonOutlivesPanic(t *testing.T) {
-	p, carry, clock := begin(t, "w", "v")
-	openNow(t, p)
+// Guards against a cordon that is lost when the dispatcher panics.
+func TestCordonSurvivesPanic(t *testing.T) {
+	p, carrier, clock := startPlanner(t, "w", "v")
+	countOpen(t, p)
 	done := make(chan bool, 1)
-	p.Cordon("w", true, func(is bool) { done <- is })
-	testkit.Await(t, "the order", done)
-	p.queue.Put(event{kind: eventCall, call: func() { panic("fault") }})
+	p.Cordon("w", true, func(isKnown bool) { done <- isKnown })
+	testkit.Await(t, "the cordon", done)
+	p.queue.Put(event{kind: eventCall, call: func() { panic("injected fault") }})
 	for i := range 6 {
 		p.SubmitRequest(NewExchange(Job{ID: string(rune('a' + i)), Class: &classes()[0], Tenant: -1}, clock.Now()+time.Second, newClient()))
-		a := testkit.Await(t, "an attempt", carry.sent)
+		a := testkit.Await(t, "an attempt", carrier.sent)
 		if a.Worker != "v" {
-			t.Fatalf("an attempt went to %s", a.Worker)
+			t.Fatalf("an attempt was sent to %s, want v", a.Worker)
 		}
 		p.AttemptStarted(a)
 		p.AttemptEnded(a, dispatcher.Served, nil, nil)
 	}
 }
 
-// Guards against a job that runs in both processes of an upgrade, and against ids
-// that stay taken when the other has ended it, or has ended itself.
-func TestIDsOfTheSibling(t *testing.T) {
-	p, carry, clock := begin(t, "w", "v")
+// Guards against a job that runs in both processes of an upgrade, and against IDs that stay in
+// use after the other process has ended the job or has itself ended.
+func TestSiblingsShareOpenJobIDs(t *testing.T) {
+	p, carrier, clock := startPlanner(t, "w", "v")
 	updates := make(chan SiblingState, 16)
 	handedOver := make(chan HandoverState, 1)
-	mine := newClient()
-	p.SubmitRequest(NewExchange(Job{ID: "mine", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, mine))
-	first := testkit.Await(t, "an attempt", carry.sent)
-	p.AddSibling(1, func(s SiblingState) { updates <- s }, func(e HandoverState) { handedOver <- e })
-	if e := testkit.Await(t, "the state that is handed over", handedOver); len(e.Shared.Opened) != 1 || e.Shared.Opened[0] != "mine" ||
-		e.Shared.Loads[first.Worker].InFlight != 1 {
-		t.Errorf("handed over %+v", e.Shared)
+	local := newClient()
+	p.SubmitRequest(NewExchange(Job{ID: "local", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, local))
+	first := testkit.Await(t, "an attempt", carrier.sent)
+	p.AddSibling(1, func(s SiblingState) { updates <- s }, func(state HandoverState) { handedOver <- state })
+	if state := testkit.Await(t, "the handover", handedOver); len(state.Shared.Opened) != 1 || state.Shared.Opened[0] != "local" ||
+		state.Shared.Loads[first.Worker].InFlight != 1 {
+		t.Errorf("state handed over: %+v, want job local and a load of 1 at %s", state.Shared, first.Worker)
 	}
 	p.UpdateSibling(1, 0, SiblingState{Opened: []string{"a", "b", "c"}})
 	p.UpdateSibling(1, 0, SiblingState{Ended: []string{"b"}})
-	ask := func(id string) *client {
+	submit := func(id string) *fakeClient {
 		c := newClient()
 		p.SubmitRequest(NewExchange(Job{ID: id, Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c))
 		return c
 	}
-	if a := testkit.Await(t, "the answer", ask("a").first); a.Kind != Failed || a.MayHaveRun {
-		t.Errorf("a job that is open elsewhere: %+v", a)
+	if a := testkit.Await(t, "the answer", submit("a").first); a.Kind != Failed || a.MayHaveRun {
+		t.Errorf("answer to a job that is open at the sibling: %+v, want Failed without MayHaveRun", a)
 	}
-	ask("b")
-	if a := testkit.Await(t, "an attempt", carry.sent); a.ID != "b" {
-		t.Errorf("%s was sent", a.ID)
+	submit("b")
+	if a := testkit.Await(t, "an attempt", carrier.sent); a.ID != "b" {
+		t.Errorf("job %s was sent, want b", a.ID)
 	}
 	for opened := false; !opened; {
 		s := testkit.Await(t, "the sibling's update", updates)
@@ -351,77 +354,79 @@
 	p.AttemptEnded(first, dispatcher.Served, nil, nil)
 	for ended := false; !ended; {
 		s := testkit.Await(t, "the sibling's update", updates)
-		ended = len(s.Ended) > 0 && s.Ended[0] == "mine" && s.Loads[first.Worker].InFlight == 0
+		ended = len(s.Ended) > 0 && s.Ended[0] == "local" && s.Loads[first.Worker].InFlight == 0
 	}
 	p.RemoveSibling(1)
-	ask("c")
-	if a := testkit.Await(t, "an attempt", carry.sent); a.ID != "c" {
-		t.Errorf("%s was sent", a.ID)
+	submit("c")
+	if a := testkit.Await(t, "an attempt", carrier.sent); a.ID != "c" {
+		t.Errorf("job %s was sent, want c", a.ID)
 	}
 }
 
-// Guards against a job under way that gets another class, by an index into the new
-// list: it is repeated by the class that it came with.
-func TestUpdateSettingsKeepsTheClassOfJobs(t *testing.T) {
-	p, carry, clock := begin(t, "w", "v")
+// Guards against a job in flight that gets another class through its index into the new list of
+// classes: its retries follow the class with which it was submitted.
+func TestUpdateSettingsKeepsClassOfJobs(t *testing.T) {
+	p, carrier, clock := startPlanner(t, "w", "v")
 	once, free := newClient(), newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "once", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, once))
-	first := testkit.Await(t, "an attempt", carry.sent)
+	first := testkit.Await(t, "an attempt", carrier.sent)
 	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, free))
-	second := testkit.Await(t, "an attempt", carry.sent)
+	second := testkit.Await(t, "an attempt", carrier.sent)
 	swapped := []dispatcher.Class{classes()[1], classes()[0], {Name: "new", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second}}
-	p.UpdateSettings(dispatcher.Settings{Classes: swapped[1:], MaxAttempts: 3, AllowCancel: true}) // once is gone
+	p.UpdateSettings(dispatcher.Settings{Classes: swapped[1:], MaxAttempts: 3, AllowCancel: true}) // removes the class once
 	p.AttemptEnded(first, dispatcher.ConnectionLost, nil, nil)
 	if a := testkit.Await(t, "the answer", once.first); a.Kind != Failed {
-		t.Errorf("what must not run twice: %+v", a)
+		t.Errorf("answer to the job that is not idempotent: %+v, want Failed", a)
 	}
 	p.AttemptEnded(second, dispatcher.ConnectionLost, nil, nil)
-	if a := testkit.Await(t, "another attempt", carry.sent); a.ID != "free" {
-		t.Errorf("sent again was %s", a.ID)
+	if a := testkit.Await(t, "another attempt", carrier.sent); a.ID != "free" {
+		t.Errorf("job %s was retried, want free", a.ID)
 	}
-	gone, added := newClient(), newClient()
-	p.SubmitRequest(NewExchange(Job{ID: "late", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, gone))
-	if a := testkit.Await(t, "the answer", gone.first); a.Kind != Failed || a.MayHaveRun {
-		t.Errorf("a class that is gone: %+v", a)
+	removed, added := newClient(), newClient()
+	p.SubmitRequest(NewExchange(Job{ID: "late", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, removed))
+	if a := testkit.Await(t, "the answer", removed.first); a.Kind != Failed || a.MayHaveRun {
+		t.Errorf("answer to a job of a removed class: %+v, want Failed without MayHaveRun", a)
 	}
 	p.SubmitRequest(NewExchange(Job{ID: "new", Class: &swapped[2], Tenant: -1}, clock.Now()+300*time.Millisecond, added))
-	if a := testkit.Await(t, "the answer or none", added.first); a.Reason == "the class is gone" {
-		t.Errorf("a new class: %+v", a)
+	if a := testkit.Await(t, "the answer", added.first); a.Reason == "the class is gone" {
+		t.Errorf("answer to a job of a new class: %+v", a)
 	}
 }
 
-// Guards a job that crosses a change of tenants: it stays its own tenant's, whatever index that had when it was parsed;
-// one that was submitted before its tenant was removed is admitted, and one of a tenant that was never there is not.
-func TestUpdateSettingsKeepsTheTenantOfJobs(t *testing.T) {
-	p, carry, clock := begin(t, "w", "v")
-	tenants := func(names string) {
-		set := dispatcher.Settings{Classes: classes(), MaxAttempts: 3, AllowCancel: true}
+// Guards against a job that is assigned to another tenant when the tenants change after it was
+// parsed: the job keeps its tenant although the tenant's index changes. A job that was parsed
+// before its tenant was removed is served; a job of a tenant that never existed is not.
+func TestUpdateSettingsKeepsTenantOfJobs(t *testing.T) {
+	p, carrier, clock := startPlanner(t, "w", "v")
+	setTenants := func(names string) {
+		settings := dispatcher.Settings{Classes: classes(), MaxAttempts: 3, AllowCancel: true}
 		for _, n := range names {
-			set.Tenants = append(set.Tenants, dispatcher.Tenant{Name: string(n), Share: 1})
+			settings.Tenants = append(settings.Tenants, dispatcher.Tenant{Name: string(n), Share: 1})
 		}
-		p.UpdateSettings(set)
+		p.UpdateSettings(settings)
 	}
 	for i, c := range []struct {
-		retune, name string
-		number       int
-		sent         bool
+		tenants string // one letter each; the settings when the job is submitted
+		name    string // tenant of the job
+		index   int    // its index when the job was parsed
+		sent    bool
 	}{
 		{"ab", "a", 0, true}, {"ba", "a", 0, true}, {"b", "a", 1, true}, {"cb", "a", 0, true},
 		{"b", "x", 0, false}, {"", "b", 0, true}, {"a", "", -1, true},
 	} {
-		tenants(c.retune)
-		got := newClient()
+		setTenants(c.tenants)
+		client := newClient()
 		id := fmt.Sprint("job-", i)
-		p.SubmitRequest(NewExchange(Job{ID: id, Class: &classes()[0], Tenant: c.number, TenantName: c.name}, clock.Now()+5*time.Second, got))
+		p.SubmitRequest(NewExchange(Job{ID: id, Class: &classes()[0], Tenant: c.index, TenantName: c.name}, clock.Now()+5*time.Second, client))
 		if !c.sent {
-			if a := testkit.Await(t, "the answer", got.first); a.Kind != Failed || a.MayHaveRun || a.Reason != "the tenant is gone" {
-				t.Errorf("%+v: %+v", c, a)
+			if a := testkit.Await(t, "the answer", client.first); a.Kind != Failed || a.MayHaveRun || a.Reason != "the tenant is gone" {
+				t.Errorf("%+v: answer %+v, want Failed because the tenant is gone", c, a)
 			}
 			continue
 		}
-		a := testkit.Await(t, "an attempt", carry.sent)
+		a := testkit.Await(t, "an attempt", carrier.sent)
 		if a.ID != id {
-			t.Errorf("%+v: %s was sent", c, a.ID)
+			t.Errorf("%+v: job %s was sent, want %s", c, a.ID, id)
 		}
 		p.AttemptEnded(a, dispatcher.Served, nil, nil)
 	}
--- a/internal/dispatch/planner_timers.go
+++ b/internal/dispatch/planner_timers.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// timer is a timer of the Dispatcher, or the time-out of an attempt.
+// timer is a timer of the Dispatcher or the timeout of an attempt.
 type timer struct {
-	due     time.Duration
-	serial  uint64
-	token   uint64   // of the Dispatcher
-	attempt *Attempt // whose time-out it is; nil: the timer is the Dispatcher's
-	index   int      // in the heap; -1: not in it
+	due     time.Duration // time on the Clock
+	serial  uint64        // position in the order in which timers were set
+	token   uint64        // argument of TimerFired, for a timer of the Dispatcher
+	attempt *Attempt      // nil for a timer of the Dispatcher
+	index   int           // index in the heap; -1 once removed
 }
 
-func (p *Planner) setTimer(t *timer) {
-	p.lastTimer++
-	t.serial = p.lastTimer
+func (p *Planner) pushTimer(t *timer) {
+	p.lastTimerSerial++
+	t.serial = p.lastTimerSerial
 	heap.Push(&p.timers, t)
 }
 
-// timers is a heap. Of those due at the same time the time-outs of attempts come
-// first, since the Dispatcher does not know of them yet; its own timers come in the
-// order in which they were set.
-type timers []*timer
+// timerHeap implements [heap.Interface], ordered by due time. Among timers that are due at
+// the same time, timeouts of attempts come first, so that the Dispatcher learns of them
+// before its own timers fire; the remaining order is that in which the timers were set.
+type timerHeap []*timer
 
-func (t timers) Len() int { return len(t) }
+func (t timerHeap) Len() int { return len(t) }
 
-func (t timers) Less(i, j int) bool {
+func (t timerHeap) Less(i, j int) bool {
 	if t[i].due != t[j].due {
 		return t[i].due < t[j].due
 	}
-	if first := t[i].attempt != nil; first != (t[j].attempt != nil) {
-		return first
+	if isTimeout := t[i].attempt != nil; isTimeout != (t[j].attempt != nil) {
+		return isTimeout
 	}
 	return t[i].serial < t[j].serial
 }
 
-func (t timers) Swap(i, j int) {
+func (t timerHeap) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
 	t[i].index, t[j].index = i, j
 }
 
-func (t *timers) Push(v any) {
-	last := v.(*timer)
-	last.index = len(*t)
-	*t = append(*t, last)
+func (t *timerHeap) Push(v any) {
+	added := v.(*timer)
+	added.index = len(*t)
+	*t = append(*t, added)
 }
 
-func (t *timers) Pop() any {
+func (t *timerHeap) Pop() any {
 	old := *t
-	v := old[len(old)-1]
+	removed := old[len(old)-1]
 	old[len(old)-1] = nil
-	v.index = -1
+	removed.index = -1
 	*t = old[:len(old)-1]
-	return v
+	return removed
 }
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -8,8 +8,9 @@
 	"sedgevale/dispatcher"
 )
 
-// Set is the planners of one program. A request belongs to one of them by its ID; the
-// list of workers goes to all. Its methods may be called from any goroutine.
+// Set is the set of planners of a process. Each request is assigned to one planner by a hash
+// of its ID; updates of workers, settings and siblings go to all planners. The methods may be
+// called from any goroutine.
 type Set struct {
 	planners []*Planner
 	seed     maphash.Seed
@@ -18,7 +19,7 @@
 // NewSet returns a Set of planners.
 func NewSet(planners ...*Planner) *Set { return &Set{planners, maphash.MakeSeed()} }
 
-// Run runs all planners and returns once they have stopped, after the context ended.
+// Run runs all planners and returns once they have stopped, after the context is done.
 func (s *Set) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, p := range s.planners {
@@ -27,29 +28,30 @@
 	wg.Wait()
 }
 
-func (s *Set) plannerOf(id string) *Planner {
+// plannerFor returns the planner to which requests with that ID are assigned.
+func (s *Set) plannerFor(id string) *Planner {
 	if len(s.planners) == 1 {
 		return s.planners[0]
 	}
 	return s.planners[maphash.String(s.seed, id)%uint64(len(s.planners))]
 }
 
-// SubmitRequest submits an Exchange.
-func (s *Set) SubmitRequest(x *Exchange) { s.plannerOf(x.ID).SubmitRequest(x) }
+// SubmitRequest submits an Exchange to the planner that its ID is assigned to.
+func (s *Set) SubmitRequest(x *Exchange) { s.plannerFor(x.ID).SubmitRequest(x) }
 
 // ClientDisconnected reports that an Exchange's client has disconnected.
-func (s *Set) ClientDisconnected(x *Exchange) { s.plannerOf(x.ID).ClientDisconnected(x) }
+func (s *Set) ClientDisconnected(x *Exchange) { s.plannerFor(x.ID).ClientDisconnected(x) }
 
-// WorkersUpdated brings an update of the list of workers to all planners, each with a copy of
-// its own.
-func (s *Set) WorkersUpdated(list dispatcher.UpdateKind, entries []dispatcher.WorkerInfo) {
+// WorkersUpdated passes an update of the list of workers to all planners. Each planner gets
+// its own copy of the entries, since it retains them.
+func (s *Set) WorkersUpdated(kind dispatcher.UpdateKind, entries []dispatcher.WorkerInfo) {
 	for _, p := range s.planners {
-		p.WorkersUpdated(list, append([]dispatcher.WorkerInfo(nil), entries...))
+		p.WorkersUpdated(kind, append([]dispatcher.WorkerInfo(nil), entries...))
 	}
 }
 
 // Cordon cordons a worker at all planners, or uncordons it if cordon is false, and reports
-// whether it is known. The error is that of the context.
+// whether any planner knows the worker. The only error is that of the context.
 func (s *Set) Cordon(ctx context.Context, worker string, cordon bool) (bool, error) {
 	n, err := s.sumOverPlanners(ctx, func(p *Planner, reply func(int)) {
 		p.Cordon(worker, cordon, func(known bool) {
@@ -63,37 +65,38 @@
 	return n > 0, err
 }
 
-// RestoreCordon cordons a worker at all planners as it was in an earlier run.
+// RestoreCordon restores a cordon of an earlier run of the process at all planners.
 func (s *Set) RestoreCordon(worker string) {
 	for _, p := range s.planners {
 		p.RestoreCordon(worker)
 	}
 }
 
-// Ping returns once each planner has run a call, or with the context's error.
+// Ping returns once the event loop of each planner has run a command, or the context's error.
 func (s *Set) Ping(ctx context.Context) error {
 	_, err := s.sumOverPlanners(ctx, func(p *Planner, reply func(int)) { p.Ping(func() { reply(0) }) })
 	return err
 }
 
-// AddSibling adds a sibling in another process at all planners, and returns the state that
-// they hand over, by planner.
+// AddSibling adds a sibling, which is the other process of the same scheduler during an
+// upgrade, at all planners. It returns the state that each planner hands over.
 func (s *Set) AddSibling(ctx context.Context, number int, send func(planner int, s SiblingState)) ([]HandoverState, error) {
 	states := make([]HandoverState, len(s.planners))
-	at := 0
+	next := 0
 	_, err := s.sumOverPlanners(ctx, func(p *Planner, done func(int)) {
-		i := at
-		at++
-		p.AddSibling(number, func(s SiblingState) { send(i, s) }, func(e HandoverState) {
-			states[i] = e
+		i := next
+		next++
+		p.AddSibling(number, func(s SiblingState) { send(i, s) }, func(state HandoverState) {
+			states[i] = state
 			done(0)
 		})
 	})
 	return states, err
 }
 
-// TakeOver takes over what a sibling's planners have handed over, and adds the sibling.
-// Where it has fewer or more planners, each here goes on from one there.
+// TakeOver restores the state that a sibling's planners have handed over, and adds the
+// sibling. If the sibling has another number of planners, each planner here restores the
+// learned state of one of them.
 func (s *Set) TakeOver(number int, send func(planner int, s SiblingState), states []HandoverState) {
 	for i, p := range s.planners {
 		var learned dispatcher.LearnedState
@@ -102,47 +105,49 @@
 		}
 		p.TakeOver(number, func(s SiblingState) { send(i, s) }, learned)
 	}
-	for i, e := range states {
-		s.UpdateSibling(number, i, e.Shared)
+	for i, state := range states {
+		s.UpdateSibling(number, i, state.Shared)
 	}
 }
 
-// UpdateSibling brings a message from one of a sibling's planners.
+// UpdateSibling passes a message from one of a sibling's planners to all planners.
 func (s *Set) UpdateSibling(number, planner int, shared SiblingState) {
 	for _, p := range s.planners {
 		p.UpdateSibling(number, planner, shared)
 	}
 }
 
-// RemoveSibling removes a sibling whose process has ended.
+// RemoveSibling removes a sibling whose process has ended from all planners.
 func (s *Set) RemoveSibling(number int) {
 	for _, p := range s.planners {
 		p.RemoveSibling(number)
 	}
 }
 
-// UpdateSettings has all planners take over new settings.
-func (s *Set) UpdateSettings(set dispatcher.Settings) {
+// UpdateSettings replaces the settings of all planners; see [Planner.UpdateSettings].
+func (s *Set) UpdateSettings(settings dispatcher.Settings) {
 	for _, p := range s.planners {
-		p.UpdateSettings(set)
+		p.UpdateSettings(settings)
 	}
 }
 
-// CountOpen returns how many exchanges are not over, or the context's error.
+// CountOpen returns the number of open exchanges, or the context's error.
 func (s *Set) CountOpen(ctx context.Context) (int, error) {
 	return s.sumOverPlanners(ctx, (*Planner).CountOpen)
 }
 
-// FailOpen answers all open exchanges as failed, and returns how many those were.
+// FailOpen answers all unanswered exchanges as failed and returns their number, or the
+// context's error.
 func (s *Set) FailOpen(ctx context.Context) (int, error) {
 	return s.sumOverPlanners(ctx, (*Planner).FailOpen)
 }
 
-// sumOverPlanners asks each planner for a number and returns the sum.
-func (s *Set) sumOverPlanners(ctx context.Context, ask func(*Planner, func(int))) (sum int, err error) {
+// sumOverPlanners calls request for each planner, with a callback for the planner's number,
+// and returns the sum of the numbers, or the context's error.
+func (s *Set) sumOverPlanners(ctx context.Context, request func(p *Planner, reply func(int))) (sum int, err error) {
 	counts := make(chan int, len(s.planners))
 	for _, p := range s.planners {
-		ask(p, func(n int) { counts <- n })
+		request(p, func(n int) { counts <- n })
 	}
 	for range s.planners {
 		select {
--- a/internal/dispatch/siblings.go
+++ b/internal/dispatch/siblings.go
@@ -6,57 +6,58 @@
 	"sedgevale/dispatcher"
 )
 
-// siblingUpdateInterval is the least time between two messages to a sibling.
+// siblingUpdateInterval is the minimum time between two messages to a sibling.
 const siblingUpdateInterval = 10 * time.Millisecond
 
-// SiblingState is what a planner sends to its sibling in the other process of an upgrade:
-// the two are one scheduler. It is immutable once it has been sent.
+// SiblingState is the message that a planner sends to the planners of a sibling, which is the
+// other process of the same scheduler during an upgrade. It is immutable once sent.
 type SiblingState struct {
-	Loads  map[string]dispatcher.Load `json:"out"`              // load by worker, now
-	Opened []string                   `json:"opened,omitempty"` // IDs of jobs, since the last message
-	Ended  []string                   `json:"ended,omitempty"`  // the same
+	Loads  map[string]dispatcher.Load `json:"out"`              // current load by worker
+	Opened []string                   `json:"opened,omitempty"` // IDs of the jobs opened since the last message
+	Ended  []string                   `json:"ended,omitempty"`  // IDs of the jobs ended since the last message
 }
 
-// HandoverState is the state that a planner hands over to a new process.
+// HandoverState is the state that a planner hands over to the new process of an upgrade.
 type HandoverState struct {
 	Shared  SiblingState            `json:"shared"`
 	Learned dispatcher.LearnedState `json:"learned"`
 }
 
-// sibling is the other process of the same scheduler during an upgrade, as a planner
-// knows it.
+// sibling is a planner's record of the other process of the same scheduler during an
+// upgrade.
 type sibling struct {
 	send  func(SiblingState)
-	open  map[string]struct{}                // IDs of jobs
-	loads map[int]map[string]dispatcher.Load // by planner and worker
+	open  map[string]struct{}                // IDs of the jobs open in the other process
+	loads map[int]map[string]dispatcher.Load // by planner of the other process, then by worker
 }
 
 func newSibling(send func(SiblingState)) *sibling {
 	return &sibling{send, map[string]struct{}{}, map[int]map[string]dispatcher.Load{}}
 }
 
-// sharing is what a Planner keeps of its siblings. Without any it costs nothing.
-type sharing struct {
-	siblings    map[int]*sibling // by number
-	next        SiblingState     // opened and ended since the last message
-	loadChanged bool             // since the last message
-	sentAt      time.Duration    // of the last message
+// siblingTracker is the part of a Planner that keeps track of its siblings. Without siblings
+// it adds no cost to the handling of events.
+type siblingTracker struct {
+	siblings            map[int]*sibling // by number
+	nextSiblingUpdate   SiblingState     // jobs opened and ended since the last message
+	siblingUpdateDue    bool             // true if anything has changed since the last message
+	siblingUpdateSentAt time.Duration    // time on the Clock of the last message
 }
 
-// AddSibling adds a sibling, known by a number: from here on send is called with what
-// changes, from Run. HandOver is called with all state up to now.
+// AddSibling adds a sibling with a number that identifies it. It calls handOver from Run with
+// the current state, and send from Run with each later change.
 func (p *Planner) AddSibling(number int, send func(SiblingState), handOver func(HandoverState)) {
 	p.enqueueCall(func() {
-		e := HandoverState{SiblingState{Loads: p.dispatcher.LoadByWorker()}, p.dispatcher.LearnedState(p.now)}
+		state := HandoverState{SiblingState{Loads: p.dispatcher.LoadByWorker()}, p.dispatcher.LearnedState(p.now)}
 		for id := range p.exchanges {
-			e.Shared.Opened = append(e.Shared.Opened, id)
+			state.Shared.Opened = append(state.Shared.Opened, id)
 		}
 		p.siblings[number] = newSibling(send)
-		handOver(e)
+		handOver(state)
 	})
 }
 
-// TakeOver takes over what a sibling has learned, and adds the sibling.
+// TakeOver restores the learned state of a sibling and adds the sibling.
 func (p *Planner) TakeOver(number int, send func(SiblingState), learned dispatcher.LearnedState) {
 	p.enqueueCall(func() {
 		p.dispatcher.RestoreLearnedState(p.now, learned)
@@ -64,7 +65,8 @@
 	})
 }
 
-// UpdateSibling brings a message from one of a sibling's planners.
+// UpdateSibling handles a message from one of a sibling's planners. It ignores messages of
+// siblings that have not been added or have been removed.
 func (p *Planner) UpdateSibling(number, planner int, s SiblingState) {
 	p.enqueueCall(func() {
 		other := p.siblings[number]
@@ -90,11 +92,10 @@
 	})
 }
 
-// enqueueCall has Run call f in the order of events: what came before, like a list of
-// workers, has been handled by then.
+// enqueueCall makes Run call f after it has handled all events that are already queued.
 func (p *Planner) enqueueCall(f func()) { p.queue.Put(event{kind: eventCall, call: f}) }
 
-// updateSiblingLoad gives the Dispatcher the load of all siblings.
+// updateSiblingLoad passes the total load of all siblings to the Dispatcher.
 func (p *Planner) updateSiblingLoad() {
 	sum := map[string]dispatcher.Load{}
 	for _, other := range p.siblings {
@@ -107,7 +108,7 @@
 	p.dispatcher.SetSiblingLoad(p.now, sum)
 }
 
-// openAtSibling reports whether a sibling has an open job of that ID.
+// openAtSibling reports whether a sibling has an open job with that ID.
 func (p *Planner) openAtSibling(id string) bool {
 	for _, other := range p.siblings {
 		if _, open := other.open[id]; open {
@@ -117,36 +118,36 @@
 	return false
 }
 
-// announceOpened has the next message to the siblings name a job that was opened.
+// announceOpened adds a job that was opened to the next message to the siblings.
 func (p *Planner) announceOpened(id string) {
 	if len(p.siblings) > 0 {
-		p.next.Opened = append(p.next.Opened, id)
-		p.loadChanged = true
+		p.nextSiblingUpdate.Opened = append(p.nextSiblingUpdate.Opened, id)
+		p.siblingUpdateDue = true
 	}
 }
 
-// announceEnded has the next message to the siblings name a job that has ended.
+// announceEnded adds a job that has ended to the next message to the siblings.
 func (p *Planner) announceEnded(id string) {
 	if len(p.siblings) > 0 {
-		p.next.Ended = append(p.next.Ended, id)
-		p.loadChanged = true
+		p.nextSiblingUpdate.Ended = append(p.nextSiblingUpdate.Ended, id)
+		p.siblingUpdateDue = true
 	}
 }
 
-// notifySiblings sends what has changed to the siblings, and returns after which time
-// it must be called again.
-func (p *Planner) notifySiblings() time.Duration {
-	if len(p.siblings) == 0 || !p.loadChanged {
+// sendSiblingUpdates sends pending changes to the siblings, at most once per
+// siblingUpdateInterval, and returns the time until the next call.
+func (p *Planner) sendSiblingUpdates() time.Duration {
+	if len(p.siblings) == 0 || !p.siblingUpdateDue {
 		return time.Hour
 	}
-	if since := p.clock.Now() - p.sentAt; since < siblingUpdateInterval {
+	if since := p.clock.Now() - p.siblingUpdateSentAt; since < siblingUpdateInterval {
 		return siblingUpdateInterval - since
 	}
-	p.sentAt = p.clock.Now()
-	p.next.Loads = p.dispatcher.LoadByWorker()
+	p.siblingUpdateSentAt = p.clock.Now()
+	p.nextSiblingUpdate.Loads = p.dispatcher.LoadByWorker()
 	for _, other := range p.siblings {
-		other.send(p.next)
+		other.send(p.nextSiblingUpdate)
 	}
-	p.next, p.loadChanged = SiblingState{}, false
+	p.nextSiblingUpdate, p.siblingUpdateDue = SiblingState{}, false
 	return time.Hour
 }
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -9,66 +9,69 @@
 	"sedgevale/dispatcher"
 )
 
-// counters counts what a planner did, for one log line every counterInterval, so that
-// a day's logs can be summed across a fleet. It is built only with -tags
-// tally: without the tag these methods are empty and cost nothing.
+// counters counts the actions and events of a planner for a log line that is written every
+// counterInterval. Each line holds the counts since the previous one, so that logs can be
+// summed over time and across a fleet. It requires the build tag tally; without the tag the
+// methods are empty (tally_off.go).
 type counters struct {
-	since                   time.Duration
+	intervalStart           time.Duration
 	sends, retries, cancels int
 	outcomes                [dispatcher.NotSent + 1]int
 	rejected, failed        int
-	starts, startLate       int
-	startSum                time.Duration
+	starts, lateStarts      int
+	startDelaySum           time.Duration
 }
 
-// counterInterval is how often the line is written, on the planner's clock.
+// counterInterval is the minimum time between two log lines.
 const counterInterval = 5 * time.Second
 
-// lateStartThreshold is the delay from send to start notice that counts as late.
+// lateStartThreshold is the delay between a send and its start notification above which the
+// start counts as late.
 const lateStartThreshold = 100 * time.Millisecond
 
-func (t *counters) sent(a *Attempt, now time.Duration) {
+func (c *counters) sent(a *Attempt, now time.Duration) {
 	a.sentAt = now
-	t.sends++
+	c.sends++
 	if a.Number > 0 {
-		t.retries++
+		c.retries++
 	}
 }
 
-func (t *counters) cancel()                    { t.cancels++ }
-func (t *counters) reject()                    { t.rejected++ }
-func (t *counters) fail()                      { t.failed++ }
-func (t *counters) ended(o dispatcher.Outcome) { t.outcomes[o]++ }
-func (t *counters) started(a *Attempt, now time.Duration) {
-	t.starts++
+func (c *counters) cancel()                    { c.cancels++ }
+func (c *counters) reject()                    { c.rejected++ }
+func (c *counters) fail()                      { c.failed++ }
+func (c *counters) ended(o dispatcher.Outcome) { c.outcomes[o]++ }
+func (c *counters) started(a *Attempt, now time.Duration) {
+	c.starts++
 	delay := now - a.sentAt
-	t.startSum += delay
+	c.startDelaySum += delay
 	if delay > lateStartThreshold {
-		t.startLate++
+		c.lateStarts++
 	}
 }
 
-// out writes the line once counterInterval has passed since the last, if anything
-// was counted, and begins the next.
-func (t *counters) out(log *slog.Logger, now time.Duration) {
-	if now-t.since < counterInterval {
+// logIfDue starts a new interval once counterInterval has passed since the start of the
+// current one. It logs the counts of the old interval if in it any attempt was sent or any
+// job was rejected or failed.
+func (c *counters) logIfDue(log *slog.Logger, now time.Duration) {
+	if now-c.intervalStart < counterInterval {
 		return
 	}
-	if t.sends+t.rejected+t.failed > 0 {
-		o := &t.outcomes
+	if c.sends+c.rejected+c.failed > 0 {
+		o := &c.outcomes
 		var mean time.Duration
-		if t.starts > 0 {
-			mean = t.startSum / time.Duration(t.starts)
+		if c.starts > 0 {
+			mean = c.startDelaySum / time.Duration(c.starts)
 		}
-		log.Info("tally", "sends", t.sends, "further", t.retries, "cancels", t.cancels,
-			"refused", t.rejected, "failed", t.failed,
+		log.Info("tally", "sends", c.sends, "further", c.retries, "cancels", c.cancels,
+			"refused", c.rejected, "failed", c.failed,
 			"served", o[dispatcher.Served], "errored", o[dispatcher.Errored], "full", o[dispatcher.Rejected],
 			"timed_out", o[dispatcher.TimedOut], "connect_failed", o[dispatcher.ConnectFailed], "lost", o[dispatcher.ConnectionLost],
 			"cancelled", o[dispatcher.Cancelled], "not_sent", o[dispatcher.NotSent],
-			"starts", t.starts, "starts_late", t.startLate, "start_mean_ms", mean.Milliseconds())
+			"starts", c.starts, "starts_late", c.lateStarts, "start_mean_ms", mean.Milliseconds())
 	}
-	*t = counters{since: now}
+	*c = counters{intervalStart: now}
 }
 
-// attemptCounters is what an attempt carries for the counters.
+// attemptCounters is the per-attempt state of the counters.
 type attemptCounters struct{ sentAt time.Duration }
--- a/internal/dispatch/tally_off_test.go
+++ b/internal/dispatch/tally_off_test.go
@@ -7,10 +7,10 @@
 	"unsafe"
 )
 
-// Without the tag the counters must cost the platform's path nothing, not even a byte
-// of an attempt.
-func TestTallyIsEmpty(t *testing.T) {
+// Tests that the counters take no memory in a build without the tag tally, neither per planner
+// nor per attempt.
+func TestCountersAreEmptyWithoutTag(t *testing.T) {
 	if n := unsafe.Sizeof(counters{}) + unsafe.Sizeof(attemptCounters{}); n != 0 {
-		t.Fatalf("the tally takes %d bytes without -tags tally", n)
+		t.Fatalf("the counters take %d bytes in a build without the tag tally, want 0", n)
 	}
 }
