--- a/internal/dispatchconfig/config.go
+++ b/internal/dispatchconfig/config.go
@@ -1,5 +1,6 @@
-// Package dispatchconfig reads and checks the scheduler's configuration: the platform's file, which
-// EDGE_CONFIG names, or an operator's file.
+// Package dispatchconfig reads and validates the configuration of a scheduler process. The
+// configuration is either the platform's JSON file, named by EDGE_CONFIG, or an operator's TOML
+// file.
 package dispatchconfig
 
 import (
@@ -19,45 +20,45 @@
 type Config struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
-	Ops       string          `json:"ops"`       // the operators' address; empty: none
-	Discovery string          `json:"discovery"` // empty: the list in Known is used
+	Ops       string          `json:"ops"`       // address for operators; empty if there is none
+	Discovery string          `json:"discovery"` // address of the discovery service; if empty, the list in Known is used
 	Seed      string          `json:"seed"`
 	Limits    Limits          `json:"limits"`
 	Known     *discovery.List `json:"known"`
 
-	// PeerListen is the UDP address of this scheduler, Peers those of all schedulers of the site by number, its own
-	// included. Empty: the scheduler exchanges no datagrams.
+	// PeerListen is the UDP address of this scheduler. Peers holds the UDP addresses of all schedulers of the site,
+	// including this one, by their number. If Peers is empty, the scheduler exchanges no datagrams.
 	PeerListen string   `json:"peer_listen"`
 	Peers      []string `json:"peers"`
 
 	Settings Settings `json:"settings"`
 
-	// The fields up to PeerWatch come from an operator's file alone.
-	Revision  uint32     `json:"-"` // the operator's revision number of the configuration; 0: none
+	// The fields from Revision to PeerWatch are set only from an operator's file.
+	Revision  uint32     `json:"-"` // the operator's revision number of the configuration; 0 if there is none
 	SSE       *SSE       `json:"-"`
 	Journal   *Journal   `json:"-"`
 	Web       *Web       `json:"-"`
 	Admission *Admission `json:"-"`
 	Planners  int        `json:"-"`
 	Loops     int        `json:"-"`
-	// PeerWatch has the schedulers keep track of their membership.
+	// PeerWatch enables failure detection among the schedulers of the site.
 	PeerWatch bool `json:"-"`
 
-	Source []byte `json:"-"` // the platform's file; nil: not of such a file
+	Source []byte `json:"-"` // content of the platform's file; nil for an operator's file
 
-	keys map[string]bool // that the platform's file has; nil: not of such a file
+	keys map[string]bool // paths of the keys in the platform's file; nil for an operator's file
 }
 
-// Limits are what the process may use of its machine; 0: no limit is set.
+// Limits are the machine resources that the process may use. A value of 0 means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores" toml:"cores,omitempty"`
 	MemoryMB int     `json:"memory_mb" toml:"memory_mb,omitempty"`
-	Sockets  int     `json:"sockets" toml:"sockets,omitempty"` // open descriptors
+	Sockets  int     `json:"sockets" toml:"sockets,omitempty"` // number of open file descriptors
 }
 
-// FromEnv reads the platform's configuration. The single variables stand in only
-// for what the file lacks: the file can be replaced while the program runs, the
-// variables cannot.
+// FromEnv reads the platform's configuration from the file that EDGE_CONFIG names. The
+// other variables, such as EDGE_LISTEN, apply only to keys that the file lacks: the file can
+// be replaced while the process runs, the variables cannot.
 func FromEnv() (*Config, error) {
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
@@ -74,8 +75,8 @@
 	return c, nil
 }
 
-// FromSource reads and checks a platform's configuration that has been read from a
-// file, here or by another process.
+// FromSource parses and validates the content of the platform's file, which may have been
+// read by another process.
 func FromSource(b []byte) (*Config, error) {
 	c, err := Parse(b)
 	if err != nil {
@@ -84,16 +85,16 @@
 	c.Source = b
 	for _, v := range []struct {
 		name string
-		to   *string
+		dest *string
 	}{{"EDGE_NAME", &c.Name}, {"EDGE_LISTEN", &c.Listen}, {"EDGE_DISCOVERY", &c.Discovery}, {"EDGE_OPS", &c.Ops}} {
-		if *v.to == "" {
-			*v.to = os.Getenv(v.name)
+		if *v.dest == "" {
+			*v.dest = os.Getenv(v.name)
 		}
 	}
 	return c, c.Check()
 }
 
-// Parse reads a configuration; Check is still to be called.
+// Parse parses the content of the platform's file without validating it; see [Config.Check].
 func Parse(b []byte) (*Config, error) {
 	var c Config
 	if err := json.Unmarshal(b, &c); err != nil {
@@ -108,38 +109,38 @@
 	return &c, nil
 }
 
-// collectKeys collects the paths of an object's keys. Of a list it has those which all
-// of its objects share.
-func collectKeys(v any, path string, into map[string]bool) {
-	switch v := v.(type) {
+// collectKeys adds the paths of all keys of a JSON value to keys. Of the objects in a list,
+// only the keys that all of them have are added.
+func collectKeys(value any, path string, keys map[string]bool) {
+	switch value := value.(type) {
 	case map[string]any:
-		for k, inner := range v {
-			into[path+k] = true
-			collectKeys(inner, path+k+".", into)
+		for k, child := range value {
+			keys[path+k] = true
+			collectKeys(child, path+k+".", keys)
 		}
 	case []any:
 		counts := map[string]int{}
-		for _, inner := range v {
-			one := map[string]bool{}
-			collectKeys(inner, path, one)
-			for k := range one {
+		for _, element := range value {
+			elementKeys := map[string]bool{}
+			collectKeys(element, path, elementKeys)
+			for k := range elementKeys {
 				counts[k]++
 			}
 		}
 		for k, n := range counts {
-			if n == len(v) {
-				into[k] = true
+			if n == len(value) {
+				keys[k] = true
 			}
 		}
 	}
 }
 
-// CheckReplaces returns an error unless this configuration can take the place of the one
-// before: it must have each key that that one has, but for those of workers. A file
-// that lacks one was truncated, or is not a configuration of this program.
-func (c *Config) CheckReplaces(before *Config) error {
+// CheckReplaces returns an error unless this configuration may replace the previous one at a
+// reload: it must have each key of the previous file, except the keys of workers. A file that
+// lacks a key has been truncated or is not a configuration of this program.
+func (c *Config) CheckReplaces(previous *Config) error {
 	var missing []string
-	for k := range before.keys {
+	for k := range previous.keys {
 		if !c.keys[k] && !strings.HasPrefix(k, "known.members.") {
 			missing = append(missing, k)
 		}
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// Check returns an error for a configuration that cannot serve.
+// Check validates the configuration and returns the first error.
 func (c *Config) Check() error {
 	switch {
 	case c.Listen == "" && c.Web == nil:
@@ -172,14 +173,15 @@
 	if _, err := c.PeerPlan(); err != nil {
 		return err
 	}
-	m, err := c.Settings.ModuleSettings(max(1, c.Planners))
+	settings, err := c.Settings.ModuleSettings(max(1, c.Planners))
 	if err != nil {
 		return err
 	}
-	return m.Validate()
+	return settings.Validate()
 }
 
-// SeedNumber returns the seed as a number.
+// SeedNumber returns the seed as a number: its value if it is a hexadecimal number of up to
+// 64 bits, else a hash of it.
 func (c *Config) SeedNumber() uint64 {
 	if v, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return v
--- a/internal/dispatchconfig/golden_test.go
+++ b/internal/dispatchconfig/golden_test.go
@@ -13,27 +13,29 @@
 	"sedgevale/internal/testkit"
 )
 
-var updateGolden = flag.Bool("update", false, "write the files of keys anew")
+var updateGolden = flag.Bool("update", false, "update the golden files")
 
-// The keys of an operator's file and of the platform's, each with the field that it stands for.
-func TestKeysOfConfigurations(t *testing.T) {
+// Tests that the keys of the operator's file and of the platform's file, and the fields that they
+// belong to, do not change.
+func TestConfigurationKeys(t *testing.T) {
 	var file dispatchconfig.File
 	testkit.Fill(&file)
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(file); err != nil {
 		t.Fatal(err)
 	}
-	compare(t, "testdata/operator.toml", text.Bytes())
+	compareGolden(t, "testdata/operator.toml", text.Bytes())
 	var config dispatchconfig.Config
 	testkit.Fill(&config)
 	platform, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	compare(t, "testdata/platform.json", platform)
+	compareGolden(t, "testdata/platform.json", platform)
 }
 
-func compare(t *testing.T, path string, got []byte) {
+// compareGolden compares got with a golden file.
+func compareGolden(t *testing.T, path string, got []byte) {
 	t.Helper()
 	if *updateGolden {
 		if err := os.WriteFile(path, got, 0o600); err != nil {
@@ -42,6 +44,6 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%s: error %v, now it is\n%s", path, err, got)
+		t.Errorf("%s: error %v, or different content; got\n%s", path, err, got)
 	}
 }
--- a/internal/dispatchconfig/journal.go
+++ b/internal/dispatchconfig/journal.go
@@ -7,23 +7,22 @@
 	"slices"
 )
 
-// Journal sets up the journal of one-shot jobs; see docs/JOURNAL.md. Times are in
-// seconds.
+// Journal configures the journal of jobs that must not run twice; see docs/JOURNAL.md.
 type Journal struct {
 	Dir       string   `toml:"dir"`
-	Classes   []string `toml:"classes,omitempty"`    // none: all whose effect is not free
+	Classes   []string `toml:"classes,omitempty"`    // recorded classes; if empty, all whose effect is not "free"
 	Sync      string   `toml:"sync,omitempty"`       // SyncGroup or SyncNone
-	KeyFile   string   `toml:"key_file,omitempty"`   // none: "key" in Dir
-	Retention float64  `toml:"keep_s,omitempty"`     // 0: a week
-	MaxMB     int      `toml:"max_mb,omitempty"`     // 0: 256
-	ReserveMB int      `toml:"reserve_mb,omitempty"` // 0: 8
+	KeyFile   string   `toml:"key_file,omitempty"`   // if empty, the file "key" in Dir
+	Retention float64  `toml:"keep_s,omitempty"`     // retention time of records in seconds; 0 means a week
+	MaxMB     int      `toml:"max_mb,omitempty"`     // maximum size of the journal in MB; 0 means 256
+	ReserveMB int      `toml:"reserve_mb,omitempty"` // size in MB of a reserve file, deleted when space runs out; 0 means 8
 	OnFull    string   `toml:"on_full,omitempty"`    // RejectOnFull or ServeOnFull
 }
 
 // The values of Journal.Sync and Journal.OnFull; the first of each is the default.
 const (
-	SyncGroup    = "group" // a record counts as durable once it is on the disk; syncs are shared by records
-	SyncNone     = "none"  // once it is written to the operating system: a power failure can lose it
+	SyncGroup    = "group" // a record is durable once synced to disk; concurrent records share a sync
+	SyncNone     = "none"  // a record counts as durable once written to the operating system; a power failure can lose it
 	RejectOnFull = "refuse"
 	ServeOnFull  = "serve"
 )
@@ -35,7 +34,7 @@
 	minJournalMaxMB         = 4
 )
 
-func (j *Journal) defaults() {
+func (j *Journal) setDefaults() {
 	j.Retention = cmp.Or(j.Retention, defaultJournalRetention)
 	j.MaxMB = cmp.Or(j.MaxMB, defaultJournalMaxMB)
 	j.ReserveMB = cmp.Or(j.ReserveMB, defaultJournalReserveMB)
@@ -48,7 +47,7 @@
 	if j == nil {
 		return nil
 	}
-	j.defaults() // also for programs that embed a scheduler and set what they care for
+	j.setDefaults() // here rather than in the parser, since programs that embed a scheduler build a Config directly
 	switch {
 	case j.Dir == "":
 		return errors.New("journal.dir is missing")
--- a/internal/dispatchconfig/operator.go
+++ b/internal/dispatchconfig/operator.go
@@ -14,16 +14,16 @@
 	"sedgevale/internal/discovery"
 )
 
-// File is an operator's file: the same settings as the platform's, the workers,
-// and what the platform does not offer.
+// File is the TOML file of an operator. It holds the settings of the platform's file, the
+// workers, and settings that the platform's file does not have.
 type File struct {
 	Name string `toml:"name"`
-	// Revision is counted up by the operator with each change of the file; 0: it is not counted.
+	// Revision is a number that the operator increments with each change of the file; 0 if unused.
 	Revision  uint32 `toml:"revision,omitempty"`
 	Listen    string `toml:"listen"`
 	Ops       string `toml:"ops,omitempty"`
 	Discovery string `toml:"discovery,omitempty"`
-	// PeerListen is the UDP address of this scheduler, Peers those of all schedulers, this one included.
+	// PeerListen is the UDP address of this scheduler. Peers holds the UDP addresses of all schedulers, including this one.
 	PeerListen string   `toml:"peer_listen,omitempty"`
 	Peers      []string `toml:"peers,omitempty"`
 
@@ -39,17 +39,17 @@
 	Workers   []discovery.Member `toml:"workers"`
 }
 
-// SSE sets up the frontend of server-sent events. Times are in seconds.
+// SSE configures the frontend for server-sent events.
 type SSE struct {
 	Listen    string  `toml:"listen"`
-	Heartbeat float64 `toml:"heartbeat_s,omitempty"`
-	Retain    float64 `toml:"retain_s,omitempty"`
+	Heartbeat float64 `toml:"heartbeat_s,omitempty"` // seconds between comments on an idle stream; 0 means the default
+	Retain    float64 `toml:"retain_s,omitempty"`    // seconds for which a finished job can be resumed; 0 means the default
 }
 
-// Decode reads a TOML file into a record. A key that means nothing is an error: it is a misspelling more often
-// than not. Errors name the file.
-func Decode(path string, into any) (toml.MetaData, error) {
-	meta, err := toml.DecodeFile(path, into)
+// Decode decodes a TOML file into dest. Unknown keys are an error, since most of them are
+// misspelled. Errors contain the path of the file.
+func Decode(path string, dest any) (toml.MetaData, error) {
+	meta, err := toml.DecodeFile(path, dest)
 	if err != nil {
 		return meta, fmt.Errorf("%s: %w", path, err)
 	}
@@ -63,7 +63,7 @@
 	return meta, nil
 }
 
-// ReadOperator reads an operator's file and checks it.
+// ReadOperator reads and validates an operator's file.
 func ReadOperator(path string) (*Config, error) {
 	var f File
 	meta, err := Decode(path, &f)
@@ -83,19 +83,20 @@
 	return c, nil
 }
 
-// config returns the file as a Config, which is still to be checked.
+// config converts the file to a Config without validating it.
 func (f *File) config() *Config {
 	for i := range f.Workers {
 		if w := &f.Workers[i]; w.Phase == "" {
 			w.Phase = "ready"
 		}
 	}
-	if f.Web != nil && f.Listen == "" && len(f.Settings.Classes) == 0 { // a proxy without job frontends
+	if f.Web != nil && f.Listen == "" && len(f.Settings.Classes) == 0 { // a reverse proxy without a frontend for jobs; Check requires a class
 		f.Settings.Classes = []Class{{Name: "-", Effect: "free", Promise: 1, HardLimit: 1}}
 	}
-	if len(f.Peers) > 0 { // numbers go by the list; who is not in it is found by Check
+	if len(f.Peers) > 0 {
 		f.Settings.Bounds.Peers = true
-		f.Settings.SlotNo = slices.Index(f.Peers, f.PeerListen)
+		// A scheduler's number is its index in Peers. PeerPlan rejects -1, for a scheduler that is not in the list.
+		f.Settings.PeerIndex = slices.Index(f.Peers, f.PeerListen)
 		f.Settings.PeersTotal = len(f.Peers)
 	}
 	return &Config{Name: f.Name, Revision: f.Revision, Listen: f.Listen, Ops: f.Ops, Discovery: f.Discovery, Seed: f.Seed, Limits: f.Limits,
@@ -104,15 +105,15 @@
 		SSE: f.SSE, Journal: f.Journal, Web: f.Web, Admission: f.Admission, Planners: f.Planners, Loops: f.Loops}
 }
 
-// Write writes the file.
+// Write writes the file as TOML.
 func (f *File) Write(w io.Writer) error {
 	e := toml.NewEncoder(w)
 	e.Indent = ""
 	return e.Encode(f)
 }
 
-// checkAddr returns an error, which begins with what, for an address that is not an IP address and
-// a port above 0.
+// checkAddr returns an error unless addr is an IP address and a port above 0. The error starts
+// with what, which describes the address.
 func checkAddr(what, addr string) error {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || ap.Port() == 0 {
@@ -121,8 +122,7 @@
 	return nil
 }
 
-// checkOperator checks what only an operator's file has, and the addresses. Of several faults the
-// first in the order of the checks is returned.
+// checkOperator validates the addresses and the settings that only an operator's file has.
 func (c *Config) checkOperator() error {
 	for _, check := range []func() error{c.checkListen, c.checkWeb, c.checkOps, c.checkSSE, c.checkJournal, c.checkAdmission} {
 		if err := check(); err != nil {
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// checkWorkers checks the addresses of the known workers, each of which must be listed once.
+// checkWorkers checks that the known workers have distinct IDs and valid addresses.
 func (c *Config) checkWorkers() error {
 	seen := map[string]bool{}
 	for _, m := range c.Known.Members {
--- a/internal/dispatchconfig/settings.go
+++ b/internal/dispatchconfig/settings.go
@@ -10,8 +10,8 @@
 	"sedgevale/dispatcher"
 )
 
-// Settings are the deployment's settings in the names of the platform. Times
-// are in seconds.
+// Settings are the scheduling settings of a deployment. The JSON and TOML keys are those of the
+// platform's configuration file. Times are in seconds.
 type Settings struct {
 	Bounds struct {
 		Cancel        bool    `json:"cancel" toml:"cancel,omitempty"`
@@ -19,8 +19,8 @@
 		IdleClose     float64 `json:"idle_close" toml:"idle_close,omitempty"`
 		MaxAttempts   int     `json:"max_attempts" toml:"max_attempts,omitempty"`
 		MaxRetryAfter float64 `json:"max_retry_after" toml:"max_retry_after,omitempty"`
-		MayProbe      bool    `json:"may_probe" toml:"may_probe,omitempty"`
-		ParallelTries bool    `json:"parallel_tries" toml:"parallel_tries,omitempty"`
+		AllowProbe    bool    `json:"may_probe" toml:"may_probe,omitempty"`
+		AllowHedging  bool    `json:"parallel_tries" toml:"parallel_tries,omitempty"`
 		Peers         bool    `json:"peers" toml:"peers,omitempty"`
 		RetryAfter    bool    `json:"retry_after" toml:"retry_after,omitempty"`
 	} `json:"bounds" toml:"bounds,omitempty"`
@@ -34,225 +34,227 @@
 	} `json:"family_info" toml:"family_info,omitempty"`
 	Kinds      []string `json:"kinds" toml:"kinds,omitempty"`
 	PeersTotal int      `json:"peers_total" toml:"peers_total,omitempty"`
-	SlotNo     int      `json:"slot_no" toml:"slot_no,omitempty"`
+	PeerIndex  int      `json:"slot_no" toml:"slot_no,omitempty"`
 	Tier       int      `json:"tier" toml:"tier,omitempty"`
-	Realms     []Realm  `json:"realms" toml:"realms,omitempty"`
+	Realms     []Tenant `json:"realms" toml:"realms,omitempty"`
 	Report     struct {
 		Via string `json:"via" toml:"via,omitempty"`
 	} `json:"report" toml:"report,omitempty"`
 	Rules struct {
-		StartCapacity  float64  `json:"start_capacity" toml:"start_capacity,omitempty"`
-		WarmUp         float64  `json:"warm_up" toml:"warm_up,omitempty"`
-		FallMultiple   float64  `json:"fall_multiple" toml:"fall_multiple,omitempty"`
-		Fall           float64  `json:"fall" toml:"fall,omitempty"`
-		FullMayHaveRun bool     `json:"full_may_have_run" toml:"full_may_have_run,omitempty"`
-		CloseOnDrain   float64  `json:"close_on_drain_within" toml:"close_on_drain_within,omitempty"`
-		ExtraFree      *int     `json:"extra_free" toml:"extra_free,omitempty"`
-		RepeatRatio    *float64 `json:"repeat_ratio" toml:"repeat_ratio,omitempty"`
-		RatioSpan      *float64 `json:"ratio_span" toml:"ratio_span,omitempty"`
+		SlowStartCapacity  float64  `json:"start_capacity" toml:"start_capacity,omitempty"`
+		SlowStartDuration  float64  `json:"warm_up" toml:"warm_up,omitempty"`
+		OverloadMultiple   float64  `json:"fall_multiple" toml:"fall_multiple,omitempty"`
+		OverloadWindow     float64  `json:"fall" toml:"fall,omitempty"`
+		RejectedMayHaveRun bool     `json:"full_may_have_run" toml:"full_may_have_run,omitempty"`
+		DrainCloseTimeout  float64  `json:"close_on_drain_within" toml:"close_on_drain_within,omitempty"`
+		FreeRetries        *int     `json:"extra_free" toml:"extra_free,omitempty"`
+		RetryRatio         *float64 `json:"repeat_ratio" toml:"repeat_ratio,omitempty"`
+		RetryWindow        *float64 `json:"ratio_span" toml:"ratio_span,omitempty"`
 	} `json:"rules" toml:"rules,omitempty"`
 	Weights string   `json:"weights" toml:"weights,omitempty"`
 	Zone    int      `json:"zone" toml:"zone,omitempty"`
 	Zones   []string `json:"zones" toml:"zones,omitempty"`
 }
 
-// Realm is a tenant of the module.
-type Realm struct {
+// Tenant is a tenant of the scheduler.
+type Tenant struct {
 	Name  string  `json:"name" toml:"name,omitempty"`
 	Share float64 `json:"share" toml:"share,omitempty"`
 	Quota float64 `json:"quota_rps" toml:"quota_rps,omitempty"`
 }
 
-// Class is a class of requests.
+// Class is a class of jobs; see [dispatcher.Class].
 type Class struct {
-	Name       string  `json:"name" toml:"name,omitempty"`
-	Effect     string  `json:"effect" toml:"effect,omitempty"`
-	Scope      string  `json:"dedup_scope" toml:"dedup_scope,omitempty"`
-	Window     float64 `json:"window" toml:"window,omitempty"`
-	Promise    float64 `json:"promise" toml:"promise,omitempty"`
-	HardLimit  float64 `json:"hard_limit" toml:"hard_limit,omitempty"`
-	LateShare  float64 `json:"late_share" toml:"late_share,omitempty"`
-	Stream     bool    `json:"stream" toml:"stream,omitempty"`
-	AimStretch float64 `json:"aim_stretch" toml:"aim_stretch,omitempty"`
-	RunsOn     *[]int  `json:"runs_on" toml:"runs_on,omitempty"`
-	RunsIn     *[]int  `json:"runs_in" toml:"runs_in,omitempty"`
+	Name          string  `json:"name" toml:"name,omitempty"`
+	Effect        string  `json:"effect" toml:"effect,omitempty"`
+	DedupScope    string  `json:"dedup_scope" toml:"dedup_scope,omitempty"`
+	DedupWindow   float64 `json:"window" toml:"window,omitempty"`
+	Promise       float64 `json:"promise" toml:"promise,omitempty"`
+	HardLimit     float64 `json:"hard_limit" toml:"hard_limit,omitempty"`
+	LateValue     float64 `json:"late_share" toml:"late_share,omitempty"`
+	Streaming     bool    `json:"stream" toml:"stream,omitempty"`
+	TargetStretch float64 `json:"aim_stretch" toml:"aim_stretch,omitempty"`
+	Kinds         *[]int  `json:"runs_on" toml:"runs_on,omitempty"`
+	Zones         *[]int  `json:"runs_in" toml:"runs_in,omitempty"`
 }
 
+// The values of settings that are written as words.
 var (
-	effects = map[string]dispatcher.Idempotency{
+	idempotencies = map[string]dispatcher.Idempotency{
 		"free": dispatcher.Idempotent, "guarded": dispatcher.IdempotentByKey, "single_shot": dispatcher.NotIdempotent,
 	}
-	scopes = map[string]dispatcher.DedupScope{
+	dedupScopes = map[string]dispatcher.DedupScope{
 		"": dispatcher.DedupAll, "all": dispatcher.DedupAll, "zone": dispatcher.DedupZone, "cell": dispatcher.DedupCell,
 	}
-	weights = map[string]dispatcher.WeightMeaning{
+	weightMeanings = map[string]dispatcher.WeightMeaning{
 		"": dispatcher.WeightNone, "none": dispatcher.WeightNone, "nominal": dispatcher.WeightSize,
 		"rough": dispatcher.WeightSize, "live": dispatcher.WeightLive,
 	}
 )
 
-// invalid returns the error for a field of the settings, by its path, that is not what is wanted.
-func invalid(path, want string, args ...any) error {
-	return fmt.Errorf("settings.%s: %s", path, fmt.Sprintf(want, args...))
+// fieldError returns the error for an invalid field of the settings, given by its path.
+func fieldError(path, format string, args ...any) error {
+	return fmt.Errorf("settings.%s: %s", path, fmt.Sprintf(format, args...))
 }
 
-// check returns an error that names the first field by which nobody can be served, and what was expected there.
+// check returns an error for the first invalid field, with its path and the expected value.
 func (s *Settings) check() error {
-	if _, ok := weights[s.Weights]; !ok {
-		return invalid("weights", "%q is none of none, nominal, rough, live", s.Weights)
+	if _, ok := weightMeanings[s.Weights]; !ok {
+		return fieldError("weights", "%q is none of none, nominal, rough, live", s.Weights)
 	}
 	if err := s.checkClasses(); err != nil {
 		return err
 	}
-	if err := s.checkRealms(); err != nil {
+	if err := s.checkTenants(); err != nil {
 		return err
 	}
 	return s.checkRules()
 }
 
-// The comparisons of checkClasses, checkRealms and checkRules are negated so that they fail for NaN.
+// The comparisons in checkClasses, checkTenants and checkRules are negated so that NaN is rejected.
 
 func (s *Settings) checkClasses() error {
 	for i, c := range s.Classes {
-		at := func(field string) string { return fmt.Sprintf("classes[%d].%s", i, field) }
-		_, effect := effects[c.Effect]
-		_, scope := scopes[c.Scope]
+		path := func(field string) string { return fmt.Sprintf("classes[%d].%s", i, field) }
+		_, validEffect := idempotencies[c.Effect]
+		_, validScope := dedupScopes[c.DedupScope]
 		switch {
 		case c.Name == "":
-			return invalid(at("name"), "missing")
+			return fieldError(path("name"), "missing")
 		case slices.ContainsFunc(s.Classes[:i], func(other Class) bool { return other.Name == c.Name }):
-			return invalid(at("name"), "%q is there twice", c.Name)
-		case !effect:
-			return invalid(at("effect"), "%q is none of free, guarded, single_shot", c.Effect)
-		case !scope:
-			return invalid(at("dedup_scope"), "%q is none of all, zone, cell", c.Scope)
+			return fieldError(path("name"), "%q is there twice", c.Name)
+		case !validEffect:
+			return fieldError(path("effect"), "%q is none of free, guarded, single_shot", c.Effect)
+		case !validScope:
+			return fieldError(path("dedup_scope"), "%q is none of all, zone, cell", c.DedupScope)
 		case !(c.HardLimit > 0):
-			return invalid(at("hard_limit"), "missing, or not above 0 (seconds)")
+			return fieldError(path("hard_limit"), "missing, or not above 0 (seconds)")
 		case !(c.Promise > 0):
-			return invalid(at("promise"), "missing, or not above 0 (seconds)")
-		case effects[c.Effect] == dispatcher.IdempotentByKey && !(c.Window > 0):
-			return invalid(at("window"), "missing, or not above 0 (seconds), though its effect is %s", c.Effect)
+			return fieldError(path("promise"), "missing, or not above 0 (seconds)")
+		case idempotencies[c.Effect] == dispatcher.IdempotentByKey && !(c.DedupWindow > 0):
+			return fieldError(path("window"), "missing, or not above 0 (seconds), though its effect is %s", c.Effect)
 		}
 	}
 	return nil
 }
 
-func (s *Settings) checkRealms() error {
-	realms := make(map[string]bool, len(s.Realms))
-	for i, r := range s.Realms {
-		at := func(field string) string { return fmt.Sprintf("realms[%d].%s", i, field) }
+func (s *Settings) checkTenants() error {
+	names := make(map[string]bool, len(s.Realms))
+	for i, t := range s.Realms {
+		path := func(field string) string { return fmt.Sprintf("realms[%d].%s", i, field) }
 		switch {
-		case r.Name == "":
-			return invalid(at("name"), "missing")
-		case realms[r.Name]:
-			return invalid(at("name"), "%q is there twice", r.Name)
-		case !(r.Share > 0):
-			return invalid(at("share"), "missing, or not above 0")
-		case math.IsInf(r.Share, 1):
-			return invalid(at("share"), "without end")
-		case !(r.Quota >= 0) || math.IsInf(r.Quota, 1):
-			return invalid(at("quota_rps"), "want 0, for none, or a number above it (jobs a second)")
+		case t.Name == "":
+			return fieldError(path("name"), "missing")
+		case names[t.Name]:
+			return fieldError(path("name"), "%q is there twice", t.Name)
+		case !(t.Share > 0):
+			return fieldError(path("share"), "missing, or not above 0")
+		case math.IsInf(t.Share, 1):
+			return fieldError(path("share"), "without end")
+		case !(t.Quota >= 0) || math.IsInf(t.Quota, 1):
+			return fieldError(path("quota_rps"), "want 0, for none, or a number above it (jobs a second)")
 		}
-		realms[r.Name] = true
+		names[t.Name] = true
 	}
 	return nil
 }
 
-// checkRules checks what slow start needs.
+// checkRules checks the settings that slow start requires.
 func (s *Settings) checkRules() error {
 	r := &s.Rules
-	if !(r.WarmUp > 0) {
+	if !(r.SlowStartDuration > 0) {
 		return nil
 	}
 	for _, f := range []struct {
 		name  string
 		value float64
-	}{{"start_capacity", r.StartCapacity}, {"fall_multiple", r.FallMultiple}, {"fall", r.Fall}} {
+	}{{"start_capacity", r.SlowStartCapacity}, {"fall_multiple", r.OverloadMultiple}, {"fall", r.OverloadWindow}} {
 		if !(f.value > 0) {
-			return invalid("rules."+f.name, "missing, or not above 0, though rules.warm_up is given")
+			return fieldError("rules."+f.name, "missing, or not above 0, though rules.warm_up is given")
 		}
 	}
 	return nil
 }
 
-// Seconds turns a time of the settings into a Duration.
+// Seconds converts a time in seconds to a Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ModuleSettings returns the settings in the module's form, for one of so many planners
-// in this process.
+// ModuleSettings validates the settings and converts them to [dispatcher.Settings] for each of
+// the given number of planners in this process.
 func (s *Settings) ModuleSettings(planners int) (dispatcher.Settings, error) {
 	if err := s.check(); err != nil {
 		return dispatcher.Settings{}, err
 	}
-	m := dispatcher.Settings{
+	converted := dispatcher.Settings{
 		Zone:          s.Zone,
 		Dispatchers:   max(1, s.PeersTotal) * max(1, planners),
 		MaxAttempts:   s.Bounds.MaxAttempts,
-		AllowHedging:  s.Bounds.ParallelTries,
+		AllowHedging:  s.Bounds.AllowHedging,
 		AllowCancel:   s.Bounds.Cancel,
 		WatchOnDemand: s.Discovery == "ask",
 		StartNotified: s.Family.TellsStart,
 		FIFOWorkers:   s.Family.QueueOrder == "fifo",
-		LoadByProbe:   s.Bounds.MayProbe && s.Report.Via == "probe",
+		LoadByProbe:   s.Bounds.AllowProbe && s.Report.Via == "probe",
 
-		RejectedMayHaveRun: s.Rules.FullMayHaveRun,
-		DrainCloseTimeout:  Seconds(s.Rules.CloseOnDrain),
-		SlowStartCapacity:  s.Rules.StartCapacity,
-		SlowStartDuration:  Seconds(s.Rules.WarmUp),
-		OverloadMultiple:   s.Rules.FallMultiple,
-		OverloadWindow:     Seconds(s.Rules.Fall),
+		RejectedMayHaveRun: s.Rules.RejectedMayHaveRun,
+		DrainCloseTimeout:  Seconds(s.Rules.DrainCloseTimeout),
+		SlowStartCapacity:  s.Rules.SlowStartCapacity,
+		SlowStartDuration:  Seconds(s.Rules.SlowStartDuration),
+		OverloadMultiple:   s.Rules.OverloadMultiple,
+		OverloadWindow:     Seconds(s.Rules.OverloadWindow),
 	}
 	if s.Bounds.RetryAfter {
-		m.MaxRetryAfter = Seconds(s.Bounds.MaxRetryAfter)
+		converted.MaxRetryAfter = Seconds(s.Bounds.MaxRetryAfter)
 	}
-	if err := s.retryBudget(&m); err != nil {
-		return m, err
+	if err := s.setRetryBudget(&converted); err != nil {
+		return converted, err
 	}
-	m.Weights = weights[s.Weights]
+	converted.Weights = weightMeanings[s.Weights]
 	for i := range s.Classes {
-		m.Classes = append(m.Classes, s.moduleClass(i))
+		converted.Classes = append(converted.Classes, s.convertClass(i))
 	}
-	for _, r := range s.Realms {
-		m.Tenants = append(m.Tenants, dispatcher.Tenant{Name: r.Name, Share: r.Share, Quota: r.Quota})
+	for _, t := range s.Realms {
+		converted.Tenants = append(converted.Tenants, dispatcher.Tenant{Name: t.Name, Share: t.Share, Quota: t.Quota})
 	}
-	return m, nil
+	return converted, nil
 }
 
-// retryBudget sets the budget of further attempts, if the settings have one.
-func (s *Settings) retryBudget(m *dispatcher.Settings) error {
+// setRetryBudget sets the retry budget of the converted settings, if one is configured.
+func (s *Settings) setRetryBudget(converted *dispatcher.Settings) error {
 	r := &s.Rules
-	if r.ExtraFree == nil && r.RepeatRatio == nil && r.RatioSpan == nil {
+	if r.FreeRetries == nil && r.RetryRatio == nil && r.RetryWindow == nil {
 		return nil
 	}
-	if r.RatioSpan == nil || *r.RatioSpan <= 0 {
+	if r.RetryWindow == nil || *r.RetryWindow <= 0 {
 		return errors.New("a budget of attempts without rules.ratio_span")
 	}
-	m.RetryBudget.Window = Seconds(*r.RatioSpan)
-	if r.ExtraFree != nil {
-		m.RetryBudget.FreeRetries = *r.ExtraFree
+	converted.RetryBudget.Window = Seconds(*r.RetryWindow)
+	if r.FreeRetries != nil {
+		converted.RetryBudget.FreeRetries = *r.FreeRetries
 	}
-	if r.RepeatRatio != nil {
-		m.RetryBudget.RetryRatio = *r.RepeatRatio
+	if r.RetryRatio != nil {
+		converted.RetryBudget.RetryRatio = *r.RetryRatio
 	}
 	return nil
 }
 
-// moduleClass returns the i-th class in the module's form.
-func (s *Settings) moduleClass(i int) dispatcher.Class {
+// convertClass converts the i-th class to [dispatcher.Class]. Its own stretch and kinds take
+// precedence over those in family_info.
+func (s *Settings) convertClass(i int) dispatcher.Class {
 	c := &s.Classes[i]
-	k := dispatcher.Class{Name: c.Name, DedupWindow: Seconds(c.Window), LatencyTarget: Seconds(c.Promise),
-		ClientTimeout: Seconds(c.HardLimit), LateValue: c.LateShare, Streaming: c.Stream, TargetStretch: c.AimStretch}
-	k.Idempotency, k.DedupScope = effects[c.Effect], scopes[c.Scope]
-	if k.TargetStretch == 0 && i < len(s.Family.ClassStretch) {
-		k.TargetStretch = s.Family.ClassStretch[i]
+	converted := dispatcher.Class{Name: c.Name, DedupWindow: Seconds(c.DedupWindow), LatencyTarget: Seconds(c.Promise),
+		ClientTimeout: Seconds(c.HardLimit), LateValue: c.LateValue, Streaming: c.Streaming, TargetStretch: c.TargetStretch}
+	converted.Idempotency, converted.DedupScope = idempotencies[c.Effect], dedupScopes[c.DedupScope]
+	if converted.TargetStretch == 0 && i < len(s.Family.ClassStretch) {
+		converted.TargetStretch = s.Family.ClassStretch[i]
 	}
-	if c.RunsOn != nil {
-		k.Kinds = *c.RunsOn
+	if c.Kinds != nil {
+		converted.Kinds = *c.Kinds
 	} else if i < len(s.Family.ClassKind) && s.Family.ClassKind[i] >= 0 {
-		k.Kinds = []int{s.Family.ClassKind[i]}
+		converted.Kinds = []int{s.Family.ClassKind[i]}
 	}
-	if c.RunsIn != nil {
-		k.Zones = *c.RunsIn
+	if c.Zones != nil {
+		converted.Zones = *c.Zones
 	}
-	return k
+	return converted
 }
--- a/internal/dispatchconfig/web.go
+++ b/internal/dispatchconfig/web.go
@@ -15,19 +15,19 @@
 	"sedgevale/internal/route"
 )
 
-// Web sets up the reverse proxy for plain HTTP; see docs/HAPROXY.md. Times are in seconds.
+// Web configures the reverse proxy for plain HTTP; see docs/HAPROXY.md. Times are in seconds.
 type Web struct {
 	Frontends []WebFrontend `toml:"frontends"`
 	Backends  []WebBackend  `toml:"backends"`
 
-	dir string // of the operator's file; paths in rules are relative to it
+	dir string // directory of the operator's file, which relative paths in rules refer to
 }
 
-// WebFrontend is a set of addresses to listen on with its rules.
+// WebFrontend is a set of listening addresses with rules for the requests received there.
 type WebFrontend struct {
 	Name           string   `toml:"name"`
 	Listen         []string `toml:"listen"`
-	ForwardFor     bool     `toml:"forward_for,omitempty"` // X-Forwarded-For is added
+	ForwardFor     bool     `toml:"forward_for,omitempty"` // adds X-Forwarded-For to requests
 	RequestTimeout float64  `toml:"request_timeout,omitzero"`
 	IdleTimeout    float64  `toml:"idle_timeout,omitzero"`
 	route.Spec
@@ -37,42 +37,42 @@
 type WebBackend struct {
 	Name           string      `toml:"name"`
 	Balance        string      `toml:"balance,omitempty"`
-	HashOn         string      `toml:"hash_on,omitempty"` // an expression, with balance "hash"
+	HashOn         string      `toml:"hash_on,omitempty"` // expression whose value is hashed, for balance "hash"
 	AllBackups     bool        `toml:"all_backups,omitempty"`
 	ForwardFor     bool        `toml:"forward_for,omitempty"`
-	Retries        *int        `toml:"retries,omitempty"`  // after connections that fail; none: 3
-	RetryOn        []string    `toml:"retry_on,omitempty"` // none: conn-failure
+	Retries        *int        `toml:"retries,omitempty"`  // maximum number of retries of a request; nil means 3
+	RetryOn        []string    `toml:"retry_on,omitempty"` // failures that are retried; if empty, conn-failure
 	ConnectTimeout float64     `toml:"connect_timeout,omitzero"`
-	ServerTimeout  float64     `toml:"server_timeout,omitzero"` // until the head of a response
+	ServerTimeout  float64     `toml:"server_timeout,omitzero"` // time to wait for the head of a response
 	QueueTimeout   float64     `toml:"queue_timeout,omitzero"`
 	MaxQueue       int         `toml:"max_queue,omitzero"`
 	SlowStart      float64     `toml:"slow_start,omitzero"`
-	RetryAfter     float64     `toml:"retry_after,omitzero"` // seconds, sent with a 503; 0: not sent
+	RetryAfter     float64     `toml:"retry_after,omitzero"` // Retry-After of a 503 response; 0 means that it is not sent
 	Cookie         *WebCookie  `toml:"cookie,omitempty"`
 	Check          *WebCheck   `toml:"check,omitempty"`
 	Servers        []WebServer `toml:"servers"`
 	route.Spec
 }
 
-// WebCookie is the persistence cookie that ties clients to servers.
+// WebCookie configures the persistence cookie that binds a client to a server.
 type WebCookie struct {
 	Name     string `toml:"name"`
-	Insert   bool   `toml:"insert,omitempty"`   // set by the proxy; false: by the server
-	Indirect bool   `toml:"indirect,omitempty"` // servers do not see it
+	Insert   bool   `toml:"insert,omitempty"`   // the proxy sets the cookie; otherwise the server does
+	Indirect bool   `toml:"indirect,omitempty"` // the cookie is removed from requests to servers
 	NoCache  bool   `toml:"nocache,omitempty"`
 	HTTPOnly bool   `toml:"httponly,omitempty"`
 	Secure   bool   `toml:"secure,omitempty"`
 	Domain   string `toml:"domain,omitempty"`
 }
 
-// WebCheck says how a backend's servers are checked.
+// WebCheck configures the health checks of a backend's servers.
 type WebCheck struct {
 	Kind         string   `toml:"kind,omitempty"` // "tcp" or "http"
 	Method       string   `toml:"method,omitempty"`
 	URI          string   `toml:"uri,omitempty"`
 	Version      string   `toml:"version,omitempty"`
-	Headers      []string `toml:"headers,omitempty"` // NAME: VALUE
-	Expect       []string `toml:"expect,omitempty"`  // [!] status|rstatus|string|rstring VALUE
+	Headers      []string `toml:"headers,omitempty"` // header fields of the form NAME: VALUE
+	Expect       []string `toml:"expect,omitempty"`  // conditions of the form [!] status|rstatus|string|rstring VALUE
 	Interval     float64  `toml:"inter,omitzero"`
 	FastInterval float64  `toml:"fastinter,omitzero"`
 	DownInterval float64  `toml:"downinter,omitzero"`
@@ -85,28 +85,28 @@
 type WebServer struct {
 	Name      string    `toml:"name"`
 	Addr      string    `toml:"addr"`
-	Weight    *int      `toml:"weight,omitempty"` // none: 1
+	Weight    *int      `toml:"weight,omitempty"` // nil means 1
 	Backup    bool      `toml:"backup,omitempty"`
 	Disabled  bool      `toml:"disabled,omitempty"`
 	MaxConn   int       `toml:"maxconn,omitzero"`
 	Cookie    string    `toml:"cookie,omitempty"`
-	Check     *WebCheck `toml:"check,omitempty"`      // over the backend's, part by part
-	NoCheck   bool      `toml:"no_check,omitempty"`   // though the backend has one
-	CheckAddr string    `toml:"check_addr,omitempty"` // where, if not at addr
-	Track     string    `toml:"track,omitempty"`      // BACKEND/SERVER: its state is that server's
+	Check     *WebCheck `toml:"check,omitempty"`      // its nonzero fields override those of the backend's check
+	NoCheck   bool      `toml:"no_check,omitempty"`   // disables the backend's check for this server
+	CheckAddr string    `toml:"check_addr,omitempty"` // address for health checks; if empty, Addr
+	Track     string    `toml:"track,omitempty"`      // BACKEND/SERVER whose health state is used instead of a check
 }
 
-// Defaults of a backend, as HAProxy has them.
+// The defaults of a backend are those of HAProxy.
 const (
 	defaultRetries        = 3
 	defaultConnectTimeout = 5.0  // seconds
 	defaultServerTimeout  = 60.0 // seconds
 )
 
-// RetryConditions are the failures that retry_on can name.
+// RetryConditions are the values that retry_on may contain.
 var RetryConditions = []string{"conn-failure", "empty-response", "response-timeout", "junk-response", "500", "502", "503", "504", "none"}
 
-// Attempts returns how often a request may be sent, the first time included.
+// Attempts returns the maximum number of times that a request is sent, including the first.
 func (b *WebBackend) Attempts() int {
 	if b.Retries == nil {
 		return 1 + defaultRetries
@@ -114,25 +114,27 @@
 	return 1 + *b.Retries
 }
 
-// Timeouts returns how long to wait for a connection, and for the head of a response.
+// Timeouts returns the timeout for establishing a connection and that for the head of a
+// response.
 func (b *WebBackend) Timeouts() (connect, server time.Duration) {
 	return Seconds(cmp.Or(b.ConnectTimeout, defaultConnectTimeout)), Seconds(cmp.Or(b.ServerTimeout, defaultServerTimeout))
 }
 
-// RetriesOn reports whether a request that failed in that way, one of RetryConditions, may be retried.
-func (b *WebBackend) RetriesOn(what string) bool {
+// RetriesOn reports whether a request may be retried after the given failure, which is one of
+// RetryConditions.
+func (b *WebBackend) RetriesOn(condition string) bool {
 	if len(b.RetryOn) == 0 {
-		return what == "conn-failure"
+		return condition == "conn-failure"
 	}
-	return slices.Contains(b.RetryOn, what)
+	return slices.Contains(b.RetryOn, condition)
 }
 
-// PoolOptions returns the options of the backend's pool.
+// PoolOptions returns the options of the backend's server pool.
 func (b *WebBackend) PoolOptions() pool.Options {
 	o := pool.Options{Balance: pool.Balance(b.Balance), AllBackups: b.AllBackups, MaxQueue: b.MaxQueue,
 		QueueTimeout: Seconds(b.QueueTimeout), SlowStart: Seconds(b.SlowStart)}
 	if o.QueueTimeout == 0 {
-		o.QueueTimeout, _ = b.Timeouts() // as HAProxy does
+		o.QueueTimeout, _ = b.Timeouts() // HAProxy also defaults the queue timeout to the connect timeout
 	}
 	for _, s := range b.Servers {
 		m := pool.Member{Name: s.Name, Weight: 1, Backup: s.Backup, Disabled: s.Disabled, MaxConn: s.MaxConn, Cookie: s.Cookie}
@@ -144,7 +146,8 @@
 	return o
 }
 
-// HealthCheck returns how a server is checked; ok is false where it is not.
+// HealthCheck returns the specification and the address of a server's health check. ok is false
+// if the server is not checked.
 func (b *WebBackend) HealthCheck(s *WebServer) (spec healthcheck.Spec, addr string, ok bool, err error) {
 	if s.NoCheck || b.Check == nil && s.Check == nil || s.Track != "" {
 		return spec, "", false, nil
@@ -153,22 +156,22 @@
 	if b.Check != nil {
 		c = *b.Check
 	}
-	if o := s.Check; o != nil {
-		override(&c.Kind, o.Kind)
-		override(&c.Method, o.Method)
-		override(&c.URI, o.URI)
-		override(&c.Version, o.Version)
-		override(&c.Interval, o.Interval)
-		override(&c.FastInterval, o.FastInterval)
-		override(&c.DownInterval, o.DownInterval)
-		override(&c.Rise, o.Rise)
-		override(&c.Fall, o.Fall)
-		override(&c.Timeout, o.Timeout)
-		if len(o.Headers) > 0 {
-			c.Headers = o.Headers
+	if own := s.Check; own != nil {
+		override(&c.Kind, own.Kind)
+		override(&c.Method, own.Method)
+		override(&c.URI, own.URI)
+		override(&c.Version, own.Version)
+		override(&c.Interval, own.Interval)
+		override(&c.FastInterval, own.FastInterval)
+		override(&c.DownInterval, own.DownInterval)
+		override(&c.Rise, own.Rise)
+		override(&c.Fall, own.Fall)
+		override(&c.Timeout, own.Timeout)
+		if len(own.Headers) > 0 {
+			c.Headers = own.Headers
 		}
-		if len(o.Expect) > 0 {
-			c.Expect = o.Expect
+		if len(own.Expect) > 0 {
+			c.Expect = own.Expect
 		}
 	}
 	if addr = s.CheckAddr; addr == "" {
@@ -178,16 +181,17 @@
 	return spec, addr, true, err
 }
 
-// override sets *to unless from is zero.
-func override[T comparable](to *T, from T) {
-	*to = cmp.Or(from, *to)
+// override sets *dest to value unless value is the zero value.
+func override[T comparable](dest *T, value T) {
+	*dest = cmp.Or(value, *dest)
 }
 
+// spec parses the check and applies the defaults.
 func (c *WebCheck) spec() (healthcheck.Spec, error) {
 	s := healthcheck.Spec{Kind: c.Kind, Method: c.Method, URI: c.URI, Version: c.Version, Interval: Seconds(c.Interval), FastInterval: Seconds(c.FastInterval),
 		DownInterval: Seconds(c.DownInterval), Rise: c.Rise, Fall: c.Fall, Timeout: Seconds(c.Timeout)}
 	for _, h := range c.Headers {
-		name, value, ok := cutField(h)
+		name, value, ok := cutHeaderField(h)
 		if !ok {
 			return s, fmt.Errorf("check: %q is no header field, NAME: VALUE", h)
 		}
@@ -214,7 +218,8 @@
 	return s, nil
 }
 
-func cutField(s string) (name, value string, ok bool) {
+// cutHeaderField splits a header field of the form NAME: VALUE.
+func cutHeaderField(s string) (name, value string, ok bool) {
 	for i := range len(s) {
 		if s[i] == ':' {
 			value = s[i+1:]
@@ -227,10 +232,10 @@
 	return "", "", false
 }
 
-// maxRuleFile bounds a file that a rule names.
+// maxRuleFile is the maximum size, in bytes, of a file that a rule refers to.
 const maxRuleFile = 64 << 20
 
-// ReadFile reads the files that rules name.
+// ReadFile reads a file that a rule refers to.
 func (w *Web) ReadFile(path string) ([]byte, error) {
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(w.dir, path)
@@ -245,7 +250,7 @@
 	return os.ReadFile(path)
 }
 
-// Check returns an error for frontends and backends that cannot serve.
+// Check validates the frontends and backends and returns the first error.
 func (w *Web) Check() error {
 	if len(w.Frontends) == 0 {
 		return errors.New("web: no frontend")
@@ -254,7 +259,7 @@
 	if err != nil {
 		return err
 	}
-	listening := map[string]string{} // the frontend of each address
+	listening := map[string]string{} // name of the frontend by address
 	names := map[string]bool{}
 	for i := range w.Frontends {
 		f := &w.Frontends[i]
@@ -275,7 +280,7 @@
 	return nil
 }
 
-// checkBackends checks all backends and returns them by name.
+// checkBackends validates all backends and returns them by name.
 func (w *Web) checkBackends() (map[string]*WebBackend, error) {
 	backends := map[string]*WebBackend{}
 	for i := range w.Backends {
@@ -298,7 +303,8 @@
 	return backends, nil
 }
 
-// checkListen checks a frontend's addresses and adds them to those that are listened on.
+// checkListen validates a frontend's addresses and adds them to listening, which maps the
+// addresses of all frontends checked so far to the name of the frontend.
 func (f *WebFrontend) checkListen(listening map[string]string) error {
 	if len(f.Listen) == 0 {
 		return fmt.Errorf("web: frontend %q listens nowhere", f.Name)
@@ -315,14 +321,14 @@
 	return nil
 }
 
-// checkRules checks a frontend's rules, which may lead only to backends that are there.
+// checkRules compiles a frontend's rules and checks that the backends that they select exist.
 func (w *Web) checkRules(f *WebFrontend, backends map[string]*WebBackend) error {
 	rules, err := route.Compile(f.Spec, w.ReadFile)
 	if err != nil {
 		return fmt.Errorf("web: frontend %q: %w", f.Name, err)
 	}
-	to, _ := rules.Backends()
-	for _, name := range to {
+	selected, _ := rules.Backends()
+	for _, name := range selected {
 		if backends[name] == nil {
 			return fmt.Errorf("web: frontend %q leads to backend %q, which is not there", f.Name, name)
 		}
@@ -330,7 +336,8 @@
 	return nil
 }
 
-// canTrack reports whether there is a server of that name, BACKEND/SERVER, that tracks no other.
+// canTrack reports whether track, of the form BACKEND/SERVER, is an existing server that does
+// not itself track another one.
 func (w *Web) canTrack(track string) bool {
 	for _, b := range w.Backends {
 		for _, s := range b.Servers {
@@ -367,7 +374,7 @@
 	return nil
 }
 
-// checkBalance checks the pool that the backend makes, and what is hashed.
+// checkBalance validates the pool options and the expression in hash_on.
 func (w *Web) checkBalance(b *WebBackend) error {
 	if len(b.Servers) > 0 {
 		o := b.PoolOptions()
@@ -386,20 +393,20 @@
 	return nil
 }
 
-// checkRetries checks retries and time-outs.
+// checkRetries validates the settings of retries and the timeouts.
 func (b *WebBackend) checkRetries() error {
 	if b.Attempts() < 1 || b.ConnectTimeout < 0 || b.ServerTimeout < 0 || b.QueueTimeout < 0 || b.RetryAfter < 0 {
 		return errors.New("retries and times must not be negative")
 	}
-	for _, word := range b.RetryOn {
-		if !slices.Contains(RetryConditions, word) {
-			return fmt.Errorf("retry_on: %q is none of %v", word, RetryConditions)
+	for _, condition := range b.RetryOn {
+		if !slices.Contains(RetryConditions, condition) {
+			return fmt.Errorf("retry_on: %q is none of %v", condition, RetryConditions)
 		}
 	}
 	return nil
 }
 
-// checkServer checks a server's addresses and its health check.
+// checkServer validates a server's addresses and its health check.
 func (b *WebBackend) checkServer(s *WebServer) error {
 	if _, err := netip.ParseAddrPort(s.Addr); err != nil {
 		return fmt.Errorf("%q is no IP address and port", s.Addr)
--- a/internal/jobrequest/jobrequest.go
+++ b/internal/jobrequest/jobrequest.go
@@ -1,5 +1,5 @@
-// Package jobrequest parses a client's HTTP request into a job, for the platform's protocol and
-// for event streams alike.
+// Package jobrequest parses a client's HTTP request into a job. The frontends for the platform's
+// protocol and for server-sent events share it.
 package jobrequest
 
 import (
@@ -17,51 +17,53 @@
 	"sedgevale/internal/httpd"
 )
 
-// responseMargin is subtracted from a client's timeout: the time in which the response gets
-// back to it.
+// responseMargin is subtracted from a client's timeout to leave time for the response to reach
+// the client.
 const responseMargin = 10 * time.Millisecond
 
-// The bounds of what a request may say.
+// The limits of the values in a request.
 const (
 	maxIDLength = 128 // bytes
 	maxSlots    = 1e6
-	maxDuration = 1e9 // in the unit that is given with it
+	maxDuration = 1e9 // in the unit given in the field, milliseconds or microseconds
 )
 
 // Parser parses requests. It may be used by several goroutines.
 type Parser struct {
 	clock    dispatch.Clock
-	settings *atomic.Pointer[Settings] // shared with the parsers made by WithMargin
-	margin   time.Duration             // subtracted from timeouts beyond responseMargin
+	settings *atomic.Pointer[Settings] // shared with the parsers returned by WithMargin
+	margin   time.Duration             // subtracted from timeouts in addition to responseMargin
 }
 
-// Settings are the settings by which requests are parsed. They are not changed, only replaced.
+// Settings are the settings of a Parser. They are immutable; see [Parser.Update].
 type Settings struct {
 	Classes []dispatcher.Class
-	Tenants []dispatcher.Tenant // none: any tenant may send jobs
+	Tenants []dispatcher.Tenant // if empty, the tenant of a request is ignored
 }
 
-// New returns a Parser with those settings, whose deadlines are on the clock.
+// New returns a Parser with the given settings. Its deadlines are times on the clock.
 func New(clock dispatch.Clock, s *Settings) *Parser {
 	p := &Parser{clock: clock, settings: &atomic.Pointer[Settings]{}}
 	p.settings.Store(s)
 	return p
 }
 
-// Update replaces the settings, also of parsers made by WithMargin.
+// Update replaces the settings of the Parser and of the parsers that WithMargin has derived from
+// it.
 func (p *Parser) Update(s *Settings) { p.settings.Store(s) }
 
-// Time returns a time on the clock of the deadlines.
+// Time converts t to a time on the clock of the deadlines.
 func (p *Parser) Time(t time.Time) time.Duration { return p.clock.At(t) }
 
-// WithMargin returns a Parser whose deadlines are earlier by a margin.
+// WithMargin returns a Parser whose deadlines are earlier by the margin.
 func (p *Parser) WithMargin(margin time.Duration) *Parser {
 	derived := *p
 	derived.margin += margin
 	return &derived
 }
 
-// Error is a request that is not a job, with the HTTP status and text of its response.
+// Error is the error for a request that is not a valid job. It holds the status and the text of
+// the HTTP response.
 type Error struct {
 	Status int
 	Text   string
@@ -71,14 +73,14 @@
 
 func badRequest(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
 
-// ClassName returns the name of the class that a request's target stands for.
+// ClassName returns the class name in a request's target, which is the first segment of the path.
 func ClassName(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	return name
 }
 
-// Class returns the class of that name, or nil.
+// Class returns the class with that name, or nil if there is none.
 func (p *Parser) Class(name string) *dispatcher.Class { return p.settings.Load().class(name) }
 
 func (s *Settings) class(name string) *dispatcher.Class {
@@ -90,92 +92,95 @@
 	return nil
 }
 
-// Parse returns a request's job and its deadline on the clock. The id and the timeout are
-// those of a request that has none; it is rejected if they are zero. The error is an *Error.
+// Parse returns a request's job and its deadline on the clock. The id and the timeout are the
+// defaults for a request that does not contain them; with zero values such a request is rejected.
+// The error is an *Error.
 func (p *Parser) Parse(q *httpd.Request, id string, timeout time.Duration) (dispatch.Job, time.Duration, error) {
 	j := dispatch.Job{ID: id, Tenant: -1, Slots: 1, Method: q.Method, Target: q.Target, Body: q.Body}
 	settings := p.settings.Load()
-	h := header{job: &j, timeout: timeout}
-	if err := h.read(q.Fields); err != nil {
+	f := requestFields{job: &j, timeout: timeout}
+	if err := f.read(q.Fields); err != nil {
 		return j, 0, err
 	}
 	j.Class = settings.class(ClassName(q.Target))
-	if err := h.check(q.Method); err != nil {
+	if err := f.check(q.Method); err != nil {
 		return j, 0, err
 	}
 	for i := range settings.Tenants {
-		if settings.Tenants[i].Name == h.tenant {
+		if settings.Tenants[i].Name == f.tenant {
 			j.Tenant, j.TenantName = i, settings.Tenants[i].Name
 		}
 	}
 	if j.Tenant < 0 && len(settings.Tenants) > 0 {
 		return j, 0, badRequest("unknown Tenant")
 	}
-	if d, ok := parseDuration(h.hint); ok {
+	if d, ok := parseDuration(f.workHint); ok {
 		j.RuntimeHint = d
 	}
-	if err := parseInfo(&j, h.info); err != nil {
+	if err := parseRequestInfo(&j, f.requestInfo); err != nil {
 		return j, 0, err
 	}
-	return j, p.clock.At(q.At) + h.timeout - responseMargin - p.margin, nil
+	return j, p.clock.At(q.At) + f.timeout - responseMargin - p.margin, nil
 }
 
-// header is what a request's fields say: the job, and values that are still to be resolved.
-type header struct {
-	job                       *dispatch.Job
-	class, tenant, hint, info string
-	timeout                   time.Duration
+// requestFields holds the values of a request's header fields: those that are copied to the job,
+// and those that Parse still has to resolve.
+type requestFields struct {
+	job                                  *dispatch.Job
+	class, tenant, workHint, requestInfo string
+	timeout                              time.Duration
 }
 
-// read applies a request's fields.
-func (h *header) read(fields []http1.Field) error {
-	for i, f := range fields {
-		if hasField(fields[:i], f.Name) && singleValued(f.Name) {
-			return badRequest("%s is given twice", f.Name)
+// read reads a request's header fields.
+func (f *requestFields) read(fields []http1.Field) error {
+	for i, field := range fields {
+		if hasField(fields[:i], field.Name) && isSingleValued(field.Name) {
+			return badRequest("%s is given twice", field.Name)
 		}
-		if err := h.set(f.Name, f.Value); err != nil {
+		if err := f.set(field.Name, field.Value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *header) set(name, value string) error {
+// set stores the value of one header field. It ignores fields that jobs do not use.
+func (f *requestFields) set(name, value string) error {
 	switch {
 	case strings.EqualFold(name, "Request-Id"):
-		h.job.ID = value
+		f.job.ID = value
 	case strings.EqualFold(name, "Request-Class"):
-		h.class = value
+		f.class = value
 	case strings.EqualFold(name, "Tenant"):
-		h.tenant = value
+		f.tenant = value
 	case strings.EqualFold(name, "Affinity-Key"):
-		h.job.AffinityKey = value
+		f.job.AffinityKey = value
 	case strings.EqualFold(name, "Idempotency-Key"):
-		h.job.IdempotencyKey = value
+		f.job.IdempotencyKey = value
 	case strings.EqualFold(name, "Client-Id"):
-		h.job.Client = value
+		f.job.Client = value
 	case strings.EqualFold(name, "Client-Retry"):
-		h.job.ClientRetry = value == "1"
+		f.job.ClientRetry = value == "1"
 	case strings.EqualFold(name, "Work-Hint"):
-		h.hint = value
+		f.workHint = value
 	case strings.EqualFold(name, "Request-Info"):
-		h.info = value
+		f.requestInfo = value
 	case strings.EqualFold(name, "Request-Timeout"):
 		d, ok := parseDuration(value)
 		if !ok {
 			return badRequest("Request-Timeout must be a number and m or u")
 		}
-		h.timeout = d
+		f.timeout = d
 	}
 	return nil
 }
 
-// check returns an error for a request whose class, method, id, timeout or idempotency key is
-// missing or wrong.
-func (h *header) check(method string) error {
-	j := h.job
+// check returns an error for a request whose class, method, ID, timeout or idempotency key is
+// missing or invalid.
+func (f *requestFields) check(method string) error {
+	j := f.job
 	switch {
-	case h.class != "" && (j.Class == nil || h.class != j.Class.Name):
+	case f.class != "" && (j.Class == nil || f.class != j.Class.Name):
 		return badRequest("Request-Class is unknown or not that of the path")
 	case j.Class == nil:
 		return &Error{404, "no such class"}
@@ -183,7 +188,7 @@
 		return &Error{405, "jobs come by POST"}
 	case j.ID == "" || len(j.ID) > maxIDLength || strings.ContainsAny(j.ID, " \t"):
 		return badRequest("Request-Id must be one word")
-	case h.timeout <= 0:
+	case f.timeout <= 0:
 		return badRequest("Request-Timeout is missing")
 	case j.IdempotencyKey == "" && j.Class.Idempotency == dispatcher.IdempotentByKey:
 		return badRequest("this class needs an Idempotency-Key")
@@ -191,8 +196,9 @@
 	return nil
 }
 
-// parseInfo reads the pairs of Request-Info that matter for the dispatch of a job.
-func parseInfo(j *dispatch.Job, info string) error {
+// parseRequestInfo parses the pairs in Request-Info. Only slots is used for scheduling; other pairs
+// are ignored.
+func parseRequestInfo(j *dispatch.Job, info string) error {
 	for pair := range strings.SplitSeq(info, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if name != "slots" {
@@ -207,9 +213,9 @@
 	return nil
 }
 
-// singleValued reports whether a field may be given only once: which of two values counts
-// would depend on who reads them.
-func singleValued(name string) bool {
+// isSingleValued reports whether a field may occur only once. With two values, the scheduler and
+// other readers of the request might use different ones.
+func isSingleValued(name string) bool {
 	for _, s := range []string{"Request-Id", "Request-Class", "Tenant", "Affinity-Key", "Idempotency-Key",
 		"Client-Retry", "Work-Hint", "Request-Info", "Request-Timeout"} {
 		if strings.EqualFold(s, name) {
@@ -237,7 +243,7 @@
 		return 0, false
 	}
 	number := s[:len(s)-1]
-	if strings.Trim(number, "0123456789.") != "" { // no sign, exponent, Inf or NaN
+	if strings.Trim(number, "0123456789.") != "" { // rejects signs, exponents, Inf and NaN
 		return 0, false
 	}
 	v, err := strconv.ParseFloat(number, 64)
--- a/internal/platformapi/golden_test.go
+++ b/internal/platformapi/golden_test.go
@@ -18,9 +18,10 @@
 	"sedgevale/internal/testkit"
 )
 
-// goldenPlanners answer each request by its ID.
+// goldenPlanners answers each job with the entry of goldenAnswers for its ID.
 type goldenPlanners struct{}
 
+// goldenAnswers holds the answers by job ID.
 var goldenAnswers = map[string]dispatch.Answer{
 	"served":       {Kind: dispatch.Served, Result: []byte("the result\x00")},
 	"refused":      {Kind: dispatch.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "too much to do"},
@@ -39,7 +40,7 @@
 
 func (goldenPlanners) ClientDisconnected(*dispatch.Exchange) {}
 
-// exchange sends a request as it is and returns the answer's bytes.
+// exchange sends the bytes of a request on a new connection and returns the bytes of the response.
 func exchange(t *testing.T, addr, request string) string {
 	t.Helper()
 	var dialer net.Dialer
@@ -54,28 +55,28 @@
 	if _, err := io.WriteString(c, request); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(c)
+	response, err := io.ReadAll(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(response)
 }
 
-// post is a job's request with a body of two bytes.
-func post(path, id, more string) string {
+// post returns a request for a job with additional header fields and a body of two bytes.
+func post(path, id, fields string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\nRequest-Id: %s\r\nRequest-Timeout: 9000m\r\n%sContent-Length: 2\r\n\r\nhi",
-		path, id, more)
+		path, id, fields)
 }
 
-// The bytes of each answer of the platform's protocol.
-func TestAnswerBytes(t *testing.T) {
+// Tests that the responses of the platform's protocol do not change in any byte.
+func TestResponseBytes(t *testing.T) {
 	var ready atomic.Bool
-	rules := jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{
+	parser := jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{
 		Classes: []dispatcher.Class{{Name: "free"}, {Name: "keyed", Idempotency: dispatcher.IdempotentByKey}},
 		Tenants: []dispatcher.Tenant{{Name: "co-op"}},
 	})
 	addr := testkit.FreeAddr(t)
-	s := httpd.New(addr, 1, platformapi.New(rules, goldenPlanners{}, ready.Load), fdlimit.New(0), slog.New(slog.DiscardHandler))
+	s := httpd.New(addr, 1, platformapi.New(parser, goldenPlanners{}, ready.Load), fdlimit.New(0), slog.New(slog.DiscardHandler))
 	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +86,7 @@
 		t.Errorf("not ready: got\n%q\nwant\n%q", got, want)
 	}
 	ready.Store(true)
-	for _, one := range []struct{ request, want string }{
+	for _, c := range []struct{ request, want string }{
 		{readiness, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nready\n"},
 		{"POST /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405 Method Not Allowed\r\nAllow: POST\r\nConnection: close\r\nContent-Length: 9\r\n\r\nonly GET\n"},
 		{post("/free", "served", "Tenant: co-op\r\n"), "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 11\r\n\r\nthe result\x00"},
@@ -102,8 +103,8 @@
 		{"GET /free HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", "HTTP/1.1 405 Method Not Allowed\r\nAllow: POST\r\nConnection: close\r\nContent-Length: 18\r\n\r\njobs come by POST\n"},
 		{"POST /free HTTP/1.1\r\nHost: h\r\nConnection: close\r\nRequest-Id: a\r\nTenant: co-op\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 27\r\n\r\nRequest-Timeout is missing\n"},
 	} {
-		if got := exchange(t, addr, one.request); got != one.want {
-			t.Errorf("%q: got\n%q\nwant\n%q", one.request, got, one.want)
+		if got := exchange(t, addr, c.request); got != c.want {
+			t.Errorf("%q: got\n%q\nwant\n%q", c.request, got, c.want)
 		}
 	}
 }
--- a/internal/platformapi/platformapi.go
+++ b/internal/platformapi/platformapi.go
@@ -1,5 +1,5 @@
-// Package platformapi serves the platform's protocol: each request is a job, and its response
-// the job's result or why there is none.
+// Package platformapi serves the platform's HTTP protocol for jobs: it submits each request as a
+// job and responds with the job's result or with the reason why there is none.
 package platformapi
 
 import (
@@ -12,26 +12,27 @@
 	"sedgevale/internal/jobrequest"
 )
 
-// Planners accept jobs. SubmitRequest submits an exchange, ClientDisconnected reports that its
-// client has disconnected.
+// Planners accepts jobs; [dispatch.Set] implements it.
 type Planners interface {
+	// SubmitRequest submits an exchange.
 	SubmitRequest(*dispatch.Exchange)
+	// ClientDisconnected reports that the client of an exchange has disconnected.
 	ClientDisconnected(*dispatch.Exchange)
 }
 
-// Handler is the httpd.Handler of the platform's protocol.
+// Handler implements [httpd.Handler] for the platform's protocol.
 type Handler struct {
 	parser   *jobrequest.Parser
 	planners Planners
 	ready    func() bool
 }
 
-// New returns a Handler. Ready says whether the scheduler should be sent requests.
+// New returns a Handler. Ready reports whether the scheduler is ready for requests.
 func New(parser *jobrequest.Parser, planners Planners, ready func() bool) *Handler {
 	return &Handler{parser, planners, ready}
 }
 
-// Serve answers a request: a job, or whether the scheduler is ready.
+// Serve handles a readiness check or a request for a job.
 func (h *Handler) Serve(c *httpd.Conn, q *httpd.Request) {
 	if q.Target == "/ready" {
 		Ready(c, q, h.ready())
@@ -47,14 +48,15 @@
 	h.planners.SubmitRequest(x)
 }
 
-// Disconnected is called when a client has disconnected before its response.
+// Disconnected reports to the planners that a client has disconnected before its response.
 func (h *Handler) Disconnected(c *httpd.Conn) {
 	if x, ok := c.State.(*dispatch.Exchange); ok {
 		h.planners.ClientDisconnected(x)
 	}
 }
 
-// Ready answers whether the scheduler should be sent requests.
+// Ready responds to a readiness check with status 200 if the scheduler is ready for requests and
+// with 503 otherwise.
 func Ready(c *httpd.Conn, q *httpd.Request, ready bool) {
 	switch {
 	case q.Method != "GET":
@@ -66,13 +68,13 @@
 	}
 }
 
-// Reject responds to a request that is not a job with the error's status, 400 if it has none, and
-// ends the connection.
+// Reject responds to an invalid request with the status and the text of the error, and closes the
+// connection. The status is 400 if the error is not a [jobrequest.Error].
 func Reject(c *httpd.Conn, err error) {
 	status := 400
-	var why *jobrequest.Error
-	if errors.As(err, &why) {
-		status = why.Status
+	var requestErr *jobrequest.Error
+	if errors.As(err, &requestErr) {
+		status = requestErr.Status
 	}
 	var fields []http1.Field
 	if status == 405 {
@@ -81,14 +83,15 @@
 	c.RespondLast(status, fields, []byte(err.Error()+"\n"))
 }
 
-// responder is the dispatch.Client of an exchange whose client waits for the response.
-type responder struct{ c *httpd.Conn }
+// responder implements [dispatch.Client] for a connection that waits for the response.
+type responder struct{ conn *httpd.Conn }
 
 func (responder) Started()         {}
 func (responder) Progress(float64) {}
 
-func (w responder) Answer(a dispatch.Answer) {
-	w.c.Post(func(c *httpd.Conn) {
+// Answer responds with the answer on the event loop of the connection.
+func (r responder) Answer(a dispatch.Answer) {
+	r.conn.Post(func(c *httpd.Conn) {
 		c.State = nil
 		switch a.Kind {
 		case dispatch.Served:
