--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -62,7 +62,7 @@
 }
 
 // Exchange is one request with its client and its attempts. After it has been submitted,
-// only its Planner may access it.
+// only its Planner may modify it.
 type Exchange struct {
 	Job
 	client       Client
--- a/internal/dispatch/planner.go
+++ b/internal/dispatch/planner.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// SubmitRequest submits an Exchange. The caller must not access the Exchange afterwards.
+// SubmitRequest submits an Exchange. The caller must not modify the Exchange afterwards.
 func (p *Planner) SubmitRequest(x *Exchange) { p.queue.Put(event{kind: eventRequest, exchange: x}) }
 
 // ClientDisconnected reports that the client has disconnected and no longer waits for an
--- a/internal/dispatchconfig/config.go
+++ b/internal/dispatchconfig/config.go
@@ -33,7 +33,7 @@
 
 	Settings Settings `json:"settings"`
 
-	// The fields from Revision to PeerWatch are set only from an operator's file.
+	// The fields from Revision to FailureDetection are set only from an operator's file.
 	Revision  uint32     `json:"-"` // the operator's revision number of the configuration; 0 if there is none
 	SSE       *SSE       `json:"-"`
 	Journal   *Journal   `json:"-"`
@@ -41,8 +41,8 @@
 	Admission *Admission `json:"-"`
 	Planners  int        `json:"-"`
 	Loops     int        `json:"-"`
-	// PeerWatch enables failure detection among the schedulers of the site.
-	PeerWatch bool `json:"-"`
+	// FailureDetection enables failure detection among the schedulers of the site.
+	FailureDetection bool `json:"-"`
 
 	Source []byte `json:"-"` // content of the platform's file; nil for an operator's file
 
--- a/internal/dispatchconfig/operator.go
+++ b/internal/dispatchconfig/operator.go
@@ -100,7 +100,7 @@
 		f.Settings.PeersTotal = len(f.Peers)
 	}
 	return &Config{Name: f.Name, Revision: f.Revision, Listen: f.Listen, Ops: f.Ops, Discovery: f.Discovery, Seed: f.Seed, Limits: f.Limits,
-		PeerListen: f.PeerListen, Peers: f.Peers, PeerWatch: true,
+		PeerListen: f.PeerListen, Peers: f.Peers, FailureDetection: true,
 		Known: &discovery.List{Complete: true, Members: f.Workers}, Settings: f.Settings,
 		SSE: f.SSE, Journal: f.Journal, Web: f.Web, Admission: f.Admission, Planners: f.Planners, Loops: f.Loops}
 }
--- a/internal/dispatchconfig/peers.go
+++ b/internal/dispatchconfig/peers.go
@@ -36,7 +36,7 @@
 	if len(c.Peers) > maxPeers {
 		return nil, fmt.Errorf("peers: %d addresses, %d at most", len(c.Peers), maxPeers)
 	}
-	p := &PeerPlan{Self: c.Settings.PeerIndex, Watch: c.PeerWatch}
+	p := &PeerPlan{Self: c.Settings.PeerIndex, Watch: c.FailureDetection}
 	var err error
 	if p.Listen, err = netip.ParseAddrPort(c.PeerListen); err != nil || p.Listen.Port() == 0 || !p.Listen.Addr().Is4() {
 		return nil, fmt.Errorf("peer_listen %q is no IPv4 address and port", c.PeerListen)
--- a/internal/dispatchconfig/settings.go
+++ b/internal/dispatchconfig/settings.go
@@ -14,15 +14,15 @@
 // platform's configuration file. Times are in seconds.
 type Settings struct {
 	Bounds struct {
-		Cancel        bool    `json:"cancel" toml:"cancel,omitempty"`
-		DialTimeout   float64 `json:"dial_timeout" toml:"dial_timeout,omitempty"`
-		IdleClose     float64 `json:"idle_close" toml:"idle_close,omitempty"`
-		MaxAttempts   int     `json:"max_attempts" toml:"max_attempts,omitempty"`
-		MaxRetryAfter float64 `json:"max_retry_after" toml:"max_retry_after,omitempty"`
-		AllowProbe    bool    `json:"may_probe" toml:"may_probe,omitempty"`
-		AllowHedging  bool    `json:"parallel_tries" toml:"parallel_tries,omitempty"`
-		Peers         bool    `json:"peers" toml:"peers,omitempty"`
-		RetryAfter    bool    `json:"retry_after" toml:"retry_after,omitempty"`
+		AllowCancel    bool    `json:"cancel" toml:"cancel,omitempty"`
+		DialTimeout    float64 `json:"dial_timeout" toml:"dial_timeout,omitempty"`
+		IdleClose      float64 `json:"idle_close" toml:"idle_close,omitempty"`
+		MaxAttempts    int     `json:"max_attempts" toml:"max_attempts,omitempty"`
+		MaxRetryAfter  float64 `json:"max_retry_after" toml:"max_retry_after,omitempty"`
+		AllowProbe     bool    `json:"may_probe" toml:"may_probe,omitempty"`
+		AllowHedging   bool    `json:"parallel_tries" toml:"parallel_tries,omitempty"`
+		Peers          bool    `json:"peers" toml:"peers,omitempty"`
+		SendRetryAfter bool    `json:"retry_after" toml:"retry_after,omitempty"`
 	} `json:"bounds" toml:"bounds,omitempty"`
 	Classes   []Class `json:"classes" toml:"classes,omitempty"`
 	Discovery string  `json:"discovery" toml:"discovery,omitempty"`
@@ -190,7 +190,7 @@
 		Dispatchers:   max(1, s.PeersTotal) * max(1, planners),
 		MaxAttempts:   s.Bounds.MaxAttempts,
 		AllowHedging:  s.Bounds.AllowHedging,
-		AllowCancel:   s.Bounds.Cancel,
+		AllowCancel:   s.Bounds.AllowCancel,
 		WatchOnDemand: s.Discovery == "ask",
 		StartNotified: s.Family.TellsStart,
 		FIFOWorkers:   s.Family.QueueOrder == "fifo",
@@ -203,7 +203,7 @@
 		OverloadMultiple:   s.Rules.OverloadMultiple,
 		OverloadWindow:     Seconds(s.Rules.OverloadWindow),
 	}
-	if s.Bounds.RetryAfter {
+	if s.Bounds.SendRetryAfter {
 		converted.MaxRetryAfter = Seconds(s.Bounds.MaxRetryAfter)
 	}
 	if err := s.setRetryBudget(&converted); err != nil {
