--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -1,5 +1,5 @@
-// Package peerlink connects the planners of a scheduler with the other schedulers of its site: it owns the UDP socket on which they
-// exchange the loads that they put on workers. The protocol is that of internal/peers.
+// Package peerlink runs the protocol of internal/peers on a UDP socket: it sends the load that a scheduler's planners put on workers to
+// the other schedulers of the site, and passes the load that those report to the planners.
 package peerlink
 
 import (
@@ -20,54 +20,54 @@
 )
 
 const (
-	// bindRetryInterval is the time between two attempts to bind the address, which the process that this one takes over from
-	// may still have.
+	// bindRetryInterval is the time between two attempts to bind the address, which the process that this one replaces may still
+	// hold.
 	bindRetryInterval = 100 * time.Millisecond
-	// maxSeparateLines is how many members may change at a time and be logged one by one.
-	maxSeparateLines = 4
+	// maxSeparateLogLines is the maximum number of simultaneous changes of members that are logged individually. More are
+	// summarized in one line.
+	maxSeparateLogLines = 4
 )
 
 // Options configure a Link.
 type Options struct {
 	Listen           netip.AddrPort
-	Peers            []netip.AddrPort // by number, its own included
-	Self             int              // its own number
-	Site             uint64           // see peers.Options
-	FailureDetection bool             // there is failure detection, by all members alike
-	Seed             uint64           // of its random choices
-	Revision         peers.Revision   // in force at the start; gossiped where there is failure detection
-	MinSubscribers   int              // minimum number of subscribers of a worker
-	MinSubset        int              // minimum number of workers in a subset
+	Peers            []netip.AddrPort // by member number, including this one
+	Self             int              // number of this member
+	Site             uint64           // fingerprint of the site, see peers.Options
+	FailureDetection bool             // must be the same at all members
+	Seed             uint64           // seed of the failure detector's random choices
+	Revision         peers.Revision   // revision in force at the start; gossiped only with failure detection
+	MinSubscribers   int              // minimum number of subscribers per worker
+	MinSubset        int              // minimum number of workers per subset
 	Planners         []*dispatch.Planner
 	Clock            dispatch.Clock
 	Log              *slog.Logger
 }
 
-// Link sends the other schedulers the load that its planners put on workers, and passes on the load of the others to the planners.
-// Its methods are safe for concurrent use.
+// Link exchanges the loads of its planners with the other schedulers of the site. Its methods are safe for concurrent use.
 type Link struct {
 	options         Options
 	numberByAddress map[netip.AddrPort]int
-	bindRequested   chan struct{} // has an element where the address is to be bound
+	bindRequested   chan struct{} // holds an element while a bind of the address is requested
 
 	mu     sync.Mutex   // guards the fields below
-	conn   *net.UDPConn // nil: not bound
+	conn   *net.UDPConn // nil while the address is not bound
 	paused bool
 	node   *peers.Node
-	loads  []map[string]dispatcher.Load // by planner, where there are several
+	loads  []map[string]dispatcher.Load // non-zero loads by worker for each planner; used only with several planners
 
-	// Buffers, reused.
+	// Buffers that are reused between calls.
 	loadChanges  []dispatcher.WorkerLoad
 	stateChanges []peers.Change
 	lags         []peers.Lag
 }
 
-// New returns a Link that has no socket yet, and has the planners report their loads to it.
+// New returns a Link and registers it for load changes of the planners. Run binds its socket.
 func New(o Options) *Link {
 	l := &Link{options: o, numberByAddress: map[netip.AddrPort]int{}, bindRequested: make(chan struct{}, 1)}
 	l.bindRequested <- struct{}{}
-	for i, a := range o.Peers {
-		l.numberByAddress[a] = i
+	for i, addr := range o.Peers {
+		l.numberByAddress[addr] = i
 	}
 	nodeOptions := peers.Options{Self: o.Self, Members: len(o.Peers), Site: o.Site, MinSubscribers: o.MinSubscribers, MinSubset: o.MinSubset, Revision: o.Revision,
 		Generation: uint16(time.Now().UnixMilli() / 128)}
@@ -82,11 +82,11 @@
 	return l
 }
 
-// Run sends and receives until the context ends.
+// Run sends and receives datagrams until the context ends.
 func (l *Link) Run(ctx context.Context) {
-	var ticking sync.WaitGroup
-	ticking.Go(func() { l.tickLoop(ctx) })
-	defer ticking.Wait()
+	var tickers sync.WaitGroup
+	tickers.Go(func() { l.tickLoop(ctx) })
+	defer tickers.Wait()
 	stop := context.AfterFunc(ctx, l.Pause)
 	defer stop()
 	for ctx.Err() == nil {
@@ -109,14 +109,15 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // as for a peer whose port is closed; no datagram was lost
+		if err != nil { // e.g. an ICMP error for a peer whose port is closed; no received datagram is lost
 			continue
 		}
 		l.receive(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n])
 	}
 }
 
-// bind returns a socket on the address, or nil once the Link is paused or the context has ended.
+// bind returns a socket bound to the address, retrying until it succeeds. It returns nil if the Link is paused or the context has
+// ended.
 func (l *Link) bind(ctx context.Context) *net.UDPConn {
 	for logged := false; ctx.Err() == nil; {
 		l.mu.Lock()
@@ -132,7 +133,7 @@
 		}
 		if !logged {
 			logged = true
-			l.options.Log.Warn("cannot listen for other schedulers, retrying", "addr", l.options.Listen, "err", err)
+			l.options.Log.Warn("cannot bind the UDP address for peer schedulers; retrying", "addr", l.options.Listen, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// Pause closes the socket, since another process goes on as this scheduler.
+// Pause closes the socket, so that the process that takes over as this scheduler can bind the address.
 func (l *Link) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,7 +154,7 @@
 	}
 }
 
-// Resume binds the address again.
+// Resume requests that the address be bound again after Pause.
 func (l *Link) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,7 +165,7 @@
 	}
 }
 
-// SetRevision sets the revision of the configuration that is in force here, and sends it to the others.
+// SetRevision sets the configuration revision that this scheduler has in force, and starts to gossip it.
 func (l *Link) SetRevision(r peers.Revision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,7 +174,7 @@
 	l.node.Flush(now, l.send)
 }
 
-// receive handles a datagram.
+// receive handles a received datagram.
 func (l *Link) receive(from netip.AddrPort, datagram []byte) {
 	number, known := l.numberByAddress[from]
 	if !known {
@@ -185,87 +186,88 @@
 	if err := l.node.Receive(now, number, datagram); err != nil {
 		return
 	}
-	l.node.Flush(now, l.send) // it may require an answer
+	l.node.Flush(now, l.send) // the datagram may require a reply
 	l.deliverLoads()
 }
 
-// Status returns the state of the members and the loads of workers.
+// Status returns the state of the members and the loads on workers.
 func (l *Link) Status() peers.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.node.Status(l.options.Clock.Now())
 }
 
-// logStateChanges logs members whose state has changed: a line each, or one for all where they are many. The lock is held.
+// logStateChanges logs the members whose state has changed, one line per member or a summary of more than maxSeparateLogLines. The
+// caller holds mu.
 func (l *Link) logStateChanges() {
 	l.stateChanges = l.stateChanges[:0]
 	l.node.Changes(func(c peers.Change) { l.stateChanges = append(l.stateChanges, c) })
-	if len(l.stateChanges) > maxSeparateLines {
-		var to [peers.Dead + 1]int
+	if len(l.stateChanges) > maxSeparateLogLines {
+		var counts [peers.Dead + 1]int
 		for _, c := range l.stateChanges {
-			to[c.To]++
+			counts[c.To]++
 		}
-		l.options.Log.Info("many other schedulers changed", "alive", to[peers.Alive], "doubted", to[peers.Suspect], "gone", to[peers.Dead])
+		l.options.Log.Info("several peer schedulers changed state", "alive", counts[peers.Alive], "doubted", counts[peers.Suspect], "gone", counts[peers.Dead])
 		return
 	}
 	for _, c := range l.stateChanges {
-		l.options.Log.Info("another scheduler changed", "number", c.Number, "addr", l.options.Peers[c.Number], "from", c.From, "to", c.To)
+		l.options.Log.Info("peer scheduler changed state", "number", c.Number, "addr", l.options.Peers[c.Number], "from", c.From, "to", c.To)
 	}
 }
 
-// logLags logs members that are behind with the configuration, or have caught up: a line each, or one for all where they are
-// many.
+// logLags logs the members that are behind the newest configuration revision or have caught up, one line per member or a summary of
+// more than maxSeparateLogLines.
 func (l *Link) logLags(lags []peers.Lag) {
-	if len(lags) > maxSeparateLines {
+	if len(lags) > maxSeparateLogLines {
 		caughtUp := 0
 		for _, lag := range lags {
-			if lag.Over {
+			if lag.CaughtUp {
 				caughtUp++
 			}
 		}
-		l.options.Log.Warn("many schedulers are behind or have caught up", "behind", len(lags)-caughtUp, "level", caughtUp, "newest", lags[0].Newest)
+		l.options.Log.Warn("several schedulers are behind the newest configuration revision or have caught up", "behind", len(lags)-caughtUp, "level", caughtUp, "newest", lags[0].Newest)
 		return
 	}
 	for _, lag := range lags {
-		who := "another scheduler"
+		subject := "peer scheduler"
 		if lag.Number == l.options.Self {
-			who = "this scheduler"
+			subject = "this scheduler"
 		}
 		attrs := []any{"number", lag.Number, "addr", l.options.Peers[lag.Number], "revision", lag.Revision, "newest", lag.Newest}
-		if lag.Over {
-			l.options.Log.Info(who+" has caught up", attrs...)
+		if lag.CaughtUp {
+			l.options.Log.Info(subject+" has caught up with the newest configuration revision", attrs...)
 		} else {
-			l.options.Log.Warn(who+" is behind", append(attrs, "for", lag.For.Truncate(time.Second))...)
+			l.options.Log.Warn(subject+" is behind the newest configuration revision", append(attrs, "for", lag.BehindFor.Truncate(time.Second))...)
 		}
 	}
 }
 
-// updateLoads takes the changed loads of a planner, in whose goroutine it is called.
+// updateLoads records and sends the changed loads of a planner. It is called on the planner's goroutine.
 func (l *Link) updateLoads(planner int, changed []dispatcher.WorkerLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Clock.Now()
-	for _, t := range changed {
+	for _, load := range changed {
 		if len(l.loads) > 1 {
-			if t.InFlight == 0 && t.NotStarted == 0 { // so that the map does not grow with workers that were removed
-				delete(l.loads[planner], t.Worker)
+			if load.InFlight == 0 && load.NotStarted == 0 { // so that the map does not retain removed workers
+				delete(l.loads[planner], load.Worker)
 			} else {
-				l.loads[planner][t.Worker] = t.Load
+				l.loads[planner][load.Worker] = load.Load
 			}
-			t.Load = dispatcher.Load{}
-			for _, out := range l.loads {
-				t.Load = t.Plus(out[t.Worker])
+			load.Load = dispatcher.Load{}
+			for _, byWorker := range l.loads {
+				load.Load = load.Plus(byWorker[load.Worker])
 			}
 		}
-		l.node.SetLoad(now, t.Worker, peers.Load{Slots: int(t.InFlight + 0.5), Waiting: t.NotStarted}, t.Saturated)
+		l.node.SetLoad(now, load.Worker, peers.Load{Slots: int(load.InFlight + 0.5), Waiting: load.NotStarted}, load.Saturated)
 	}
 	l.node.Flush(now, l.send)
 }
 
-// send sends a datagram to a member. The lock is held.
+// send sends a datagram to a member. The caller holds mu.
 func (l *Link) send(to int, datagram []byte) {
 	if l.conn != nil {
-		_, _ = l.conn.WriteToUDPAddrPort(datagram, l.options.Peers[to]) // the protocol repairs losses
+		_, _ = l.conn.WriteToUDPAddrPort(datagram, l.options.Peers[to]) // the protocol repairs losses, so errors are ignored
 	}
 }
 
@@ -281,7 +283,7 @@
 	l.deliverSubset()
 }
 
-// deliverSubset passes the subset of the workers on to the planners, if it has changed. The lock is held.
+// deliverSubset passes the subset of workers to the planners if it has changed. The caller holds mu.
 func (l *Link) deliverSubset() {
 	l.node.TakeSubsetChange(func(subset []string, sharers int) {
 		subset = slices.Clone(subset)
@@ -291,15 +293,15 @@
 	})
 }
 
-// tickLoop has the protocol do what is due until the context ends.
+// tickLoop calls Tick and handles its results at every peers.TickInterval until the context ends.
 func (l *Link) tickLoop(ctx context.Context) {
-	t := time.NewTicker(peers.TickInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(peers.TickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		l.mu.Lock()
 		now := l.options.Clock.Now()
@@ -315,7 +317,7 @@
 	}
 }
 
-// deliverLoads passes changed loads of the other schedulers on to the planners. The lock is held.
+// deliverLoads passes changed loads of the other schedulers to the planners. The caller holds mu.
 func (l *Link) deliverLoads() {
 	l.loadChanges = l.loadChanges[:0]
 	l.node.TakeLoadChanges(func(id string, slots, waiting int) {
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -14,7 +14,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// carrier records where attempts are sent.
+// carrier records the attempts that a planner sends.
 type carrier struct{ sent chan *dispatch.Attempt }
 
 func (c *carrier) Send(a *dispatch.Attempt)        { c.sent <- a }
@@ -29,7 +29,7 @@
 func (client) Progress(float64)       {}
 func (client) Answer(dispatch.Answer) {}
 
-// testScheduler is a planner with its link to other schedulers.
+// testScheduler is a planner with its Link to the other schedulers.
 type testScheduler struct {
 	planner *dispatch.Planner
 	carrier *carrier
@@ -38,30 +38,30 @@
 	class   *dispatcher.Class
 }
 
-var list = discovery.List{Complete: true, Members: []discovery.Member{{ID: "box-1"}, {ID: "box-2"}, {ID: "box-3"}}}
+var workerList = discovery.List{Complete: true, Members: []discovery.Member{{ID: "box-1"}, {ID: "box-2"}, {ID: "box-3"}}}
 
 func startScheduler(t *testing.T, self int, addrs []netip.AddrPort) *testScheduler {
 	t.Helper()
-	set := dispatcher.Settings{Classes: []dispatcher.Class{{Name: "free", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second}}, MaxAttempts: 2}
-	s := &testScheduler{carrier: &carrier{make(chan *dispatch.Attempt, 16)}, clock: dispatch.NewClock(), class: &set.Classes[0]}
+	settings := dispatcher.Settings{Classes: []dispatcher.Class{{Name: "free", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second}}, MaxAttempts: 2}
+	s := &testScheduler{carrier: &carrier{make(chan *dispatch.Attempt, 16)}, clock: dispatch.NewClock(), class: &settings.Classes[0]}
 	log := slog.New(slog.DiscardHandler)
 	var err error
-	if s.planner, err = dispatch.NewPlanner(set, uint64(self), s.clock, s.carrier, func() {}, log); err != nil {
+	if s.planner, err = dispatch.NewPlanner(settings, uint64(self), s.clock, s.carrier, func() {}, log); err != nil {
 		t.Fatal(err)
 	}
 	s.link = New(Options{Listen: addrs[self], Peers: addrs, Self: self, Site: 1, MinSubscribers: 12, MinSubset: 6,
 		Planners: []*dispatch.Planner{s.planner}, Clock: s.clock, Log: log})
-	var entries []dispatcher.WorkerInfo
-	for _, m := range list.Members {
-		entries = append(entries, dispatcher.WorkerInfo{Worker: m.ID})
+	var infos []dispatcher.WorkerInfo
+	for _, m := range workerList.Members {
+		infos = append(infos, dispatcher.WorkerInfo{Worker: m.ID})
 	}
-	s.planner.WorkersUpdated(dispatcher.UpdateFull, entries)
-	s.link.SetWorkers(list)
-	ctx, stop := context.WithCancel(t.Context())
+	s.planner.WorkersUpdated(dispatcher.UpdateFull, infos)
+	s.link.SetWorkers(workerList)
+	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{}, 2)
 	go func() { s.planner.Run(ctx); done <- struct{}{} }()
 	go func() { s.link.Run(ctx); done <- struct{}{} }()
-	t.Cleanup(func() { stop(); <-done; <-done })
+	t.Cleanup(func() { cancel(); <-done; <-done })
 	return s
 }
 
@@ -77,14 +77,14 @@
 	return s.link.node.Counts.ActiveMembers
 }
 
-func addresses(t *testing.T, n int) (out []netip.AddrPort) {
+func addresses(t *testing.T, n int) (addrs []netip.AddrPort) {
 	for range n {
-		out = append(out, netip.MustParseAddrPort(testkit.FreeAddr(t)))
+		addrs = append(addrs, netip.MustParseAddrPort(testkit.FreeAddr(t)))
 	}
-	return out
+	return addrs
 }
 
-// Guards against schedulers that all use the same worker because none knows the load of the others.
+// Guards against schedulers that all choose the same worker because they do not know each other's load.
 func TestJobsSpreadOverSchedulers(t *testing.T) {
 	addrs := addresses(t, 3)
 	all := []*testScheduler{startScheduler(t, 0, addrs), startScheduler(t, 1, addrs), startScheduler(t, 2, addrs)}
@@ -92,24 +92,24 @@
 	for i, s := range all {
 		seen[s.submit(t, "job")]++
 		for j, other := range all {
-			tellers := i + 1
+			wantActive := i + 1
 			if j <= i {
-				tellers = i
+				wantActive = i
 			}
-			testkit.Eventually(t, "all others have received its load", func() bool { return other.activeMembers() == tellers })
+			testkit.Eventually(t, "the other schedulers have received the load", func() bool { return other.activeMembers() == wantActive })
 		}
 	}
 	if len(seen) != 3 {
-		t.Errorf("three jobs of three schedulers went to %v, want one each", seen)
+		t.Errorf("jobs per worker: %v, want each of the three schedulers to choose another worker", seen)
 	}
 }
 
-// Guards against a socket that unknown senders or garbage bring down, and one that keeps the address when another process takes
-// over as this scheduler.
+// Guards against a Link that stops receiving after datagrams from unknown senders or with invalid contents, and against one that keeps
+// the address bound after Pause, so that the process that takes over cannot bind it.
 func TestLinkSurvivesGarbageAndTakeover(t *testing.T) {
 	addrs := addresses(t, 2)
 	a, b := startScheduler(t, 0, addrs), startScheduler(t, 1, addrs)
-	testkit.Eventually(t, "both are bound", func() bool { return a.bound() && b.bound() })
+	testkit.Eventually(t, "both links are bound", func() bool { return a.bound() && b.bound() })
 	c, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(addrs[1]))
 	if err != nil {
 		t.Fatal(err)
@@ -121,19 +121,19 @@
 		}
 	}
 	a.submit(t, "job-1")
-	testkit.Eventually(t, "b has received of a", func() bool { return b.activeMembers() == 1 })
+	testkit.Eventually(t, "b has received a datagram from a", func() bool { return b.activeMembers() == 1 })
 	a.link.Pause()
-	taken, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addrs[0]))
+	successor, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addrs[0]))
 	if err != nil {
-		t.Fatalf("the address is not free after Pause: %v", err)
+		t.Fatalf("binding the address after Pause: %v", err)
 	}
-	a.link.Resume() // before the other process has ended
-	if err := taken.Close(); err != nil {
+	a.link.Resume() // while the other process still holds the address
+	if err := successor.Close(); err != nil {
 		t.Error(err)
 	}
-	testkit.Eventually(t, "it is bound again", a.bound)
+	testkit.Eventually(t, "a is bound again", a.bound)
 	b.submit(t, "job-2")
-	testkit.Eventually(t, "a has received of b", func() bool { return a.activeMembers() == 1 })
+	testkit.Eventually(t, "a has received a datagram from b", func() bool { return a.activeMembers() == 1 })
 }
 
 func (s *testScheduler) bound() bool {
--- a/internal/peers/failuredetector.go
+++ b/internal/peers/failuredetector.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// The failure detector is SWIM (Das, Gupta and Motivala, 2002): each member pings one other at a time; one that does not
-// acknowledge is pinged through two others, then suspected, and dead if it does not refute that. What is found out is gossiped in
-// the same datagrams. A member's own datagrams outweigh what others claim of it.
+// The failure detector implements SWIM (Das, Gupta and Motivala, 2002). Each member pings one other member per interval. A member that
+// does not acknowledge is pinged indirectly through two other members, then suspected, and declared dead if it does not refute the
+// suspicion. Claims about members' states are gossiped in the same datagrams. Datagrams received directly from a member take
+// precedence over claims of other members about it.
 const (
 	pingInterval         = 250 * time.Millisecond
-	pingsPerDeadPing     = 4 // one ping of so many goes to a member that is dead or unknown
+	pingsPerDeadPing     = 4 // one ping in this many goes to a member that is dead or unknown
 	ackTimeout           = 200 * time.Millisecond
-	indirectAckTimeout   = 300 * time.Millisecond // after the indirect pings
-	suspectTimeout       = time.Second            // for a refutation
-	directEvidenceTTL    = 500 * time.Millisecond // a datagram that was received so lately outweighs claims of others
-	maxTickGap           = 500 * time.Millisecond // after a longer one this process was suspended, and missing acknowledgements are no evidence
-	indirectPings        = 2                      // members that are asked to ping one that does not acknowledge
-	extraPingsPerTimeout = 2                      // pings besides, since failures may be correlated
-	maxExtraPings        = 8                      // at a time
-	initialFullSyncs     = 8                      // the first pings of a run ask for all that is known
-	pingsPerFullSync     = 16                     // later one of so many does, while some members are unknown
-	gossipFactor         = 3                      // a claim is sent so many times log2 of the members
+	indirectAckTimeout   = 300 * time.Millisecond // counted from the indirect pings
+	suspectTimeout       = time.Second            // time for a suspected member to refute the suspicion
+	directEvidenceTTL    = 500 * time.Millisecond // how long a received datagram takes precedence over claims of other members
+	maxTickGap           = 500 * time.Millisecond // after a longer gap this process was suspended, and missing acknowledgements are no evidence of a failure
+	indirectPings        = 2                      // number of members asked to ping one that does not acknowledge
+	extraPingsPerTimeout = 2                      // additional pings after an ack timeout, since failures may be correlated
+	maxExtraPings        = 8                      // maximum number of additional pings per tick
+	initialFullSyncs     = 8                      // number of pings after the start that request the full member state
+	pingsPerFullSync     = 16                     // one later ping in this many requests it, while some members are unknown
+	gossipFactor         = 3                      // a claim is sent about gossipFactor * log2(members) times
 )
 
 // State is the state of a member.
 type State uint8
 
-// The states. Of the same generation and incarnation, later ones supersede earlier ones.
+// The states of a member, in order of precedence within a generation and incarnation: a higher one supersedes a lower one.
 const (
-	Unknown State = iota // no datagram and no claim about it was received
+	Unknown State = iota // neither a datagram of the member nor a claim about it was received
 	Alive
 	Suspect
 	Dead
 )
 
-// String returns the state as /admin/peers and the log show it.
+// String returns the name of the state in /admin/peers and in log lines.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -50,15 +51,15 @@
 	return "unknown"
 }
 
-// claim is the state of a member, as of one of its generations.
+// claim is a statement about the state of a member in one of its generations.
 type claim struct {
 	number      uint16
 	state       State
-	generation  uint16 // number of the member's process, raised with each start
-	incarnation uint8  // how often that process has refuted a suspicion
+	generation  uint16 // generation of the member's process, raised with each start
+	incarnation uint8  // number of suspicions that the process has refuted
 }
 
-// supersedes reports whether a claim replaces another one of the same member.
+// supersedes reports whether c takes precedence over d, a claim about the same member.
 func (c claim) supersedes(d claim) bool {
 	switch {
 	case d.state == Unknown || c.state == Unknown:
@@ -71,8 +72,8 @@
 	return c.state > d.state
 }
 
-// claimSize is the size of an encoded claim in bytes: the state in the two bits above the number, the generation, the
-// incarnation.
+// claimSize is the size of an encoded claim in bytes: two with the state in the high two bits and the member's number below, two with
+// the generation and one with the incarnation.
 const claimSize = 5
 
 func appendClaim(buf []byte, c claim) []byte {
@@ -85,55 +86,55 @@
 	return claim{n & 0x3fff, State(n >> 14), binary.BigEndian.Uint16(b[2:]), b[4]}
 }
 
-// failureDetector is what a Node knows of the state of members, its own among them.
+// failureDetector holds the states of all members, including its own, and the pings under way.
 type failureDetector struct {
-	rand         *rand.Rand // nil: there is no failure detection, and no member is answered
-	views        []view     // by number
-	gossip       []uint16   // members whose claims are to be sent, the newest last
-	pingOrder    []uint16   // all others, shuffled before each round
+	rand         *rand.Rand // nil: no failure detection; pings are not answered
+	views        []view     // by member number
+	gossip       []uint16   // members whose claims are still to be gossiped, the newest last
+	pingOrder    []uint16   // all other members, reshuffled for each round of pings
 	nextPing     int        // index in pingOrder
 	pingCount    int
-	extraPings   int // to be sent at the next tick
+	extraPings   int // number of additional pings to send at the next tick
 	nextPingAt   time.Duration
 	lastTick     time.Duration
 	probes       []probe
-	urgent       []uint16 // members that are to be pinged next, to refute an accusation
+	urgent       []uint16 // members to ping next, so that they refute a disputed claim
 	messages     []message
 	relayedPings []relayedPing
-	changes      []Change // since the last call of Changes
+	changes      []Change // state changes since the last call of Changes
 }
 
-// view is what is known of the state of a member.
+// view is the state of a member as this Node knows it.
 type view struct {
 	claim
-	accusation    claim // by others, against direct evidence; it is sent to the member for it to refute
-	since         time.Duration
-	transmitsLeft int // of the claim
+	disputedClaim claim         // claim of another member that contradicts direct evidence; sent to the member for it to refute
+	since         time.Duration // time of the last state change
+	transmitsLeft int           // number of times that the claim is still to be gossiped
 }
 
-// probe is a ping that was not acknowledged yet.
+// probe is a ping that has not been acknowledged yet.
 type probe struct {
 	number   uint16
 	at       time.Duration
-	indirect bool // other members were asked to ping it
+	indirect bool // indirect pings were requested
 }
 
-// relayedPing is a ping on behalf of another member, whose acknowledgement is to be passed on.
+// relayedPing is a ping on behalf of the member requester, to which the acknowledgement is forwarded.
 type relayedPing struct {
 	requester, target uint16
 	at                time.Duration
 }
 
-// message is a datagram of the failure detector that is to be sent.
+// message is a queued datagram of the failure detector.
 type message struct {
 	to        uint16
 	kind      kind
-	target    uint16 // of a ping request
-	subject   uint16 // whose claim comes first; the receiver's own number: none
-	fullState bool   // with all that is known
+	target    uint16 // member to ping, in a ping request
+	subject   uint16 // member whose claim comes first; the receiver's own number: only a claim for it to refute
+	fullState bool   // include the claims of all members
 }
 
-// Change is a member whose state has changed.
+// Change is a change of a member's state.
 type Change struct {
 	Number   int
 	From, To State
@@ -156,12 +157,12 @@
 	return d
 }
 
-// shuffle begins another round of pings.
+// shuffle reorders the members for the next round of pings.
 func (d *failureDetector) shuffle() {
 	d.rand.Shuffle(len(d.pingOrder), func(i, j int) { d.pingOrder[i], d.pingOrder[j] = d.pingOrder[j], d.pingOrder[i] })
 }
 
-// gossipTransmits returns how often a claim is sent.
+// gossipTransmits returns the number of times that a claim is gossiped.
 func (d *failureDetector) gossipTransmits() int {
 	n := gossipFactor
 	for m := len(d.views); m > 1; m /= 2 {
@@ -170,7 +171,7 @@
 	return n
 }
 
-// setClaim changes what is known of a member, and gossips it.
+// setClaim replaces the claim about a member and gossips it.
 func (n *Node) setClaim(now time.Duration, c claim) {
 	v := &n.detector.views[c.number]
 	if v.state != c.state {
@@ -181,7 +182,7 @@
 	n.detector.gossipAbout(c.number)
 }
 
-// gossipAbout has the claim of a member sent, before those that were queued until now.
+// gossipAbout queues the claim about a member for gossip, ahead of those already queued.
 func (d *failureDetector) gossipAbout(m uint16) {
 	if d.views[m].transmitsLeft > 0 {
 		d.gossip = slices.DeleteFunc(d.gossip, func(other uint16) bool { return other == m })
@@ -190,20 +191,21 @@
 	d.views[m].transmitsLeft = d.gossipTransmits()
 }
 
-// observeAlive handles a datagram of a member as evidence that it is alive. Incarnation counts only where stated is set.
-func (n *Node) observeAlive(now time.Duration, from int, generation uint16, incarnation uint8, stated bool) {
+// observeAlive records a datagram of a member as evidence that the member is alive. The incarnation is used only if hasIncarnation is
+// set.
+func (n *Node) observeAlive(now time.Duration, from int, generation uint16, incarnation uint8, hasIncarnation bool) {
 	d := &n.detector
 	if d.rand == nil {
 		return
 	}
 	v := &d.views[from]
-	if !stated && v.generation == generation {
+	if !hasIncarnation && v.generation == generation {
 		incarnation = v.incarnation
 	}
 	switch c := (claim{uint16(from), Alive, generation, incarnation}); {
 	case v.state != Alive || v.generation != generation:
 		if v.state > Alive && v.generation == generation {
-			v.accusation = v.claim
+			v.disputedClaim = v.claim
 			d.addUrgent(uint16(from))
 		}
 		n.setClaim(now, c)
@@ -218,7 +220,7 @@
 	})
 }
 
-// addUrgent has a member pinged next.
+// addUrgent queues a member to be pinged by the next queuePings.
 func (d *failureDetector) addUrgent(m uint16) {
 	if !slices.Contains(d.urgent, m) {
 		d.urgent = append(d.urgent, m)
@@ -226,7 +228,7 @@
 }
 
 // receiveDetectorMessage handles a datagram of the failure detector.
-func (n *Node) receiveDetectorMessage(now time.Duration, from int, h head, body []byte) {
+func (n *Node) receiveDetectorMessage(now time.Duration, from int, h header, body []byte) {
 	d := &n.detector
 	if d.rand == nil {
 		return
@@ -243,7 +245,7 @@
 			d.messages = append(d.messages, message{to: target, kind: kindPing, subject: target})
 		}
 	}
-	if h.kind == kindIndirectAck && len(body) > 0 { // another member has received its acknowledgement; a gossiped claim alone may be old
+	if h.kind == kindIndirectAck && len(body) > 0 { // the target has acknowledged an indirect ping; a gossiped claim alone may be old
 		target := decodeClaim(body).number
 		d.probes = slices.DeleteFunc(d.probes, func(p probe) bool { return p.number == target })
 	}
@@ -255,15 +257,15 @@
 	}
 }
 
-// applyClaim handles a claim of another member. A suspicion of this run is refuted by the next incarnation.
+// applyClaim handles a received claim. A claim that this process is suspect or dead is refuted by raising its incarnation.
 func (n *Node) applyClaim(now time.Duration, c claim) {
 	d := &n.detector
 	if int(c.number) >= len(d.views) || c.state == Unknown {
 		return
 	}
 	if int(c.number) == n.options.Self {
-		if me := &d.views[n.options.Self]; c.generation == me.generation && c.state > Alive && int8(c.incarnation-me.incarnation) >= 0 {
-			me.incarnation = c.incarnation + 1
+		if self := &d.views[n.options.Self]; c.generation == self.generation && c.state > Alive && int8(c.incarnation-self.incarnation) >= 0 {
+			self.incarnation = c.incarnation + 1
 			d.gossipAbout(c.number)
 		}
 		return
@@ -273,7 +275,7 @@
 		return
 	}
 	if m := &n.members[c.number]; c.state > Alive && c.generation == v.generation && m.known && now-m.lastReceivedAt < directEvidenceTTL {
-		v.accusation = c
+		v.disputedClaim = c
 		d.addUrgent(c.number)
 		return
 	}
@@ -286,14 +288,14 @@
 	if d.rand == nil {
 		return
 	}
-	if now-d.lastTick > maxTickGap { // no datagram was received meanwhile
+	if now-d.lastTick > maxTickGap { // the process was suspended and received no datagram meanwhile
 		d.probes, d.relayedPings = d.probes[:0], d.relayedPings[:0]
 		for i := range d.views {
 			d.views[i].since = now
 		}
 	}
 	d.lastTick = now
-	n.endProbes(now)
+	n.updateProbes(now)
 	n.expireSuspects(now)
 	for range min(d.extraPings, maxExtraPings) {
 		n.queuePings(now)
@@ -309,9 +311,9 @@
 	}
 }
 
-// endProbes drops probes that were acknowledged, suspects members that did not acknowledge indirect pings either, and begins
-// those of the others.
-func (n *Node) endProbes(now time.Duration) {
+// updateProbes drops acknowledged probes, suspects members that have not acknowledged indirect pings either, and requests indirect
+// pings of members that have not acknowledged the direct one.
+func (n *Node) updateProbes(now time.Duration) {
 	d := &n.detector
 	d.probes = slices.DeleteFunc(d.probes, func(p probe) bool {
 		v, m := &d.views[p.number], &n.members[p.number]
@@ -335,7 +337,7 @@
 	}
 }
 
-// expireSuspects declares dead the members that have not refuted a suspicion within suspectTimeout.
+// expireSuspects declares members dead that have not refuted a suspicion within suspectTimeout.
 func (n *Node) expireSuspects(now time.Duration) {
 	for i := range n.detector.views {
 		v := &n.detector.views[i]
@@ -347,22 +349,22 @@
 	}
 }
 
-// pingIndirectly asks some members that are alive to ping another one.
+// pingIndirectly asks up to indirectPings alive members, chosen at random, to ping target.
 func (n *Node) pingIndirectly(target uint16) {
 	d := &n.detector
-	asked := 0
+	requested := 0
 	for _, i := range d.rand.Perm(len(d.pingOrder)) {
 		if m := d.pingOrder[i]; m != target && d.views[m].state == Alive {
 			d.messages = append(d.messages, message{to: m, kind: kindPingRequest, target: target, subject: target})
-			if asked++; asked == indirectPings {
+			if requested++; requested == indirectPings {
 				return
 			}
 		}
 	}
 }
 
-// queuePings pings the members that should refute an accusation, and the next member of the round that is present; once in a
-// while one that is not.
+// queuePings pings the urgent members and the next present member of the round. One in pingsPerDeadPing calls pings a dead or unknown
+// member instead.
 func (n *Node) queuePings(now time.Duration) {
 	d := &n.detector
 	for _, m := range d.urgent {
@@ -370,19 +372,19 @@
 	}
 	d.urgent = d.urgent[:0]
 	d.pingCount++
-	dead := d.pingCount%pingsPerDeadPing == 0
+	pingDead := d.pingCount%pingsPerDeadPing == 0
 	kind := kindPing
 	if d.pingCount <= initialFullSyncs || d.pingCount%pingsPerFullSync == 0 && slices.ContainsFunc(d.views, func(v view) bool { return v.state == Unknown }) {
 		kind = kindPingRequest
 	}
-	pick := func(want bool) bool {
+	pingNext := func(wantDead bool) bool {
 		for range d.pingOrder {
 			m := d.pingOrder[d.nextPing]
 			if d.nextPing++; d.nextPing == len(d.pingOrder) {
 				d.nextPing = 0
 				d.shuffle()
 			}
-			if s := d.views[m].state; (s == Alive || s == Suspect) != want {
+			if s := d.views[m].state; (s == Alive || s == Suspect) != wantDead {
 				d.messages = append(d.messages, message{to: m, kind: kind, target: uint16(n.options.Self), subject: m})
 				if s == Alive {
 					d.probes = append(d.probes, probe{number: m, at: now})
@@ -392,33 +394,33 @@
 		}
 		return false
 	}
-	_ = pick(dead) || pick(!dead)
+	_ = pingNext(pingDead) || pingNext(!pingDead)
 }
 
-// sendDetectorMessages sends the failure detector's messages, with as much gossip as fits into the datagrams.
+// sendDetectorMessages sends the queued messages, each filled up with gossip.
 func (n *Node) sendDetectorMessages(send func(to int, datagram []byte)) {
 	d := &n.detector
-	for _, one := range d.messages {
-		n.beginMessage(one)
-		switch v := &d.views[one.subject]; {
-		case v.accusation.supersedes(v.claim) && one.subject == one.to:
-			n.buf = appendClaim(n.buf, v.accusation)
-		case v.state > Alive || v.state == Alive && one.subject != one.to:
+	for _, msg := range d.messages {
+		n.beginMessage(msg)
+		switch v := &d.views[msg.subject]; {
+		case v.disputedClaim.supersedes(v.claim) && msg.subject == msg.to:
+			n.buf = appendClaim(n.buf, v.disputedClaim)
+		case v.state > Alive || v.state == Alive && msg.subject != msg.to:
 			n.buf = appendClaim(n.buf, v.claim)
 		}
-		n.appendGossip(one.to)
-		if one.fullState {
-			n.appendFullState(one, send)
+		n.appendGossip(msg.to)
+		if msg.fullState {
+			n.appendFullState(msg, send)
 		}
-		n.finishDatagram(one.to, send)
+		n.finishDatagram(msg.to, send)
 	}
 	d.messages = d.messages[:0]
 }
 
-// appendGossip adds the newest claims to a datagram.
+// appendGossip appends the newest queued claims that fit into the datagram.
 func (n *Node) appendGossip(to uint16) {
 	d := &n.detector
-	for i := len(d.gossip) - 1; i >= 0 && len(n.buf)+claimSize+checkSize <= MaxDatagram; i-- {
+	for i := len(d.gossip) - 1; i >= 0 && len(n.buf)+claimSize+checksumSize <= MaxDatagram; i-- {
 		if m := d.gossip[i]; m != to {
 			n.buf = appendClaim(n.buf, d.views[m].claim)
 			d.views[m].transmitsLeft--
@@ -427,38 +429,38 @@
 	d.gossip = slices.DeleteFunc(d.gossip, func(m uint16) bool { return d.views[m].transmitsLeft == 0 })
 }
 
-// appendFullState adds the claims of all members, in further datagrams where one does not hold them.
-func (n *Node) appendFullState(one message, send func(int, []byte)) {
+// appendFullState appends the claims about all members and sends further datagrams when one is full.
+func (n *Node) appendFullState(msg message, send func(int, []byte)) {
 	for m := range n.detector.views {
-		if len(n.buf)+claimSize+checkSize > MaxDatagram {
-			n.finishDatagram(one.to, send)
-			n.beginMessage(one)
+		if len(n.buf)+claimSize+checksumSize > MaxDatagram {
+			n.finishDatagram(msg.to, send)
+			n.beginMessage(msg)
 		}
-		if v := &n.detector.views[m]; v.state != Unknown && m != int(one.to) && m != n.options.Self {
+		if v := &n.detector.views[m]; v.state != Unknown && m != int(msg.to) && m != n.options.Self {
 			n.buf = appendClaim(n.buf, v.claim)
 		}
 	}
 }
 
-// beginDatagram begins a datagram of a kind to a member.
+// beginDatagram starts a datagram to a member in buf.
 func (n *Node) beginDatagram(k kind, to uint16) {
 	m := &n.members[to]
 	m.lastSentSequence++
-	n.buf = n.codec.begin(n.buf, head{k, n.options.Generation, m.lastSentSequence})
+	n.buf = n.codec.encodeHeader(n.buf, header{k, n.options.Generation, m.lastSentSequence})
 }
 
-// beginMessage begins the datagram of a message.
-func (n *Node) beginMessage(one message) {
-	n.beginDatagram(one.kind, one.to)
+// beginMessage starts the datagram of a message in buf.
+func (n *Node) beginMessage(msg message) {
+	n.beginDatagram(msg.kind, msg.to)
 	n.buf = append(n.buf, n.detector.views[n.options.Self].incarnation)
-	if one.kind == kindPingRequest {
-		n.buf = binary.BigEndian.AppendUint16(n.buf, one.target)
+	if msg.kind == kindPingRequest {
+		n.buf = binary.BigEndian.AppendUint16(n.buf, msg.target)
 	}
 }
 
-// finishDatagram seals the datagram in buf and sends it.
+// finishDatagram appends the checksum to the datagram in buf and sends it.
 func (n *Node) finishDatagram(to uint16, send func(int, []byte)) {
-	n.buf = n.codec.seal(n.buf)
+	n.buf = n.codec.appendChecksum(n.buf)
 	n.Counts.Sent++
 	n.Counts.SentBytes += uint64(len(n.buf))
 	send(int(to), n.buf)
@@ -466,8 +468,8 @@
 
 // Changes calls f for each member whose state has changed since the last call.
 func (n *Node) Changes(f func(Change)) {
-	for _, c := range n.detector.changes {
-		f(c)
+	for _, change := range n.detector.changes {
+		f(change)
 	}
 	n.detector.changes = n.detector.changes[:0]
 }
--- a/internal/peers/failuredetector_test.go
+++ b/internal/peers/failuredetector_test.go
@@ -169,7 +169,7 @@
 		want int
 	}{{kindAck, 1}, {kindIndirectAck, 0}} {
 		a.detector.probes = []probe{{number: 2, at: now, indirect: true}}
-		a.receiveDetectorMessage(now, 1, head{kind: c.kind, generation: 1}, appendClaim([]byte{0}, claim{2, Alive, 1, 0}))
+		a.receiveDetectorMessage(now, 1, header{kind: c.kind, generation: 1}, appendClaim([]byte{0}, claim{2, Alive, 1, 0}))
 		if len(a.detector.probes) != c.want {
 			t.Errorf("kind %d: %d probes are open, want %d", c.kind, len(a.detector.probes), c.want)
 		}
--- a/internal/peers/lags_test.go
+++ b/internal/peers/lags_test.go
@@ -53,7 +53,9 @@
 		}
 	}
 	n.run(LagThreshold - 5*time.Second)
-	n.checkLags(t, "5 is behind", func(l Lag) bool { return l.Number == 5 && l.Revision == 41 && l.Newest == 44 && l.For > LagThreshold })
+	n.checkLags(t, "5 is behind", func(l Lag) bool {
+		return l.Number == 5 && l.Revision == 41 && l.Newest == 44 && l.BehindFor > LagThreshold
+	})
 	n.setRevision(5, Revision{43, 43})
 	n.run(2 * time.Second)
 	if b := n.nodes[0].Status(n.now).Members[5].BehindMS; time.Duration(b)*ms > n.now-from-3500*ms {
@@ -61,7 +63,7 @@
 	}
 	n.setRevision(5, Revision{44, 44})
 	n.run(2 * time.Second)
-	n.checkLags(t, "5 has caught up", func(l Lag) bool { return l.Over && l.Number == 5 })
+	n.checkLags(t, "5 has caught up", func(l Lag) bool { return l.CaughtUp && l.Number == 5 })
 	for i := range n.nodes {
 		if len(n.behindMembers(i)) > 0 {
 			t.Errorf("%d reports %v as behind, though 5 has caught up", i, n.behindMembers(i))
--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// SetWorkers sets the complete list of workers. Workers that it lacks are kept until their loads are withdrawn or expired.
+// SetWorkers sets the complete list of workers. Workers that are no longer listed are kept until all loads on them are zero or have
+// expired.
 func (n *Node) SetWorkers(ids []string) {
 	for _, w := range n.order {
 		w.listed = false
@@ -17,14 +18,14 @@
 		hashes[i] = w.hash
 	}
 	n.order = slices.DeleteFunc(n.order, func(w *workerState) bool {
-		old := !w.listed && w.load == (Load{}) && w.advertised == (Load{}) && len(w.reports) == 0 && !w.unsent && !w.changed
-		if old {
+		unused := !w.listed && w.load == (Load{}) && w.advertised == (Load{}) && len(w.reports) == 0 && !w.unsent && !w.changed
+		if unused {
 			delete(n.workers, w.id)
 			if n.workersByKey[w.key] == w {
 				delete(n.workersByKey, w.key)
 			}
 		}
-		return old
+		return unused
 	})
 	n.subset, n.sharers = n.subset[:0], 0
 	for i, a := range assignSubscribers(n.options.Members, hashes, n.options.MinSubscribers, n.options.MinSubset) {
@@ -39,8 +40,8 @@
 	n.subsetChanged = n.subsetChanged || n.anyActive
 }
 
-// TakeSubsetChange calls f with the subset if that may have changed since the last call. While no other member is active there is no subset:
-// all workers are equal, as without other schedulers. The slice is valid until the list of workers is set again.
+// TakeSubsetChange calls f with the subset if it may have changed since the last call. While no other member is active, f gets no
+// subset and all workers rank equally, as for a single scheduler. The slice is valid until the next SetWorkers.
 func (n *Node) TakeSubsetChange(f func(workers []string, sharers int)) {
 	if !n.subsetChanged {
 		return
@@ -53,8 +54,8 @@
 	}
 }
 
-// Subset returns this scheduler's subset of the workers and the maximum number of schedulers that share one of them. It is nil
-// where the subset is the complete list. The slice is valid until the list of workers is set again.
+// Subset returns the workers of this scheduler's subset and the maximum number of schedulers that share one of them. The slice is nil
+// if the subset is the complete list; it is valid until the next SetWorkers.
 func (n *Node) Subset() (workers []string, sharers int) {
 	if len(n.subset) == n.Counts.Workers {
 		return nil, n.options.Members
@@ -62,40 +63,40 @@
 	return n.subset, n.sharers
 }
 
-// worker returns the state of a worker, made where it is new.
+// worker returns the state of a worker and creates it if the worker is new.
 func (n *Node) worker(id string) *workerState {
 	if w := n.workers[id]; w != nil {
 		return w
 	}
-	h := hashOf(id)
+	h := hashWorkerID(id)
 	w := &workerState{id: id, hash: h, key: uint32(h) & 0xffffff}
 	n.workers[id], n.order = w, append(n.order, w)
-	if n.workersByKey[w.key] == nil { // of two workers with one key only the first is advertised
+	if n.workersByKey[w.key] == nil { // if two workers have the same key, only the first is advertised
 		n.workersByKey[w.key] = w
 	}
 	return w
 }
 
-// SetLoad sets this scheduler's load on a worker, to be sent by the next Flush. Most attempts at a worker that is not full start at
-// once, so that they count as waiting only after waitingGracePeriod.
-func (n *Node) SetLoad(now time.Duration, id string, o Load, full bool) {
+// SetLoad sets this scheduler's load on a worker, which the next Flush sends. Most attempts at a worker that is not full start
+// immediately, so they are reported as waiting only after waitingGracePeriod.
+func (n *Node) SetLoad(now time.Duration, id string, load Load, full bool) {
 	w := n.workers[id]
 	if w == nil || n.workersByKey[w.key] != w {
 		return
 	}
-	o = o.clamped()
+	load = load.clamped()
 	switch {
 	case full:
 		w.waitingSince = now - waitingGracePeriod
-	case o.Waiting > w.load.Waiting:
+	case load.Waiting > w.load.Waiting:
 		w.waitingSince = now
 	}
-	if w.load = o; o.Slots != w.advertised.Slots || o.Waiting < w.advertised.Waiting || full && o != w.advertised {
+	if w.load = load; load.Slots != w.advertised.Slots || load.Waiting < w.advertised.Waiting || full && load != w.advertised {
 		n.markUnsent(w)
 	}
 }
 
-// markUnsent has the next Flush send the load of a worker.
+// markUnsent marks the load of a worker to be sent by the next Flush.
 func (n *Node) markUnsent(w *workerState) {
 	if !w.unsent {
 		w.unsent = true
@@ -103,7 +104,7 @@
 	}
 }
 
-// markChanged has the next call for changed loads return the load that others put on a worker.
+// markChanged marks the load that other schedulers put on a worker to be returned by the next TakeLoadChanges.
 func (n *Node) markChanged(w *workerState) {
 	if !w.changed {
 		w.changed = true
@@ -111,7 +112,8 @@
 	}
 }
 
-// TakeLoadChanges calls f with the sum of what all others have on each worker where that has changed since the last call.
+// TakeLoadChanges calls f for each worker on which the load of other schedulers has changed since the last call, with the sum of
+// their loads.
 func (n *Node) TakeLoadChanges(f func(id string, slots, waiting int)) {
 	for i, w := range n.changed {
 		n.changed[i], w.changed = nil, false
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,14 +1,14 @@
-// Package peers is the protocol by which the schedulers of one site share the load that each of them puts on the workers: who
-// subscribes to which worker, what the next datagram contains, and which received datagrams are valid. It does no input or output and
-// takes the time as an argument, for a driver that owns a socket (internal/peerlink) and for simulations in virtual time.
+// Package peers implements the protocol by which the schedulers of a site exchange the load that each of them puts on the workers:
+// it assigns subscribers to workers, composes datagrams and validates received ones. It does no I/O and takes the current time as an
+// argument, so that the same code runs on a UDP socket (internal/peerlink) and in simulations in virtual time.
 //
-// Each worker has subscribers: some schedulers that have it in their subset, the few workers that they try first. A scheduler
-// with load on a worker sends it to the subscribers, in absolute values and as soon as it changes, and they count it like their
-// own. Nothing is acknowledged: a lost datagram is repaired by the next, sent each second while there is load, and a report
-// expires after two seconds.
+// The subscribers of a worker are the schedulers that have it in their subset, the few workers that they try first. A scheduler
+// with load on a worker sends the absolute value to the subscribers whenever it changes, and they add it to their own load. Loads are
+// not acknowledged: a lost datagram is repaired by the next one, sent every second while there is load, and a report expires after
+// two seconds.
 //
-// With failure detection (failuredetector.go), members also gossip which revision of the configuration each has in force
-// (revisions.go).
+// With failure detection (failuredetector.go), the members also gossip which revision of the configuration each of them has in
+// force (revisions.go).
 package peers
 
 import (
@@ -18,116 +18,116 @@
 )
 
 const (
-	// RepeatInterval is how often a load that has not changed is sent again, to repair losses.
+	// RepeatInterval is the interval at which an unchanged load is sent again, to repair losses.
 	RepeatInterval = time.Second
-	// LoadTTL is how long a received load counts.
+	// LoadTTL is the time after which a received load expires.
 	LoadTTL = 2 * time.Second
 	// TickInterval is the interval at which Tick should be called.
 	TickInterval = 50 * time.Millisecond
-	// minGenerationTimeout is how long a run of a process must have sent nothing before datagrams of an earlier generation are
-	// accepted: a machine's clock may be set back.
+	// minGenerationTimeout is how long nothing must have been received from a member before datagrams of an earlier generation
+	// are accepted from it: generations follow the wall clock, which may be set back.
 	minGenerationTimeout = 3 * time.Second
 	// sequenceWindow is the time within which datagrams may arrive out of order.
 	sequenceWindow = time.Second
-	// waitingGracePeriod is how long an attempt must have been waiting before it is sent as waiting.
+	// waitingGracePeriod is how long an attempt must have been waiting before it is reported as waiting.
 	waitingGracePeriod = 40 * time.Millisecond
-	// lossGain is the weight of one sequenceWindow in the moving average of a member's loss rate.
+	// lossGain is the weight of the latest sequenceWindow in the exponential moving average of a member's loss rate.
 	lossGain = 0.25
-	// initialSequenceSlack is by how much a sequence number may be below the first one that is received.
+	// initialSequenceSlack is how far a sequence number may be below the first one received from a member.
 	initialSequenceSlack = 16
 )
 
 // Options configure a Node.
 type Options struct {
-	Self, Members  int    // its number, and how many members there are
-	Site           uint64 // a fingerprint of the site and its settings: datagrams with another one are rejected
-	Generation     uint16 // the generation of this run: higher than that of the run before, by at most half of the range
-	MinSubscribers int    // minimum number of subscribers of a worker
-	MinSubset      int    // minimum number of workers in a subset
+	Self, Members  int    // number of this member, and count of all members
+	Site           uint64 // fingerprint of the site and its settings; datagrams with another one are rejected
+	Generation     uint16 // generation of this process, higher than that of the previous process by at most half of the range
+	MinSubscribers int    // minimum number of subscribers per worker
+	MinSubset      int    // minimum number of workers per subset
 
-	// DetectorRand is the source of the failure detector's random choices; nil: no failure detection.
+	// DetectorRand is the source of the failure detector's random choices. If it is nil, there is no failure detection.
 	DetectorRand *rand.Rand
-	// Revision is the configuration in force at the start. It is gossiped where there is failure detection.
+	// Revision is the configuration revision in force at the start. It is gossiped only with failure detection.
 	Revision Revision
 }
 
-// Node is one scheduler's side of the protocol. It is not safe for concurrent use.
+// Node is the protocol state of one scheduler. It is not safe for concurrent use.
 type Node struct {
 	options       Options
 	codec         codec
-	members       []member // by number
+	members       []member // by member number
 	detector      failureDetector
 	revisionTable revisionTable
 
 	workers       map[string]*workerState
-	order         []*workerState // the same in a fixed order, which what is sent must depend on, not on a map's
+	order         []*workerState // all of workers in a fixed order, so that output is deterministic
 	workersByKey  map[uint32]*workerState
-	subset        []string // of the workers
+	subset        []string // IDs of the workers in this scheduler's subset
 	sharers       int      // maximum number of members that share a worker of the subset
-	anyActive     bool     // a datagram of some member was received within LoadTTL
-	subsetChanged bool     // since it was last taken
+	anyActive     bool     // a datagram of any member was received within LoadTTL
+	subsetChanged bool     // subset has changed since the last TakeSubsetChange
 
-	unsent    []*workerState  // whose load is to be sent
-	changed   []*workerState  // whose load by others has changed since that was last taken
-	reported  []*workerState  // with reports of others
-	pending   []outgoingLoads // by member
+	unsent    []*workerState  // workers whose load the next Flush sends
+	changed   []*workerState  // workers whose load by other schedulers has changed since the last TakeLoadChanges
+	reported  []*workerState  // workers with reports of other schedulers
+	pending   []outgoingLoads // by member number
 	receivers []uint16        // members with pending loads
-	buf       []byte          // the datagram that is being made
+	buf       []byte          // the datagram being composed
 	Counts    Counts
 }
 
 // Counts are the counters and gauges of a Node.
 type Counts struct {
-	Sent           uint64 `json:"sent"` // datagrams
+	Sent           uint64 `json:"sent"` // datagrams sent
 	SentBytes      uint64 `json:"sent_bytes"`
 	Received       uint64 `json:"received"`
-	Rejected       uint64 `json:"refused"` // invalid, of another version or site, stale, or of a sender that is no member
-	UnknownWorkers uint64 `json:"unknown"` // loads of workers that no list has named here
-	Expired        uint64 `json:"expired"` // reports of a load that expired before they were withdrawn
-	ActiveMembers  int    `json:"heard"`   // members of which a datagram was received within LoadTTL
+	Rejected       uint64 `json:"refused"` // datagrams that Receive rejected
+	UnknownWorkers uint64 `json:"unknown"` // received loads of workers that are not in this scheduler's list
+	Expired        uint64 `json:"expired"` // reports of a non-zero load that expired
+	ActiveMembers  int    `json:"heard"`   // members from which a datagram was received within LoadTTL
 	Workers        int    `json:"boxes"`   // workers in the list
 	Subset         int    `json:"part"`    // workers in the subset
 	Shares         int    `json:"shares"`  // maximum number of members that share a worker of the subset
 }
 
-// member is what is known of the datagrams of a member.
+// member is the state of the datagrams exchanged with a member.
 type member struct {
 	generation          uint16
-	known               bool // a datagram of it was received
+	known               bool // a datagram of the member was received
 	lastReceivedAt      time.Duration
-	highestSequence     uint16 // received
-	lowestSequence      uint16 // the highest one a window ago; lower ones are rejected
+	highestSequence     uint16 // the highest sequence number received
+	lowestSequence      uint16 // highestSequence one window ago; datagrams up to it are rejected
 	windowStart         time.Duration
-	windowStartSequence uint16 // the highest when the window began
-	receivedInWindow    uint16 // datagrams
+	windowStartSequence uint16 // highestSequence at the start of the window
+	receivedInWindow    uint16 // datagrams received in the window
 	lossRate            float64
-	lastSentSequence    uint16 // to it
+	lastSentSequence    uint16 // sequence number of the last datagram sent to the member
 }
 
-// outgoingLoads are the loads in the next datagram to a member.
+// outgoingLoads holds the encoded loads of the next datagram to a member.
 type outgoingLoads struct {
 	entries [maxLoadsPerDatagram * loadSize]byte
 	count   int
 }
 
-// workerState is what is known of a worker.
+// workerState is the state of a worker.
 type workerState struct {
 	id           string
 	hash         uint64
-	key          uint32   // names it in datagrams
+	key          uint32   // identifies the worker in datagrams
 	subscribers  []uint16 // sorted
-	listed       bool     // it is in the newest list
-	load         Load     // of this scheduler
-	advertised   Load     // what was sent last
+	listed       bool     // the worker is in the latest list
+	load         Load     // load that this scheduler puts on the worker
+	advertised   Load     // the load that was last sent
 	advertisedAt time.Duration
-	waitingSince time.Duration // when Waiting last rose
-	unsent       bool          // it is in Node.unsent
-	changed      bool          // it is in Node.changed
-	reported     bool          // it is in Node.reported
+	waitingSince time.Duration // time of the last increase of load.Waiting
+	unsent       bool          // the worker is in Node.unsent
+	changed      bool          // the worker is in Node.changed
+	reported     bool          // the worker is in Node.reported
 	reports      []report
 }
 
-// report is the last load of a worker that a member has sent.
+// report is the latest load on a worker that a member has sent.
 type report struct {
 	member   uint16
 	sequence uint16
@@ -144,16 +144,16 @@
 	}
 }
 
-// hashOf is FNV-1a with its bits mixed.
-func hashOf(id string) uint64 {
+// hashWorkerID returns the 64-bit FNV-1a hash of id, finalized by fmix64 so that all of its bits are usable.
+func hashWorkerID(id string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * 1099511628211
 	}
-	return mix(h)
+	return fmix64(h)
 }
 
-// Flush sends what is due. A datagram is valid only during the call of send.
+// Flush sends all pending datagrams. A datagram is valid only during the call of send.
 func (n *Node) Flush(now time.Duration, send func(to int, datagram []byte)) {
 	for i, w := range n.unsent {
 		n.unsent[i], w.unsent = nil, false
@@ -162,13 +162,13 @@
 			load.Waiting = min(load.Waiting, w.advertised.Waiting)
 		}
 		if load == w.advertised && now-w.advertisedAt < RepeatInterval {
-			continue // it has changed back before it was sent
+			continue // the load has changed back before it was sent
 		}
 		w.advertised, w.advertisedAt = load, now
 		for _, m := range w.subscribers {
 			n.queueLoad(m, w, send)
 		}
-		for i := range w.reports { // members with load on it that do not subscribe
+		for i := range w.reports { // members with load on the worker also get it, subscribed or not
 			if m := w.reports[i].member; !slices.Contains(w.subscribers, m) {
 				n.queueLoad(m, w, send)
 			}
@@ -199,7 +199,7 @@
 	p.count++
 }
 
-// sendLoads sends the pending loads of a member.
+// sendLoads sends the pending loads to a member.
 func (n *Node) sendLoads(m uint16, send func(int, []byte)) {
 	p := &n.pending[m]
 	if p.count == 0 {
@@ -211,8 +211,8 @@
 	n.finishDatagram(m, send)
 }
 
-// Tick drops reports that have expired and does what is due; Flush has to be called after it. It should be called at the
-// tick interval.
+// Tick drops expired reports and runs the timers of the failure detector and the revision table. It should be called every
+// TickInterval, and Flush must be called after it.
 func (n *Node) Tick(now time.Duration) {
 	for _, w := range n.order {
 		if w.load != w.advertised || w.load != (Load{}) && now-w.advertisedAt >= RepeatInterval {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -45,7 +45,7 @@
 
 func ids(n int) (out []string) {
 	for i := range n {
-		out = append(out, fmt.Sprintf("s-%08x", mix(uint64(i)+1)>>32))
+		out = append(out, fmt.Sprintf("s-%08x", fmix64(uint64(i)+1)>>32))
 	}
 	return out
 }
@@ -294,8 +294,8 @@
 	}
 	good, other := sealed(options(0, 2)), options(0, 2)
 	other.Site++
-	kinds := newCodec(7).begin(make([]byte, 0, MaxDatagram), head{9, 1, 1})
-	odd := append(newCodec(7).begin(make([]byte, 0, MaxDatagram), head{kindLoads, 1, 1}), 1, 2)
+	kinds := newCodec(7).encodeHeader(make([]byte, 0, MaxDatagram), header{9, 1, 1})
+	odd := append(newCodec(7).encodeHeader(make([]byte, 0, MaxDatagram), header{kindLoads, 1, 1}), 1, 2)
 	next := bytes.Clone(good)
 	next[0] += 1 << 4
 	for _, c := range []struct {
@@ -307,11 +307,11 @@
 		{"empty", 0, nil, ErrLength},
 		{"short", 0, good[:7], ErrLength},
 		{"long", 0, make([]byte, MaxDatagram+1), ErrLength},
-		{"truncated", 0, good[:len(good)-1], ErrCheck},
+		{"truncated", 0, good[:len(good)-1], ErrChecksum},
 		{"another version", 0, next, ErrVersion},
-		{"another site", 0, sealed(other), ErrCheck},
-		{"an unknown kind", 0, newCodec(7).seal(kinds), ErrKind},
-		{"half an entry", 0, newCodec(7).seal(odd), ErrLength},
+		{"another site", 0, sealed(other), ErrChecksum},
+		{"an unknown kind", 0, newCodec(7).appendChecksum(kinds), ErrKind},
+		{"half an entry", 0, newCodec(7).appendChecksum(odd), ErrLength},
 		{"of an unknown sender", -1, good, ErrSender},
 		{"of a number out of range", 2, good, ErrSender},
 		{"of the receiver itself", 1, good, ErrSender},
@@ -348,7 +348,7 @@
 	for _, c := range []struct{ members, workers int }{{2, 9}, {7, 7}, {24, 24}, {80, 60}, {300, 7}, {300, 150}, {300, 200}, {60, 2000}} {
 		hashes := make([]uint64, c.workers)
 		for i, id := range ids(c.workers) {
-			hashes[i] = hashOf(id)
+			hashes[i] = hashWorkerID(id)
 		}
 		parts := make([]int, c.members)
 		lists := assignSubscribers(c.members, hashes, 12, 6)
@@ -388,8 +388,8 @@
 		b := New(options(1, 2))
 		b.SetWorkers(workers)
 		_ = b.Receive(time.Second, 0, data)
-		_ = b.Receive(time.Second, 0, b.codec.seal(append(b.codec.begin(make([]byte, 0, MaxDatagram), head{kindLoads, 1, 1}),
-			data[:min(len(data), MaxDatagram-headSize-checkSize)]...)))
+		_ = b.Receive(time.Second, 0, b.codec.appendChecksum(append(b.codec.encodeHeader(make([]byte, 0, MaxDatagram), header{kindLoads, 1, 1}),
+			data[:min(len(data), MaxDatagram-headerSize-checksumSize)]...)))
 		b.TakeLoadChanges(func(id string, slots, waiting int) {
 			if !slices.Contains(workers, id) || slots > maxSlots || waiting > maxWaiting {
 				t.Errorf("%s: %d and %d", id, slots, waiting)
--- a/internal/peers/receive.go
+++ b/internal/peers/receive.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Receive handles a datagram from a member, given by its number. After an error, which is one of the Err values of this package,
-// nothing has changed.
+// Receive handles a datagram from the member with the number from. A datagram that it rejects, with one of the Err values of this
+// package, changes nothing but Counts.
 func (n *Node) Receive(now time.Duration, from int, datagram []byte) error {
 	err := n.receive(now, from, datagram)
 	if n.Counts.Received++; err != nil {
@@ -19,7 +19,7 @@
 	if from < 0 || from >= len(n.members) || from == n.options.Self {
 		return ErrSender
 	}
-	h, body, err := n.codec.open(datagram)
+	h, body, err := n.codec.decode(datagram)
 	if err != nil {
 		return err
 	}
@@ -49,13 +49,14 @@
 	}
 	for ; len(body) > 0; body = body[loadSize:] {
 		key, load := decodeLoad(body)
-		n.takeReport(now, uint16(from), h.sequence, key, load)
+		n.recordReport(now, uint16(from), h.sequence, key, load)
 	}
 	return nil
 }
 
-// accepts reports whether a datagram is of the known generation or a later one, and not stale.
-func (m *member) accepts(now time.Duration, h head) bool {
+// accepts reports whether a datagram is not stale: of the known generation and within the sequence window, or of a later generation.
+// An earlier generation is accepted only after minGenerationTimeout.
+func (m *member) accepts(now time.Duration, h header) bool {
 	switch {
 	case !m.known:
 		return true
@@ -65,7 +66,7 @@
 	return newer(h.generation, m.generation) || now-m.lastReceivedAt >= minGenerationTimeout
 }
 
-// recordReceived updates the sequence numbers and the loss rate.
+// recordReceived updates the sequence window and the loss rate for a received datagram.
 func (m *member) recordReceived(now time.Duration, sequence uint16) {
 	if now-m.windowStart >= sequenceWindow {
 		if sent := m.highestSequence - m.windowStartSequence; sent > 0 && now-m.windowStart < 4*sequenceWindow {
@@ -80,7 +81,7 @@
 	m.lastReceivedAt = now
 }
 
-// dropReports drops the reports of a member, which has restarted.
+// dropReports drops the reports of a member that has restarted.
 func (n *Node) dropReports(from int) {
 	for _, w := range n.reported {
 		w.reports = slices.DeleteFunc(w.reports, func(r report) bool {
@@ -92,8 +93,8 @@
 	}
 }
 
-// takeReport takes the load of a worker that a member has sent.
-func (n *Node) takeReport(now time.Duration, from, sequence uint16, key uint32, load Load) {
+// recordReport records the load on a worker that a member has sent.
+func (n *Node) recordReport(now time.Duration, from, sequence uint16, key uint32, load Load) {
 	w := n.workersByKey[key]
 	if w == nil {
 		n.Counts.UnknownWorkers++
@@ -110,7 +111,7 @@
 	}
 	r := &w.reports[i]
 	if !newer(sequence, r.sequence) {
-		return // a duplicate, or overtaken by a later one
+		return // duplicate, or older than the recorded report
 	}
 	if load != r.load {
 		n.markChanged(w)
--- a/internal/peers/revisions_wire_test.go
+++ b/internal/peers/revisions_wire_test.go
@@ -128,20 +128,20 @@
 		t.Fatal("complete datagrams are rejected")
 	}
 	for name, whole := range map[string][]byte{"entries": entries, "digests": digests} {
-		head, size := headSize+entriesHeadSize, entrySize
+		header, size := headerSize+entriesHeaderSize, entrySize
 		if name == "digests" {
-			head, size = headSize+digestsHeadSize, digestSize
+			header, size = headerSize+digestsHeaderSize, digestSize
 		}
 		for cut := range whole {
-			want := ErrCheck
-			if cut < headSize+checkSize {
+			want := ErrChecksum
+			if cut < headerSize+checksumSize {
 				want = ErrLength
 			}
 			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut), whole[:cut], want)
-			if cut < headSize || cut > len(whole)-checkSize || cut > head && (cut-head)%size == 0 { // it has complete entries, so it is valid
+			if cut < headerSize || cut > len(whole)-checksumSize || cut > header && (cut-header)%size == 0 { // it has complete entries, so it is valid
 				continue
 			}
-			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut, " and sealed"), newCodec(7).seal(bytes.Clone(whole[:cut])), ErrLength)
+			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut, " and sealed"), newCodec(7).appendChecksum(bytes.Clone(whole[:cut])), ErrLength)
 			bad := bytes.Clone(whole)
 			bad[cut] ^= 4
 			if newReceiver().Receive(time.Second, 0, bad) == nil {
@@ -167,20 +167,20 @@
 // Guards the parser of the revision table's datagrams against arbitrary ones: it neither panics nor changes its own entry.
 func FuzzRevisions(f *testing.F) {
 	entries, digests := revisionDatagrams(f)
-	f.Add(byte(kindEntries), entries[headSize:len(entries)-checkSize])
-	f.Add(byte(kindDigests), digests[headSize:len(digests)-checkSize])
+	f.Add(byte(kindEntries), entries[headerSize:len(entries)-checksumSize])
+	f.Add(byte(kindDigests), digests[headerSize:len(digests)-checksumSize])
 	f.Add(byte(kindDigests), []byte{0xff, 0xff, 1, 2, 3, 4})
 	f.Add(byte(kindEntries), []byte{0, 0, 0, 9, 0, 0, 0, 9, 0, 1, 0, 1, 0, 9, 0xff, 0xff, 0, 1, 0, 9})
 	f.Fuzz(func(t *testing.T, k byte, body []byte) {
 		b := newReceiver()
-		data := append(b.codec.begin(make([]byte, 0, MaxDatagram), head{kindEntries + kind(k&1), 1, 1}), body[:min(len(body), MaxDatagram-headSize-checkSize)]...)
-		_ = b.Receive(time.Second, 0, b.codec.seal(data))
+		data := append(b.codec.encodeHeader(make([]byte, 0, MaxDatagram), header{kindEntries + kind(k&1), 1, 1}), body[:min(len(body), MaxDatagram-headerSize-checksumSize)]...)
+		_ = b.Receive(time.Second, 0, b.codec.appendChecksum(data))
 		b.Tick(time.Second)
 		b.Flush(time.Second, func(_ int, data []byte) {
 			if len(data) > MaxDatagram {
 				t.Errorf("%d bytes", len(data))
 			}
-			if _, _, err := b.codec.open(data); err != nil {
+			if _, _, err := b.codec.decode(data); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/peers/subscribers.go
+++ b/internal/peers/subscribers.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// assignSubscribers returns for each worker, given by the hash of its id, the members that subscribe to it, sorted by number. It
-// depends on nothing but the number of members and the workers, so that all who have the same list agree.
+// assignSubscribers returns for each worker, given by the hash of its ID, the numbers of the members that subscribe to it, sorted. The
+// result depends only on the arguments, not on the order of the workers, so that all members with the same list agree on it.
 //
-// Members are ranked by rendezvous hashing; a worker takes the least loaded of its highest, and no member has many more workers
-// than the mean. A member that is left with too few joins further workers. Two workers seldom have the same subscribers, so that
-// when a worker is full, each of its subscribers has other workers that are not.
+// Rendezvous hashing ranks the members for each worker. Each worker is assigned members of the highest ranks, less
+// loaded ones first, which bounds the number of workers per member. A member with too few workers then subscribes to further ones. Two workers rarely have
+// the same subscribers, so that when a worker is full, each of its subscribers has other workers that are not.
 func assignSubscribers(members int, workers []uint64, minSubscribers, minSubset int) [][]uint16 {
 	a := assignment{workers: workers, subscribers: make([][]uint16, len(workers)), load: make([]int, members)}
 	if len(workers) == 0 || members == 0 {
@@ -24,8 +24,8 @@
 	}
 	a.mean = (a.size*len(workers) + members - 1) / members
 	a.slack = max(1, a.mean/10)
-	a.fillWorkers()
-	a.fillMembers()
+	a.assignWorkers()
+	a.fillUnderloadedMembers()
 	for i := range a.subscribers {
 		slices.Sort(a.subscribers[i])
 	}
@@ -34,12 +34,12 @@
 
 // assignment is the state of assignSubscribers.
 type assignment struct {
-	workers     []uint64 // hashes
-	subscribers [][]uint16
-	load        []int // workers by member
-	size        int   // subscribers of a worker
-	mean        int   // workers of a member
-	slack       int   // by how many those of a member may differ from the mean
+	workers     []uint64   // hashes of the worker IDs
+	subscribers [][]uint16 // member numbers by worker
+	load        []int      // number of workers by member
+	size        int        // number of subscribers per worker
+	mean        int        // mean number of workers per member
+	slack       int        // allowed deviation of a member's load from mean
 }
 
 func (a *assignment) subscribeAll() {
@@ -57,18 +57,18 @@
 	a.load[member]++
 }
 
-// fillWorkers gives each worker its subscribers.
-func (a *assignment) fillWorkers() {
-	order := make([]int, len(a.workers)) // by hash: the order of the list does not count
+// assignWorkers assigns size subscribers to each worker.
+func (a *assignment) assignWorkers() {
+	order := make([]int, len(a.workers)) // sorted by hash, so that the order of the list does not matter
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortFunc(order, func(x, y int) int { return cmp.Compare(a.workers[x], a.workers[y]) })
-	best := newRanking(min(len(a.load), 2*a.size))
+	top := newRanking(min(len(a.load), 2*a.size))
 	for _, i := range order {
-		best.rankMembers(a.workers[i], len(a.load))
-		for _, maxLoad := range []int{a.mean, a.mean + a.slack, len(a.workers)} { // members below the mean first
-			for _, c := range best.found {
+		top.rankMembers(a.workers[i], len(a.load))
+		for _, maxLoad := range []int{a.mean, a.mean + a.slack, len(a.workers)} { // members with a load below the mean come first
+			for _, c := range top.candidates {
 				if m := c.member; len(a.subscribers[i]) < a.size && a.load[m] < maxLoad && !slices.Contains(a.subscribers[i], m) {
 					a.subscribe(i, m)
 				}
@@ -77,70 +77,70 @@
 	}
 }
 
-// fillMembers has members with too few workers join the highest ranked of the others.
-func (a *assignment) fillMembers() {
+// fillUnderloadedMembers subscribes each member with too few workers to the remaining workers that rank it highest.
+func (a *assignment) fillUnderloadedMembers() {
 	for m := range a.load {
 		for a.load[m] < a.mean-a.slack {
-			top := a.highestOther(m)
-			if top < 0 {
+			highest := a.highestOther(m)
+			if highest < 0 {
 				break
 			}
-			a.subscribe(top, uint16(m))
+			a.subscribe(highest, uint16(m))
 		}
 	}
 }
 
-// highestOther returns the highest ranked worker that a member does not subscribe to, or -1.
+// highestOther returns the index of the worker that ranks a member highest among those that it does not subscribe to, or -1.
 func (a *assignment) highestOther(member int) int {
-	top, rank := -1, uint64(0)
+	highest, rank := -1, uint64(0)
 	for i, worker := range a.workers {
-		if r := rankOf(worker, member); r >= rank && !slices.Contains(a.subscribers[i], uint16(member)) {
-			top, rank = i, r
+		if r := rendezvousWeight(worker, member); r >= rank && !slices.Contains(a.subscribers[i], uint16(member)) {
+			highest, rank = i, r
 		}
 	}
-	return top
+	return highest
 }
 
-// rankOf is the weight of a member at a worker in rendezvous hashing.
-func rankOf(worker uint64, member int) uint64 {
-	return mix(worker ^ (uint64(member)+1)*0x9e3779b97f4a7c15)
+// rendezvousWeight returns the weight of a member for a worker in rendezvous hashing.
+func rendezvousWeight(worker uint64, member int) uint64 {
+	return fmix64(worker ^ (uint64(member)+1)*0x9e3779b97f4a7c15)
 }
 
-// candidate is a member and its rank at a worker.
+// candidate is a member and its rank for a worker.
 type candidate struct {
 	rank   uint64
 	member uint16
 }
 
-// ranking finds the members of the highest rank at a worker.
+// ranking finds the members with the highest ranks for a worker.
 type ranking struct {
-	found []candidate // the highest first
-	size  int         // how many are wanted
+	candidates []candidate // sorted by descending rank after rankMembers
+	size       int         // number of candidates to keep
 }
 
 func newRanking(size int) *ranking { return &ranking{make([]candidate, 0, 2*size), size} }
 
-func byRank(a, b candidate) int { return cmp.Compare(b.rank, a.rank) }
+func compareRank(a, b candidate) int { return cmp.Compare(b.rank, a.rank) }
 
-// rankMembers finds the members of the highest rank at a worker.
+// rankMembers sets candidates to the members with the highest ranks for a worker.
 func (r *ranking) rankMembers(worker uint64, members int) {
-	r.found = r.found[:0]
+	r.candidates = r.candidates[:0]
 	floor := uint64(0)
 	for m := range members {
-		rank := rankOf(worker, m)
+		rank := rendezvousWeight(worker, m)
 		if rank <= floor {
 			continue
 		}
-		if r.found = append(r.found, candidate{rank, uint16(m)}); len(r.found) == 2*r.size {
+		if r.candidates = append(r.candidates, candidate{rank, uint16(m)}); len(r.candidates) == 2*r.size {
 			r.trim()
-			floor = r.found[r.size-1].rank
+			floor = r.candidates[r.size-1].rank
 		}
 	}
 	r.trim()
 }
 
-// trim drops all but the wanted number of candidates.
+// trim keeps the size highest candidates.
 func (r *ranking) trim() {
-	slices.SortFunc(r.found, byRank)
-	r.found = r.found[:min(len(r.found), r.size)]
+	slices.SortFunc(r.candidates, compareRank)
+	r.candidates = r.candidates[:min(len(r.candidates), r.size)]
 }
