--- a/scheduler/build.go
+++ b/scheduler/build.go
@@ -29,17 +29,18 @@
 	// workerHost is the Host header of requests to workers.
 	workerHost = "origin.svc"
 	// streamDeadlineMargin is subtracted from the deadline of a job whose client follows an
-	// event stream: it is the time in which the final event reaches the client.
+	// event stream, so that the final event reaches the client in time.
 	streamDeadlineMargin = 50 * time.Millisecond
-	// A worker is reported on by at least minWorkerObservers schedulers, and a scheduler
-	// begins with a subset of at least minSubsetSize workers (docs/design/peers.md).
-	minWorkerObservers = 8
-	minSubsetSize      = 4
+	// At least minWorkerSubscribers schedulers subscribe to the load of a worker, and the
+	// subset of workers that a scheduler tries first has at least minSubsetSize workers
+	// (docs/design/peers.md).
+	minWorkerSubscribers = 8
+	minSubsetSize        = 4
 )
 
-// New returns a Scheduler that neither listens nor runs yet: Run does both. It returns an
-// error for a configuration that does not pass its Check, for a journal that cannot be
-// opened, and where the system refuses an event loop.
+// New returns a Scheduler that does not listen yet; Run starts it. It returns an error if the
+// configuration does not pass its Check, the journal cannot be opened or an event loop
+// cannot be created.
 func New(c *dispatchconfig.Config, opt Options) (*Scheduler, error) {
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
@@ -51,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	settings.WatchOnDemand = c.Discovery != "" // pushed lists come to the address, and it is asked for them there
+	settings.WatchOnDemand = c.Discovery != "" // pushed lists also go to the discovery address, where the scheduler requests them
 	s := &Scheduler{options: opt, config: c, clock: dispatch.NewClock(), descriptors: fdlimit.New(0),
 		cordonSemaphore: make(chan struct{}, 1), siblings: siblingSet{all: map[*sibling]struct{}{}, added: make(chan struct{}, 1)}}
 	s.settings.Store(&settings)
@@ -66,7 +67,7 @@
 	return s, nil
 }
 
-// build makes the parts of a scheduler in the order in which they depend on each other.
+// build creates the components of the scheduler in the order of their dependencies.
 func (s *Scheduler) build(settings *dispatcher.Settings) error {
 	c := s.config
 	s.pool = upstream.New(upstream.Options{Loop: s.workerLoop, DialTimeout: dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout),
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// buildPlanners makes the set of planners and returns its members.
+// buildPlanners creates the set of planners and returns its members.
 func (s *Scheduler) buildPlanners(settings *dispatcher.Settings) ([]*dispatch.Planner, error) {
 	var planners []*dispatch.Planner
 	for i := range max(1, s.config.Planners) {
@@ -112,7 +113,7 @@
 	return planners, nil
 }
 
-// buildPeerLink makes the link to the peer schedulers if the configuration names any.
+// buildPeerLink creates the link to the peer schedulers if the configuration names any.
 func (s *Scheduler) buildPeerLink(planners []*dispatch.Planner) error {
 	c := s.config
 	plan, err := c.PeerPlan()
@@ -120,14 +121,15 @@
 		return err
 	}
 	s.peerLink = peerlink.New(peerlink.Options{Listen: plan.Listen, Peers: plan.Peers, Self: plan.Self, Site: plan.Site,
-		FailureDetection: plan.Watch, Revision: c.PeerRevision(), Seed: c.SeedNumber(), MinSubscribers: minWorkerObservers, MinSubset: minSubsetSize,
+		FailureDetection: plan.Watch, Revision: c.PeerRevision(), Seed: c.SeedNumber(), MinSubscribers: minWorkerSubscribers, MinSubset: minSubsetSize,
 		Planners: planners, Clock: s.clock, Log: s.options.Log})
 	return nil
 }
 
-// buildServers makes the servers for clients: the platform's protocol, the reverse proxy
-// and the event streams, each where the configuration has it. The admission queue, if any,
-// stands between them and the planners.
+// buildServers creates the servers for clients: those of the platform's protocol, the reverse
+// proxy and the event streams, as configured. If there is an admission queue, the
+// platform's protocol and the event streams submit their requests to it instead of the
+// planners.
 func (s *Scheduler) buildServers(settings *dispatcher.Settings) error {
 	c, log := s.config, s.options.Log
 	var planners platformapi.Planners = s.planners
@@ -159,12 +161,12 @@
 	return nil
 }
 
-// buildOps restores the saved cordons and makes the server for operators' calls.
+// buildOps restores the saved cordons and creates the server for operators.
 func (s *Scheduler) buildOps() {
 	c, log := s.config, s.options.Log
 	var err error
 	if s.cordons, err = ops.ReadCordons(runtimeFile(c, "cordons")); err != nil {
-		log.Warn("cannot read the saved cordons, none is in force", "err", err)
+		log.Warn("cannot read the saved cordons; starting with all workers uncordoned", "err", err)
 	}
 	for _, host := range s.cordons.Hosts() {
 		s.restoreCordon(host)
@@ -175,10 +177,10 @@
 	}
 }
 
-// tenantShares returns the tenants as the admission queue takes them.
-func tenantShares(tenants []dispatcher.Tenant) (all []fairqueue.Tenant) {
+// tenantShares converts tenants to those of the admission queue.
+func tenantShares(tenants []dispatcher.Tenant) (shares []fairqueue.Tenant) {
 	for _, t := range tenants {
-		all = append(all, fairqueue.Tenant{Name: t.Name, Share: t.Share})
+		shares = append(shares, fairqueue.Tenant{Name: t.Name, Share: t.Share})
 	}
-	return all
+	return shares
 }
--- a/scheduler/config.go
+++ b/scheduler/config.go
@@ -5,11 +5,11 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// The configuration of a Scheduler, for programs that embed one.
+// Aliases of the configuration types, for programs that embed a Scheduler.
 type (
-	// Config is the whole configuration.
+	// Config is the complete configuration of a Scheduler.
 	Config = dispatchconfig.Config
-	// Limits bound the process's memory and descriptors.
+	// Limits bound the memory and the file descriptors of the process.
 	Limits = dispatchconfig.Limits
 	// SSE configures the event streams.
 	SSE = dispatchconfig.SSE
@@ -17,9 +17,9 @@
 	Journal = dispatchconfig.Journal
 	// Web configures the reverse proxy.
 	Web = dispatchconfig.Web
-	// Settings are those of the decision module.
+	// Settings are the settings of the decision module.
 	Settings = dispatchconfig.Settings
-	// Class is a class of requests.
+	// Class is a request class.
 	Class = dispatchconfig.Class
 	// List is a list of workers.
 	List = discovery.List
@@ -31,5 +31,5 @@
 // names.
 func FromEnv() (*Config, error) { return dispatchconfig.FromEnv() }
 
-// ReadFile reads and checks an operator's file.
+// ReadFile reads and checks an operator's configuration file.
 func ReadFile(path string) (*Config, error) { return dispatchconfig.ReadOperator(path) }
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -7,34 +7,35 @@
 	"sedgevale/internal/httpd"
 )
 
-// The steps of a drain, which begins with SIGTERM.
+// Durations of the steps of a drain, which starts at SIGTERM.
 const (
-	// Clients go on connecting for 0.4 s after SIGTERM, so the scheduler
-	// accepts connections for longer.
+	// Clients open new connections for 0.4 s after SIGTERM, so the scheduler accepts
+	// connections for longer than that.
 	acceptGracePeriod = 700 * time.Millisecond
 	drainPollInterval = 50 * time.Millisecond
-	// Clients go on using the connections that they have. Each is good for one more
-	// request, so idle connections stay open for idleGracePeriod. Whoever sent SIGTERM
-	// sends SIGKILL 0.7 s after the longest deadline or after maxDrainWait, whichever is
-	// shorter: requests still open shortly before are answered as failed.
+	// Clients continue to use the connections that they have. Each connection serves one more
+	// request, so idle connections stay open for idleGracePeriod. The sender of SIGTERM sends
+	// SIGKILL 0.7 s after the longest client timeout or maxDrainWait, whichever is shorter.
+	// Requests that are still open abandonGracePeriod after the shorter one are answered as
+	// failed, so that the response arrives before SIGKILL.
 	idleGracePeriod    = 2500 * time.Millisecond
 	maxDrainWait       = 3 * time.Second
 	abandonGracePeriod = 400 * time.Millisecond
-	// lingerTimeout is how long the last answers may take to be read.
+	// lingerTimeout is the time for clients to read the last responses.
 	lingerTimeout      = 200 * time.Millisecond
 	lingerPollInterval = drainPollInterval / 5
 )
 
-// drain answers what was accepted and what still comes, and returns once nothing is in
-// flight, at the latest at the drain's deadline.
+// drain answers the requests that were accepted and those that still arrive. It returns once
+// none is in flight, at the latest at the drain's deadline.
 func (s *Scheduler) drain(ctx context.Context) error {
-	began := time.Now()
+	start := time.Now()
 	s.ready.Store(false)
 	for _, server := range s.servers {
 		server.Drain()
 	}
-	s.options.Log.Info("draining: answering accepted requests")
-	if err := s.awaitInFlight(ctx, began); err != nil {
+	s.options.Log.Info("draining: answering accepted requests, then stopping")
+	if err := s.awaitInFlight(ctx, start); err != nil {
 		return err
 	}
 	s.refuseRequests(ctx)
@@ -45,22 +46,22 @@
 	return s.stop()
 }
 
-// awaitInFlight waits until no request is in flight and no client connected, or until the
-// drain's deadline. Idle connections are closed on the way. The context is that of the
-// background work, which does not end before the drain.
-func (s *Scheduler) awaitInFlight(ctx context.Context, began time.Time) error {
+// awaitInFlight waits until no request is in flight and no client is connected, at the latest
+// until the drain's deadline. It closes idle connections after the idle grace period. The
+// context is that of the background goroutines, which outlive the drain.
+func (s *Scheduler) awaitInFlight(ctx context.Context, start time.Time) error {
 	time.Sleep(acceptGracePeriod)
-	idle, end := drainDeadlines(s.maxDeadline())
-	for idleClosed := false; time.Since(began) < end; time.Sleep(drainPollInterval) {
+	closeIdleAfter, abandonAfter := drainDeadlines(s.maxClientTimeout())
+	for idleClosed := false; time.Since(start) < abandonAfter; time.Sleep(drainPollInterval) {
 		inFlight, err := s.inFlight(ctx)
 		if err != nil {
 			return err
 		}
-		if clients := s.openClients(); inFlight == 0 && clients == 0 {
+		if connections := s.openConnections(); inFlight == 0 && connections == 0 {
 			return nil
 		}
-		if !idleClosed && time.Since(began) > idle {
-			idleClosed = true // each once it has been read to its end, or for a while
+		if !idleClosed && time.Since(start) > closeIdleAfter {
+			idleClosed = true // each server closes a connection after reading it to its end, or after a timeout
 			for _, server := range s.servers {
 				server.CloseIdle()
 			}
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// inFlight returns how many requests are accepted and not answered yet.
+// inFlight returns the number of requests that are accepted and not answered yet.
 func (s *Scheduler) inFlight(ctx context.Context) (int, error) {
 	n, err := s.planners.CountOpen(ctx)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return n, nil
 }
 
-// abandonInFlight answers what is still queued or in flight as failed.
+// abandonInFlight answers the requests that are still queued or in flight as failed.
 func (s *Scheduler) abandonInFlight(ctx context.Context) error {
 	if s.admission != nil {
 		s.admission.Close()
@@ -98,22 +99,22 @@
 		return err
 	}
 	if n > 0 {
-		s.options.Log.Warn("jobs still in flight at the drain's deadline, their clients were answered that they failed", "jobs", n)
+		s.options.Log.Warn("drain deadline reached with jobs in flight; answered them as failed", "jobs", n)
 	}
 	return nil
 }
 
-// linger waits until the last answers, which are on their way to their event loops, have
-// been read by their clients, or for lingerTimeout.
+// linger waits until the clients have read the last responses, which may still be queued at
+// the event loops, or until lingerTimeout has passed.
 func (s *Scheduler) linger() {
-	for until := time.Now().Add(lingerTimeout); time.Now().Before(until); time.Sleep(lingerPollInterval) {
-		if s.openClients() == 0 {
+	for deadline := time.Now().Add(lingerTimeout); time.Now().Before(deadline); time.Sleep(lingerPollInterval) {
+		if s.openConnections() == 0 {
 			return
 		}
 	}
 }
 
-// stop ends the servers and closes the journal.
+// stop stops the servers and closes the journal.
 func (s *Scheduler) stop() error {
 	s.siblings.mu.Lock()
 	if s.siblings.listener != nil {
@@ -135,18 +136,18 @@
 	return nil
 }
 
-// drainDeadlines returns when, after SIGTERM, idle connections are closed, and when what is
-// in flight is abandoned, for requests whose deadline is longest at most. The time from
-// there to SIGKILL is for the last answers.
-func drainDeadlines(longest time.Duration) (idle, end time.Duration) {
+// drainDeadlines returns the times after SIGTERM at which idle connections are closed and
+// requests in flight are abandoned, if longest is the longest client timeout. The time
+// between the latter and SIGKILL is left for sending the last responses.
+func drainDeadlines(longest time.Duration) (closeIdleAfter, abandonAfter time.Duration) {
 	return max(acceptGracePeriod, min(longest, idleGracePeriod)), min(longest, maxDrainWait) + abandonGracePeriod
 }
 
-// refuseRequests sees to it that no further request is read: it waits for each server's
-// event loops, at most lingerTimeout/2.
+// refuseRequests stops the servers from reading further requests. It waits until each server's
+// event loops have applied that, at most lingerTimeout/2.
 func (s *Scheduler) refuseRequests(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, lingerTimeout/2)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, lingerTimeout/2)
+	defer cancel()
 	done := make(chan struct{}, len(s.servers))
 	for _, server := range s.servers {
 		server.Refuse()
@@ -161,16 +162,16 @@
 	}
 }
 
-// openClients returns how many connections of clients are open.
-func (s *Scheduler) openClients() (n int) {
+// openConnections returns the number of open client connections.
+func (s *Scheduler) openConnections() (n int) {
 	for _, server := range s.servers {
 		n += server.Clients()
 	}
 	return n
 }
 
-// maxDeadline is the longest time that a client of any class may wait.
-func (s *Scheduler) maxDeadline() time.Duration {
+// maxClientTimeout returns the longest client timeout of all classes.
+func (s *Scheduler) maxClientTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.settings.Load().Classes {
 		longest = max(longest, c.ClientTimeout)
--- a/scheduler/drain_test.go
+++ b/scheduler/drain_test.go
@@ -15,7 +15,7 @@
 		3 * time.Second, 5 * time.Second, 25 * time.Second} {
 		s := &Scheduler{}
 		s.settings.Store(&dispatcher.Settings{Classes: []dispatcher.Class{{ClientTimeout: limit / 2}, {ClientTimeout: limit}}})
-		longest := s.maxDeadline()
+		longest := s.maxClientTimeout()
 		idle, end := drainDeadlines(longest)
 		kill := min(limit, maxDrainWait) + killedAfter
 		if end+lingerTimeout >= kill {
--- a/scheduler/operate.go
+++ b/scheduler/operate.go
@@ -16,8 +16,8 @@
 
 var errNotServing = errors.New("not serving")
 
-// Healthy returns nil if this process can serve: it listens, is not draining, and each
-// planner and event loop runs a call before the context ends.
+// Healthy returns nil if this process can serve: it accepts requests, is not draining, and
+// each planner and event loop runs a callback before the context ends.
 func (s *Scheduler) Healthy(ctx context.Context) error {
 	if !s.ready.Load() {
 		return errNotServing
@@ -30,14 +30,14 @@
 			return fmt.Errorf("the reverse proxy's planner has no turn: %w", err)
 		}
 	}
-	turn := make(chan struct{}, 1+len(s.servers))
-	s.workerLoop.Do(func() { turn <- struct{}{} })
+	responses := make(chan struct{}, 1+len(s.servers))
+	s.workerLoop.Do(func() { responses <- struct{}{} })
 	for _, server := range s.servers {
-		server.Ping(func() { turn <- struct{}{} })
+		server.Ping(func() { responses <- struct{}{} })
 	}
-	for range cap(turn) {
+	for range cap(responses) {
 		select {
-		case <-turn:
+		case <-responses:
 		case <-ctx.Done():
 			return fmt.Errorf("an event loop has no turn: %w", ctx.Err())
 		}
@@ -45,21 +45,22 @@
 	return nil
 }
 
-// Cordon cordons a worker, or uncordons it if cordon is false. It returns once that is in
-// force and saved, here and in the sibling process of an upgrade. The error is
-// ops.ErrUnknownWorker for a worker that no list has named.
+// Cordon cordons a worker, or uncordons it if cordon is false. It returns once the change is
+// in force and saved, in this process and in the sibling processes of an upgrade. The error
+// is ops.ErrUnknownWorker for a worker that was in no list.
 func (s *Scheduler) Cordon(ctx context.Context, host string, cordon bool) error {
 	if err := s.applyCordon(ctx, host, cordon); err != nil {
 		return err
 	}
-	if err := s.forwardOrder(ctx, host, cordon, nil); err != nil {
+	if err := s.forwardCordonToSiblings(ctx, host, cordon, nil); err != nil {
 		return err
 	}
-	s.options.Log.Info("cordon order in force", "worker", host, "out", cordon)
+	s.options.Log.Info("applied a cordon or uncordon request", "worker", host, "out", cordon)
 	return nil
 }
 
-// applyCordon carries out an order in this process, one order after another.
+// applyCordon cordons or uncordons a worker in this process. Concurrent calls run one at a
+// time.
 func (s *Scheduler) applyCordon(ctx context.Context, host string, cordon bool) error {
 	select {
 	case s.cordonSemaphore <- struct{}{}:
@@ -67,7 +68,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if !cordon { // else requests placed there at once would be rejected by the pool
+	if !cordon { // first, or the pool would reject requests that the planners place on the worker
 		if err := s.cordonConnections(ctx, host, false); err != nil {
 			return err
 		}
@@ -90,7 +91,7 @@
 	return s.cordons.Set(host, cordon)
 }
 
-// restoreCordon cordons a worker before the scheduler runs.
+// restoreCordon cordons a worker before Run.
 func (s *Scheduler) restoreCordon(host string) {
 	s.pool.Cordon(host, true, func() {})
 	s.planners.RestoreCordon(host)
@@ -99,7 +100,7 @@
 	}
 }
 
-// cordonConnections applies an order to the connection pool.
+// cordonConnections cordons or uncordons a worker in the connection pool.
 func (s *Scheduler) cordonConnections(ctx context.Context, host string, cordon bool) error {
 	done := make(chan struct{})
 	s.pool.Cordon(host, cordon, func() { close(done) })
@@ -111,37 +112,37 @@
 	}
 }
 
-// journalReader returns what answers questions about jobs, or nil without a journal.
+// journalReader returns the journal for queries by operators, or nil without a journal.
 func (s *Scheduler) journalReader() ops.Journal {
-	if s.journal == nil { // else it would be an interface that is not nil
+	if s.journal == nil { // a nil *recorder.Recorder would become a non-nil interface
 		return nil
 	}
 	return s.journal
 }
 
-// opsPages returns what operators can read, by path.
+// opsPages returns the status pages for operators by path.
 func (s *Scheduler) opsPages() map[string]ops.Page {
 	pages := map[string]ops.Page{}
 	if s.reverseProxy != nil {
 		pages["/admin/servers"] = ops.Page{Type: "application/x-ndjson", Read: func() []byte {
 			var b bytes.Buffer
-			e := json.NewEncoder(&b)
+			encoder := json.NewEncoder(&b)
 			for _, server := range s.reverseProxy.Status() {
-				_ = e.Encode(server) // every value of its type can be encoded
+				_ = encoder.Encode(server) // cannot fail for this type
 			}
 			return b.Bytes()
 		}}
 	}
 	if s.peerLink != nil {
 		pages["/admin/peers"] = ops.Page{Type: "application/json", Read: func() []byte {
-			b, _ := json.Marshal(s.peerLink.Status()) // every value of its type can be encoded
+			b, _ := json.Marshal(s.peerLink.Status()) // cannot fail for this type
 			return append(b, '\n')
 		}}
 	}
 	return pages
 }
 
-// runtimeFile names a file of this scheduler, the same for each of its processes.
+// runtimeFile returns the path of a file that all processes of this scheduler share.
 func runtimeFile(c *dispatchconfig.Config, extension string) string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(c.Name + "\x00" + c.Listen))
--- a/scheduler/reload.go
+++ b/scheduler/reload.go
@@ -9,11 +9,11 @@
 	"sedgevale/internal/jobrequest"
 )
 
-// Reload replaces the configuration: its discovery, or its workers where it names no
-// discovery, its limits, and its settings but for those that need a restart, which are
-// logged. Connections, exchanges and all that was learned stay, and jobs under way keep
-// their class. The configuration is checked whole before anything changes, so an error
-// means that nothing has changed. It must not be called twice at a time.
+// Reload applies a new configuration: the discovery address, or the workers if it names no
+// discovery, the limits, and the settings except for those that require a restart, which
+// are logged. Connections, exchanges in progress and learned state are kept, and jobs in
+// flight keep their class. The configuration is checked completely before anything changes,
+// so after an error the old one is still in force. Reload must not be called concurrently.
 func (s *Scheduler) Reload(c *dispatchconfig.Config) error {
 	if err := c.Check(); err != nil {
 		return err
@@ -33,12 +33,12 @@
 	}
 	if s.admission != nil {
 		if err := s.admission.SetTenants(tenantShares(settings.Tenants)); err != nil {
-			return err // not of settings that Check has passed
+			return err // cannot happen for settings that passed Check
 		}
 	}
 	s.current.Store(c)
 	before := s.settings.Swap(&settings)
-	s.planners.UpdateSettings(settings) // before the rules: a tenant whose jobs are admitted is known there then
+	s.planners.UpdateSettings(settings) // before the parser, which from then on accepts jobs of new tenants
 	s.requestParser.Update(&jobrequest.Settings{Classes: settings.Classes, Tenants: settings.Tenants})
 	s.pool.SetTimeouts(dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout), dispatchconfig.Seconds(c.Settings.Bounds.IdleClose))
 	s.limitDescriptors(c)
@@ -53,27 +53,28 @@
 	return nil
 }
 
-// logReload logs what a Reload has changed, and what it could not.
-func (s *Scheduler) logReload(c *dispatchconfig.Config, before, now *dispatcher.Settings, needRestart []string) {
-	s.options.Log.Info("configuration reloaded", "revision", c.Revision, "discovery", c.Discovery, "classes", len(now.Classes),
-		"max_attempts", now.MaxAttempts, "tenants", len(now.Tenants))
-	if added, gone, changed := tenantChanges(before.Tenants, now.Tenants); added+gone+changed > 0 {
-		s.options.Log.Info("tenants changed", "added", added, "gone", gone, "changed", changed)
+// logReload logs the changes of a Reload and the parts that require a restart.
+func (s *Scheduler) logReload(c *dispatchconfig.Config, before, after *dispatcher.Settings, needRestart []string) {
+	s.options.Log.Info("configuration reloaded", "revision", c.Revision, "discovery", c.Discovery, "classes", len(after.Classes),
+		"max_attempts", after.MaxAttempts, "tenants", len(after.Tenants))
+	if added, removed, changed := tenantChanges(before.Tenants, after.Tenants); added+removed+changed > 0 {
+		s.options.Log.Info("tenants changed", "added", added, "gone", removed, "changed", changed)
 	}
 	if len(needRestart) > 0 {
-		s.options.Log.Warn("part of the new configuration needs a restart", "what", strings.Join(needRestart, ", "))
+		s.options.Log.Warn("part of the new configuration needs a restart and is not applied", "what", strings.Join(needRestart, ", "))
 	}
 }
 
-// tenantChanges counts the tenants that come, go, and have another share or quota.
-func tenantChanges(before, now []dispatcher.Tenant) (added, gone, changed int) {
+// tenantChanges returns the numbers of tenants that were added, removed, and changed in share or
+// quota.
+func tenantChanges(before, after []dispatcher.Tenant) (added, removed, changed int) {
 	byName := make(map[string]dispatcher.Tenant, len(before))
 	for _, t := range before {
 		byName[t.Name] = t
 	}
-	for _, t := range now {
-		switch old, there := byName[t.Name]; {
-		case !there:
+	for _, t := range after {
+		switch old, exists := byName[t.Name]; {
+		case !exists:
 			added++
 		case old != t:
 			changed++
@@ -83,13 +84,13 @@
 	return added, len(byName), changed
 }
 
-// restartOnly names the parts of a new configuration that differ from the one at the start
-// and that a running scheduler does not take over.
+// restartOnly returns the names of the settings in which a new configuration differs from the
+// one at the start and that a running scheduler cannot change.
 func (s *Scheduler) restartOnly(c *dispatchconfig.Config) (names []string) {
 	start := s.config
 	for _, part := range []struct {
-		name        string
-		before, now any
+		name          string
+		before, after any
 	}{
 		{"name", start.Name, c.Name},
 		{"listen", start.Listen, c.Listen},
@@ -108,7 +109,7 @@
 		{"planners", start.Planners, c.Planners},
 		{"loops", start.Loops, c.Loops},
 	} {
-		if !reflect.DeepEqual(part.before, part.now) {
+		if !reflect.DeepEqual(part.before, part.after) {
 			names = append(names, part.name)
 		}
 	}
--- a/scheduler/resources.go
+++ b/scheduler/resources.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// Each event loop and planner may be blocked in a system call; with a processor for
-	// each the others go on at once. One processor was measured to do nearly as well;
-	// see NOTES.md.
+	// minProcessors is the minimum GOMAXPROCS. Each event loop and planner may block in a
+	// system call; with a processor for each, the others continue without delay. One
+	// processor performs nearly as well; see NOTES.md.
 	minProcessors = 8
-	// memoryFraction of the configured memory is the Go runtime's soft limit.
+	// memoryFraction is the Go runtime's soft memory limit as a fraction of the configured
+	// memory.
 	memoryFraction = 0.75
-	// reservedOpsDescriptors are kept for operators' calls.
+	// reservedOpsDescriptors is the number of file descriptors reserved for operators' requests.
 	reservedOpsDescriptors = 32
-	// fixedDescriptors of a process are not connections: event loops, listeners, files.
+	// fixedDescriptors is the number of a process's descriptors that are not connections: event
+	// loops, listeners and files.
 	fixedDescriptors = 32
 )
 
-// ConfigureRuntime sets the Go runtime up for the machine, by the configuration's limits. It
-// is for programs that are nothing but a scheduler.
+// ConfigureRuntime configures the Go runtime according to the configuration's limits. It is
+// meant for programs that only run a scheduler.
 func ConfigureRuntime(c *dispatchconfig.Config) {
 	limitMemory(c, 1)
 	if runtime.GOMAXPROCS(0) < minProcessors {
@@ -29,15 +31,16 @@
 	}
 }
 
-// limitMemory sets the runtime's soft limit to the share of one of several processes.
+// limitMemory sets the runtime's soft memory limit of one of several processes that share the
+// configured memory equally.
 func limitMemory(c *dispatchconfig.Config, processes int) {
 	if c.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryFraction * float64(c.Limits.MemoryMB) / float64(processes) * (1 << 20)))
 	}
 }
 
-// limitDescriptors applies a configuration's limit of descriptors, less those reserved for
-// operators' calls.
+// limitDescriptors applies a configuration's limit of file descriptors, less those reserved for
+// operators' requests.
 func (s *Scheduler) limitDescriptors(c *dispatchconfig.Config) {
 	n := c.Limits.Sockets
 	if n > 0 && c.Ops != "" {
@@ -46,15 +49,15 @@
 	s.descriptors.SetLimit(n)
 }
 
-// descriptorsInUse returns how many descriptors this process holds.
+// descriptorsInUse returns the number of file descriptors that this process uses.
 func (s *Scheduler) descriptorsInUse() int { return s.descriptors.InUse() + fixedDescriptors }
 
-// rebalanceResources keeps this process to its share of the machine: all that its siblings
-// leave of the descriptors, and an even part of the memory.
+// rebalanceResources adapts this process's limits to its siblings: it may use the descriptors
+// that they leave, and OnProcessCount is called to divide the memory equally.
 func (s *Scheduler) rebalanceResources() {
 	siblings, used := s.siblingList(), 0
-	for _, other := range siblings {
-		used += other.descriptorsInUse()
+	for _, sib := range siblings {
+		used += sib.descriptorsInUse()
 	}
 	s.descriptors.SetOtherProcesses(used)
 	if s.options.OnProcessCount != nil {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,26 +1,25 @@
-// Package scheduler is the whole request dispatcher as a library: it listens to clients,
+// Package scheduler implements the complete request dispatcher as a library: it serves clients,
 // watches the list of workers, and forwards requests to them as the decision module
-// (package sedgevale) says. A program needs no more than Serve; one that embeds a scheduler
-// calls New and Run.
+// (package dispatcher) decides. A program that only runs a scheduler calls Serve; one that
+// embeds a scheduler calls New and Run.
 //
-// A request's way:
+// A request is processed as follows:
 //
-//   - httpd.Conn.read parses it on an event loop of the server and calls the handler:
+//   - httpd.Conn.read parses the request on an event loop of the server and calls the handler:
 //     platformapi.Handler.Serve, or sse.Handler.Serve for an event stream. jobrequest.Parser.Parse
 //     returns its job and deadline.
-//   - The handler submits a dispatch.Exchange, to the admission queue (driver.Driver) if there is
-//     one, else to the planners (dispatch.Set), of which one takes it, by its ID.
+//   - The handler submits a dispatch.Exchange to the admission queue (driver.Driver) if there is
+//     one, otherwise to the planners (dispatch.Set), which choose one of them by the job's ID.
 //   - Planner.submit passes it to dispatcher.Dispatcher.SubmitRequest, on the goroutine of
-//     Planner.Run. The Dispatcher answers by calls of the Planner as its Host: Send, Cancel, Reject,
-//     Fail.
-//   - Planner.Send gives an attempt to the upstream.Pool, which sends it on the event loop of the
-//     connections to workers, and reports its start, progress and outcome as events of the
-//     Planner. With a journal the attempt waits until its intent is durable.
-//   - Planner.AttemptEnded and the timers lead to the final answer, Exchange.answer, or to a retry.
+//     Planner.Run. The Dispatcher calls back the Planner as its Host: Send, Cancel, Reject, Fail.
+//   - Planner.Send passes an attempt to the upstream.Pool, which sends it on the event loop of the
+//     connections to workers, and reports its start, progress and outcome as events to the
+//     Planner. With a journal, the attempt waits until its intent is durable.
+//   - Planner.AttemptEnded and timers lead to the final answer, Exchange.answer, or to a retry.
 //     The client side (dispatch.Client) posts the response to its connection's event loop.
 //
-// The reverse proxy (internal/reverseproxy) makes an Exchange of each of its requests, too, with a
-// planner and a carrier of its own.
+// The reverse proxy (internal/reverseproxy) also creates an Exchange for each of its requests, with
+// its own planner and carrier.
 package scheduler
 
 import (
@@ -48,62 +47,62 @@
 	"sedgevale/internal/upstream"
 )
 
-// Options are the choices of a program that embeds a Scheduler.
+// Options configure a Scheduler for the program that embeds it.
 type Options struct {
-	Log *slog.Logger // nil: none
-	// OnProcessCount is called with the number of processes that serve as this scheduler,
-	// this one included, whenever it changes: it is 2 during an upgrade. It may be nil and
-	// must not block.
+	Log *slog.Logger // nil: no logging
+	// OnProcessCount is called whenever the number of processes of this scheduler, including
+	// this one, may have changed. The number is 2 during an upgrade. OnProcessCount may be
+	// nil and must not block.
 	OnProcessCount func(processes int)
 }
 
 // Scheduler listens to clients and forwards their requests to workers.
 type Scheduler struct {
 	options         Options
-	config          *dispatchconfig.Config                // at the start; not changed
-	current         atomic.Pointer[dispatchconfig.Config] // of the last successful Reload
-	settings        atomic.Pointer[dispatcher.Settings]   // in force; not changed, only replaced
+	config          *dispatchconfig.Config                // configuration at the start; never changed
+	current         atomic.Pointer[dispatchconfig.Config] // configuration of the last successful Reload
+	settings        atomic.Pointer[dispatcher.Settings]   // settings in force; replaced as a whole
 	requestParser   *jobrequest.Parser
 	clock           dispatch.Clock
 	descriptors     *fdlimit.Limiter
-	workerLoop      *evloop.Loop // for connections to workers, discovery and the sibling process
+	workerLoop      *evloop.Loop // event loop of the connections to workers, discovery and sibling processes
 	pool            *upstream.Pool
 	watcher         *discovery.Watcher
 	planners        *dispatch.Set
 	cordons         *ops.Cordons
-	cordonSemaphore chan struct{} // holds a token while a cordon is applied
-	ready           atomic.Bool   // clients are served: false before the start and from the drain on
+	cordonSemaphore chan struct{} // holds a token while a cordon or uncordon is applied
+	ready           atomic.Bool   // false before the servers have started and from the start of the drain on
 
-	servers      []*httpd.Server     // for clients
-	opsServer    *httpd.Server       // for operators; nil without an ops address
+	servers      []*httpd.Server     // servers for clients
+	opsServer    *httpd.Server       // server for operators; nil without an ops address
 	eventStreams *sse.Handler        // nil without an [sse] section
 	reverseProxy *reverseproxy.Proxy // nil without a [web] section
 	journal      *recorder.Recorder  // nil without a [journal] section
 	admission    *driver.Driver      // nil without a [door] section
 	peerLink     *peerlink.Link      // nil without peers
 
-	background sync.WaitGroup // what Run has started; it ends with Run
+	background sync.WaitGroup // goroutines started by Run, which waits for them
 	siblings   siblingSet
 
 	workersMu sync.Mutex // guards workers
 	workers   discovery.List
 }
 
-// Run serves until the context ends, then drains: it answers what it has accepted and
-// returns once all is answered, at the latest after the drain's deadline. It returns an
-// error if a server cannot listen or the drain fails.
+// Run serves until the context ends, then drains: it answers the requests that it has
+// accepted, and returns once all are answered, at the latest after the drain's deadline. It
+// returns an error if a server cannot listen or the drain fails.
 func (s *Scheduler) Run(ctx context.Context) error {
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer s.background.Wait()
-	defer stop()
-	defer func() { _ = s.workerLoop.Stop() }() // an error would come too late for anybody
-	predecessor, sockets := s.takeOver(work)
-	s.startBackground(work)
-	if err := s.listen(work, sockets); err != nil {
+	defer cancel()
+	defer func() { _ = s.workerLoop.Stop() }() // all work is done, so the error is of no consequence
+	predecessor, sockets := s.takeOver(workCtx)
+	s.startBackground(workCtx)
+	if err := s.listen(workCtx, sockets); err != nil {
 		return err
 	}
 	if s.eventStreams != nil {
-		s.background.Go(func() { s.eventStreams.Run(work) })
+		s.background.Go(func() { s.eventStreams.Run(workCtx) })
 	}
 	s.ready.Store(true)
 	if predecessor != nil {
@@ -113,10 +112,10 @@
 	s.options.Log.Info("serving", "name", s.config.Name, "listen", s.config.Listen,
 		"workers", len(s.config.Known.Members), "revision", s.config.Known.Revision)
 	<-ctx.Done()
-	return s.drain(work)
+	return s.drain(workCtx)
 }
 
-// startBackground starts what runs beside the servers until the context ends.
+// startBackground starts the goroutines that run besides the servers until the context ends.
 func (s *Scheduler) startBackground(ctx context.Context) {
 	s.background.Go(func() { s.planners.Run(ctx) })
 	if s.reverseProxy != nil {
@@ -129,8 +128,8 @@
 	s.background.Go(func() { s.reportDescriptors(ctx) })
 }
 
-// listen starts the servers, the operators' first, on the listening sockets that the
-// predecessor passed on, by address, or on sockets of their own.
+// listen starts the servers, that for operators first. A server listens on the socket inherited
+// from the predecessor, by address, or on a new one.
 func (s *Scheduler) listen(ctx context.Context, sockets map[string]*net.TCPListener) error {
 	servers := s.servers
 	if s.opsServer != nil {
@@ -142,8 +141,8 @@
 		}
 		delete(sockets, server.Addr())
 	}
-	for _, l := range sockets { // of a server that this configuration lacks
-		_ = l.Close()
+	for _, listener := range sockets { // inherited sockets that this configuration does not use
+		_ = listener.Close()
 	}
 	return nil
 }
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -9,22 +9,22 @@
 	"syscall"
 )
 
-// Serve is all of a program that is nothing but a scheduler. It serves by the configuration
-// that read returns until SIGTERM or SIGINT, then drains. At SIGHUP it reads again and goes
-// on by the new configuration, or by the old one if the new one is invalid.
+// Serve runs a scheduler with the configuration that read returns until SIGTERM or SIGINT, then
+// drains it. At SIGHUP it calls read again and reloads the configuration; if that is invalid,
+// it keeps the current one. Serve is meant for programs that only run a scheduler.
 func Serve(read func() (*Config, error), log *slog.Logger) error {
-	// Before all else: without a handler a SIGHUP ends the process. The handler stays to
-	// the end, for one may come while the last responses are being sent.
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
+	// Without a handler, SIGHUP ends the process. The handler is installed first and stays
+	// until the end, since a SIGHUP may arrive while the last responses are being sent.
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	c, err := read()
 	if err != nil {
-		if c = inheritedConfig(context.WithoutCancel(ctx)); c == nil { // its time-outs are short enough
+		if c = inheritedConfig(context.WithoutCancel(ctx)); c == nil { // bounded by its own timeouts
 			return err
 		}
-		log.Error("the configuration is bad, using that of the serving process", "err", err)
+		log.Error("cannot read the configuration or it is invalid; using that of the serving process", "err", err)
 	}
 	ConfigureRuntime(c)
 	var current atomic.Pointer[Config]
@@ -34,13 +34,13 @@
 		return err
 	}
 	go func() {
-		for range hangup {
+		for range reload {
 			c, err := read()
 			if err == nil {
 				err = s.Reload(c)
 			}
 			if err != nil {
-				log.Error("the new configuration is bad, keeping the old one", "err", err)
+				log.Error("the new configuration is bad; keeping the current one", "err", err)
 				continue
 			}
 			current.Store(c)
--- a/scheduler/siblings.go
+++ b/scheduler/siblings.go
@@ -11,137 +11,138 @@
 )
 
 const (
-	reportInterval = 50 * time.Millisecond
-	// An operator waits a second for an answer; a sibling has orderTimeout of it.
-	orderTimeout = 400 * time.Millisecond
+	descriptorReportInterval = 50 * time.Millisecond
+	// cordonForwardTimeout is the part of the second that an operator's call waits in which a
+	// sibling must confirm a forwarded cordon.
+	cordonForwardTimeout = 400 * time.Millisecond
 )
 
 var (
-	errOrderUnconfirmed = errors.New("the other process of the upgrade has not confirmed the order")
-	errNotAnswering     = errors.New("the other process has not confirmed a cordon order in time")
+	errCordonUnconfirmed = errors.New("the other process of the upgrade has not confirmed the order")
+	errSiblingTimeout    = errors.New("the other process has not confirmed a cordon request in time")
 )
 
-// sibling is another process of the same scheduler, with which this one shares its state
-// during an upgrade. It is the handover.Handler of the link to it.
+// sibling is another process of the same scheduler, with which this process shares its state
+// during an upgrade. It implements handover.Handler for the link to that process.
 type sibling struct {
 	scheduler *Scheduler
 	id        int
-	done      chan struct{} // closed once the link is lost
+	done      chan struct{} // closed when the link is lost
 
-	mu            sync.Mutex // guards all below
-	link          *handover.Link
-	pending       []*handover.Message // to be sent once the first message is out
-	started       bool                // the first message is out
-	lost          bool
-	descriptors   int  // that it holds
-	serving       bool // it accepts connections in place of this process
-	lastOrder     uint64
-	pendingOrders map[uint64]chan struct{} // by number; closed when the order is in force there
+	mu               sync.Mutex // guards the fields below
+	link             *handover.Link
+	pending          []*handover.Message // messages to be sent after the first message
+	started          bool                // the first message has been sent
+	lost             bool
+	descriptors      int  // number of file descriptors that the process has reported to use
+	serving          bool // the process accepts connections in place of this one
+	lastCordonNumber uint64
+	pendingCordons   map[uint64]chan struct{} // by number; closed when the process has confirmed the cordon
 }
 
-// siblingSet is the processes that are linked to this one.
+// siblingSet is the set of processes that are linked to this one.
 type siblingSet struct {
-	added chan struct{} // holds a token once there is another
+	added chan struct{} // holds a token after a sibling was added
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	all      map[*sibling]struct{}
 	lastID   int
-	listener *handover.Listener // nil: not waiting for another process
+	listener *handover.Listener // nil: not listening for a new process
 }
 
 func (s *Scheduler) addSibling() *sibling {
 	s.siblings.mu.Lock()
 	defer s.siblings.mu.Unlock()
 	s.siblings.lastID++
-	other := &sibling{scheduler: s, id: s.siblings.lastID, done: make(chan struct{}), pendingOrders: map[uint64]chan struct{}{}}
-	s.siblings.all[other] = struct{}{}
+	sib := &sibling{scheduler: s, id: s.siblings.lastID, done: make(chan struct{}), pendingCordons: map[uint64]chan struct{}{}}
+	s.siblings.all[sib] = struct{}{}
 	select {
 	case s.siblings.added <- struct{}{}:
 	default:
 	}
-	return other
+	return sib
 }
 
 func (s *Scheduler) siblingList() []*sibling {
 	s.siblings.mu.Lock()
 	defer s.siblings.mu.Unlock()
-	all := make([]*sibling, 0, len(s.siblings.all))
-	for other := range s.siblings.all {
-		all = append(all, other)
+	list := make([]*sibling, 0, len(s.siblings.all))
+	for sib := range s.siblings.all {
+		list = append(list, sib)
 	}
-	return all
+	return list
 }
 
-// dropSibling ends all sharing with a process that is gone.
-func (s *Scheduler) dropSibling(other *sibling) {
-	s.planners.RemoveSibling(other.id)
+// dropSibling stops sharing state with a process whose link is lost.
+func (s *Scheduler) dropSibling(sib *sibling) {
+	s.planners.RemoveSibling(sib.id)
 	if s.eventStreams != nil {
-		s.eventStreams.EndMirror(other.id)
+		s.eventStreams.EndMirror(sib.id)
 	}
 }
 
-// start sends the first message, if there is one, and then what was sent before.
-func (other *sibling) start(link *handover.Link, first *handover.Message) {
-	other.mu.Lock()
-	defer other.mu.Unlock()
-	other.link, other.started = link, true
+// start sends the first message, if any, followed by the pending messages.
+func (sib *sibling) start(link *handover.Link, first *handover.Message) {
+	sib.mu.Lock()
+	defer sib.mu.Unlock()
+	sib.link, sib.started = link, true
 	if first != nil {
 		link.Send(first)
 	}
-	for _, m := range other.pending {
+	for _, m := range sib.pending {
 		link.Send(m)
 	}
-	other.pending = nil
+	sib.pending = nil
 }
 
-func (other *sibling) send(m *handover.Message) {
-	other.mu.Lock()
-	defer other.mu.Unlock()
+func (sib *sibling) send(m *handover.Message) {
+	sib.mu.Lock()
+	defer sib.mu.Unlock()
 	switch {
-	case other.lost:
-	case other.started:
-		other.link.Send(m)
+	case sib.lost:
+	case sib.started:
+		sib.link.Send(m)
 	default:
-		other.pending = append(other.pending, m)
+		sib.pending = append(sib.pending, m)
 	}
 }
 
-func (other *sibling) isLost() bool {
-	other.mu.Lock()
-	defer other.mu.Unlock()
-	return other.lost
+func (sib *sibling) isLost() bool {
+	sib.mu.Lock()
+	defer sib.mu.Unlock()
+	return sib.lost
 }
 
-// descriptorsInUse returns how many descriptors the process holds: what it has reported,
-// or what any process holds at least.
-func (other *sibling) descriptorsInUse() int {
-	other.mu.Lock()
-	defer other.mu.Unlock()
-	return max(fixedDescriptors, other.descriptors)
+// descriptorsInUse returns the number of file descriptors that the process uses: the number
+// that it has reported, but at least fixedDescriptors.
+func (sib *sibling) descriptorsInUse() int {
+	sib.mu.Lock()
+	defer sib.mu.Unlock()
+	return max(fixedDescriptors, sib.descriptors)
 }
 
-// publish sends an update of a planner of this process.
-func (other *sibling) publish(planner int, shared dispatch.SiblingState) {
-	other.send(&handover.Message{PlannerUpdate: &handover.PlannerUpdate{Planner: planner, Shared: shared}, Descriptors: other.scheduler.descriptorsInUse()})
+// publish sends the process an update of a planner of this process.
+func (sib *sibling) publish(planner int, shared dispatch.SiblingState) {
+	sib.send(&handover.Message{PlannerUpdate: &handover.PlannerUpdate{Planner: planner, Shared: shared}, Descriptors: sib.scheduler.descriptorsInUse()})
 }
 
-// Message handles a message of the other process, on the link's event loop.
-func (other *sibling) Message(_ *handover.Link, m *handover.Message) {
-	s := other.scheduler
+// Message handles a message from the other process. It is called on the link's event loop.
+func (sib *sibling) Message(_ *handover.Link, m *handover.Message) {
+	s := sib.scheduler
 	if m.PlannerUpdate != nil {
-		s.planners.UpdateSibling(other.id, m.PlannerUpdate.Planner, m.PlannerUpdate.Shared)
+		s.planners.UpdateSibling(sib.id, m.PlannerUpdate.Planner, m.PlannerUpdate.Shared)
 	}
 	if m.Stream != nil && s.eventStreams != nil {
-		s.eventStreams.AddMirrored(other.id, m.Stream)
+		s.eventStreams.AddMirrored(sib.id, m.Stream)
 	}
 	if m.Order != nil {
-		go other.executeOrder(m.Order)
+		go sib.applyForwardedCordon(m.Order)
 	}
-	if other.update(m) {
+	if sib.update(m) {
 		s.rebalanceResources()
 	}
 	if m.Serving {
-		s.options.Log.Info("the new process accepts connections, this one has stopped accepting")
+		s.options.Log.Info("the new process accepts connections; this process stops accepting")
 		for _, server := range s.servers {
 			server.PauseAccepting()
 		}
@@ -151,40 +152,40 @@
 	}
 }
 
-// update records what a message says of the process itself, and reports whether the number
-// of its descriptors changed.
-func (other *sibling) update(m *handover.Message) (changed bool) {
-	other.mu.Lock()
-	defer other.mu.Unlock()
+// update records the state of the process and the confirmation in a message, and reports
+// whether the number of its descriptors has changed.
+func (sib *sibling) update(m *handover.Message) (changed bool) {
+	sib.mu.Lock()
+	defer sib.mu.Unlock()
 	if m.ConfirmedOrder != 0 {
-		if done := other.pendingOrders[m.ConfirmedOrder]; done != nil {
+		if done := sib.pendingCordons[m.ConfirmedOrder]; done != nil {
 			close(done)
-			delete(other.pendingOrders, m.ConfirmedOrder)
+			delete(sib.pendingCordons, m.ConfirmedOrder)
 		}
 	}
-	changed = m.Descriptors != 0 && m.Descriptors != other.descriptors
+	changed = m.Descriptors != 0 && m.Descriptors != sib.descriptors
 	if m.Descriptors != 0 {
-		other.descriptors = m.Descriptors
+		sib.descriptors = m.Descriptors
 	}
 	if m.Serving {
-		other.serving = true
+		sib.serving = true
 	}
 	return changed
 }
 
-// Lost is called once the link has failed, on its event loop. If the other process accepted
-// connections, this one does so again.
-func (other *sibling) Lost(*handover.Link) {
-	s := other.scheduler
+// Lost handles the loss of the link. It is called on the link's event loop. If the other
+// process accepted connections, this one resumes accepting.
+func (sib *sibling) Lost(*handover.Link) {
+	s := sib.scheduler
 	s.siblings.mu.Lock()
-	delete(s.siblings.all, other)
+	delete(s.siblings.all, sib)
 	s.siblings.mu.Unlock()
-	other.mu.Lock()
-	other.lost, other.pending = true, nil
-	serving := other.serving
-	other.mu.Unlock()
-	close(other.done)
-	s.dropSibling(other)
+	sib.mu.Lock()
+	sib.lost, sib.pending = true, nil
+	serving := sib.serving
+	sib.mu.Unlock()
+	close(sib.done)
+	s.dropSibling(sib)
 	s.rebalanceResources()
 	if serving {
 		for _, server := range s.servers {
@@ -196,26 +197,26 @@
 	}
 }
 
-// reportDescriptors sends the siblings the number of descriptors in use here, as long as
-// there are siblings, until the context ends. Without any it does not wake up.
+// reportDescriptors reports the number of file descriptors in use to the siblings until the
+// context ends. It does not wake up while there is no sibling.
 func (s *Scheduler) reportDescriptors(ctx context.Context) {
 	for {
 		select {
 		case <-s.siblings.added:
-			s.reportWhileLinked(ctx)
+			s.reportDescriptorsWhileLinked(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// reportWhileLinked reports each change until there is no sibling or the context ends.
-func (s *Scheduler) reportWhileLinked(ctx context.Context) {
-	tick := time.NewTicker(reportInterval)
-	defer tick.Stop()
+// reportDescriptorsWhileLinked reports each change until there is no sibling or the context ends.
+func (s *Scheduler) reportDescriptorsWhileLinked(ctx context.Context) {
+	ticker := time.NewTicker(descriptorReportInterval)
+	defer ticker.Stop()
 	for last := 0; ; {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
@@ -224,67 +225,69 @@
 			return
 		}
 		if used != last {
-			for _, other := range siblings {
-				other.send(&handover.Message{Descriptors: used})
+			for _, sib := range siblings {
+				sib.send(&handover.Message{Descriptors: used})
 			}
 		}
 		last = used
 	}
 }
 
-// executeOrder carries out an order that the other process forwards, and confirms it.
-func (other *sibling) executeOrder(o *handover.Order) {
-	ctx, stop := context.WithTimeout(context.Background(), orderTimeout)
-	defer stop()
-	err := other.scheduler.applyCordon(ctx, o.Host, o.Cordon)
+// applyForwardedCordon applies a cordon or uncordon that the other process has forwarded, and
+// confirms it.
+func (sib *sibling) applyForwardedCordon(o *handover.Order) {
+	ctx, cancel := context.WithTimeout(context.Background(), cordonForwardTimeout)
+	defer cancel()
+	err := sib.scheduler.applyCordon(ctx, o.Host, o.Cordon)
 	if err == nil {
-		err = other.scheduler.forwardOrder(ctx, o.Host, o.Cordon, other)
+		err = sib.scheduler.forwardCordonToSiblings(ctx, o.Host, o.Cordon, sib)
 	}
 	if err != nil {
-		other.scheduler.options.Log.Warn("a cordon order forwarded by the other process failed", "worker", o.Host, "out", o.Cordon, "err", err)
+		sib.scheduler.options.Log.Warn("cannot apply a cordon or uncordon request forwarded by the other process; not confirming it", "worker", o.Host, "out", o.Cordon, "err", err)
 		return
 	}
-	other.send(&handover.Message{ConfirmedOrder: o.Number})
+	sib.send(&handover.Message{ConfirmedOrder: o.Number})
 }
 
-// forwardOrder has the siblings but for origin carry out an order, too, and waits until
-// each has confirmed it or is gone.
-func (s *Scheduler) forwardOrder(ctx context.Context, host string, cordon bool, origin *sibling) error {
-	ctx, stop := context.WithTimeout(ctx, orderTimeout)
-	defer stop()
-	for _, other := range s.siblingList() {
-		if other == origin {
+// forwardCordonToSiblings forwards a cordon or uncordon to all siblings except origin, and
+// waits until each has confirmed it or its link is lost.
+func (s *Scheduler) forwardCordonToSiblings(ctx context.Context, host string, cordon bool, origin *sibling) error {
+	ctx, cancel := context.WithTimeout(ctx, cordonForwardTimeout)
+	defer cancel()
+	for _, sib := range s.siblingList() {
+		if sib == origin {
 			continue
 		}
-		if err := other.order(ctx, host, cordon); err != nil {
+		if err := sib.forwardCordon(ctx, host, cordon); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// order has the process carry out an order and waits for its confirmation. One that does
-// not confirm before the context ends is dropped: it may hold another state than this one.
-func (other *sibling) order(ctx context.Context, host string, cordon bool) error {
+// forwardCordon forwards a cordon or uncordon to the process and waits for its confirmation. If
+// the process does not confirm before the context ends, its link is dropped, since its state
+// may differ from that of this process.
+func (sib *sibling) forwardCordon(ctx context.Context, host string, cordon bool) error {
 	done := make(chan struct{})
-	other.mu.Lock()
-	other.lastOrder++
-	number := other.lastOrder
-	other.pendingOrders[number] = done
-	other.mu.Unlock()
-	other.send(&handover.Message{Order: &handover.Order{Number: number, Host: host, Cordon: cordon}})
+	sib.mu.Lock()
+	sib.lastCordonNumber++
+	number := sib.lastCordonNumber
+	sib.pendingCordons[number] = done
+	sib.mu.Unlock()
+	sib.send(&handover.Message{Order: &handover.Order{Number: number, Host: host, Cordon: cordon}})
 	select {
 	case <-done:
 		return nil
-	case <-other.done:
+	case <-sib.done:
 		return nil
 	case <-ctx.Done():
 	}
-	other.mu.Lock()
-	link := other.link
-	other.mu.Unlock()
+	sib.mu.Lock()
+	link := sib.link
+	sib.mu.Unlock()
 	if link != nil {
-		link.Drop(errNotAnswering)
+		link.Drop(errSiblingTimeout)
 	}
-	return errOrderUnconfirmed
+	return errCordonUnconfirmed
 }
--- a/scheduler/workers.go
+++ b/scheduler/workers.go
@@ -6,7 +6,7 @@
 	"sedgevale/internal/upstream"
 )
 
-// onWorkerList takes over an answer of discovery.
+// onWorkerList applies a response of discovery.
 func (s *Scheduler) onWorkerList(l discovery.List) {
 	kind := dispatcher.UpdateDelta
 	if l.Complete {
@@ -15,11 +15,11 @@
 	s.updateWorkers(kind, l)
 }
 
-// onDiscoveryFailure is called when the watch on discovery breaks.
+// onDiscoveryFailure reports a failed watch on discovery to the planners.
 func (s *Scheduler) onDiscoveryFailure() { s.planners.WorkersUpdated(dispatcher.UpdateFailed, nil) }
 
-// updateWorkers passes an update of the list of workers on, to the connection pool first:
-// it must know each worker that a planner may choose.
+// updateWorkers applies an update of the list of workers. The connection pool gets it first,
+// since it must know every worker that a planner may choose.
 func (s *Scheduler) updateWorkers(kind dispatcher.UpdateKind, l discovery.List) {
 	s.workersMu.Lock()
 	s.workers = s.workers.Apply(l, kind != dispatcher.UpdateDelta)
@@ -37,7 +37,7 @@
 	}
 }
 
-// workerList returns the list of workers after all updates.
+// workerList returns the current list of workers.
 func (s *Scheduler) workerList() discovery.List {
 	s.workersMu.Lock()
 	defer s.workersMu.Unlock()
