--- a/internal/peers/revisions_wire_test.go
+++ b/internal/peers/revisions_wire_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// sent returns the bytes that all have sent.
+// sent returns the number of bytes that all members have sent.
 func (n *network) sent() (bytes uint64) {
 	for _, node := range n.nodes {
 		bytes += node.Counts.SentBytes
@@ -19,17 +19,17 @@
 	return bytes
 }
 
-// Guards programs that do not watch: not one more byte is sent, and what they sent before is the same to the bit. The sums are
-// those of the program before there were revisions.
-func TestWithoutAWatchNothingIsTold(t *testing.T) {
+// Guards members without failure detection: the exchange of revisions must not change the datagrams that they send. The expected count
+// and hash are those of the version before revisions were introduced.
+func TestTrafficWithoutFailureDetection(t *testing.T) {
 	workers := ids(6)
 	n := newNetwork(3, workers, 1)
 	sum := fnv.New64a()
-	letters := 0
-	post := func(from int) func(int, []byte) {
+	datagrams := 0
+	send := func(from int) func(int, []byte) {
 		deliver := n.sendFrom(from)
 		return func(to int, data []byte) {
-			letters++
+			datagrams++
 			_, _ = sum.Write(fmt.Appendf(nil, "%d %d %x\n", from, to, data))
 			deliver(to, data)
 		}
@@ -49,19 +49,19 @@
 		if m == 1 {
 			n.nodes[m].SetRevision(n.now, Revision{uint32(step), 5})
 		}
-		n.nodes[m].Flush(n.now, post(m))
+		n.nodes[m].Flush(n.now, send(m))
 	}
-	if letters != 796 || sum.Sum64() != 0x1922770f9ac77c26 {
-		t.Errorf("%d datagrams of sum %#x", letters, sum.Sum64())
+	if datagrams != 796 || sum.Sum64() != 0x1922770f9ac77c26 {
+		t.Errorf("%d datagrams with hash %#x, want 796 with hash 0x1922770f9ac77c26", datagrams, sum.Sum64())
 	}
 	s := n.nodes[1].Status(n.now)
 	if s.Members[1].Digest == "" || s.Members[0].Digest != "" {
-		t.Errorf("without a watch one knows its own configuration and no other's, not %+v", s.Members)
+		t.Errorf("without failure detection: members %+v, want only the own configuration known", s.Members)
 	}
 }
 
-// Guards the kinds of datagrams that there were before: of the same bytes as ever.
-func TestTheOldKindsAreAsTheyWere(t *testing.T) {
+// Verifies the bytes of the failure detector's datagrams, which members of other releases parse.
+func TestFailureDetectorDatagramBytes(t *testing.T) {
 	n := New(options(0, 3))
 	n.detector = newFailureDetector(Options{Self: 0, Members: 3, Generation: 1, DetectorRand: rand.New(rand.NewPCG(1, 1))})
 	n.detector.messages = []message{{to: 1, kind: kindPing, subject: 1}, {to: 2, kind: kindPingRequest, target: 0, subject: 2},
@@ -75,7 +75,7 @@
 	}
 }
 
-// revisionDatagrams returns a datagram of each kind of the revision table.
+// revisionDatagrams returns one datagram of kindEntries and one of kindDigests.
 func revisionDatagrams(t testing.TB) (entries, digests []byte) {
 	t.Helper()
 	a := New(Options{Self: 0, Members: 40, Site: 7, Generation: 1, DetectorRand: rand.New(rand.NewPCG(1, 1)), Revision: Revision{41, 0xa1}})
@@ -94,12 +94,12 @@
 		}
 	})
 	if entries == nil || digests == nil {
-		t.Fatal("a member does not send both kinds")
+		t.Fatal("the member did not send datagrams of both kinds")
 	}
 	return entries, digests
 }
 
-// newReceiver returns a member that accepts those.
+// newReceiver returns a member that accepts the datagrams of revisionDatagrams.
 func newReceiver() *Node {
 	b := New(Options{Self: 1, Members: 40, Site: 7, Generation: 1, DetectorRand: rand.New(rand.NewPCG(2, 1)), Revision: Revision{40, 0xa0}})
 	for m := range 30 {
@@ -108,7 +108,7 @@
 	return b
 }
 
-// checkRejected checks that a datagram is rejected with an error and changes nothing.
+// checkRejected checks that a datagram is rejected with the error want and changes nothing.
 func checkRejected(t *testing.T, what string, data []byte, want error) {
 	t.Helper()
 	b := newReceiver()
@@ -117,41 +117,41 @@
 		t.Errorf("%s: %v, want %v", what, err, want)
 	}
 	if after := fmt.Sprintf("%+v %+v %+v", b.revisionTable, b.members, b.detector.views); after != before {
-		t.Errorf("%s has changed something", what)
+		t.Errorf("%s: the rejected datagram changed the state", what)
 	}
 }
 
-// Guards against datagrams of the revision table that are truncated or corrupt: they are rejected and change nothing.
+// Guards against truncated or corrupt datagrams of the revision table: they must be rejected and change nothing.
 func TestTruncatedRevisionsAreRejected(t *testing.T) {
 	entries, digests := revisionDatagrams(t)
 	if b := newReceiver(); b.Receive(time.Second, 0, entries) != nil || b.activeEntry(2) == nil || b.activeEntry(31) == nil || b.Receive(time.Second, 0, digests) != nil {
 		t.Fatal("complete datagrams are rejected")
 	}
-	for name, whole := range map[string][]byte{"entries": entries, "digests": digests} {
+	for name, datagram := range map[string][]byte{"entries": entries, "digests": digests} {
 		header, size := headerSize+entriesHeaderSize, entrySize
 		if name == "digests" {
 			header, size = headerSize+digestsHeaderSize, digestSize
 		}
-		for cut := range whole {
+		for cut := range datagram {
 			want := ErrChecksum
 			if cut < headerSize+checksumSize {
 				want = ErrLength
 			}
-			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut), whole[:cut], want)
-			if cut < headerSize || cut > len(whole)-checksumSize || cut > header && (cut-header)%size == 0 { // it has complete entries, so it is valid
+			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut), datagram[:cut], want)
+			if cut < headerSize || cut > len(datagram)-checksumSize || cut > header && (cut-header)%size == 0 { // it has only complete entries, so it would be valid with a checksum
 				continue
 			}
-			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut, " and sealed"), newCodec(7).appendChecksum(bytes.Clone(whole[:cut])), ErrLength)
-			bad := bytes.Clone(whole)
+			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut, " with a valid checksum"), newCodec(7).appendChecksum(bytes.Clone(datagram[:cut])), ErrLength)
+			bad := bytes.Clone(datagram)
 			bad[cut] ^= 4
 			if newReceiver().Receive(time.Second, 0, bad) == nil {
-				t.Errorf("%s with byte %d changed is accepted", name, cut)
+				t.Errorf("%s: accepted with byte %d changed", name, cut)
 			}
 		}
 	}
 }
 
-// Guards a node without failure detection: datagrams of the revision table are accepted, change nothing and are not answered.
+// Without failure detection, datagrams of the revision table must be accepted, change nothing and not be answered.
 func TestRevisionsWithoutFailureDetection(t *testing.T) {
 	entries, digests := revisionDatagrams(t)
 	b := New(Options{Self: 1, Members: 40, Site: 7, Generation: 1, MinSubscribers: 4, MinSubset: 3})
@@ -164,7 +164,7 @@
 	}
 }
 
-// Guards the parser of the revision table's datagrams against arbitrary ones: it neither panics nor changes its own entry.
+// FuzzRevisions feeds arbitrary datagrams to the revision table, which must neither panic nor change the entry of its own member.
 func FuzzRevisions(f *testing.F) {
 	entries, digests := revisionDatagrams(f)
 	f.Add(byte(kindEntries), entries[headerSize:len(entries)-checksumSize])
@@ -178,27 +178,27 @@
 		b.Tick(time.Second)
 		b.Flush(time.Second, func(_ int, data []byte) {
 			if len(data) > MaxDatagram {
-				t.Errorf("%d bytes", len(data))
+				t.Errorf("sent a datagram of %d bytes", len(data))
 			}
 			if _, _, err := b.codec.decode(data); err != nil {
 				t.Error(err)
 			}
 		})
 		_ = b.Status(time.Second)
-		if me := b.revisionTable.entries[1]; me.Revision != (Revision{40, 0xa0}) || me.serial != 0 {
-			t.Errorf("its own entry is %+v", me)
+		if self := b.revisionTable.entries[1]; self.Revision != (Revision{40, 0xa0}) || self.serial != 0 {
+			t.Errorf("the entry of the own member changed to %+v", self)
 		}
 	})
 }
 
-// The bytes of the kinds of datagrams that carry loads and revisions: members of two releases exchange them.
+// Verifies the bytes of the datagrams with loads and revisions, which members of other releases parse.
 func TestDatagramBytes(t *testing.T) {
 	entries, digests := revisionDatagrams(t)
 	if got, want := fmt.Sprintf("%x", entries), "160001000100000029000000a1000000010000000200030009000300030009000400030009000500030009000600030009000700030009000800030009000900030009000a00030009000b00030009000c00030009000d00030009000e00030009000f00030009001000030009001100030009001200030009001300030009001400030009001500030009001600030009001700030009001800030009001900030009001a00030009001b00030009001c00030009001d00030009001e00030009001f0003000930d1a2"; got != want {
-		t.Errorf("entries are got\n%q\nwant\n%q", got, want)
+		t.Errorf("entries:\n%q\nwant\n%q", got, want)
 	}
 	if got, want := fmt.Sprintf("%x", digests), "17000100020000fd10b58d0000000081f6fd"; got != want {
-		t.Errorf("digests are got\n%q\nwant\n%q", got, want)
+		t.Errorf("digests:\n%q\nwant\n%q", got, want)
 	}
 	n := New(Options{Self: 0, Members: 2, Site: 7, Generation: 0x0102, MinSubscribers: 2, MinSubset: 1})
 	n.SetWorkers([]string{"box-1", "box-2"})
@@ -207,6 +207,6 @@
 	var got []string
 	n.Flush(time.Second, func(to int, datagram []byte) { got = append(got, fmt.Sprintf("%d %x", to, datagram)) })
 	if got, want := fmt.Sprint(got), "[1 110102000186376f2b880281ff08f3ad]"; got != want {
-		t.Errorf("loads are got\n%q\nwant\n%q", got, want)
+		t.Errorf("loads:\n%q\nwant\n%q", got, want)
 	}
 }
