--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -7,8 +7,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// Guards the admission queue before the platform's protocol: with a concurrency of one, a
-// second is queued until the first one's answer, and both are served.
+// Verifies the admission queue of the platform's protocol: with a concurrency of one, a second
+// job is queued until the first one is answered, and both are served.
 func TestAdmissionQueue(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
@@ -19,20 +19,20 @@
 	first := post(c.addr, "/usage-view", job("first")...)
 	at := f.next()
 	second := post(c.addr, "/usage-view", job("second")...)
-	for range 20 { // time enough for it to come to a worker, if it did not wait
+	for range 20 { // gives the second job time to reach a worker if it is not queued
 		if got := post(c.addr, "/ready"); (<-got).status == 0 {
-			t.Fatal("no answer")
+			t.Fatal("no response to /ready")
 		}
 	}
 	if n := f.count("usage-view"); n != 1 {
-		t.Errorf("%d jobs came to workers though one may be inside", n)
+		t.Errorf("%d jobs reached workers, want 1 for a concurrency of one", n)
 	}
 	at.finish("first")
-	if a := testkit.Await(t, "the first answer", first); a.status != 200 {
-		t.Errorf("first: %+v", a)
+	if a := testkit.Await(t, "the response to the first job", first); a.status != 200 {
+		t.Errorf("first job: %+v, want 200", a)
 	}
 	f.next().finish("second")
-	if a := testkit.Await(t, "the second answer", second); a.status != 200 || a.body != "second" {
-		t.Errorf("second: %+v", a)
+	if a := testkit.Await(t, "the response to the second job", second); a.status != 200 || a.body != "second" {
+		t.Errorf("second job: %+v, want 200 with body second", a)
 	}
 }
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -23,12 +23,12 @@
 	"sedgevale/scheduler"
 )
 
-// childFile names the operator's file by which this test binary serves as a
-// scheduler, so that tests can kill one for good.
-const childFile = "SEDGEVALE_TEST_SERVE"
+// serveFileEnv is the environment variable with the operator's file. If it is set, this test
+// binary runs as a scheduler, which tests can kill.
+const serveFileEnv = "SEDGEVALE_TEST_SERVE"
 
 func TestMain(m *testing.M) {
-	path := os.Getenv(childFile)
+	path := os.Getenv(serveFileEnv)
 	if path == "" {
 		os.Exit(m.Run())
 	}
@@ -46,36 +46,36 @@
 	}
 }
 
-const startTimeout = 20 * time.Second // for what must come; no test waits that long when all is well
+const startTimeout = 20 * time.Second // timeout of waits that are short unless a test fails
 
-// attempt is a job at a worker. The test decides what becomes of it.
+// attempt is a job that has reached a worker. The test controls its response.
 type attempt struct {
 	worker, id, class, target string
 	body                      string
-	lines                     chan string // sent as they come; closed: the answer ends
-	abort                     chan struct{}
-	canceled                  <-chan struct{} // the scheduler has given it up
+	lines                     chan string     // response lines; closing it ends the response
+	abort                     chan struct{}   // closing it aborts the connection
+	canceled                  <-chan struct{} // closed when the scheduler cancels the attempt
 }
 
-func (r *attempt) write(format string, args ...any) {
-	r.lines <- fmt.Sprintf(`{"id":%q,"from":%q,%s}`, r.id, r.worker, fmt.Sprintf(format, args...))
+func (a *attempt) write(format string, args ...any) {
+	a.lines <- fmt.Sprintf(`{"id":%q,"from":%q,%s}`, a.id, a.worker, fmt.Sprintf(format, args...))
 }
 
-func (r *attempt) finish(result string) {
-	r.write(`"state":"done","result":%q,"load":{"x0":3}`, result)
-	close(r.lines)
+func (a *attempt) finish(result string) {
+	a.write(`"state":"done","result":%q,"load":{"x0":3}`, result)
+	close(a.lines)
 }
 
-// fleet is some workers and the discovery that names them.
+// fleet is a set of fake workers and the discovery service that lists them.
 type fleet struct {
 	t        *testing.T
 	attempts chan *attempt
 	mu       sync.Mutex
-	counts   map[string]int // runs by class, and by worker
+	counts   map[string]int // number of attempts by class and by worker
 	list     discovery.List
-	respond  http.HandlerFunc // answers in place of a job; nil: none
-	changed  chan struct{}    // closed at the next change
-	polled   chan int64       // the versions after which the scheduler has asked again
+	respond  http.HandlerFunc // handles the next attempt instead of the test; may be nil
+	changed  chan struct{}    // closed at the next change of list
+	polled   chan int64       // revisions after which the scheduler has requested a newer list
 	addr     string
 }
 
@@ -94,7 +94,7 @@
 	f.t.Helper()
 	l := testkit.Listen(f.t, "127.0.0.1:0")
 	s := &http.Server{Handler: h}
-	go func() { _ = s.Serve(l) }() // ends with Close
+	go func() { _ = s.Serve(l) }() // returns after Close
 	f.t.Cleanup(func() { _ = s.Close() })
 	return l.Addr().String()
 }
@@ -103,32 +103,32 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
 		f.mu.Lock()
-		status := f.respond
+		respond := f.respond
 		f.respond = nil
 		f.mu.Unlock()
-		if status != nil {
-			status(w, q)
+		if respond != nil {
+			respond(w, q)
 			return
 		}
-		r := &attempt{worker: name, id: q.Header.Get("Request-Id"), class: q.URL.Path[1:], target: q.RequestURI,
+		a := &attempt{worker: name, id: q.Header.Get("Request-Id"), class: q.URL.Path[1:], target: q.RequestURI,
 			body: string(body), lines: make(chan string, 16), abort: make(chan struct{}), canceled: q.Context().Done()}
 		f.mu.Lock()
-		f.counts[r.class]++
+		f.counts[a.class]++
 		f.counts[name]++
 		f.mu.Unlock()
-		f.attempts <- r
+		f.attempts <- a
 		rc := http.NewResponseController(w)
 		w.WriteHeader(200)
 		_ = rc.Flush()
 		for {
 			select {
-			case l, more := <-r.lines:
+			case line, more := <-a.lines:
 				if !more {
 					return
 				}
-				_, _ = io.WriteString(w, l+"\n")
+				_, _ = io.WriteString(w, line+"\n")
 				_ = rc.Flush()
-			case <-r.abort:
+			case <-a.abort:
 				panic(http.ErrAbortHandler)
 			case <-q.Context().Done():
 				return
@@ -158,8 +158,8 @@
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-// setPhase changes a worker's phase and returns once the scheduler knows: it has
-// asked for what comes after.
+// setPhase changes a worker's phase and returns once the scheduler knows, which it shows by
+// requesting a newer list.
 func (f *fleet) setPhase(name, phase string) {
 	f.t.Helper()
 	f.mu.Lock()
@@ -176,19 +176,19 @@
 	f.changed = make(chan struct{})
 	f.mu.Unlock()
 	for {
-		if testkit.Await(f.t, "the next watch", f.polled) >= want {
+		if testkit.Await(f.t, "the next discovery request", f.polled) >= want {
 			return
 		}
 	}
 }
 
-func (f *fleet) count(what string) int {
+func (f *fleet) count(key string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.counts[what]
+	return f.counts[key]
 }
 
-// respondNext has the next attempt answered by h, whichever worker gets it.
+// respondNext makes h handle the next attempt, whichever worker gets it.
 func (f *fleet) respondNext(h http.HandlerFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -200,7 +200,7 @@
 	return testkit.Await(f.t, "a job at a worker", f.attempts)
 }
 
-// settings are those of a small deployment.
+// settings returns the settings of a small deployment.
 func settings(t *testing.T) (s dispatchconfig.Settings) {
 	t.Helper()
 	err := json.Unmarshal([]byte(`{"bounds":{"cancel":true,"dial_timeout":1,"idle_close":15,"max_attempts":3,
@@ -216,35 +216,35 @@
 	return s
 }
 
-// child is a scheduler in a process of its own.
+// child is a scheduler that runs in a child process.
 type child struct {
 	t         *testing.T
 	file      string
-	addr, sse string // addresses
+	addr, sse string // addresses of the platform's protocol and of event streams
 	cmd       *exec.Cmd
 	exited    chan error
 	config    dispatchconfig.File
 	log       logLines
 }
 
-// logLines are the lines of a program's log as they come.
+// logLines receives the log lines of a child process.
 type logLines chan string
 
 func (l logLines) Write(b []byte) (int, error) {
 	for line := range strings.Lines(string(b)) {
 		select {
 		case l <- line:
-		default: // nobody reads them any more
+		default: // the buffer is full because the test no longer reads it
 		}
 	}
 	return os.Stderr.Write(b)
 }
 
-// awaitLog waits for a line of the log that has the text in it.
+// awaitLog waits for a log line that contains text.
 func (c *child) awaitLog(text string) {
 	c.t.Helper()
 	for {
-		if strings.Contains(testkit.Await(c.t, "the log's "+text, c.log), text) {
+		if strings.Contains(testkit.Await(c.t, "the log line "+text, c.log), text) {
 			return
 		}
 	}
@@ -257,7 +257,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if strings.HasSuffix(c.file, ".json") { // as the platform does
+	if strings.HasSuffix(c.file, ".json") { // the platform's configuration format
 		f := &c.config
 		err = json.NewEncoder(w).Encode(dispatchconfig.Config{Name: f.Name, Listen: f.Listen, Ops: f.Ops, Discovery: f.Discovery,
 			Seed: f.Seed, Limits: f.Limits, Known: &discovery.List{Complete: true, Members: f.Workers}, Settings: f.Settings})
@@ -288,11 +288,11 @@
 	return c
 }
 
-// launch starts the process and does not wait.
+// launch starts the child process without waiting until it serves.
 func (c *child) launch() {
 	c.t.Helper()
-	c.cmd = exec.CommandContext(context.WithoutCancel(c.t.Context()), os.Args[0]) // ended by kill, in a cleanup
-	c.cmd.Env = append(os.Environ(), childFile+"="+c.file, "TMPDIR="+filepath.Dir(c.file),
+	c.cmd = exec.CommandContext(context.WithoutCancel(c.t.Context()), os.Args[0]) // kill ends it in a cleanup
+	c.cmd.Env = append(os.Environ(), serveFileEnv+"="+c.file, "TMPDIR="+filepath.Dir(c.file),
 		"EDGE_NAME="+c.config.Name, "EDGE_LISTEN="+c.addr, "EDGE_OPS="+c.config.Ops)
 	c.log = make(logLines, 256)
 	c.cmd.Stderr = c.log
@@ -307,19 +307,19 @@
 func (c *child) start() {
 	c.t.Helper()
 	c.launch()
-	for until := time.Now().Add(startTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if a, err := testkit.Get(c.t, "http://"+c.sse+"/ready"); err == nil && a.Status == 200 {
 			return
 		}
 	}
-	c.t.Fatal("the scheduler is not ready")
+	c.t.Fatal("the scheduler is not ready within startTimeout")
 }
 
-// awaitExit waits for the program to end by itself, with 0.
+// awaitExit waits for the child process to exit by itself with status 0.
 func (c *child) awaitExit() {
 	c.t.Helper()
-	if err := testkit.Await(c.t, "the program's end", c.exited); err != nil {
-		c.t.Errorf("ended with %v", err)
+	if err := testkit.Await(c.t, "the exit of the child process", c.exited); err != nil {
+		c.t.Errorf("child process exited with %v, want status 0", err)
 	}
 	c.cmd = nil
 }
@@ -327,7 +327,7 @@
 func (c *child) kill() {
 	if c.cmd != nil {
 		_ = c.cmd.Process.Kill()
-		c.t.Log("the program ended: ", <-c.exited)
+		c.t.Log("child process exited: ", <-c.exited)
 		c.cmd = nil
 	}
 }
--- a/scheduler/journal_bench_test.go
+++ b/scheduler/journal_bench_test.go
@@ -24,9 +24,9 @@
 	"sedgevale/scheduler"
 )
 
-// BenchmarkJournal compares jobs with the journal and without, with several numbers of
-// clients, on fake workers whose jobs take no time. Besides the time a job it gives the
-// latency's median and 99th percentile, in microseconds.
+// BenchmarkJournal compares jobs with and without the journal for several numbers of clients, on
+// fake workers whose jobs take no time. Besides the time per job it reports the median and the
+// 99th percentile of the latency in microseconds.
 func BenchmarkJournal(b *testing.B) {
 	for _, class := range []string{"plan-change", "usage-view"} {
 		for _, clients := range []int{1, 32, 256} {
@@ -37,7 +37,7 @@
 	}
 }
 
-// benchJournal runs b.N jobs; sync is the journal's setting, "off" for no journal.
+// benchJournal runs b.N jobs. sync is the journal's sync setting, or "off" for no journal.
 func benchJournal(b *testing.B, class string, clients int, sync string) {
 	dir := filepath.Join(b.TempDir(), "journal")
 	c := benchConfig(b)
@@ -48,9 +48,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan error, 1)
-	go func() { over <- s.Run(ctx) }()
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- s.Run(ctx) }()
 	for {
 		if a, err := testkit.Get(b, "http://"+c.Listen+"/ready"); err == nil && a.Status == 200 {
 			break
@@ -60,8 +60,8 @@
 	b.ResetTimer()
 	hist, failed := benchLoad(b, c.Listen, class, clients)
 	b.StopTimer()
-	stop()
-	if err := <-over; err != nil {
+	cancel()
+	if err := <-done; err != nil {
 		b.Error(err)
 	}
 	b.ReportMetric(float64(hist.ValueAtQuantile(50)), "p50-µs")
@@ -75,7 +75,8 @@
 	}
 }
 
-// benchConfig returns a configuration with four fake workers, which end with the benchmark.
+// benchConfig returns a configuration with four fake workers, which are closed at the end of the
+// benchmark.
 func benchConfig(b *testing.B) *scheduler.Config {
 	b.Helper()
 	var members []discovery.Member
@@ -102,8 +103,8 @@
 	return c
 }
 
-// benchLoad sends b.N jobs from a closed loop of clients, and returns their latencies in
-// microseconds and how many failed.
+// benchLoad sends b.N jobs from clients in a closed loop, and returns the latencies in microseconds
+// and the number of failed jobs.
 func benchLoad(b *testing.B, addr, class string, clients int) (*hdrhistogram.Histogram, int64) {
 	hist := hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex // guards hist
@@ -117,16 +118,16 @@
 				return
 			}
 			defer func() { _ = conn.Close() }()
-			in := bufio.NewReader(conn)
+			reader := bufio.NewReader(conn)
 			var latencies []int64
 			for i := next.Add(1); i <= int64(b.N); i = next.Add(1) {
-				began := time.Now()
+				start := time.Now()
 				if _, err := fmt.Fprintf(conn, "POST /%s HTTP/1.1\r\nHost: x\r\nRequest-Id: b%d-%d\r\nRequest-Timeout: 9000m\r\nContent-Length: 5\r\n\r\nhello",
 					class, n, i); err != nil {
 					b.Error(err)
 					return
 				}
-				a, err := testkit.ReadResponse(in)
+				a, err := testkit.ReadResponse(reader)
 				if err != nil {
 					b.Error(err)
 					return
@@ -134,12 +135,12 @@
 				if a.Status != http.StatusOK {
 					failed.Add(1)
 				}
-				latencies = append(latencies, time.Since(began).Microseconds())
+				latencies = append(latencies, time.Since(start).Microseconds())
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			for _, v := range latencies {
-				_ = hist.RecordValue(max(1, v)) // more than 10 s are not counted
+				_ = hist.RecordValue(max(1, v)) // latencies above 10 s are not recorded
 			}
 		})
 	}
@@ -147,7 +148,7 @@
 	return hist, failed.Load()
 }
 
-// segmentBytes returns the size of the journal's segments.
+// segmentBytes returns the total size of the journal's segments in bytes.
 func segmentBytes(b *testing.B, dir string) (bytes int64) {
 	b.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "lane-0", "*.seg"))
--- a/scheduler/journal_test.go
+++ b/scheduler/journal_test.go
@@ -13,8 +13,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// askJournal asks the scheduler's journal.
-func (c *child) askJournal(query string) (int, journal.Report) {
+// queryJournal sends a query to the scheduler's journal and returns the status and the last report.
+func (c *child) queryJournal(query string) (int, journal.Report) {
 	c.t.Helper()
 	a, err := testkit.Get(c.t, "http://"+c.config.Ops+"/admin/journal"+query)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return a.Status, r
 }
 
-// settle has an operator settle a job, with that body, and returns the status.
-func (c *child) decide(body string) int {
+// settle sends an operator's request to settle a job and returns the status.
+func (c *child) settle(body string) int {
 	c.t.Helper()
 	q, err := http.NewRequestWithContext(c.t.Context(), "POST", "http://"+c.config.Ops+"/admin/journal/settle", strings.NewReader(body))
 	if err != nil {
@@ -45,7 +45,7 @@
 	return a.Status
 }
 
-func journaled(t *testing.T, f *fleet) *child {
+func startWithJournal(t *testing.T, f *fleet) *child {
 	t.Helper()
 	c := startChild(t, f)
 	c.kill()
@@ -55,79 +55,79 @@
 	return c
 }
 
-// Guards the one question after a crash: what ran is said to have run, what was in flight is
-// unknown and says where to look, idempotent jobs are not recorded, and an operator
-// settles it.
-func TestJournalAfterAKill(t *testing.T) {
+// Verifies the journal after a crash: a served job is reported as run, a job in flight as unknown
+// with the worker that it was sent to, idempotent jobs are not recorded, and an operator can settle
+// the unknown job.
+func TestJournalAfterKill(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := journaled(t, f)
+	c := startWithJournal(t, f)
 	served := post(c.addr, "/plan-change", job("served")...)
 	f.next().finish("x")
-	testkit.Await(t, "the answer", served)
+	testkit.Await(t, "the response", served)
 	free := post(c.addr, "/usage-view", job("free")...)
 	f.next().finish("x")
-	testkit.Await(t, "the answer", free)
+	testkit.Await(t, "the response", free)
 	post(c.addr, "/plan-change", job("out")...)
 	out := f.next()
 	out.write(`"state":"started"`)
-	for status, r := c.askJournal("?job=out"); status != 200 || r.Attempts[0].StartedAt == ""; status, r = c.askJournal("?job=out") {
+	for status, r := c.queryJournal("?job=out"); status != 200 || r.Attempts[0].StartedAt == ""; status, r = c.queryJournal("?job=out") {
 		if status != 200 && status != 404 {
-			t.Fatalf("asked for an open job: %d", status)
+			t.Fatalf("query of an open job: status %d, want 200 or 404", status)
 		}
 	}
 	c.kill()
 	c.start()
 	checkAfterKill(t, c, out.worker)
 	for _, bad := range []string{"", "{}", `{"job":"out"}`, `{"job":"out","verdict":"maybe","by":"a","why":"b"}`} {
-		if got := c.decide(bad); got != 400 {
-			t.Errorf("settled by %q: %d", bad, got)
+		if got := c.settle(bad); got != 400 {
+			t.Errorf("settle with invalid body %q: status %d, want 400", bad, got)
 		}
 	}
-	if got := c.decide(`{"job":"nobody","verdict":"ran","by":"ann","why":"saw it"}`); got != 404 {
-		t.Errorf("an unknown job was settled: %d", got)
+	if got := c.settle(`{"job":"nobody","verdict":"ran","by":"ann","why":"saw it"}`); got != 404 {
+		t.Errorf("settle of an unknown job: status %d, want 404", got)
 	}
-	if got := c.decide(`{"job":"out","verdict":"ran","by":"ann","why":"saw it"}`); got != 200 {
-		t.Errorf("settled: %d", got)
+	if got := c.settle(`{"job":"out","verdict":"ran","by":"ann","why":"saw it"}`); got != 200 {
+		t.Errorf("settle: status %d, want 200", got)
 	}
-	if _, r := c.askJournal("?job=out"); r.Verdict != "ran" || r.Decided == nil || r.Decided.By != "ann" {
-		t.Errorf("after it was settled: %+v", r)
+	if _, r := c.queryJournal("?job=out"); r.Verdict != "ran" || r.Decided == nil || r.Decided.By != "ann" {
+		t.Errorf("report of the settled job: %+v", r)
 	}
 }
 
-// checkAfterKill checks what the journal says of the jobs "served", "out" and "free" after
-// the scheduler was killed while "out" was at a worker.
+// checkAfterKill checks the journal's reports of the jobs "served", "out" and "free" after the
+// scheduler was killed while "out" was at a worker.
 func checkAfterKill(t *testing.T, c *child, worker string) {
 	t.Helper()
-	if status, r := c.askJournal("?job=served"); status != 200 || r.Verdict != "ran" || r.Attempts[0].Outcome != "served" || r.Answer.Kind != "served" {
-		t.Errorf("what was served: %d %+v", status, r)
+	if status, r := c.queryJournal("?job=served"); status != 200 || r.Verdict != "ran" || r.Attempts[0].Outcome != "served" || r.Answer.Kind != "served" {
+		t.Errorf("served job: status %d, report %+v", status, r)
 	}
-	status, r := c.askJournal("?job=out")
+	status, r := c.queryJournal("?job=out")
 	if status != 200 || r.Verdict != "unknown" || len(r.Workers) != 1 || r.Workers[0] != worker || r.Attempts[0].SentAt == "" {
-		t.Errorf("what was out at the kill: %d %+v", status, r)
+		t.Errorf("job in flight at the kill: status %d, report %+v", status, r)
 	}
-	if status, _ := c.askJournal("?job=free"); status != 404 {
-		t.Errorf("a free job: %d", status)
+	if status, _ := c.queryJournal("?job=free"); status != 404 {
+		t.Errorf("idempotent job: status %d, want 404", status)
 	}
 }
 
-// Guards the journals of an upgrade's two processes: each has its own, and either finds
-// the jobs of both.
-func TestJournalOverAnUpgrade(t *testing.T) {
+// Verifies the journals during an upgrade: each of the two processes has its own log, and the new
+// process finds the jobs of both.
+func TestJournalDuringUpgrade(t *testing.T) {
 	f := newFleet(t, "v", "w")
-	c := journaled(t, f)
+	c := startWithJournal(t, f)
 	before := post(c.addr, "/plan-change", job("before")...)
 	first := f.next()
 	next := c.startSuccessor()
 	first.finish("x")
-	testkit.Await(t, "the answer", before)
+	testkit.Await(t, "the response", before)
 	after := post(c.addr, "/plan-change", job("after")...)
 	f.next().finish("y")
-	testkit.Await(t, "the answer", after)
+	testkit.Await(t, "the response", after)
 	c.signal(syscall.SIGTERM)
 	c.awaitExit()
 	for _, id := range []string{"before", "after"} {
-		if status, r := next.askJournal("?job=" + id); status != 200 || r.Verdict != "ran" {
-			t.Errorf("%s: %d %+v", id, status, r)
+		if status, r := next.queryJournal("?job=" + id); status != 200 || r.Verdict != "ran" {
+			t.Errorf("job %s: status %d, report %+v", id, status, r)
 		}
 	}
 }
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -10,8 +10,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// callOps makes a call at the operators' address and returns the status.
-func (c *child) callOps(method, call, host string) int {
+// callOperatorAPI sends a request to the operators' address and returns the status.
+func (c *child) callOperatorAPI(method, call, host string) int {
 	c.t.Helper()
 	body := ""
 	if host != "" {
@@ -29,38 +29,38 @@
 	return a.Status
 }
 
-// serveOne has a job served, and returns the worker.
+// serveOne sends a job, finishes it, and returns its worker.
 func serveOne(t *testing.T, f *fleet, c *child, id string) (worker string) {
 	t.Helper()
 	got := post(c.addr, "/usage-view", job(id)...)
 	r := f.next()
 	r.finish("")
-	testkit.Await(t, "the answer", got)
+	testkit.Await(t, "the response", got)
 	return r.worker
 }
 
-// Guards against a cordon that is confirmed and not in force: nothing more goes to the
-// worker, also not in the next run, and one uncordon ends it.
+// Guards against a cordon that is confirmed and not in force: no further job may go to the worker,
+// also after a restart, and one uncordon ends the cordon.
 func TestCordon(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
 	serve := func(id string) (worker string) { return serveOne(t, f, c, id) }
-	if got := c.callOps("GET", "health", ""); got != 200 {
-		t.Errorf("health is %d", got)
+	if got := c.callOperatorAPI("GET", "health", ""); got != 200 {
+		t.Errorf("health: status %d, want 200", got)
 	}
 	before := post(c.addr, "/plan-change", job("before")...)
 	first := f.next()
 	first.write(`"state":"started"`)
 	host := first.worker
 	for _, call := range []string{"cordon", "cordon"} {
-		if got := c.callOps("POST", call, host); got != 200 {
-			t.Errorf("%s of a known worker: %d", call, got)
+		if got := c.callOperatorAPI("POST", call, host); got != 200 {
+			t.Errorf("%s of a known worker: status %d, want 200", call, got)
 		}
 	}
-	if got := c.callOps("POST", "cordon", "stranger"); got != 404 {
-		t.Errorf("cordon of an unknown worker: %d", got)
+	if got := c.callOperatorAPI("POST", "cordon", "stranger"); got != 404 {
+		t.Errorf("cordon of an unknown worker: status %d, want 404", got)
 	}
-	passedOver := func(prefix, when string) {
+	checkNotUsed := func(prefix, when string) {
 		t.Helper()
 		for i := range 6 {
 			if w := serve(fmt.Sprint(prefix, i)); w == host {
@@ -68,35 +68,35 @@
 			}
 		}
 	}
-	passedOver("out-", "after the call")
-	f.setPhase(host, "ready") // discovery lists it anew
+	checkNotUsed("out-", "after the cordon")
+	f.setPhase(host, "ready") // discovery lists the worker again
 	if w := serve("listed"); w == host {
-		t.Errorf("a job went to %s after it was listed anew", w)
+		t.Errorf("a job went to %s, which is cordoned, after discovery listed it again", w)
 	}
 	first.finish("first")
-	if a := testkit.Await(t, "the answer", before); a.status != 200 || a.body != "first" {
-		t.Errorf("a job that ran there already: %+v", a)
+	if a := testkit.Await(t, "the response", before); a.status != 200 || a.body != "first" {
+		t.Errorf("job that ran at the worker before the cordon: %+v", a)
 	}
 	c.kill()
 	c.start()
-	passedOver("again-", "after a new start")
-	if got := c.callOps("POST", "uncordon", host); got != 200 {
-		t.Errorf("uncordon: %d", got)
+	checkNotUsed("again-", "after a restart")
+	if got := c.callOperatorAPI("POST", "uncordon", host); got != 200 {
+		t.Errorf("uncordon: status %d, want 200", got)
 	}
 	for i := 0; serve(fmt.Sprint("back-", i)) != host; i++ {
 		if i == 50 {
-			t.Fatalf("%s is not used again", host)
+			t.Fatalf("%s got none of 50 jobs after the uncordon", host)
 		}
 	}
 	checkUnhealthyInDrain(t, c)
 }
 
-// checkUnhealthyInDrain ends a scheduler and checks that it is not healthy while it drains.
+// checkUnhealthyInDrain sends SIGTERM and checks that the scheduler is not healthy while it drains.
 func checkUnhealthyInDrain(t *testing.T, c *child) {
 	t.Helper()
 	c.signal(syscall.SIGTERM)
 	c.awaitLog("draining: answering")
-	if got := c.callOps("GET", "health", ""); got != 503 {
-		t.Errorf("stopping, but health is %d", got)
+	if got := c.callOperatorAPI("GET", "health", ""); got != 503 {
+		t.Errorf("health while draining: status %d, want 503", got)
 	}
 }
--- a/scheduler/stream_test.go
+++ b/scheduler/stream_test.go
@@ -27,19 +27,19 @@
 	return m[name]
 }
 
-// stream is a subscriber's connection.
+// stream is a client's connection with an event stream.
 type stream struct {
-	t      *testing.T
-	status int
-	body   io.ReadCloser
-	events chan event // closed at the end of the stream
-	leave  context.CancelFunc
+	t          *testing.T
+	status     int
+	body       io.ReadCloser
+	events     chan event // closed when the stream ends
+	disconnect context.CancelFunc
 }
 
-func subscribe(t *testing.T, method, addr, class string, fields ...string) *stream {
+func openStream(t *testing.T, method, addr, class string, fields ...string) *stream {
 	t.Helper()
-	ctx, leave := context.WithCancel(context.Background())
-	t.Cleanup(leave)
+	ctx, disconnect := context.WithCancel(context.Background())
+	t.Cleanup(disconnect)
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/"+class, strings.NewReader("body"))
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &stream{t: t, status: a.StatusCode, body: a.Body, events: make(chan event, 256), leave: leave}
+	s := &stream{t: t, status: a.StatusCode, body: a.Body, events: make(chan event, 256), disconnect: disconnect}
 	go s.read()
 	t.Cleanup(func() { _ = a.Body.Close() })
 	return s
@@ -85,7 +85,7 @@
 	}
 }
 
-// until reads up to the event of that name.
+// until reads up to the event with that name.
 func (s *stream) until(name string) event {
 	s.t.Helper()
 	for {
@@ -94,12 +94,13 @@
 			return e
 		}
 		if e.name == "" || e.final() {
-			s.t.Fatalf("%q %s came instead of %s", e.name, e.data, name)
+			s.t.Fatalf("got event %q with data %s while waiting for %s", e.name, e.data, name)
 		}
 	}
 }
 
-// rest reads to the end of the stream and returns its only final event.
+// rest reads to the end of the stream and returns its last event, which must be its only final one,
+// and the names of all events read.
 func (s *stream) rest() (last event, names []string) {
 	s.t.Helper()
 	finals := 0
@@ -115,33 +116,34 @@
 		names = append(names, e.name)
 	}
 	if finals != 1 || !last.final() {
-		s.t.Errorf("%d final events in %v", finals, names)
+		s.t.Errorf("%d final events in %v, want one as the last event", finals, names)
 	}
 	return last, names
 }
 
-// Each class: all events in order, one final, and 204 for a client that has it.
-func TestStreamOfEachClass(t *testing.T) {
+// Verifies for each class that a stream has all events in order with one final event, and that a
+// client that has received the final event gets 204.
+func TestStreamEvents(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
 	for _, class := range []string{"usage-view", "plan-change", "bill-pay"} {
-		s := subscribe(t, "POST", c.sse, class, "Request-Id", "id-"+class)
+		s := openStream(t, "POST", c.sse, class, "Request-Id", "id-"+class)
 		r := f.next()
 		if r.body != "body" || r.id != "id-"+class {
-			t.Errorf("the worker got %q of %q", r.body, r.id)
+			t.Errorf("the worker got body %q with id %q", r.body, r.id)
 		}
 		r.write(`"state":"started"`)
 		r.write(`"state":"running","share":0.4`)
 		r.finish("line\n\"quoted\"")
 		last, names := s.rest()
 		if got := strings.Join(names, " "); got != "accepted started progress result" {
-			t.Errorf("%s: %s", class, got)
+			t.Errorf("events of %s: %s", class, got)
 		}
 		if got := last.field(t, "result"); got != "line\n\"quoted\"" {
-			t.Errorf("result %q", got)
+			t.Errorf("result is %q", got)
 		}
-		if again := subscribe(t, "GET", c.sse, class, "Last-Event-ID", last.id); again.status != 204 {
-			t.Errorf("%s: resumed after the final event with %d", class, again.status)
+		if again := openStream(t, "GET", c.sse, class, "Last-Event-ID", last.id); again.status != 204 {
+			t.Errorf("%s: resumed after the final event: status %d, want 204", class, again.status)
 		}
 		if n := f.count(class); n != 1 {
 			t.Errorf("%s ran %d times", class, n)
@@ -149,22 +151,22 @@
 	}
 }
 
-// A worker that drains in the middle of a stream: the stream goes on to its one
-// final event from there, and nothing new goes to that worker.
-func TestStreamOverDrain(t *testing.T) {
+// A worker that starts to drain in the middle of a stream finishes the stream's job, and gets no new
+// jobs.
+func TestStreamOfDrainingWorker(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
-	s := subscribe(t, "POST", c.sse, "plan-change")
+	s := openStream(t, "POST", c.sse, "plan-change")
 	r := f.next()
 	r.write(`"state":"started"`)
 	s.until("started")
 	f.setPhase(r.worker, "draining")
 	before := f.count(r.worker)
 	for range 6 {
-		other := subscribe(t, "POST", c.sse, "usage-view")
+		other := openStream(t, "POST", c.sse, "usage-view")
 		f.next().finish("elsewhere")
 		if last, _ := other.rest(); last.name != "result" {
-			t.Errorf("%s %s", last.name, last.data)
+			t.Errorf("stream at the other worker ended with %s %s, want result", last.name, last.data)
 		}
 	}
 	if n := f.count(r.worker); n != before {
@@ -173,97 +175,96 @@
 	r.write(`"state":"running","share":0.9`)
 	r.finish("drained")
 	if last, _ := s.rest(); last.name != "result" || last.field(t, "result") != "drained" {
-		t.Errorf("%s %s", last.name, last.data)
+		t.Errorf("stream at the draining worker ended with %s %s, want result", last.name, last.data)
 	}
 	if n := f.count("plan-change"); n != 1 {
 		t.Errorf("plan-change ran %d times", n)
 	}
 }
 
-// A subscriber that loses its connection does not end the job, and gets what
-// it has missed.
+// A client that loses its connection does not end the job, and gets the missed events when it
+// reconnects.
 func TestStreamResumes(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
-	s := subscribe(t, "POST", c.sse, "plan-change")
+	s := openStream(t, "POST", c.sse, "plan-change")
 	r := f.next()
 	r.write(`"state":"started"`)
 	had := s.until("started")
-	s.leave()
+	s.disconnect()
 	r.write(`"state":"running","share":0.5`)
 	r.finish("kept")
-	back := subscribe(t, "GET", c.sse, "plan-change", "Last-Event-ID", had.id)
+	back := openStream(t, "GET", c.sse, "plan-change", "Last-Event-ID", had.id)
 	last, names := back.rest()
 	if got := strings.Join(names, " "); got != "progress result" || last.field(t, "result") != "kept" {
-		t.Errorf("resumed with %s, %s", got, last.data)
+		t.Errorf("resumed stream has events %s and last data %s", got, last.data)
 	}
-	// A second device that asks by the request's id gets all from the start.
-	all := subscribe(t, "GET", c.sse, "plan-change", "Request-Id", r.id)
+	// A second client that connects with the request's ID gets all events from the start.
+	all := openStream(t, "GET", c.sse, "plan-change", "Request-Id", r.id)
 	if _, names := all.rest(); strings.Join(names, " ") != "accepted started progress result" {
-		t.Errorf("from the start: %v", names)
+		t.Errorf("events from the start: %v", names)
 	}
-	if twice := subscribe(t, "POST", c.sse, "plan-change", "Request-Id", r.id); twice.status != 409 {
-		t.Errorf("the same id again: %d", twice.status)
+	if twice := openStream(t, "POST", c.sse, "plan-change", "Request-Id", r.id); twice.status != 409 {
+		t.Errorf("second job with the same ID: status %d, want 409", twice.status)
 	}
 	if n := f.count("plan-change"); n != 1 {
 		t.Errorf("plan-change ran %d times", n)
 	}
 }
 
-// A client that comes back with its last event id after the scheduler was
-// killed and started again: one final event that says that the outcome is unknown, and
-// nothing runs a second time.
-func TestStreamOverRestart(t *testing.T) {
+// A client that reconnects with its last event ID after the scheduler was killed and restarted gets
+// one final event with an unknown outcome, and the job does not run a second time.
+func TestStreamAfterRestart(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
 	had := map[string]event{}
 	for _, class := range []string{"plan-change", "usage-view"} {
-		s := subscribe(t, "POST", c.sse, class, "Request-Id", "id-"+class)
+		s := openStream(t, "POST", c.sse, class, "Request-Id", "id-"+class)
 		f.next().write(`"state":"started"`)
 		had[class] = s.until("started")
 	}
 	c.kill()
 	c.start()
 	for class, safe := range map[string]bool{"plan-change": false, "usage-view": true} {
-		back := subscribe(t, "GET", c.sse, class, "Last-Event-ID", had[class].id)
+		back := openStream(t, "GET", c.sse, class, "Last-Event-ID", had[class].id)
 		last, names := back.rest()
 		if len(names) != 1 || last.name != "failed" || last.field(t, "outcome") != "unknown" ||
 			last.field(t, "repeat_safe") != safe {
-			t.Errorf("%s: %v %s", class, names, last.data)
+			t.Errorf("%s: events %v with last data %s", class, names, last.data)
 		}
-		if again := subscribe(t, "GET", c.sse, class, "Last-Event-ID", last.id); again.status != 204 {
-			t.Errorf("%s: came back after the final event: %d", class, again.status)
+		if again := openStream(t, "GET", c.sse, class, "Last-Event-ID", last.id); again.status != 204 {
+			t.Errorf("%s: resumed after the final event: status %d, want 204", class, again.status)
 		}
 	}
-	// The safe one may be posted again. Its id now stands for two jobs, of which
-	// the first is still not known.
-	s := subscribe(t, "POST", c.sse, "usage-view", "Request-Id", "id-usage-view")
+	// The client may submit the idempotent job again. The outcome of the first job with the same
+	// ID remains unknown.
+	s := openStream(t, "POST", c.sse, "usage-view", "Request-Id", "id-usage-view")
 	f.next().finish("second")
 	if last, _ := s.rest(); last.name != "result" {
-		t.Errorf("%s %s", last.name, last.data)
+		t.Errorf("resubmitted job ended with %s %s, want result", last.name, last.data)
 	}
-	back := subscribe(t, "GET", c.sse, "usage-view", "Last-Event-ID", had["usage-view"].id)
+	back := openStream(t, "GET", c.sse, "usage-view", "Last-Event-ID", had["usage-view"].id)
 	if last, _ := back.rest(); last.name != "failed" {
-		t.Errorf("the first job came back as %s %s", last.name, last.data)
+		t.Errorf("stream of the first job ended with %s %s, want failed", last.name, last.data)
 	}
 	if n := f.count("plan-change"); n != 1 {
 		t.Errorf("plan-change ran %d times", n)
 	}
 }
 
-// The deadline: a worker that sends nothing more. The final event is there before the
-// client's timeout, and says that the job may have run.
+// The job of a worker that stops responding ends at its deadline: the final event arrives before the
+// client's timeout and says that the job may have run.
 func TestStreamDeadline(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
 	sent := time.Now()
-	s := subscribe(t, "POST", c.sse, "plan-change", "Request-Timeout", "700m")
+	s := openStream(t, "POST", c.sse, "plan-change", "Request-Timeout", "700m")
 	r := f.next()
 	r.write(`"state":"started"`)
 	last, _ := s.rest()
-	if took := time.Since(sent); took > 700*time.Millisecond || last.name != "failed" ||
+	if elapsed := time.Since(sent); elapsed > 700*time.Millisecond || last.name != "failed" ||
 		last.field(t, "repeat_safe") != false {
-		t.Errorf("after %v: %s %s", took, last.name, last.data)
+		t.Errorf("final event after %v: %s %s, want failed within 700ms", elapsed, last.name, last.data)
 	}
 	testkit.Await(t, "the worker's connection to close", r.canceled)
 	if n := f.count("plan-change"); n != 1 {
@@ -271,45 +272,45 @@
 	}
 }
 
-// Without any worker the module rejects, when it sees fit, and with a retry delay.
-func TestStreamRefused(t *testing.T) {
+// Without any worker the decision module rejects the job with a retry delay.
+func TestStreamRejectedWithoutWorkers(t *testing.T) {
 	f := newFleet(t)
 	c := startChild(t, f)
-	s := subscribe(t, "POST", c.sse, "bill-pay", "Request-Timeout", "900m")
+	s := openStream(t, "POST", c.sse, "bill-pay", "Request-Timeout", "900m")
 	if last, _ := s.rest(); last.name != "refused" || last.retry == "" {
-		t.Errorf("%s %s, retry %q", last.name, last.data, last.retry)
+		t.Errorf("stream ended with %s %s and retry %q, want refused with a retry delay", last.name, last.data, last.retry)
 	}
 }
 
-// A worker that dies with a job: the idempotent job runs again elsewhere, plan-change
-// does not.
+// After a worker fails with a job, an idempotent job is retried at another worker and a plan-change
+// job is not.
 func TestStreamOfLostWorker(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
-	s := subscribe(t, "POST", c.sse, "plan-change")
+	s := openStream(t, "POST", c.sse, "plan-change")
 	r := f.next()
 	r.write(`"state":"started"`)
 	s.until("started")
 	close(r.abort)
 	if last, _ := s.rest(); last.name != "failed" || last.field(t, "outcome") != "unknown" ||
 		last.field(t, "repeat_safe") != false {
-		t.Errorf("%s %s", last.name, last.data)
+		t.Errorf("plan-change ended with %s %s, want failed with an unknown outcome", last.name, last.data)
 	}
-	s = subscribe(t, "POST", c.sse, "usage-view")
+	s = openStream(t, "POST", c.sse, "usage-view")
 	r = f.next()
 	r.write(`"state":"started"`)
 	s.until("started")
 	close(r.abort)
 	f.next().finish("again")
 	if last, _ := s.rest(); last.name != "result" || last.field(t, "result") != "again" {
-		t.Errorf("%s %s", last.name, last.data)
+		t.Errorf("usage-view ended with %s %s, want result again", last.name, last.data)
 	}
 	if p, u := f.count("plan-change"), f.count("usage-view"); p != 1 || u != 2 {
-		t.Errorf("plan-change ran %d times, usage-view %d", p, u)
+		t.Errorf("plan-change ran %d times and usage-view %d times, want 1 and 2", p, u)
 	}
 }
 
-// What is no stream is answered at once; a silent stream has heartbeats.
+// Invalid stream requests are rejected immediately, and a stream without events has heartbeats.
 func TestStreamRejectsAndHeartbeats(t *testing.T) {
 	f := newFleet(t, "w")
 	c := startChild(t, f)
@@ -326,8 +327,8 @@
 		{"GET", "usage-view", nil, 400},
 		{"GET", "usage-view", []string{"Last-Event-ID", "garbage"}, 400},
 	} {
-		if s := subscribe(t, q.method, c.sse, q.class, q.fields...); s.status != q.want {
-			t.Errorf("%s /%s %v: %d, want %d", q.method, q.class, q.fields, s.status, q.want)
+		if s := openStream(t, q.method, c.sse, q.class, q.fields...); s.status != q.want {
+			t.Errorf("%s /%s %v: status %d, want %d", q.method, q.class, q.fields, s.status, q.want)
 		}
 	}
 	q, err := http.NewRequestWithContext(t.Context(), "POST", "http://"+c.sse+"/usage-view", nil)
--- a/scheduler/tenants_test.go
+++ b/scheduler/tenants_test.go
@@ -14,14 +14,14 @@
 	"sedgevale/internal/testkit"
 )
 
-// tenant is one of those who share the workers: a realm of the settings.
+// tenant is a tenant of the settings, where the key is realms.
 type tenant struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
 	Quota float64 `json:"quota_rps"`
 }
 
-// setTenants sets the realms of the file that is written next.
+// setTenants sets the tenants of the file that the next write creates.
 func (c *child) setTenants(all ...tenant) {
 	c.t.Helper()
 	b, err := json.Marshal(all)
@@ -34,7 +34,7 @@
 	}
 }
 
-// reloadTenants has the scheduler reload its file with other tenants.
+// reloadTenants makes the scheduler reload its file with other tenants.
 func (c *child) reloadTenants(all ...tenant) {
 	c.t.Helper()
 	c.setTenants(all...)
@@ -43,7 +43,7 @@
 	c.awaitLog("configuration reloaded")
 }
 
-// startTenants starts a scheduler with tenants, and with more of its file changed.
+// startTenants starts a scheduler with tenants. change, unless nil, further changes its file.
 func startTenants(t *testing.T, f *fleet, change func(*dispatchconfig.File), all ...tenant) *child {
 	t.Helper()
 	c := startChild(t, f)
@@ -59,31 +59,32 @@
 
 func jobOfTenant(tenantName, id string) []string { return job(id, "Tenant", tenantName) }
 
-// checkRejected checks that jobs of a tenant are rejected, by both protocols.
+// checkRejected checks that jobs of a tenant are rejected by both protocols.
 func (c *child) checkRejected(tenantName, id string) {
 	c.t.Helper()
-	if a := testkit.Await(c.t, "the answer", post(c.addr, "/usage-view", jobOfTenant(tenantName, id)...)); a.status != 400 {
-		c.t.Errorf("a job of %s: %+v", tenantName, a)
+	if a := testkit.Await(c.t, "the response", post(c.addr, "/usage-view", jobOfTenant(tenantName, id)...)); a.status != 400 {
+		c.t.Errorf("job of tenant %s: %+v, want 400", tenantName, a)
 	}
-	if s := subscribe(c.t, "POST", c.sse, "usage-view", "Tenant", tenantName, "Request-Id", id+"-stream"); s.status != 400 {
-		c.t.Errorf("a stream of %s: %d", tenantName, s.status)
+	if s := openStream(c.t, "POST", c.sse, "usage-view", "Tenant", tenantName, "Request-Id", id+"-stream"); s.status != 400 {
+		c.t.Errorf("stream of tenant %s: status %d, want 400", tenantName, s.status)
 	}
 }
 
-// checkRecorded asks the journal of a job, again while its disk is slow, and reports whether it ran once for a tenant.
+// checkRecorded checks that the journal reports a job as run once for a tenant. It repeats the query while the journal is
+// unavailable because its disk is slow.
 func (c *child) checkRecorded(id, tenantName string) {
 	c.t.Helper()
-	status, r := c.askJournal("?job=" + id)
+	status, r := c.queryJournal("?job=" + id)
 	for until := time.Now().Add(startTimeout); status == 503 && time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-		status, r = c.askJournal("?job=" + id)
+		status, r = c.queryJournal("?job=" + id)
 	}
 	if status != 200 || r.Verdict != "ran" || r.Tenant != tenantName || len(r.Attempts) != 1 {
-		c.t.Errorf("the journal of %s: %d %+v", id, status, r)
+		c.t.Errorf("journal query of %s: status %d, report %+v", id, status, r)
 	}
 }
 
-// serveNext carries out the next job, wherever it comes.
-func (f *fleet) serveNext() (id string) {
+// finishNext finishes the next job that reaches a worker and returns its ID.
+func (f *fleet) finishNext() (id string) {
 	f.t.Helper()
 	r := f.next()
 	r.write(`"state":"started"`)
@@ -91,31 +92,31 @@
 	return r.id
 }
 
-// result reports a stream that does not end in its job's result.
+// result checks that the stream ends with the result of the job id.
 func (s *stream) result(id string) {
 	s.t.Helper()
 	if last, _ := s.rest(); last.name != "result" || last.field(s.t, "result") != id {
-		s.t.Errorf("%s ended in %s %s", id, last.name, last.data)
+		s.t.Errorf("stream of %s ended with %s %s, want its result", id, last.name, last.data)
 	}
 }
 
-// checkEndedAs checks the answer of a tenant's job that was in flight while the tenants changed, and
-// what the journal says of all its jobs.
-func checkEndedAs(t *testing.T, c *child, tenantName string, answer <-chan reply) {
+// checkTenantJobs checks the response to a tenant's job that was in flight while the tenants changed,
+// and the journal's reports of all jobs of the tenant.
+func checkTenantJobs(t *testing.T, c *child, tenantName string, answer <-chan reply) {
 	t.Helper()
-	if a := testkit.Await(t, "the answer", answer); a.status != 200 || a.body != "plain-"+tenantName {
-		t.Errorf("out at %s: %+v", tenantName, a)
+	if a := testkit.Await(t, "the response", answer); a.status != 200 || a.body != "plain-"+tenantName {
+		t.Errorf("job in flight of tenant %s: %+v", tenantName, a)
 	}
-	for _, id := range []string{"out-" + tenantName, "plain-" + tenantName, "held-" + tenantName} {
+	for _, id := range []string{"out-" + tenantName, "plain-" + tenantName, "queued-" + tenantName} {
 		c.checkRecorded(id, tenantName)
 	}
 }
 
-// beginAt sends a tenant's jobs "out-TEAM", as a stream, and "plain-TEAM", and waits until both
+// startJobs sends a tenant's jobs "out-TENANT", as a stream, and "plain-TENANT", and waits until both
 // have started at a worker.
-func beginAt(t *testing.T, f *fleet, c *child, tenantName string) (s *stream, answer <-chan reply, runs []*attempt) {
+func startJobs(t *testing.T, f *fleet, c *child, tenantName string) (s *stream, answer <-chan reply, runs []*attempt) {
 	t.Helper()
-	s = subscribe(t, "POST", c.sse, "plan-change", "Tenant", tenantName, "Request-Id", "out-"+tenantName)
+	s = openStream(t, "POST", c.sse, "plan-change", "Tenant", tenantName, "Request-Id", "out-"+tenantName)
 	streamed := f.next()
 	streamed.write(`"state":"started"`)
 	s.until("started")
@@ -125,9 +126,9 @@
 	return s, answer, []*attempt{streamed, plain}
 }
 
-// Guards jobs of a tenant that is removed while they are in flight, or queued for lack of workers: each ends with its one
-// answer under its own tenant's name, though that tenant's index is another's by then; so do those of a tenant that stays. It
-// may come back.
+// Guards against jobs that are lost or charged to another tenant when their tenant is removed while they are in flight, or queued for
+// lack of workers. Each must get its one response under its own tenant's name, though another tenant has the index by then. The same
+// holds for jobs of a tenant that stays. The removed tenant may be added again.
 func TestTenantRemovedWithJobsInFlight(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, func(file *dispatchconfig.File) {
@@ -138,7 +139,7 @@
 	streams := map[string]*stream{}
 	for _, name := range tenants {
 		var runs []*attempt
-		streams["out-"+name], outAnswers[name], runs = beginAt(t, f, c, name)
+		streams["out-"+name], outAnswers[name], runs = startJobs(t, f, c, name)
 		for _, r := range runs {
 			out[r.id] = r
 		}
@@ -146,18 +147,18 @@
 	f.setPhase("v", "draining")
 	f.setPhase("w", "draining")
 	for _, name := range tenants {
-		id := "held-" + name
-		streams[id] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
+		id := "queued-" + name
+		streams[id] = openStream(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
 		streams[id].until("accepted")
 	}
 
-	checkPendingOfReplacedTenants(t, f, c, streams)
+	checkQueuedJobsOfReplacedTenant(t, f, c, streams)
 
 	c.reloadTenants(tenant{"co-op", 0.2, 30}, tenant{"newcomer", 0.5, 10}, tenant{"leaver", 0.1, 5})
 	back := post(c.addr, "/plan-change", jobOfTenant("leaver", "back")...)
-	f.serveNext()
-	if a := testkit.Await(t, "the answer", back); a.status != 200 {
-		t.Errorf("a job of the tenant that came back: %+v", a)
+	f.finishNext()
+	if a := testkit.Await(t, "the response", back); a.status != 200 {
+		t.Errorf("job of the tenant that was added again: %+v, want 200", a)
 	}
 	c.reloadTenants(tenant{"newcomer", 1, 0})
 	for id, r := range out {
@@ -165,66 +166,66 @@
 	}
 	for _, name := range tenants {
 		streams["out-"+name].result("out-" + name)
-		checkEndedAs(t, c, name, outAnswers[name])
+		checkTenantJobs(t, c, name, outAnswers[name])
 	}
-	c.checkRecorded("held-newcomer", "newcomer")
+	c.checkRecorded("queued-newcomer", "newcomer")
 	if n := f.count("plan-change"); n != 8 {
-		t.Errorf("%d runs of 8 jobs", n)
+		t.Errorf("%d runs of 8 jobs, want 8", n)
 	}
-	again := subscribe(t, "GET", c.sse, "plan-change", "Request-Id", "out-leaver") // of a tenant that is gone
+	again := openStream(t, "GET", c.sse, "plan-change", "Request-Id", "out-leaver") // a stream of a removed tenant
 	again.result("out-leaver")
 	c.kill()
 	c.start()
 	c.checkRecorded("out-leaver", "leaver")
 }
 
-// checkPendingOfReplacedTenants replaces tenant "leaver" by "newcomer" while four jobs are in
-// flight and no worker is active, and checks that the pending jobs of all three are served.
-func checkPendingOfReplacedTenants(t *testing.T, f *fleet, c *child, streams map[string]*stream) {
+// checkQueuedJobsOfReplacedTenant replaces tenant "leaver" by "newcomer" while four jobs are in flight
+// and no worker accepts jobs, and checks that the queued jobs of all three tenants are served.
+func checkQueuedJobsOfReplacedTenant(t *testing.T, f *fleet, c *child, streams map[string]*stream) {
 	t.Helper()
 	c.reloadTenants(tenant{"newcomer", 0.5, 10}, tenant{"co-op", 0.2, 30})
 	c.checkRejected("leaver", "late")
 	if n := f.count("plan-change"); n != 4 {
-		t.Errorf("%d jobs are in flight, and 4 were when all workers left", n)
+		t.Errorf("%d jobs reached workers, want the 4 from before all workers were draining", n)
 	}
-	streams["held-newcomer"] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", "newcomer", "Request-Id", "held-newcomer")
-	streams["held-newcomer"].until("accepted")
+	streams["queued-newcomer"] = openStream(t, "POST", c.sse, "plan-change", "Tenant", "newcomer", "Request-Id", "queued-newcomer")
+	streams["queued-newcomer"].until("accepted")
 	f.setPhase("v", "ready")
 	f.setPhase("w", "ready")
 	for range 3 {
-		f.serveNext()
+		f.finishNext()
 	}
 	for _, name := range []string{"leaver", "co-op", "newcomer"} {
-		streams["held-"+name].result("held-" + name)
+		streams["queued-"+name].result("queued-" + name)
 	}
 }
 
-// Guards a scheduler that loses all its tenants and gets some again: their queued jobs are served, and without
-// tenants any job is served, as by a file that never had any.
+// Verifies a scheduler whose tenants are all removed and then replaced: their queued jobs are served, and without tenants any job is
+// accepted, as with a file that never had any.
 func TestAllTenantsReplaced(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, nil, tenant{"leaver", 0.3, 20}, tenant{"co-op", 0.7, 0})
 	streams := map[string]*stream{}
-	hold := func(name, id string) {
+	queue := func(name, id string) {
 		t.Helper()
-		streams[id] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
+		streams[id] = openStream(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
 		streams[id].until("accepted")
 	}
 	f.setPhase("v", "draining")
 	f.setPhase("w", "draining")
-	hold("leaver", "first-leaver")
-	hold("co-op", "first-co-op")
+	queue("leaver", "first-leaver")
+	queue("co-op", "first-co-op")
 	c.reloadTenants()
-	hold("anybody", "nobody's")
+	queue("anybody", "any-tenant")
 	c.reloadTenants(tenant{"newcomer", 1, 5}, tenant{"co-op", 0.1, 0})
-	hold("newcomer", "newcomer's")
-	hold("co-op", "second-co-op")
+	queue("newcomer", "first-newcomer")
+	queue("co-op", "second-co-op")
 	c.checkRejected("leaver", "late")
 	c.checkRejected("anybody", "late-as-well")
 	f.setPhase("v", "ready")
 	f.setPhase("w", "ready")
 	for range streams {
-		f.serveNext()
+		f.finishNext()
 	}
 	for id, s := range streams {
 		s.result(id)
@@ -234,40 +235,40 @@
 	}
 }
 
-// Guards a tenant whose share and quota are halved while more of its jobs are in flight and queued than its quota lets through: none of
-// them is rejected or lost, nor is any of another tenant's.
-func TestTenantHalvedAtItsQuota(t *testing.T) {
+// Guards against jobs that are rejected or lost when their tenant's share and quota are halved while more of its jobs are in flight and
+// queued than its quota admits. Jobs of another tenant must not be rejected or lost either.
+func TestTenantQuotaHalved(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, nil, tenant{"heavy", 0.6, 8}, tenant{"co-op", 0.4, 8})
-	busy := subscribe(t, "POST", c.sse, "plan-change", "Tenant", "heavy", "Request-Id", "busy")
+	busy := openStream(t, "POST", c.sse, "plan-change", "Tenant", "heavy", "Request-Id", "busy")
 	first := f.next()
 	first.write(`"state":"started"`)
 	busy.until("started")
 	f.setPhase("v", "draining")
 	f.setPhase("w", "draining")
 	streams := map[string]*stream{}
-	hold := func(name string, from, to int) {
+	queue := func(name string, from, to int) {
 		for i := from; i < to; i++ {
 			id := fmt.Sprint(name, "-", i)
-			streams[id] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
+			streams[id] = openStream(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
 			streams[id].until("accepted")
 		}
 	}
-	hold("heavy", 0, 24) // three times what it may send a second
-	hold("co-op", 0, 4)
+	queue("heavy", 0, 24) // three times the tenant's quota per second
+	queue("co-op", 0, 4)
 	c.reloadTenants(tenant{"light", 0.3, 4}, tenant{"co-op", 0.4, 8}, tenant{"heavy", 0.3, 4})
-	hold("light", 0, 2) // which shows that the file is in force
-	hold("heavy", 24, 28)
-	hold("co-op", 4, 8)
+	queue("light", 0, 2) // accepted only if the new file is in force
+	queue("heavy", 24, 28)
+	queue("co-op", 4, 8)
 	f.setPhase("v", "ready")
 	f.setPhase("w", "ready")
 	for range len(streams) / 2 {
-		f.serveNext()
+		f.finishNext()
 	}
 	c.reloadTenants(tenant{"heavy", 0.15, 2}, tenant{"co-op", 0.4, 8})
 	c.checkRejected("light", "late")
 	for range len(streams) / 2 {
-		f.serveNext()
+		f.finishNext()
 	}
 	first.finish("busy")
 	busy.result("busy")
@@ -279,15 +280,15 @@
 	}
 }
 
-// Guards changes of tenants in the middle of an upgrade: each process has the file that it has read last, jobs of tenants that
-// came, went and stayed end well at both, and the new process goes on with the newest.
+// Verifies changes of tenants during an upgrade: each process uses the file that it has read last, jobs of added, removed and remaining
+// tenants are served by both processes, and the new process continues with the newest file.
 func TestTenantsChangeDuringUpgrade(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, nil, tenant{"leaver", 0.3, 20}, tenant{"co-op", 0.4, 0}, tenant{"stays", 0.3, 5})
 	streams, runs := map[string]*stream{}, map[string]*attempt{}
 	begin := func(name, id string) {
 		t.Helper()
-		streams[id] = subscribe(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
+		streams[id] = openStream(t, "POST", c.sse, "plan-change", "Tenant", name, "Request-Id", id)
 		r := f.next()
 		r.write(`"state":"started"`)
 		streams[id].until("started")
@@ -297,18 +298,18 @@
 	begin("co-op", "old-co-op")
 	next := c.startSuccessor()
 	c.awaitLog("the new process accepts connections")
-	begin("leaver", "new-leaver") // at the new process, by the first file
+	begin("leaver", "new-leaver") // at the new process, with the first file
 	begin("stays", "new-stays")
 	newest := []tenant{{"stays", 0.2, 5}, {"newcomer", 0.5, 10}, {"co-op", 0.2, 30}}
 	next.reloadTenants(newest...)
 	next.checkRejected("leaver", "late")
 	begin("newcomer", "new-newcomer")
 	begin("co-op", "new-co-op")
-	c.reloadTenants(newest...) // the old one is told later, and has jobs of a tenant that is gone
+	c.reloadTenants(newest...) // the old process reloads later, with jobs in flight of a removed tenant
 	begin("newcomer", "newer-newcomer")
-	moved := streams["old-leaver"] // its client comes back to the new process, to a stream of a tenant that this does not have
-	moved.leave()
-	streams["old-leaver"] = subscribe(t, "GET", next.sse, "plan-change", "Request-Id", "old-leaver")
+	moved := streams["old-leaver"] // its client reconnects to the new process, to a stream of a tenant that this process does not have
+	moved.disconnect()
+	streams["old-leaver"] = openStream(t, "GET", next.sse, "plan-change", "Request-Id", "old-leaver")
 	streams["old-leaver"].until("started")
 	c.signal(syscall.SIGTERM)
 	c.awaitLog("draining: answering")
@@ -321,21 +322,21 @@
 	c.awaitExit()
 	next.awaitLog("continuing alone")
 	next.checkRejected("leaver", "later")
-	for _, one := range newest {
-		begin(one.Name, "alone-"+one.Name)
-		runs["alone-"+one.Name].finish("alone-" + one.Name)
-		streams["alone-"+one.Name].result("alone-" + one.Name)
+	for _, tenant := range newest {
+		begin(tenant.Name, "alone-"+tenant.Name)
+		runs["alone-"+tenant.Name].finish("alone-" + tenant.Name)
+		streams["alone-"+tenant.Name].result("alone-" + tenant.Name)
 	}
 	if n := f.count("plan-change"); n != len(streams) {
 		t.Errorf("%d runs of %d jobs", n, len(streams))
 	}
 }
 
-// Guards an upgrade to a file with other tenants than the old process has: what that one learned goes over by the tenants' names.
-func TestUpgradeToOtherTenants(t *testing.T) {
+// Verifies an upgrade to a file with other tenants than those of the old process: learned state is inherited by tenant name.
+func TestUpgradeChangesTenants(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, nil, tenant{"leaver", 0.3, 20}, tenant{"co-op", 0.7, 0})
-	old := subscribe(t, "POST", c.sse, "plan-change", "Tenant", "leaver", "Request-Id", "old")
+	old := openStream(t, "POST", c.sse, "plan-change", "Tenant", "leaver", "Request-Id", "old")
 	r := f.next()
 	r.write(`"state":"started"`)
 	old.until("started")
@@ -346,8 +347,8 @@
 	c.awaitLog("the new process accepts connections")
 	next.checkRejected("leaver", "late")
 	for _, name := range []string{"newcomer", "co-op"} {
-		s := subscribe(t, "POST", next.sse, "plan-change", "Tenant", name, "Request-Id", "new-"+name)
-		f.serveNext()
+		s := openStream(t, "POST", next.sse, "plan-change", "Tenant", name, "Request-Id", "new-"+name)
+		f.finishNext()
 		s.result("new-" + name)
 	}
 	c.signal(syscall.SIGTERM)
@@ -358,11 +359,11 @@
 	next.awaitLog("continuing alone")
 }
 
-// Guards the newest tenants over an upgrade by a file that has become invalid since: the new process has those of the one that serves.
-func TestUpgradeKeepsTheNewestTenants(t *testing.T) {
+// Verifies an upgrade with a file that has become invalid after the last reload: the new process uses the tenants of the serving process.
+func TestUpgradeKeepsNewestTenants(t *testing.T) {
 	f := newFleet(t, "w")
 	c := &child{t: t, file: filepath.Join(t.TempDir(), "config.json"), addr: testkit.FreeAddr(t)}
-	c.sse = c.addr // asked for /ready
+	c.sse = c.addr // start requests /ready there
 	c.config.Name, c.config.Listen, c.config.Ops = "test", c.addr, testkit.FreeAddr(t)
 	c.config.Discovery, c.config.Settings, c.config.Workers = f.addr, settings(t), f.list.Members
 	c.setTenants(tenant{"leaver", 0.5, 5}, tenant{"co-op", 0.5, 5})
@@ -389,20 +390,21 @@
 		for name, want := range map[string]int{"newcomer": 200, "co-op": 200, "leaver": 400} {
 			got := post(next.addr, "/usage-view", jobOfTenant(name, fmt.Sprint(name, "-", i))...)
 			if want == 200 {
-				f.serveNext()
+				f.finishNext()
 			}
-			if a := testkit.Await(t, "the answer", got); a.status != want {
-				t.Errorf("a job of %s: %+v, want %d", name, a, want)
+			if a := testkit.Await(t, "the response", got); a.status != want {
+				t.Errorf("job of tenant %s: %+v, want %d", name, a, want)
 			}
 		}
 	}
 }
 
-// servedUntilAllOf serves so many jobs, and returns how many of other were served until all of first were, and the order of all.
-func servedUntilAllOf(f *fleet, first string, all int, other string, jobs int) (others int, order []string) {
+// countServedBefore finishes jobs jobs. It returns how many jobs of tenant other were served before the last of the all jobs of tenant
+// first, and the tenants of all jobs in the order of service.
+func countServedBefore(f *fleet, first string, all int, other string, jobs int) (others int, order []string) {
 	served := 0
 	for range jobs {
-		name, _, _ := strings.Cut(f.serveNext(), "-")
+		name, _, _ := strings.Cut(f.finishNext(), "-")
 		order = append(order, name)
 		if name == first {
 			served++
@@ -414,36 +416,36 @@
 	return others, order
 }
 
-// Guards the admission queue through a change of tenants' shares: queued jobs stay, also of a tenant that goes, and from
-// then on tenants are admitted by their new shares.
+// Verifies the admission queue when the tenants' shares change: queued jobs stay queued, also those of a removed tenant, and tenants are
+// admitted by their new shares from then on.
 func TestAdmissionSharesChange(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startTenants(t, f, func(file *dispatchconfig.File) { file.Admission = &dispatchconfig.Admission{Concurrency: 1} },
 		tenant{"leaver", 0.2, 0}, tenant{"left", 0.4, 0}, tenant{"right", 0.4, 0})
 	const each = 8
 	streams := map[string]*stream{}
-	wait := func(name string, from, to int) {
+	submit := func(name string, from, to int) {
 		for i := from; i < to; i++ {
 			id := fmt.Sprint(name, "-", i)
-			streams[id] = subscribe(t, "POST", c.sse, "usage-view", "Tenant", name, "Request-Id", id)
+			streams[id] = openStream(t, "POST", c.sse, "usage-view", "Tenant", name, "Request-Id", id)
 			streams[id].until("accepted")
 		}
 	}
-	wait("right", 0, 1)
-	inside := f.next()
-	wait("leaver", 0, 2)
-	wait("left", 0, each)
-	wait("right", 1, each)
+	submit("right", 0, 1)
+	first := f.next()
+	submit("leaver", 0, 2)
+	submit("left", 0, each)
+	submit("right", 1, each)
 	c.reloadTenants(tenant{"right", 0.2, 0}, tenant{"newcomer", 0.2, 0}, tenant{"left", 0.6, 0})
 	c.checkRejected("leaver", "late")
-	wait("newcomer", 0, 1)
+	submit("newcomer", 0, 1)
 	if n := f.count("usage-view"); n != 1 {
-		t.Errorf("%d jobs are in flight, and one is allowed", n)
+		t.Errorf("%d jobs reached workers, want 1 for a concurrency of one", n)
 	}
-	inside.finish("right-0")
-	right, order := servedUntilAllOf(f, "left", each, "right", len(streams)-1)
-	if right < 1 || right > 4 { // a third of left; it would be as many without the change
-		t.Errorf("until all %d of left were in, %d of right were: %v", each, right, order)
+	first.finish("right-0")
+	right, order := countServedBefore(f, "left", each, "right", len(streams)-1)
+	if right < 1 || right > 4 { // right has a third of left's share; without the change they would have equal shares
+		t.Errorf("before all %d jobs of left were served, %d of right were, want 1 to 4: order %v", each, right, order)
 	}
 	for id, s := range streams {
 		s.result(id)
@@ -451,11 +453,11 @@
 	if n := f.count("usage-view"); n != len(streams) {
 		t.Errorf("%d runs of %d jobs", n, len(streams))
 	}
-	c.setTenants() // the queue needs tenants to share among
+	c.setTenants() // invalid: the admission queue requires tenants
 	c.write()
 	c.signal(syscall.SIGHUP)
 	c.awaitLog("the new configuration is bad")
-	wait("right", each, each+1)
-	f.serveNext()
+	submit("right", each, each+1)
+	f.finishNext()
 	streams[fmt.Sprint("right-", each)].result(fmt.Sprint("right-", each))
 }
--- a/scheduler/termination_test.go
+++ b/scheduler/termination_test.go
@@ -17,11 +17,11 @@
 	"sedgevale/internal/testkit"
 )
 
-// Guards against what is lost at the end of a process though it was accepted: clients send
-// on every connection that they have, also on one that was idle since it was made, until it
-// ends; workers hang. Each request gets a whole response, or its connection was ended before
-// it was read, and never by a reset.
-func TestTerminationOwesNothing(t *testing.T) {
+// Guards against accepted requests that are lost when a process terminates. Clients send on each of
+// their connections until it is closed, also on connections that were idle from the start, while some
+// workers hang. Each request must get a complete response, unless its connection was closed, not
+// reset, before the request was read.
+func TestTerminationAnswersAcceptedRequests(t *testing.T) {
 	f := newFleet(t, "v", "w")
 	c := startChild(t, f)
 	const clients = 12
@@ -43,27 +43,27 @@
 	}()
 	c.signal(syscall.SIGTERM)
 	c.awaitLog("draining: answering")
-	var all sync.WaitGroup
+	var clientGroup sync.WaitGroup
 	for i, conn := range conns {
-		all.Go(func() { sendUntilEnded(t, conn, i) })
+		clientGroup.Go(func() { sendUntilEnded(t, conn, i) })
 	}
-	all.Wait()
+	clientGroup.Wait()
 	c.awaitExit()
 }
 
-// sendUntilEnded sends jobs on a connection until that has ended. Every fourth client leaves
-// its connection idle until it is ended, and sends in that moment.
+// sendUntilEnded sends jobs on a connection until it is closed. Every fourth client leaves its
+// connection idle until it is closed, and sends at that moment.
 func sendUntilEnded(t *testing.T, conn net.Conn, client int) {
 	r := bufio.NewReader(conn)
 	idle := client%4 == 3
 	if idle {
 		if _, err := r.ReadByte(); err != io.EOF {
-			t.Errorf("client %d: an idle connection ended with %v", client, err)
+			t.Errorf("client %d: idle connection closed with %v, want io.EOF", client, err)
 		}
 	}
 	for n := 0; ; n++ {
 		if send(conn, "usage-view", fmt.Sprint(client, "-", n), 9*time.Second) != nil {
-			return // it was ended, and that was told
+			return // the close of the connection was reported
 		}
 		a, err := testkit.ReadResponse(r)
 		if a.Status == 0 {
@@ -74,7 +74,7 @@
 			return
 		}
 		if err != nil {
-			t.Errorf("client %d, request %d: answered %d, cut short: %v", client, n, a.Status, err)
+			t.Errorf("client %d, request %d: response with status %d is truncated: %v", client, n, a.Status, err)
 		}
 		if a.Last {
 			return
@@ -82,13 +82,13 @@
 	}
 }
 
-// Guards against many clients that hold all descriptors while discovery is down: clients are
-// still accepted, the watch comes up once discovery is back, and workers are reached.
-func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
+// Guards against clients that use up all file descriptors while discovery is down: clients must still
+// be accepted, the watch must start once discovery is available, and workers must be reachable.
+func TestDescriptorLimitWhileDiscoveryIsDown(t *testing.T) {
 	const descriptors = 160
 	f := newFleet(t, "w")
-	back := f.addr
-	f.addr = testkit.FreeAddr(t) // where nobody listens for now
+	discovery := f.addr
+	f.addr = testkit.FreeAddr(t) // nothing listens at the address yet
 	c := startChild(t, f)
 	limit := func() {
 		t.Helper()
@@ -102,34 +102,34 @@
 	c.write()
 	c.start()
 	limit()
-	ctx, stop := context.WithCancel(t.Context())
-	var crowd sync.WaitGroup
+	ctx, cancel := context.WithCancel(t.Context())
+	var connections sync.WaitGroup
 	for range 2 * descriptors {
-		crowd.Go(func() { reconnect(ctx, c.addr) })
+		connections.Go(func() { reconnect(ctx, c.addr) })
 	}
-	defer crowd.Wait()
-	defer stop()
-	l := testkit.Listen(t, f.addr) // discovery is back
-	go forward(ctx, l, back)
+	defer connections.Wait()
+	defer cancel()
+	l := testkit.Listen(t, f.addr) // discovery becomes available
+	go forward(ctx, l, discovery)
 	testkit.Await(t, "the watch", f.polled)
 	for i := range 5 {
 		got := post(c.addr, "/usage-view", job(fmt.Sprint("crowd-", i))...)
 		f.next().finish("reached")
-		if a := testkit.Await(t, "the answer", got); a.status != 200 || a.body != "reached" {
-			t.Errorf("%+v", a)
+		if a := testkit.Await(t, "the response", got); a.status != 200 || a.body != "reached" {
+			t.Errorf("job %d: %+v, want 200 with body reached", i, a)
 		}
 	}
 }
 
-// reconnect keeps an idle connection to an address, a new one whenever it is ended, until
-// the context ends.
+// reconnect keeps an idle connection to addr open, and replaces it whenever it is closed, until the
+// context ends.
 func reconnect(ctx context.Context, addr string) {
 	for {
 		if conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr); err == nil {
 			stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 			_, _ = conn.Read(make([]byte, 1))
 			stop()
-			_ = conn.Close() // again where the context has ended
+			_ = conn.Close() // closes it a second time if the context has ended
 		}
 		select {
 		case <-ctx.Done():
@@ -139,7 +139,7 @@
 	}
 }
 
-// forward forwards connections to an address until the listener is closed.
+// forward forwards the listener's connections to an address until the listener is closed.
 func forward(ctx context.Context, l net.Listener, to string) {
 	for {
 		in, err := l.Accept()
