--- a/internal/peers/failuredetector.go
+++ b/internal/peers/failuredetector.go
@@ -115,14 +115,14 @@
 // probe is a ping that has not been acknowledged yet.
 type probe struct {
 	number   uint16
-	at       time.Duration
+	sentAt   time.Duration
 	indirect bool // indirect pings were requested
 }
 
 // relayedPing is a ping on behalf of the member requester, to which the acknowledgement is forwarded.
 type relayedPing struct {
 	requester, target uint16
-	at                time.Duration
+	requestedAt       time.Duration
 }
 
 // message is a queued datagram of the failure detector.
@@ -216,7 +216,7 @@
 		if int(r.target) == from {
 			d.messages = append(d.messages, message{to: r.requester, kind: kindIndirectAck, subject: r.target})
 		}
-		return int(r.target) == from || now-r.at > indirectAckTimeout
+		return int(r.target) == from || now-r.requestedAt > indirectAckTimeout
 	})
 }
 
@@ -317,10 +317,10 @@
 	d := &n.detector
 	d.probes = slices.DeleteFunc(d.probes, func(p probe) bool {
 		v, m := &d.views[p.number], &n.members[p.number]
-		if m.known && m.lastReceivedAt >= p.at || v.state != Alive {
+		if m.known && m.lastReceivedAt >= p.sentAt || v.state != Alive {
 			return true
 		}
-		if p.indirect && now-p.at > ackTimeout+indirectAckTimeout {
+		if p.indirect && now-p.sentAt > ackTimeout+indirectAckTimeout {
 			c := v.claim
 			c.state = Suspect
 			n.setClaim(now, c)
@@ -329,7 +329,7 @@
 		return false
 	})
 	for i := range d.probes {
-		if p := &d.probes[i]; !p.indirect && now-p.at > ackTimeout {
+		if p := &d.probes[i]; !p.indirect && now-p.sentAt > ackTimeout {
 			p.indirect = true
 			d.extraPings += extraPingsPerTimeout
 			n.pingIndirectly(p.number)
@@ -387,7 +387,7 @@
 			if s := d.views[m].state; (s == Alive || s == Suspect) != wantDead {
 				d.messages = append(d.messages, message{to: m, kind: kind, target: uint16(n.options.Self), subject: m})
 				if s == Alive {
-					d.probes = append(d.probes, probe{number: m, at: now})
+					d.probes = append(d.probes, probe{number: m, sentAt: now})
 				}
 				return true
 			}
--- a/internal/peers/failuredetector_test.go
+++ b/internal/peers/failuredetector_test.go
@@ -170,7 +170,7 @@
 		kind kind
 		want int
 	}{{kindAck, 1}, {kindIndirectAck, 0}} {
-		a.detector.probes = []probe{{number: 2, at: now, indirect: true}}
+		a.detector.probes = []probe{{number: 2, sentAt: now, indirect: true}}
 		a.receiveDetectorMessage(now, 1, header{kind: c.kind, generation: 1}, appendClaim([]byte{0}, claim{2, Alive, 1, 0}))
 		if len(a.detector.probes) != c.want {
 			t.Errorf("datagram kind %d: %d open probes, want %d", c.kind, len(a.detector.probes), c.want)
--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -8,16 +8,16 @@
 // SetWorkers sets the complete list of workers. Workers that are no longer listed are kept until all loads on them are zero or have
 // expired.
 func (n *Node) SetWorkers(ids []string) {
-	for _, w := range n.order {
+	for _, w := range n.orderedWorkers {
 		w.listed = false
 	}
 	hashes := make([]uint64, len(ids))
 	for i, id := range ids {
-		w := n.worker(id)
+		w := n.ensureWorker(id)
 		w.listed = true
 		hashes[i] = w.hash
 	}
-	n.order = slices.DeleteFunc(n.order, func(w *workerState) bool {
+	n.orderedWorkers = slices.DeleteFunc(n.orderedWorkers, func(w *workerState) bool {
 		unused := !w.listed && w.load == (Load{}) && w.advertised == (Load{}) && len(w.reports) == 0 && !w.unsent && !w.changed
 		if unused {
 			delete(n.workers, w.id)
@@ -27,16 +27,16 @@
 		}
 		return unused
 	})
-	n.subset, n.sharers = n.subset[:0], 0
+	n.subset, n.maxSharers = n.subset[:0], 0
 	for i, a := range assignSubscribers(n.options.Members, hashes, n.options.MinSubscribers, n.options.MinSubset) {
 		w := n.workers[ids[i]]
 		w.subscribers = a
 		if slices.Contains(a, uint16(n.options.Self)) {
 			n.subset = append(n.subset, w.id)
-			n.sharers = max(n.sharers, len(a))
+			n.maxSharers = max(n.maxSharers, len(a))
 		}
 	}
-	n.Counts.Workers, n.Counts.Subset, n.Counts.Shares = len(ids), len(n.subset), n.sharers
+	n.Counts.Workers, n.Counts.Subset, n.Counts.Shares = len(ids), len(n.subset), n.maxSharers
 	n.subsetChanged = n.subsetChanged || n.anyActive
 }
 
@@ -60,17 +60,17 @@
 	if len(n.subset) == n.Counts.Workers {
 		return nil, n.options.Members
 	}
-	return n.subset, n.sharers
+	return n.subset, n.maxSharers
 }
 
-// worker returns the state of a worker and creates it if the worker is new.
-func (n *Node) worker(id string) *workerState {
+// ensureWorker returns the state of a worker and creates it if the worker is new.
+func (n *Node) ensureWorker(id string) *workerState {
 	if w := n.workers[id]; w != nil {
 		return w
 	}
 	h := hashWorkerID(id)
 	w := &workerState{id: id, hash: h, key: uint32(h) & 0xffffff}
-	n.workers[id], n.order = w, append(n.order, w)
+	n.workers[id], n.orderedWorkers = w, append(n.orderedWorkers, w)
 	if n.workersByKey[w.key] == nil { // if two workers have the same key, only the first is advertised
 		n.workersByKey[w.key] = w
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -59,13 +59,13 @@
 	detector      failureDetector
 	revisionTable revisionTable
 
-	workers       map[string]*workerState
-	order         []*workerState // all of workers in a fixed order, so that output is deterministic
-	workersByKey  map[uint32]*workerState
-	subset        []string // IDs of the workers in this scheduler's subset
-	sharers       int      // maximum number of members that share a worker of the subset
-	anyActive     bool     // a datagram of any member was received within LoadTTL
-	subsetChanged bool     // subset has changed since the last TakeSubsetChange
+	workers        map[string]*workerState
+	orderedWorkers []*workerState // the workers in a fixed order, so that the order of the datagrams is deterministic
+	workersByKey   map[uint32]*workerState
+	subset         []string // IDs of the workers in this scheduler's subset
+	maxSharers     int      // maximum number of members that share a worker of the subset
+	anyActive      bool     // a datagram of any member was received within LoadTTL
+	subsetChanged  bool     // subset has changed since the last TakeSubsetChange
 
 	unsent    []*workerState  // workers whose load the next Flush sends
 	changed   []*workerState  // workers whose load by other schedulers has changed since the last TakeLoadChanges
@@ -82,7 +82,7 @@
 	SentBytes      uint64 `json:"sent_bytes"`
 	Received       uint64 `json:"received"`
 	Rejected       uint64 `json:"refused"` // datagrams that Receive rejected
-	UnknownWorkers uint64 `json:"unknown"` // received loads of workers that are not in this scheduler's list
+	UnknownWorkers uint64 `json:"unknown"` // received loads of workers that this scheduler does not know
 	Expired        uint64 `json:"expired"` // reports of a non-zero load that expired
 	ActiveMembers  int    `json:"heard"`   // members from which a datagram was received within LoadTTL
 	Workers        int    `json:"boxes"`   // workers in the list
@@ -129,10 +129,10 @@
 
 // report is the latest load on a worker that a member has sent.
 type report struct {
-	member   uint16
-	sequence uint16
-	load     Load
-	at       time.Duration
+	member     uint16
+	sequence   uint16
+	load       Load
+	receivedAt time.Duration
 }
 
 // New returns a Node that knows no workers yet.
@@ -214,19 +214,19 @@
 // Tick drops expired reports and runs the timers of the failure detector and the revision table. It should be called every
 // TickInterval, and Flush must be called after it.
 func (n *Node) Tick(now time.Duration) {
-	for _, w := range n.order {
+	for _, w := range n.orderedWorkers {
 		if w.load != w.advertised || w.load != (Load{}) && now-w.advertisedAt >= RepeatInterval {
 			n.markUnsent(w)
 		}
 	}
 	n.reported = slices.DeleteFunc(n.reported, func(w *workerState) bool {
 		w.reports = slices.DeleteFunc(w.reports, func(r report) bool {
-			old := now-r.at >= LoadTTL
-			if old && r.load != (Load{}) {
+			expired := now-r.receivedAt >= LoadTTL
+			if expired && r.load != (Load{}) {
 				n.Counts.Expired++
 				n.markChanged(w)
 			}
-			return old
+			return expired
 		})
 		w.reported = len(w.reports) > 0
 		return !w.reported
--- a/internal/peers/revisions.go
+++ b/internal/peers/revisions.go
@@ -22,10 +22,10 @@
 	fastAntiEntropyInterval = 250 * time.Millisecond // for some rounds after an update, since others may have been lost
 	fastRoundsAfterUpdate   = 8                      // number of exchanges at the fast interval
 	fastRoundsAfterMismatch = 4                      // number of exchanges at the fast interval, after digests that differ
-	membersPerBucket        = 32                     // the entries of a bucket fit into one datagram if the revisions are equal
+	membersPerBucket        = 32                     // so that the entries of a bucket fit into one datagram if their revisions are equal
 	maxBucketsPerReply      = 4
 	extraTransmits          = 3 // an update is pushed about log2(members) + extraTransmits times
-	maxGossipPerTick        = 2 // number of datagrams with updates
+	maxGossipPerTick        = 2 // maximum number of datagrams with updates
 
 	// LagThreshold is how long a member may be behind before it is reported. A change should be in force everywhere by then.
 	LagThreshold = 15 * time.Second
@@ -207,7 +207,7 @@
 func (n *Node) compareDigests(now time.Duration, from int, body []byte) {
 	first := binary.BigEndian.Uint16(body)
 	bucket, replies, differing := int(first&^replyBit), 0, 0
-	for body = body[digestsHeaderSize:]; len(body) > 0 && bucket < n.buckets(); body = body[digestSize:] {
+	for body = body[digestsHeaderSize:]; len(body) > 0 && bucket < n.bucketCount(); body = body[digestSize:] {
 		if binary.BigEndian.Uint32(body) != n.bucketDigest(bucket) {
 			if differing++; replies < maxBucketsPerReply {
 				n.revisionTable.bucketReplies = append(n.revisionTable.bucketReplies, bucketReply{uint16(from), bucket})
@@ -226,8 +226,8 @@
 	}
 }
 
-// buckets returns the number of buckets of the table.
-func (n *Node) buckets() int {
+// bucketCount returns the number of buckets of the table.
+func (n *Node) bucketCount() int {
 	return (len(n.revisionTable.entries) + membersPerBucket - 1) / membersPerBucket
 }
 
@@ -267,7 +267,7 @@
 		if to, ok := n.randomAlive(); ok {
 			t.digestMessages = append(t.digestMessages, digestMessage{to: to, firstBucket: t.nextBucket})
 		}
-		if t.nextBucket += maxDigestsPerDatagram; t.nextBucket >= n.buckets() {
+		if t.nextBucket += maxDigestsPerDatagram; t.nextBucket >= n.bucketCount() {
 			t.nextBucket = 0
 		}
 	}
@@ -303,7 +303,7 @@
 		}
 		n.beginDatagram(kindDigests, msg.to)
 		n.buf = binary.BigEndian.AppendUint16(n.buf, first)
-		for b := msg.firstBucket; b < min(n.buckets(), msg.firstBucket+maxDigestsPerDatagram); b++ {
+		for b := msg.firstBucket; b < min(n.bucketCount(), msg.firstBucket+maxDigestsPerDatagram); b++ {
 			n.buf = binary.BigEndian.AppendUint32(n.buf, n.bucketDigest(b))
 		}
 		n.finishDatagram(msg.to, send)
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -67,7 +67,7 @@
 		}
 		s.Members = append(s.Members, status)
 	}
-	for _, worker := range n.order {
+	for _, worker := range n.orderedWorkers {
 		if !worker.listed && len(worker.reports) == 0 {
 			continue
 		}
@@ -75,7 +75,7 @@
 		for _, r := range worker.reports {
 			status.Others.Slots += r.load.Slots
 			status.Others.Waiting += r.load.Waiting
-			status.OldestMS = max(status.OldestMS, (now - r.at).Milliseconds())
+			status.OldestMS = max(status.OldestMS, (now - r.receivedAt).Milliseconds())
 		}
 		s.Workers = append(s.Workers, status)
 	}
