--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -36,7 +36,7 @@
 			n.maxSharers = max(n.maxSharers, len(a))
 		}
 	}
-	n.Counts.Workers, n.Counts.Subset, n.Counts.Shares = len(ids), len(n.subset), n.maxSharers
+	n.Counts.Workers, n.Counts.Subset, n.Counts.MaxSharers = len(ids), len(n.subset), n.maxSharers
 	n.subsetChanged = n.subsetChanged || n.anyActive
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -87,7 +87,7 @@
 	ActiveMembers  int    `json:"heard"`   // members from which a datagram was received within LoadTTL
 	Workers        int    `json:"boxes"`   // workers in the list
 	Subset         int    `json:"part"`    // workers in the subset
-	Shares         int    `json:"shares"`  // maximum number of members that share a worker of the subset
+	MaxSharers     int    `json:"shares"`  // maximum number of members that share a worker of the subset
 }
 
 // member is the state of the datagrams exchanged with a member.
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -143,8 +143,9 @@
 	return max(acceptGracePeriod, min(longest, idleGracePeriod)), min(longest, maxDrainWait) + abandonGracePeriod
 }
 
-// refuseRequests stops the servers from reading further requests. It waits until each server's
-// event loops have applied that, at most lingerTimeout/2.
+// refuseRequests makes the servers refuse connections and close those on which no response is
+// due, so that no further request is read. It waits until each server's event loops have done
+// so, at most lingerTimeout/2.
 func (s *Scheduler) refuseRequests(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, lingerTimeout/2)
 	defer cancel()
