--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -37,8 +37,8 @@
 	readBufferSize      = 32 << 10                     // bytes
 	writeBufferSize     = 64 << 10                     // bytes
 	maxEventLoops       = 64
-	probeTimeout        = 200 * time.Millisecond // timeout for connecting to the own address to detect another listener
-	evictBatchSize      = 8                      // connections that each event loop closes after a failed accept
+	probeTimeout        = 200 * time.Millisecond // timeout for connecting to the server's address to detect another listener
+	evictBatchSize      = 8                      // maximum number of connections that each event loop closes after a failed accept
 )
 
 // Request is a complete request. At is the time at which its last byte was received.
@@ -104,11 +104,11 @@
 
 // New returns a Server that is not yet listening.
 func New(addr string, loops int, handler Handler, b *fdlimit.Limiter, log *slog.Logger) *Server {
-	return NewLimited(addr, loops, handler, Limits{}, b, log)
+	return NewWithLimits(addr, loops, handler, Limits{}, b, log)
 }
 
-// NewLimited returns a Server with the given limits that is not yet listening.
-func NewLimited(addr string, loops int, handler Handler, limits Limits, b *fdlimit.Limiter, log *slog.Logger) *Server {
+// NewWithLimits returns a Server with the given limits that is not yet listening.
+func NewWithLimits(addr string, loops int, handler Handler, limits Limits, b *fdlimit.Limiter, log *slog.Logger) *Server {
 	for _, l := range []struct {
 		limit        *time.Duration
 		defaultValue time.Duration
--- a/internal/httpd/stream.go
+++ b/internal/httpd/stream.go
@@ -14,21 +14,21 @@
 
 // Framings of a response body.
 const (
-	ByLength Framing = iota // Content-Length is among the fields, or the response has no body
-	ByChunks                // chunked transfer coding
-	ByClose                 // end of the connection, for HTTP/1.0 clients
+	FramingLength  Framing = iota // Content-Length is among the fields, or the response has no body
+	FramingChunked                // chunked transfer coding
+	FramingClose                  // end of the connection, for HTTP/1.0 clients
 )
 
 // BeginResponse sends the head of a response. The body follows by WriteBody until EndBody. fields must
-// contain neither Transfer-Encoding nor Connection, and Content-Length only with ByLength.
+// contain neither Transfer-Encoding nor Connection, and Content-Length only with FramingLength.
 func (c *Conn) BeginResponse(status int, fields []http1.Field, framing Framing) {
 	if c.state == stateClosed {
 		return
 	}
 	c.framing = framing
-	c.closeAfter = c.closeAfter || framing == ByClose
+	c.closeAfter = c.closeAfter || framing == FramingClose
 	c.writeHead(status, fields)
-	if framing == ByChunks {
+	if framing == FramingChunked {
 		c.out = http1.AppendField(c.out, "Transfer-Encoding", "chunked")
 	}
 	c.out = append(c.out, "\r\n"...)
@@ -40,7 +40,7 @@
 	if c.state == stateClosed || len(b) == 0 {
 		return
 	}
-	if c.framing == ByChunks {
+	if c.framing == FramingChunked {
 		c.out = http1.AppendChunk(c.out[:0], b)
 		b = c.out
 	}
@@ -50,25 +50,25 @@
 	}
 }
 
-// EndBody ends a body. The trailer is sent with ByChunks only.
+// EndBody ends a body. The trailer is sent with FramingChunked only.
 func (c *Conn) EndBody(trailer []http1.Field) {
 	if c.state == stateClosed {
 		return
 	}
-	if c.framing == ByChunks {
+	if c.framing == FramingChunked {
 		_, _ = c.conn.Write(http1.AppendLastChunk(c.out[:0], trailer))
 	}
 	c.endResponse()
 }
 
-// CloseAfter closes the connection after the current response.
-func (c *Conn) CloseAfter() { c.closeAfter = true }
+// CloseAfterResponse closes the connection after the current response.
+func (c *Conn) CloseAfterResponse() { c.closeAfter = true }
 
-// Remote returns the address of the client.
-func (c *Conn) Remote() net.Addr { return c.conn.RemoteAddr() }
+// RemoteAddr returns the address of the client.
+func (c *Conn) RemoteAddr() net.Addr { return c.conn.RemoteAddr() }
 
-// Local returns the local address that the client connected to.
-func (c *Conn) Local() net.Addr { return c.conn.LocalAddr() }
+// LocalAddr returns the local address that the client connected to.
+func (c *Conn) LocalAddr() net.Addr { return c.conn.LocalAddr() }
 
 // Detach removes the connection from its event loop and returns it with the bytes read but not yet parsed. This
 // closes the Conn without calling Handler.Disconnected. If Detach fails, the Conn is unchanged.
--- a/internal/reverseproxy/message.go
+++ b/internal/reverseproxy/message.go
@@ -136,9 +136,9 @@
 	}
 	switch {
 	case noBody, h.Length >= 0 && !h.Chunked:
-		return fields, httpd.ByLength
+		return fields, httpd.FramingLength
 	case isHTTP10:
-		return fields, httpd.ByClose
+		return fields, httpd.FramingClose
 	}
-	return fields, httpd.ByChunks
+	return fields, httpd.FramingChunked
 }
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -111,7 +111,7 @@
 		}
 		limits := httpd.Limits{FirstByte: timeout, FirstRequest: timeout, Request: timeout, Idle: dispatchconfig.Seconds(f.IdleTimeout)}
 		for _, addr := range f.Listen {
-			p.servers = append(p.servers, httpd.NewLimited(addr, o.Loops, &frontendHandler{p, f.Name}, limits, o.Budget, o.Log))
+			p.servers = append(p.servers, httpd.NewWithLimits(addr, o.Loops, &frontendHandler{p, f.Name}, limits, o.Budget, o.Log))
 		}
 	}
 	return p, nil
--- a/internal/reverseproxy/request.go
+++ b/internal/reverseproxy/request.go
@@ -79,7 +79,7 @@
 	lr := &loopResponder{conn: c, request: r}
 	r.responder = lr
 	c.State = r
-	r.route(h.name, c.Remote().String(), portOf(c.Local()))
+	r.route(h.name, c.RemoteAddr().String(), portOf(c.LocalAddr()))
 }
 
 // Disconnected cancels the request of a client that has disconnected.
--- a/internal/reverseproxy/responder.go
+++ b/internal/reverseproxy/responder.go
@@ -23,11 +23,11 @@
 	lr.conn.Post(func(c *httpd.Conn) {
 		c.State = nil
 		if last {
-			c.CloseAfter()
+			c.CloseAfterResponse()
 		}
 		if lr.request.head.Method == "HEAD" || status == 304 {
 			fields = append(slices.Clip(fields), http1.Field{Name: "Content-Length", Value: strconv.Itoa(len(body))})
-			c.BeginResponse(status, fields, httpd.ByLength)
+			c.BeginResponse(status, fields, httpd.FramingLength)
 			c.EndBody(nil)
 			return
 		}
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -371,9 +371,9 @@
 		b = http1.AppendField(b, f.Name, f.Value)
 	}
 	switch framing {
-	case httpd.ByChunks:
+	case httpd.FramingChunked:
 		b = http1.AppendField(b, "Transfer-Encoding", "chunked")
-	case httpd.ByClose:
+	case httpd.FramingClose:
 		b = http1.AppendField(b, "Connection", "close")
 	}
 	b = append(b, "\r\n"...)
@@ -387,12 +387,12 @@
 			return false
 		}
 		if end {
-			if framing == httpd.ByChunks {
+			if framing == httpd.FramingChunked {
 				_, err = t.client.Write(http1.AppendLastChunk(b[:0], in.parser.Head.Trailer))
 			}
-			return err == nil && framing != httpd.ByClose
+			return err == nil && framing != httpd.FramingClose
 		}
-		if framing == httpd.ByChunks {
+		if framing == httpd.FramingChunked {
 			b = http1.AppendChunk(b[:0], part)
 		} else {
 			b = append(b[:0], part...)
--- a/internal/sse/job.go
+++ b/internal/sse/job.go
@@ -36,7 +36,7 @@
 	flushing   bool        // whether a flush is scheduled on the subscriber's event loop
 }
 
-// Started implements dispatch.Client: a worker has started the job.
+// Started implements dispatch.Client: a worker has started an attempt at the job.
 func (j *job) Started() { j.emit("started", nil, struct{}{}, false) }
 
 // Progress implements dispatch.Client: a worker has reported the completed share of the job, from 0 to 1.
@@ -128,7 +128,7 @@
 	case last:
 		c.EndStream()
 	case c.UnsentBytes() > maxUnsentBytes:
-		h.log.Warn("subscriber reads its event stream too slowly; closing its connection; the client can resume", "request", j.id)
+		h.log.Warn("subscriber reads its event stream too slowly; closing its connection (the client can resume)", "request", j.id)
 		c.Abort()
 	}
 }
