--- a/internal/haproxy/backend.go
+++ b/internal/haproxy/backend.go
@@ -9,10 +9,11 @@
 	"sedgevale/internal/route"
 )
 
-// backendDirectives are the handlers of a backend's directives, by their first two words or the first.
+// backendDirectives maps the directives of a backend, keyed by their first two words or by the first,
+// to their handlers.
 var backendDirectives = map[string]handler{
 	"server":               (*builder).server,
-	"server-template":      (*builder).template,
+	"server-template":      (*builder).serverTemplate,
 	"default-server":       (*builder).defaultServer,
 	"balance":              (*builder).balance,
 	"hash-type":            (*builder).hashType,
@@ -35,71 +36,72 @@
 	"option redispatch":    reportOnly(Differently, "always so: each further try goes to another server"),
 	"retries":              (*builder).retries,
 	"retry-on":             (*builder).retryOn,
-	"timeout connect":      func(b *builder, w []string) { b.timeout(w, &b.backend.ConnectTimeout, "") },
+	"timeout connect":      func(b *builder, w []string) { b.setTimeout(w, &b.backend.ConnectTimeout, "") },
 	"timeout server": func(b *builder, w []string) {
-		b.timeout(w, &b.backend.ServerTimeout, "until the head of an answer; a body may pause longer")
+		b.setTimeout(w, &b.backend.ServerTimeout, "until the head of an answer; a body may pause longer")
 	},
-	"timeout queue": func(b *builder, w []string) { b.timeout(w, &b.backend.QueueTimeout, "") },
+	"timeout queue": func(b *builder, w []string) { b.setTimeout(w, &b.backend.QueueTimeout, "") },
 	"timeout check": (*builder).checkTimeout,
 	"fullconn":      reportOnly(NotNeeded, "only for minconn, which is not carried over"),
 }
 
 func (b *builder) defaultServer(w []string) {
 	b.defaults = append(b.defaults, w[1:]...)
-	if without, err := (&options{}).read(w[1:]); err != nil {
-		b.fail("%v", err)
+	if omitted, err := (&options{}).read(w[1:]); err != nil {
+		b.errorf("%v", err)
 	} else {
-		b.reportOptions(without, "for the servers that follow")
+		b.reportOptions(omitted, "for the servers that follow")
 	}
 }
 
 func (b *builder) hashType(w []string) {
 	if len(w) > 1 && w[1] == "consistent" {
-		b.note(Carried, "rendezvous hashing")
+		b.addEntry(Carried, "rendezvous hashing")
 	} else {
-		b.note(Differently, "by rendezvous hashing: a server that leaves moves only its own")
+		b.addEntry(Differently, "by rendezvous hashing: a server that leaves moves only its own")
 	}
 }
 
 func (b *builder) tcpCheck([]string) {
 	b.ensureCheck("tcp")
-	b.note(Carried, "a check that connects")
+	b.addEntry(Carried, "a check that connects")
 }
 
-// connectCheck handles checks in protocols that are not supported: they only connect.
+// connectCheck replaces a check in an unsupported protocol by a check that opens a TCP connection.
 func (b *builder) connectCheck([]string) {
 	b.ensureCheck("tcp")
-	b.note(Differently, "a check that only connects")
+	b.addEntry(Differently, "a check that only connects")
 }
 
 func (b *builder) allBackups([]string) {
 	b.backend.AllBackups = true
-	b.note(Carried, "")
+	b.addEntry(Carried, "")
 }
 
 func (b *builder) retries(w []string) {
 	if len(w) != 2 {
-		b.fail("retries takes a number")
+		b.errorf("retries takes a number")
 		return
 	}
 	n, err := strconv.Atoi(w[1])
 	if err != nil || n < 0 || n > 100 {
-		b.fail("retries: %q is no number between 0 and 100", w[1])
+		b.errorf("retries: %q is no number between 0 and 100", w[1])
 		return
 	}
 	b.backend.Retries = &n
-	b.note(Carried, "")
+	b.addEntry(Carried, "")
 }
 
 func (b *builder) checkTimeout(w []string) {
-	if s, ok := b.seconds(w); ok {
+	if s, ok := b.parseSeconds(w); ok {
 		b.ensureCheck("")
 		b.check.Timeout = s
-		b.note(Carried, "")
+		b.addEntry(Carried, "")
 	}
 }
 
-// ensureCheck makes a check if there is none, and sets its kind unless that is "".
+// ensureCheck creates the health check of the backend if it has none. A kind other than "" replaces the
+// kind of the check.
 func (b *builder) ensureCheck(kind string) {
 	if b.check == nil {
 		b.check = &dispatchconfig.WebCheck{Kind: "tcp"}
@@ -112,70 +114,71 @@
 func (b *builder) balance(w []string) {
 	k := b.backend
 	if len(w) < 2 {
-		b.fail("balance takes an algorithm")
+		b.errorf("balance takes an algorithm")
 		return
 	}
 	k.Balance, k.HashOn = "", ""
 	name, arg, _ := strings.Cut(w[1], "(")
 	switch name {
 	case "roundrobin":
-		b.note(Carried, "")
+		b.addEntry(Carried, "")
 	case "static-rr":
-		b.note(Differently, "roundrobin")
+		b.addEntry(Differently, "roundrobin")
 	case "leastconn", "first":
 		k.Balance = name
-		b.note(Carried, "")
+		b.addEntry(Carried, "")
 	case "random":
 		k.Balance = "random"
-		b.note(Differently, "by weight alone, without a second draw")
+		b.addEntry(Differently, "by weight alone, without a second draw")
 	case "source":
-		b.hash("src", "")
+		b.balanceByHash("src", "")
 	case "uri":
-		how := ""
+		suffix := ""
 		if len(w) > 2 {
-			how = ", without " + strings.Join(w[2:], " ")
+			suffix = ", without " + strings.Join(w[2:], " ")
 		}
-		b.hash("path", how)
+		b.balanceByHash("path", suffix)
 	case "url_param":
 		if len(w) < 3 {
-			b.fail("balance url_param takes a name")
+			b.errorf("balance url_param takes a name")
 			return
 		}
-		b.hash("urlp("+w[2]+")", "")
+		b.balanceByHash("urlp("+w[2]+")", "")
 	case "hdr":
-		b.hash("hdr("+strings.TrimSuffix(arg, ")")+")", "")
+		b.balanceByHash("hdr("+strings.TrimSuffix(arg, ")")+")", "")
 	case "hash":
 		b.hashExpression(w[2:])
 	default:
-		b.note(NotCarried, "balance %s: by turns instead", w[1])
+		b.addEntry(NotCarried, "balance %s: by turns instead", w[1])
 	}
 }
 
-// hash balances by hashing an expression. The report has how after it.
-func (b *builder) hash(on, how string) {
-	b.backend.Balance, b.backend.HashOn = "hash", on
-	b.note(Differently, "by rendezvous hashing of %s%s: other servers than HAProxy's table has, one and the same for each value", on, how)
+// balanceByHash selects hash balancing on a sample expression. The suffix follows the expression in the
+// reason of the report entry.
+func (b *builder) balanceByHash(expr, suffix string) {
+	b.backend.Balance, b.backend.HashOn = "hash", expr
+	b.addEntry(Differently, "by rendezvous hashing of %s%s: other servers than HAProxy's table has, one and the same for each value", expr, suffix)
 }
 
 func (b *builder) hashExpression(w []string) {
 	if len(w) == 0 {
-		b.fail("balance hash takes an expression")
+		b.errorf("balance hash takes an expression")
 		return
 	}
 	if _, err := route.ParseFormat("%["+w[0]+"]", b.importer.opt.Files); err != nil {
 		b.reportOutcome(err, "")
 		return
 	}
-	b.hash(w[0], "")
+	b.balanceByHash(w[0], "")
 }
 
 func (b *builder) cookie(w []string) {
 	if len(w) < 2 {
-		b.fail("cookie takes a name")
+		b.errorf("cookie takes a name")
 		return
 	}
 	c := &dispatchconfig.WebCookie{Name: w[1]}
-	var without []string
+	var omitted []string
 	for i := 2; i < len(w); i++ {
 		switch w[i] {
 		case "insert":
@@ -190,31 +193,31 @@
 			c.Secure = true
 		case "domain":
 			if i++; i == len(w) {
-				b.fail("cookie: domain lacks its value")
+				b.errorf("cookie: domain lacks its value")
 				return
 			}
 			c.Domain = w[i]
 		case "maxidle", "maxlife", "attr":
 			if i++; i == len(w) {
-				b.fail("cookie: %s lacks its value", w[i-1])
+				b.errorf("cookie: %s lacks its value", w[i-1])
 				return
 			}
-			without = append(without, w[i-1])
+			omitted = append(omitted, w[i-1])
 		default:
-			without = append(without, w[i])
+			omitted = append(omitted, w[i])
 		}
 	}
 	if !c.Insert {
-		b.note(NotCarried, "only a cookie that is inserted ties clients to servers")
+		b.addEntry(NotCarried, "only a cookie that is inserted ties clients to servers")
 		return
 	}
 	b.backend.Cookie = c
-	b.reportOptions(without, "")
+	b.reportOptions(omitted, "")
 }
 
 func (b *builder) retryOn(w []string) {
 	words := w[1:]
-	var without []string
+	var omitted []string
 	var on []string
 	for _, w := range words {
 		switch {
@@ -223,27 +226,27 @@
 		case w == "all-retryable-errors":
 			on = append(on, "conn-failure", "empty-response", "junk-response", "response-timeout", "500", "502", "503", "504")
 		default:
-			without = append(without, w)
+			omitted = append(omitted, w)
 		}
 	}
 	if len(words) == 0 {
-		b.fail("retry-on takes what to retry on")
+		b.errorf("retry-on takes what to retry on")
 		return
 	}
 	slices.Sort(on)
 	b.backend.RetryOn = slices.Compact(on)
 	switch {
 	case len(on) == 0:
-		b.note(NotCarried, "%s: connections that fail are retried", strings.Join(without, ", "))
-	case len(without) > 0:
-		b.note(Differently, "without %s; only methods that may be repeated go out again", strings.Join(without, ", "))
+		b.addEntry(NotCarried, "%s: connections that fail are retried", strings.Join(omitted, ", "))
+	case len(omitted) > 0:
+		b.addEntry(Differently, "without %s; only methods that may be repeated go out again", strings.Join(omitted, ", "))
 	default:
-		b.note(Differently, "only methods that may be repeated go out again once they may have run")
+		b.addEntry(Differently, "only methods that may be repeated go out again once they may have run")
 	}
 }
 
-// optionHTTPCheck reads option httpchk: [METHOD] [URI] [VERSION], and the header fields that may
-// follow the version.
+// optionHTTPCheck parses option httpchk [METHOD] [URI] [VERSION]. Header fields may follow the version,
+// separated by CRLF.
 func (b *builder) optionHTTPCheck(w []string) {
 	w = w[2:]
 	b.ensureCheck("http")
@@ -264,35 +267,35 @@
 			}
 		}
 	}
-	b.note(Carried, "")
+	b.addEntry(Carried, "")
 }
 
-// httpCheck reads http-check expect and send; other rules are not carried over.
+// httpCheck parses the http-check directives. Only send, expect and connect without arguments are imported.
 func (b *builder) httpCheck(w []string) {
 	w = w[1:]
 	if len(w) == 0 {
-		b.fail("http-check lacks its rule")
+		b.errorf("http-check lacks its rule")
 		return
 	}
 	b.ensureCheck("http")
 	rest := w[1:]
 	switch w[0] {
 	case "disable-on-404":
-		b.note(NotCarried, "a server that answers 404 counts as down")
+		b.addEntry(NotCarried, "a server that answers 404 counts as down")
 	case "send-state":
-		b.note(NotCarried, "servers are not told how they stand")
+		b.addEntry(NotCarried, "servers are not told how they stand")
 	case "connect":
 		if len(rest) == 0 {
-			b.note(NotNeeded, "always so")
+			b.addEntry(NotNeeded, "always so")
 		} else {
-			b.note(NotCarried, "a check connects once, to the server's address: see port and addr of the server")
+			b.addEntry(NotCarried, "a check connects once, to the server's address: see port and addr of the server")
 		}
 	case "send":
 		b.checkSend(rest)
 	case "expect":
 		b.checkExpect(rest)
 	default:
-		b.note(NotCarried, "http-check %s", w[0])
+		b.addEntry(NotCarried, "http-check %s", w[0])
 	}
 }
 
@@ -312,18 +315,19 @@
 			c.Headers = append(c.Headers, rest[1]+": "+rest[2])
 			n = 3
 		default:
-			b.note(NotCarried, "%s of a check", rest[0])
+			b.addEntry(NotCarried, "%s of a check", rest[0])
 			return
 		}
 		rest = rest[n:]
 	}
-	b.note(Carried, "")
+	b.addEntry(Carried, "")
 }
 
-// Keywords of http-check expect: options that are left out, each with its value, and kinds of expectations.
 var (
+	// expectOptions are the options of http-check expect that are ignored. Each takes a value.
 	expectOptions = []string{"min-recv", "comment", "ok-status", "error-status", "tout-status", "on-success", "on-error", "status-code"}
-	expectations  = []string{"status", "rstatus", "string", "rstring"}
+	// expectations are the supported kinds of http-check expect.
+	expectations = []string{"status", "rstatus", "string", "rstring"}
 )
 
 // checkExpect parses the arguments of http-check expect.
@@ -336,14 +340,14 @@
 		not, rest = "! ", rest[1:]
 	}
 	if len(rest) < 2 {
-		b.fail("http-check expect takes what and a value")
+		b.errorf("http-check expect takes what and a value")
 		return
 	}
 	if !slices.Contains(expectations, rest[0]) {
-		b.note(NotCarried, "expect %s", rest[0])
+		b.addEntry(NotCarried, "expect %s", rest[0])
 		return
 	}
 	value := strings.Join(rest[1:], " ")
 	b.check.Expect = append(b.check.Expect, not+route.JoinWords([]string{rest[0], value}))
-	b.note(Carried, "")
+	b.addEntry(Carried, "")
 }
--- a/internal/haproxy/explain.go
+++ b/internal/haproxy/explain.go
@@ -11,30 +11,30 @@
 	"sedgevale/internal/route"
 )
 
-// ExplainRequest is a request that Explain routes.
+// ExplainRequest describes the request that Explain routes.
 type ExplainRequest struct {
-	Frontend string   // "": the first
-	Line     string   // METHOD TARGET, as a request line begins
-	Headers  []string // NAME: VALUE each
-	Source   string   // the client's address; "": 127.0.0.1
+	Frontend string   // name of the frontend; the first one if empty
+	Line     string   // "METHOD TARGET"; a version that follows is ignored
+	Headers  []string // header fields as "NAME: VALUE"
+	Source   string   // IP address of the client; 127.0.0.1 if empty
 	TLS      bool
 }
 
-// Explanation is the route of a request.
+// Explanation describes how a request is routed.
 type Explanation struct {
 	Frontend, Rule, Backend, Server string
-	Answer                          *route.Answer // in place of a server
-	Target                          string        // as the server sees it
+	Answer                          *route.Answer // set if a rule or an error answers the request instead of a server
+	Target                          string        // request target as sent to the server
 }
 
-// Explain returns the frontend, rule, backend and server that a request would be routed to if all
-// servers were up. Of several servers that balancing may pick it returns the first.
-func Explain(w *dispatchconfig.Web, files route.Files, ask ExplainRequest) (*Explanation, error) {
-	f, err := findFrontend(w, ask.Frontend)
+// Explain returns the frontend, rule, backend and server that a request is routed to if all servers are
+// up. The server is the first one that a new pool of the backend picks.
+func Explain(w *dispatchconfig.Web, files route.Files, req ExplainRequest) (*Explanation, error) {
+	f, err := findFrontend(w, req.Frontend)
 	if err != nil {
 		return nil, err
 	}
-	q, err := ask.request(f)
+	q, err := req.request(f)
 	if err != nil {
 		return nil, err
 	}
@@ -48,21 +48,21 @@
 		}
 		return 0
 	}
-	way := &Explanation{Frontend: f.Name}
-	answered, err := way.throughFrontend(f, files, q, backends)
+	explanation := &Explanation{Frontend: f.Name}
+	answered, err := explanation.applyFrontend(f, files, q, backends)
 	if err != nil {
 		return nil, err
 	}
 	if answered {
-		return way, nil
+		return explanation, nil
 	}
-	if err := way.throughBackend(backends[way.Backend], files, q); err != nil {
+	if err := explanation.applyBackend(backends[explanation.Backend], files, q); err != nil {
 		return nil, err
 	}
-	return way, nil
+	return explanation, nil
 }
 
-// findFrontend returns the frontend of a name, or the first for "".
+// findFrontend returns the frontend with the given name, or the first frontend if the name is empty.
 func findFrontend(w *dispatchconfig.Web, name string) (*dispatchconfig.WebFrontend, error) {
 	if name == "" {
 		return &w.Frontends[0], nil
@@ -75,25 +75,25 @@
 	return nil, fmt.Errorf("no frontend is called %q", name)
 }
 
-// request returns the request as a frontend receives it.
-func (ask *ExplainRequest) request(f *dispatchconfig.WebFrontend) (*route.Request, error) {
-	method, target, ok := strings.Cut(strings.TrimSpace(ask.Line), " ")
-	target, _, _ = strings.Cut(target, " ") // the version does not matter
+// request builds the request as the frontend receives it.
+func (req *ExplainRequest) request(f *dispatchconfig.WebFrontend) (*route.Request, error) {
+	method, target, ok := strings.Cut(strings.TrimSpace(req.Line), " ")
+	target, _, _ = strings.Cut(target, " ") // drop the HTTP version
 	if !ok || target == "" {
-		return nil, fmt.Errorf("%q is no request line: METHOD TARGET", ask.Line)
+		return nil, fmt.Errorf("%q is no request line: METHOD TARGET", req.Line)
 	}
-	q := &route.Request{Method: method, Target: target, Version: "1.1", TLS: ask.TLS, Src: netip.MustParseAddr("127.0.0.1")}
-	if ask.Source != "" {
-		a, err := netip.ParseAddr(ask.Source)
+	q := &route.Request{Method: method, Target: target, Version: "1.1", TLS: req.TLS, Src: netip.MustParseAddr("127.0.0.1")}
+	if req.Source != "" {
+		a, err := netip.ParseAddr(req.Source)
 		if err != nil {
-			return nil, fmt.Errorf("%q is no address", ask.Source)
+			return nil, fmt.Errorf("%q is no address", req.Source)
 		}
 		q.Src = a
 	}
 	if ap, err := netip.ParseAddrPort(f.Listen[0]); err == nil {
 		q.DstPort = int(ap.Port())
 	}
-	for _, h := range ask.Headers {
+	for _, h := range req.Headers {
 		name, value, ok := strings.Cut(h, ":")
 		if !ok {
 			return nil, fmt.Errorf("%q is no header field, NAME: VALUE", h)
@@ -103,14 +103,14 @@
 	return q, nil
 }
 
-// throughFrontend finds the backend by the frontend's rules. It reports whether the request is
-// answered without one.
-func (w *Explanation) throughFrontend(f *dispatchconfig.WebFrontend, files route.Files, q *route.Request, backends map[string]*dispatchconfig.WebBackend) (answered bool, err error) {
+// applyFrontend applies the rules of the frontend and selects the backend. It reports whether the request
+// is answered without a backend.
+func (w *Explanation) applyFrontend(f *dispatchconfig.WebFrontend, files route.Files, q *route.Request, backends map[string]*dispatchconfig.WebBackend) (answered bool, err error) {
 	rules, err := route.Compile(f.Spec, files)
 	if err != nil {
 		return false, err
 	}
-	if w.answer(rules, q) {
+	if w.applyRules(rules, q) {
 		return true, nil
 	}
 	w.Backend, w.Rule = rules.SelectBackend(q, func(n string) bool { return backends[n] != nil })
@@ -124,13 +124,13 @@
 	return false, nil
 }
 
-// throughBackend finds the server by the backend's rules and its pool.
-func (w *Explanation) throughBackend(b *dispatchconfig.WebBackend, files route.Files, q *route.Request) error {
+// applyBackend applies the rules of the backend and picks a server from its pool.
+func (w *Explanation) applyBackend(b *dispatchconfig.WebBackend, files route.Files, q *route.Request) error {
 	rules, err := route.Compile(b.Spec, files)
 	if err != nil {
 		return err
 	}
-	if w.answer(rules, q) {
+	if w.applyRules(rules, q) {
 		return nil
 	}
 	w.Target = q.Target
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// answer reports whether one of the rules answers the request.
-func (w *Explanation) answer(rules *route.Rules, q *route.Request) bool {
+// applyRules applies the request rules and reports whether one of them answers the request.
+func (w *Explanation) applyRules(rules *route.Rules, q *route.Request) bool {
 	if w.Answer = rules.ApplyRequest(q); w.Answer == nil {
 		return false
 	}
@@ -163,7 +163,7 @@
 	return true
 }
 
-// poolHint returns the part of the request that decides on the server.
+// poolHint returns the hash key and the persistence cookie of the request.
 func poolHint(b *dispatchconfig.WebBackend, files route.Files, q *route.Request) (h pool.Hint, err error) {
 	if b.HashOn != "" {
 		on, err := route.ParseFormat("%["+b.HashOn+"]", files)
@@ -181,7 +181,7 @@
 	return h, nil
 }
 
-// String returns the explanation as text, a line for each part.
+// String formats the explanation as text with one part per line.
 func (w *Explanation) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "frontend %s\n", w.Frontend)
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -9,48 +9,48 @@
 	"sedgevale/internal/route"
 )
 
-// Options are what a configuration depends on besides its text.
+// Options hold the inputs of an import besides the configuration files.
 type Options struct {
 	Env     map[string]string // environment variables
-	Defines map[string]bool   // names that .if defined(NAME) holds for, besides those of Env
-	Hosts   map[string]string // addresses of host names, which are not looked up
-	Files   route.Files       // reads files that access lists and maps name; nil: none can be read
-	Name    string            // of the scheduler; "": that of the first frontend
+	Defines map[string]bool   // names for which .if defined(NAME) holds, in addition to those in Env
+	Hosts   map[string]string // IP addresses by host name; the importer does not resolve names
+	Files   route.Files       // reads pattern and map files; nil: every read fails with fs.ErrNotExist
+	Name    string            // name of the scheduler; the name of the first frontend if empty
 }
 
-// Result is an imported configuration.
+// Result is the outcome of an import.
 type Result struct {
 	File   dispatchconfig.File
 	Report Report
-	origin map[string]string // of frontends ("f NAME") and backends ("b NAME"): section, file and line
+	origin map[string]string // section, file and line by "f NAME" for frontends and "b NAME" for backends
 }
 
-// ErrNoFrontend is returned for a configuration of which no frontend can be carried over.
+// ErrNoFrontend is returned by Import if it could not import any frontend.
 var ErrNoFrontend = errors.New("no frontend can be carried over")
 
-// importer maps sections.
+// importer converts parsed sections to an operator's file and collects the report entries.
 type importer struct {
 	opt      Options
 	sections []*section
 	result   *Result
 	errs     []error
-	verdicts map[position]Entry // of directives that several sections inherit: the worst
-	order    []position         // of verdicts, as they came
+	verdicts map[position]Entry // one per directive; the most severe one if several sections inherit it
+	order    []position         // keys of verdicts in insertion order
 	web      dispatchconfig.Web
 	sockets  int
 }
 
-// position is the file and line of a directive.
+// position identifies a directive by its file and line.
 type position struct {
 	file string
 	line int
 }
 
-// severity orders verdicts, the worst last.
+// severity ranks verdicts; a higher value is more severe.
 var severity = map[Verdict]int{NotNeeded: 1, Carried: 2, Differently: 3, NotCarried: 4}
 
-// Import maps a configuration. Malformed directives are errors, all of them joined; directives
-// that cannot be carried over are in the report.
+// Import converts an HAProxy configuration. It returns the errors of all malformed directives joined.
+// Well-formed directives that cannot be converted are not errors and are listed in the report.
 func Import(sources []Source, opt Options) (*Result, error) {
 	if opt.Files == nil {
 		opt.Files = route.NoFiles
@@ -60,9 +60,9 @@
 		r.read(s)
 	}
 	im := &importer{opt: opt, sections: r.sections, result: &Result{origin: map[string]string{}}, verdicts: map[position]Entry{}, errs: r.errs}
-	im.settingsSections()
-	im.proxySections()
-	im.unusedDefaults()
+	im.importSettings()
+	im.importProxies()
+	im.reportUnusedDefaults()
 	if len(im.errs) > 0 {
 		return nil, errors.Join(im.errs...)
 	}
@@ -70,7 +70,7 @@
 	for _, p := range im.order {
 		res.Report = append(res.Report, im.verdicts[p])
 	}
-	res.Report = append(res.Report, r.notes...)
+	res.Report = append(res.Report, r.entries...)
 	res.Report.sort(sources)
 	if len(im.web.Frontends) == 0 {
 		return res, ErrNoFrontend
@@ -83,53 +83,53 @@
 	return res, nil
 }
 
-// settingsSections handles all sections that carry no traffic.
-func (im *importer) settingsSections() {
+// importSettings imports the global section and reports the defaults and unsupported sections.
+func (im *importer) importSettings() {
 	for _, s := range im.sections {
 		switch {
 		case s.kind == "global":
-			im.global(s)
+			im.importGlobal(s)
 		case s.kind == "defaults":
-			im.note(s.directive, s, NotNeeded, "what it says counts for the sections that follow")
-		case unsupportedSections[s.kind]:
-			im.note(s.directive, s, NotCarried, "there is nothing that corresponds to a section "+s.kind)
+			im.addEntry(s.directive, s, NotNeeded, "what it says counts for the sections that follow")
+		case unsupportedSectionKinds[s.kind]:
+			im.addEntry(s.directive, s, NotCarried, "there is nothing that corresponds to a section "+s.kind)
 			for _, d := range s.body {
-				im.note(d, s, NotCarried, "of a section that has no counterpart")
+				im.addEntry(d, s, NotCarried, "of a section that has no counterpart")
 			}
 		}
 	}
 }
 
-// proxySections maps the sections that carry traffic. Backends come first: rules that select
-// one that is not carried over are not carried over either.
-func (im *importer) proxySections() {
+// importProxies imports the backend, listen and frontend sections. Backends come first because a rule
+// that selects a backend is imported only if the backend is.
+func (im *importer) importProxies() {
 	backends := map[string]bool{}
 	for _, kind := range []string{"backend", "listen", "frontend"} {
 		for _, s := range im.sections {
 			if s.kind == kind {
-				im.proxy(s, backends)
+				im.importProxy(s, backends)
 			}
 		}
 	}
 }
 
-// unusedDefaults notes directives of defaults sections that no section has inherited.
-func (im *importer) unusedDefaults() {
+// reportUnusedDefaults adds entries for the directives of defaults sections that no section inherits.
+func (im *importer) reportUnusedDefaults() {
 	for _, s := range im.sections {
 		if s.kind != "defaults" {
 			continue
 		}
 		for _, d := range s.body {
 			if _, ok := im.verdicts[position{d.file, d.line}]; !ok {
-				im.note(d, s, NotNeeded, "no section that it counts for uses it")
+				im.addEntry(d, s, NotNeeded, "no section that it counts for uses it")
 			}
 		}
 	}
 }
 
-// note adds the verdict on a directive. Of several verdicts on a directive that several
-// sections inherit, the worst is kept.
-func (im *importer) note(d directive, s *section, v Verdict, reason string) {
+// addEntry records the verdict on a directive. A directive that several sections inherit keeps its most
+// severe verdict.
+func (im *importer) addEntry(d directive, s *section, v Verdict, reason string) {
 	p := position{d.file, d.line}
 	old, ok := im.verdicts[p]
 	if !ok {
@@ -144,17 +144,17 @@
 	}
 }
 
-// fail notes a malformed directive.
-func (im *importer) fail(d directive, format string, args ...any) {
+// errorf records an error for a malformed directive.
+func (im *importer) errorf(d directive, format string, args ...any) {
 	err := malformed(d, format, args...)
-	if !slices.ContainsFunc(im.errs, func(e error) bool { return e.Error() == err.Error() }) { // inherited ones come again
+	if !slices.ContainsFunc(im.errs, func(e error) bool { return e.Error() == err.Error() }) { // an inherited directive fails once per section
 		im.errs = append(im.errs, err)
 	}
 }
 
-// defaultsOf returns the defaults section that applies to a section: the one it names, or the last
-// before it.
-func (im *importer) defaultsOf(s *section) (found *section) {
+// findDefaults returns the defaults section that applies to a section: the one named by "from", or the
+// last one before the section. It returns nil if there is none.
+func (im *importer) findDefaults(s *section) (found *section) {
 	for _, d := range im.sections {
 		if s.from == "" && d == s {
 			break
@@ -166,72 +166,73 @@
 	return found
 }
 
-// inherited returns a section's directives with those of its defaults before them, and of
-// the defaults that those name.
-func (im *importer) inherited(s *section) (all []item) {
+// effectiveDirectives returns the directives of a section, preceded by those of its chain of defaults
+// sections.
+func (im *importer) effectiveDirectives(s *section) (all []scopedDirective) {
 	var chain []*section
-	for d := im.defaultsOf(s); d != nil && !slices.Contains(chain, d); {
+	for d := im.findDefaults(s); d != nil && !slices.Contains(chain, d); {
 		chain = append(chain, d)
 		if d.from == "" {
 			break
 		}
-		d = im.defaultsOf(&section{from: d.from})
+		d = im.findDefaults(&section{from: d.from})
 	}
 	if s.from != "" && len(chain) == 0 {
-		im.fail(s.directive, "no defaults section is called %q", s.from)
+		im.errorf(s.directive, "no defaults section is called %q", s.from)
 	}
 	for i := len(chain) - 1; i >= 0; i-- {
 		for _, d := range chain[i].body {
-			all = append(all, item{d, chain[i]})
+			all = append(all, scopedDirective{d, chain[i]})
 		}
 	}
 	for _, d := range s.body {
-		all = append(all, item{d, s})
+		all = append(all, scopedDirective{d, s})
 	}
 	return all
 }
 
-// item is a directive and the section that contains it, which may be a defaults section.
-type item struct {
+// scopedDirective is a directive with the section that contains it, which may be a defaults section.
+type scopedDirective struct {
 	directive
 	in *section
 }
 
-// global handles a global section.
-func (im *importer) global(s *section) {
-	im.note(s.directive, s, NotNeeded, "settings of the process; see each line")
+// importGlobal imports the directives of a global section.
+func (im *importer) importGlobal(s *section) {
+	im.addEntry(s.directive, s, NotNeeded, "settings of the process; see each line")
 	for _, d := range s.body {
 		w := d.words
 		switch w[0] {
 		case "ulimit-n", "maxconn":
 			if len(w) != 2 {
-				im.fail(d, "%s takes a number", w[0])
+				im.errorf(d, "%s takes a number", w[0])
 				continue
 			}
-			n, err := positive(w[1])
+			n, err := parsePositive(w[1])
 			if err != nil {
-				im.fail(d, "%s: %v", w[0], err)
+				im.errorf(d, "%s: %v", w[0], err)
 				continue
 			}
 			if w[0] == "ulimit-n" {
 				im.sockets = n
-				im.note(d, s, Carried, "limits.sockets")
+				im.addEntry(d, s, Carried, "limits.sockets")
 				continue
 			}
 			if im.sockets == 0 {
 				im.sockets = 2*n + 64
 			}
-			im.note(d, s, Differently, "limits.sockets bounds descriptors, two for each connection")
+			im.addEntry(d, s, Differently, "limits.sockets bounds descriptors, two for each connection")
 		default:
-			v, reason := lookup(globalDirectives, w)
-			im.note(d, s, v, reason)
+			v, reason := lookupDisposition(globalDirectives, w)
+			im.addEntry(d, s, v, reason)
 		}
 	}
 }
 
-// lookup returns the disposition of a directive, by its first two words or the first.
-func lookup(table map[string]disposition, words []string) (Verdict, string) {
-	for _, key := range directiveKeys(words) {
+// lookupDisposition returns the verdict and reason that a table has for a directive. It tries the first two
+// words, the first word, and then the longest matching prefix pattern.
+func lookupDisposition(table map[string]disposition, words []string) (Verdict, string) {
+	for _, key := range lookupKeys(words) {
 		if f, ok := table[key]; ok {
 			return f.verdict, f.reason
 		}
@@ -245,13 +246,13 @@
 	if f, ok := table[longest]; ok {
 		return f.verdict, f.reason
 	}
-	return NotCarried, unknownDirective
+	return NotCarried, reasonUnknown
 }
 
-// unknownDirective is the reason for a directive that no table has.
-const unknownDirective = "not known here"
+// reasonUnknown is the reason reported for a directive that is in no table.
+const reasonUnknown = "not known here"
 
-// disposition is the verdict on all directives of a name, with its reason.
+// disposition is the fixed verdict, with its reason, on all directives of one name.
 type disposition struct {
 	verdict Verdict
 	reason  string
--- a/internal/haproxy/lex.go
+++ b/internal/haproxy/lex.go
@@ -1,7 +1,7 @@
-// Package haproxy imports a configuration of HAProxy into an operator's file whose plain
-// HTTP reverse proxy serves alike. Every directive is accounted for: carried over, carried over
-// differently, not needed, or not carried over, each with a reason. It follows HAProxy's
-// published configuration manual.
+// Package haproxy converts HAProxy configuration files to an operator's file for the plain HTTP reverse
+// proxy. The report has one entry per directive with its verdict and reason: carried over, carried over
+// differently, not needed, or not carried over. The conversion follows HAProxy's published configuration
+// manual. The package also explains how a converted configuration routes a request.
 package haproxy
 
 import (
@@ -18,19 +18,19 @@
 	file  string
 	line  int
 	words []string
-	text  string // as it was written, without leading and trailing blanks
+	text  string // the line as written, without leading and trailing blanks
 }
 
 func (d directive) String() string { return strings.Join(d.words, " ") }
 
-// section is a part of a configuration with its directives.
+// section is a section of a configuration with its directives.
 type section struct {
 	directive
 	kind, name, from string
 	body             []directive
 }
 
-// Error is a malformed directive.
+// Error reports a malformed directive.
 type Error struct {
 	File string
 	Line int
@@ -39,54 +39,57 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
-// malformed returns the Error of a directive.
+// malformed returns an Error located at the directive.
 func malformed(d directive, format string, args ...any) error {
 	return &Error{d.file, d.line, fmt.Sprintf(format, args...)}
 }
 
-// Sections that carry traffic, those that hold settings, and those without a counterpart here.
 var (
-	proxySections       = map[string]bool{"frontend": true, "backend": true, "listen": true}
-	settingsSections    = map[string]bool{"global": true, "defaults": true}
-	unsupportedSections = map[string]bool{"userlist": true, "peers": true, "mailers": true, "resolvers": true, "cache": true,
+	// proxySectionKinds are the sections that define frontends and backends.
+	proxySectionKinds = map[string]bool{"frontend": true, "backend": true, "listen": true}
+	// settingsSectionKinds are the sections that only hold settings.
+	settingsSectionKinds = map[string]bool{"global": true, "defaults": true}
+	// unsupportedSectionKinds are the sections that have no equivalent.
+	unsupportedSectionKinds = map[string]bool{"userlist": true, "peers": true, "mailers": true, "resolvers": true, "cache": true,
 		"program": true, "ring": true, "http-errors": true, "fcgi-app": true, "log-forward": true, "crt-store": true,
 		"traces": true, "acme": true, "log-profile": true}
 )
 
-// Source is a file of a configuration.
+// Source is one configuration file.
 type Source struct {
 	Name string
 	Text []byte
 }
 
-// maxLine is HAProxy's own bound, in bytes.
-const maxLine = 16 << 10
+// maxLineBytes is the maximum length of a line. HAProxy has the same limit.
+const maxLineBytes = 16 << 10
 
-// sectionReader parses sources into sections, and notes directives that it leaves out.
+// sectionReader parses sources into sections and adds entries for the directives that belong to no
+// section's body.
 type sectionReader struct {
 	opt      *Options
 	sections []*section
-	notes    []Entry
+	entries  []Entry
 	errs     []error
-	blocks   []block // open .if
+	blocks   []conditionalBlock // open .if blocks, innermost last
 }
 
-// block is an open .if.
-type block struct {
+// conditionalBlock is an .if block whose .endif has not been read yet.
+type conditionalBlock struct {
 	directive
-	state    blockState
-	anyTaken bool // a branch was taken
-	unknown  bool // a condition could not be evaluated
-	sawElse  bool
+	state       branchState
+	branchTaken bool // some branch applied
+	unknown     bool // some condition could not be evaluated
+	sawElse     bool
 }
 
-// blockState says whether the directives of a block's current branch apply.
-type blockState uint8
+// branchState tells whether the directives of the current branch of a block apply.
+type branchState uint8
 
 const (
-	takenBranch   blockState = iota // its directives apply
-	skippedBranch                   // they do not
-	unknownBranch                   // its condition cannot be evaluated
+	takenBranch   branchState = iota // the directives apply
+	skippedBranch                    // the directives do not apply
+	unknownBranch                    // the condition cannot be evaluated
 )
 
 // read parses one file.
@@ -95,8 +98,8 @@
 	for i := 0; i < len(lines); i++ {
 		text := strings.TrimSuffix(lines[i], "\r")
 		d := directive{file: s.Name, line: i + 1, text: strings.TrimSpace(text)}
-		if len(text) > maxLine {
-			r.fail(d, "a line of %d bytes, %d at most", len(text), maxLine)
+		if len(text) > maxLineBytes {
+			r.errorf(d, "a line of %d bytes, %d at most", len(text), maxLineBytes)
 			continue
 		}
 		words, missing, err := r.split(text)
@@ -106,44 +109,44 @@
 		d.words = words
 		switch {
 		case len(words) > 0 && strings.HasPrefix(words[0], "."):
-			r.conditional(d, err)
+			r.handleConditional(d, err)
 			continue
-		case !r.inForce(d):
+		case !r.isActive(d):
 			continue
 		case err != nil:
-			r.fail(d, "%v", err)
+			r.errorf(d, "%v", err)
 			continue
 		}
-		r.add(d, missing)
+		r.addDirective(d, missing)
 	}
 	for _, b := range r.blocks {
-		r.fail(b.directive, ".if without .endif")
+		r.errorf(b.directive, ".if without .endif")
 	}
 	r.blocks = nil
 }
 
-// add puts a directive into its section.
-func (r *sectionReader) add(d directive, missing []string) {
+// addDirective begins a section or appends the directive to the current one.
+func (r *sectionReader) addDirective(d directive, missing []string) {
 	kind := d.words[0]
-	if proxySections[kind] || settingsSections[kind] || unsupportedSections[kind] {
-		r.begin(d)
+	if proxySectionKinds[kind] || settingsSectionKinds[kind] || unsupportedSectionKinds[kind] {
+		r.beginSection(d)
 		return
 	}
 	if len(r.sections) == 0 {
-		r.fail(d, "%q stands before any section", kind)
+		r.errorf(d, "%q stands before any section", kind)
 		return
 	}
 	s := r.sections[len(r.sections)-1]
 	if len(missing) > 0 {
-		r.notes = append(r.notes, entry(d, s.title(), NotCarried, fmt.Sprintf("the environment variable %s is not known: give --env %s=VALUE",
+		r.entries = append(r.entries, entry(d, s.title(), NotCarried, fmt.Sprintf("the environment variable %s is not known: give --env %s=VALUE",
 			strings.Join(missing, ", "), missing[0])))
 		return
 	}
 	s.body = append(s.body, d)
 }
 
-// begin begins a section.
-func (r *sectionReader) begin(d directive) {
+// beginSection parses a section header, KIND [NAME] [from DEFAULTS].
+func (r *sectionReader) beginSection(d directive) {
 	kind := d.words[0]
 	s := &section{directive: d, kind: kind}
 	rest := d.words[1:]
@@ -155,152 +158,153 @@
 	}
 	switch {
 	case len(rest) > 0:
-		r.fail(d, "unexpected %q behind the name of the section", rest[0])
-	case proxySections[kind] && s.name == "":
-		r.fail(d, "a %s needs a name", kind)
+		r.errorf(d, "unexpected %q behind the name of the section", rest[0])
+	case proxySectionKinds[kind] && s.name == "":
+		r.errorf(d, "a %s needs a name", kind)
 	}
 	r.sections = append(r.sections, s)
 }
 
-// fail notes a malformed directive.
-func (r *sectionReader) fail(d directive, format string, args ...any) {
+// errorf records an error for a malformed directive.
+func (r *sectionReader) errorf(d directive, format string, args ...any) {
 	r.errs = append(r.errs, malformed(d, format, args...))
 }
 
-// note says what became of a directive that belongs to no section's body.
-func (r *sectionReader) note(d directive, v Verdict, reason string) {
-	r.notes = append(r.notes, entry(d, r.here(), v, reason))
+// addEntry records the verdict on a directive that belongs to no section's body.
+func (r *sectionReader) addEntry(d directive, v Verdict, reason string) {
+	r.entries = append(r.entries, entry(d, r.currentSection(), v, reason))
 }
 
 func (s *section) title() string { return strings.TrimSpace(s.kind + " " + s.name) }
 
-// origin says where the section stands, for a comment in the operator's file.
+// origin returns the location of the section for a comment in the operator's file.
 func (s *section) origin() string { return fmt.Sprintf("%s, %s:%d", s.title(), s.file, s.line) }
 
-// inForce reports whether a directive is outside of skipped and unknown branches, and notes it if not.
-func (r *sectionReader) inForce(d directive) bool {
+// isActive reports whether a directive is outside of skipped and unknown branches. Otherwise it adds an
+// entry for the directive.
+func (r *sectionReader) isActive(d directive) bool {
 	for _, b := range r.blocks {
 		switch b.state {
 		case skippedBranch:
-			r.note(d, NotNeeded, "its condition does not hold")
+			r.addEntry(d, NotNeeded, "its condition does not hold")
 			return false
 		case unknownBranch:
-			r.note(d, NotCarried, "its condition ("+b.file+":"+strconv.Itoa(b.line)+") cannot be told here: give --define or --env")
+			r.addEntry(d, NotCarried, "its condition ("+b.file+":"+strconv.Itoa(b.line)+") cannot be told here: give --define or --env")
 			return false
 		}
 	}
 	return true
 }
 
-// here returns the title of the section that is being read.
-func (r *sectionReader) here() string {
+// currentSection returns the title of the section being read.
+func (r *sectionReader) currentSection() string {
 	if len(r.sections) == 0 {
 		return ""
 	}
 	return r.sections[len(r.sections)-1].title()
 }
 
-// conditional handles the directives of conditional blocks, and messages such as .notice.
-func (r *sectionReader) conditional(d directive, bad error) {
+// handleConditional handles directives that begin with a dot: conditional blocks and messages.
+func (r *sectionReader) handleConditional(d directive, bad error) {
 	switch d.words[0] {
 	case ".if":
 		if bad != nil {
-			r.fail(d, "%s", bad.Error())
+			r.errorf(d, "%s", bad.Error())
 		}
 		r.beginBlock(d)
 	case ".elif", ".else":
 		r.nextBranch(d)
 	case ".endif":
 		if len(r.blocks) == 0 {
-			r.fail(d, ".endif without .if")
+			r.errorf(d, ".endif without .if")
 			return
 		}
-		r.note(d, NotNeeded, "the end of a condition")
+		r.addEntry(d, NotNeeded, "the end of a condition")
 		r.blocks = r.blocks[:len(r.blocks)-1]
 	case ".notice", ".warning", ".diag", ".alert":
-		if r.inForce(d) {
-			r.note(d, NotNeeded, "a message for whoever starts HAProxy")
+		if r.isActive(d) {
+			r.addEntry(d, NotNeeded, "a message for whoever starts HAProxy")
 		}
 	default:
-		r.fail(d, "%s is unknown", d.words[0])
+		r.errorf(d, "%s is unknown", d.words[0])
 	}
 }
 
 // beginBlock handles .if.
 func (r *sectionReader) beginBlock(d directive) {
 	if n := len(r.blocks); n > 0 && r.blocks[n-1].state != takenBranch {
-		r.note(d, NotNeeded, "it stands in a block that does not count")
-		r.blocks = append(r.blocks, block{directive: d, state: skippedBranch, anyTaken: true})
+		r.addEntry(d, NotNeeded, "it stands in a block that does not count")
+		r.blocks = append(r.blocks, conditionalBlock{directive: d, state: skippedBranch, branchTaken: true})
 		return
 	}
-	s := r.evaluate(d)
-	r.blocks = append(r.blocks, block{directive: d, state: s, anyTaken: s == takenBranch, unknown: s == unknownBranch})
+	s := r.evalBranch(d)
+	r.blocks = append(r.blocks, conditionalBlock{directive: d, state: s, branchTaken: s == takenBranch, unknown: s == unknownBranch})
 }
 
 // nextBranch handles .elif and .else.
 func (r *sectionReader) nextBranch(d directive) {
 	last := len(r.blocks) - 1
 	if last < 0 || r.blocks[last].sawElse {
-		r.fail(d, "%s without .if", d.words[0])
+		r.errorf(d, "%s without .if", d.words[0])
 		return
 	}
 	b := &r.blocks[last]
 	switch {
-	case b.anyTaken:
-		r.note(d, NotNeeded, "an earlier branch counts")
+	case b.branchTaken:
+		r.addEntry(d, NotNeeded, "an earlier branch counts")
 		b.state = skippedBranch
 	case b.unknown:
-		r.note(d, NotCarried, "whether it counts cannot be told: an earlier condition is not known")
+		r.addEntry(d, NotCarried, "whether it counts cannot be told: an earlier condition is not known")
 		b.state = unknownBranch
 	case d.words[0] == ".else":
-		r.note(d, NotNeeded, "evaluated: it holds")
-		b.state, b.anyTaken = takenBranch, true
+		r.addEntry(d, NotNeeded, "evaluated: it holds")
+		b.state, b.branchTaken = takenBranch, true
 	default:
-		b.state = r.evaluate(d)
-		b.anyTaken, b.unknown = b.state == takenBranch, b.state == unknownBranch
+		b.state = r.evalBranch(d)
+		b.branchTaken, b.unknown = b.state == takenBranch, b.state == unknownBranch
 	}
 	b.sawElse = d.words[0] == ".else"
 }
 
-// evaluate evaluates the condition of .if or .elif, and notes what it is.
-func (r *sectionReader) evaluate(d directive) blockState {
-	holds, known := r.condition(strings.Join(d.words[1:], " "))
+// evalBranch evaluates the condition of .if or .elif and adds an entry with the result.
+func (r *sectionReader) evalBranch(d directive) branchState {
+	holds, known := r.evalCondition(strings.Join(d.words[1:], " "))
 	switch {
 	case !known:
-		r.note(d, NotCarried, "the condition cannot be told here: give --define or --env")
+		r.addEntry(d, NotCarried, "the condition cannot be told here: give --define or --env")
 		return unknownBranch
 	case holds:
-		r.note(d, NotNeeded, "evaluated: it holds")
+		r.addEntry(d, NotNeeded, "evaluated: it holds")
 		return takenBranch
 	}
-	r.note(d, NotNeeded, "evaluated: it does not hold")
+	r.addEntry(d, NotNeeded, "evaluated: it does not hold")
 	return skippedBranch
 }
 
-// condition evaluates the condition of .if: whether it holds, and whether it can be evaluated here.
-func (r *sectionReader) condition(text string) (holds, known bool) {
+// evalCondition evaluates a condition. It returns known as false if the options don't determine the result.
+func (r *sectionReader) evalCondition(text string) (holds, known bool) {
 	text = strings.TrimSpace(text)
-	if a, b, ok := cutOutside(text, "||"); ok {
-		return r.either(a, b)
+	if a, b, ok := cutOutsideParens(text, "||"); ok {
+		return r.evalOr(a, b)
 	}
-	if a, b, ok := cutOutside(text, "&&"); ok {
-		return r.both(a, b)
+	if a, b, ok := cutOutsideParens(text, "&&"); ok {
+		return r.evalAnd(a, b)
 	}
 	if rest, ok := strings.CutPrefix(text, "!"); ok {
-		h, k := r.condition(rest)
+		h, k := r.evalCondition(rest)
 		return !h, k
 	}
 	if strings.HasPrefix(text, "(") && strings.HasSuffix(text, ")") {
-		return r.condition(text[1 : len(text)-1])
+		return r.evalCondition(text[1 : len(text)-1])
 	}
 	if n, err := strconv.Atoi(text); err == nil {
 		return n != 0, true
 	}
-	return r.predicate(text)
+	return r.evalPredicate(text)
 }
 
-// predicate evaluates defined(NAME), streq(A,B) and strneq(A,B).
-func (r *sectionReader) predicate(text string) (holds, known bool) {
+// evalPredicate evaluates defined(NAME), streq(A,B) and strneq(A,B).
+func (r *sectionReader) evalPredicate(text string) (holds, known bool) {
 	name, rest, ok := strings.Cut(text, "(")
 	args := strings.Split(strings.TrimSuffix(rest, ")"), ",")
 	for i := range args {
@@ -322,22 +326,22 @@
 	return false, false
 }
 
-// either evaluates A || B. It is known if one operand is known to hold, or both are known.
-func (r *sectionReader) either(a, b string) (holds, known bool) {
-	h1, k1 := r.condition(a)
-	h2, k2 := r.condition(b)
+// evalOr evaluates A || B. The result is known if one operand is known to hold or both are known.
+func (r *sectionReader) evalOr(a, b string) (holds, known bool) {
+	h1, k1 := r.evalCondition(a)
+	h2, k2 := r.evalCondition(b)
 	return h1 && k1 || h2 && k2, k1 && k2 || h1 && k1 || h2 && k2
 }
 
-// both evaluates A && B. It is known if one operand is known not to hold, or both are known.
-func (r *sectionReader) both(a, b string) (holds, known bool) {
-	h1, k1 := r.condition(a)
-	h2, k2 := r.condition(b)
+// evalAnd evaluates A && B. The result is known if one operand is known not to hold or both are known.
+func (r *sectionReader) evalAnd(a, b string) (holds, known bool) {
+	h1, k1 := r.evalCondition(a)
+	h2, k2 := r.evalCondition(b)
 	return h1 && h2, k1 && k2 || k1 && !h1 || k2 && !h2
 }
 
-// cutOutside cuts s at the first separator outside of parentheses.
-func cutOutside(s, sep string) (a, b string, ok bool) {
+// cutOutsideParens cuts s around the first separator outside of parentheses.
+func cutOutsideParens(s, sep string) (a, b string, ok bool) {
 	depth := 0
 	for i := range len(s) {
 		switch s[i] {
@@ -353,7 +357,7 @@
 	return s, "", false
 }
 
-// split splits a line into words. Missing has the names of unknown environment variables.
+// split splits a line into words and returns the names of the environment variables that are not set.
 func (r *sectionReader) split(line string) (words, missing []string, err error) {
 	words, err = route.Splitter{Comments: true, Variable: func(s string) (string, int) {
 		value, n, name := r.variable(s)
@@ -365,7 +369,8 @@
 	return words, missing, err
 }
 
-// variable reads $NAME, ${NAME} or ${NAME-DEFAULT} at the start of s.
+// variable expands $NAME, ${NAME} or ${NAME-DEFAULT} at the start of s. It returns the value, the number of
+// bytes read, and the name of the variable if it is not set and has no default.
 func (r *sectionReader) variable(s string) (value string, n int, missing string) {
 	var name, fallback string
 	var hasFallback bool
@@ -396,24 +401,24 @@
 	return "", n, name
 }
 
-// isNameByte reports whether a byte may stand in the name of an environment variable.
+// isNameByte reports whether a byte is allowed in the name of an environment variable.
 func isNameByte(c byte) bool {
 	return c == '_' || c >= '0' && c <= '9' || c >= 'A' && c <= 'Z' || c >= 'a' && c <= 'z'
 }
 
-// units are the units of a time. Each suffix stands before those that it ends with.
-var units = []struct {
-	suffix string
-	is     time.Duration
+// timeUnits are the suffixes of a time. A suffix that ends with another one precedes it, as "ms" precedes "s".
+var timeUnits = []struct {
+	suffix   string
+	duration time.Duration
 }{{"us", time.Microsecond}, {"ms", time.Millisecond}, {"s", time.Second}, {"m", time.Minute},
 	{"h", time.Hour}, {"d", 24 * time.Hour}}
 
-// duration parses a time: an integer and a unit, milliseconds without one.
-func duration(s string) (time.Duration, error) {
+// parseDuration parses an integer with an optional unit. The default unit is milliseconds.
+func parseDuration(s string) (time.Duration, error) {
 	unit, digits := time.Millisecond, s
-	for _, u := range units {
+	for _, u := range timeUnits {
 		if cut, ok := strings.CutSuffix(s, u.suffix); ok {
-			unit, digits = u.is, cut
+			unit, digits = u.duration, cut
 			break
 		}
 	}
--- a/internal/haproxy/report.go
+++ b/internal/haproxy/report.go
@@ -10,10 +10,9 @@
 	"strings"
 )
 
-// Verdict is the result of importing a directive.
+// Verdict classifies how a directive was imported.
 type Verdict string
 
-// The verdicts.
 const (
 	Carried     Verdict = "carried over"
 	Differently Verdict = "carried over differently"
@@ -21,10 +20,10 @@
 	NotCarried  Verdict = "not carried over"
 )
 
-// Verdicts are all of them.
+// Verdicts lists all verdicts in the order in which reports print their counts.
 var Verdicts = []Verdict{Carried, Differently, NotNeeded, NotCarried}
 
-// Entry is the verdict on one directive.
+// Entry is the report entry of one directive.
 type Entry struct {
 	File      string  `json:"file"`
 	Line      int     `json:"line"`
@@ -38,7 +37,7 @@
 	return Entry{d.file, d.line, section, d.String(), v, reason}
 }
 
-// String returns the entry as one line, FILE:LINE first.
+// String formats the entry as one line that starts with FILE:LINE.
 func (e Entry) String() string {
 	s := fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Verdict, e.Directive)
 	if e.Reason != "" {
@@ -47,10 +46,10 @@
 	return s
 }
 
-// Report has the verdict on each directive, in the order of the files.
+// Report has one entry per directive, ordered by file and line.
 type Report []Entry
 
-// Count returns how many directives have a verdict.
+// Count returns the number of entries with the given verdict.
 func (r Report) Count(v Verdict) (n int) {
 	for _, e := range r {
 		if e.Verdict == v {
@@ -60,8 +59,8 @@
 	return n
 }
 
-// Text writes the report as text: a line for each directive that needs attention, then counts.
-// With all, it has a line for every directive.
+// Text writes the report as text, one line per entry, followed by the counts. Unless all is set, it omits
+// the entries that need no attention.
 func (r Report) Text(w io.Writer, all bool) error {
 	var out strings.Builder
 	for _, e := range r {
@@ -81,7 +80,7 @@
 	return err
 }
 
-// JSON writes a line of JSON for every directive.
+// JSON writes the report as JSON, one entry per line.
 func (r Report) JSON(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	e := json.NewEncoder(out)
@@ -93,7 +92,7 @@
 	return out.Flush()
 }
 
-// sort orders a report by file, in the order of the sources, and line.
+// sort sorts the entries by the order of their files in sources and by line.
 func (r Report) sort(sources []Source) {
 	at := map[string]int{}
 	for i, s := range sources {
--- a/internal/haproxy/server.go
+++ b/internal/haproxy/server.go
@@ -12,13 +12,13 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// isUnreadable reports whether a file that a rule names cannot be read.
+// isUnreadable reports whether the error is due to a missing or unreadable file.
 func isUnreadable(err error) bool {
 	return errors.Is(err, fs.ErrNotExist) || errors.Is(err, fs.ErrPermission)
 }
 
-// positive parses an integer from 1 to 2^30.
-func positive(s string) (int, error) {
+// parsePositive parses an integer between 1 and 2^30.
+func parsePositive(s string) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil || n <= 0 || n > 1<<30 {
 		return 0, fmt.Errorf("%q is no positive number", s)
@@ -26,50 +26,51 @@
 	return n, nil
 }
 
-// options are the options of a server's line, which follow its address.
+// options are the parsed options of a server or default-server directive.
 type options struct {
-	weight    *int // nil: not given
-	backup    bool
-	disabled  bool
-	maxConn   int
-	cookie    string
-	check     bool
-	override  dispatchconfig.WebCheck // times and thresholds of this server's check
-	port      int                     // where to check; 0: the server's
-	addr      string                  // where to check; "": the server's
-	track     string
-	slowStart float64 // seconds
+	weight        *int // nil if not set
+	backup        bool
+	disabled      bool
+	maxConn       int
+	cookie        string
+	check         bool
+	checkOverride dispatchconfig.WebCheck // intervals and thresholds that override those of the backend's check
+	port          int                     // port for checks; the server's port if 0
+	addr          string                  // IP address for checks; the server's address if empty
+	track         string
+	slowStart     float64 // in seconds
 }
 
-// read parses options and returns those that are not carried over, each with its reason.
-func (o *options) read(w []string) (without []string, err error) {
+// read parses options and returns those that are not carried over, each with its reason in parentheses.
+func (o *options) read(w []string) (omitted []string, err error) {
 	for i := 0; i < len(w); i++ {
 		name := w[i]
-		takes, known := serverOptions[name]
+		takesValue, known := serverOptions[name]
 		if !known {
-			without = append(without, name+" ("+unknownDirective+")")
+			omitted = append(omitted, name+" ("+reasonUnknown+")")
 			continue
 		}
 		value := ""
-		if takes {
+		if takesValue {
 			if i++; i == len(w) {
-				return without, fmt.Errorf("%s lacks its value", name)
+				return omitted, fmt.Errorf("%s lacks its value", name)
 			}
 			value = w[i]
 		}
-		if set := setOptions[name]; set != nil {
+		if set := serverOptionSetters[name]; set != nil {
 			if e := set(o, value); e != nil {
 				err = errors.Join(err, fmt.Errorf("%s: %w", name, e))
 			}
-		} else if reason := optionReasons[name]; reason != "" {
-			without = append(without, name+" ("+reason+")")
+		} else if reason := omittedOptionReasons[name]; reason != "" {
+			omitted = append(omitted, name+" ("+reason+")")
 		}
 	}
-	return without, err
+	return omitted, err
 }
 
-// setOptions set an option, by its name, to a value; "" where it takes none.
-var setOptions = map[string]func(o *options, value string) error{
+// serverOptionSetters parse and store the value of a server option by its name. The value is "" for an
+// option that takes none.
+var serverOptionSetters = map[string]func(o *options, value string) error{
 	"weight": func(o *options, v string) error {
 		o.weight = new(int)
 		return setNumber(o.weight, v, 0, 256)
@@ -84,12 +85,12 @@
 	"addr":      func(o *options, v string) error { o.addr = v; return nil },
 	"track":     func(o *options, v string) error { o.track = v; return nil },
 	"maxconn":   func(o *options, v string) error { return setNumber(&o.maxConn, v, 0, 1<<30) },
-	"rise":      func(o *options, v string) error { return setNumber(&o.override.Rise, v, 1, 1000) },
-	"fall":      func(o *options, v string) error { return setNumber(&o.override.Fall, v, 1, 1000) },
+	"rise":      func(o *options, v string) error { return setNumber(&o.checkOverride.Rise, v, 1, 1000) },
+	"fall":      func(o *options, v string) error { return setNumber(&o.checkOverride.Fall, v, 1, 1000) },
 	"port":      func(o *options, v string) error { return setNumber(&o.port, v, 1, 65535) },
-	"inter":     func(o *options, v string) error { return setSeconds(&o.override.Interval, v) },
-	"fastinter": func(o *options, v string) error { return setSeconds(&o.override.FastInterval, v) },
-	"downinter": func(o *options, v string) error { return setSeconds(&o.override.DownInterval, v) },
+	"inter":     func(o *options, v string) error { return setSeconds(&o.checkOverride.Interval, v) },
+	"fastinter": func(o *options, v string) error { return setSeconds(&o.checkOverride.FastInterval, v) },
+	"downinter": func(o *options, v string) error { return setSeconds(&o.checkOverride.DownInterval, v) },
 	"slowstart": func(o *options, v string) error { return setSeconds(&o.slowStart, v) },
 }
 
@@ -103,7 +104,7 @@
 }
 
 func setSeconds(to *float64, value string) error {
-	d, err := duration(value)
+	d, err := parseDuration(value)
 	if err != nil {
 		return err
 	}
@@ -111,17 +112,18 @@
 	return nil
 }
 
-// reportOptions notes a line that is carried over but for some of its options.
-func (b *builder) reportOptions(without []string, how string) {
-	if len(without) > 0 {
-		b.note(Differently, "without %s", strings.Join(without, ", "))
+// reportOptions records that the current directive is carried over except for the omitted options.
+func (b *builder) reportOptions(omitted []string, reason string) {
+	if len(omitted) > 0 {
+		b.addEntry(Differently, "without %s", strings.Join(omitted, ", "))
 	} else {
-		b.note(Carried, "%s", how)
+		b.addEntry(Carried, "%s", reason)
 	}
 }
 
-// unsupportedTransports are options that change the protocol to the server, so that a server with them cannot be carried over,
-// and the reasons; of several the first counts. Proto with the value h1 is supported.
+// unsupportedTransports are the options that change the protocol spoken to the server, with the reason why
+// a server that has one is not imported. The first match determines the reason. The value h1 of proto is
+// supported.
 var unsupportedTransports = []struct{ option, reason string }{
 	{"ssl", "servers are spoken to without TLS"},
 	{"send-proxy", "the PROXY protocol is not spoken"},
@@ -132,37 +134,37 @@
 
 func (b *builder) server(w []string) {
 	if len(w) < 3 {
-		b.fail("server takes a name and an address")
+		b.errorf("server takes a name and an address")
 		return
 	}
 	if slices.ContainsFunc(b.backend.Servers, func(s dispatchconfig.WebServer) bool { return s.Name == w[1] }) {
-		b.fail("server %q is there twice", w[1])
+		b.errorf("server %q is there twice", w[1])
 		return
 	}
-	addr, reason, err := b.address(w[2])
+	addr, reason, err := b.parseServerAddress(w[2])
 	if err != nil {
-		b.fail("server %s: %v", w[1], err)
+		b.errorf("server %s: %v", w[1], err)
 		return
 	}
-	b.add(w[1], addr, reason, w[3:])
+	b.addServer(w[1], addr, reason, w[3:])
 }
 
-// add adds a server, unless there is a reason that it cannot be carried over.
-func (b *builder) add(name, addr, reason string, rest []string) {
+// addServer adds a server to the backend. A non-empty reason states why the server cannot be imported.
+func (b *builder) addServer(name, addr, reason string, rest []string) {
 	o := &options{}
 	if _, err := o.read(b.defaults); err != nil {
-		return // reported at default-server
+		return // already reported at the default-server directive
 	}
-	without, err := o.read(rest)
+	omitted, err := o.read(rest)
 	if err != nil {
-		b.fail("server %s: %v", name, err)
+		b.errorf("server %s: %v", name, err)
 		return
 	}
 	if reason == "" {
 		reason = unsupportedTransport(slices.Concat(b.defaults, rest))
 	}
 	if reason != "" {
-		b.note(NotCarried, "%s", reason)
+		b.addEntry(NotCarried, "%s", reason)
 		return
 	}
 	s := dispatchconfig.WebServer{Name: name, Addr: addr, Backup: o.backup, Disabled: o.disabled, MaxConn: o.maxConn, Cookie: o.cookie}
@@ -174,10 +176,11 @@
 		b.backend.SlowStart = max(b.backend.SlowStart, o.slowStart)
 	}
 	b.backend.Servers = append(b.backend.Servers, s)
-	b.reportOptions(without, "")
+	b.reportOptions(omitted, "")
 }
 
-// unsupportedTransport returns why a server with such options cannot be spoken to, "" if it can.
+// unsupportedTransport returns the reason why a server with these options cannot be imported, or "" if it
+// can.
 func unsupportedTransport(options []string) string {
 	for _, unsupported := range unsupportedTransports {
 		i := slices.Index(options, unsupported.option)
@@ -188,7 +191,7 @@
 	return ""
 }
 
-// setCheck says how a server's health is found out: as that of another, by checks, or not at all.
+// setCheck sets the source of the server's health: the health of a tracked server, its own checks, or none.
 func (b *builder) setCheck(s *dispatchconfig.WebServer, o *options) {
 	switch {
 	case o.track != "":
@@ -198,7 +201,7 @@
 		}
 	case o.check:
 		b.ensureCheck("")
-		if c := &o.override; c.Interval != 0 || c.FastInterval != 0 || c.DownInterval != 0 || c.Rise != 0 || c.Fall != 0 {
+		if c := &o.checkOverride; c.Interval != 0 || c.FastInterval != 0 || c.DownInterval != 0 || c.Rise != 0 || c.Fall != 0 {
 			s.Check = c
 		}
 		s.CheckAddr = checkAddr(s.Addr, o)
@@ -207,7 +210,7 @@
 	}
 }
 
-// checkAddr returns where a server is checked, "" for its own address.
+// checkAddr returns the address for the checks of a server, or "" for the server's own address.
 func checkAddr(addr string, o *options) string {
 	if o.port == 0 && o.addr == "" {
 		return ""
@@ -225,35 +228,35 @@
 	return ap.String()
 }
 
-// template reads server-template PREFIX NUMBER|FROM-TO ADDRESS.
-func (b *builder) template(w []string) {
+// serverTemplate parses server-template PREFIX NUMBER|FROM-TO ADDRESS [OPTIONS].
+func (b *builder) serverTemplate(w []string) {
 	if len(w) < 4 {
-		b.fail("server-template takes a prefix, a number and an address")
+		b.errorf("server-template takes a prefix, a number and an address")
 		return
 	}
 	lo, hi, isRange := strings.Cut(w[2], "-")
 	if !isRange {
 		lo, hi = "1", w[2]
 	}
-	from, err1 := positive(lo)
-	to, err2 := positive(hi)
+	from, err1 := parsePositive(lo)
+	to, err2 := parsePositive(hi)
 	if err1 != nil || err2 != nil || to < from || to-from > 1000 {
-		b.fail("server-template: %q is no number or range of at most 1000", w[2])
+		b.errorf("server-template: %q is no number or range of at most 1000", w[2])
 		return
 	}
-	addr, reason, err := b.address(w[3])
+	addr, reason, err := b.parseServerAddress(w[3])
 	if err != nil {
-		b.fail("server-template: %v", err)
+		b.errorf("server-template: %v", err)
 		return
 	}
 	for n := from; n <= to; n++ {
-		b.add(w[1]+strconv.Itoa(n), addr, reason, w[4:])
+		b.addServer(w[1]+strconv.Itoa(n), addr, reason, w[4:])
 	}
 }
 
-// address reads the address of a server. A reason says why it cannot be used although it
-// is well formed.
-func (b *builder) address(s string) (addr, reason string, err error) {
+// parseServerAddress parses the address of a server. A non-empty reason states why a well-formed address
+// is not supported.
+func (b *builder) parseServerAddress(s string) (addr, reason string, err error) {
 	family, rest := cutFamily(s)
 	switch family {
 	case "", "ipv4", "ipv6", "tcp", "tcp4", "tcp6":
@@ -277,16 +280,16 @@
 	if err != nil || n == 0 {
 		return "", "", fmt.Errorf("%q has no port that can be used", s)
 	}
-	ip, reason, err := b.host(s, host)
+	ip, reason, err := b.resolveHost(s, host)
 	if err != nil || reason != "" {
 		return "", reason, err
 	}
 	return netip.AddrPortFrom(ip, uint16(n)).String(), "", nil
 }
 
-// host reads the host of an address, which may be a name whose address is given. A reason says why
-// it cannot be used although it is well formed.
-func (b *builder) host(address, host string) (ip netip.Addr, reason string, err error) {
+// resolveHost parses the host of an address: an IP address or a name that Options.Hosts resolves. A
+// non-empty reason states why a well-formed host is not supported.
+func (b *builder) resolveHost(address, host string) (ip netip.Addr, reason string, err error) {
 	if ip, err := netip.ParseAddr(host); err == nil {
 		return ip, "", nil
 	}
@@ -302,7 +305,7 @@
 	return ip, "names are not looked up: give --host " + host + "=ADDRESS", nil
 }
 
-// cutFamily parts the family of an address, "" for none, from the rest.
+// cutFamily splits an address into its family, which may be empty, and the rest.
 func cutFamily(s string) (family, rest string) {
 	if family, rest, ok := strings.Cut(s, "@"); ok {
 		return family, rest
@@ -310,8 +313,8 @@
 	return "", s
 }
 
-// parsePorts reads a port or a range of ports, FROM-TO.
-func parsePorts(s string) (from, to uint64, ok bool) {
+// parsePortRange parses a port or a range of ports, FROM-TO.
+func parsePortRange(s string) (from, to uint64, ok bool) {
 	lo, hi, isRange := strings.Cut(s, "-")
 	if !isRange {
 		hi = lo
@@ -321,13 +324,13 @@
 	return from, to, err1 == nil && err2 == nil && from > 0 && to >= from
 }
 
-// bind reads the addresses of a frontend.
+// bind parses the listen addresses of a frontend.
 func (b *builder) bind(w []string) {
 	if len(w) < 2 {
-		b.fail("bind takes an address")
+		b.errorf("bind takes an address")
 		return
 	}
-	without, ok := b.readBindOptions(w[2:])
+	omitted, ok := b.readBindOptions(w[2:])
 	if !ok {
 		return
 	}
@@ -335,16 +338,16 @@
 	for _, a := range strings.Split(w[1], ",") {
 		all, reason, err := bindAddress(a)
 		if err != nil {
-			b.fail("bind: %v", err)
+			b.errorf("bind: %v", err)
 			return
 		}
 		if reason != "" {
-			without = append(without, a+" ("+reason+")")
+			omitted = append(omitted, a+" ("+reason+")")
 		}
 		listen = append(listen, all...)
 	}
 	if len(listen) == 0 {
-		b.note(NotCarried, "%s", strings.Join(without, ", "))
+		b.addEntry(NotCarried, "%s", strings.Join(omitted, ", "))
 		return
 	}
 	for _, a := range listen {
@@ -352,41 +355,42 @@
 			b.frontend.Listen = append(b.frontend.Listen, a)
 		}
 	}
-	b.reportOptions(without, "")
+	b.reportOptions(omitted, "")
 }
 
-// readBindOptions returns the options of a bind that are not carried over. It reports whether the
-// bind can be carried over without them, and notes why if not.
-func (b *builder) readBindOptions(w []string) (without []string, ok bool) {
+// readBindOptions returns the unknown options of a bind directive. It reports whether the directive can be
+// imported without them. Otherwise it adds an entry or an error.
+func (b *builder) readBindOptions(w []string) (omitted []string, ok bool) {
 	for i := 0; i < len(w); i++ {
-		takes, known := bindOptions[w[i]]
+		takesValue, known := bindOptions[w[i]]
 		switch {
 		case w[i] == "ssl":
-			b.note(NotCarried, "TLS is not spoken: put it in front, or bind another port")
+			b.addEntry(NotCarried, "TLS is not spoken: put it in front, or bind another port")
 			return nil, false
 		case w[i] == "accept-proxy" || w[i] == "accept-netscaler-cip":
-			b.note(NotCarried, "the PROXY protocol is not spoken")
+			b.addEntry(NotCarried, "the PROXY protocol is not spoken")
 			return nil, false
 		case w[i] == "proto" && i+1 < len(w) && w[i+1] != "h1":
-			b.note(NotCarried, "clients are spoken to in HTTP/1.1")
+			b.addEntry(NotCarried, "clients are spoken to in HTTP/1.1")
 			return nil, false
 		case !known:
-			without = append(without, w[i]+" ("+unknownDirective+")")
+			omitted = append(omitted, w[i]+" ("+reasonUnknown+")")
 		}
-		if takes {
+		if takesValue {
 			if i++; i == len(w) {
-				b.fail("bind: %s lacks its value", w[i-1])
+				b.errorf("bind: %s lacks its value", w[i-1])
 				return nil, false
 			}
 		}
 	}
-	return without, true
+	return omitted, true
 }
 
-// maxBindPorts bounds a range of ports to listen on.
+// maxBindPorts is the maximum number of ports in the range of one listen address.
 const maxBindPorts = 64
 
-// bindAddress reads an address to listen on, or a range of ports.
+// bindAddress parses a listen address with a port or a range of ports. It returns one address per port. A
+// non-empty reason states why a well-formed address is not supported.
 func bindAddress(s string) (listen []string, reason string, err error) {
 	family, rest := cutFamily(s)
 	if strings.HasPrefix(rest, "/") || !slices.Contains([]string{"", "ipv4", "ipv6", "tcp", "tcp4", "tcp6"}, family) {
@@ -407,7 +411,7 @@
 	if err != nil {
 		return nil, "", fmt.Errorf("%q is no address to listen on", s)
 	}
-	from, to, ok := parsePorts(port)
+	from, to, ok := parsePortRange(port)
 	if !ok {
 		return nil, "", fmt.Errorf("%q has no port that can be used", s)
 	}
--- a/internal/haproxy/tables.go
+++ b/internal/haproxy/tables.go
@@ -1,6 +1,7 @@
 package haproxy
 
-// sharedDirectives are the dispositions of directives of a frontend or backend without a handler, by their first two words or the first; a * stands for any ending.
+// sharedDirectives has the verdicts on the directives of frontends and backends that have no handler, keyed
+// by their first two words or by the first. A key that ends with * matches every directive with that prefix.
 var sharedDirectives = map[string]disposition{
 	"mode":                                {Carried, ""},
 	"enabled":                             {NotNeeded, "always so"},
@@ -104,7 +105,7 @@
 	"tune*":                                           {NotNeeded, "a matter of tuning"},
 }
 
-// globalDirectives says the same of directives of the global section.
+// globalDirectives has the verdicts on the directives of the global section, with the same keys.
 var globalDirectives = map[string]disposition{
 	"daemon":                         {NotNeeded, "the program stays in the foreground; whoever starts it puts it elsewhere"},
 	"master-worker":                  {NotNeeded, "the program stays in the foreground"},
@@ -155,7 +156,7 @@
 	"mworker-max-reloads":            {NotNeeded, "a reload starts no process"},
 }
 
-// serverOptions are the options of a server, and whether they take a value.
+// serverOptions are the known options of a server. The value tells whether the option takes a value.
 var serverOptions = map[string]bool{
 	"weight": true, "disabled": false, "enabled": false, "backup": false, "no-backup": false,
 	"check": false, "no-check": false, "inter": true, "fastinter": true, "downinter": true, "rise": true, "fall": true,
@@ -175,9 +176,9 @@
 	"no-send-proxy": false, "no-send-proxy-v2": false,
 }
 
-// optionReasons say why an option of a server is not carried over. One that is known and
-// not here makes no difference.
-var optionReasons = map[string]string{
+// omittedOptionReasons has the reasons why server options are not carried over. A known option that is
+// neither here nor in serverOptionSetters has no effect and is not reported.
+var omittedOptionReasons = map[string]string{
 	"agent-check": "agents are not asked", "agent-port": "agents are not asked", "agent-inter": "agents are not asked",
 	"agent-addr": "agents are not asked", "agent-send": "agents are not asked",
 	"observe": "traffic is not watched for health", "on-error": "traffic is not watched for health",
@@ -190,7 +191,7 @@
 	"init-state": "a server begins as up", "check-via-socks4": "no proxies",
 }
 
-// bindOptions are the options of a bind, and whether they take a value.
+// bindOptions are the known options of bind. The value tells whether the option takes a value.
 var bindOptions = map[string]bool{
 	"ssl": false, "crt": true, "ca-file": true, "ca-verify-file": true, "verify": true, "alpn": true, "npn": true, "ciphers": true, "ciphersuites": true,
 	"ssl-min-ver": true, "ssl-max-ver": true, "no-sslv3": false, "no-tlsv10": false, "no-tlsv11": false, "no-tls-tickets": false,
--- a/internal/haproxy/write.go
+++ b/internal/haproxy/write.go
@@ -11,8 +11,8 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// Write writes the operator's file, without zero and default values, and with a comment on
-// the origin of each part.
+// Write writes the operator's file. It omits zero and default values and adds a comment with the source
+// location of each frontend and backend.
 func (r *Result) Write(w io.Writer) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "# Imported from HAProxy's configuration. `sedgevale check` says whether it is good.\nname = %q\n", r.File.Name)
@@ -33,10 +33,10 @@
 	return err
 }
 
-// maxInlineList is the maximum length of a list on one line, in bytes.
-const maxInlineList = 80
+// maxInlineListBytes is the maximum length of a line that holds a list. Longer lists have one item per line.
+const maxInlineListBytes = 80
 
-// writeTable writes one table of an array.
+// writeTable writes one element of an array of tables, preceded by a comment with its origin.
 func writeTable(b *bytes.Buffer, origin string, v any) error {
 	var text bytes.Buffer
 	e := toml.NewEncoder(&text)
@@ -47,8 +47,8 @@
 	fmt.Fprintf(b, "\n# %s\n", strings.ReplaceAll(origin, "\n", " "))
 	for line := range strings.Lines(text.String()) {
 		if t := strings.TrimSpace(line); t != "[web]" && t != "" {
-			if strings.Contains(line, " = [\"") && len(line) > maxInlineList { // a rule a line
-				// Quotes within a text are escaped, so this splits between texts only.
+			if strings.Contains(line, " = [\"") && len(line) > maxInlineListBytes {
+				// The encoder escapes quotes inside strings, so `", "` occurs only between items.
 				line = strings.Replace(strings.ReplaceAll(line, `", "`, "\",\n    \""), `["`, "[\n    \"", 1)
 				line = strings.TrimSuffix(line, "]\n") + ",\n]\n"
 			}
