--- a/internal/healthcheck/driver.go
+++ b/internal/healthcheck/driver.go
@@ -15,49 +15,50 @@
 	"sedgevale/internal/http1"
 )
 
-// Check is a member that is to be checked.
+// Check configures the health checks of one member.
 type Check struct {
-	Name          string // for the log: BACKEND/MEMBER
+	Name          string // BACKEND/MEMBER, for the log
 	Addr          string // IP address and port
-	Spec          Spec   // after SetDefaults
-	InitiallyDown bool   // its state before the first check
-	// OnChange is called from a goroutine of its own when the member's state changes.
+	Spec          Spec   // SetDefaults must have been called
+	InitiallyDown bool   // whether the member counts as down before its first check
+	// OnChange is called when the state of the member changes, from the goroutine that runs its checks.
 	OnChange func(up bool, why string)
 }
 
-// Driver checks members, each at its own intervals with jitter, and at most maxConcurrentChecks at a time.
+// Driver runs the health checks of members. Each member has its own intervals, with jitter, and at most
+// maxConcurrentChecks checks run concurrently.
 type Driver struct {
 	log   *slog.Logger
-	slots chan struct{}  // one held for each check in flight
-	rand  func() float64 // from 0 up to 1, for the jitter of the intervals
+	slots chan struct{}  // semaphore of the checks in flight
+	rand  func() float64 // returns a random number in [0, 1) for the jitter of the intervals
 }
 
-// maxConcurrentChecks bounds the checks in flight, and so their descriptors.
+// maxConcurrentChecks limits the number of checks in flight and so the file descriptors that they use.
 const maxConcurrentChecks = 32
 
-// maxResponseBody bounds what is read of a response's body, in bytes.
-const maxResponseBody = 64 << 10
+// maxResponseBodyBytes is the maximum size of the part of a response body that is examined.
+const maxResponseBodyBytes = 64 << 10
 
-// NewDriver returns a Driver.
+// NewDriver returns a Driver that logs state changes to log.
 func NewDriver(log *slog.Logger) *Driver {
 	return &Driver{log: log, slots: make(chan struct{}, maxConcurrentChecks), rand: rand.Float64}
 }
 
-// Run checks members until the context ends.
+// Run checks members until the context is done.
 func (d *Driver) Run(ctx context.Context, all []Check) {
 	var wg sync.WaitGroup
 	for i, c := range all {
 		wg.Go(func() {
-			// The first checks are spread over their interval, so that they do not coincide.
-			d.watch(ctx, c, time.Duration(float64(c.Spec.Interval)*float64(i)/float64(len(all))))
+			// Spread the first checks over the interval so that they don't coincide.
+			d.runChecks(ctx, c, time.Duration(float64(c.Spec.Interval)*float64(i)/float64(len(all))))
 		})
 	}
 	wg.Wait()
 }
 
-// watch checks one member until the context ends. The first check comes after a delay.
-func (d *Driver) watch(ctx context.Context, c Check, first time.Duration) {
-	t := NewTarget(c.Spec, !c.InitiallyDown)
+// runChecks checks one member until the context is done. The first check starts after the given delay.
+func (d *Driver) runChecks(ctx context.Context, c Check, first time.Duration) {
+	t := NewTracker(c.Spec, !c.InitiallyDown)
 	timer := time.NewTimer(first)
 	defer timer.Stop()
 	for {
@@ -77,7 +78,7 @@
 			return
 		}
 		if t.Record(err == nil) {
-			why := "its checks pass"
+			why := "health checks passed"
 			if err != nil {
 				why = err.Error()
 			}
@@ -88,7 +89,7 @@
 	}
 }
 
-// probe makes one check. The error says why it failed.
+// probe makes one check and returns the reason for its failure, or nil if it passed.
 func (c *Check) probe(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, c.Spec.Timeout)
 	defer stop()
@@ -111,12 +112,12 @@
 		return err
 	}
 	if !c.Spec.Holds(status, body) {
-		return fmt.Errorf("the response, status %d, is not as expected", status)
+		return fmt.Errorf("response with status %d does not meet the expectations of the check", status)
 	}
 	return nil
 }
 
-// request returns the bytes of an http check's request.
+// request returns the encoded request of an HTTP check.
 func (s *Spec) request() []byte {
 	b := fmt.Appendf(nil, "%s %s HTTP/%s\r\n", s.Method, s.URI, s.Version)
 	for _, h := range s.Headers {
@@ -125,9 +126,9 @@
 	return append(b, "Connection: close\r\n\r\n"...)
 }
 
-var errTruncated = errors.New("the response is truncated")
+var errTruncated = errors.New("server closed the connection before the end of the response")
 
-// readResponse reads a response; of a long body only the first maxResponseBody bytes.
+// readResponse reads a response. It stops once it has read maxResponseBodyBytes of the body.
 func readResponse(r io.Reader) (status int, body []byte, err error) {
 	p := http1.NewParser(http1.Response)
 	buf := make([]byte, 0, 4096)
@@ -136,12 +137,12 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		if ev == http1.Body && len(body) < maxResponseBody {
+		if ev == http1.Body && len(body) < maxResponseBodyBytes {
 			body = append(body, part...)
 		}
 		buf = append(buf[:0], buf[n:]...)
 		switch {
-		case ev == http1.Ended && p.Head.Status >= 200, len(body) >= maxResponseBody:
+		case ev == http1.Ended && p.Head.Status >= 200, len(body) >= maxResponseBodyBytes:
 			return p.Head.Status, bytes.Clone(body), nil
 		case ev != http1.NeedMore:
 			continue
--- a/internal/healthcheck/healthcheck_test.go
+++ b/internal/healthcheck/healthcheck_test.go
@@ -20,7 +20,7 @@
 	if err := s.SetDefaults(); err != nil {
 		t.Fatal(err)
 	}
-	g := NewTarget(s, true)
+	g := NewTracker(s, true)
 	for i, step := range []struct {
 		passed, changed, up bool
 		wait                time.Duration
--- a/internal/healthcheck/state.go
+++ b/internal/healthcheck/state.go
@@ -1,6 +1,5 @@
-// Package healthcheck finds out which members of a backend are healthy. Target decides, without
-// input or output, how often to check a member and when it counts as up or down; Driver makes the
-// checks.
+// Package healthcheck runs the active health checks of backend members. Tracker determines, without I/O,
+// when a member counts as up or down and when to check it next. Driver makes the checks.
 package healthcheck
 
 import (
@@ -17,23 +16,23 @@
 // Spec configures the health check of a member.
 type Spec struct {
 	Kind         string        // "tcp" or "http"
-	Method       string        // of an http check; "": OPTIONS, as HAProxy has it
-	URI          string        // "": "/"
-	Version      string        // "1.0" or "1.1"; "": "1.0"
-	Headers      []Header      // besides Host of version 1.1, which must be here
-	Expect       []Expect      // all must hold; none: a status of 2xx or 3xx
-	Interval     time.Duration // while it is up; 0: 2 s
-	FastInterval time.Duration // while it changes; 0: as Interval
-	DownInterval time.Duration // while it is down; 0: as Interval
-	Rise         int           // checks that pass until it is up; 0: 2
-	Fall         int           // checks that fail until it is down; 0: 3
-	Timeout      time.Duration // of a check; 0: as Interval, 10 s at most
+	Method       string        // method of an HTTP check; default: OPTIONS, as in HAProxy
+	URI          string        // default: "/"
+	Version      string        // "1.0" or "1.1"; default: "1.0"
+	Headers      []Header      // header fields of an HTTP check; must include Host for version 1.1
+	Expect       []Expect      // expectations that must all hold; default: a status of 2xx or 3xx
+	Interval     time.Duration // interval of checks while the member is up; default: 2 s
+	FastInterval time.Duration // interval while the latest checks contradict the state; default: Interval
+	DownInterval time.Duration // interval while the member is down; default: Interval
+	Rise         int           // consecutive passed checks until the member is up; default: 2
+	Fall         int           // consecutive failed checks until the member is down; default: 3
+	Timeout      time.Duration // timeout of a check; default: Interval; at most 10 s
 }
 
-// Header is a header field of a check.
+// Header is a header field of an HTTP check.
 type Header struct{ Name, Value string }
 
-// Expect is an expectation of a response.
+// Expect is an expectation of the response to an HTTP check.
 type Expect struct {
 	Kind  string // "status", "rstatus", "string", "rstring"
 	Not   bool
@@ -50,7 +49,7 @@
 	minInterval     = 10 * time.Millisecond
 )
 
-// SetDefaults sets the defaults of fields that are zero, and returns an error for invalid ones.
+// SetDefaults sets fields that are zero to their defaults. It returns an error if a field is invalid.
 func (s *Spec) SetDefaults() error {
 	if s.Kind != "tcp" && s.Kind != "http" {
 		return fmt.Errorf("kind %q is neither tcp nor http", s.Kind)
@@ -74,7 +73,7 @@
 	return nil
 }
 
-// setDefaultTimes sets the intervals and the time-out of a check.
+// setDefaultTimes sets the default intervals and timeout.
 func (s *Spec) setDefaultTimes() error {
 	s.Interval = cmp.Or(s.Interval, defaultInterval)
 	for _, d := range []*time.Duration{&s.Interval, &s.FastInterval, &s.DownInterval, &s.Timeout} {
@@ -86,7 +85,7 @@
 	return nil
 }
 
-// setDefaultRequest sets the request line of an http check.
+// setDefaultRequest sets the default request line of an HTTP check.
 func (s *Spec) setDefaultRequest() error {
 	s.Method = cmp.Or(s.Method, "OPTIONS")
 	s.URI = cmp.Or(s.URI, "/")
@@ -106,7 +105,7 @@
 	return out
 }
 
-// compile checks an expectation, and compiles its regular expression if it has one.
+// compile validates an expectation and compiles its regular expression, if any.
 func (e *Expect) compile() (err error) {
 	switch e.Kind {
 	case "status":
@@ -120,7 +119,7 @@
 	return err
 }
 
-// parseStatusRanges reads a list such as 200-399,401 into pairs of a first and a last status.
+// parseStatusRanges parses a list such as 200-399,401 into pairs of a first and a last status code.
 func parseStatusRanges(s string) (out [][2]int, err error) {
 	for part := range strings.SplitSeq(s, ",") {
 		lo, hi, isRange := strings.Cut(strings.TrimSpace(part), "-")
@@ -137,7 +136,7 @@
 	return out, nil
 }
 
-// Holds reports whether the response to an http check passes.
+// Holds reports whether the response to an HTTP check passes the check.
 func (s *Spec) Holds(status int, body []byte) bool {
 	if len(s.Expect) == 0 {
 		return status >= 200 && status < 400
@@ -145,11 +144,11 @@
 	return !slices.ContainsFunc(s.Expect, func(e Expect) bool { return e.holds(status, body) == e.Not })
 }
 
-// holds reports whether a response is as expected, leaving Not aside.
+// holds reports whether a response matches, ignoring Not.
 func (e *Expect) holds(status int, body []byte) bool {
 	switch e.Kind {
 	case "status":
-		all, _ := parseStatusRanges(e.Value) // compile has checked it
+		all, _ := parseStatusRanges(e.Value) // validated by compile
 		return slices.ContainsFunc(all, func(p [2]int) bool { return status >= p[0] && status <= p[1] })
 	case "rstatus":
 		return e.re.MatchString(strconv.Itoa(status))
@@ -159,43 +158,42 @@
 	return strings.Contains(string(body), e.Value)
 }
 
-// Target is the health of a member, as its checks have found it.
-type Target struct {
+// Tracker tracks the state of a member by the results of its checks.
+type Tracker struct {
 	spec Spec
 	up   bool
-	// contradicting counts the consecutive latest checks whose result contradicts up; one that agrees resets it.
-	contradicting int
+	// contradictions is the number of consecutive latest checks whose result contradicts up.
+	contradictions int
 }
 
-// NewTarget returns a Target that is up or down at first. SetDefaults must have been called on the
-// Spec.
-func NewTarget(s Spec, up bool) *Target { return &Target{spec: s, up: up} }
+// NewTracker returns a Tracker with the given initial state. SetDefaults must have been called on s.
+func NewTracker(s Spec, up bool) *Tracker { return &Tracker{spec: s, up: up} }
 
-// Up reports whether the member is healthy.
-func (t *Target) Up() bool { return t.up }
+// Up reports whether the member is up.
+func (t *Tracker) Up() bool { return t.up }
 
-// Record notes the result of a check, and reports whether the member's state has changed.
-func (t *Target) Record(passed bool) (changed bool) {
+// Record records the result of a check. It reports whether the state of the member changed.
+func (t *Tracker) Record(passed bool) (changed bool) {
 	if passed == t.up {
-		t.contradicting = 0
+		t.contradictions = 0
 		return false
 	}
-	t.contradicting++
+	t.contradictions++
 	threshold := t.spec.Fall
 	if !t.up {
 		threshold = t.spec.Rise
 	}
-	if t.contradicting < threshold {
+	if t.contradictions < threshold {
 		return false
 	}
-	t.up, t.contradicting = passed, 0
+	t.up, t.contradictions = passed, 0
 	return true
 }
 
-// NextInterval returns how long it is until the next check.
-func (t *Target) NextInterval() time.Duration {
+// NextInterval returns the time until the next check, without jitter.
+func (t *Tracker) NextInterval() time.Duration {
 	switch {
-	case t.contradicting > 0:
+	case t.contradictions > 0:
 		return t.spec.FastInterval
 	case !t.up:
 		return t.spec.DownInterval
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,7 +1,7 @@
-// Package pool picks the member of a backend for a request: by the members' state, weight, requests in
-// flight and backups, by the cookie or text that ties the request to one, and by a load-balancing
-// algorithm. The decision module decides whether and when the request is sent. The package does no input
-// or output and takes the time as an argument. A Pool is not safe for concurrent use.
+// Package pool balances the requests of a backend over its members and queues requests while no member has
+// capacity. It considers the state, weight and requests in flight of the members, backup members, and the
+// persistence cookie or hash key of the request. The decision module decides whether and when a request is
+// sent. The package does no I/O and takes the time as an argument. A Pool is not safe for concurrent use.
 package pool
 
 import (
@@ -17,91 +17,89 @@
 // Balance is a load-balancing algorithm.
 type Balance string
 
-// The algorithms, by HAProxy's names.
+// The load-balancing algorithms with their names in HAProxy.
 const (
-	RoundRobin Balance = "roundrobin" // by weight, evenly spread
-	LeastConn  Balance = "leastconn"  // the fewest requests in flight in relation to the weight
-	First      Balance = "first"      // the first that has capacity
-	Random     Balance = "random"     // drawn by weight
-	Hash       Balance = "hash"       // rendezvous hashing of a text of the request: if a member leaves, only its requests move
+	RoundRobin Balance = "roundrobin" // smooth weighted round robin
+	LeastConn  Balance = "leastconn"  // fewest requests in flight per weight
+	First      Balance = "first"      // first member that has capacity
+	Random     Balance = "random"     // weighted random choice
+	Hash       Balance = "hash"       // weighted rendezvous hashing of Hint.Key; if a member leaves, only its requests move
 )
 
 // Member is a member of a backend.
 type Member struct {
 	Name     string
-	Weight   int // 0 to 256; with 0 only requests with its persistence cookie
+	Weight   int // 0 to 256; a member of weight 0 gets only requests with its persistence cookie
 	Backup   bool
 	Disabled bool
-	MaxConn  int // requests at a time; 0: no bound
-	Cookie   string
+	MaxConn  int    // maximum number of requests in flight; 0: no limit
+	Cookie   string // value of the persistence cookie; "": no persistence
 }
 
 // Options configure a Pool.
 type Options struct {
 	Members      []Member
-	Balance      Balance       // "": RoundRobin
-	AllBackups   bool          // all backups at once, not the first that serves
-	MaxQueue     int           // requests that may wait; 0: 1024
-	QueueTimeout time.Duration // how long; 0: 5 s
-	SlowStart    time.Duration // in which a member that becomes healthy comes up to its weight
+	Balance      Balance       // default: RoundRobin
+	AllBackups   bool          // balance over all backups that are up instead of using the first one
+	MaxQueue     int           // maximum length of the queue; default: 1024
+	QueueTimeout time.Duration // maximum time in the queue; default: 5 s
+	SlowStart    time.Duration // time in which the weight of a member that came up grows to its full value
 }
 
-// State says which requests a member may be sent.
+// State determines which requests a member may be sent.
 type State uint8
 
-// The states.
+// The states of a member.
 const (
-	Up          State = iota
-	Down              // its checks fail
-	Draining          // only requests with its persistence cookie
-	Maintenance       // no requests, whatever its checks say
+	Up          State = iota // all requests
+	Down                     // no requests: its health checks fail
+	Draining                 // only requests with its persistence cookie
+	Maintenance              // no requests, whatever the result of its health checks
 )
 
-// String returns the state in lower case.
+// String returns the name of the state in lower case.
 func (s State) String() string { return [...]string{"up", "down", "draining", "maintenance"}[s] }
 
-// maxWeight is HAProxy's.
+// maxWeight is the maximum weight of a member. HAProxy has the same limit.
 const maxWeight = 256
 
-// minSlowStart is the part of its weight with which a member begins its slow start.
-const minSlowStart = 0.1
+// minSlowStartFactor is the fraction of its weight that a member has at the start of its slow start.
+const minSlowStartFactor = 0.1
 
 const (
 	defaultMaxQueue     = 1024
 	defaultQueueTimeout = 5 * time.Second
 )
 
-// member is a Member and what changes of it.
+// member is a Member with its mutable state.
 type member struct {
 	Member
 	state         State
-	since         time.Duration // when it came up; 0: long ago
-	currentWeight float64       // current weight of smooth weighted round robin
-	// inFlight counts the requests that the member has now: Acquire adds, Release subtracts.
-	inFlight int
+	upSince       time.Duration // time at which it last came up; 0: no slow start
+	currentWeight float64       // state of smooth weighted round robin
+	inFlight      int           // number of requests in flight, maintained by Acquire and Release
 }
 
-// Pool is the members of a backend.
+// Pool holds the members of a backend and the queue of its requests.
 type Pool struct {
 	opt     Options
 	members []member
-	queue   []queuedRequest // the longest waiting first
+	queue   []queuedRequest // in order of arrival
 }
 
-// queuedRequest is a request that waits for a member's capacity.
+// queuedRequest is a request that waits for a member with capacity.
 type queuedRequest struct {
-	token any // the caller's
-	hint  Hint
-	// deadline is when it has waited too long, on the clock of the caller's now.
-	deadline time.Duration
+	token    any // identifies the request to the caller
+	hint     Hint
+	deadline time.Duration // time at which the request expires, on the clock of the caller
 }
 
-// Hint is the part of a request that decides which members it prefers.
+// Hint holds the attributes of a request that determine the choice of a member.
 type Hint struct {
-	Cookie string // of persistence; "": none
-	Key    string // what is hashed, with Balance Hash
-	Rand   uint64 // drawn for this request, with Balance Random
-	Tried  []int  // members that were tried: others are preferred
+	Cookie string // value of the persistence cookie; "": none
+	Key    string // hash key for Balance Hash
+	Rand   uint64 // random number of the request for Balance Random
+	Tried  []int  // members that were already tried; others are preferred
 }
 
 // Check returns an error for invalid options.
@@ -134,7 +132,7 @@
 	return nil
 }
 
-// New returns a Pool whose members are up, but for those that are disabled.
+// New returns a Pool. Its members are up, except for disabled ones, which are in maintenance.
 func New(o Options) (*Pool, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -159,8 +157,9 @@
 	return p, nil
 }
 
-// InheritState copies from an older Pool of the same backend, for members that stay, the state
-// (but for maintenance by the file), the requests in flight and the round robin's state.
+// InheritState copies the state of members with equal names from the previous Pool of the same backend: the
+// number of requests in flight, the state of round robin and, unless the member is or was disabled by
+// configuration, its State.
 func (p *Pool) InheritState(old *Pool) {
 	for i := range p.members {
 		m := &p.members[i]
@@ -169,38 +168,38 @@
 			continue
 		}
 		o := &old.members[j]
-		m.inFlight, m.currentWeight, m.since = o.inFlight, o.currentWeight, o.since
+		m.inFlight, m.currentWeight, m.upSince = o.inFlight, o.currentWeight, o.upSince
 		if !m.Disabled && !o.Disabled {
 			m.state = o.state
 		}
 	}
 }
 
-// Name returns a member's name.
+// Name returns the name of a member.
 func (p *Pool) Name(i int) string { return p.members[i].Name }
 
-// Index returns the member of a name, or -1.
+// Index returns the index of the member with a name, or -1 if there is none.
 func (p *Pool) Index(name string) int {
 	return slices.IndexFunc(p.members, func(m member) bool { return m.Name == name })
 }
 
-// State returns a member's state and the number of its requests in flight.
+// State returns the state of a member and its number of requests in flight.
 func (p *Pool) State(i int) (State, int) { return p.members[i].state, p.members[i].inFlight }
 
-// SetState sets a member's state. One that comes up begins its slow start.
+// SetState sets the state of a member. A member that comes up begins its slow start.
 func (p *Pool) SetState(i int, s State, now time.Duration) {
 	m := &p.members[i]
 	if m.state != Up && s == Up {
-		m.since, m.currentWeight = now, 0
+		m.upSince, m.currentWeight = now, 0
 	}
 	m.state = s
 }
 
-// Serving returns how many members may be sent new requests.
+// Serving returns the number of members that may be sent new requests.
 func (p *Pool) Serving() int { return len(p.eligible()) }
 
-// eligible returns the members that may be sent new requests, whether or not they have capacity: all that
-// are up, or, if none is, the first backup that is up, or all backups.
+// eligible returns the members that may be sent new requests, regardless of their capacity: all non-backup
+// members that are up with a positive weight or, if there are none, the first or all such backups.
 func (p *Pool) eligible() []int {
 	var main, backup []int
 	for i := range p.members {
@@ -222,19 +221,19 @@
 	return backup
 }
 
-// hasCapacity reports whether the member may have one more request in flight.
+// hasCapacity reports whether the member may be sent one more request.
 func (m *member) hasCapacity() bool { return m.MaxConn == 0 || m.inFlight < m.MaxConn }
 
-// honours reports whether the member takes requests with that persistence cookie.
-func (m *member) honours(cookie string) bool {
+// acceptsCookie reports whether the member accepts requests with this persistence cookie.
+func (m *member) acceptsCookie(cookie string) bool {
 	return m.Cookie == cookie && (m.state == Up || m.state == Draining)
 }
 
-// weight is the member's weight as it counts now.
-func (p *Pool) weight(m *member, now time.Duration) float64 {
+// effectiveWeight returns the weight of a member, reduced during its slow start.
+func (p *Pool) effectiveWeight(m *member, now time.Duration) float64 {
 	w := float64(m.Weight)
-	if up := now - m.since; m.since > 0 && up < p.opt.SlowStart {
-		w *= max(minSlowStart, float64(up)/float64(p.opt.SlowStart))
+	if up := now - m.upSince; m.upSince > 0 && up < p.opt.SlowStart {
+		w *= max(minSlowStartFactor, float64(up)/float64(p.opt.SlowStart))
 	}
 	return w
 }
@@ -242,18 +241,18 @@
 // Verdict is the result of Pick.
 type Verdict uint8
 
-// The verdicts.
+// The results of Pick.
 const (
-	Assigned    Verdict = iota // to that member
-	Busy                       // none has capacity; it may be queued
-	Unavailable                // no member serves
+	Assigned    Verdict = iota // a member was picked
+	Busy                       // no suitable member has capacity; the request may be queued
+	Unavailable                // no member is eligible
 )
 
-// Pick picks a member for a request, by the balancing algorithm, whose state it advances. Acquire takes the
-// capacity.
+// Pick picks a member for a request and advances the state of the balancing algorithm. The caller calls
+// Acquire when it sends the request.
 func (p *Pool) Pick(now time.Duration, h Hint) (int, Verdict) {
-	if i := p.persistent(h); i >= 0 {
-		return p.ifFree(i)
+	if i := p.cookieMember(h); i >= 0 {
+		return p.assignIfFree(i)
 	}
 	all := p.eligible()
 	if len(all) == 0 {
@@ -263,7 +262,7 @@
 		all = rest
 	}
 	if p.opt.Balance == Hash && h.Key != "" {
-		return p.ifFree(p.rendezvous(all, h.Key, now))
+		return p.assignIfFree(p.rendezvousHash(all, h.Key, now))
 	}
 	free := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return !p.members[i].hasCapacity() })
 	if len(free) == 0 {
@@ -280,34 +279,34 @@
 	return p.roundRobin(free, now), Assigned
 }
 
-// persistent returns the member that the request's persistence cookie names, if it takes
-// such requests and was not tried before, or -1.
-func (p *Pool) persistent(h Hint) int {
+// cookieMember returns the member of the request's persistence cookie, or -1 if there is none or if it was
+// already tried.
+func (p *Pool) cookieMember(h Hint) int {
 	if h.Cookie == "" {
 		return -1
 	}
 	for i := range p.members {
-		if p.members[i].honours(h.Cookie) && !slices.Contains(h.Tried, i) {
+		if p.members[i].acceptsCookie(h.Cookie) && !slices.Contains(h.Tried, i) {
 			return i
 		}
 	}
 	return -1
 }
 
-// ifFree is the verdict on a request that only one member may have.
-func (p *Pool) ifFree(i int) (int, Verdict) {
+// assignIfFree returns the result of Pick for a request that only member i may be sent.
+func (p *Pool) assignIfFree(i int) (int, Verdict) {
 	if !p.members[i].hasCapacity() {
 		return -1, Busy
 	}
 	return i, Assigned
 }
 
-// leastLoaded returns the members of a list that have the fewest requests for their weight.
-func (p *Pool) leastLoaded(among []int, now time.Duration) (fewest []int) {
+// leastLoaded returns the candidates with the fewest requests in flight per weight.
+func (p *Pool) leastLoaded(candidates []int, now time.Duration) (fewest []int) {
 	least := math.Inf(1)
-	for _, i := range among {
+	for _, i := range candidates {
 		m := &p.members[i]
-		load := float64(m.inFlight) / p.weight(m, now)
+		load := float64(m.inFlight) / p.effectiveWeight(m, now)
 		if load < least {
 			least, fewest = load, fewest[:0]
 		}
@@ -318,13 +317,14 @@
 	return fewest
 }
 
-// roundRobin is smooth weighted round robin: each member gains its weight, and the one that has
-// the most gives up the sum. In any run each has its share, evenly spread.
-func (p *Pool) roundRobin(among []int, now time.Duration) int {
+// roundRobin implements smooth weighted round robin: each candidate gains its weight, and the candidate with
+// the highest current weight is picked and loses the sum of the weights. Picks of a member are proportional to
+// its weight and evenly spread.
+func (p *Pool) roundRobin(candidates []int, now time.Duration) int {
 	best, sum := -1, 0.0
-	for _, i := range among {
+	for _, i := range candidates {
 		m := &p.members[i]
-		w := p.weight(m, now)
+		w := p.effectiveWeight(m, now)
 		m.currentWeight += w
 		sum += w
 		if best < 0 || m.currentWeight > p.members[best].currentWeight {
@@ -335,52 +335,52 @@
 	return best
 }
 
-// weightedRandom picks a member with a probability in proportion to its weight; r is the
-// request's random number.
-func (p *Pool) weightedRandom(among []int, r uint64, now time.Duration) int {
+// weightedRandom picks a candidate with a probability proportional to its weight. r is the random number of
+// the request.
+func (p *Pool) weightedRandom(candidates []int, r uint64, now time.Duration) int {
 	sum := 0.0
-	for _, i := range among {
-		sum += p.weight(&p.members[i], now)
+	for _, i := range candidates {
+		sum += p.effectiveWeight(&p.members[i], now)
 	}
 	at := float64(r>>11) / (1 << 53) * sum
-	for _, i := range among {
-		if at -= p.weight(&p.members[i], now); at < 0 {
+	for _, i := range candidates {
+		if at -= p.effectiveWeight(&p.members[i], now); at < 0 {
 			return i
 		}
 	}
-	return among[len(among)-1]
+	return candidates[len(candidates)-1]
 }
 
-// rendezvous is weighted rendezvous hashing (Thaler and Ravishankar, 1998, with the weights of
-// Schindelhauer and Schomaker, 2005): when a member leaves, only what it had moves.
-func (p *Pool) rendezvous(among []int, key string, now time.Duration) int {
-	best, most := among[0], math.Inf(-1)
-	for _, i := range among {
+// rendezvousHash implements weighted rendezvous hashing (Thaler and Ravishankar, 1998, with the weights of
+// Schindelhauer and Schomaker, 2005): if a member leaves, only its keys move.
+func (p *Pool) rendezvousHash(candidates []int, key string, now time.Duration) int {
+	best, bestScore := candidates[0], math.Inf(-1)
+	for _, i := range candidates {
 		m := &p.members[i]
 		var d xxhash.Digest
 		d.Reset()
 		_, _ = d.WriteString(key)
 		_, _ = d.WriteString("\x00" + m.Name)
 		u := (float64(d.Sum64()>>11) + 0.5) / (1 << 53)
-		if score := -p.weight(m, now) / math.Log(u); score > most {
-			best, most = i, score
+		if score := -p.effectiveWeight(m, now) / math.Log(u); score > bestScore {
+			best, bestScore = i, score
 		}
 	}
 	return best
 }
 
-// Acquire notes that a member has one more request in flight.
+// Acquire increments the number of requests in flight of a member.
 func (p *Pool) Acquire(i int) { p.members[i].inFlight++ }
 
-// Release notes that a member has one request in flight less.
+// Release decrements the number of requests in flight of a member.
 func (p *Pool) Release(i int) {
 	if p.members[i].inFlight > 0 {
 		p.members[i].inFlight--
 	}
 }
 
-// Enqueue queues a request until a member has capacity or Options.QueueTimeout is over. It reports
-// false if the queue is full. Token stands for the request in what NextQueued and Expire return.
+// Enqueue queues a request until a member has capacity or Options.QueueTimeout elapses. It reports false if
+// the queue is full. NextQueued, Expire and Drain return the token to identify the request.
 func (p *Pool) Enqueue(now time.Duration, token any, h Hint) bool {
 	if len(p.queue) >= p.opt.MaxQueue {
 		return false
@@ -389,11 +389,10 @@
 	return true
 }
 
-// QueueLen returns how many requests wait.
+// QueueLen returns the number of queued requests.
 func (p *Pool) QueueLen() int { return len(p.queue) }
 
-// NextQueued returns the request that has waited the longest of those that can go now, and the
-// member that it goes to. It picks and acquires that member.
+// NextQueued dequeues the oldest request that can be sent now. It picks and acquires the member for it.
 func (p *Pool) NextQueued(now time.Duration) (token any, i int, ok bool) {
 	for k, w := range p.queue {
 		if i, v := p.Pick(now, w.hint); v == Assigned {
@@ -403,13 +402,13 @@
 		} else if v == Unavailable {
 			break
 		} else if w.hint.Cookie == "" && p.opt.Balance != Hash {
-			break // nor can a later one: without cookie and hash all compete for the same members
+			break // no later request fits either: without cookies and hashing all requests use the same members
 		}
 	}
 	return nil, -1, false
 }
 
-// Dequeue takes a request out of the queue, and reports whether it was there.
+// Dequeue removes a request from the queue. It reports whether the request was queued.
 func (p *Pool) Dequeue(token any) bool {
 	k := slices.IndexFunc(p.queue, func(w queuedRequest) bool { return w.token == token })
 	if k >= 0 {
@@ -418,11 +417,11 @@
 	return k >= 0
 }
 
-// Expire dequeues and returns the requests that have waited too long, or for which no member is left.
+// Expire dequeues and returns the requests whose deadline has passed or that no member can serve.
 func (p *Pool) Expire(now time.Duration) (tokens []any) {
-	none := len(p.queue) > 0 && len(p.eligible()) == 0
+	noneEligible := len(p.queue) > 0 && len(p.eligible()) == 0
 	p.queue = slices.DeleteFunc(p.queue, func(w queuedRequest) bool {
-		if now < w.deadline && (!none || p.hasPersistent(w.hint)) {
+		if now < w.deadline && (!noneEligible || p.hasCookieMember(w.hint)) {
 			return false
 		}
 		tokens = append(tokens, w.token)
@@ -431,14 +430,14 @@
 	return tokens
 }
 
-// hasPersistent reports whether a request's persistence cookie names a member that takes it.
-func (p *Pool) hasPersistent(h Hint) bool {
+// hasCookieMember reports whether a member accepts the persistence cookie of a request.
+func (p *Pool) hasCookieMember(h Hint) bool {
 	return h.Cookie != "" && slices.ContainsFunc(p.members, func(m member) bool {
-		return m.honours(h.Cookie)
+		return m.acceptsCookie(h.Cookie)
 	})
 }
 
-// NextDeadline returns the earliest deadline of the queued requests; 0: none is queued.
+// NextDeadline returns the earliest deadline of the queued requests, or 0 if the queue is empty.
 func (p *Pool) NextDeadline() (first time.Duration) {
 	for _, w := range p.queue {
 		if first == 0 || w.deadline < first {
@@ -448,7 +447,7 @@
 	return first
 }
 
-// Drain empties the queue and returns its requests, the longest waiting first.
+// Drain empties the queue and returns its requests in order of arrival.
 func (p *Pool) Drain() (tokens []any) {
 	for _, w := range p.queue {
 		tokens = append(tokens, w.token)
--- a/internal/route/acl.go
+++ b/internal/route/acl.go
@@ -7,34 +7,35 @@
 	"strings"
 )
 
-// test is one condition on a request: a sample fetch, and a match on what it finds.
+// test is one criterion of an access list: a sample fetch and a match on its samples.
 type test struct {
-	fetch *fetch
-	match func(string) bool
-	found bool // it holds if there is any sample
+	fetch        *fetch
+	match        func(string) bool
+	presenceOnly bool // holds if there is any sample, whatever its value
 
-	// For the index: the sample must be one of the patterns, or begin with one.
-	indexable  string // "str" or "beg", the methods that the index answers; else ""
-	ignoreCase bool   // case does not matter
-	patterns   []string
+	// The fields below are for the index of use rules.
+
+	indexMethod string // "str" or "beg", the match methods that an index supports; "" for others
+	ignoreCase  bool   // matching ignores case
+	patterns    []string
 }
 
 func (t *test) holds(q *Request) bool {
 	got := t.fetch.samples(q)
-	if t.found {
+	if t.presenceOnly {
 		return len(got) > 0
 	}
 	return slices.ContainsFunc(got, t.match)
 }
 
-// defaultMethods are the matching methods of samples where neither a flag nor a suffix names one.
-var defaultMethods = map[kind]string{kindStr: "str", kindInt: "int", kindIP: "ip", kindBool: "bool"}
+// defaultMatchMethods are the match methods by kind of sample if neither a flag nor a suffix names one.
+var defaultMatchMethods = map[kind]string{kindStr: "str", kindInt: "int", kindIP: "ip", kindBool: "bool"}
 
-// methodSuffixes are the matching methods that a fetch's name may end with.
-var methodSuffixes = map[string]string{"_beg": "beg", "_end": "end", "_sub": "sub", "_dir": "dir", "_dom": "dom", "_reg": "reg",
+// matchMethodSuffixes are the suffixes of a fetch name that select a match method, as in path_beg.
+var matchMethodSuffixes = map[string]string{"_beg": "beg", "_end": "end", "_sub": "sub", "_dir": "dir", "_dom": "dom", "_reg": "reg",
 	"_len": "len", "_str": "str"}
 
-// parseTest parses the words of an access list: a fetch, flags, and patterns.
+// parseTest parses the words of a criterion: a fetch, flags and patterns.
 func (l *ACLSet) parseTest(words []string) (*test, error) {
 	if len(words) == 0 {
 		return nil, fmt.Errorf("a condition without a sample")
@@ -50,7 +51,7 @@
 		return nil, err
 	}
 	t.patterns = append(t.patterns, rest...)
-	method = cmp.Or(method, defaultMethods[f.kind])
+	method = cmp.Or(method, defaultMatchMethods[f.kind])
 	match, ok := matchers[method]
 	if !ok {
 		return nil, unsupported("the method -m %s", method)
@@ -61,21 +62,21 @@
 	if t.match, err = match(t.patterns, t.ignoreCase); err != nil {
 		return nil, err
 	}
-	t.found = method == "found"
+	t.presenceOnly = method == "found"
 	if method == "str" || method == "beg" {
-		t.indexable = method
+		t.indexMethod = method
 	}
 	return t, nil
 }
 
-// cutMethod takes the matching method that a fetch's name ends with, as in path_beg, off the
-// expression; "": none.
+// cutMethod removes the match method suffix from the fetch name of an expression. The method is "" if there
+// is no suffix.
 func cutMethod(expr string) (fetch, method string) {
 	base, _, _ := strings.Cut(expr, "(")
 	if i := strings.IndexByte(base, ','); i >= 0 {
 		base = base[:i]
 	}
-	for suffix, method := range methodSuffixes {
+	for suffix, method := range matchMethodSuffixes {
 		if cut, ok := strings.CutSuffix(base, suffix); ok && cut != "" {
 			return cut + expr[len(base):], method
 		}
@@ -83,47 +84,47 @@
 	return expr, ""
 }
 
-// parseFlags reads the flags in front of the patterns into t. It returns the method that -m
-// names, the given one without it, and the words behind the flags.
+// parseFlags parses the flags before the patterns into t. It returns the match method, which is the one of
+// -m or else the given one, and the words after the flags.
 func (l *ACLSet) parseFlags(t *test, method string, words []string) (string, []string, error) {
 	rest := words
 	for len(rest) > 0 && strings.HasPrefix(rest[0], "-") && len(rest[0]) > 1 {
 		flag := rest[0]
-		behind := rest[1:]
+		after := rest[1:]
 		switch flag {
 		case "--":
-			return method, behind, nil
+			return method, after, nil
 		case "-i":
 			t.ignoreCase = true
-		case "-n": // names are not looked up anyway
+		case "-n": // has no effect: host names are never resolved
 		case "-m":
-			if len(behind) == 0 {
+			if len(after) == 0 {
 				return "", nil, fmt.Errorf("-m lacks its method")
 			}
-			method, behind = behind[0], behind[1:]
+			method, after = after[0], after[1:]
 		case "-f":
-			if len(behind) == 0 {
+			if len(after) == 0 {
 				return "", nil, fmt.Errorf("-f lacks its file")
 			}
-			b, err := l.files(behind[0])
+			b, err := l.files(after[0])
 			if err != nil {
 				return "", nil, err
 			}
 			t.patterns = append(t.patterns, fileLines(b)...)
-			behind = behind[1:]
+			after = after[1:]
 		default:
-			if t.fetch.kind == kindInt { // a negative number: the patterns begin here
+			if t.fetch.kind == kindInt { // not a flag but a negative number, the first pattern
 				return method, rest, nil
 			}
 			return "", nil, unsupported("the flag %s", flag)
 		}
-		rest = behind
+		rest = after
 	}
 	return method, rest, nil
 }
 
-// predefined are the access lists that need not be declared.
-var predefined = map[string]string{
+// predefinedACLs are the access lists that HAProxy predefines.
+var predefinedACLs = map[string]string{
 	"TRUE": "always_true", "FALSE": "always_false",
 	"LOCALHOST": "src 127.0.0.1/8 ::1", "METH_CONNECT": "method CONNECT", "METH_DELETE": "method DELETE",
 	"METH_GET": "method GET HEAD", "METH_HEAD": "method HEAD", "METH_OPTIONS": "method OPTIONS", "METH_POST": "method POST",
@@ -132,17 +133,17 @@
 	"HTTP_CONTENT": "hdr_len(content-length) gt 0",
 }
 
-// ACLSet are named access lists; several of one name hold if any does.
+// ACLSet holds named access lists. A name that is added several times holds if any of its tests holds.
 type ACLSet struct {
 	files   Files
 	named   map[string][]*test
-	fetches map[string]*fetch // by their text: rules with the same fetch share its samples
+	fetches map[string]*fetch // by text, so that rules with the same fetch share its cached samples
 }
 
-// NewACLSet returns an ACLSet with only the predefined access lists.
+// NewACLSet returns an ACLSet that contains only the predefined access lists.
 func NewACLSet(files Files) *ACLSet { return &ACLSet{files, map[string][]*test{}, map[string]*fetch{}} }
 
-// fetch returns the fetch of a text, the same one each time.
+// fetch returns the fetch of an expression. Equal expressions have the same fetch.
 func (l *ACLSet) fetch(text string) (*fetch, error) {
 	if f := l.fetches[text]; f != nil {
 		return f, nil
@@ -154,7 +155,7 @@
 	return f, err
 }
 
-// Add declares an access list: its name, and the words behind it.
+// Add adds a test, given by its words, to the access list of a name.
 func (l *ACLSet) Add(name string, words []string) error {
 	t, err := l.parseTest(words)
 	if err != nil {
@@ -164,19 +165,19 @@
 	return nil
 }
 
-// Condition is a compiled condition.
+// Condition is a compiled condition of a rule.
 type Condition struct {
-	alternatives [][]term // one of these holds, all of whose terms hold
+	alternatives [][]term // disjunction of conjunctions of terms
 	unless       bool
 }
 
-// term is a named or anonymous access list in a condition.
+// term is a named or anonymous access list in a condition, possibly negated.
 type term struct {
-	tests   []*test // any of these
+	tests   []*test // holds if any of these holds
 	negated bool
 }
 
-// CompileCondition compiles a condition: "if" or "unless" and what follows. Without words it always holds.
+// CompileCondition compiles a condition that starts with "if" or "unless". An empty condition always holds.
 func (l *ACLSet) CompileCondition(words []string) (*Condition, error) {
 	if len(words) == 0 {
 		return &Condition{alternatives: [][]term{{}}}, nil
@@ -187,7 +188,7 @@
 	}
 	words = words[1:]
 	var all []term
-	open := false // a term must follow
+	expectTerm := false // set after an "or"
 	for len(words) > 0 {
 		w := words[0]
 		words = words[1:]
@@ -195,7 +196,7 @@
 			if len(all) == 0 {
 				return nil, fmt.Errorf("nothing stands before %q", w)
 			}
-			c.alternatives, all, open = append(c.alternatives, all), nil, true
+			c.alternatives, all, expectTerm = append(c.alternatives, all), nil, true
 			continue
 		}
 		t, rest, err := l.parseTerm(w, words)
@@ -203,17 +204,17 @@
 			return nil, err
 		}
 		words = rest
-		all, open = append(all, t), false
+		all, expectTerm = append(all, t), false
 	}
-	if open || len(all) == 0 {
+	if expectTerm || len(all) == 0 {
 		return nil, fmt.Errorf("the condition ends where something must follow")
 	}
 	c.alternatives = append(c.alternatives, all)
 	return c, nil
 }
 
-// parseTerm reads one term, which begins with w and goes on in words: the name of an access list
-// or an anonymous one in braces, negated or not. It returns the words behind it.
+// parseTerm parses a term whose first word is w and whose next words are in words: an access list by name
+// or an anonymous one in braces, optionally negated. It returns the words after the term.
 func (l *ACLSet) parseTerm(w string, words []string) (t term, rest []string, err error) {
 	for strings.HasPrefix(w, "!") {
 		t.negated = !t.negated
@@ -240,12 +241,12 @@
 	return t, words[end+1:], nil
 }
 
-// lookup returns the tests of a declared or predefined access list.
+// lookup returns the tests of an added or predefined access list.
 func (l *ACLSet) lookup(name string) ([]*test, error) {
 	if tests := l.named[name]; tests != nil {
 		return tests, nil
 	}
-	text, ok := predefined[name]
+	text, ok := predefinedACLs[name]
 	if !ok {
 		return nil, fmt.Errorf("no acl is called %q", name)
 	}
@@ -256,7 +257,7 @@
 	return []*test{t}, nil
 }
 
-// Holds reports whether a request meets the condition.
+// Holds reports whether the condition holds for a request.
 func (c *Condition) Holds(q *Request) bool {
 	for _, all := range c.alternatives {
 		holds := true
--- a/internal/route/convert.go
+++ b/internal/route/convert.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// parseConverter returns the converter of a name, and the kind of sample that it makes.
+// parseConverter returns the converter of a name and the kind of its output.
 func parseConverter(name string, args []string, files Files) (converter, kind, error) {
 	switch name {
 	case "lower":
@@ -38,7 +38,7 @@
 	return nil, 0, unsupported("the converter %s", name)
 }
 
-// cutPort splits a host and its port; "": there is none.
+// cutPort splits a host into its name and port. The port is "" if there is none.
 func cutPort(s string) (host, port string) {
 	if i := strings.LastIndexByte(s, ':'); i >= 0 && !strings.HasSuffix(s, "]") {
 		return s[:i], s[i+1:]
@@ -46,8 +46,8 @@
 	return s, ""
 }
 
-// parseField parses field(N,DELIMITERS) and word(N,DELIMITERS), which counts no empty parts. A
-// negative N counts from the end.
+// parseField parses field(N,DELIMITERS) and word(N,DELIMITERS). Word skips empty parts. A negative N counts
+// from the end.
 func parseField(name string, args []string) (converter, error) {
 	if err := requireArgs(name, args, 2); err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 	return func(s string) (string, bool) {
 		parts := strings.FieldsFunc(s, func(r rune) bool { return strings.ContainsRune(delimiters, r) })
 		if name == "field" {
-			parts = cutAll(s, delimiters)
+			parts = splitAll(s, delimiters)
 		}
 		i := n - 1
 		if n < 0 {
@@ -73,8 +73,7 @@
 	}, nil
 }
 
-// parseRegsub parses regsub(REGEX,REPLACEMENT[,FLAGS]); of the flags, i ignores case and g replaces
-// every match.
+// parseRegsub parses regsub(REGEX,REPLACEMENT[,FLAGS]). Flag i ignores case, flag g replaces all matches.
 func parseRegsub(args []string) (converter, error) {
 	if err := requireArgs("regsub", args, 2); err != nil {
 		return nil, err
@@ -83,11 +82,11 @@
 	if err != nil {
 		return nil, err
 	}
-	to, all := backrefs(args[1]), len(args) > 2 && strings.Contains(args[2], "g")
+	to, all := convertBackrefs(args[1]), len(args) > 2 && strings.Contains(args[2], "g")
 	return func(s string) (string, bool) { return replace(re, s, to, all), true }, nil
 }
 
-func cutAll(s, delimiters string) (parts []string) {
+func splitAll(s, delimiters string) (parts []string) {
 	for {
 		i := strings.IndexAny(s, delimiters)
 		if i < 0 {
@@ -97,7 +96,7 @@
 	}
 }
 
-// parseMap parses map_MATCH(FILE[,DEFAULT]): lines of a key and a value.
+// parseMap parses map_MATCH(FILE[,DEFAULT]). Each line of the file has a key and a value.
 func parseMap(method string, args []string, files Files) (converter, error) {
 	if err := requireArgs("map", args, 1); err != nil {
 		return nil, err
@@ -122,7 +121,7 @@
 	for _, line := range fileLines(b) {
 		key, value := cutMapLine(line)
 		if method == "str" {
-			if _, twice := exact[key]; !twice { // the first counts
+			if _, twice := exact[key]; !twice { // the first entry of a key wins
 				exact[key] = value
 			}
 			continue
@@ -149,7 +148,7 @@
 	}, nil
 }
 
-// cutMapLine splits a line of a map file into key and value at the first blanks.
+// cutMapLine splits a line of a map file into key and value at the first blank.
 func cutMapLine(line string) (key, value string) {
 	i := strings.IndexAny(line, " \t")
 	if i < 0 {
@@ -158,7 +157,7 @@
 	return line[:i], strings.TrimSpace(line[i:])
 }
 
-// fileLines returns the lines of a file of patterns, without empty ones and comments.
+// fileLines returns the lines of a pattern or map file without empty lines and comments.
 func fileLines(b []byte) (out []string) {
 	for line := range strings.Lines(string(b)) {
 		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
@@ -168,8 +167,8 @@
 	return out
 }
 
-func compileRegexp(s string, fold bool) (*regexp.Regexp, error) {
-	if fold {
+func compileRegexp(s string, foldCase bool) (*regexp.Regexp, error) {
+	if foldCase {
 		s = "(?i)" + s
 	}
 	re, err := regexp.Compile(s)
@@ -179,8 +178,8 @@
 	return re, nil
 }
 
-// backrefs turns \1 into Go's ${1}.
-func backrefs(s string) string {
+// convertBackrefs converts references such as \1 to the ${1} of package regexp.
+func convertBackrefs(s string) string {
 	var b strings.Builder
 	for i := 0; i < len(s); i++ {
 		switch {
@@ -199,7 +198,7 @@
 	return b.String()
 }
 
-// replace replaces the first match, or all.
+// replace replaces the first match of re in s, or all matches.
 func replace(re *regexp.Regexp, s, to string, all bool) string {
 	if all {
 		return re.ReplaceAllString(s, to)
--- a/internal/route/fetch.go
+++ b/internal/route/fetch.go
@@ -9,21 +9,22 @@
 	"sedgevale/internal/http1"
 )
 
-// Files reads a file that a pattern or a map names.
+// Files reads a pattern or map file that a rule refers to.
 type Files func(path string) ([]byte, error)
 
-// NoFiles is for rules that name none.
+// NoFiles is a Files without any file.
 func NoFiles(path string) ([]byte, error) { return nil, fmt.Errorf("%s: %w", path, os.ErrNotExist) }
 
-// fetch extracts samples from a request: none, one, or several, as of a repeated header field.
+// fetch extracts samples from a request. A fetch has several samples if, for example, a header field is
+// repeated.
 type fetch struct {
-	text       string // as it was written, for index and messages
+	text       string // expression as written; identifies the fetch in the index
 	kind       kind
 	get        func(q *Request) []string
 	converters []converter
 }
 
-// kind is the type of samples.
+// kind is the type of a sample.
 type kind uint8
 
 const (
@@ -35,9 +36,9 @@
 
 type converter func(string) (string, bool)
 
-// samples returns the samples of a request, and caches them until the request is edited.
+// samples returns the samples of a request. They are cached until a rule edits the request.
 func (f *fetch) samples(q *Request) []string {
-	if got, ok := q.fetched[f]; ok {
+	if got, ok := q.sampleCache[f]; ok {
 		return got
 	}
 	got := f.get(q)
@@ -56,23 +57,23 @@
 		}
 		got = out
 	}
-	if q.fetched == nil {
-		q.fetched = map[*fetch][]string{}
+	if q.sampleCache == nil {
+		q.sampleCache = map[*fetch][]string{}
 	}
-	q.fetched[f] = got
+	q.sampleCache[f] = got
 	return got
 }
 
-func single(s string) []string { return []string{s} }
+func singleSample(s string) []string { return []string{s} }
 
-func flag(b bool) []string {
+func boolSample(b bool) []string {
 	if b {
-		return single("1")
+		return singleSample("1")
 	}
-	return single("0")
+	return singleSample("0")
 }
 
-// UnsupportedError is wrapped by the errors for what is well formed and not supported.
+// UnsupportedError reports a well-formed element of a rule that is not supported.
 type UnsupportedError struct{ What string }
 
 func (e *UnsupportedError) Error() string { return e.What + " is not supported" }
@@ -81,7 +82,8 @@
 	return &UnsupportedError{fmt.Sprintf(format, args...)}
 }
 
-// parseFetch parses an expression: a fetch with its arguments, and converters after commas.
+// parseFetch parses a sample expression: a fetch with its arguments, followed by converters separated by
+// commas.
 func parseFetch(text string, files Files) (*fetch, error) {
 	name, rest := text, ""
 	if i := endOfCall(text); i < len(text) {
@@ -92,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := f.sample(word, args); err != nil {
+	if err := f.resolve(word, args); err != nil {
 		return nil, err
 	}
 	for rest != "" {
@@ -130,7 +132,7 @@
 	return len(s)
 }
 
-// parseCall reads name(a,b).
+// parseCall parses NAME or NAME(ARG,...).
 func parseCall(s string) (name string, args []string, err error) {
 	name, rest, ok := strings.Cut(s, "(")
 	if !ok {
@@ -152,41 +154,41 @@
 	return nil
 }
 
-// sample is a sample fetch without arguments.
-type sample struct {
+// fetchFunc implements a sample fetch that takes no arguments.
+type fetchFunc struct {
 	kind kind
 	get  func(q *Request) []string
 }
 
-// plainSamples are the sample fetches that take no arguments, by name. Arguments that are given
-// all the same are not looked at.
-var plainSamples = map[string]sample{
-	"path":         {kindStr, func(q *Request) []string { return single(q.Path()) }},
-	"pathq":        {kindStr, func(q *Request) []string { return single(q.Target) }},
-	"url":          {kindStr, func(q *Request) []string { return single(q.Target) }},
-	"query":        {kindStr, func(q *Request) []string { return single(q.Query()) }},
-	"base":         {kindStr, func(q *Request) []string { return single(q.Header("Host") + q.Path()) }},
-	"method":       {kindStr, func(q *Request) []string { return single(q.Method) }},
-	"req.ver":      {kindStr, func(q *Request) []string { return single(q.Version) }},
-	"req_ver":      {kindStr, func(q *Request) []string { return single(q.Version) }},
-	"src":          {kindIP, func(q *Request) []string { return single(q.Src.Unmap().String()) }},
-	"dst_port":     {kindInt, func(q *Request) []string { return single(strconv.Itoa(q.DstPort)) }},
-	"fc_dst_port":  {kindInt, func(q *Request) []string { return single(strconv.Itoa(q.DstPort)) }},
-	"ssl_fc":       {kindBool, func(q *Request) []string { return flag(q.TLS) }},
-	"always_true":  {kindBool, func(*Request) []string { return flag(true) }},
-	"always_false": {kindBool, func(*Request) []string { return flag(false) }},
-	"status":       {kindInt, func(q *Request) []string { return single(strconv.Itoa(q.Status)) }},
+// fetchesWithoutArgs are the sample fetches that take no arguments, by name. Arguments given to them are
+// ignored.
+var fetchesWithoutArgs = map[string]fetchFunc{
+	"path":         {kindStr, func(q *Request) []string { return singleSample(q.Path()) }},
+	"pathq":        {kindStr, func(q *Request) []string { return singleSample(q.Target) }},
+	"url":          {kindStr, func(q *Request) []string { return singleSample(q.Target) }},
+	"query":        {kindStr, func(q *Request) []string { return singleSample(q.Query()) }},
+	"base":         {kindStr, func(q *Request) []string { return singleSample(q.Header("Host") + q.Path()) }},
+	"method":       {kindStr, func(q *Request) []string { return singleSample(q.Method) }},
+	"req.ver":      {kindStr, func(q *Request) []string { return singleSample(q.Version) }},
+	"req_ver":      {kindStr, func(q *Request) []string { return singleSample(q.Version) }},
+	"src":          {kindIP, func(q *Request) []string { return singleSample(q.Src.Unmap().String()) }},
+	"dst_port":     {kindInt, func(q *Request) []string { return singleSample(strconv.Itoa(q.DstPort)) }},
+	"fc_dst_port":  {kindInt, func(q *Request) []string { return singleSample(strconv.Itoa(q.DstPort)) }},
+	"ssl_fc":       {kindBool, func(q *Request) []string { return boolSample(q.TLS) }},
+	"always_true":  {kindBool, func(*Request) []string { return boolSample(true) }},
+	"always_false": {kindBool, func(*Request) []string { return boolSample(false) }},
+	"status":       {kindInt, func(q *Request) []string { return singleSample(strconv.Itoa(q.Status)) }},
 }
 
-// argumentSamples are the sample fetches that need one argument, by name.
-var argumentSamples = map[string]func(f *fetch, arg string){
+// fetchesWithArg are the sample fetches that require an argument, by name.
+var fetchesWithArg = map[string]func(f *fetch, arg string){
 	"url_param": (*fetch).param,
 	"urlp":      (*fetch).param,
 	"cook":      (*fetch).cookie,
 	"req.cook":  (*fetch).cookie,
 	"var":       (*fetch).variable,
 	"nbsrv":     (*fetch).servers,
-	"str":       func(f *fetch, arg string) { f.get = func(*Request) []string { return single(arg) } },
+	"str":       func(f *fetch, arg string) { f.get = func(*Request) []string { return singleSample(arg) } },
 }
 
 func (f *fetch) param(name string) {
@@ -200,30 +202,30 @@
 func (f *fetch) variable(name string) {
 	f.get = func(q *Request) []string {
 		if v, ok := q.vars[name]; ok {
-			return single(v)
+			return singleSample(v)
 		}
 		return nil
 	}
 }
 
-// servers fetches how many servers of a backend serve.
+// servers fetches the number of serving servers of a backend.
 func (f *fetch) servers(backend string) {
 	f.kind = kindInt
 	f.get = func(q *Request) []string {
 		if q.ServingServers == nil {
-			return single("0")
+			return singleSample("0")
 		}
-		return single(strconv.Itoa(q.ServingServers(backend)))
+		return singleSample(strconv.Itoa(q.ServingServers(backend)))
 	}
 }
 
-// sample sets the sample fetch that a name stands for.
-func (f *fetch) sample(name string, args []string) error {
-	if s, ok := plainSamples[name]; ok {
+// resolve sets up f as the sample fetch of a name.
+func (f *fetch) resolve(name string, args []string) error {
+	if s, ok := fetchesWithoutArgs[name]; ok {
 		f.kind, f.get = s.kind, s.get
 		return nil
 	}
-	if set, ok := argumentSamples[name]; ok {
+	if set, ok := fetchesWithArg[name]; ok {
 		if err := requireArgs(name, args, 1); err != nil {
 			return err
 		}
@@ -239,7 +241,7 @@
 	return unsupported("the sample %s", name)
 }
 
-// random fetches a number from 0 up to an exclusive bound, 2^32 without an argument.
+// random fetches a random integer in [0, n). The default of n is 2^32.
 func (f *fetch) random(args []string) error {
 	n := uint64(1 << 32)
 	if len(args) > 0 {
@@ -250,12 +252,12 @@
 		n = v
 	}
 	f.kind = kindInt
-	f.get = func(q *Request) []string { return single(strconv.FormatUint(q.Rand%n, 10)) }
+	f.get = func(q *Request) []string { return singleSample(strconv.FormatUint(q.Rand%n, 10)) }
 	return nil
 }
 
-// header fetches header fields: the values parted at commas, or, with fhdr, whole; all,
-// or the one of a number, from the end if that is negative.
+// header fetches the values of a header field, split at commas unless the fetch is an fhdr. An optional
+// second argument selects the value at a position, counted from the end if it is negative.
 func (f *fetch) header(name string, args []string) error {
 	if err := requireArgs(name, args, 1); err != nil {
 		return err
@@ -277,7 +279,7 @@
 	}
 	if strings.HasSuffix(name, "_cnt") {
 		f.kind = kindInt
-		f.get = func(q *Request) []string { return single(strconv.Itoa(len(values(q)))) }
+		f.get = func(q *Request) []string { return singleSample(strconv.Itoa(len(values(q)))) }
 		return nil
 	}
 	f.get = func(q *Request) []string {
@@ -295,8 +297,7 @@
 	return nil
 }
 
-// headerValues returns the values of the fields of a name, parted at commas unless they are wanted
-// whole.
+// headerValues returns the values of all fields of a name, split at commas unless unsplit is set.
 func headerValues(fields []http1.Field, name string, unsplit bool) (out []string) {
 	for i := range fields {
 		if !strings.EqualFold(fields[i].Name, name) {
@@ -306,21 +307,22 @@
 			out = append(out, fields[i].Value)
 			continue
 		}
-		for part := range strings.SplitSeq(fields[i].Value, ",") {
-			out = append(out, strings.TrimSpace(part))
+		for value := range strings.SplitSeq(fields[i].Value, ",") {
+			out = append(out, strings.TrimSpace(value))
 		}
 	}
 	return out
 }
 
-// matchers are the ways to match a sample against patterns.
-var matchers = map[string]func(patterns []string, fold bool) (func(string) bool, error){
+// matchers compile patterns by match method. The functions they return report whether a sample matches any
+// pattern.
+var matchers = map[string]func(patterns []string, foldCase bool) (func(string) bool, error){
 	"str": matchExact,
 	"beg": matchAny(strings.HasPrefix),
 	"end": matchAny(strings.HasSuffix),
 	"sub": matchAny(strings.Contains),
-	"dir": matchAny(func(s, p string) bool { return within(s, p, "/?") }),
-	"dom": matchAny(func(s, p string) bool { return within(s, p, "/?.:") }),
+	"dir": matchAny(func(s, p string) bool { return containsDelimited(s, p, "/?") }),
+	"dom": matchAny(func(s, p string) bool { return containsDelimited(s, p, "/?.:") }),
 	"reg": matchRegexp,
 	"int": matchInt,
 	"ip":  matchIP,
--- a/internal/route/format.go
+++ b/internal/route/format.go
@@ -5,26 +5,28 @@
 	"strings"
 )
 
-// Format is a text with samples in it: %[EXPRESSION], and some of the short forms that
-// logs use.
+// Format is a compiled format string. It supports sample expressions, %[EXPRESSION], and some of the
+// aliases of HAProxy's log formats, such as %ci.
 type Format struct {
-	parts []part
+	parts []formatPart
 }
 
-type part struct {
+// formatPart is a literal text or, if fetch is not nil, a sample expression.
+type formatPart struct {
 	text  string
 	fetch *fetch
 }
 
-var shortForms = map[string]string{"ci": "src", "HM": "method", "HU": "url", "HP": "path", "HQ": "query"}
+// logFormatAliases are the supported log format aliases with their sample expressions.
+var logFormatAliases = map[string]string{"ci": "src", "HM": "method", "HU": "url", "HP": "path", "HQ": "query"}
 
-// ParseFormat parses a format.
+// ParseFormat parses a format string.
 func ParseFormat(s string, files Files) (*Format, error) {
 	f := &Format{}
 	var text strings.Builder
 	flush := func() {
 		if text.Len() > 0 {
-			f.parts = append(f.parts, part{text: text.String()})
+			f.parts = append(f.parts, formatPart{text: text.String()})
 			text.Reset()
 		}
 	}
@@ -48,15 +50,15 @@
 				return nil, err
 			}
 			flush()
-			f.parts = append(f.parts, part{fetch: one})
+			f.parts = append(f.parts, formatPart{fetch: one})
 			i += end + 1
-		case len(rest) >= 2 && shortForms[rest[:2]] != "":
-			one, err := parseFetch(shortForms[rest[:2]], files)
+		case len(rest) >= 2 && logFormatAliases[rest[:2]] != "":
+			one, err := parseFetch(logFormatAliases[rest[:2]], files)
 			if err != nil {
 				return nil, err
 			}
 			flush()
-			f.parts = append(f.parts, part{fetch: one})
+			f.parts = append(f.parts, formatPart{fetch: one})
 			i += 2
 		default:
 			return nil, unsupported("%q in a format", "%"+rest[:min(2, len(rest))])
@@ -66,7 +68,7 @@
 	return f, nil
 }
 
-// Literal returns the text if it has no samples.
+// Literal returns the text of a format without samples. It reports false for other formats.
 func (f *Format) Literal() (string, bool) {
 	switch {
 	case len(f.parts) == 0:
@@ -77,7 +79,7 @@
 	return "", false
 }
 
-// Expand fills a format in. Of several samples the last counts, as for a header.
+// Expand evaluates the format for a request. It uses the last sample of a fetch that has several.
 func (f *Format) Expand(q *Request) string {
 	if s, ok := f.Literal(); ok {
 		return s
--- a/internal/route/frontend.go
+++ b/internal/route/frontend.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Spec is the rules of a frontend or backend, as they are in a file: each line has the arguments
-// of HAProxy's directive of that kind.
+// Spec holds the rules of a frontend or backend as written in the operator's file. Each line has the
+// arguments of the corresponding HAProxy directive.
 type Spec struct {
 	ACL      []string `toml:"acl,omitempty"`      // NAME TEST
 	Request  []string `toml:"request,omitempty"`  // http-request rules
@@ -16,41 +16,40 @@
 	Default  string   `toml:"default,omitempty"`  // backend; frontends only
 }
 
-// Rules are a compiled Spec. They may be used by several goroutines.
+// Rules is a compiled Spec. It is safe for concurrent use.
 type Rules struct {
 	request, response []*Rule
 	use               []UseRule
 	defaultBackend    string
 
-	index     []index // of the use rules that ask for a certain text
-	unindexed []int   // the other ones, in order
+	indexes   []useIndex // indexes of use rules, one per fetch and case sensitivity
+	unindexed []int      // positions of the use rules in no index, ascending
 }
 
-// UseRule is a compiled use_backend rule: the backend, which may depend on the request, and when
-// the rule counts.
+// UseRule is a compiled use_backend rule: a backend, whose name may depend on the request, and a condition.
 type UseRule struct {
 	backend *Format
 	when    *Condition
 	text    string
 }
 
-// index finds the use rules that can hold by a sample of the request.
-type index struct {
+// useIndex maps the samples of a fetch to the positions of the use rules that can hold for them.
+type useIndex struct {
 	fetch      *fetch
 	ignoreCase bool
 	exact      map[string][]int
 	prefix     map[string][]int
-	lengths    []int // of the prefixes
+	lengths    []int // distinct lengths of the prefixes
 }
 
-// minIndexedRules is the number of use rules from which an index pays.
-const minIndexedRules = 8
+// minIndexedUseRules is the number of use rules from which building indexes pays off.
+const minIndexedUseRules = 8
 
-// Compile compiles a Spec. Each error names the line.
+// Compile compiles a Spec. Errors quote the faulty line.
 func Compile(s Spec, files Files) (*Rules, error) {
 	acls := NewACLSet(files)
 	if _, err := compileLines("acl", s.ACL, func(w []string) (struct{}, error) {
-		if !aclName.MatchString(w[0]) {
+		if !aclNamePattern.MatchString(w[0]) {
 			return struct{}{}, fmt.Errorf("%q is no name of an acl", w[0])
 		}
 		return struct{}{}, acls.Add(w[0], w[1:])
@@ -72,7 +71,7 @@
 	return out, nil
 }
 
-// compileLines compiles lines of one kind. An error names the kind and the line.
+// compileLines compiles the lines of one kind. Errors state the kind and quote the line.
 func compileLines[T any](kind string, lines []string, compile func(words []string) (T, error)) (all []T, err error) {
 	for _, text := range lines {
 		words, err := SplitWords(text)
@@ -91,8 +90,7 @@
 	return all, nil
 }
 
-// ParseUse parses the words of a use_backend rule: the backend, which may be a format, and
-// the condition.
+// ParseUse parses the words of a use_backend rule: a format for the name of the backend and a condition.
 func (l *ACLSet) ParseUse(words []string) (UseRule, error) {
 	f, err := ParseFormat(words[0], l.files)
 	if err != nil {
@@ -102,8 +100,8 @@
 	return UseRule{f, c, JoinWords(words)}, err
 }
 
-// Backends returns the fixed names of backends that the rules can select, and whether there are names that depend on the
-// request.
+// Backends returns the sorted names of the backends that the rules select by a literal name, and whether
+// there are rules whose backend depends on the request.
 func (r *Rules) Backends() (names []string, dynamic bool) {
 	for _, u := range r.use {
 		if s, fixed := u.backend.Literal(); fixed {
@@ -119,9 +117,9 @@
 	return slices.Compact(names), dynamic
 }
 
-// buildIndex builds the index.
+// buildIndex assigns each use rule to an index or to the unindexed rules.
 func (r *Rules) buildIndex() {
-	if len(r.use) < minIndexedRules {
+	if len(r.use) < minIndexedUseRules {
 		for i := range r.use {
 			r.unindexed = append(r.unindexed, i)
 		}
@@ -133,17 +131,17 @@
 			r.unindexed = append(r.unindexed, i)
 			continue
 		}
-		at := slices.IndexFunc(r.index, func(x index) bool { return x.fetch.text == t.fetch.text && x.ignoreCase == t.ignoreCase })
+		at := slices.IndexFunc(r.indexes, func(x useIndex) bool { return x.fetch.text == t.fetch.text && x.ignoreCase == t.ignoreCase })
 		if at < 0 {
-			at = len(r.index)
-			r.index = append(r.index, index{fetch: t.fetch, ignoreCase: t.ignoreCase, exact: map[string][]int{}, prefix: map[string][]int{}})
+			at = len(r.indexes)
+			r.indexes = append(r.indexes, useIndex{fetch: t.fetch, ignoreCase: t.ignoreCase, exact: map[string][]int{}, prefix: map[string][]int{}})
 		}
-		x := &r.index[at]
+		x := &r.indexes[at]
 		for _, p := range t.patterns {
 			if t.ignoreCase {
 				p = strings.ToLower(p)
 			}
-			if t.indexable == "str" {
+			if t.indexMethod == "str" {
 				x.exact[p] = append(x.exact[p], i)
 				continue
 			}
@@ -155,28 +153,27 @@
 	}
 }
 
-// indexKey returns a test that must hold for the condition to hold, and that an index can
-// answer, or nil.
+// indexKey returns an indexable test that must hold for the condition to hold, or nil if there is none.
 func (c *Condition) indexKey() *test {
 	if c.unless || len(c.alternatives) != 1 {
 		return nil
 	}
 	for i := range c.alternatives[0] {
-		if t := &c.alternatives[0][i]; !t.negated && len(t.tests) == 1 && t.tests[0].indexable != "" {
+		if t := &c.alternatives[0][i]; !t.negated && len(t.tests) == 1 && t.tests[0].indexMethod != "" {
 			return t.tests[0]
 		}
 	}
 	return nil
 }
 
-// candidates returns the use rules that can hold, in order.
-func (r *Rules) candidates(q *Request) []int {
-	if len(r.index) == 0 {
+// useCandidates returns the positions of the use rules that can hold for a request, ascending.
+func (r *Rules) useCandidates(q *Request) []int {
+	if len(r.indexes) == 0 {
 		return r.unindexed
 	}
 	out := slices.Clone(r.unindexed)
-	for k := range r.index {
-		x := &r.index[k]
+	for k := range r.indexes {
+		x := &r.indexes[k]
 		for _, s := range x.fetch.samples(q) {
 			if x.ignoreCase {
 				s = strings.ToLower(s)
@@ -193,20 +190,20 @@
 	return slices.Compact(out)
 }
 
-// ApplyRequest applies the rules to a request. The Answer, if not nil, is the response to it.
+// ApplyRequest applies the request rules. A non-nil Answer is the response to the request.
 func (r *Rules) ApplyRequest(q *Request) *Answer { return Apply(r.request, q) }
 
-// ApplyResponse applies the rules to the response in q. The Answer, if not nil, replaces that.
+// ApplyResponse applies the response rules to the response in q. A non-nil Answer replaces that response.
 func (r *Rules) ApplyResponse(q *Request) *Answer { return Apply(r.response, q) }
 
-// EditsResponse reports whether there are rules on responses.
+// EditsResponse reports whether there are response rules.
 func (r *Rules) EditsResponse() bool { return len(r.response) > 0 }
 
-// SelectBackend returns the backend of a request, "" if there is none, and the rule that selects it, "" for
-// the default. Exists is called with names that depend on the request: if it returns false, no further
-// rule is tried and the default applies.
+// SelectBackend returns the backend for a request, "" if there is none, and the rule that selects it, "" for
+// the default. It calls exists with each backend name that depends on the request. If exists returns false,
+// no further rule is evaluated and the default backend applies.
 func (r *Rules) SelectBackend(q *Request, exists func(string) bool) (name, rule string) {
-	for _, i := range r.candidates(q) {
+	for _, i := range r.useCandidates(q) {
 		u := &r.use[i]
 		if !u.when.Holds(q) {
 			continue
--- a/internal/route/header_rules.go
+++ b/internal/route/header_rules.go
@@ -8,19 +8,20 @@
 	"sedgevale/internal/http1"
 )
 
-func fieldsOf(q *Request, request bool) *[]http1.Field {
+func headerFields(q *Request, request bool) *[]http1.Field {
 	if request {
 		return &q.Fields
 	}
 	return &q.Response
 }
 
-// framing are fields that say where a message ends; a rule that changed them could make
-// two messages of one.
-var framing = []string{"content-length", "transfer-encoding", "connection", "upgrade", "te", "trailer"}
+// framingHeaders are the header fields that determine message framing or connection handling. Rules must
+// not change them, since that would allow request smuggling.
+var framingHeaders = []string{"content-length", "transfer-encoding", "connection", "upgrade", "te", "trailer"}
 
-func headerName(s string) error {
-	if slices.Contains(framing, strings.ToLower(s)) {
+// checkHeaderName returns an error for a header field that rules must not set.
+func checkHeaderName(s string) error {
+	if slices.Contains(framingHeaders, strings.ToLower(s)) {
 		return unsupported("changing %s, which frames the message,", s)
 	}
 	if s == "" || strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f || strings.ContainsRune("():;,/=\"", r) }) {
@@ -34,7 +35,7 @@
 		if len(args) != 2 {
 			return nil, fmt.Errorf("needs a name and a value")
 		}
-		if err := headerName(args[0]); err != nil {
+		if err := checkHeaderName(args[0]); err != nil {
 			return nil, err
 		}
 		value, err := ParseFormat(args[1], files)
@@ -42,9 +43,9 @@
 			return nil, err
 		}
 		return func(q *Request) (*Answer, bool) {
-			f := fieldsOf(q, request)
+			f := headerFields(q, request)
 			*f = change(*f, args[0], sanitizeField(value.Expand(q)))
-			q.edited()
+			q.invalidateSamples()
 			return nil, false
 		}, nil
 	}
@@ -66,19 +67,19 @@
 				return nil, err
 			}
 			names = func(n string) bool { return test(strings.ToLower(n)) }
-		} else if err := headerName(args[0]); err != nil {
+		} else if err := checkHeaderName(args[0]); err != nil {
 			return nil, err
 		}
 		return func(q *Request) (*Answer, bool) {
-			f := fieldsOf(q, request)
+			f := headerFields(q, request)
 			var out []http1.Field
 			for _, one := range *f {
-				if !names(one.Name) || slices.Contains(framing, strings.ToLower(one.Name)) {
+				if !names(one.Name) || slices.Contains(framingHeaders, strings.ToLower(one.Name)) {
 					out = append(out, one)
 				}
 			}
 			*f = out
-			q.edited()
+			q.invalidateSamples()
 			return nil, false
 		}, nil
 	}
@@ -89,15 +90,15 @@
 		if len(args) != 3 {
 			return nil, fmt.Errorf("needs a name, a regular expression and a replacement")
 		}
-		if err := headerName(args[0]); err != nil {
+		if err := checkHeaderName(args[0]); err != nil {
 			return nil, err
 		}
-		change, err := replacement(args[1], args[2], files)
+		change, err := parseReplacement(args[1], args[2], files)
 		if err != nil {
 			return nil, err
 		}
 		return func(q *Request) (*Answer, bool) {
-			f := fieldsOf(q, request)
+			f := headerFields(q, request)
 			out := slices.Clone(*f)
 			for i := range out {
 				if !strings.EqualFold(out[i].Name, args[0]) {
@@ -114,14 +115,14 @@
 				out[i].Value = sanitizeField(strings.Join(values, ", "))
 			}
 			*f = out
-			q.edited()
+			q.invalidateSamples()
 			return nil, false
 		}, nil
 	}
 }
 
-// replacement reads a regular expression and a format with \1 for what it has found.
-func replacement(pattern, format string, files Files) (func(*Request, string) string, error) {
+// parseReplacement parses a regular expression and a format whose \1 to \9 refer to its groups.
+func parseReplacement(pattern, format string, files Files) (func(*Request, string) string, error) {
 	re, err := compileRegexp(pattern, false)
 	if err != nil {
 		return nil, err
@@ -131,10 +132,10 @@
 		return nil, err
 	}
 	if s, fixed := f.Literal(); fixed {
-		to := backrefs(s)
+		to := convertBackrefs(s)
 		return func(_ *Request, s string) string { return replace(re, s, to, false) }, nil
 	}
-	return func(q *Request, s string) string { return replace(re, s, backrefs(f.Expand(q)), false) }, nil
+	return func(q *Request, s string) string { return replace(re, s, convertBackrefs(f.Expand(q)), false) }, nil
 }
 
 func parseReplace(get func(*Request) string, set func(*Request, string)) actionParser {
@@ -142,12 +143,12 @@
 		if len(args) != 2 {
 			return nil, fmt.Errorf("needs a regular expression and a replacement")
 		}
-		change, err := replacement(args[0], args[1], files)
+		change, err := parseReplacement(args[0], args[1], files)
 		if err != nil {
 			return nil, err
 		}
 		return func(q *Request) (*Answer, bool) {
-			if s := change(q, get(q)); targetable(s) {
+			if s := change(q, get(q)); isValidTarget(s) {
 				set(q, s)
 			}
 			return nil, false
@@ -155,8 +156,8 @@
 	}
 }
 
-// targetable reports whether a text can stand in a request line.
-func targetable(s string) bool {
+// isValidTarget reports whether s is valid as a method or target in a request line.
+func isValidTarget(s string) bool {
 	return s != "" && strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f }) < 0
 }
 
@@ -170,7 +171,7 @@
 			return nil, err
 		}
 		return func(q *Request) (*Answer, bool) {
-			if s := f.Expand(q); targetable(s) {
+			if s := f.Expand(q); isValidTarget(s) {
 				set(q, s)
 			}
 			return nil, false
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-func matchExact(patterns []string, fold bool) (func(string) bool, error) {
-	if len(patterns) == 1 && !fold {
+func matchExact(patterns []string, foldCase bool) (func(string) bool, error) {
+	if len(patterns) == 1 && !foldCase {
 		p := patterns[0]
 		return func(s string) bool { return s == p }, nil
 	}
 	set := make(map[string]bool, len(patterns))
 	for _, p := range patterns {
-		if fold {
+		if foldCase {
 			p = strings.ToLower(p)
 		}
 		set[p] = true
 	}
 	return func(s string) bool {
-		if fold {
+		if foldCase {
 			s = strings.ToLower(s)
 		}
 		return set[s]
@@ -29,8 +29,8 @@
 }
 
 func matchAny(test func(s, p string) bool) func([]string, bool) (func(string) bool, error) {
-	return func(patterns []string, fold bool) (func(string) bool, error) {
-		if fold {
+	return func(patterns []string, foldCase bool) (func(string) bool, error) {
+		if foldCase {
 			lower := make([]string, len(patterns))
 			for i, p := range patterns {
 				lower[i] = strings.ToLower(p)
@@ -38,7 +38,7 @@
 			patterns = lower
 		}
 		return func(s string) bool {
-			if fold {
+			if foldCase {
 				s = strings.ToLower(s)
 			}
 			for _, p := range patterns {
@@ -51,8 +51,8 @@
 	}
 }
 
-// within reports whether s contains p between delimiters or its ends.
-func within(s, p, delimiters string) bool {
+// containsDelimited reports whether s contains p such that each end of p is at a delimiter or an end of s.
+func containsDelimited(s, p, delimiters string) bool {
 	p = strings.Trim(p, delimiters)
 	for at := 0; ; {
 		i := strings.Index(s[at:], p)
@@ -67,10 +67,10 @@
 	}
 }
 
-func matchRegexp(patterns []string, fold bool) (func(string) bool, error) {
+func matchRegexp(patterns []string, foldCase bool) (func(string) bool, error) {
 	var all []*regexp.Regexp
 	for _, p := range patterns {
-		re, err := compileRegexp(p, fold)
+		re, err := compileRegexp(p, foldCase)
 		if err != nil {
 			return nil, err
 		}
@@ -86,10 +86,10 @@
 	}, nil
 }
 
-// matchInt matches numbers and ranges such as 1:10; an operator may precede them.
+// matchInt matches integers and ranges such as 1:10. A comparison operator applies to the patterns after it.
 func matchInt(patterns []string, _ bool) (func(string) bool, error) {
-	type span struct{ from, to int64 }
-	var spans []span
+	type intRange struct{ from, to int64 }
+	var ranges []intRange
 	op := "eq"
 	for _, p := range patterns {
 		switch p {
@@ -102,11 +102,11 @@
 			hi = lo
 		}
 		const minValue, maxValue = -1 << 62, 1 << 62
-		from, err := number(lo, minValue)
+		from, err := parseBound(lo, minValue)
 		if err != nil {
 			return nil, err
 		}
-		to, err := number(hi, maxValue)
+		to, err := parseBound(hi, maxValue)
 		if err != nil {
 			return nil, err
 		}
@@ -120,14 +120,14 @@
 		case "lt":
 			from, to = minValue, from-1
 		}
-		spans = append(spans, span{from, to})
+		ranges = append(ranges, intRange{from, to})
 	}
 	return func(s string) bool {
 		v, err := strconv.ParseInt(s, 10, 64)
 		if err != nil {
 			return false
 		}
-		for _, p := range spans {
+		for _, p := range ranges {
 			if v >= p.from && v <= p.to {
 				return true
 			}
@@ -136,7 +136,8 @@
 	}, nil
 }
 
-func number(s string, absent int64) (int64, error) {
+// parseBound parses a bound of a range. It returns absent for an empty string.
+func parseBound(s string, absent int64) (int64, error) {
 	if s == "" {
 		return absent, nil
 	}
@@ -147,7 +148,7 @@
 	return v, nil
 }
 
-// matchIP matches addresses and networks.
+// matchIP matches IP addresses and networks.
 func matchIP(patterns []string, _ bool) (func(string) bool, error) {
 	var nets []netip.Prefix
 	for _, p := range patterns {
@@ -157,7 +158,7 @@
 		}
 		n, err := netip.ParsePrefix(p)
 		if err != nil {
-			// HAProxy takes a mask in place of a length, too.
+			// HAProxy also accepts a netmask instead of a prefix length.
 			addr, mask, ok := strings.Cut(p, "/")
 			a, err1 := netip.ParseAddr(addr)
 			m, err2 := netip.ParseAddr(mask)
--- a/internal/route/request.go
+++ b/internal/route/request.go
@@ -1,6 +1,6 @@
-// Package route selects the backend of a request and edits requests and responses, by rules with
-// conditions in the language of HAProxy's access lists. It does no input or output, and takes
-// random numbers as an argument. Rules are compiled once and may then be used by several goroutines.
+// Package route compiles and evaluates HTTP routing rules in HAProxy's syntax: it selects the backend of a
+// request and edits or answers requests and responses. It does no network I/O, reads files only through
+// Files, and takes random numbers as input. Compiled rules are safe for concurrent use.
 package route
 
 import (
@@ -10,34 +10,35 @@
 	"sedgevale/internal/http1"
 )
 
-// Request is what conditions are evaluated on. Rules that edit a request change it in place.
+// Request is the input of conditions and rules: a request and, for response rules, the response to it.
+// Rules edit it in place.
 type Request struct {
 	Method  string
 	Target  string // path and query, as received
 	Version string // "1.1" or "1.0"
 	Fields  []http1.Field
-	Src     netip.Addr // the client
-	DstPort int        // the local port
+	Src     netip.Addr // address of the client
+	DstPort int        // local port of the connection
 	TLS     bool
 
-	Rand           uint64                   // drawn for this request
-	ServingServers func(backend string) int // number of a backend's servers that take requests; may be nil
+	Rand           uint64                   // random number of this request, for the fetch rand
+	ServingServers func(backend string) int // number of a backend's servers that accept requests; may be nil
 
-	// Of the response, for its rules alone.
+	// Status and Response are the status code and header fields of the response, for response rules only.
 	Status   int
 	Response []http1.Field
 
-	vars    map[string]string   // set by rules of this request
-	fetched map[*fetch][]string // cache of samples, until something is edited
+	vars        map[string]string   // variables set by rules
+	sampleCache map[*fetch][]string // cached samples, cleared by every edit
 }
 
-// Path returns the path, without the query.
+// Path returns the path of the target without the query.
 func (q *Request) Path() string {
 	p := q.Target
 	if i := strings.IndexByte(p, '?'); i >= 0 {
 		p = p[:i]
 	}
-	if !strings.HasPrefix(p, "/") { // absolute form: the path begins behind the authority
+	if !strings.HasPrefix(p, "/") { // absolute form: the path follows the authority
 		if i := strings.Index(p, "://"); i >= 0 {
 			if j := strings.IndexByte(p[i+3:], '/'); j >= 0 {
 				return p[i+3+j:]
@@ -48,7 +49,7 @@
 	return p
 }
 
-// Query returns the part after the first question mark.
+// Query returns the part of the target after the first question mark.
 func (q *Request) Query() string {
 	_, query, _ := strings.Cut(q.Target, "?")
 	return query
@@ -63,7 +64,7 @@
 		path += "?" + query
 	}
 	q.Target = path
-	q.edited()
+	q.invalidateSamples()
 }
 
 // SetQuery replaces the query.
@@ -72,13 +73,13 @@
 	if q.Target = path; query != "" {
 		q.Target = path + "?" + query
 	}
-	q.edited()
+	q.invalidateSamples()
 }
 
-// edited clears the cache of samples.
-func (q *Request) edited() { clear(q.fetched) }
+// invalidateSamples clears the sample cache after an edit.
+func (q *Request) invalidateSamples() { clear(q.sampleCache) }
 
-// Header returns the first value of a header field.
+// Header returns the value of the first header field of a name, or "" if there is none.
 func (q *Request) Header(name string) string {
 	for i := range q.Fields {
 		if strings.EqualFold(q.Fields[i].Name, name) {
@@ -88,12 +89,12 @@
 	return ""
 }
 
-// setHeader replaces all fields of a name by one, addHeader adds one, delHeader removes
-// all.
+// setHeader replaces all header fields of a name by one.
 func setHeader(fields []http1.Field, name, value string) []http1.Field {
 	return append(delHeader(fields, name), http1.Field{Name: name, Value: value})
 }
 
+// delHeader removes all header fields of a name.
 func delHeader(fields []http1.Field, name string) []http1.Field {
 	out := make([]http1.Field, 0, len(fields)+1)
 	for _, f := range fields {
@@ -104,7 +105,7 @@
 	return out
 }
 
-// param returns the values of a parameter of the query.
+// param returns the values of a query parameter.
 func (q *Request) param(name string) (out []string) {
 	for pair := range strings.SplitSeq(q.Query(), "&") {
 		k, v, _ := strings.Cut(pair, "=")
@@ -115,14 +116,14 @@
 	return out
 }
 
-// cookie returns the values of a cookie.
+// cookie returns the values of a cookie from all Cookie fields.
 func (q *Request) cookie(name string) (out []string) {
 	for i := range q.Fields {
 		if !strings.EqualFold(q.Fields[i].Name, "Cookie") {
 			continue
 		}
-		for part := range strings.SplitSeq(q.Fields[i].Value, ";") {
-			k, v, ok := strings.Cut(strings.TrimSpace(part), "=")
+		for pair := range strings.SplitSeq(q.Fields[i].Value, ";") {
+			k, v, ok := strings.Cut(strings.TrimSpace(pair), "=")
 			if ok && k == name {
 				out = append(out, v)
 			}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -300,7 +300,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var spec Spec
 		word := rapid.SampledFrom([]string{"a", "b", "ab", "abc", "B"})
-		for i := range rapid.IntRange(minIndexedRules, 30).Draw(t, "rules") {
+		for i := range rapid.IntRange(minIndexedUseRules, 30).Draw(t, "rules") {
 			kind := rapid.SampledFrom([]string{"hdr(host) -i", "hdr(host)", "path_beg", "path", "path_end", "path -i"}).Draw(t, "kind")
 			p := word.Draw(t, "pattern")
 			if strings.HasPrefix(kind, "path") {
@@ -315,7 +315,7 @@
 			t.Fatal(err)
 		}
 		linear := *indexed
-		linear.index, linear.unindexed = nil, nil
+		linear.indexes, linear.unindexed = nil, nil
 		for i := range linear.use {
 			linear.unindexed = append(linear.unindexed, i)
 		}
@@ -371,7 +371,7 @@
 			b.Fatal(err)
 		}
 		linear := *r
-		linear.index, linear.unindexed = nil, nil
+		linear.indexes, linear.unindexed = nil, nil
 		for i := range linear.use {
 			linear.unindexed = append(linear.unindexed, i)
 		}
--- a/internal/route/words.go
+++ b/internal/route/words.go
@@ -11,19 +11,20 @@
 	errTrailingBackslash = errors.New("a backslash at the end of the line")
 )
 
-// SplitWords splits a line into words by the rules of HAProxy's configuration: blanks separate
-// words unless they are quoted or escaped.
+// SplitWords splits a line into words by the quoting rules of HAProxy's configuration: blanks separate words
+// unless they are quoted or escaped.
 func SplitWords(line string) ([]string, error) { return Splitter{}.Split(line) }
 
-// Splitter splits the lines of a configuration of HAProxy into words.
+// Splitter splits lines of an HAProxy configuration into words.
 type Splitter struct {
-	Comments bool // an unquoted # ends the line
-	// Variable reads an environment variable at the start of s, which begins with a dollar
-	// sign within double quotes, and how many bytes of it that are; nil: it is a text.
+	Comments bool // whether an unquoted # starts a comment
+	// Variable expands the environment variable at the start of s, which begins with a dollar sign inside
+	// double quotes. It returns the value and the number of bytes read. If Variable is nil, dollar signs are
+	// literal.
 	Variable func(s string) (value string, n int)
 }
 
-// Split splits a line into words. With an error it returns the words before the fault.
+// Split splits a line into words. With an error it also returns the complete words before the error.
 func (s Splitter) Split(line string) (words []string, err error) {
 	p := splitState{}
 	for i := 0; i < len(line); {
@@ -40,15 +41,15 @@
 	return p.words, nil
 }
 
-// splitState is the state of Split between two bytes.
+// splitState is the state of Split between two steps.
 type splitState struct {
 	words  []string        // complete words
 	word   strings.Builder // the current word, without its quotes
-	inWord bool            // there is a current word, which may be empty in quotes
-	quote  byte            // the open quote; 0: none
+	inWord bool            // there is a current word; a quoted word may be empty
+	quote  byte            // the open quote; 0 outside of quotes
 }
 
-// end ends the current word, if any.
+// end completes the current word, if any.
 func (p *splitState) end() {
 	if p.inWord {
 		p.words = append(p.words, p.word.String())
@@ -57,8 +58,8 @@
 	p.inWord = false
 }
 
-// step reads what rest begins with and returns how many bytes of it that was, and whether the
-// line ends with it.
+// step processes the start of rest. It returns the number of bytes read and whether the rest of the line is
+// a comment.
 func (s Splitter) step(p *splitState, rest string) (n int, done bool, err error) {
 	c := rest[0]
 	switch {
@@ -81,8 +82,8 @@
 	return 1, false, nil
 }
 
-// quoted reads what rest begins with within quotes, but for a backslash that is an escape, and
-// returns how many bytes that was.
+// quoted processes the start of rest inside quotes, except for escapes, which step handles. It returns the
+// number of bytes read.
 func (s Splitter) quoted(p *splitState, rest string) int {
 	switch c := rest[0]; {
 	case c == p.quote:
@@ -97,7 +98,7 @@
 	return 1
 }
 
-// escape reads a backslash and what stands behind it.
+// escape processes a backslash and the escape sequence that it starts.
 func (p *splitState) escape(rest string) (n int, err error) {
 	if len(rest) == 1 {
 		return 0, errTrailingBackslash
@@ -108,8 +109,8 @@
 	return 1 + n, nil
 }
 
-// Unescape returns the meaning of what follows a backslash, and how many bytes of s that is. What
-// is no escape sequence keeps its backslash, as regular expressions need.
+// Unescape decodes the escape sequence s, whose backslash is removed, and returns the number of bytes read.
+// An unknown sequence keeps its backslash, since regular expressions need it.
 func Unescape(s string) (out string, n int) {
 	switch s[0] {
 	case 'n':
@@ -130,7 +131,7 @@
 	return "\\" + s[:1], 1
 }
 
-// JoinWords joins words into a line that SplitWords splits into the same words.
+// JoinWords joins words into a line and quotes them as needed, so that SplitWords returns the same words.
 func JoinWords(words []string) string {
 	var b strings.Builder
 	for i, w := range words {
