--- a/internal/haproxy/fuzz_test.go
+++ b/internal/haproxy/fuzz_test.go
@@ -12,7 +12,8 @@
 	"sedgevale/internal/haproxy"
 )
 
-// FuzzImport checks that no input panics or hangs, each directive has its entry, and the outcome is the same each time. CI runs it for a minute.
+// FuzzImport checks that Import neither panics nor hangs on any input, that the report has exactly one entry
+// per directive, and that the result is deterministic. CI runs it for a minute.
 func FuzzImport(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*.cfg")
 	for _, file := range files {
@@ -22,7 +23,7 @@
 		}
 		f.Add(string(text))
 	}
-	f.Add(head + " \"option httpchk\"\n")
+	f.Add(baseConfig + " \"option httpchk\"\n")
 	f.Add(".if defined(A)\n.elif streq(a,b) && !1\n.else\nfrontend x\n.endif")
 	f.Fuzz(func(t *testing.T, text string) {
 		if len(text) > 20000 {
@@ -31,11 +32,11 @@
 		options := haproxy.Options{Env: map[string]string{"A": "1"}}
 		got, err := importText(text, options)
 		if again, errAgain := importText(text, options); !reflect.DeepEqual(again, got) || fmt.Sprint(errAgain) != fmt.Sprint(err) {
-			t.Errorf("%v, %+v, and then %v, %+v", err, got, errAgain, again)
+			t.Errorf("first import: %v, %+v; second import: %v, %+v", err, got, errAgain, again)
 		}
 		if got == nil {
 			if err == nil {
-				t.Error("neither a result nor an error")
+				t.Error("Import returned neither a result nor an error")
 			}
 			return
 		}
@@ -48,13 +49,13 @@
 	})
 }
 
-// checkEntries checks that each directive of a text has its entry in the report, and none has two.
+// checkEntries checks that the report has exactly one entry for each directive of a text.
 func checkEntries(t *testing.T, text string, got *haproxy.Result) {
 	t.Helper()
 	at := map[int]bool{}
 	for _, e := range got.Report {
 		if at[e.Line] {
-			t.Errorf("line %d twice", e.Line)
+			t.Errorf("line %d has several entries", e.Line)
 		}
 		at[e.Line] = true
 	}
--- a/internal/haproxy/golden_test.go
+++ b/internal/haproxy/golden_test.go
@@ -8,8 +8,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// The keys of a line of the converter's report, each with the field that it stands for.
-func TestKeysOfReport(t *testing.T) {
+// TestReportJSONKeys checks the JSON key of each field of a report entry.
+func TestReportJSONKeys(t *testing.T) {
 	var entry haproxy.Entry
 	testkit.Fill(&entry)
 	text, err := json.Marshal(entry)
@@ -17,6 +17,6 @@
 		t.Fatal(err)
 	}
 	if got, want := string(text), `{"file":"s1","line":3,"section":"s3","directive":"s4","verdict":"s5","reason":"s6"}`; got != want {
-		t.Errorf("an entry: got\n%q\nwant\n%q", got, want)
+		t.Errorf("entry: got\n%q\nwant\n%q", got, want)
 	}
 }
--- a/internal/haproxy/import_test.go
+++ b/internal/haproxy/import_test.go
@@ -17,33 +17,34 @@
 	return haproxy.Import([]haproxy.Source{{Name: "x.cfg", Text: []byte(text)}}, opt)
 }
 
-const head = "defaults\n mode http\nfrontend f\n bind :80\n default_backend b\nbackend b\n server s 10.0.0.1:80\n"
+// baseConfig is a valid configuration of seven lines that ends in a backend section.
+const baseConfig = "defaults\n mode http\nfrontend f\n bind :80\n default_backend b\nbackend b\n server s 10.0.0.1:80\n"
 
-// Guards errors: all malformed lines are named, not only the first, and there is no result.
-func TestErrors(t *testing.T) {
+// TestImportErrors checks that Import reports every malformed line, not only the first one.
+func TestImportErrors(t *testing.T) {
 	for text, want := range map[string]string{
-		"server s 1.2.3.4:80\n":                     `x.cfg:1: "server" stands before any section`,
-		head + " server\n":                          "x.cfg:8: server takes a name and an address",
-		head + " server t 1.2.3.4.5:80\n":           `x.cfg:8: server t: "1.2.3.4.5:80" is no address`,
-		head + " server t 1.2.3.4:http\n":           `x.cfg:8: server t: "1.2.3.4:http" has no port that can be used`,
-		head + " server s 10.0.0.2:80\n":            `x.cfg:8: server "s" is there twice`,
-		head + " server t 10.0.0.2:80 weight\n":     "x.cfg:8: server t: weight lacks its value",
-		head + " server t 10.0.0.2:80 weight 257\n": `x.cfg:8: server t: weight: "257" is no number between 0 and 256`,
-		head + " timeout connect soon\n":            `x.cfg:8: timeout connect: "soon" is no time`,
-		head + " http-request\n":                    "x.cfg:8: http-request lacks its action",
-		head + " http-request deny if nobody\n":     `x.cfg:8: http-request deny: no acl is called "nobody"`,
-		head + " http-request deny if { path\n":     "x.cfg:8: http-request deny: an anonymous condition lacks its \"}\"",
-		head + " acl a path_reg (\n":                "",
-		head + " acl a src nowhere\n":               `x.cfg:8: acl a: "nowhere" is no address or network`,
-		head + " balance\n":                         "x.cfg:8: balance takes an algorithm",
-		head + " \"open\n":                          "x.cfg:8: a quote is not closed",
-		head + ".if defined(X)\n":                   "x.cfg:8: .if without .endif",
-		head + ".endif\n":                           "x.cfg:8: .endif without .if",
-		head + ".what\n":                            "x.cfg:8: .what is unknown",
+		"server s 1.2.3.4:80\n":                                                     `x.cfg:1: "server" stands before any section`,
+		baseConfig + " server\n":                                                    "x.cfg:8: server takes a name and an address",
+		baseConfig + " server t 1.2.3.4.5:80\n":                                     `x.cfg:8: server t: "1.2.3.4.5:80" is no address`,
+		baseConfig + " server t 1.2.3.4:http\n":                                     `x.cfg:8: server t: "1.2.3.4:http" has no port that can be used`,
+		baseConfig + " server s 10.0.0.2:80\n":                                      `x.cfg:8: server "s" is there twice`,
+		baseConfig + " server t 10.0.0.2:80 weight\n":                               "x.cfg:8: server t: weight lacks its value",
+		baseConfig + " server t 10.0.0.2:80 weight 257\n":                           `x.cfg:8: server t: weight: "257" is no number between 0 and 256`,
+		baseConfig + " timeout connect soon\n":                                      `x.cfg:8: timeout connect: "soon" is no time`,
+		baseConfig + " http-request\n":                                              "x.cfg:8: http-request lacks its action",
+		baseConfig + " http-request deny if nobody\n":                               `x.cfg:8: http-request deny: no acl is called "nobody"`,
+		baseConfig + " http-request deny if { path\n":                               "x.cfg:8: http-request deny: an anonymous condition lacks its \"}\"",
+		baseConfig + " acl a path_reg (\n":                                          "",
+		baseConfig + " acl a src nowhere\n":                                         `x.cfg:8: acl a: "nowhere" is no address or network`,
+		baseConfig + " balance\n":                                                   "x.cfg:8: balance takes an algorithm",
+		baseConfig + " \"open\n":                                                    "x.cfg:8: a quote is not closed",
+		baseConfig + ".if defined(X)\n":                                             "x.cfg:8: .if without .endif",
+		baseConfig + ".endif\n":                                                     "x.cfg:8: .endif without .if",
+		baseConfig + ".what\n":                                                      "x.cfg:8: .what is unknown",
 		"defaults\n mode http\nfrontend f\n bind nowhere:80\n default_backend no\n": "x.cfg:4: bind: \"nowhere:80\" is no address to listen on\nx.cfg:5: no backend is called \"no\"",
 		"frontend\n":                           "x.cfg:1: a frontend needs a name",
-		head + "backend b\n":                   "x.cfg:8: backend b is there twice",
-		head + "listen b\n bind :81\n":         "x.cfg:8: listen b is there twice",
+		baseConfig + "backend b\n":             "x.cfg:8: backend b is there twice",
+		baseConfig + "listen b\n bind :81\n":   "x.cfg:8: listen b is there twice",
 		"frontend a from nobody\n mode http\n": `x.cfg:1: no defaults section is called "nobody"`,
 	} {
 		_, err := importText(text, haproxy.Options{})
@@ -58,14 +59,14 @@
 		}
 	}
 	if got, err := importText("backend b\n mode http\n server s 10.0.0.1:80\n", haproxy.Options{}); err == nil || got == nil {
-		t.Errorf("without a frontend: %v", err)
+		t.Errorf("import without a frontend: %v", err)
 	}
 }
 
-// Guards the content of the written file: no zeros, no default values, and the origin of each
-// part.
-func TestWrittenFile(t *testing.T) {
-	got, err := importText(head+" balance leastconn\n option httpchk GET /up\n server u 10.0.0.2:80 weight 0 check\n retries 0\n", haproxy.Options{})
+// TestWrite checks that the written file states the origin of each part, omits zero and default values, and
+// is a valid operator's file.
+func TestWrite(t *testing.T) {
+	got, err := importText(baseConfig+" balance leastconn\n option httpchk GET /up\n server u 10.0.0.2:80 weight 0 check\n retries 0\n", haproxy.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +82,7 @@
 	}
 	for _, no := range []string{"= 0.0", "= \"\"", "= false", "kind = \"\"", "[]", "maxconn = 0", "rise", "settings"} {
 		if strings.Contains(text, no) {
-			t.Errorf("%q is in\n%s", no, text)
+			t.Errorf("%q is not omitted in\n%s", no, text)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "o.toml")
@@ -90,12 +91,12 @@
 	}
 	c, err := dispatchconfig.ReadOperator(path)
 	if err != nil || *c.Web.Backends[0].Servers[1].Weight != 0 || c.Web.Backends[0].Attempts() != 1 {
-		t.Errorf("%+v %v", c, err)
+		t.Errorf("reading the written file: %+v, %v", c, err)
 	}
 }
 
-// Guards several files and hosts, and the explanation.
-func TestFilesAndExplain(t *testing.T) {
+// TestImportFilesAndExplain checks the import of several files with a host name, and Explain.
+func TestImportFilesAndExplain(t *testing.T) {
 	got, err := haproxy.Import([]haproxy.Source{{Name: "a.cfg", Text: []byte("defaults\n mode http\nfrontend f\n bind :80\n use_backend x if { path_beg /x } { hdr(h) 1 }\n default_backend b\n")},
 		{Name: "b.cfg", Text: []byte("backend b\n server s app.local:80\nbackend x\n http-request set-path /y\n server t 10.0.0.2:80\n")}},
 		haproxy.Options{Hosts: map[string]string{"app.local": "10.0.0.9"}})
@@ -103,7 +104,7 @@
 		t.Fatal(err)
 	}
 	if last := got.Report[len(got.Report)-1]; last.File != "b.cfg" || last.Line != 5 {
-		t.Errorf("last entry %v", last)
+		t.Errorf("last report entry: %v", last)
 	}
 	for _, c := range []struct {
 		ask    haproxy.ExplainRequest
@@ -117,13 +118,14 @@
 	}
 	for _, bad := range []haproxy.ExplainRequest{{Line: "GET"}, {Line: "GET /", Frontend: "no"}, {Line: "GET /", Source: "x"}, {Line: "GET /", Headers: []string{"x"}}} {
 		if _, err := haproxy.Explain(got.File.Web, nil, bad); err == nil {
-			t.Errorf("%+v was explained", bad)
+			t.Errorf("Explain accepted the invalid request %+v", bad)
 		}
 	}
 }
 
-// Guards the import of a file of ten thousand lines: it is fast, and every line has its entry.
-func TestTenThousandLines(t *testing.T) {
+// TestImportLargeFile checks that the import of ten thousand lines takes at most 10 s and that each line has
+// an entry.
+func TestImportLargeFile(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("defaults\n mode http\nfrontend f\n bind :80\n")
 	for i := range 2500 {
@@ -138,14 +140,15 @@
 		t.Fatalf("%v", err)
 	}
 	if took := time.Since(began); took > 10*time.Second {
-		t.Errorf("it took %v", took)
+		t.Errorf("import took %v, want at most 10s", took)
 	}
 }
 
-// A directive whose two words are quoted as one is unknown, as it is to HAProxy, and is no reason to end.
+// TestQuotedDirectiveIsUnknown checks that two words quoted as one are an unknown directive, as in HAProxy.
+// Handlers of two-word directives could panic on it.
 func TestQuotedDirectiveIsUnknown(t *testing.T) {
 	for _, quoted := range []string{`"option httpchk"`, `"option forwardfor"`, `"timeout connect"`, `"no option"`, `"http-check expect"`} {
-		result, err := importText(head+" "+quoted+"\n", haproxy.Options{})
+		result, err := importText(baseConfig+" "+quoted+"\n", haproxy.Options{})
 		if err != nil {
 			t.Errorf("%s: %v", quoted, err)
 			continue
@@ -157,16 +160,17 @@
 			}
 		}
 		if !found {
-			t.Errorf("%s: %v", quoted, result.Report)
+			t.Errorf("%s is not reported as not carried over: %v", quoted, result.Report)
 		}
 	}
 }
 
-// Of two options that keep a server from being carried over, the same one is the reason each time.
-func TestReasonDoesNotDependOnTheOrderOfAMap(t *testing.T) {
+// TestReasonIsDeterministic checks that a server with several unsupported options is always reported with the
+// same reason, independent of map iteration order.
+func TestReasonIsDeterministic(t *testing.T) {
 	reasons := map[string]int{}
 	for range 50 {
-		result, err := importText(head+" server t 10.0.0.2:80 proto h2 send-proxy ssl\n", haproxy.Options{})
+		result, err := importText(baseConfig+" server t 10.0.0.2:80 proto h2 send-proxy ssl\n", haproxy.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -177,6 +181,6 @@
 		}
 	}
 	if reasons["servers are spoken to without TLS"] != 50 {
-		t.Errorf("reasons %v", reasons)
+		t.Errorf("reasons: %v", reasons)
 	}
 }
--- a/internal/haproxy/reference_samples_test.go
+++ b/internal/haproxy/reference_samples_test.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-func (q *refRequest) values(name string) (out []string) {
+func (q *referenceRequest) values(name string) (out []string) {
 	for _, h := range q.headers {
 		if strings.EqualFold(h[0], name) {
 			for _, v := range strings.Split(h[1], ",") {
@@ -22,9 +22,9 @@
 	return out
 }
 
-// sample evaluates an expression with converters.
-func (c *refConf) sample(expr string, q *refRequest) (out []string, ok bool) {
-	parts := refSplit(expr)
+// sample evaluates a sample expression with its converters.
+func (c *referenceConfig) sample(expr string, q *referenceRequest) (out []string, ok bool) {
+	parts := referenceSplit(expr)
 	name, arg, _ := strings.Cut(strings.TrimSuffix(parts[0], ")"), "(")
 	switch name {
 	case "path":
@@ -43,7 +43,7 @@
 		out = q.params(arg)
 	case "always_true":
 		out = []string{"1"}
-	case "ssl_fc", "sc_http_req_rate": // no TLS here, and no client asks that often
+	case "ssl_fc", "sc_http_req_rate": // the test uses neither TLS nor high request rates
 		out = []string{"0"}
 	default:
 		return nil, false
@@ -63,7 +63,7 @@
 	return out, true
 }
 
-func (q *refRequest) cookies(name string) (out []string) {
+func (q *referenceRequest) cookies(name string) (out []string) {
 	for _, v := range q.headers {
 		if strings.EqualFold(v[0], "cookie") {
 			for _, p := range strings.Split(v[1], ";") {
@@ -76,7 +76,7 @@
 	return out
 }
 
-func (q *refRequest) params(name string) (out []string) {
+func (q *referenceRequest) params(name string) (out []string) {
 	for _, p := range strings.Split(q.query, "&") {
 		if k, x, _ := strings.Cut(p, "="); k == name && p != "" {
 			out = append(out, x)
@@ -85,8 +85,8 @@
 	return out
 }
 
-// lookup finds a key in a map file.
-func (c *refConf) lookup(file, key, fallback string) string {
+// lookup returns the value of a key in a map file, or the fallback.
+func (c *referenceConfig) lookup(file, key, fallback string) string {
 	for _, l := range strings.Split(c.files[file], "\n") {
 		if f := strings.Fields(l); len(f) == 2 && f[0] == key {
 			return f[1]
@@ -95,7 +95,7 @@
 	return fallback
 }
 
-func refSplit(s string) (out []string) {
+func referenceSplit(s string) (out []string) {
 	depth, from := 0, 0
 	for i, r := range s {
 		switch {
@@ -111,10 +111,10 @@
 	return append(out, s[from:])
 }
 
-// test evaluates a criterion with its flags and patterns.
-func (c *refConf) test(t []string, q *refRequest) bool {
-	expr, how := refMethod(t[0])
-	how, fold, rest := refFlags(how, t[1:])
+// test evaluates the criterion of an access list.
+func (c *referenceConfig) test(t []string, q *referenceRequest) bool {
+	expr, how := referenceMethod(t[0])
+	how, fold, rest := referenceFlags(how, t[1:])
 	got, ok := c.sample(expr, q)
 	if !ok {
 		return false
@@ -133,7 +133,7 @@
 			if fold {
 				a, b = strings.ToLower(a), strings.ToLower(b)
 			}
-			if op != "" && refCompare(op, a, b) || op == "" && refMatch(expr, how, a, b) {
+			if op != "" && referenceCompare(op, a, b) || op == "" && referenceMatch(expr, how, a, b) {
 				return true
 			}
 		}
@@ -141,8 +141,8 @@
 	return false
 }
 
-// refMethod splits a sample's name into fetch and matching method.
-func refMethod(sample string) (expr, how string) {
+// referenceMethod splits the name of a sample into the fetch and the match method.
+func referenceMethod(sample string) (expr, how string) {
 	expr = sample
 	name, _, _ := strings.Cut(expr, "(")
 	for _, m := range []string{"_beg", "_end", "_reg", "_dir", "_sub", "_dom"} {
@@ -154,8 +154,8 @@
 	return expr, how
 }
 
-// refFlags parses the flags before the patterns.
-func refFlags(method string, words []string) (how string, fold bool, rest []string) {
+// referenceFlags parses the flags before the patterns.
+func referenceFlags(method string, words []string) (how string, fold bool, rest []string) {
 	how, rest = method, words
 	for len(rest) > 0 && strings.HasPrefix(rest[0], "-") {
 		if rest[0] == "-i" {
@@ -170,13 +170,13 @@
 	return how, fold, rest
 }
 
-func refCompare(op, a, b string) bool {
+func referenceCompare(op, a, b string) bool {
 	x, _ := strconv.Atoi(a)
 	y, _ := strconv.Atoi(b)
 	return op == "ge" && x >= y || op == "gt" && x > y || op == "le" && x <= y || op == "lt" && x < y || op == "eq" && x == y
 }
 
-func refMatch(expr, how, a, b string) bool {
+func referenceMatch(expr, how, a, b string) bool {
 	switch {
 	case expr == "src":
 		ip := net.ParseIP(a)
@@ -198,8 +198,8 @@
 	return a == b
 }
 
-// holds evaluates a condition, whose first word is if or unless.
-func (c *refConf) holds(s *refSection, words []string, q *refRequest) bool {
+// holds evaluates a condition, whose first word is "if" or "unless".
+func (c *referenceConfig) holds(s *referenceSection, words []string, q *referenceRequest) bool {
 	if len(words) == 0 {
 		return true
 	}
@@ -214,24 +214,24 @@
 		}
 		not := strings.HasPrefix(w, "!")
 		w = strings.TrimPrefix(w, "!")
-		is := false
+		termHolds := false
 		switch w {
 		case "{":
 			end := slices.Index(words[i:], "}") + i
-			is = c.test(words[i+1:end], q)
+			termHolds = c.test(words[i+1:end], q)
 			i = end
 		case "METH_POST":
-			is = q.method == "POST"
+			termHolds = q.method == "POST"
 		case "METH_GET":
-			is = q.method == "GET" || q.method == "HEAD"
+			termHolds = q.method == "GET" || q.method == "HEAD"
 		default:
 			for _, a := range c.lines(s, "acl") {
 				if a[1] == w && c.test(a[2:], q) {
-					is = true
+					termHolds = true
 				}
 			}
 		}
-		if is == not {
+		if termHolds == not {
 			all = false
 		}
 	}
@@ -239,7 +239,7 @@
 	return holds == (words[0] == "if")
 }
 
-func refCut(words []string) (act, cond []string) {
+func referenceCutCondition(words []string) (act, cond []string) {
 	for i, w := range words {
 		if w == "if" || w == "unless" {
 			return words[:i], words[i:]
@@ -248,8 +248,8 @@
 	return words, nil
 }
 
-// format expands %[...].
-func (c *refConf) format(s string, q *refRequest) string {
+// format expands the %[...] of a format string.
+func (c *referenceConfig) format(s string, q *referenceRequest) string {
 	return regexp.MustCompile(`%\[([^\]]*)\]`).ReplaceAllStringFunc(s, func(m string) string {
 		got, _ := c.sample(m[2:len(m)-1], q)
 		if len(got) == 0 {
--- a/internal/haproxy/reference_test.go
+++ b/internal/haproxy/reference_test.go
@@ -8,37 +8,37 @@
 	"strings"
 )
 
-// This is a model of HAProxy by its manual. It is independent of the importer and shares no
-// code with it: it interprets the text of the configuration for each request.
+// This file is a reference model of HAProxy written from its manual. It shares no code with the importer: it
+// interprets the text of the configuration for each request.
 
-type refRequest struct {
+type referenceRequest struct {
 	method, path, query, host, src string
 	headers                        [][2]string
 }
 
-type refConf struct {
+type referenceConfig struct {
 	env      map[string]string
 	files    map[string]string
-	sections []*refSection
+	sections []*referenceSection
 }
 
-type refSection struct {
+type referenceSection struct {
 	kind, name, from string
 	lines            [][]string
 }
 
-type refAnswer struct {
-	status   int    // of an answer by HAProxy itself; 0: a server answers
-	location string // with a redirect
-	body     string
-	backend  string
-	servers  []string // addresses, one of which answers
-	path     string   // as the server sees it, with the query
-	headers  map[string]string
-	edits    *refSection // whose http-response lines count
+type referenceResult struct {
+	status          int    // status of a response by HAProxy itself; 0: a server responds
+	location        string // Location of a redirect
+	body            string
+	backend         string
+	servers         []string // addresses of the servers that may respond
+	path            string   // path and query as sent to the server
+	headers         map[string]string
+	responseSection *referenceSection // section whose http-response lines apply
 }
 
-func refTokens(line string, env map[string]string) (out []string) {
+func referenceWords(line string, env map[string]string) (out []string) {
 	cur, in := "", false
 	for i := 0; i < len(line); {
 		switch c := line[i]; {
@@ -52,7 +52,7 @@
 			i++
 		case c == '"':
 			end := strings.IndexByte(line[i+1:], '"') + i + 1
-			cur, in = cur+refExpand(line[i+1:end], env), true
+			cur, in = cur+referenceExpand(line[i+1:end], env), true
 			i = end + 1
 		default:
 			cur, in = cur+string(c), true
@@ -65,11 +65,11 @@
 	return out
 }
 
-var refVar = regexp.MustCompile(`\$(\w+)|\$\{(\w+)(-([^}]*))?\}`)
+var referenceVar = regexp.MustCompile(`\$(\w+)|\$\{(\w+)(-([^}]*))?\}`)
 
-func refExpand(s string, env map[string]string) string {
-	return refVar.ReplaceAllStringFunc(s, func(m string) string {
-		p := refVar.FindStringSubmatch(m)
+func referenceExpand(s string, env map[string]string) string {
+	return referenceVar.ReplaceAllStringFunc(s, func(m string) string {
+		p := referenceVar.FindStringSubmatch(m)
 		if v, ok := env[p[1]+p[2]]; ok {
 			return v
 		}
@@ -77,11 +77,11 @@
 	})
 }
 
-func refLoad(text string, env, files map[string]string) *refConf {
-	c := &refConf{env: env, files: files}
+func loadReference(text string, env, files map[string]string) *referenceConfig {
+	c := &referenceConfig{env: env, files: files}
 	var skip []bool
 	for _, line := range strings.Split(text, "\n") {
-		t := refTokens(line, env)
+		t := referenceWords(line, env)
 		if len(t) == 0 {
 			continue
 		}
@@ -96,7 +96,7 @@
 			skip = skip[:len(skip)-1]
 		case slices.Contains(skip, true):
 		case slices.Contains([]string{"global", "defaults", "frontend", "backend", "listen"}, t[0]):
-			s := &refSection{kind: t[0]}
+			s := &referenceSection{kind: t[0]}
 			rest := t[1:]
 			if len(rest) > 0 && rest[0] != "from" {
 				s.name, rest = rest[0], rest[1:]
@@ -113,7 +113,7 @@
 	return c
 }
 
-func (c *refConf) find(kinds string, name string) *refSection {
+func (c *referenceConfig) find(kinds string, name string) *referenceSection {
 	for _, s := range c.sections {
 		if strings.Contains(kinds, s.kind) && s.name == name {
 			return s
@@ -122,9 +122,9 @@
 	return nil
 }
 
-// lines returns a section's lines that begin with a word, those of its defaults first.
-func (c *refConf) lines(s *refSection, word string) (out [][]string) {
-	var base *refSection
+// lines returns the lines of a section that begin with a word, preceded by those of its defaults section.
+func (c *referenceConfig) lines(s *referenceSection, word string) (out [][]string) {
+	var base *referenceSection
 	if s.from != "" {
 		base = c.find("defaults", s.from)
 	} else {
@@ -148,21 +148,21 @@
 	return out
 }
 
-func (q *refRequest) target() string {
+func (q *referenceRequest) target() string {
 	if q.query == "" {
 		return q.path
 	}
 	return q.path + "?" + q.query
 }
 
-func (q *refRequest) drop(name string) {
+func (q *referenceRequest) deleteHeader(name string) {
 	q.headers = slices.DeleteFunc(q.headers, func(h [2]string) bool { return strings.EqualFold(h[0], name) })
 }
 
-// rules applies http-request lines. It returns an answer if one of them gives one.
-func (c *refConf) rules(s *refSection, q *refRequest) *refAnswer {
+// rules applies the http-request lines of a section. It returns nil if none of them responds.
+func (c *referenceConfig) rules(s *referenceSection, q *referenceRequest) *referenceResult {
 	for _, l := range c.lines(s, "http-request") {
-		act, cond := refCut(l[1:])
+		act, cond := referenceCutCondition(l[1:])
 		if !c.holds(s, cond, q) {
 			continue
 		}
@@ -175,19 +175,19 @@
 		switch act[0] {
 		case "deny":
 			n, _ := strconv.Atoi(arg("deny_status", "403"))
-			return &refAnswer{status: n}
+			return &referenceResult{status: n}
 		case "return":
 			n, _ := strconv.Atoi(arg("status", "200"))
-			return &refAnswer{status: n, body: arg("string", "")}
+			return &referenceResult{status: n, body: arg("string", "")}
 		case "redirect":
 			return c.redirect(act, q)
 		case "set-header", "add-header":
 			if act[0] == "set-header" {
-				q.drop(act[1])
+				q.deleteHeader(act[1])
 			}
 			q.headers = append(q.headers, [2]string{act[1], c.format(act[2], q)})
 		case "del-header":
-			q.drop(act[1])
+			q.deleteHeader(act[1])
 		case "replace-header":
 			q.replaceHeader(act[1], act[2], act[3])
 		case "set-path":
@@ -195,27 +195,27 @@
 		case "set-query":
 			q.query = c.format(act[1], q)
 		case "replace-path":
-			q.path = refReplace(act[1], q.path, act[2])
+			q.path = referenceReplace(act[1], q.path, act[2])
 		}
 	}
 	return nil
 }
 
-func (q *refRequest) replaceHeader(name, pattern, to string) {
+func (q *referenceRequest) replaceHeader(name, pattern, to string) {
 	for i, h := range q.headers {
 		if strings.EqualFold(h[0], name) {
-			q.headers[i][1] = refReplace(pattern, h[1], to)
+			q.headers[i][1] = referenceReplace(pattern, h[1], to)
 		}
 	}
 }
 
-// refReplace replaces all matches; \1 to \9 stand for groups.
-func refReplace(pattern, s, to string) string {
+// referenceReplace replaces all matches. \1 to \9 in the replacement refer to groups.
+func referenceReplace(pattern, s, to string) string {
 	return regexp.MustCompile(pattern).ReplaceAllString(s, regexp.MustCompile(`\\(\d)`).ReplaceAllString(to, "$${$1}"))
 }
 
-func (c *refConf) redirect(act []string, q *refRequest) *refAnswer {
-	a := &refAnswer{status: 302}
+func (c *referenceConfig) redirect(act []string, q *referenceRequest) *referenceResult {
+	a := &referenceResult{status: 302}
 	for i := 1; i+1 < len(act); i += 2 {
 		v := c.format(act[i+1], q)
 		switch act[i] {
@@ -232,34 +232,34 @@
 	return a
 }
 
-// result returns what becomes of a request to a frontend or listen section.
-func (c *refConf) result(front string, q refRequest) *refAnswer {
+// result returns the expected result of a request to a frontend or listen section.
+func (c *referenceConfig) result(frontend string, q referenceRequest) *referenceResult {
 	q.headers = slices.Clone(q.headers)
-	s := c.find("frontend listen", front)
+	s := c.find("frontend listen", frontend)
 	for _, l := range c.lines(s, "monitor-uri") {
 		if q.path == l[1] {
-			return &refAnswer{status: 200}
+			return &referenceResult{status: 200}
 		}
 	}
 	if a := c.rules(s, &q); a != nil {
 		return a
 	}
 	for _, l := range c.lines(s, "redirect") {
-		if act, cond := refCut(l); c.holds(s, cond, &q) {
+		if act, cond := referenceCutCondition(l); c.holds(s, cond, &q) {
 			return c.redirect(act, &q)
 		}
 	}
 	name := c.backendOf(s, &q)
 	b := c.find("backend listen", name)
 	if b == nil {
-		return &refAnswer{status: 503}
+		return &referenceResult{status: 503}
 	}
 	if b != s {
 		if a := c.rules(b, &q); a != nil {
 			return a
 		}
 	}
-	a := &refAnswer{backend: name, path: q.target(), headers: q.joined(), edits: s}
+	a := &referenceResult{backend: name, path: q.target(), headers: q.headerMap(), responseSection: s}
 	for _, l := range append(c.lines(s, "option"), c.lines(b, "option")...) {
 		if l[1] == "forwardfor" {
 			a.headers["x-forwarded-for"] = q.src
@@ -272,8 +272,8 @@
 	return a
 }
 
-// backendOf returns the name of the backend that a frontend or listen section sends a request to.
-func (c *refConf) backendOf(s *refSection, q *refRequest) string {
+// backendOf returns the name of the backend that a frontend or listen section selects.
+func (c *referenceConfig) backendOf(s *referenceSection, q *referenceRequest) string {
 	name := ""
 	if s.kind == "listen" {
 		name = s.name
@@ -282,7 +282,7 @@
 		name = l[1]
 	}
 	for _, l := range c.lines(s, "use_backend") {
-		act, cond := refCut(l[1:])
+		act, cond := referenceCutCondition(l[1:])
 		if !c.holds(s, cond, q) {
 			continue
 		}
@@ -295,8 +295,8 @@
 	return name
 }
 
-// joined returns the header fields by their names in lower case, those of one name joined.
-func (q *refRequest) joined() map[string]string {
+// headerMap returns the values of the header fields by lower-case name, joined with commas.
+func (q *referenceRequest) headerMap() map[string]string {
 	out := map[string]string{}
 	for _, h := range q.headers {
 		if old, ok := out[strings.ToLower(h[0])]; ok {
@@ -307,8 +307,8 @@
 	return out
 }
 
-// servers returns the addresses that a request may go to, with those that are down left out.
-func (c *refConf) servers(b *refSection, q *refRequest, down map[string]bool) (out []string) {
+// servers returns the addresses of the servers that a request may be sent to, excluding those that are down.
+func (c *referenceConfig) servers(b *referenceSection, q *referenceRequest, down map[string]bool) (out []string) {
 	var backups []string
 	cookie := c.persistence(b, q)
 	for _, l := range c.lines(b, "server") {
@@ -325,7 +325,7 @@
 		}
 	}
 	for _, l := range c.lines(b, "server-template") {
-		if net.ParseIP(strings.Split(l[3], ":")[0]) != nil { // names resolve to nothing here
+		if net.ParseIP(strings.Split(l[3], ":")[0]) != nil { // host names are not resolved
 			out = append(out, l[3])
 		}
 	}
@@ -335,8 +335,8 @@
 	return out
 }
 
-// persistence returns the value of the cookie that ties a request to a server, "" for none.
-func (c *refConf) persistence(b *refSection, q *refRequest) (cookie string) {
+// persistence returns the value of the persistence cookie of a request, or "" if there is none.
+func (c *referenceConfig) persistence(b *referenceSection, q *referenceRequest) (cookie string) {
 	for _, l := range c.lines(b, "cookie") {
 		if got, _ := c.sample("cook("+l[1]+")", q); len(got) > 0 {
 			cookie = got[0]
@@ -345,8 +345,8 @@
 	return cookie
 }
 
-// weights returns each address's share of a backend's requests.
-func (c *refConf) weights(b *refSection) map[string]float64 {
+// weights returns the expected share of the requests of a backend by server address.
+func (c *referenceConfig) weights(b *referenceSection) map[string]float64 {
 	base := 1.0
 	for _, l := range c.lines(b, "default-server") {
 		if i := slices.Index(l, "weight"); i > 0 {
@@ -379,11 +379,12 @@
 	return out
 }
 
-// response applies http-response lines to what a server has answered.
-func (c *refConf) response(s *refSection, status int, soft bool) (int, map[string]string) {
+// response applies the http-response lines of a section to a response. It returns the status and the expected
+// values of header fields, "" for removed ones.
+func (c *referenceConfig) response(s *referenceSection, status int, softError bool) (int, map[string]string) {
 	set := map[string]string{}
 	for _, l := range c.lines(s, "http-response") {
-		act, cond := refCut(l[1:])
+		act, cond := referenceCutCondition(l[1:])
 		holds := true
 		for i, w := range cond {
 			switch w {
@@ -391,7 +392,7 @@
 				n, _ := strconv.Atoi(cond[i+1])
 				holds = holds && status == n
 			case "res.hdr(X-Soft)":
-				holds = holds && soft
+				holds = holds && softError
 			}
 		}
 		if !holds {
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -27,29 +27,29 @@
 	"sedgevale/internal/testkit"
 )
 
-// seen is a request as a fake server received it.
-type seen struct {
+// receivedRequest describes a request as received by a fake server.
+type receivedRequest struct {
 	Addr    string              `json:"addr"`
 	Target  string              `json:"target"`
 	Headers map[string][]string `json:"headers"`
 }
 
-// testbed is a sample, imported and served, with fake servers as its backends.
+// testbed serves an imported sample configuration with fake servers as its backends.
 type testbed struct {
-	t      *testing.T
-	name   string
-	ref    *refConf
-	proxy  *reverseproxy.Proxy
-	report haproxy.Report
-	front  map[string]string // address of each frontend
-	mu     sync.Mutex
-	down   map[string]bool // by the sample's address
+	t             *testing.T
+	name          string
+	ref           *referenceConfig
+	proxy         *reverseproxy.Proxy
+	report        haproxy.Report
+	frontendAddrs map[string]string // listen address by name of the frontend
+	mu            sync.Mutex
+	down          map[string]bool // fake servers that drop requests, by their address in the sample
 }
 
 var (
-	bindLine   = regexp.MustCompile(`(?m)^(\s*bind) (\S*:\d+)`)
-	serverAddr = regexp.MustCompile(`\b10\.\d+\.\d+\.\d+:\d+`)
-	frontLine  = regexp.MustCompile(`^(frontend|listen) (\S+)`)
+	bindLinePattern    = regexp.MustCompile(`(?m)^(\s*bind) (\S*:\d+)`)
+	serverAddrPattern  = regexp.MustCompile(`\b10\.\d+\.\d+\.\d+:\d+`)
+	sectionLinePattern = regexp.MustCompile(`^(frontend|listen) (\S+)`)
 )
 
 func sampleEnv() map[string]string { return map[string]string{"APP_HOST": "10.0.0.1"} }
@@ -61,8 +61,8 @@
 		t.Fatal(err)
 	}
 	maps, _ := os.ReadFile("testdata/hosts.map")
-	s := &testbed{t: t, name: strings.TrimSuffix(filepath.Base(file), ".cfg"), front: map[string]string{}, down: map[string]bool{},
-		ref: refLoad(string(text), sampleEnv(), map[string]string{"hosts.map": string(maps)})}
+	s := &testbed{t: t, name: strings.TrimSuffix(filepath.Base(file), ".cfg"), frontendAddrs: map[string]string{}, down: map[string]bool{},
+		ref: loadReference(string(text), sampleEnv(), map[string]string{"hosts.map": string(maps)})}
 	live := strings.ReplaceAll(string(text), `"${APP_HOST}":80`, "10.0.0.1:80")
 	got, err := haproxy.Import([]haproxy.Source{{Name: file, Text: []byte(s.localAddresses(live))}},
 		haproxy.Options{Env: sampleEnv(), Files: func(p string) ([]byte, error) { return os.ReadFile(filepath.Join("testdata", p)) }})
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	s.report = got.Report
-	// Through the file, as an operator would.
+	// Write and read the operator's file, as an operator does.
 	out := filepath.Join(t.TempDir(), "operator.toml")
 	w, err := os.Create(out)
 	if err != nil {
@@ -94,12 +94,12 @@
 	return s
 }
 
-// localAddresses replaces the addresses that a sample listens on by free ones, and those of its servers by
-// addresses of fake servers.
+// localAddresses replaces the listen addresses of a sample by free local addresses and the addresses of its
+// servers by those of fake servers.
 func (s *testbed) localAddresses(text string) string {
 	s.t.Helper()
 	addrs := map[string]string{}
-	text = serverAddr.ReplaceAllStringFunc(text, func(a string) string {
+	text = serverAddrPattern.ReplaceAllStringFunc(text, func(a string) string {
 		if addrs[a] == "" {
 			addrs[a] = s.server(a)
 		}
@@ -108,14 +108,14 @@
 	var lines []string
 	name := ""
 	for line := range strings.Lines(text) {
-		if m := frontLine.FindStringSubmatch(line); m != nil {
+		if m := sectionLinePattern.FindStringSubmatch(line); m != nil {
 			name = m[2]
-			delete(s.front, name) // of a branch that does not count
+			delete(s.frontendAddrs, name) // a section of the same name in a skipped branch
 		}
-		if m := bindLine.FindStringSubmatch(line); m != nil && !strings.Contains(line, " ssl ") {
+		if m := bindLinePattern.FindStringSubmatch(line); m != nil && !strings.Contains(line, " ssl ") {
 			addr := testkit.FreeAddr(s.t)
-			if s.front[name] == "" {
-				s.front[name] = addr
+			if s.frontendAddrs[name] == "" {
+				s.frontendAddrs[name] = addr
 			}
 			line = strings.Replace(line, m[2], addr, 1)
 		}
@@ -151,7 +151,7 @@
 	})
 }
 
-// listen listens on a free port; whoever calls it closes the listener.
+// listen listens on a free port. The caller closes the listener.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	var lc net.ListenConfig
@@ -162,7 +162,7 @@
 	return l
 }
 
-// server runs a fake of a server of the sample and returns its address.
+// server starts a fake server for a server of the sample and returns its address.
 func (s *testbed) server(name string) string {
 	l := listen(s.t)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -177,19 +177,20 @@
 			w.Header().Set("X-Soft", "yes")
 			w.WriteHeader(404)
 		}
-		_ = json.NewEncoder(w).Encode(seen{name, q.RequestURI, q.Header})
+		_ = json.NewEncoder(w).Encode(receivedRequest{name, q.RequestURI, q.Header})
 	})}
 	go func() { _ = srv.Serve(l) }()
 	s.t.Cleanup(func() { _ = srv.Close() })
 	return l.Addr().String()
 }
 
-// send sends a request to a frontend and returns the response, and the request as a server received it.
-func (s *testbed) send(front string, q refRequest) (status int, location, body string, by *seen, a http.Header) {
+// send sends a request to a frontend. It returns the response and the request as received by the server, nil
+// if no server received it.
+func (s *testbed) send(frontend string, q referenceRequest) (status int, location, body string, received *receivedRequest, a http.Header) {
 	s.t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(q.src)}}
 	h := &http.Transport{DialContext: d.DialContext, DisableCompression: true, DisableKeepAlives: true}
-	url := "http://" + s.front[front] + q.target()
+	url := "http://" + s.frontendAddrs[frontend] + q.target()
 	r, err := http.NewRequestWithContext(s.t.Context(), q.method, url, nil)
 	if err != nil {
 		s.t.Fatal(err)
@@ -205,21 +206,22 @@
 	}
 	defer func() { _ = got.Body.Close() }()
 	b, _ := io.ReadAll(got.Body)
-	by = &seen{}
-	if json.Unmarshal(b, by) != nil || by.Addr == "" {
-		by = nil
+	received = &receivedRequest{}
+	if json.Unmarshal(b, received) != nil || received.Addr == "" {
+		received = nil
 	}
-	return got.StatusCode, got.Header.Get("Location"), string(b), by, got.Header
+	return got.StatusCode, got.Header.Get("Location"), string(b), received, got.Header
 }
 
-// requests returns all combinations of what the samples distinguish.
-func requests() (all []refRequest) {
+// requests returns requests that cover the paths, hosts, methods, header fields and clients that the samples
+// distinguish.
+func requests() (all []referenceRequest) {
 	paths := []string{"/", "/static/a.js", "/images/x", "/a/logo.PNG", "/api/logo.png", "/v1/users", "/v2/users", "/v3", "/v3x", "/login",
 		"/x/admin/y", "/administrators", "/health", "/ws/chat", "/report/1", "/old", "/moved/a", "/secure/b", "/p/1", "/q", "/ab", "/abc", "/soft", "/1",
 		"/haproxy-alive", "/stats"}
 	for i, p := range paths {
 		for j, host := range []string{"www.example.com", "example.com", "SHOP.example.com", "blog.example.com", "old.example.com"} {
-			q := refRequest{method: "GET", path: p, host: host, src: "127.0.0.1"}
+			q := referenceRequest{method: "GET", path: p, host: host, src: "127.0.0.1"}
 			switch (i + j) % 6 {
 			case 1:
 				q.method = "POST"
@@ -238,22 +240,22 @@
 	return all
 }
 
-// Guards the complete import: each sample, imported, written, read and served, routes and edits
-// every request as a model of HAProxy does, with shares by weight; and every line has exactly one
-// entry in the report.
+// TestSamples checks the whole conversion: a sample that is imported, written, read and served routes and
+// edits each request as the reference model does, distributes requests by weight, and has exactly one report
+// entry per line.
 func TestSamples(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.cfg")
 	if len(files) != 20 {
-		t.Fatalf("%d samples", len(files))
+		t.Fatalf("found %d samples, want 20", len(files))
 	}
 	var table []string
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			s := newTestbed(t, file)
-			s.accounted(file)
-			same, all := s.routes()
-			worst := s.shares()
-			table = append(table, fmt.Sprintf("%-22s %4d of %4d requests alike, shares off by %4.1f%%; lines: %2d carried over, %2d differently, %2d not needed, %2d not carried over",
+			s.checkReport(file)
+			same, all := s.checkRoutes()
+			worst := s.checkShares()
+			table = append(table, fmt.Sprintf("%-22s %4d of %4d requests as in the model, shares off by at most %4.1f%%; lines: %2d carried over, %2d differently, %2d not needed, %2d not carried over",
 				s.name, same, all, 100*worst, s.report.Count(haproxy.Carried), s.report.Count(haproxy.Differently),
 				s.report.Count(haproxy.NotNeeded), s.report.Count(haproxy.NotCarried)))
 		})
@@ -261,8 +263,8 @@
 	t.Logf("\n%s", strings.Join(table, "\n"))
 }
 
-// accounted checks that each directive of a file has one entry, and that there are no others.
-func (s *testbed) accounted(file string) {
+// checkReport checks that the report has exactly one entry for each directive of a file.
+func (s *testbed) checkReport(file string) {
 	s.t.Helper()
 	text, _ := os.ReadFile(file)
 	want := 0
@@ -291,18 +293,20 @@
 	}
 }
 
-func (s *testbed) routes() (same, all int) {
+// checkRoutes compares the result of each request with the reference model. It returns the number of equal
+// results and of all requests.
+func (s *testbed) checkRoutes() (same, all int) {
 	s.t.Helper()
-	for front := range s.front {
-		if sec := s.ref.find("frontend listen", front); sec == nil || s.mode(sec) != "http" {
+	for frontend := range s.frontendAddrs {
+		if frontendSection := s.ref.find("frontend listen", frontend); frontendSection == nil || s.mode(frontendSection) != "http" {
 			continue
 		}
 		for _, q := range requests() {
 			all++
-			want := s.ref.result(front, q)
-			status, location, body, by, header := s.send(front, q)
-			if why := s.differs(want, status, location, body, by, header); why != "" {
-				s.t.Errorf("%s: %s %s%s from %s %v: %s", front, q.method, q.host, q.target(), q.src, q.headers, why)
+			want := s.ref.result(frontend, q)
+			status, location, body, received, header := s.send(frontend, q)
+			if why := s.resultDiff(want, status, location, body, received, header); why != "" {
+				s.t.Errorf("%s: %s %s%s from %s %v: %s", frontend, q.method, q.host, q.target(), q.src, q.headers, why)
 				continue
 			}
 			same++
@@ -311,126 +315,128 @@
 	return same, all
 }
 
-func (s *testbed) mode(sec *refSection) string {
+func (s *testbed) mode(frontendSection *referenceSection) string {
 	mode := "tcp"
-	for _, l := range s.ref.lines(sec, "mode") {
+	for _, l := range s.ref.lines(frontendSection, "mode") {
 		mode = l[1]
 	}
 	return mode
 }
 
-// differs returns in what a result differs from the model's, "" if in nothing.
-func (s *testbed) differs(want *refAnswer, status int, location, body string, by *seen, header http.Header) string {
+// resultDiff describes the difference between a result and that of the model. It returns "" if they are equal.
+func (s *testbed) resultDiff(want *referenceResult, status int, location, body string, received *receivedRequest, header http.Header) string {
 	if want.status != 0 {
-		if by != nil || status != want.status || location != want.location {
-			return fmt.Sprintf("got %d %q by %v, want %d %q", status, location, by, want.status, want.location)
+		if received != nil || status != want.status || location != want.location {
+			return fmt.Sprintf("got status %d, location %q from server %v; want %d, %q", status, location, received, want.status, want.location)
 		}
 		if want.body != "" && body != want.body {
-			return fmt.Sprintf("body %q", body)
+			return fmt.Sprintf("got body %q, want %q", body, want.body)
 		}
 		return ""
 	}
-	if by == nil || !slices.Contains(want.servers, by.Addr) {
-		return fmt.Sprintf("got %d %q by %v, want one of %v (%s)", status, body, by, want.servers, want.backend)
+	if received == nil || !slices.Contains(want.servers, received.Addr) {
+		return fmt.Sprintf("got status %d, body %q from server %v; want one of %v of backend %s", status, body, received, want.servers, want.backend)
 	}
-	if by.Target != want.path {
-		return fmt.Sprintf("the server saw %q, want %q", by.Target, want.path)
+	if received.Target != want.path {
+		return fmt.Sprintf("the server received target %q, want %q", received.Target, want.path)
 	}
-	if why := headersDiffer(want, by); why != "" {
+	if why := headerDiff(want, received); why != "" {
 		return why
 	}
 	served := 200
-	if strings.Contains(by.Target, "soft") {
+	if strings.Contains(received.Target, "soft") {
 		served = 404
 	}
-	code, set := s.ref.response(want.edits, served, served == 404)
+	code, set := s.ref.response(want.responseSection, served, served == 404)
 	if status != code {
 		return fmt.Sprintf("status %d, want %d", status, code)
 	}
 	for name, value := range set {
 		if header.Get(name) != value {
-			return fmt.Sprintf("answer with %s: %q, want %q", name, header.Get(name), value)
+			return fmt.Sprintf("response has %s: %q, want %q", name, header.Get(name), value)
 		}
 	}
 	return ""
 }
 
-// headersDiffer returns in what the header fields that a server received differ from the model's.
-func headersDiffer(want *refAnswer, by *seen) string {
+// headerDiff describes the difference between the header fields received by a server and those of the model.
+func headerDiff(want *referenceResult, received *receivedRequest) string {
 	for name, value := range want.headers {
 		if name == "cookie" {
-			continue // see the sticky test
+			continue // checked by TestPersistenceSample
 		}
-		if got := strings.Join(by.Headers[http.CanonicalHeaderKey(name)], ","); got != value {
-			return fmt.Sprintf("the server saw %s: %q, want %q", name, got, value)
+		if got := strings.Join(received.Headers[http.CanonicalHeaderKey(name)], ","); got != value {
+			return fmt.Sprintf("the server received %s: %q, want %q", name, got, value)
 		}
 	}
-	for name := range by.Headers {
+	for name := range received.Headers {
 		if _, ok := want.headers[strings.ToLower(name)]; !ok && name != "Content-Length" && name != "Cookie" && name != "X-Forwarded-For" {
-			return fmt.Sprintf("the server saw %s, which was not to be there", name)
+			return fmt.Sprintf("the server received the unexpected field %s", name)
 		}
 	}
 	return ""
 }
 
-// shares compares the share of requests of each server of a backend with its weight.
-func (s *testbed) shares() (worst float64) {
+// checkShares compares the share of requests of each server with its weight. It returns the largest
+// difference.
+func (s *testbed) checkShares() (worst float64) {
 	s.t.Helper()
 	const n = 400
-	for front := range s.front {
-		sec := s.ref.find("frontend listen", front)
-		q := refRequest{method: "GET", path: "/plain", host: "www.example.com", src: "127.0.0.9"}
-		if sec == nil || s.mode(sec) != "http" {
+	for frontend := range s.frontendAddrs {
+		frontendSection := s.ref.find("frontend listen", frontend)
+		q := referenceRequest{method: "GET", path: "/plain", host: "www.example.com", src: "127.0.0.9"}
+		if frontendSection == nil || s.mode(frontendSection) != "http" {
 			continue
 		}
-		want := s.ref.result(front, q)
+		want := s.ref.result(frontend, q)
 		if want.status != 0 || len(want.servers) < 2 {
 			continue
 		}
-		back := s.ref.find("backend listen", want.backend)
-		if len(s.ref.lines(back, "balance")) > 0 && slices.Contains([]string{"source", "uri"}, s.ref.lines(back, "balance")[0][1]) {
+		backendSection := s.ref.find("backend listen", want.backend)
+		if len(s.ref.lines(backendSection, "balance")) > 0 && slices.Contains([]string{"source", "uri"}, s.ref.lines(backendSection, "balance")[0][1]) {
 			continue
 		}
 		got := map[string]float64{}
 		for range n {
-			if _, _, _, by, _ := s.send(front, q); by != nil {
-				got[by.Addr] += 1.0 / n
+			if _, _, _, received, _ := s.send(frontend, q); received != nil {
+				got[received.Addr] += 1.0 / n
 			}
 		}
-		for addr, w := range s.ref.weights(back) {
+		for addr, w := range s.ref.weights(backendSection) {
 			off := math.Abs(got[addr] - w)
 			if worst = max(worst, off); off > 0.05 {
-				s.t.Errorf("%s has a share of %.3f, weight %.3f", addr, got[addr], w)
+				s.t.Errorf("%s has a share of %.3f, want %.3f", addr, got[addr], w)
 			}
 		}
 	}
 	return worst
 }
 
-// Guards persistence: the cookie that is set leads to the same server, and servers do not see it.
+// TestPersistenceSample checks that the persistence cookie leads to the same server and is not sent to
+// servers.
 func TestPersistenceSample(t *testing.T) {
 	s := newTestbed(t, "testdata/06-sticky.cfg")
-	q := refRequest{method: "GET", path: "/", host: "h", src: "127.0.0.1"}
-	_, _, _, by, header := s.send("www", q)
+	q := referenceRequest{method: "GET", path: "/", host: "h", src: "127.0.0.1"}
+	_, _, _, received, header := s.send("www", q)
 	cookie, _, _ := strings.Cut(header.Get("Set-Cookie"), ";")
-	if by == nil || !strings.HasPrefix(cookie, "SRV=") {
-		t.Fatalf("%v %v", by, header)
+	if received == nil || !strings.HasPrefix(cookie, "SRV=") {
+		t.Fatalf("first request: received %v, response header %v", received, header)
 	}
 	q.headers = [][2]string{{"Cookie", "x=1; " + cookie}}
 	for range 10 {
 		_, _, _, again, header := s.send("www", q)
-		if again == nil || again.Addr != by.Addr || header.Get("Set-Cookie") != "" || strings.Join(again.Headers["Cookie"], "") != "x=1" {
-			t.Fatalf("%v, then %v %v", by, again, header)
+		if again == nil || again.Addr != received.Addr || header.Get("Set-Cookie") != "" || strings.Join(again.Headers["Cookie"], "") != "x=1" {
+			t.Fatalf("first request received: %v; with cookie: %v, response header %v", received, again, header)
 		}
 	}
 }
 
-// Guards backups: servers fail one after another and recover, and each request is routed as by
-// the model.
+// TestActiveStandbySample checks that requests are routed as by the reference model while servers fail one
+// after another and recover.
 func TestActiveStandbySample(t *testing.T) {
 	s := newTestbed(t, "testdata/07-active-standby.cfg")
-	q := refRequest{method: "GET", path: "/", host: "h", src: "127.0.0.1"}
-	back := s.ref.find("backend", "db_ui")
+	q := referenceRequest{method: "GET", path: "/", host: "h", src: "127.0.0.1"}
+	backendSection := s.ref.find("backend", "db_ui")
 	for _, step := range []struct {
 		addr string
 		down bool
@@ -438,27 +444,27 @@
 		s.mu.Lock()
 		s.down[step.addr] = step.down
 		s.mu.Unlock()
-		want := s.ref.servers(back, &q, s.down)
+		want := s.ref.servers(backendSection, &q, s.down)
 		for until := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-			downs := 0
+			downCount := 0
 			for _, x := range s.proxy.Status() {
 				if x.State == "down" {
-					downs++
+					downCount++
 				}
 			}
-			is := 0
+			wantDown := 0
 			for _, d := range s.down {
 				if d {
-					is++
+					wantDown++
 				}
 			}
-			if downs == is || time.Now().After(until) {
+			if downCount == wantDown || time.Now().After(until) {
 				break
 			}
 		}
 		for range 5 {
-			if _, _, _, by, _ := s.send("www", q); by == nil || by.Addr != want[0] {
-				t.Errorf("after %+v: %v, want %v", step, by, want)
+			if _, _, _, received, _ := s.send("www", q); received == nil || received.Addr != want[0] {
+				t.Errorf("after %+v: received by %v, want %v", step, received, want)
 			}
 		}
 	}
--- a/internal/healthcheck/healthcheck_test.go
+++ b/internal/healthcheck/healthcheck_test.go
@@ -13,8 +13,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// Guards against a member that goes up and down with each single check, and the times
-// between checks.
+// TestRiseAndFall checks that the state changes only after the configured number of consecutive results, and
+// the interval after each check.
 func TestRiseAndFall(t *testing.T) {
 	s := Spec{Kind: "tcp", Interval: 4 * time.Second, FastInterval: time.Second, DownInterval: 2 * time.Second, Rise: 2, Fall: 3}
 	if err := s.SetDefaults(); err != nil {
@@ -38,36 +38,37 @@
 
 func TestExpect(t *testing.T) {
 	for _, c := range []struct {
-		e    Expect
-		yes  string
-		not  string
-		code int
-		bad  int
+		e                 Expect
+		matchingBody      string
+		nonMatchingBody   string
+		matchingStatus    int
+		nonMatchingStatus int
 	}{
-		{e: Expect{Kind: "status", Value: "200-204,301"}, code: 301, bad: 302},
-		{e: Expect{Kind: "rstatus", Value: "^2"}, code: 204, bad: 500},
-		{e: Expect{Kind: "string", Value: "OK"}, code: 200, yes: "all OK", bad: 200, not: "no"},
-		{e: Expect{Kind: "rstring", Value: "O+K"}, code: 200, yes: "OOK", bad: 200, not: "K"},
-		{e: Expect{Kind: "string", Value: "bad", Not: true}, code: 200, yes: "good", bad: 200, not: "bad"},
+		{e: Expect{Kind: "status", Value: "200-204,301"}, matchingStatus: 301, nonMatchingStatus: 302},
+		{e: Expect{Kind: "rstatus", Value: "^2"}, matchingStatus: 204, nonMatchingStatus: 500},
+		{e: Expect{Kind: "string", Value: "OK"}, matchingStatus: 200, matchingBody: "all OK", nonMatchingStatus: 200, nonMatchingBody: "no"},
+		{e: Expect{Kind: "rstring", Value: "O+K"}, matchingStatus: 200, matchingBody: "OOK", nonMatchingStatus: 200, nonMatchingBody: "K"},
+		{e: Expect{Kind: "string", Value: "bad", Not: true}, matchingStatus: 200, matchingBody: "good", nonMatchingStatus: 200, nonMatchingBody: "bad"},
 	} {
 		s := Spec{Kind: "http", Expect: []Expect{c.e}}
 		if err := s.SetDefaults(); err != nil {
 			t.Fatal(err)
 		}
-		if !s.Holds(c.code, []byte(c.yes)) || s.Holds(c.bad, []byte(c.not)) {
-			t.Errorf("%+v", c.e)
+		if !s.Holds(c.matchingStatus, []byte(c.matchingBody)) || s.Holds(c.nonMatchingStatus, []byte(c.nonMatchingBody)) {
+			t.Errorf("wrong match of %+v", c.e)
 		}
 	}
 	for _, bad := range []Spec{{}, {Kind: "udp"}, {Kind: "tcp", Interval: time.Nanosecond}, {Kind: "http", URI: "/a b"}, {Kind: "tcp", Fall: -1},
 		{Kind: "http", Expect: []Expect{{Kind: "status", Value: "abc"}}}, {Kind: "http", Expect: []Expect{{Kind: "rstring", Value: "("}}},
 		{Kind: "http", Expect: []Expect{{Kind: "ssl"}}}} {
 		if bad.SetDefaults() == nil {
-			t.Errorf("taken: %+v", bad)
+			t.Errorf("the invalid spec %+v was accepted", bad)
 		}
 	}
 }
 
-// responses are what a server responds with to a check, by its mode. In the others it closes the connection.
+// responses are the responses of the server to a check by its mode. In mode "silent" it does not respond, and
+// in other modes it closes the connection.
 var responses = map[string]string{
 	"good":       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nready",
 	"bad status": "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
@@ -75,8 +76,8 @@
 	"short":      "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nready",
 }
 
-// Guards the checks: the request is the configured one, each kind of failure counts, and a
-// member that recovers is up again.
+// TestDriver checks that the configured request is sent, that each kind of failure takes the member down, and
+// that the member comes up again when it recovers.
 func TestDriver(t *testing.T) {
 	var mode atomic.Value
 	mode.Store("good")
@@ -107,19 +108,19 @@
 		NewDriver(slog.New(slog.DiscardHandler)).Run(ctx, []Check{{Name: "b/m", Addr: addr, Spec: s, OnChange: func(up bool, _ string) { changes <- up }}})
 		close(done)
 	}()
-	if got := testkit.Await(t, "a check", requests); !strings.HasPrefix(got, "GET /up HTTP/1.1\r\nHost: app\r\n") {
-		t.Errorf("the request is %q", got)
+	if got := testkit.Await(t, "the first check", requests); !strings.HasPrefix(got, "GET /up HTTP/1.1\r\nHost: app\r\n") {
+		t.Errorf("received request %q", got)
 	}
-	for _, how := range []string{"bad status", "garbage", "short", "silent", "closed"} {
-		mode.Store(how)
-		if testkit.Await(t, "the change by "+how, changes) {
-			t.Errorf("%s counts as up", how)
+	for _, failure := range []string{"bad status", "garbage", "short", "silent", "closed"} {
+		mode.Store(failure)
+		if testkit.Await(t, "the change to down in mode "+failure, changes) {
+			t.Errorf("the member is up after the failure %q", failure)
 		}
 		mode.Store("good")
-		if !testkit.Await(t, "the change after "+how, changes) {
-			t.Errorf("after %s it stays down", how)
+		if !testkit.Await(t, "the change to up after mode "+failure, changes) {
+			t.Errorf("the member stays down after recovery from the failure %q", failure)
 		}
 	}
 	stop()
-	testkit.Await(t, "the end", done)
+	testkit.Await(t, "the end of Run", done)
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -25,7 +25,8 @@
 
 const second = time.Second
 
-// Guards the shares of round robin: over any run each member has its share by weight, evenly spread.
+// TestRoundRobinByWeight checks that the picks of each member are proportional to its weight and evenly
+// spread.
 func TestRoundRobinByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Options
@@ -40,7 +41,7 @@
 			t.Fatal(err)
 		}
 		if _, v := p.Pick(0, Hint{}); (v == Unavailable) != (sum == 0) {
-			t.Fatalf("%v with a sum of %d", v, sum)
+			t.Fatalf("Pick returned %v with a total weight of %d", v, sum)
 		}
 		if sum == 0 {
 			return
@@ -51,25 +52,24 @@
 		for n := 1; n <= rounds*sum; n++ {
 			i, _ := p.Pick(second, Hint{})
 			got[i]++
-			for k, m := range o.Members { // never more than a turn or two off
+			for k, m := range o.Members { // the deviation is bounded by the number of members
 				if want := float64(n*m.Weight) / float64(sum); math.Abs(float64(got[k])-want) > float64(len(o.Members)) {
-					t.Fatalf("after %d turns member %d has %d, should have %.1f", n, k, got[k], want)
+					t.Fatalf("after %d picks member %d was picked %d times, want %.1f", n, k, got[k], want)
 				}
 			}
 		}
 		for k, m := range o.Members {
 			if got[k] != rounds*m.Weight {
-				t.Fatalf("member %d has %d of %d turns, weight %d of %d", k, got[k], rounds*sum, m.Weight, sum)
+				t.Fatalf("member %d was picked %d of %d times with weight %d of %d", k, got[k], rounds*sum, m.Weight, sum)
 			}
 		}
 	})
 }
 
-// Guards backups: they serve exactly while no other does, the first or all of them, and
-// the main members come back one by one.
+// TestBackups checks that backups, the first or all of them, are used exactly while no other member is up.
 func TestBackups(t *testing.T) {
-	for _, every := range []bool{false, true} {
-		p := mustNew(t, Options{AllBackups: every, Members: []Member{{Name: "a", Weight: 1}, {Name: "b", Weight: 1},
+	for _, allBackups := range []bool{false, true} {
+		p := mustNew(t, Options{AllBackups: allBackups, Members: []Member{{Name: "a", Weight: 1}, {Name: "b", Weight: 1},
 			{Name: "x", Weight: 1, Backup: true}, {Name: "y", Weight: 1, Backup: true}}})
 		used := func() (names string) {
 			seen := map[int]bool{}
@@ -88,7 +88,7 @@
 		down := func(name string) { p.SetState(p.Index(name), Down, second) }
 		up := func(name string) { p.SetState(p.Index(name), Up, second) }
 		backups := "x"
-		if every {
+		if allBackups {
 			backups = "xy"
 		}
 		steps := []struct {
@@ -102,15 +102,15 @@
 		for i, s := range steps {
 			s.do()
 			if got := used(); got != s.want {
-				t.Errorf("all backups %v, step %d: %q, want %q", every, i, got, s.want)
+				t.Errorf("all backups %v, step %d: %q, want %q", allBackups, i, got, s.want)
 			}
 		}
 	}
 }
 
-// Guards persistence: a cookie leads to its member while that serves, also when it drains
-// or has no weight, and elsewhere once it is down or was tried.
-func TestCookie(t *testing.T) {
+// TestPersistence checks that a cookie leads to its member, also if that member is draining or has weight 0,
+// unless the member is down or was already tried.
+func TestPersistence(t *testing.T) {
 	p := mustNew(t, Options{Members: []Member{{Name: "a", Weight: 1, Cookie: "A"}, {Name: "b", Weight: 0, Cookie: "B"}}})
 	pick := func(h Hint) string {
 		i, v := p.Pick(second, h)
@@ -120,26 +120,26 @@
 		return p.Name(i)
 	}
 	if got := pick(Hint{Cookie: "B"}); got != "b" {
-		t.Errorf("its cookie leads to %s", got)
+		t.Errorf("the cookie of b leads to %s", got)
 	}
 	if got := pick(Hint{Cookie: "C"}); got != "a" {
 		t.Errorf("an unknown cookie leads to %s", got)
 	}
 	p.SetState(1, Draining, second)
 	if got := pick(Hint{Cookie: "B"}); got != "b" {
-		t.Errorf("draining, its cookie leads to %s", got)
+		t.Errorf("the cookie of b leads to %s while b is draining", got)
 	}
 	if got := pick(Hint{Cookie: "B", Tried: []int{1}}); got != "a" {
-		t.Errorf("tried before, its cookie leads to %s", got)
+		t.Errorf("the cookie of b leads to %s after b was tried", got)
 	}
 	p.SetState(1, Down, second)
 	if got := pick(Hint{Cookie: "B"}); got != "a" {
-		t.Errorf("down, its cookie leads to %s", got)
+		t.Errorf("the cookie of b leads to %s while b is down", got)
 	}
 }
 
-// Guards hashing: a text stays with its member, shares go by weight, and when a member
-// leaves only what it had moves.
+// TestHash checks that keys are distributed by weight and that only the keys of a member move when it goes
+// down.
 func TestHash(t *testing.T) {
 	p := mustNew(t, Options{Balance: Hash, Members: []Member{{Name: "a", Weight: 1}, {Name: "b", Weight: 2}, {Name: "c", Weight: 3}}})
 	const n = 20000
@@ -150,7 +150,7 @@
 	}
 	for i, want := range []float64{1.0 / 6, 2.0 / 6, 3.0 / 6} {
 		if got := float64(count[i]) / n; math.Abs(got-want) > 0.02 {
-			t.Errorf("member %d has %.3f, weight %.3f", i, got, want)
+			t.Errorf("member %d has a share of %.3f, want %.3f", i, got, want)
 		}
 	}
 	p.SetState(1, Down, second)
@@ -161,13 +161,13 @@
 	}
 }
 
-// Guards the other balancing algorithms, and the slow start.
-func TestOtherBalances(t *testing.T) {
+// TestOtherAlgorithms checks the algorithms first, leastconn and random, and the slow start.
+func TestOtherAlgorithms(t *testing.T) {
 	p := mustNew(t, Options{Balance: First, Members: []Member{{Name: "a", Weight: 1, MaxConn: 2}, {Name: "b", Weight: 1}}})
 	for i, want := range []int{0, 0, 1, 1} {
 		got, _ := p.Pick(second, Hint{})
 		if p.Acquire(got); got != want {
-			t.Errorf("first: request %d went to %d", i, got)
+			t.Errorf("first: request %d was sent to member %d", i, got)
 		}
 	}
 	p = mustNew(t, Options{Balance: LeastConn, Members: []Member{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}}})
@@ -176,7 +176,7 @@
 		p.Acquire(i)
 	}
 	if _, a := p.State(0); a != 10 {
-		t.Errorf("leastconn: %d of 40 at a quarter of the weight", a)
+		t.Errorf("leastconn: member with a quarter of the weight has %d of 40 requests, want 10", a)
 	}
 	p = mustNew(t, Options{Balance: Random, Members: []Member{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}}})
 	got := 0
@@ -186,7 +186,7 @@
 		}
 	}
 	if got < 2300 || got > 2700 {
-		t.Errorf("random: %d of 10000 at a quarter of the weight", got)
+		t.Errorf("random: member with a quarter of the weight has %d of 10000 requests", got)
 	}
 	p = mustNew(t, Options{SlowStart: 10 * second, Members: []Member{{Name: "a", Weight: 10}, {Name: "b", Weight: 10}}})
 	p.SetState(0, Down, 100*second)
@@ -200,12 +200,11 @@
 		return n
 	}
 	if early, late := share(101*second), share(111*second); early > 120 || late < 490 {
-		t.Errorf("slow start: %d of 1000 at first, %d later", early, late)
+		t.Errorf("slow start: member has %d of 1000 requests after 1 s, %d after 11 s", early, late)
 	}
 }
 
-// Guards the bound of each member and of the queue, the order in it, and that nobody waits
-// for ever.
+// TestQueue checks the limits of members and of the queue, the order of the queue, and the expiry of requests.
 func TestQueue(t *testing.T) {
 	p := mustNew(t, Options{MaxQueue: 2, QueueTimeout: 3 * second, Members: []Member{{Name: "a", Weight: 1, MaxConn: 1}}})
 	i, v := p.Pick(second, Hint{})
@@ -214,46 +213,46 @@
 	}
 	p.Acquire(i)
 	if _, v := p.Pick(second, Hint{}); v != Busy {
-		t.Fatalf("full: %v", v)
+		t.Fatalf("Pick with a full member: %v", v)
 	}
 	if !p.Enqueue(second, "one", Hint{}) || !p.Enqueue(2*second, "two", Hint{}) || p.Enqueue(2*second, "three", Hint{}) {
-		t.Error("the queue's bound")
+		t.Error("Enqueue does not respect MaxQueue")
 	}
 	if _, _, ok := p.NextQueued(2 * second); ok {
-		t.Error("somebody went while it was full")
+		t.Error("NextQueued returned a request while the member was full")
 	}
 	p.Release(i)
 	if token, _, ok := p.NextQueued(2 * second); !ok || token != "one" {
-		t.Errorf("next is %v", token)
+		t.Errorf("NextQueued returned %v, want one", token)
 	}
 	if _, _, ok := p.NextQueued(2 * second); ok {
-		t.Error("two went where one may")
+		t.Error("NextQueued returned a second request beyond MaxConn")
 	}
 	testQueueExpiry(t, p)
 }
 
-// testQueueExpiry goes on where one request is in flight and "two" waits since second 2.
+// testQueueExpiry continues TestQueue with one request in flight and "two" queued at 2 s.
 func testQueueExpiry(t *testing.T, p *Pool) {
 	t.Helper()
 	if got := p.Expire(4 * second); len(got) != 0 {
-		t.Errorf("expired early: %v", got)
+		t.Errorf("requests expired before their deadline: %v", got)
 	}
 	if got := p.Expire(5 * second); !slices.Equal(got, []any{"two"}) || p.NextDeadline() != 0 {
-		t.Errorf("expired: %v, until %v", got, p.NextDeadline())
+		t.Errorf("expired requests: %v; next deadline: %v", got, p.NextDeadline())
 	}
 	p.Enqueue(6*second, "last", Hint{})
 	p.SetState(0, Down, 6*second)
 	if got := p.Expire(6 * second); !slices.Equal(got, []any{"last"}) {
-		t.Errorf("with nobody left: %v", got)
+		t.Errorf("requests expired while all members are down: %v", got)
 	}
 	p.Enqueue(7*second, "gone", Hint{})
 	if !p.Dequeue("gone") || p.Dequeue("gone") {
-		t.Error("leaving")
+		t.Error("Dequeue must succeed exactly once")
 	}
 }
 
-// Guards the bounds over any sequence of events: no member has more than its own, and
-// no request waits while a member has capacity for it.
+// TestPoolModel checks over random sequences of events that no member exceeds its limit and that no request
+// stays queued while a member has capacity.
 func TestPoolModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Options
@@ -271,13 +270,13 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			m.step(t)
 			if p.QueueLen() > o.MaxQueue {
-				t.Fatalf("%d wait", p.QueueLen())
+				t.Fatalf("%d requests are queued", p.QueueLen())
 			}
 		}
 	})
 }
 
-// poolModel counts the requests in flight of each member, independently of the pool.
+// poolModel tracks the requests in flight of each member independently of the pool.
 type poolModel struct {
 	opt      Options
 	pool     *Pool
@@ -285,7 +284,8 @@
 	now      time.Duration
 }
 
-// step draws one event: a request, the end of one, a change of state, or a turn of the queue.
+// step draws and executes one event: a request, the end of a request, a change of state, or the dispatch of
+// queued requests.
 func (m *poolModel) step(t *rapid.T) {
 	p := m.pool
 	m.now += 10 * time.Millisecond
@@ -314,26 +314,26 @@
 			m.sent(t, i)
 		}
 		if _, v := p.Pick(m.now, Hint{}); v == Assigned && p.QueueLen() > 0 {
-			t.Fatal("a request waits though a member has capacity")
+			t.Fatal("a request is queued although a member has capacity")
 		}
 	}
 }
 
-// sent checks that a request may go to a member.
+// sent records a request that was sent to a member and checks that the member was eligible.
 func (m *poolModel) sent(t *rapid.T, i int) {
 	to := m.opt.Members[i]
 	if s, _ := m.pool.State(i); s != Up || to.Weight == 0 {
-		t.Fatalf("sent to %d, which is %v with weight %d", i, s, to.Weight)
+		t.Fatalf("request sent to member %d, which is %v with weight %d", i, s, to.Weight)
 	}
 	if m.inFlight[i]++; to.MaxConn > 0 && m.inFlight[i] > to.MaxConn {
-		t.Fatalf("member %d has %d, %d at most", i, m.inFlight[i], to.MaxConn)
+		t.Fatalf("member %d has %d requests in flight, want at most %d", i, m.inFlight[i], to.MaxConn)
 	}
 	if !to.Backup {
 		return
 	}
 	for k, other := range m.opt.Members {
 		if s, _ := m.pool.State(k); s == Up && !other.Backup && other.Weight > 0 {
-			t.Fatalf("backup %d is used though %d serves", i, k)
+			t.Fatalf("backup %d is used although member %d is up", i, k)
 		}
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 300) }
 
-// parseRequest reads a request as `METHOD TARGET [Name:Value ...] [src=ADDR] [port=N] [tls]`.
+// parseRequest parses a request in the form `METHOD TARGET [Name:Value ...] [src=ADDR] [port=N] [tls]`.
 func parseRequest(line string) *Request {
 	words, _ := SplitWords(line)
 	q := &Request{Method: words[0], Target: words[1], Version: "1.1", Src: netip.MustParseAddr("192.0.2.7"), DstPort: 80}
@@ -39,8 +39,8 @@
 	return q
 }
 
-// conditionCases are conditions, each with a request that meets it and one that does not.
-var conditionCases = []struct{ test, yes, no string }{
+// conditionCases are tests of access lists, each with a request that matches and one that does not.
+var conditionCases = []struct{ test, matching, nonMatching string }{
 	{"path /a", "GET /a?x=1", "GET /a/b"},
 	{"path_beg /static /img", "GET /img/x", "GET /x/img"},
 	{"path_end .png .css", "GET /a.css?v=2", "GET /a.css.js"},
@@ -76,7 +76,7 @@
 	{"path_beg -- -x", "GET -x", "GET /x"},
 }
 
-// Guards the meaning of conditions.
+// TestConditions checks sample fetches, converters and match methods in conditions.
 func TestConditions(t *testing.T) {
 	files := func(path string) ([]byte, error) {
 		return map[string][]byte{"nets": []byte("# ours\n10.0.0.0/8\n\n192.168.1.0/24\n")}[path], nil
@@ -95,16 +95,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !cond.Holds(parseRequest(c.yes)) {
-			t.Errorf("%s does not hold for %s", c.test, c.yes)
+		if !cond.Holds(parseRequest(c.matching)) {
+			t.Errorf("%s does not hold for %s", c.test, c.matching)
 		}
-		if c.no != "" && cond.Holds(parseRequest(c.no)) {
-			t.Errorf("%s holds for %s", c.test, c.no)
+		if c.nonMatching != "" && cond.Holds(parseRequest(c.nonMatching)) {
+			t.Errorf("%s holds for %s", c.test, c.nonMatching)
 		}
 	}
 }
 
-// Guards conditions against a plain evaluation of the same formula.
+// TestConditionLogic compares random conditions with a direct evaluation of the same boolean formula.
 func TestConditionLogic(t *testing.T) {
 	l := NewACLSet(NoFiles)
 	for _, name := range []string{"a", "b", "c"} {
@@ -148,13 +148,12 @@
 	})
 	for _, bad := range []string{"if", "if or a", "if a or", "if {", "if { path /", "if nobody", "a", "if !", "if { }", "if a ||"} {
 		if _, err := l.CompileCondition(strings.Fields(bad)); err == nil {
-			t.Errorf("taken: %s", bad)
+			t.Errorf("the invalid condition %q was accepted", bad)
 		}
 	}
 }
 
-// drawTerm draws a term of a condition: a header field, by its list's name or anonymous, that is
-// or is not 1.
+// drawTerm draws a named or anonymous term that tests whether a header field is 1, possibly negated.
 func drawTerm(t *rapid.T) (words []string, name string, not bool) {
 	name = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 	not = rapid.Bool().Draw(t, "not")
@@ -172,7 +171,7 @@
 	return words, name, not
 }
 
-// Guards rules on requests and responses, and the order in which they count.
+// TestRules checks request and response rules and their order, and the selection of backends.
 func TestRules(t *testing.T) {
 	files := func(string) ([]byte, error) {
 		return []byte("a.example  app_a\nb.example app_b\na.example never\n"), nil
@@ -210,13 +209,13 @@
 	for line, want := range map[string]string{"GET /special/x": "special", "GET / Host:A.example": "app_a", "GET / Host:b.example": "app_b",
 		"GET / Host:c.example": "main"} {
 		if got, _ := r.SelectBackend(parseRequest(line), exists); got != want {
-			t.Errorf("%s goes to %q, not %q", line, got, want)
+			t.Errorf("%s is sent to %q, want %q", line, got, want)
 		}
 	}
 }
 
-// Rules that are malformed are not taken.
-func TestBadRules(t *testing.T) {
+// TestInvalidRules checks that Compile rejects invalid rules.
+func TestInvalidRules(t *testing.T) {
 	for _, bad := range []Spec{
 		{Request: []string{"deny deny_status 999"}}, {Request: []string{"redirect code 301"}}, {Request: []string{"set-header X"}},
 		{Request: []string{"no-such-thing"}}, {Request: []string{"set-header Content-Length 5"}}, {Request: []string{"set-header 'X Y' 5"}},
@@ -225,12 +224,12 @@
 		{Request: []string{"redirect location %[path code 301"}}, {ACL: []string{""}},
 	} {
 		if _, err := Compile(bad, NoFiles); err == nil {
-			t.Errorf("taken: %+v", bad)
+			t.Errorf("the invalid spec %+v was accepted", bad)
 		}
 	}
 }
 
-// testAnswers asks for what the rules of TestRules answer themselves.
+// testAnswers checks requests that the rules of TestRules answer.
 func testAnswers(t *testing.T, r *Rules) {
 	t.Helper()
 	for _, c := range []struct {
@@ -254,7 +253,7 @@
 	}
 }
 
-// testEdits looks at what the rules of TestRules make of requests and of a response.
+// testEdits checks how the rules of TestRules edit requests and a response.
 func testEdits(t *testing.T, r *Rules) {
 	t.Helper()
 	run := func(line string) (q *Request, a *Answer) {
@@ -279,8 +278,8 @@
 	}
 }
 
-// A value from the request cannot end a field or a line.
-func TestNoInjection(t *testing.T) {
+// TestNoHeaderInjection checks that values from the request cannot inject header fields.
+func TestNoHeaderInjection(t *testing.T) {
 	r, err := Compile(Spec{Request: []string{"set-header X-Path %[path]", "redirect location /a%[urlp(to)]"}}, NoFiles)
 	if err != nil {
 		t.Fatal(err)
@@ -295,7 +294,7 @@
 	}
 }
 
-// Guards the index: it must never change where a request goes.
+// TestIndexAgainstLinear checks that indexes don't change the selected backend.
 func TestIndexAgainstLinear(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var spec Spec
@@ -324,12 +323,12 @@
 		a, _ := indexed.SelectBackend(parseRequest(line), nil)
 		b, _ := linear.SelectBackend(parseRequest(line), nil)
 		if a != b {
-			t.Fatalf("%s: %s by the index, %s one by one: %v", line, a, b, spec.Use)
+			t.Fatalf("%s: got backend %s with indexes, %s with a linear scan: %v", line, a, b, spec.Use)
 		}
 	})
 }
 
-// FuzzCompile: no text makes the compiler or a compiled rule panic.
+// FuzzCompile checks that neither Compile nor a compiled rule panics on any input.
 func FuzzCompile(f *testing.F) {
 	f.Add("a path_beg /x", "deny if a", "b if { hdr(host) -m reg ^x }", "/x?y=%00")
 	f.Add("a hdr(x,-1),field(2,.) -i b", "redirect location %[path,regsub(a,\\1,g)] code 301", "%[hdr(host)] if TRUE", "*")
@@ -362,9 +361,9 @@
 	return s
 }
 
-// BenchmarkBackend: the cost of finding the backend, worst case (the default), with and
-// without the index.
-func BenchmarkBackend(b *testing.B) {
+// BenchmarkSelectBackend measures the selection of the default backend, which is the worst case, with and
+// without indexes.
+func BenchmarkSelectBackend(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		r, err := Compile(benchRules(n), NoFiles)
 		if err != nil {
