--- a/internal/haproxy/backend.go
+++ b/internal/haproxy/backend.go
@@ -33,7 +33,7 @@
 	"option spop-check":    (*builder).connectCheck,
 	"option allbackups":    (*builder).allBackups,
 	"option forwardfor":    (*builder).forwardFor,
-	"option redispatch":    reportOnly(Differently, "always so: each further try goes to another server"),
+	"option redispatch":    reportOnly(CarriedDifferently, "always so: each further try goes to another server"),
 	"retries":              (*builder).retries,
 	"retry-on":             (*builder).retryOn,
 	"timeout connect":      func(b *builder, w []string) { b.setTimeout(w, &b.backend.ConnectTimeout, "") },
@@ -58,7 +58,7 @@
 	if len(w) > 1 && w[1] == "consistent" {
 		b.addEntry(Carried, "rendezvous hashing")
 	} else {
-		b.addEntry(Differently, "by rendezvous hashing: a server that leaves moves only its own")
+		b.addEntry(CarriedDifferently, "by rendezvous hashing: a server that leaves moves only its own")
 	}
 }
 
@@ -70,7 +70,7 @@
 // connectCheck replaces a check in an unsupported protocol by a check that opens a TCP connection.
 func (b *builder) connectCheck([]string) {
 	b.ensureCheck("tcp")
-	b.addEntry(Differently, "a check that only connects")
+	b.addEntry(CarriedDifferently, "a check that only connects")
 }
 
 func (b *builder) allBackups([]string) {
@@ -123,13 +123,13 @@
 	case "roundrobin":
 		b.addEntry(Carried, "")
 	case "static-rr":
-		b.addEntry(Differently, "roundrobin")
+		b.addEntry(CarriedDifferently, "roundrobin")
 	case "leastconn", "first":
 		k.Balance = name
 		b.addEntry(Carried, "")
 	case "random":
 		k.Balance = "random"
-		b.addEntry(Differently, "by weight alone, without a second draw")
+		b.addEntry(CarriedDifferently, "by weight alone, without a second draw")
 	case "source":
 		b.balanceByHash("src", "")
 	case "uri":
@@ -157,7 +157,7 @@
 // reason of the report entry.
 func (b *builder) balanceByHash(expr, suffix string) {
 	b.backend.Balance, b.backend.HashOn = "hash", expr
-	b.addEntry(Differently, "by rendezvous hashing of %s%s: other servers than HAProxy's table has, one and the same for each value", expr, suffix)
+	b.addEntry(CarriedDifferently, "by rendezvous hashing of %s%s: other servers than HAProxy's table has, one and the same for each value", expr, suffix)
 }
 
 func (b *builder) hashExpression(w []string) {
@@ -239,9 +239,9 @@
 	case len(on) == 0:
 		b.addEntry(NotCarried, "%s: connections that fail are retried", strings.Join(omitted, ", "))
 	case len(omitted) > 0:
-		b.addEntry(Differently, "without %s; only methods that may be repeated go out again", strings.Join(omitted, ", "))
+		b.addEntry(CarriedDifferently, "without %s; only methods that may be repeated go out again", strings.Join(omitted, ", "))
 	default:
-		b.addEntry(Differently, "only methods that may be repeated go out again once they may have run")
+		b.addEntry(CarriedDifferently, "only methods that may be repeated go out again once they may have run")
 	}
 }
 
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -47,7 +47,7 @@
 }
 
 // severity ranks verdicts; a higher value is more severe.
-var severity = map[Verdict]int{NotNeeded: 1, Carried: 2, Differently: 3, NotCarried: 4}
+var severity = map[Verdict]int{NotNeeded: 1, Carried: 2, CarriedDifferently: 3, NotCarried: 4}
 
 // Import converts an HAProxy configuration. It returns the errors of all malformed directives joined.
 // Well-formed directives that cannot be converted are not errors and are listed in the report.
@@ -221,7 +221,7 @@
 			if im.sockets == 0 {
 				im.sockets = 2*n + 64
 			}
-			im.addEntry(d, s, Differently, "limits.sockets bounds descriptors, two for each connection")
+			im.addEntry(d, s, CarriedDifferently, "limits.sockets bounds descriptors, two for each connection")
 		default:
 			v, reason := lookupDisposition(globalDirectives, w)
 			im.addEntry(d, s, v, reason)
--- a/internal/haproxy/proxy.go
+++ b/internal/haproxy/proxy.go
@@ -275,7 +275,7 @@
 	"timeout http-keep-alive": func(b *builder, w []string) { b.setTimeout(w, &b.frontend.IdleTimeout, "idle_timeout") },
 	"timeout client":          (*builder).clientTimeout,
 	"monitor-uri":             (*builder).monitorURI,
-	"maxconn":                 reportOnly(Differently, "connections are bounded for all frontends together, by limits.sockets"),
+	"maxconn":                 reportOnly(CarriedDifferently, "connections are bounded for all frontends together, by limits.sockets"),
 }
 
 func (b *builder) requestRule(w []string) {
@@ -301,7 +301,7 @@
 		b.backend.ForwardFor = true
 	}
 	if len(w) > 2 {
-		b.addEntry(Differently, "always added, without %s", strings.Join(w[2:], " "))
+		b.addEntry(CarriedDifferently, "always added, without %s", strings.Join(w[2:], " "))
 	} else {
 		b.addEntry(Carried, "")
 	}
@@ -315,7 +315,7 @@
 	if b.frontend.IdleTimeout == 0 {
 		b.frontend.IdleTimeout = s
 	}
-	b.addEntry(Differently, "idle_timeout; a body may pause for 60 s")
+	b.addEntry(CarriedDifferently, "idle_timeout; a body may pause for 60 s")
 }
 
 func (b *builder) monitorURI(w []string) {
@@ -325,7 +325,7 @@
 	}
 	line := route.JoinWords([]string{"return", "status", "200", "content-type", "text/plain", "string", "OK", "if", "{", "path", w[1], "}"})
 	b.frontend.Request = append([]string{line}, b.frontend.Request...)
-	b.addEntry(Differently, "a rule that returns 200")
+	b.addEntry(CarriedDifferently, "a rule that returns 200")
 }
 
 func (b *builder) defaultBackend(w []string) {
@@ -363,7 +363,7 @@
 	if !strings.Contains(w[0], "%") && !b.checkBackend(w[0]) {
 		return
 	}
-	if _, err := b.acls.ParseUse(w); b.reportOutcome(err, "") {
+	if _, err := b.acls.ParseUseRule(w); b.reportOutcome(err, "") {
 		b.frontend.Use = append(b.frontend.Use, route.JoinWords(w))
 	}
 }
@@ -423,9 +423,9 @@
 func (b *builder) sectionVerdict() (Verdict, string) {
 	switch {
 	case b.frontend == nil && len(b.backend.Servers) == 0:
-		return Differently, "without servers it answers 503"
+		return CarriedDifferently, "without servers it answers 503"
 	case b.frontend != nil && len(b.frontend.Listen) == 0 && b.backend != nil && len(b.backend.Servers) > 0:
-		return Differently, "as a backend: it listens nowhere"
+		return CarriedDifferently, "as a backend: it listens nowhere"
 	case b.frontend != nil && len(b.frontend.Listen) == 0:
 		return NotCarried, "none of its addresses can be listened on"
 	}
--- a/internal/haproxy/report.go
+++ b/internal/haproxy/report.go
@@ -13,15 +13,16 @@
 // Verdict classifies how a directive was imported.
 type Verdict string
 
+// The verdicts on a directive.
 const (
-	Carried     Verdict = "carried over"
-	Differently Verdict = "carried over differently"
-	NotNeeded   Verdict = "not needed"
-	NotCarried  Verdict = "not carried over"
+	Carried            Verdict = "carried over"
+	CarriedDifferently Verdict = "carried over differently"
+	NotNeeded          Verdict = "not needed"
+	NotCarried         Verdict = "not carried over"
 )
 
 // Verdicts lists all verdicts in the order in which reports print their counts.
-var Verdicts = []Verdict{Carried, Differently, NotNeeded, NotCarried}
+var Verdicts = []Verdict{Carried, CarriedDifferently, NotNeeded, NotCarried}
 
 // Entry is the report entry of one directive.
 type Entry struct {
@@ -64,7 +65,7 @@
 func (r Report) Text(w io.Writer, all bool) error {
 	var out strings.Builder
 	for _, e := range r {
-		if all || e.Verdict == Differently || e.Verdict == NotCarried {
+		if all || e.Verdict == CarriedDifferently || e.Verdict == NotCarried {
 			fmt.Fprintln(&out, e)
 		}
 	}
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -256,7 +256,7 @@
 			same, all := s.checkRoutes()
 			worst := s.checkShares()
 			table = append(table, fmt.Sprintf("%-22s %4d of %4d requests as in the model, shares off by at most %4.1f%%; lines: %2d carried over, %2d differently, %2d not needed, %2d not carried over",
-				s.name, same, all, 100*worst, s.report.Count(haproxy.Carried), s.report.Count(haproxy.Differently),
+				s.name, same, all, 100*worst, s.report.Count(haproxy.Carried), s.report.Count(haproxy.CarriedDifferently),
 				s.report.Count(haproxy.NotNeeded), s.report.Count(haproxy.NotCarried)))
 		})
 	}
--- a/internal/haproxy/server.go
+++ b/internal/haproxy/server.go
@@ -115,7 +115,7 @@
 // reportOptions records that the current directive is carried over except for the omitted options.
 func (b *builder) reportOptions(omitted []string, reason string) {
 	if len(omitted) > 0 {
-		b.addEntry(Differently, "without %s", strings.Join(omitted, ", "))
+		b.addEntry(CarriedDifferently, "without %s", strings.Join(omitted, ", "))
 	} else {
 		b.addEntry(Carried, "%s", reason)
 	}
--- a/internal/route/frontend.go
+++ b/internal/route/frontend.go
@@ -64,7 +64,7 @@
 	if out.response, err = compileLines("response", s.Response, acls.ParseResponseRule); err != nil {
 		return nil, err
 	}
-	if out.use, err = compileLines("use", s.Use, acls.ParseUse); err != nil {
+	if out.use, err = compileLines("use", s.Use, acls.ParseUseRule); err != nil {
 		return nil, err
 	}
 	out.buildIndex()
@@ -90,8 +90,8 @@
 	return all, nil
 }
 
-// ParseUse parses the words of a use_backend rule: a format for the name of the backend and a condition.
-func (l *ACLSet) ParseUse(words []string) (UseRule, error) {
+// ParseUseRule parses the words of a use_backend rule: a format for the name of the backend and a condition.
+func (l *ACLSet) ParseUseRule(words []string) (UseRule, error) {
 	f, err := ParseFormat(words[0], l.files)
 	if err != nil {
 		return UseRule{}, err
