--- a/internal/haproxy/tables.go
+++ b/internal/haproxy/tables.go
@@ -1,6 +1,7 @@
 package haproxy
 
-// sharedDirectives are the dispositions of directives of a frontend or backend without a handler, by their first two words or the first; a * stands for any ending.
+// sharedDirectives has the verdicts on the directives of frontends and backends that have no handler, keyed
+// by their first two words or by the first. A key that ends with * matches every directive with that prefix.
 var sharedDirectives = map[string]disposition{
 	"mode":                                {Carried, ""},
 	"enabled":                             {NotNeeded, "always so"},
@@ -21,11 +22,11 @@
 	"option logasap":                      {NotNeeded, "there is no log line for each request"},
 	"option log-separate-errors":          {NotNeeded, "there is no log line for each request"},
 	"option log-health-checks":            {Carried, "a change of state is always logged"},
-	"option http-server-close":            {Differently, "connections to servers are kept"},
-	"option httpclose":                    {Differently, "connections are kept; a client that says Connection: close gets that"},
-	"option forceclose":                   {Differently, "connections are kept"},
+	"option http-server-close":            {CarriedDifferently, "connections to servers are kept"},
+	"option httpclose":                    {CarriedDifferently, "connections are kept; a client that says Connection: close gets that"},
+	"option forceclose":                   {CarriedDifferently, "connections are kept"},
 	"option http-keep-alive":              {Carried, "always so"},
-	"option http-buffer-request":          {Differently, "bodies of up to 64 KiB are always read whole before they pass on"},
+	"option http-buffer-request":          {CarriedDifferently, "bodies of up to 64 KiB are always read whole before they pass on"},
 	"option http-use-htx":                 {NotNeeded, "always so in newer versions"},
 	"option http-ignore-probes":           {NotNeeded, "a connection without a request is closed without a word"},
 	"option http-use-proxy-header":        {NotCarried, "Proxy-Connection is dropped"},
@@ -55,13 +56,13 @@
 	"option":                                          {NotCarried, "not known here"},
 	"no":                                              {NotCarried, "what it takes back is not known here"},
 	"no option":                                       {NotNeeded, "an option that is off, or that makes no difference here"},
-	"timeout client-fin":                              {Differently, "a client has 2 s to read the last answer"},
-	"timeout server-fin":                              {Differently, "connections to servers are closed at once"},
-	"timeout tunnel":                                  {Differently, "a tunnel ends after an hour without a byte"},
-	"timeout tarpit":                                  {Differently, "a tarpit answers at once"},
+	"timeout client-fin":                              {CarriedDifferently, "a client has 2 s to read the last answer"},
+	"timeout server-fin":                              {CarriedDifferently, "connections to servers are closed at once"},
+	"timeout tunnel":                                  {CarriedDifferently, "a tunnel ends after an hour without a byte"},
+	"timeout tarpit":                                  {CarriedDifferently, "a tarpit answers at once"},
 	"timeout client-hs":                               {NotNeeded, "only for TLS"},
 	"timeout":                                         {NotCarried, "not known here"},
-	"http-reuse":                                      {Differently, "connections to servers are always used again, one request at a time"},
+	"http-reuse":                                      {CarriedDifferently, "connections to servers are always used again, one request at a time"},
 	"http-after-response":                             {NotCarried, "answers of our own are not edited; http-response rules edit servers'"},
 	"http-error":                                      {NotCarried, "errors have a line of plain text"},
 	"errorfile":                                       {NotCarried, "errors have a line of plain text"},
@@ -104,7 +105,7 @@
 	"tune*":                                           {NotNeeded, "a matter of tuning"},
 }
 
-// globalDirectives says the same of directives of the global section.
+// globalDirectives has the verdicts on the directives of the global section, with the same keys.
 var globalDirectives = map[string]disposition{
 	"daemon":                         {NotNeeded, "the program stays in the foreground; whoever starts it puts it elsewhere"},
 	"master-worker":                  {NotNeeded, "the program stays in the foreground"},
@@ -117,7 +118,7 @@
 	"log":                            {NotNeeded, "the log goes to standard error"},
 	"log-tag":                        {NotNeeded, "the log goes to standard error"},
 	"log-send-hostname":              {NotNeeded, "the log goes to standard error"},
-	"nbthread":                       {Differently, "loops in the operator's file"},
+	"nbthread":                       {CarriedDifferently, "loops in the operator's file"},
 	"nbproc":                         {NotNeeded, "one process serves"},
 	"cpu-map":                        {NotNeeded, "the system places threads"},
 	"stats":                          {NotCarried, "there is no socket of figures; see the operators' address"},
@@ -129,7 +130,7 @@
 	"tune*":                          {NotNeeded, "a matter of tuning"},
 	"spread-checks":                  {Carried, "checks are always spread"},
 	"max-spread-checks":              {NotNeeded, "checks are always spread"},
-	"hard-stop-after":                {Differently, "the end takes 3.4 s at most"},
+	"hard-stop-after":                {CarriedDifferently, "the end takes 3.4 s at most"},
 	"lua-load":                       {NotCarried, "no Lua"},
 	"lua-load-per-thread":            {NotCarried, "no Lua"},
 	"setenv":                         {NotCarried, "give --env"},
@@ -155,7 +156,7 @@
 	"mworker-max-reloads":            {NotNeeded, "a reload starts no process"},
 }
 
-// serverOptions are the options of a server, and whether they take a value.
+// serverOptions are the known options of a server. The value tells whether the option takes a value.
 var serverOptions = map[string]bool{
 	"weight": true, "disabled": false, "enabled": false, "backup": false, "no-backup": false,
 	"check": false, "no-check": false, "inter": true, "fastinter": true, "downinter": true, "rise": true, "fall": true,
@@ -175,9 +176,9 @@
 	"no-send-proxy": false, "no-send-proxy-v2": false,
 }
 
-// optionReasons say why an option of a server is not carried over. One that is known and
-// not here makes no difference.
-var optionReasons = map[string]string{
+// omittedOptionReasons has the reasons why server options are not carried over. A known option that is
+// neither here nor in serverOptionSetters has no effect and is not reported.
+var omittedOptionReasons = map[string]string{
 	"agent-check": "agents are not asked", "agent-port": "agents are not asked", "agent-inter": "agents are not asked",
 	"agent-addr": "agents are not asked", "agent-send": "agents are not asked",
 	"observe": "traffic is not watched for health", "on-error": "traffic is not watched for health",
@@ -190,7 +191,7 @@
 	"init-state": "a server begins as up", "check-via-socks4": "no proxies",
 }
 
-// bindOptions are the options of a bind, and whether they take a value.
+// bindOptions are the known options of bind. The value tells whether the option takes a value.
 var bindOptions = map[string]bool{
 	"ssl": false, "crt": true, "ca-file": true, "ca-verify-file": true, "verify": true, "alpn": true, "npn": true, "ciphers": true, "ciphersuites": true,
 	"ssl-min-ver": true, "ssl-max-ver": true, "no-sslv3": false, "no-tlsv10": false, "no-tlsv11": false, "no-tls-tickets": false,
