--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// goldenRecords are records of each kind, with each field that a kind has, and their bytes. Fields go by their order; the
-// bytes must never change.
+// goldenRecords contains records of each kind, with each field that the kind uses, and their encoding, which must never change.
+// Fields are encoded by position.
 var goldenRecords = []struct {
 	record Record
 	want   string
@@ -46,13 +46,13 @@
 		}
 		back, err := Decode(bytesOf)
 		if err != nil || !reflect.DeepEqual(*back, one.record) {
-			t.Errorf("kind %d is read as %+v, error %v", one.record.Kind, back, err)
+			t.Errorf("kind %d is decoded as %+v, error %v", one.record.Kind, back, err)
 		}
 	}
 }
 
-// The numbers and words of outcomes, answers and verdicts are part of the format.
-func TestNumbersOfTheFormat(t *testing.T) {
+// The numbers and names of outcomes, answers and verdicts are part of the format.
+func TestStoredNumbersAndNames(t *testing.T) {
 	for i, want := range []string{"unknown", "served", "error", "turned_away", "timed_out", "could_not_connect", "connection_lost", "cancelled", "not_sent", "unknown"} {
 		if got := Outcome(i).String(); got != want {
 			t.Errorf("outcome %d is %q, want %q", i, got, want)
@@ -72,20 +72,20 @@
 		Accepted, Intent, Sent, Started, Ended, Answered, ClientGone, Decided, CarriedOver, Pruned, RecordsLost, CleanShutdown,
 	} {
 		if int(kind) != i+1 {
-			t.Errorf("kind %d of records has the number %d", i+1, kind)
+			t.Errorf("record kind %d has the number %d", i+1, kind)
 		}
 	}
 }
 
-// A segment's header and a frame with their chained authentication codes.
+// The encoding of a segment header and a frame with their chained MACs must never change.
 func TestFrameBytes(t *testing.T) {
 	key, err := NewKey([]byte("0123456789abcdef0123456789abcdef"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	header := Header{Number: 5, First: 77}
-	copy(header.Run[:], "run-of-a-process")
-	copy(header.Prev[:], "mac-of-the-prior")
+	header := Header{Number: 5, FirstSequence: 77}
+	copy(header.RunID[:], "run-of-a-process")
+	copy(header.PrevMAC[:], "mac-of-the-prior")
 	segment, mac := key.AppendHeader(nil, header)
 	segment, mac, err = key.AppendFrame(segment, mac, 1234, &Record{Kind: Sent, Serial: 7, At: 3, Attempt: 3})
 	if err != nil {
@@ -96,14 +96,14 @@
 		t.Errorf("the segment is\n%s want\n%s", got, want)
 	}
 	if !bytes.HasSuffix(segment, mac[:]) {
-		t.Error("the frame does not end with its code")
+		t.Error("the frame does not end with its MAC")
 	}
 	read, chain, err := key.ReadHeader(segment)
 	if err != nil || read != header {
-		t.Fatalf("the header is read as %+v, error %v", read, err)
+		t.Fatalf("the header is decoded as %+v, error %v", read, err)
 	}
 	frame, err := key.ReadFrame(segment[HeaderSize:], chain)
-	if err != nil || frame.Mac != mac || frame.Size != len(segment)-HeaderSize {
-		t.Errorf("the frame is read as %+v, error %v", frame, err)
+	if err != nil || frame.MAC != mac || frame.Size != len(segment)-HeaderSize {
+		t.Errorf("the frame is decoded as %+v, error %v", frame, err)
 	}
 }
--- a/internal/journal/job.go
+++ b/internal/journal/job.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Attempt is one dispatch of a job to a worker, as far as it is on record. Times are Unix
-// microseconds; 0 means not known. Fields are encoded in their order.
+// Attempt is one dispatch of a job to a worker, as far as records of it exist. Times are in Unix microseconds; 0 means
+// unknown. The order of the fields is part of the format.
 type Attempt struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 an option of the encoder
 
@@ -19,14 +19,14 @@
 	SentAt    int64
 	StartedAt int64
 	EndedAt   int64
-	Outcome   Outcome // 0: not known
-	NeverRan  bool    // ended, and certainly never ran
+	Outcome   Outcome // 0: unknown
+	NeverRan  bool    // the attempt ended and is known never to have run
 }
 
-// Job is what the journal knows of a job. Times are Unix microseconds; 0 means not known.
-// Fields are encoded in their order.
+// Job is the state of a job according to the journal. Times are in Unix microseconds; 0 means unknown. The order of the fields
+// is part of the format.
 //
-// Invariant: Attempts is sorted by Number, without gaps unless RecordsMissing.
+// Invariant: Attempts is sorted by Number, without gaps unless RecordsMissing is set.
 type Job struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 an option of the encoder
 
@@ -39,28 +39,27 @@
 	Digest               []byte
 	AcceptedAt           int64
 	Attempts             []Attempt
-	Answer               AnswerKind // 0: none on record
+	Answer               AnswerKind // 0: no answer is recorded
 	AnswerAt             int64
-	Reason               string // of the answer
+	Reason               string // reason given with the answer
 	ClientDisconnectedAt int64
-	Orphaned             bool // the process that had it died
-	RecordsMissing       bool // records about it may be missing
+	Orphaned             bool // the process that handled the job died
+	RecordsMissing       bool // records of the job may be missing
 
-	DecidedAs      Verdict // 0: not settled
+	DecidedAs      Verdict // verdict of an operator; 0: none
 	DecidedAt      int64
 	DecidedBy      string
 	DecisionReason string
 }
 
-// Why a record contradicts the ones before it.
+// Errors of a record that contradicts the records before it.
 var (
 	errAcceptedTwice = errors.New("accepted twice")
-	errNoAttempt     = errors.New("an attempt without its intent")
+	errMissingIntent = errors.New("an attempt without its intent")
 	errAlreadyEnded  = errors.New("a record after the end of its job or attempt")
 )
 
-// Apply replays a record of this job. A record that contradicts the ones before it returns an
-// error and changes nothing.
+// Apply replays a record of this job. A record that contradicts the records before it returns an error and changes nothing.
 func (j *Job) Apply(r *Record) error {
 	switch r.Kind {
 	case Intent:
@@ -85,14 +84,14 @@
 	return nil
 }
 
-// concluded reports whether the client was answered or the process that had the job has ended.
+// concluded reports whether the client was answered or the process that handled the job has ended.
 func (j *Job) concluded() bool { return j.Answer != 0 || j.Orphaned }
 
-// applyIntent replays the intent of an attempt. Attempts are numbered without gaps, unless records of the job may be missing.
+// applyIntent replays the intent of an attempt. Attempts are numbered without gaps unless records of the job may be missing.
 func (j *Job) applyIntent(r *Record) error {
 	next := j.nextAttempt()
 	if r.Attempt < next || r.Attempt > next && !j.RecordsMissing {
-		return intentOutOfOrder(r.Attempt, next)
+		return intentOutOfOrderError(r.Attempt, next)
 	}
 	if j.concluded() {
 		return errAlreadyEnded
@@ -101,11 +100,11 @@
 	return nil
 }
 
-func intentOutOfOrder(number, next int) error {
+func intentOutOfOrderError(number, next int) error {
 	return fmt.Errorf("intent of attempt %d where %d is the next", number, next)
 }
 
-// nextAttempt returns the number that follows on those of the attempts on record.
+// nextAttempt returns the number after that of the last recorded attempt.
 func (j *Job) nextAttempt() int {
 	if len(j.Attempts) == 0 {
 		return 0
@@ -113,17 +112,17 @@
 	return j.Attempts[len(j.Attempts)-1].Number + 1
 }
 
-// applyAttempt replays how an attempt went on.
+// applyAttempt replays a record of the progress or the end of an attempt.
 func (j *Job) applyAttempt(r *Record) error {
 	i, known := slices.BinarySearchFunc(j.Attempts, r.Attempt, func(a Attempt, number int) int { return cmp.Compare(a.Number, number) })
 	if !known {
-		if r.Kind == Ended && r.NeverRan { // its intent could not be written, so it was not sent
+		if r.Kind == Ended && r.NeverRan { // the attempt was not sent, because its intent could not be written
 			return nil
 		}
 		if !j.RecordsMissing || j.Orphaned {
-			return errNoAttempt
+			return errMissingIntent
 		}
-		j.Attempts = slices.Insert(j.Attempts, i, Attempt{Number: r.Attempt}) // to a worker that is not on record
+		j.Attempts = slices.Insert(j.Attempts, i, Attempt{Number: r.Attempt}) // its worker is unknown
 	}
 	a := &j.Attempts[i]
 	if a.Outcome != 0 || j.Orphaned {
@@ -140,7 +139,7 @@
 	return nil
 }
 
-// Open reports whether a living process still has the job.
+// Open reports whether a running process still handles the job.
 func (j *Job) Open() bool {
 	if j.Orphaned {
 		return false
@@ -156,28 +155,28 @@
 	return false
 }
 
-// Resolved reports whether no further record of the job can come and no operator has to decide on
-// it, so that it may be dropped when it is old.
+// Resolved reports whether no more records of the job can follow and no operator has to decide on it, so that retention may
+// drop it.
 func (j *Job) Resolved() bool {
 	v, _, _ := j.Verdict()
 	return !j.Open() && v != Unknown
 }
 
-// Verdict is what can be said of a job. The numbers are part of the format.
+// Verdict states whether a job ran. The numbers are part of the format.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts on a job.
 const (
-	Ran       Verdict = iota + 1 // a worker finished it
-	DidNotRun                    // no worker has begun it
-	Unknown                      // it may have run
+	Ran       Verdict = iota + 1 // a worker finished the job
+	DidNotRun                    // no worker started the job
+	Unknown                      // the job may have run
 )
 
 func (v Verdict) String() string {
-	return nameOf([]string{"", "ran", "did_not_run", "unknown"}, int(v))
+	return enumName([]string{"", "ran", "did_not_run", "unknown"}, int(v))
 }
 
-// ParseVerdict reads a verdict.
+// ParseVerdict returns the verdict with the given name.
 func ParseVerdict(s string) (Verdict, error) {
 	for v := Ran; v <= Unknown; v++ {
 		if v.String() == s {
@@ -187,10 +186,9 @@
 	return 0, fmt.Errorf("%q is no verdict: ran, did_not_run or unknown", s)
 }
 
-// Verdict says whether the job ran, for which reason that is known or not, and at which workers
-// it ran or may have. The absence of a record proves nothing: only an outcome on record shows that
-// an attempt never ran, since a crash may lose the record of a dispatch, but not that of its intent,
-// which is durable before the dispatch.
+// Verdict returns whether the job ran, the reason for that verdict, and the workers at which it ran or may have run. The absence
+// of a record proves nothing: a crash may lose the record of a dispatch, though not that of its intent, which is durable before
+// the dispatch. Only a recorded outcome therefore proves that an attempt never ran.
 func (j *Job) Verdict() (v Verdict, reason string, workers []string) {
 	var ran, mayHaveRun []string
 	var why string
@@ -201,16 +199,17 @@
 		case a.NeverRan:
 		default:
 			mayHaveRun = append(mayHaveRun, a.workerName())
-			why = a.uncertainty(j)
+			why = a.uncertaintyReason(j)
 		}
 	}
-	v, reason = j.judge(ran, mayHaveRun, why)
+	v, reason = j.deriveVerdict(ran, mayHaveRun, why)
 	workers = slices.DeleteFunc(append(ran, mayHaveRun...), func(name string) bool { return name == unknownWorker })
 	return v, reason, workers
 }
 
-// judge makes the verdict of the workers that ran the job and of those that may have; why is the doubt about the last of these.
-func (j *Job) judge(ran, mayHaveRun []string, why string) (v Verdict, reason string) {
+// deriveVerdict derives the verdict from the workers that ran the job and those that may have; why explains the uncertainty
+// about the last of these.
+func (j *Job) deriveVerdict(ran, mayHaveRun []string, why string) (v Verdict, reason string) {
 	switch {
 	case j.DecidedAs != 0:
 		return j.DecidedAs, fmt.Sprintf("settled by %s: %s", j.DecidedBy, j.DecisionReason)
@@ -232,7 +231,7 @@
 	return DidNotRun, "it was never sent to a worker"
 }
 
-// unknownWorker stands for the worker of an attempt whose intent is not on record.
+// unknownWorker is the name used for the worker of an attempt whose intent is not recorded.
 const unknownWorker = "a worker that is not on record"
 
 func (a *Attempt) workerName() string {
@@ -242,27 +241,27 @@
 	return a.Worker
 }
 
-// uncertainty returns why it is not known whether an attempt ran.
-func (a *Attempt) uncertainty(j *Job) string {
-	begun, worker := "", a.workerName()
+// uncertaintyReason returns why it is unknown whether an attempt ran.
+func (a *Attempt) uncertaintyReason(j *Job) string {
+	startedNote, worker := "", a.workerName()
 	if a.StartedAt != 0 {
-		begun = ", which had begun it"
+		startedNote = ", which had begun it"
 	}
 	switch a.Outcome {
 	case 0:
 		switch {
 		case j.RecordsMissing:
-			return "records are missing after it was to go to " + worker + begun
+			return "records are missing after it was to go to " + worker + startedNote
 		case j.Orphaned:
-			return "the scheduler died while it was out at " + worker + begun
+			return "the scheduler died while it was out at " + worker + startedNote
 		}
-		return "it is out at " + worker + begun
+		return "it is out at " + worker + startedNote
 	case OutcomeErrored:
-		return worker + " said that it failed" + begun
+		return worker + " said that it failed" + startedNote
 	case OutcomeTimedOut:
-		return "no answer in time from " + worker + begun
+		return "no answer in time from " + worker + startedNote
 	case OutcomeCancelled:
-		return "it was called off while out at " + worker + begun
+		return "it was called off while out at " + worker + startedNote
 	}
-	return "the connection to " + worker + " broke" + begun
+	return "the connection to " + worker + " broke" + startedNote
 }
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -1,6 +1,6 @@
-// Package journal is the pure part of the journal of one-shot jobs, a write-ahead log of their attempts: the encoding of
-// its records, the state of a job that replaying them gives, and the verdict on a job after a crash. It does no input or
-// output and reads no clock; package store keeps the records on a disk, package recorder writes them for the planners.
+// Package journal defines the records of the journal of one-shot jobs, a write-ahead log of their attempts: the encoding of the
+// records, the state of a job after replaying them, and the verdict on a job after a crash. It performs no I/O and reads no
+// clock. Package store keeps the records on disk, and package recorder writes them for the planners.
 package journal
 
 import (
@@ -13,54 +13,53 @@
 	"sedgevale/dispatcher"
 )
 
-// Kind is the event that a record stands for.
+// Kind is the type of event that a record describes.
 type Kind uint8
 
 // The kinds of records. Their numbers are part of the format.
 const (
 	Accepted      Kind = iota + 1 // a job was accepted from a client
-	Intent                        // an attempt is about to go to Worker
+	Intent                        // an attempt is about to be sent to Worker
 	Sent                          // the attempt's bytes were written to the worker's connection
-	Started                       // the worker said that it has begun
+	Started                       // the worker reported that it started the attempt
 	Ended                         // the attempt ended with Outcome
-	Answered                      // the client was given the final answer
-	ClientGone                    // the client left before its answer
-	Decided                       // an operator has decided what became of the job
-	CarriedOver                   // a job's complete history, copied from a segment that is dropped
-	Pruned                        // the records up to the Count-th were dropped by retention
-	RecordsLost                   // Count records could not be written before this one
-	CleanShutdown                 // the process shut down gracefully; no record is missing after this
+	Answered                      // the client received the final answer
+	ClientGone                    // the client disconnected before its answer
+	Decided                       // an operator recorded a verdict on the job
+	CarriedOver                   // complete history of a job, copied from a segment that is dropped
+	Pruned                        // retention dropped the records up to sequence number Count
+	RecordsLost                   // Count records before this one could not be written
+	CleanShutdown                 // the process shut down gracefully; all its records were written
 	lastKind      = CleanShutdown
 )
 
-// Bounds of a record. A reader rejects what exceeds them, a writer truncates texts.
+// Limits of a record. A reader rejects a record that exceeds them; a writer truncates texts.
 const (
-	MaxText     = 256     // bytes of a text
-	MaxAttempts = 64      // of a job
-	MaxRecord   = 1 << 16 // bytes of a record, encoded
+	MaxText     = 256     // bytes per text
+	MaxAttempts = 64      // attempts per job
+	MaxRecord   = 1 << 16 // bytes per encoded record
 )
 
-// Record is one entry of the journal. Which fields count depends on Kind; the others
-// are zero. It is encoded as a MessagePack array, so the order of fields is part of
-// the format.
+// Record is one entry of the journal. Kind determines which fields are used; the others are zero. A record is encoded as a
+// MessagePack array, so the order of the fields is part of the format.
 type Record struct {
 	_msgpack struct{} `msgpack:",as_array"` //lint:ignore U1000 an option of the encoder
 
 	Kind       Kind
-	Serial     uint64 // of the job: unique in a journal, where an id may come again
-	At         int64  // Unix time in microseconds, by the clock of the scheduler's machine
+	Serial     uint64 // number of the job, unique in a log, whereas a job ID may be reused
+	At         int64  // Unix time in microseconds by the scheduler's clock
 	JobID      string // the Request-Id; Accepted, Intent, Decided
 	Attempt    int    // counted from 0; Intent, Sent, Started, Ended
 	Worker     string // Intent
 	Class      string // Accepted
 	Tenant     string // Accepted
-	Target     string // Accepted: path and query
-	Size       int    // Accepted: bytes of the body
+	Target     string // Accepted: path and query of the request
+	Size       int    // Accepted: size of the body in bytes
 	Digest     []byte // Accepted: the first 16 bytes of the body's SHA-256
 	Code       uint8  // Ended: Outcome, Answered: AnswerKind, Decided: Verdict
-	NeverRan   bool   // Ended: the attempt certainly never ran
-	Text       string // Answered: the reason, Decided: why
-	Operator   string // Decided: by whom
+	NeverRan   bool   // Ended: the attempt is known never to have run
+	Text       string // Answered and Decided: the reason
+	Operator   string // Decided: the operator
 	Count      uint64 // Pruned, RecordsLost
 	CarriedJob *Job   // CarriedOver
 }
@@ -76,14 +75,14 @@
 )
 
 func (a AnswerKind) String() string {
-	return nameOf([]string{"", "served", "refused", "failed"}, int(a))
+	return enumName([]string{"", "served", "refused", "failed"}, int(a))
 }
 
-// Outcome is how an attempt ended. The numbers are part of the format and independent of those of
-// dispatcher.Outcome, which may change.
+// Outcome is the result of an attempt. The numbers are part of the format and independent of those of dispatcher.Outcome, which
+// may change.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of attempts.
 const (
 	OutcomeServed Outcome = iota + 1
 	OutcomeErrored
@@ -101,23 +100,23 @@
 	dispatcher.Cancelled: OutcomeCancelled, dispatcher.NotSent: OutcomeNotSent,
 }
 
-// OutcomeOf returns the journal's number for a dispatcher.Outcome.
+// OutcomeOf converts a dispatcher.Outcome.
 func OutcomeOf(o dispatcher.Outcome) Outcome { return outcomeNumbers[o] }
 
-// String returns the outcome as reports for operators show it.
+// String returns the name of the outcome in reports for operators.
 func (o Outcome) String() string {
-	return nameOf([]string{"", "served", "error", "turned_away", "timed_out", "could_not_connect", "connection_lost",
+	return enumName([]string{"", "served", "error", "turned_away", "timed_out", "could_not_connect", "connection_lost",
 		"cancelled", "not_sent"}, int(o))
 }
 
-func nameOf(names []string, i int) string {
+func enumName(names []string, i int) string {
 	if i <= 0 || i >= len(names) {
 		return "unknown"
 	}
 	return names[i]
 }
 
-// Truncate cuts the texts of a record to MaxText bytes.
+// Truncate truncates the texts of a record to MaxText bytes.
 func (r *Record) Truncate() {
 	for _, s := range r.texts() {
 		if len(*s) > MaxText {
@@ -126,14 +125,14 @@
 	}
 }
 
-// texts returns the fields that MaxText bounds.
+// texts returns the fields that MaxText limits.
 func (r *Record) texts() []*string {
 	return []*string{&r.JobID, &r.Worker, &r.Class, &r.Tenant, &r.Target, &r.Text, &r.Operator}
 }
 
 var errOutOfBounds = errors.New("a field is out of its bounds")
 
-// Encode appends a record to b. A record of more than MaxRecord bytes is an error.
+// Encode appends an encoded record to b. A record of more than MaxRecord bytes is an error.
 func Encode(b []byte, r *Record) ([]byte, error) {
 	w := bytes.NewBuffer(b)
 	e := msgpack.GetEncoder()
@@ -144,12 +143,12 @@
 		return b, err
 	}
 	if w.Len()-len(b) > MaxRecord {
-		return b, fmt.Errorf("a record of %d bytes, %d at most", w.Len()-len(b), MaxRecord)
+		return b, fmt.Errorf("encoded record has %d bytes; at most %d are allowed", w.Len()-len(b), MaxRecord)
 	}
 	return w.Bytes(), nil
 }
 
-// Decode reads one record, which must fill b. One that is out of the bounds is an error.
+// Decode decodes one record, which must fill b. A record that exceeds the limits is an error.
 func Decode(b []byte) (*Record, error) {
 	if len(b) > MaxRecord {
 		return nil, errOutOfBounds
@@ -169,7 +168,7 @@
 	return &r, r.validate()
 }
 
-// validate returns an error for a record that no writer of this version has encoded.
+// validate returns an error for a record that no writer of this version encodes.
 func (r *Record) validate() error {
 	if r.Kind == 0 || r.Kind > lastKind {
 		return fmt.Errorf("a record of unknown kind %d: written by a newer version?", r.Kind)
@@ -188,7 +187,7 @@
 	return nil
 }
 
-// validCode reports whether Code is one of the numbers that the record's kind may have.
+// validCode reports whether Code is valid for the record's kind.
 func (r *Record) validCode() bool {
 	switch r.Kind {
 	case Ended:
--- a/internal/journal/recorder/recorder.go
+++ b/internal/journal/recorder/recorder.go
@@ -1,5 +1,5 @@
-// Package recorder writes the journal of one-shot jobs for the planners: it decides which jobs are recorded, and makes records
-// of the planners' events.
+// Package recorder converts the planners' events into records of the journal of one-shot jobs, for the job classes that the
+// configuration selects.
 package recorder
 
 import (
@@ -21,17 +21,17 @@
 	"sedgevale/internal/journal/store"
 )
 
-// Recorder is a dispatch.Journal. Its methods are safe for concurrent use.
+// Recorder implements dispatch.Journal. Its methods are safe for concurrent use.
 type Recorder struct {
-	store       *store.Store
-	options     store.Options
-	classes     map[string]bool // that are recorded
-	serveOnFull bool            // while the journal is full, jobs are served without a record
-	unrecorded  atomic.Uint64
-	reading     chan struct{} // a semaphore: one call of Ask at a time reads the files
+	store           *store.Store
+	options         store.Options
+	recordedClasses map[string]bool // names of the classes whose jobs are recorded
+	serveOnFull     bool            // serve jobs without a record while the journal is full, instead of rejecting them
+	unrecordedJobs  atomic.Uint64
+	readSlot        chan struct{} // semaphore that limits JobReports to one concurrent read of the files
 }
 
-// Open opens the journal of a configuration, and creates its directory and key where they are missing. The caller has to call
+// Open opens the journal of a configuration, and creates its directory and key if they do not exist. The caller must call
 // Close.
 func Open(c *dispatchconfig.Config, log *slog.Logger) (*Recorder, error) {
 	j := c.Journal
@@ -39,13 +39,13 @@
 	if err := fsys.MkdirAll(j.Dir); err != nil {
 		return nil, fmt.Errorf("journal %s: %w", j.Dir, err)
 	}
-	secret, err := store.MakeKey(store.KeyPath(j.Dir, j.KeyFile), store.HasRecords(fsys, j.Dir))
+	secret, err := store.LoadOrCreateKey(store.KeyPath(j.Dir, j.KeyFile), store.HasRecords(fsys, j.Dir))
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{classes: map[string]bool{}, serveOnFull: j.OnFull == dispatchconfig.ServeOnFull, reading: make(chan struct{}, 1)}
+	r := &Recorder{recordedClasses: map[string]bool{}, serveOnFull: j.OnFull == dispatchconfig.ServeOnFull, readSlot: make(chan struct{}, 1)}
 	for _, name := range c.JournalClasses() {
-		r.classes[name] = true
+		r.recordedClasses[name] = true
 	}
 	r.options = store.Options{FS: fsys, Dir: j.Dir, Secret: secret, Log: log, Sync: j.Sync != dispatchconfig.SyncNone,
 		Owner: store.Owner{PID: os.Getpid(), Name: c.Name, Ops: c.Ops}, Retention: dispatchconfig.Seconds(j.Retention),
@@ -56,76 +56,77 @@
 	return r, nil
 }
 
-// Close writes what is queued and ends the journal. It waits for the disk.
+// Close writes the queued records and closes the journal. It blocks on disk I/O.
 func (r *Recorder) Close() { r.store.Close() }
 
-func now() int64 { return time.Now().UnixMicro() }
+func nowMicros() int64 { return time.Now().UnixMicro() }
 
-// Register implements dispatch.Journal: it records the acceptance of a job of a class that is recorded. The number is 0 for a job
-// without a record; ok is false where the job must be rejected, since the journal is full.
+// Register implements dispatch.Journal. It records the acceptance of a job if its class is recorded, and returns the job's
+// serial, or 0 if the job has no record. ok is false if the job must be rejected because the journal is full.
 func (r *Recorder) Register(j *dispatch.Job) (uint64, bool) {
-	if !r.classes[j.Class.Name] {
+	if !r.recordedClasses[j.Class.Name] {
 		return 0, true
 	}
 	if r.store.Full() {
 		if r.serveOnFull {
-			r.unrecorded.Add(1)
+			r.unrecordedJobs.Add(1)
 		}
 		return 0, r.serveOnFull
 	}
 	sum := sha256.Sum256(j.Body)
-	number := r.store.Serial()
-	rec := journal.Record{Kind: journal.Accepted, Serial: number, At: now(), JobID: j.ID, Class: j.Class.Name, Target: j.Target,
+	serial := r.store.Serial()
+	rec := journal.Record{Kind: journal.Accepted, Serial: serial, At: nowMicros(), JobID: j.ID, Class: j.Class.Name, Target: j.Target,
 		Size: len(j.Body), Digest: sum[:16], Tenant: j.TenantName}
 	r.store.Put(rec, nil)
-	return number, true
+	return serial, true
 }
 
-// RecordIntent implements dispatch.Journal: it records that an attempt is about to be sent, and calls done once that is durable, or
-// cannot be.
-func (r *Recorder) RecordIntent(number uint64, attempt int, id, worker string, done func(ok bool)) {
-	r.store.Put(journal.Record{Kind: journal.Intent, Serial: number, At: now(), JobID: id, Attempt: attempt, Worker: worker},
+// RecordIntent implements dispatch.Journal. It records that an attempt is about to be sent, and calls done once that record is
+// durable or has failed.
+func (r *Recorder) RecordIntent(serial uint64, attempt int, id, worker string, done func(ok bool)) {
+	r.store.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: nowMicros(), JobID: id, Attempt: attempt, Worker: worker},
 		func(err error) { done(err == nil) })
 }
 
-// AttemptSent implements dispatch.Journal: it records that an attempt was sent.
-func (r *Recorder) AttemptSent(number uint64, attempt int) {
-	r.store.Put(journal.Record{Kind: journal.Sent, Serial: number, At: now(), Attempt: attempt}, nil)
+// AttemptSent implements dispatch.Journal. It records that an attempt was sent.
+func (r *Recorder) AttemptSent(serial uint64, attempt int) {
+	r.store.Put(journal.Record{Kind: journal.Sent, Serial: serial, At: nowMicros(), Attempt: attempt}, nil)
 }
 
-// AttemptStarted implements dispatch.Journal: it records that a worker has begun an attempt.
-func (r *Recorder) AttemptStarted(number uint64, attempt int) {
-	r.store.Put(journal.Record{Kind: journal.Started, Serial: number, At: now(), Attempt: attempt}, nil)
+// AttemptStarted implements dispatch.Journal. It records that a worker started an attempt.
+func (r *Recorder) AttemptStarted(serial uint64, attempt int) {
+	r.store.Put(journal.Record{Kind: journal.Started, Serial: serial, At: nowMicros(), Attempt: attempt}, nil)
 }
 
-// AttemptEnded implements dispatch.Journal: it records how an attempt ended, and whether it certainly never ran.
-func (r *Recorder) AttemptEnded(number uint64, attempt int, o dispatcher.Outcome, neverRan bool) {
-	r.store.Put(journal.Record{Kind: journal.Ended, Serial: number, At: now(), Attempt: attempt,
+// AttemptEnded implements dispatch.Journal. It records the outcome of an attempt and whether the attempt is known never to have
+// run.
+func (r *Recorder) AttemptEnded(serial uint64, attempt int, o dispatcher.Outcome, neverRan bool) {
+	r.store.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: nowMicros(), Attempt: attempt,
 		Code: uint8(journal.OutcomeOf(o)), NeverRan: neverRan}, nil)
 }
 
-var kinds = map[dispatch.AnswerKind]journal.AnswerKind{
+var answerKinds = map[dispatch.AnswerKind]journal.AnswerKind{
 	dispatch.Served: journal.Served, dispatch.Rejected: journal.Rejected, dispatch.Failed: journal.Failed,
 }
 
-// Answered implements dispatch.Journal: it records the final answer to the client.
-func (r *Recorder) Answered(number uint64, a dispatch.Answer) {
-	r.store.Put(journal.Record{Kind: journal.Answered, Serial: number, At: now(), Code: uint8(kinds[a.Kind]), Text: a.Reason}, nil)
+// Answered implements dispatch.Journal. It records the final answer to the client.
+func (r *Recorder) Answered(serial uint64, a dispatch.Answer) {
+	r.store.Put(journal.Record{Kind: journal.Answered, Serial: serial, At: nowMicros(), Code: uint8(answerKinds[a.Kind]), Text: a.Reason}, nil)
 }
 
-// ClientDisconnected implements dispatch.Journal: it records that the client left before its answer.
-func (r *Recorder) ClientDisconnected(number uint64) {
-	r.store.Put(journal.Record{Kind: journal.ClientGone, Serial: number, At: now()}, nil)
+// ClientDisconnected implements dispatch.Journal. It records that the client disconnected before its answer.
+func (r *Recorder) ClientDisconnected(serial uint64) {
+	r.store.Put(journal.Record{Kind: journal.ClientGone, Serial: serial, At: nowMicros()}, nil)
 }
 
-// ErrBusy is returned while another call of Ask reads the files.
+// ErrBusy is returned while another call of JobReports reads the files.
 var ErrBusy = errors.New("another question is being answered, ask again")
 
-// JobReports returns the reports of the jobs of an id, a line of JSON each, by the time of their acceptance. It reads the files and waits
-// for the disk until the context ends. The error is ErrBusy while another call reads, and store.ErrNotFound for an unknown id.
+// JobReports returns the reports of the jobs with an ID as lines of JSON, sorted by time of acceptance. It blocks on reading the
+// files until the context ends. It returns ErrBusy while another call is reading, and store.ErrNotFound for an unknown ID.
 func (r *Recorder) JobReports(ctx context.Context, id string) ([]byte, error) {
 	select {
-	case r.reading <- struct{}{}:
+	case r.readSlot <- struct{}{}:
 	default:
 		return nil, ErrBusy
 	}
@@ -135,7 +136,7 @@
 	}
 	results := make(chan result, 1)
 	go func() {
-		defer func() { <-r.reading }()
+		defer func() { <-r.readSlot }()
 		view, err := store.Read(r.options.FS, r.options.Dir, r.options.Secret, id)
 		results <- result{view, err}
 	}()
@@ -150,7 +151,7 @@
 	}
 }
 
-// Lines returns the reports of the jobs of an id as lines of JSON. The error is store.ErrNotFound where there are none.
+// Lines returns the reports of the jobs with an ID as lines of JSON, or store.ErrNotFound if there are none.
 func Lines(jobs []store.Found, id string) ([]byte, error) {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
@@ -167,7 +168,7 @@
 	return b.Bytes(), nil
 }
 
-// Decide records an operator's verdict on the unresolved jobs of an id and returns their number; see store.Store.Decide.
+// Decide records an operator's verdict on the unresolved jobs with an ID and returns their number; see store.Store.Decide.
 func (r *Recorder) Decide(_ context.Context, id, verdict, by, why string) (int, error) {
 	v, err := journal.ParseVerdict(verdict)
 	if err != nil {
@@ -176,10 +177,10 @@
 	return r.store.Decide(id, v, by, why)
 }
 
-// Stats returns the journal's counts as a line of JSON.
+// Stats returns the journal's statistics as a line of JSON.
 func (r *Recorder) Stats() []byte {
 	s := r.store.Stats()
-	b, _ := json.Marshal(struct { // has no value that cannot be written
+	b, _ := json.Marshal(struct { // marshaling these types cannot fail
 		Full       bool   `json:"full"`
 		Records    uint64 `json:"records"`
 		Syncs      uint64 `json:"syncs"`
@@ -188,6 +189,6 @@
 		Jobs       int    `json:"open_or_to_settle"`
 		Held       int    `json:"records_held"`
 		Unrecorded uint64 `json:"jobs_unrecorded"`
-	}{r.store.Full(), s.Records, s.Syncs, s.Failures, s.Bytes, s.Unresolved, s.Buffered, r.unrecorded.Load()})
+	}{r.store.Full(), s.Records, s.Syncs, s.Failures, s.Bytes, s.Unresolved, s.Buffered, r.unrecordedJobs.Load()})
 	return append(b, '\n')
 }
--- a/internal/journal/report.go
+++ b/internal/journal/report.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Report describes a job to operators, as JSON. Times are formatted by FormatTime; empty where not known.
+// Report describes a job to operators as JSON. Times are formatted by FormatTime and empty if unknown.
 type Report struct {
 	Job                  string          `json:"job"`
 	Class                string          `json:"class,omitempty"`
 	Tenant               string          `json:"tenant,omitempty"`
 	Verdict              string          `json:"verdict"`
 	Reason               string          `json:"reason"`
-	Workers              []string        `json:"workers,omitempty"` // at which it ran or may have run
+	Workers              []string        `json:"workers,omitempty"` // workers at which the job ran or may have run
 	Target               string          `json:"target,omitempty"`
 	Bytes                int             `json:"bytes,omitempty"`
-	Digest               string          `json:"sha256_128,omitempty"` // the first 128 bits of the body's SHA-256
+	Digest               string          `json:"sha256_128,omitempty"` // first 128 bits of the body's SHA-256
 	TakenAt              string          `json:"taken_at,omitempty"`
 	Attempts             []AttemptReport `json:"attempts"`
 	Answer               *AnswerReport   `json:"answer,omitempty"`
@@ -23,7 +23,7 @@
 	Decided              *DecisionReport `json:"settled,omitempty"`
 }
 
-// AttemptReport is one attempt in a Report.
+// AttemptReport describes an attempt in a Report.
 type AttemptReport struct {
 	Number    int    `json:"number"`
 	Worker    string `json:"worker"`
@@ -34,14 +34,14 @@
 	Outcome   string `json:"outcome,omitempty"`
 }
 
-// AnswerReport is the final answer to the client.
+// AnswerReport describes the final answer to the client.
 type AnswerReport struct {
 	Kind   string `json:"kind"`
 	At     string `json:"at"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// DecisionReport is an operator's verdict.
+// DecisionReport describes an operator's verdict.
 type DecisionReport struct {
 	Verdict string `json:"verdict"`
 	By      string `json:"by"`
@@ -49,7 +49,7 @@
 	At      string `json:"at"`
 }
 
-// FormatTime formats the time of a record, in Unix microseconds, as RFC 3339 with microseconds in UTC. Zero gives an empty text.
+// FormatTime formats a time in Unix microseconds as RFC 3339 in UTC with microseconds. It returns an empty string for zero.
 func FormatTime(at int64) string {
 	if at == 0 {
 		return ""
@@ -57,7 +57,7 @@
 	return time.UnixMicro(at).UTC().Format("2006-01-02T15:04:05.000000Z07:00")
 }
 
-// Report returns the job's report for operators.
+// Report returns the report of the job for operators.
 func (j *Job) Report() Report {
 	verdict, reason, workers := j.Verdict()
 	r := Report{Job: j.ID, Class: j.Class, Tenant: j.Tenant, Verdict: verdict.String(), Reason: reason, Workers: workers,
--- a/internal/journal/report_golden_test.go
+++ b/internal/journal/report_golden_test.go
@@ -8,7 +8,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// The JSON keys of a Report, each with the field that it stands for, and a complete report.
+// The JSON keys of each field of a Report, and a complete report, must never change.
 func TestReportBytes(t *testing.T) {
 	var report journal.Report
 	testkit.Fill(&report)
--- a/internal/journal/store/bench_test.go
+++ b/internal/journal/store/bench_test.go
@@ -11,7 +11,7 @@
 	"sedgevale/internal/journal/store"
 )
 
-func openReal(b *testing.B, dir string) *store.Store {
+func openOnDisk(b *testing.B, dir string) *store.Store {
 	b.Helper()
 	s, err := store.Open(store.Options{Dir: dir, Secret: secret, Sync: true, Retention: time.Hour, MaxBytes: 1 << 30, ReservedBytes: 1 << 20})
 	if err != nil {
@@ -20,18 +20,18 @@
 	return s
 }
 
-// BenchmarkCommit measures how many intents a second become durable, so many at once.
+// BenchmarkCommit measures the rate of durable intents for several numbers of concurrent writers.
 func BenchmarkCommit(b *testing.B) {
-	for _, many := range []int{1, 32, 256} {
-		b.Run(fmt.Sprintf("waiting=%d", many), func(b *testing.B) {
-			s := openReal(b, b.TempDir())
+	for _, concurrency := range []int{1, 32, 256} {
+		b.Run(fmt.Sprintf("waiting=%d", concurrency), func(b *testing.B) {
+			s := openOnDisk(b, b.TempDir())
 			defer s.Close()
 			var wg sync.WaitGroup
 			b.ResetTimer()
-			for n := range many {
+			for n := range concurrency {
 				wg.Go(func() {
 					done := make(chan error, 1)
-					for i := n; i < b.N; i += many {
+					for i := n; i < b.N; i += concurrency {
 						s.Put(journal.Record{Kind: journal.Intent, Serial: uint64(i), At: 1e15, JobID: "9b1f03aa5c7e2d41", Worker: "s-0badcafe"},
 							func(err error) { done <- err })
 						if err := <-done; err != nil {
@@ -50,13 +50,12 @@
 	}
 }
 
-// BenchmarkRecovery measures the start of a scheduler whose predecessor died with so many
-// jobs open.
+// BenchmarkRecovery measures Open after the previous process died, for several numbers of open jobs.
 func BenchmarkRecovery(b *testing.B) {
 	for _, open := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("open=%d", open), func(b *testing.B) {
 			dir := b.TempDir()
-			s := openReal(b, dir)
+			s := openOnDisk(b, dir)
 			var wg sync.WaitGroup
 			for i := range open {
 				serial := s.Serial()
@@ -67,14 +66,14 @@
 				s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: 1e15, JobID: id, Worker: "s-0badcafe"}, func(error) { wg.Done() })
 			}
 			wg.Wait()
-			s.Close() // the jobs stay open on record
+			s.Close() // the jobs have no end record
 			for b.Loop() {
 				s, err := store.OpenStepped(store.Options{Dir: dir, Secret: secret, Sync: true, Owner: store.Owner{PID: 1, Name: "x"}})
 				if err != nil {
 					b.Fatal(err)
 				}
 				if n := s.UnresolvedJobs(); n != open {
-					b.Fatalf("%d jobs recovered", n)
+					b.Fatalf("recovered %d jobs", n)
 				}
 				b.StopTimer()
 				s.Unlock()
@@ -84,8 +83,7 @@
 	}
 }
 
-// BenchmarkMemory takes a million jobs through a journal and reports the heap at a tenth
-// of the way and at the end, in MB.
+// BenchmarkMemory writes a million jobs and reports the heap size in MB after 100,000 jobs and at the end.
 func BenchmarkMemory(b *testing.B) {
 	const jobs = 1_000_000
 	heap := func() float64 {
--- a/internal/journal/store/carriedover_test.go
+++ b/internal/journal/store/carriedover_test.go
@@ -9,41 +9,42 @@
 	"sedgevale/internal/journal/store"
 )
 
-// A process dies after the intent of a second attempt was written and before it was synced. The next process writes the
-// job's records again. Once retention has removed the segment with the first intent, what is left is no damage.
+// Guards against reported damage after a process dies between the write and the sync of a second attempt's intent: the next
+// process rewrites the job's records, and retention then removes the segment with the first intent.
 func TestCarriedOverJobOutlivesItsFirstSegment(t *testing.T) {
 	d := newSteppedStore(t, 8<<20, func(o *store.Options) { o.Retention = time.Minute })
 	serial, _ := d.begin("j")
-	d.step() // the job and its first intent are durable
+	d.step() // makes the job and its first intent durable
 	at := d.now.UnixMicro()
 	d.s.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: at, Code: uint8(journal.OutcomeConnectFailed), NeverRan: true}, nil)
 	d.s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: at, JobID: "j", Worker: "other", Attempt: 1}, nil)
 	d.s.WriteBatch()
 	d.disk = d.disk.Kill()
 	d.open()
-	d.steps(3)
+	d.runSteps(3)
 	if v := d.view(); v.Damaged() {
-		t.Fatalf("before the first segment is removed: %v", v.Problems)
+		t.Fatalf("damage before the first segment is removed: %v", v.Problems)
 	}
 	d.now = d.now.Add(59 * time.Second)
 	for range 100 {
 		d.now = d.now.Add(20 * time.Millisecond)
 		d.step()
 		if v := d.view(); v.Damaged() {
-			t.Fatalf("%v after the first segment was removed: %v", d.now, v.Problems)
+			t.Fatalf("at %v, after the first segment was removed: damage %v", d.now, v.Problems)
 		}
 		if v := d.verdict("j"); v != "unknown" {
-			t.Fatalf("%v after the first segment was removed the job is %s", d.now, v)
+			t.Fatalf("at %v, after the first segment was removed: verdict %s, want unknown", d.now, v)
 		}
 	}
 }
 
-// A job is retried in a later segment than the one with its acceptance, and resolved. Once retention has removed the first segment,
-// the verdict is the same, for a reader and for the next process, and no operator is asked to settle it.
+// Guards against a wrong verdict on a job that is retried in a later segment than that of its acceptance, and resolved. After
+// retention has removed the first segment, readers and the next process derive the same verdict, and the job does not wait for
+// an operator.
 func TestResolvedJobOutlivesItsFirstSegment(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		last    journal.Record // the end of the second attempt
+		last    journal.Record // end record of the second attempt
 		verdict string
 	}{
 		{"ran", journal.Record{Code: uint8(journal.OutcomeServed)}, "ran"},
@@ -61,8 +62,8 @@
 			d.putAttempt(journal.Ended, serial, 1, test.last)
 			d.putAttempt(journal.Answered, serial, 0, journal.Record{Code: uint8(journal.Served)})
 			d.step()
-			d.now = d.now.Add(35 * time.Second) // the first segment is too old, the job's later records are not
-			d.steps(3)
+			d.now = d.now.Add(35 * time.Second) // only the first segment exceeds the retention
+			d.runSteps(3)
 			v := d.view()
 			if v.Logs[0].PrunedThrough == 0 {
 				t.Fatal("the first segment was not dropped")
@@ -71,24 +72,24 @@
 				t.Errorf("damage: %v", v.Problems)
 			}
 			if got := d.verdict("j"); got != test.verdict {
-				t.Errorf("the job is %s", got)
+				t.Errorf("verdict %s, want %s", got, test.verdict)
 			}
 			d.disk = d.disk.Kill()
 			d.open()
 			if n := d.s.UnresolvedJobs(); n != 0 {
-				t.Errorf("the next process has %d jobs to settle", n)
+				t.Errorf("the next process has %d unresolved jobs, want none", n)
 			}
 		})
 	}
 }
 
-// putAttempt puts a record of an attempt, with the fields of r.
+// putAttempt puts a record of an attempt with the remaining fields of r.
 func (d *steppedStore) putAttempt(kind journal.Kind, serial uint64, number int, r journal.Record) {
 	r.Kind, r.Serial, r.Attempt, r.At = kind, serial, number, d.now.UnixMicro()
 	d.s.Put(r, nil)
 }
 
-// fillSegment writes jobs until the next segment has begun.
+// fillSegment writes jobs until the next segment exists.
 func (d *steppedStore) fillSegment() {
 	d.t.Helper()
 	for i := range 1000 {
@@ -99,5 +100,5 @@
 		d.end(serial)
 		d.step()
 	}
-	d.t.Fatal("no second segment")
+	d.t.Fatal("no second segment after 1000 jobs")
 }
--- a/internal/journal/store/diskcall.go
+++ b/internal/journal/store/diskcall.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// diskCall is a call of the disk that may take long. The Store's goroutine goes on meanwhile: records are written, and so
-// survive the end of the process, while a sync of earlier ones is in flight.
+// diskCall is a potentially slow disk operation that runs outside the Store's goroutine. While a sync of earlier records is in
+// flight, the Store's goroutine keeps writing records, which then survive the end of the process.
 type diskCall struct {
-	result chan error  // buffered, so that the call's goroutine ends also if nobody receives the result
-	then   func(error) // is called in the Store's goroutine with the result
+	result   chan error  // buffered, so that the operation's goroutine ends even if nobody receives the result
+	onResult func(error) // callback that the Store's goroutine calls with the result
 }
 
-// startDiskCall runs do concurrently, and then in the Store's goroutine once it has returned. No other call may be in flight.
-func (s *Store) startDiskCall(do func() error, then func(error)) {
-	c := &diskCall{result: make(chan error, 1), then: then}
-	s.inFlight = c
+// startDiskCall runs do concurrently, and onResult in the Store's goroutine after do has returned. No other disk call may be in
+// flight.
+func (s *Store) startDiskCall(do func() error, onResult func(error)) {
+	c := &diskCall{result: make(chan error, 1), onResult: onResult}
+	s.callInFlight = c
 	s.startCall(func() { c.result <- do() })
 }
 
-// callResult receives the result of the call in flight; nil where there is none.
+// callResult returns the channel with the result of the disk call in flight, or nil if there is none.
 func (s *Store) callResult() <-chan error {
-	if s.inFlight == nil {
+	if s.callInFlight == nil {
 		return nil
 	}
-	return s.inFlight.result
+	return s.callInFlight.result
 }
 
-// finishCall takes the result of the call in flight. It may start another one.
+// finishCall passes on the result of the disk call in flight. It may start another disk call.
 func (s *Store) finishCall(err error) {
-	then := s.inFlight.then
-	s.inFlight = nil
-	then(err)
+	onResult := s.callInFlight.onResult
+	s.callInFlight = nil
+	onResult(err)
 }
 
-// awaitCall waits until no call is in flight.
+// awaitCall waits until no disk call is in flight.
 func (s *Store) awaitCall() {
-	for s.inFlight != nil {
-		s.finishCall(<-s.inFlight.result)
+	for s.callInFlight != nil {
+		s.finishCall(<-s.callInFlight.result)
 	}
 }
 
-// syncInBackground makes durable what was written so far, notifies its waiters and calls after, which may be nil. After a failure
-// the waiters are kept: the records are written again to another file. No call may be in flight.
+// syncInBackground starts a sync of the records written so far. On success it notifies their waiters and calls after, which may
+// be nil. On failure it keeps the waiters, since the records are rewritten to another file. No disk call may be in flight.
 func (s *Store) syncInBackground(after func()) {
 	waiters, since := s.waiters, s.unsyncedSince
 	s.waiters, s.unsyncedSince = nil, time.Time{}
@@ -51,7 +52,7 @@
 		if err = s.log.endSync(err); err != nil {
 			s.waiters = append(waiters, s.waiters...)
 			s.unsyncedSince = since
-			if !errors.Is(err, errAbandoned) { // the write that failed meanwhile was noted
+			if !errors.Is(err, errAbandoned) { // the failed write that abandoned the file was counted already
 				s.recordFailure(err)
 			}
 			return
--- a/internal/journal/store/diskcall_test.go
+++ b/internal/journal/store/diskcall_test.go
@@ -9,11 +9,11 @@
 	"sedgevale/internal/journal/store"
 )
 
-// slowDisk delays syncs of files, as a busy disk does.
+// slowDisk delays syncs of files like a busy disk.
 type slowDisk struct {
 	store.FS
-	started chan struct{} // receives when a sync begins
-	proceed chan struct{} // a sync waits for it
+	started chan struct{} // receives when a sync starts
+	proceed chan struct{} // a sync waits to receive
 }
 
 type slowFile struct {
@@ -32,25 +32,25 @@
 	return f.File.Sync()
 }
 
-// Guards that a record is with the operating system, and so outlives the end of the process, while a sync of earlier
-// records takes its time; and that it does not count as durable before a sync that began after it.
-func TestRecordsAreWrittenDuringASync(t *testing.T) {
+// Guards against records that wait in memory behind a sync of earlier ones: they must be written during the sync, so that they
+// survive the end of the process. They must not count as durable until a sync that starts after the write.
+func TestWritesDuringSync(t *testing.T) {
 	memory := fake.NewDisk(1, 1<<20)
 	disk := &slowDisk{FS: memory, started: make(chan struct{}), proceed: make(chan struct{})}
 	s, err := store.Open(store.Options{FS: disk, Dir: "j", Secret: secret, Sync: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	let := func() { <-disk.started; disk.proceed <- struct{}{} }
+	completeSync := func() { <-disk.started; disk.proceed <- struct{}{} }
 	first, second := make(chan error, 1), make(chan error, 1)
 	s.Put(journal.Record{Kind: journal.Accepted, Serial: 1, At: 1, JobID: "one", Class: "once"}, func(err error) { first <- err })
-	let() // the new segment's own
+	completeSync() // sync of the segment's creation
 	<-disk.started
 	s.Put(journal.Record{Kind: journal.Accepted, Serial: 2, At: 2, JobID: "two", Class: "once"}, func(err error) { second <- err })
 	deadline := time.Now().Add(10 * time.Second)
 	for !recorded(t, memory, "two") {
 		if time.Now().After(deadline) {
-			t.Fatal("a record waits in memory behind a sync of earlier ones")
+			t.Fatal("the record was not written during the sync of earlier records")
 		}
 	}
 	disk.proceed <- struct{}{}
@@ -59,10 +59,10 @@
 	}
 	select {
 	case err := <-second:
-		t.Errorf("a record counts as durable by a sync that began before it was written, error %v", err)
+		t.Errorf("the record counts as durable after a sync that started before its write, error %v", err)
 	default:
 	}
-	let()
+	completeSync()
 	if err := <-second; err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	<-ended
 }
 
-// recorded reports whether a process that starts now would find a job in the journal.
+// recorded reports whether a process that starts now would find the job in the journal.
 func recorded(t *testing.T, disk *fake.Disk, job string) bool {
 	view, err := store.Read(disk, "j", secret, "")
 	if err != nil {
--- a/internal/journal/store/fs.go
+++ b/internal/journal/store/fs.go
@@ -9,48 +9,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// File is a file that is open for appending.
+// File is a file opened for appending.
 type File interface {
-	io.Writer // at the end of the file
+	io.Writer // appends to the file
 	Sync() error
 	Close() error
 }
 
-// FS is what a journal needs of a file system. Tests use one that fails.
+// FS is the part of a file system that a journal uses. Tests substitute one that injects faults.
 type FS interface {
 	MkdirAll(dir string) error
-	Create(path string) (File, error) // fails if it is there
+	Create(path string) (File, error) // fails if the file exists
 	ReadFile(path string) ([]byte, error)
 	ReadDir(dir string) (names []string, err error) // sorted
 	Rename(from, to string) error
 	Remove(path string) error
 	SyncDir(dir string) error
-	Free(dir string) (bytes int64, err error) // for unprivileged processes
-	// Lock locks a file for this process until release is closed, and writes me, a description of this process, to it.
-	// Where another process has the lock, the error is ErrLocked and owner is the description that it has written.
-	Lock(path, me string) (release io.Closer, owner string, err error)
-	// Locked reports whether a process has the lock of a file, and the description that it has written to it.
+	Free(dir string) (bytes int64, err error) // available to unprivileged processes
+	// Lock locks a file for this process until release is closed, and writes a description of this process to the file. If
+	// another process holds the lock, the error is ErrLocked and owner is the description written by that process.
+	Lock(path, description string) (release io.Closer, owner string, err error)
+	// Locked reports whether a process holds the lock of a file, and returns the description written by that process.
 	Locked(path string) (owner string, locked bool)
 }
 
-// ErrLocked is returned where another process has the lock.
+// ErrLocked is returned if another process holds the lock.
 var ErrLocked = errors.New("in use by another process")
 
-// OS is the file system of the operating system.
+// OS implements FS on the operating system's file system.
 type OS struct{}
 
-// MkdirAll creates a directory that only its owner may use.
+// MkdirAll creates a directory that is accessible only to its owner.
 func (OS) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
-// Create creates a file that only its owner may read and write.
+// Create creates a file that is accessible only to its owner.
 func (OS) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// ReadFile reads a file to its end.
+// ReadFile returns the contents of a file.
 func (OS) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-// ReadDir lists a directory.
+// ReadDir returns the sorted names in a directory.
 func (OS) ReadDir(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	names := make([]string, len(entries))
@@ -75,7 +75,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Free returns how many bytes are free for unprivileged processes.
+// Free returns the number of bytes available to unprivileged processes.
 func (OS) Free(dir string) (int64, error) {
 	var st unix.Statfs_t
 	if err := unix.Statfs(dir, &st); err != nil {
@@ -84,8 +84,8 @@
 	return int64(st.Bavail) * st.Bsize, nil
 }
 
-// Lock takes a lock that the kernel releases when the process ends, however it ends (flock).
-func (OS) Lock(path, me string) (io.Closer, string, error) {
+// Lock acquires an flock lock, which the kernel releases when the process ends for any reason.
+func (OS) Lock(path, description string) (io.Closer, string, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, "", err
@@ -98,14 +98,15 @@
 		}
 		return nil, string(owner), err
 	}
-	// The lock holds also where its owner cannot be written to it.
+	// The lock is held even if the description cannot be written.
 	if f.Truncate(0) == nil {
-		_, _ = f.WriteAt([]byte(me), 0)
+		_, _ = f.WriteAt([]byte(description), 0)
 	}
 	return f, "", nil
 }
 
-// Locked tries a shared lock, which is released at once, so that two callers do not see each other.
+// Locked tries to acquire a shared lock and releases it immediately. A shared lock does not conflict with that of a concurrent
+// caller of Locked.
 func (OS) Locked(path string) (string, bool) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/journal/store/logdirs.go
+++ b/internal/journal/store/logdirs.go
@@ -11,9 +11,9 @@
 
 const logDirPrefix = "lane-" // part of the stored format
 
-// acquireLog locks the first log that no process has.
+// acquireLog locks the first log directory that no process holds.
 func acquireLog(o Options) (dir string, lock io.Closer, err error) {
-	me, err := json.Marshal(o.Owner)
+	description, err := json.Marshal(o.Owner)
 	if err != nil {
 		return "", nil, err
 	}
@@ -22,7 +22,7 @@
 		if err := o.FS.MkdirAll(dir); err != nil {
 			return "", nil, err
 		}
-		lock, text, err := o.FS.Lock(join(dir, lockName), string(me))
+		lock, text, err := o.FS.Lock(join(dir, lockName), string(description))
 		if err == nil {
 			return dir, lock, nil
 		}
@@ -31,13 +31,13 @@
 		}
 		owner := decodeOwner(text)
 		if owner.Name != o.Owner.Name || owner.PID == o.Owner.PID {
-			return "", nil, fmt.Errorf("%w, %s: give each scheduler a directory of its own", ErrLocked, owner)
+			return "", nil, fmt.Errorf("%w, %s; configure a separate journal directory for each scheduler", ErrLocked, owner)
 		}
 	}
-	return "", nil, fmt.Errorf("%w: all %d logs are in use", ErrLocked, maxLogs)
+	return "", nil, fmt.Errorf("%w: all %d log directories are locked", ErrLocked, maxLogs)
 }
 
-// decodeOwner reads the content of a lock. It is empty where its owner has not written all of it yet.
+// decodeOwner decodes the contents of a lock file. It returns an empty Owner if the contents are incomplete.
 func decodeOwner(text string) (o Owner) {
 	_ = json.Unmarshal([]byte(text), &o)
 	return o
@@ -45,7 +45,7 @@
 
 func logDirName(i int) string { return fmt.Sprintf("%s%d", logDirPrefix, i) }
 
-// logDirs returns the directories of a journal's logs, in order.
+// logDirs returns the sorted paths of a journal's log directories.
 func logDirs(fsys FS, dir string) (out []string, err error) {
 	names, err := fsys.ReadDir(dir)
 	if err != nil {
@@ -60,13 +60,13 @@
 	return out, nil
 }
 
-// HasRecords reports whether a directory has segments of a journal. One that cannot be listed counts as having none.
+// HasRecords reports whether a journal's directory contains segments. A directory that cannot be listed counts as empty.
 func HasRecords(fsys FS, dir string) bool {
-	all, err := logDirs(fsys, dir)
+	dirs, err := logDirs(fsys, dir)
 	if err != nil {
 		return false
 	}
-	for _, logDir := range all {
+	for _, logDir := range dirs {
 		names, err := fsys.ReadDir(logDir)
 		if err == nil && slices.ContainsFunc(names, isSegmentName) {
 			return true
--- a/internal/journal/store/loop.go
+++ b/internal/journal/store/loop.go
@@ -7,9 +7,9 @@
 	"sedgevale/internal/journal"
 )
 
-// run writes records, syncs and maintains the log until Close requests the end.
+// run writes and syncs records and maintains the log until Close requests the shutdown.
 func (s *Store) run() {
-	defer close(s.ended)
+	defer close(s.stopped)
 	timer := time.NewTimer(maintenanceInterval)
 	defer timer.Stop()
 	var maintainedAt time.Time
@@ -23,18 +23,18 @@
 			s.finishCall(err)
 			failed = err != nil
 		}
-		end := s.writeBatch(s.queue.TakeAll())
+		shutdown := s.writeBatch(s.queue.TakeAll())
 		now := s.options.Now()
 		since := now.Sub(maintainedAt)
-		maintenanceDue := since >= maintenanceInterval || since < 0 // the clock may step back
+		maintenanceDue := since >= maintenanceInterval || since < 0 // the clock may be set back
 		if !failed && s.syncDue(now) && (!maintenanceDue || since < maxMaintenanceDelay) {
 			s.sync()
 		}
-		if maintenanceDue && s.inFlight == nil {
+		if maintenanceDue && s.callInFlight == nil {
 			maintainedAt = now
 			s.maintain(now)
 		}
-		if end {
+		if shutdown {
 			s.awaitCall()
 			s.shutDown()
 			return
@@ -42,7 +42,7 @@
 	}
 }
 
-// maxWait returns how long run waits at most.
+// maxWait returns the maximum time that run waits for an event.
 func (s *Store) maxWait() time.Duration {
 	if s.unsyncedSince.IsZero() {
 		return maintenanceInterval
@@ -50,17 +50,17 @@
 	return min(maintenanceInterval, lazySyncInterval)
 }
 
-// syncDue reports whether what was written should be synced now.
+// syncDue reports whether the written records should be synced now.
 func (s *Store) syncDue(now time.Time) bool {
-	if s.inFlight != nil {
+	if s.callInFlight != nil {
 		return false
 	}
 	return len(s.waiters) > 0 || !s.unsyncedSince.IsZero() && (now.Sub(s.unsyncedSince) >= lazySyncInterval || now.Before(s.unsyncedSince))
 }
 
-// writeBatch writes the records of requests, after those that were buffered, and reports whether the end was requested. Calls
-// among the requests are made last, with no disk call in flight.
-func (s *Store) writeBatch(requests []request) (end bool) {
+// writeBatch writes the buffered records, then those of the requests, and reports whether a shutdown was requested. The calls
+// among the requests run after the writes, with no disk call in flight.
+func (s *Store) writeBatch(requests []request) (shutdown bool) {
 	if len(requests) == 0 && len(s.buffered) == 0 {
 		return false
 	}
@@ -76,7 +76,7 @@
 				r.call()
 			}()
 		case r.record.Kind == 0:
-			end = true
+			shutdown = true
 		default:
 			records = append(records, r.record)
 			if r.done != nil {
@@ -87,17 +87,17 @@
 	if len(records) > 0 {
 		s.writeRecords(records, waiters)
 	}
-	return end
+	return shutdown
 }
 
-// writeRecords writes records and keeps their callbacks until they are durable. Where the disk takes none, they are
-// buffered and the waiters get the error.
+// writeRecords writes records and keeps their callbacks until the records are durable. If the write fails, the records are
+// buffered and the callbacks receive the error.
 func (s *Store) writeRecords(records []journal.Record, waiters []func(error)) {
 	if s.dropped > 0 {
 		records = append([]journal.Record{{Kind: journal.RecordsLost, At: s.options.Now().UnixMicro(), Count: s.dropped}}, records...)
 	}
 	err := s.log.write(records)
-	if err != nil && s.reserved { // what closes open jobs may use the space that was reserved for it
+	if err != nil && s.reserveExists { // records that close open jobs may use the reserved space
 		s.releaseReserve()
 		err = s.log.write(records)
 	}
@@ -120,8 +120,8 @@
 	s.mu.Unlock()
 }
 
-// buffer keeps records that could not be written, up to maxBufferedRecords; the ones beyond are counted as dropped. Intents
-// are not kept, since their attempts are not made.
+// buffer keeps up to maxBufferedRecords records that could not be written, and counts those beyond as dropped. Intents are not
+// kept, because their attempts are not made.
 func (s *Store) buffer(records []journal.Record) {
 	for _, r := range records {
 		switch {
@@ -134,29 +134,29 @@
 	}
 }
 
-// recordFailure notes that a write or sync failed. Only the first one after a success is logged.
+// recordFailure counts a failed write or sync. It logs only the first failure after a success.
 func (s *Store) recordFailure(err error) {
 	s.mu.Lock()
 	s.stats.Failures++
 	s.mu.Unlock()
 	if !s.failing {
 		s.failing = true
-		s.options.Log.Error("the journal cannot be written", "dir", s.log.dir, "err", err)
+		s.options.Log.Error("the journal cannot be written; buffering records and retrying", "dir", s.log.dir, "err", err)
 	}
 	s.space.WriteFailed(s.options.Now())
 	s.updateFull()
 }
 
-// recordSuccess notes that a write or sync succeeded.
+// recordSuccess ends the failing state after a successful write or sync.
 func (s *Store) recordSuccess() {
 	if s.failing {
 		s.failing = false
-		s.options.Log.Info("the journal is written again", "dir", s.log.dir, "missing", s.dropped)
+		s.options.Log.Info("the journal can be written again", "dir", s.log.dir, "missing", s.dropped)
 	}
 }
 
-// sync begins to make durable what was written, and notifies the waiters once it is. Without Options.Sync what was written
-// counts as durable at once.
+// sync starts a sync of the written records, whose waiters are notified once the records are durable. Without Options.Sync,
+// written records count as durable immediately.
 func (s *Store) sync() {
 	if s.options.Sync {
 		s.syncInBackground(nil)
@@ -168,7 +168,7 @@
 	s.waiters = s.waiters[:0]
 }
 
-// notifyDurable calls the callbacks of records that are durable.
+// notifyDurable calls the callbacks of records that have become durable.
 func (s *Store) notifyDurable(waiters []func(error)) {
 	for i, done := range waiters {
 		done(nil)
@@ -176,7 +176,7 @@
 	}
 }
 
-// shutDown writes what is left, ends the log and releases its lock.
+// shutDown writes the remaining records, closes the log and releases its lock.
 func (s *Store) shutDown() {
 	s.writeBatch(s.queue.TakeAll())
 	if len(s.buffered) == 0 && s.dropped == 0 {
@@ -189,15 +189,15 @@
 			s.waiters = nil
 		}
 	} else {
-		s.options.Log.Error("the journal ends with records unwritten", "records", uint64(len(s.buffered))+s.dropped)
+		s.options.Log.Error("closing the journal; the records that could not be written are lost", "records", uint64(len(s.buffered))+s.dropped)
 	}
 	for _, done := range s.waiters {
 		done(ErrClosed)
 	}
-	if s.reserved {
+	if s.reserveExists {
 		s.releaseReserve()
 	}
 	if err := s.lock.Close(); err != nil {
-		s.options.Log.Error("the journal's lock", "err", err)
+		s.options.Log.Error("cannot close the journal's lock file; the lock is released when the process exits", "err", err)
 	}
 }
--- a/internal/journal/store/maintenance.go
+++ b/internal/journal/store/maintenance.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// maintain measures the space, makes the reserve file where it is missing, and drops what is old.
+// maintain measures the disk space, creates the reserve file if it is missing, and drops old segments.
 func (s *Store) maintain(now time.Time) {
 	s.measureSpace()
-	if s.space.Full() || s.reserved || s.options.ReservedBytes <= 0 {
+	if s.space.Full() || s.reserveExists || s.options.ReservedBytes <= 0 {
 		s.prune(now)
 		return
 	}
 	s.startDiskCall(s.writeReserve, func(err error) {
 		if err != nil {
-			s.recordFailure(fmt.Errorf("reserve file: %w", err))
+			s.recordFailure(fmt.Errorf("cannot write the reserve file: %w", err))
 			return
 		}
-		s.reserved = true
+		s.reserveExists = true
 		s.prune(now)
 	})
 }
 
-// prune drops segments that are older than the retention or exceed the journal's size, and removes stale files.
+// prune drops segments that are older than the retention or exceed the maximum size of the journal, and removes obsolete files.
 func (s *Store) prune(now time.Time) {
 	if now.Sub(s.sweptAt) >= sweepInterval || now.Before(s.sweptAt) {
 		s.sweptAt = now
 		s.sweepUnownedLogs(now)
 	}
 	l := s.log
-	l.removeStale()
+	l.removeObsoleteFiles()
 	if len(l.segments) == 0 || s.failing {
 		return
 	}
-	n, bytes := 0, l.bytes()
+	n, bytes := 0, l.totalBytes()
 	for n < len(l.segments) && n < maxPrunedSegments {
 		oldest := l.segments[n]
 		old := s.options.Retention > 0 && now.UnixMicro()-oldest.lastRecordAt > s.options.Retention.Microseconds()
@@ -58,22 +58,22 @@
 	}
 	s.syncInBackground(func() {
 		l.endPrune(n)
-		// If that fails, a power failure may bring files back; readers leave them out.
+		// If this sync fails, a power failure may restore the removed files; readers ignore them.
 		s.startDiskCall(func() error { return l.fs.SyncDir(l.dir) }, func(error) {})
 	})
 }
 
-// sweepUnownedLogs removes the segments of logs that no process has, such as the process before an upgrade leaves, once all
-// their records are older than the retention and no job waits for an operator.
+// sweepUnownedLogs removes the segments of logs that no process holds, such as the log of the previous process after an upgrade,
+// once all their records are older than the retention and no job waits for an operator's verdict.
 func (s *Store) sweepUnownedLogs(now time.Time) {
 	if s.options.Retention <= 0 {
 		return
 	}
-	all, err := logDirs(s.options.FS, s.options.Dir)
+	dirs, err := logDirs(s.options.FS, s.options.Dir)
 	if err != nil {
 		return
 	}
-	for _, dir := range all {
+	for _, dir := range dirs {
 		if dir == s.log.dir {
 			continue
 		}
@@ -81,46 +81,46 @@
 		if err != nil {
 			continue
 		}
-		s.sweepLog(now, dir)
-		_ = lock.Close() // nothing that counts was written to it
+		s.sweepUnownedLog(now, dir)
+		_ = lock.Close() // the lock file's contents need not be durable
 	}
 }
 
-// sweepLog removes the segments of a log that is locked, if retention covers all of it.
-func (s *Store) sweepLog(now time.Time, dir string) {
+// sweepUnownedLog removes the segments of a locked log if all its records are older than the retention.
+func (s *Store) sweepUnownedLog(now time.Time, dir string) {
 	l, _, err := openSegmentLog(s.options.FS, dir, s.log.key, s.options.SegmentBytes, s.logProblem)
-	if err != nil || len(l.table.Jobs) > 0 || slices.ContainsFunc(l.segments, func(one segment) bool {
-		return now.UnixMicro()-one.lastRecordAt <= s.options.Retention.Microseconds()
+	if err != nil || len(l.table.Jobs) > 0 || slices.ContainsFunc(l.segments, func(seg segment) bool {
+		return now.UnixMicro()-seg.lastRecordAt <= s.options.Retention.Microseconds()
 	}) {
 		return
 	}
-	for _, one := range l.segments { // the oldest first: what is left is still one chain
-		if err := s.options.FS.Remove(one.path); err != nil {
-			s.options.Log.Warn("cannot remove a segment of the journal", "file", one.path, "err", err)
+	for _, seg := range l.segments { // oldest first, so that the remaining segments still form a chain
+		if err := s.options.FS.Remove(seg.path); err != nil {
+			s.options.Log.Warn("cannot remove a segment of an unowned log; retrying at the next sweep", "file", seg.path, "err", err)
 			return
 		}
 	}
 }
 
-// measureSpace updates the state of the disk's space and the counts.
+// measureSpace updates the disk space state and the statistics.
 func (s *Store) measureSpace() {
 	free, err := s.options.FS.Free(s.options.Dir)
 	if err != nil {
 		free = -1
 	}
 	l := s.log
-	undroppable := int64(len(l.table.Jobs)) * unresolvedJobSize
-	s.space.Observe(s.options.Now(), free, l.bytes(), undroppable)
+	unprunableBytes := int64(len(l.table.Jobs)) * unresolvedJobBytes
+	s.space.Update(s.options.Now(), free, l.totalBytes(), unprunableBytes)
 	s.mu.Lock()
-	s.stats.Bytes, s.stats.Unresolved, s.stats.Buffered = l.bytes(), len(l.table.Jobs), len(s.buffered)
+	s.stats.Bytes, s.stats.Unresolved, s.stats.Buffered = l.totalBytes(), len(l.table.Jobs), len(s.buffered)
 	s.mu.Unlock()
 	s.updateFull()
 }
 
-// unresolvedJobSize is roughly how many bytes on the disk a job takes that waits for an operator.
-const unresolvedJobSize = 512
+// unresolvedJobBytes is the approximate disk space of a job that is open or waits for an operator's verdict.
+const unresolvedJobBytes = 512
 
-// updateFull publishes whether the journal is full, and logs a change.
+// updateFull publishes whether the journal is full, and logs each change.
 func (s *Store) updateFull() {
 	full := s.space.Full()
 	s.mu.Lock()
@@ -129,17 +129,17 @@
 	s.mu.Unlock()
 	switch {
 	case changed && full:
-		s.options.Log.Warn("the journal is full: new jobs are not recorded", "dir", s.log.dir, "bytes", s.log.bytes())
+		s.options.Log.Warn("the journal is full; not recording new jobs until space is free", "dir", s.log.dir, "bytes", s.log.totalBytes())
 	case changed:
-		s.options.Log.Info("the journal has space again", "dir", s.log.dir, "bytes", s.log.bytes())
+		s.options.Log.Info("the journal has space again; recording new jobs", "dir", s.log.dir, "bytes", s.log.totalBytes())
 	}
 }
 
-// writeReserve writes the reserve file, which is removed when space is needed. Its bytes are written, since a sparse file
-// would take no space. It runs concurrently to the Store's goroutine.
+// writeReserve writes the reserve file, which is removed to free space for records that close open jobs. It is filled with
+// bytes, since a sparse file would occupy no space. It runs concurrently with the Store's goroutine.
 func (s *Store) writeReserve() error {
 	path := join(s.log.dir, reserveName)
-	if err := s.options.FS.Remove(path); err != nil && !notExist(err) {
+	if err := s.options.FS.Remove(path); err != nil && !isNotExist(err) {
 		return err
 	}
 	f, err := s.options.FS.Create(path)
@@ -163,10 +163,10 @@
 	return nil
 }
 
-// releaseReserve removes the reserve file.
+// releaseReserve removes the reserve file to free its space.
 func (s *Store) releaseReserve() {
-	s.reserved = false
+	s.reserveExists = false
 	if err := s.options.FS.Remove(join(s.log.dir, reserveName)); err != nil {
-		s.options.Log.Error("cannot remove the journal's reserve file", "err", err)
+		s.options.Log.Error("cannot remove the journal's reserve file; its space remains in use", "err", err)
 	}
 }
--- a/internal/journal/store/powerfailure_test.go
+++ b/internal/journal/store/powerfailure_test.go
@@ -12,57 +12,56 @@
 	"sedgevale/internal/journal/store"
 )
 
-// CI runs some hundred seeds; `make powercut` as many as SEEDS says.
+// CI runs the default of 300 seeds; `make powercut` sets SEEDS.
 var powerSeeds = flag.Int("seeds", 300, "power failures: seeds to run")
 
 var secret = []byte("0123456789abcdef0123456789abcdef")
 
-// simulation is a scheduler and its workers, reduced to what the journal records, on a disk
-// that fails and loses power.
+// simulation simulates the records that a scheduler and its workers write, on a disk that injects faults and loses power.
 type simulation struct {
-	rand      *rand.Rand
-	disk      *fake.Disk
-	runLog    *fake.RunLog
-	store     *store.Store
-	now       time.Time
-	jobs      int
-	inFlight  []*attempt
-	sendEarly bool            // a mutation: jobs are sent before the intent is durable
-	answered  map[string]bool // served, and answered
-	call      func()          // of the disk, begun and not finished
+	rand        *rand.Rand
+	disk        *fake.Disk
+	runLog      *fake.RunLog
+	store       *store.Store
+	now         time.Time
+	jobs        int
+	inFlight    []*attempt
+	sendEarly   bool            // mutation: send an attempt before its intent is durable
+	answered    map[string]bool // IDs of served and answered jobs
+	pendingCall func()          // disk call that was started and has not run yet; nil: none
 }
 
 type attempt struct {
 	id, worker string
 	serial     uint64
 	number     int
-	begun      bool
-	refused    bool // by the worker, which never began it
+	started    bool
+	rejected   bool // the worker rejected it without running it
 }
 
 func (sim *simulation) open(t *testing.T) {
 	s, err := store.OpenStepped(store.Options{FS: sim.disk, Dir: "j", Secret: secret, Sync: true, Retention: time.Minute,
 		MaxBytes: 64 << 10, ReservedBytes: 4 << 10, SegmentBytes: 2 << 10, Now: func() time.Time { return sim.now }})
 	if err != nil {
-		t.Fatalf("a journal that does not open: %v", err)
+		t.Fatalf("cannot open the journal: %v", err)
 	}
 	sim.store = s
-	sim.call = nil
+	sim.pendingCall = nil
 	s.StartCallsWith(func(do func()) {
-		if sim.rand.IntN(2) == 0 { // done at once, but its result is taken later
+		if sim.rand.IntN(2) == 0 { // run immediately; its result is taken later
 			do()
 			return
 		}
-		sim.call = do
+		sim.pendingCall = do
 	})
 }
 
-// await finishes the disk calls in flight.
+// await completes the disk calls in flight.
 func (sim *simulation) await() {
 	for {
-		if sim.call != nil {
-			sim.call()
-			sim.call = nil
+		if sim.pendingCall != nil {
+			sim.pendingCall()
+			sim.pendingCall = nil
 		}
 		if !sim.store.FinishCall() {
 			return
@@ -70,9 +69,9 @@
 	}
 }
 
-// step takes a step drawn at random.
+// step runs a randomly chosen step.
 func (sim *simulation) step() {
-	sim.now = sim.now.Add(time.Duration(sim.rand.IntN(20)-2) * time.Millisecond) // it steps back, too
+	sim.now = sim.now.Add(time.Duration(sim.rand.IntN(20)-2) * time.Millisecond) // the clock may step back
 	switch n := sim.rand.IntN(20); {
 	case n < 5:
 		sim.submit()
@@ -86,7 +85,7 @@
 		sim.await()
 		sim.store.BeginMaintenance()
 	case n < 15 && sim.rand.IntN(10) == 0:
-		sim.now = sim.now.Add(40 * time.Second) // segments grow old
+		sim.now = sim.now.Add(40 * time.Second) // lets segments exceed the retention
 	default:
 		sim.progress()
 	}
@@ -102,7 +101,7 @@
 	sim.send(f)
 }
 
-// send puts an attempt's intent, and sends it once that is durable.
+// send puts an attempt's intent, and sends the attempt once the intent is durable.
 func (sim *simulation) send(f *attempt) {
 	begin := func(err error) {
 		if err != nil {
@@ -112,11 +111,11 @@
 			sim.put(f, journal.Answered, uint8(journal.Rejected))
 			return
 		}
-		if f.refused = f.number+1 < journal.MaxAttempts && sim.rand.IntN(3) == 0; f.refused {
+		if f.rejected = f.number+1 < journal.MaxAttempts && sim.rand.IntN(3) == 0; f.rejected {
 			sim.inFlight = append(sim.inFlight, f)
 			return
 		}
-		f.begun = true
+		f.started = true
 		sim.runLog.Begin(f.id, "once", f.worker, time.Now())
 		sim.put(f, journal.Sent, 0)
 		sim.inFlight = append(sim.inFlight, f)
@@ -139,7 +138,7 @@
 		NeverRan: true}, nil)
 }
 
-// progress continues one of the jobs in flight.
+// progress advances a random attempt in flight.
 func (sim *simulation) progress() {
 	if len(sim.inFlight) == 0 {
 		return
@@ -147,7 +146,7 @@
 	i := sim.rand.IntN(len(sim.inFlight))
 	f := sim.inFlight[i]
 	sim.inFlight = append(sim.inFlight[:i], sim.inFlight[i+1:]...)
-	if f.refused {
+	if f.rejected {
 		sim.retry(f)
 		return
 	}
@@ -166,7 +165,7 @@
 	}
 }
 
-// retry ends an attempt that was refused, and sends the next one or gives the job up.
+// retry ends a rejected attempt, and sends the next attempt or fails the job.
 func (sim *simulation) retry(f *attempt) {
 	sim.putNeverRan(f, journal.OutcomeRejected)
 	if sim.rand.IntN(4) == 0 {
@@ -176,10 +175,10 @@
 	sim.send(&attempt{id: f.id, worker: fmt.Sprintf("box-%d", sim.rand.IntN(3)), serial: f.serial, number: f.number + 1})
 }
 
-// changeFaults sometimes draws another fault of the disk, or ends all.
+// changeFaults randomly changes one fault of the disk or clears all.
 func (sim *simulation) changeFaults() {
 	faults := []fake.Op{fake.OpWrite, fake.OpShort, fake.OpSync, fake.OpCreate, fake.OpSyncDir, fake.OpRename, fake.OpRemove}
-	if sim.rand.IntN(30) == 0 { // another fault, or none
+	if sim.rand.IntN(30) == 0 { // sets the rate of one fault, possibly to 0
 		sim.disk.Fail(faults[sim.rand.IntN(len(faults))], []float64{0, 0.3, 1}[sim.rand.IntN(3)])
 	}
 	if sim.rand.IntN(60) == 0 {
@@ -189,9 +188,9 @@
 	}
 }
 
-// simulate runs a simulation through some kills and power failures, and returns the violations of its journal.
-func simulate(t *testing.T, seed uint64, early bool) (breaches []string, jobs, unknown int) {
-	sim := &simulation{rand: rand.New(rand.NewPCG(seed, 1)), runLog: fake.NewRunLog(), now: time.UnixMicro(1e15), sendEarly: early,
+// simulate runs a simulation with three kills or power failures, and returns the violations found in its journal.
+func simulate(t *testing.T, seed uint64, sendEarly bool) (violations []string, jobs, unknown int) {
+	sim := &simulation{rand: rand.New(rand.NewPCG(seed, 1)), runLog: fake.NewRunLog(), now: time.UnixMicro(1e15), sendEarly: sendEarly,
 		answered: map[string]bool{}}
 	sim.disk = fake.NewDisk(seed, []int64{1 << 20, 24 << 10, 10 << 10}[sim.rand.IntN(3)])
 	sim.open(t)
@@ -214,10 +213,10 @@
 		if len(view.Logs) > 0 && view.Logs[0].PrunedThrough > 0 {
 			dropped = func(id string) bool { return sim.answered[id] }
 		}
-		breaches = append(breaches, fake.Audit(sim.runLog, view.Jobs, all, all, all, dropped)...)
+		violations = append(violations, fake.Audit(sim.runLog, view.Jobs, always, always, always, dropped)...)
 		for _, p := range view.Problems {
 			if !p.Torn {
-				breaches = append(breaches, "reported as damage: "+p.String())
+				violations = append(violations, "reported as damage: "+p.String())
 			}
 		}
 		sim.open(t)
@@ -231,37 +230,37 @@
 			unknown++
 		}
 	}
-	return breaches, sim.jobs, unknown
+	return violations, sim.jobs, unknown
 }
 
-func all(string) bool { return true }
+func always(string) bool { return true }
 
-// Guards the order of intent and sending, and that nothing durable is lost or wrong, through
+// Guards against an attempt that is sent before its intent is durable, and against durable records that are lost or wrong, across
 // power failures, kills, full disks, and failing writes, syncs and renames.
 func TestPowerFailures(t *testing.T) {
-	jobs, unknown, bad := 0, 0, 0
+	jobs, unknown, violationCount := 0, 0, 0
 	for seed := range *powerSeeds {
-		breaches, n, u := simulate(t, uint64(seed), false)
+		violations, n, u := simulate(t, uint64(seed), false)
 		jobs, unknown = jobs+n, unknown+u
-		for _, b := range breaches {
-			if bad++; bad <= 10 {
+		for _, b := range violations {
+			if violationCount++; violationCount <= 10 {
 				t.Errorf("seed %d: %s", seed, b)
 			}
 		}
 	}
-	t.Logf("%d seeds, %d jobs, %d unknown, %d violations", *powerSeeds, jobs, unknown, bad)
+	t.Logf("%d seeds, %d jobs, %d unknown, %d violations", *powerSeeds, jobs, unknown, violationCount)
 }
 
-// Guards the check itself: a scheduler that sends before its intent is durable is detected.
+// Verifies the check of TestPowerFailures: it must detect a scheduler that sends attempts before their intents are durable.
 func TestPowerFailuresDetectEarlySending(t *testing.T) {
-	caught := 0
+	detected := 0
 	for seed := range 50 {
-		if breaches, _, _ := simulate(t, uint64(seed), true); len(breaches) > 0 {
-			caught++
+		if violations, _, _ := simulate(t, uint64(seed), true); len(violations) > 0 {
+			detected++
 		}
 	}
-	if caught < 10 {
-		t.Errorf("sending before the intent was noticed in %d of 50 seeds", caught)
+	if detected < 10 {
+		t.Errorf("sending before a durable intent was detected in %d of 50 seeds, want at least 10", detected)
 	}
-	t.Logf("caught in %d of 50 seeds", caught)
+	t.Logf("detected in %d of 50 seeds", detected)
 }
--- a/internal/journal/store/query.go
+++ b/internal/journal/store/query.go
@@ -11,85 +11,85 @@
 	"sedgevale/internal/journal"
 )
 
-// Found is a job of a View.
+// Found is a job in a View.
 type Found struct {
 	*journal.Job
 	LogDir string
-	Live   bool // a process has the log
+	Live   bool // a process holds the log's lock
 }
 
-// View is the content of a journal.
+// View contains the jobs, problems and logs of a journal.
 type View struct {
-	Jobs     []Found // by the time of their acceptance
+	Jobs     []Found // sorted by time of acceptance
 	Problems []Problem
 	Logs     []LogView
 }
 
-// LogView is the content of a log, but for its jobs.
+// LogView describes a log without its jobs.
 type LogView struct {
 	Dir           string
-	Owner         Owner // where it is live
+	Owner         Owner // empty unless Live
 	Live          bool
-	Closed        bool // it ended gracefully
+	Closed        bool // its last process shut down gracefully
 	Segments      int
-	PrunedThrough uint64 // records dropped by retention
+	PrunedThrough uint64 // last sequence number dropped by retention
 	Records       uint64
 }
 
-// Damaged reports whether there is a problem that neither a crash nor a power failure can leave.
+// Damaged reports whether there is a problem that neither a crash nor a power failure can cause.
 func (v *View) Damaged() bool {
 	return slices.ContainsFunc(v.Problems, func(p Problem) bool { return !p.Torn })
 }
 
-// maxReadAttempts is how often a log is read at most while its files change.
+// maxReadAttempts limits how often a log is read again because its files changed meanwhile.
 const maxReadAttempts = 5
 
-// Read reads a complete journal, whether a scheduler writes it or not, and changes nothing. With an id, only the jobs of that id
-// are in the View. It waits for the disk. The error is journal.ErrKey or journal.ErrVersion where a log cannot be read with the
-// secret or by this version; what is damaged is in View.Problems.
+// Read reads all logs of a journal without changing them, whether or not a scheduler is writing them. With a non-empty id, the
+// View contains only the jobs with that ID. Read blocks on disk I/O. It returns journal.ErrKey or journal.ErrVersion if a log
+// cannot be read with the secret or by this version; damage is reported in View.Problems.
 func Read(fsys FS, dir string, secret []byte, id string) (*View, error) {
-	all, err := logDirs(fsys, dir)
+	dirs, err := logDirs(fsys, dir)
 	if err != nil {
 		return nil, fmt.Errorf("journal %s: %w", dir, err)
 	}
 	out := &View{}
-	for _, logDir := range all {
-		var one *View
+	for _, logDir := range dirs {
+		var logContent *View
 		for range maxReadAttempts {
-			one = &View{}
-			// Retention may remove a file between the listing and the reading.
-			if err = one.read(fsys, logDir, secret, id); !notExist(err) {
+			logContent = &View{}
+			// Retention may remove a file after it was listed and before it is read.
+			if err = logContent.read(fsys, logDir, secret, id); !isNotExist(err) {
 				break
 			}
 		}
 		if err != nil {
 			return nil, fmt.Errorf("journal %s: %w", dir, err)
 		}
-		out.Jobs = append(out.Jobs, one.Jobs...)
-		out.Problems = append(out.Problems, one.Problems...)
-		out.Logs = append(out.Logs, one.Logs...)
+		out.Jobs = append(out.Jobs, logContent.Jobs...)
+		out.Problems = append(out.Problems, logContent.Problems...)
+		out.Logs = append(out.Logs, logContent.Logs...)
 	}
 	slices.SortStableFunc(out.Jobs, func(a, b Found) int { return cmp.Compare(a.AcceptedAt, b.AcceptedAt) })
 	return out, nil
 }
 
-// read reads one log.
+// read reads one log into the View.
 func (v *View) read(fsys FS, logDir string, secret []byte, id string) error {
 	key, err := journal.NewKey(secret)
 	if err != nil {
 		return err
 	}
-	owner, live := fsys.Locked(join(logDir, lockName)) // first: a process that ends meanwhile counts as live
+	owner, live := fsys.Locked(join(logDir, lockName)) // before the segments: a process that ends during the read counts as live
 	table := journal.NewJobTable()
 	inconsistency := Problem{File: logDir}
 	got, err := readSegments(fsys, logDir, key, visitor{
-		run: func() { table.EndProcess() },
+		processEnd: func() { table.EndProcess() },
 		record: func(r *journal.Record, number uint64) {
-			if id != "" && !concerns(r, id, table) {
+			if id != "" && !matchesID(r, id, table) {
 				return
 			}
 			if _, err := table.Apply(r); err != nil && !errors.Is(err, journal.ErrUnknownJob) {
-				inconsistency.What = fmt.Sprintf("segment %d: %v", number, err)
+				inconsistency.Description = fmt.Sprintf("segment %d: %v", number, err)
 			}
 		},
 		gap:  table.MarkMissingRecords,
@@ -102,7 +102,7 @@
 		table.EndProcess()
 	}
 	v.Problems = got.problems
-	if inconsistency.What != "" {
+	if inconsistency.Description != "" {
 		v.Problems = append(v.Problems, inconsistency)
 	}
 	v.Logs = []LogView{{logDir, decodeOwner(owner), live, got.closed, len(got.segments), got.prunedThrough, got.records}}
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// concerns reports whether a record is about a job of that id, or about none.
-func concerns(r *journal.Record, id string, table *journal.JobTable) bool {
+// matchesID reports whether a record belongs to a job with that ID, or to no job.
+func matchesID(r *journal.Record, id string, table *journal.JobTable) bool {
 	switch r.Kind {
 	case journal.Accepted:
 		return r.JobID == id
@@ -122,18 +122,18 @@
 	case journal.CarriedOver:
 		return r.CarriedJob.ID == id
 	}
-	return true // the table ignores one of a job that it does not know
+	return true // the table ignores records of jobs that it does not contain
 }
 
-// skipOtherJobs returns a visitor's skip function that avoids decoding acceptances, intents and copies of other jobs, which are most of a
-// journal's bytes.
+// skipOtherJobs returns a visitor's skip function that avoids decoding the acceptances, intents and copies of other jobs, which
+// make up most of a journal.
 func skipOtherJobs(id string) func([]byte) bool {
 	if id == "" {
 		return nil
 	}
 	wanted := []byte(id)
 	return func(b []byte) bool {
-		// The head of a MessagePack array of up to 65,535 elements, and the kind as a small number.
+		// The header of a MessagePack array with a 16-bit length (up to 65,535 elements), followed by the kind as a fixint.
 		if len(b) > 4 && b[0] == 0xdc && (b[3] == byte(journal.Accepted) || b[3] == byte(journal.Intent) || b[3] == byte(journal.CarriedOver)) {
 			return !bytes.Contains(b, wanted)
 		}
@@ -142,15 +142,14 @@
 }
 
 var (
-	// ErrNotFound is returned for an id that no job in the journal has.
+	// ErrNotFound is returned if no job in the journal has the ID.
 	ErrNotFound = errors.New("no such job in the journal")
-	// ErrNothingToDecide is returned where each job of an id is open or resolved.
+	// ErrNothingToDecide is returned if each job with the ID is open or resolved.
 	ErrNothingToDecide = errors.New("no job of that id waits for a verdict")
 )
 
-// Decide records an operator's verdict on each unresolved job of an id, in this log and in those without an owner, and returns
-// the number of those jobs. The error is ErrNothingToDecide where there are none, and ErrClosed after Close. It waits for the
-// disk.
+// Decide records an operator's verdict on each unresolved job with the ID, in this log and in unowned logs, and returns the
+// number of those jobs. It returns ErrNothingToDecide if there are none, and ErrClosed after Close. It blocks on disk I/O.
 func (s *Store) Decide(id string, v journal.Verdict, by, why string) (int, error) {
 	type result struct {
 		decided int
@@ -164,7 +163,7 @@
 	var r result
 	select {
 	case r = <-results:
-	case <-s.ended:
+	case <-s.stopped:
 		return 0, ErrClosed
 	}
 	if r.err != nil {
@@ -177,7 +176,7 @@
 	return r.decided + n, err
 }
 
-// decide records a verdict on each unresolved job of an id.
+// decide records a verdict on each unresolved job with the ID.
 func (l *segmentLog) decide(now time.Time, id string, v journal.Verdict, by, why string) (int, error) {
 	var records []journal.Record
 	for serial, j := range l.table.Jobs {
@@ -196,8 +195,8 @@
 	return len(records), l.sync()
 }
 
-// DecideUnowned records an operator's verdict on each unresolved job of an id in the logs without an owner. Where there are none in
-// those, but a scheduler has another log, the error is a *BusyError.
+// DecideUnowned records an operator's verdict on each unresolved job with the ID in the logs that no process holds. If it finds
+// none there but another process holds a log, the error is a *BusyError.
 func DecideUnowned(o Options, id string, v journal.Verdict, by, why string) (n int, err error) {
 	if o.FS == nil {
 		o.FS = OS{}
@@ -235,7 +234,7 @@
 		return 0, err
 	}
 	defer func() { _ = lock.Close() }()
-	l, _, err := openSegmentLog(o.FS, dir, key, maxSegmentSize, func(Problem) {})
+	l, _, err := openSegmentLog(o.FS, dir, key, maxSegmentBytes, func(Problem) {})
 	if err != nil {
 		return 0, err
 	}
@@ -246,7 +245,7 @@
 	return n, l.close(time.Now())
 }
 
-// BusyError is returned where a scheduler writes the journal, so that only that scheduler can settle jobs.
+// BusyError is returned if another process holds a log, so that only that process can record verdicts in it.
 type BusyError struct{ Owner Owner }
 
 func (e *BusyError) Error() string { return ErrLocked.Error() + ", " + e.Owner.String() }
--- a/internal/journal/store/store.go
+++ b/internal/journal/store/store.go
@@ -1,8 +1,8 @@
-// Package store keeps the journal of one-shot jobs on a disk: append-only segments whose records are chained by a keyed hash,
-// written by one goroutine that commits in groups. Put never waits for the disk.
+// Package store stores the journal of one-shot jobs on disk, in append-only segments whose records are chained by a keyed hash.
+// One goroutine writes the records with group commit, so Put never waits for the disk.
 //
-// The directory of a journal has a log for each process that writes it (lane-0, lane-1, ...): the two processes of an upgrade
-// have one each. A log is a sequence of segment files, and a lock that names its owner.
+// The directory of a journal contains a log directory for each process that writes it (lane-0, lane-1, ...), such as the two
+// processes of an upgrade. A log directory contains a sequence of segment files and a lock file that names its owner.
 package store
 
 import (
@@ -19,92 +19,93 @@
 
 // Options configure a Store.
 type Options struct {
-	FS            FS // nil: the operating system's
+	FS            FS // nil: OS
 	Dir           string
-	Secret        []byte        // of the key, journal.MinKeySize bytes at least
-	Owner         Owner         // the process that writes
-	Sync          bool          // false: what was written counts as durable, though a power failure can lose it
-	Retention     time.Duration // resolved jobs are dropped after so long; 0: never by age
-	MaxBytes      int64         // of the journal; 0: unlimited
-	ReservedBytes int64         // reserved on the disk for records that close open jobs
-	Log           *slog.Logger  // nil: none
-	SegmentBytes  int64         // of a segment; 0: a sixteenth of MaxBytes, 1 to 16 MiB
+	Secret        []byte        // secret of the key, at least journal.MinKeySize bytes
+	Owner         Owner         // the process that writes the journal
+	Sync          bool          // false: written records count as durable, though a power failure can lose them
+	Retention     time.Duration // age at which resolved jobs are dropped; 0: no limit
+	MaxBytes      int64         // limit of the journal's size; 0: unlimited
+	ReservedBytes int64         // disk space reserved for records that close open jobs
+	Log           *slog.Logger  // nil: no logging
+	SegmentBytes  int64         // segment size; 0: a sixteenth of MaxBytes, 1 to 16 MiB
 	Now           func() time.Time
 }
 
-// Owner is the process that writes a log, as the lock names it for others.
+// Owner identifies the process that writes a log. It is stored in the lock file for other processes.
 type Owner struct {
 	PID  int    `json:"pid"`
-	Name string `json:"name"`          // of the scheduler: the two processes of an upgrade share it
-	Ops  string `json:"ops,omitempty"` // the address of its operators' calls; empty: none
+	Name string `json:"name"`          // name of the scheduler, shared by the two processes of an upgrade
+	Ops  string `json:"ops,omitempty"` // address of its operations API; empty: none
 }
 
 func (o Owner) String() string { return fmt.Sprintf("scheduler %q (process %d)", o.Name, o.PID) }
 
 const (
-	maxLogs             = 8 // of one journal
+	maxLogs             = 8 // logs per journal
 	maintenanceInterval = 100 * time.Millisecond
-	lazySyncInterval    = 20 * time.Millisecond   // records that nobody waits for are durable after so long
-	maxMaintenanceDelay = 3 * maintenanceInterval // from then on maintenance goes before a sync
-	sweepInterval       = time.Minute             // between two looks at logs without an owner
-	maxPrunedSegments   = 16                      // dropped at a time
-	maxBufferedRecords  = 1 << 16                 // kept in memory while the disk takes none
-	minSegmentSize      = 1 << 20                 // bytes
-	maxSegmentSize      = 16 << 20                // bytes
+	lazySyncInterval    = 20 * time.Millisecond   // delay until records without a waiter are synced
+	maxMaintenanceDelay = 3 * maintenanceInterval // delay after which overdue maintenance precedes a sync
+	sweepInterval       = time.Minute             // interval between sweeps of unowned logs
+	maxPrunedSegments   = 16                      // segments dropped per maintenance
+	maxBufferedRecords  = 1 << 16                 // records kept in memory while writes fail
+	minSegmentBytes     = 1 << 20                 // lower limit of the default segment size
+	maxSegmentBytes     = 16 << 20                // upper limit of the default segment size
 )
 
 // ErrWriteFailed is passed to the callback of a record that could not be written.
-var ErrWriteFailed = errors.New("the journal cannot be written")
+var ErrWriteFailed = errors.New("journal write failed")
 
-// ErrClosed is passed to callbacks that still wait when the Store closes.
+// ErrClosed is passed to callbacks that are still pending when the Store closes.
 var ErrClosed = errors.New("the journal is closed")
 
-// request is a request to the Store's goroutine: a record to write, a call to make or, with neither, to shut down.
+// request is a message to the Store's goroutine: a record to write, a function to call, or, with neither, a shutdown request.
 type request struct {
 	record journal.Record
-	done   func(error) // called once the record is durable, or cannot be; may be nil
+	done   func(error) // called once the record is durable or has failed; may be nil
 	call   func()
 }
 
-// Store writes one log of a journal. Its methods are safe for concurrent use and do not wait for the disk unless they say so.
+// Store writes one log of a journal. Its methods are safe for concurrent use and do not block on disk I/O unless documented
+// otherwise.
 type Store struct {
 	options Options
-	lock    io.Closer // of the log
+	lock    io.Closer // lock of the log
 	queue   *unbounded.Queue[request]
-	wake    chan struct{} // has an element where queue may have some
-	ended   chan struct{} // closed when run has returned
+	wake    chan struct{} // contains an element if the queue may be non-empty
+	stopped chan struct{} // closed when run returns
 
-	mu         sync.Mutex // guards the fields up to the next empty line
+	mu         sync.Mutex // guards the fields up to the next blank line
 	lastSerial uint64
 	full       bool
 	stats      Stats
 	closing    bool
 
-	// For run's goroutine alone.
+	// The fields below are used only by run's goroutine.
 	log           *segmentLog
 	space         journal.DiskSpace
-	buffered      []journal.Record // could not be written yet
-	dropped       uint64           // records that were lost since the last successful write
-	waiters       []func(error)    // of records that are written and not durable yet
+	buffered      []journal.Record // records that could not be written yet
+	dropped       uint64           // number of records lost since the last successful write
+	waiters       []func(error)    // callbacks of records that are written but not durable
 	sweptAt       time.Time
-	unsyncedSince time.Time    // since when some record is written and not durable; zero: none is
-	reserved      bool         // the reserve file is there
+	unsyncedSince time.Time    // time since which a written record is not durable; zero: all are durable
+	reserveExists bool         // the reserve file exists
 	failing       bool         // the last write or sync failed
-	inFlight      *diskCall    // nil: none
-	startCall     func(func()) // runs a disk call concurrently; tests put another one in its place
+	callInFlight  *diskCall    // nil: no call in flight
+	startCall     func(func()) // runs a disk call concurrently; replaced in tests
 }
 
-// Stats are counts since the start.
+// Stats contains counters since the start and current sizes.
 type Stats struct {
 	Records, Syncs, Failures, Dropped uint64
-	Bytes                             int64 // on the disk
+	Bytes                             int64 // size on disk
 	Unresolved                        int   // jobs that are open or wait for an operator's verdict
 	Buffered                          int   // records that could not be written yet
 }
 
-// Open opens a journal, acquires a log of it and replays that. The error is ErrLocked where another scheduler uses the
-// directory, and journal.ErrKey or journal.ErrVersion where the log cannot be read with the secret or by this version. The
-// caller has to call Close.
+// Open opens a journal, acquires one of its logs and replays that log. It returns ErrLocked if another scheduler uses the
+// directory, and journal.ErrKey or journal.ErrVersion if the log cannot be read with the secret or by this version. The caller
+// must call Close.
 func Open(o Options) (*Store, error) {
 	s, err := open(o)
 	if err == nil {
@@ -113,7 +114,7 @@
 	return s, err
 }
 
-// withDefaults fills in what was left out.
+// withDefaults replaces zero values by their defaults.
 func (o Options) withDefaults() Options {
 	if o.FS == nil {
 		o.FS = OS{}
@@ -125,12 +126,12 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	if o.SegmentBytes <= 0 {
-		o.SegmentBytes = min(max(o.MaxBytes/16, minSegmentSize), maxSegmentSize)
+		o.SegmentBytes = min(max(o.MaxBytes/16, minSegmentBytes), maxSegmentBytes)
 	}
 	return o
 }
 
-// open is Open without the goroutine.
+// open implements Open without starting the goroutine.
 func open(o Options) (*Store, error) {
 	o = o.withDefaults()
 	key, err := journal.NewKey(o.Secret)
@@ -141,7 +142,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal %s: %w", o.Dir, err)
 	}
-	s := &Store{options: o, lock: lock, wake: make(chan struct{}, 1), ended: make(chan struct{}),
+	s := &Store{options: o, lock: lock, wake: make(chan struct{}, 1), stopped: make(chan struct{}),
 		space: journal.DiskSpace{ReservedBytes: o.ReservedBytes, MaxBytes: o.MaxBytes}, startCall: func(do func()) { go do() }}
 	var rec recovery
 	if s.log, rec, err = openSegmentLog(o.FS, dir, key, o.SegmentBytes, s.logProblem); err != nil {
@@ -156,20 +157,20 @@
 	})
 	for _, p := range rec.problems {
 		if !p.Torn {
-			o.Log.Error("the journal is damaged", "at", p.String())
+			o.Log.Error("the journal is damaged; recording continues", "at", p.String())
 		}
 	}
-	o.Log.Info("journal open", "dir", dir, "after_crash", !rec.clean, "open_ran", rec.open[journal.Ran],
-		"open_did_not_run", rec.open[journal.DidNotRun], "open_unknown", rec.open[journal.Unknown], "to_settle", rec.unresolved)
+	o.Log.Info("journal opened", "dir", dir, "after_crash", !rec.cleanShutdown, "open_ran", rec.interruptedJobs[journal.Ran],
+		"open_did_not_run", rec.interruptedJobs[journal.DidNotRun], "open_unknown", rec.interruptedJobs[journal.Unknown], "to_settle", rec.unresolvedJobs)
 	s.measureSpace()
 	return s, nil
 }
 
 func (s *Store) logProblem(p Problem) {
-	s.options.Log.Error("the journal is damaged", "at", p.String())
+	s.options.Log.Error("the journal is damaged; recording continues", "at", p.String())
 }
 
-// Serial returns a number for a job that no other job of this log has or had.
+// Serial returns a number for a job that is unique in this log.
 func (s *Store) Serial() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,28 +178,28 @@
 	return s.lastSerial
 }
 
-// Full reports whether no new job should be recorded, for lack of space.
+// Full reports whether new jobs should not be recorded because of lack of space.
 func (s *Store) Full() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.full
 }
 
-// Put queues a record, whose texts are truncated to their bounds. Done, which may be nil, is called from the Store's goroutine:
-// with nil once the record is durable, with ErrNoRoom or ErrClosed once it cannot be.
+// Put queues a record and truncates its texts to their limits. done, which may be nil, is called from the Store's goroutine:
+// with nil once the record is durable, or with an error that wraps ErrWriteFailed or is ErrClosed.
 func (s *Store) Put(r journal.Record, done func(error)) {
 	r.Truncate()
 	s.queue.Put(request{record: r, done: done})
 }
 
-// Stats returns the counts up to now.
+// Stats returns a snapshot of the statistics.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// Close writes what is queued, ends the log and releases it. It waits for the disk.
+// Close writes the queued records, closes the log and releases its lock. It blocks on disk I/O.
 func (s *Store) Close() {
 	s.mu.Lock()
 	first := !s.closing
@@ -207,5 +208,5 @@
 	if first {
 		s.queue.Put(request{})
 	}
-	<-s.ended
+	<-s.stopped
 }
--- a/internal/journal/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -20,7 +20,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// steppedStore is a Store on a disk in memory that the test runs step by step.
+// steppedStore is a Store on an in-memory disk whose steps the test runs.
 type steppedStore struct {
 	t    *testing.T
 	disk *fake.Disk
@@ -50,7 +50,7 @@
 	}
 }
 
-// step does what a Store does in one iteration of its loop.
+// step runs one iteration of the Store's loop.
 func (d *steppedStore) step() {
 	d.now = d.now.Add(50 * time.Millisecond)
 	d.s.WriteBatch()
@@ -58,23 +58,23 @@
 	d.s.Maintain()
 }
 
-func (d *steppedStore) steps(n int) {
+func (d *steppedStore) runSteps(n int) {
 	for range n {
 		d.step()
 	}
 }
 
-// begin puts a job with an intent and returns what the intent's callback was called with.
+// begin puts the acceptance and intent of a job. got returns the result of the intent's callback.
 func (d *steppedStore) begin(id string) (serial uint64, got func() error) {
 	serial = d.s.Serial()
 	at := d.now.UnixMicro()
-	out := errors.New("still waiting")
+	out := errors.New("callback not called")
 	d.s.Put(journal.Record{Kind: journal.Accepted, Serial: serial, At: at, JobID: id, Class: "once"}, nil)
 	d.s.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: at, JobID: id, Worker: "box"}, func(err error) { out = err })
 	return serial, func() error { return out }
 }
 
-// end puts that a job ran and was answered.
+// end puts the records of a served and answered job.
 func (d *steppedStore) end(serial uint64) {
 	at := d.now.UnixMicro()
 	d.s.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: at, Code: uint8(journal.OutcomeServed)}, nil)
@@ -101,69 +101,67 @@
 	return "absent"
 }
 
-// Guards the full disk: the journal reports that it is full, records that close open jobs are written from the reserve, and new
-// ones are accepted again once there is space.
+// Guards the behavior on a full disk: the journal reports that it is full, records that close open jobs are written to the reserved
+// space, and new jobs are recorded again once space is free.
 func TestFullDisk(t *testing.T) {
 	d := newSteppedStore(t, 64<<10, nil)
 	open, got := d.begin("open")
 	d.step()
 	d.step()
 	if got() != nil || d.s.Full() {
-		t.Fatalf("intent: %v, full %v", got(), d.s.Full())
+		t.Fatalf("intent: error %v, full %v", got(), d.s.Full())
 	}
-	d.disk.WriteFile("other", make([]byte, 1<<20)) // somebody else fills the disk
+	d.disk.WriteFile("other", make([]byte, 1<<20)) // another user of the disk fills it
 	d.step()
 	if !d.s.Full() {
-		t.Fatal("there is no space, and the journal is not full")
+		t.Fatal("the disk is full but the journal does not report it")
 	}
-	late, got := d.begin("late") // it had been accepted just before
+	late, got := d.begin("late") // accepted before the disk was full
 	d.end(open)
 	d.step()
 	if err := got(); !errors.Is(err, store.ErrWriteFailed) {
-		t.Errorf("an intent without space: %v", err)
+		t.Errorf("intent on a full disk: error %v, want ErrWriteFailed", err)
 	}
 	d.s.Put(journal.Record{Kind: journal.Answered, Serial: late, At: 1, Code: uint8(journal.Rejected)}, nil)
-	d.steps(5)
+	d.runSteps(5)
 	if !d.s.Full() || d.s.Stats().Buffered == 0 {
 		t.Errorf("full %v, buffered %d", d.s.Full(), d.s.Stats().Buffered)
 	}
 	d.disk.SetCapacity(4 << 20)
-	d.steps(30)
+	d.runSteps(30)
 	if d.s.Full() || d.s.Stats().Buffered != 0 {
-		t.Errorf("with space again: full %v, buffered %d", d.s.Full(), d.s.Stats().Buffered)
+		t.Errorf("after space was freed: full %v, buffered %d", d.s.Full(), d.s.Stats().Buffered)
 	}
 	if _, got := d.begin("next"); got() == nil {
-		t.Error("done at once")
+		t.Error("the intent's callback succeeded before the write")
 	} else if d.step(); got() != nil {
-		t.Errorf("with space again: %v", got())
+		t.Errorf("intent after space was freed: error %v", got())
 	}
 	if a, b := d.verdict("open"), d.verdict("late"); a != "ran" || b != "did_not_run" {
-		t.Errorf("the open job %s, the rejected one %s", a, b)
+		t.Errorf("verdict of the open job %s, of the rejected job %s; want ran, did_not_run", a, b)
 	}
 	if n := strings.Count(d.log.String(), "is full"); n != 1 {
-		t.Errorf("%d lines say that it is full", n)
+		t.Errorf("%d log lines report the full journal, want 1", n)
 	}
 }
 
-// Guards the reserve: once it is released, records that close jobs can be written to a disk that
-// is full.
+// Guards the reserve file: after its removal, records that close jobs can be written to a full disk.
 func TestReserve(t *testing.T) {
 	d := newSteppedStore(t, 64<<10, nil)
 	open, _ := d.begin("open")
 	d.step()
-	d.step() // the reserve is made
+	d.step() // creates the reserve file
 	free, _ := d.disk.Free("j")
 	d.disk.WriteFile("other", make([]byte, free))
 	d.end(open)
 	d.s.WriteBatch()
 	d.s.Sync()
 	if got := d.verdict("open"); got != "ran" {
-		t.Errorf("with the disk full the job's end is not on record: %s", got)
+		t.Errorf("verdict on the full disk: %s, want ran", got)
 	}
 }
 
-// Guards against an intent that counts as durable after a failed sync, and against its
-// loss once the disk works again.
+// Guards against an intent that counts as durable after a failed sync, and against its loss after the disk has recovered.
 func TestFailedSync(t *testing.T) {
 	d := newSteppedStore(t, 1<<20, nil)
 	_, first := d.begin("first")
@@ -174,15 +172,15 @@
 		d.step()
 	}
 	if first() != nil || second() == nil {
-		t.Fatalf("before the fault %v, in it %v", first(), second())
+		t.Fatalf("intent before the fault: error %v, during it: error %v", first(), second())
 	}
 	if !strings.Contains(d.log.String(), "cannot be written") {
-		t.Error("no line says so")
+		t.Error("the failed sync was not logged")
 	}
 	d.disk.Fail(fake.OpSync, 0)
 	d.step()
 	if err := second(); err != nil {
-		t.Errorf("after the fault: %v", err)
+		t.Errorf("intent after the fault: error %v", err)
 	}
 	d.disk = d.disk.PowerFail()
 	v := d.view()
@@ -191,8 +189,8 @@
 	}
 }
 
-// Guards retention: old jobs are dropped, open ones and those with an unknown verdict stay until they are
-// settled, memory is bounded, and what retention has dropped is no damage.
+// Retention drops old resolved jobs but keeps open ones and those with an unknown verdict until an operator decides. Memory use
+// stays bounded, and dropped records are not reported as damage.
 func TestRetention(t *testing.T) {
 	d := newSteppedStore(t, 8<<20, func(o *store.Options) { o.Retention, o.MaxBytes = time.Minute, 1<<20 })
 	doubt, _ := d.begin("doubt")
@@ -204,7 +202,7 @@
 		d.end(serial)
 		d.step()
 		if n := d.s.UnresolvedJobs(); n > 2 {
-			t.Fatalf("%d jobs are in memory after %d", n, i)
+			t.Fatalf("%d unresolved jobs in memory after job %d", n, i)
 		}
 	}
 	d.now = d.now.Add(2 * time.Minute)
@@ -213,34 +211,34 @@
 	}
 	v := d.view()
 	if len(v.Jobs) > 60 || v.Damaged() {
-		t.Errorf("%d jobs are left, problems %v", len(v.Jobs), v.Problems)
+		t.Errorf("%d jobs remain, problems %v", len(v.Jobs), v.Problems)
 	}
 	if a, b := d.verdict("doubt"), d.verdict("open"); a != "unknown" || b == "absent" {
-		t.Errorf("a job with an unknown verdict is %s, an open one %s", a, b)
+		t.Errorf("verdict of the unresolved job %s, want unknown; of the open job %s, want it present", a, b)
 	}
 	d.end(open)
 	d.step()
 	if got := d.verdict("open"); got != "ran" {
-		t.Errorf("carried on and ended: %s", got)
+		t.Errorf("verdict of the carried-over job after its end: %s, want ran", got)
 	}
 	d.s.ShutDown()
 	n, err := store.DecideUnowned(d.opt, "doubt", journal.Ran, "ann", "seen on the box")
 	if n != 1 || err != nil {
-		t.Fatalf("settled %d, %v", n, err)
+		t.Fatalf("decided %d jobs, error %v", n, err)
 	}
 	if got := d.verdict("doubt"); got != "ran" {
-		t.Errorf("settled as ran: %s", got)
+		t.Errorf("verdict after the operator's decision: %s, want ran", got)
 	}
 	if _, err := store.DecideUnowned(d.opt, "doubt", journal.Ran, "ann", "again"); !errors.Is(err, store.ErrNothingToDecide) {
-		t.Errorf("settled twice: %v", err)
+		t.Errorf("second decision: error %v, want ErrNothingToDecide", err)
 	}
 	d.open()
 	if n := d.s.UnresolvedJobs(); n != 0 {
-		t.Errorf("%d jobs wait after all were settled", n)
+		t.Errorf("%d unresolved jobs after all were decided", n)
 	}
 }
 
-// segmentFaults are ways to damage a journal, given its segment files.
+// segmentFaults contains ways to damage a journal, given its segment files.
 var segmentFaults = map[string]func(d *steppedStore, files []string){
 	"first removed":  func(d *steppedStore, f []string) { _ = d.disk.Remove(f[0]) },
 	"middle removed": func(d *steppedStore, f []string) { _ = d.disk.Remove(f[len(f)/2]) },
@@ -261,9 +259,8 @@
 	},
 }
 
-// Guards against a journal whose files are removed, swapped or altered undetected; the rest is still
-// read.
-func TestVerifyFindsWhatIsMissing(t *testing.T) {
+// Guards against segment files that are removed, swapped or altered without being detected. The remaining records are still read.
+func TestReadReportsDamage(t *testing.T) {
 	fresh := func() *steppedStore {
 		d := newSteppedStore(t, 8<<20, nil)
 		for i := range 200 {
@@ -285,7 +282,7 @@
 	}
 	d := fresh()
 	if v := d.view(); v.Damaged() || len(v.Problems) > 0 || !v.Logs[0].Closed || len(v.Jobs) != 200 {
-		t.Fatalf("untouched: %+v, %v", v.Logs, v.Problems)
+		t.Fatalf("unaltered journal: logs %+v, problems %v", v.Logs, v.Problems)
 	}
 	for what, damage := range segmentFaults {
 		d := fresh()
@@ -293,9 +290,9 @@
 		if v := d.view(); !v.Damaged() || len(v.Jobs) < 100 {
 			t.Errorf("%s: problems %v, %d jobs", what, v.Problems, len(v.Jobs))
 		}
-		d.open() // it continues all the same, and logs it
+		d.open() // the log can be continued and the damage is logged
 		if !strings.Contains(d.log.String(), "damaged") {
-			t.Errorf("%s: no line says so", what)
+			t.Errorf("%s: the damage was not logged", what)
 		}
 	}
 	d = fresh()
@@ -303,25 +300,25 @@
 	last, _ := d.disk.ReadFile(files[len(files)-1])
 	d.disk.WriteFile(files[len(files)-1], last[:len(last)-5])
 	if v := d.view(); v.Damaged() || v.Logs[0].Closed || len(v.Problems) != 1 {
-		t.Errorf("a torn tail: %+v, %v", v.Logs, v.Problems)
+		t.Errorf("torn tail: logs %+v, problems %v", v.Logs, v.Problems)
 	}
 }
 
-// Guards against two schedulers in one directory; the two processes of an upgrade have a
-// log each, and a reader finds the jobs of both.
-func TestLogs(t *testing.T) {
+// Guards against two schedulers in one directory. The two processes of an upgrade have a log each, and a reader finds the jobs of
+// both.
+func TestLogPerProcess(t *testing.T) {
 	d := newSteppedStore(t, 8<<20, nil)
 	other := d.opt
 	other.Owner = store.Owner{PID: 2, Name: "b"}
 	if _, err := store.OpenStepped(other); !errors.Is(err, store.ErrLocked) || !strings.Contains(err.Error(), `"a"`) {
-		t.Errorf("another scheduler: %v", err)
+		t.Errorf("second scheduler: error %v, want ErrLocked with the owner's name", err)
 	}
 	other.Owner = store.Owner{PID: 2, Name: "a"}
 	second, err := store.OpenStepped(other)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, _ := d.begin("same") // one id at both, within moments
+	first, _ := d.begin("same") // the same ID in both logs
 	d.end(first)
 	d.step()
 	s := d.s
@@ -335,22 +332,22 @@
 	s.ShutDown()
 	d.s.ShutDown()
 	d.opt.Owner = store.Owner{PID: 3, Name: "b"}
-	d.open() // free again
+	d.open() // the lock was released
 }
 
-// Guards against records that cannot be read any more: a missing key is not replaced by a new one, and
-// one that others may read is rejected.
+// Guards against unreadable records: a missing key file of a journal with records is not replaced, and a key file that is accessible
+// to others is rejected.
 func TestKeyFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
-	if _, err := store.MakeKey(path, true); !errors.Is(err, os.ErrNotExist) || !strings.Contains(err.Error(), "put it back") {
-		t.Errorf("missing for a journal with records: %v", err)
+	if _, err := store.LoadOrCreateKey(path, true); !errors.Is(err, os.ErrNotExist) || !strings.Contains(err.Error(), "put it back") {
+		t.Errorf("missing key of a journal with records: error %v", err)
 	}
-	made, err := store.MakeKey(path, false)
+	made, err := store.LoadOrCreateKey(path, false)
 	if err != nil || len(made) < journal.MinKeySize {
-		t.Fatalf("%d bytes, %v", len(made), err)
+		t.Fatalf("created a key of %d bytes, error %v", len(made), err)
 	}
-	if again, err := store.MakeKey(path, true); err != nil || !bytes.Equal(made, again) {
-		t.Errorf("read again: %v", err)
+	if again, err := store.LoadOrCreateKey(path, true); err != nil || !bytes.Equal(made, again) {
+		t.Errorf("reading the created key: error %v", err)
 	}
 	if info, _ := os.Stat(path); info.Mode().Perm() != 0o600 {
 		t.Errorf("mode %v", info.Mode())
@@ -359,11 +356,11 @@
 		t.Fatal(err)
 	}
 	if _, err := store.ReadKey(path); err == nil || !strings.Contains(err.Error(), "chmod 600") {
-		t.Errorf("readable by all: %v", err)
+		t.Errorf("key file readable by others: error %v", err)
 	}
 }
 
-// Guards against a key that is truncated or malformed, and against one that an error shows.
+// Truncated and malformed keys are rejected, by an error that does not reveal the file's contents.
 func TestBadKeyFiles(t *testing.T) {
 	for _, bad := range []string{"", "zz", "00ff", strings.Repeat("0", 63)} {
 		p := filepath.Join(t.TempDir(), "key")
@@ -371,31 +368,31 @@
 			t.Fatal(err)
 		}
 		if _, err := store.ReadKey(p); err == nil || bad != "" && strings.Contains(err.Error(), bad) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("key file %q: error %v", bad, err)
 		}
 	}
 }
 
-// Guards against a journal that is read or written with another key than its own, and against a key in the log.
-func TestAnotherKey(t *testing.T) {
+// Guards against reading or writing a journal with a wrong key, and against a key in the log output.
+func TestWrongKey(t *testing.T) {
 	d := newSteppedStore(t, 1<<20, nil)
 	d.begin("j")
 	d.step()
 	wrong := bytes.Repeat([]byte{1}, 32)
 	if _, err := store.Read(d.disk, "j", wrong, ""); !errors.Is(err, journal.ErrKey) {
-		t.Errorf("another key: %v", err)
+		t.Errorf("read with a wrong key: error %v, want ErrKey", err)
 	}
 	d.disk = d.disk.Kill()
 	d.opt.FS, d.opt.Secret = d.disk, wrong
 	if _, err := store.OpenStepped(d.opt); !errors.Is(err, journal.ErrKey) {
-		t.Errorf("opened with another key: %v", err)
+		t.Errorf("opened with a wrong key: error %v, want ErrKey", err)
 	}
 	if strings.Contains(d.log.String(), hex.EncodeToString(secret)) {
-		t.Error("the key is in the log")
+		t.Error("the log output contains the key")
 	}
 }
 
-// putIntents puts so many jobs with an intent each, and waits until those are durable.
+// putIntents puts n jobs with an intent each, and waits until the intents are durable.
 func putIntents(t *testing.T, s *store.Store, n int) {
 	t.Helper()
 	done := make(chan error, n)
@@ -412,8 +409,8 @@
 	}
 }
 
-// Guards Read of one id, which finds it as a reading of all does, also on a real disk that is
-// written meanwhile, and the record of a graceful end.
+// Read with an ID finds the same job as a complete read, also while a real disk is being written, and a graceful shutdown is
+// recorded.
 func TestReadOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	s, err := store.Open(store.Options{Dir: dir, Secret: secret, Sync: true, MaxBytes: 64 << 20, ReservedBytes: 1 << 20})
@@ -426,19 +423,19 @@
 		t.Fatalf("%+v, %v", v, err)
 	}
 	if n, err := s.Decide("job-77", journal.Ran, "ann", "why"); n != 0 || !errors.Is(err, store.ErrNothingToDecide) {
-		t.Errorf("an open job was settled: %d, %v", n, err)
+		t.Errorf("decided %d open jobs, error %v; want ErrNothingToDecide", n, err)
 	}
 	s.Close()
 	if v, err = store.Read(store.OS{}, dir, secret, ""); err != nil || len(v.Jobs) != 300 || !v.Logs[0].Closed || v.Logs[0].Live {
 		t.Fatalf("%d jobs, %+v, %v", len(v.Jobs), v.Logs, err)
 	}
 	if !slices.IsSortedFunc(v.Jobs, func(a, b store.Found) int { return int(a.AcceptedAt - b.AcceptedAt) }) {
-		t.Error("not by their time")
+		t.Error("the jobs are not sorted by time of acceptance")
 	}
 }
 
-// A file that a failed write ends while a sync of it is in flight is one failure, and none after the next file has been written.
-func TestSyncOfAnAbandonedFileIsNoFailure(t *testing.T) {
+// A sync that is in flight when a failed write abandons its file does not count as another failure.
+func TestSyncOfAbandonedFileIsNotCounted(t *testing.T) {
 	d := newSteppedStore(t, 1<<20, func(o *store.Options) { o.ReservedBytes = 0 })
 	_, first := d.begin("first")
 	d.step()
@@ -460,20 +457,20 @@
 	call()
 	d.s.FinishCall()
 	if got := d.s.Stats().Failures; got != failures {
-		t.Errorf("%d failures, %d before the sync of the abandoned file ended", got, failures)
+		t.Errorf("%d failures, want %d as before the sync of the abandoned file ended", got, failures)
 	}
 	if first() != nil || second() != nil || fourth() != nil {
-		t.Errorf("intents: %v, %v, %v", first(), second(), fourth())
+		t.Errorf("errors of the intents: %v, %v, %v", first(), second(), fourth())
 	}
 	if n := strings.Count(d.log.String(), "the journal cannot be written"); n != 1 {
-		t.Errorf("%d failures are logged:\n%s", n, d.log.String())
+		t.Errorf("%d failures were logged, want 1:\n%s", n, d.log.String())
 	}
 }
 
-// A key's file that cannot be read is told as that, and not as a key that is too short.
+// A key file that cannot be read is reported as such, and not as a key that is too short.
 func TestUnreadableKey(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "key")
-	if err := os.Mkdir(dir, 0o700); err != nil { // it can be opened, and not read
+	if err := os.Mkdir(dir, 0o700); err != nil { // a directory can be opened but not read
 		t.Fatal(err)
 	}
 	if _, err := store.ReadKey(dir); !errors.Is(err, syscall.EISDIR) || strings.Contains(err.Error(), "digits") {
--- a/internal/journal/store/stored_data_test.go
+++ b/internal/journal/store/stored_data_test.go
@@ -15,27 +15,27 @@
 	"sedgevale/internal/journal/store"
 )
 
-var updateStored = flag.Bool("update", false, "write the stored journal anew")
+var updateStored = flag.Bool("update", false, "rewrite the stored journal")
 
 const storedJournal = "testdata/journal"
 
-// storedOptions are those under which the stored journal was written, with segments that are as short as possible.
+// storedOptions returns the options with which the stored journal was written, with segments of minimal size.
 func storedOptions(dir string, pid int, now func() time.Time) store.Options {
 	return store.Options{
 		Dir: dir, Secret: secret, Sync: true, Retention: time.Hour, SegmentBytes: 600, Now: now, Owner: store.Owner{PID: pid, Name: "n0", Ops: "127.0.0.1:9"},
 	}
 }
 
-// writer puts records of jobs into a store.
-type writer struct {
+// recordWriter writes records of jobs to a store.
+type recordWriter struct {
 	t   *testing.T
 	s   *store.Store
 	now time.Time
 }
 
-func newWriter(t *testing.T, dir string, pid int, now time.Time) *writer {
+func newRecordWriter(t *testing.T, dir string, pid int, now time.Time) *recordWriter {
 	t.Helper()
-	w := &writer{t: t, now: now}
+	w := &recordWriter{t: t, now: now}
 	var err error
 	if w.s, err = store.OpenStepped(storedOptions(dir, pid, func() time.Time { return w.now })); err != nil {
 		t.Fatal(err)
@@ -43,8 +43,8 @@
 	return w
 }
 
-// put hands records in, a millisecond apart, and has them made durable.
-func (w *writer) put(records ...journal.Record) {
+// put puts records a millisecond apart and makes them durable.
+func (w *recordWriter) put(records ...journal.Record) {
 	for _, r := range records {
 		w.now = w.now.Add(time.Millisecond)
 		r.At = w.now.UnixMicro()
@@ -59,8 +59,8 @@
 	w.s.Maintain()
 }
 
-// begin puts that a job was taken and is about to go to a worker.
-func (w *writer) begin(id string) uint64 {
+// begin puts the acceptance and intent of a job.
+func (w *recordWriter) begin(id string) uint64 {
 	serial := w.s.Serial()
 	digest := sha256.Sum256([]byte(id))
 	w.put(
@@ -70,10 +70,10 @@
 	return serial
 }
 
-// writeStored writes a journal of two processes: one that ended in order after it dropped old segments, and one that died.
+// writeStored writes a journal of two processes: one that shut down gracefully after it dropped old segments, and one that died.
 func writeStored(t *testing.T, dir string) {
 	t.Helper()
-	w := newWriter(t, dir, 1, time.UnixMicro(1_700_000_000_000_000))
+	w := newRecordWriter(t, dir, 1, time.UnixMicro(1_700_000_000_000_000))
 	finish := func(serial uint64) {
 		w.put(
 			journal.Record{Kind: journal.Sent, Serial: serial}, journal.Record{Kind: journal.Started, Serial: serial},
@@ -109,7 +109,7 @@
 	w.s.Maintain()
 	w.s.ShutDown()
 
-	w = newWriter(t, dir, 2, w.now.Add(time.Second))
+	w = newRecordWriter(t, dir, 2, w.now.Add(time.Second))
 	finish(w.begin("finished-2"))
 	w.begin("open-intent")
 	started := w.begin("open-started")
@@ -119,7 +119,7 @@
 	w.s.Unlock()
 }
 
-// describeJob writes all that is known of a job.
+// describeJob formats all fields of a job.
 func describeJob(j store.Found) string {
 	var text strings.Builder
 	verdict, reason, workers := j.Verdict()
@@ -148,7 +148,7 @@
 	return text.String()
 }
 
-// checkText compares a text with a file under testdata, which -update writes.
+// checkText compares a text with a file in testdata, which -update rewrites.
 func checkText(t *testing.T, got, path string) {
 	t.Helper()
 	if *updateStored {
@@ -158,11 +158,11 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || got != string(want) {
-		t.Errorf("error %v; the journal says\n%s\nwant\n%s", err, got, want)
+		t.Errorf("error %v; the journal contains\n%s\nwant\n%s", err, got, want)
 	}
 }
 
-// A journal that an earlier release wrote is read completely: its finished, open, unknown and settled jobs, with their times.
+// A journal written by an earlier release is read completely: its finished, open, unknown and settled jobs with their times.
 func TestStoredJournalIsRead(t *testing.T) {
 	if *updateStored {
 		if err := os.RemoveAll(storedJournal); err != nil {
@@ -175,12 +175,12 @@
 		t.Fatal(err)
 	}
 	if view.Damaged() {
-		t.Errorf("it counts as damaged: %v", view.Problems)
+		t.Errorf("the stored journal is reported as damaged: %v", view.Problems)
 	}
 	checkText(t, describeView(view), "testdata/dead.txt")
 	one, err := store.Read(store.OS{}, storedJournal, secret, "lost")
 	if err != nil || len(one.Jobs) != 1 || one.Jobs[0].Reason != "the connection broke" {
-		t.Errorf("one job is read as %+v, error %v", one, err)
+		t.Errorf("read of one job: %+v, error %v", one, err)
 	}
 }
 
@@ -193,8 +193,8 @@
 	return dir
 }
 
-// As long as its process lives, the jobs of a log are open.
-func TestStoredJournalOfALivingProcess(t *testing.T) {
+// The jobs of a log are open while its process runs.
+func TestStoredJournalOfRunningProcess(t *testing.T) {
 	dir := copyStored(t)
 	lock, _, err := store.OS{}.Lock(filepath.Join(dir, "lane-0", "lock"), `{"pid":2,"name":"n0","ops":"127.0.0.1:9"}`)
 	if err != nil {
@@ -210,32 +210,32 @@
 		t.Fatal(err)
 	}
 	if want := (store.Owner{PID: 2, Name: "n0", Ops: "127.0.0.1:9"}); view.Logs[0].Owner != want {
-		t.Errorf("the log is of %+v, want %+v", view.Logs[0].Owner, want)
+		t.Errorf("owner of the log %+v, want %+v", view.Logs[0].Owner, want)
 	}
 	checkText(t, describeView(view), "testdata/live.txt")
 }
 
-// The next process goes on after what is there: serials rise on, jobs that are not known wait for a verdict, and one of
-// them takes it.
-func TestStoredJournalGoesOn(t *testing.T) {
+// The next process continues the stored journal: serials continue, unresolved jobs wait for a verdict, and an operator's verdict
+// is recorded.
+func TestStoredJournalContinued(t *testing.T) {
 	dir := copyStored(t)
-	w := newWriter(t, dir, 3, time.UnixMicro(1_700_007_300_000_000))
+	w := newRecordWriter(t, dir, 3, time.UnixMicro(1_700_007_300_000_000))
 	if got := w.s.UnresolvedJobs(); got != 3 {
-		t.Errorf("%d jobs wait for a verdict, want 3", got)
+		t.Errorf("%d unresolved jobs, want 3", got)
 	}
 	if got := w.s.Serial(); got != 13 {
 		t.Errorf("the next serial is %d, want 13", got)
 	}
 	w.s.ShutDown()
 	if n, err := store.DecideUnowned(storedOptions(dir, 4, time.Now), "lost", journal.DidNotRun, "bob", "asked"); n != 1 || err != nil {
-		t.Errorf("%d jobs settled, error %v", n, err)
+		t.Errorf("decided %d jobs, error %v", n, err)
 	}
 	view, err := store.Read(store.OS{}, dir, secret, "")
 	if err != nil || view.Damaged() {
-		t.Fatalf("damaged: %v, error %v", view, err)
+		t.Fatalf("view %v, error %v; want no damage", view, err)
 	}
 	i := slices.IndexFunc(view.Jobs, func(j store.Found) bool { return j.ID == "lost" })
 	if i < 0 || view.Jobs[i].DecidedAs != journal.DidNotRun || view.Jobs[i].DecidedBy != "bob" {
-		t.Errorf("the verdict is not there: %s", describeView(view))
+		t.Errorf("the operator's verdict is missing: %s", describeView(view))
 	}
 }
