--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -48,11 +48,11 @@
 	Kind       Kind
 	Serial     uint64 // number of the job, unique in a log, whereas a job ID may be reused
 	At         int64  // Unix time in microseconds by the scheduler's clock
-	JobID      string // the Request-Id; Accepted, Intent, Decided
-	Attempt    int    // counted from 0; Intent, Sent, Started, Ended
-	Worker     string // Intent
-	Class      string // Accepted
-	Tenant     string // Accepted
+	JobID      string // Accepted, Intent, Decided: the Request-Id
+	Attempt    int    // Intent, Sent, Started, Ended: number of the attempt, counted from 0
+	Worker     string // Intent: name of the worker
+	Class      string // Accepted: name of the class
+	Tenant     string // Accepted: name of the tenant
 	Target     string // Accepted: path and query of the request
 	Size       int    // Accepted: size of the body in bytes
 	Digest     []byte // Accepted: the first 16 bytes of the body's SHA-256
@@ -60,8 +60,8 @@
 	NeverRan   bool   // Ended: the attempt is known never to have run
 	Text       string // Answered and Decided: the reason
 	Operator   string // Decided: the operator
-	Count      uint64 // Pruned, RecordsLost
-	CarriedJob *Job   // CarriedOver
+	Count      uint64 // Pruned: last dropped sequence number; RecordsLost: number of records
+	CarriedJob *Job   // CarriedOver: the job
 }
 
 // AnswerKind is the kind of the final answer to a client. The numbers are part of the format.
--- a/internal/journal/store/powerfailure_test.go
+++ b/internal/journal/store/powerfailure_test.go
@@ -96,31 +96,31 @@
 		return
 	}
 	sim.jobs++
-	f := &attempt{id: fmt.Sprintf("job-%d", sim.jobs), worker: fmt.Sprintf("box-%d", sim.rand.IntN(3)), serial: sim.store.Serial()}
-	sim.store.Put(journal.Record{Kind: journal.Accepted, Serial: f.serial, At: sim.now.UnixMicro(), JobID: f.id, Class: "once"}, nil)
-	sim.send(f)
+	a := &attempt{id: fmt.Sprintf("job-%d", sim.jobs), worker: fmt.Sprintf("box-%d", sim.rand.IntN(3)), serial: sim.store.Serial()}
+	sim.store.Put(journal.Record{Kind: journal.Accepted, Serial: a.serial, At: sim.now.UnixMicro(), JobID: a.id, Class: "once"}, nil)
+	sim.send(a)
 }
 
 // send puts an attempt's intent, and sends the attempt once the intent is durable.
-func (sim *simulation) send(f *attempt) {
+func (sim *simulation) send(a *attempt) {
 	begin := func(err error) {
 		if err != nil {
-			if f.number > 0 {
-				sim.putNeverRan(f, journal.OutcomeNotSent)
+			if a.number > 0 {
+				sim.putNeverRan(a, journal.OutcomeNotSent)
 			}
-			sim.put(f, journal.Answered, uint8(journal.Rejected))
+			sim.put(a, journal.Answered, uint8(journal.Rejected))
 			return
 		}
-		if f.rejected = f.number+1 < journal.MaxAttempts && sim.rand.IntN(3) == 0; f.rejected {
-			sim.inFlight = append(sim.inFlight, f)
+		if a.rejected = a.number+1 < journal.MaxAttempts && sim.rand.IntN(3) == 0; a.rejected {
+			sim.inFlight = append(sim.inFlight, a)
 			return
 		}
-		f.started = true
-		sim.runLog.Begin(f.id, "once", f.worker, time.Now())
-		sim.put(f, journal.Sent, 0)
-		sim.inFlight = append(sim.inFlight, f)
+		a.started = true
+		sim.runLog.Begin(a.id, "once", a.worker, time.Now())
+		sim.put(a, journal.Sent, 0)
+		sim.inFlight = append(sim.inFlight, a)
 	}
-	intent := journal.Record{Kind: journal.Intent, Serial: f.serial, At: sim.now.UnixMicro(), JobID: f.id, Worker: f.worker, Attempt: f.number}
+	intent := journal.Record{Kind: journal.Intent, Serial: a.serial, At: sim.now.UnixMicro(), JobID: a.id, Worker: a.worker, Attempt: a.number}
 	if sim.sendEarly {
 		begin(nil)
 		sim.store.Put(intent, nil)
@@ -129,12 +129,12 @@
 	sim.store.Put(intent, begin)
 }
 
-func (sim *simulation) put(f *attempt, kind journal.Kind, code uint8) {
-	sim.store.Put(journal.Record{Kind: kind, Serial: f.serial, At: sim.now.UnixMicro(), Attempt: f.number, Code: code}, nil)
+func (sim *simulation) put(a *attempt, kind journal.Kind, code uint8) {
+	sim.store.Put(journal.Record{Kind: kind, Serial: a.serial, At: sim.now.UnixMicro(), Attempt: a.number, Code: code}, nil)
 }
 
-func (sim *simulation) putNeverRan(f *attempt, outcome journal.Outcome) {
-	sim.store.Put(journal.Record{Kind: journal.Ended, Serial: f.serial, At: sim.now.UnixMicro(), Attempt: f.number, Code: uint8(outcome),
+func (sim *simulation) putNeverRan(a *attempt, outcome journal.Outcome) {
+	sim.store.Put(journal.Record{Kind: journal.Ended, Serial: a.serial, At: sim.now.UnixMicro(), Attempt: a.number, Code: uint8(outcome),
 		NeverRan: true}, nil)
 }
 
@@ -144,35 +144,35 @@
 		return
 	}
 	i := sim.rand.IntN(len(sim.inFlight))
-	f := sim.inFlight[i]
+	a := sim.inFlight[i]
 	sim.inFlight = append(sim.inFlight[:i], sim.inFlight[i+1:]...)
-	if f.rejected {
-		sim.retry(f)
+	if a.rejected {
+		sim.retry(a)
 		return
 	}
 	switch sim.rand.IntN(8) {
 	case 0:
-		sim.put(f, journal.Ended, uint8(journal.OutcomeTimedOut))
-		sim.put(f, journal.Answered, uint8(journal.Failed))
+		sim.put(a, journal.Ended, uint8(journal.OutcomeTimedOut))
+		sim.put(a, journal.Answered, uint8(journal.Failed))
 	case 1:
-		sim.put(f, journal.Started, 0)
-		sim.inFlight = append(sim.inFlight, f)
+		sim.put(a, journal.Started, 0)
+		sim.inFlight = append(sim.inFlight, a)
 	default:
-		sim.runLog.Finish(f.id, f.worker)
-		sim.put(f, journal.Ended, uint8(journal.OutcomeServed))
-		sim.put(f, journal.Answered, uint8(journal.Served))
-		sim.answered[f.id] = true
+		sim.runLog.Finish(a.id, a.worker)
+		sim.put(a, journal.Ended, uint8(journal.OutcomeServed))
+		sim.put(a, journal.Answered, uint8(journal.Served))
+		sim.answered[a.id] = true
 	}
 }
 
 // retry ends a rejected attempt, and sends the next attempt or fails the job.
-func (sim *simulation) retry(f *attempt) {
-	sim.putNeverRan(f, journal.OutcomeRejected)
+func (sim *simulation) retry(a *attempt) {
+	sim.putNeverRan(a, journal.OutcomeRejected)
 	if sim.rand.IntN(4) == 0 {
-		sim.put(f, journal.Answered, uint8(journal.Failed))
+		sim.put(a, journal.Answered, uint8(journal.Failed))
 		return
 	}
-	sim.send(&attempt{id: f.id, worker: fmt.Sprintf("box-%d", sim.rand.IntN(3)), serial: f.serial, number: f.number + 1})
+	sim.send(&attempt{id: a.id, worker: fmt.Sprintf("box-%d", sim.rand.IntN(3)), serial: a.serial, number: a.number + 1})
 }
 
 // changeFaults randomly changes one fault of the disk or clears all.
@@ -242,9 +242,9 @@
 	for seed := range *powerSeeds {
 		violations, n, u := simulate(t, uint64(seed), false)
 		jobs, unknown = jobs+n, unknown+u
-		for _, b := range violations {
+		for _, violation := range violations {
 			if violationCount++; violationCount <= 10 {
-				t.Errorf("seed %d: %s", seed, b)
+				t.Errorf("seed %d: %s", seed, violation)
 			}
 		}
 	}
--- a/internal/journal/store/query.go
+++ b/internal/journal/store/query.go
@@ -211,8 +211,8 @@
 	}
 	var busy *BusyError
 	for _, dir := range all {
-		k, err := decideInLog(o, dir, key, id, v, by, why)
-		if n += k; err != nil && !errors.As(err, &busy) {
+		decided, err := decideInLog(o, dir, key, id, v, by, why)
+		if n += decided; err != nil && !errors.As(err, &busy) {
 			return n, fmt.Errorf("journal %s: %w", dir, err)
 		}
 	}
--- a/internal/journal/store/replay.go
+++ b/internal/journal/store/replay.go
@@ -58,15 +58,15 @@
 	problems        []Problem
 	highestNumber   uint64 // highest number of any segment file, valid or not
 	records         uint64
-	lastSequence    uint64      // sequence number of the last valid record
-	lastMAC         journal.MAC // MAC of that record
-	runID           [16]byte    // ID of the process that wrote the last valid record
-	prunedThrough   uint64      // last sequence number that retention has dropped
-	obsoleteFiles   []string    // files to remove: dropped by retention or never completed
-	durableSequence uint64      // sequence number of the last record known to be durable
-	durableMAC      journal.MAC // MAC of that record
-	unsynced        []journal.Record
-	closed          bool // the log ends with a CleanShutdown record
+	lastSequence    uint64           // sequence number of the last valid record
+	lastMAC         journal.MAC      // MAC of that record
+	runID           [16]byte         // ID of the process that wrote the last valid record
+	prunedThrough   uint64           // last sequence number that retention has dropped
+	obsoleteFiles   []string         // files to remove: dropped by retention or never completed
+	durableSequence uint64           // sequence number of the last record known to be durable
+	durableMAC      journal.MAC      // MAC of that record
+	unsynced        []journal.Record // records after the last durable one
+	closed          bool             // the log ends with a CleanShutdown record
 }
 
 // visitor receives the contents of a log in their order. All functions except record may be nil.
--- a/internal/journal/store/segmentlog.go
+++ b/internal/journal/store/segmentlog.go
@@ -33,11 +33,11 @@
 	lastSequence  uint64      // sequence number of the last record
 	lastRecordAt  int64       // latest time of a record in file, in Unix microseconds
 
-	durableMAC         journal.MAC // MAC of the last record known to be durable
-	durableSequence    uint64      // sequence number of that record
-	unsynced           []journal.Record
-	syncInFlight       *syncPoint // state that the sync in flight makes durable; nil: none
-	unsyncedOfPriorRun bool       // the preceding process, with priorRunID, wrote the records in unsynced
+	durableMAC         journal.MAC      // MAC of the last record known to be durable
+	durableSequence    uint64           // sequence number of that record
+	unsynced           []journal.Record // records after the last durable one
+	syncInFlight       *syncPoint       // state that the sync in flight makes durable; nil: none
+	unsyncedOfPriorRun bool             // the preceding process, with priorRunID, wrote the records in unsynced
 	priorRunID         [16]byte
 
 	table         *journal.JobTable    // jobs that are open or wait for an operator's verdict
--- a/internal/journal/store/store.go
+++ b/internal/journal/store/store.go
@@ -36,7 +36,7 @@
 type Owner struct {
 	PID  int    `json:"pid"`
 	Name string `json:"name"`          // name of the scheduler, shared by the two processes of an upgrade
-	Ops  string `json:"ops,omitempty"` // address of its operations API; empty: none
+	Ops  string `json:"ops,omitempty"` // address of its operators' API; empty: none
 }
 
 func (o Owner) String() string { return fmt.Sprintf("scheduler %q (process %d)", o.Name, o.PID) }
--- a/internal/journal/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -22,20 +22,20 @@
 
 // steppedStore is a Store on an in-memory disk whose steps the test runs.
 type steppedStore struct {
-	t    *testing.T
-	disk *fake.Disk
-	s    *store.Store
-	now  time.Time
-	log  bytes.Buffer
-	opt  store.Options
+	t       *testing.T
+	disk    *fake.Disk
+	s       *store.Store
+	now     time.Time
+	log     bytes.Buffer
+	options store.Options
 }
 
 func newSteppedStore(t *testing.T, capacity int64, change func(*store.Options)) *steppedStore {
 	d := &steppedStore{t: t, disk: fake.NewDisk(1, capacity), now: time.UnixMicro(1e15)}
-	d.opt = store.Options{FS: d.disk, Dir: "j", Secret: secret, Sync: true, Retention: time.Hour, ReservedBytes: 4 << 10, SegmentBytes: 4 << 10,
+	d.options = store.Options{FS: d.disk, Dir: "j", Secret: secret, Sync: true, Retention: time.Hour, ReservedBytes: 4 << 10, SegmentBytes: 4 << 10,
 		Owner: store.Owner{PID: 1, Name: "a"}, Now: func() time.Time { return d.now }, Log: slog.New(slog.NewTextHandler(&d.log, nil))}
 	if change != nil {
-		change(&d.opt)
+		change(&d.options)
 	}
 	d.open()
 	return d
@@ -43,9 +43,9 @@
 
 func (d *steppedStore) open() {
 	d.t.Helper()
-	d.opt.FS = d.disk
+	d.options.FS = d.disk
 	var err error
-	if d.s, err = store.OpenStepped(d.opt); err != nil {
+	if d.s, err = store.OpenStepped(d.options); err != nil {
 		d.t.Fatal(err)
 	}
 }
@@ -193,9 +193,9 @@
 // stays bounded, and dropped records are not reported as damage.
 func TestRetention(t *testing.T) {
 	d := newSteppedStore(t, 8<<20, func(o *store.Options) { o.Retention, o.MaxBytes = time.Minute, 1<<20 })
-	doubt, _ := d.begin("doubt")
-	d.s.Put(journal.Record{Kind: journal.Ended, Serial: doubt, At: 1, Code: uint8(journal.OutcomeConnectionLost)}, nil)
-	d.s.Put(journal.Record{Kind: journal.Answered, Serial: doubt, At: 1, Code: uint8(journal.Failed)}, nil)
+	unresolved, _ := d.begin("unresolved")
+	d.s.Put(journal.Record{Kind: journal.Ended, Serial: unresolved, At: 1, Code: uint8(journal.OutcomeConnectionLost)}, nil)
+	d.s.Put(journal.Record{Kind: journal.Answered, Serial: unresolved, At: 1, Code: uint8(journal.Failed)}, nil)
 	open, _ := d.begin("open")
 	for i := range 2000 {
 		serial, _ := d.begin(fmt.Sprint("many-", i))
@@ -213,7 +213,7 @@
 	if len(v.Jobs) > 60 || v.Damaged() {
 		t.Errorf("%d jobs remain, problems %v", len(v.Jobs), v.Problems)
 	}
-	if a, b := d.verdict("doubt"), d.verdict("open"); a != "unknown" || b == "absent" {
+	if a, b := d.verdict("unresolved"), d.verdict("open"); a != "unknown" || b == "absent" {
 		t.Errorf("verdict of the unresolved job %s, want unknown; of the open job %s, want it present", a, b)
 	}
 	d.end(open)
@@ -222,14 +222,14 @@
 		t.Errorf("verdict of the carried-over job after its end: %s, want ran", got)
 	}
 	d.s.ShutDown()
-	n, err := store.DecideUnowned(d.opt, "doubt", journal.Ran, "ann", "seen on the box")
+	n, err := store.DecideUnowned(d.options, "unresolved", journal.Ran, "ann", "seen on the box")
 	if n != 1 || err != nil {
 		t.Fatalf("decided %d jobs, error %v", n, err)
 	}
-	if got := d.verdict("doubt"); got != "ran" {
+	if got := d.verdict("unresolved"); got != "ran" {
 		t.Errorf("verdict after the operator's decision: %s, want ran", got)
 	}
-	if _, err := store.DecideUnowned(d.opt, "doubt", journal.Ran, "ann", "again"); !errors.Is(err, store.ErrNothingToDecide) {
+	if _, err := store.DecideUnowned(d.options, "unresolved", journal.Ran, "ann", "again"); !errors.Is(err, store.ErrNothingToDecide) {
 		t.Errorf("second decision: error %v, want ErrNothingToDecide", err)
 	}
 	d.open()
@@ -308,7 +308,7 @@
 // both.
 func TestLogPerProcess(t *testing.T) {
 	d := newSteppedStore(t, 8<<20, nil)
-	other := d.opt
+	other := d.options
 	other.Owner = store.Owner{PID: 2, Name: "b"}
 	if _, err := store.OpenStepped(other); !errors.Is(err, store.ErrLocked) || !strings.Contains(err.Error(), `"a"`) {
 		t.Errorf("second scheduler: error %v, want ErrLocked with the owner's name", err)
@@ -331,7 +331,7 @@
 	}
 	s.ShutDown()
 	d.s.ShutDown()
-	d.opt.Owner = store.Owner{PID: 3, Name: "b"}
+	d.options.Owner = store.Owner{PID: 3, Name: "b"}
 	d.open() // the lock was released
 }
 
@@ -383,8 +383,8 @@
 		t.Errorf("read with a wrong key: error %v, want ErrKey", err)
 	}
 	d.disk = d.disk.Kill()
-	d.opt.FS, d.opt.Secret = d.disk, wrong
-	if _, err := store.OpenStepped(d.opt); !errors.Is(err, journal.ErrKey) {
+	d.options.FS, d.options.Secret = d.disk, wrong
+	if _, err := store.OpenStepped(d.options); !errors.Is(err, journal.ErrKey) {
 		t.Errorf("opened with a wrong key: error %v, want ErrKey", err)
 	}
 	if strings.Contains(d.log.String(), hex.EncodeToString(secret)) {
