--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,6 +1,7 @@
-// Package wire implements zinc-4b3b, the text protocol of the simulator that scores the
-// decision module (cmd/benchlink): batches of events in, replies with actions out. Its
-// keywords are the protocol's; the package's names are those of the decision module.
+// Package wire reads and writes zinc-4b3b, the line-based text protocol between cmd/benchlink and
+// the simulator that scores the decision module: a Reader parses batches of events, a Writer
+// encodes replies with actions. The keywords are the protocol's; identifiers follow the decision
+// module (package dispatcher).
 package wire
 
 import (
@@ -15,12 +16,12 @@
 	"sedgevale/dispatcher"
 )
 
-// Kind says what an Event is.
-type Kind uint8
+// EventKind is the kind of an Event.
+type EventKind uint8
 
 // The kinds of events.
 const (
-	InstanceStarted Kind = iota + 1
+	InstanceStarted EventKind = iota + 1
 	InstanceKilled
 	WorkersUpdated
 	RequestArrived
@@ -33,10 +34,10 @@
 	PeerMessage
 )
 
-// Event is one event for one instance of the decision module. Only the fields of its
-// kind are set. Entries and Report are reused by the next event.
+// Event is an event for one instance of the decision module. Only the fields of its
+// kind are set. The memory of Entries and Result.Report is reused by the next event.
 type Event struct {
-	Kind     Kind
+	Kind     EventKind
 	Instance string
 	Now      time.Duration
 
@@ -45,14 +46,14 @@
 	ListKind dispatcher.UpdateKind    // WorkersUpdated
 	Entries  []dispatcher.WorkerInfo  // WorkersUpdated
 	Request  dispatcher.Request       // RequestArrived
-	Result   dispatcher.AttemptResult // AttemptEnded; ID and Attempt of all events of an attempt; Report of ProbeResult
+	Result   dispatcher.AttemptResult // AttemptEnded; other events of a request or attempt set ID and Attempt, ProbeResult sets Report
 	Worker   string                   // ProbeResult
-	Started  bool                     // AttemptNotice: the attempt has started, else it has progressed
-	Progress float64                  // AttemptNotice: share done, 0 to 1
+	Started  bool                     // AttemptNotice: true if the attempt has started, false if it has progressed
+	Progress float64                  // AttemptNotice: completed fraction of the attempt, 0 to 1
 	Token    uint64                   // TimerFired
 }
 
-// SyntaxError is a line that does not follow the protocol.
+// SyntaxError reports a line that violates the protocol.
 type SyntaxError struct {
 	Line string
 	What string
@@ -66,32 +67,32 @@
 	return fmt.Sprintf("%s in line %q", e.What, line)
 }
 
-// maxLists is how many numbered lists of workers there may be.
+// maxLists bounds the numbers of worker lists, which are below it.
 const maxLists = 16
 
-// Reader reads batches of events.
+// Reader parses batches of events.
 type Reader struct {
 	in       *bufio.Reader
-	longLine []byte // buffer of a line that is longer than in's
+	longLine []byte // holds a line that is longer than the buffer of in
 	line     []byte // the current line
-	rest     []byte // of it, what has not been read; nil: nothing is left
+	unread   []byte // the unread fields of line; nil at its end
 	now      time.Duration
 	instance string
-	names    map[string]string // instances and workers, interned
+	names    map[string]string // interned names of instances and workers
 	lists    [maxLists][]dispatcher.WorkerInfo
-	known    [maxLists]bool // lists that were sent
-	event    Event          // the last one, reused
+	received [maxLists]bool // numbers for which a list has been received
+	event    Event          // the event that NextEvent has returned last, reused
 	report   dispatcher.LoadReport
 }
 
-// NewReader returns a Reader on in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<18), names: map[string]string{}}
 }
 
-// Batch reads the line that opens a batch and returns the batch's number. The error is
-// io.EOF where the input has ended, or a [*SyntaxError].
-func (r *Reader) Batch() (seq string, err error) {
+// NextBatch reads the line that opens a batch and returns the batch's sequence number. The
+// error is io.EOF at the end of the input, or a [*SyntaxError].
+func (r *Reader) NextBatch() (seq string, err error) {
 	if err := r.readLine(); err != nil {
 		return "", err
 	}
@@ -99,21 +100,20 @@
 	if keyword := r.nextField(); string(keyword) != "MARK" {
 		return "", r.syntaxError("a batch must open with MARK")
 	}
-	now, err := r.seconds()
+	now, err := r.timeField()
 	if err != nil {
 		return "", err
 	}
-	if _, err := strconv.ParseUint(string(r.rest), 10, 64); err != nil {
+	if _, err := strconv.ParseUint(string(r.unread), 10, 64); err != nil {
 		return "", r.syntaxError("bad batch number")
 	}
 	r.now = now
-	return string(r.rest), nil
+	return string(r.unread), nil
 }
 
-// Next returns the batch's next event, or nil after its last. The event is valid until
-// the next call. The error may be a [*SyntaxError], after which [Reader.Skip] leads to
-// the next batch.
-func (r *Reader) Next() (*Event, error) {
+// NextEvent returns the next event of the batch, or nil after the last one. The event is valid
+// until the next call. After a [*SyntaxError], [Reader.SkipBatch] skips the rest of the batch.
+func (r *Reader) NextEvent() (*Event, error) {
 	for {
 		if err := r.readLine(); err != nil {
 			if errors.Is(err, io.EOF) {
@@ -125,7 +125,7 @@
 		case "GO":
 			return nil, r.endOfLine()
 		case "ABOUT":
-			name, err := r.text("instance")
+			name, err := r.requiredField("instance")
 			if err != nil {
 				return nil, err
 			}
@@ -149,11 +149,11 @@
 	}
 }
 
-// Instance returns the instance that the last line was about.
+// Instance returns the instance that the last ABOUT line of the batch has named.
 func (r *Reader) Instance() string { return r.instance }
 
-// Skip reads on to the end of the batch.
-func (r *Reader) Skip() error {
+// SkipBatch reads and discards the remaining lines of the batch.
+func (r *Reader) SkipBatch() error {
 	for !bytes.Equal(r.line, []byte("GO")) {
 		if err := r.readLine(); err != nil {
 			return err
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// parse reads the event of a line that begins with the keyword.
+// parse parses the event of a line after its keyword.
 func (r *Reader) parse(keyword string) error {
 	e := &r.event
 	entries := e.Entries
@@ -177,7 +177,7 @@
 		e.Kind, err = AttemptNotice, r.readNotice(e)
 	case "WAKE":
 		e.Kind = TimerFired
-		e.Token, err = r.unsigned("token")
+		e.Token, err = r.optionalUint("token")
 	case "MEMBERS":
 		e.Kind, err = WorkersUpdated, r.readUpdate(e)
 	case "HEADERS":
@@ -187,18 +187,18 @@
 		e.Result.ID, err = r.requestID()
 	case "BEGIN":
 		e.Kind = InstanceStarted
-		if e.Seed, err = r.seed(); err == nil {
-			if e.Settings, err = ParseSettings(string(r.rest)); err != nil {
+		if e.Seed, err = r.seedField(); err == nil {
+			if e.Settings, err = ParseSettings(string(r.unread)); err != nil {
 				err = r.syntaxError(err.Error())
 			}
-			r.rest = nil
+			r.unread = nil
 		}
 	case "KILL":
 		e.Kind = InstanceKilled
 	case "ECHO":
 		e.Kind, err = ProbeResult, r.readProbeResult(e)
 	case "MESSAGE":
-		e.Kind, err = PeerMessage, r.skip(2)
+		e.Kind, err = PeerMessage, r.skipFields(2)
 	default:
 		return r.syntaxError("unknown message")
 	}
@@ -212,32 +212,32 @@
 	if q.ID, err = r.requestID(); err != nil {
 		return err
 	}
-	if q.Class, err = r.index("class"); err != nil {
+	if q.Class, err = r.optionalIndex("class"); err != nil {
 		return err
 	}
 	tenant := r.nextField()
 	q.Tenant = -1
-	if !absent(tenant) {
-		if q.Tenant, err = r.number(tenant, "tenant"); err != nil {
+	if !isAbsent(tenant) {
+		if q.Tenant, err = r.parseNumber(tenant, "tenant"); err != nil {
 			return err
 		}
 	}
-	if key := r.nextField(); !absent(key) {
+	if key := r.nextField(); !isAbsent(key) {
 		q.AffinityKey = string(key)
 	}
-	if q.TimeLeft, err = r.seconds(); err != nil {
+	if q.TimeLeft, err = r.timeField(); err != nil {
 		return err
 	}
-	if q.RuntimeHint, err = r.seconds(); err != nil {
+	if q.RuntimeHint, err = r.timeField(); err != nil {
 		return err
 	}
-	if q.Slots, err = r.float("slots"); err != nil {
+	if q.Slots, err = r.optionalFloat("slots"); err != nil {
 		return err
 	}
-	if _, err = r.float("memory"); err != nil {
+	if _, err = r.optionalFloat("memory"); err != nil {
 		return err
 	}
-	flags, err := r.unsigned("flags")
+	flags, err := r.optionalUint("flags")
 	if err != nil {
 		return err
 	}
@@ -252,23 +252,23 @@
 	if a.ID, err = r.requestID(); err != nil {
 		return err
 	}
-	if a.Attempt, err = r.index("attempt"); err != nil {
+	if a.Attempt, err = r.optionalIndex("attempt"); err != nil {
 		return err
 	}
-	r.nextField() // the worker, which the attempt has
+	r.nextField() // the worker, which the attempt number implies
 	status := r.nextField()
 	o, ok := outcomes[string(status)]
 	if !ok {
 		return r.syntaxError("unknown outcome")
 	}
 	a.Outcome = o
-	if _, err = r.seconds(); err != nil {
+	if _, err = r.timeField(); err != nil {
 		return err
 	}
-	if a.Answered, err = r.bool(); err != nil {
+	if a.Answered, err = r.boolField(); err != nil {
 		return err
 	}
-	r.nextField() // family note
+	r.nextField() // a note that the decision module does not use
 	return r.readReport(a)
 }
 
@@ -280,7 +280,7 @@
 
 func (r *Reader) readReport(a *dispatcher.AttemptResult) error {
 	rest := r.nextField()
-	if absent(rest) {
+	if isAbsent(rest) {
 		return nil
 	}
 	r.report = dispatcher.LoadReport{}
@@ -314,21 +314,21 @@
 	if e.Result.ID, err = r.requestID(); err != nil {
 		return err
 	}
-	if e.Result.Attempt, err = r.index("attempt"); err != nil {
+	if e.Result.Attempt, err = r.optionalIndex("attempt"); err != nil {
 		return err
 	}
 	r.nextField() // the worker
-	note, err := r.unsigned("note")
+	note, err := r.optionalUint("note")
 	if err != nil {
 		return err
 	}
 	e.Started = note == 1
-	e.Progress, err = r.float("share done")
+	e.Progress, err = r.optionalFloat("share done")
 	return err
 }
 
 func (r *Reader) readProbeResult(e *Event) error {
-	name, err := r.text("worker")
+	name, err := r.requiredField("worker")
 	if err != nil {
 		return err
 	}
@@ -336,7 +336,7 @@
 	if _, ok := outcomes[string(r.nextField())]; !ok {
 		return r.syntaxError("unknown outcome")
 	}
-	if _, err := r.seconds(); err != nil {
+	if _, err := r.timeField(); err != nil {
 		return err
 	}
 	return r.readReport(&e.Result)
@@ -347,15 +347,15 @@
 		return err
 	}
 	r.nextField() // the worker
-	if e.Result.Attempt, err = r.index("attempt"); err != nil {
+	if e.Result.Attempt, err = r.optionalIndex("attempt"); err != nil {
 		return err
 	}
-	_, err = r.seconds()
+	_, err = r.timeField()
 	return err
 }
 
 func (r *Reader) readUpdate(e *Event) error {
-	if _, err := r.unsigned("version"); err != nil {
+	if _, err := r.optionalUint("version"); err != nil {
 		return err
 	}
 	slot := r.nextField()
@@ -372,11 +372,11 @@
 	default:
 		return r.syntaxError("unknown list mode")
 	}
-	n, err := r.number(slot, "list number")
+	n, err := r.parseNumber(slot, "list number")
 	if err != nil {
 		return err
 	}
-	if n >= maxLists || !r.known[n] {
+	if n >= maxLists || !r.received[n] {
 		return r.syntaxError("list number never sent")
 	}
 	e.Entries = r.lists[n]
@@ -385,11 +385,11 @@
 
 func (r *Reader) readList() error {
 	head := string(r.line)
-	n, err := r.index("list number")
+	n, err := r.optionalIndex("list number")
 	if err != nil {
 		return err
 	}
-	count, err := r.index("count of entries")
+	count, err := r.optionalIndex("count of entries")
 	if err != nil {
 		return err
 	}
@@ -413,23 +413,23 @@
 		}
 		rows = append(rows, w)
 	}
-	r.lists[n], r.known[n] = rows, true
+	r.lists[n], r.received[n] = rows, true
 	return nil
 }
 
 func (r *Reader) readWorker(w *dispatcher.WorkerInfo) (err error) {
-	name, err := r.text("worker")
+	name, err := r.requiredField("worker")
 	if err != nil {
 		return err
 	}
 	w.Worker = r.intern(name)
-	if w.Zone, err = r.index("zone"); err != nil {
+	if w.Zone, err = r.optionalIndex("zone"); err != nil {
 		return err
 	}
-	if w.Kind, err = r.index("kind"); err != nil {
+	if w.Kind, err = r.optionalIndex("kind"); err != nil {
 		return err
 	}
-	if w.Cell, err = r.index("group"); err != nil {
+	if w.Cell, err = r.optionalIndex("group"); err != nil {
 		return err
 	}
 	switch state := r.nextField(); string(state) {
@@ -442,10 +442,10 @@
 	default:
 		return r.syntaxError("unknown state")
 	}
-	if w.Weight, err = r.float("weight"); err != nil {
+	if w.Weight, err = r.optionalFloat("weight"); err != nil {
 		return err
 	}
-	if w.StartedAt, err = r.seconds(); err != nil {
+	if w.StartedAt, err = r.timeField(); err != nil {
 		return err
 	}
 	return r.endOfLine()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,8 +11,8 @@
 	"sedgevale/dispatcher"
 )
 
-// ParseSettings reads the path=value pairs of BEGIN. Unknown keys are skipped. The
-// error names the first setting that is wrong.
+// ParseSettings parses the path=value pairs of a BEGIN line. Unknown paths are ignored. The
+// error names the first invalid setting.
 func ParseSettings(info string) (dispatcher.Settings, error) {
 	p := settingsReader{values: map[string]string{}}
 	for _, pair := range strings.Fields(info) {
@@ -63,7 +63,7 @@
 	return s, p.err
 }
 
-// maxEntries bounds the classes and the tenants of a message.
+// maxEntries bounds the number of classes, and of tenants, in a BEGIN line.
 const maxEntries = 1 << 16
 
 func (p *settingsReader) classes(s *dispatcher.Settings) error {
@@ -81,8 +81,8 @@
 			LateValue:     p.float(at + "late_share"),
 			Streaming:     p.bool(at + "stream"),
 			TargetStretch: p.float(at + "aim_stretch"),
-			Kinds:         p.indexes(at+"runs_on", "kinds"),
-			Zones:         p.indexes(at+"runs_in", "zones"),
+			Kinds:         p.indexList(at+"runs_on", "kinds"),
+			Zones:         p.indexList(at+"runs_in", "zones"),
 		}
 		if _, ok := effects[p.values[at+"effect"]]; !ok {
 			return fmt.Errorf("unknown effect %q of class %d", p.values[at+"effect"], i)
@@ -108,15 +108,15 @@
 	"all": dispatcher.DedupAll, "zone": dispatcher.DedupZone, "cell": dispatcher.DedupCell,
 }
 
-// settingsReader looks settings up by their paths. It keeps the error of the first that
-// is malformed, and reads that as 0.
+// settingsReader looks up settings by their paths. A malformed value reads as 0, and err is
+// the error of the first one.
 type settingsReader struct {
 	values map[string]string
 	err    error
 }
 
-// fail keeps an error, unless there is one before.
-func (p *settingsReader) fail(err error) {
+// setError records an error unless an earlier one is recorded.
+func (p *settingsReader) setError(err error) {
 	if p.err == nil {
 		p.err = err
 	}
@@ -125,7 +125,7 @@
 func (p *settingsReader) parse(path, value string) float64 {
 	v, err := strconv.ParseFloat(value, 64)
 	if (err != nil || math.IsNaN(v) || v > maxSeconds || v < -maxSeconds) && p.err == nil {
-		p.fail(fmt.Errorf("setting %s=%s is no number", path, value))
+		p.setError(fmt.Errorf("setting %s=%s is no number", path, value))
 		return 0
 	}
 	return v
@@ -156,8 +156,8 @@
 	return strings.Split(p.values[path], ",")
 }
 
-// retryBudget reads the budget of retries. It binds where any of its keys is present,
-// and then needs a window.
+// retryBudget reads the retry budget. It is enabled if any of its settings is present, and
+// then requires a window.
 func (p *settingsReader) retryBudget(b *dispatcher.RetryBudget) error {
 	_, free := p.values["rules.extra_free"]
 	_, ratio := p.values["rules.repeat_ratio"]
@@ -177,9 +177,9 @@
 	return nil
 }
 
-// indexes reads a list of indexes into the list named by of. An absent key
-// gives nil, which means any; one that allows nothing gives an empty list.
-func (p *settingsReader) indexes(path, of string) []int {
+// indexList reads a list of indexes into the list at the path of. It returns nil, which stands
+// for any index, if the setting is absent, and an empty list if the setting is empty.
+func (p *settingsReader) indexList(path, of string) []int {
 	if _, ok := p.values[path]; !ok {
 		return nil
 	}
@@ -188,7 +188,7 @@
 	for _, value := range p.list(path) {
 		i, err := strconv.ParseUint(value, 10, 31)
 		if err != nil || known > 0 && int(i) >= known {
-			p.fail(fmt.Errorf("setting %s=%s names none of the %d %s", path, p.values[path], known, of))
+			p.setError(fmt.Errorf("setting %s=%s names none of the %d %s", path, p.values[path], known, of))
 		}
 		all = append(all, int(i))
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,16 +15,16 @@
 
 const ms = time.Millisecond
 
-// read returns all events of one batch, with what is reused copied.
-func read(t *testing.T, lines ...string) ([]Event, error) {
+// readBatch returns all events of one batch. It copies the memory that the Reader reuses.
+func readBatch(t *testing.T, lines ...string) ([]Event, error) {
 	t.Helper()
 	r := NewReader(strings.NewReader(strings.Join(lines, "\n") + "\n"))
-	if _, err := r.Batch(); err != nil {
+	if _, err := r.NextBatch(); err != nil {
 		return nil, err
 	}
 	var all []Event
 	for {
-		e, err := r.Next()
+		e, err := r.NextEvent()
 		if e == nil || err != nil {
 			return all, err
 		}
@@ -66,7 +66,7 @@
 		{"MESSAGE 2 68692037", Event{Kind: PeerMessage}},
 		{"MEMBERS 4 - broken", Event{Kind: WorkersUpdated, ListKind: dispatcher.UpdateFailed}},
 	} {
-		got, err := read(t, "MARK 8.41225 1", "ABOUT d/1", c.line, "GO")
+		got, err := readBatch(t, "MARK 8.41225 1", "ABOUT d/1", c.line, "GO")
 		if err != nil || len(got) != 1 {
 			t.Errorf("%s: %d events, error %v", c.line, len(got), err)
 			continue
@@ -79,9 +79,9 @@
 	}
 }
 
-// A list number may be used again within one batch: what counts is the order.
+// A list number may be redefined within one batch: an update refers to the latest list before it.
 func TestListNumbersAreResolvedInOrder(t *testing.T) {
-	got, err := read(t, "MARK 1 1", "ABOUT d/1",
+	got, err := readBatch(t, "MARK 1 1", "ABOUT d/1",
 		"SNAPSHOT_ROWS 3 2", "ITEM a:1 0 1 2 active 1.5 -", "ITEM b:1 1 0 0 leaving 1 6.1",
 		"MEMBERS 1 3 stale_copy",
 		"SNAPSHOT_ROWS 3 0", "MEMBERS 2 3 whole",
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestMalformedLinesAreNamed(t *testing.T) {
+func TestMalformedLinesAreReported(t *testing.T) {
 	for _, c := range []struct{ lines, want string }{
 		{"KNOCK rq_b 0 0", "no time"},
 		{"KNOCK rq_b x 0 - 1 - 1 - 0", "bad class"},
@@ -129,28 +129,28 @@
 		{"BEGIN 1 kinds=a,b classes.count=1 classes.0.effect=free classes.0.runs_on=2", "classes.0.runs_on=2 names none"},
 		{"BEGIN 1 zones=a classes.count=1 classes.0.effect=free classes.0.runs_in=-1", "classes.0.runs_in=-1 names none"},
 	} {
-		_, err := read(t, "MARK 1 1", "ABOUT d/1", c.lines)
+		_, err := readBatch(t, "MARK 1 1", "ABOUT d/1", c.lines)
 		var syntax *SyntaxError
 		if !errors.As(err, &syntax) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: error %v, want one with %q", c.lines, err, c.want)
 		}
 	}
-	if _, err := read(t, "MARK 1 1", "WAKE 1"); err == nil || !strings.Contains(err.Error(), "before any ABOUT") {
-		t.Errorf("event without an instance: %v", err)
+	if _, err := readBatch(t, "MARK 1 1", "WAKE 1"); err == nil || !strings.Contains(err.Error(), "before any ABOUT") {
+		t.Errorf("event before any ABOUT: error %v", err)
 	}
-	if _, err := read(t, "MARK 1 1", "ABOUT d/1", "KILL"); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("batch without an end: %v", err)
+	if _, err := readBatch(t, "MARK 1 1", "ABOUT d/1", "KILL"); !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("batch without GO: error %v", err)
 	}
-	if _, err := read(t, "GO"); err == nil {
-		t.Error("a batch without MARK was read")
+	if _, err := readBatch(t, "GO"); err == nil {
+		t.Error("a batch without MARK was accepted")
 	}
 }
 
 func TestLongLines(t *testing.T) {
 	long := strings.Repeat("k", 1<<20)
-	got, err := read(t, "MARK 1 1", "ABOUT d/1", "KNOCK rq_b 0 0 "+long+" 1 - 1 - 0", "GO")
+	got, err := readBatch(t, "MARK 1 1", "ABOUT d/1", "KNOCK rq_b 0 0 "+long+" 1 - 1 - 0", "GO")
 	if err != nil || got[0].Request.AffinityKey != long {
-		t.Errorf("long key lost: %v", err)
+		t.Errorf("the affinity key of a long line was altered, or error %v", err)
 	}
 }
 
@@ -195,14 +195,14 @@
 		t.Errorf("\n got %+v\nwant %+v", s, want)
 	}
 	if s, err := ParseSettings("classes.count=0"); err != nil || s.RetryBudget != (dispatcher.RetryBudget{}) {
-		t.Errorf("no budget set: %+v, %v", s.RetryBudget, err)
+		t.Errorf("without budget settings: budget %+v, error %v", s.RetryBudget, err)
 	}
 }
 
 func TestReply(t *testing.T) {
 	var w Writer
 	w.SetInstance("d/1")
-	w.SetInstance("d/2") // an instance that does nothing is not named
+	w.SetInstance("d/2") // d/1 has no action, so the reply does not name it
 	w.Send("r1", "a:1", 80*ms)
 	w.SetTimer(1500*ms, 77)
 	w.SetInstance("d/1")
@@ -242,11 +242,11 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		r := NewReader(strings.NewReader(in))
 		for range 100 {
-			if _, err := r.Batch(); err != nil {
+			if _, err := r.NextBatch(); err != nil {
 				return
 			}
 			for {
-				e, err := r.Next()
+				e, err := r.NextEvent()
 				if err != nil {
 					return
 				}
@@ -254,7 +254,7 @@
 					break
 				}
 				if e.Instance == "" || e.Kind == 0 {
-					t.Fatalf("event of no kind or instance: %+v", e)
+					t.Fatalf("event without a kind or an instance: %+v", e)
 				}
 			}
 		}
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Writer builds the reply to a batch. It implements [sedgevale.Host]: each call adds an
-// action.
+// Writer encodes the reply to a batch. It implements dispatcher.Host: each method appends an
+// action to the reply.
 type Writer struct {
 	buf      []byte
-	instance string // of the next actions
-	named    bool   // the reply has named it
+	instance string // the instance of the actions that follow
+	named    bool   // the reply has an AT line for the instance
 }
 
-// SetInstance sets the instance of the actions that follow.
+// SetInstance sets the instance to which the actions that follow belong. An instance without
+// actions does not appear in the reply.
 func (w *Writer) SetInstance(instance string) {
 	if w.instance != instance {
 		w.instance, w.named = instance, false
 	}
 }
 
-func (w *Writer) start(name string) {
+func (w *Writer) beginAction(name string) {
 	if !w.named {
 		w.buf = append(append(append(w.buf, "AT "...), w.instance...), '\n')
 		w.named = true
@@ -29,11 +30,11 @@
 	w.buf = append(w.buf, name...)
 }
 
-func (w *Writer) text(s string) { w.buf = append(append(w.buf, ' '), s...) }
+func (w *Writer) appendText(s string) { w.buf = append(append(w.buf, ' '), s...) }
 
-func (w *Writer) number(v uint64) { w.buf = strconv.AppendUint(append(w.buf, ' '), v, 10) }
+func (w *Writer) appendUint(v uint64) { w.buf = strconv.AppendUint(append(w.buf, ' '), v, 10) }
 
-func (w *Writer) seconds(d time.Duration) {
+func (w *Writer) appendSeconds(d time.Duration) {
 	us := uint64(max(0, d) / time.Microsecond)
 	w.buf = strconv.AppendUint(append(w.buf, ' '), us/1e6, 10)
 	if frac := us % 1e6; frac > 0 {
@@ -45,86 +46,87 @@
 	}
 }
 
-func (w *Writer) end() { w.buf = append(w.buf, '\n') }
+func (w *Writer) endAction() { w.buf = append(w.buf, '\n') }
 
-// Send adds the send of an attempt.
+// Send appends the dispatch of an attempt to a worker.
 func (w *Writer) Send(id, worker string, timeout time.Duration) {
-	w.start("ISSUE")
-	w.text(id)
-	w.text(worker)
-	w.seconds(timeout)
-	w.end()
+	w.beginAction("ISSUE")
+	w.appendText(id)
+	w.appendText(worker)
+	w.appendSeconds(timeout)
+	w.endAction()
 }
 
-// Reject adds the rejection of a request.
+// Reject appends the rejection of a request with a retry delay.
 func (w *Writer) Reject(id string, after time.Duration) {
-	w.start("OVERLOAD_REPLY")
-	w.text(id)
-	w.seconds(after)
-	w.end()
+	w.beginAction("OVERLOAD_REPLY")
+	w.appendText(id)
+	w.appendSeconds(after)
+	w.endAction()
 }
 
-// Fail adds the failure of a request.
+// Fail appends the failure of a request.
 func (w *Writer) Fail(id string) {
-	w.start("FINISH_ERROR")
-	w.text(id)
-	w.end()
+	w.beginAction("FINISH_ERROR")
+	w.appendText(id)
+	w.endAction()
 }
 
-// Cancel adds the cancellation of an attempt.
+// Cancel appends the cancellation of an attempt.
 func (w *Writer) Cancel(id string, attempt int) {
-	w.start("WITHDRAW")
-	w.text(id)
-	w.number(uint64(attempt))
-	w.end()
+	w.beginAction("WITHDRAW")
+	w.appendText(id)
+	w.appendUint(uint64(attempt))
+	w.endAction()
 }
 
-// SetTimer adds a timer.
+// SetTimer appends a timer, which fires with the token after a delay.
 func (w *Writer) SetTimer(after time.Duration, token uint64) {
-	w.start("WAKE_ME")
-	w.seconds(after)
-	w.number(token)
-	w.end()
+	w.beginAction("WAKE_ME")
+	w.appendSeconds(after)
+	w.appendUint(token)
+	w.endAction()
 }
 
-// Probe adds a probe of a worker's load.
+// Probe appends a load probe of a worker.
 func (w *Writer) Probe(worker string) {
-	w.start("SOUND_OUT")
-	w.text(worker)
-	w.end()
+	w.beginAction("SOUND_OUT")
+	w.appendText(worker)
+	w.endAction()
 }
 
-// CloseIdleConnections adds the closing of idle connections to a worker.
+// CloseIdleConnections appends that the idle connections to a worker are to be closed.
 func (w *Writer) CloseIdleConnections(worker string) {
-	w.start("RELEASE")
-	w.text(worker)
-	w.end()
+	w.beginAction("RELEASE")
+	w.appendText(worker)
+	w.endAction()
 }
 
-// WatchWorkers adds a subscription to the list of workers.
+// WatchWorkers appends a subscription to the list of workers.
 func (w *Writer) WatchWorkers() {
-	w.start("SUBSCRIBE")
-	w.number(1)
-	w.end()
+	w.beginAction("SUBSCRIBE")
+	w.appendUint(1)
+	w.endAction()
 }
 
-// Log adds a line to the simulator's report.
+// Log appends a line for the simulator's report.
 func (w *Writer) Log(text string) {
-	w.start("WRITE_LOG")
-	w.text(oneLine(text))
-	w.end()
+	w.beginAction("WRITE_LOG")
+	w.appendText(oneLine(text))
+	w.endAction()
 }
 
-// Fatal adds that the decision module has failed.
+// Fatal appends a failure of the decision module, which ends the simulated day.
 func (w *Writer) Fatal(text string) {
-	w.start("FATAL")
-	w.text(oneLine(text))
-	w.end()
+	w.beginAction("FATAL")
+	w.appendText(oneLine(text))
+	w.endAction()
 }
 
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
 
-// Finish ends the reply to the batch and returns it; it is valid until the next action.
+// Finish completes the reply to the batch of a sequence number and returns it. The reply is
+// valid until the next call of any method.
 func (w *Writer) Finish(seq string) []byte {
 	w.buf = append(w.buf, "FINISHED "...)
 	w.buf = append(append(w.buf, seq...), '\n')
