--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,5 @@
-// Package discovery is the client of the platform's service discovery: the list of workers and a watch on its changes.
+// Package discovery is a client of the platform's service discovery: it watches the list of workers by long polls, and decodes
+// and converts it for the dispatcher.
 package discovery
 
 import (
@@ -9,14 +10,15 @@
 	"sedgevale/dispatcher"
 )
 
-// List is the list of workers as of a revision: all of them, or the entries that have changed.
+// List is the list of workers at a revision. If Complete is false, it has only the entries that have changed.
 type List struct {
 	Revision int64    `json:"revision" toml:"revision,omitempty"`
 	Complete bool     `json:"complete" toml:"complete,omitempty"`
 	Members  []Member `json:"members" toml:"members,omitempty"`
 }
 
-// Member is a worker in the list. Size is its relative capacity, UpSince the Unix time in milliseconds at which it started.
+// Member is an entry of the list, a worker. Size is its relative capacity, and UpSince is the Unix time in milliseconds at which
+// it started.
 type Member struct {
 	ID       string  `json:"id" toml:"id,omitempty"`
 	HostPort string  `json:"host_port" toml:"host_port,omitempty"`
@@ -28,11 +30,12 @@
 	UpSince  int64   `json:"up_since_ms" toml:"up_since_ms,omitempty"`
 }
 
+// phases maps the phases of the platform to worker states.
 var phases = map[string]dispatcher.WorkerState{
 	"ready": dispatcher.Active, "draining": dispatcher.Draining, "gone": dispatcher.Removed,
 }
 
-// Parse decodes and validates a list.
+// Parse decodes and validates a list in JSON.
 func Parse(b []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(b, &l); err != nil {
@@ -41,7 +44,7 @@
 	return l, l.Validate()
 }
 
-// Validate validates a list. The error names the first invalid entry.
+// Validate returns an error for the first entry without an id, or with an invalid phase or cell.
 func (l *List) Validate() error {
 	for i, m := range l.Members {
 		if _, ok := phases[m.Phase]; m.ID == "" || !ok || m.Cell < 0 {
@@ -51,10 +54,11 @@
 	return nil
 }
 
-// Names are the names of zones (localities) and kinds of workers (flavors) in the settings; a WorkerInfo has their indexes.
+// Names are the names of zones (localities) and of kinds of workers (flavors) in the settings. A WorkerInfo refers to them by
+// index.
 type Names struct{ Zones, Kinds []string }
 
-// WorkerInfos converts a list for the dispatcher. When maps Unix times in milliseconds onto the dispatcher's clock.
+// WorkerInfos converts a list for the dispatcher. ToClock converts a Unix time in milliseconds to the dispatcher's clock.
 func (n Names) WorkerInfos(l List, toClock func(unixMilli int64) time.Duration) []dispatcher.WorkerInfo {
 	entries := make([]dispatcher.WorkerInfo, 0, len(l.Members))
 	for _, m := range l.Members {
@@ -65,8 +69,8 @@
 	return entries
 }
 
-// indexOf returns the index of a name. An unknown name has the index after all known ones, so that no class of requests is
-// sent there by mistake.
+// indexOf returns the index of a name. It returns the length of names for an unknown name, so that no class with constraints on
+// zones or kinds matches such a worker.
 func indexOf(names []string, name string) int {
 	for i := range names {
 		if names[i] == name {
@@ -76,10 +80,11 @@
 	return len(names)
 }
 
-// Ready reports whether the worker accepts new requests.
+// Ready reports whether the worker accepts new requests, that is, whether it is not draining or removed.
 func (m *Member) Ready() bool { return phases[m.Phase] == dispatcher.Active }
 
-// Apply returns the list after an update, which is a full list or the changed entries. It shares no memory with l.
+// Apply returns the list after an update, which has all entries if full is set, and otherwise the changed ones. The result
+// shares no memory with l.
 func (l List) Apply(update List, full bool) List {
 	if full {
 		l.Members = nil
--- a/internal/discovery/main_test.go
+++ b/internal/discovery/main_test.go
@@ -6,5 +6,5 @@
 	"sedgevale/internal/testkit"
 )
 
-// No test leaves a goroutine behind.
+// TestMain fails if a test leaves a goroutine running.
 func TestMain(m *testing.M) { testkit.VerifyNoLeaks(m) }
--- a/internal/discovery/timeout_test.go
+++ b/internal/discovery/timeout_test.go
@@ -9,16 +9,17 @@
 	"sedgevale/internal/testkit"
 )
 
-// Guards against a silent connection that is noticed too late. Updates count as received 6 s after the connection went
-// silent, 6 s after discovery could be reached again, or 4 s after new settings; so a call for the full list, which is no
-// long poll, has the shorter timeout. The rest of the 6 s is for the dispatcher's retry delay and the next call.
+// Guards against late detection of a silent connection. An update must be received within 6 s after the connection went
+// silent, within 6 s after discovery is reachable again, and within 4 s after a change of the address. A call for the full
+// list is not a long poll, so it has the shorter timeout. The rest of the 6 s is for the dispatcher's retry delay and the
+// next call.
 func TestSilentConnectionIsDetected(t *testing.T) {
-	const next = 300*time.Millisecond + dialTimeout + time.Second // the first retry delay, connecting, discovery's own limit
+	const next = 300*time.Millisecond + dialTimeout + time.Second // the dispatcher's first retry delay, the dial, and the response time of discovery
 	if most := watchTimeout + responseTimeout + next; most > 6*time.Second {
-		t.Errorf("a watch that went silent is replaced after %v", most)
+		t.Errorf("a silent watch may be replaced only after %v, 6 s are allowed", most)
 	}
 	if most := dialTimeout + responseTimeout + next; most > 4*time.Second {
-		t.Errorf("a move to an address that does not answer at first succeeds after %v", most)
+		t.Errorf("a change to an address that does not respond at first may take %v, 4 s are allowed", most)
 	}
 	log := slog.New(slog.DiscardHandler)
 	for name, c := range map[string]struct {
@@ -31,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, asked := serve(t, make(chan string)) // accepts calls and does not answer
+			addr, asked := serve(t, make(chan string)) // a server that accepts calls and does not respond
 			loop, err := evloop.New(log)
 			if err != nil {
 				t.Fatal(err)
@@ -51,9 +52,9 @@
 			testkit.Await(t, "the call", asked)
 			began := time.Now()
 			testkit.Await(t, "the failure", failures)
-			const slack = time.Second // for a busy machine
+			const slack = time.Second // tolerance for a busy machine
 			if took := time.Since(began); took < c.min-slack/10 || took > c.max+slack {
-				t.Errorf("noticed after %v, not %v", took, c.max)
+				t.Errorf("the failure was detected after %v, want %v to %v", took, c.min, c.max)
 			}
 		})
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// watchTimeout is how long a long poll may last at the server; the next follows at once. It is short because a
-	// connection that has gone silent is noticed only after it, while workers that drain count as known to be draining 6 s
-	// after it went silent, and 6 s after discovery has the update and can be reached again. The sum of the timeouts below,
-	// the dispatcher's first retry delay (0.3 s) and the answer to another call must be less; TestSilenceIsNoticed checks it.
+	// watchTimeout is the longest duration of a long poll at the server; the next poll follows at once. It bounds how late
+	// a silent connection is detected. A draining worker must be known to drain within 6 s after the connection went
+	// silent, and within 6 s after discovery has the update and is reachable again. So the sum of watchTimeout,
+	// responseTimeout, dialTimeout, the dispatcher's first retry delay (0.3 s) and the response to another call must be
+	// less, which TestSilentConnectionIsDetected checks.
 	watchTimeout        = 2500 * time.Millisecond
-	responseTimeout     = 1200 * time.Millisecond // on top of the long poll, after which the watch has failed
+	responseTimeout     = 1200 * time.Millisecond // time for a response, in addition to the duration of a long poll
 	dialTimeout         = 700 * time.Millisecond
-	previousAddrTimeout = 2 * time.Second // for the outstanding answer of the address before
+	previousAddrTimeout = 2 * time.Second // time for an outstanding response from the previous address
 	maxListBytes        = 8 << 20
 )
 
@@ -32,38 +33,40 @@
 	log       *slog.Logger
 
 	mu      sync.Mutex // guards current
-	current string     // addr, for other goroutines
+	current string     // copy of addr for other goroutines
 
 	// The fields below are accessed on the loop only.
 	addr           string
 	watching       bool
-	revision       int64 // of the last answer
-	fullListNeeded bool  // the next call asks for the full list
+	revision       int64 // revision of the last response
+	fullListNeeded bool  // the next call requests the full list
 	conn           *conn // nil if there is no connection
-	previous       *conn // to the address before, whose outstanding answer still counts; nil if there is none
+	previous       *conn // connection to the previous address with an outstanding response that is still used, or nil
 	timer          *time.Timer
 }
 
-// NewWatcher returns a Watcher that begins after the revision of known. OnUpdate is called with each answer. OnFailure is
-// called when the watch has failed; it ends then, until Watch is called again. Both are called on the loop.
+// NewWatcher returns a Watcher that requests the changes after the revision of known. OnUpdate is called with each list that is
+// received. OnFailure is called when the watch has failed, which ends it until the next call of Watch. Both are called on the
+// loop.
 func NewWatcher(loop *evloop.Loop, addr string, known List, onUpdate func(List), onFailure func(), log *slog.Logger) *Watcher {
 	return &Watcher{loop: loop, addr: addr, current: addr, onUpdate: onUpdate, onFailure: onFailure, log: log, revision: known.Revision}
 }
 
-// StartAfter has the watch begin after a revision that another process has received from addr. Revisions of different addresses
-// are not comparable: if addr is not the Watcher's the full list is requested. It must be called before Watch.
+// StartAfter sets the revision after which the watch begins, which another process has received from addr. Revisions of
+// different addresses are not comparable: if addr is not that of the Watcher, the full list is requested. StartAfter must be
+// called before Watch.
 func (w *Watcher) StartAfter(revision int64, addr string) {
 	w.loop.Do(func() { w.revision, w.fullListNeeded = revision, addr != w.addr })
 }
 
-// Addr returns the address of the server.
+// Addr returns the address of the server. It is safe for concurrent use.
 func (w *Watcher) Addr() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.current
 }
 
-// Watch starts a watch unless one is active. It is safe for concurrent use.
+// Watch starts a watch unless one is active or there is no address. It is safe for concurrent use.
 func (w *Watcher) Watch() {
 	w.loop.Do(func() {
 		if !w.watching && w.addr != "" {
@@ -73,9 +76,9 @@
 	})
 }
 
-// SetAddr changes the address of the server; with an empty one the watch ends. The new server may count revisions differently,
-// so the full list is requested first. Until it has arrived an outstanding answer from the address before still counts: it
-// may say that a worker drains. It is safe for concurrent use.
+// SetAddr changes the address of the server; an empty address ends the watch. Revisions of the new server are not comparable
+// with those of the old one, so the full list is requested first. Until it has arrived, an outstanding response from the
+// previous address is still used, because it may report that a worker drains. SetAddr is safe for concurrent use.
 func (w *Watcher) SetAddr(addr string) {
 	w.loop.Do(func() {
 		if addr == w.addr {
@@ -101,7 +104,7 @@
 	})
 }
 
-// request sends one call of the watch, over a new connection if there is none.
+// request sends the next call of the watch, and connects first if there is no connection.
 func (w *Watcher) request() {
 	if w.conn == nil {
 		c := &conn{watcher: w, parser: http1.NewParser(http1.Response)}
@@ -112,22 +115,22 @@
 	}
 }
 
-// conn is a connection to discovery. It implements evloop.Handler.
+// conn is a connection to service discovery. It implements evloop.Handler.
 type conn struct {
 	watcher          *Watcher
 	raw              evloop.Conn
 	parser           *http1.Parser
 	body             []byte
-	awaitingResponse bool // an answer is outstanding
+	awaitingResponse bool // a response is outstanding
 	deadline         time.Time
 	closed           bool
 }
 
 var (
-	errTimeout      = errors.New("no answer in time")
+	errTimeout      = errors.New("timeout waiting for the response")
 	errClosed       = errors.New("connection closed by the server")
-	errListTooLarge = errors.New("list too long")
-	errUnsolicited  = errors.New("unsolicited answer")
+	errListTooLarge = errors.New("list of workers is too large")
+	errUnsolicited  = errors.New("unsolicited response")
 )
 
 // OnOpen implements evloop.Handler.
@@ -140,6 +143,7 @@
 	return true
 }
 
+// send sends the next call and sets its timeout.
 func (c *conn) send() {
 	c.awaitingResponse, c.body = true, c.body[:0]
 	timeout := responseTimeout
@@ -152,11 +156,11 @@
 	if c.watcher.timer != nil {
 		c.watcher.timer.Stop()
 	}
-	c.deadline = time.Now().Add(timeout) // before the timer: one that fires with the deadline still ahead is lost
+	c.deadline = time.Now().Add(timeout) // set before the timer starts: checkTimeout ignores a timer that fires before the deadline
 	c.watcher.timer = time.AfterFunc(timeout, func() { c.watcher.loop.Do(c.checkTimeout) })
 	out := http1.AppendRequest(nil, "GET", target)
 	out = http1.AppendField(out, "Host", c.watcher.addr)
-	_, _ = c.raw.Write(append(out, "\r\n"...)) // a failure closes the connection, which calls OnClose
+	_, _ = c.raw.Write(append(out, "\r\n"...)) // an error closes the connection, which calls OnClose
 }
 
 // OnTraffic implements evloop.Handler.
@@ -195,13 +199,14 @@
 	}
 }
 
+// checkTimeout fails the connection if the response is overdue.
 func (c *conn) checkTimeout() {
 	if c.awaitingResponse && !time.Now().Before(c.deadline) {
 		c.fail(errTimeout)
 	}
 }
 
-// close closes the connection. On nil or a closed one it does nothing.
+// close closes the connection. It does nothing if c is nil or closed.
 func (c *conn) close() {
 	if c == nil || c.closed {
 		return
@@ -218,23 +223,23 @@
 	}
 }
 
-// fail ends the watch and reports it.
+// fail ends the watch and reports the failure. On the connection to the previous address it only closes that connection.
 func (c *conn) fail(err error) {
 	if c.closed {
 		return
 	}
 	w := c.watcher
-	if c == w.previous { // it was to be closed anyway
+	if c == w.previous { // the watch goes on at the new address
 		c.close()
 		return
 	}
 	c.close()
-	w.log.Warn("discovery watch failed", "addr", w.addr, "err", err)
+	w.log.Warn("discovery watch failed, retrying after a delay", "addr", w.addr, "err", err)
 	w.watching = false
 	w.onFailure()
 }
 
-// handleResponse reports the list that was received and continues the watch.
+// handleResponse reports the received list and sends the next call. A response from the previous address is only reported.
 func (c *conn) handleResponse() {
 	w := c.watcher
 	c.awaitingResponse = false
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -16,8 +16,8 @@
 	"sedgevale/internal/testkit"
 )
 
-// serve runs a server that answers each call with the next of answers and reports its request target. An empty answer
-// closes the connection.
+// serve runs a server that responds to each call with the next of answers, and sends its request target to asked. An empty
+// answer closes the connection.
 func serve(t *testing.T, answers <-chan string) (addr string, asked <-chan string) {
 	t.Helper()
 	calls := make(chan string, 16)
@@ -42,13 +42,14 @@
 	}), calls
 }
 
+// listResponse returns an HTTP response with a list of one worker.
 func listResponse(revision int, complete bool) string {
 	body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[{"id":"w","host_port":"h:1","phase":"ready"}]}`, revision, complete)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// The next call is sent at once, with the revision received; a failure of any kind is reported and ends the watch until
-// Watch is called again.
+// After a response the next call is sent at once, with the revision received. A failure of any kind is reported and ends the
+// watch until Watch is called again.
 func TestWatch(t *testing.T) {
 	answers := make(chan string)
 	addr, asked := serve(t, answers)
@@ -66,7 +67,7 @@
 	expect := func() {
 		t.Helper()
 		if got, want := testkit.Await(t, "an event", asked), fmt.Sprintf(target, next); got != want {
-			t.Errorf("asked %s, want %s", got, want)
+			t.Errorf("request target %s, want %s", got, want)
 		}
 	}
 	for _, l := range []struct {
@@ -91,16 +92,16 @@
 	if err := loop.Stop(); err != nil {
 		t.Error(err)
 	}
-	if len(failures) == 1 { // by the end of the loop
+	if len(failures) == 1 { // reported when the loop stopped
 		<-failures
 	}
 	if len(updates) > 0 || len(failures) > 0 {
-		t.Error("more events than expected")
+		t.Errorf("%d updates and %d failures more than expected", len(updates), len(failures))
 	}
 }
 
-// Guards against a watch that stays at the previous address, against the loss of its outstanding answer, and against
-// comparing revisions of two addresses.
+// Guards a change of the address: the watch must move to the new address, an outstanding response from the previous one must
+// still be used, and a revision of one address must not be sent to the other.
 func TestSetAddr(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	loop, err := evloop.New(log)
@@ -121,10 +122,10 @@
 	testkit.Await(t, "a watch", askedOld)
 	w.SetAddr(to)
 	if got := testkit.Await(t, "the first call", askedNew); got != "/v1/endpoints" {
-		t.Errorf("at the new address first asked %s", got)
+		t.Errorf("first request target at the new address %s", got)
 	}
 	oldAnswers <- listResponse(900, false)
-	if got := testkit.Await(t, "the outstanding answer", updates); got.Revision != 900 {
+	if got := testkit.Await(t, "the outstanding response", updates); got.Revision != 900 {
 		t.Errorf("update %+v", got)
 	}
 	newAnswers <- listResponse(7, true)
@@ -132,14 +133,14 @@
 		t.Errorf("update %+v", got)
 	}
 	if got := testkit.Await(t, "the watch", askedNew); !strings.HasPrefix(got, "/v1/endpoints?since=7&") {
-		t.Errorf("then asked %s", got)
+		t.Errorf("second request target at the new address %s", got)
 	}
 	w.SetAddr("") // ends the watch
 	w.Watch()
 	w.SetAddr(from)
 	testkit.Await(t, "the first call", askedOld)
 	if len(failures) > 0 || len(askedNew) > 0 {
-		t.Error("a move was reported as a failure, or the previous address got another call")
+		t.Error("the change of the address was reported as a failure, or the former address got another call")
 	}
 }
 
@@ -155,26 +156,26 @@
 		t.Errorf("%+v", got[0])
 	}
 	if w := got[1]; w.State != dispatcher.Removed || w.Zone != 2 || w.Kind != 1 {
-		t.Errorf("unknown names have the indexes of known ones: %+v", w)
+		t.Errorf("a worker with unknown names is converted to %+v", w)
 	}
 	for _, text := range []string{`{`, `{"members":[{"id":"a","phase":"odd"}]}`, `{"members":[{"phase":"ready"}]}`} {
 		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%s: no error", text)
+			t.Errorf("Parse(%s) returned no error", text)
 		}
 	}
 }
 
-// An update yields a new list and leaves the one before as it was.
+// Apply returns a new list and leaves the former one unchanged.
 func TestApply(t *testing.T) {
 	l := List{}.Apply(List{Revision: 1, Members: []Member{{ID: "a", Phase: "ready"}, {ID: "b", Phase: "ready"}}}, true)
 	m := l.Apply(List{Revision: 2, Members: []Member{{ID: "a", Phase: "draining"}, {ID: "c", Phase: "ready"}, {ID: "b", Phase: "gone"}}}, false)
 	if len(m.Members) != 2 || m.Members[0].Phase != "draining" || m.Members[1].ID != "c" || m.Revision != 2 || !m.Complete {
-		t.Errorf("changed: %+v", m)
+		t.Errorf("list after an update of changed entries: %+v", m)
 	}
 	if l.Members[0].Phase != "ready" || l.Revision != 1 {
-		t.Errorf("the list before was modified: %+v", l)
+		t.Errorf("Apply has modified the former list: %+v", l)
 	}
 	if w := m.Apply(List{Revision: 3, Members: []Member{{ID: "d", Phase: "ready"}}}, true); len(w.Members) != 1 {
-		t.Errorf("a full list: %+v", w)
+		t.Errorf("list after a full update: %+v", w)
 	}
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -10,7 +10,7 @@
 	"sedgevale/internal/evloop"
 )
 
-// maxUnsentBytes is how many bytes the other process may leave unread before it counts as hung.
+// maxUnsentBytes is the number of unsent bytes above which the other process counts as hung and the link is closed.
 const maxUnsentBytes = 32 << 20
 
 // Handler handles the events of a Link. Its methods are called on the event loop.
--- a/internal/ops/cordons.go
+++ b/internal/ops/cordons.go
@@ -10,16 +10,16 @@
 	"sync"
 )
 
-// Cordons is the set of cordoned workers, by their ids. It is kept in a file, so that it
-// outlives the process.
+// Cordons is the set of cordoned workers, by their ids. It is stored in a file and survives
+// restarts of the process.
 type Cordons struct {
 	path string
-	mu   sync.Mutex // guards set, and the file's order of writes
+	mu   sync.Mutex // guards set and serializes writes of the file
 	set  map[string]bool
 }
 
-// ReadCordons reads the file; one that is missing is an empty set. With an error, which is of
-// a file that cannot be read or parsed, it returns an empty set that is usable.
+// ReadCordons reads the set from a file. A missing file yields an empty set. If the file cannot be
+// read or parsed, ReadCordons returns an error together with an empty set that can be used.
 func ReadCordons(path string) (*Cordons, error) {
 	c := &Cordons{path: path, set: map[string]bool{}}
 	b, err := os.ReadFile(path)
@@ -31,7 +31,7 @@
 		err = json.Unmarshal(b, &hosts)
 	}
 	if err != nil {
-		return c, fmt.Errorf("saved cordons %s: %w", path, err)
+		return c, fmt.Errorf("reading cordons from %s: %w", path, err)
 	}
 	for _, h := range hosts {
 		c.set[h] = true
@@ -39,7 +39,7 @@
 	return c, nil
 }
 
-// Hosts returns the ids of the cordoned workers in order.
+// Hosts returns the sorted ids of the cordoned workers.
 func (c *Cordons) Hosts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // Set cordons a worker, or uncordons it if cordon is false, and saves the set. The file is
-// replaced atomically. With an error the set has changed and the file has not.
+// replaced atomically. If Set returns an error, the set has changed but the file has not.
 func (c *Cordons) Set(host string, cordon bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ops/golden_test.go
+++ b/internal/ops/golden_test.go
@@ -19,7 +19,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// fakeJournal records the calls and answers by a fixed text.
+// fakeJournal records the calls and returns fixed results.
 type fakeJournal struct{ calls chan string }
 
 func (g *fakeJournal) JobReports(_ context.Context, id string) ([]byte, error) {
@@ -40,7 +40,7 @@
 
 func (g *fakeJournal) Stats() []byte { return []byte("{\"records\":1}\n") }
 
-// roundTrip sends a call and returns the answer's bytes.
+// roundTrip sends a call and returns the bytes of the response.
 func roundTrip(t *testing.T, addr, method, path, body string) string {
 	t.Helper()
 	var dialer net.Dialer
@@ -55,17 +55,18 @@
 	if _, err := fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(c)
+	response, err := io.ReadAll(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(response)
 }
 
-func startGoldenServer(t *testing.T, sick error, journal Journal) string {
+// startGoldenServer serves a scheduler with the given health, a journal and a page, and returns its address.
+func startGoldenServer(t *testing.T, unhealthy error, journal Journal) string {
 	t.Helper()
 	addr := testkit.FreeAddr(t)
-	handler := New(&fakeScheduler{make(chan string, 32), sick}, journal, map[string]Page{
+	handler := New(&fakeScheduler{make(chan string, 32), unhealthy}, journal, map[string]Page{
 		"/metrics": {Type: "text/plain; version=0.0.4", Read: func() []byte { return []byte("up 1\n") }},
 	})
 	s := httpd.New(addr, 1, handler, fdlimit.New(0), slog.New(slog.DiscardHandler))
@@ -87,7 +88,7 @@
 	}
 }
 
-// The bytes of each answer to an operator.
+// Guards the bytes of each response, which operators' tools parse.
 func TestResponseBytes(t *testing.T) {
 	journal := &fakeJournal{make(chan string, 32)}
 	checkCalls(t, startGoldenServer(t, nil, journal), []goldenCall{
@@ -110,13 +111,13 @@
 		{"POST", "/admin/journal/settle", `{"job":"j","verdict":"maybe","by":"ann","why":"seen"}`, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 55\r\n\r\nno: \"maybe\" is no verdict: ran, did_not_run or unknown\n"},
 		{"POST", "/admin/journal/settle", `{"job":"j"}`, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 95\r\n\r\nno: the body must be {\"job\":\"ID\",\"verdict\":\"ran|did_not_run|unknown\",\"by\":\"NAME\",\"why\":\"TEXT\"}\n"},
 	})
-	var asked []string
+	var calls []string
 	for range 4 {
-		asked = append(asked, testkit.Await(t, "a question to the journal", journal.calls))
+		calls = append(calls, testkit.Await(t, "a call to the journal", journal.calls))
 	}
 	want := []string{"ask a b", "ask absent", "settle j ran ann seen", "settle absent unknown ann seen"}
-	if !slices.Equal(asked, want) || len(journal.calls) != 0 {
-		t.Errorf("the journal was asked %q, want %q", asked, want)
+	if !slices.Equal(calls, want) || len(journal.calls) != 0 {
+		t.Errorf("the journal got calls %q, want %q", calls, want)
 	}
 	checkCalls(t, startGoldenServer(t, errors.New("sick"), nil), []goldenCall{
 		{"GET", "/admin/health", "", "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 9\r\n\r\nno: sick\n"},
@@ -124,7 +125,8 @@
 	})
 }
 
-// The file of cordons that an earlier release wrote is read, and one that is saved has its bytes.
+// Guards the format of the cordons file: a file of an earlier release can be read, and the same set is saved as the same
+// bytes.
 func TestStoredCordons(t *testing.T) {
 	const stored = "testdata/cordons"
 	c, err := ReadCordons(stored)
--- a/internal/ops/journal.go
+++ b/internal/ops/journal.go
@@ -13,12 +13,14 @@
 	"sedgevale/internal/journal/store"
 )
 
-// Journal is the journal of attempts. Its methods may wait for the disk. Ask returns a job's
-// records as JSON lines, Settle sets the verdict on a job whose outcome is unknown and returns
-// how many records it has settled, Stats returns counts as JSON.
+// Journal is the journal of one-shot jobs. Its methods may wait for the disk.
 type Journal interface {
+	// JobReports returns a line of JSON for each job of an id.
 	JobReports(ctx context.Context, id string) (lines []byte, err error)
+	// Decide records an operator's verdict on the jobs of an id whose outcome is unknown. It
+	// returns how many records have got the verdict.
 	Decide(ctx context.Context, id, verdict, by, why string) (int, error)
+	// Stats returns counters in JSON.
 	Stats() []byte
 }
 
@@ -32,23 +34,23 @@
 	Why     string `json:"why"`
 }
 
-// Validate returns an error for a settlement that is incomplete or has no known verdict.
-func (s *Decision) Validate() error {
-	if s.Job == "" || s.By == "" || s.Why == "" {
+// Validate returns an error if a field is missing or the verdict is unknown.
+func (d *Decision) Validate() error {
+	if d.Job == "" || d.By == "" || d.Why == "" {
 		return errors.New(`the body must be {"job":"ID","verdict":"ran|did_not_run|unknown","by":"NAME","why":"TEXT"}`)
 	}
-	_, err := journal.ParseVerdict(s.Verdict)
+	_, err := journal.ParseVerdict(d.Verdict)
 	return err
 }
 
-// journalCall is a parsed call to the journal.
+// journalCall is a parsed call to the journal: a decision, or a query for a job or the statistics.
 type journalCall struct {
 	isDecision bool
 	decision   Decision
-	job        string // that is asked for; empty: statistics
+	job        string // id of the queried job; empty for the statistics
 }
 
-// parse reads a call's query and body.
+// parse parses the query and body of a call.
 func (j *journalCall) parse(query string, body []byte) error {
 	values, err := url.ParseQuery(query)
 	if j.isDecision {
@@ -60,11 +62,11 @@
 	return err
 }
 
-// execute carries the call out and returns the body of the response.
+// execute executes the call and returns the body of the response.
 func (j *journalCall) execute(ctx context.Context, journal Journal) ([]byte, error) {
 	if j.isDecision {
-		s := &j.decision
-		_, err := journal.Decide(ctx, s.Job, s.Verdict, s.By, s.Why)
+		d := &j.decision
+		_, err := journal.Decide(ctx, d.Job, d.Verdict, d.By, d.Why)
 		return []byte("yes\n"), err
 	}
 	if j.job == "" {
@@ -73,7 +75,8 @@
 	return journal.JobReports(ctx, j.job)
 }
 
-// serveJournal answers a call to the journal, and reports whether it was one.
+// serveJournal responds to a call to the journal. It returns false, without a response, for any
+// other call.
 func (h *Handler) serveJournal(c *httpd.Conn, q *httpd.Request) bool {
 	path, query, _ := strings.Cut(q.Target, "?")
 	call := &journalCall{isDecision: path == journalPath+"/settle"}
@@ -100,7 +103,7 @@
 	return true
 }
 
-// runJournalCall carries a call out and responds.
+// runJournalCall executes a call and responds. It may block.
 func (h *Handler) runJournalCall(c *httpd.Conn, call *journalCall) {
 	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
@@ -118,7 +121,7 @@
 	})
 }
 
-// isNotFound reports whether an error says that what a call names does not exist.
+// isNotFound reports whether an error means that the worker or job of a call does not exist.
 func isNotFound(err error) bool {
 	return errors.Is(err, ErrUnknownWorker) || errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrNothingToDecide)
 }
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,5 @@
-// Package ops serves operators' calls over HTTP: health, cordons, the journal of jobs, and
-// pages of status. Each connection carries one call.
+// Package ops is the HTTP server for operators' calls to a scheduler: health checks, cordons, the
+// journal of one-shot jobs, and status pages. Each connection carries one call.
 package ops
 
 import (
@@ -12,40 +12,40 @@
 	"sedgevale/internal/httpd"
 )
 
-// callTimeout bounds a call; the caller waits a second.
+// callTimeout is the timeout of a call. It is below the second for which callers wait.
 const callTimeout = 800 * time.Millisecond
 
-// ErrUnknownWorker is returned by Scheduler.Cordon for a worker that no list has named.
+// ErrUnknownWorker is returned by Scheduler.Cordon for a worker that has not been in any list.
 var ErrUnknownWorker = errors.New("no such worker")
 
-// Scheduler carries out operators' calls. Its methods may block until the context ends.
+// Scheduler executes operators' calls. Its methods may block until the context ends.
 type Scheduler interface {
-	// Healthy returns why the scheduler is not ready to serve, or nil.
+	// Healthy returns nil if the scheduler is ready to serve, and otherwise the reason.
 	Healthy(context.Context) error
-	// Cordon cordons a worker, or uncordons it if cordon is false. It returns once that is
-	// in force.
+	// Cordon cordons a worker, or uncordons it if cordon is false. It returns when the change
+	// is in effect.
 	Cordon(ctx context.Context, host string, cordon bool) error
 }
 
 // Handler is an httpd.Handler for operators' calls.
 type Handler struct {
 	scheduler Scheduler
-	journal   Journal // nil: none
+	journal   Journal // nil if the scheduler has no journal
 	pages     map[string]Page
 }
 
-// Page is a status that operators can read.
+// Page is a status page.
 type Page struct {
-	Type string // its Content-Type
+	Type string // Content-Type
 	Read func() []byte
 }
 
-// New returns a Handler. Pages are by path. Journal and pages may be nil.
+// New returns a Handler. Pages has the status pages by their paths. Journal and pages may be nil.
 func New(s Scheduler, journal Journal, pages map[string]Page) *Handler {
 	return &Handler{s, journal, pages}
 }
 
-// Serve answers a call.
+// Serve implements httpd.Handler: it responds to a call.
 func (h *Handler) Serve(c *httpd.Conn, q *httpd.Request) {
 	if h.serveJournal(c, q) {
 		return
@@ -78,7 +78,7 @@
 		cordon := q.Target == "/admin/cordon"
 		do = func(ctx context.Context) error { return h.scheduler.Cordon(ctx, order.Host, cordon) }
 	}
-	go func() { // it may have to wait, which the event loop must not
+	go func() { // the call may block, and the event loop must not
 		ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 		defer stop()
 		err := do(ctx)
@@ -86,7 +86,8 @@
 	}()
 }
 
-// respond answers a call that was carried out, or why it was not.
+// respond sends the response to a call that ended with err: 200 without an error, 404 if the worker or job does not exist, and
+// 503 for any other error.
 func respond(c *httpd.Conn, err error) {
 	switch {
 	case err == nil:
@@ -98,5 +99,5 @@
 	}
 }
 
-// Disconnected is called when a caller has disconnected. Its call is carried out all the same.
+// Disconnected implements httpd.Handler. A call is completed even if its caller has disconnected.
 func (h *Handler) Disconnected(*httpd.Conn) {}
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -17,7 +17,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// fakeScheduler records the calls.
+// fakeScheduler records the calls of Cordon and returns a fixed health.
 type fakeScheduler struct {
 	cordons   chan string
 	unhealthy error
@@ -25,17 +25,18 @@
 
 func (o *fakeScheduler) Healthy(context.Context) error { return o.unhealthy }
 
-func (o *fakeScheduler) Cordon(_ context.Context, host string, out bool) error {
-	o.cordons <- fmt.Sprint(host, " ", out)
+func (o *fakeScheduler) Cordon(_ context.Context, host string, cordon bool) error {
+	o.cordons <- fmt.Sprint(host, " ", cordon)
 	if host == "stranger" {
 		return ErrUnknownWorker
 	}
 	return nil
 }
 
-func startServer(t *testing.T, sick error) (addr string, o *fakeScheduler) {
+// startServer serves a fakeScheduler without a journal and pages.
+func startServer(t *testing.T, unhealthy error) (addr string, o *fakeScheduler) {
 	t.Helper()
-	o = &fakeScheduler{make(chan string, 8), sick}
+	o = &fakeScheduler{make(chan string, 8), unhealthy}
 	addr = testkit.FreeAddr(t)
 	s := httpd.New(addr, 1, New(o, nil, nil), fdlimit.New(0), slog.New(slog.DiscardHandler))
 	if err := s.Start(t.Context(), nil); err != nil {
@@ -45,6 +46,7 @@
 	return addr, o
 }
 
+// callStatus sends a call and returns the status of the response.
 func callStatus(t *testing.T, addr, method, path, body string) int {
 	t.Helper()
 	c := testkit.Dial(t, addr)
@@ -59,12 +61,12 @@
 		t.Fatal(err)
 	}
 	if !a.Last {
-		t.Errorf("%s %s: the connection goes on", method, path)
+		t.Errorf("%s %s: the connection stays open after the response", method, path)
 	}
 	return a.Status
 }
 
-// Each call is answered, and what is no call changes nothing.
+// Each call gets its status, and a malformed or unknown call does not reach the scheduler.
 func TestCalls(t *testing.T) {
 	addr, o := startServer(t, nil)
 	for _, q := range []struct {
@@ -95,16 +97,17 @@
 		default:
 		}
 		if got != q.order {
-			t.Errorf("%s %s %s ordered %q, want %q", q.method, q.path, q.body, got, q.order)
+			t.Errorf("%s %s %s called Cordon with %q, want %q", q.method, q.path, q.body, got, q.order)
 		}
 	}
 	addr, _ = startServer(t, errors.New("sick"))
 	if got := callStatus(t, addr, "GET", "/admin/health", ""); got != 503 {
-		t.Errorf("sick, but health is %d", got)
+		t.Errorf("health check of an unhealthy scheduler: status %d, want 503", got)
 	}
 }
 
-// Guards against callers that send nothing, or half a call, and delay the others.
+// Guards against callers that delay others: connections on which nothing or an incomplete call is sent must not block a
+// complete call.
 func TestSilentConnectionsDoNotDelayOthers(t *testing.T) {
 	addr, _ := startServer(t, nil)
 	for i := range 8 {
@@ -117,11 +120,11 @@
 	}
 	began := time.Now()
 	if got := callStatus(t, addr, "GET", "/admin/health", ""); got != 200 || time.Since(began) > time.Second {
-		t.Errorf("%d after %v", got, time.Since(began))
+		t.Errorf("health check: status %d after %v, want 200 within 1s", got, time.Since(began))
 	}
 }
 
-// Cordons outlive the process; a broken file is an error and leaves an empty set.
+// Cordons survive a restart. A malformed file is an error and yields an empty set.
 func TestCordonsAreSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cordons")
 	c, err := ReadCordons(path)
@@ -141,12 +144,12 @@
 		t.Errorf("read %q, error %v", got, err)
 	}
 	if files, _ := filepath.Glob(path + "*"); len(files) != 1 {
-		t.Errorf("files left: %v", files)
+		t.Errorf("temporary files remain: %v", files)
 	}
 	if err := os.WriteFile(path, []byte(`["a`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if c, err := ReadCordons(path); err == nil || len(c.Hosts()) != 0 {
-		t.Errorf("of a broken file came %v, error %v", c.Hosts(), err)
+		t.Errorf("a malformed file yields %v, error %v", c.Hosts(), err)
 	}
 }
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -8,19 +8,19 @@
 	"sedgevale/internal/http1"
 )
 
-// probeTimeout bounds a health check, including the time to connect.
+// probeTimeout is the timeout of a health check, including the dial.
 const probeTimeout = time.Second
 
-// call is an attempt, or a health check of a worker, from Send or Probe to its outcome.
+// call is an attempt or a health check of a worker, from Send or Probe until its outcome is reported.
 type call struct {
 	attempt *dispatch.Attempt // nil for a health check
-	planner *dispatch.Planner // of the health check
+	planner *dispatch.Planner // receives the result of a health check; nil for an attempt
 	worker  *worker
 	conn    *conn // nil until the request is sent
 	done    bool
 }
 
-// Send starts an attempt. Its outcome is reported to its planner.
+// Send starts an attempt. The outcome is reported to the attempt's planner.
 func (p *Pool) Send(a *dispatch.Attempt) {
 	p.loop.Do(func() {
 		cl := &call{attempt: a, worker: p.workers[a.Worker]}
@@ -29,7 +29,7 @@
 	})
 }
 
-// Cancel aborts an attempt by closing its connection.
+// Cancel ends an attempt and closes its connection.
 func (p *Pool) Cancel(a *dispatch.Attempt) {
 	p.loop.Do(func() {
 		if cl := p.calls[a]; cl != nil {
@@ -38,7 +38,7 @@
 	})
 }
 
-// CancelUnsent ends an attempt unless its request has been sent, at least in part.
+// CancelUnsent ends an attempt of whose request no part has been sent. It does nothing for other attempts.
 func (p *Pool) CancelUnsent(a *dispatch.Attempt) {
 	p.loop.Do(func() {
 		if cl := p.calls[a]; cl != nil && cl.conn == nil {
@@ -47,7 +47,7 @@
 	})
 }
 
-// Probe sends a health check, which asks a worker for its load, and reports the answer to planner.
+// Probe sends a health check, which requests the load of a worker, and reports the result to planner.
 func (p *Pool) Probe(id string, planner *dispatch.Planner) {
 	p.loop.Do(func() {
 		cl := &call{planner: planner, worker: p.workers[id]}
@@ -62,14 +62,14 @@
 	})
 }
 
-// startCall sends a call over an idle connection, or begins to dial a new one.
+// startCall sends a call over an idle connection, or dials a new one if there is none.
 func (p *Pool) startCall(cl *call) {
 	w := cl.worker
 	if w == nil || !p.acceptsAttempts(w) {
 		p.finishCall(cl, dispatcher.NotSent, nil, nil)
 		return
 	}
-	// A request that is not idempotent has a single attempt. It is not risked on a reused connection while those break.
+	// A request that is not idempotent has a single attempt. While reused connections break, it is sent over a new one.
 	for n := len(w.idle); n > 0 && (cl.attempt == nil || !cl.attempt.AtMostOnce || !p.reusedConnsBreak()); n = len(w.idle) {
 		c := w.idle[n-1]
 		w.idle = w.idle[:n-1]
@@ -79,7 +79,7 @@
 		}
 		p.closeConn(c)
 	}
-	// The descriptor counts from the dial on: while workers do not respond, pending dials hold most of them.
+	// The descriptor is acquired before the dial: while workers do not respond, most descriptors belong to pending dials.
 	if !p.opt.Descriptors.Acquire() {
 		p.opt.Descriptors.Release()
 		p.finishCall(cl, dispatcher.NotSent, nil, nil)
@@ -93,7 +93,8 @@
 	})
 }
 
-// finishCall ends a call and reports its outcome. The connection is closed unless the answer is complete.
+// finishCall ends a call and reports its outcome. It closes the connection unless the outcome is part of a response, after
+// which the connection can be reused.
 func (p *Pool) finishCall(cl *call, o dispatcher.Outcome, result []byte, report *dispatcher.LoadReport) {
 	if cl.done {
 		return
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -17,24 +17,24 @@
 	pool          *Pool
 	raw           evloop.Conn
 	worker        *worker
-	call          *call // nil if the connection is idle, or only the end of an answer is outstanding
+	call          *call // the current call, or nil if the connection is idle
 	parser        *http1.Parser
 	lines         lineSplitter
 	closed        bool
-	writeFailed   bool // set during a Write and after a failed one
-	outcomeKnown  bool // the outcome of the last call is known; it stays set while the connection is idle
-	uses          int  // calls sent
-	responseBytes int  // size of the answer so far
+	writeFailed   bool // set during a Write, and after one that failed
+	outcomeKnown  bool // the outcome of the last call is known; stays set while the connection is idle
+	uses          int  // number of calls sent
+	responseBytes int  // size of the received part of the response
 	idleSince     time.Time
 	buffer        []byte
 }
 
-// OnOpen implements evloop.Handler: a dialled connection is established.
+// OnOpen implements evloop.Handler: it sends the call for which the connection was dialed.
 func (c *conn) OnOpen(raw evloop.Conn) bool {
 	c.raw = raw
 	cl := c.call
 	c.worker, c.call = cl.worker, nil
-	if cl.done { // the worker drains or is cordoned, or the client has disconnected
+	if cl.done { // cancelled during the dial: the worker drains or is cordoned, or the client has disconnected
 		c.closed = true
 		return false
 	}
@@ -43,7 +43,7 @@
 	return true
 }
 
-// OnClose implements evloop.Handler.
+// OnClose implements evloop.Handler: it fails the current call.
 func (c *conn) OnClose(evloop.Conn) {
 	p := c.pool
 	p.opt.Descriptors.Release()
@@ -65,15 +65,16 @@
 	}
 }
 
-// shutdownWrite keeps a partly written request partial: gnet flushes its buffer as it closes a connection, and then a
-// request that was reported as not sent would be served.
+// shutdownWrite shuts down the write side if a request is partly written. Otherwise gnet would flush its buffer as it closes
+// the connection, and the worker would serve a request that was reported as not sent.
 func (c *conn) shutdownWrite() {
 	if c.raw.OutboundBuffered() > 0 {
 		_ = unix.Shutdown(c.raw.Fd(), unix.SHUT_WR)
 	}
 }
 
-// stats returns the counts to which the last call on the connection belongs.
+// stats returns the counters of reused connections if the connection has carried an earlier call, and otherwise those of new
+// ones.
 func (c *conn) stats() *connStats {
 	if c.uses > 1 {
 		return &c.pool.reusedConns
@@ -81,7 +82,8 @@
 	return &c.pool.newConns
 }
 
-// isReusable reports whether an idle connection has nothing to read, not even its end, that the loop has yet to notice.
+// isReusable reports whether there is nothing to read on an idle connection. It detects data or an end of stream that the event
+// loop has not reported yet.
 func (c *conn) isReusable() bool {
 	var b [1]byte
 	_, _, err := unix.Recvfrom(c.raw.Fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -90,7 +92,7 @@
 
 // send sends the request of a call.
 func (c *conn) send(cl *call) {
-	if cl.attempt != nil && cl.attempt.Expired(c.pool.opt.Clock.Now()) { // while the connection was being made
+	if cl.attempt != nil && cl.attempt.Expired(c.pool.opt.Clock.Now()) { // the deadline has passed during the dial
 		c.putIdle()
 		c.pool.finishCall(cl, dispatcher.NotSent, nil, nil)
 		return
@@ -101,7 +103,7 @@
 	c.outcomeKnown, c.responseBytes = false, 0
 	c.lines.partial = nil
 	c.buffer = c.appendRequest(c.buffer[:0], cl)
-	c.writeFailed = true // a failing Write calls OnClose
+	c.writeFailed = true // set before Write, because a failing Write calls OnClose
 	if _, err := c.raw.Write(c.buffer); err != nil {
 		c.pool.finishCall(cl, dispatcher.ConnectFailed, nil, nil)
 		return
@@ -134,10 +136,11 @@
 	return http1.AppendBody(b, a.Body)
 }
 
-// requestWritten reports whether the whole request has been written to the socket.
+// requestWritten reports whether the entire request has been written to the socket.
 func (c *conn) requestWritten() bool { return !c.writeFailed && c.raw.OutboundBuffered() == 0 }
 
-// OnTraffic implements evloop.Handler: it parses an answer incrementally. A malformed one ends the attempt and the connection.
+// OnTraffic implements evloop.Handler: it parses a response incrementally. A malformed response ends the call and the
+// connection.
 func (c *conn) OnTraffic(evloop.Conn) bool {
 	for !c.closed {
 		buf, _ := c.raw.Peek(-1)
@@ -168,19 +171,19 @@
 	return true
 }
 
-// isInformational reports whether the message at hand is an informational (1xx) response.
+// isInformational reports whether the response that is being parsed is informational (1xx).
 func (c *conn) isInformational() bool { return c.parser.Head.Status < 200 }
 
-// handleMalformed ends the call, if any, and closes the connection.
+// handleMalformed handles a malformed response: it ends the call, if any, and closes the connection.
 func (c *conn) handleMalformed(err error) {
 	if cl := c.call; cl != nil && !cl.done {
-		c.pool.opt.Log.Warn("malformed answer from worker", "worker", c.worker.id, "err", err)
+		c.pool.opt.Log.Warn("malformed response from worker, closing the connection", "worker", c.worker.id, "err", err)
 		c.pool.finishCall(cl, dispatcher.ConnectionLost, nil, nil)
 	}
 	c.pool.closeConn(c)
 }
 
-// handleEvent handles what the parser has found in the answer.
+// handleEvent handles an event of the parser.
 func (c *conn) handleEvent(ev http1.Event, body []byte) error {
 	switch ev {
 	case http1.HeadParsed:
@@ -188,7 +191,7 @@
 	case http1.Body:
 		return c.handleBody(body)
 	case http1.Ended:
-		if len(c.lines.partial) > 0 && !c.isInformational() { // the last line may lack its line feed
+		if len(c.lines.partial) > 0 && !c.isInformational() { // the last line may have no line feed
 			last := c.lines.partial
 			c.lines.partial = nil
 			return c.handleLine(last)
@@ -230,21 +233,21 @@
 	return nil
 }
 
-// handleHeadOnly handles an answer whose outcome is known from its head: a health check, or a status other than 200. The
-// connection is reused once the answer has ended.
+// handleHeadOnly handles a response whose head determines the outcome: that of a health check, or one with a status other than
+// 200. The connection can be reused when the response has ended.
 func (c *conn) handleHeadOnly(h *http1.Head) {
 	cl := c.call
 	report := parseLoadHeader(h.Get("Server-Load"))
 	o := dispatcher.Errored
 	if (h.Status == 503 || h.Status == 504) && h.Get("Not-Started") == "1" {
 		o = dispatcher.Rejected
-		h.Close = true // it names no request: a duplicate would be taken for the answer to the next one
+		h.Close = true // the response names no request, so a duplicate could be taken for the response to the next request
 	}
 	c.awaitEnd()
 	c.pool.finishCall(cl, o, nil, report)
 }
 
-// handleLine handles one JSON object of an answer. A line after the outcome is ignored.
+// handleLine handles a line of the response body, which is a JSON object. Lines after the outcome are ignored.
 func (c *conn) handleLine(text []byte) error {
 	cl := c.call
 	if cl == nil || cl.done || len(text) == 0 || len(text) == 1 && text[0] == '\r' {
@@ -277,22 +280,23 @@
 	return nil
 }
 
-// handleOutcome ends the attempt by its last line. The connection is not reused before the answer has ended.
+// handleOutcome ends the attempt with the outcome of its last line. The connection is not reused before the response has ended.
 func (c *conn) handleOutcome(o dispatcher.Outcome, result []byte, l responseLine) {
 	c.awaitEnd()
 	c.pool.finishCall(c.call, o, result, loadReport(l.Load))
 }
 
-// awaitEnd records that only the end of the answer is outstanding.
+// awaitEnd records that only the end of the response is outstanding.
 func (c *conn) awaitEnd() {
 	c.outcomeKnown, c.idleSince = true, time.Now()
 	c.pool.awaitingEnd[c] = struct{}{}
 }
 
-// handleEnd handles the end of an answer: it makes the connection idle, or closes it. It reports whether it is still open.
+// handleEnd handles the end of a response: it makes the connection idle or closes it. It reports whether the connection is
+// still open.
 func (c *conn) handleEnd() bool {
 	delete(c.pool.awaitingEnd, c)
-	if cl := c.call; cl != nil && !cl.done { // there was no last line with an outcome
+	if cl := c.call; cl != nil && !cl.done { // the response has no line with an outcome
 		c.pool.finishCall(cl, dispatcher.ConnectionLost, nil, nil)
 	}
 	if c.closed {
@@ -304,22 +308,22 @@
 		return false
 	}
 	c.putIdle()
-	if len(c.worker.idle) > maxIdleWhileAvoided && c.pool.reusedConnsBreak() { // each request that avoids them adds one
+	if len(c.worker.idle) > maxIdleWhileAvoided && c.pool.reusedConnsBreak() { // each request that avoids reused connections adds an idle one
 		c.pool.closeConn(c.worker.idle[0])
 	}
 	return true
 }
 
-// putIdle adds the connection to the idle ones of its worker.
+// putIdle adds the connection to the idle connections of its worker.
 func (c *conn) putIdle() {
 	c.outcomeKnown, c.idleSince = true, time.Now()
 	c.worker.idle = append(c.worker.idle, c)
 }
 
-// Errors of a malformed answer. Each closes the connection and ends the attempt.
+// Errors of a malformed response.
 var (
-	errUnsolicited     = errors.New("unsolicited answer")
-	errOtherRequest    = errors.New("answer to another request")
-	errNoResult        = errors.New("state done without a result")
-	errResponseTooLong = errors.New("answer too long")
+	errUnsolicited     = errors.New("unsolicited response")
+	errOtherRequest    = errors.New("response to another request")
+	errNoResult        = errors.New("state \"done\" without a result")
+	errResponseTooLong = errors.New("response too long")
 )
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -22,11 +22,11 @@
 	"sedgevale/internal/testkit"
 )
 
-// The tests of this file concern the ways in which an attempt ends. On each, what was never sent must be told apart from
-// what the worker may have served.
+// The tests of this file cover the ways in which an attempt ends. In each case a request that was never sent must be
+// distinguished from one that the worker may have served.
 
-// listenWithFullBacklog returns the address of a worker whose connections are established only once accept is called, and a channel of what
-// each of them then receives up to its end.
+// listenWithFullBacklog returns the address of a worker whose connections are established only after accept is called. The
+// channel that accept returns receives the bytes of each connection when it ends.
 func listenWithFullBacklog(t *testing.T) (addr string, accept func() <-chan string) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -89,15 +89,15 @@
 			wait = slow
 		case wait > slow:
 			return
-		default: // on a busy machine a dial may take so long though the queue is not full
+		default: // on a busy machine a dial may time out although the queue is not full
 			wait = 4 * slow
 		}
 	}
-	t.Skip("this system takes connections beyond the queue")
+	t.Skip("this system establishes connections beyond the accept queue")
 }
 
-// awaitDial waits until a connection to the worker is being made and its first packet has been sent: by then the queue of the
-// listener was full.
+// awaitDial waits until a connection to the worker is being dialed and its SYN has been sent, so that the connection cannot be
+// established before the accept queue of the listener has room.
 func awaitDial(t *testing.T, pool *Pool, worker string) {
 	t.Helper()
 	addr := ""
@@ -127,9 +127,10 @@
 			}
 		}
 	}
-	t.Fatal("no connection is being made")
+	t.Fatal("no connection to the worker is in state SYN_SENT")
 }
 
+// submitRequest submits a request with 3 s to its deadline, and returns it with the channel of its answer.
 func submitRequest(p *dispatch.Planner, clock dispatch.Clock, id string, class *dispatcher.Class, body []byte) (*dispatch.Exchange, client) {
 	answers := make(client, 1)
 	once := ""
@@ -142,8 +143,8 @@
 	return x, answers
 }
 
-// Guards against a request that is sent though its client disconnected while the connection was being made, also where the
-// settings forbid cancellation: it was not sent, so there is nothing to cancel.
+// Guards against a request that is sent although its client disconnected during the dial. This holds also if the settings forbid
+// cancellation: the request was not sent, so there is nothing to cancel.
 func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		t.Run(fmt.Sprint("may cancel ", mayCancel), func(t *testing.T) {
@@ -156,9 +157,9 @@
 			planner.CountOpen(func(n int) { open <- n })
 			testkit.Await(t, "the planner", open)
 			got := accept()
-			for { // the connections that fill the queue stay open; that of the pool is established and closed
-				if text := testkit.Await(t, "the late connection's end", got); text != "" {
-					t.Errorf("the worker got %q", text)
+			for { // the connections that fill the accept queue stay open; that of the pool is established and closed
+				if text := testkit.Await(t, "the end of the late connection", got); text != "" {
+					t.Errorf("the worker received %q", text)
 				} else {
 					break
 				}
@@ -167,44 +168,44 @@
 	}
 }
 
-// Guards against a retry after the window in which workers recognise an idempotency key: it was decided within the window,
-// but its connection was established after it. The client gets an error.
+// Guards against a retry that is sent after the deduplication window of its idempotency key: the retry is decided within the
+// window, but its connection is established after it. The client must get an error.
 func TestDedupWindowEndsWhileDialing(t *testing.T) {
 	keyed := dispatcher.Class{Name: "keyed", Idempotency: dispatcher.IdempotentByKey, DedupWindow: 500 * time.Millisecond, LatencyTarget: 3 * time.Second, ClientTimeout: 3 * time.Second}
 	addr, accept := listenWithFullBacklog(t)
-	come, breakOff := make(chan struct{}, 4), make(chan struct{})
+	received, reset := make(chan struct{}, 4), make(chan struct{})
 	first := testkit.Accept(t, func(c net.Conn) { // receives the request and resets the connection
 		_, _ = http.ReadRequest(bufio.NewReader(c))
-		come <- struct{}{}
-		<-breakOff
+		received <- struct{}{}
+		<-reset
 		_ = c.(*net.TCPConn).SetLinger(0)
 		mustClose(t, c)
 	})
 	pool, planner, clock := newTestPoolWithSettings(t, first, 0, func(s *dispatcher.Settings) { s.Classes = []dispatcher.Class{keyed} })
 	pool.UpdateMembers(false, []Member{{ID: "v", Addr: addr, Ready: true}})
 	_, answers := submitRequest(planner, clock, "a", &keyed, nil)
-	testkit.Await(t, "the first attempt", come)
+	testkit.Await(t, "the first attempt", received)
 	planner.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Worker: "v"}})
-	close(breakOff)
+	close(reset)
 	awaitDial(t, pool, "v")
 	got := accept()
 	if a := testkit.Await(t, "the answer", answers); a.Kind == dispatch.Served {
 		t.Errorf("%+v", a)
 	}
 	closed := make(chan struct{})
-	pool.loop.Do(func() { // the connection is idle, for the next request
+	pool.loop.Do(func() { // the new connection is idle
 		for _, w := range pool.workers {
 			pool.closeIdleOf(w)
 		}
 		close(closed)
 	})
 	testkit.Await(t, "the loop", closed)
-	if text := testkit.Await(t, "the late connection's end", got); text != "" {
-		t.Errorf("the worker got %q", text)
+	if text := testkit.Await(t, "the end of the late connection", got); text != "" {
+		t.Errorf("the worker received %q", text)
 	}
 }
 
-// Guards against a request sent to an address that the worker no longer has.
+// Guards against a request that is sent to the former address of a worker, whose address has changed during the dial.
 func TestAddressChangesWhileDialing(t *testing.T) {
 	addr, accept := listenWithFullBacklog(t)
 	pool, planner, clock := newTestPool(t, addr, 0)
@@ -214,12 +215,12 @@
 	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
 		t.Errorf("%+v", a)
 	}
-	if text := testkit.Await(t, "the late connection's end", accept()); text != "" {
-		t.Errorf("the former address got %q", text)
+	if text := testkit.Await(t, "the end of the late connection", accept()); text != "" {
+		t.Errorf("the former address received %q", text)
 	}
 }
 
-// serveResponses runs a worker that has say answer each request.
+// serveResponses runs a worker that calls say to write the response to each request.
 func serveResponses(t *testing.T, say func(id string, w io.Writer)) string {
 	return testkit.Accept(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }() // the pool may have reset it
@@ -234,7 +235,7 @@
 	})
 }
 
-// Guards against answers that never end: they are bounded in bytes, and the attempt fails.
+// Guards against responses that never end: their size is bounded, and the attempt fails as one that may have run.
 func TestEndlessResponses(t *testing.T) {
 	for name, endless := range map[string]func(id string) string{
 		"progress":  func(id string) string { return fmt.Sprintf(`{"id":%q,"state":"running","share":0.5}`+"\n", id) },
@@ -265,39 +266,39 @@
 			if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Failed || !a.MayHaveRun {
 				t.Errorf("%+v", a)
 			}
-			if n := testkit.Await(t, "the worker's end", wrote); n >= 64<<20 {
-				t.Errorf("%d bytes were read", n)
+			if n := testkit.Await(t, "the end of the worker's response", wrote); n >= 64<<20 {
+				t.Errorf("the worker could write %d bytes", n)
 			}
 		})
 	}
 }
 
-// Guards against a duplicated answer that is taken for that to the next request: since it names no request and says that it
-// was not started, a request that the worker serves would be sent again.
+// Guards against a duplicated rejection that is taken for the response to the next request. A rejection names no request and
+// means that the request was not started, so a request that the worker serves would be sent again.
 func TestDuplicateRejection(t *testing.T) {
 	const rejection = "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
-	asked := make(chan string, 16)
-	again := make(chan struct{})
+	received := make(chan string, 16)
+	duplicate := make(chan struct{})
 	addr := serveResponses(t, func(id string, w io.Writer) {
-		asked <- id
+		received <- id
 		_, _ = io.WriteString(w, rejection)
 		if id == "a" {
-			<-again // until the next request has come, on whatever connection
+			<-duplicate // closed at the end of the test
 			_, _ = io.WriteString(w, rejection)
 		}
 	})
 	pool, planner, clock := newTestPool(t, addr, 0)
 	_, first := submitRequest(planner, clock, "a", &classes[0], nil)
-	testkit.Await(t, "the first job", asked)
+	testkit.Await(t, "the first request", received)
 	if a := testkit.Await(t, "the first answer", first); a.Kind != dispatch.Rejected {
 		t.Errorf("%+v", a)
 	}
 	idle := make(chan int, 1)
 	pool.loop.Do(func() { idle <- len(pool.workers["w"].idle) })
 	if n := testkit.Await(t, "the loop", idle); n != 0 {
-		t.Errorf("%d idle connections on which the same answer may come again", n)
+		t.Errorf("%d idle connections on which a duplicate response may arrive, want 0", n)
 	}
-	close(again)
+	close(duplicate)
 }
 
 func setSendBuffer(t *testing.T, c evloop.Conn, bytes int) {
@@ -307,7 +308,7 @@
 	}
 }
 
-// closePartlyWritten waits for a connection with a partly written request and closes it, with room in its send buffer.
+// closePartlyWritten waits for a connection with a partly written request, sets the size of its send buffer and closes it.
 func closePartlyWritten(t *testing.T, pool *Pool, sendBuffer int) {
 	t.Helper()
 	for left := 0; left == 0; {
@@ -318,7 +319,7 @@
 				if cl.conn != nil && cl.conn.raw.OutboundBuffered() > 0 {
 					n = cl.conn.raw.OutboundBuffered()
 					setSendBuffer(t, cl.conn.raw, sendBuffer)
-					pool.loop.Close(cl.conn.raw) // as after a failed read
+					pool.loop.Close(cl.conn.raw) // as the loop does after a failed read
 				}
 			}
 			seen <- n
@@ -327,8 +328,8 @@
 	}
 }
 
-// Guards against a request that is reported as not sent, since its connection ended while a part of it was buffered, and that
-// is flushed as the connection is closed.
+// Guards against a request that is reported as not sent, because its connection was closed while a part of it was buffered, and
+// that the worker still receives in full, because gnet flushes the buffer as it closes the connection.
 func TestPartlyWrittenRequestStaysPartial(t *testing.T) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4096) })
@@ -360,20 +361,20 @@
 		small <- len(w.idle) == 1
 	})
 	if !testkit.Await(t, "the loop", small) {
-		t.Fatal("the connection was not kept")
+		t.Fatal("the worker has no idle connection after the first response")
 	}
-	const size = 100 << 10 // more than the buffer holds now, but not more than it will
+	const size = 100 << 10 // larger than the send buffer now, but smaller than after closePartlyWritten has enlarged it
 	_, answers = submitRequest(planner, clock, "b", &classes[0], bytes.Repeat([]byte("b"), size))
 	closePartlyWritten(t, pool, 4*size)
 	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
 		t.Errorf("%+v", a)
 	}
 	if got, _ := io.Copy(io.Discard, r); got >= size {
-		t.Errorf("the worker got all of a request that counts as not sent: %d bytes", got)
+		t.Errorf("the worker received %d bytes, the entire request, although it is reported as not sent", got)
 	}
 }
 
-// Guards against small writes that the kernel delays (Nagle's algorithm).
+// Guards against delays of small writes by Nagle's algorithm: connections to workers must set TCP_NODELAY.
 func TestConnectionsSetTCPNoDelay(t *testing.T) {
 	addr := serveResponses(t, func(id string, w io.Writer) {
 		writeDone(t, w, id)
@@ -390,6 +391,6 @@
 		on <- v
 	})
 	if v := testkit.Await(t, "the loop", on); v != 1 {
-		t.Errorf("TCP_NODELAY is %d", v)
+		t.Errorf("TCP_NODELAY is %d, want 1", v)
 	}
 }
--- a/internal/upstream/line.go
+++ b/internal/upstream/line.go
@@ -9,7 +9,7 @@
 	"sedgevale/dispatcher"
 )
 
-// responseLine is the part of one JSON object of a worker's answer that is used.
+// responseLine has the used fields of a JSON object, one line of a worker's response.
 type responseLine struct {
 	ID     string             `json:"id"`
 	State  string             `json:"state"`
@@ -23,19 +23,19 @@
 	return l, err
 }
 
-// lineSplitter splits a body that arrives in chunks into lines. It keeps the incomplete last line.
+// lineSplitter splits a body that arrives in chunks into lines. It buffers an incomplete last line.
 type lineSplitter struct{ partial []byte }
 
-var errLineTooLong = errors.New("line too long")
+var errLineTooLong = errors.New("response line too long")
 
-// maxLineBytes bounds a line: a result of 64 KiB of which JSON escapes each byte, and some more.
+// maxLineBytes bounds a line. A result of 64 KiB takes 384 KiB if JSON escapes each byte; the rest is for the other fields.
 const maxLineBytes = 512 << 10
 
-// maxResponseBytes bounds an answer: the longest line, and the lines of starts and progress before it.
+// maxResponseBytes bounds a response: the longest line, and the lines before it that report the start and progress.
 const maxResponseBytes = 2 * maxLineBytes
 
-// next returns the first complete line of b, with what was kept before it, and the rest of b. If there is none it keeps b and
-// returns nil. The line is valid until the next call.
+// next returns the first complete line, which consists of the buffered bytes and the start of b, and the rest of b. If b
+// completes no line, next buffers b and returns nil. The line is valid until the next call.
 func (l *lineSplitter) next(b []byte) (line, rest []byte, err error) {
 	for i, c := range b {
 		if c != '\n' {
@@ -55,7 +55,7 @@
 	return nil, nil, nil
 }
 
-// loadReport returns the values that decisions use, or nil if there are none.
+// loadReport returns the reported values that the dispatcher uses, or nil if there are none.
 func loadReport(values map[string]float64) *dispatcher.LoadReport {
 	var r dispatcher.LoadReport
 	r.FreeSlots, r.HasFreeSlots = values["x0"]
@@ -68,8 +68,8 @@
 	return &r
 }
 
-// parseLoadHeader parses a Server-Load field, name=value,name=value. Malformed pairs are ignored: a report is a hint, and
-// the answer with it is still valid.
+// parseLoadHeader parses a Server-Load field, name=value,name=value. Malformed pairs are ignored: a load report is only a hint,
+// and the response that carries it is still valid.
 func parseLoadHeader(s string) *dispatcher.LoadReport {
 	values := map[string]float64{}
 	for pair := range strings.SplitSeq(s, ",") {
--- a/internal/upstream/line_test.go
+++ b/internal/upstream/line_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m, 200) }
 
-// A body is split into the same lines however it is cut into chunks.
+// A body yields the same lines however it is divided into chunks.
 func TestLineSplitterChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.SliceOfN(rapid.StringMatching(`[ -~]{0,40}`), 0, 6).Draw(t, "lines")
@@ -34,12 +34,12 @@
 			body = body[n:]
 		}
 		if strings.Join(got, "\n") != strings.Join(want, "\n") || len(got) != len(want) || len(l.partial) > 0 {
-			t.Fatalf("got %q and %q left, want %q", got, l.partial, want)
+			t.Fatalf("got lines %q with %q buffered, want %q", got, l.partial, want)
 		}
 	})
 }
 
-// Guards against a worker that never ends its line taking all memory.
+// Guards against a worker that exhausts the memory with a line that never ends.
 func TestLineSplitterBound(t *testing.T) {
 	var l lineSplitter
 	part := bytes.Repeat([]byte("x"), 64<<10)
@@ -48,7 +48,7 @@
 			return
 		}
 	}
-	t.Errorf("%d bytes kept", len(l.partial))
+	t.Errorf("%d bytes of a line are buffered without an error", len(l.partial))
 }
 
 func TestObjectsAndReports(t *testing.T) {
@@ -69,6 +69,6 @@
 		t.Errorf("report %+v", r)
 	}
 	if r := parseLoadHeader("lat_ms=3,q=1"); r != nil {
-		t.Errorf("a report of nothing that is used: %+v", r)
+		t.Errorf("a report without used values is parsed as %+v", r)
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,5 +1,6 @@
-// Package upstream sends attempts to workers over pooled HTTP/1.1 connections on a gnet event loop, one attempt at a time on
-// a connection, and reports their outcomes to the planner. It takes no decisions and never retries on its own.
+// Package upstream is the HTTP/1.1 client of the workers: it sends attempts over pooled connections on a gnet event loop, one
+// attempt at a time on each connection, and reports their outcomes to the planners. It makes no scheduling decisions and never
+// retries on its own.
 package upstream
 
 import (
@@ -16,8 +17,8 @@
 // Options configure a Pool.
 type Options struct {
 	DialTimeout time.Duration
-	IdleTimeout time.Duration // the workers' idle timeout; 0 if unknown
-	Host        string        // the Host field of requests
+	IdleTimeout time.Duration // idle timeout of the workers; 0 if unknown
+	Host        string        // value of the Host field of requests
 	Clock       dispatch.Clock
 	Loop        *evloop.Loop
 	Descriptors *fdlimit.Limiter
@@ -27,16 +28,16 @@
 // Member is a worker in the membership list.
 type Member struct {
 	ID, Addr string
-	Ready    bool // false if it drains or has left
+	Ready    bool // false if the worker drains or has left
 }
 
 const (
 	sweepInterval       = 500 * time.Millisecond
 	defaultDialTimeout  = time.Second
 	defaultIdleTimeout  = 30 * time.Second
-	idleTimeoutFraction = 0.6         // of the workers' idle timeout: a request must not cross the close of its connection
-	responseEndTimeout  = time.Second // for the end of an answer whose outcome is known
-	maxIdleWhileAvoided = 4           // idle connections to one worker while reused connections are avoided
+	idleTimeoutFraction = 0.6         // part of the workers' idle timeout after which this side closes, so that no request crosses a close by the worker
+	responseEndTimeout  = time.Second // time for the end of a response whose outcome is known
+	maxIdleWhileAvoided = 4           // maximum number of idle connections to a worker while reused connections are avoided
 )
 
 // Pool holds the connections to all workers. It implements dispatch.Carrier. Its methods are safe for concurrent use and
@@ -47,18 +48,18 @@
 
 	// The fields below are accessed on the loop only.
 	workers     map[string]*worker
-	cordoned    map[string]bool // workers to which nothing is sent, whatever the list says
+	cordoned    map[string]bool // workers to which nothing is sent, regardless of the list
 	calls       map[*dispatch.Attempt]*call
-	awaitingEnd map[*conn]struct{} // their attempt has ended, the end of the answer is outstanding
-	reusedConns connStats          // of connections that had carried an attempt before
-	newConns    connStats          // of first attempts on connections
+	awaitingEnd map[*conn]struct{} // connections whose call has ended while the end of the response is outstanding
+	reusedConns connStats          // calls on connections that had carried a call before
+	newConns    connStats          // first calls on connections
 }
 
 // worker is the state of the connections to one worker.
 type worker struct {
 	id, addr string
 	ready    bool
-	idle     []*conn // the most recently used last
+	idle     []*conn // ordered by last use, the most recent last
 	dialing  map[*call]struct{}
 }
 
@@ -71,7 +72,7 @@
 	return p
 }
 
-// SetTimeouts changes the timeouts; what is 0 or less gets its default.
+// SetTimeouts changes the timeouts. A timeout of 0 or less selects the default.
 func (p *Pool) SetTimeouts(dialTimeout, idleClose time.Duration) {
 	p.loop.Do(func() { p.opt.setTimeouts(dialTimeout, idleClose) })
 }
@@ -85,7 +86,7 @@
 	}
 }
 
-// Run closes connections that are idle for too long, until ctx ends.
+// Run closes connections that have been idle for too long, until ctx is done.
 func (p *Pool) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -99,8 +100,8 @@
 	}
 }
 
-// UpdateMembers applies an update of the membership list: the full list, from which an absent worker has been removed, or the
-// changed entries.
+// UpdateMembers applies an update of the membership list. If full is set, members is the full list, and workers that are not in
+// it have left; otherwise it has the changed entries.
 func (p *Pool) UpdateMembers(full bool, members []Member) {
 	p.loop.Do(func() {
 		if full {
@@ -121,7 +122,7 @@
 				p.workers[m.ID] = w
 			}
 			if w.addr != m.Addr {
-				p.cancelUnsent(w) // dials are to the address before
+				p.cancelUnsent(w) // pending dials are to the previous address
 				w.addr = m.Addr
 			}
 			if w.ready = m.Ready; !m.Ready {
@@ -131,8 +132,8 @@
 	})
 }
 
-// Cordon stops sending to a worker, or resumes it, whatever the list says. Done is called on the loop once it has taken
-// effect.
+// Cordon stops sending to a worker, or resumes it if cordon is false, regardless of the list. Done is called on the loop when
+// the change is in effect.
 func (p *Pool) Cordon(id string, cordon bool, done func()) {
 	p.loop.Do(func() {
 		delete(p.cordoned, id)
@@ -149,14 +150,14 @@
 // acceptsAttempts reports whether attempts may be sent to a worker.
 func (p *Pool) acceptsAttempts(w *worker) bool { return w.ready && !p.cordoned[w.id] }
 
-// stopSending ends the attempts that have not been sent yet to a worker that drains or has left: an attempt counts as sent
-// from its first byte, which a dial delays.
+// stopSending ends the attempts to a worker that drains or has left, if they have not been sent yet. An attempt counts as sent
+// from its first byte, so one whose connection is still being dialed is not sent.
 func (p *Pool) stopSending(w *worker) {
 	w.ready = false
 	p.cancelUnsent(w)
 }
 
-// cancelUnsent ends the attempts whose connection is being made, and closes idle connections.
+// cancelUnsent ends the calls to a worker whose connections are being dialed, and closes its idle connections.
 func (p *Pool) cancelUnsent(w *worker) {
 	for c := range w.dialing {
 		p.finishCall(c, dispatcher.NotSent, nil, nil)
@@ -179,7 +180,7 @@
 	})
 }
 
-// closeConn closes a connection at once. It does nothing for a closed one.
+// closeConn closes a connection at once. It does nothing if the connection is closed already.
 func (p *Pool) closeConn(c *conn) {
 	if c.closed {
 		return
@@ -199,7 +200,8 @@
 	}
 }
 
-// sweep closes connections whose idle timeout at the worker is near, and removes workers that have left.
+// sweep closes connections that have been idle for idleTimeoutFraction of the workers' idle timeout, or whose response does not
+// end, and removes workers that are not ready and have no idle connections or pending dials.
 func (p *Pool) sweep() {
 	now := time.Now()
 	p.reusedConns.decay()
@@ -220,7 +222,7 @@
 	}
 }
 
-// closeIdle closes up to n idle connections, of any workers.
+// closeIdle closes up to n idle connections to any workers.
 func (p *Pool) closeIdle(n int) {
 	for _, w := range p.workers {
 		for ; n > 0 && len(w.idle) > 0; n-- {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -20,6 +20,7 @@
 	"sedgevale/internal/testkit"
 )
 
+// client receives the answer to a request.
 type client chan dispatch.Answer
 
 func (client) Started()                   {}
@@ -31,7 +32,7 @@
 	{Name: "free", LatencyTarget: 3 * time.Second, ClientTimeout: 3 * time.Second},
 }
 
-// mustClose closes a listener or connection of a test.
+// mustClose closes a listener or connection and fails the test on an error.
 func mustClose(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
@@ -39,7 +40,7 @@
 	}
 }
 
-// writeDone writes the answer of a worker that has served a request with the result r.
+// writeDone writes the response of a worker that has served a request, with the result "r".
 func writeDone(t *testing.T, w io.Writer, id string) {
 	t.Helper()
 	line := fmt.Sprintf(`{"id":%q,"state":"done","result":"r"}`, id)
@@ -48,13 +49,13 @@
 	}
 }
 
-// newTestPool runs a pool and a planner with one worker, w.
+// newTestPool runs a pool and a planner with one worker, "w", at addr.
 func newTestPool(t *testing.T, addr string, idle time.Duration) (*Pool, *dispatch.Planner, dispatch.Clock) {
 	t.Helper()
 	return newTestPoolWithSettings(t, addr, idle, func(*dispatcher.Settings) {})
 }
 
-// newTestPoolWithSettings is like begin, with settings that set changes.
+// newTestPoolWithSettings is like newTestPool, with settings that set changes.
 func newTestPoolWithSettings(t *testing.T, addr string, idle time.Duration, set func(*dispatcher.Settings)) (*Pool, *dispatch.Planner, dispatch.Clock) {
 	t.Helper()
 	settings := dispatcher.Settings{MaxAttempts: 3, AllowCancel: true, Classes: classes}
@@ -85,8 +86,8 @@
 	return pool, planner, clock
 }
 
-// Guards against a first byte long after the worker was known to drain: a connection that is established late must not be
-// used. The request was never sent, so it is rejected. The same holds for a cordon.
+// Guards against a request that is sent long after its worker is known to drain, over a connection that was established late.
+// The request was never sent, so it must be rejected. The same holds for a cordoned worker.
 func TestDrainCancelsDials(t *testing.T) {
 	t.Run("drain", func(t *testing.T) {
 		checkDialsAreCancelled(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
@@ -103,6 +104,7 @@
 	})
 }
 
+// checkDialsAreCancelled checks that a request is rejected if leave is called during the dial.
 func checkDialsAreCancelled(t *testing.T, leave func(*Pool, *dispatch.Planner, string)) {
 	t.Helper()
 	addr, _ := listenWithFullBacklog(t)
@@ -117,8 +119,8 @@
 	}
 }
 
-// Guards against requests that are lost because they were sent on reused connections of which the worker has lost the state:
-// once those are seen to break, a request that is not idempotent gets a new connection. Others are still sent on them.
+// Guards against requests that are lost on reused connections whose state the worker has lost. After such connections have
+// broken, a request that is not idempotent gets a new connection; others are still sent over reused ones.
 func TestNonIdempotentRequestsAvoidBreakingConnections(t *testing.T) {
 	type arrival struct {
 		id  string
@@ -156,13 +158,14 @@
 		}
 		for _, want := range job.want {
 			if got := testkit.Await(t, "an attempt", arrivals); got != (arrival{job.id, want}) {
-				t.Errorf("%+v, want %s as number %d", got, job.id, want)
+				t.Errorf("arrival %+v, want %s as request %d on its connection", got, job.id, want)
 			}
 		}
 	}
 }
 
-// Guards against requests that cross a worker's close of an idle connection: this side closes first.
+// Guards against requests that are sent while the worker closes the idle connection: the pool must close idle connections
+// before the worker's idle timeout.
 func TestIdleConnectionsAreClosedFirst(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -192,6 +195,6 @@
 	}
 	_ = c.SetReadDeadline(time.Now().Add(idle))
 	if _, err := c.Read(buf); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("the pool has not closed the idle connection: read error %v", err)
 	}
 }
