--- a/internal/discovery/timeout_test.go
+++ b/internal/discovery/timeout_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, asked := serve(t, make(chan string)) // a server that accepts calls and does not respond
+			addr, targets := serve(t, make(chan string)) // a server that accepts calls and does not respond
 			loop, err := evloop.New(log)
 			if err != nil {
 				t.Fatal(err)
@@ -49,7 +49,7 @@
 			failures := make(chan bool, 4)
 			w := NewWatcher(loop, at, List{Revision: 5}, func(List) { t.Error("unexpected update") }, func() { failures <- true }, log)
 			c.start(w, addr)
-			testkit.Await(t, "the call", asked)
+			testkit.Await(t, "the call", targets)
 			began := time.Now()
 			testkit.Await(t, "the failure", failures)
 			const slack = time.Second // tolerance for a busy machine
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -229,7 +229,7 @@
 		return
 	}
 	w := c.watcher
-	if c == w.previous { // the watch goes on at the new address
+	if c == w.previous { // the watch continues at the new address
 		c.close()
 		return
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -16,9 +16,9 @@
 	"sedgevale/internal/testkit"
 )
 
-// serve runs a server that responds to each call with the next of answers, and sends its request target to asked. An empty
-// answer closes the connection.
-func serve(t *testing.T, answers <-chan string) (addr string, asked <-chan string) {
+// serve runs a server that responds to each call with the next element of responses, and sends the request target of the call
+// to targets. An empty response closes the connection.
+func serve(t *testing.T, responses <-chan string) (addr string, targets <-chan string) {
 	t.Helper()
 	calls := make(chan string, 16)
 	return testkit.Accept(t, func(c net.Conn) {
@@ -30,7 +30,7 @@
 			}
 			calls <- q.RequestURI
 			select {
-			case a := <-answers:
+			case a := <-responses:
 				if a == "" {
 					return
 				}
@@ -51,8 +51,8 @@
 // After a response the next call is sent at once, with the revision received. A failure of any kind is reported and ends the
 // watch until Watch is called again.
 func TestWatch(t *testing.T) {
-	answers := make(chan string)
-	addr, asked := serve(t, answers)
+	responses := make(chan string)
+	addr, targets := serve(t, responses)
 	updates, failures := make(chan List, 4), make(chan bool, 4)
 	log := slog.New(slog.DiscardHandler)
 	loop, err := evloop.New(log)
@@ -66,7 +66,7 @@
 	next := 5
 	expect := func() {
 		t.Helper()
-		if got, want := testkit.Await(t, "an event", asked), fmt.Sprintf(target, next); got != want {
+		if got, want := testkit.Await(t, "a call", targets), fmt.Sprintf(target, next); got != want {
 			t.Errorf("request target %s, want %s", got, want)
 		}
 	}
@@ -75,8 +75,8 @@
 		complete bool
 	}{{8, true}, {9, false}} {
 		expect()
-		answers <- listResponse(l.revision, l.complete)
-		if got := testkit.Await(t, "an event", updates); int(got.Revision) != l.revision || got.Complete != l.complete || !got.Members[0].Ready() {
+		responses <- listResponse(l.revision, l.complete)
+		if got := testkit.Await(t, "an update", updates); int(got.Revision) != l.revision || got.Complete != l.complete || !got.Members[0].Ready() {
 			t.Errorf("update %+v", got)
 		}
 		next = l.revision
@@ -84,8 +84,8 @@
 	for _, fault := range []string{"", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "garbage\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{"} {
 		expect()
-		answers <- fault
-		testkit.Await(t, "an event", failures)
+		responses <- fault
+		testkit.Await(t, "a failure", failures)
 		w.Watch()
 	}
 	expect()
@@ -114,32 +114,32 @@
 		}
 	}()
 	updates, failures := make(chan List, 4), make(chan bool, 4)
-	oldAnswers, newAnswers := make(chan string), make(chan string)
-	from, askedOld := serve(t, oldAnswers)
-	to, askedNew := serve(t, newAnswers)
+	oldResponses, newResponses := make(chan string), make(chan string)
+	from, oldTargets := serve(t, oldResponses)
+	to, newTargets := serve(t, newResponses)
 	w := NewWatcher(loop, from, List{Revision: 5}, func(l List) { updates <- l }, func() { failures <- true }, log)
 	w.Watch()
-	testkit.Await(t, "a watch", askedOld)
+	testkit.Await(t, "a watch", oldTargets)
 	w.SetAddr(to)
-	if got := testkit.Await(t, "the first call", askedNew); got != "/v1/endpoints" {
+	if got := testkit.Await(t, "the first call", newTargets); got != "/v1/endpoints" {
 		t.Errorf("first request target at the new address %s", got)
 	}
-	oldAnswers <- listResponse(900, false)
+	oldResponses <- listResponse(900, false)
 	if got := testkit.Await(t, "the outstanding response", updates); got.Revision != 900 {
 		t.Errorf("update %+v", got)
 	}
-	newAnswers <- listResponse(7, true)
+	newResponses <- listResponse(7, true)
 	if got := testkit.Await(t, "the full list", updates); got.Revision != 7 || !got.Complete {
 		t.Errorf("update %+v", got)
 	}
-	if got := testkit.Await(t, "the watch", askedNew); !strings.HasPrefix(got, "/v1/endpoints?since=7&") {
+	if got := testkit.Await(t, "the watch", newTargets); !strings.HasPrefix(got, "/v1/endpoints?since=7&") {
 		t.Errorf("second request target at the new address %s", got)
 	}
 	w.SetAddr("") // ends the watch
 	w.Watch()
 	w.SetAddr(from)
-	testkit.Await(t, "the first call", askedOld)
-	if len(failures) > 0 || len(askedNew) > 0 {
+	testkit.Await(t, "the first call", oldTargets)
+	if len(failures) > 0 || len(newTargets) > 0 {
 		t.Error("the change of the address was reported as a failure, or the former address got another call")
 	}
 }
--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -90,7 +90,7 @@
 	w.now = until
 }
 
-// startJob runs a job for as long as its cost says, and then admits the next one.
+// startJob runs a job for a time equal to its cost, and then admits the next one.
 func (w *simulation) startJob(a Request) {
 	w.served[a.Tenant] += a.Cost
 	w.admitted = append(w.admitted, workItem{w.now, a.Tenant, a.Cost})
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,8 +1,7 @@
 // Package handover implements the protocol between the old and the new process of an upgrade,
-// which serve as one scheduler while both are running. The new process connects
-// to the old one's Unix socket and receives its listening sockets (SCM_RIGHTS) and its state.
-// From then on the processes send each other updates over a Link. Messages are JSON objects, one
-// per line.
+// which serve as one scheduler while both are running. The new process connects to the old one's
+// Unix socket and receives its listening sockets (SCM_RIGHTS) and its state. From then on the
+// processes send each other updates over a Link. Messages are JSON objects, one per line.
 package handover
 
 import (
@@ -29,14 +28,15 @@
 	protocolVersion    = 1
 	helloTimeout       = time.Second
 	stateTimeout       = 2 * time.Second // timeout of the old process's state
-	maxLineBytes       = 16 << 20        // bytes
-	maxHelloBytes      = 4 << 10         // bytes
+	maxLineBytes       = 16 << 20
+	maxHelloBytes      = 4 << 10
 	maxSockets         = 8
 	maxSocketPathBytes = 80 // length of a path that fits into the address of a Unix socket on any system
 )
 
 // Hello is the first line that each process sends. That of the old process carries its listening
-// sockets. Processes of other releases read its keys and those of all messages, so they stay.
+// sockets. Processes of other releases read the keys of Hello and of all messages, so they must
+// not change.
 type Hello struct {
 	Version int      `json:"version"`
 	Name    string   `json:"name"`
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -200,6 +200,7 @@
 	return nil
 }
 
+// handleHead handles the head of a response.
 func (c *conn) handleHead() error {
 	h := &c.parser.Head
 	if c.call == nil && c.outcomeKnown {
@@ -214,6 +215,7 @@
 	return nil
 }
 
+// handleBody handles a part of the body. Only responses with status 200 to an attempt have lines that are used.
 func (c *conn) handleBody(body []byte) error {
 	if c.parser.Head.Status != 200 || c.call != nil && c.call.attempt == nil {
 		return nil
