--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -17,25 +17,26 @@
 	"sedgevale/internal/testkit"
 )
 
-// orders records the calls.
-type orders struct {
-	got       chan string
+// fakeScheduler records the calls of Cordon and returns a fixed health.
+type fakeScheduler struct {
+	cordons   chan string
 	unhealthy error
 }
 
-func (o *orders) Healthy(context.Context) error { return o.unhealthy }
+func (o *fakeScheduler) Healthy(context.Context) error { return o.unhealthy }
 
-func (o *orders) Cordon(_ context.Context, host string, out bool) error {
-	o.got <- fmt.Sprint(host, " ", out)
+func (o *fakeScheduler) Cordon(_ context.Context, host string, cordon bool) error {
+	o.cordons <- fmt.Sprint(host, " ", cordon)
 	if host == "stranger" {
 		return ErrUnknownWorker
 	}
 	return nil
 }
 
-func begin(t *testing.T, sick error) (addr string, o *orders) {
+// startServer serves a fakeScheduler without a journal and pages.
+func startServer(t *testing.T, unhealthy error) (addr string, o *fakeScheduler) {
 	t.Helper()
-	o = &orders{make(chan string, 8), sick}
+	o = &fakeScheduler{make(chan string, 8), unhealthy}
 	addr = testkit.FreeAddr(t)
 	s := httpd.New(addr, 1, New(o, nil, nil), fdlimit.New(0), slog.New(slog.DiscardHandler))
 	if err := s.Start(t.Context(), nil); err != nil {
@@ -45,7 +46,8 @@
 	return addr, o
 }
 
-func call(t *testing.T, addr, method, path, body string) int {
+// callStatus sends a call and returns the status of the response.
+func callStatus(t *testing.T, addr, method, path, body string) int {
 	t.Helper()
 	c := testkit.Dial(t, addr)
 	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -59,14 +61,14 @@
 		t.Fatal(err)
 	}
 	if !a.Last {
-		t.Errorf("%s %s: the connection goes on", method, path)
+		t.Errorf("%s %s: the connection stays open after the response", method, path)
 	}
 	return a.Status
 }
 
-// Each call is answered, and what is no call changes nothing.
+// Each call gets its status, and a malformed or unknown call does not reach the scheduler.
 func TestCalls(t *testing.T) {
-	addr, o := begin(t, nil)
+	addr, o := startServer(t, nil)
 	for _, q := range []struct {
 		method, path, body string
 		want               int
@@ -86,27 +88,28 @@
 		{"POST", "/admin/cordon", "", 400, ""},
 		{"POST", "/admin/quiesce", `{"host":"w"}`, 404, ""},
 	} {
-		if got := call(t, addr, q.method, q.path, q.body); got != q.want {
+		if got := callStatus(t, addr, q.method, q.path, q.body); got != q.want {
 			t.Errorf("%s %s %s: %d, want %d", q.method, q.path, q.body, got, q.want)
 		}
 		got := ""
 		select {
-		case got = <-o.got:
+		case got = <-o.cordons:
 		default:
 		}
 		if got != q.order {
-			t.Errorf("%s %s %s ordered %q, want %q", q.method, q.path, q.body, got, q.order)
+			t.Errorf("%s %s %s called Cordon with %q, want %q", q.method, q.path, q.body, got, q.order)
 		}
 	}
-	addr, _ = begin(t, errors.New("sick"))
-	if got := call(t, addr, "GET", "/admin/health", ""); got != 503 {
-		t.Errorf("sick, but health is %d", got)
+	addr, _ = startServer(t, errors.New("sick"))
+	if got := callStatus(t, addr, "GET", "/admin/health", ""); got != 503 {
+		t.Errorf("health check of an unhealthy scheduler: status %d, want 503", got)
 	}
 }
 
-// Guards against callers that send nothing, or half a call, and delay the others.
-func TestSilentCallersDelayNobody(t *testing.T) {
-	addr, _ := begin(t, nil)
+// Guards against callers that delay others: connections on which nothing or an incomplete call is sent must not block a
+// complete call.
+func TestSilentConnectionsDoNotDelayOthers(t *testing.T) {
+	addr, _ := startServer(t, nil)
 	for i := range 8 {
 		c := testkit.Dial(t, addr)
 		if i%2 == 0 {
@@ -116,12 +119,12 @@
 		}
 	}
 	began := time.Now()
-	if got := call(t, addr, "GET", "/admin/health", ""); got != 200 || time.Since(began) > time.Second {
-		t.Errorf("%d after %v", got, time.Since(began))
+	if got := callStatus(t, addr, "GET", "/admin/health", ""); got != 200 || time.Since(began) > time.Second {
+		t.Errorf("health check: status %d after %v, want 200 within 1s", got, time.Since(began))
 	}
 }
 
-// Cordons outlive the process; a broken file is an error and leaves an empty set.
+// Cordons survive a restart. A malformed file is an error and yields an empty set.
 func TestCordonsAreSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cordons")
 	c, err := ReadCordons(path)
@@ -141,12 +144,12 @@
 		t.Errorf("read %q, error %v", got, err)
 	}
 	if files, _ := filepath.Glob(path + "*"); len(files) != 1 {
-		t.Errorf("files left: %v", files)
+		t.Errorf("temporary files remain: %v", files)
 	}
 	if err := os.WriteFile(path, []byte(`["a`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if c, err := ReadCordons(path); err == nil || len(c.Hosts()) != 0 {
-		t.Errorf("of a broken file came %v, error %v", c.Hosts(), err)
+		t.Errorf("a malformed file yields %v, error %v", c.Hosts(), err)
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -20,6 +20,7 @@
 	"sedgevale/internal/testkit"
 )
 
+// client receives the answer to a request.
 type client chan dispatch.Answer
 
 func (client) Started()                   {}
@@ -31,15 +32,15 @@
 	{Name: "free", LatencyTarget: 3 * time.Second, ClientTimeout: 3 * time.Second},
 }
 
-// closeOne closes a listener or connection of a test.
-func closeOne(t *testing.T, c io.Closer) {
+// mustClose closes a listener or connection and fails the test on an error.
+func mustClose(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// writeDone writes the answer of a worker that has served a request with the result r.
+// writeDone writes the response of a worker that has served a request, with the result "r".
 func writeDone(t *testing.T, w io.Writer, id string) {
 	t.Helper()
 	line := fmt.Sprintf(`{"id":%q,"state":"done","result":"r"}`, id)
@@ -48,14 +49,14 @@
 	}
 }
 
-// begin runs a pool and a planner with one worker, w.
-func begin(t *testing.T, addr string, idle time.Duration) (*Pool, *dispatch.Planner, dispatch.Clock) {
+// newTestPool runs a pool and a planner with one worker, "w", at addr.
+func newTestPool(t *testing.T, addr string, idle time.Duration) (*Pool, *dispatch.Planner, dispatch.Clock) {
 	t.Helper()
-	return beginWith(t, addr, idle, func(*dispatcher.Settings) {})
+	return newTestPoolWithSettings(t, addr, idle, func(*dispatcher.Settings) {})
 }
 
-// beginWith is like begin, with settings that set changes.
-func beginWith(t *testing.T, addr string, idle time.Duration, set func(*dispatcher.Settings)) (*Pool, *dispatch.Planner, dispatch.Clock) {
+// newTestPoolWithSettings is like newTestPool, with settings that set changes.
+func newTestPoolWithSettings(t *testing.T, addr string, idle time.Duration, set func(*dispatcher.Settings)) (*Pool, *dispatch.Planner, dispatch.Clock) {
 	t.Helper()
 	settings := dispatcher.Settings{MaxAttempts: 3, AllowCancel: true, Classes: classes}
 	set(&settings)
@@ -85,17 +86,17 @@
 	return pool, planner, clock
 }
 
-// Guards against a first byte long after the worker was known to drain: a connection that is established late must not be
-// used. The request was never sent, so it is rejected. The same holds for a cordon.
-func TestDrainEndsWhatIsBeingDialled(t *testing.T) {
+// Guards against a request that is sent long after its worker is known to drain, over a connection that was established late.
+// The request was never sent, so it must be rejected. The same holds for a cordoned worker.
+func TestDrainCancelsDials(t *testing.T) {
 	t.Run("drain", func(t *testing.T) {
-		checkCancelsDials(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
+		checkDialsAreCancelled(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
 			pool.UpdateMembers(false, []Member{{ID: "w", Addr: addr}})
 			planner.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Worker: "w", State: dispatcher.Draining}})
 		})
 	})
 	t.Run("cordon", func(t *testing.T) {
-		checkCancelsDials(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
+		checkDialsAreCancelled(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
 			planner.Cordon("w", true, func(bool) {})
 			pool.Cordon("w", true, func() {})
 			pool.UpdateMembers(true, []Member{{ID: "w", Addr: addr, Ready: true}})
@@ -103,23 +104,24 @@
 	})
 }
 
-func checkCancelsDials(t *testing.T, leave func(*Pool, *dispatch.Planner, string)) {
+// checkDialsAreCancelled checks that a request is rejected if leave is called during the dial.
+func checkDialsAreCancelled(t *testing.T, leave func(*Pool, *dispatch.Planner, string)) {
 	t.Helper()
-	addr, _ := late(t)
-	pool, planner, clock := begin(t, addr, 0)
+	addr, _ := listenWithFullBacklog(t)
+	pool, planner, clock := newTestPool(t, addr, 0)
 	answers := make(client, 1)
 	planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
 		clock.Now()+3*time.Second, answers))
-	dialling(t, pool, "w")
+	awaitDial(t, pool, "w")
 	leave(pool, planner, addr)
 	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
 		t.Errorf("%+v", a)
 	}
 }
 
-// Guards against requests that are lost because they were sent on reused connections of which the worker has lost the state:
-// once those are seen to break, a request that is not idempotent gets a new connection. Others are still sent on them.
-func TestSingleJobsAvoidConnectionsThatBreak(t *testing.T) {
+// Guards against requests that are lost on reused connections whose state the worker has lost. After such connections have
+// broken, a request that is not idempotent gets a new connection; others are still sent over reused ones.
+func TestNonIdempotentRequestsAvoidBreakingConnections(t *testing.T) {
 	type arrival struct {
 		id  string
 		nth int // on its connection
@@ -136,13 +138,13 @@
 			arrivals <- arrival{id, n}
 			if n > 1 {
 				_ = c.(*net.TCPConn).SetLinger(0) // a reset
-				closeOne(t, c)
+				mustClose(t, c)
 				return
 			}
 			writeDone(t, c, id)
 		}
 	})
-	_, planner, clock := begin(t, addr, 0)
+	_, planner, clock := newTestPool(t, addr, 0)
 	for _, job := range []struct {
 		id    string
 		class int
@@ -156,21 +158,22 @@
 		}
 		for _, want := range job.want {
 			if got := testkit.Await(t, "an attempt", arrivals); got != (arrival{job.id, want}) {
-				t.Errorf("%+v, want %s as number %d", got, job.id, want)
+				t.Errorf("arrival %+v, want %s as request %d on its connection", got, job.id, want)
 			}
 		}
 	}
 }
 
-// Guards against requests that cross a worker's close of an idle connection: this side closes first.
+// Guards against requests that are sent while the worker closes the idle connection: the pool must close idle connections
+// before the worker's idle timeout.
 func TestIdleConnectionsAreClosedFirst(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeOne(t, l)
+	defer mustClose(t, l)
 	const idle = 3 * time.Second
-	_, planner, clock := begin(t, l.Addr().String(), idle)
+	_, planner, clock := newTestPool(t, l.Addr().String(), idle)
 	answers := make(client, 1)
 	planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
 		clock.Now()+3*time.Second, answers))
@@ -178,7 +181,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeOne(t, c)
+	defer mustClose(t, c)
 	buf := make([]byte, 4096)
 	if n, err := c.Read(buf); err != nil || !strings.HasPrefix(string(buf[:n]), "POST /once HTTP/1.1\r\n") {
 		t.Errorf("%q, error %v", buf[:n], err)
@@ -192,6 +195,6 @@
 	}
 	_ = c.SetReadDeadline(time.Now().Add(idle))
 	if _, err := c.Read(buf); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("the pool has not closed the idle connection: read error %v", err)
 	}
 }
