--- a/admission/limit.go
+++ b/admission/limit.go
@@ -7,7 +7,7 @@
 // that was sent to d, and Q the q-quantile over the workers.
 //
 // The request dispatcher and the job scheduler both use this package. Its functions have no side effects beyond their
-// arguments. Limits and amounts of work are in the unit of the caller: requests in flight in the dispatcher, fractions of
+// arguments. Limits and amounts of work are in the unit of the caller: slots in flight in the dispatcher, fractions of
 // a worker's capacity in the job scheduler.
 package admission
 
--- a/dispatcher/accounting.go
+++ b/dispatcher/accounting.go
@@ -11,7 +11,7 @@
 func (d *Dispatcher) addInFlight(w *worker, slots float64) {
 	d.capacity.inFlight += slots
 	d.workers.addInFlight(w, slots)
-	d.loadChanges.note(w)
+	d.loadChanges.record(w)
 }
 
 // startAttempt records a new attempt of the request and returns its number.
--- a/dispatcher/actions_test.go
+++ b/dispatcher/actions_test.go
@@ -27,9 +27,9 @@
 	actionSteps       = 4000
 )
 
-// Guards against changes of decisions: the same settings, seed and events must give the same actions as in commit 18ab6f8,
-// before the module was split into components (with the fix for TestSettingsChangeWhileARemovedWorkerIsBusy, without which
-// some simulations panic). Each simulation enables other features, and the hash covers every call of the Host and all that
+// Guards against changes of decisions: the same settings, seed and events must give the same actions as at commit 18ab6f8,
+// where the Dispatcher was not yet split into components, with the fix for TestSettingsChangeWhileARemovedWorkerIsBusy, without
+// which some simulations panic. Each simulation enables other features, and the hash covers every call of the Host and all that
 // the Dispatcher returns.
 func TestActionsAreUnchanged(t *testing.T) {
 	var got []string
--- a/dispatcher/api.go
+++ b/dispatcher/api.go
@@ -136,5 +136,5 @@
 type WorkerLoad struct {
 	Worker string
 	Load
-	Saturated bool // all dispatchers together have more slots in flight at the worker than it has
+	Saturated bool // all dispatchers together have more slots in flight at the worker than were ever reported free at a worker of its kind
 }
--- a/dispatcher/capacity.go
+++ b/dispatcher/capacity.go
@@ -5,7 +5,7 @@
 type capacityEstimate struct {
 	inFlight  float64 // slots in flight of this dispatcher and its siblings
 	exhausted bool    // a request found no free capacity in this round
-	slots     float64 // estimated capacity: the most slots in flight with free capacity left
+	slots     float64 // estimated capacity, in slots
 }
 
 // endRound updates the estimate at the end of a round. It returns the limit on the slots
--- a/dispatcher/controlround.go
+++ b/dispatcher/controlround.go
@@ -20,7 +20,7 @@
 	d.estimates.endRound(d.workers.pools[0].targetWeight())
 	d.classes.decayCompletions()
 	d.estimates.lowRuntimeRatio = d.workers.secondLowestRuntimeRatio()
-	d.closeIdleConnsAgain(now)
+	d.closeDrainingIdleConns(now)
 	d.probeMeteredWorker()
 	d.connections.endRound()
 	for _, w := range d.workers.all {
@@ -49,7 +49,7 @@
 func (d *Dispatcher) updateLocalShares() {
 	limit := unlimited
 	all := d.workers.pools[0]
-	if all.limitedWorkers*2 > all.active { // a worker without a limit counts with the mean limit of the others
+	if all.limitedWorkers*2 > all.active { // a worker without a limit counts with the mean limit of those that have one
 		limit = all.limitSum / float64(all.limitedWorkers) * float64(all.active)
 	}
 	limit = d.capacity.endRound(limit)
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -6,12 +6,12 @@
 )
 
 // The kinds of timers. A token holds the kind in its lowest 4 bits, the number of the
-// attempt in the next 5 bits, and the serial number of the request in the others.
+// attempt in the next 5 bits, and the serial number of the request in the remaining bits.
 const (
 	tokenRound    = iota // the next round is due
 	tokenWatch           // the watch on the worker list is to be retried
 	tokenDeadline        // the client of the request stops waiting
-	tokenSendBy          // the queued request is ended if it was not sent
+	tokenSendBy          // the queued request can no longer be sent in time
 	tokenStartDue        // the start notice of the attempt is due
 	tokenProbe           // the results of the request's probes are overdue
 	tokenCaughtUp        // all events that arrived during a stall have been read
--- a/dispatcher/doc.go
+++ b/dispatcher/doc.go
@@ -20,7 +20,7 @@
 // names the failure that it guards against.
 //
 // The runtime ratio of a worker is the EWMA of its running times over the mean of
-// the class; a worker with a ratio above 1 is slower than the others. Limits change
+// the class; a worker with a ratio above 1 is slower than the mean. Limits change
 // by additive increase and multiplicative decrease. Capacity is counted in slots,
 // work in slot seconds.
 //
--- a/dispatcher/eligibility.go
+++ b/dispatcher/eligibility.go
@@ -10,10 +10,10 @@
 	waitSafetyFactor    = 1.5 // factor from the mean wait at a worker to the wait that is assumed
 )
 
-// candidateZones returns the workers to consider first, which are those of the
-// dispatcher's own subset or zone, and all workers to fall back to. For a request
-// that is idempotent by key and may have run, both hold at most the group of workers
-// that deduplicates it.
+// candidateZones returns the workers to consider first (near) and those to fall back to
+// (all). The workers to consider first are those of the dispatcher's own subset or, for
+// a first attempt, of its zone. For a request that is idempotent by key and may have
+// run, near is nil and all holds only the group of workers that deduplicates it.
 func (d *Dispatcher) candidateZones(r *request) (near, all [][]*worker) {
 	all = r.class.pool.zones
 	if w := r.dedupWorker(); w != nil {
@@ -30,7 +30,7 @@
 }
 
 // usable reports whether the worker can take the request, regardless of the slot
-// threshold.
+// threshold. The worker's learned limit applies only beyond the tenant's share.
 func (d *Dispatcher) usable(now time.Duration, w *worker, r *request, withinShare bool) bool {
 	if !r.class.pool.admits(w) || w.ejected(now) || r.avoids(w) {
 		return false
@@ -80,8 +80,9 @@
 }
 
 // meetsTargetAt reports whether the request is expected to meet its latency target at
-// the worker after a wait in seconds, given the worker's runtime ratio. It guards
-// against sending requests to a worker that has become too slow for them.
+// the worker after a wait in seconds, given the worker's runtime ratio. It returns true
+// if workers send no start notices. It guards against sending requests to a worker that
+// has become too slow for them.
 func (d *Dispatcher) meetsTargetAt(now time.Duration, w *worker, r *request, wait float64) bool {
 	return !d.settings.StartNotified || wait <= r.slackAt(now, w.runtimeRatio)
 }
@@ -94,8 +95,10 @@
 }
 
 // mayAttempt reports whether another attempt of the request may be sent to this worker:
-// attempts and retry budget are left, no attempt is in flight there, and no attempt that
-// may have run rules out a repeat there. It is the only place that decides this.
+// the request has not ended, neither the maximum of attempts nor the retry budget is used
+// up, hedging is allowed if an attempt is in flight, none is in flight at this worker, and
+// no attempt that may have run rules out a repeat there. It is the only place that decides
+// this.
 func (d *Dispatcher) mayAttempt(now time.Duration, r *request, w *worker) bool {
 	if r.ended || len(r.attempts) >= d.settings.MaxAttempts || r.inFlight > 0 && !d.settings.AllowHedging ||
 		len(r.attempts) > 0 && !d.budget.admits(now) {
--- a/dispatcher/estimates.go
+++ b/dispatcher/estimates.go
@@ -23,7 +23,7 @@
 
 // observe updates the mean work from a request whose running time could be estimated.
 // Other requests must not count: with a mean that included requests of unknown work, the
-// dispatchers that a release had started together overloaded the cold workers.
+// dispatchers that a rollout had started together overloaded the cold workers.
 func (e *workEstimates) observe(r *request) {
 	if r.class.samples > 0 || r.RuntimeHint > 0 {
 		e.knownRequests++
--- a/dispatcher/events.go
+++ b/dispatcher/events.go
@@ -5,7 +5,7 @@
 // This file handles the events of requests, from their submission to their final result.
 
 const (
-	hintSmoothing = 0.01 // seconds added to mean hint and mean running time, so that first hints are used almost unscaled
+	hintSmoothing = 0.01 // seconds added to mean hint and mean running time, so that the first hints are used almost unscaled
 )
 
 // ProbeResult reports the result of a [Host.Probe], or nil if none arrived in time.
--- a/dispatcher/health.go
+++ b/dispatcher/health.go
@@ -40,10 +40,10 @@
 	}
 }
 
-// markUnhealthy excludes a worker after an attempt there that was lost or could not
-// connect, for a jittered backoff that doubles each time. After it the worker gets one
-// trial request, and more once it is known to be alive. It guards against crashed
-// workers that are still in the worker list.
+// markUnhealthy excludes a worker after an attempt there got no response or no timely
+// start notice, for a jittered backoff that doubles each time. After the backoff the
+// worker gets one trial request, and more once it is known to be alive. This guards
+// against crashed workers that are still in the worker list.
 func (w *worker) markUnhealthy(now time.Duration, rng *rand.Rand) {
 	if now < w.unhealthyUntil {
 		return
@@ -53,9 +53,10 @@
 }
 
 // mayBeAlive reports whether a worker may be alive although an attempt there got no
-// response: the worker was heard from after the send, or only this attempt's connection
-// failed while other attempts there are still in flight or no other connection failed
-// before. It guards against excluding workers for failures of single connections.
+// response. It may if the attempt's connection failed and no other one has since the
+// worker was last heard from, if the connection broke while other attempts there hold
+// slots, or, for a failed connect or a timeout, if the worker was heard from after the
+// send. This guards against excluding workers for failures of single connections.
 func (w *worker) mayBeAlive(a *attempt, o Outcome) bool {
 	switch {
 	case o != TimedOut && w.connFailures == 1:
--- a/dispatcher/host_test.go
+++ b/dispatcher/host_test.go
@@ -43,7 +43,7 @@
 	trace    strings.Builder
 }
 
-func (h *fakeHost) note(format string, args ...any) {
+func (h *fakeHost) record(format string, args ...any) {
 	fmt.Fprintf(&h.trace, "%d "+format+"\n", append([]any{h.now}, args...)...)
 }
 
@@ -53,7 +53,7 @@
 	}
 	h.sends = append(h.sends, sent{id, worker, h.attempts[id], h.now})
 	h.attempts[id]++
-	h.note("send %s %s %d", id, worker, timeout)
+	h.record("send %s %s %d", id, worker, timeout)
 }
 
 func (h *fakeHost) end(id, how string) {
@@ -61,7 +61,7 @@
 		h.t.Errorf("request %s ended twice: %s, %s", id, h.ends[id], how)
 	}
 	h.ends[id] = how
-	h.note("%s %s", how, id)
+	h.record("%s %s", how, id)
 }
 
 func (h *fakeHost) Reject(id string, _ time.Duration) { h.end(id, "rejected") }
@@ -70,27 +70,27 @@
 
 func (h *fakeHost) Cancel(id string, n int) {
 	h.cancels = append(h.cancels, fmt.Sprint(id, n))
-	h.note("cancel %s %d", id, n)
+	h.record("cancel %s %d", id, n)
 }
 
 func (h *fakeHost) SetTimer(after time.Duration, token uint64) {
 	h.timers = append(h.timers, timerAt{h.now + after, token})
-	h.note("timer %d %d", after, token)
+	h.record("timer %d %d", after, token)
 }
 
 func (h *fakeHost) Probe(worker string) {
 	h.probes = append(h.probes, worker)
-	h.note("probe %s", worker)
+	h.record("probe %s", worker)
 }
 
 func (h *fakeHost) CloseIdleConnections(worker string) {
 	h.closes = append(h.closes, closed{h.now, worker})
-	h.note("close %s", worker)
+	h.record("close %s", worker)
 }
 
-func (h *fakeHost) WatchWorkers() { h.watches++; h.note("watch") }
+func (h *fakeHost) WatchWorkers() { h.watches++; h.record("watch") }
 
-func (h *fakeHost) Log(text string) { h.note("log %s", text) }
+func (h *fakeHost) Log(text string) { h.record("log %s", text) }
 
 // lastWorker returns the worker of the last send, or "" if there was none.
 func (h *fakeHost) lastWorker() string {
--- a/dispatcher/learned.go
+++ b/dispatcher/learned.go
@@ -20,7 +20,7 @@
 	Workers                 []LearnedWorker `json:"workers"`
 	MaxWeights              []float64       `json:"size"`    // largest weight seen, by machine kind
 	MaxFreeSlots            []float64       `json:"room"`    // most free slots reported, by machine kind
-	Capacity                float64         `json:"jobs"`    // most slots in flight with free capacity left
+	Capacity                float64         `json:"jobs"`    // estimated capacity, in slots
 	MeanWork                float64         `json:"work"`    // mean work of a request
 	WorkRate                float64         `json:"carry"`   // work per second and unit of weight
 	Arrivals                float64         `json:"arrived"` // decayed count of requests
--- a/dispatcher/limits.go
+++ b/dispatcher/limits.go
@@ -25,8 +25,8 @@
 	buffer []float64 // scratch space of quantile
 }
 
-// decrease lowers a worker's limit after a failure, at most once per round. The slots of
-// the failed attempt are passed separately, since they are no longer in flight.
+// decrease lowers a worker's limit after a failure, at most once per round. It adds slots
+// to the slots in flight, which no longer include those of an attempt that has ended.
 func (l *limitLearning) decrease(workers *workerSet, w *worker, slots float64) {
 	if w.lastDecreaseRound == l.round {
 		return
@@ -35,8 +35,8 @@
 	workers.setLimit(w, limitTuning.Decrease(w.limit, w.inFlight+slots))
 }
 
-// increase raises the limits of workers that had no failure in the last round by a
-// fraction of their spare capacity.
+// increase raises the limits of workers that served a request and had no failure in the
+// last round by a fraction of their spare capacity.
 func (l *limitLearning) increase(now, reportTTL time.Duration, workers *workerSet) {
 	for _, w := range l.clean {
 		w.cleanRound = false
--- a/dispatcher/loadchanges.go
+++ b/dispatcher/loadchanges.go
@@ -7,8 +7,8 @@
 	workers []*worker
 }
 
-// note records a change of the load at a worker.
-func (c *loadChanges) note(w *worker) {
+// record adds the worker to the list unless changes are not tracked.
+func (c *loadChanges) record(w *worker) {
 	if c.tracked && !w.loadChanged {
 		w.loadChanged = true
 		c.workers = append(c.workers, w)
--- a/dispatcher/membership.go
+++ b/dispatcher/membership.go
@@ -84,9 +84,9 @@
 	d.draining.closed(now, w)
 }
 
-// closeIdleConnsAgain closes the idle connections to draining workers once more, half of
-// DrainCloseTimeout after they were last closed.
-func (d *Dispatcher) closeIdleConnsAgain(now time.Duration) {
+// closeDrainingIdleConns closes the idle connections to draining and removed workers once
+// more, half of DrainCloseTimeout after they were last closed.
+func (d *Dispatcher) closeDrainingIdleConns(now time.Duration) {
 	for _, w := range d.draining.due(now, d.settings.DrainCloseTimeout/2) {
 		if listed := d.workers.byName[w.Worker]; listed == nil || listed.State != Active {
 			d.host.CloseIdleConnections(w.Worker)
--- a/dispatcher/peers.go
+++ b/dispatcher/peers.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// This file accounts for the load of other dispatchers. Siblings are dispatchers of the same scheduler, while one process
-// takes over from another. Peers are other schedulers of the same site.
+// This file accounts for the load of other dispatchers. Siblings are the dispatchers in the other process of the same
+// scheduler while one process takes over from the other. Peers are other schedulers of the same site.
 
 // LoadByWorker returns this dispatcher's own load at each worker, without the load of its
 // siblings.
@@ -20,8 +20,8 @@
 	return loads
 }
 
-// SetSiblingLoad sets the load of other dispatchers of the same scheduler, by worker. It
-// counts as this dispatcher's own load against limits and slow start credit.
+// SetSiblingLoad sets the total load of this dispatcher's siblings, by worker. It counts
+// as this dispatcher's own load against limits and slow start credit.
 func (d *Dispatcher) SetSiblingLoad(now time.Duration, loads map[string]Load) {
 	d.startRounds(now)
 	for _, w := range d.workers.all {
@@ -74,8 +74,8 @@
 	d.releasePending(now)
 }
 
-// SetSubset sets the subset of the workers that this dispatcher prefers.
-// DispatchersPerWorker is the number of dispatchers that have a worker in their subsets,
+// SetSubset sets the subset of the workers that this dispatcher prefers. The argument
+// dispatchersPerWorker is the number of dispatchers that have a worker in their subsets,
 // including this one. An empty subset, which is the default, means no preference. Workers
 // that are not in the worker list yet are ignored.
 func (d *Dispatcher) SetSubset(now time.Duration, workers []string, dispatchersPerWorker int) {
--- a/dispatcher/peers_test.go
+++ b/dispatcher/peers_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// Guards against queueing requests at a worker of the subset whose slots are known to be in flight: by this dispatcher's few
-// requests and the mean of the subset it looks as empty as the others.
+// Guards against queueing requests at a worker of the subset whose slots are known to be in flight: judged by this
+// dispatcher's few requests and the mean of the subset, it seems to have as much free capacity as the other workers.
 func TestKnownSlotsAreNotOvercommitted(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	d.SetSubset(h.now, []string{"w0", "w1"}, 4)
@@ -191,8 +191,9 @@
 	}
 }
 
-// Guards against requests that spill over into the subsets of others, where the load is not known, while the own subset only
-// waits for starts, and against requests that are rejected because the whole subset is out of service.
+// Guards against requests that spill over into the subsets of other dispatchers, where the load is not known, while the
+// workers of the own subset only have outstanding start notices, and against requests that are rejected because the whole
+// subset is out of service.
 func TestSubsetIsPreferred(t *testing.T) {
 	d, h := start(t, settings(), fleet(20)...)
 	d.SetSubset(h.now, []string{"w3", "w7", "stranger"}, 4)
--- a/dispatcher/placement_test.go
+++ b/dispatcher/placement_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A class is sent to workers of its kinds and zones only, also if there is none, and its
-// only worker is found among many others.
+// Requests of a class are sent only to workers of its kinds and zones, and are rejected if
+// there are none. The only allowed worker is found among many others.
 func TestPlacementByKindsAndZones(t *testing.T) {
 	set := settings()
 	set.Classes[0].Kinds, set.Classes[1].Zones, set.Classes[2].Kinds = []int{1}, []int{1}, []int{}
--- a/dispatcher/pool.go
+++ b/dispatcher/pool.go
@@ -81,7 +81,7 @@
 	subsetWeight   float64 // sum of their sizes
 	subsetInFlight float64 // slots known to be in flight at them
 
-	noCapacity     bool // no request found capacity since capacity last changed
+	noCapacity     bool // a request found no capacity, and capacity has not changed since
 	releaseBlocked bool // a request found no capacity in this release
 }
 
--- a/dispatcher/probe.go
+++ b/dispatcher/probe.go
@@ -12,7 +12,7 @@
 	maxProbeRounds       = 2 // maximum rounds of probes for one request while no probed worker has free slots
 	probeTimeout         = 15 * time.Millisecond
 	probeResultTTL       = 40 * time.Millisecond // time for which a probe result is used instead of another probe
-	maxQueueWaitFraction = 0.35                  // maximum reported wait at a worker, as a fraction of the time left to wait
+	maxQueueWaitFraction = 0.35                  // maximum reported wait at a worker, as a fraction of the request's slack
 )
 
 // probeForLoad probes a few workers for their load before a request is placed, if load
@@ -77,7 +77,7 @@
 		d.probeForLoad(now, r)
 		return nil, r.probesPending > 0
 	}
-	if left := min(r.deadline, r.targetAt) - now; leastWait > maxQueueWaitFraction*(left.Seconds()-r.work/r.Slots) {
+	if remaining := min(r.deadline, r.targetAt) - now; leastWait > maxQueueWaitFraction*(remaining.Seconds()-r.work/r.Slots) {
 		leastWaiting = nil
 	}
 	return leastWaiting, decided
--- a/dispatcher/probe_test.go
+++ b/dispatcher/probe_test.go
@@ -70,7 +70,8 @@
 }
 
 // Workers that served a tenant are probed first for it, and a worker that rejected a request
-// of the tenant is not among them. Otherwise the worker would reject every request.
+// of the tenant is not among them. Otherwise the tenant's requests would keep going to a
+// worker that rejects them.
 func TestRecentWorkersAreProbedFirst(t *testing.T) {
 	set := settings()
 	set.LoadByProbe = true
--- a/dispatcher/queue.go
+++ b/dispatcher/queue.go
@@ -16,12 +16,12 @@
 	if d.rounds.catchingUp {
 		return
 	}
-	idleTurns, turnsLeft := 0, maxReleaseTurns*len(d.tenants.all)
+	idleTurns, remainingTurns := 0, maxReleaseTurns*len(d.tenants.all)
 	resume := -1 // index of the tenant with which the next release begins; -1 means the next in turn
 	for _, p := range d.workers.pools {
 		p.releaseBlocked = false
 	}
-	for ; d.requests.pending > 0 && idleTurns < len(d.tenants.all) && turnsLeft > 0; idleTurns, turnsLeft = idleTurns+1, turnsLeft-1 {
+	for ; d.requests.pending > 0 && idleTurns < len(d.tenants.all) && remainingTurns > 0; idleTurns, remainingTurns = idleTurns+1, remainingTurns-1 {
 		t := d.tenants.all[d.tenants.turn]
 		if len(t.queue) == 0 {
 			t.deficit = 0
@@ -38,7 +38,7 @@
 			}
 			// Slots become free one at a time. If each turn ended after one request, all
 			// tenants would get equal service regardless of their shares, so a tenant with
-			// credit left resumes its turn when capacity becomes free.
+			// remaining credit resumes its turn when capacity becomes free.
 			if t.blockedByCapacity && resume < 0 {
 				resume = d.tenants.turn
 			} else if t.blockedByCapacity && !sent {
@@ -52,8 +52,8 @@
 	}
 }
 
-// serveTenant sends the queued requests that the tenant's credit and limit allow, and
-// reports whether another turn may send more.
+// serveTenant sends the queued requests that the tenant's credit and limit allow. It
+// reports whether it sent any or lacked only credit, which further turns add.
 func (d *Dispatcher) serveTenant(now time.Duration, t *tenant) (sent bool) {
 	t.blockedByCapacity = false
 	for i, tried := 0, 0; i < min(len(t.queue), maxQueueScan) && tried < maxFailedPlacements; i++ {
@@ -91,7 +91,7 @@
 }
 
 // placementFailed records that no worker has capacity for the request, and ends the
-// request if all of its probe rounds are used up.
+// request if all of its probe rounds are used up and no attempt is in flight.
 func (d *Dispatcher) placementFailed(now time.Duration, r *request) {
 	p := r.class.pool
 	d.capacity.exhausted, r.tenant.blockedByCapacity, p.releaseBlocked = true, true, true
--- a/dispatcher/rejection.go
+++ b/dispatcher/rejection.go
@@ -5,7 +5,7 @@
 // This file rejects requests early that cannot meet their latency target, and ends requests.
 
 // feasible reports whether the request can meet its latency target. On arrival it counts
-// the wait behind the tenant's pending work in classes with no more slack.
+// the wait behind the tenant's pending work in classes with at most as much slack.
 func (d *Dispatcher) feasible(now time.Duration, r *request, onArrival bool) bool {
 	wait := 0.0
 	if onArrival {
--- a/dispatcher/rejection_test.go
+++ b/dispatcher/rejection_test.go
@@ -115,8 +115,8 @@
 	d.estimates.meanWork = 0.1
 	seen := map[time.Duration]bool{}
 	for range 50 {
-		for _, left := range []time.Duration{time.Second, 0, 0} {
-			r := &request{class: d.classes.current[0], deadline: h.now + left, targetAt: h.now + left}
+		for _, remaining := range []time.Duration{time.Second, 0, 0} {
+			r := &request{class: d.classes.current[0], deadline: h.now + remaining, targetAt: h.now + remaining}
 			after := d.retryAfter(h.now, r)
 			if after <= 0 || after > set.MaxRetryAfter {
 				t.Fatalf("retry after %v, want at most %v", after, set.MaxRetryAfter)
--- a/dispatcher/retry.go
+++ b/dispatcher/retry.go
@@ -34,23 +34,23 @@
 	d.setTimer(r.sendBy-now, tokenSendBy, r, 0)
 }
 
-// hedge queues a request for a second, hedged attempt while its first is in flight, if it
-// may run twice.
+// hedge queues a request for a hedged attempt while exactly one attempt is in flight, if
+// the request may run twice.
 func (d *Dispatcher) hedge(now time.Duration, r *request) {
 	if !d.settings.AllowHedging || r.ended || r.queued || r.streaming || r.inFlight != 1 ||
 		r.class.Idempotency == NotIdempotent || len(r.attempts) >= d.settings.MaxAttempts ||
 		!d.budget.admits(now) || d.timeToSend(now, r) <= 0 {
 		return
 	}
-	r.tenant.tokens++ // the first attempt has already used a token of the quota
+	r.tenant.tokens++ // the attempt in flight has already used a token of the quota
 	d.enqueue(now, r)
 	d.setTimer(r.sendBy-now, tokenSendBy, r, 0)
 }
 
-// mayReschedule reports whether the attempt may be cancelled to try another worker. It
-// may only while most attempts start promptly, since otherwise another worker is no
-// better, and not while workers reject requests, since their queues may be full of
-// cancelled attempts that still run.
+// mayReschedule reports whether the request's attempt may be cancelled to try another
+// worker. It may only while enough attempts start promptly, since otherwise another
+// worker is no better, and not for rescheduleBackoff after a rejection, since the queues
+// of workers may be full of cancelled attempts that still run.
 func (d *Dispatcher) mayReschedule(now time.Duration, r *request) bool {
 	return d.settings.AllowCancel && r.class.Idempotency != NotIdempotent && !r.streaming && r.inFlight == 1 &&
 		len(r.attempts) < min(1+maxReschedules, d.settings.MaxAttempts) && d.connections.mayReschedule(now) &&
@@ -58,10 +58,10 @@
 }
 
 // handleOverdueStart handles an attempt without a timely start notice, whose worker has a
-// queue or hangs. It decreases the worker's limit, and excludes a worker that was not
-// heard from since the send until it is known to be alive. This guards against queues
-// that cause no rejections. If allowed, it cancels the attempt to try another worker, and
-// ends the request once it can no longer meet its target.
+// queue or hangs. It decreases the worker's limit, and marks the worker unhealthy if it
+// was not heard from since the send. This guards against queues that cause no
+// rejections. If allowed, it cancels the attempt to try another worker, or ends the
+// request once it can no longer meet its target.
 func (d *Dispatcher) handleOverdueStart(now time.Duration, r *request, n int) {
 	a := &r.attempts[n]
 	if a.ended || a.startedAt > 0 {
--- a/dispatcher/settings.go
+++ b/dispatcher/settings.go
@@ -68,7 +68,7 @@
 type Tenant struct {
 	Name  string
 	Share float64 // share of the capacity, relative to the shares of the other tenants
-	Quota float64 // requests per second within its share, over all dispatchers; 0 means unknown
+	Quota float64 // requests per second within its share, over all dispatchers; 0 means no quota
 }
 
 // WeightMeaning is the meaning of WorkerInfo.Weight.
--- a/dispatcher/slowstart.go
+++ b/dispatcher/slowstart.go
@@ -51,11 +51,11 @@
 	mean := estimates.expected()
 	minRate := mean / s.settings.OverloadWindow.Seconds() / float64(s.dispatchersPerWorker)
 	rate := fraction * max(minRate, estimates.workRate*w.size)
-	// A request with more work than the mean must leave capacity for others, even if this
+	// A request with more work than the mean must leave capacity for other requests, even if this
 	// dispatcher's part of the load is twice the mean.
 	maxWork := s.settings.OverloadMultiple / 4 * rate * float64(s.dispatchersPerWorker) * s.settings.OverloadWindow.Seconds()
 	rate *= min(1.5, s.settings.OverloadMultiple/2) // at most half of the multiple, which leaves room for bursts
-	if estimates.knownRequests == 0 {               // no running time is known yet: begin with two requests from all dispatchers together
+	if estimates.knownRequests == 0 {               // no running time is known yet: all dispatchers together send two requests per window
 		rate = 2 * minRate
 	}
 	w.slowStartCredit = min(w.slowStartCredit+rate*(now-w.slowStartCreditAt).Seconds(), rate*s.settings.OverloadWindow.Seconds()/4)
--- a/dispatcher/tenants.go
+++ b/dispatcher/tenants.go
@@ -62,7 +62,7 @@
 	blockedByCapacity bool    // its turn ended for lack of capacity, not of credit
 	arrivals          float64 // decayed count of requests
 
-	limit         float64 // limit on the slots in flight beyond its share
+	limit         float64 // limit on its slots in flight, which applies only beyond its share
 	localShare    float64 // local share of the capacity, in slots
 	sentRequests  uint64
 	sendShares    []sendShare // by worker index
@@ -115,7 +115,7 @@
 	t.recentWorkers = slices.DeleteFunc(t.recentWorkers, func(v *worker) bool { return v == w })
 }
 
-// withinShare reports whether the tenant has a token of its quota left, or, if it has no
+// withinShare reports whether the tenant has an unused token of its quota, or, if it has no
 // quota, whether its slots in flight are below its share of the capacity in slots. The
 // quota is larger for a tenant with at most its share of the requests that arrive here,
 // since a dispatcher may receive more than its even part of the requests of all tenants.
--- a/dispatcher/tenants_test.go
+++ b/dispatcher/tenants_test.go
@@ -31,9 +31,9 @@
 	return set
 }
 
-func (h *fakeHost) submitForTenant(d *Dispatcher, id string, tenant int, left time.Duration) {
+func (h *fakeHost) submitForTenant(d *Dispatcher, id string, tenant int, remaining time.Duration) {
 	h.t.Helper()
-	if err := d.SubmitRequest(h.now, Request{ID: id, Tenant: tenant, TimeLeft: left, RuntimeHint: 100 * ms}); err != nil {
+	if err := d.SubmitRequest(h.now, Request{ID: id, Tenant: tenant, TimeLeft: remaining, RuntimeHint: 100 * ms}); err != nil {
 		h.t.Fatal(err)
 	}
 }
@@ -263,7 +263,7 @@
 // and the removed tenants that have or may get requests take turns, once each, and shares follow the settings.
 func TestTenantsModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		m := &tenantsModel{set: drawTenants(r, "first"), left: map[string]time.Duration{}}
+		m := &tenantsModel{set: drawTenants(r, "first"), lastListed: map[string]time.Duration{}}
 		m.d, m.h = start(t, m.set, fleet(rapid.IntRange(0, 3).Draw(r, "workers"))...)
 		r.Repeat(map[string]func(*rapid.T){
 			"update settings": m.updateSettings,
@@ -294,13 +294,13 @@
 	set             Settings
 	d               *Dispatcher
 	h               *fakeHost
-	left            map[string]time.Duration // by name, when a tenant was last in the settings
+	lastListed      map[string]time.Duration // by name, when a tenant was last in the settings
 	submitted, done int
 }
 
 func (m *tenantsModel) updateSettings(r *rapid.T) {
 	for _, v := range m.set.Tenants {
-		m.left[v.Name] = m.h.now
+		m.lastListed[v.Name] = m.h.now
 	}
 	m.set = drawTenants(r, "next")
 	if err := m.d.UpdateSettings(m.set); err != nil {
@@ -330,7 +330,7 @@
 			r.Fatalf("a request of tenant %s belongs to tenant %s", name, got.tenant.name)
 		}
 		m.submitted++
-	} else if at, was := m.left[name]; was && m.h.now < at+5*time.Second {
+	} else if at, was := m.lastListed[name]; was && m.h.now < at+5*time.Second {
 		r.Fatalf("tenant %s is unknown %v after its removal", name, m.h.now-at)
 	}
 }
--- a/dispatcher/timers.go
+++ b/dispatcher/timers.go
@@ -41,7 +41,7 @@
 		if !r.queued || now < r.sendBy {
 			return
 		}
-		if r.inFlight > 0 { // no worker was found for a hedged attempt; the first attempt continues
+		if r.inFlight > 0 { // no worker was found for a hedged attempt; the attempt in flight continues
 			d.removePending(r)
 			return
 		}
--- a/dispatcher/worker.go
+++ b/dispatcher/worker.go
@@ -27,7 +27,7 @@
 	notStarted        int     // attempts without a start notice, including siblingLoad and peerLoad
 	limit             float64 // learned limit on slots in flight; unlimited at first
 	lastDecreaseRound int64   // number of the round in which the limit was last decreased
-	siblingLoad       Load    // load of other dispatchers of this scheduler
+	siblingLoad       Load    // load of this dispatcher's siblings
 	siblingLoadKnown  bool    // siblingLoad has been set before
 	peerLoad          Load    // load of other schedulers of the site
 	loadChanged       bool    // the worker is in loadChanges
@@ -39,8 +39,8 @@
 	idleClosedAt      time.Duration // last close of its idle connections while it drains; 0 if no other close is due
 	probeWaiters      []*request    // requests that wait for its probe result
 	lastReport        LoadReport    // last probe result
-	freeSlots         float64       // free slots by the last report, less those sent since
-	freeSlotsAt       time.Duration // time of the last report; 0 if there was none
+	freeSlots         float64       // free slots by the last report, live weight or rejection, less those sent since
+	freeSlotsAt       time.Duration // time at which freeSlots was set; 0 if it is unknown
 	unhealthyUntil    time.Duration // time until which nothing is sent to it; 0 if healthy
 	unhealthyBackoff  time.Duration
 	lastSeen          time.Duration // last time at which it was known to be alive
@@ -49,7 +49,7 @@
 	ejectedUntil      time.Duration // time until which nothing is sent to it because it rejected or failed requests
 	ejectionBackoff   time.Duration
 	errorRate         float64       // EWMA share of responses that are errors
-	runtimeRatio      float64       // EWMA of its running times over the class's mean; above 1 it is slower than the others
+	runtimeRatio      float64       // EWMA of its running times over the class's mean; above 1 it is slower than the mean
 	attempts          []attemptRef  // attempts that have not ended
 	warmAt            time.Duration // end of its slow start
 	presumedRestartAt time.Duration // time at which a restart was presumed; 0 if none is
--- a/dispatcher/workers.go
+++ b/dispatcher/workers.go
@@ -154,8 +154,8 @@
 	s.adjustPoolSums(w, 1)
 }
 
-// reportedWait returns the time that a request would wait at a worker by its last load
-// report, in seconds.
+// reportedWait returns the time that a request would wait at a worker by the last probe
+// result, in seconds.
 func (s *workerSet) reportedWait(w *worker, r *request) float64 {
 	slots := s.maxFreeByKind[w.Kind]
 	return max(0, w.lastReport.InFlight+r.Slots-slots-min(0, w.freeSlots)) / slots * r.class.meanRuntime
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -103,7 +103,7 @@
 		x := NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c)
 		p.SubmitRequest(x)
 		if attempted {
-			p.AttemptEnded(testkit.Await(t, "the attempt", carrier.sent), dispatcher.Rejected, nil, nil) // the dispatcher now backs off from w
+			p.AttemptEnded(testkit.Await(t, "the attempt", carrier.sent), dispatcher.Rejected, nil, nil) // the dispatcher now ejects w
 		}
 		p.ClientDisconnected(x)
 		p.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Worker: "v"}})
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -159,7 +159,7 @@
 func (c Clock) At(t time.Time) time.Duration { return t.Sub(c.start) + clockOrigin }
 
 // FromUnixMilli converts a Unix time in milliseconds to a time on the Clock. It returns 0
-// for values of 0 or less and for times before the Clock's zero.
+// for values of 0 or less, for times before the Clock's zero, and for values above 1<<50.
 func (c Clock) FromUnixMilli(ms int64) time.Duration {
 	if ms <= 0 || ms > 1<<50 {
 		return 0
--- a/internal/dispatch/journal.go
+++ b/internal/dispatch/journal.go
@@ -82,7 +82,7 @@
 	p.carrier.Send(a)
 }
 
-// rejectUnrecordable ends an attempt whose intent could not be recorded in time, and answers
+// rejectUnrecordable ends an attempt whose intent was not recorded in time, and answers
 // its job: as failed if another attempt may have run, as rejected otherwise. Other attempts
 // of the job continue.
 func (p *Planner) rejectUnrecordable(a *Attempt) {
--- a/internal/dispatch/peer_load.go
+++ b/internal/dispatch/peer_load.go
@@ -8,10 +8,10 @@
 
 // peerState is a Planner's state for the exchange of load with other schedulers of the site.
 type peerState struct {
-	onLoadChange  func([]dispatcher.WorkerLoad) // nil if load changes are not tracked
-	loadChanges   []dispatcher.WorkerLoad       // reused between calls of onLoadChange
-	subset        []string                      // last arguments of SetSubset, for a new Dispatcher
-	subsetSharers int
+	onLoadChange         func([]dispatcher.WorkerLoad) // nil if load changes are not tracked
+	loadChanges          []dispatcher.WorkerLoad       // reused between calls of onLoadChange
+	subset               []string                      // last subset of SetSubset, for a new Dispatcher
+	dispatchersPerWorker int                           // last argument dispatchersPerWorker of SetSubset
 
 	peerLoadMu      sync.Mutex              // guards pendingPeerLoad
 	pendingPeerLoad []dispatcher.WorkerLoad // load of other schedulers that Run has yet to apply
@@ -37,10 +37,10 @@
 
 // SetSubset sets the subset of workers that the planner uses; see
 // [dispatcher.Dispatcher.SetSubset].
-func (p *Planner) SetSubset(workers []string, sharers int) {
+func (p *Planner) SetSubset(workers []string, dispatchersPerWorker int) {
 	p.enqueueCall(func() {
-		p.subset, p.subsetSharers = workers, sharers
-		p.dispatcher.SetSubset(p.now, workers, sharers)
+		p.subset, p.dispatchersPerWorker = workers, dispatchersPerWorker
+		p.dispatcher.SetSubset(p.now, workers, dispatchersPerWorker)
 	})
 }
 
@@ -66,14 +66,15 @@
 	}
 }
 
-// republishLoad publishes the load of a new Dispatcher, which is zero at all workers. The
-// new Dispatcher learns the load of other schedulers only as they report changes.
+// republishLoad restores the subset and the tracking of load changes in a new Dispatcher, and
+// publishes its load, which is zero at all workers. The new Dispatcher learns the load of
+// other schedulers only as they report changes.
 func (p *Planner) republishLoad() {
 	if p.onLoadChange == nil {
 		return
 	}
 	p.dispatcher.TrackLoadChanges()
-	p.dispatcher.SetSubset(p.now, p.subset, p.subsetSharers)
+	p.dispatcher.SetSubset(p.now, p.subset, p.dispatchersPerWorker)
 	p.loadChanges = p.loadChanges[:0]
 	for worker := range p.workers {
 		p.loadChanges = append(p.loadChanges, dispatcher.WorkerLoad{Worker: worker})
--- a/internal/dispatch/planner.go
+++ b/internal/dispatch/planner.go
@@ -328,7 +328,7 @@
 
 // submit passes a request to the Dispatcher, or answers it if it cannot be accepted.
 func (p *Planner) submit(x *Exchange) {
-	timeLeft := x.deadline - p.now
+	remaining := x.deadline - p.now
 	if p.exchanges[x.ID] != nil || p.openAtSibling(x.ID) {
 		x.answer(Answer{Kind: Failed, Reason: "request id in use"})
 		return
@@ -350,7 +350,7 @@
 	p.exchanges[x.ID] = x
 	p.announceOpened(x.ID)
 	err := p.dispatcher.SubmitRequest(p.now, dispatcher.Request{ID: x.ID, Class: class, Tenant: tenant, AffinityKey: x.AffinityKey,
-		TimeLeft: timeLeft, RuntimeHint: x.RuntimeHint, Slots: x.Slots, ClientRetry: x.ClientRetry})
+		TimeLeft: remaining, RuntimeHint: x.RuntimeHint, Slots: x.Slots, ClientRetry: x.ClientRetry})
 	if err != nil {
 		p.log.Error("dispatcher returned an error for a new job; answering the job as failed", "err", err)
 		x.answer(Answer{Kind: Failed, Reason: "internal error"})
@@ -396,7 +396,7 @@
 	}
 	a.ended = true
 	p.counters.ended(o)
-	if a.timer.index >= 0 { // a timer left in the heap would keep the request's body in memory until the deadline
+	if a.timer.index >= 0 { // a timer that remained in the heap would keep the request's body in memory until the deadline
 		heap.Remove(&p.timers, a.timer.index)
 	}
 	a.neverRan = a.awaitingIntent || o == dispatcher.ConnectFailed || o == dispatcher.NotSent ||
--- a/internal/dispatch/siblings.go
+++ b/internal/dispatch/siblings.go
@@ -135,7 +135,7 @@
 }
 
 // sendSiblingUpdates sends pending changes to the siblings, at most once per
-// siblingUpdateInterval, and returns the time until the next call.
+// siblingUpdateInterval, and returns the time after which it must be called again.
 func (p *Planner) sendSiblingUpdates() time.Duration {
 	if len(p.siblings) == 0 || !p.siblingUpdateDue {
 		return time.Hour
--- a/jobs/backlog.go
+++ b/jobs/backlog.go
@@ -24,7 +24,7 @@
 // isLongRunning reports whether the group's tasks run until their job is cancelled.
 func (g *taskGroup) isLongRunning() bool { return g.job.isLongRunning(g.stage) }
 
-// lessGroup orders groups by ascending deadline.
+// lessGroup orders groups by deadline, then by sequence.
 func lessGroup(a, b *taskGroup) bool {
 	if a.deadline != b.deadline {
 		return a.deadline < b.deadline
--- a/jobs/completion.go
+++ b/jobs/completion.go
@@ -50,7 +50,8 @@
 	s.advanceTask(now, run.job, occurrence, run.position, outcome)
 }
 
-// applyLateSuccess applies the success of a run that was already written off, unless its task has been assigned again.
+// applyLateSuccess applies the success of a run that the scheduler had already ended, for example because its lease expired,
+// unless its task has been assigned again. It ignores members of gangs and long-running tasks.
 func (s *Scheduler) applyLateSuccess(now time.Duration, w *Worker, key RunRef, outcome string) {
 	position, ok := parseTaskName(key.Task)
 	if outcome != outcomeSucceeded || !ok {
--- a/jobs/cycle.go
+++ b/jobs/cycle.go
@@ -10,8 +10,8 @@
 	quantumCoreSeconds   = 200.0                  // credit that a queue receives per turn
 	maxTurnsPerCycle     = 64                     // maximum turns of each queue in one cycle
 	maxGroupsPerTurn     = 256                    // maximum groups of a queue that are considered in one turn
-	readyRefreshInterval = 50 * time.Millisecond  // interval between refreshes of the ready workers without state changes
-	agentTimeout         = 900 * time.Millisecond // time after its latest report at which a worker receives no more starts
+	readyRefreshInterval = 50 * time.Millisecond  // minimum interval between refreshes of the ready workers without state changes
+	agentTimeout         = 900 * time.Millisecond // time after a worker's latest report from which it receives no starts
 )
 
 // cycle is the state of one scheduling cycle.
@@ -144,7 +144,7 @@
 }
 
 // nextGroups returns the next groups of a queue that are not known to be unschedulable, sorted by triage class and then by
-// deadline, and the first group after them. If none of them can be placed, the next cycle resumes at that group, so that
+// deadline, and the first group after them. If none of them can be placed, the next turn resumes at that group, so that
 // unschedulable groups cannot starve the groups behind them.
 func (c *cycle) nextGroups(q *Queue) (groups []*taskGroup, more *taskGroup) {
 	var byClass [numTriageClasses][]*taskGroup
--- a/jobs/cycle_test.go
+++ b/jobs/cycle_test.go
@@ -8,8 +8,8 @@
 )
 
 // Tasks without a feasible worker claim no share of the capacity. Otherwise they keep the queues of lower priority from using
-// it. Such tasks arise when the only worker with a required label has departed; found by the randomized test run mix --seed
-// 122610384008 (LOST).
+// it. Such tasks arise when the only worker with a required label has departed. The randomized test run mix --seed
+// 122610384008 found this failure and reported LOST.
 func TestInfeasibleTasksDoNotBlockLowerPriority(t *testing.T) {
 	sc := newScenario(t)
 	sc.step(0, strings.Fields("worker a cpu=4000"), "")
--- a/jobs/record.go
+++ b/jobs/record.go
@@ -80,7 +80,7 @@
 }
 
 // decode restores the job's state from an encoded jobRecord and derives the fields that are not stored: whether a task of the
-// job was ever assigned or has run.
+// job was ever assigned or has run, and the numbers of assigned and completed tasks.
 func (j *Job) decode(value []byte) error {
 	var record jobRecord
 	if err := avrocodec.Decode(value, &record); err != nil {
--- a/jobs/reservation.go
+++ b/jobs/reservation.go
@@ -32,8 +32,8 @@
 // takeBackfill subtracts the demand of a task of another group from the backfill capacity.
 func (r *reservation) takeBackfill(demand Resources) {
 	if r.backfillKnown {
-		left := r.backfill.minus(demand)
-		r.backfill = Resources{max(0, left.CPU), max(0, left.MemMB), max(0, left.GPU)}
+		remaining := r.backfill.minus(demand)
+		r.backfill = Resources{max(0, remaining.CPU), max(0, remaining.MemMB), max(0, remaining.GPU)}
 	}
 }
 
@@ -68,7 +68,7 @@
 // there. It assumes that the smallest current runs stay as long as they fit next to that task. The other runs must end before
 // the task can start in any case.
 func (w *Worker) backfillCapacity(demand Resources) Resources {
-	left := w.Capacity.minus(demand)
+	remaining := w.Capacity.minus(demand)
 	runs := make([]*Run, 0, len(w.Runs))
 	for _, run := range w.Runs {
 		if !run.stopping {
@@ -77,12 +77,12 @@
 	}
 	slices.SortFunc(runs, func(a, b *Run) int { return cmp.Compare(a.share, b.share) })
 	for _, run := range runs {
-		if !left.Holds(run.demand) {
+		if !remaining.Holds(run.demand) {
 			break
 		}
-		left = left.minus(run.demand)
+		remaining = remaining.minus(run.demand)
 	}
-	return left
+	return remaining
 }
 
 // reservationAllows reports whether the reservations permit a group to use the given demand on a worker.
--- a/jobs/triage.go
+++ b/jobs/triage.go
@@ -19,7 +19,7 @@
 const (
 	onTime           triageClass = iota // the job can meet its deadline
 	tardy                               // the job can complete by its tardy limit (see tardyFactor), when it still has some value
-	missed                              // the job can meet neither limit
+	missed                              // the job can meet neither its deadline nor its tardy limit
 	numTriageClasses                    // number of classes
 )
 
--- a/jobs/workers_test.go
+++ b/jobs/workers_test.go
@@ -92,8 +92,8 @@
 	1050 orders b = start j.0.0.0/1`)
 }
 
-// A limit that was decreased below the load increases again even if all runs are long-running. In some benchmark runs of the
-// day scale-1 of the second site, the limit of one of five workers stayed at a tenth from second 11 to the end.
+// A limit that was decreased below the load increases again even if all runs are long-running. In benchmark runs of
+// scale-1 at the second site, the limit of one of five workers stayed at a tenth from second 11 to the end.
 func TestLimitBelowLoadIncreases(t *testing.T) {
 	sc := newScenario(t)
 	sc.step(0, strings.Fields("worker a cpu=4000"), "")
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -26,7 +26,7 @@
 }
 export -f play
 prepare "as it is"
-prepare "no headroom" jobs/headroom.go 's/h\.othersLimit = max\(0, capacity-h\.peak\)/h.othersLimit = capacity/'
+prepare "no headroom" jobs/headroom.go 's/h\.lowerPriorityLimit = max\(0, capacity-h\.peak\)/h.lowerPriorityLimit = capacity/'
 prepare "no triage" jobs/queuelimit.go 's/\t\ts\.triage\(now, q, capacity\)\n//'
 prepare "no preemption" jobs/cycle.go 's/\ts\.preempt\(c\)\n//'
 prepare "no reservations" jobs/assign.go 's/\ts\.reserve\(c, group, members\)\n/\t_ = members\n/'
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -52,7 +52,7 @@
 mutate "a removed queue takes jobs after a takeover" jobs/scheduler.go 's/\t\tq\.removed = true\n\t\ts/\t\ts/' ./jobs
 mutate "an ordered start counts as run" jobs/assign.go 's/group\.job\.everAssigned = true/group.job.everAssigned = true; s.markRan(group.job)/' ./jobs
 mutate "operators' requests are aborted at shutdown" internal/system/core/core.go 's/c\.shutdownOperatorServer\(running, operators\)/_ = operators/' ./internal/system/simulation
-mutate "no headroom for the first priority" jobs/headroom.go 's/h\.othersLimit = max\(0, capacity-h\.peak\)/h.othersLimit = capacity/' ./jobs
+mutate "no headroom for the first priority" jobs/headroom.go 's/h\.lowerPriorityLimit = max\(0, capacity-h\.peak\)/h.lowerPriorityLimit = capacity/' ./jobs
 mutate "long-running tasks wait behind headroom" jobs/queue.go 's/if group\.isLongRunning\(\)/if false/' ./jobs
 mutate "no triage" jobs/queuelimit.go 's/\t\ts\.triage\(now, q, capacity\)\n//' ./jobs
 mutate "shards are taken over before all peers have answered" internal/system/core/liveness.go 's/p\.known && !p\.alive\(\)/p.known \&\& false/' ./internal/system/core
