--- a/coord/membership/change.go
+++ b/coord/membership/change.go
@@ -17,8 +17,8 @@
 // Change derives a new membership from an installed one. It leaves the epochs to NextProposal.
 type Change func(Membership) (Membership, error)
 
-// AddLearner returns the change that assigns a seat to the replica on another disk, as a learner. The previous holder of the
-// seat loses its vote at once, so the change fails with ErrNoQuorum unless the remaining voters form a quorum.
+// AddLearner returns the change that assigns a seat to the replica on another disk, as a learner. The previous member in
+// the seat loses its vote at once, so the change fails with ErrNoQuorum unless the remaining voters form a quorum.
 func AddLearner(seat int, id, address string) Change {
 	return func(m Membership) (Membership, error) {
 		if seat < 0 || seat >= len(m.Seats) {
--- a/coord/membership/membership.go
+++ b/coord/membership/membership.go
@@ -36,7 +36,7 @@
 	ErrOutdatedEpoch   = errors.New("membership: outdated epoch")
 )
 
-// Member is the holder of a seat. The zero Member is an empty seat.
+// Member is the replica that holds a seat. The zero Member is an empty seat.
 type Member struct {
 	ID        string // identifies the disk, from its first use until its loss
 	Address   string // host:port at which other schedulers reach the replica
@@ -46,10 +46,10 @@
 
 // Membership is the assignment of seats under one epoch. The zero Membership, without seats, means that none is known.
 type Membership struct {
-	Deployment string   // identifies the system; memberships of two deployments are never compared
+	Deployment string   // identifies the cluster; memberships of another deployment are rejected
 	Epoch      int64    // positive; increases with each proposed change
 	BaseEpoch  int64    // epoch of the membership from which this one differs by one seat; below Epoch
-	Seats      []Member // an odd number of seats, the same in all memberships of a deployment
+	Seats      []Member // an odd number, which is the same in all memberships of a deployment
 }
 
 // Bootstrap returns the initial membership of a cluster whose disks are all empty: the machines at the given addresses hold
@@ -71,7 +71,7 @@
 	return m
 }
 
-// BootstrapID returns the disk ID in the initial membership of the machine at an address.
+// BootstrapID returns the ID that the initial membership assigns to the disk of the machine at an address.
 func BootstrapID(address string) string { return "first@" + address }
 
 // Quorum returns the number of voters that form a quorum.
@@ -88,7 +88,7 @@
 	return voters
 }
 
-// Members returns the holders of all seats, voters and learners.
+// Members returns the members in all seats, both voters and learners.
 func (m Membership) Members() []Member {
 	var members []Member
 	for _, member := range m.Seats {
@@ -104,7 +104,7 @@
 	return slices.IndexFunc(m.Seats, func(member Member) bool { return id != "" && member.ID == id })
 }
 
-// SeatAt returns the index of the seat whose holder is at an address, or -1.
+// SeatAt returns the index of the seat whose member has an address, or -1.
 func (m Membership) SeatAt(address string) int {
 	return slices.IndexFunc(m.Seats, func(member Member) bool { return member.ID != "" && member.Address == address })
 }
--- a/coord/membership/model_check_test.go
+++ b/coord/membership/model_check_test.go
@@ -78,8 +78,8 @@
 	return m.violation
 }
 
-// checkToleratesOneLoss checks availability: if all links work and all seats have voters, the remaining voters can commit after
-// the loss of any one.
+// checkToleratesOneLoss checks availability: if all links work and all seats have voters, any one voter may be lost and the
+// others can still commit.
 func (m *model) checkToleratesOneLoss(s modelState) {
 	newest := int8(0)
 	for i, chosen := range s.chosen {
--- a/coord/membership/model_search_test.go
+++ b/coord/membership/model_search_test.go
@@ -142,9 +142,9 @@
 	return len(visited), depth
 }
 
-// walk tries random steps, most of which are not enabled. Rounds begin one after another; mostly messages of the latest rounds
-// are delivered, while those of older rounds are delayed. Every stepsBetweenLinkChanges steps a new random partition begins:
-// each round reaches only some of the replicas, and some replicas learn nothing.
+// walk tries random steps, most of which are not enabled. Rounds begin one after another. Most of the delivered messages
+// belong to the latest rounds; those of older rounds are delayed. Every stepsBetweenLinkChanges steps a new random partition
+// begins, in which each round reaches only some of the replicas, and some replicas learn of no chosen membership.
 func (m *model) walk(s *modelState, random *rand.Rand) {
 	byRound := make([][]step, len(m.kinds)+1)
 	for _, transition := range m.steps() {
--- a/coord/register/acceptor.go
+++ b/coord/register/acceptor.go
@@ -35,11 +35,11 @@
 	Granted  bool
 	Promised Ballot // highest ballot promised; above the proposer's if not Granted
 	Accepted Ballot // zero if no value was accepted, or if not Granted
-	Value    []byte // empty if the proposer knows the value of Accepted
+	Value    []byte // value accepted under Accepted; omitted if the proposer already knows it
 }
 
-// Prepare handles a prepare message: unless it has promised a higher ballot, the acceptor promises not to accept a lower
-// one. Known is the ballot of the value that the proposer already knows.
+// Prepare handles a prepare message: unless the acceptor has promised a higher ballot, it promises to reject all ballots
+// below this one. Known is the ballot of the value that the proposer already knows.
 func (a *Acceptor) Prepare(ballot, known Ballot) Promise {
 	if ballot.Less(a.Promised) {
 		return Promise{Promised: a.Promised}
--- a/coord/register/proposal.go
+++ b/coord/register/proposal.go
@@ -25,8 +25,8 @@
 	rejected     map[int]bool // replicas that have rejected the ballot or failed to answer in this phase
 }
 
-// NewProposal returns an attempt in the Preparing phase among the given number of replicas, quorum of which must agree.
-// Known and value are the newest accepted ballot that the proposer knows and its value.
+// NewProposal returns an attempt in the Preparing phase. Replicas is the number of replicas, and quorum is how many of them
+// must agree. Known and value are the newest accepted ballot that the proposer knows and the value accepted under it.
 func NewProposal(ballot Ballot, replicas, quorum int, known Ballot, value []byte) *Proposal {
 	return &Proposal{
 		Ballot: ballot, HighestBallot: ballot, latestBallot: known, latestValue: value, quorum: quorum, replicas: replicas,
@@ -58,7 +58,7 @@
 // Value returns the newest value among the promises and the proposer's initial value, with its ballot.
 func (p *Proposal) Value() ([]byte, Ballot) { return p.latestValue, p.latestBallot }
 
-// BeginAccept moves the proposal to the Accepting phase.
+// BeginAccept begins the accept phase, in which the responses of the prepare phase no longer count.
 func (p *Proposal) BeginAccept() {
 	p.Phase = Accepting
 	clear(p.acked)
--- a/coord/shard/primary.go
+++ b/coord/shard/primary.go
@@ -119,8 +119,8 @@
 
 // FenceResponse is a replica's response to the fencing message of a new owner.
 type FenceResponse struct {
-	InSyncToken int64 // the replica's Replica.InSyncToken
-	Digests     []int64
+	InSyncToken int64   // Replica.InSyncToken of the responding replica
+	Digests     []int64 // RecordSet.Digests of its records
 }
 
 // NewestInSync returns, in ascending order, the replicas whose InSyncToken is the highest among all responses. A new owner
--- a/coord/shard/record.go
+++ b/coord/shard/record.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// DifferingRanges returns the content of the buckets of a set whose digests differ from the given ones.
+// DifferingRanges returns the content of those buckets of a set whose digests differ from the given ones.
 func DifferingRanges(set *RecordSet, digests []int64) []Range {
 	var ranges []Range
 	for _, bucket := range DifferingBuckets(set.Digests(), digests) {
--- a/coord/shard/replica.go
+++ b/coord/shard/replica.go
@@ -26,7 +26,7 @@
 	InSyncToken int64
 	// LastRepair is the number of the last repair by the owner with token FencingToken.
 	LastRepair int64
-	// Voter is false while the replica may lack a change that the holder of its seat has acknowledged. Its acknowledgements
+	// Voter is false while the replica may lack a change that a member in its seat has acknowledged. Its acknowledgements
 	// and its records then count for no quorum.
 	Voter bool
 	// TokenKnown is true once this disk has learnt the tokens of all shards from a quorum. Deposed owners are fenced from then
--- a/workeragent/agent.go
+++ b/workeragent/agent.go
@@ -27,8 +27,8 @@
 	rejectedTTL     = time.Minute     // duration for which further orders to start a dropped run are rejected
 )
 
-// RunsExpireAfter returns the time after the owner's last grant of an agent lease after which the worker's lease has expired
-// as well, so that none of its runs can be active.
+// RunsExpireAfter returns how long an owner must wait after its last grant of an agent lease until the worker's lease has
+// expired too, so that none of the worker's runs can be active.
 func (t Timing) RunsExpireAfter() time.Duration {
 	return t.AgentLease + withClockDrift(t.WorkerLease) + 2*pollSlack
 }
@@ -51,7 +51,7 @@
 
 	heartbeat     Heartbeat     // the heartbeat with the highest sequence number
 	heartbeats    int64         // number of heartbeats received
-	heartbeatAt   time.Duration // time at which heartbeat was received, or of New before the first
+	heartbeatAt   time.Duration // time at which heartbeat was received; before the first heartbeat, the time of New
 	runsExpireAt  time.Duration // time by which all runs have ended unless the worker's lease is renewed; never decreases
 	expiries      int64         // number of times that the worker's lease has expired; part of the incarnation
 	expired       bool          // whether the worker's lease has expired since the last heartbeat
@@ -153,8 +153,8 @@
 	}
 }
 
-// CheckExpiry checks whether the worker's lease has expired and forgets outdated dropped orders. It reports true once for
-// each expiry.
+// CheckExpiry checks whether the worker's lease has expired, and reports true once for each expiry. It also forgets dropped
+// runs after droppedTTL and rejected runs after rejectedTTL.
 func (a *Agent) CheckExpiry(now time.Duration) bool {
 	for ref, droppedAt := range a.dropped {
 		if now-droppedAt > droppedTTL {
--- a/workeragent/answer.go
+++ b/workeragent/answer.go
@@ -41,17 +41,17 @@
 		return nil
 	}
 	var starts []Start
-	bytesLeft := maxStartBytes
+	remainingBytes := maxStartBytes
 	for ref, pending := range a.starts {
 		demand := pending.start.Demand
 		if pending.inFlight || !free.Holds(demand) {
 			continue
 		}
 		size := maxJSONSize(ref.Task) + maxJSONSize(pending.start.Text) + maxJSONSize(pending.start.Checkpoint) + startOverheadBytes
-		if size > bytesLeft && len(starts) > 0 {
+		if size > remainingBytes && len(starts) > 0 {
 			continue
 		}
-		bytesLeft -= size
+		remainingBytes -= size
 		free.CPU -= demand.CPU
 		free.MemMB -= demand.MemMB
 		free.GPU -= demand.GPU
@@ -85,8 +85,8 @@
 	return free, known
 }
 
-// HasOrders reports whether there are orders to send at this time. It ignores the free capacity, so an answer may still be
-// without one.
+// HasOrders reports whether there are orders to send at this time. It ignores the free capacity, so the next answer may
+// contain no order even if it returns true.
 func (a *Agent) HasOrders(now time.Duration) bool {
 	if len(a.stops) > 0 {
 		return true
--- a/workeragent/message.go
+++ b/workeragent/message.go
@@ -1,5 +1,5 @@
 // Package workeragent implements the decision logic of the side agent of one worker: which of the owner's orders the worker
-// receives, and how long the worker's lease lasts. Only its agent communicates with the worker.
+// receives, and how long the worker's lease lasts. The worker communicates only with its agent.
 //
 // Fencing tokens and two chained leases (C. Gray and D. Cheriton, "Leases", SOSP 1989) prevent a run from being active twice.
 // The owner of the worker's shard may change; the agent obeys only the owner with the highest fencing token that it has seen.
--- a/workeragent/orders.go
+++ b/workeragent/orders.go
@@ -80,8 +80,8 @@
 	a.dropOrder(now, ref)
 }
 
-// dropOrder removes the pending orders for a run that has not started, reports it to the owner as dropped, and prevents that
-// it is started later.
+// dropOrder removes the pending orders for a run that has not started, reports it to the owner as dropped, and rejects
+// later orders to start it.
 func (a *Agent) dropOrder(now time.Duration, ref jobs.RunRef) {
 	delete(a.starts, ref)
 	delete(a.stops, ref)
