--- a/internal/system/api/api.go
+++ b/internal/system/api/api.go
@@ -1,5 +1,5 @@
-// Package api defines the requests and responses that edge and side schedulers exchange with core schedulers. avrocodec
-// encodes the fields of a message in their order.
+// Package api defines the requests and responses that edge and side schedulers exchange with core schedulers. The order of
+// the fields of a message is part of the wire format, since avrocodec encodes them in that order.
 package api
 
 import "sedgevale/jobs"
@@ -15,14 +15,14 @@
 	MethodOrders  = "worker.orders" // served by side schedulers
 )
 
-// WatchRequest is a long poll for updates: the call returns as soon as the configuration or the owners differ from the
-// sender's, or after WaitMS, which is at most 1000.
+// WatchRequest is a long poll for updates: the call returns as soon as the version of the configuration or the digest of the
+// owners differs from the sender's, no quorum confirms the configuration, or WaitMS has elapsed.
 type WatchRequest struct {
 	Node          string
 	ConfigVersion int64 // version that the sender has; 0 if it has none
 	WantConfig    bool  // false if the sender needs only the version
 	OwnersDigest  int64 // OwnersDigest of the last response
-	WaitMS        int64 // milliseconds
+	WaitMS        int64 // milliseconds; the core scheduler waits for at most 1000
 }
 
 // WatchResponse holds the current configuration, the owners of the shards and the addresses of the core schedulers.
--- a/internal/system/clusterconfig/clusterconfig.go
+++ b/internal/system/clusterconfig/clusterconfig.go
@@ -22,7 +22,7 @@
 	TargetLatencyMS float64 `json:"target_latency_ms"` // latency target of a job in milliseconds
 	Priority        int64   `json:"priority"`          // 0 is served first
 	Service         string  `json:"service"`           // service whose workers run the jobs; also the name of the shard
-	Retries         int64   `json:"retries"`           // number of failures of a task that fail its job; at least 1
+	Retries         int64   `json:"retries"`           // number of failures of one task at which its job fails; 0 counts as 1
 	Extension       float64 `json:"extension"`         // factor on the critical path's expected duration in a job's deadline
 }
 
--- a/internal/system/clusterconfig/diff.go
+++ b/internal/system/clusterconfig/diff.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Diff returns a patch that turns the configuration before into the configuration after. It returns false if they differ
-// in anything other than their lists of named items, version and limits.
+// Diff returns a patch that turns the configuration before into the configuration after. It returns false if no patch can
+// do so: a key was removed, a changed key other than version and limits is not a list of named items, or one of the texts
+// is not a JSON object.
 func Diff(before, after []byte) ([]byte, bool) {
 	old, err := splitObject(before)
 	if err != nil {
--- a/internal/system/clusterconfig/validate.go
+++ b/internal/system/clusterconfig/validate.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Errors that callers wrap with the key that is invalid.
+// Errors that do not name an item. errMissingName is always wrapped with the list and the index of the item.
 var (
 	errNotJSON     = errors.New("the body is no whole JSON value")
 	errMissingName = errors.New("name: missing")
--- a/internal/system/core/admin.go
+++ b/internal/system/core/admin.go
@@ -23,7 +23,7 @@
 type MembersResponse struct {
 	Address       string
 	ConfigVersion int64
-	ConfigFresh   bool // reports whether a quorum has confirmed the configuration within the last 700 ms
+	ConfigFresh   bool // whether a quorum has confirmed the configuration within the last 700 ms
 	Membership    membership.Membership
 	Peers         []PeerInfo
 	Owners        []api.Owner
--- a/internal/system/core/broadcast.go
+++ b/internal/system/core/broadcast.go
@@ -100,7 +100,8 @@
 	return response, nil
 }
 
-// onCallFailed handles the error of a call to a replica: if the replica knows a newer membership, it is pinged to learn it.
+// onCallFailed handles the error of a call to a replica. If the replica knows a newer membership, this scheduler pings it to
+// receive that membership.
 func (c *Core) onCallFailed(address string, err error) {
 	if result.CodeOf(err) != result.EpochOutdated || address == c.address {
 		return
--- a/internal/system/core/config.go
+++ b/internal/system/core/config.go
@@ -18,7 +18,7 @@
 	// base version precedes all of them is rejected with result.OutcomeUnknown, since it may have been applied.
 	maxHistory = 512
 
-	maxPreviousConfigs = 8                      // number of earlier configurations kept to send subscribers a patch
+	maxPreviousConfigs = 8                      // number of earlier configurations kept to compute patches for subscribers
 	configFreshnessTTL = 700 * time.Millisecond // period for which a quorum's confirmation remains valid
 )
 
@@ -47,7 +47,7 @@
 
 // configChange is an operator's change of the configuration.
 type configChange struct {
-	patch       bool   // reports whether body is a patch rather than a complete configuration
+	patch       bool   // whether body is a patch rather than a complete configuration
 	baseVersion int64  // version that the change replaces
 	body        []byte // configuration or patch
 	digest      int64  // identifies the change across retries
@@ -122,7 +122,7 @@
 	return result.Errorf(result.Conflict, "If-Match: version %d is current, %d came", record.Version, o.baseVersion)
 }
 
-// applyConfig puts a newer configuration into effect here and in the owned shards. c.mu is held.
+// applyConfig applies a newer configuration to this scheduler and to the shards that it owns. c.mu is held.
 func (c *Core) applyConfig(value []byte) {
 	state := &configState{patches: map[int64][]byte{}}
 	if err := avrocodec.Decode(value, &state.record); err != nil {
--- a/internal/system/core/controlplane/controlplane_test.go
+++ b/internal/system/core/controlplane/controlplane_test.go
@@ -20,7 +20,7 @@
 	patch       bool
 	baseVersion int64
 	body        string
-	canceled    bool // reports whether the change's context was canceled with the request
+	canceled    bool // whether the change's context was canceled with the request
 }
 
 func (f *fakeConfigs) ReadConfig(context.Context) ([]byte, error) { return []byte(f.text), f.err }
--- a/internal/system/core/core.go
+++ b/internal/system/core/core.go
@@ -35,7 +35,7 @@
 	timing   workeragent.Timing
 	started  time.Time
 
-	goroutines *taskgroup.Group // contains every goroutine that this scheduler starts
+	goroutines *taskgroup.Group // contains the goroutines of this scheduler; see the package comment
 
 	// mu guards the fields below and all fields of each peerState. It is acquired before owner.mu and never held during a
 	// call.
@@ -49,7 +49,7 @@
 	ballotCounter     int64                  // highest ballot counter seen; never decreases
 	readsInFlight     map[string]bool        // keyed by register
 	takeoverNotBefore map[string]time.Time   // earliest time of the next takeover attempt, keyed by shard
-	draining          bool                   // never reset
+	draining          bool                   // set when the drain begins; never reset
 	drainingSince     time.Time
 }
 
@@ -148,9 +148,9 @@
 	}
 }
 
-// seatCount returns the number of seats that tolerates the failures given in the settings. It is at least three if a zone
-// or a region may fail; the choice of the seeds determines whether the seats are in different ones. Initially only the
-// seeds of the first start vote, so the number of seats is limited to the largest of which the seeds form a quorum.
+// seatCount returns the number of seats of which a majority survives the failures given in the settings. To tolerate the
+// failure of a zone or a region takes at least three seats; whether they are in different zones or regions depends on the
+// choice of the seeds. Initially only the seeds vote, so there are at most 2*seeds-1 seats, of which they are a majority.
 func seatCount(t settings.FaultTolerance, seeds int) int {
 	failures := t.Machines
 	if t.Zones > 0 || t.Regions > 0 {
--- a/internal/system/core/doc.go
+++ b/internal/system/core/doc.go
@@ -16,7 +16,8 @@
 //     token.
 //   - owner (owner.go, owner_commit.go, replication.go, order_sender.go) is an owned shard. It replicates the records of
 //     its jobs.Scheduler and sends orders to the worker agents.
-//   - joining.go acquires a seat in the membership, and draining.go hands it over before the process stops.
+//   - joining.go acquires a seat in the membership, and draining.go waits for another machine to take it before the
+//     process stops.
 //   - config.go, watch.go, jobsapi.go, admin.go and metrics.go serve the configuration, subscriptions, jobs, operators'
 //     commands and Prometheus metrics. Package controlplane serves operators' HTTP requests.
 //
@@ -32,8 +33,8 @@
 // Core.confirmedAt).
 //
 //   - Core.mu guards the fields below it in Core and all fields of each peerState. It is held only for computations in
-//     memory, never during a call, a wait or a disk write. Core.applyConfig, Core.closeOwners, Core.pingMessage and
-//     Core.knownOwners acquire owner.mu while they hold it.
+//     memory, never during a call, a wait or a disk write. Methods of Core may acquire owner.mu while it is held, for
+//     example Core.applyConfig and Core.knownOwners.
 //
 //   - owner.mu guards the fields below it in owner, including the jobs.Scheduler and the shard.Primary, and the fields of
 //     each replicator. The callbacks of jobs.Scheduler.Flush run while it is held. No goroutine holds the mutexes of two
@@ -54,11 +55,13 @@
 //
 // # Goroutines
 //
-// All goroutines of a Core and of its owners belong to its taskgroup.Group: they end when the group is shut down, and Run
-// returns once none is left. Run starts pingLoop, ownershipLoop, joinLoop and followMembership, which end after the drain.
-// In addition there are one takeOver for each shard that needs one, which lasts about takeoverTimeout at most, at most one
-// ping per peer, and at most one readAsync per register. The calls of a broadcast continue for up to roundTimeout after
-// the round that started them has ended. An owner runs one tickLoop, one replicate per seat and one sendOrdersLoop per
+// The goroutines of a Core and of its owners belong to its taskgroup.Group: they end when the group is shut down, and Run
+// returns once all have ended. The exceptions are the concurrent calls of announceChosen and of confirmTimedOut, which wait
+// for the goroutines that they start. Run starts pingLoop, ownershipLoop, joinLoop and followMembership, which end after the
+// drain. In addition there are one takeOver for each shard that needs one, which lasts about takeoverTimeout at most, at
+// most one ping per peer, one announceChosen per chosen value, which lasts at most roundTimeout, and at most one readAsync
+// per register. The calls of a broadcast continue for up to roundTimeout after their start, even if the round that started
+// them has ended. An owner runs one tickLoop, one replicate per seat and one sendOrdersLoop per
 // worker, which all end when the owner is closed or deposed; handlers of the jobs API run concurrently with them. The
 // store has one goroutine, the log's writer. Handlers of the internal protocol run concurrently with each other.
 package core
--- a/internal/system/core/draining.go
+++ b/internal/system/core/draining.go
@@ -12,8 +12,8 @@
 	maxDrainDuration  = 2500 * time.Millisecond // upper limit; half of the grace period if that is shorter
 	drainPollInterval = 40 * time.Millisecond
 	drainPingTimeout  = 300 * time.Millisecond // limit on each round of pings during the drain
-	shutdownMargin    = 100 * time.Millisecond // added to the timeout of an operator's request
-	drainNoticeDelay  = 10 * time.Millisecond  // delay after the start of the drain from which every ping announces it
+	shutdownMargin    = 100 * time.Millisecond // added to controlplane.ChangeTimeout in the wait for operators' requests
+	drainNoticeDelay  = 10 * time.Millisecond  // every ping sent later than this after the start of the drain announces it
 )
 
 // closeOwners starts the drain: it permanently ends the ownership of all shards.
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -13,7 +13,7 @@
 
 const (
 	memberTimeout      = 2200 * time.Millisecond // time without a response after which a member may be replaced
-	joinInterval       = 120 * time.Millisecond  // minimum time between two attempts; up to the same again is added at random
+	joinInterval       = 120 * time.Millisecond  // minimum time between two attempts; jitter of up to the same length is added
 	joinTimeout        = 1500 * time.Millisecond
 	prefetchTimeout    = 900 * time.Millisecond
 	membershipRegister = "membership"
@@ -27,7 +27,8 @@
 	})
 }
 
-// memberTimedOut reports whether a member is draining or has not responded to this scheduler for memberTimeout.
+// memberTimedOut reports whether a member is draining or has not responded to this scheduler for memberTimeout. A member at
+// this scheduler's own address has timed out if its ID is that of another disk, since this machine has a new one.
 func (c *Core) memberTimedOut(id, address string) bool {
 	if address == c.address {
 		own, _, _ := c.store.self()
@@ -41,8 +42,8 @@
 	return time.Since(c.started) > memberTimeout
 }
 
-// joinLoop makes this scheduler a member: it acquires a seat that is free, that its own lost disk held or whose holder has
-// timed out, first as a learner, and then becomes a voter.
+// joinLoop makes this scheduler a member: it acquires a seat that is free, that its own lost disk held or whose member has
+// timed out. It joins as a learner and is then promoted to a voter.
 func (c *Core) joinLoop(ctx context.Context) {
 	for sleep(ctx, joinInterval+jitter(joinInterval)) {
 		c.mu.Lock()
@@ -91,19 +92,19 @@
 	if _, err := membership.AddLearner(seat, id, c.address)(m); err != nil {
 		return err
 	}
-	holder := m.Seats[seat]
-	if holder.ID != "" && holder.Address != c.address && !c.isDraining(holder.Address) {
-		if err := c.confirmTimedOut(ctx, m, holder); err != nil {
+	member := m.Seats[seat]
+	if member.ID != "" && member.Address != c.address && !c.isDraining(member.Address) {
+		if err := c.confirmTimedOut(ctx, m, member); err != nil {
 			return err
 		}
 	}
-	if holder.Voter {
+	if member.Voter {
 		c.prefetchShards(ctx, m)
 	}
 	if err := c.changeMembership(ctx, m.Epoch, membership.AddLearner(seat, id, c.address)); err != nil {
 		return err
 	}
-	c.logger.Info("joined as learner", "seat", seat, "replaced", holder.Address)
+	c.logger.Info("joined as learner", "seat", seat, "replaced", member.Address)
 	return nil
 }
 
@@ -115,21 +116,22 @@
 	return p.status.Draining && time.Since(p.lastHeartbeat) <= memberTimeout
 }
 
-// confirmTimedOut returns nil if a quorum of the voters agrees that a member has timed out. This prevents a machine that a
-// network partition separates from that member alone from replacing it. Its error has the code result.Conflict.
-func (c *Core) confirmTimedOut(ctx context.Context, m membership.Membership, holder membership.Member) error {
+// confirmTimedOut returns nil if a quorum of the voters agrees that a member has timed out. Without this check, a network
+// partition between one machine and a healthy member would suffice for the machine to replace the member. Its error has the
+// code result.Conflict.
+func (c *Core) confirmTimedOut(ctx context.Context, m membership.Membership, member membership.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	confirmations := make(chan bool, len(m.Seats))
 	asked := 0
 	for _, voter := range m.Voters() {
-		if voter.ID == holder.ID {
+		if voter.ID == member.ID {
 			continue
 		}
 		asked++
 		go func() {
 			response := &memberTimedOutResponse{}
-			err := c.client.Call(ctx, voter.Address, methodMemberTimedOut, &memberTimedOutRequest{Member: holder.ID, Address: holder.Address}, response)
+			err := c.client.Call(ctx, voter.Address, methodMemberTimedOut, &memberTimedOutRequest{Member: member.ID, Address: member.Address}, response)
 			confirmations <- err == nil && response.TimedOut
 		}()
 	}
@@ -140,12 +142,13 @@
 		}
 	}
 	if agreed < m.Quorum() {
-		return result.Errorf(result.Conflict, "%s has timed out for %d of %d voters", holder.Address, agreed, asked)
+		return result.Errorf(result.Conflict, "%s has timed out for %d of %d voters", member.Address, agreed, asked)
 	}
 	return nil
 }
 
-// prefetchShards copies from the voters the key ranges in which their replicas of the shards differ from those on this disk.
+// prefetchShards copies, for each shard, the buckets in which the replica of a voter differs from the one on this disk. It
+// copies them from the first voter that responds.
 func (c *Core) prefetchShards(ctx context.Context, m membership.Membership) {
 	ctx, cancel := context.WithTimeout(ctx, prefetchTimeout)
 	defer cancel()
@@ -169,7 +172,8 @@
 }
 
 // changeMembership applies a change to the membership of the given epoch and proposes the result to the voters. Its error
-// has the code result.EpochOutdated if another epoch is known by then.
+// has the code result.EpochOutdated if another epoch is known by then, and result.Conflict if a membership without this disk
+// was chosen.
 func (c *Core) changeMembership(ctx context.Context, epoch int64, change membership.Change) error {
 	value, err := c.propose(ctx, membershipRegister, func(current []byte) ([]byte, error) {
 		installed := c.store.currentMembership()
--- a/internal/system/core/learner.go
+++ b/internal/system/core/learner.go
@@ -16,7 +16,7 @@
 )
 
 // announceChosen sends a chosen value to the other core schedulers. Voters are sent only its ballot, since they receive the
-// value in the accept phase, except for a membership.
+// value in the accept phase. A chosen membership is sent to all in full.
 func (c *Core) announceChosen(ctx context.Context, name string, ballot register.Ballot, value []byte) {
 	m := c.store.currentMembership()
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
--- a/internal/system/core/liveness.go
+++ b/internal/system/core/liveness.go
@@ -65,8 +65,8 @@
 	return quorumTime(times, m.Quorum())
 }
 
-// quorumTime returns the latest time that a quorum of the given times have reached, or the zero time if there are fewer
-// times than a quorum. It sorts the slice.
+// quorumTime returns the latest time t such that at least quorum of the given times are t or later, or the zero time if
+// fewer times are given. It sorts the slice.
 func quorumTime(times []time.Time, quorum int) time.Time {
 	if quorum == 0 || len(times) < quorum {
 		return time.Time{}
--- a/internal/system/core/messages.go
+++ b/internal/system/core/messages.go
@@ -42,7 +42,7 @@
 // replicaResponse is a response that names its origin.
 type replicaResponse interface{ from() origin }
 
-// prepareRequest asks a voter for a promise for a ballot of a register (Paxos phase 1).
+// prepareRequest asks a voter to promise that it rejects lower ballots of a register (Paxos phase 1).
 type prepareRequest struct {
 	To     target
 	Name   string
@@ -111,14 +111,14 @@
 
 type fenceResponse struct {
 	From        origin
-	Voter       bool    // reports whether the replica holds everything that its seat has acknowledged
+	Voter       bool    // whether the replica holds all changes that members in its seat have acknowledged
 	InSyncToken int64   // fencing token of the last owner that the replica was in sync with; 0 if none
-	Digests     []int64 // digests of the replica's key ranges
+	Digests     []int64 // digests of the replica's buckets
 }
 
 func (r *fenceResponse) from() origin { return r.From }
 
-// fetchRequest asks a replica for the records of the given key ranges.
+// fetchRequest asks a replica for the records of the given buckets.
 type fetchRequest struct {
 	To      target
 	Shard   string
@@ -132,25 +132,25 @@
 
 func (r *fetchResponse) from() origin { return r.From }
 
-// prefetchRequest asks a core scheduler for the key ranges of a shard in which its replica differs from the sender's.
+// prefetchRequest asks a core scheduler for the buckets of a shard in which its replica differs from the sender's.
 // Prefetched records do not count as replicated until an owner has repaired the replica; they only shorten that repair.
 type prefetchRequest struct {
 	Shard   string
-	Digests []int64 // digests of the sender's key ranges
+	Digests []int64 // digests of the sender's buckets
 }
 
 type prefetchResponse struct {
 	Ranges []shard.Range
 }
 
-// repairRequest replaces key ranges of a replica by the owner's.
+// repairRequest replaces buckets of a replica by the owner's.
 type repairRequest struct {
 	To           target
 	Shard        string
 	Token        int64
 	RepairNumber int64 // counts the owner's repairs of this replica
 	Ranges       []shard.Range
-	Last         bool // reports whether the replica is in sync after this request
+	Last         bool // whether the replica is in sync after this request
 }
 
 // writeRequest replicates changed records.
@@ -172,7 +172,7 @@
 
 func (r *stateResponse) from() origin { return r.From }
 
-// memberTimedOutRequest asks whether the receiver also considers a member as timed out.
+// memberTimedOutRequest asks whether a member has timed out for the receiver too.
 type memberTimedOutRequest struct {
 	Member  string // ID of the member's disk
 	Address string
--- a/internal/system/core/owner.go
+++ b/internal/system/core/owner.go
@@ -94,7 +94,7 @@
 	return o.leaseValidLocked()
 }
 
-// leaseValidLocked is leaseValid for callers that hold o.mu.
+// leaseValidLocked is like leaseValid. o.mu is held.
 func (o *owner) leaseValidLocked() bool {
 	var times []time.Time
 	for _, r := range o.replicators {
@@ -156,7 +156,7 @@
 	o.configureLocked(state)
 }
 
-// configureLocked is configure for callers that hold o.mu.
+// configureLocked is like configure. o.mu is held.
 func (o *owner) configureLocked(state *configState) {
 	if o.config != nil && o.config.record.Version >= state.record.Version {
 		return
--- a/internal/system/core/ownership.go
+++ b/internal/system/core/ownership.go
@@ -10,7 +10,7 @@
 
 const (
 	ownershipCheckInterval = 60 * time.Millisecond
-	startupTakeoverDelay   = 250 * time.Millisecond // wait after the start for claims of owners, until all peers have responded
+	startupTakeoverDelay   = 250 * time.Millisecond // longest wait after the start for all peers to respond with their claims
 )
 
 func (c *Core) handleShards(server *rpc.Server) {
@@ -39,8 +39,9 @@
 	}
 }
 
-// shouldTakeOver reports whether a shard has no owner and this scheduler ranks highest for it, by rendezvous hashing, among
-// the core schedulers that are alive.
+// shouldTakeOver reports whether this scheduler should take over a shard now: no live core scheduler owns the shard, this
+// one ranks highest for it by rendezvous hashing among those alive, and it is neither draining nor waiting for its next
+// attempt.
 func (c *Core) shouldTakeOver(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +60,6 @@
 	return rendezvous.Highest(name, candidates) == c.address
 }
 
-// removeDeposedOwners removes the owners that were deposed.
 func (c *Core) removeDeposedOwners() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/system/core/peers.go
+++ b/internal/system/core/peers.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	peerLivenessTTL = 800 * time.Millisecond // period for which a peer is alive after the last answered ping was sent
+	peerLivenessTTL = 800 * time.Millisecond // period for which a peer counts as alive after the last answered ping was sent
 	unseenPeerTTL   = 30 * time.Second       // period after which a peer that is neither seen nor reported is removed
 )
 
@@ -23,7 +23,7 @@
 	pingInFlight  bool
 }
 
-// alive reports whether the peer has answered a ping within peerLivenessTTL and is not draining.
+// alive reports whether the peer has answered a ping within peerLivenessTTL and is not draining. Core.mu is held.
 func (p *peerState) alive() bool {
 	return time.Since(p.lastHeartbeat) < peerLivenessTTL && !p.status.Draining
 }
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// claimsOf returns the claims in a message, keyed by shard, with only the fields that watchers are sent.
+// claimsOf returns the claims in a message, keyed by shard, without InSync, which has no effect on responses to watchers.
 func claimsOf(m *pingMessage) map[string]ownershipClaim {
 	claims := map[string]ownershipClaim{}
 	for _, claim := range m.Claims {
--- a/internal/system/core/proposer.go
+++ b/internal/system/core/proposer.go
@@ -89,7 +89,7 @@
 	return next, false, rejection
 }
 
-// prepareRound runs the prepare phase.
+// prepareRound runs the prepare phase. If it fails, the next attempt uses a ballot above all those in the responses.
 func (c *Core) prepareRound(ctx context.Context, name string, m membership.Membership, proposal *register.Proposal, known register.Ballot) error {
 	replies, count := broadcast(c, m, m.Voters(), methodPrepare, c.store.prepare, func(to target) *prepareRequest {
 		return &prepareRequest{To: to, Name: name, Ballot: proposal.Ballot, Known: known}
@@ -103,7 +103,6 @@
 	return err
 }
 
-// acceptRound runs the accept phase.
 func (c *Core) acceptRound(ctx context.Context, name string, m membership.Membership, proposal *register.Proposal, value []byte) error {
 	replies, count := broadcast(c, m, m.Voters(), methodAccept, c.store.accept, func(to target) *acceptRequest {
 		return &acceptRequest{To: to, Name: name, Ballot: proposal.Ballot, Value: value}
--- a/internal/system/core/replication.go
+++ b/internal/system/core/replication.go
@@ -14,11 +14,11 @@
 	repairBackoff     = 120 * time.Millisecond
 )
 
-// replicator keeps the replica of one seat in sync. owner.mu guards its fields. Only its own goroutine writes member, fenced
-// and repairCount, and therefore reads them without the lock.
+// replicator keeps the replica of one seat in sync. owner.mu guards its fields. Once its goroutine runs, only that goroutine
+// writes member, fenced and repairCount, and it reads them without the lock.
 type replicator struct {
 	seat          int               // index into the membership's seats; never changes
-	member        membership.Member // holder of the seat
+	member        membership.Member // member in the seat
 	fenced        bool              // set if the replica was fenced in the takeover and its disk has not changed since
 	inSync        bool              // set while the replica accepts writes; requires an acknowledged write or repair
 	lastConfirmed time.Time         // send time of the last acknowledged call
@@ -39,7 +39,8 @@
 	}
 }
 
-// waitInSync waits until a quorum of replicas are in sync that were fenced in the takeover and still have the same disk.
+// waitInSync waits until a quorum is in sync, counting only replicas that were fenced in the takeover and whose disk has not
+// changed since.
 func (o *owner) waitInSync(ctx context.Context) error {
 	for {
 		o.mu.Lock()
@@ -67,8 +68,9 @@
 	}
 }
 
-// replicate keeps one replica in sync until the context ends. It repairs the replica and then sends it each change, and a
-// heartbeat after heartbeatInterval without one, which also verifies that the owner's fencing token is still the highest.
+// replicate keeps one replica in sync until the context ends. It repairs the replica and then sends it each change. After
+// heartbeatInterval without a change it sends a heartbeat, which also verifies that the owner's fencing token is still the
+// highest.
 func (o *owner) replicate(ctx context.Context, r *replicator) {
 	for ctx.Err() == nil {
 		m := o.updateMember(r)
@@ -100,7 +102,8 @@
 	}
 }
 
-// updateMember updates the holder of the replicator's seat and returns the current membership.
+// updateMember returns the current membership. If it has another member in the replicator's seat, updateMember updates the
+// replicator; a replica on another disk must be repaired before it counts as in sync.
 func (o *owner) updateMember(r *replicator) membership.Membership {
 	m := o.core.store.currentMembership()
 	member := m.Seats[r.seat]
@@ -136,7 +139,7 @@
 	o.notifyInSyncChanged()
 }
 
-// repair brings a replica to the owner's state by replacing the key ranges whose digests differ (anti-entropy repair).
+// repair brings a replica to the owner's state by replacing the buckets whose digests differ (anti-entropy repair).
 func (o *owner) repair(ctx context.Context, m membership.Membership, r *replicator) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*replicaTimeout)
 	defer cancel()
--- a/internal/system/core/sessions.go
+++ b/internal/system/core/sessions.go
@@ -11,8 +11,9 @@
 // sessions holds an owner's sessions, keyed by the address of the agent.
 type sessions map[string]*session
 
-// admit reports whether a report is newer than all others of the current session. It returns the session that the agent
-// must use for its next report.
+// admit reports whether a report belongs to the agent's current session and is newer than all others admitted in it. A report
+// of another session is rejected and begins a new session. admit returns the session that the agent must use for its next
+// report.
 func (s sessions) admit(agent, name string, sequence int64) (string, bool) {
 	current := s[agent]
 	if current == nil || name != current.name {
--- a/internal/system/core/sessions_test.go
+++ b/internal/system/core/sessions_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A report that a network partition has delayed is rejected, since it does not belong to the current session. Fault
-// injection (trouble-2 --seed 734137710468, TWICE) found a report of a crashed worker that arrived after the worker's next
-// incarnation had started runs.
+// A report that a network partition has delayed is rejected, since it does not belong to the current session. A run of the
+// fault injection (trouble-2 --seed 734137710468, violation TWICE) failed because a report of a crashed worker arrived after
+// the worker's next incarnation had started runs.
 func TestDelayedReportIsRejected(t *testing.T) {
 	s := sessions{}
 	first, ok := s.admit("side", "", 1)
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -63,7 +63,7 @@
 // shards. Each change is durable in the log before it is acknowledged.
 type store struct {
 	address           string
-	membershipChanged signal // sent when a newer membership was installed
+	membershipChanged signal // notified when a newer membership was installed
 
 	// mu guards the fields below. It is acquired with no other lock held. It is held while an entry is queued in the log, so
 	// that the log has the entries in the order of the changes, but never during a disk write.
@@ -236,11 +236,13 @@
 	return nil
 }
 
+// registerEntry returns the entry that holds the complete acceptor of a register. s.mu is held.
 func (s *store) registerEntry(name string) *entry {
 	a := s.registers[name]
 	return &entry{Kind: entryRegister, Name: name, Promised: a.Promised, Ballot: a.Accepted, Value: a.Value}
 }
 
+// replicaEntry returns the entry that holds the complete replica of a shard. s.mu is held.
 func (s *store) replicaEntry(name string) *entry {
 	r := s.replicas[name]
 	return &entry{
--- a/internal/system/core/store_membership.go
+++ b/internal/system/core/store_membership.go
@@ -49,8 +49,8 @@
 	return waitDurable(ctx, ticket, err)
 }
 
-// readDurable handles a message that reads the state: it calls respond with s.mu held and returns once all changes that the
-// response may depend on are durable.
+// readDurable handles a message that reads the state of a voter: it admits the message, calls respond with s.mu held and
+// returns once all changes that the response may depend on are durable.
 func (s *store) readDurable(ctx context.Context, to target, respond func(origin)) error {
 	s.mu.Lock()
 	from, err := s.admitVoter(to)
--- a/internal/system/core/store_registers.go
+++ b/internal/system/core/store_registers.go
@@ -96,7 +96,7 @@
 }
 
 // restore merges the state that a quorum of voters sent after this learner had acquired its seat. Its error has the code
-// result.EpochOutdated if the seat has been lost meanwhile, and result.Unavailable if fewer than a quorum sent their state.
+// result.EpochOutdated if the seat has been lost since, and result.Unavailable if fewer than a quorum sent their state.
 func (s *store) restore(ctx context.Context, epoch int64, states []*stateResponse) error {
 	s.mu.Lock()
 	if _, seated := s.membership.Member(s.identity.ID); !seated || s.identity.JoinEpoch > epoch {
--- a/internal/system/core/store_shards.go
+++ b/internal/system/core/store_shards.go
@@ -8,8 +8,8 @@
 )
 
 // replica returns the replica of a shard and creates it if there is none. A new replica is a voter at once if the disk has
-// held its seat since the bootstrap or has restored a quorum's state, since then it cannot have lost any record of the
-// shard. s.mu is held.
+// held its seat since the bootstrap or has restored a quorum's state: such a disk cannot have lost a record of the shard.
+// s.mu is held.
 func (s *store) replica(name string) *shard.Replica {
 	r := s.replicas[name]
 	if r == nil {
@@ -36,7 +36,7 @@
 	return response, nil
 }
 
-// fetch returns the records of the requested key ranges.
+// fetch returns the records of the requested buckets.
 func (s *store) fetch(_ context.Context, r *fetchRequest) (*fetchResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +58,7 @@
 	return response, nil
 }
 
-// servePrefetch returns the key ranges of a shard in which this replica differs from the sender's.
+// servePrefetch returns the buckets of a shard in which this replica differs from the sender's.
 func (s *store) servePrefetch(_ context.Context, r *prefetchRequest) (*prefetchResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 	return &prefetchResponse{Ranges: shard.DifferingRanges(replica.Records, r.Digests)}, nil
 }
 
-// storePrefetched stores key ranges ahead of a repair. It does nothing if this disk holds a seat.
+// storePrefetched stores buckets ahead of a repair. It does nothing if this disk holds a seat.
 func (s *store) storePrefetched(ctx context.Context, name string, ranges []shard.Range) error {
 	s.mu.Lock()
 	if _, seated := s.membership.Member(s.identity.ID); seated || len(ranges) == 0 {
@@ -82,7 +82,7 @@
 	return waitDurable(ctx, ticket, err)
 }
 
-// digests returns the digests of the key ranges of this replica of a shard.
+// digests returns the digests of the buckets of a shard on this disk.
 func (s *store) digests(name string) []int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/core/store_test.go
+++ b/internal/system/core/store_test.go
@@ -372,7 +372,7 @@
 	s.wantCode(err, result.StorageFailed)
 }
 
-// A machine that joins after the bootstrap takes the membership from its peers rather than building one from its seeds.
+// A machine that joins after the bootstrap receives the membership from its peers rather than deriving one from its seeds.
 func TestLateMachineBuildsNoMembership(t *testing.T) {
 	s := newStoreCluster(t)
 	s.first = membership.Bootstrap(3, []string{"b", "c", "d"})
--- a/internal/system/core/takeover.go
+++ b/internal/system/core/takeover.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	takeoverBackoff = 400 * time.Millisecond // minimum time between two attempts; up to the same again is added at random
+	takeoverBackoff = 400 * time.Millisecond // minimum time between two attempts; jitter of up to the same length is added
 	takeoverTimeout = 2500 * time.Millisecond
 	ownerPrefix     = "owner/" // prefix of a shard's name in the name of its ownership register
 )
@@ -133,8 +133,8 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, keyRange := range response.Ranges {
-			for _, record := range keyRange.Records {
+		for _, bucket := range response.Ranges {
+			for _, record := range bucket.Records {
 				set.Apply(record)
 			}
 		}
--- a/internal/system/directory/directory.go
+++ b/internal/system/directory/directory.go
@@ -38,7 +38,7 @@
 	table        *clusterconfig.Table // nil if no configuration is known, or none is wanted
 	text         []byte               // JSON text of the configuration; nil if none is known
 	version      int64                // version of the configuration; 0 if none is known
-	confirmedAt  time.Time            // time of the request whose response last confirmed the configuration by a quorum
+	confirmedAt  time.Time            // send time of the last request whose response confirmed the configuration as the newest
 	updated      chan struct{}        // closed and replaced on each response
 }
 
@@ -70,8 +70,8 @@
 	}
 }
 
-// candidates returns the addresses of the known core schedulers and the seeds in the order of preference: their rendezvous
-// hash with the node's name.
+// candidates returns the addresses of the known core schedulers and of the seeds in the order of preference, by rendezvous
+// hashing of the node's name.
 func (d *Directory) candidates() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/system/edge/edge.go
+++ b/internal/system/edge/edge.go
@@ -18,8 +18,8 @@
 
 const (
 	readinessPath      = "/sedgevale/readyz"
-	readinessTimeout   = 1600 * time.Millisecond // from the last confirmation of the configuration until not ready
-	maxDrainDelay      = 2600 * time.Millisecond // allows the platform to notice that the scheduler is not ready
+	readinessTimeout   = 1600 * time.Millisecond // not ready if the configuration was last confirmed longer ago
+	maxDrainDelay      = 2600 * time.Millisecond // in which the platform notices that the scheduler is not ready
 	minShutdownTimeout = 600 * time.Millisecond
 	headerTimeout      = 3 * time.Second
 	idleTimeout        = 15 * time.Second
@@ -65,7 +65,8 @@
 }
 
 // shutDown keeps accepting requests until the platform has had time to notice that the scheduler is not ready. Then it
-// stops accepting and waits for the requests in flight for the rest of the grace period.
+// stops accepting and waits for the requests in flight until minShutdownTimeout before the end of the grace period, but for
+// minShutdownTimeout at least.
 func shutDown(ctx context.Context, server *http.Server, grace time.Duration) error {
 	time.Sleep(min(maxDrainDelay, grace/2))
 	ctx, cancel := context.WithTimeout(ctx, max(grace-maxDrainDelay-minShutdownTimeout, minShutdownTimeout))
@@ -73,7 +74,7 @@
 	if err := server.Shutdown(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		return err
 	}
-	return nil // the grace period has elapsed; requests in flight are aborted
+	return nil // the process exits, which aborts the requests that are still in flight
 }
 
 // isDraining reports whether the shutdown has begun.
--- a/internal/system/edge/forward.go
+++ b/internal/system/edge/forward.go
@@ -11,7 +11,7 @@
 
 const (
 	attemptTimeout    = 900 * time.Millisecond
-	minAttemptTime    = 200 * time.Millisecond // no attempt is started with less time remaining
+	minAttemptTime    = 200 * time.Millisecond // no attempt is retried with less time remaining
 	retryBackoff      = 40 * time.Millisecond
 	ownerBackoff      = retryBackoff / 4 // before the retry that follows an update of the owners
 	retryAfterSeconds = "1"              // value of the Retry-After header
@@ -57,8 +57,8 @@
 	}
 }
 
-// remainingTime returns the time until the request's deadline. The outcome of an attempt that the deadline interrupts is
-// unknown.
+// remainingTime returns the time until the request's deadline. It limits the retries, since the outcome of an attempt that
+// the deadline interrupts is unknown.
 func remainingTime(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/internal/system/result/result.go
+++ b/internal/system/result/result.go
@@ -14,7 +14,7 @@
 // call was applied; it may be retried, since all calls are idempotent.
 const (
 	OK                Code = 0
-	BadRequest        Code = 1001 // the message cannot be decoded, or names a key range that does not exist
+	BadRequest        Code = 1001 // the message cannot be decoded, or names a bucket that does not exist
 	NotOwner          Code = 1002 // this scheduler does not own the shard
 	NotReady          Code = 1003 // there is no configuration, or no quorum has confirmed the ownership recently
 	Fenced            Code = 1004 // a newer fencing token is known
--- a/internal/system/side/heartbeat.go
+++ b/internal/system/side/heartbeat.go
@@ -15,8 +15,8 @@
 )
 
 // handleHeartbeat applies a worker's heartbeat and responds with the orders for the worker. The heartbeat of an idle
-// worker is a long poll: no task can end in the meantime, and the response is delayed until there are orders, so that
-// tasks start without waiting for the next heartbeat.
+// worker is a long poll: no task can end in the meantime, and the response is delayed until there are orders, for at most
+// orderWaitTimeout, so that tasks start without waiting for the next heartbeat.
 func (s *Scheduler) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
 	if err != nil {
--- a/internal/system/side/side.go
+++ b/internal/system/side/side.go
@@ -59,7 +59,7 @@
 	ordersReady chan struct{} // signalled when there are orders for the worker
 	reportDue   chan struct{} // signalled when a report must be sent immediately
 	reported    uint64        // digest of the agent's state when reportDue was last signalled
-	expiredAt   time.Duration // when the lease expired, since the start of the process; 0 if it has not expired
+	expiredAt   time.Duration // when the lease last expired, since the start of the process; 0 if it has never expired
 	replaced    bool          // another incarnation has replaced this one
 	confirmed   bool          // minConfirmingHeartbeats have been received
 }
--- a/internal/system/simulation/cluster_test.go
+++ b/internal/system/simulation/cluster_test.go
@@ -261,7 +261,7 @@
 	c.record(name, "wipe")
 }
 
-// tearLog appends a partial record to a stopped machine's log, as left by a power failure during a write.
+// tearLog appends a partial frame to a stopped machine's log, as left by a power failure during a write.
 func (c *cluster) tearLog(name string) {
 	logs, _ := filepath.Glob(filepath.Join(c.machine(name).dir, "log-*"))
 	if len(logs) == 0 {
--- a/internal/system/simulation/core_faults_test.go
+++ b/internal/system/simulation/core_faults_test.go
@@ -159,7 +159,7 @@
 	c.decommissioned[name] = true
 }
 
-// powerCycle simulates a short power failure of all core machines except one. Random logs are left torn.
+// powerCycle simulates a short power failure of all core machines except one. Randomly chosen logs are left torn.
 func (c *cluster) powerCycle(except string) {
 	var names []string
 	for _, name := range c.coreNames() {
--- a/internal/system/simulation/edge_test.go
+++ b/internal/system/simulation/edge_test.go
@@ -100,8 +100,8 @@
 	})
 }
 
-// TestRejectionOnlyIfNotApplied covers requirement 1: 503 and 429 are rejections, after which a job never runs, so
-// they are returned only if the submission cannot have been applied.
+// TestRejectionOnlyIfNotApplied checks that a submission is answered with 503 or 429 only if it cannot have been applied:
+// these are rejections, after which a job never runs.
 func TestRejectionOnlyIfNotApplied(t *testing.T) {
 	cases := []struct {
 		name string
@@ -185,7 +185,7 @@
 	})
 }
 
-// TestUnavailableBeforeFirstConfiguration checks that requests get 503, which asks for a retry, and not 404 while there is
+// TestUnavailableBeforeFirstConfiguration checks that requests get 503, which invites a retry, and not 404 while there is
 // no configuration.
 func TestUnavailableBeforeFirstConfiguration(t *testing.T) {
 	stub := &stubCore{}
--- a/internal/system/statefile/generation.go
+++ b/internal/system/statefile/generation.go
@@ -61,7 +61,8 @@
 	return found, nil
 }
 
-// removeBelow removes the files of all generations below one. A file that cannot be removed is retried at the next rotation.
+// removeBelow removes the files of all generations older than the given one. The removal of a file that fails is retried at
+// the next rotation.
 func (l *Log) removeBelow(generation int64) {
 	entries, err := os.ReadDir(l.dir)
 	if err != nil {
--- a/internal/system/statefile/inspect.go
+++ b/internal/system/statefile/inspect.go
@@ -12,7 +12,7 @@
 	Name     string
 	Bytes    int64
 	Frames   int   // number of valid frames, without the end marker of a snapshot
-	Torn     int64 // number of bytes after the last valid frame
+	Torn     int64 // number of bytes after the last valid frame; all bytes of an incomplete snapshot
 	Complete bool  // whether a snapshot has its end marker; always true for a log
 	Live     bool  // whether Open reads the file
 }
