--- a/coord/membership/model_test.go
+++ b/coord/membership/model_test.go
@@ -318,12 +318,12 @@
 		return false
 	}
 	a := toAcceptor(*s.replicas[disk].acceptorOf(r))
-	taken := a.Accept(register.Ballot{Counter: int64(r.ballot)}, []byte(r.value))
+	accepted := a.Accept(register.Ballot{Counter: int64(r.ballot)}, []byte(r.value))
 	*s.replicas[disk].acceptorOf(r) = fromAcceptor(a)
-	if taken && r.changesMembership() && m.faults.uncommittedChangeTakesEffect {
+	if accepted && r.changesMembership() && m.faults.uncommittedChangeTakesEffect {
 		m.install(&s.replicas[disk], disk, int8(r.value[0]-'A'))
 	}
-	if !taken || !answered {
+	if !accepted || !answered {
 		return true
 	}
 	r.accepted[disk] = true
--- a/internal/system/clusterconfig/validate.go
+++ b/internal/system/clusterconfig/validate.go
@@ -46,7 +46,7 @@
 		}
 		names[route.Name] = true
 		prefix := strings.ToLower(route.Host) + " " + route.PathPrefix
-		if other, taken := prefixes[prefix]; taken {
+		if other, duplicate := prefixes[prefix]; duplicate {
 			return fmt.Errorf("routes[%d] %q: has the host and prefix of %q", i, route.Name, other)
 		}
 		prefixes[prefix] = route.Name
--- a/internal/system/simulation/control_test.go
+++ b/internal/system/simulation/control_test.go
@@ -189,9 +189,9 @@
 	})
 }
 
-// TestMemberCatchesUpAfterManyChanges checks that a member that has missed hundreds of changes, and whose log is torn,
-// serves no stale configuration after its restart, and catches up within catchUpTimeout. Then one member loses its disk
-// and all others lose power, after which the acknowledged configuration is still served.
+// TestMemberCatchesUpAfterManyChanges checks that a member that has missed 1500 changes, and whose log is torn, serves
+// no stale configuration after its restart, and catches up within catchUpTimeout. Then one member loses its disk and all
+// members lose power, after which the acknowledged configuration is still served.
 func TestMemberCatchesUpAfterManyChanges(t *testing.T) {
 	runScenario(t, topology{cores: 3, tolerance: 1}, func(t *testing.T, c *cluster) {
 		c.kill("core0")
--- a/internal/system/simulation/faults_test.go
+++ b/internal/system/simulation/faults_test.go
@@ -15,8 +15,9 @@
 	firstSeed = flag.Uint64("first", 1, "first seed")
 )
 
-// TestSystemThroughFaults injects random faults one at a time, and checks from the events at workers and callers that
-// nothing acknowledged is lost, no task runs twice, no configuration is reverted, and all jobs complete.
+// TestSystemThroughFaults injects random faults one at a time, and checks from the events at workers and the responses to
+// clients and operators that nothing acknowledged is lost, no task runs twice, no configuration is reverted, and all jobs
+// complete.
 func TestSystemThroughFaults(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
--- a/internal/system/simulation/operators_test.go
+++ b/internal/system/simulation/operators_test.go
@@ -39,11 +39,11 @@
 	started time.Time
 }
 
-func (h *history) add(client int, input configChange, output changeResult, call, back time.Time) {
+func (h *history) add(client int, input configChange, output changeResult, call, returned time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	operation := porcupine.Operation{
-		ClientId: client, Input: input, Output: output, Call: call.Sub(h.started).Nanoseconds(), Return: back.Sub(h.started).Nanoseconds(),
+		ClientId: client, Input: input, Output: output, Call: call.Sub(h.started).Nanoseconds(), Return: returned.Sub(h.started).Nanoseconds(),
 	}
 	if output.outcome == changeUnknown {
 		operation.Return = time.Hour.Nanoseconds() // the change may be applied at any time after the call, or never
@@ -57,7 +57,8 @@
 	marker  string
 }
 
-// casRegister models the configuration as a compare-and-swap register. A change applies if its base version is current.
+// casRegister models the configuration as a compare-and-swap register. A change applies if its base version is current and
+// its version is higher.
 var casRegister = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{registerState{}} },
 	Step: func(state, input, output any) []any {
--- a/workeragent/agent_test.go
+++ b/workeragent/agent_test.go
@@ -299,8 +299,8 @@
 	}
 }
 
-// A start that was in no answer is dropped at once. A start that may have reached the worker is dropped only once a heartbeat
-// does not list it.
+// An order to stop a run drops the run at once if its start was in no answer. A run whose start may have reached the worker
+// is dropped only once a heartbeat does not list it.
 func TestStopOfRunThatMayNotHaveStarted(t *testing.T) {
 	runScript(t, `
 	0    7: lease
