--- a/internal/system/clusterconfig/validate.go
+++ b/internal/system/clusterconfig/validate.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Errors that callers wrap with the key that is invalid.
+// Errors that do not name an item. errMissingName is always wrapped with the list and the index of the item.
 var (
 	errNotJSON     = errors.New("the body is no whole JSON value")
 	errMissingName = errors.New("name: missing")
@@ -46,7 +46,7 @@
 		}
 		names[route.Name] = true
 		prefix := strings.ToLower(route.Host) + " " + route.PathPrefix
-		if other, taken := prefixes[prefix]; taken {
+		if other, duplicate := prefixes[prefix]; duplicate {
 			return fmt.Errorf("routes[%d] %q: has the host and prefix of %q", i, route.Name, other)
 		}
 		prefixes[prefix] = route.Name
