--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -58,7 +58,7 @@
 // index.
 type Names struct{ Zones, Kinds []string }
 
-// WorkerInfos converts a list for the dispatcher. ToClock converts a Unix time in milliseconds to the dispatcher's clock.
+// WorkerInfos converts a list for the dispatcher. toClock converts a Unix time in milliseconds to the dispatcher's clock.
 func (n Names) WorkerInfos(l List, toClock func(unixMilli int64) time.Duration) []dispatcher.WorkerInfo {
 	entries := make([]dispatcher.WorkerInfo, 0, len(l.Members))
 	for _, m := range l.Members {
--- a/internal/discovery/timeout_test.go
+++ b/internal/discovery/timeout_test.go
@@ -15,11 +15,11 @@
 // next call.
 func TestSilentConnectionIsDetected(t *testing.T) {
 	const next = 300*time.Millisecond + dialTimeout + time.Second // the dispatcher's first retry delay, the dial, and the response time of discovery
-	if most := watchTimeout + responseTimeout + next; most > 6*time.Second {
-		t.Errorf("a silent watch may be replaced only after %v, 6 s are allowed", most)
+	if maxDelay := watchTimeout + responseTimeout + next; maxDelay > 6*time.Second {
+		t.Errorf("a silent watch may be replaced only after %v, 6 s are allowed", maxDelay)
 	}
-	if most := dialTimeout + responseTimeout + next; most > 4*time.Second {
-		t.Errorf("a change to an address that does not respond at first may take %v, 4 s are allowed", most)
+	if maxDelay := dialTimeout + responseTimeout + next; maxDelay > 4*time.Second {
+		t.Errorf("a change to an address that does not respond at first may take %v, 4 s are allowed", maxDelay)
 	}
 	log := slog.New(slog.DiscardHandler)
 	for name, c := range map[string]struct {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -45,9 +45,8 @@
 	timer          *time.Timer
 }
 
-// NewWatcher returns a Watcher that requests the changes after the revision of known. OnUpdate is called with each list that is
-// received. OnFailure is called when the watch has failed, which ends it until the next call of Watch. Both are called on the
-// loop.
+// NewWatcher returns a Watcher that requests the changes after the revision of known. It calls onUpdate with each list that it
+// receives, and onFailure when the watch has failed, which ends it until the next call of Watch. Both are called on the loop.
 func NewWatcher(loop *evloop.Loop, addr string, known List, onUpdate func(List), onFailure func(), log *slog.Logger) *Watcher {
 	return &Watcher{loop: loop, addr: addr, current: addr, onUpdate: onUpdate, onFailure: onFailure, log: log, revision: known.Revision}
 }
--- a/internal/fairqueue/driver/driver.go
+++ b/internal/fairqueue/driver/driver.go
@@ -51,7 +51,7 @@
 	responseMargin = 20 * time.Millisecond // part of a job's remaining time that is kept for the response
 )
 
-// New returns a Driver. MaxRetryAfter is the longest Retry-After of a rejection; 0 omits it.
+// New returns a Driver. maxRetryAfter is the longest Retry-After of a rejection; 0 omits it.
 // The error is that of fairqueue.New.
 func New(o fairqueue.Options, planners Planners, clock dispatch.Clock, maxRetryAfter time.Duration) (*Driver, error) {
 	if maxRetryAfter > 0 {
@@ -120,8 +120,8 @@
 	return initialCost
 }
 
-// ClientDisconnected removes the job of a client that has disconnected from the queue, or reports
-// the disconnect to the planners if the job is in flight.
+// ClientDisconnected handles the disconnect of a job's client: it removes a queued job from the
+// queue, and reports the disconnect of any other job to the planners.
 func (d *Driver) ClientDisconnected(x *dispatch.Exchange) {
 	d.mu.Lock()
 	j := d.jobs[x]
--- a/internal/fairqueue/driver/driver_test.go
+++ b/internal/fairqueue/driver/driver_test.go
@@ -29,7 +29,7 @@
 func (c *fakeClient) Answer(a dispatch.Answer) { c.answers <- a }
 
 // newTestDriver returns a Driver with tenants a and b and a concurrency of 1, its planners, and a function that submits a job.
-func newTestDriver(t *testing.T) (*Driver, *fakePlanners, func(id string, tenant int, left time.Duration) (*dispatch.Exchange, *fakeClient)) {
+func newTestDriver(t *testing.T) (*Driver, *fakePlanners, func(id string, tenant int, remaining time.Duration) (*dispatch.Exchange, *fakeClient)) {
 	t.Helper()
 	p := &fakePlanners{make(chan *dispatch.Exchange, 16), make(chan *dispatch.Exchange, 16)}
 	clock := dispatch.NewClock()
@@ -39,9 +39,9 @@
 		t.Fatal(err)
 	}
 	class := &dispatcher.Class{Name: "view"}
-	return d, p, func(id string, tenant int, left time.Duration) (*dispatch.Exchange, *fakeClient) {
+	return d, p, func(id string, tenant int, remaining time.Duration) (*dispatch.Exchange, *fakeClient) {
 		c := &fakeClient{answers: make(chan dispatch.Answer, 4)}
-		x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: tenant, TenantName: []string{"a", "b"}[tenant], Client: id, Slots: 1}, clock.Now()+left, c)
+		x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: tenant, TenantName: []string{"a", "b"}[tenant], Client: id, Slots: 1}, clock.Now()+remaining, c)
 		d.SubmitRequest(x)
 		return x, c
 	}
@@ -52,7 +52,7 @@
 // is answered once.
 func TestAdmission(t *testing.T) {
 	d, p, submit := newTestDriver(t)
-	first, one := submit("first", 0, 10*time.Second)
+	first, firstClient := submit("first", 0, 10*time.Second)
 	if got := testkit.Await(t, "the first", p.submitted); got != first {
 		t.Fatalf("%s was admitted", got.ID)
 	}
@@ -67,7 +67,7 @@
 		t.Error("a job was admitted while the first was in flight")
 	}
 	first.Reject(0, "rejected by a planner")
-	testkit.Await(t, "the answer to the first job", one.answers)
+	testkit.Await(t, "the answer to the first job", firstClient.answers)
 	if got := testkit.Await(t, "the second", p.submitted); got != second {
 		t.Errorf("%s was admitted", got.ID)
 	}
@@ -79,7 +79,7 @@
 	if got := testkit.Await(t, "the third", p.submitted); got != third {
 		t.Errorf("%s was admitted", got.ID)
 	}
-	if len(one.answers)+len(late.answers) != 0 {
+	if len(firstClient.answers)+len(late.answers) != 0 {
 		t.Error("a client was answered twice")
 	}
 	if s := d.Stats(); s.Admitted != 3 || s.Expired+s.Rejected != 1 {
--- a/internal/fairqueue/fairqueue_test.go
+++ b/internal/fairqueue/fairqueue_test.go
@@ -184,32 +184,32 @@
 	run := func(fifo bool, greedy ...int) (worst, east float64) {
 		w := newSimulation(t, slots, 7)
 		w.fifo = fifo
-		isGreedy, rest := map[int]bool{}, 0.0
+		isGreedy, greedyShares := map[int]bool{}, 0.0
 		for _, g := range greedy {
 			isGreedy[g] = true
-			rest += testTenants[g].Share
+			greedyShares += testTenants[g].Share
 		}
 		for i, c := range testTenants {
-			asks := 0.8 * c.Share / 100
+			demand := 0.8 * c.Share / 100
 			if isGreedy[i] {
-				asks = 10 * c.Share / 100
+				demand = 10 * c.Share / 100
 			}
-			w.generateLoad(i, asks*slots, 200)
+			w.generateLoad(i, demand*slots, 200)
 		}
 		w.run(22 * time.Second)
 		for from := 4 * time.Second; from+5*time.Second <= 22*time.Second; from += time.Second {
 			got, sum := workBetween(w.admitted, from, from+5*time.Second)
-			asked, _ := workBetween(w.arrived, from, from+5*time.Second)
-			left := 1.0
+			demanded, _ := workBetween(w.arrived, from, from+5*time.Second)
+			unused := 1.0
 			for i := range testTenants {
 				if !isGreedy[i] {
-					left -= asked[i] / sum
+					unused -= demanded[i] / sum
 				}
 			}
 			for i, c := range testTenants {
-				want := asked[i] / sum
+				want := demanded[i] / sum
 				if isGreedy[i] {
-					want = left * c.Share / rest
+					want = unused * c.Share / greedyShares
 				}
 				worst = max(worst, math.Abs(got[i]/sum-want))
 			}
@@ -238,16 +238,16 @@
 func simulateRetries(t *testing.T, how string) (r retryCounts) {
 	t.Helper()
 	w := newSimulation(t, 40, 11)
-	returned := map[string]bool{}
+	retrying := map[string]bool{}
 	w.onAdmitted = func(a Request) {
-		if returned[a.Client] {
+		if retrying[a.Client] {
 			r.admitted++
-			delete(returned, a.Client)
+			delete(retrying, a.Client)
 		}
 	}
 	w.onRejected = func(a Request, after time.Duration) {
-		if returned[a.Client] { // its retry was rejected
-			delete(returned, a.Client)
+		if retrying[a.Client] { // its retry was rejected
+			delete(retrying, a.Client)
 			return
 		}
 		switch how {
@@ -258,7 +258,7 @@
 		}
 		w.schedule(after, func() {
 			r.retried++
-			returned[a.Client] = true
+			retrying[a.Client] = true
 			a.Token = new(int)
 			w.submit(a)
 		})
--- a/internal/fairqueue/reservations.go
+++ b/internal/fairqueue/reservations.go
@@ -20,9 +20,9 @@
 const (
 	slotDuration    = 100 * time.Millisecond
 	slotCount       = 512  // covers the next 51 s
-	maxSlotPlaces   = 64   // reservations per slot at any rate
+	maxSlotCapacity = 64   // maximum number of reservations per slot, whatever the rate
 	graceSlots      = 2    // slots after its own for which a reservation stays valid
-	maxEarlyRetries = 3    // retries ahead of time by which a client loses its reservation
+	maxEarlyRetries = 3    // number of early retries after which a client loses its reservation
 	maxEarlyClients = 4096 // clients whose early retries are counted
 )
 
@@ -59,24 +59,24 @@
 // of a slot are spread over its duration, so that clients that were rejected at the same time do
 // not retry at the same time.
 func (r *reservations) reserve(now time.Duration, id uint64, after time.Duration, perSecond float64, maxDelay time.Duration) time.Duration {
-	places := min(maxSlotPlaces, max(1, int(perSecond*slotDuration.Seconds())))
+	capacity := min(maxSlotCapacity, max(1, int(perSecond*slotDuration.Seconds())))
 	first := slotNumber(now + after)
 	last := min(slotNumber(now+maxDelay), first+slotCount-1, slotNumber(now)+slotCount-2)
 	for n := first; n <= last; n++ {
 		s := r.slot(n)
-		if len(s.ids) >= places {
+		if len(s.ids) >= capacity {
 			continue
 		}
 		s.ids = append(s.ids, id)
-		at := time.Duration(n)*slotDuration + slotDuration*time.Duration(len(s.ids)-1)/time.Duration(places)
+		at := time.Duration(n)*slotDuration + slotDuration*time.Duration(len(s.ids)-1)/time.Duration(capacity)
 		return max(at-now, after)
 	}
 	return maxDelay // all slots are full: the client retries without a reservation
 }
 
 // redeem reports whether a client retries at the time of its reservation, and then removes the
-// reservation. A client that retries earlier has no advantage, and loses its reservation at the
-// early retry number maxEarlyRetries.
+// reservation. A client that retries earlier has no advantage, and loses its reservation after
+// maxEarlyRetries early retries.
 func (r *reservations) redeem(now time.Duration, id uint64) bool {
 	n := slotNumber(now)
 	for k := n; k >= n-graceSlots && k >= 0; k-- {
--- a/internal/healthcheck/driver.go
+++ b/internal/healthcheck/driver.go
@@ -22,7 +22,7 @@
 	Spec          Spec   // SetDefaults must have been called
 	InitiallyDown bool   // whether the member counts as down before its first check
 	// OnChange is called when the state of the member changes, from the goroutine that runs its checks.
-	OnChange func(up bool, why string)
+	OnChange func(up bool, reason string)
 }
 
 // Driver runs the health checks of members. Each member has its own intervals, with jitter, and at most
@@ -45,12 +45,12 @@
 }
 
 // Run checks members until the context is done.
-func (d *Driver) Run(ctx context.Context, all []Check) {
+func (d *Driver) Run(ctx context.Context, checks []Check) {
 	var wg sync.WaitGroup
-	for i, c := range all {
+	for i, c := range checks {
 		wg.Go(func() {
 			// Spread the first checks over the interval so that they don't coincide.
-			d.runChecks(ctx, c, time.Duration(float64(c.Spec.Interval)*float64(i)/float64(len(all))))
+			d.runChecks(ctx, c, time.Duration(float64(c.Spec.Interval)*float64(i)/float64(len(checks))))
 		})
 	}
 	wg.Wait()
@@ -78,12 +78,12 @@
 			return
 		}
 		if t.Record(err == nil) {
-			why := "health checks passed"
+			reason := "health checks passed"
 			if err != nil {
-				why = err.Error()
+				reason = err.Error()
 			}
-			d.log.Warn("server health changed", "server", c.Name, "up", t.Up(), "why", why)
-			c.OnChange(t.Up(), why)
+			d.log.Warn("server health changed", "server", c.Name, "up", t.Up(), "why", reason)
+			c.OnChange(t.Up(), reason)
 		}
 		timer.Reset(time.Duration(float64(t.NextInterval()) * (0.95 + 0.1*d.rand())))
 	}
--- a/internal/healthcheck/state.go
+++ b/internal/healthcheck/state.go
@@ -35,8 +35,8 @@
 // Expect is an expectation of the response to an HTTP check.
 type Expect struct {
 	Kind  string // "status", "rstatus", "string", "rstring"
-	Not   bool
-	Value string
+	Not   bool   // inverts the expectation
+	Value string // status ranges, regular expression or substring, depending on Kind
 
 	re *regexp.Regexp
 }
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// setDefaultTimes sets the default intervals and timeout.
+// setDefaultTimes sets the default intervals and timeout, and validates them.
 func (s *Spec) setDefaultTimes() error {
 	s.Interval = cmp.Or(s.Interval, defaultInterval)
 	for _, d := range []*time.Duration{&s.Interval, &s.FastInterval, &s.DownInterval, &s.Timeout} {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// setDefaultRequest sets the default request line of an HTTP check.
+// setDefaultRequest sets the defaults of the request line of an HTTP check, and validates it and the names of the header fields.
 func (s *Spec) setDefaultRequest() error {
 	s.Method = cmp.Or(s.Method, "OPTIONS")
 	s.URI = cmp.Or(s.URI, "/")
@@ -98,8 +98,8 @@
 	return nil
 }
 
-func headerNames(all []Header) (out []string) {
-	for _, h := range all {
+func headerNames(headers []Header) (out []string) {
+	for _, h := range headers {
 		out = append(out, h.Name)
 	}
 	return out
@@ -148,8 +148,8 @@
 func (e *Expect) holds(status int, body []byte) bool {
 	switch e.Kind {
 	case "status":
-		all, _ := parseStatusRanges(e.Value) // validated by compile
-		return slices.ContainsFunc(all, func(p [2]int) bool { return status >= p[0] && status <= p[1] })
+		ranges, _ := parseStatusRanges(e.Value) // validated by compile
+		return slices.ContainsFunc(ranges, func(p [2]int) bool { return status >= p[0] && status <= p[1] })
 	case "rstatus":
 		return e.re.MatchString(strconv.Itoa(status))
 	case "rstring":
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -18,7 +18,7 @@
 	maxTrailerBytes = 4 << 10  // bytes of the trailer fields
 )
 
-// Error reports a message that violates the protocol.
+// Error reports a message that violates the protocol, exceeds a limit or uses an unsupported feature.
 type Error struct {
 	Status int    // status code with which a server should respond
 	Text   string // body of that response
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -46,14 +46,14 @@
 	return description, nil
 }
 
-var word = rapid.StringMatching(`[a-zA-Z0-9-]{1,12}`)
+var token = rapid.StringMatching(`[a-zA-Z0-9-]{1,12}`)
 
 // message draws a valid message and the description that parseParts returns for it.
 func message(t *rapid.T, kind Kind) (text []byte, want string) {
 	method, target, status := "", "", 0
 	var b bytes.Buffer
 	if kind == Request {
-		method, target = word.Draw(t, "method"), "/"+word.Draw(t, "target")
+		method, target = token.Draw(t, "method"), "/"+token.Draw(t, "target")
 		fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: h\r\n", method, target)
 	} else {
 		status = rapid.SampledFrom([]int{200, 429, 500, 503}).Draw(t, "status")
@@ -65,7 +65,7 @@
 		fields = append(fields, Field{name, value})
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "fields") {
-		add("X-"+word.Draw(t, "name"), word.Draw(t, "value"))
+		add("X-"+token.Draw(t, "name"), token.Draw(t, "value"))
 	}
 	body := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "body")
 	if rapid.Bool().Draw(t, "chunked") {
--- a/internal/httpd/accept.go
+++ b/internal/httpd/accept.go
@@ -28,8 +28,8 @@
 	backoff  time.Duration // delay after a failed accept, which usually means that file descriptors are exhausted
 }
 
-// listenReusePort opens a listening socket with SO_REUSEPORT, so that it can share its address with the socket of
-// another process that does not pass its own on.
+// listenReusePort opens a listening socket with SO_REUSEPORT, so that the process can listen on an address on which
+// another process still listens without having passed its socket on.
 func listenReusePort(ctx context.Context, addr string) (*net.TCPListener, error) {
 	lc := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
--- a/internal/httpd/conn.go
+++ b/internal/httpd/conn.go
@@ -282,7 +282,7 @@
 	c.endResponse()
 }
 
-// BeginStream sends a response head. The body follows by Write and lasts until EndStream.
+// BeginStream sends a response head. The caller then sends the body with Write and ends it with EndStream.
 func (c *Conn) BeginStream(fields []http1.Field) {
 	if c.state == stateClosed {
 		return
--- a/internal/httpd/endings_test.go
+++ b/internal/httpd/endings_test.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestRequestAfterShutdownIsNotServed guards against serving a request after the server has half-closed the connection,
-// whose response cannot be sent, and against a reset by such a request. The client must read the end of the connection and
-// nothing else.
+// TestRequestAfterShutdownIsNotServed guards against serving a request that arrives after the server has half-closed the
+// connection, because its response cannot be sent, and against a connection reset that such a request causes. The client
+// must read the end of the connection and nothing else.
 func TestRequestAfterShutdownIsNotServed(t *testing.T) {
 	s, h := startServed(t, fdlimit.New(0))
 	c, r := dial(t, s.addr)
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -215,8 +215,9 @@
 // a request that the client sends at the same time is discarded without a connection reset.
 func (s *Server) CloseIdle() { s.onEachLoop(func(l *eventLoop) { l.closeIdle(math.MaxInt) }) }
 
-// Refuse stops accepting for good and closes all connections on which no response is outstanding, including those on
-// which part of a request has been received.
+// Refuse stops accepting for good and closes the connections on which no response is outstanding, including those on
+// which part of a request has been received. It keeps connections between two requests that have unread bytes, because
+// these may be the next request.
 func (s *Server) Refuse() {
 	s.acceptor.close()
 	s.onEachLoop(func(l *eventLoop) {
--- a/internal/httpd/stop_test.go
+++ b/internal/httpd/stop_test.go
@@ -25,8 +25,8 @@
 		if err := s.Stop(); err != nil {
 			t.Fatal(err)
 		}
-		if left := testkit.Goroutines("httpd.(*Server).runSweeps", "httpd.(*acceptor).accept"); len(left) > 0 {
-			t.Fatalf("goroutines after Stop has returned:\n%s", strings.Join(left, "\n\n"))
+		if running := testkit.Goroutines("httpd.(*Server).runSweeps", "httpd.(*acceptor).accept"); len(running) > 0 {
+			t.Fatalf("goroutines after Stop has returned:\n%s", strings.Join(running, "\n\n"))
 		}
 	}
 }
--- a/internal/httpd/stream.go
+++ b/internal/httpd/stream.go
@@ -19,8 +19,8 @@
 	FramingClose                  // end of the connection, for HTTP/1.0 clients
 )
 
-// BeginResponse sends the head of a response. The body follows by WriteBody until EndBody. fields must
-// contain neither Transfer-Encoding nor Connection, and Content-Length only with FramingLength.
+// BeginResponse sends the head of a response. The caller then sends the body with WriteBody and ends it with EndBody.
+// fields must contain neither Transfer-Encoding nor Connection, and Content-Length only with FramingLength.
 func (c *Conn) BeginResponse(status int, fields []http1.Field, framing Framing) {
 	if c.state == stateClosed {
 		return
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -254,17 +254,17 @@
 	if i := p.cookieMember(h); i >= 0 {
 		return p.assignIfFree(i)
 	}
-	all := p.eligible()
-	if len(all) == 0 {
+	candidates := p.eligible()
+	if len(candidates) == 0 {
 		return -1, Unavailable
 	}
-	if rest := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return slices.Contains(h.Tried, i) }); len(rest) > 0 {
-		all = rest
+	if untried := slices.DeleteFunc(slices.Clone(candidates), func(i int) bool { return slices.Contains(h.Tried, i) }); len(untried) > 0 {
+		candidates = untried
 	}
 	if p.opt.Balance == Hash && h.Key != "" {
-		return p.assignIfFree(p.rendezvousHash(all, h.Key, now))
+		return p.assignIfFree(p.rendezvousHash(candidates, h.Key, now))
 	}
-	free := slices.DeleteFunc(slices.Clone(all), func(i int) bool { return !p.members[i].hasCapacity() })
+	free := slices.DeleteFunc(slices.Clone(candidates), func(i int) bool { return !p.members[i].hasCapacity() })
 	if len(free) == 0 {
 		return -1, Busy
 	}
@@ -402,7 +402,7 @@
 		} else if v == Unavailable {
 			break
 		} else if w.hint.Cookie == "" && p.opt.Balance != Hash {
-			break // no later request fits either: without cookies and hashing all requests use the same members
+			break // assume that no later request fits either: without cookies and hashing, requests compete for the same members
 		}
 	}
 	return nil, -1, false
--- a/internal/reverseproxy/bench_test.go
+++ b/internal/reverseproxy/bench_test.go
@@ -35,24 +35,24 @@
 	if role == "" {
 		os.Exit(m.Run())
 	}
-	words := strings.Fields(role) // role, address, server, rules
-	if words[0] == "httputil" {
-		to, err := url.Parse("http://" + words[2])
+	args := strings.Fields(role) // role, address, server, rules
+	if args[0] == "httputil" {
+		to, err := url.Parse("http://" + args[2])
 		if err != nil {
 			panic(err)
 		}
 		p := httputil.NewSingleHostReverseProxy(to)
 		p.Transport = &http.Transport{MaxIdleConnsPerHost: 2048, MaxIdleConns: 4096, DisableCompression: true}
-		panic(http.ListenAndServe(words[1], p))
+		panic(http.ListenAndServe(args[1], p))
 	}
-	rules, _ := strconv.Atoi(words[3])
+	rules, _ := strconv.Atoi(args[3])
 	spec := route.Spec{Default: "app"}
 	for i := range rules {
 		spec.Use = append(spec.Use, fmt.Sprintf("app if { path_beg /p%d/ }", i))
 	}
 	b := &testing.B{}
-	serve(b, &dispatchconfig.Web{Frontends: []dispatchconfig.WebFrontend{{Name: "in", Listen: []string{words[1]}, ForwardFor: true, Spec: spec}},
-		Backends: []dispatchconfig.WebBackend{{Name: "app", Servers: []dispatchconfig.WebServer{{Name: "s", Addr: words[2]}}}}})
+	serve(b, &dispatchconfig.Web{Frontends: []dispatchconfig.WebFrontend{{Name: "in", Listen: []string{args[1]}, ForwardFor: true, Spec: spec}},
+		Backends: []dispatchconfig.WebBackend{{Name: "app", Servers: []dispatchconfig.WebServer{{Name: "s", Addr: args[2]}}}}})
 	select {}
 }
 
--- a/internal/reverseproxy/failure_test.go
+++ b/internal/reverseproxy/failure_test.go
@@ -126,7 +126,7 @@
 	stop()
 	wg.Wait()
 	repeats := countRepeats(t, faulty)
-	sent, good, refused, failed, lost, slow := &load.sent, &load.good, &load.refused, &load.failed, &load.lost, &load.slow
+	sent, good, rejected, failed, lost, slow := &load.sent, &load.good, &load.rejected, &load.failed, &load.lost, &load.slow
 	if slow.Load() > 0 || good.Load() < sent.Load()*8/10 {
 		t.Errorf("%d requests: %d succeeded, want at least 80%%; %d slower than 3 s, want 0", sent.Load(), good.Load(), slow.Load())
 	}
@@ -141,7 +141,7 @@
 		}
 		return true
 	})
-	t.Logf("%d sent: %d succeeded, %d rejected with 503, %d failed, %d without response; %d requests ran more than once; %s", sent.Load(), good.Load(), refused.Load(),
+	t.Logf("%d sent: %d succeeded, %d rejected with 503, %d failed, %d without response; %d requests ran more than once; %s", sent.Load(), good.Load(), rejected.Load(),
 		failed.Load(), lost.Load(), repeats, strings.Join(report, "; "))
 }
 
@@ -150,7 +150,7 @@
 	t     *testing.T
 	front string
 
-	sent, good, refused, failed, lost, slow atomic.Int64
+	sent, good, rejected, failed, lost, slow atomic.Int64
 }
 
 // run runs the n-th client until ctx is done.
@@ -197,7 +197,7 @@
 	case a.StatusCode == 200 && string(body) == fmt.Sprintf("%s %d", id, size):
 		l.good.Add(1)
 	case a.StatusCode == 503:
-		l.refused.Add(1)
+		l.rejected.Add(1)
 	case a.StatusCode == 502 || a.StatusCode == 504:
 		l.failed.Add(1)
 	default:
--- a/internal/reverseproxy/health.go
+++ b/internal/reverseproxy/health.go
@@ -43,16 +43,16 @@
 	}
 	checks := p.goroutines.Derive()
 	p.checks = checks
-	var all []healthcheck.Check
+	var memberChecks []healthcheck.Check
 	active := p.active.Load()
 	for _, spec := range active.web.Backends {
 		for i := range spec.Servers {
 			if c, ok := active.healthCheckFor(checks, &spec, &spec.Servers[i]); ok {
-				all = append(all, c)
+				memberChecks = append(memberChecks, c)
 			}
 		}
 	}
-	checks.Go(func(ctx context.Context) { healthcheck.NewDriver(p.opt.Log).Run(ctx, all) })
+	checks.Go(func(ctx context.Context) { healthcheck.NewDriver(p.opt.Log).Run(ctx, memberChecks) })
 }
 
 // healthCheckFor returns the health check of a server. It reports false if the server is disabled or has no check of its
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -1,8 +1,8 @@
 // Package reverseproxy implements a general-purpose HTTP/1.1 reverse proxy. It shares the event loops,
 // dispatch.Exchange and the decision module with the job frontends. Routing rules select the backend of a request,
 // the backend's pool selects the server, and the decision module decides whether and when the request is sent.
-// Event loops forward bodies of up to 64 KiB; goroutines forward longer bodies and tunnels, reading no faster than
-// they can write.
+// Event loops forward request bodies of up to 64 KiB (httpd.MaxBody) and response bodies of up to 256 KiB
+// (maxBufferedBody); goroutines forward longer bodies and tunnels, reading no faster than they can write.
 package reverseproxy
 
 import (
--- a/internal/reverseproxy/retry_test.go
+++ b/internal/reverseproxy/retry_test.go
@@ -18,7 +18,7 @@
 // allow it, and that a request whose connection failed is immediately sent to another server.
 func TestRetries(t *testing.T) {
 	refusing := testkit.RefusingAddr(t)
-	var closed atomic.Int64                         // requests after which closing has closed the connection
+	var closed atomic.Int64                         // number of requests that the server closing has received
 	closing := testkit.Accept(t, func(c net.Conn) { // reads the request and closes the connection without a response
 		in := bufio.NewReader(c)
 		if q, err := http.ReadRequest(in); err == nil {
--- a/internal/reverseproxy/server_conn.go
+++ b/internal/reverseproxy/server_conn.go
@@ -227,8 +227,8 @@
 	sc.server.idle = append(sc.server.idle, sc)
 }
 
-// failResponse ends the attempt and closes the connection after a malformed response, or if the response cannot be
-// handed to a goroutine.
+// failResponse ends the attempt and closes the connection after a malformed or unsolicited response, or if the
+// connection cannot be detached from the event loop.
 func (sc *serverConn) failResponse(err error) {
 	ua := sc.attempt
 	sc.transport.proxy.opt.Log.Warn("cannot use the response of a server; closing the connection", "server", sc.server.id, "err", err)
--- a/internal/reverseproxy/stop_test.go
+++ b/internal/reverseproxy/stop_test.go
@@ -31,8 +31,8 @@
 	}
 	testkit.Eventually(t, "only the new checks to run", func() bool { return len(testkit.Goroutines(check)) == maxChecks })
 	stop()
-	if left := testkit.Goroutines("healthcheck."); len(left) > 0 {
-		t.Errorf("health check goroutines after Run has returned:\n%s", strings.Join(left, "\n\n"))
+	if running := testkit.Goroutines("healthcheck."); len(running) > 0 {
+		t.Errorf("health check goroutines after Run has returned:\n%s", strings.Join(running, "\n\n"))
 	}
 }
 
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -36,8 +36,8 @@
 	mu           sync.Mutex
 	server       net.Conn // connection of the current attempt
 	bodySent     bool     // whether any of the body may have been sent to a server
-	headReceived bool     // whether reading the response head has succeeded or failed
-	uploaded     bool     // whether the last bytes of the request are being or have been sent
+	headReadDone bool     // whether reading the response head has ended, successfully or not
+	uploaded     bool     // whether sending the last bytes of the request has begun
 }
 
 // localReply is a response that the proxy generated.
@@ -222,7 +222,7 @@
 // setServerConn records the connection to a server so that stop can interrupt it.
 func (t *transfer) setServerConn(server net.Conn) {
 	t.mu.Lock()
-	t.server, t.bodySent, t.headReceived, t.uploaded = server, true, false, false
+	t.server, t.bodySent, t.headReadDone, t.uploaded = server, true, false, false
 	t.mu.Unlock()
 	select {
 	case <-t.ctx.Done():
@@ -240,7 +240,7 @@
 	head, err := in.head()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.headReceived = true; err == nil {
+	if t.headReadDone = true; err == nil {
 		_ = server.SetReadDeadline(time.Time{})
 	}
 	return in, head, err
@@ -351,7 +351,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.headReceived {
+	if !t.headReadDone {
 		_ = server.SetReadDeadline(time.Now().Add(wait))
 	}
 	return err
--- a/internal/reverseproxy/transport.go
+++ b/internal/reverseproxy/transport.go
@@ -14,7 +14,7 @@
 const (
 	idleConnTimeout = 5 * time.Second        // how long an idle connection to a server is kept
 	maxIdleConns    = 256                    // idle connections for each server
-	maxBufferedBody = 256 << 10              // bytes of a body, or of delivered and unsent data, above which a goroutine reads the response
+	maxBufferedBody = 256 << 10              // bytes of a response body, or of its parts that the client's event loop has not written yet, above which a goroutine reads the response
 	sweepInterval   = 500 * time.Millisecond // interval between checks for expired idle connections
 )
 
@@ -53,7 +53,7 @@
 	server   *server     // nil if removed from the configuration
 	conn     *serverConn // nil if not sent
 	reported bool        // whether its outcome has been reported to the planner
-	done     bool        // whether it has ended, or a transfer or goroutine has taken it over
+	done     bool        // whether it has ended, or a transfer or tunnel has taken it over
 }
 
 func newTransport(p *Proxy) *transport {
@@ -147,7 +147,7 @@
 	})
 }
 
-// CancelUnsent cancels an attempt unless its request has been sent.
+// CancelUnsent cancels an attempt unless its request has been sent or is forwarded by a transfer.
 func (tr *transport) CancelUnsent(attempt *dispatch.Attempt) {
 	tr.loop.Do(func() {
 		if ua := tr.attempts[attempt]; ua != nil && ua.conn == nil && ua.request.transfer == nil {
--- a/internal/route/acl.go
+++ b/internal/route/acl.go
@@ -187,16 +187,16 @@
 		return nil, fmt.Errorf("expected if or unless, not %q", words[0])
 	}
 	words = words[1:]
-	var all []term
+	var conjunction []term
 	expectTerm := false // set after an "or"
 	for len(words) > 0 {
 		w := words[0]
 		words = words[1:]
 		if w == "or" || w == "||" {
-			if len(all) == 0 {
+			if len(conjunction) == 0 {
 				return nil, fmt.Errorf("nothing stands before %q", w)
 			}
-			c.alternatives, all, expectTerm = append(c.alternatives, all), nil, true
+			c.alternatives, conjunction, expectTerm = append(c.alternatives, conjunction), nil, true
 			continue
 		}
 		t, rest, err := l.parseTerm(w, words)
@@ -204,12 +204,12 @@
 			return nil, err
 		}
 		words = rest
-		all, expectTerm = append(all, t), false
+		conjunction, expectTerm = append(conjunction, t), false
 	}
-	if expectTerm || len(all) == 0 {
+	if expectTerm || len(conjunction) == 0 {
 		return nil, fmt.Errorf("the condition ends where something must follow")
 	}
-	c.alternatives = append(c.alternatives, all)
+	c.alternatives = append(c.alternatives, conjunction)
 	return c, nil
 }
 
@@ -259,10 +259,10 @@
 
 // Holds reports whether the condition holds for a request.
 func (c *Condition) Holds(q *Request) bool {
-	for _, all := range c.alternatives {
+	for _, conjunction := range c.alternatives {
 		holds := true
-		for i := range all {
-			if all[i].holds(q) == all[i].negated {
+		for i := range conjunction {
+			if conjunction[i].holds(q) == conjunction[i].negated {
 				holds = false
 				break
 			}
@@ -275,8 +275,8 @@
 }
 
 func (t *term) holds(q *Request) bool {
-	for _, one := range t.tests {
-		if one.holds(q) {
+	for _, alternative := range t.tests {
+		if alternative.holds(q) {
 			return true
 		}
 	}
--- a/internal/route/convert.go
+++ b/internal/route/convert.go
@@ -121,7 +121,7 @@
 	for _, line := range fileLines(b) {
 		key, value := cutMapLine(line)
 		if method == "str" {
-			if _, twice := exact[key]; !twice { // the first entry of a key wins
+			if _, duplicate := exact[key]; !duplicate { // the first entry of a key wins
 				exact[key] = value
 			}
 			continue
--- a/internal/route/fetch.go
+++ b/internal/route/fetch.go
@@ -85,26 +85,26 @@
 // parseFetch parses a sample expression: a fetch with its arguments, followed by converters separated by
 // commas.
 func parseFetch(text string, files Files) (*fetch, error) {
-	name, rest := text, ""
+	call, rest := text, ""
 	if i := endOfCall(text); i < len(text) {
-		name, rest = text[:i], text[i:]
+		call, rest = text[:i], text[i:]
 	}
 	f := &fetch{text: text}
-	word, args, err := parseCall(name)
+	name, args, err := parseCall(call)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.resolve(word, args); err != nil {
+	if err := f.resolve(name, args); err != nil {
 		return nil, err
 	}
 	for rest != "" {
 		rest = rest[1:] // the comma
 		i := endOfCall(rest)
-		word, args, err := parseCall(rest[:i])
+		name, args, err := parseCall(rest[:i])
 		if err != nil {
 			return nil, err
 		}
-		c, k, err := parseConverter(word, args, files)
+		c, k, err := parseConverter(name, args, files)
 		if err != nil {
 			return nil, err
 		}
@@ -283,14 +283,14 @@
 		return nil
 	}
 	f.get = func(q *Request) []string {
-		all := values(q)
+		got := values(q)
 		switch {
 		case at == 0:
-			return all
-		case at > 0 && at <= len(all):
-			return all[at-1 : at]
-		case at < 0 && -at <= len(all):
-			return all[len(all)+at : len(all)+at+1]
+			return got
+		case at > 0 && at <= len(got):
+			return got[at-1 : at]
+		case at < 0 && -at <= len(got):
+			return got[len(got)+at : len(got)+at+1]
 		}
 		return nil
 	}
--- a/internal/route/format.go
+++ b/internal/route/format.go
@@ -45,20 +45,20 @@
 			if end < 0 {
 				return nil, fmt.Errorf("%q lacks a closing bracket", s)
 			}
-			one, err := parseFetch(strings.TrimSpace(rest[1:end]), files)
+			expr, err := parseFetch(strings.TrimSpace(rest[1:end]), files)
 			if err != nil {
 				return nil, err
 			}
 			flush()
-			f.parts = append(f.parts, formatPart{fetch: one})
+			f.parts = append(f.parts, formatPart{fetch: expr})
 			i += end + 1
 		case len(rest) >= 2 && logFormatAliases[rest[:2]] != "":
-			one, err := parseFetch(logFormatAliases[rest[:2]], files)
+			expr, err := parseFetch(logFormatAliases[rest[:2]], files)
 			if err != nil {
 				return nil, err
 			}
 			flush()
-			f.parts = append(f.parts, formatPart{fetch: one})
+			f.parts = append(f.parts, formatPart{fetch: expr})
 			i += 2
 		default:
 			return nil, unsupported("%q in a format", "%"+rest[:min(2, len(rest))])
--- a/internal/route/frontend.go
+++ b/internal/route/frontend.go
@@ -78,14 +78,14 @@
 		if err == nil && len(words) == 0 {
 			err = fmt.Errorf("an empty line")
 		}
-		var one T
+		var compiled T
 		if err == nil {
-			one, err = compile(words)
+			compiled, err = compile(words)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s %q: %w", kind, text, err)
 		}
-		all = append(all, one)
+		all = append(all, compiled)
 	}
 	return all, nil
 }
--- a/internal/route/header_rules.go
+++ b/internal/route/header_rules.go
@@ -56,7 +56,7 @@
 		if len(args) != 1 && len(args) != 3 {
 			return nil, fmt.Errorf("needs a name")
 		}
-		names := func(n string) bool { return strings.EqualFold(n, args[0]) }
+		matches := func(n string) bool { return strings.EqualFold(n, args[0]) }
 		if len(args) == 3 {
 			m, ok := matchers[args[2]]
 			if args[1] != "-m" || !ok {
@@ -66,16 +66,16 @@
 			if err != nil {
 				return nil, err
 			}
-			names = func(n string) bool { return test(strings.ToLower(n)) }
+			matches = func(n string) bool { return test(strings.ToLower(n)) }
 		} else if err := checkHeaderName(args[0]); err != nil {
 			return nil, err
 		}
 		return func(q *Request) (*Answer, bool) {
 			f := headerFields(q, request)
 			var out []http1.Field
-			for _, one := range *f {
-				if !names(one.Name) || slices.Contains(framingHeaders, strings.ToLower(one.Name)) {
-					out = append(out, one)
+			for _, field := range *f {
+				if !matches(field.Name) || slices.Contains(framingHeaders, strings.ToLower(field.Name)) {
+					out = append(out, field)
 				}
 			}
 			*f = out
@@ -85,7 +85,9 @@
 	}
 }
 
-func parseReplaceHeader(request, parts bool) actionParser {
+// parseReplaceHeader parses replace-header or, if splitValues is set, replace-value, which applies the replacement
+// to each comma-separated value.
+func parseReplaceHeader(request, splitValues bool) actionParser {
 	return func(args []string, files Files) (func(*Request) (*Answer, bool), error) {
 		if len(args) != 3 {
 			return nil, fmt.Errorf("needs a name, a regular expression and a replacement")
@@ -104,7 +106,7 @@
 				if !strings.EqualFold(out[i].Name, args[0]) {
 					continue
 				}
-				if !parts {
+				if !splitValues {
 					out[i].Value = sanitizeField(change(q, out[i].Value))
 					continue
 				}
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -68,16 +68,16 @@
 }
 
 func matchRegexp(patterns []string, foldCase bool) (func(string) bool, error) {
-	var all []*regexp.Regexp
+	var regexps []*regexp.Regexp
 	for _, p := range patterns {
 		re, err := compileRegexp(p, foldCase)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, re)
+		regexps = append(regexps, re)
 	}
 	return func(s string) bool {
-		for _, re := range all {
+		for _, re := range regexps {
 			if re.MatchString(s) {
 				return true
 			}
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -180,9 +180,9 @@
 func parseRedirect(args []string, files Files) (func(*Request) (*Answer, bool), error) {
 	r := &redirect{code: 302}
 	for len(args) > 0 {
-		word := args[0]
+		option := args[0]
 		args = args[1:]
-		switch word {
+		switch option {
 		case "drop-query":
 			r.dropQuery = true
 			continue
@@ -191,9 +191,9 @@
 			continue
 		}
 		if len(args) == 0 {
-			return nil, fmt.Errorf("%s lacks its value", word)
+			return nil, fmt.Errorf("%s lacks its value", option)
 		}
-		if err := r.set(word, args[0], files); err != nil {
+		if err := r.set(option, args[0], files); err != nil {
 			return nil, err
 		}
 		args = args[1:]
@@ -215,10 +215,10 @@
 }
 
 // set applies an argument that has a value.
-func (r *redirect) set(word, value string, files Files) (err error) {
-	switch word {
+func (r *redirect) set(option, value string, files Files) (err error) {
+	switch option {
 	case "location", "prefix", "scheme":
-		r.kind = word
+		r.kind = option
 		r.to, err = ParseFormat(value, files)
 	case "code":
 		if r.code, err = parseStatus(value, 301, 308); err == nil && !slices.Contains([]int{301, 302, 303, 307, 308}, r.code) {
@@ -229,7 +229,7 @@
 	case "clear-cookie":
 		r.cookie = value + "; path=/; Max-Age=0;"
 	default:
-		err = unsupported("the argument %s", word)
+		err = unsupported("the argument %s", option)
 	}
 	return err
 }
@@ -291,10 +291,10 @@
 		if len(args) < 2 {
 			return nil, fmt.Errorf("%s lacks its value", args[0])
 		}
-		word, value := args[0], args[1]
+		option, value := args[0], args[1]
 		args = args[2:]
 		var err error
-		switch word {
+		switch option {
 		case "status":
 			r.code, err = parseStatus(value, 200, 599)
 		case "content-type":
@@ -313,7 +313,7 @@
 			f, err = ParseFormat(args[0], files)
 			r.fields, args = append(r.fields, formattedField{value, f}), args[1:]
 		default:
-			err = unsupported("the argument %s", word)
+			err = unsupported("the argument %s", option)
 		}
 		if err != nil {
 			return nil, err
--- a/internal/sse/golden_test.go
+++ b/internal/sse/golden_test.go
@@ -72,25 +72,25 @@
 		path, id)
 }
 
-func get(path, more string) string {
-	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\nAccept: text/event-stream\r\n%s\r\n", path, more)
+func get(path, fields string) string {
+	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\nAccept: text/event-stream\r\n%s\r\n", path, fields)
 }
 
 // TestStreamBytes checks the exact bytes of event streams and of all other responses.
 func TestStreamBytes(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
-	rules := jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{Classes: []dispatcher.Class{
+	parser := jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{Classes: []dispatcher.Class{
 		{Name: "free", ClientTimeout: 9 * time.Second}, {Name: "once", Idempotency: dispatcher.NotIdempotent, ClientTimeout: 9 * time.Second},
 	}})
-	handler := sse.New(sse.Options{Parser: rules, Planners: goldenPlanners{}, Ready: ready.Load, Log: slog.New(slog.DiscardHandler)})
+	handler := sse.New(sse.Options{Parser: parser, Planners: goldenPlanners{}, Ready: ready.Load, Log: slog.New(slog.DiscardHandler)})
 	addr := testkit.FreeAddr(t)
 	s := httpd.New(addr, 1, handler, fdlimit.New(0), slog.New(slog.DiscardHandler))
 	if err := s.Start(t.Context(), nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = s.Stop() })
-	for _, one := range []struct{ request, want string }{
+	for _, c := range []struct{ request, want string }{
 		{get("/ready", ""), "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nready\n"},
 		{post("/free", "served"), "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\nid: RUN:1:free:served\nevent: accepted\ndata: {\"request\":\"served\"}\n\nid: RUN:2:free:served\nevent: started\ndata: {}\n\nid: RUN:3:free:served\nevent: progress\ndata: {\"share\":0.25}\n\nid: RUN:4.end:free:served\nevent: result\ndata: {\"result\":\"the \\\"result\\\"\\n\"}\n\n"},
 		{post("/free", "served"), "HTTP/1.1 409 Conflict\r\nConnection: close\r\nContent-Length: 70\r\n\r\nthis Request-Id is known; GET with it, or with Last-Event-ID, resumes\n"},
@@ -108,8 +108,8 @@
 		{"POST /free HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 406 Not Acceptable\r\nConnection: close\r\nContent-Length: 35\r\n\r\nanswers here are text/event-stream\n"},
 		{"PUT /free HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405 Method Not Allowed\r\nAllow: GET, POST\r\nConnection: close\r\nContent-Length: 18\r\n\r\nonly GET and POST\n"},
 	} {
-		if got := exchange(t, addr, one.request); got != one.want {
-			t.Errorf("%q: got\n%q\nwant\n%q", one.request, got, one.want)
+		if got := exchange(t, addr, c.request); got != c.want {
+			t.Errorf("%q: got\n%q\nwant\n%q", c.request, got, c.want)
 		}
 	}
 	ready.Store(false)
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -38,7 +38,7 @@
 	})
 }
 
-// CancelUnsent ends an attempt of whose request no part has been sent. It does nothing for other attempts.
+// CancelUnsent ends an attempt if no part of its request has been sent; otherwise it does nothing.
 func (p *Pool) CancelUnsent(a *dispatch.Attempt) {
 	p.loop.Do(func() {
 		if cl := p.calls[a]; cl != nil && cl.conn == nil {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -26,7 +26,7 @@
 	uses          int  // number of calls sent
 	responseBytes int  // size of the received part of the response
 	idleSince     time.Time
-	buffer        []byte
+	buffer        []byte // write buffer, kept for the next request
 }
 
 // OnOpen implements evloop.Handler: it sends the call for which the connection was dialed.
@@ -112,11 +112,14 @@
 	if cl.attempt != nil && cl.attempt.InJournal() {
 		cl.attempt.Planner.AttemptSent(cl.attempt)
 	}
-	if cap(c.buffer) > 8<<10 {
+	if cap(c.buffer) > maxRetainedBuffer {
 		c.buffer = nil
 	}
 }
 
+// maxRetainedBuffer is the capacity in bytes up to which a write buffer is kept for the next request.
+const maxRetainedBuffer = 8 << 10
+
 // appendRequest appends the request of a call to b.
 func (c *conn) appendRequest(b []byte, cl *call) []byte {
 	a := cl.attempt
@@ -131,8 +134,8 @@
 	if a.IdempotencyKey != "" {
 		b = http1.AppendField(b, "Idempotency-Key", a.IdempotencyKey)
 	}
-	left := max(0, a.Deadline-c.pool.opt.Clock.Now())
-	b = http1.AppendField(b, "Request-Timeout", strconv.FormatInt(left.Milliseconds(), 10)+"m")
+	remaining := max(0, a.Deadline-c.pool.opt.Clock.Now())
+	b = http1.AppendField(b, "Request-Timeout", strconv.FormatInt(remaining.Milliseconds(), 10)+"m")
 	return http1.AppendBody(b, a.Body)
 }
 
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -133,11 +133,11 @@
 // submitRequest submits a request with 3 s to its deadline, and returns it with the channel of its answer.
 func submitRequest(p *dispatch.Planner, clock dispatch.Clock, id string, class *dispatcher.Class, body []byte) (*dispatch.Exchange, client) {
 	answers := make(client, 1)
-	once := ""
+	idempotencyKey := ""
 	if class.Idempotency == dispatcher.IdempotentByKey {
-		once = "key-" + id
+		idempotencyKey = "key-" + id
 	}
-	x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: -1, Method: "POST", Target: "/x", IdempotencyKey: once, Body: body},
+	x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: -1, Method: "POST", Target: "/x", IdempotencyKey: idempotencyKey, Body: body},
 		clock.Now()+3*time.Second, answers)
 	p.SubmitRequest(x)
 	return x, answers
@@ -220,8 +220,8 @@
 	}
 }
 
-// serveResponses runs a worker that calls say to write the response to each request.
-func serveResponses(t *testing.T, say func(id string, w io.Writer)) string {
+// serveResponses runs a worker that calls respond to write the response to each request.
+func serveResponses(t *testing.T, respond func(id string, w io.Writer)) string {
 	return testkit.Accept(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }() // the pool may have reset it
 		for r := bufio.NewReader(c); ; {
@@ -230,7 +230,7 @@
 				return
 			}
 			_, _ = io.Copy(io.Discard, q.Body)
-			say(q.Header.Get("Request-Id"), c)
+			respond(q.Header.Get("Request-Id"), c)
 		}
 	})
 }
@@ -311,7 +311,7 @@
 // closePartlyWritten waits for a connection with a partly written request, sets the size of its send buffer and closes it.
 func closePartlyWritten(t *testing.T, pool *Pool, sendBuffer int) {
 	t.Helper()
-	for left := 0; left == 0; {
+	for unsent := 0; unsent == 0; {
 		seen := make(chan int)
 		pool.loop.Do(func() {
 			n := 0
@@ -324,7 +324,7 @@
 			}
 			seen <- n
 		})
-		left = testkit.Await(t, "the loop", seen)
+		unsent = testkit.Await(t, "the loop", seen)
 	}
 }
 
--- a/internal/upstream/line.go
+++ b/internal/upstream/line.go
@@ -9,7 +9,7 @@
 	"sedgevale/dispatcher"
 )
 
-// responseLine has the used fields of a JSON object, one line of a worker's response.
+// responseLine is one line of a worker's response, a JSON object. Fields that are not listed here are ignored.
 type responseLine struct {
 	ID     string             `json:"id"`
 	State  string             `json:"state"`
--- a/internal/upstream/line_test.go
+++ b/internal/upstream/line_test.go
@@ -22,12 +22,12 @@
 		for len(body) > 0 {
 			n := rapid.IntRange(1, len(body)).Draw(t, "cut")
 			for part := body[:n]; len(part) > 0; {
-				whole, rest, err := l.next(part)
+				line, rest, err := l.next(part)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if whole != nil {
-					got = append(got, string(whole))
+				if line != nil {
+					got = append(got, string(line))
 				}
 				part = rest
 			}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -48,7 +48,7 @@
 
 	// The fields below are accessed on the loop only.
 	workers     map[string]*worker
-	cordoned    map[string]bool // workers to which nothing is sent, regardless of the list
+	cordoned    map[string]bool // workers to which nothing is sent, regardless of the membership list
 	calls       map[*dispatch.Attempt]*call
 	awaitingEnd map[*conn]struct{} // connections whose call has ended while the end of the response is outstanding
 	reusedConns connStats          // calls on connections that had carried a call before
@@ -73,12 +73,12 @@
 }
 
 // SetTimeouts changes the timeouts. A timeout of 0 or less selects the default.
-func (p *Pool) SetTimeouts(dialTimeout, idleClose time.Duration) {
-	p.loop.Do(func() { p.opt.setTimeouts(dialTimeout, idleClose) })
+func (p *Pool) SetTimeouts(dialTimeout, idleTimeout time.Duration) {
+	p.loop.Do(func() { p.opt.setTimeouts(dialTimeout, idleTimeout) })
 }
 
-func (o *Options) setTimeouts(dialTimeout, idleClose time.Duration) {
-	if o.IdleTimeout = idleClose; o.IdleTimeout <= 0 {
+func (o *Options) setTimeouts(dialTimeout, idleTimeout time.Duration) {
+	if o.IdleTimeout = idleTimeout; o.IdleTimeout <= 0 {
 		o.IdleTimeout = defaultIdleTimeout
 	}
 	if o.DialTimeout = dialTimeout; o.DialTimeout <= 0 {
@@ -132,8 +132,8 @@
 	})
 }
 
-// Cordon stops sending to a worker, or resumes it if cordon is false, regardless of the list. Done is called on the loop when
-// the change is in effect.
+// Cordon stops sending to a worker, regardless of the membership list, or resumes it if cordon is false. It calls done on the
+// loop when the change is in effect.
 func (p *Pool) Cordon(id string, cordon bool, done func()) {
 	p.loop.Do(func() {
 		delete(p.cordoned, id)
@@ -211,9 +211,9 @@
 			p.closeConn(c)
 		}
 	}
-	last := now.Add(-time.Duration(idleTimeoutFraction * float64(p.opt.IdleTimeout)))
+	cutoff := now.Add(-time.Duration(idleTimeoutFraction * float64(p.opt.IdleTimeout)))
 	for id, w := range p.workers {
-		for len(w.idle) > 0 && w.idle[0].idleSince.Before(last) {
+		for len(w.idle) > 0 && w.idle[0].idleSince.Before(cutoff) {
 			p.closeConn(w.idle[0])
 		}
 		if !w.ready && len(w.idle) == 0 && len(w.dialing) == 0 {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -104,8 +104,8 @@
 	})
 }
 
-// checkDialsAreCancelled checks that a request is rejected if leave is called during the dial.
-func checkDialsAreCancelled(t *testing.T, leave func(*Pool, *dispatch.Planner, string)) {
+// checkDialsAreCancelled checks that a request is rejected if makeUnavailable is called during the dial.
+func checkDialsAreCancelled(t *testing.T, makeUnavailable func(*Pool, *dispatch.Planner, string)) {
 	t.Helper()
 	addr, _ := listenWithFullBacklog(t)
 	pool, planner, clock := newTestPool(t, addr, 0)
@@ -113,7 +113,7 @@
 	planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
 		clock.Now()+3*time.Second, answers))
 	awaitDial(t, pool, "w")
-	leave(pool, planner, addr)
+	makeUnavailable(pool, planner, addr)
 	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
 		t.Errorf("%+v", a)
 	}
