--- a/internal/dispatchconfig/operator.go
+++ b/internal/dispatchconfig/operator.go
@@ -113,11 +113,11 @@
 }
 
 // checkAddr returns an error unless addr is an IP address and a port above 0. The error starts
-// with what, which describes the address.
-func checkAddr(what, addr string) error {
+// with label, which describes the address.
+func checkAddr(label, addr string) error {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || ap.Port() == 0 {
-		return fmt.Errorf("%s %q is no IP address and port", what, addr)
+		return fmt.Errorf("%s %q is no IP address and port", label, addr)
 	}
 	return nil
 }
--- a/internal/dispatchconfig/peers.go
+++ b/internal/dispatchconfig/peers.go
@@ -17,11 +17,11 @@
 // PeerPlan is the configuration of the exchange of datagrams with the other schedulers of the
 // site.
 type PeerPlan struct {
-	Listen netip.AddrPort
-	Peers  []netip.AddrPort // addresses of all schedulers by their number, including this one
-	Self   int              // number of this scheduler
-	Site   uint64           // fingerprint of the settings that must be the same at all schedulers of a site
-	Watch  bool             // enables failure detection
+	Listen           netip.AddrPort
+	Peers            []netip.AddrPort // addresses of all schedulers by their number, including this one
+	Self             int              // number of this scheduler
+	Site             uint64           // fingerprint of the settings that must be the same at all schedulers of a site
+	FailureDetection bool
 }
 
 // PeerPlan validates and returns the configuration of peers, or nil if there are no other
@@ -36,7 +36,7 @@
 	if len(c.Peers) > maxPeers {
 		return nil, fmt.Errorf("peers: %d addresses, %d at most", len(c.Peers), maxPeers)
 	}
-	p := &PeerPlan{Self: c.Settings.PeerIndex, Watch: c.FailureDetection}
+	p := &PeerPlan{Self: c.Settings.PeerIndex, FailureDetection: c.FailureDetection}
 	var err error
 	if p.Listen, err = netip.ParseAddrPort(c.PeerListen); err != nil || p.Listen.Port() == 0 || !p.Listen.Addr().Is4() {
 		return nil, fmt.Errorf("peer_listen %q is no IPv4 address and port", c.PeerListen)
--- a/internal/dispatchconfig/settings.go
+++ b/internal/dispatchconfig/settings.go
@@ -78,7 +78,7 @@
 	Zones         *[]int  `json:"runs_in" toml:"runs_in,omitempty"`
 }
 
-// The values of settings that are written as words.
+// The values of settings with named values, by name.
 var (
 	idempotencies = map[string]dispatcher.Idempotency{
 		"free": dispatcher.Idempotent, "guarded": dispatcher.IdempotentByKey, "single_shot": dispatcher.NotIdempotent,
--- a/internal/dispatchconfig/web.go
+++ b/internal/dispatchconfig/web.go
@@ -198,18 +198,18 @@
 		s.Headers = append(s.Headers, healthcheck.Header{Name: name, Value: value})
 	}
 	for _, e := range c.Expect {
-		words, err := route.SplitWords(e)
+		fields, err := route.SplitWords(e)
 		if err != nil {
 			return s, fmt.Errorf("check: expect %q: %w", e, err)
 		}
 		var x healthcheck.Expect
-		if len(words) > 0 && words[0] == "!" {
-			x.Not, words = true, words[1:]
+		if len(fields) > 0 && fields[0] == "!" {
+			x.Not, fields = true, fields[1:]
 		}
-		if len(words) != 2 {
+		if len(fields) != 2 {
 			return s, fmt.Errorf("check: expect %q: want what and a value", e)
 		}
-		x.Kind, x.Value = words[0], words[1]
+		x.Kind, x.Value = fields[0], fields[1]
 		s.Expect = append(s.Expect, x)
 	}
 	if err := s.SetDefaults(); err != nil {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -65,9 +65,9 @@
 		if err != nil || string(text) != one.want {
 			t.Errorf("message %d: error %v, encoded as\n%s want\n%s", i, err, text, one.want)
 		}
-		var back Message
-		if err := json.Unmarshal([]byte(one.want), &back); err != nil || !reflect.DeepEqual(back, one.message) {
-			t.Errorf("message %d is decoded as %+v, error %v", i, back, err)
+		var decoded Message
+		if err := json.Unmarshal([]byte(one.want), &decoded); err != nil || !reflect.DeepEqual(decoded, one.message) {
+			t.Errorf("message %d is decoded as %+v, error %v", i, decoded, err)
 		}
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -187,13 +187,13 @@
 	if _, err := Join(t.Context(), path, hello); !errors.Is(err, ErrNoProcess) {
 		t.Errorf("with the socket file of a killed process: %v", err)
 	}
-	for what, line := range map[string]string{"silent": "", "garbage": "\x00\x01\n", "ends": "{}",
+	for peer, line := range map[string]string{"silent": "", "garbage": "\x00\x01\n", "ends": "{}",
 		"other": `{"version":1,"name":"n1","listen":"127.0.0.1:3000"}` + "\n",
 		"newer": `{"version":2,"name":"n0","listen":"127.0.0.1:3000"}` + "\n"} {
-		l := startPeer(t, line, what == "silent")
+		l := startPeer(t, line, peer == "silent")
 		began := time.Now()
 		if _, err := Join(t.Context(), l.Addr().String(), hello); err == nil || errors.Is(err, ErrNoProcess) || time.Since(began) > 3*time.Second {
-			t.Errorf("%s: %v after %v", what, err, time.Since(began))
+			t.Errorf("%s: %v after %v", peer, err, time.Since(began))
 		}
 		if err := l.Close(); err != nil {
 			t.Error(err)
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -71,7 +71,7 @@
 }
 
 // Drop closes the link and logs the reason. It may be called from any goroutine.
-func (l *Link) Drop(why error) { l.loop.Do(func() { l.close(why) }) }
+func (l *Link) Drop(reason error) { l.loop.Do(func() { l.close(reason) }) }
 
 var (
 	errNotReading  = errors.New("the other process has stopped reading messages")
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -40,13 +40,13 @@
 		if err != nil || hex.EncodeToString(got) != one.want {
 			t.Errorf("kind %d: error %v, bytes\n%x want\n%s", one.record.Kind, err, got, one.want)
 		}
-		bytesOf, err := hex.DecodeString(one.want)
+		encoded, err := hex.DecodeString(one.want)
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := Decode(bytesOf)
-		if err != nil || !reflect.DeepEqual(*back, one.record) {
-			t.Errorf("kind %d is decoded as %+v, error %v", one.record.Kind, back, err)
+		decoded, err := Decode(encoded)
+		if err != nil || !reflect.DeepEqual(*decoded, one.record) {
+			t.Errorf("kind %d is decoded as %+v, error %v", one.record.Kind, decoded, err)
 		}
 	}
 }
--- a/internal/journal/job.go
+++ b/internal/journal/job.go
@@ -35,7 +35,7 @@
 	Class                string
 	Tenant               string
 	Target               string
-	Size                 int
+	Size                 int // size of the request body in bytes
 	Digest               []byte
 	AcceptedAt           int64
 	Attempts             []Attempt
@@ -43,7 +43,7 @@
 	AnswerAt             int64
 	Reason               string // reason given with the answer
 	ClientDisconnectedAt int64
-	Orphaned             bool // the process that handled the job died
+	Orphaned             bool // the process that handled the job ended while the job was open
 	RecordsMissing       bool // records of the job may be missing
 
 	DecidedAs      Verdict // verdict of an operator; 0: none
@@ -191,7 +191,7 @@
 // the dispatch. Only a recorded outcome therefore proves that an attempt never ran.
 func (j *Job) Verdict() (v Verdict, reason string, workers []string) {
 	var ran, mayHaveRun []string
-	var why string
+	var uncertainty string
 	for i := range j.Attempts {
 		switch a := &j.Attempts[i]; {
 		case a.Outcome == OutcomeServed:
@@ -199,17 +199,17 @@
 		case a.NeverRan:
 		default:
 			mayHaveRun = append(mayHaveRun, a.workerName())
-			why = a.uncertaintyReason(j)
+			uncertainty = a.uncertaintyReason(j)
 		}
 	}
-	v, reason = j.deriveVerdict(ran, mayHaveRun, why)
+	v, reason = j.deriveVerdict(ran, mayHaveRun, uncertainty)
 	workers = slices.DeleteFunc(append(ran, mayHaveRun...), func(name string) bool { return name == unknownWorker })
 	return v, reason, workers
 }
 
-// deriveVerdict derives the verdict from the workers that ran the job and those that may have; why explains the uncertainty
-// about the last of these.
-func (j *Job) deriveVerdict(ran, mayHaveRun []string, why string) (v Verdict, reason string) {
+// deriveVerdict derives the verdict from the workers that ran the job and those that may have; uncertainty states
+// why it is unknown whether the last of these did.
+func (j *Job) deriveVerdict(ran, mayHaveRun []string, uncertainty string) (v Verdict, reason string) {
 	switch {
 	case j.DecidedAs != 0:
 		return j.DecidedAs, fmt.Sprintf("settled by %s: %s", j.DecidedBy, j.DecisionReason)
@@ -220,7 +220,7 @@
 		}
 		return Ran, reason
 	case len(mayHaveRun) > 0:
-		return Unknown, why
+		return Unknown, uncertainty
 	case j.RecordsMissing:
 		return Unknown, "records of this time are missing from the journal"
 	case j.Open():
@@ -243,25 +243,25 @@
 
 // uncertaintyReason returns why it is unknown whether an attempt ran.
 func (a *Attempt) uncertaintyReason(j *Job) string {
-	startedNote, worker := "", a.workerName()
+	startedSuffix, worker := "", a.workerName()
 	if a.StartedAt != 0 {
-		startedNote = ", which had begun it"
+		startedSuffix = ", which had begun it"
 	}
 	switch a.Outcome {
 	case 0:
 		switch {
 		case j.RecordsMissing:
-			return "records are missing after it was to go to " + worker + startedNote
+			return "records are missing after it was to go to " + worker + startedSuffix
 		case j.Orphaned:
-			return "the scheduler died while it was out at " + worker + startedNote
+			return "the scheduler died while it was out at " + worker + startedSuffix
 		}
-		return "it is out at " + worker + startedNote
+		return "it is out at " + worker + startedSuffix
 	case OutcomeErrored:
-		return worker + " said that it failed" + startedNote
+		return worker + " said that it failed" + startedSuffix
 	case OutcomeTimedOut:
-		return "no answer in time from " + worker + startedNote
+		return "no answer in time from " + worker + startedSuffix
 	case OutcomeCancelled:
-		return "it was called off while out at " + worker + startedNote
+		return "it was called off while out at " + worker + startedSuffix
 	}
-	return "the connection to " + worker + " broke" + startedNote
+	return "the connection to " + worker + " broke" + startedSuffix
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -296,9 +296,9 @@
 	at := func(i int) int { return HeaderSize + i*frame }
 	removed := slices.Concat(segment[:at(2)], segment[at(3):])
 	swapped := slices.Concat(segment[:at(1)], segment[at(2):at(3)], segment[at(1):at(2)], segment[at(3):])
-	for what, b := range map[string][]byte{"removed": removed, "swapped": swapped} {
+	for change, b := range map[string][]byte{"removed": removed, "swapped": swapped} {
 		if n, tail, err := readSegment(k, b); n == 5 || tail != DamagedTail || err != nil {
-			t.Errorf("records %s: %d records, tail %v, error %v", what, n, tail, err)
+			t.Errorf("records %s: %d records, tail %v, error %v", change, n, tail, err)
 		}
 	}
 	for cut := at(4) + 1; cut < len(segment); cut++ { // a process was killed during the write
@@ -353,11 +353,11 @@
 		if err != nil {
 			return
 		}
-		again, err := Encode(nil, r)
+		encoded, err := Encode(nil, r)
 		if err != nil {
 			t.Fatalf("decoded record %+v cannot be encoded: %v", r, err)
 		}
-		if _, err := Decode(again); err != nil {
+		if _, err := Decode(encoded); err != nil {
 			t.Fatalf("record %+v cannot be decoded again: %v", r, err)
 		}
 	})
--- a/internal/journal/recorder/recorder.go
+++ b/internal/journal/recorder/recorder.go
@@ -122,8 +122,8 @@
 // ErrBusy is returned while another call of JobReports reads the files.
 var ErrBusy = errors.New("another question is being answered, ask again")
 
-// JobReports returns the reports of the jobs with an ID as lines of JSON, sorted by time of acceptance. It blocks on reading the
-// files until the context ends. It returns ErrBusy while another call is reading, and store.ErrNotFound for an unknown ID.
+// JobReports returns the reports of the jobs with an ID as lines of JSON, sorted by time of acceptance. It blocks until the
+// files are read or the context ends. It returns ErrBusy while another call is reading, and store.ErrNotFound for an unknown ID.
 func (r *Recorder) JobReports(ctx context.Context, id string) ([]byte, error) {
 	select {
 	case r.readSlot <- struct{}{}:
--- a/internal/journal/store/diskcall_test.go
+++ b/internal/journal/store/diskcall_test.go
@@ -12,8 +12,8 @@
 // slowDisk delays syncs of files like a busy disk.
 type slowDisk struct {
 	store.FS
-	started chan struct{} // receives when a sync starts
-	proceed chan struct{} // a sync waits to receive
+	started chan struct{} // a sync sends to it when it starts
+	proceed chan struct{} // a sync receives from it before it continues
 }
 
 type slowFile struct {
--- a/internal/journal/store/maintenance.go
+++ b/internal/journal/store/maintenance.go
@@ -25,7 +25,8 @@
 	})
 }
 
-// prune drops segments that are older than the retention or exceed the maximum size of the journal, and removes obsolete files.
+// prune drops the oldest segments while they are older than the retention or the log exceeds seven eighths of the maximum size. It
+// also removes obsolete files and, once per sweepInterval, sweeps unowned logs.
 func (s *Store) prune(now time.Time) {
 	if now.Sub(s.sweptAt) >= sweepInterval || now.Before(s.sweptAt) {
 		s.sweptAt = now
@@ -39,8 +40,8 @@
 	n, bytes := 0, l.totalBytes()
 	for n < len(l.segments) && n < maxPrunedSegments {
 		oldest := l.segments[n]
-		old := s.options.Retention > 0 && now.UnixMicro()-oldest.lastRecordAt > s.options.Retention.Microseconds()
-		if !old && (s.options.MaxBytes <= 0 || bytes < s.options.MaxBytes-s.options.MaxBytes/8) {
+		expired := s.options.Retention > 0 && now.UnixMicro()-oldest.lastRecordAt > s.options.Retention.Microseconds()
+		if !expired && (s.options.MaxBytes <= 0 || bytes < s.options.MaxBytes-s.options.MaxBytes/8) {
 			break
 		}
 		bytes -= oldest.bytes
@@ -147,9 +148,9 @@
 		return err
 	}
 	chunk := make([]byte, 256<<10)
-	for left := s.options.ReservedBytes; left > 0 && err == nil; left -= int64(len(chunk)) {
+	for remaining := s.options.ReservedBytes; remaining > 0 && err == nil; remaining -= int64(len(chunk)) {
 		var n int
-		if n, err = f.Write(chunk[:min(left, int64(len(chunk)))]); err == nil && int64(n) < min(left, int64(len(chunk))) {
+		if n, err = f.Write(chunk[:min(remaining, int64(len(chunk)))]); err == nil && int64(n) < min(remaining, int64(len(chunk))) {
 			err = io.ErrShortWrite
 		}
 	}
--- a/internal/journal/store/powerfailure_test.go
+++ b/internal/journal/store/powerfailure_test.go
@@ -48,7 +48,7 @@
 	sim.store = s
 	sim.pendingCall = nil
 	s.StartCallsWith(func(do func()) {
-		if sim.rand.IntN(2) == 0 { // run immediately; its result is taken later
+		if sim.rand.IntN(2) == 0 { // the call runs immediately, and its result is handled later
 			do()
 			return
 		}
--- a/internal/journal/store/query.go
+++ b/internal/journal/store/query.go
@@ -82,7 +82,7 @@
 	owner, live := fsys.Locked(join(logDir, lockName)) // before the segments: a process that ends during the read counts as live
 	table := journal.NewJobTable()
 	inconsistency := Problem{File: logDir}
-	got, err := readSegments(fsys, logDir, key, visitor{
+	replayed, err := readSegments(fsys, logDir, key, visitor{
 		processEnd: func() { table.EndProcess() },
 		record: func(r *journal.Record, number uint64) {
 			if id != "" && !matchesID(r, id, table) {
@@ -101,11 +101,11 @@
 	if !live {
 		table.EndProcess()
 	}
-	v.Problems = got.problems
+	v.Problems = replayed.problems
 	if inconsistency.Description != "" {
 		v.Problems = append(v.Problems, inconsistency)
 	}
-	v.Logs = []LogView{{logDir, decodeOwner(owner), live, got.closed, len(got.segments), got.prunedThrough, got.records}}
+	v.Logs = []LogView{{logDir, decodeOwner(owner), live, replayed.closed, len(replayed.segments), replayed.prunedThrough, replayed.records}}
 	for _, j := range table.Jobs {
 		v.Jobs = append(v.Jobs, Found{j, logDir, live})
 	}
--- a/internal/journal/store/store_test.go
+++ b/internal/journal/store/store_test.go
@@ -116,7 +116,7 @@
 	if !d.s.Full() {
 		t.Fatal("the disk is full but the journal does not report it")
 	}
-	late, got := d.begin("late") // accepted before the disk was full
+	late, got := d.begin("late") // a job that was accepted just before the journal reported that it is full
 	d.end(open)
 	d.step()
 	if err := got(); !errors.Is(err, store.ErrWriteFailed) {
@@ -261,7 +261,7 @@
 
 // Guards against segment files that are removed, swapped or altered without being detected. The remaining records are still read.
 func TestReadReportsDamage(t *testing.T) {
-	fresh := func() *steppedStore {
+	filledStore := func() *steppedStore {
 		d := newSteppedStore(t, 8<<20, nil)
 		for i := range 200 {
 			serial, _ := d.begin(fmt.Sprint("job-", i))
@@ -280,22 +280,22 @@
 		}
 		return out
 	}
-	d := fresh()
+	d := filledStore()
 	if v := d.view(); v.Damaged() || len(v.Problems) > 0 || !v.Logs[0].Closed || len(v.Jobs) != 200 {
 		t.Fatalf("unaltered journal: logs %+v, problems %v", v.Logs, v.Problems)
 	}
-	for what, damage := range segmentFaults {
-		d := fresh()
+	for fault, damage := range segmentFaults {
+		d := filledStore()
 		damage(d, names(d))
 		if v := d.view(); !v.Damaged() || len(v.Jobs) < 100 {
-			t.Errorf("%s: problems %v, %d jobs", what, v.Problems, len(v.Jobs))
+			t.Errorf("%s: problems %v, %d jobs", fault, v.Problems, len(v.Jobs))
 		}
 		d.open() // the log can be continued and the damage is logged
 		if !strings.Contains(d.log.String(), "damaged") {
-			t.Errorf("%s: the damage was not logged", what)
+			t.Errorf("%s: the damage was not logged", fault)
 		}
 	}
-	d = fresh()
+	d = filledStore()
 	files := names(d)
 	last, _ := d.disk.ReadFile(files[len(files)-1])
 	d.disk.WriteFile(files[len(files)-1], last[:len(last)-5])
@@ -346,7 +346,7 @@
 	if err != nil || len(made) < journal.MinKeySize {
 		t.Fatalf("created a key of %d bytes, error %v", len(made), err)
 	}
-	if again, err := store.LoadOrCreateKey(path, true); err != nil || !bytes.Equal(made, again) {
+	if reread, err := store.LoadOrCreateKey(path, true); err != nil || !bytes.Equal(made, reread) {
 		t.Errorf("reading the created key: error %v", err)
 	}
 	if info, _ := os.Stat(path); info.Mode().Perm() != 0o600 {
--- a/internal/journal/store/stored_data_test.go
+++ b/internal/journal/store/stored_data_test.go
@@ -114,8 +114,8 @@
 	w.begin("open-intent")
 	started := w.begin("open-started")
 	w.put(journal.Record{Kind: journal.Sent, Serial: started}, journal.Record{Kind: journal.Started, Serial: started})
-	gone := w.begin("open-refused")
-	w.put(journal.Record{Kind: journal.Ended, Serial: gone, Code: uint8(journal.OutcomeConnectFailed), NeverRan: true})
+	notStarted := w.begin("open-refused")
+	w.put(journal.Record{Kind: journal.Ended, Serial: notStarted, Code: uint8(journal.OutcomeConnectFailed), NeverRan: true})
 	w.s.Unlock()
 }
 
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -26,6 +26,9 @@
 	// maxSeparateLogLines is the maximum number of simultaneous changes of members that are logged individually. More are
 	// summarized in one line.
 	maxSeparateLogLines = 4
+	// generationMillis is the unit of generations in milliseconds. A process that starts up to 70 minutes after its predecessor
+	// has a later generation; the numbers wrap around after twice that time.
+	generationMillis = 128
 )
 
 // Options configure a Link.
@@ -70,7 +73,7 @@
 		l.numberByAddress[addr] = i
 	}
 	nodeOptions := peers.Options{Self: o.Self, Members: len(o.Peers), Site: o.Site, MinSubscribers: o.MinSubscribers, MinSubset: o.MinSubset, Revision: o.Revision,
-		Generation: uint16(time.Now().UnixMilli() / 128)}
+		Generation: uint16(time.Now().UnixMilli() / generationMillis)}
 	if o.FailureDetection {
 		nodeOptions.DetectorRand = rand.New(rand.NewPCG(o.Seed, uint64(o.Self)))
 	}
--- a/internal/peers/failuredetector.go
+++ b/internal/peers/failuredetector.go
@@ -304,7 +304,7 @@
 	if now >= d.nextPingAt {
 		d.nextPingAt = now + pingInterval
 		n.queuePings(now)
-	} else if len(d.gossip) > 0 {
+	} else if len(d.gossip) > 0 { // an acknowledgement carries the gossip, since it causes no reply
 		if m, ok := n.randomAlive(); ok {
 			d.messages = append(d.messages, message{to: m, kind: kindAck, subject: m})
 		}
--- a/internal/peers/failuredetector_test.go
+++ b/internal/peers/failuredetector_test.go
@@ -162,7 +162,7 @@
 }
 
 // Guards against a gossiped claim that is taken for an acknowledgement: while schedulers start, every datagram claims some members to
-// be alive, and dead members would be probed again and again without being suspected.
+// be alive, and dead members would be probed repeatedly without being suspected.
 func TestOnlyAcknowledgementEndsProbe(t *testing.T) {
 	n := newMemberNetwork(3, 9)
 	a, now := n.nodes[0], n.now
--- a/internal/peers/lags_test.go
+++ b/internal/peers/lags_test.go
@@ -45,7 +45,7 @@
 	}
 	for i, node := range n.nodes {
 		b := node.Status(n.now).Members[5].BehindMS
-		if late := n.now - firstChange - time.Duration(b)*ms; !slices.Equal(n.behindMembers(i), []int{5}) || late < 0 || late > 500*ms {
+		if deviation := n.now - firstChange - time.Duration(b)*ms; !slices.Equal(n.behindMembers(i), []int{5}) || deviation < 0 || deviation > 500*ms {
 			t.Errorf("member %d reports %v as behind, member 5 by %d ms, %v after the first change", i, n.behindMembers(i), b, n.now-firstChange)
 		}
 		if lags := n.lagsOf(i); len(lags) > 0 {
--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// markUnsent marks the load of a worker to be sent by the next Flush.
+// markUnsent queues a worker, whose load the next Flush then sends.
 func (n *Node) markUnsent(w *workerState) {
 	if !w.unsent {
 		w.unsent = true
@@ -104,7 +104,7 @@
 	}
 }
 
-// markChanged marks the load that other schedulers put on a worker to be returned by the next TakeLoadChanges.
+// markChanged queues a worker, for which the next TakeLoadChanges then returns the load of other schedulers.
 func (n *Node) markChanged(w *workerState) {
 	if !w.changed {
 		w.changed = true
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -24,8 +24,8 @@
 	LoadTTL = 2 * time.Second
 	// TickInterval is the interval at which Tick should be called.
 	TickInterval = 50 * time.Millisecond
-	// minGenerationTimeout is how long nothing must have been received from a member before datagrams of an earlier generation
-	// are accepted from it: generations follow the wall clock, which may be set back.
+	// minGenerationTimeout is the time without datagrams from a member after which an earlier generation of it is accepted:
+	// generations follow the wall clock, which may be set back.
 	minGenerationTimeout = 3 * time.Second
 	// sequenceWindow is the time within which datagrams may arrive out of order.
 	sequenceWindow = time.Second
@@ -96,7 +96,7 @@
 	known               bool // a datagram of the member was received
 	lastReceivedAt      time.Duration
 	highestSequence     uint16 // the highest sequence number received
-	lowestSequence      uint16 // highestSequence one window ago; datagrams up to it are rejected
+	lowestSequence      uint16 // highestSequence at the start of the previous window; datagrams up to it are rejected
 	windowStart         time.Duration
 	windowStartSequence uint16 // highestSequence at the start of the window
 	receivedInWindow    uint16 // datagrams received in the window
@@ -162,7 +162,7 @@
 			load.Waiting = min(load.Waiting, w.advertised.Waiting)
 		}
 		if load == w.advertised && now-w.advertisedAt < RepeatInterval {
-			continue // the load has changed back before it was sent
+			continue // nothing to send: the load has changed back, or only by attempts within waitingGracePeriod
 		}
 		w.advertised, w.advertisedAt = load, now
 		for _, m := range w.subscribers {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -172,7 +172,7 @@
 	})
 }
 
-// Guards against the load of a failed member that is counted forever.
+// Guards against counting the load of a failed member forever.
 func TestLoadsOfFailedMembersExpire(t *testing.T) {
 	workers := ids(3)
 	n := newNetwork(3, workers, 1)
@@ -219,12 +219,12 @@
 		}
 	}
 	step(0, Load{1, 1}, false, false, 1, Load{1, 0})                 // the attempt should start immediately
-	step(9*ms, Load{1, 0}, false, false, 1, Load{1, 0})              // and has started
-	step(100*ms, Load{2, 1}, true, false, 2, Load{2, 1})             // at a full worker the attempt will wait
-	step(120*ms, Load{2, 0}, false, false, 3, Load{2, 0})            // until it starts
+	step(9*ms, Load{1, 0}, false, false, 1, Load{1, 0})              // the attempt has started: nothing to report
+	step(100*ms, Load{2, 1}, true, false, 2, Load{2, 1})             // at a full worker, a waiting attempt is reported immediately
+	step(120*ms, Load{2, 0}, false, false, 3, Load{2, 0})            // the waiting attempt has started
 	step(200*ms, Load{3, 1}, false, false, 4, Load{3, 0})            // another attempt that should start immediately
-	step(230*ms, Load{}, false, true, 4, Load{3, 0})                 // but has not yet
-	step(250*ms, Load{}, false, true, 5, Load{3, 1})                 // and exceeds waitingGracePeriod
+	step(230*ms, Load{}, false, true, 4, Load{3, 0})                 // it has not started yet, but waitingGracePeriod has not passed
+	step(250*ms, Load{}, false, true, 5, Load{3, 1})                 // it still waits after waitingGracePeriod
 	step(260*ms, Load{3, 1}, false, false, 5, Load{3, 1})            // no change
 	step(250*ms+RepeatInterval, Load{}, false, true, 6, Load{3, 1})  // repeated, to repair losses
 	step(270*ms+RepeatInterval, Load{0, 0}, false, false, 7, Load{}) // no load
@@ -232,7 +232,7 @@
 	step(270*ms+LoadTTL+2*RepeatInterval, Load{}, false, true, 7, Load{})
 }
 
-// Guards against stale datagrams that are accepted: duplicates, those delayed by seconds, and those of an earlier generation.
+// Guards against accepting stale datagrams: duplicates, those delayed by seconds, and those of an earlier generation.
 func TestStaleDatagramsAreRejected(t *testing.T) {
 	workers := ids(2)
 	a, b := New(options(0, 2)), New(options(1, 2))
--- a/internal/peers/revisions.go
+++ b/internal/peers/revisions.go
@@ -8,10 +8,11 @@
 )
 
 // The revision of the configuration that each member has in force is disseminated in two ways (Demers and others, 1987). Rumor
-// mongering: an update is pushed to random members, a bounded number of times. Anti-entropy: once a second, a random member is sent a
-// digest of each bucket of the table; if its own digests differ, it replies with its entries of those buckets and with its own
-// digests, so that both members end up with the later entries. Anti-entropy repairs losses and brings a new member up to date. While
-// nothing changes, only digests are sent.
+// mongering: an update is pushed to random members, a bounded number of times. Anti-entropy: once a second, a random member is sent
+// digests of the table's buckets, as many as fit into a datagram. If its own digests differ, it replies with its entries of up to
+// maxBucketsPerReply of those buckets and with its own digests, to which the first member replies with entries in turn, so that both
+// end up with the later entries. Anti-entropy repairs losses and brings a new member up to date. While nothing changes, only digests
+// are sent.
 //
 // Only the member itself creates its entry. It raises a serial number with each change, so that a later entry supersedes an earlier
 // one even if the revision decreases. An entry belongs to one generation of its member and is active only while the failure detector
@@ -19,9 +20,9 @@
 // though they are not active, so that a failure detector that flaps under loss causes no additional traffic.
 const (
 	antiEntropyInterval     = time.Second
-	fastAntiEntropyInterval = 250 * time.Millisecond // for some rounds after an update, since others may have been lost
+	fastAntiEntropyInterval = 250 * time.Millisecond // for some rounds after an update, since other updates may have been lost
 	fastRoundsAfterUpdate   = 8                      // number of exchanges at the fast interval
-	fastRoundsAfterMismatch = 4                      // number of exchanges at the fast interval, after digests that differ
+	fastRoundsAfterMismatch = 4                      // number of exchanges at the fast interval
 	membersPerBucket        = 32                     // so that the entries of a bucket fit into one datagram if their revisions are equal
 	maxBucketsPerReply      = 4
 	extraTransmits          = 3 // an update is pushed about log2(members) + extraTransmits times
@@ -29,8 +30,8 @@
 
 	// LagThreshold is how long a member may be behind before it is reported. A change should be in force everywhere by then.
 	LagThreshold = 15 * time.Second
-	// minLagObservation is how long a member must have been observed behind before it is reported: after a partition, its old
-	// entry stays active until a newer one arrives.
+	// minLagObservation is how long this Node must have observed that a member is behind before it is reported: after a
+	// partition, the member's old entry stays active until a newer one arrives.
 	minLagObservation = 3 * time.Second
 	// maxHistory is the maximum length of revisionTable.history.
 	maxHistory = 256
--- a/internal/peers/revisions_test.go
+++ b/internal/peers/revisions_test.go
@@ -52,8 +52,8 @@
 	n.nodes[m].Flush(n.now, n.sendFrom(m))
 }
 
-// unknownRevisions returns the number of pairs of a member that is up and a member that it considers present but whose revision in force
-// it does not know.
+// unknownRevisions returns, summed over the members that are up, the number of members that each considers present without knowing
+// their revision in force.
 func (n *network) unknownRevisions() (pairs int) {
 	for i, node := range n.nodes {
 		for m := range n.nodes {
@@ -189,7 +189,7 @@
 	}
 }
 
-// Guards against the first of two quick changes that arrives after the second and replaces it.
+// Guards against updates that arrive out of order: the first of two quick changes must not replace the second.
 func TestTwoChangesInOneSecond(t *testing.T) {
 	n := newRevisionNetwork(14, 6)
 	n.extraDelay, n.duplicateRate = 600*ms, 0.5
@@ -305,7 +305,7 @@
 	if w := n.wrongStatus(); w != "" {
 		t.Errorf("with member 3 down: %s", w)
 	}
-	n.startMember(3, 2, Revision{41, 0xa1}) // the revision 99 of the previous generation is higher than all later ones
+	n.startMember(3, 2, Revision{41, 0xa1}) // revision 99 of the previous generation must no longer count as the newest
 	n.run(2 * time.Second)
 	if w := n.wrongStatus(); w != "" {
 		t.Errorf("after the restart of member 3: %s", w)
@@ -325,7 +325,8 @@
 	}
 }
 
-// Guards against members whose configuration differs under the same revision number and that are not reported.
+// Guards against members that are not reported though their configuration differs from that of the others under the same revision
+// number.
 func TestDifferingDigests(t *testing.T) {
 	n := newRevisionNetwork(5, 11)
 	differing := func() (members []int) {
@@ -343,7 +344,7 @@
 	}{
 		{42, [5]uint32{1, 1, 1, 1, 1}, nil},
 		{43, [5]uint32{9, 1, 1, 1, 1}, []int{0}},
-		{44, [5]uint32{9, 1, 9, 1, 5}, []int{1, 3, 4}}, // two of each: the digest of member 0 is taken
+		{44, [5]uint32{9, 1, 9, 1, 5}, []int{1, 3, 4}}, // 9 and 1 are equally frequent: 9 is taken, that of the lowest member number
 		{0, [5]uint32{1, 1, 2, 1, 2}, []int{2, 4}},     // no revision number: only the digests differ
 	} {
 		for m, d := range c.digests {
--- a/internal/peers/revisions_wire_test.go
+++ b/internal/peers/revisions_wire_test.go
@@ -109,15 +109,15 @@
 }
 
 // checkRejected checks that a datagram is rejected with the error want and changes nothing.
-func checkRejected(t *testing.T, what string, data []byte, want error) {
+func checkRejected(t *testing.T, name string, data []byte, want error) {
 	t.Helper()
 	b := newReceiver()
 	before := fmt.Sprintf("%+v %+v %+v", b.revisionTable, b.members, b.detector.views)
 	if err := b.Receive(time.Second, 0, data); !errors.Is(err, want) {
-		t.Errorf("%s: %v, want %v", what, err, want)
+		t.Errorf("%s: %v, want %v", name, err, want)
 	}
 	if after := fmt.Sprintf("%+v %+v %+v", b.revisionTable, b.members, b.detector.views); after != before {
-		t.Errorf("%s: the rejected datagram changed the state", what)
+		t.Errorf("%s: the rejected datagram changed the state", name)
 	}
 }
 
@@ -138,7 +138,8 @@
 				want = ErrLength
 			}
 			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut), datagram[:cut], want)
-			if cut < headerSize || cut > len(datagram)-checksumSize || cut > header && (cut-header)%size == 0 { // it has only complete entries, so it would be valid with a checksum
+			// With only complete entries, a truncated datagram is valid once it has a checksum.
+			if cut < headerSize || cut > len(datagram)-checksumSize || cut > header && (cut-header)%size == 0 {
 				continue
 			}
 			checkRejected(t, fmt.Sprint(name, ", truncated to ", cut, " with a valid checksum"), newCodec(7).appendChecksum(bytes.Clone(datagram[:cut])), ErrLength)
--- a/internal/peers/subscribers.go
+++ b/internal/peers/subscribers.go
@@ -8,9 +8,9 @@
 // assignSubscribers returns for each worker, given by the hash of its ID, the numbers of the members that subscribe to it, sorted. The
 // result depends only on the arguments, not on the order of the workers, so that all members with the same list agree on it.
 //
-// Rendezvous hashing ranks the members for each worker. Each worker is assigned members of the highest ranks, less
-// loaded ones first, which bounds the number of workers per member. A member with too few workers then subscribes to further ones. Two workers rarely have
-// the same subscribers, so that when a worker is full, each of its subscribers has other workers that are not.
+// Rendezvous hashing gives each member a weight for each worker. Each worker is assigned members of the highest weights, those with
+// fewer workers first, which bounds the number of workers per member. A member with too few workers then subscribes to further ones.
+// Two workers rarely have the same subscribers, so that when a worker is full, each of its subscribers has other workers that are not.
 func assignSubscribers(members int, workers []uint64, minSubscribers, minSubset int) [][]uint16 {
 	a := assignment{workers: workers, subscribers: make([][]uint16, len(workers)), load: make([]int, members)}
 	if len(workers) == 0 || members == 0 {
@@ -77,7 +77,7 @@
 	}
 }
 
-// fillUnderloadedMembers subscribes each member with too few workers to the remaining workers that rank it highest.
+// fillUnderloadedMembers subscribes each member with too few workers to further workers, for which it has the highest weights.
 func (a *assignment) fillUnderloadedMembers() {
 	for m := range a.load {
 		for a.load[m] < a.mean-a.slack {
@@ -90,12 +90,13 @@
 	}
 }
 
-// highestOther returns the index of the worker that ranks a member highest among those that it does not subscribe to, or -1.
+// highestOther returns the index of the worker for which a member has the highest weight among those that it does not subscribe to,
+// or -1.
 func (a *assignment) highestOther(member int) int {
-	highest, rank := -1, uint64(0)
+	highest, weight := -1, uint64(0)
 	for i, worker := range a.workers {
-		if r := rendezvousWeight(worker, member); r >= rank && !slices.Contains(a.subscribers[i], uint16(member)) {
-			highest, rank = i, r
+		if r := rendezvousWeight(worker, member); r >= weight && !slices.Contains(a.subscribers[i], uint16(member)) {
+			highest, weight = i, r
 		}
 	}
 	return highest
@@ -106,34 +107,34 @@
 	return fmix64(worker ^ (uint64(member)+1)*0x9e3779b97f4a7c15)
 }
 
-// candidate is a member and its rank for a worker.
+// candidate is a member and its weight for a worker.
 type candidate struct {
-	rank   uint64
+	weight uint64
 	member uint16
 }
 
-// ranking finds the members with the highest ranks for a worker.
+// ranking finds the members with the highest weights for a worker.
 type ranking struct {
-	candidates []candidate // sorted by descending rank after rankMembers
+	candidates []candidate // sorted by descending weight after rankMembers
 	size       int         // number of candidates to keep
 }
 
 func newRanking(size int) *ranking { return &ranking{make([]candidate, 0, 2*size), size} }
 
-func compareRank(a, b candidate) int { return cmp.Compare(b.rank, a.rank) }
+func compareWeight(a, b candidate) int { return cmp.Compare(b.weight, a.weight) }
 
-// rankMembers sets candidates to the members with the highest ranks for a worker.
+// rankMembers sets candidates to the members with the highest weights for a worker.
 func (r *ranking) rankMembers(worker uint64, members int) {
 	r.candidates = r.candidates[:0]
 	floor := uint64(0)
 	for m := range members {
-		rank := rendezvousWeight(worker, m)
-		if rank <= floor {
+		weight := rendezvousWeight(worker, m)
+		if weight <= floor {
 			continue
 		}
-		if r.candidates = append(r.candidates, candidate{rank, uint16(m)}); len(r.candidates) == 2*r.size {
+		if r.candidates = append(r.candidates, candidate{weight, uint16(m)}); len(r.candidates) == 2*r.size {
 			r.trim()
-			floor = r.candidates[r.size-1].rank
+			floor = r.candidates[r.size-1].weight
 		}
 	}
 	r.trim()
@@ -141,6 +142,6 @@
 
 // trim keeps the size highest candidates.
 func (r *ranking) trim() {
-	slices.SortFunc(r.candidates, compareRank)
+	slices.SortFunc(r.candidates, compareWeight)
 	r.candidates = r.candidates[:min(len(r.candidates), r.size)]
 }
--- a/internal/peers/wire.go
+++ b/internal/peers/wire.go
@@ -22,7 +22,7 @@
 // of the member to ping follows in two bytes. The rest are claims of five bytes each.
 //
 // An entry of kindLoads is the worker's key (24 bits of a hash of its ID) and one byte: the slots in use in the high five bits, the
-// attempts that have not started in the low three bits. Both are clamped to the range. revisions.go describes the entries of
+// attempts that have not started in the low three bits. Values above the range are sent as its maximum. revisions.go describes the entries of
 // kindEntries and kindDigests.
 const (
 	version      = 1
--- a/scheduler/build.go
+++ b/scheduler/build.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	settings.WatchOnDemand = c.Discovery != "" // pushed lists also go to the discovery address, where the scheduler requests them
+	settings.WatchOnDemand = c.Discovery != "" // the scheduler requests the list from discovery even where the platform pushes lists
 	s := &Scheduler{options: opt, config: c, clock: dispatch.NewClock(), descriptors: fdlimit.New(0),
 		cordonSemaphore: make(chan struct{}, 1), siblings: siblingSet{all: map[*sibling]struct{}{}, added: make(chan struct{}, 1)}}
 	s.settings.Store(&settings)
@@ -121,7 +121,7 @@
 		return err
 	}
 	s.peerLink = peerlink.New(peerlink.Options{Listen: plan.Listen, Peers: plan.Peers, Self: plan.Self, Site: plan.Site,
-		FailureDetection: plan.Watch, Revision: c.PeerRevision(), Seed: c.SeedNumber(), MinSubscribers: minWorkerSubscribers, MinSubset: minSubsetSize,
+		FailureDetection: plan.FailureDetection, Revision: c.PeerRevision(), Seed: c.SeedNumber(), MinSubscribers: minWorkerSubscribers, MinSubset: minSubsetSize,
 		Planners: planners, Clock: s.clock, Log: s.options.Log})
 	return nil
 }
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -61,7 +61,7 @@
 			return nil
 		}
 		if !idleClosed && time.Since(start) > closeIdleAfter {
-			idleClosed = true // each server closes a connection after reading it to its end, or after a timeout
+			idleClosed = true // the connections are half-closed first, so openConnections still counts them
 			for _, server := range s.servers {
 				server.CloseIdle()
 			}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -291,7 +291,7 @@
 // launch starts the child process without waiting until it serves.
 func (c *child) launch() {
 	c.t.Helper()
-	c.cmd = exec.CommandContext(context.WithoutCancel(c.t.Context()), os.Args[0]) // kill ends it in a cleanup
+	c.cmd = exec.CommandContext(context.WithoutCancel(c.t.Context()), os.Args[0]) // the cleanup kill ends the process, not the context
 	c.cmd.Env = append(os.Environ(), serveFileEnv+"="+c.file, "TMPDIR="+filepath.Dir(c.file),
 		"EDGE_NAME="+c.config.Name, "EDGE_LISTEN="+c.addr, "EDGE_OPS="+c.config.Ops)
 	c.log = make(logLines, 256)
--- a/scheduler/operate.go
+++ b/scheduler/operate.go
@@ -68,7 +68,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if !cordon { // first, or the pool would reject requests that the planners place on the worker
+	if !cordon { // before the planners, since the pool rejects attempts at a worker that is cordoned there
 		if err := s.cordonConnections(ctx, host, false); err != nil {
 			return err
 		}
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -28,7 +28,7 @@
 	return r.worker
 }
 
-// Guards against a process that SIGHUP ends, against a watch that stays at the old discovery address,
+// Guards against SIGHUP ending the process, against a watch that stays at the old discovery address,
 // and against an invalid file that is applied.
 func TestReload(t *testing.T) {
 	f := newFleet(t, "v", "w")
@@ -45,19 +45,19 @@
 	c.signal(syscall.SIGHUP)
 	c.awaitLog("the new configuration is bad")
 
-	asked := make(chan string, 64)
+	requests := make(chan string, 64)
 	c.config.Discovery = f.serve(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		asked <- q.RequestURI
+		requests <- q.RequestURI
 		f.discover(w, q)
 	}))
 	c.config.Name = "other"
 	c.write()
 	c.signal(syscall.SIGHUP)
-	if got := testkit.Await(t, "a request at the new discovery address", asked); got != "/v1/endpoints" {
+	if got := testkit.Await(t, "a request at the new discovery address", requests); got != "/v1/endpoints" {
 		t.Errorf("first request at the new discovery address is for %s", got)
 	}
 	c.awaitLog("needs a restart")
-	testkit.Await(t, "the watch at the new discovery address", asked)
+	testkit.Await(t, "the watch at the new discovery address", requests)
 	f.setPhase("v", "draining")
 	for i := range 6 {
 		if worker := serveOnKeepAlive(t, f, conn, reader, fmt.Sprint("kept-", i+1)); worker != "w" {
@@ -162,12 +162,12 @@
 	t.Helper()
 	c.config.Settings.Classes = append([]scheduler.Class(nil), c.config.Settings.Classes...)
 	c.config.Settings.Classes[0].Name, c.config.Settings.Classes[0].HardLimit = "other", -5
-	good := c.config.Discovery
+	previous := c.config.Discovery
 	c.config.Discovery = testkit.RefusingAddr(t)
 	c.write()
 	c.signal(syscall.SIGHUP)
 	c.awaitLog("the new configuration is bad")
-	c.config.Discovery = good
+	c.config.Discovery = previous
 	f.setPhase("w", "ready") // the old discovery is still watched
 	got := post(c.addr, "/usage-view-ii", job("kept")...)
 	f.next().finish("kept")
--- a/scheduler/resources.go
+++ b/scheduler/resources.go
@@ -53,7 +53,7 @@
 func (s *Scheduler) descriptorsInUse() int { return s.descriptors.InUse() + fixedDescriptors }
 
 // rebalanceResources adapts this process's limits to its siblings: it may use the descriptors
-// that they leave, and OnProcessCount is called to divide the memory equally.
+// that they do not use, and OnProcessCount is called to divide the memory equally.
 func (s *Scheduler) rebalanceResources() {
 	siblings, used := s.siblingList(), 0
 	for _, sib := range siblings {
--- a/scheduler/siblings.go
+++ b/scheduler/siblings.go
@@ -12,8 +12,8 @@
 
 const (
 	descriptorReportInterval = 50 * time.Millisecond
-	// cordonForwardTimeout is the part of the second that an operator's call waits in which a
-	// sibling must confirm a forwarded cordon.
+	// cordonForwardTimeout is the time in which a sibling must confirm a forwarded cordon. It is
+	// shorter than the second after which an operator's call times out.
 	cordonForwardTimeout = 400 * time.Millisecond
 )
 
@@ -152,8 +152,8 @@
 	}
 }
 
-// update records the state of the process and the confirmation in a message, and reports
-// whether the number of its descriptors has changed.
+// update records the state and the confirmation that a message of the process carries, and
+// reports whether the number of the process's descriptors has changed.
 func (sib *sibling) update(m *handover.Message) (changed bool) {
 	sib.mu.Lock()
 	defer sib.mu.Unlock()
--- a/scheduler/stream_test.go
+++ b/scheduler/stream_test.go
@@ -142,8 +142,8 @@
 		if got := last.field(t, "result"); got != "line\n\"quoted\"" {
 			t.Errorf("result is %q", got)
 		}
-		if again := openStream(t, "GET", c.sse, class, "Last-Event-ID", last.id); again.status != 204 {
-			t.Errorf("%s: resumed after the final event: status %d, want 204", class, again.status)
+		if resumed := openStream(t, "GET", c.sse, class, "Last-Event-ID", last.id); resumed.status != 204 {
+			t.Errorf("%s: resumed after the final event: status %d, want 204", class, resumed.status)
 		}
 		if n := f.count(class); n != 1 {
 			t.Errorf("%s ran %d times", class, n)
@@ -232,8 +232,8 @@
 			last.field(t, "repeat_safe") != safe {
 			t.Errorf("%s: events %v with last data %s", class, names, last.data)
 		}
-		if again := openStream(t, "GET", c.sse, class, "Last-Event-ID", last.id); again.status != 204 {
-			t.Errorf("%s: resumed after the final event: status %d, want 204", class, again.status)
+		if resumed := openStream(t, "GET", c.sse, class, "Last-Event-ID", last.id); resumed.status != 204 {
+			t.Errorf("%s: resumed after the final event: status %d, want 204", class, resumed.status)
 		}
 	}
 	// The client may submit the idempotent job again. The outcome of the first job with the same
--- a/scheduler/tenants_test.go
+++ b/scheduler/tenants_test.go
@@ -14,7 +14,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// tenant is a tenant of the settings, where the key is realms.
+// tenant is an entry of the settings' list of tenants, whose key is realms.
 type tenant struct {
 	Name  string  `json:"name"`
 	Share float64 `json:"share"`
@@ -172,8 +172,8 @@
 	if n := f.count("plan-change"); n != 8 {
 		t.Errorf("%d runs of 8 jobs, want 8", n)
 	}
-	again := openStream(t, "GET", c.sse, "plan-change", "Request-Id", "out-leaver") // a stream of a removed tenant
-	again.result("out-leaver")
+	resumed := openStream(t, "GET", c.sse, "plan-change", "Request-Id", "out-leaver") // a stream of a removed tenant
+	resumed.result("out-leaver")
 	c.kill()
 	c.start()
 	c.checkRecorded("out-leaver", "leaver")
@@ -307,7 +307,7 @@
 	begin("co-op", "new-co-op")
 	c.reloadTenants(newest...) // the old process reloads later, with jobs in flight of a removed tenant
 	begin("newcomer", "newer-newcomer")
-	moved := streams["old-leaver"] // its client reconnects to the new process, to a stream of a tenant that this process does not have
+	moved := streams["old-leaver"] // its client reconnects to the new process, which does not have the tenant of the stream
 	moved.disconnect()
 	streams["old-leaver"] = openStream(t, "GET", next.sse, "plan-change", "Request-Id", "old-leaver")
 	streams["old-leaver"].until("started")
@@ -399,9 +399,9 @@
 	}
 }
 
-// countServedBefore finishes jobs jobs. It returns how many jobs of tenant other were served before the last of the all jobs of tenant
-// first, and the tenants of all jobs in the order of service.
-func countServedBefore(f *fleet, first string, all int, other string, jobs int) (others int, order []string) {
+// countServedBefore finishes the given number of jobs. It returns how many jobs of tenant other were served before the last of the
+// firstJobs jobs of tenant first, and the tenants of all jobs in the order of service.
+func countServedBefore(f *fleet, first string, firstJobs int, other string, jobs int) (others int, order []string) {
 	served := 0
 	for range jobs {
 		name, _, _ := strings.Cut(f.finishNext(), "-")
@@ -409,7 +409,7 @@
 		if name == first {
 			served++
 		}
-		if name == other && served < all {
+		if name == other && served < firstJobs {
 			others++
 		}
 	}
--- a/scheduler/termination_test.go
+++ b/scheduler/termination_test.go
@@ -63,7 +63,7 @@
 	}
 	for n := 0; ; n++ {
 		if send(conn, "usage-view", fmt.Sprint(client, "-", n), 9*time.Second) != nil {
-			return // the close of the connection was reported
+			return // the connection has been closed
 		}
 		a, err := testkit.ReadResponse(r)
 		if a.Status == 0 {
--- a/scheduler/upgrade.go
+++ b/scheduler/upgrade.go
@@ -53,8 +53,9 @@
 	return sib, session.Sockets
 }
 
-// inheritedConfig returns the configuration of the process that is currently serving, or nil:
-// a file that this process has rejected must not prevent a new process from starting.
+// inheritedConfig returns the configuration of the process that is currently serving, or nil if
+// it cannot be obtained. A new process uses it if its own file is invalid, so that an invalid
+// file does not prevent an upgrade.
 func inheritedConfig(ctx context.Context) *dispatchconfig.Config {
 	self := &dispatchconfig.Config{Name: os.Getenv("EDGE_NAME"), Listen: os.Getenv("EDGE_LISTEN")}
 	session, err := handover.Join(ctx, runtimeFile(self, "sock"), handover.NewHello(self.Name, self.Listen))
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -202,9 +202,9 @@
 	next := c.startSuccessor()
 	c.awaitLog("the new process accepts connections")
 	s.disconnect()
-	again := openStream(t, "POST", c.sse, "plan-change", "Request-Id", "moved")
-	if again.status != 409 {
-		t.Errorf("second job with the same ID: status %d, want 409", again.status)
+	duplicate := openStream(t, "POST", c.sse, "plan-change", "Request-Id", "moved")
+	if duplicate.status != 409 {
+		t.Errorf("second job with the same ID: status %d, want 409", duplicate.status)
 	}
 	s = openStream(t, "GET", c.sse, "plan-change", "Last-Event-ID", last.id)
 	r.write(`"state":"running","share":0.5`)
@@ -246,9 +246,9 @@
 	}
 	serve("alone")
 	c.kill()
-	left, err := filepath.Glob(filepath.Join(filepath.Dir(c.file), "sedgevale-*.sock"))
-	if err != nil || len(left) != 1 { // otherwise the next start does not find the socket of a killed process
-		t.Errorf("sockets left by the killed process: %v, error %v, want one", left, err)
+	sockets, err := filepath.Glob(filepath.Join(filepath.Dir(c.file), "sedgevale-*.sock"))
+	if err != nil || len(sockets) != 1 { // the next start must find the socket of a killed process
+		t.Errorf("sockets left by the killed process: %v, error %v, want one", sockets, err)
 	}
 	c.start()
 	serve("after-kill")
