--- a/internal/journal/store/replay.go
+++ b/internal/journal/store/replay.go
@@ -153,7 +153,7 @@
 	switch {
 	case errors.Is(err, journal.ErrKey), errors.Is(err, journal.ErrVersion):
 		return fmt.Errorf("%s: %w", path, err)
-	case err != nil: // the process ended or the disk was full during its creation; if it was damaged later, checkChain reports the missing records
+	case err != nil: // torn: the process may have ended during its creation. If a later segment exists, checkChain reports the missing records.
 		r.addProblem(path, 0, true, "its header is incomplete or altered")
 	case s.header.Number != number:
 		r.addProblem(path, 0, false, "it is segment %d by its header", s.header.Number)
