--- a/internal/crashtest/kill_test.go
+++ b/internal/crashtest/kill_test.go
@@ -1,5 +1,5 @@
-// Package crashtest kills a real scheduler again and again and compares its journal with the
-// workers' run log. It has tests alone.
+// Package crashtest repeatedly kills a scheduler process at random moments and compares its journal
+// with the workers' run log. It contains only tests.
 package crashtest
 
 import (
@@ -24,8 +24,8 @@
 )
 
 var (
-	kills = flag.Int("kills", 24, "how often to kill the scheduler")
-	seed  = flag.Uint64("seed", 1, "for what is drawn at random")
+	kills = flag.Int("kills", 24, "number of kills of the scheduler")
+	seed  = flag.Uint64("seed", 1, "seed of random choices")
 )
 
 func TestMain(m *testing.M) {
@@ -44,7 +44,7 @@
 reserve_mb = 1
 `
 
-// harness is the workers and the journal, which outlive each scheduler.
+// harness holds the workers and the journal, which outlive each scheduler process.
 type harness struct {
 	t       *testing.T
 	rand    *rand.Rand
@@ -56,24 +56,24 @@
 	log     *bytes.Buffer
 	cycle   int
 
-	jobs, recorded, unknownByKill, unknownByFault, decided int
+	jobs, recorded, unknownByKill, unknownByFault, settled int
 	verdicts                                               [journal.Unknown + 1]int
 }
 
 func newHarness(t *testing.T) *harness {
-	a := &harness{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), runLog: fake.NewRunLog(), dir: filepath.Join(t.TempDir(), "journal"),
+	h := &harness{t: t, rand: rand.New(rand.NewPCG(*seed, 7)), runLog: fake.NewRunLog(), dir: filepath.Join(t.TempDir(), "journal"),
 		listen: testkit.FreeAddr(t), log: &bytes.Buffer{}}
 	results := fake.NewResultStore(0)
 	var members []fake.Member
 	for i := range 3 {
 		faults := fake.FaultShares{}
 		for _, p := range fake.AllFaults {
-			if p != fake.FaultHang { // a run of a thousand kills would wait for each
+			if p != fake.FaultHang { // every hung job would add its timeout to a run of a thousand kills
 				faults[p] = 0.001
 			}
 		}
 		b := fake.NewWorker(fake.WorkerOptions{ID: fmt.Sprintf("box-%d", i), Slots: 8, Faults: faults, Seed: *seed + uint64(i),
-			Results: results, RunLog: a.runLog, Work: func(_ string, r *rand.Rand) time.Duration {
+			Results: results, RunLog: h.runLog, Work: func(_ string, r *rand.Rand) time.Duration {
 				return 300*time.Microsecond + time.Duration(r.Int64N(int64(1200*time.Microsecond)))
 			}})
 		addr, err := b.Listen("127.0.0.1:0")
@@ -85,7 +85,7 @@
 				t.Error(err)
 			}
 		})
-		a.workers = append(a.workers, b)
+		h.workers = append(h.workers, b)
 		members = append(members, fake.Member{ID: fmt.Sprintf("box-%d", i), HostPort: addr, Locality: "hut", Flavor: "box",
 			Phase: "ready", Size: 8})
 	}
@@ -99,36 +99,36 @@
 			t.Error(err)
 		}
 	})
-	a.file = filepath.Join(t.TempDir(), "operator.toml")
-	if err := os.WriteFile(a.file, append(fmt.Appendf(nil, operatorFile, a.listen, addr, a.dir), faultinjection.Settings...), 0o600); err != nil {
+	h.file = filepath.Join(t.TempDir(), "operator.toml")
+	if err := os.WriteFile(h.file, append(fmt.Appendf(nil, operatorFile, h.listen, addr, h.dir), faultinjection.Settings...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return a
+	return h
 }
 
-// start starts a scheduler.
-func (a *harness) start() *exec.Cmd {
-	a.log.Reset()
-	c := faultinjection.Command(a.file, filepath.Dir(a.file), a.log)
+// start starts a scheduler process.
+func (h *harness) start() *exec.Cmd {
+	h.log.Reset()
+	c := faultinjection.Command(h.file, filepath.Dir(h.file), h.log)
 	if err := c.Start(); err != nil {
-		a.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return c
 }
 
 // awaitReady waits until the scheduler serves.
-func (a *harness) awaitReady() {
-	if err := faultinjection.AwaitReady(a.listen); err != nil {
-		a.t.Fatalf("cycle %d: %v:\n%s", a.cycle, err, a.log)
+func (h *harness) awaitReady() {
+	if err := faultinjection.AwaitReady(h.listen); err != nil {
+		h.t.Fatalf("cycle %d: %v:\n%s", h.cycle, err, h.log)
 	}
 }
 
-// runCycle starts a scheduler, loads it, and kills it at a random moment, now and then before it
-// serves.
-func (a *harness) runCycle() {
-	a.cycle++
-	prefix := fmt.Sprintf("c%d", a.cycle)
-	c := a.start()
+// runCycle starts a scheduler, submits jobs to it, and kills it at a random moment, in one of ten
+// cycles before it serves.
+func (h *harness) runCycle() {
+	h.cycle++
+	prefix := fmt.Sprintf("c%d", h.cycle)
+	c := h.start()
 	var answers []fake.Response
 	var killed time.Time
 	kill := func() {
@@ -136,47 +136,47 @@
 		_ = c.Process.Kill()
 		_ = c.Wait()
 	}
-	if a.rand.IntN(10) == 0 {
-		time.Sleep(time.Duration(a.rand.IntN(40)) * time.Millisecond)
+	if h.rand.IntN(10) == 0 {
+		time.Sleep(time.Duration(h.rand.IntN(40)) * time.Millisecond)
 		kill()
 	} else {
-		a.awaitReady()
+		h.awaitReady()
 		ctx, stop := context.WithCancel(context.Background())
-		time.AfterFunc(time.Duration(30+a.rand.IntN(370))*time.Millisecond, func() {
+		time.AfterFunc(time.Duration(30+h.rand.IntN(370))*time.Millisecond, func() {
 			kill()
 			stop()
 		})
-		answers = fake.Clients{Target: a.listen, Number: 12, Tenants: []string{"valley", "east"}, Think: 2 * time.Millisecond,
-			Timeout: 2 * time.Second, Prefix: prefix, Seed: a.rand.Uint64(),
+		answers = fake.Clients{Target: h.listen, Number: 12, Tenants: []string{"valley", "east"}, Think: 2 * time.Millisecond,
+			Timeout: 2 * time.Second, Prefix: prefix, Seed: h.rand.Uint64(),
 			Mix: faultinjection.Mix}.Run(ctx)
 	}
-	for _, b := range a.workers {
+	for _, b := range h.workers {
 		b.AwaitIdle()
 	}
-	a.check(prefix+"-", answers, killed)
-	a.runLog.Forget()
-	if a.cycle%20 == 0 {
-		a.decide()
+	h.check(prefix+"-", answers, killed)
+	h.runLog.Forget()
+	if h.cycle%20 == 0 {
+		h.settleUnknown()
 	}
 }
 
-// check compares the journal with the run log and with the responses that clients got.
-func (a *harness) check(prefix string, answers []fake.Response, killed time.Time) {
-	a.jobs += len(answers)
-	if !store.HasRecords(store.OS{}, a.dir) { // killed before it ever wrote
-		if len(a.runLog.Jobs()) > 0 {
-			a.t.Errorf("cycle %d: there is no journal, and workers have begun jobs", a.cycle)
+// check compares the journal with the run log and with the responses that clients received.
+func (h *harness) check(prefix string, answers []fake.Response, killed time.Time) {
+	h.jobs += len(answers)
+	if !store.HasRecords(store.OS{}, h.dir) { // the scheduler was killed before its first write
+		if len(h.runLog.Jobs()) > 0 {
+			h.t.Errorf("cycle %d: workers have begun jobs, but there is no journal", h.cycle)
 		}
 		return
 	}
-	view := a.read()
+	view := h.read()
 	if view.Damaged() {
-		a.t.Errorf("cycle %d: damaged: %v", a.cycle, view.Problems)
+		h.t.Errorf("cycle %d: the journal is damaged: %v", h.cycle, view.Problems)
 	}
 	mine := func(id string) bool { return strings.HasPrefix(id, prefix) }
-	for _, breach := range fake.Audit(a.runLog, view.Jobs, func(class string) bool { return class != "usage-view" },
+	for _, violation := range fake.Audit(h.runLog, view.Jobs, func(class string) bool { return class != "usage-view" },
 		func(class string) bool { return class == "plan-change" }, mine, nil) {
-		a.t.Errorf("cycle %d: %s", a.cycle, breach)
+		h.t.Errorf("cycle %d: %s", h.cycle, violation)
 	}
 	answered := map[string]fake.Response{}
 	for _, t := range answers {
@@ -186,74 +186,74 @@
 		if !mine(j.ID) {
 			continue
 		}
-		a.recorded++
+		h.recorded++
 		v, reason, _ := j.Verdict()
-		a.verdicts[v]++
+		h.verdicts[v]++
 		if v != journal.Unknown {
 			continue
 		}
 		if strings.Contains(reason, "the scheduler died") {
-			a.unknownByKill++
+			h.unknownByKill++
 		} else {
-			a.unknownByFault++
+			h.unknownByFault++
 		}
 		if t := answered[j.ID]; t.Status == http.StatusOK && killed.Sub(t.ReceivedAt) > 100*time.Millisecond {
-			a.t.Errorf("cycle %d: job %s is unknown (%s), but it was answered %v before the kill", a.cycle, j.ID, reason, killed.Sub(t.ReceivedAt))
+			h.t.Errorf("cycle %d: job %s is unknown (%s), but it was answered %v before the kill", h.cycle, j.ID, reason, killed.Sub(t.ReceivedAt))
 		}
 	}
 }
 
-func (a *harness) read() *store.View {
-	secret, err := store.ReadKey(store.KeyPath(a.dir, ""))
+func (h *harness) read() *store.View {
+	secret, err := store.ReadKey(store.KeyPath(h.dir, ""))
 	if err != nil {
-		a.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	view, err := store.Read(store.OS{}, a.dir, secret, "")
+	view, err := store.Read(store.OS{}, h.dir, secret, "")
 	if err != nil {
-		a.t.Fatalf("cycle %d: %v", a.cycle, err)
+		h.t.Fatalf("cycle %d: %v", h.cycle, err)
 	}
 	return view
 }
 
-// settle settles some jobs whose outcome is unknown, as operators do.
-func (a *harness) decide() {
-	secret, err := store.ReadKey(store.KeyPath(a.dir, ""))
+// settleUnknown settles at most five jobs with an unknown outcome, as operators do.
+func (h *harness) settleUnknown() {
+	secret, err := store.ReadKey(store.KeyPath(h.dir, ""))
 	if err != nil {
-		a.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	left := 5
-	for _, j := range a.read().Jobs {
+	for _, j := range h.read().Jobs {
 		if v, _, _ := j.Verdict(); v != journal.Unknown || j.DecidedAs != 0 {
 			continue
 		}
-		if left--; left < 0 { // the others wait
+		if left--; left < 0 { // the others stay unsettled
 			break
 		}
-		n, err := store.DecideUnowned(store.Options{Dir: a.dir, Secret: secret, Owner: store.Owner{PID: os.Getpid()}}, j.ID,
+		n, err := store.DecideUnowned(store.Options{Dir: h.dir, Secret: secret, Owner: store.Owner{PID: os.Getpid()}}, j.ID,
 			journal.Ran, "the test", "found out")
 		if err != nil {
-			a.t.Fatalf("cycle %d: settling %s: %v", a.cycle, j.ID, err)
+			h.t.Fatalf("cycle %d: settling %s: %v", h.cycle, j.ID, err)
 		}
-		a.decided += n
+		h.settled += n
 	}
 }
 
-// Guards the journal over kills at any moment: no worker has begun a job for which no durable
-// intent names that worker, what did not run was begun by none, what ran was finished by one,
-// what must not run twice was begun once, and the outcome of what was answered more than
-// 100 ms before the kill is known.
+// TestKills checks the journal after kills at random moments: a durable intent names the worker of
+// every job that was begun, no worker began a job with the verdict "did not run", a worker finished
+// every job with the verdict "ran", jobs that must not run twice were begun at most once, and the
+// outcome of every job that was answered more than 100 ms before the kill is known.
 func TestKills(t *testing.T) {
-	a := newHarness(t)
+	h := newHarness(t)
 	for range *kills {
-		a.runCycle()
-		if a.cycle%100 == 0 {
-			fmt.Fprintf(os.Stderr, "%d kills\n", a.cycle)
+		h.runCycle()
+		if h.cycle%100 == 0 {
+			fmt.Fprintf(os.Stderr, "%d kills\n", h.cycle)
 		}
 		if t.Failed() {
-			t.Fatalf("log of the scheduler:\n%s", a.log)
+			t.Fatalf("log of the scheduler:\n%s", h.log)
 		}
 	}
 	t.Logf("%d kills, seed %d: %d jobs sent, %d on record: %d ran, %d did not run, %d unknown (%d by the kill, %.2f%%; %d since their worker failed); %d settled; 0 violations",
-		*kills, *seed, a.jobs, a.recorded, a.verdicts[journal.Ran], a.verdicts[journal.DidNotRun], a.verdicts[journal.Unknown],
-		a.unknownByKill, 100*float64(a.unknownByKill)/float64(max(1, a.recorded)), a.unknownByFault, a.decided)
+		*kills, *seed, h.jobs, h.recorded, h.verdicts[journal.Ran], h.verdicts[journal.DidNotRun], h.verdicts[journal.Unknown],
+		h.unknownByKill, 100*float64(h.unknownByKill)/float64(max(1, h.recorded)), h.unknownByFault, h.settled)
 }
--- a/internal/fake/clients.go
+++ b/internal/fake/clients.go
@@ -11,31 +11,31 @@
 	"time"
 )
 
-// ClassShare is a class of jobs and its part of the load.
+// ClassShare is a class of jobs and its weight in a traffic mix.
 type ClassShare struct {
 	Class string
-	Share float64 // of the sum of all parts
+	Share float64 // weight relative to the sum over the mix
 	Keyed bool    // jobs carry an Idempotency-Key
 }
 
-// Clients are a closed loop of clients: each sends a job, waits for its answer, thinks,
-// and sends the next.
+// Clients is a closed-loop load generator: each client sends a job, waits for the response and
+// a random think time, and sends the next job.
 type Clients struct {
-	Target  string // address of the scheduler
-	Number  int
+	Target  string // host:port of the scheduler
+	Number  int    // number of concurrent clients
 	Mix     []ClassShare
 	Tenants []string
-	Think   time.Duration // on average
-	Timeout time.Duration // in the request
-	Prefix  string        // of the jobs' ids
+	Think   time.Duration // mean of the exponentially distributed think time
+	Timeout time.Duration // value of the Request-Timeout header
+	Prefix  string        // prefix of the job IDs
 	Seed    uint64
 }
 
-// Response is a job and the response that its client got.
+// Response is a job and the response that its client received.
 type Response struct {
 	Job, Class         string
 	SentAt, ReceivedAt time.Time
-	Status             int // 0: no complete response
+	Status             int // HTTP status; 0 without a complete response
 	Body               string
 }
 
@@ -46,17 +46,17 @@
 	var wg sync.WaitGroup
 	for n := range c.Number {
 		wg.Go(func() {
-			r := rand.New(rand.NewPCG(c.Seed, uint64(n)))
+			random := rand.New(rand.NewPCG(c.Seed, uint64(n)))
 			transport := &http.Transport{DisableCompression: true}
 			defer transport.CloseIdleConnections()
-			h := &http.Client{Transport: transport}
-			for k := 0; ctx.Err() == nil; k++ {
-				t := c.send(context.WithoutCancel(ctx), h, r, fmt.Sprintf("%s-%d-%d", c.Prefix, n, k))
+			client := &http.Client{Transport: transport}
+			for sequence := 0; ctx.Err() == nil; sequence++ {
+				response := c.send(context.WithoutCancel(ctx), client, random, fmt.Sprintf("%s-%d-%d", c.Prefix, n, sequence))
 				mu.Lock()
-				all = append(all, t)
+				all = append(all, response)
 				mu.Unlock()
 				select {
-				case <-time.After(time.Duration(r.ExpFloat64() * float64(c.Think))):
+				case <-time.After(time.Duration(random.ExpFloat64() * float64(c.Think))):
 				case <-ctx.Done():
 				}
 			}
@@ -66,48 +66,48 @@
 	return all
 }
 
-// send sends a job of a class that is drawn by the mix. The context is not that of the run: what
-// was sent is not cancelled.
-func (c Clients) send(ctx context.Context, h *http.Client, r *rand.Rand, id string) Response {
+// send sends a job of a class sampled from the mix and returns the response. The caller passes a
+// context that outlives the run, so that the end of the run does not cancel requests in flight.
+func (c Clients) send(ctx context.Context, client *http.Client, random *rand.Rand, id string) Response {
 	sum := 0.0
 	for _, m := range c.Mix {
 		sum += m.Share
 	}
-	kind, at := c.Mix[0], r.Float64()*sum
+	class, at := c.Mix[0], random.Float64()*sum
 	for _, m := range c.Mix {
-		if kind = m; at < m.Share {
+		if class = m; at < m.Share {
 			break
 		}
 		at -= m.Share
 	}
-	t := Response{Job: id, Class: kind.Class, SentAt: time.Now()}
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Target+"/"+kind.Class, bytes.NewReader([]byte("job "+id)))
+	response := Response{Job: id, Class: class.Class, SentAt: time.Now()}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Target+"/"+class.Class, bytes.NewReader([]byte("job "+id)))
 	if err != nil {
-		return t
+		return response
 	}
-	q.Header.Set("Request-Id", id)
-	q.Header.Set("Request-Class", kind.Class)
-	q.Header.Set("Tenant", c.Tenants[r.IntN(len(c.Tenants))])
-	q.Header.Set("Request-Timeout", fmt.Sprintf("%dm", c.Timeout.Milliseconds()))
-	q.GetBody = nil // else the library sends it again by itself
-	if kind.Keyed {
-		q.Header.Set("Idempotency-Key", "key-"+id)
+	request.Header.Set("Request-Id", id)
+	request.Header.Set("Request-Class", class.Class)
+	request.Header.Set("Tenant", c.Tenants[random.IntN(len(c.Tenants))])
+	request.Header.Set("Request-Timeout", fmt.Sprintf("%dm", c.Timeout.Milliseconds()))
+	request.GetBody = nil // otherwise net/http may retry the request on its own
+	if class.Keyed {
+		request.Header.Set("Idempotency-Key", "key-"+id)
 	}
-	return t.Do(h, q)
+	return response.Do(client, request)
 }
 
-// Do sends a job's request and returns the job with its response. The status is set only if the
-// complete response was received.
-func (t Response) Do(h *http.Client, q *http.Request) Response {
-	a, err := h.Do(q)
+// Do sends the job's request and returns the job with its response. Status and Body are set only
+// if the complete response was received.
+func (r Response) Do(client *http.Client, request *http.Request) Response {
+	received, err := client.Do(request)
 	if err != nil {
-		t.ReceivedAt = time.Now()
-		return t
+		r.ReceivedAt = time.Now()
+		return r
 	}
-	defer func() { _ = a.Body.Close() }() // it is read to its end
-	body, err := io.ReadAll(a.Body)
-	if t.ReceivedAt = time.Now(); err == nil {
-		t.Status, t.Body = a.StatusCode, string(body)
+	defer func() { _ = received.Body.Close() }() // the body has been read to its end
+	body, err := io.ReadAll(received.Body)
+	if r.ReceivedAt = time.Now(); err == nil {
+		r.Status, r.Body = received.StatusCode, string(body)
 	}
-	return t
+	return r
 }
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Member is a worker in the list, as discovery serves it.
+// Member is a worker in the list that discovery serves.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -21,20 +21,20 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Discovery serves the list of workers: complete, or as a watch on changes.
+// Discovery serves the worker list, either in full or as a long-poll watch that returns changes.
 type Discovery struct {
 	mu         sync.Mutex // guards all below but server
 	revision   int64
 	members    []Member
-	changed    map[string]int64 // the revision of a member's last change
+	changed    map[string]int64 // revision of each member's last change, by member ID
 	nextChange chan struct{}    // closed at the next change
 	server     *http.Server
 }
 
-// maxWatch is how long a watch may wait.
+// maxWatch is the longest time that a watch waits for a change.
 const maxWatch = time.Minute
 
-// NewDiscovery returns a Discovery that does not listen yet.
+// NewDiscovery returns a Discovery that is not listening yet.
 func NewDiscovery(members ...Member) *Discovery {
 	d := &Discovery{revision: 1, members: members, changed: map[string]int64{}, nextChange: make(chan struct{})}
 	for _, m := range members {
@@ -44,15 +44,15 @@
 	return d
 }
 
-// Listen serves on an address, "127.0.0.1:0" for any, and returns it.
+// Listen serves on an address, such as "127.0.0.1:0" for a free port, and returns the bound address.
 func (d *Discovery) Listen(addr string) (string, error) {
 	return listen(d.server, addr)
 }
 
-// Close closes all connections at once, as when discovery goes down: watches break.
+// Close closes all connections immediately, which breaks open watches as an outage of discovery does.
 func (d *Discovery) Close() error { return d.server.Close() }
 
-// Set changes a member, adds one, or, with the phase "gone", removes one.
+// Set adds or updates a member. The phase "gone" removes it from the list.
 func (d *Discovery) Set(m Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +67,7 @@
 	d.nextChange = make(chan struct{})
 }
 
-// Members returns the list as it stands.
+// Members returns a copy of the current list.
 func (d *Discovery) Members() []Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 	since, err := strconv.ParseInt(q.FormValue("since"), 10, 64)
 	complete := err != nil
-	wait, _ := strconv.Atoi(q.FormValue("timeout_ms")) // 0 where it is missing: no wait
+	wait, _ := strconv.Atoi(q.FormValue("timeout_ms")) // without the parameter, 0: the answer is immediate
 	d.mu.Lock()
 	newer, current := d.nextChange, d.revision
 	d.mu.Unlock()
@@ -109,5 +109,5 @@
 	}
 	d.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // an error is of a scheduler that has disconnected
+	_ = json.NewEncoder(w).Encode(out) // fails only if the scheduler has disconnected
 }
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -15,19 +15,19 @@
 	"sedgevale/internal/journal/store"
 )
 
-// Disk is a file system in memory that fails as real ones do. It is a store.FS. After a power
-// failure each write that was not synced may be there, or not, or in part, in any order, by
-// sectors; names that were made or removed since the directory was synced may be so or not.
-// After a failed sync the writes that it was for are never durable, though they can still be
+// Disk is an in-memory file system with fault injection that implements store.FS. After a power
+// failure each sector of an unsynced write may have been persisted or lost independently, in any
+// order, and so may names that were created or removed since the last sync of their directory.
+// After a failed sync the writes that it covered never become durable, though they can still be
 // read, as on Linux.
 type Disk struct {
 	mu       sync.Mutex // guards all below, and the files
 	random   *rand.Rand
-	names    map[string]*inode // as a process sees them
-	durable  map[string]*inode // after a power failure, by synced directories
-	locks    map[string]string // owners, by path
-	capacity int64             // bytes
-	failures map[Op]float64    // shares of operations that fail, from 0 to 1
+	names    map[string]*inode // directory entries that a process sees, by path
+	durable  map[string]*inode // directory entries of the last directory syncs, by path
+	locks    map[string]string // lock owners, by path
+	capacity int64             // in bytes
+	failures map[Op]float64    // failure probability of each operation, from 0 to 1
 }
 
 // Op is an operation that can be made to fail.
@@ -35,8 +35,8 @@
 
 // The operations.
 const (
-	OpWrite   Op = "write"   // fails with EIO, nothing written
-	OpShort   Op = "short"   // writes a part and fails with ENOSPC
+	OpWrite   Op = "write"   // fails with EIO and writes nothing
+	OpShort   Op = "short"   // writes a prefix and fails with ENOSPC
 	OpSync    Op = "sync"    // fails with EIO
 	OpCreate  Op = "create"  // fails with EIO
 	OpSyncDir Op = "syncdir" // fails with EIO
@@ -44,14 +44,14 @@
 	OpRemove  Op = "remove"  // fails with EIO
 )
 
-// inode is a file.
+// inode is the content of a file.
 type inode struct {
-	data     []byte // as a process sees it
-	durable  []byte // synced
+	data     []byte // content that a process reads
+	durable  []byte // content at the last successful sync
 	unsynced []write
 }
 
-// write is a write to a file.
+// write is a write of data at an offset of a file.
 type write struct {
 	offset int
 	data   []byte
@@ -65,13 +65,13 @@
 	return b
 }
 
-// NewDisk returns an empty Disk with a capacity in bytes. The seed is of what is drawn at random.
+// NewDisk returns an empty Disk with a capacity in bytes. The seed determines all random outcomes.
 func NewDisk(seed uint64, capacity int64) *Disk {
 	return &Disk{random: rand.New(rand.NewPCG(seed, 0xd15c)), names: map[string]*inode{}, durable: map[string]*inode{},
 		locks: map[string]string{}, capacity: capacity, failures: map[Op]float64{}}
 }
 
-// Fail sets the share of an operation's calls that fail, from 0 to 1.
+// Fail sets the probability, from 0 to 1, with which calls of an operation fail.
 func (d *Disk) Fail(op Op, share float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,7 +94,7 @@
 	return n
 }
 
-// PowerFail returns the disk after a power failure, without faults. The old one must not be used any more.
+// PowerFail returns the disk after a power failure, without injected faults. The old disk must not be used any more.
 func (d *Disk) PowerFail() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,7 +111,7 @@
 	for p := range paths {
 		sorted = append(sorted, p)
 	}
-	slices.Sort(sorted) // else the outcome would not depend on the seed alone
+	slices.Sort(sorted) // the outcome must depend only on the seed, not on map iteration order
 	for _, p := range sorted {
 		f := d.durable[p]
 		if now := d.names[p]; now != f && d.random.IntN(2) == 0 {
@@ -127,11 +127,11 @@
 	return after
 }
 
-// sectorSize is how many bytes a disk writes atomically.
+// sectorSize is the number of bytes that a disk writes atomically.
 const sectorSize = 512
 
-// surviving draws what is left of a file: the content of each sector, and the file's length, are
-// those after some number of the unsynced writes.
+// surviving returns the content of a file after a power failure: each sector, and the file's
+// length, is randomly taken from the state after some number of the unsynced writes.
 func (d *Disk) surviving(f *inode) []byte {
 	versions := [][]byte{slices.Clone(f.durable)}
 	for _, c := range f.unsynced {
@@ -152,17 +152,18 @@
 	return b
 }
 
-// Kill returns the disk as the next process sees it after this one was killed, without faults.
+// Kill returns the disk as the next process sees it after the current process was killed, without
+// injected faults.
 func (d *Disk) Kill() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return &Disk{random: d.random, names: d.names, durable: d.durable, locks: map[string]string{}, capacity: d.capacity, failures: map[Op]float64{}}
 }
 
-// MkdirAll does nothing: directories are made by what is in them.
+// MkdirAll does nothing: a directory exists as soon as it contains a file.
 func (d *Disk) MkdirAll(string) error { return nil }
 
-// Create is store.FS's.
+// Create implements store.FS.
 func (d *Disk) Create(path string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -177,7 +178,7 @@
 	return &handle{d, f}, nil
 }
 
-// ReadFile is store.FS's.
+// ReadFile implements store.FS.
 func (d *Disk) ReadFile(path string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,7 +189,8 @@
 	return slices.Clone(f.data), nil
 }
 
-// WriteFile changes a file behind the journal's back, durably.
+// WriteFile durably replaces a file's content without the journal's knowledge, as corruption or an
+// operator would.
 func (d *Disk) WriteFile(path string, b []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -196,7 +198,7 @@
 	d.names[path], d.durable[path] = f, f
 }
 
-// ReadDir is store.FS's.
+// ReadDir implements store.FS.
 func (d *Disk) ReadDir(dir string) ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -215,7 +217,7 @@
 	return names, nil
 }
 
-// Remove is store.FS's.
+// Remove implements store.FS.
 func (d *Disk) Remove(path string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -229,7 +231,7 @@
 	return nil
 }
 
-// Rename is store.FS's.
+// Rename implements store.FS.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -241,7 +243,7 @@
 	return nil
 }
 
-// SyncDir is store.FS's.
+// SyncDir implements store.FS.
 func (d *Disk) SyncDir(dir string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -261,14 +263,14 @@
 	return nil
 }
 
-// Free is store.FS's.
+// Free implements store.FS.
 func (d *Disk) Free(string) (int64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return max(0, d.capacity-d.used()), nil
 }
 
-// Lock is store.FS's.
+// Lock implements store.FS.
 func (d *Disk) Lock(path, me string) (io.Closer, string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -279,7 +281,7 @@
 	return unlock{d, path}, "", nil
 }
 
-// Locked is store.FS's.
+// Locked implements store.FS.
 func (d *Disk) Locked(path string) (string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -287,7 +289,7 @@
 	return owner, ok
 }
 
-// unlock releases a lock.
+// unlock releases a lock when it is closed.
 type unlock struct {
 	d    *Disk
 	path string
@@ -338,7 +340,7 @@
 	wait := h.f.unsynced
 	h.f.unsynced = nil
 	if h.d.fails(OpSync) {
-		return fmt.Errorf("sync: %w", syscall.EIO) // the writes are lost, and marked as done
+		return fmt.Errorf("sync: %w", syscall.EIO) // as on Linux, later syncs do not retry these writes
 	}
 	for _, c := range wait {
 		h.f.durable = c.apply(h.f.durable)
--- a/internal/fake/main_test.go
+++ b/internal/fake/main_test.go
@@ -6,5 +6,5 @@
 	"sedgevale/internal/testkit"
 )
 
-// No test leaves a goroutine behind.
+// TestMain fails if a test leaks a goroutine.
 func TestMain(m *testing.M) { testkit.VerifyNoLeaks(m) }
--- a/internal/fake/runlog.go
+++ b/internal/fake/runlog.go
@@ -10,15 +10,15 @@
 	"sedgevale/internal/journal/store"
 )
 
-// Run is a run of a job at a worker.
+// Run is one execution of a job at a worker.
 type Run struct {
 	Job, Class, Worker string
-	Received           time.Time // when the worker had received all of it
-	Began, Finished    time.Time // Finished is zero until then
+	Received           time.Time // when the worker had received the complete request
+	Began, Finished    time.Time // Finished is zero while the job runs
 }
 
-// RunLog records the runs of jobs at workers. A journal is compared with it.
-// Several workers may share one.
+// RunLog records the executions of jobs at workers, independently of the schedulers, so that tests
+// can compare a journal with it. Several workers may share one.
 type RunLog struct {
 	mu   sync.Mutex        // guards runs
 	runs map[string][]*Run // by job
@@ -27,7 +27,7 @@
 // NewRunLog returns an empty RunLog.
 func NewRunLog() *RunLog { return &RunLog{runs: map[string][]*Run{}} }
 
-// Begin records that a worker begins a job, and when that was received.
+// Begin records that a worker begins to execute a job that it received at the given time.
 func (l *RunLog) Begin(job, class, worker string, received time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +56,7 @@
 	return out
 }
 
-// Jobs returns the ids of the jobs that were begun, in order.
+// Jobs returns the sorted IDs of the jobs that were begun.
 func (l *RunLog) Jobs() (out []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,18 +67,19 @@
 	return out
 }
 
-// Forget drops all runs, for long tests.
+// Forget drops all runs, which bounds the memory of long tests.
 func (l *RunLog) Forget() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.runs)
 }
 
-// Audit compares a journal with a run log and returns each violation as a text. Recorded reports which
-// classes the journal keeps and single which must not run twice. It considers only jobs of the
-// run log, and those of the journal for which keep returns true. Dropped says of a
-// job that the journal does not have whether retention may have dropped it; nil: none was.
-func Audit(l *RunLog, jobs []store.Found, recorded, single, keep, dropped func(string) bool) (breaches []string) {
+// Audit compares a journal with a run log and returns a description of each violation. Recorded
+// reports whether the journal records a class, and single whether jobs of a class must run at most
+// once. Audit considers all jobs of the run log, and those jobs of the journal for which keep returns
+// true. Dropped reports whether retention may have removed a job that the journal lacks; nil means
+// that none was removed.
+func Audit(l *RunLog, jobs []store.Found, recorded, single, keep, dropped func(string) bool) (violations []string) {
 	byID := map[string][]store.Found{}
 	for _, j := range jobs {
 		byID[j.ID] = append(byID[j.ID], j)
@@ -89,41 +90,41 @@
 			continue
 		}
 		if len(runs) > 1 && single(runs[0].Class) {
-			breaches = append(breaches, fmt.Sprintf("job %s must not run twice and was begun %d times", id, len(runs)))
+			violations = append(violations, fmt.Sprintf("job %s must not run twice and was begun %d times", id, len(runs)))
 		}
 		if len(byID[id]) == 0 && dropped != nil && dropped(id) {
 			continue
 		}
 		for _, r := range runs {
-			if !intended(byID[id], r.Worker) {
-				breaches = append(breaches, fmt.Sprintf("worker %s began job %s, and no intent names it", r.Worker, id))
+			if !hasAttemptAt(byID[id], r.Worker) {
+				violations = append(violations, fmt.Sprintf("worker %s began job %s, and no intent names it", r.Worker, id))
 			}
 		}
 	}
 	for id, found := range byID {
 		if keep(id) {
-			breaches = append(breaches, auditVerdicts(l.Runs(id), id, found)...)
+			violations = append(violations, auditVerdicts(l.Runs(id), id, found)...)
 		}
 	}
-	return breaches
+	return violations
 }
 
-// auditVerdicts compares a journal's verdicts on a job with its runs.
-func auditVerdicts(runs []Run, id string, found []store.Found) (breaches []string) {
+// auditVerdicts returns the violations in a journal's verdicts on a job, given the job's runs.
+func auditVerdicts(runs []Run, id string, found []store.Found) (violations []string) {
 	finished := slices.ContainsFunc(runs, func(r Run) bool { return !r.Finished.IsZero() })
 	for _, j := range found {
 		switch v, reason, _ := j.Verdict(); {
 		case v == journal.DidNotRun && len(found) == 1 && len(runs) > 0:
-			breaches = append(breaches, fmt.Sprintf("job %s did not run (%s), but worker %s began it", id, reason, runs[0].Worker))
+			violations = append(violations, fmt.Sprintf("job %s did not run (%s), but worker %s began it", id, reason, runs[0].Worker))
 		case v == journal.Ran && !finished:
-			breaches = append(breaches, fmt.Sprintf("job %s ran (%s), but no worker has finished it", id, reason))
+			violations = append(violations, fmt.Sprintf("job %s ran (%s), but no worker has finished it", id, reason))
 		}
 	}
-	return breaches
+	return violations
 }
 
-// intended reports whether an attempt at a worker is on record.
-func intended(found []store.Found, worker string) bool {
+// hasAttemptAt reports whether the journal records an attempt at a worker.
+func hasAttemptAt(found []store.Found, worker string) bool {
 	return slices.ContainsFunc(found, func(j store.Found) bool {
 		return slices.ContainsFunc(j.Attempts, func(a journal.Attempt) bool { return a.Worker == worker })
 	})
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -1,7 +1,8 @@
-// Package fake has fakes of the outside systems that a scheduler meets: workers that record what
-// they run, a discovery, clients, and a file system that fails. They are written from the
-// public descriptions alone, know nothing of how the scheduler works, and stay on loopback.
-// Tests, the crash test and `sedgevale standin` share them.
+// Package fake provides fakes of the external systems that a scheduler depends on: workers that
+// record what they run, a discovery service, clients, and a file system with fault injection. The
+// fakes are written from the public descriptions alone, independently of the scheduler's
+// implementation, and use only loopback addresses. Tests, the crash test and `sedgevale standin`
+// share them.
 package fake
 
 import (
@@ -17,28 +18,28 @@
 	"time"
 )
 
-// Fault is a point in the course of a job at which a Worker can be made to fail.
+// Fault is a fault that a Worker can inject at one point of a job's execution.
 type Fault string
 
-// The points, in the order of a job's course.
+// The faults, in the order of a job's execution.
 const (
-	FaultRejected       Fault = "turn-away" // rejected unstarted: 503 with Not-Started
-	FaultCutBeforeStart Fault = "cut-early" // the connection breaks, the job is dropped before it begins
-	FaultInternalError  Fault = "error"     // an answer of 500
-	FaultCutAfterStart  Fault = "cut-begun" // the connection breaks when it has begun; it is finished all the same
-	FaultMalformed      Fault = "garbage"   // a line that is no JSON, in place of progress
-	FaultHang           Fault = "hang"      // it begins and is neither reported on again nor finished
-	FaultCutAfterEnd    Fault = "cut-done"  // it is finished, and the connection breaks before that is reported
-	FaultFailed         Fault = "failed"    // it ends in failure after it has begun
+	FaultRejected       Fault = "turn-away" // the job is rejected before it starts: 503 with Not-Started
+	FaultCutBeforeStart Fault = "cut-early" // the connection is closed and the job dropped before it starts
+	FaultInternalError  Fault = "error"     // the response has status 500
+	FaultCutAfterStart  Fault = "cut-begun" // the connection is closed after the start; the job still runs to its end
+	FaultMalformed      Fault = "garbage"   // a line that is not valid JSON replaces the progress report
+	FaultHang           Fault = "hang"      // the job starts, never finishes and sends no further line
+	FaultCutAfterEnd    Fault = "cut-done"  // the connection is closed after the job has finished, before the result is sent
+	FaultFailed         Fault = "failed"    // the job starts and ends in failure
 )
 
-// AllFaults are all of them.
+// AllFaults lists all faults.
 var AllFaults = []Fault{FaultRejected, FaultCutBeforeStart, FaultInternalError, FaultCutAfterStart, FaultMalformed, FaultHang, FaultCutAfterEnd, FaultFailed}
 
-// FaultShares are the shares of a Worker's jobs, from 0 to 1, that fail at a point.
+// FaultShares is the probability, from 0 to 1, of each fault.
 type FaultShares map[Fault]float64
 
-// ParseFault reads POINT=SHARE.
+// ParseFault adds a fault in the form POINT=SHARE, as given on the command line.
 func (f FaultShares) ParseFault(s string) error {
 	name, value, _ := strings.Cut(s, "=")
 	var share float64
@@ -54,21 +55,21 @@
 	return fmt.Errorf("fault %q: the points are %v", s, AllFaults)
 }
 
-// WorkerOptions configure a Worker.
+// WorkerOptions configures a Worker.
 type WorkerOptions struct {
 	ID    string
-	Slots int // jobs at a time; 0: 4
-	Queue int // waiting jobs; 0: 16
-	// Work is how long a job of a class takes; nil: 1 to 4 ms.
+	Slots int // maximum number of running jobs; 0 means 4
+	Queue int // maximum number of waiting jobs; 0 means 16
+	// Work returns the run time of a job of a class; nil means 1 to 4 ms.
 	Work    func(class string, r *rand.Rand) time.Duration
 	Faults  FaultShares
 	Seed    uint64
-	Results *ResultStore // nil: one of its own
-	RunLog  *RunLog      // nil: one of its own
+	Results *ResultStore // nil means that the worker gets its own
+	RunLog  *RunLog      // nil means that the worker gets its own
 }
 
-// Worker is a worker: it takes jobs by the platform's protocol, and records in its RunLog which it
-// began and finished.
+// Worker is a fake worker: it accepts jobs over the platform's protocol, sleeps for their run time,
+// and records in its RunLog which jobs it began and finished.
 type Worker struct {
 	options WorkerOptions
 	runLog  *RunLog
@@ -79,10 +80,10 @@
 	random   *rand.Rand
 	waiting  int
 	inFlight int           // jobs in flight; not a WaitGroup, since jobs arrive while AwaitIdle waits
-	idle     chan struct{} // closed when none is in flight; nil: nobody waits
+	idle     chan struct{} // closed when no job is in flight; nil if nobody waits for that
 }
 
-// NewWorker returns a Worker that does not listen yet.
+// NewWorker returns a Worker that is not listening yet.
 func NewWorker(o WorkerOptions) *Worker {
 	if o.Slots <= 0 {
 		o.Slots = 4
@@ -106,15 +107,16 @@
 	return worker
 }
 
-// RunLog returns the record of the worker's jobs.
+// RunLog returns the run log in which the worker records its jobs.
 func (worker *Worker) RunLog() *RunLog { return worker.runLog }
 
-// Listen serves on an address, "127.0.0.1:0" for any, and returns it.
+// Listen serves on an address, such as "127.0.0.1:0" for a free port, and returns the bound address.
 func (worker *Worker) Listen(addr string) (string, error) {
 	return listen(worker.server, addr)
 }
 
-// listen has a server serve on an address until it is closed, and returns the address.
+// listen serves on an address in the background until the server is closed, and returns the bound
+// address.
 func listen(server *http.Server, addr string) (string, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", addr)
 	if err != nil {
@@ -124,10 +126,10 @@
 	return l.Addr().String(), nil
 }
 
-// Close closes all connections at once.
+// Close closes the listener and all connections immediately.
 func (worker *Worker) Close() error { return worker.server.Close() }
 
-// AwaitIdle waits until no job is in flight, apart from those that hang.
+// AwaitIdle waits until no job is in flight, except for jobs that hang because of FaultHang.
 func (worker *Worker) AwaitIdle() {
 	worker.mu.Lock()
 	if worker.inFlight == 0 {
@@ -142,7 +144,7 @@
 	<-idle
 }
 
-// release gives a job's slot back.
+// release frees a job's slot.
 func (worker *Worker) release() {
 	<-worker.slots
 	worker.mu.Lock()
@@ -153,8 +155,8 @@
 	}
 }
 
-// draw decides at which point a job fails, "" for none, and how long it takes.
-func (worker *Worker) draw(class string) (Fault, time.Duration) {
+// sampleJob returns a random fault for a job, empty for none, and its run time.
+func (worker *Worker) sampleJob(class string) (Fault, time.Duration) {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	work := worker.options.Work(class, worker.random)
@@ -167,19 +169,19 @@
 	return "", work
 }
 
-func (worker *Worker) load() map[string]float64 {
+func (worker *Worker) loadReport() map[string]float64 {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	return map[string]float64{"x0": float64(cap(worker.slots) - len(worker.slots)), "queue": float64(worker.waiting)}
 }
 
-func (worker *Worker) loadText() string {
-	l := worker.load()
+func (worker *Worker) loadHeader() string {
+	l := worker.loadReport()
 	return fmt.Sprintf("x0=%g,queue=%g", l["x0"], l["queue"])
 }
 
-// line is a line of a job's response.
-type line struct {
+// responseLine is one JSON line of a job's response body.
+type responseLine struct {
 	ID     string             `json:"id"`
 	From   string             `json:"from"`
 	State  string             `json:"state"`
@@ -192,17 +194,17 @@
 type workerJob struct {
 	id, class, key string
 	received       time.Time
-	fault          Fault // empty: none
+	fault          Fault // empty without a fault
 	work           time.Duration
-	result         string // if it is finished
+	result         string // the result if the job succeeds
 	out            *lineWriter
 }
 
-// ServeHTTP answers a health check or carries out a job.
+// ServeHTTP answers GET requests as health checks and runs all others as jobs.
 func (worker *Worker) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.Method == http.MethodGet {
-		w.Header().Set("Server-Load", worker.loadText())
-		_, _ = io.WriteString(w, worker.loadText()+"\n")
+		w.Header().Set("Server-Load", worker.loadHeader())
+		_, _ = io.WriteString(w, worker.loadHeader()+"\n")
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(q.Body, 1<<20))
@@ -213,7 +215,7 @@
 	}
 	j.class, _, _ = strings.Cut(strings.TrimPrefix(q.URL.Path, "/"), "/")
 	j.result = fmt.Sprintf("%s %s: %d bytes by %s", j.class, j.id, len(body), worker.options.ID)
-	j.fault, j.work = worker.draw(j.class)
+	j.fault, j.work = worker.sampleJob(j.class)
 	switch j.fault {
 	case FaultCutBeforeStart:
 		panic(http.ErrAbortHandler)
@@ -223,7 +225,7 @@
 	}
 	if j.fault == FaultRejected || !worker.enqueue() {
 		w.Header().Set("Not-Started", "1")
-		w.Header().Set("Server-Load", worker.loadText())
+		w.Header().Set("Server-Load", worker.loadHeader())
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
 	}
@@ -232,13 +234,13 @@
 	worker.mu.Lock()
 	worker.waiting--
 	worker.mu.Unlock()
-	if j.key != "" && worker.repeated(q.Context(), j) {
+	if j.key != "" && worker.answerDuplicate(q.Context(), j) {
 		return
 	}
 	worker.run(q.Context(), j)
 }
 
-// enqueue counts a job as waiting, unless the queue is full.
+// enqueue counts a job as waiting. It returns false if the queue is full.
 func (worker *Worker) enqueue() bool {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -250,24 +252,24 @@
 	return true
 }
 
-// repeated answers a job whose key was used before by the former result, and reports whether the
-// job is over by that or by the end of its context.
-func (worker *Worker) repeated(ctx context.Context, j *workerJob) bool {
-	former, repeat, ok := worker.options.Results.Take(ctx, j.key)
-	if ok && !repeat {
+// answerDuplicate answers a job with the stored result if its key was used before. It reports whether
+// the job is finished, either by that answer or because its context ended.
+func (worker *Worker) answerDuplicate(ctx context.Context, j *workerJob) bool {
+	stored, duplicate, ok := worker.options.Results.Begin(ctx, j.key)
+	if ok && !duplicate {
 		return false
 	}
 	worker.release()
-	if repeat {
-		j.out.line(line{State: "done", Result: &former, Load: worker.load()})
+	if duplicate {
+		j.out.writeLine(responseLine{State: "done", Result: &stored, Load: worker.loadReport()})
 	}
 	return true
 }
 
-// run carries out a job that has a slot.
+// run executes a job that holds a slot, with its fault, if any.
 func (worker *Worker) run(ctx context.Context, j *workerJob) {
 	worker.runLog.Begin(j.id, j.class, worker.options.ID, j.received)
-	j.out.line(line{State: "started"})
+	j.out.writeLine(responseLine{State: "started"})
 	switch j.fault {
 	case FaultHang:
 		worker.release()
@@ -282,33 +284,33 @@
 	}
 	time.Sleep(j.work / 2)
 	if j.fault == FaultMalformed {
-		j.out.raw("{not a line\n")
+		j.out.writeRaw("{not a line\n")
 	} else {
-		j.out.line(line{State: "running", Share: 0.5})
+		j.out.writeLine(responseLine{State: "running", Share: 0.5})
 	}
 	time.Sleep(j.work - j.work/2)
 	if j.fault == FaultFailed {
-		worker.options.Results.End(j.key, "", false)
+		worker.options.Results.Complete(j.key, "", false)
 		worker.release()
-		j.out.line(line{State: "failed", Load: worker.load()})
+		j.out.writeLine(responseLine{State: "failed", Load: worker.loadReport()})
 		return
 	}
 	worker.finish(j)
 	if j.fault == FaultCutAfterEnd {
 		panic(http.ErrAbortHandler)
 	}
-	j.out.line(line{State: "done", Result: &j.result, Load: worker.load()})
+	j.out.writeLine(responseLine{State: "done", Result: &j.result, Load: worker.loadReport()})
 }
 
-// finish notes that a job is finished and gives its slot back.
+// finish records that a job has finished and frees its slot.
 func (worker *Worker) finish(j *workerJob) {
 	worker.runLog.Finish(j.id, worker.options.ID)
-	worker.options.Results.End(j.key, j.result, true)
+	worker.options.Results.Complete(j.key, j.result, true)
 	worker.release()
 }
 
-// lineWriter writes the lines of a job's response. Errors are ignored: the job goes on without
-// its scheduler.
+// lineWriter writes the lines of a job's response. It ignores write errors, because a job continues
+// after its scheduler has disconnected.
 type lineWriter struct {
 	w        http.ResponseWriter
 	rc       *http.ResponseController
@@ -322,19 +324,19 @@
 	return s
 }
 
-func (s *lineWriter) line(l line) {
+func (s *lineWriter) writeLine(l responseLine) {
 	l.ID, l.From = s.id, s.from
-	b, _ := json.Marshal(l) // every value of its type can be encoded
-	s.raw(string(b) + "\n")
+	b, _ := json.Marshal(l) // cannot fail for this type
+	s.writeRaw(string(b) + "\n")
 }
 
-func (s *lineWriter) raw(text string) {
+func (s *lineWriter) writeRaw(text string) {
 	_, _ = io.WriteString(s.w, text)
 	_ = s.rc.Flush()
 }
 
-// ResultStore stores the results of jobs by their idempotency keys: a key is not run again within the
-// window.
+// ResultStore stores the results of jobs by idempotency key, so that a key is not run again within
+// the deduplication window.
 type ResultStore struct {
 	window time.Duration
 	mu     sync.Mutex // guards seen
@@ -342,13 +344,13 @@
 }
 
 type storedResult struct {
-	began  time.Time
-	done   chan struct{} // closed when the job has ended
-	result string
-	ok     bool // it ended well
+	began     time.Time
+	done      chan struct{} // closed when the job has ended
+	result    string
+	succeeded bool // the job ended with a result
 }
 
-// NewResultStore returns an empty ResultStore; window 0: 7.5 s.
+// NewResultStore returns an empty ResultStore. A window of 0 means 7.5 s.
 func NewResultStore(window time.Duration) *ResultStore {
 	if window <= 0 {
 		window = 7500 * time.Millisecond
@@ -356,10 +358,11 @@
 	return &ResultStore{window: window, seen: map[string]*storedResult{}}
 }
 
-// Take notes that a job with a key begins; End has to be called when it ends. If one with that
-// key was begun before, Take waits for its end and returns its result; if it failed, the
-// job at hand is to be run after all. Ok is false if the context ended first.
-func (s *ResultStore) Take(ctx context.Context, key string) (result string, repeat, ok bool) {
+// Begin registers a job under its key; the caller runs it and calls Complete when it ends. If an
+// earlier job with the key is within the window, Begin waits for its end and returns its result
+// with duplicate set; if the earlier job failed, the new one is registered instead. Ok is false
+// if the context ended first.
+func (s *ResultStore) Begin(ctx context.Context, key string) (result string, duplicate, ok bool) {
 	for {
 		s.mu.Lock()
 		now := time.Now()
@@ -376,7 +379,7 @@
 			return "", false, false
 		}
 		s.mu.Lock()
-		if before.ok {
+		if before.succeeded {
 			s.mu.Unlock()
 			return before.result, true, true
 		}
@@ -387,15 +390,15 @@
 	}
 }
 
-// End notes how the job of a key ended.
-func (s *ResultStore) End(key, result string, ok bool) {
+// Complete records the outcome of the job registered under a key.
+func (s *ResultStore) Complete(key, result string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.seen[key]; e != nil && !e.ok {
+	if e := s.seen[key]; e != nil && !e.succeeded {
 		select {
 		case <-e.done:
 		default:
-			e.result, e.ok = result, ok
+			e.result, e.succeeded = result, ok
 			close(e.done)
 		}
 	}
--- a/internal/faultinjection/cluster.go
+++ b/internal/faultinjection/cluster.go
@@ -1,7 +1,7 @@
-// Package faultinjection is a harness for tests of several schedulers under faults. It starts processes of the program with
-// fake workers, discovery and clients, puts relays between them that lose, delay, duplicate, cut and reset, kills and freezes
-// the processes, and checks the rules of the service by the workers' run log and the responses to clients alone. All of it stays on
-// loopback.
+// Package faultinjection is a harness for tests of several scheduler processes under faults. It runs the processes with fake
+// workers, discovery and clients, connects them through relays that drop, delay, duplicate, block and reset traffic, kills and
+// freezes processes, and checks the guarantees of the service using only the workers' run log and the responses to clients. All
+// traffic stays on loopback.
 package faultinjection
 
 import (
@@ -18,39 +18,39 @@
 	"sedgevale/internal/testkit"
 )
 
-// WorkerOptions configure a fake worker.
+// WorkerOptions configures a fake worker.
 type WorkerOptions struct {
 	Cell   int
 	Slots  int
-	Work   time.Duration // of a job, on average
+	Work   time.Duration // mean run time of a job
 	Faults fake.FaultShares
 }
 
-// Options configure a Cluster.
+// Options configures a Cluster.
 type Options struct {
-	Dir        string // for files and logs
+	Dir        string // directory of the operator's files and the logs
 	Seed       uint64
 	Schedulers int
 	Workers    []WorkerOptions
-	Isolated   bool // schedulers do not exchange their loads
-	// Initial is the configuration at the start; without tenants there are two, and no revision.
+	Isolated   bool // schedulers do not exchange load reports
+	// Initial is the configuration at the start. If it has no tenants, the cluster gets two.
 	Initial Configuration
 }
 
-// Cluster is some schedulers with their workers, clients and network.
+// Cluster is a set of schedulers with their workers and the network between them.
 type Cluster struct {
 	options    Options
 	Network    *Network
 	RunLog     *fake.RunLog
 	Workers    []*fake.Worker
-	CellOf     map[string]int // by worker
+	CellOf     map[string]int // cell of each worker
 	Schedulers []*Scheduler
 
 	mu      sync.Mutex            // guards drained
-	drained map[string][]Interval // when discovery said that a worker was draining
+	drained map[string][]Interval // by worker: when discovery listed it as draining
 }
 
-// New sets a cluster up whose schedulers are not started yet. It has to be closed also after an error.
+// New sets up a cluster whose schedulers are not started yet. The caller must close it even after an error.
 func New(o Options) (*Cluster, error) {
 	if len(o.Initial.Tenants) == 0 {
 		o.Initial.Tenants = []Tenant{{Name: "valley", Share: 0.6}, {Name: "east", Share: 0.4}}
@@ -65,7 +65,7 @@
 		return c, err
 	}
 	for i, s := range c.Schedulers {
-		if err := c.setUp(s, workers, peers[i], i); err != nil {
+		if err := c.setUpScheduler(s, workers, peers[i], i); err != nil {
 			return c, err
 		}
 	}
@@ -92,7 +92,7 @@
 	return addresses, nil
 }
 
-// addSchedulers chooses the schedulers' addresses and returns for each of them the addresses of its peers.
+// addSchedulers chooses the schedulers' addresses and returns each scheduler's list of peer addresses.
 func (c *Cluster) addSchedulers() ([][]netip.AddrPort, error) {
 	var names []string
 	var listen []netip.AddrPort
@@ -114,8 +114,8 @@
 	return c.Network.Datagrams(names, listen)
 }
 
-// setUp gives a scheduler its own discovery, links to the workers, log and file.
-func (c *Cluster) setUp(s *Scheduler, workers []string, peers []netip.AddrPort, number int) error {
+// setUpScheduler creates a scheduler's discovery, its relays to the workers, its log and its operator's file.
+func (c *Cluster) setUpScheduler(s *Scheduler, workers []string, peers []netip.AddrPort, index int) error {
 	var members []fake.Member
 	for i, one := range c.options.Workers {
 		address, err := c.Network.Stream(s.Name, workerName(i), workers[i])
@@ -137,7 +137,7 @@
 		peers = nil
 	}
 	s.configurationText = func(configuration Configuration) []byte {
-		return operatorFile(s, at, number, c.options.Schedulers, peers, members, configuration)
+		return operatorFile(s, at, index, c.options.Schedulers, peers, members, configuration)
 	}
 	if s.log, err = os.Create(strings.TrimSuffix(s.file, ".toml") + ".log"); err != nil {
 		return err
@@ -185,10 +185,10 @@
 	return first
 }
 
-// Drain has discovery say that a worker is draining.
+// Drain makes discovery list a worker as draining.
 func (c *Cluster) Drain(worker int) { c.setPhase(worker, "draining", 0) }
 
-// Restart has discovery say that a worker is ready and has just started.
+// Restart makes discovery list a worker as ready and just started.
 func (c *Cluster) Restart(worker int) { c.setPhase(worker, "ready", time.Now().UnixMilli()) }
 
 func (c *Cluster) setPhase(worker int, phase string, since int64) {
@@ -211,9 +211,9 @@
 	}
 }
 
-// Observations returns what the rules are checked against.
-func (c *Cluster) Observations(answers []fake.Response, timeout time.Duration) Observations {
-	observed := Observations{Answers: answers, RunLog: c.RunLog, CellOf: c.CellOf, Timeout: timeout, Outages: map[string][]Interval{}, Drained: map[string][]Interval{}}
+// Observations returns the inputs of the rule checks for the given responses.
+func (c *Cluster) Observations(responses []fake.Response, timeout time.Duration) Observations {
+	observed := Observations{Responses: responses, RunLog: c.RunLog, CellOf: c.CellOf, Timeout: timeout, Outages: map[string][]Interval{}, Drained: map[string][]Interval{}}
 	for _, s := range c.Schedulers {
 		s.mu.Lock()
 		observed.Outages[s.Name] = append([]Interval(nil), s.outages...)
@@ -227,7 +227,7 @@
 	return observed
 }
 
-// Close ends all processes, relays and fakes.
+// Close stops all processes, relays and fakes.
 func (c *Cluster) Close() {
 	for _, s := range c.Schedulers {
 		s.Kill()
@@ -244,7 +244,7 @@
 	}
 }
 
-// Reconfigure replaces the files of some schedulers and has them reloaded.
+// Reconfigure replaces the files of some schedulers and makes the schedulers reload them.
 func (c *Cluster) Reconfigure(configuration Configuration, schedulers ...*Scheduler) error {
 	for _, s := range schedulers {
 		if err := s.ReplaceFile(s.ConfigurationFile(configuration)); err != nil {
--- a/internal/faultinjection/cluster_test.go
+++ b/internal/faultinjection/cluster_test.go
@@ -14,20 +14,20 @@
 )
 
 var (
-	rounds = flag.Int("rounds", FaultKinds+1, "faults to inject")
-	seed   = flag.Uint64("seed", 1, "for what is drawn at random")
+	rounds = flag.Int("rounds", FaultKindCount+1, "faults to inject")
+	seed   = flag.Uint64("seed", 1, "seed of random choices")
 )
 
-// The clients' time-out, and the latency target of a job of usual length.
+// The clients' request timeout, and the latency target of a job of average length.
 const (
-	timeout = 2 * time.Second
-	aim     = 400 * time.Millisecond
+	timeout       = 2 * time.Second
+	latencyTarget = 400 * time.Millisecond
 )
 
 // startCluster starts a cluster in which two workers are slow and one fails most jobs.
-func startCluster(t *testing.T, schedulers, workers int, alone bool) *Cluster {
+func startCluster(t *testing.T, schedulers, workers int, isolated bool) *Cluster {
 	t.Helper()
-	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: schedulers, Isolated: alone}
+	o := Options{Dir: t.TempDir(), Seed: *seed, Schedulers: schedulers, Isolated: isolated}
 	for i := range workers {
 		b := WorkerOptions{Cell: i / 4, Slots: 2, Work: 60 * time.Millisecond}
 		switch i {
@@ -38,11 +38,11 @@
 		}
 		o.Workers = append(o.Workers, b)
 	}
-	return run(t, o)
+	return startClusterWith(t, o)
 }
 
-// run starts a cluster until the test ends.
-func run(t *testing.T, o Options) *Cluster {
+// startClusterWith starts a cluster that is closed when the test ends.
+func startClusterWith(t *testing.T, o Options) *Cluster {
 	t.Helper()
 	r, err := New(o)
 	t.Cleanup(r.Close)
@@ -55,22 +55,22 @@
 	return r
 }
 
-// checkRules reports all violations of the rules.
-func (r *Cluster) checkRules(t *testing.T, answers []fake.Response) {
+// checkRules reports the violations of the rules, at most the first eleven.
+func (c *Cluster) checkRules(t *testing.T, answers []fake.Response) {
 	t.Helper()
-	e := r.Observations(answers, timeout)
+	e := c.Observations(answers, timeout)
 	for i, b := range e.Violations() {
 		if t.Error(b); i == 10 {
-			t.Fatal("and more")
+			t.Fatal("further violations are not reported")
 		}
 	}
 }
 
-// shareAtBadWorkers returns the share of the slow and failing workers in the runs since a moment.
-func (r *Cluster) shareAtBadWorkers(since time.Time) float64 {
+// shareAtBadWorkers returns the share of runs since a time that went to the slow and failing workers.
+func (c *Cluster) shareAtBadWorkers(since time.Time) float64 {
 	bad, all := 0, 0
-	for _, id := range r.RunLog.Jobs() {
-		for _, run := range r.RunLog.Runs(id) {
+	for _, id := range c.RunLog.Jobs() {
+		for _, run := range c.RunLog.Runs(id) {
 			if run.Received.After(since) {
 				all++
 				if run.Worker == "box-3" || run.Worker == "box-11" || run.Worker == "box-7" {
@@ -82,54 +82,54 @@
 	return float64(bad) / float64(max(1, all))
 }
 
-// Guards the placement of eight schedulers with two slow workers and a failing one: they serve no worse when they exchange their
-// loads than when each is isolated.
+// TestPeerLoadsHelpManySchedulers checks that eight schedulers with two slow workers and a failing one serve no fewer jobs in time
+// when they exchange load reports than when each is isolated.
 func TestPeerLoadsHelpManySchedulers(t *testing.T) {
 	var inTime [2]float64
-	for i, alone := range []bool{true, false} {
-		r := startCluster(t, 8, 24, alone)
+	for i, isolated := range []bool{true, false} {
+		r := startCluster(t, 8, 24, isolated)
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		since := time.Now().Add(time.Second)
 		answers := r.RunAllClients(ctx, 8, 10*time.Millisecond, timeout)
 		stop()
 		r.checkRules(t, answers)
-		s := Summarize(answers, since, aim)
+		s := Summarize(answers, since, latencyTarget)
 		inTime[i] = float64(s.InTime) / float64(s.Submitted)
-		t.Logf("alone %v: %+v, in time %.3f, at bad workers %.3f, %d datagrams", alone, s, inTime[i], r.shareAtBadWorkers(since), r.Network.Delivered())
+		t.Logf("isolated %v: %+v, in time %.3f, at bad workers %.3f, %d datagrams", isolated, s, inTime[i], r.shareAtBadWorkers(since), r.Network.Delivered())
 		if s.Submitted < 100 {
 			t.Errorf("only %d jobs were submitted", s.Submitted)
 		}
 		r.Close()
 	}
-	if inTime[1] < inTime[0]-0.15 { // with slack for a loaded machine
-		t.Errorf("in time %.3f with signals, %.3f without", inTime[1], inTime[0])
+	if inTime[1] < inTime[0]-0.15 { // 0.15 is tolerance for a loaded machine
+		t.Errorf("share of jobs served in time: %.3f with exchanged load reports, %.3f without", inTime[1], inTime[0])
 	}
 }
 
-// awaitJobs waits until so many jobs have run.
-func (r *Cluster) awaitJobs(t *testing.T, n int) {
+// awaitJobs waits until n jobs have been begun at workers.
+func (c *Cluster) awaitJobs(t *testing.T, n int) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); len(r.RunLog.Jobs()) < n; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); len(c.RunLog.Jobs()) < n; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d jobs have run, want %d", len(r.RunLog.Jobs()), n)
+			t.Fatalf("%d jobs were begun within 20 s, want %d", len(c.RunLog.Jobs()), n)
 		}
 	}
 }
 
-// arrivals returns for each worker how long after a moment attempts came to it.
-func (r *Cluster) arrivals(began time.Time) map[string][]time.Duration {
-	came := map[string][]time.Duration{}
-	for _, id := range r.RunLog.Jobs() {
-		for _, run := range r.RunLog.Runs(id) {
+// arrivals returns for each worker the arrival times of attempts, relative to a start time.
+func (c *Cluster) arrivals(began time.Time) map[string][]time.Duration {
+	byWorker := map[string][]time.Duration{}
+	for _, id := range c.RunLog.Jobs() {
+		for _, run := range c.RunLog.Runs(id) {
 			if at := run.Received.Sub(began); at > 0 {
-				came[run.Worker] = append(came[run.Worker], at)
+				byWorker[run.Worker] = append(byWorker[run.Worker], at)
 			}
 		}
 	}
-	return came
+	return byWorker
 }
 
-// worstWindow returns the highest quotient of the arrivals in a window and its budget. Arrivals are sorted.
+// worstWindow returns the highest ratio of the number of arrivals in a window to the window's budget. The arrivals must be sorted.
 func worstWindow(arrivals []time.Duration, window time.Duration, budget func(at time.Duration) float64) (worst float64) {
 	for first, at := range arrivals {
 		n, _ := slices.BinarySearch(arrivals[first:], at+window)
@@ -138,20 +138,20 @@
 	return worst
 }
 
-// slowStartBudget returns how many attempts a worker of a capacity, in attempts a second, may get in a window, with slack for
-// randomness.
+// slowStartBudget returns how many attempts a worker with a capacity in attempts per second may receive in a window, including a
+// tolerance of two standard deviations plus two attempts for randomness.
 func slowStartBudget(capacity, multiple float64, window time.Duration) float64 {
 	mean := multiple * capacity * window.Seconds()
 	return mean + 2*math.Sqrt(mean) + 2
 }
 
-// Guards against cold workers that are overloaded by the sum of twenty schedulers: six of those have just restarted and learned
-// nothing yet, and half of them receive no datagrams of the other half.
+// TestColdWorkersUnderTwentySchedulers guards against workers in slow start that are overloaded by the combined load of twenty
+// schedulers, of which six have just restarted without learned state, while the two halves of the schedulers exchange no datagrams.
 func TestColdWorkersUnderTwentySchedulers(t *testing.T) {
 	const (
 		workers, cold = 10, 5
 		slots, work   = 2, 60 * time.Millisecond
-		fall, warmUp  = 2 * time.Second, 22 * time.Second // of Settings, and so are these
+		fall, warmUp  = 2 * time.Second, 22 * time.Second // as in Settings, like the following two
 		multiple      = 3
 		start         = 0.13
 	)
@@ -159,12 +159,12 @@
 	for i := range workers {
 		o.Workers = append(o.Workers, WorkerOptions{Cell: i / 4, Slots: slots, Work: work})
 	}
-	r := run(t, o)
+	r := startClusterWith(t, o)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	answers := make(chan []fake.Response, 1)
 	go func() { answers <- r.RunAllClients(ctx, 2, 120*time.Millisecond, timeout) }()
-	r.awaitJobs(t, 500) // they have learned the workers' latencies
+	r.awaitJobs(t, 500) // enough for the schedulers to learn the workers' latencies
 	(&FaultScript{Cluster: r}).setLinkFaults(func(i, j int) (LinkFault, bool) { return LinkFault{Cut: true}, i%2 != j%2 })
 	back := make(chan error, 6)
 	for _, s := range r.Schedulers[:cap(back)] {
@@ -183,54 +183,54 @@
 	r.awaitJobs(t, 2000)
 	stop()
 	r.checkRules(t, <-answers)
-	came := r.arrivals(began)
+	arrivals := r.arrivals(began)
 	budget := func(at time.Duration) float64 {
 		return slowStartBudget(slots/work.Seconds()*(start+(1-start)*at.Seconds()/warmUp.Seconds()), multiple, fall)
 	}
 	for i := range cold {
-		all := came[workerName(i)]
+		all := arrivals[workerName(i)]
 		slices.Sort(all)
 		worst := worstWindow(all, fall, budget)
-		t.Logf("%s: %d jobs while cold, at most %.2f of its budget in %v", workerName(i), len(all), worst, fall)
+		t.Logf("%s: %d jobs in slow start, at most %.2f of its budget in any %v", workerName(i), len(all), worst, fall)
 		if worst > 1 {
-			t.Errorf("%s got %.2f times its budget", workerName(i), worst)
+			t.Errorf("%s in slow start received %.2f times its budget", workerName(i), worst)
 		}
 	}
 }
 
-// awaitAllAlive returns nil once every scheduler considers every other alive.
-func (r *Cluster) awaitAllAlive() error {
-	var wrong string
+// awaitAllAlive waits until every scheduler considers every other alive, or returns an error after maxAgreementTime.
+func (c *Cluster) awaitAllAlive() error {
+	var problem string
 	for end := time.Now().Add(maxAgreementTime); ; time.Sleep(20 * time.Millisecond) {
-		wrong = ""
-		for _, s := range r.Schedulers {
+		problem = ""
+		for _, s := range c.Schedulers {
 			var st peers.Status
 			if err := s.GetJSON("/admin/peers", &st); err != nil {
-				wrong = err.Error()
+				problem = err.Error()
 				break
 			}
 			for _, m := range st.Members {
 				if m.Number != st.Self && m.State != "alive" {
-					wrong = fmt.Sprintf("%s has %d for %s", s.Name, m.Number, m.State)
+					problem = fmt.Sprintf("%s considers member %d %s", s.Name, m.Number, m.State)
 				}
 			}
 		}
-		if wrong == "" || time.Now().After(end) {
+		if problem == "" || time.Now().After(end) {
 			break
 		}
 	}
-	if wrong != "" {
-		return fmt.Errorf("after %v %s", maxAgreementTime, wrong)
+	if problem != "" {
+		return fmt.Errorf("membership has not converged after %v: %s", maxAgreementTime, problem)
 	}
 	return nil
 }
 
-// maxAgreementTime is how long the membership may take to converge after a fault on a loaded machine. That it takes three seconds at
-// most is tested in virtual time (internal/peers).
+// maxAgreementTime is how long the membership may take to converge after a fault on a loaded machine. The tests of internal/peers
+// check in virtual time that it takes at most three seconds.
 const maxAgreementTime = 15 * time.Second
 
-// Guards the rules and the membership through kills, freezes, partitions in one or both directions, loss, delay and duplicates
-// between eight schedulers: no job is lost, run twice or sent to a draining worker, and the membership converges again.
+// TestManySchedulersThroughFaults injects kills, freezes, partitions in one or both directions, loss, delay and duplication between
+// eight schedulers and checks that no job is lost, run twice or sent to a draining worker, and that the membership converges again.
 func TestManySchedulersThroughFaults(t *testing.T) {
 	r := startCluster(t, 8, 24, false)
 	ctx, stop := context.WithCancel(t.Context())
@@ -255,9 +255,9 @@
 	stop()
 	responses := <-answers
 	r.checkRules(t, responses)
-	s := Summarize(responses, time.Time{}, aim)
+	s := Summarize(responses, time.Time{}, latencyTarget)
 	t.Logf("faults %v; %+v; membership converged within %v; %d datagrams", counts, s, slowest, r.Network.Delivered())
 	if s.Served*3 < s.Submitted {
-		t.Errorf("under a third was served: %+v", s)
+		t.Errorf("less than a third of the jobs were served: %+v", s)
 	}
 }
--- a/internal/faultinjection/faultscript.go
+++ b/internal/faultinjection/faultscript.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// FaultScript injects one fault after another, drawn by a seed, for so many rounds or until the context ends.
+// FaultScript injects a seeded random sequence of faults, one at a time, for a number of rounds or until the context ends.
 type FaultScript struct {
 	Cluster      *Cluster
 	Rounds       int
 	Seed         uint64
-	DrainWorkers bool // workers drain and come back as well
-	// AwaitRecovery is called after each fault and may wait; it returns what is still wrong.
+	DrainWorkers bool // includes the fault that drains and restarts a worker
+	// AwaitRecovery is called after each fault. It may block until the cluster has recovered, and returns an error if it has not.
 	AwaitRecovery func(fault string) error
 	Log           func(format string, args ...any)
 }
 
-// scriptedFault is a kind of fault. Inject returns what undoes it, and what it was injected into.
+// scriptedFault is a kind of fault. Inject returns a function that reverts the fault, and a description of its target.
 type scriptedFault struct {
 	kind     string
 	duration time.Duration
 	inject   func(r *rand.Rand, script *FaultScript) (undo func() error, on string, err error)
 }
 
-// schedulerFaults are the faults of schedulers and links. Seeded scripts depend on their order.
+// schedulerFaults are the faults of schedulers and links. Their order determines the sequence that a seed yields.
 var schedulerFaults = []scriptedFault{
 	{"kill -9", 600 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
 		s := script.randomScheduler(r)
@@ -36,21 +36,21 @@
 		s := script.randomScheduler(r)
 		return s.Thaw, s.Name, s.Freeze()
 	}},
-	{"split", 2500 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
+	{"partition", 2500 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
 		at := 1 + r.IntN(len(script.Cluster.Schedulers)-1)
 		script.setLinkFaults(func(i, j int) (LinkFault, bool) { return LinkFault{Cut: true}, (i < at) != (j < at) })
 		return script.heal, fmt.Sprintf("%d from %d", at, len(script.Cluster.Schedulers)-at), nil
 	}},
-	{"deaf", 2500 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
-		deaf := r.IntN(len(script.Cluster.Schedulers))
-		script.setLinkFaults(func(_, j int) (LinkFault, bool) { return LinkFault{Cut: true}, j == deaf })
-		return script.heal, script.Cluster.Schedulers[deaf].Name, nil
+	{"inbound partition", 2500 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
+		receiver := r.IntN(len(script.Cluster.Schedulers))
+		script.setLinkFaults(func(_, j int) (LinkFault, bool) { return LinkFault{Cut: true}, j == receiver })
+		return script.heal, script.Cluster.Schedulers[receiver].Name, nil
 	}},
-	{"loss of half", 2500 * time.Millisecond, func(_ *rand.Rand, script *FaultScript) (func() error, string, error) {
+	{"50% loss", 2500 * time.Millisecond, func(_ *rand.Rand, script *FaultScript) (func() error, string, error) {
 		script.setLinkFaults(func(int, int) (LinkFault, bool) { return LinkFault{Loss: 0.5}, true })
 		return script.heal, "all", nil
 	}},
-	{"late and repeated", 1500 * time.Millisecond, func(_ *rand.Rand, script *FaultScript) (func() error, string, error) {
+	{"delay and duplication", 1500 * time.Millisecond, func(_ *rand.Rand, script *FaultScript) (func() error, string, error) {
 		script.setLinkFaults(func(int, int) (LinkFault, bool) {
 			return LinkFault{Repeat: 0.5, Delay: 20 * time.Millisecond, Jitter: 500 * time.Millisecond}, true
 		})
@@ -79,22 +79,22 @@
 	}},
 }
 
-// FaultKinds is how many kinds of faults there are.
-var FaultKinds = len(schedulerFaults)
+// FaultKindCount is the number of kinds of scheduler and link faults, without worker drains.
+var FaultKindCount = len(schedulerFaults)
 
-// workerDrain is the fault of workers.
-var workerDrain = scriptedFault{"worker drains", 1200 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
+// workerDrain drains a worker and restarts it.
+var workerDrain = scriptedFault{"worker drain", 1200 * time.Millisecond, func(r *rand.Rand, script *FaultScript) (func() error, string, error) {
 	worker := r.IntN(len(script.Cluster.Workers))
 	script.Cluster.Drain(worker)
 	return func() error { script.Cluster.Restart(worker); return nil }, workerName(worker), nil
 }}
 
-// randomScheduler returns a scheduler drawn at random.
+// randomScheduler returns a random scheduler.
 func (script *FaultScript) randomScheduler(r *rand.Rand) *Scheduler {
 	return script.Cluster.Schedulers[r.IntN(len(script.Cluster.Schedulers))]
 }
 
-// setLinkFaults sets the fault of each direction between schedulers for which faultOf returns true.
+// setLinkFaults sets the fault of each directed link from scheduler i to scheduler j for which faultOf returns true.
 func (script *FaultScript) setLinkFaults(faultOf func(i, j int) (LinkFault, bool)) {
 	for i, a := range script.Cluster.Schedulers {
 		for j, b := range script.Cluster.Schedulers {
@@ -107,7 +107,7 @@
 
 func (script *FaultScript) heal() error { script.Cluster.Network.Heal(); return nil }
 
-// Run runs the script and returns the number of faults by kind. Each kind is injected once before any comes again.
+// Run runs the script and returns the number of injected faults by kind. Each kind is injected once before any is repeated.
 func (script *FaultScript) Run(ctx context.Context) (map[string]int, error) {
 	r := rand.New(rand.NewPCG(script.Seed, 0x70a))
 	kinds := schedulerFaults
@@ -122,20 +122,20 @@
 		}
 		f := kinds[order[0]]
 		order = order[1:]
-		undo, on, err := f.inject(r, script)
+		revert, target, err := f.inject(r, script)
 		if err != nil {
-			return counts, fmt.Errorf("%s, %s: %w", f.kind, on, err)
+			return counts, fmt.Errorf("%s, %s: %w", f.kind, target, err)
 		}
 		counts[f.kind]++
-		script.Log("%s: %s", f.kind, on)
+		script.Log("%s: %s", f.kind, target)
 		select {
 		case <-time.After(f.duration):
 		case <-ctx.Done():
 		}
-		if err := undo(); err != nil {
-			return counts, fmt.Errorf("after %s, %s: %w", f.kind, on, err)
+		if err := revert(); err != nil {
+			return counts, fmt.Errorf("after %s, %s: %w", f.kind, target, err)
 		}
-		if err := script.AwaitRecovery(f.kind + ", " + on); err != nil {
+		if err := script.AwaitRecovery(f.kind + ", " + target); err != nil {
 			return counts, err
 		}
 		if ctx.Err() != nil {
--- a/internal/faultinjection/network.go
+++ b/internal/faultinjection/network.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// LinkFault is what is wrong with one direction between two parties; zero for nothing. Loss and Repeat are probabilities for each
-// datagram; streams do not have them.
+// LinkFault is the fault of one direction of a link between two endpoints; the zero value is a working link. Loss and Repeat are
+// the probabilities of losing and of duplicating a datagram and do not apply to streams.
 type LinkFault struct {
-	Cut          bool // nothing arrives; streams stay open
+	Cut          bool // nothing is delivered; streams stay open
 	Loss, Repeat float64
-	Delay        time.Duration // of each datagram or piece of a stream
-	Jitter       time.Duration // a random delay on top, so that datagrams overtake each other
+	Delay        time.Duration // added to each datagram and to each read of a stream
+	Jitter       time.Duration // upper bound of an additional random delay, which reorders datagrams
 }
 
-// Network is relays on loopback between parties, which go by their names. Its random choices depend on a seed. It is safe for
-// concurrent use.
+// Network relays traffic between named endpoints on loopback and injects link faults. Its random choices depend on a seed. It is
+// safe for concurrent use.
 type Network struct {
-	ctx  context.Context // until Close
+	ctx  context.Context // cancelled by Close
 	stop context.CancelFunc
 
 	mu        sync.Mutex
@@ -32,16 +32,16 @@
 	faults    map[[2]string]LinkFault
 	changed   chan struct{} // closed at the next change of a fault
 	closers   []io.Closer
-	delivered uint64 // datagrams
+	delivered uint64 // number of datagrams
 }
 
-// NewNetwork returns a Network without parties. It has to be closed.
+// NewNetwork returns a Network without endpoints. The caller must close it.
 func NewNetwork(seed uint64) *Network {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Network{ctx: ctx, stop: stop, rand: rand.New(rand.NewPCG(seed, 0x4e7)), faults: map[[2]string]LinkFault{}, changed: make(chan struct{})}
 }
 
-// Close ends all relays.
+// Close stops all relays.
 func (n *Network) Close() {
 	n.stop()
 	n.mu.Lock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// SetFault sets the fault of one direction.
+// SetFault sets the fault of one direction of a link.
 func (n *Network) SetFault(from, to string, f LinkFault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,7 +76,7 @@
 	return n.delivered
 }
 
-// faultOf returns the fault of a direction and a channel that is closed at the next change of any.
+// faultOf returns the fault of one direction of a link and a channel that is closed when any fault changes.
 func (n *Network) faultOf(from, to string) (LinkFault, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,9 +89,9 @@
 	n.closers = append(n.closers, c)
 }
 
-// Datagrams connects parties that send each other datagrams. Listen has the addresses on which they receive; the result has for
-// each of them the addresses to which it sends to the others, in the order of the names, its own among them. A datagram comes
-// from the address to which its receiver sends to the sender.
+// Datagrams relays datagrams between endpoints that receive on the listen addresses. The result lists for each endpoint the
+// addresses to which it sends to the others, in the order of the names; its entry for itself is its listen address. A relayed
+// datagram's source is the address to which the receiver sends its replies.
 func (n *Network) Datagrams(names []string, listen []netip.AddrPort) ([][]netip.AddrPort, error) {
 	sockets := make([][]*net.UDPConn, len(names))
 	known := make([][]netip.AddrPort, len(names))
@@ -112,7 +112,7 @@
 	}
 	for i := range names {
 		for j := range names {
-			if i != j { // what i sends to its address of j comes to j from j's address of i
+			if i != j { // i sends to the relay's address for j; j receives from the relay's address for i
 				go n.relayDatagrams(names[i], names[j], sockets[i][j], sockets[j][i], listen[j])
 			}
 		}
@@ -127,7 +127,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // the port of a party that is down is closed
+		if err != nil { // such as ECONNREFUSED while an endpoint is down
 			continue
 		}
 		n.mu.Lock()
@@ -148,7 +148,7 @@
 		n.mu.Unlock()
 		for _, wait := range waits[:copies] {
 			if wait == 0 {
-				_, _ = out.WriteToUDPAddrPort(buf[:size], dest) // a datagram may be lost
+				_, _ = out.WriteToUDPAddrPort(buf[:size], dest) // UDP may lose datagrams anyway
 				continue
 			}
 			data := append([]byte(nil), buf[:size]...)
@@ -157,7 +157,7 @@
 	}
 }
 
-// Stream returns an address at which one party opens streams to another one, which listens at dest.
+// Stream starts a TCP relay and returns the address at which one endpoint connects to another, which listens at dest.
 func (n *Network) Stream(from, to, dest string) (string, error) {
 	l, err := (&net.ListenConfig{}).Listen(n.ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -203,7 +203,7 @@
 	<-back
 }
 
-// awaitLink waits until a direction has no LinkFault.Cut, and reports whether it had none from the beginning.
+// awaitLink waits until one direction of a link is not cut. It reports whether the direction was not cut at the time of the call.
 func (n *Network) awaitLink(from, to string) bool {
 	for neverCut := true; ; neverCut = false {
 		f, healed := n.faultOf(from, to)
@@ -218,7 +218,7 @@
 	}
 }
 
-// copyStream copies one direction of a stream. A stream that a LinkFault.Cut has held up is reset once that is healed.
+// copyStream copies one direction of a stream. A stream that a LinkFault.Cut has blocked is reset when the link is healed.
 func (n *Network) copyStream(from, to string, src, dst *net.TCPConn) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -249,7 +249,7 @@
 	}
 }
 
-// reset closes a connection so that its peer gets a reset.
+// reset closes a connection with a TCP reset.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
--- a/internal/faultinjection/scheduler.go
+++ b/internal/faultinjection/scheduler.go
@@ -16,23 +16,23 @@
 	"sedgevale/internal/fake"
 )
 
-// Scheduler is one process of the program.
+// Scheduler is a scheduler of a Cluster, which runs as a process that can be restarted.
 type Scheduler struct {
 	Name              string
 	Listen, Ops       string                     // addresses for clients and for operators
-	file              string                     // the operator's
-	configurationText func(Configuration) []byte // the content of file
+	file              string                     // path of the operator's file
+	configurationText func(Configuration) []byte // returns the content of the operator's file
 	discovery         *fake.Discovery
 	log               *os.File
 
 	mu            sync.Mutex // guards the fields below
 	cmd           *exec.Cmd
-	up            bool // it has been ready since its start, and was not killed
-	hangupPending bool // it has to be signalled to reload its file once it is up
+	up            bool // the process has become ready and was not killed since
+	hangupPending bool // the process must be signalled to reload its file once it is up
 	outages       []Interval
 }
 
-// GetJSON decodes a page of the operators' address.
+// GetJSON decodes a JSON page from the address for operators.
 func (s *Scheduler) GetJSON(path string, into any) error {
 	status, body, err := httpGet("http://" + s.Ops + path)
 	if err != nil {
@@ -44,14 +44,14 @@
 	return json.Unmarshal(body, into)
 }
 
-// beginOutage notes that the process does not answer from now on. The lock is held.
+// beginOutage records that the process does not answer from now on. The caller holds the lock.
 func (s *Scheduler) beginOutage() {
 	if n := len(s.outages); n == 0 || !s.outages[n-1].To.IsZero() {
 		s.outages = append(s.outages, Interval{From: time.Now()})
 	}
 }
 
-// endOutage notes that the process answers again.
+// endOutage records that the process answers again.
 func (s *Scheduler) endOutage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +90,7 @@
 	return err
 }
 
-// thawGracePeriod is how long a process may need to read what arrived while it was frozen.
+// thawGracePeriod is the time that a process may need to read the data that arrived while it was frozen.
 const thawGracePeriod = 300 * time.Millisecond
 
 // ConfigurationFile returns the content of the operator's file with a configuration.
@@ -105,8 +105,8 @@
 	return os.Rename(next, s.file)
 }
 
-// Hangup has the scheduler reload its file. One that is not up yet is signalled later: before it handles the signal, that would
-// end it.
+// Hangup makes the scheduler reload its file. If the scheduler is not up yet, the signal is sent once it is: SIGHUP terminates a
+// process that has not installed its handler.
 func (s *Scheduler) Hangup() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 	return s.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// markUp notes that the scheduler is up, and sends it a signal that is pending.
+// markUp records that the scheduler is up and sends a pending SIGHUP.
 func (s *Scheduler) markUp() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 	return s.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// LogSize returns the size of the log of all its processes, in bytes.
+// LogSize returns the size in bytes of the log, which all processes of the scheduler append to.
 func (s *Scheduler) LogSize() (int64, error) {
 	info, err := os.Stat(s.log.Name())
 	if err != nil {
@@ -138,7 +138,7 @@
 	return info.Size(), nil
 }
 
-// AwaitLog returns the first line behind an offset of the log that contains a text, and waits for it so long.
+// AwaitLog waits until a line after an offset of the log contains a text and returns that line. It fails after the time within.
 func (s *Scheduler) AwaitLog(after int64, text string, within time.Duration) (string, error) {
 	for end := time.Now().Add(within); ; time.Sleep(5 * time.Millisecond) {
 		b, err := os.ReadFile(s.log.Name())
@@ -156,17 +156,17 @@
 	}
 }
 
-// Submit submits one job and returns the answer. Its id must begin with the scheduler's name and a hyphen.
+// Submit submits one job and returns the response. The ID must begin with the scheduler's name and a hyphen.
 func (s *Scheduler) Submit(ctx context.Context, id, class, tenant string, timeout time.Duration) fake.Response {
-	answer := fake.Response{Job: id, Class: class, SentAt: time.Now()}
+	response := fake.Response{Job: id, Class: class, SentAt: time.Now()}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Listen+"/"+class, strings.NewReader("job "+id))
 	if err != nil {
-		return answer
+		return response
 	}
 	request.GetBody = nil // otherwise the transport may send it again
 	request.Close = true
 	request.Header.Set("Request-Id", id)
 	request.Header.Set("Tenant", tenant)
 	request.Header.Set("Request-Timeout", fmt.Sprintf("%dm", timeout.Milliseconds()))
-	return answer.Do(http.DefaultClient, request)
+	return response.Do(http.DefaultClient, request)
 }
--- a/internal/faultinjection/settings.go
+++ b/internal/faultinjection/settings.go
@@ -8,7 +8,7 @@
 	"sedgevale/internal/fake"
 )
 
-// Settings is the part of an operator's file with three classes of jobs and two tenants.
+// Settings is the [settings] table of an operator's file, with three job classes and two tenants.
 const Settings = settingsWithoutTenants + `[[settings.realms]]
 name = "valley"
 share = 0.6
@@ -17,7 +17,7 @@
 share = 0.4
 `
 
-// settingsWithoutTenants is the same without the tenants.
+// settingsWithoutTenants is Settings without the tenants.
 const settingsWithoutTenants = `
 [settings]
 discovery = "ask"
@@ -62,35 +62,34 @@
 hard_limit = 2
 `
 
-// Mix is the mix of the classes in clients' jobs.
+// Mix is the class mix of the clients' jobs.
 var Mix = []fake.ClassShare{{Class: "usage-view", Share: 0.44}, {Class: "plan-change", Share: 0.31},
 	{Class: "bill-pay", Share: 0.25, Keyed: true}}
 
-// Tenant is a tenant of the workers, a realm in the settings.
+// Tenant is a tenant, which the settings call a realm.
 type Tenant struct {
 	Name  string
 	Share float64
-	Quota float64 // jobs a second; 0: none
+	Quota float64 // in jobs per second; 0 means no quota
 }
 
-// Configuration is the part of the operators' files that changes while schedulers serve.
+// Configuration is the part of an operator's file that tests change while schedulers serve.
 type Configuration struct {
-	Revision int // 0: none
+	Revision int // 0 means that the file has no revision
 	Tenants  []Tenant
 }
 
-// operatorFile returns the content of a scheduler's file. Without peers the scheduler is one of several that do not exchange their
-// loads.
-func operatorFile(s *Scheduler, discovery string, number, schedulers int, peers []netip.AddrPort, workers []fake.Member, c Configuration) []byte {
+// operatorFile returns the content of a scheduler's operator file. If peers is nil, the schedulers do not exchange load reports.
+func operatorFile(s *Scheduler, discovery string, index, schedulers int, peers []netip.AddrPort, workers []fake.Member, c Configuration) []byte {
 	b := fmt.Appendf(nil, "name = %q\nlisten = %q\nops = %q\ndiscovery = %q\n", s.Name, s.Listen, s.Ops, discovery)
 	if c.Revision > 0 {
 		b = fmt.Appendf(b, "revision = %d\n", c.Revision)
 	}
 	if peers == nil {
 		b = append(b, strings.Replace(settingsWithoutTenants, "[settings]",
-			fmt.Sprintf("[settings]\npeers_total = %d\nslot_no = %d", schedulers, number), 1)...)
+			fmt.Sprintf("[settings]\npeers_total = %d\nslot_no = %d", schedulers, index), 1)...)
 	} else {
-		b = fmt.Appendf(b, "peer_listen = %q\npeers = [", peers[number])
+		b = fmt.Appendf(b, "peer_listen = %q\npeers = [", peers[index])
 		for _, a := range peers {
 			b = fmt.Appendf(b, "%q, ", a)
 		}
--- a/internal/faultinjection/tenants_test.go
+++ b/internal/faultinjection/tenants_test.go
@@ -16,12 +16,12 @@
 
 var (
 	long    = flag.Bool("long", false, "freeze for 10 s instead of 2 s")
-	changes = flag.Int("changes", 24, "configuration changes in a test of random ones")
+	changes = flag.Int("changes", 24, "number of configuration changes in TestRandomTenantChanges")
 )
 
-// Guards changes of tenants under load, while half of the datagrams between schedulers are lost and one of them is killed and
-// restarted with the newest file: tenants that stay are served throughout, new ones are served in time at each scheduler, and of
-// removed ones no new job is accepted while those in flight have their results.
+// TestTenantsChangeWhileServing changes tenants under load while half of the datagrams between schedulers are lost and one scheduler
+// is killed and restarted with the newest file. Tenants that stay must be served throughout, added tenants must be served at each
+// scheduler in time, and removed tenants must have new jobs rejected and jobs in flight completed.
 func TestTenantsChangeWhileServing(t *testing.T) {
 	f := startTrial(t, 4, Configuration{1, []Tenant{{"valley", 0.5, 60}, {"east", 0.3, 40}, {"west", 0.2, 20}}})
 	all, restarted := f.Schedulers, f.Schedulers[1]
@@ -35,7 +35,7 @@
 	f.awaitServed("north", all...)
 	f.startClients("north", 1, 100*time.Millisecond, all...)
 
-	// The killed scheduler reads the newest file at its start, and is signalled once more when it is up.
+	// The killed scheduler reads the newest file at its start and is signalled again when it is up.
 	third := Configuration{3, []Tenant{{"north", 0.1, 10}, {"south", 0.5, 0}, {"east", 0.3, 20}, {"valley", 0.2, 30}}}
 	restarted.Kill()
 	back := make(chan error, 1)
@@ -72,19 +72,19 @@
 	}
 }
 
-// onlyOldBehind returns a check that of so many schedulers exactly those from a number on are behind.
-func onlyOldBehind(schedulers, from int) func(*peerPage) error {
+// onlyBehindFrom returns a check that exactly the schedulers with numbers from a given one on are reported as behind.
+func onlyBehindFrom(schedulers, from int) func(*peerPage) error {
 	return func(a *peerPage) error {
 		for j := range schedulers {
-			if late, err := a.behind(j); err != nil || late != (j >= from) {
-				return fmt.Errorf("%d behind: %v, error %w", j, late, err)
+			if late, err := a.isBehind(j); err != nil || late != (j >= from) {
+				return fmt.Errorf("member %d behind: %v, error %w", j, late, err)
 			}
 		}
 		return nil
 	}
 }
 
-// hasReportsOfAllOthers returns a check that for some worker the load reports of all other schedulers are in use.
+// hasReportsOfAllOthers returns a check that a scheduler uses the load reports of all others about at least one worker.
 func hasReportsOfAllOthers(schedulers int) func(*peerPage) error {
 	return func(a *peerPage) error {
 		most := 0
@@ -98,7 +98,7 @@
 	}
 }
 
-// acceptsAllSince returns a check that no datagram was rejected since an earlier page, and 20 were received.
+// acceptsAllSince returns a check that since an earlier page no datagram was rejected and at least 20 were received.
 func acceptsAllSince(before peerPage) func(*peerPage) error {
 	return func(a *peerPage) error {
 		if a.Counts.Refused != before.Counts.Refused || a.Counts.Received < before.Counts.Received+20 {
@@ -109,40 +109,40 @@
 	}
 }
 
-// Guards schedulers of which half have new tenants, one of them since its start: they use each other's load reports, each knows
-// which are behind, and one that has missed three changes catches up by one reload.
+// TestHalfOnTheOldTenants gives half of the schedulers a newer configuration, one of them at its start. The schedulers must use each
+// other's load reports and know which of them are behind, and one that missed three changes must catch up by one reload.
 func TestHalfOnTheOldTenants(t *testing.T) {
 	first := Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}}
 	f := startTrial(t, 4, first)
-	young, old := f.Schedulers[:2], f.Schedulers[2:]
+	updated, outdated := f.Schedulers[:2], f.Schedulers[2:]
 	newest := Configuration{4, []Tenant{{"south", 0.5, 30}, {"valley", 0.3, 20}, {"north", 0.2, 10}}}
 	for _, c := range []Configuration{
 		{2, []Tenant{{"valley", 0.3, 20}, {"east", 0.4, 0}, {"north", 0.3, 0}}},
 		{3, []Tenant{{"valley", 0.3, 20}, {"north", 0.7, 0}}}, newest} {
-		f.reconfigure(c, young[0])
-		f.awaitPage(young[0], fmt.Sprintf("%d is in force", c.Revision), func(a *peerPage) error {
+		f.reconfigure(c, updated[0])
+		f.awaitPage(updated[0], fmt.Sprintf("%d is in force", c.Revision), func(a *peerPage) error {
 			if got := a.Members[a.Self].Revision; got != c.Revision {
-				return fmt.Errorf("it has %d in force", got)
+				return fmt.Errorf("revision %d is in force", got)
 			}
 			return nil
 		})
 	}
-	young[1].Kill()
-	if err := young[1].ReplaceFile(young[1].ConfigurationFile(newest)); err != nil {
+	updated[1].Kill()
+	if err := updated[1].ReplaceFile(updated[1].ConfigurationFile(newest)); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Start(young[1]); err != nil {
+	if err := f.Start(updated[1]); err != nil {
 		t.Fatal(err)
 	}
-	f.awaitServed("south", young...)
-	f.awaitUnknownTenant("south", old...)
-	f.awaitServed("east", old...)
+	f.awaitServed("south", updated...)
+	f.awaitUnknownTenant("south", outdated...)
+	f.awaitServed("east", outdated...)
 	if err := f.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
 	var before [4]peerPage
 	for i, s := range f.Schedulers {
-		before[i] = f.awaitPage(s, "the schedulers with the old file are behind", onlyOldBehind(len(f.Schedulers), len(young)))
+		before[i] = f.awaitPage(s, "the schedulers with the old file are behind", onlyBehindFrom(len(f.Schedulers), len(updated)))
 	}
 	stop := f.startClients("valley", 6, time.Millisecond, f.Schedulers...)
 	for _, s := range f.Schedulers {
@@ -152,15 +152,16 @@
 	for i, s := range f.Schedulers {
 		f.awaitPage(s, "no datagram is rejected", acceptsAllSince(before[i]))
 	}
-	f.reconfigure(newest, old...)
-	f.awaitServed("south", old...)
-	f.awaitUnknownTenant("east", old...)
+	f.reconfigure(newest, outdated...)
+	f.awaitServed("south", outdated...)
+	f.awaitUnknownTenant("east", outdated...)
 	f.awaitRevision(newest.Revision, f.Schedulers...)
 	f.finish()
 	f.checkStayingTenant("valley")
 }
 
-// Guards the last of two files when signals come at once: whatever was read of the first, the second is in force.
+// TestTwoChangesInOneSecond checks that of two files that are signalled in quick succession the second one ends up in force, whether
+// or not the first was read.
 func TestTwoChangesInOneSecond(t *testing.T) {
 	f := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
 	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
@@ -180,8 +181,8 @@
 	f.checkStayingTenant("valley")
 }
 
-// Guards a change that is taken back by the former file: the first state is in force again, with its revision, everywhere,
-// whether the change was in force meanwhile or not, and no job is lost.
+// TestChangeTakenBack reverts a change by restoring the former file. The first configuration must be in force again with its
+// revision at every scheduler, whether or not the change had been applied there, and no job may be lost.
 func TestChangeTakenBack(t *testing.T) {
 	first := Configuration{1, []Tenant{{"valley", 0.6, 40}, {"east", 0.4, 0}}}
 	second := Configuration{2, []Tenant{{"north", 0.7, 0}, {"valley", 0.3, 20}}}
@@ -193,7 +194,7 @@
 	f.awaitRevision(1, f.Schedulers...)
 	f.awaitPage(f.Schedulers[0], "has a digest", func(a *peerPage) error {
 		if digest = a.Members[0].Digest; digest == "" {
-			return fmt.Errorf("none")
+			return fmt.Errorf("no digest")
 		}
 		return nil
 	})
@@ -203,7 +204,7 @@
 	f.awaitServed("north", f.Schedulers[0])
 	f.awaitUnknownTenant("east", f.Schedulers[0])
 	f.awaitPage(f.Schedulers[2], "it is behind itself", func(a *peerPage) error {
-		if late, err := a.behind(2); err != nil || !late {
+		if late, err := a.isBehind(2); err != nil || !late {
 			return fmt.Errorf("behind %v, error %w", late, err)
 		}
 		return nil
@@ -216,7 +217,7 @@
 		f.awaitPage(s, "has the first digest", func(a *peerPage) error {
 			for _, m := range a.Members {
 				if m.Digest != digest {
-					return fmt.Errorf("%d has %s, and at first it was %s", m.Number, m.Digest, digest)
+					return fmt.Errorf("member %d has digest %s, want the first one, %s", m.Number, m.Digest, digest)
 				}
 			}
 			return nil
@@ -230,8 +231,8 @@
 	f.checkChangingTenant("north", changed)
 }
 
-// Guards a scheduler that is frozen while tenants change: the others report that it is behind, and after the thaw it has the newest
-// in force in time.
+// TestFrozenThroughAChange freezes a scheduler while tenants change. The others must report that it is behind, and after the thaw
+// it must apply the newest configuration in time.
 func TestFrozenThroughAChange(t *testing.T) {
 	f := startTrial(t, 3, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
 	frozen, others := f.Schedulers[2], f.Schedulers[:2]
@@ -255,8 +256,8 @@
 	for _, s := range others {
 		f.awaitPage(s, "the frozen one is behind", func(a *peerPage) error {
 			for i, want := range []bool{false, false, true} {
-				if late, err := a.behind(i); err != nil || late != want {
-					return fmt.Errorf("%d behind %v, error %w", i, late, err)
+				if late, err := a.isBehind(i); err != nil || late != want {
+					return fmt.Errorf("member %d behind: %v, error %w", i, late, err)
 				}
 			}
 			return nil
@@ -279,11 +280,11 @@
 	f.checkChangingTenant("east", time.Now())
 }
 
-// badFile is a file with an error: of its tenants, or of what spoil makes of its text.
+// badFile is an invalid operator's file: either its tenants are invalid, or corrupt makes its text invalid.
 type badFile struct {
 	what    string
 	tenants []Tenant
-	spoil   func(text []byte) []byte
+	corrupt func(text []byte) []byte
 }
 
 var goodTenants = []Tenant{{"north", 0.5, 10}, {"valley", 0.5, 0}}
@@ -293,22 +294,22 @@
 	{"share below 0", []Tenant{{"north", -1, 10}, {"valley", 0.5, 0}}, nil},
 	{"quota below 0", []Tenant{{"north", 0.5, -10}, {"valley", 0.5, 0}}, nil},
 	{"no name", []Tenant{{"", 0.5, 10}, {"valley", 0.5, 0}}, nil},
-	{"a name twice", []Tenant{{"north", 0.5, 10}, {"valley", 0.2, 0}, {"north", 0.3, 0}}, nil},
+	{"duplicate name", []Tenant{{"north", 0.5, 10}, {"valley", 0.2, 0}, {"north", 0.3, 0}}, nil},
 	{"truncated within a name", goodTenants, func(text []byte) []byte { return text[:bytes.Index(text, []byte("valley"))+3] }},
 	{"empty", goodTenants, func([]byte) []byte { return nil }},
-	{"an unknown key", goodTenants, func(text []byte) []byte {
+	{"unknown key", goodTenants, func(text []byte) []byte {
 		return bytes.Replace(text, []byte("name = \"north\"\n"), []byte("name = \"north\"\nquota = 3\n"), 1)
 	}},
-	{"a share that is no number", goodTenants, func(text []byte) []byte {
+	{"share NaN", goodTenants, func(text []byte) []byte {
 		return bytes.Replace(text, []byte("share = 0.5"), []byte("share = nan"), 1)
 	}},
-	{"a share without end", goodTenants, func(text []byte) []byte {
+	{"infinite share", goodTenants, func(text []byte) []byte {
 		return bytes.Replace(text, []byte("share = 0.5"), []byte("share = inf"), 1)
 	}},
 }
 
-// checkBadFile has all schedulers read a bad file in place of a good one, and checks that their logs say so and that the first
-// configuration is still in force.
+// checkBadFile makes all schedulers reload an invalid file and checks that their logs report it and that the first configuration is
+// still in force.
 func (f *trial) checkBadFile(good Configuration, bad badFile) {
 	f.t.Helper()
 	for _, s := range f.Schedulers {
@@ -317,8 +318,8 @@
 			f.t.Fatal(err)
 		}
 		text := s.ConfigurationFile(Configuration{good.Revision, bad.tenants})
-		if bad.spoil != nil {
-			text = bad.spoil(text)
+		if bad.corrupt != nil {
+			text = bad.corrupt(text)
 		}
 		if err := errors.Join(s.ReplaceFile(text), s.Hangup()); err != nil {
 			f.t.Fatal(err)
@@ -344,7 +345,8 @@
 	submitted.Wait()
 }
 
-// Guards against a bad file of which anything is applied: the log names it, and tenants, revision and jobs are as before.
+// TestBadTenantsChangeNothing guards against an invalid file that is partly applied: the log must report it, and tenants, revision
+// and jobs must be unaffected.
 func TestBadTenantsChangeNothing(t *testing.T) {
 	f := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
 	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
@@ -366,26 +368,26 @@
 // changingTenants are tenants that are added and removed.
 var changingTenants = []string{"north", "south", "west", "delta", "ridge", "plain"}
 
-// drawConfiguration returns a configuration with some of the changing tenants, and which those are.
-func drawConfiguration(r *rand.Rand, revision int) (c Configuration, there map[string]bool) {
-	c.Revision, there = revision, map[string]bool{}
+// randomConfiguration returns a configuration with a random subset of the changing tenants, and that subset.
+func randomConfiguration(r *rand.Rand, revision int) (c Configuration, present map[string]bool) {
+	c.Revision, present = revision, map[string]bool{}
 	c.Tenants = append(c.Tenants, Tenant{"valley", 0.05 + r.Float64(), float64(r.IntN(40))})
 	for _, name := range changingTenants {
-		if there[name] = r.IntN(2) == 0; there[name] {
+		if present[name] = r.IntN(2) == 0; present[name] {
 			c.Tenants = append(c.Tenants, Tenant{name, 0.05 + r.Float64(), float64(r.IntN(20))})
 		}
 	}
 	r.Shuffle(len(c.Tenants), func(i, j int) { c.Tenants[i], c.Tenants[j] = c.Tenants[j], c.Tenants[i] })
-	return c, there
+	return c, present
 }
 
-// awaitChangingTenants waits until each of the changing tenants that are there is served at all schedulers, or each of the others
-// is unknown.
-func (f *trial) awaitChangingTenants(there map[string]bool, served bool) {
+// awaitChangingTenants waits until at all schedulers each present tenant is served, or, if served is false, each absent tenant is
+// unknown.
+func (f *trial) awaitChangingTenants(present map[string]bool, served bool) {
 	f.t.Helper()
 	for _, name := range changingTenants {
 		switch {
-		case there[name] != served:
+		case present[name] != served:
 		case served:
 			f.awaitServed(name, f.Schedulers...)
 		default:
@@ -394,24 +396,25 @@
 	}
 }
 
-// awaitLastConfiguration waits until all schedulers have the last revision, with the tenants that are there, while datagrams are
-// lost, and heals the network.
-func (f *trial) awaitLastConfiguration(revision int, there map[string]bool) {
+// awaitLastConfiguration waits until all schedulers have applied the last revision with its present tenants while datagrams are
+// lost, and then heals the network.
+func (f *trial) awaitLastConfiguration(revision int, present map[string]bool) {
 	f.t.Helper()
-	f.awaitChangingTenants(there, true)
-	f.awaitRevision(revision, f.Schedulers...) // half of the datagrams are still lost
-	f.awaitChangingTenants(there, false)
+	f.awaitChangingTenants(present, true)
+	f.awaitRevision(revision, f.Schedulers...) // while half of the datagrams are lost
+	f.awaitChangingTenants(present, false)
 	f.Network.Heal()
 	if err := f.awaitAllAlive(); err != nil {
 		f.t.Error(err)
 	}
 }
 
-// Guards a sequence of random changes, each for some of the schedulers, while datagrams are lost, one scheduler freezes and one is
-// killed: no job of a tenant that stays is rejected, no job is lost, and in the end all have the last configuration in force.
+// TestRandomTenantChanges applies random changes, each to some of the schedulers, while datagrams are lost, one scheduler freezes and
+// one is killed. No job of a tenant that stays may be rejected, no job may be lost, and finally all schedulers must have applied the
+// last configuration.
 func TestRandomTenantChanges(t *testing.T) {
 	r := rand.New(rand.NewPCG(*seed, 0x7ea))
-	first, _ := drawConfiguration(r, 1)
+	first, _ := randomConfiguration(r, 1)
 	f := startTrial(t, 4, first)
 	f.startClients("valley", 2, 40*time.Millisecond, f.Schedulers...)
 	f.awaitServed("valley", f.Schedulers...)
@@ -423,7 +426,7 @@
 	freeze, kill := f.Schedulers[r.IntN(2)], f.Schedulers[2+r.IntN(2)]
 	for n := range *changes {
 		revision++
-		c, _ := drawConfiguration(r, revision)
+		c, _ := randomConfiguration(r, revision)
 		var some []*Scheduler
 		for _, i := range r.Perm(len(f.Schedulers))[:1+r.IntN(len(f.Schedulers))] {
 			some = append(some, f.Schedulers[i])
@@ -448,9 +451,9 @@
 	if err := <-back; err != nil {
 		t.Fatal(err)
 	}
-	last, there := drawConfiguration(r, revision+1)
+	last, present := randomConfiguration(r, revision+1)
 	f.reconfigure(last, f.Schedulers...)
-	f.awaitLastConfiguration(last.Revision, there)
+	f.awaitLastConfiguration(last.Revision, present)
 	f.finish()
 	f.checkStayingTenant("valley")
 	for _, name := range changingTenants {
--- a/internal/fdlimit/fdlimit.go
+++ b/internal/fdlimit/fdlimit.go
@@ -7,43 +7,43 @@
 	"sync/atomic"
 )
 
-// Reserve is the number of descriptors for what is not counted here: pollers, listeners, standard streams, and dials that
-// hold two descriptors for a moment.
+// Reserve is the number of descriptors kept free for uncounted uses: pollers, listeners, standard streams, and dials, which
+// briefly hold two descriptors.
 const Reserve = 64
 
-// Parts of the limit, as divisors, and a lower bound.
+// Divisors of the limit, and a lower bound.
 const (
-	clientIdleDivisor  = 8
-	minClientIdle      = 16
-	workerSpareDivisor = 8 // of what is left after Reserve: it is for connections to workers alone
+	clientIdleDivisor  = 8  // idle client connections may use an eighth of the limit
+	minClientIdle      = 16 // idle client connections that are allowed at any limit
+	workerSpareDivisor = 8  // an eighth of the limit less Reserve is available only to connections to workers
 )
 
-// Limiter counts connections against a limit. When few are left it calls for idle ones to be closed, never for busy ones.
-// Those of clients are closed first: a new one costs a client a moment, but a worker capacity that requests need. It is
-// safe for concurrent use.
+// Limiter counts connections against a limit of file descriptors. When few descriptors are left, it requests that idle
+// connections be closed, never busy ones. Idle client connections are closed first: a new connection costs a client only a short
+// delay, but costs a worker capacity that requests need. A Limiter is safe for concurrent use.
 type Limiter struct {
 	limit          atomic.Int64
 	used           atomic.Int64
 	otherProcesses atomic.Int64 // descriptors of other processes that share the limit
 	mu             sync.Mutex
-	onLow          []func(n int) // close so many idle connections of clients
-	onCritical     []func(n int) // and of workers
+	onLow          []func(n int) // close n idle connections of clients
+	onCritical     []func(n int) // close n idle connections to workers
 }
 
-// New returns a Limiter with a limit of so many descriptors; 0 or less means no limit.
+// New returns a Limiter with a limit of descriptors; 0 or less means no limit.
 func New(descriptors int) *Limiter {
 	l := &Limiter{}
 	l.SetLimit(descriptors)
 	return l
 }
 
-// SetLimit changes the limit. It closes nothing.
+// SetLimit changes the limit. It does not close any connection.
 func (l *Limiter) SetLimit(descriptors int) { l.limit.Store(int64(descriptors)) }
 
 // SetOtherProcesses sets the number of descriptors of other processes that share the limit.
 func (l *Limiter) SetOtherProcesses(n int) { l.otherProcesses.Store(int64(n)) }
 
-// available returns the limit without the descriptors of other processes, at least 1; 0 means no limit.
+// available returns the limit minus the descriptors of other processes, but at least 1; 0 means no limit.
 func (l *Limiter) available() int64 {
 	if limit := l.limit.Load(); limit > 0 {
 		return max(1, limit-l.otherProcesses.Load())
@@ -51,35 +51,35 @@
 	return 0
 }
 
-// OnLow registers a function that closes n idle connections of clients. It is called when few descriptors are left, and
-// must not block.
+// OnLow registers a function that closes n idle connections of clients. The Limiter calls it when few descriptors are left. The
+// function must not block.
 func (l *Limiter) OnLow(f func(n int)) {
 	l.mu.Lock()
 	l.onLow = append(l.onLow, f)
 	l.mu.Unlock()
 }
 
-// OnCritical registers a function that closes n idle connections to workers. It is called when closing those of clients was
-// not enough, and must not block.
+// OnCritical registers a function that closes n idle connections to workers. The Limiter calls it when fewer than half of Reserve
+// are left despite the closing of idle client connections. The function must not block.
 func (l *Limiter) OnCritical(f func(n int)) {
 	l.mu.Lock()
 	l.onCritical = append(l.onCritical, f)
 	l.mu.Unlock()
 }
 
-// Acquire counts a connection to a worker. It reports false if less than half of Reserve is left: the connection must then not
-// be made, and be released.
+// Acquire counts a connection to a worker. It returns false if less than half of Reserve is left; the caller must then not open
+// the connection, and must call Release.
 func (l *Limiter) Acquire() bool { return l.acquire(0, Reserve/2) }
 
-// AcquireClient counts a client's connection. It reports false if less than three quarters of Reserve are left: the connection
-// must then be closed, and be released. Idle connections are closed earlier than for Acquire: many clients must not keep
-// requests and the discovery watch from connecting.
+// AcquireClient counts a client's connection. It returns false if less than three quarters of Reserve are left; the caller must
+// then close the connection and call Release. Idle connections are closed earlier than by Acquire, so that many clients cannot
+// prevent requests to workers and the discovery watch from connecting.
 func (l *Limiter) AcquireClient() bool {
 	return l.acquire(max(0, l.available()-Reserve)/workerSpareDivisor, Reserve*3/4)
 }
 
-// acquire counts a connection. Idle ones are closed if less than Reserve and margin are left; it reports false if less than
-// minLeft are.
+// acquire counts a connection. It requests the closing of idle connections if fewer descriptors than Reserve plus margin are left,
+// and returns false if fewer than minLeft are left.
 func (l *Limiter) acquire(margin, minLeft int64) bool {
 	used, limit := l.used.Add(1), l.available()
 	if limit <= 0 || used <= limit-Reserve-margin {
@@ -97,7 +97,7 @@
 	return used <= limit-minLeft
 }
 
-// MaxIdleClients returns how many idle connections of clients an event loop may keep.
+// MaxIdleClients returns the number of idle client connections that an event loop may keep.
 func (l *Limiter) MaxIdleClients() int {
 	if limit := l.available(); limit > 0 {
 		return int(max(minClientIdle, limit/clientIdleDivisor))
@@ -105,8 +105,8 @@
 	return math.MaxInt
 }
 
-// Release uncounts a connection that was closed or not made.
+// Release stops counting a connection that was closed or not opened.
 func (l *Limiter) Release() { l.used.Add(-1) }
 
-// InUse returns the number of connections that are counted.
+// InUse returns the number of counted connections.
 func (l *Limiter) InUse() int { return int(l.used.Load()) }
--- a/internal/fleetsim/experiment.go
+++ b/internal/fleetsim/experiment.go
@@ -1,9 +1,9 @@
-// Package fleetsim is a discrete-event simulation of many schedulers: real Dispatchers
-// and their exchange of load (internal/peers), over modelled workers, clients and a
-// lossy network, with faults by script. An experiment runs variants of how schedulers
-// work together on the same seeds and compares them in pairs. It shows how the
-// decisions of many schedulers add up before a change is built, in seconds instead of a
-// day on a real fleet.
+// Package fleetsim is a discrete-event simulation of a fleet of schedulers. It runs real
+// Dispatchers and their exchange of load reports (internal/peers) against modelled
+// workers, clients and a lossy network, with scripted faults. An experiment runs
+// variants of the schedulers' cooperation on the same seeds and compares them pairwise.
+// It shows the combined effect of many schedulers' decisions before a change is
+// deployed, in seconds instead of a day on a real fleet.
 package fleetsim
 
 import (
@@ -16,22 +16,22 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// Version is the version of the experiment file's format.
+// Version is the version of the experiment file format.
 const Version = 1
 
-// Experiment is an experiment's file. Times are in the units of their names; keys that a
-// file leaves out are those of [DefaultExperiment].
+// Experiment is the content of an experiment file. Field names state the units of times.
+// Keys that a file omits have the values of [DefaultExperiment].
 type Experiment struct {
 	Version       int     `toml:"version"`
-	Seeds         int     `toml:"seeds"`      // runs of each variant and size, on the same seeds
-	FirstSeed     uint64  `toml:"first_seed"` // 0: 1
+	Seeds         int     `toml:"seeds"`      // number of seeds; each variant and size runs once per seed
+	FirstSeed     uint64  `toml:"first_seed"` // 0 means 1
 	LengthSeconds float64 `toml:"length_s"`
-	Schedulers    []int   `toml:"schedulers"` // sizes, each with runs of its own
-	Workers       []int   `toml:"boxes"`      // as many sizes, or one for all
-	Load          float64 `toml:"load"`       // over the capacity of all workers
-	Burst         float64 `toml:"burst"`      // additional part of the load in the middle third
-	Skew          float64 `toml:"skew"`       // sigma of the log of schedulers' shares of the traffic
-	Retries       int     `toml:"retries"`    // of a rejected client, if it got a retry-after
+	Schedulers    []int   `toml:"schedulers"` // fleet sizes, each with its own runs
+	Workers       []int   `toml:"boxes"`      // number of workers for each entry of schedulers, or one for all
+	Load          float64 `toml:"load"`       // offered load relative to the capacity of all workers
+	Burst         float64 `toml:"burst"`      // additional load in the middle third of the run, relative to Load
+	Skew          float64 `toml:"skew"`       // sigma of the log-normal distribution of the schedulers' traffic shares
+	Retries       int     `toml:"retries"`    // maximum number of retries of a client that was rejected with a retry-after
 
 	Worker   WorkerModel  `toml:"box"`
 	Network  NetworkModel `toml:"net"`
@@ -39,56 +39,56 @@
 	Faults   []Fault      `toml:"trouble"`
 }
 
-// WorkerModel describes workers. Where there are two figures, each worker's is drawn
-// uniformly between them.
+// WorkerModel describes the workers. Pairs are the bounds of uniform distributions: Speed
+// is sampled once per worker, ReportMillis for each interval.
 type WorkerModel struct {
-	Cores             []int      `toml:"cores"` // drawn from these
+	Cores             []int      `toml:"cores"` // values that are sampled uniformly
 	Speed             [2]float64 `toml:"speed"`
 	Queue             int        `toml:"queue"` // capacity, in jobs
 	ReportMillis      [2]float64 `toml:"report_ms"`
-	HandshakeMillis   float64    `toml:"handshake_ms"` // of work for a new connection
-	IdleSeconds       float64    `toml:"idle_s"`       // after which an idle connection is closed
-	SlowStartCapacity float64    `toml:"cold_from"`    // share of the speed at the start
+	HandshakeMillis   float64    `toml:"handshake_ms"` // additional run time of a job on a new connection
+	IdleSeconds       float64    `toml:"idle_s"`       // idle time after which a connection is closed
+	SlowStartCapacity float64    `toml:"cold_from"`    // share of the full speed at the start
 	SlowStartSeconds  float64    `toml:"cold_s"`
-	DropsCancelled    bool       `toml:"drops_called"` // a job that is cancelled before it starts does not run
+	DropsCancelled    bool       `toml:"drops_called"` // a job that is cancelled before its start does not run
 }
 
 // NetworkModel describes the network.
 type NetworkModel struct {
-	OneWayMillis float64    `toml:"way_ms"`  // between schedulers and workers or clients
-	PeerMillis   [2]float64 `toml:"peer_ms"` // between schedulers, drawn uniformly for each message
+	OneWayMillis float64    `toml:"way_ms"`  // one-way latency between schedulers and workers or clients
+	PeerMillis   [2]float64 `toml:"peer_ms"` // one-way latency between schedulers, sampled uniformly for each message
 }
 
-// Variant is one way for schedulers to work together.
+// Variant is one configuration of the schedulers' cooperation.
 type Variant struct {
 	Name           string  `toml:"name"`
-	Peers          bool    `toml:"peers"`    // schedulers exchange their load
-	MinSubscribers int     `toml:"hearers"`  // schedulers that a scheduler sends its load to, at least
-	MinSubset      int     `toml:"least"`    // workers in a scheduler's subset, at least
-	DelayMillis    float64 `toml:"delay_ms"` // additional, of each message
-	Loss           float64 `toml:"loss"`     // share of messages
+	Peers          bool    `toml:"peers"`    // schedulers exchange load reports
+	MinSubscribers int     `toml:"hearers"`  // minimum number of schedulers that receive a scheduler's load reports
+	MinSubset      int     `toml:"least"`    // minimum number of workers in a scheduler's subset
+	DelayMillis    float64 `toml:"delay_ms"` // additional delay of each message
+	Loss           float64 `toml:"loss"`     // share of messages that are lost
 }
 
-// Fault is a fault; its kind is one of faultKinds.
+// Fault is a scheduled fault. Its kind is one of faultKinds.
 type Fault struct {
 	Kind       string  `toml:"kind"`
 	AtSeconds  float64 `toml:"at_s"`
 	ForSeconds float64 `toml:"for_s"`
-	Share      float64 `toml:"share"`  // of schedulers or workers
-	Factor     float64 `toml:"factor"` // of the speed, or the share of errors
+	Share      float64 `toml:"share"`  // share of the schedulers or workers that are affected
+	Factor     float64 `toml:"factor"` // speed factor of a slow worker, or error rate of a failing one
 }
 
-// faultKinds are the kinds of faults.
+// faultKinds lists the kinds of faults.
 var faultKinds = []string{
 	"kill",    // schedulers crash and restart
 	"freeze",  // schedulers stall
 	"split",   // a partition between two halves of the schedulers
 	"replace", // workers are replaced by new ones within for_s
-	"slow",    // workers have factor times their speed
-	"fail",    // workers answer a share of factor with errors, at once
+	"slow",    // the speed of workers is multiplied by factor
+	"fail",    // workers answer a share of factor of their tasks with an immediate error
 }
 
-// DefaultExperiment returns the values of keys that a file leaves out.
+// DefaultExperiment returns the values of keys that a file omits.
 func DefaultExperiment() Experiment {
 	return Experiment{Seeds: 5, FirstSeed: 1, LengthSeconds: 20, Schedulers: []int{24}, Workers: []int{12}, Load: 0.75, Burst: 0.3, Skew: 0.5, Retries: 1,
 		Worker: WorkerModel{Cores: []int{4, 4, 5}, Speed: [2]float64{0.6, 1.7}, Queue: 40, ReportMillis: [2]float64{830, 1600}, HandshakeMillis: 4.5, IdleSeconds: 15,
@@ -96,7 +96,7 @@
 		Network: NetworkModel{OneWayMillis: 0.3, PeerMillis: [2]float64{2.4, 26}}}
 }
 
-// Read reads an experiment and checks it. Errors name the file and the key.
+// Read reads and validates an experiment file. Errors name the file and the key.
 func Read(path string) (Experiment, error) {
 	e := DefaultExperiment()
 	if _, err := dispatchconfig.Decode(path, &e); err != nil {
@@ -108,7 +108,7 @@
 	return e, nil
 }
 
-// Bounds, so that a mistyped file does not run for days.
+// Upper bounds, so that an experiment with a mistyped value does not run for days.
 const (
 	maxSchedulers    = 2000
 	maxWorkers       = 10000
@@ -116,7 +116,7 @@
 	maxLengthSeconds = 600
 )
 
-// Validate returns an error for an invalid experiment, which names the file's key.
+// Validate returns an error that names the key of the first invalid value.
 func (e *Experiment) Validate() error {
 	if err := e.validateLoad(); err != nil {
 		return err
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// validateLoad checks the runs and their load.
+// validateLoad checks the version, the number and length of the runs, and their load.
 func (e *Experiment) validateLoad() error {
 	switch {
 	case e.Version != Version:
@@ -169,7 +169,7 @@
 		return fmt.Errorf("seeds is %d; want 1 to %d", e.Seeds, maxSeeds)
 	case !(e.LengthSeconds > 0 && e.LengthSeconds <= maxLengthSeconds):
 		return fmt.Errorf("length_s is %g; want above 0, at most %d", e.LengthSeconds, maxLengthSeconds)
-	case !(e.Load > 0 && e.Load <= 5) || !within(e.Burst, 0, 5) || !within(e.Skew, 0, 2):
+	case !(e.Load > 0 && e.Load <= 5) || !inRange(e.Burst, 0, 5) || !inRange(e.Skew, 0, 2):
 		return errors.New("load must be above 0 and at most 5, burst 0 to 5, skew 0 to 2")
 	case e.Retries < 0 || e.Retries > 5:
 		return fmt.Errorf("retries is %d; want 0 to 5", e.Retries)
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// validateSizes checks that each number of schedulers has its number of workers.
+// validateSizes checks that each number of schedulers has a number of workers.
 func (e *Experiment) validateSizes() error {
 	if len(e.Schedulers) == 0 || len(e.Workers) != 1 && len(e.Workers) != len(e.Schedulers) {
 		return errors.New("schedulers must not be empty, and boxes needs one entry, or as many as schedulers")
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// within reports whether v lies between two figures; NaN does not.
-func within(v, least, most float64) bool { return v >= least && v <= most }
+// inRange reports whether low <= v <= high. It returns false for NaN.
+func inRange(v, low, high float64) bool { return v >= low && v <= high }
 
 func (w *WorkerModel) validate() error {
 	if len(w.Cores) == 0 || slices.Min(w.Cores) < 1 || !(w.Speed[0] > 0 && w.Speed[1] >= w.Speed[0]) || w.Queue < 0 {
@@ -214,7 +214,7 @@
 	switch {
 	case v.Peers && (v.MinSubscribers < 1 || v.MinSubset < 1):
 		return errors.New("hearers and least must be 1 or more")
-	case v.DelayMillis < 0 || !within(v.Loss, 0, 1):
+	case v.DelayMillis < 0 || !inRange(v.Loss, 0, 1):
 		return errors.New("delay_ms must not be negative, loss 0 to 1")
 	}
 	return nil
@@ -230,8 +230,8 @@
 	return nil
 }
 
-// workersAt returns how many workers there are at a size.
+// workersAt returns the number of workers for the size with an index.
 func (e *Experiment) workersAt(size int) int { return e.Workers[min(size, len(e.Workers)-1)] }
 
-// millis returns a time in milliseconds as a Duration.
+// millis converts milliseconds to a Duration.
 func millis(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -24,43 +24,43 @@
 		sim.partitioned = true
 		sim.after(duration, func() { sim.partitioned = false })
 	case "replace":
-		some := sim.sampleWorkersOf(f.Share)
-		for i, at := range some {
-			sim.after(duration*time.Duration(i)/time.Duration(len(some)), func() { sim.replaceWorker(at) })
+		indexes := sim.sampleWorkers(f.Share)
+		for i, at := range indexes {
+			sim.after(duration*time.Duration(i)/time.Duration(len(indexes)), func() { sim.replaceWorker(at) })
 		}
 	case "slow":
-		for _, at := range sim.sampleWorkersOf(f.Share) {
+		for _, at := range sim.sampleWorkers(f.Share) {
 			sim.workers[at].speedFactor = f.Factor
 			sim.after(duration, func() { sim.workers[at].speedFactor = 1 })
 		}
 	case "fail":
-		for _, at := range sim.sampleWorkersOf(f.Share) {
+		for _, at := range sim.sampleWorkers(f.Share) {
 			sim.workers[at].errorShare = f.Factor
 			sim.after(duration, func() { sim.workers[at].errorShare = 0 })
 		}
 	}
 }
 
-// sampleSchedulers draws a share of the schedulers, one at least.
-func (sim *simulation) sampleSchedulers(share float64) (some []*scheduler) {
+// sampleSchedulers returns a random share of the schedulers, at least one.
+func (sim *simulation) sampleSchedulers(share float64) (sampled []*scheduler) {
 	for _, i := range sim.rand.Perm(len(sim.schedulers))[:max(1, int(share*float64(len(sim.schedulers))))] {
-		some = append(some, sim.schedulers[i])
+		sampled = append(sampled, sim.schedulers[i])
 	}
-	return some
+	return sampled
 }
 
-// sampleWorkersOf draws a share of the active workers, one at least, and returns their
-// indexes.
-func (sim *simulation) sampleWorkersOf(share float64) (some []int) {
+// sampleWorkers returns the indexes of a random share of the active workers, at least
+// one.
+func (sim *simulation) sampleWorkers(share float64) (indexes []int) {
 	for _, i := range sim.rand.Perm(len(sim.workers)) {
 		if sim.workerList[i].State == dispatcher.Active {
-			some = append(some, i)
+			indexes = append(indexes, i)
 		}
 	}
-	return some[:max(1, int(share*float64(len(some))))]
+	return indexes[:max(1, int(share*float64(len(indexes))))]
 }
 
-// kill crashes a scheduler; its clients are reset.
+// kill crashes a scheduler and resets its clients' connections.
 func (s *scheduler) kill() {
 	s.up = false
 	s.incarnation++
@@ -71,8 +71,8 @@
 	}
 }
 
-// replaceWorker has a worker drain and a new one of its kind start. The list shows both a
-// little later.
+// replaceWorker drains a worker and starts a new one with the same cores and speed. The
+// old worker is removed 6 s later. Schedulers learn of the changes with a delay.
 func (sim *simulation) replaceWorker(at int) {
 	old := sim.workers[at]
 	sim.workerList[at].State = dispatcher.Draining
@@ -85,7 +85,8 @@
 	})
 }
 
-// publishList sends an update of the list to each scheduler, with a random delay.
+// publishList sends an update of the worker list to each scheduler, with a random delay
+// of 20 to 200 ms.
 func (sim *simulation) publishList() {
 	for _, s := range sim.schedulers {
 		s.handleAfter(millis(20+180*sim.netRand.Float64()), func() { s.updateWorkers(dispatcher.UpdateDelta) })
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -16,7 +16,7 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// erlangC is the mean wait in an M/M/c queue, in service times.
+// erlangC returns the mean wait in an M/M/c queue by the Erlang C formula, in service times.
 func erlangC(servers int, load float64) float64 {
 	a, sum, term := load*float64(servers), 0.0, 1.0
 	for k := range servers {
@@ -27,7 +27,7 @@
 	return last / (sum + last) / (float64(servers) * (1 - load))
 }
 
-// Guards the model of a worker: its waits are those of a known queue within 2%.
+// TestWorkerIsAKnownQueue checks the worker model against theory: its mean waits must be within 2% of those of an M/M/c queue.
 func TestWorkerIsAKnownQueue(t *testing.T) {
 	for _, c := range []struct {
 		cores int
@@ -39,8 +39,8 @@
 		jobs, waited := 0, time.Duration(0)
 		var arrive func()
 		arrive = func() {
-			came := k.now
-			w.enqueue(&task{slots: 1, work: dispatchconfig.Seconds(r.ExpFloat64()), started: func() { jobs, waited = jobs+1, waited+k.now-came }, ended: func(bool, float64) {}})
+			arrivedAt := k.now
+			w.enqueue(&task{slots: 1, work: dispatchconfig.Seconds(r.ExpFloat64()), started: func() { jobs, waited = jobs+1, waited+k.now-arrivedAt }, ended: func(bool, float64) {}})
 			k.after(dispatchconfig.Seconds(r.ExpFloat64()/c.load/float64(c.cores)), arrive)
 		}
 		arrive()
@@ -51,50 +51,52 @@
 	}
 }
 
-// small is an experiment that takes a moment.
-func small() Experiment {
+// smallExperiment returns an experiment with short runs of few schedulers.
+func smallExperiment() Experiment {
 	e := DefaultExperiment()
 	e.Version, e.Seeds, e.LengthSeconds, e.Schedulers, e.Workers = Version, 2, 3, []int{4, 8}, []int{3, 5}
-	e.Variants = []Variant{{Name: "alone"}, {Name: "told", Peers: true, MinSubscribers: 6, MinSubset: 4}}
+	e.Variants = []Variant{{Name: "isolated"}, {Name: "with-peers", Peers: true, MinSubscribers: 6, MinSubset: 4}}
 	return e
 }
 
-// Guards against runs that differ by chance, or by what other runs go on at the same time: then no difference means anything.
+// TestSameSeedSameRun checks that runs are deterministic. If runs of one seed differed by chance, or by the influence of concurrent
+// runs, differences between variants would be meaningless.
 func TestSameSeedSameRun(t *testing.T) {
-	e := small()
+	e := smallExperiment()
 	a, b := Run(&e, func(Result) {}), Run(&e, func(Result) {})
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("two runs of one experiment differ:\n%+v\n%+v", a, b)
 	}
 	if a[0].Seed == a[2].Seed || reflect.DeepEqual(a[0].Metrics, a[2].Metrics) {
-		t.Error("two seeds give the same play")
+		t.Error("two seeds give the same run")
 	}
 	if a[0].Submitted != a[1].Submitted || a[0].submittedWork != a[1].submittedWork {
-		t.Error("two variants of one seed are asked for different work")
+		t.Error("two variants of one seed have different submitted work")
 	}
 }
 
-// Guards the accounting through every kind of fault: each submitted job has exactly one end, and the fault has an effect.
+// TestEveryJobHasAnEnd checks for every kind of fault that each submitted job has exactly one outcome, and that the fault changes the
+// results.
 func TestEveryJobHasAnEnd(t *testing.T) {
-	e := small()
+	e := smallExperiment()
 	e.Seeds = 1
-	calm := Run(&e, func(Result) {})
-	for _, trouble := range []Fault{{Kind: "kill", Share: 0.6}, {Kind: "freeze", Share: 0.5}, {Kind: "split", Share: 1},
+	faultless := Run(&e, func(Result) {})
+	for _, fault := range []Fault{{Kind: "kill", Share: 0.6}, {Kind: "freeze", Share: 0.5}, {Kind: "split", Share: 1},
 		{Kind: "replace", Share: 0.6}, {Kind: "slow", Share: 0.4, Factor: 0.3}, {Kind: "fail", Share: 0.3, Factor: 0.9}} {
-		trouble.AtSeconds, trouble.ForSeconds = 1, 1
-		e.Faults = []Fault{trouble}
+		fault.AtSeconds, fault.ForSeconds = 1, 1
+		e.Faults = []Fault{fault}
 		for i, r := range Run(&e, func(Result) {}) {
 			if ends := r.Served + r.Rejected + r.Failed + r.ClientResets; ends != r.Submitted {
-				t.Errorf("%s, %s: %d jobs asked for, %d ends: %+v", trouble.Kind, r.Variant, r.Submitted, ends, r)
+				t.Errorf("%s, %s: %d jobs submitted, %d outcomes: %+v", fault.Kind, r.Variant, r.Submitted, ends, r)
 			}
-			if reflect.DeepEqual(r.Metrics, calm[i].Metrics) && (trouble.Kind != "split" || r.Variant == "told") {
-				t.Errorf("%s, %s: nothing has changed", trouble.Kind, r.Variant)
+			if reflect.DeepEqual(r.Metrics, faultless[i].Metrics) && (fault.Kind != "split" || r.Variant == "with-peers") {
+				t.Errorf("%s, %s: the fault has no effect on the metrics", fault.Kind, r.Variant)
 			}
 		}
 	}
 }
 
-// Guards against mistyped files that run for hours or give no named error.
+// TestBadFilesAreNamed guards against mistyped files that run for hours, and against errors that do not name the file and the key.
 func TestBadFilesAreNamed(t *testing.T) {
 	good, err := os.ReadFile("../../deploy/swarm.toml")
 	if err != nil {
@@ -126,37 +128,38 @@
 	}
 }
 
-// Guards the interval by a known case: 1, 2, 3, 4 has the mean 2.5 and, by Student's t with 3 degrees, 2.054 beside it.
+// TestInterval checks a known case: 1, 2, 3, 4 has the mean 2.5 and, by Student's t with 3 degrees of freedom, a 95% confidence
+// interval with the half-width 2.054.
 func TestInterval(t *testing.T) {
-	if d := meanOf([]float64{1, 2, 3, 4}); d.Mean != 2.5 || math.Abs(d.HalfInterval-2.054) > 0.001 {
+	if d := meanOf([]float64{1, 2, 3, 4}); d.Mean != 2.5 || math.Abs(d.HalfWidth-2.054) > 0.001 {
 		t.Errorf("%+v", d)
 	}
-	if d := meanOf([]float64{7}); d.Mean != 7 || !math.IsNaN(d.HalfInterval) {
-		t.Errorf("of one figure: %+v", d)
+	if d := meanOf([]float64{7}); d.Mean != 7 || !math.IsNaN(d.HalfWidth) {
+		t.Errorf("estimate from one value: %+v", d)
 	}
 }
 
-// Guards the report: every variant and figure is in the table and on the page.
+// TestReport checks that the table contains every variant and the page a plot of every metric.
 func TestReport(t *testing.T) {
-	e := small()
+	e := smallExperiment()
 	all := Run(&e, func(Result) {})
 	var table, page bytes.Buffer
 	if err := errors.Join(Table(&table, &e, all), HTML(&page, &e, all)); err != nil {
 		t.Fatal(err)
 	}
-	if n := strings.Count(table.String(), "told"); n != 2 {
-		t.Errorf("the table has the variant %d times, want once a size:\n%s", n, &table)
+	if n := strings.Count(table.String(), "with-peers"); n != 2 {
+		t.Errorf("the table has the variant %d times, want once per size:\n%s", n, &table)
 	}
 	if n := strings.Count(page.String(), "<svg"); n != len(metrics) || !strings.Contains(page.String(), "</svg>") {
 		t.Errorf("the page has %d plots, want %d", n, len(metrics))
 	}
 }
 
-// The time of a run of many schedulers, for a second of the day.
+// BenchmarkSimulate measures a run of many schedulers over one second of virtual time plus the drain of 6 s.
 func BenchmarkSimulate(b *testing.B) {
 	for _, n := range []int{24, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			e := small()
+			e := smallExperiment()
 			e.LengthSeconds, e.Schedulers, e.Workers = 1, []int{n}, []int{n * 2 / 3}
 			e.Variants[1].MinSubscribers, e.Variants[1].MinSubset = 12, 6
 			for b.Loop() {
--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -11,7 +11,7 @@
 	"sedgevale/internal/testkit"
 )
 
-// The keys of an experiment's file and of a result, each with the field that it stands for.
+// TestKeysOfExperiments checks the keys of an experiment file and of a result, and the field that each key belongs to.
 func TestKeysOfExperiments(t *testing.T) {
 	var file fleetsim.Experiment
 	testkit.Fill(&file)
--- a/internal/fleetsim/host.go
+++ b/internal/fleetsim/host.go
@@ -7,26 +7,26 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// The scheduler as dispatcher.Host.
+// The methods in this file implement dispatcher.Host.
 
-// Send sends an attempt on an idle connection, or on a new one.
+// Send sends an attempt to a worker over an idle connection, or over a new one if there is none.
 func (s *scheduler) Send(id, worker string, _ time.Duration) {
-	sim, j, at := s.sim, s.jobs[id], s.sim.workerIndex[worker]
-	w, number := sim.workers[at], len(j.attempts)
-	a := &attempt{worker: at, task: &task{slots: j.slots, work: j.work}}
+	sim, j, index := s.sim, s.jobs[id], s.sim.workerIndex[worker]
+	w, number := sim.workers[index], len(j.attempts)
+	a := &attempt{worker: index, task: &task{slots: j.slots, work: j.work}}
 	j.attempts = append(j.attempts, a)
 	sim.result.Attempts++
-	way := millis(sim.experiment.Network.OneWayMillis)
-	idle := s.idleConns[at]
+	latency := millis(sim.experiment.Network.OneWayMillis)
+	idle := s.idleConns[index]
 	for len(idle) > 0 && sim.now-idle[0] >= dispatchconfig.Seconds(sim.experiment.Worker.IdleSeconds) {
 		idle = idle[1:]
 	}
 	if len(idle) > 0 {
-		s.idleConns[at] = idle[:len(idle)-1]
+		s.idleConns[index] = idle[:len(idle)-1]
 	} else {
-		s.idleConns[at] = nil
+		s.idleConns[index] = nil
 		a.task.handshake = millis(sim.experiment.Worker.HandshakeMillis)
-		way *= 3
+		latency *= 3
 		sim.result.Connections++
 	}
 	end := func(o dispatcher.Outcome, report *dispatcher.LoadReport) {
@@ -50,7 +50,7 @@
 			end(dispatcher.Errored, report)
 		}
 	}
-	sim.after(way, func() {
+	sim.after(latency, func() {
 		switch {
 		case a.task.cancelled:
 		case w.removed:
@@ -89,21 +89,21 @@
 	s.handleAfter(0, func() { s.attemptEnded(j, number, dispatcher.Cancelled, nil) })
 }
 
-// Reject answers the client, which may try again.
+// Reject rejects a job. The client may retry it.
 func (s *scheduler) Reject(id string, after time.Duration) {
 	sim, j := s.sim, s.jobs[id]
 	j.answered = true
 	sim.result.Rejections++
 	if j.clientRetries < sim.experiment.Retries && after > 0 && sim.now+after < j.deadline {
-		again := *j
-		again.answered, again.clientRetries = false, again.clientRetries+1
-		sim.after(after, func() { sim.submit(&again, sim.netRand.IntN(len(sim.schedulers))) })
+		retry := *j
+		retry.answered, retry.clientRetries = false, retry.clientRetries+1
+		sim.after(after, func() { sim.submit(&retry, sim.netRand.IntN(len(sim.schedulers))) })
 		return
 	}
 	sim.result.Rejected++
 }
 
-// Fail answers the client.
+// Fail answers the client with an error.
 func (s *scheduler) Fail(id string) {
 	s.jobs[id].answered = true
 	s.sim.result.Failed++
@@ -114,7 +114,7 @@
 	s.handleAfter(after, func() { s.dispatcher.TimerFired(s.sim.now, token) })
 }
 
-// Probe asks a worker for its load.
+// Probe requests a load report from a worker.
 func (s *scheduler) Probe(worker string) {
 	s.handleAfter(2*millis(s.sim.experiment.Network.OneWayMillis), func() {
 		s.dispatcher.ProbeResult(s.sim.now, worker, &dispatcher.LoadReport{HasFreeSlots: true, FreeSlots: s.sim.workers[s.sim.workerIndex[worker]].reportedFree})
@@ -126,8 +126,8 @@
 	delete(s.idleConns, s.sim.workerIndex[worker])
 }
 
-// WatchWorkers does nothing: all updates of the list are sent unasked.
+// WatchWorkers does nothing, because the simulation sends all updates of the worker list unprompted.
 func (s *scheduler) WatchWorkers() {}
 
-// Log drops the line.
+// Log discards the line.
 func (s *scheduler) Log(string) {}
--- a/internal/fleetsim/report.go
+++ b/internal/fleetsim/report.go
@@ -16,13 +16,13 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// metric is a column of the table and a plot of the page.
+// metric is a metric with its column in the table and its plot on the page.
 type metric struct {
 	name, title string
-	of          func(*Result) float64
+	value       func(*Result) float64
 }
 
-// metrics are the metrics of the report, in their order.
+// metrics lists the metrics of the report in their order.
 var metrics = []metric{
 	{"worth", "worth served in time, of what was asked for", func(r *Result) float64 { return r.Value }},
 	{"gain", "worth less the price of connections, messages and waste", func(r *Result) float64 { return r.NetValue }},
@@ -34,8 +34,8 @@
 	{"p99 ms", "99th percentile of served jobs, ms", func(r *Result) float64 { return r.P99MS }},
 }
 
-// Table writes the means of all variants, and by how much each differs from the first,
-// with 95% intervals.
+// Table writes the mean metrics of all variants and their differences from the first
+// variant, with 95% confidence intervals.
 func Table(out io.Writer, e *Experiment, all []Result) error {
 	var b bytes.Buffer
 	for _, size := range e.Schedulers {
@@ -47,7 +47,7 @@
 		for i, v := range e.Variants {
 			fmt.Fprint(&b, v.Name)
 			for _, m := range metrics {
-				fmt.Fprintf(&b, "\t%.4g", Compare(all, size, v.Name, "", m.of).Mean)
+				fmt.Fprintf(&b, "\t%.4g", Compare(all, size, v.Name, "", m.value).Mean)
 			}
 			fmt.Fprintln(&b)
 			if i == 0 {
@@ -55,8 +55,8 @@
 			}
 			fmt.Fprint(&b, "  less the first")
 			for _, m := range metrics {
-				d := Compare(all, size, v.Name, e.Variants[0].Name, m.of)
-				fmt.Fprintf(&b, "\t%+.3g ±%.2g", d.Mean, d.HalfInterval)
+				d := Compare(all, size, v.Name, e.Variants[0].Name, m.value)
+				fmt.Fprintf(&b, "\t%+.3g ±%.2g", d.Mean, d.HalfWidth)
 			}
 			fmt.Fprintln(&b)
 		}
@@ -69,13 +69,13 @@
 	return t.Flush()
 }
 
-// points are a variant's means by size, with their intervals.
+// points are the means of one variant by size, with their confidence intervals.
 type points struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// HTML writes one page with a plot of each figure over the number of schedulers.
+// HTML writes a page with the table and a plot of each metric over the number of schedulers.
 func HTML(out io.Writer, e *Experiment, all []Result) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "<!DOCTYPE html>\n<meta charset=\"utf-8\">\n<title>swarm</title>\n<h1>Swarm</h1>\n<p>%d seeds, %g s, load %g; bars: 95%% intervals</p>\n",
@@ -85,29 +85,29 @@
 		return err
 	}
 	fmt.Fprintf(&b, "<pre>%s</pre>\n", html.EscapeString(table.String()))
-	for _, g := range metrics {
+	for _, m := range metrics {
 		p := plot.New()
-		p.Title.Text, p.X.Label.Text = g.title, "schedulers"
+		p.Title.Text, p.X.Label.Text = m.title, "schedulers"
 		if len(e.Schedulers) > 1 {
 			p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 		}
 		for i, v := range e.Variants {
 			var pts points
 			for _, size := range e.Schedulers {
-				d := Compare(all, size, v.Name, "", g.of)
-				if math.IsNaN(d.HalfInterval) {
-					d.HalfInterval = 0
+				d := Compare(all, size, v.Name, "", m.value)
+				if math.IsNaN(d.HalfWidth) {
+					d.HalfWidth = 0
 				}
 				pts.XYs = append(pts.XYs, plotter.XY{X: float64(size), Y: d.Mean})
-				pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{d.HalfInterval, d.HalfInterval})
+				pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{d.HalfWidth, d.HalfWidth})
 			}
 			line, dots, err := plotter.NewLinePoints(pts.XYs)
 			if err != nil {
-				return fmt.Errorf("plot of %s: %w", g.name, err)
+				return fmt.Errorf("plot of %s: %w", m.name, err)
 			}
 			bars, err := plotter.NewYErrorBars(pts)
 			if err != nil {
-				return fmt.Errorf("plot of %s: %w", g.name, err)
+				return fmt.Errorf("plot of %s: %w", m.name, err)
 			}
 			line.Color, dots.Color, bars.Color = plotutil.Color(i), plotutil.Color(i), plotutil.Color(i)
 			dots.Shape = plotutil.Shape(i)
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -17,8 +17,8 @@
 	Submitted    int `json:"asked"` // jobs
 	Served       int `json:"served"`
 	InTime       int `json:"in_time"`  // served within the latency target
-	Rejected     int `json:"refused"`  // jobs that were not tried again
-	Rejections   int `json:"refusals"` // answers
+	Rejected     int `json:"refused"`  // jobs that ended with a rejection
+	Rejections   int `json:"refusals"` // rejections sent to clients, including those that were retried
 	Failed       int `json:"failed"`
 	ClientResets int `json:"lost"`
 	Attempts     int `json:"attempts"`
@@ -32,37 +32,37 @@
 	bytes                                                  int
 }
 
-// Metrics are the shares and rates that runs are compared by.
+// Metrics are the normalized figures by which runs are compared.
 type Metrics struct {
-	Value             float64 `json:"worth"`           // served in time, of that of all submitted jobs
-	NetValue          float64 `json:"gain"`            // that less the price of connections, messages and waste
-	CancelRate        float64 `json:"calls_off"`       // cancelled attempts, of all
+	Value             float64 `json:"worth"`           // value of jobs served in time, relative to the value of all submitted jobs
+	NetValue          float64 `json:"gain"`            // Value minus the cost of connections, messages and wasted work
+	CancelRate        float64 `json:"calls_off"`       // share of attempts that were cancelled
 	ConnectionsPerJob float64 `json:"connections_job"` // new connections
 	BytesPerJob       float64 `json:"bytes_job"`
 	MessagesPerJob    float64 `json:"messages_job"`
-	WorstWorker       float64 `json:"worst_box"`       // the largest part of the work over the worker's part of the capacity
-	WorstScheduler    float64 `json:"worst_scheduler"` // the lowest Value at a scheduler, over that of all
-	MaxOverload       float64 `json:"pushed"`          // the most that a worker got while it warmed up, over what it may get
+	WorstWorker       float64 `json:"worst_box"`       // highest ratio of a worker's share of the work to its share of the capacity
+	WorstScheduler    float64 `json:"worst_scheduler"` // lowest Value of a scheduler, relative to Value
+	MaxOverload       float64 `json:"pushed"`          // highest ratio of the work that a worker received in slow start to its limit
 	P50MS             float64 `json:"p50_ms"`
 	P99MS             float64 `json:"p99_ms"`
 }
 
-// summarize returns the result at the end of a run. Capacity is that of all workers at
-// the start, in core time at speed 1.
+// summarize computes the metrics at the end of a run. Capacity is the total capacity of
+// the workers at the start, in cores at speed 1.
 func (sim *simulation) summarize(capacity float64) Result {
 	r := &sim.result
 	jobs := float64(max(1, r.Submitted))
 	r.Value = r.servedValue / max(1e-9, r.submittedValue)
 	r.CancelRate = float64(r.Cancelled) / float64(max(1, r.Attempts))
 	r.ConnectionsPerJob, r.MessagesPerJob, r.BytesPerJob = float64(r.Connections)/jobs, float64(r.Messages)/jobs, float64(r.bytes)/jobs
-	r.NetValue = r.Value - priceHandshake*r.ConnectionsPerJob - pricePeer*r.BytesPerJob/fullMessageBytes - priceWaste*r.wastedWork/max(1e-9, r.submittedWork)
+	r.NetValue = r.Value - handshakeCost*r.ConnectionsPerJob - peerMessageCost*r.BytesPerJob/fullMessageBytes - wastedWorkCost*r.wastedWork/max(1e-9, r.submittedWork)
 	done := max(1e-9, sim.workDone())
 	for i, w := range sim.workers {
 		r.MaxOverload = max(r.MaxOverload, w.maxOverload())
-		if sim.workerList[i].StartedAt > 0 || w.removed { // it was there for a part of the run
+		if sim.workerList[i].StartedAt > 0 || w.removed { // the worker was active only for a part of the run
 			continue
 		}
-		// Work is counted at speed 1, which takes more core time at a slow worker.
+		// Work is measured at speed 1; a slower worker needs more core time for it.
 		if share := w.coreTime.Seconds() * w.speed / done; share > 0 {
 			r.WorstWorker = max(r.WorstWorker, share/(float64(w.cores)*w.speed/capacity))
 		}
@@ -77,7 +77,7 @@
 	return *r
 }
 
-// workDone returns the work that workers have done, in seconds at speed 1.
+// workDone returns the work that all workers have done, in core seconds at speed 1.
 func (sim *simulation) workDone() (sum float64) {
 	for _, w := range sim.workers {
 		sum += w.coreTime.Seconds() * w.speed
@@ -85,25 +85,25 @@
 	return sum
 }
 
-// Run runs every variant at every size on every seed, several at a time, and calls done with each result, in any order,
-// one at a time. It returns all of them by size, variant and seed.
+// Run runs every variant at every size on every seed, several runs in parallel. It calls done with each result, in any order but
+// never concurrently, and returns all results ordered by size, seed and variant.
 func Run(e *Experiment, done func(Result)) []Result {
-	type one struct{ size, variant, seed int }
-	var todo []one
+	type runSpec struct{ size, variant, seed int }
+	var specs []runSpec
 	for size := range e.Schedulers {
 		for seed := range e.Seeds {
 			for v := range e.Variants {
-				todo = append(todo, one{size, v, seed})
+				specs = append(specs, runSpec{size, v, seed})
 			}
 		}
 	}
-	all := make([]Result, len(todo))
+	all := make([]Result, len(specs))
 	next, mu := make(chan int), sync.Mutex{}
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			for i := range next {
-				t := todo[i]
+				t := specs[i]
 				r := simulate(e, &e.Variants[t.variant], t.size, max(1, e.FirstSeed)+uint64(t.seed))
 				mu.Lock()
 				all[i] = r
@@ -112,7 +112,7 @@
 			}
 		})
 	}
-	for i := range todo {
+	for i := range specs {
 		next <- i
 	}
 	close(next)
@@ -120,47 +120,48 @@
 	return all
 }
 
-// Difference is a mean over seeds and how far off it may be, at 95%.
-type Difference struct{ Mean, HalfInterval float64 }
+// Estimate is a mean over seeds with the half-width of its 95% confidence interval.
+type Estimate struct{ Mean, HalfWidth float64 }
 
-// meanOf returns the mean of some figures with its interval, by Student's t.
-func meanOf(of []float64) Difference {
-	n := float64(len(of))
+// meanOf returns the mean of some values with its confidence interval by Student's t-distribution.
+func meanOf(values []float64) Estimate {
+	n := float64(len(values))
 	if n == 0 {
-		return Difference{math.NaN(), math.NaN()}
+		return Estimate{math.NaN(), math.NaN()}
 	}
 	mean := 0.0
-	for _, x := range of {
+	for _, x := range values {
 		mean += x / n
 	}
 	if n < 2 {
-		return Difference{mean, math.NaN()}
+		return Estimate{mean, math.NaN()}
 	}
 	square := 0.0
-	for _, x := range of {
+	for _, x := range values {
 		square += (x - mean) * (x - mean)
 	}
-	return Difference{mean, studentT(len(of)-1) * math.Sqrt(square/(n-1)/n)}
+	return Estimate{mean, studentT(len(values)-1) * math.Sqrt(square/(n-1)/n)}
 }
 
-// studentT returns the quantile of Student's t at 97.5% for so many degrees of freedom (from the usual table, and
-// the normal's beyond it).
-func studentT(freedom int) float64 {
+// studentT returns the 97.5% quantile of Student's t-distribution for a number of degrees of freedom: from a table up to 30, and
+// by an approximation based on the normal distribution's quantile beyond that.
+func studentT(degrees int) float64 {
 	table := []float64{12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
 		2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042}
-	if freedom <= len(table) {
-		return table[freedom-1]
+	if degrees <= len(table) {
+		return table[degrees-1]
 	}
-	return 1.96 + 2.4/float64(freedom)
+	return 1.96 + 2.4/float64(degrees)
 }
 
-// Compare returns how a variant's figure differs from another's on the same seeds, at a size.
-func Compare(all []Result, schedulers int, variant, base string, figure func(*Result) float64) Difference {
+// Compare returns the mean paired difference of a metric between a variant and a base variant on the same seeds and the same number
+// of schedulers. With an empty base it returns the variant's mean.
+func Compare(all []Result, schedulers int, variant, base string, metric func(*Result) float64) Estimate {
 	of := func(name string) map[uint64]float64 {
 		m := map[uint64]float64{}
 		for i := range all {
 			if r := &all[i]; r.Variant == name && r.Schedulers == schedulers {
-				m[r.Seed] = figure(r)
+				m[r.Seed] = metric(r)
 			}
 		}
 		return m
--- a/internal/fleetsim/scheduler.go
+++ b/internal/fleetsim/scheduler.go
@@ -9,25 +9,25 @@
 	"sedgevale/internal/peers"
 )
 
-// scheduler is a scheduler: a real Dispatcher and a real exchange of load with its
-// peers. It implements [dispatcher.Host].
+// scheduler is a simulated scheduler process with a real Dispatcher and a real exchange
+// of load reports with its peers. It implements [dispatcher.Host].
 type scheduler struct {
 	sim            *simulation
 	number         int
-	incarnation    int // restarts and crashes so far; what was scheduled in an earlier one is void
+	incarnation    int // number of starts and crashes; events of an earlier incarnation are dropped
 	up             bool
 	frozenUntil    time.Duration
 	dispatcher     *dispatcher.Dispatcher
-	peers          *peers.Node // nil: load is not exchanged
+	peers          *peers.Node // nil if load reports are not exchanged
 	jobs           map[string]*job
-	idleConns      map[int][]time.Duration // by worker's index: since when each is idle
-	loadChanges    []dispatcher.WorkerLoad // buffer
-	peerLoad       []dispatcher.WorkerLoad // buffer
-	servedValue    float64                 // in time
+	idleConns      map[int][]time.Duration // by worker index: times since which connections are idle
+	loadChanges    []dispatcher.WorkerLoad // reused buffer of publishLoad
+	peerLoad       []dispatcher.WorkerLoad // reused buffer of applyPeerLoad
+	servedValue    float64                 // value of jobs served in time
 	submittedValue float64
 }
 
-// handle handles an event, after a stall if there is one.
+// handle handles an event, or defers it to the end of a freeze.
 func (s *scheduler) handle(do func()) {
 	incarnation := s.incarnation
 	if s.up && s.frozenUntil > s.sim.now {
@@ -42,7 +42,7 @@
 	s.publishLoad()
 }
 
-// handleAfter handles an event after a while, unless the scheduler has crashed meanwhile.
+// handleAfter handles an event after a delay, unless the scheduler crashes before.
 func (s *scheduler) handleAfter(after time.Duration, do func()) {
 	incarnation := s.incarnation
 	s.sim.after(after, func() {
@@ -52,7 +52,7 @@
 	})
 }
 
-// start starts the scheduler with nothing learned.
+// start starts the scheduler without any learned state.
 func (s *scheduler) start() {
 	sim := s.sim
 	s.incarnation++
@@ -60,7 +60,7 @@
 	s.jobs, s.idleConns = map[string]*job{}, map[int][]time.Duration{}
 	var err error
 	if s.dispatcher, err = dispatcher.New(sim.settings(), sim.rand.Uint64(), s); err != nil {
-		panic(err) // the settings are constants and a checked experiment's
+		panic(err) // the settings consist of constants and values of a validated experiment
 	}
 	if sim.variant.Peers {
 		s.peers = peers.New(peers.Options{
@@ -104,7 +104,7 @@
 	return set
 }
 
-// updateWorkers gives the scheduler the list of workers as it is now.
+// updateWorkers passes the current worker list to the scheduler.
 func (s *scheduler) updateWorkers(kind dispatcher.UpdateKind) {
 	s.dispatcher.WorkersUpdated(s.sim.now, kind, s.sim.workerList)
 	if s.peers == nil {
@@ -120,12 +120,12 @@
 	s.updateSubset()
 }
 
-// updateSubset gives the Dispatcher its subset if that has changed.
+// updateSubset passes the subset to the Dispatcher if it has changed.
 func (s *scheduler) updateSubset() {
 	s.peers.TakeSubsetChange(func(subset []string, sharers int) { s.dispatcher.SetSubset(s.sim.now, subset, sharers) })
 }
 
-// tick runs the timers of the exchange with peers.
+// tick runs the periodic work of the exchange with peers and schedules the next tick.
 func (s *scheduler) tick() {
 	s.peers.Tick(s.sim.now)
 	s.updateSubset()
@@ -133,7 +133,7 @@
 	s.handleAfter(peers.TickInterval, s.tick)
 }
 
-// publishLoad sends the load that has changed to the peers.
+// publishLoad sends changes of the scheduler's load to its peers.
 func (s *scheduler) publishLoad() {
 	if s.peers == nil || !s.up {
 		return
@@ -162,7 +162,7 @@
 	})
 }
 
-// applyPeerLoad gives the Dispatcher the load of peers that has changed.
+// applyPeerLoad passes changes of the peers' load to the Dispatcher.
 func (s *scheduler) applyPeerLoad() {
 	s.peerLoad = s.peerLoad[:0]
 	s.peers.TakeLoadChanges(func(id string, slots, waiting int) {
@@ -173,7 +173,7 @@
 	}
 }
 
-// submitRequest takes a job from a client.
+// submitRequest accepts a job from a client, or resets the client if the scheduler is down.
 func (s *scheduler) submitRequest(j *job) {
 	if !s.up {
 		s.sim.clientReset(j)
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -17,44 +17,44 @@
 	clock
 	experiment    *Experiment
 	variant       *Variant
-	rand          *rand.Rand // of arrivals, work and faults: the same for all variants
-	netRand       *rand.Rand // of messages
+	rand          *rand.Rand // for arrivals, work and faults; the same sequence for all variants
+	netRand       *rand.Rand // for messages
 	workers       []*worker
-	workerIndex   map[string]int          // by name
+	workerIndex   map[string]int          // by worker ID
 	workerList    []dispatcher.WorkerInfo // by index
 	schedulers    []*scheduler
-	arrivalRate   float64   // jobs a second
-	tenantQuota   float64   // jobs a second, of all tenants together
+	arrivalRate   float64   // in jobs per second
+	tenantQuota   float64   // sum over all tenants, in jobs per second
 	trafficShares []float64 // by scheduler
 	partitioned   bool      // between the two halves of the schedulers
-	lastJob       int       // its number
+	jobCount      int       // number of submissions so far, for job IDs
 
 	result    Result
 	latencies *hdrhistogram.Histogram
 }
 
-// job is a client's job.
+// job is a job that a client submitted.
 type job struct {
 	id            string
 	class         int
 	tenant        int
 	slots         int
-	work          time.Duration // core time at speed 1, of each slot
+	work          time.Duration // core time at speed 1 per slot
 	submittedAt   time.Duration
 	deadline      time.Duration
-	clientRetries int // of the client, before this one
+	clientRetries int // number of earlier submissions of the same job by the client
 	answered      bool
 	attempts      []*attempt
 }
 
 // attempt is an attempt of a job.
 type attempt struct {
-	worker int // its index
+	worker int // worker index
 	task   *task
 	ended  bool
 }
 
-// simulate runs a variant on a seed, at a size by its index.
+// simulate runs a variant on a seed; size is an index into Experiment.Schedulers.
 func simulate(e *Experiment, v *Variant, size int, seed uint64) Result {
 	sim := &simulation{
 		experiment:  e,
@@ -96,7 +96,7 @@
 	return sim.summarize(capacity)
 }
 
-// addWorker adds a worker that starts at a time; 0 means long ago.
+// addWorker adds a worker that starts at a time; 0 means that its slow start is over.
 func (sim *simulation) addWorker(cores int, speed float64, from time.Duration) {
 	id := fmt.Sprintf("s-%08x", sim.rand.Uint32())
 	w := newWorker(&sim.clock, rand.New(rand.NewPCG(sim.rand.Uint64(), 3)), &sim.experiment.Worker, cores, speed)
@@ -127,7 +127,7 @@
 	})
 }
 
-// sampleJob draws a job and the scheduler that it comes to.
+// sampleJob returns a random job and the index of the scheduler that receives it.
 func (sim *simulation) sampleJob() (j *job, to int) {
 	x, at, c := sim.rand.Float64(), sim.rand.Float64(), 0
 	for c < len(classes)-1 && x >= classes[c].fraction {
@@ -140,7 +140,7 @@
 	}
 	j = &job{class: c, slots: 1, submittedAt: sim.now, deadline: sim.now + classes[c].ClientTimeout,
 		work: time.Duration(float64(classes[c].work) * math.Exp(0.5*sim.rand.NormFloat64()-0.125))}
-	if sim.rand.Float64() < classes[c].twoSlots {
+	if sim.rand.Float64() < classes[c].twoSlotShare {
 		j.slots = 2
 	}
 	for x := sim.rand.Float64(); j.tenant < len(tenants)-1 && x >= tenants[j.tenant].Share; j.tenant++ {
@@ -149,7 +149,8 @@
 	return j, to
 }
 
-// submit sends a job to a scheduler, or to another one if that is down.
+// submit sends a job to a scheduler. If that one is down, it picks a random one, up to
+// three times.
 func (sim *simulation) submit(j *job, to int) {
 	for range 3 {
 		if sim.schedulers[to].up {
@@ -157,25 +158,25 @@
 		}
 		to = sim.netRand.IntN(len(sim.schedulers))
 	}
-	sim.lastJob++
-	j.id = fmt.Sprint("j", sim.lastJob)
+	sim.jobCount++
+	j.id = fmt.Sprint("j", sim.jobCount)
 	sim.after(millis(sim.experiment.Network.OneWayMillis), func() { sim.schedulers[to].submitRequest(j) })
 }
 
-// clientServed notes that a client has its result.
+// clientServed records that a client receives its result.
 func (sim *simulation) clientServed(j *job, s *scheduler) {
-	took := sim.now + millis(sim.experiment.Network.OneWayMillis) - j.submittedAt
+	latency := sim.now + millis(sim.experiment.Network.OneWayMillis) - j.submittedAt
 	c := &classes[j.class]
 	sim.result.Served++
-	_ = sim.latencies.RecordValue(took.Microseconds()) // no time is beyond the histogram's range
-	if took <= c.LatencyTarget+time.Duration(c.TargetStretch*float64(j.work)) {
+	_ = sim.latencies.RecordValue(latency.Microseconds()) // all times are within the histogram's range
+	if latency <= c.LatencyTarget+time.Duration(c.TargetStretch*float64(j.work)) {
 		sim.result.InTime++
 		sim.result.servedValue += c.value
 		s.servedValue += c.value
 	}
 }
 
-// clientReset notes that a client was reset.
+// clientReset records that a client's connection was reset before an answer.
 func (sim *simulation) clientReset(j *job) {
 	if !j.answered {
 		j.answered = true
--- a/internal/fleetsim/slowstart.go
+++ b/internal/fleetsim/slowstart.go
@@ -7,30 +7,31 @@
 	"sedgevale/internal/dispatchconfig"
 )
 
-// A worker that warms up may get so many times what it can do then, in any window of
-// this length.
+// In any window of length overloadWindow, a worker in slow start may receive at most
+// overloadMultiple times the work that it can do in that window.
 const (
 	overloadMultiple = 3
 	overloadWindow   = 2 * time.Second
 )
 
-// arrival is work that has reached a worker that warmed up, whatever became of it.
+// arrival is work that reached a worker during its slow start, whether or not it was
+// accepted.
 type arrival struct {
 	at   time.Duration
-	work float64 // slot seconds at speed 1
+	work float64 // in slot seconds at speed 1
 }
 
-// recordArrival notes work that reaches the worker while it warms up.
+// recordArrival records work that reaches the worker during its slow start.
 func (w *worker) recordArrival(t *task) {
 	if w.slowStart && w.clock.now < w.startedAt+dispatchconfig.Seconds(w.model.SlowStartSeconds) {
 		w.slowStartArrivals = append(w.slowStartArrivals, arrival{w.clock.now, t.work.Seconds() * float64(t.slots)})
 	}
 }
 
-// maxOverload returns the largest ratio of the work that reached the worker within a
-// window, from all schedulers, to what it may get from the window's start on: that of N
-// jobs of mean work, plus 2 x sqrt(N) + 2 for chance.
-func (w *worker) maxOverload() (most float64) {
+// maxOverload returns the highest ratio of the work that reached the worker within a
+// window, from all schedulers, to its limit at the start of the window: the work of N
+// jobs of mean work, plus a tolerance of 2 x sqrt(N) + 2 jobs for randomness.
+func (w *worker) maxOverload() (highest float64) {
 	sum, last := 0.0, 0
 	for _, a := range w.slowStartArrivals {
 		for ; last < len(w.slowStartArrivals) && w.slowStartArrivals[last].at < a.at+overloadWindow; last++ {
@@ -38,8 +39,8 @@
 		}
 		rate := w.speed * (w.model.SlowStartCapacity + (1-w.model.SlowStartCapacity)*(a.at-w.startedAt).Seconds()/w.model.SlowStartSeconds)
 		n := overloadMultiple * float64(w.cores) * rate * overloadWindow.Seconds() / meanWorkSeconds()
-		most = max(most, sum/meanWorkSeconds()/(n+2*math.Sqrt(n)+2))
+		highest = max(highest, sum/meanWorkSeconds()/(n+2*math.Sqrt(n)+2))
 		sum -= a.work
 	}
-	return most
+	return highest
 }
--- a/internal/fleetsim/worker.go
+++ b/internal/fleetsim/worker.go
@@ -8,34 +8,34 @@
 // task is an attempt of a job at a worker.
 type task struct {
 	slots     int
-	work      time.Duration // core time at speed 1, of each slot
-	handshake time.Duration // work for a new connection
+	work      time.Duration // core time at speed 1 per slot
+	handshake time.Duration // additional run time on a new connection
 	started   func()
 	ended     func(ok bool, reportedFree float64)
 	cancelled bool
 	running   bool
 }
 
-// worker is a modelled worker: it has a slot for each core, a queue served in order, and
-// a speed. After its start the speed rises linearly with time.
+// worker is a modelled worker with one slot per core, a FIFO queue and a speed. During
+// its slow start the speed rises linearly with time.
 type worker struct {
 	clock       *clock
 	rand        *rand.Rand
 	model       *WorkerModel
 	cores       int
 	speed       float64
-	speedFactor float64 // by a fault
-	errorShare  float64 // by a fault
+	speedFactor float64 // 1, unless a fault changes it
+	errorShare  float64 // 0, unless a fault changes it
 	startedAt   time.Duration
-	slowStart   bool // it started in the run
+	slowStart   bool // the worker started during the run
 	removed     bool
 
 	busySlots    int
 	queue        []*task
-	reportedFree float64 // free slots by the last report
+	reportedFree float64 // free slots in the last load report
 
-	coreTime          time.Duration // used
-	slowStartArrivals []arrival     // while it warmed up
+	coreTime          time.Duration // total core time used by tasks
+	slowStartArrivals []arrival     // work that arrived during the slow start
 }
 
 func newWorker(c *clock, r *rand.Rand, model *WorkerModel, cores int, speed float64) *worker {
@@ -44,10 +44,12 @@
 	return w
 }
 
-// uniform draws between two figures.
-func uniform(r *rand.Rand, of [2]float64) float64 { return of[0] + (of[1]-of[0])*r.Float64() }
+// uniform samples the uniform distribution between two bounds.
+func uniform(r *rand.Rand, bounds [2]float64) float64 {
+	return bounds[0] + (bounds[1]-bounds[0])*r.Float64()
+}
 
-// refreshReport updates the report, and does so again after its interval.
+// refreshReport updates the load report and schedules its next update.
 func (w *worker) refreshReport() {
 	if w.removed {
 		return
@@ -56,7 +58,7 @@
 	w.clock.after(millis(uniform(w.rand, w.model.ReportMillis)), w.refreshReport)
 }
 
-// speedNow returns the speed of a core.
+// speedNow returns the current speed of a core.
 func (w *worker) speedNow() float64 {
 	rate := w.speed * w.speedFactor
 	if age := (w.clock.now - w.startedAt).Seconds(); w.slowStart && age < w.model.SlowStartSeconds {
@@ -65,7 +67,7 @@
 	return rate
 }
 
-// enqueue takes a task, or returns false if the queue is full or the worker removed.
+// enqueue accepts a task. It returns false if the queue is full or the worker was removed.
 func (w *worker) enqueue(t *task) bool {
 	w.recordArrival(t)
 	if w.removed || len(w.queue) >= w.model.Queue && (w.busySlots+t.slots > w.cores || len(w.queue) > 0) {
@@ -76,7 +78,7 @@
 	return true
 }
 
-// cancel cancels a task; one that has not started is dropped where the model says so.
+// cancel cancels a task. A task that has not started is dropped if the model says so.
 func (w *worker) cancel(t *task) {
 	t.cancelled = true
 	if !t.running && w.model.DropsCancelled {
@@ -86,11 +88,11 @@
 				break
 			}
 		}
-		w.startTasks() // it may have been the head
+		w.startTasks() // the dropped task may have blocked the head of the queue
 	}
 }
 
-// startTasks starts the tasks at the head of the queue for which there are slots.
+// startTasks starts tasks from the head of the queue while their slots are free.
 func (w *worker) startTasks() {
 	for len(w.queue) > 0 && w.busySlots+w.queue[0].slots <= w.cores {
 		t := w.queue[0]
--- a/internal/fleetsim/workload.go
+++ b/internal/fleetsim/workload.go
@@ -6,14 +6,13 @@
 	"sedgevale/dispatcher"
 )
 
-// classes are the classes of jobs. No job's name or tenant's name has an influence on
-// a run.
+// classes are the job classes. The names of classes and tenants do not influence a run.
 var classes = []struct {
 	dispatcher.Class
-	value    float64       // of an answer in time
-	fraction float64       // of all jobs
-	work     time.Duration // core time at speed 1, on average
-	twoSlots float64       // share of jobs that take two slots
+	value        float64       // value of a job served in time
+	fraction     float64       // share of all jobs
+	work         time.Duration // mean core time at speed 1 per slot
+	twoSlotShare float64       // share of jobs that take two slots
 }{
 	{
 		Class: dispatcher.Class{Name: "idempotent", Idempotency: dispatcher.Idempotent,
@@ -23,12 +22,12 @@
 	{
 		Class: dispatcher.Class{Name: "at-most-once", Idempotency: dispatcher.NotIdempotent,
 			LatencyTarget: 100 * time.Millisecond, TargetStretch: 2.5, ClientTimeout: 5 * time.Second},
-		value: 3, fraction: 0.31, work: 100 * time.Millisecond, twoSlots: 0.25,
+		value: 3, fraction: 0.31, work: 100 * time.Millisecond, twoSlotShare: 0.25,
 	},
 	{
 		Class: dispatcher.Class{Name: "idempotent-by-key", Idempotency: dispatcher.IdempotentByKey, DedupScope: dispatcher.DedupCell, DedupWindow: 7500 * time.Millisecond,
 			LatencyTarget: 100 * time.Millisecond, TargetStretch: 2.5, ClientTimeout: 5 * time.Second},
-		value: 10, fraction: 0.25, work: 100 * time.Millisecond, twoSlots: 0.25,
+		value: 10, fraction: 0.25, work: 100 * time.Millisecond, twoSlotShare: 0.25,
 	},
 }
 
@@ -42,21 +41,21 @@
 	{Name: "f", Share: 0.09},
 }
 
-// quotaShare is the share of all capacity that the tenants' quotas add up to.
+// quotaShare is the sum of the tenants' quotas as a share of the total capacity.
 const quotaShare = 0.79
 
-// Prices, as shares of the value of all submitted jobs.
+// Costs, as shares of the value of all submitted jobs.
 const (
-	priceHandshake   = 0.02  // of a new connection for each job
-	pricePeer        = 0.01  // of a full message for each job
-	priceWaste       = 0.043 // of as much wasted work as was submitted
+	handshakeCost    = 0.02  // of one new connection per job
+	peerMessageCost  = 0.01  // of one full message per job
+	wastedWorkCost   = 0.043 // of as much wasted work as submitted work
 	fullMessageBytes = 256
 )
 
 // meanWorkSeconds returns the mean work of a job in slot seconds at speed 1.
 func meanWorkSeconds() (sum float64) {
 	for _, c := range classes {
-		sum += c.fraction * c.work.Seconds() * (1 + c.twoSlots)
+		sum += c.fraction * c.work.Seconds() * (1 + c.twoSlotShare)
 	}
 	return sum
 }
--- a/internal/taskgroup/taskgroup.go
+++ b/internal/taskgroup/taskgroup.go
@@ -1,4 +1,4 @@
-// Package taskgroup starts goroutines that end with a context and have an owner that waits for them.
+// Package taskgroup manages groups of goroutines that are stopped by a context and that their owner can wait for.
 package taskgroup
 
 import (
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// Group starts goroutines that end with one context. It is safe for concurrent use: other than with a sync.WaitGroup alone, a
-// goroutine may be started while Shutdown waits. A derived group shares the count of running goroutines, so that whoever shuts
-// the first group down waits for all of them.
+// Group starts goroutines that are stopped by one context. It is safe for concurrent use: unlike with a plain sync.WaitGroup, Go
+// may be called while Shutdown waits. A derived group shares the counter of running goroutines, so that Shutdown of the original
+// group waits for the goroutines of all derived groups.
 type Group struct {
 	ctx    context.Context // passed to the goroutines
 	cancel context.CancelFunc
@@ -17,25 +17,25 @@
 
 // counter counts running goroutines.
 type counter struct {
-	mu      sync.Mutex // guards closed; held for no task
-	closed  bool       // no goroutine is started any more; never reset
+	mu      sync.Mutex // guards closed; not held while a task runs
+	closed  bool       // set by Shutdown: no goroutine is started any more
 	running sync.WaitGroup
 }
 
-// New returns a group whose goroutines end with the context, or when the group is cancelled.
+// New returns a group whose context is cancelled with the given one, or by Cancel or Shutdown.
 func New(ctx context.Context) *Group {
 	ctx, cancel := context.WithCancel(ctx)
 	return &Group{ctx: ctx, cancel: cancel, count: &counter{}}
 }
 
-// Derive returns a group that can be cancelled by itself, and ends with this one.
+// Derive returns a group that can be cancelled on its own and is cancelled with this one.
 func (g *Group) Derive() *Group {
 	derived := New(g.ctx)
 	derived.count = g.count
 	return derived
 }
 
-// Go starts a goroutine. It reports false, and starts none, once the group is shutting down.
+// Go runs a task in a new goroutine. It returns false without starting the task if Shutdown has been called.
 func (g *Group) Go(task func(context.Context)) (started bool) {
 	g.count.mu.Lock()
 	defer g.count.mu.Unlock()
@@ -46,16 +46,16 @@
 	return true
 }
 
-// Context returns the context with which the goroutines end.
+// Context returns the context that is passed to the goroutines.
 func (g *Group) Context() context.Context { return g.ctx }
 
-// Done is closed when the goroutines are to end.
+// Done returns a channel that is closed when the group's context is cancelled.
 func (g *Group) Done() <-chan struct{} { return g.ctx.Done() }
 
-// Cancel has the goroutines of the group end, and waits for none of them.
+// Cancel cancels the context of the group and does not wait for the goroutines.
 func (g *Group) Cancel() { g.cancel() }
 
-// Shutdown ends the goroutines of this group and of those derived from it, and waits for them.
+// Shutdown cancels the context of this group and of the groups derived from it, and waits for their goroutines.
 func (g *Group) Shutdown() {
 	g.cancel()
 	g.count.mu.Lock()
--- a/internal/taskgroup/taskgroup_test.go
+++ b/internal/taskgroup/taskgroup_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Shutdown ends and waits for all goroutines, those of derived groups too; a derived group can be cancelled by itself.
+// TestGroupWaitsForAllItsGoroutines checks that Shutdown stops and waits for all goroutines, including those of derived groups, and
+// that cancelling a derived group does not affect the original one.
 func TestGroupWaitsForAllItsGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		group := New(t.Context())
@@ -23,12 +24,12 @@
 		}
 		derived.Cancel()
 		if group.ctx.Err() != nil {
-			t.Error("a derived group ended the one that it is derived from")
+			t.Error("cancelling a derived group cancelled the group that it is derived from")
 		}
 		began := time.Now()
 		group.Shutdown()
 		if ended.Load() != 3 || time.Since(began) != time.Second {
-			t.Errorf("%d of 3 goroutines ended after %v", ended.Load(), time.Since(began))
+			t.Errorf("Shutdown returned after %v with %d of 3 goroutines ended", time.Since(began), ended.Load())
 		}
 		if group.Go(func(context.Context) {}) || derived.Go(func(context.Context) {}) {
 			t.Error("a group that was shut down started a goroutine")
--- a/internal/testkit/avro.go
+++ b/internal/testkit/avro.go
@@ -8,7 +8,8 @@
 	"sedgevale/internal/avrocodec"
 )
 
-// CheckAvro checks that a message, given by pointer, is encoded as the given bytes, in hex, and read back from them alike.
+// CheckAvro checks that a message, passed by pointer, is encoded as the wanted bytes, in hex, and that decoding these bytes returns
+// an equal message.
 func CheckAvro(t testing.TB, message any, want string) {
 	t.Helper()
 	got, err := avrocodec.Encode(message)
@@ -22,6 +23,6 @@
 	}
 	decoded := reflect.New(reflect.TypeOf(message).Elem()).Interface()
 	if err := avrocodec.Decode(encoded, decoded); err != nil || !reflect.DeepEqual(decoded, message) {
-		t.Errorf("%T is read as %+v, error %v", message, decoded, err)
+		t.Errorf("%T is decoded as %+v, error %v", message, decoded, err)
 	}
 }
--- a/internal/testkit/fill.go
+++ b/internal/testkit/fill.go
@@ -5,8 +5,8 @@
 	"reflect"
 )
 
-// Fill gives each exported field of the struct that v points to another value, in the order of the fields, so that a text
-// that is made of it shows which key stands for which field. Slices and maps get one element, pointers what they point to.
+// Fill sets each exported field of the struct that v points to to a different value, in the order of the fields, so that an
+// encoding of the struct shows which key belongs to which field. Slices and maps get one element, and pointers a new value.
 func Fill(v any) {
 	n := 0
 	fill(reflect.ValueOf(v).Elem(), &n)
--- a/internal/testkit/http.go
+++ b/internal/testkit/http.go
@@ -12,12 +12,12 @@
 	Status int
 	Header http.Header
 	Body   string
-	Last   bool // the server closes the connection after it
+	Last   bool // the server closes the connection after this response
 }
 
-// ReadResponse reads a response and its body from a connection. The error is as it came:
-// io.EOF where the connection ended before the response. If the body breaks off, the
-// response has its head and what came of the body.
+// ReadResponse reads a response and its body from a connection. It returns read errors
+// unwrapped, such as io.EOF if the connection ended before the response. If the body is
+// incomplete, the response has its status, header and the received part of the body.
 func ReadResponse(r *bufio.Reader) (Response, error) {
 	a, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return Response{a.StatusCode, a.Header, string(body), a.Close}, err
 }
 
-// Get sends a GET request by http.DefaultTransport and returns the response.
+// Get sends a GET request through http.DefaultTransport and returns the response.
 func Get(t testing.TB, url string) (Response, error) {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
--- a/internal/testkit/leak.go
+++ b/internal/testkit/leak.go
@@ -8,16 +8,16 @@
 	"go.uber.org/goleak"
 )
 
-// VerifyNoLeaks runs a package's tests and fails if they leave a goroutine behind. The two goroutines of the worker pool that
-// gnet's packages make when they are initialized live as long as the process.
+// VerifyNoLeaks runs a package's tests and fails if they leak a goroutine. It ignores the two goroutines of the worker pool that
+// gnet's packages create at initialization, which live as long as the process.
 func VerifyNoLeaks(m *testing.M) {
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
 		goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"))
 }
 
-// Goroutines returns the stacks of the goroutines that run one of these functions, or were started by one, now: where goleak
-// would wait for them to end.
+// Goroutines returns the stacks of the goroutines that currently run one of the given functions or were started by one. Unlike
+// goleak, it does not wait for them to end.
 func Goroutines(functions ...string) (found []string) {
 	buffer := make([]byte, 4<<20)
 	buffer = buffer[:runtime.Stack(buffer, true)]
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,4 +1,4 @@
-// Package testkit has helpers that the tests of several packages share.
+// Package testkit provides helpers that the tests of several packages share.
 package testkit
 
 import (
@@ -17,12 +17,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// awaitTimeout is for what must come; no test waits that long when all is well.
+// awaitTimeout is the time after which Await and Eventually fail the test; a passing test waits far less.
 const awaitTimeout = 20 * time.Second
 
-const pollInterval = 2 * time.Millisecond // of Eventually
+// pollInterval is the interval at which Eventually checks its condition.
+const pollInterval = 2 * time.Millisecond
 
-// Main runs a package's tests with a number of rapid checks each, the same ones every time.
+// Main runs a package's tests with a number of checks for each rapid property and a fixed seed.
 func Main(m *testing.M, checks int) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": strconv.Itoa(checks),
@@ -34,14 +35,14 @@
 	os.Exit(m.Run())
 }
 
-var addresses atomic.Uint32 // given by Free so far
+var addressCount atomic.Uint32 // number of addresses that Free has returned
 
-// Free returns a loopback address of a network, "tcp4" or "udp4", on which nobody listens,
-// and a new one each time. The host is this process's and this call's alone, since the port
-// is free for anybody until it is used: a connection from 127.0.0.1 or the next call might
-// get it.
+// Free returns a different loopback address of a network, "tcp4" or "udp4", on each call, on
+// which nothing listens. The port is not reserved until the caller binds it, and an outgoing
+// connection from 127.0.0.1 or the next call of Free could take it. For this reason the host
+// part of the address depends on the process and on the call.
 func Free(network string) (string, error) {
-	pid, n := os.Getpid(), addresses.Add(1)
+	pid, n := os.Getpid(), addressCount.Add(1)
 	host := fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8&127, pid&255, 1+n%250)
 	if network == "udp4" {
 		c, err := new(net.ListenConfig).ListenPacket(context.Background(), network, host)
@@ -57,7 +58,7 @@
 	return l.Addr().String(), l.Close()
 }
 
-// FreeAddr returns a free address for TCP, or fails the test.
+// FreeAddr returns a free TCP address, or fails the test.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
 	addr, err := Free("tcp4")
@@ -67,15 +68,15 @@
 	return addr
 }
 
-// RefusingAddr returns a loopback address that refuses TCP connections until the test ends. A port
-// that was merely found free might be taken meanwhile, by another test or another process; here a
-// socket that is bound and does not listen holds it, without SO_REUSEADDR, so that nobody else can
-// bind it, and the kernel answers each connection with a reset.
+// RefusingAddr returns a loopback address that refuses TCP connections until the test ends. Another
+// test or process could take a port that is merely unused at the moment. RefusingAddr therefore
+// binds a socket to the port without SO_REUSEADDR and does not listen on it: nobody else can bind
+// the port, and the kernel answers each connection attempt with a reset.
 func RefusingAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		t.Fatal("no socket for a refusing address:", err)
+		t.Fatal("creating the socket of a refusing address:", err)
 	}
 	t.Cleanup(func() { _ = unix.Close(fd) })
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
@@ -83,7 +84,7 @@
 	}
 	bound, err := unix.Getsockname(fd)
 	if err != nil {
-		t.Fatal("the port of a refusing address:", err)
+		t.Fatal("reading the port of a refusing address:", err)
 	}
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(bound.(*unix.SockaddrInet4).Port)).String()
 }
@@ -110,8 +111,8 @@
 	return c
 }
 
-// Accept listens on loopback until the test ends and has each connection handled in a
-// goroutine of its own.
+// Accept listens on loopback until the test ends and handles each connection in its own
+// goroutine.
 func Accept(t *testing.T, handle func(net.Conn)) (addr string) {
 	t.Helper()
 	l := Listen(t, "127.0.0.1:0")
@@ -133,13 +134,13 @@
 	select {
 	case v = <-from:
 	case <-time.After(awaitTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return v
 }
 
-// HungAddr returns a TCP address on loopback that answers no connection attempt, neither with an accept nor with a reset, until
-// the test ends: the backlog of its listening socket is full.
+// HungAddr returns a TCP address on loopback that neither accepts nor resets connection attempts until the test ends, because the
+// backlog of its listening socket is full.
 func HungAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -156,7 +157,7 @@
 		t.Fatal(err)
 	}
 	addr := net.JoinHostPort("127.0.0.1", strconv.Itoa(bound.(*unix.SockaddrInet4).Port))
-	const backlogFull = 100 * time.Millisecond // without an answer; loopback answers in microseconds
+	const backlogFull = 100 * time.Millisecond // a dial on loopback takes microseconds unless the backlog is full
 	for range 10 {
 		c, err := (&net.Dialer{Timeout: backlogFull}).DialContext(t.Context(), "tcp", addr)
 		if err != nil {
@@ -164,7 +165,7 @@
 		}
 		t.Cleanup(func() { _ = c.Close() }) // nothing was written to it
 	}
-	t.Fatal("the backlog does not fill")
+	t.Fatal("the backlog is not full after 10 connections")
 	return ""
 }
 
@@ -173,7 +174,7 @@
 	t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(pollInterval) {
 		if time.Since(began) > awaitTimeout {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
--- a/internal/unbounded/queue.go
+++ b/internal/unbounded/queue.go
@@ -1,4 +1,4 @@
-// Package unbounded is an unbounded queue between goroutines, whose senders never block.
+// Package unbounded provides an unbounded FIFO queue between goroutines whose senders never block.
 package unbounded
 
 import (
@@ -6,20 +6,21 @@
 	"sync/atomic"
 )
 
-// Queue is a queue with many senders and one receiver. The receiver takes all items at once, so a burst costs one wake-up.
+// Queue is a FIFO queue with many senders and one receiver. The receiver takes all items at once, so that a burst of items causes
+// only one wake-up.
 type Queue[T any] struct {
 	mu       sync.Mutex // guards items and spare
 	items    []T
-	spare    []T // the slice of the last TakeAll, to be reused
+	spare    []T // slice that the last TakeAll returned, for reuse
 	nonEmpty atomic.Bool
 	wake     func()
 }
 
-// New returns a Queue that calls wake when an item is added to the empty queue. The call is made by the sender and must not
-// block.
+// New returns a Queue that calls wake when an item is added to the empty queue. Put calls wake on the sender's goroutine, so it
+// must not block.
 func New[T any](wake func()) *Queue[T] { return &Queue[T]{wake: wake} }
 
-// Put adds an item.
+// Put appends an item.
 func (q *Queue[T]) Put(item T) {
 	q.mu.Lock()
 	first := len(q.items) == 0
@@ -42,5 +43,5 @@
 	return items
 }
 
-// HasItems reports whether there are items, without a lock.
+// HasItems reports whether the queue has items. It takes no lock.
 func (q *Queue[T]) HasItems() bool { return q.nonEmpty.Load() }
--- a/scripts/sitegen/deployment.go
+++ b/scripts/sitegen/deployment.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// text returns the deployment file.
-func (s site) text() string {
+// toml returns the content of the deployment file.
+func (s site) toml() string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	line("name = %q\nstock = \"own\"\nstep = \"c\"\nwire = \"wire.json\"\nfamily = \"sched\"", s.name)
@@ -27,12 +27,12 @@
 	}
 	line("]\nclasses = [")
 	for _, q := range s.queues {
-		line("%s", q.text(s.labelShare))
+		line("%s", q.toml(s.labelShare))
 	}
 	line("]\ntraffic = [")
 	for z := range s.zones {
 		line("  { zone = %q, mix = { %s }, per_s = %.2f, clients = 10, users = 1, shape = { kind = \"wave\", swing = 0.15, period_s = 11.0, phase = 0.%d } },",
-			zoneName(z), s.mix(), s.jobsPerSecond/float64(s.zones), z+1)
+			zoneName(z), s.trafficMix(), s.jobsPerSecond/float64(s.zones), z+1)
 	}
 	line("]\ntroubles = [%s\n]", faultKinds)
 	s.writeTables(line)
@@ -43,7 +43,7 @@
 // zoneName returns the name of a zone.
 func zoneName(i int) string { return fmt.Sprintf("hall-%c", 'a'+i) }
 
-// writeMachines writes the machines of a zone.
+// writeMachines writes the entries of a zone's machines.
 func (s site) writeMachines(line func(string, ...any), zone string) {
 	line(`  { class = "front", cpu_share = 0.35, cores = 1, memory_mb = 284, fds = 4100, link_mbps = 1000.0, zone = %q, count = 1, spare = 1 },`, zone)
 	for _, service := range s.services {
@@ -53,8 +53,8 @@
 		`disk = { mb = 128, sync_ms = 7.0, mb_per_s = 120 } },`, zone, s.coresPerZone)
 }
 
-// mix returns the shares of the queues.
-func (s site) mix() string {
+// trafficMix returns the traffic shares of the queues as the items of a TOML inline table.
+func (s site) trafficMix() string {
 	var parts []string
 	for _, q := range s.queues {
 		parts = append(parts, fmt.Sprintf("%s = %g", q.name, q.share))
@@ -62,8 +62,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// text returns the entry of a queue.
-func (q queue) text(needs float64) string {
+// toml returns the entry of a queue.
+func (q queue) toml(labelShare float64) string {
 	extra := ""
 	if q.checkpointShare > 0 {
 		extra += fmt.Sprintf(", saves = %g", q.checkpointShare)
@@ -84,10 +84,10 @@
 		`error_share = 0.02, poison = 0, jobs = { steps = { mean = 1.5, spread = 0.4, max = 3.8 }, width = { mean = %g, spread = 0.8, max = %g }, `+
 		`cpu = { mean = %d.0, spread = 0.3, max = %d.0 }, mem_mb = { mean = %d.0, spread = 0.5, max = %d.0 }, uneven = 0.2, est_off = 0.7, stretch = 2.0, `+
 		`every_s = 2.0, times = 5, needs = %g, filled = 1%s }%s },`,
-		q.name, q.targetLatencyMS, q.priority, q.service, q.workMS, q.workMS*5/2, q.width, q.width*5, q.cpu, q.cpu*3/2, q.cpu, q.cpu*2, needs, extra, open)
+		q.name, q.targetLatencyMS, q.priority, q.service, q.workMS, q.workMS*5/2, q.width, q.width*5, q.cpu, q.cpu*3/2, q.cpu, q.cpu*2, labelShare, extra, open)
 }
 
-// faultKinds are the faults that hunted days draw from.
+// faultKinds lists the faults from which the bench samples when it searches for failing days.
 const faultKinds = `
   { kind = "ack_lost", x = 0.6, for_s = 8.0 },
   { kind = "after_ack_kill", for_s = 3.0, how = "" },
@@ -112,7 +112,7 @@
   { kind = "srv_grey", how = "errors", share = 0.1, x = 1.0, for_s = 6.0 },
   { kind = "srv_slow", share = 0.15, x = 5.0, for_s = 6.0 },`
 
-// writeTables writes what all sites share, with the site's bounds.
+// writeTables writes the tables that are the same for all sites except for the site's limits.
 func (s site) writeTables(line func(string, ...any)) {
 	line("\n[timing]\ncatch_up_s = 4.0\nfinish_s = 14.0\nearly_ms = 250.0\nhold_max_ms = %d.0\ngang_ms = 3000\ncancel_ms = 3000\nstop_ms = %d.0", s.maxLeaseMS, s.stopMS)
 	line("far_x = 1.5\nsave_s = 2.0\nrestore_ms = 200.0\npatient = 0.04\nlate_seeds_ms = 300.0")
@@ -126,7 +126,7 @@
 	line("\n[goal]\nmean = 0.5\nwindow = 0.1\nclass = 0.2\nzone = 0.2\nnines = 0.0\nnines_best = 0.001\n\n[sched]\nby_beat = true")
 }
 
-// writeDays writes the days: a quiet one, one with faults and one with changes of scale.
+// writeDays writes the days, which are the bench's scenarios: one without faults, one with faults and one with scaling.
 func (s site) writeDays(line func(string, ...any)) {
 	day := func(name, slot string, seed int, closing, plan, faults string) {
 		line("\n[[day]]\nname = %q\nslot = %q\nseed = %d\n%sone = 0.95\nzero = 0.4\ngoal = { floor = 0.3 }\nlabels = []\nwall = 1.5\nlight = true", name, slot, seed, closing)
--- a/scripts/sitegen/main.go
+++ b/scripts/sitegen/main.go
@@ -1,6 +1,5 @@
-// Sitegen writes deployments for the bench from stated parameters: topologies and loads that the given sites do not cover.
-// The bench's wire table belongs to the user: its path is an argument, and the files are written to a folder that is not
-// committed.
+// Sitegen generates deployment files for the bench with topologies and loads that the committed sites do not cover. The bench's
+// wire table is supplied by the user: its path is an argument, and the files are written to a directory that is not committed.
 package main
 
 import (
@@ -11,8 +10,8 @@
 )
 
 func main() {
-	wire := flag.String("wire", "", "the bench's wire table (JSON)")
-	out := flag.String("out", "logs/sites", "the folder to write to")
+	wire := flag.String("wire", "", "path of the bench's wire table (JSON)")
+	out := flag.String("out", "logs/sites", "output directory")
 	flag.Parse()
 	if err := writeAll(*wire, *out); err != nil {
 		fmt.Fprintln(os.Stderr, "sitegen:", err)
@@ -20,7 +19,7 @@
 	}
 }
 
-// writeAll writes the wire table and all sites.
+// writeAll writes the wire table and the deployment files of all sites to a directory.
 func writeAll(wire, out string) error {
 	table, err := os.ReadFile(wire)
 	if err != nil {
@@ -39,7 +38,7 @@
 		if s.labelShare == 0 {
 			s.labelShare = defaultLabelShare
 		}
-		if err := os.WriteFile(filepath.Join(out, s.name+".toml"), []byte(s.text()), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(out, s.name+".toml"), []byte(s.toml()), 0o644); err != nil {
 			return err
 		}
 	}
--- a/scripts/sitegen/sites.go
+++ b/scripts/sitegen/sites.go
@@ -5,17 +5,17 @@
 	name            string
 	zones           int
 	coresPerZone    int
-	toleratedLosses int // core machines that may fail at once
+	toleratedLosses int // number of core machines that may fail at the same time
 	services        []service
-	maxLeaseMS      int // the longest lease of a worker
-	stopMS          int // that a worker takes to stop a task
+	maxLeaseMS      int // longest lease of a worker
+	stopMS          int // time that a worker takes to stop a task
 	queues          []queue
-	rackSize        int // in workers
+	rackSize        int // number of workers in a rack
 	jobsPerSecond   float64
-	lengthS         int     // of a day; defaultLengthS if 0
-	labelShare      float64 // of the jobs that ask for a label; defaultLabelShare if 0
-	configChanges   int     // in a day, beyond those of its plan
-	lateBurst       string  // the queue that many jobs come to shortly before the end of a day
+	lengthS         int     // length of a day; 0 means defaultLengthS
+	labelShare      float64 // share of the jobs that require a label; 0 means defaultLabelShare
+	configChanges   int     // number of configuration changes in a day in addition to its plan
+	lateBurst       string  // queue that receives a burst of jobs shortly before the end of a day; empty for none
 }
 
 const (
@@ -27,8 +27,8 @@
 type service struct {
 	name           string
 	workersPerZone int
-	cpu            int // millicores of a worker
-	gpu            int // accelerators of a worker
+	cpu            int // millicores per worker
+	gpu            int // accelerators per worker
 }
 
 // queue holds the parameters of a queue and its jobs.
@@ -39,17 +39,17 @@
 	workMS          int     // mean run time of a task
 	width           float64 // mean number of tasks in a stage
 	cpu             int     // mean millicores of a task
-	share           float64 // of the jobs, relative to the other queues
+	share           float64 // share of the jobs, relative to the other queues
 	targetLatencyMS int
-	checkpointShare float64 // of the jobs whose tasks write checkpoints
-	gpus            string  // the numbers of accelerators that tasks ask for, as a TOML array
+	checkpointShare float64 // share of the jobs whose tasks write checkpoints
+	gpus            string  // numbers of accelerators that tasks may request, as a TOML array
 	gang            bool    // the tasks of a stage start together
 	longRunning     bool
 }
 
-// sites are the deployments that are written.
+// sites lists the generated deployments.
 var sites = []site{
-	{ // as many core machines as seats: no spare
+	{ // as many core machines as voting members, without a spare
 		name: "no-spare", zones: 3, coresPerZone: 1, toleratedLosses: 1, maxLeaseMS: 6000, stopMS: 700, rackSize: 3, jobsPerSecond: 7,
 		services: []service{{"ledger", 3, 16000, 0}, {"lathe", 2, 32000, 8}},
 		queues: []queue{
@@ -59,7 +59,7 @@
 			{name: "tail", service: "ledger", priority: 1, workMS: 400, width: 5, cpu: 500, share: 0.05, targetLatencyMS: 3000, longRunning: true},
 		},
 	},
-	{ // two spares
+	{ // two spare core machines
 		name: "two-spares", zones: 5, coresPerZone: 1, toleratedLosses: 1, maxLeaseMS: 10000, stopMS: 500, rackSize: 2, jobsPerSecond: 8,
 		services: []service{{"office", 2, 16000, 0}, {"yard", 1, 32000, 8}},
 		queues: []queue{
@@ -68,7 +68,7 @@
 			{name: "haul", service: "yard", priority: 1, workMS: 5000, width: 2, cpu: 15000, share: 0.3, targetLatencyMS: 1500, checkpointShare: 0.9, gpus: "[2, 4]", gang: true},
 		},
 	},
-	{ // long days with hundreds of configuration changes, and few workers with a label that many jobs ask for
+	{ // long days with hundreds of configuration changes, and few workers with a label that many jobs require
 		name: "long-days", zones: 3, coresPerZone: 2, toleratedLosses: 1, maxLeaseMS: 6000, stopMS: 900, rackSize: 3, jobsPerSecond: 5,
 		lengthS: 130, labelShare: 0.4, configChanges: 200,
 		services: []service{{"archive", 1, 16000, 0}, {"studio", 1, 32000, 8}},
@@ -81,7 +81,7 @@
 			{name: "listen", service: "archive", priority: 1, workMS: 400, width: 4, cpu: 600, share: 0.05, targetLatencyMS: 3000, longRunning: true},
 		},
 	},
-	{ // few workers with a label that most jobs ask for, and many large jobs for them at the end
+	{ // few workers with a label that most jobs require, and a burst of large jobs for them at the end
 		name: "few-of-a-kind", zones: 2, coresPerZone: 2, toleratedLosses: 1, maxLeaseMS: 6000, stopMS: 900, rackSize: 3, jobsPerSecond: 4,
 		lengthS: 30, labelShare: 0.7, lateBurst: "master",
 		services: []service{{"archive", 2, 16000, 0}, {"studio", 1, 32000, 8}},
@@ -101,7 +101,7 @@
 			{name: "glaze", service: "kiln", priority: 2, workMS: 3000, width: 12, cpu: 2800, share: 0.55, targetLatencyMS: 3000, checkpointShare: 0.8, gpus: "[1]"},
 		},
 	},
-	{ // the same scarcity, with many short single tasks of the same priority beside larger gangs
+	{ // the same scarcity, with many short single tasks and larger gangs of the same priority
 		name: "scarce-equals", zones: 3, coresPerZone: 1, toleratedLosses: 1, maxLeaseMS: 8000, stopMS: 600, rackSize: 2, jobsPerSecond: 5.95, lengthS: 70,
 		services: []service{{"mill", 1, 16000, 0}, {"press", 2, 32000, 8}},
 		queues: []queue{
