--- a/internal/crashtest/kill_test.go
+++ b/internal/crashtest/kill_test.go
@@ -72,30 +72,30 @@
 				faults[p] = 0.001
 			}
 		}
-		b := fake.NewWorker(fake.WorkerOptions{ID: fmt.Sprintf("box-%d", i), Slots: 8, Faults: faults, Seed: *seed + uint64(i),
+		worker := fake.NewWorker(fake.WorkerOptions{ID: fmt.Sprintf("box-%d", i), Slots: 8, Faults: faults, Seed: *seed + uint64(i),
 			Results: results, RunLog: h.runLog, Work: func(_ string, r *rand.Rand) time.Duration {
 				return 300*time.Microsecond + time.Duration(r.Int64N(int64(1200*time.Microsecond)))
 			}})
-		addr, err := b.Listen("127.0.0.1:0")
+		addr, err := worker.Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() {
-			if err := b.Close(); err != nil {
+			if err := worker.Close(); err != nil {
 				t.Error(err)
 			}
 		})
-		h.workers = append(h.workers, b)
+		h.workers = append(h.workers, worker)
 		members = append(members, fake.Member{ID: fmt.Sprintf("box-%d", i), HostPort: addr, Locality: "hut", Flavor: "box",
 			Phase: "ready", Size: 8})
 	}
-	d := fake.NewDiscovery(members...)
-	addr, err := d.Listen("127.0.0.1:0")
+	discovery := fake.NewDiscovery(members...)
+	addr, err := discovery.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := d.Close(); err != nil {
+		if err := discovery.Close(); err != nil {
 			t.Error(err)
 		}
 	})
@@ -150,8 +150,8 @@
 			Timeout: 2 * time.Second, Prefix: prefix, Seed: h.rand.Uint64(),
 			Mix: faultinjection.Mix}.Run(ctx)
 	}
-	for _, b := range h.workers {
-		b.AwaitIdle()
+	for _, worker := range h.workers {
+		worker.AwaitIdle()
 	}
 	h.check(prefix+"-", answers, killed)
 	h.runLog.Forget()
--- a/internal/faultinjection/tenants_test.go
+++ b/internal/faultinjection/tenants_test.go
@@ -23,17 +23,17 @@
 // is killed and restarted with the newest file. Tenants that stay must be served throughout, added tenants must be served at each
 // scheduler in time, and removed tenants must have new jobs rejected and jobs in flight completed.
 func TestTenantsChangeWhileServing(t *testing.T) {
-	f := startTrial(t, 4, Configuration{1, []Tenant{{"valley", 0.5, 60}, {"east", 0.3, 40}, {"west", 0.2, 20}}})
-	all, restarted := f.Schedulers, f.Schedulers[1]
-	f.startClients("valley", 2, 40*time.Millisecond, all...)
-	f.startClients("east", 2, 40*time.Millisecond, all...)
-	f.startClients("west", 3, 10*time.Millisecond, all...)
-	f.awaitServed("west", all...)
-	f.loseDatagrams(0.5)
+	tr := startTrial(t, 4, Configuration{1, []Tenant{{"valley", 0.5, 60}, {"east", 0.3, 40}, {"west", 0.2, 20}}})
+	all, restarted := tr.Schedulers, tr.Schedulers[1]
+	tr.startClients("valley", 2, 40*time.Millisecond, all...)
+	tr.startClients("east", 2, 40*time.Millisecond, all...)
+	tr.startClients("west", 3, 10*time.Millisecond, all...)
+	tr.awaitServed("west", all...)
+	tr.loseDatagrams(0.5)
 
-	f.reconfigure(Configuration{2, []Tenant{{"valley", 0.2, 30}, {"north", 0.3, 10}, {"west", 0.2, 20}, {"east", 0.15, 20}}}, all...)
-	f.awaitServed("north", all...)
-	f.startClients("north", 1, 100*time.Millisecond, all...)
+	tr.reconfigure(Configuration{2, []Tenant{{"valley", 0.2, 30}, {"north", 0.3, 10}, {"west", 0.2, 20}, {"east", 0.15, 20}}}, all...)
+	tr.awaitServed("north", all...)
+	tr.startClients("north", 1, 100*time.Millisecond, all...)
 
 	// The killed scheduler reads the newest file at its start and is signalled again when it is up.
 	third := Configuration{3, []Tenant{{"north", 0.1, 10}, {"south", 0.5, 0}, {"east", 0.3, 20}, {"valley", 0.2, 30}}}
@@ -41,31 +41,31 @@
 	back := make(chan error, 1)
 	up := slices.DeleteFunc(slices.Clone(all), func(s *Scheduler) bool { return s == restarted })
 	removedAt := time.Now()
-	f.reconfigure(third, all...)
-	go func() { back <- f.Start(restarted) }()
-	f.awaitUnknownTenant("west", up...)
-	f.awaitServed("south", up...)
+	tr.reconfigure(third, all...)
+	go func() { back <- tr.Start(restarted) }()
+	tr.awaitUnknownTenant("west", up...)
+	tr.awaitServed("south", up...)
 	if err := <-back; err != nil {
 		t.Fatal(err)
 	}
-	f.awaitServed("south", restarted)
-	f.awaitUnknownTenant("west", restarted)
-	f.startClients("south", 1, 100*time.Millisecond, all...)
+	tr.awaitServed("south", restarted)
+	tr.awaitUnknownTenant("west", restarted)
+	tr.startClients("south", 1, 100*time.Millisecond, all...)
 
-	f.reconfigure(Configuration{4, []Tenant{{"south", 0.2, 5}, {"west", 0.3, 20}, {"east", 0.3, 20}, {"valley", 0.2, 30}, {"north", 0.3, 10}}}, all...)
-	f.awaitServed("west", all...)
-	f.Network.Heal()
-	f.awaitRevision(4, all...)
-	if err := f.awaitAllAlive(); err != nil {
+	tr.reconfigure(Configuration{4, []Tenant{{"south", 0.2, 5}, {"west", 0.3, 20}, {"east", 0.3, 20}, {"valley", 0.2, 30}, {"north", 0.3, 10}}}, all...)
+	tr.awaitServed("west", all...)
+	tr.Network.Heal()
+	tr.awaitRevision(4, all...)
+	if err := tr.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
-	f.finish()
+	tr.finish()
 	for _, tenant := range []string{"valley", "east"} {
-		f.checkStayingTenant(tenant)
+		tr.checkStayingTenant(tenant)
 	}
-	f.checkChangingTenant("north", removedAt)
-	f.checkChangingTenant("south", removedAt)
-	if inFlight := f.checkChangingTenant("west", removedAt); inFlight == 0 {
+	tr.checkChangingTenant("north", removedAt)
+	tr.checkChangingTenant("south", removedAt)
+	if inFlight := tr.checkChangingTenant("west", removedAt); inFlight == 0 {
 		t.Error("no job of west was in flight when it was removed")
 	} else {
 		t.Logf("%d jobs of west were in flight when it was removed", inFlight)
@@ -74,9 +74,9 @@
 
 // onlyBehindFrom returns a check that exactly the schedulers with numbers from a given one on are reported as behind.
 func onlyBehindFrom(schedulers, from int) func(*peerPage) error {
-	return func(a *peerPage) error {
+	return func(page *peerPage) error {
 		for j := range schedulers {
-			if late, err := a.isBehind(j); err != nil || late != (j >= from) {
+			if late, err := page.isBehind(j); err != nil || late != (j >= from) {
 				return fmt.Errorf("member %d behind: %v, error %w", j, late, err)
 			}
 		}
@@ -86,9 +86,9 @@
 
 // hasReportsOfAllOthers returns a check that a scheduler uses the load reports of all others about at least one worker.
 func hasReportsOfAllOthers(schedulers int) func(*peerPage) error {
-	return func(a *peerPage) error {
+	return func(page *peerPage) error {
 		most := 0
-		for _, b := range a.Boxes {
+		for _, b := range page.Boxes {
 			most = max(most, b.Tellers)
 		}
 		if most < schedulers-1 {
@@ -100,10 +100,10 @@
 
 // acceptsAllSince returns a check that since an earlier page no datagram was rejected and at least 20 were received.
 func acceptsAllSince(before peerPage) func(*peerPage) error {
-	return func(a *peerPage) error {
-		if a.Counts.Refused != before.Counts.Refused || a.Counts.Received < before.Counts.Received+20 {
-			return fmt.Errorf("rejected %d, before %d; received %d, before %d", a.Counts.Refused, before.Counts.Refused,
-				a.Counts.Received, before.Counts.Received)
+	return func(page *peerPage) error {
+		if page.Counts.Refused != before.Counts.Refused || page.Counts.Received < before.Counts.Received+20 {
+			return fmt.Errorf("rejected %d, before %d; received %d, before %d", page.Counts.Refused, before.Counts.Refused,
+				page.Counts.Received, before.Counts.Received)
 		}
 		return nil
 	}
@@ -113,15 +113,15 @@
 // other's load reports and know which of them are behind, and one that missed three changes must catch up by one reload.
 func TestHalfOnTheOldTenants(t *testing.T) {
 	first := Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}}
-	f := startTrial(t, 4, first)
-	updated, outdated := f.Schedulers[:2], f.Schedulers[2:]
+	tr := startTrial(t, 4, first)
+	updated, outdated := tr.Schedulers[:2], tr.Schedulers[2:]
 	newest := Configuration{4, []Tenant{{"south", 0.5, 30}, {"valley", 0.3, 20}, {"north", 0.2, 10}}}
 	for _, c := range []Configuration{
 		{2, []Tenant{{"valley", 0.3, 20}, {"east", 0.4, 0}, {"north", 0.3, 0}}},
 		{3, []Tenant{{"valley", 0.3, 20}, {"north", 0.7, 0}}}, newest} {
-		f.reconfigure(c, updated[0])
-		f.awaitPage(updated[0], fmt.Sprintf("%d is in force", c.Revision), func(a *peerPage) error {
-			if got := a.Members[a.Self].Revision; got != c.Revision {
+		tr.reconfigure(c, updated[0])
+		tr.awaitPage(updated[0], fmt.Sprintf("%d is in force", c.Revision), func(page *peerPage) error {
+			if got := page.Members[page.Self].Revision; got != c.Revision {
 				return fmt.Errorf("revision %d is in force", got)
 			}
 			return nil
@@ -131,54 +131,54 @@
 	if err := updated[1].ReplaceFile(updated[1].ConfigurationFile(newest)); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Start(updated[1]); err != nil {
+	if err := tr.Start(updated[1]); err != nil {
 		t.Fatal(err)
 	}
-	f.awaitServed("south", updated...)
-	f.awaitUnknownTenant("south", outdated...)
-	f.awaitServed("east", outdated...)
-	if err := f.awaitAllAlive(); err != nil {
+	tr.awaitServed("south", updated...)
+	tr.awaitUnknownTenant("south", outdated...)
+	tr.awaitServed("east", outdated...)
+	if err := tr.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
 	var before [4]peerPage
-	for i, s := range f.Schedulers {
-		before[i] = f.awaitPage(s, "the schedulers with the old file are behind", onlyBehindFrom(len(f.Schedulers), len(updated)))
+	for i, s := range tr.Schedulers {
+		before[i] = tr.awaitPage(s, "the schedulers with the old file are behind", onlyBehindFrom(len(tr.Schedulers), len(updated)))
 	}
-	stop := f.startClients("valley", 6, time.Millisecond, f.Schedulers...)
-	for _, s := range f.Schedulers {
-		f.awaitPage(s, "has load reports of all others", hasReportsOfAllOthers(len(f.Schedulers)))
+	stop := tr.startClients("valley", 6, time.Millisecond, tr.Schedulers...)
+	for _, s := range tr.Schedulers {
+		tr.awaitPage(s, "has load reports of all others", hasReportsOfAllOthers(len(tr.Schedulers)))
 	}
 	stop()
-	for i, s := range f.Schedulers {
-		f.awaitPage(s, "no datagram is rejected", acceptsAllSince(before[i]))
-	}
-	f.reconfigure(newest, outdated...)
-	f.awaitServed("south", outdated...)
-	f.awaitUnknownTenant("east", outdated...)
-	f.awaitRevision(newest.Revision, f.Schedulers...)
-	f.finish()
-	f.checkStayingTenant("valley")
+	for i, s := range tr.Schedulers {
+		tr.awaitPage(s, "no datagram is rejected", acceptsAllSince(before[i]))
+	}
+	tr.reconfigure(newest, outdated...)
+	tr.awaitServed("south", outdated...)
+	tr.awaitUnknownTenant("east", outdated...)
+	tr.awaitRevision(newest.Revision, tr.Schedulers...)
+	tr.finish()
+	tr.checkStayingTenant("valley")
 }
 
 // TestTwoChangesInOneSecond checks that of two files that are signalled in quick succession the second one ends up in force, whether
 // or not the first was read.
 func TestTwoChangesInOneSecond(t *testing.T) {
-	f := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
-	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
+	tr := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
+	tr.startClients("valley", 2, 20*time.Millisecond, tr.Schedulers...)
 	for revision := 2; revision < 12; revision += 2 {
 		passing, last := fmt.Sprint("passing", revision), fmt.Sprint("last", revision)
-		f.reconfigure(Configuration{revision, []Tenant{{passing, 0.5, 0}, {"valley", 0.5, 10}}}, f.Schedulers...)
-		f.reconfigure(Configuration{revision + 1, []Tenant{{"valley", 0.1, 0}, {last, 0.9, 5}}}, f.Schedulers...)
-		f.awaitServed(last, f.Schedulers...)
-		for _, s := range f.Schedulers {
-			if answer := f.submit(s, passing); answer.Status != http.StatusBadRequest {
+		tr.reconfigure(Configuration{revision, []Tenant{{passing, 0.5, 0}, {"valley", 0.5, 10}}}, tr.Schedulers...)
+		tr.reconfigure(Configuration{revision + 1, []Tenant{{"valley", 0.1, 0}, {last, 0.9, 5}}}, tr.Schedulers...)
+		tr.awaitServed(last, tr.Schedulers...)
+		for _, s := range tr.Schedulers {
+			if answer := tr.submit(s, passing); answer.Status != http.StatusBadRequest {
 				t.Errorf("%s: a job of %s, which the last file lacks, was answered with %d", s.Name, passing, answer.Status)
 			}
 		}
-		f.awaitRevision(revision+1, f.Schedulers...)
+		tr.awaitRevision(revision+1, tr.Schedulers...)
 	}
-	f.finish()
-	f.checkStayingTenant("valley")
+	tr.finish()
+	tr.checkStayingTenant("valley")
 }
 
 // TestChangeTakenBack reverts a change by restoring the former file. The first configuration must be in force again with its
@@ -186,36 +186,36 @@
 func TestChangeTakenBack(t *testing.T) {
 	first := Configuration{1, []Tenant{{"valley", 0.6, 40}, {"east", 0.4, 0}}}
 	second := Configuration{2, []Tenant{{"north", 0.7, 0}, {"valley", 0.3, 20}}}
-	f := startTrial(t, 3, first)
-	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
-	f.startClients("east", 3, 5*time.Millisecond, f.Schedulers...)
-	f.awaitServed("east", f.Schedulers...)
+	tr := startTrial(t, 3, first)
+	tr.startClients("valley", 2, 20*time.Millisecond, tr.Schedulers...)
+	tr.startClients("east", 3, 5*time.Millisecond, tr.Schedulers...)
+	tr.awaitServed("east", tr.Schedulers...)
 	digest := ""
-	f.awaitRevision(1, f.Schedulers...)
-	f.awaitPage(f.Schedulers[0], "has a digest", func(a *peerPage) error {
-		if digest = a.Members[0].Digest; digest == "" {
+	tr.awaitRevision(1, tr.Schedulers...)
+	tr.awaitPage(tr.Schedulers[0], "has a digest", func(page *peerPage) error {
+		if digest = page.Members[0].Digest; digest == "" {
 			return fmt.Errorf("no digest")
 		}
 		return nil
 	})
 	changed := time.Now()
-	f.reconfigure(second, f.Schedulers[:2]...)
-	f.reconfigure(first, f.Schedulers[1])
-	f.awaitServed("north", f.Schedulers[0])
-	f.awaitUnknownTenant("east", f.Schedulers[0])
-	f.awaitPage(f.Schedulers[2], "it is behind itself", func(a *peerPage) error {
-		if late, err := a.isBehind(2); err != nil || !late {
+	tr.reconfigure(second, tr.Schedulers[:2]...)
+	tr.reconfigure(first, tr.Schedulers[1])
+	tr.awaitServed("north", tr.Schedulers[0])
+	tr.awaitUnknownTenant("east", tr.Schedulers[0])
+	tr.awaitPage(tr.Schedulers[2], "it is behind itself", func(page *peerPage) error {
+		if late, err := page.isBehind(2); err != nil || !late {
 			return fmt.Errorf("behind %v, error %w", late, err)
 		}
 		return nil
 	})
-	f.reconfigure(first, f.Schedulers[0])
-	f.awaitServed("east", f.Schedulers...)
-	f.awaitUnknownTenant("north", f.Schedulers...)
-	f.awaitRevision(1, f.Schedulers...)
-	for _, s := range f.Schedulers {
-		f.awaitPage(s, "has the first digest", func(a *peerPage) error {
-			for _, m := range a.Members {
+	tr.reconfigure(first, tr.Schedulers[0])
+	tr.awaitServed("east", tr.Schedulers...)
+	tr.awaitUnknownTenant("north", tr.Schedulers...)
+	tr.awaitRevision(1, tr.Schedulers...)
+	for _, s := range tr.Schedulers {
+		tr.awaitPage(s, "has the first digest", func(page *peerPage) error {
+			for _, m := range page.Members {
 				if m.Digest != digest {
 					return fmt.Errorf("member %d has digest %s, want the first one, %s", m.Number, m.Digest, digest)
 				}
@@ -223,23 +223,23 @@
 			return nil
 		})
 	}
-	f.finish()
-	f.checkStayingTenant("valley")
-	if inFlight := f.checkChangingTenant("east", changed); inFlight == 0 {
+	tr.finish()
+	tr.checkStayingTenant("valley")
+	if inFlight := tr.checkChangingTenant("east", changed); inFlight == 0 {
 		t.Error("no job of east was in flight at the change")
 	}
-	f.checkChangingTenant("north", changed)
+	tr.checkChangingTenant("north", changed)
 }
 
 // TestFrozenThroughAChange freezes a scheduler while tenants change. The others must report that it is behind, and after the thaw
 // it must apply the newest configuration in time.
 func TestFrozenThroughAChange(t *testing.T) {
-	f := startTrial(t, 3, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
-	frozen, others := f.Schedulers[2], f.Schedulers[:2]
-	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
-	f.startClients("east", 2, 20*time.Millisecond, f.Schedulers...)
-	f.awaitServed("east", f.Schedulers...)
-	f.awaitRevision(1, f.Schedulers...)
+	tr := startTrial(t, 3, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
+	frozen, others := tr.Schedulers[2], tr.Schedulers[:2]
+	tr.startClients("valley", 2, 20*time.Millisecond, tr.Schedulers...)
+	tr.startClients("east", 2, 20*time.Millisecond, tr.Schedulers...)
+	tr.awaitServed("east", tr.Schedulers...)
+	tr.awaitRevision(1, tr.Schedulers...)
 	span := 2 * time.Second
 	if *long {
 		span = 10 * time.Second
@@ -248,15 +248,15 @@
 		t.Fatal(err)
 	}
 	thaw := time.After(span)
-	f.reconfigure(Configuration{2, []Tenant{{"valley", 0.6, 0}, {"passing", 0.4, 0}}}, f.Schedulers...)
-	f.awaitServed("passing", others...)
-	f.reconfigure(Configuration{3, []Tenant{{"north", 0.2, 0}, {"valley", 0.6, 10}}}, f.Schedulers...)
-	f.awaitServed("north", others...)
-	f.awaitUnknownTenant("passing", others...)
+	tr.reconfigure(Configuration{2, []Tenant{{"valley", 0.6, 0}, {"passing", 0.4, 0}}}, tr.Schedulers...)
+	tr.awaitServed("passing", others...)
+	tr.reconfigure(Configuration{3, []Tenant{{"north", 0.2, 0}, {"valley", 0.6, 10}}}, tr.Schedulers...)
+	tr.awaitServed("north", others...)
+	tr.awaitUnknownTenant("passing", others...)
 	for _, s := range others {
-		f.awaitPage(s, "the frozen one is behind", func(a *peerPage) error {
+		tr.awaitPage(s, "the frozen one is behind", func(page *peerPage) error {
 			for i, want := range []bool{false, false, true} {
-				if late, err := a.isBehind(i); err != nil || late != want {
+				if late, err := page.isBehind(i); err != nil || late != want {
 					return fmt.Errorf("member %d behind: %v, error %w", i, late, err)
 				}
 			}
@@ -267,17 +267,17 @@
 	if err := frozen.Thaw(); err != nil {
 		t.Fatal(err)
 	}
-	f.awaitServed("north", frozen)
+	tr.awaitServed("north", frozen)
 	for _, tenant := range []string{"east", "passing"} {
-		f.awaitUnknownTenant(tenant, f.Schedulers...)
+		tr.awaitUnknownTenant(tenant, tr.Schedulers...)
 	}
-	f.awaitRevision(3, f.Schedulers...)
-	if err := f.awaitAllAlive(); err != nil {
+	tr.awaitRevision(3, tr.Schedulers...)
+	if err := tr.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
-	f.finish()
-	f.checkStayingTenant("valley")
-	f.checkChangingTenant("east", time.Now())
+	tr.finish()
+	tr.checkStayingTenant("valley")
+	tr.checkChangingTenant("east", time.Now())
 }
 
 // badFile is an invalid operator's file: either its tenants are invalid, or corrupt makes its text invalid.
@@ -310,34 +310,34 @@
 
 // checkBadFile makes all schedulers reload an invalid file and checks that their logs report it and that the first configuration is
 // still in force.
-func (f *trial) checkBadFile(good Configuration, bad badFile) {
-	f.t.Helper()
-	for _, s := range f.Schedulers {
+func (tr *trial) checkBadFile(good Configuration, bad badFile) {
+	tr.t.Helper()
+	for _, s := range tr.Schedulers {
 		after, err := s.LogSize()
 		if err != nil {
-			f.t.Fatal(err)
+			tr.t.Fatal(err)
 		}
 		text := s.ConfigurationFile(Configuration{good.Revision, bad.tenants})
 		if bad.corrupt != nil {
 			text = bad.corrupt(text)
 		}
 		if err := errors.Join(s.ReplaceFile(text), s.Hangup()); err != nil {
-			f.t.Fatal(err)
+			tr.t.Fatal(err)
 		}
 		line, err := s.AwaitLog(after, "configuration", maxApplyTime)
 		if err != nil {
-			f.t.Fatalf("%s: %v", bad.what, err)
+			tr.t.Fatalf("%s: %v", bad.what, err)
 		}
 		if !strings.Contains(line, "the new configuration is bad") {
-			f.t.Errorf("%s: %s", bad.what, line)
+			tr.t.Errorf("%s: %s", bad.what, line)
 		}
 	}
 	var submitted sync.WaitGroup
 	for tenant, want := range map[string]int{"valley": 200, "east": 200, "north": 400} {
-		for _, s := range f.Schedulers {
+		for _, s := range tr.Schedulers {
 			submitted.Go(func() {
-				if answer := f.submit(s, tenant); answer.Status != want {
-					f.t.Errorf("%s: a job of %s was answered with %d, want %d", bad.what, tenant, answer.Status, want)
+				if answer := tr.submit(s, tenant); answer.Status != want {
+					tr.t.Errorf("%s: a job of %s was answered with %d, want %d", bad.what, tenant, answer.Status, want)
 				}
 			})
 		}
@@ -348,21 +348,21 @@
 // TestBadTenantsChangeNothing guards against an invalid file that is partly applied: the log must report it, and tenants, revision
 // and jobs must be unaffected.
 func TestBadTenantsChangeNothing(t *testing.T) {
-	f := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
-	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
-	f.startClients("east", 2, 20*time.Millisecond, f.Schedulers...)
-	f.awaitRevision(1, f.Schedulers...)
+	tr := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
+	tr.startClients("valley", 2, 20*time.Millisecond, tr.Schedulers...)
+	tr.startClients("east", 2, 20*time.Millisecond, tr.Schedulers...)
+	tr.awaitRevision(1, tr.Schedulers...)
 	good := Configuration{2, goodTenants}
 	for _, bad := range badFiles {
-		f.checkBadFile(good, bad)
-	}
-	f.awaitRevision(1, f.Schedulers...)
-	f.reconfigure(good, f.Schedulers...)
-	f.awaitServed("north", f.Schedulers...)
-	f.awaitUnknownTenant("east", f.Schedulers...)
-	f.awaitRevision(2, f.Schedulers...)
-	f.finish()
-	f.checkStayingTenant("valley")
+		tr.checkBadFile(good, bad)
+	}
+	tr.awaitRevision(1, tr.Schedulers...)
+	tr.reconfigure(good, tr.Schedulers...)
+	tr.awaitServed("north", tr.Schedulers...)
+	tr.awaitUnknownTenant("east", tr.Schedulers...)
+	tr.awaitRevision(2, tr.Schedulers...)
+	tr.finish()
+	tr.checkStayingTenant("valley")
 }
 
 // changingTenants are tenants that are added and removed.
@@ -383,29 +383,29 @@
 
 // awaitChangingTenants waits until at all schedulers each present tenant is served, or, if served is false, each absent tenant is
 // unknown.
-func (f *trial) awaitChangingTenants(present map[string]bool, served bool) {
-	f.t.Helper()
+func (tr *trial) awaitChangingTenants(present map[string]bool, served bool) {
+	tr.t.Helper()
 	for _, name := range changingTenants {
 		switch {
 		case present[name] != served:
 		case served:
-			f.awaitServed(name, f.Schedulers...)
+			tr.awaitServed(name, tr.Schedulers...)
 		default:
-			f.awaitUnknownTenant(name, f.Schedulers...)
+			tr.awaitUnknownTenant(name, tr.Schedulers...)
 		}
 	}
 }
 
 // awaitLastConfiguration waits until all schedulers have applied the last revision with its present tenants while datagrams are
 // lost, and then heals the network.
-func (f *trial) awaitLastConfiguration(revision int, present map[string]bool) {
-	f.t.Helper()
-	f.awaitChangingTenants(present, true)
-	f.awaitRevision(revision, f.Schedulers...) // while half of the datagrams are lost
-	f.awaitChangingTenants(present, false)
-	f.Network.Heal()
-	if err := f.awaitAllAlive(); err != nil {
-		f.t.Error(err)
+func (tr *trial) awaitLastConfiguration(revision int, present map[string]bool) {
+	tr.t.Helper()
+	tr.awaitChangingTenants(present, true)
+	tr.awaitRevision(revision, tr.Schedulers...) // while half of the datagrams are lost
+	tr.awaitChangingTenants(present, false)
+	tr.Network.Heal()
+	if err := tr.awaitAllAlive(); err != nil {
+		tr.t.Error(err)
 	}
 }
 
@@ -415,23 +415,23 @@
 func TestRandomTenantChanges(t *testing.T) {
 	r := rand.New(rand.NewPCG(*seed, 0x7ea))
 	first, _ := randomConfiguration(r, 1)
-	f := startTrial(t, 4, first)
-	f.startClients("valley", 2, 40*time.Millisecond, f.Schedulers...)
-	f.awaitServed("valley", f.Schedulers...)
+	tr := startTrial(t, 4, first)
+	tr.startClients("valley", 2, 40*time.Millisecond, tr.Schedulers...)
+	tr.awaitServed("valley", tr.Schedulers...)
 	for _, name := range changingTenants {
-		f.startClients(name, 1, 40*time.Millisecond, f.Schedulers...)
+		tr.startClients(name, 1, 40*time.Millisecond, tr.Schedulers...)
 	}
-	f.loseDatagrams(0.5)
+	tr.loseDatagrams(0.5)
 	began, revision, back := time.Now(), 1, make(chan error, 1)
-	freeze, kill := f.Schedulers[r.IntN(2)], f.Schedulers[2+r.IntN(2)]
+	freeze, kill := tr.Schedulers[r.IntN(2)], tr.Schedulers[2+r.IntN(2)]
 	for n := range *changes {
 		revision++
 		c, _ := randomConfiguration(r, revision)
 		var some []*Scheduler
-		for _, i := range r.Perm(len(f.Schedulers))[:1+r.IntN(len(f.Schedulers))] {
-			some = append(some, f.Schedulers[i])
+		for _, i := range r.Perm(len(tr.Schedulers))[:1+r.IntN(len(tr.Schedulers))] {
+			some = append(some, tr.Schedulers[i])
 		}
-		f.reconfigure(c, some...)
+		tr.reconfigure(c, some...)
 		var err error
 		switch n {
 		case *changes / 4:
@@ -439,7 +439,7 @@
 		case *changes / 3:
 			kill.Kill()
 		case *changes / 2:
-			go func() { back <- f.Start(kill) }()
+			go func() { back <- tr.Start(kill) }()
 		case *changes * 3 / 4:
 			err = freeze.Thaw()
 		}
@@ -452,11 +452,11 @@
 		t.Fatal(err)
 	}
 	last, present := randomConfiguration(r, revision+1)
-	f.reconfigure(last, f.Schedulers...)
-	f.awaitLastConfiguration(last.Revision, present)
-	f.finish()
-	f.checkStayingTenant("valley")
+	tr.reconfigure(last, tr.Schedulers...)
+	tr.awaitLastConfiguration(last.Revision, present)
+	tr.finish()
+	tr.checkStayingTenant("valley")
 	for _, name := range changingTenants {
-		f.checkChangingTenant(name, began)
+		tr.checkChangingTenant(name, began)
 	}
 }
--- a/scripts/sitegen/main.go
+++ b/scripts/sitegen/main.go
@@ -10,8 +10,8 @@
 )
 
 func main() {
-	wire := flag.String("wire", "", "path of the bench's wire table (JSON)")
-	out := flag.String("out", "logs/sites", "output directory")
+	wire := flag.String("wire", "", "the bench's wire table (JSON)")
+	out := flag.String("out", "logs/sites", "the folder to write to")
 	flag.Parse()
 	if err := writeAll(*wire, *out); err != nil {
 		fmt.Fprintln(os.Stderr, "sitegen:", err)
