--- a/internal/faultinjection/tenants_test.go
+++ b/internal/faultinjection/tenants_test.go
@@ -16,79 +16,79 @@
 
 var (
 	long    = flag.Bool("long", false, "freeze for 10 s instead of 2 s")
-	changes = flag.Int("changes", 24, "configuration changes in a test of random ones")
+	changes = flag.Int("changes", 24, "number of configuration changes in TestRandomTenantChanges")
 )
 
-// Guards changes of tenants under load, while half of the datagrams between schedulers are lost and one of them is killed and
-// restarted with the newest file: tenants that stay are served throughout, new ones are served in time at each scheduler, and of
-// removed ones no new job is accepted while those in flight have their results.
+// TestTenantsChangeWhileServing changes tenants under load while half of the datagrams between schedulers are lost and one scheduler
+// is killed and restarted with the newest file. Tenants that stay must be served throughout, added tenants must be served at each
+// scheduler in time, and removed tenants must have new jobs rejected and jobs in flight completed.
 func TestTenantsChangeWhileServing(t *testing.T) {
-	f := startTrial(t, 4, Configuration{1, []Tenant{{"valley", 0.5, 60}, {"east", 0.3, 40}, {"west", 0.2, 20}}})
-	all, restarted := f.Schedulers, f.Schedulers[1]
-	f.startClients("valley", 2, 40*time.Millisecond, all...)
-	f.startClients("east", 2, 40*time.Millisecond, all...)
-	f.startClients("west", 3, 10*time.Millisecond, all...)
-	f.awaitServed("west", all...)
-	f.loseDatagrams(0.5)
+	tr := startTrial(t, 4, Configuration{1, []Tenant{{"valley", 0.5, 60}, {"east", 0.3, 40}, {"west", 0.2, 20}}})
+	all, restarted := tr.Schedulers, tr.Schedulers[1]
+	tr.startClients("valley", 2, 40*time.Millisecond, all...)
+	tr.startClients("east", 2, 40*time.Millisecond, all...)
+	tr.startClients("west", 3, 10*time.Millisecond, all...)
+	tr.awaitServed("west", all...)
+	tr.loseDatagrams(0.5)
 
-	f.reconfigure(Configuration{2, []Tenant{{"valley", 0.2, 30}, {"north", 0.3, 10}, {"west", 0.2, 20}, {"east", 0.15, 20}}}, all...)
-	f.awaitServed("north", all...)
-	f.startClients("north", 1, 100*time.Millisecond, all...)
+	tr.reconfigure(Configuration{2, []Tenant{{"valley", 0.2, 30}, {"north", 0.3, 10}, {"west", 0.2, 20}, {"east", 0.15, 20}}}, all...)
+	tr.awaitServed("north", all...)
+	tr.startClients("north", 1, 100*time.Millisecond, all...)
 
-	// The killed scheduler reads the newest file at its start, and is signalled once more when it is up.
+	// The killed scheduler reads the newest file at its start and is signalled again when it is up.
 	third := Configuration{3, []Tenant{{"north", 0.1, 10}, {"south", 0.5, 0}, {"east", 0.3, 20}, {"valley", 0.2, 30}}}
 	restarted.Kill()
 	back := make(chan error, 1)
 	up := slices.DeleteFunc(slices.Clone(all), func(s *Scheduler) bool { return s == restarted })
 	removedAt := time.Now()
-	f.reconfigure(third, all...)
-	go func() { back <- f.Start(restarted) }()
-	f.awaitUnknownTenant("west", up...)
-	f.awaitServed("south", up...)
+	tr.reconfigure(third, all...)
+	go func() { back <- tr.Start(restarted) }()
+	tr.awaitUnknownTenant("west", up...)
+	tr.awaitServed("south", up...)
 	if err := <-back; err != nil {
 		t.Fatal(err)
 	}
-	f.awaitServed("south", restarted)
-	f.awaitUnknownTenant("west", restarted)
-	f.startClients("south", 1, 100*time.Millisecond, all...)
+	tr.awaitServed("south", restarted)
+	tr.awaitUnknownTenant("west", restarted)
+	tr.startClients("south", 1, 100*time.Millisecond, all...)
 
-	f.reconfigure(Configuration{4, []Tenant{{"south", 0.2, 5}, {"west", 0.3, 20}, {"east", 0.3, 20}, {"valley", 0.2, 30}, {"north", 0.3, 10}}}, all...)
-	f.awaitServed("west", all...)
-	f.Network.Heal()
-	f.awaitRevision(4, all...)
-	if err := f.awaitAllAlive(); err != nil {
+	tr.reconfigure(Configuration{4, []Tenant{{"south", 0.2, 5}, {"west", 0.3, 20}, {"east", 0.3, 20}, {"valley", 0.2, 30}, {"north", 0.3, 10}}}, all...)
+	tr.awaitServed("west", all...)
+	tr.Network.Heal()
+	tr.awaitRevision(4, all...)
+	if err := tr.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
-	f.finish()
+	tr.finish()
 	for _, tenant := range []string{"valley", "east"} {
-		f.checkStayingTenant(tenant)
+		tr.checkStayingTenant(tenant)
 	}
-	f.checkChangingTenant("north", removedAt)
-	f.checkChangingTenant("south", removedAt)
-	if inFlight := f.checkChangingTenant("west", removedAt); inFlight == 0 {
+	tr.checkChangingTenant("north", removedAt)
+	tr.checkChangingTenant("south", removedAt)
+	if inFlight := tr.checkChangingTenant("west", removedAt); inFlight == 0 {
 		t.Error("no job of west was in flight when it was removed")
 	} else {
 		t.Logf("%d jobs of west were in flight when it was removed", inFlight)
 	}
 }
 
-// onlyOldBehind returns a check that of so many schedulers exactly those from a number on are behind.
-func onlyOldBehind(schedulers, from int) func(*peerPage) error {
-	return func(a *peerPage) error {
+// onlyBehindFrom returns a check that exactly the schedulers with numbers from a given one on are reported as behind.
+func onlyBehindFrom(schedulers, from int) func(*peerPage) error {
+	return func(page *peerPage) error {
 		for j := range schedulers {
-			if late, err := a.behind(j); err != nil || late != (j >= from) {
-				return fmt.Errorf("%d behind: %v, error %w", j, late, err)
+			if late, err := page.isBehind(j); err != nil || late != (j >= from) {
+				return fmt.Errorf("member %d behind: %v, error %w", j, late, err)
 			}
 		}
 		return nil
 	}
 }
 
-// hasReportsOfAllOthers returns a check that for some worker the load reports of all other schedulers are in use.
+// hasReportsOfAllOthers returns a check that a scheduler uses the load reports of all others about at least one worker.
 func hasReportsOfAllOthers(schedulers int) func(*peerPage) error {
-	return func(a *peerPage) error {
+	return func(page *peerPage) error {
 		most := 0
-		for _, b := range a.Boxes {
+		for _, b := range page.Boxes {
 			most = max(most, b.Tellers)
 		}
 		if most < schedulers-1 {
@@ -98,147 +98,148 @@
 	}
 }
 
-// acceptsAllSince returns a check that no datagram was rejected since an earlier page, and 20 were received.
+// acceptsAllSince returns a check that since an earlier page no datagram was rejected and at least 20 were received.
 func acceptsAllSince(before peerPage) func(*peerPage) error {
-	return func(a *peerPage) error {
-		if a.Counts.Refused != before.Counts.Refused || a.Counts.Received < before.Counts.Received+20 {
-			return fmt.Errorf("rejected %d, before %d; received %d, before %d", a.Counts.Refused, before.Counts.Refused,
-				a.Counts.Received, before.Counts.Received)
+	return func(page *peerPage) error {
+		if page.Counts.Refused != before.Counts.Refused || page.Counts.Received < before.Counts.Received+20 {
+			return fmt.Errorf("rejected %d, before %d; received %d, before %d", page.Counts.Refused, before.Counts.Refused,
+				page.Counts.Received, before.Counts.Received)
 		}
 		return nil
 	}
 }
 
-// Guards schedulers of which half have new tenants, one of them since its start: they use each other's load reports, each knows
-// which are behind, and one that has missed three changes catches up by one reload.
+// TestHalfOnTheOldTenants gives half of the schedulers a newer configuration, one of them at its start. The schedulers must use each
+// other's load reports and know which of them are behind, and one that missed three changes must catch up by one reload.
 func TestHalfOnTheOldTenants(t *testing.T) {
 	first := Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}}
-	f := startTrial(t, 4, first)
-	young, old := f.Schedulers[:2], f.Schedulers[2:]
+	tr := startTrial(t, 4, first)
+	updated, outdated := tr.Schedulers[:2], tr.Schedulers[2:]
 	newest := Configuration{4, []Tenant{{"south", 0.5, 30}, {"valley", 0.3, 20}, {"north", 0.2, 10}}}
 	for _, c := range []Configuration{
 		{2, []Tenant{{"valley", 0.3, 20}, {"east", 0.4, 0}, {"north", 0.3, 0}}},
 		{3, []Tenant{{"valley", 0.3, 20}, {"north", 0.7, 0}}}, newest} {
-		f.reconfigure(c, young[0])
-		f.awaitPage(young[0], fmt.Sprintf("%d is in force", c.Revision), func(a *peerPage) error {
-			if got := a.Members[a.Self].Revision; got != c.Revision {
-				return fmt.Errorf("it has %d in force", got)
+		tr.reconfigure(c, updated[0])
+		tr.awaitPage(updated[0], fmt.Sprintf("%d is in force", c.Revision), func(page *peerPage) error {
+			if got := page.Members[page.Self].Revision; got != c.Revision {
+				return fmt.Errorf("revision %d is in force", got)
 			}
 			return nil
 		})
 	}
-	young[1].Kill()
-	if err := young[1].ReplaceFile(young[1].ConfigurationFile(newest)); err != nil {
+	updated[1].Kill()
+	if err := updated[1].ReplaceFile(updated[1].ConfigurationFile(newest)); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Start(young[1]); err != nil {
+	if err := tr.Start(updated[1]); err != nil {
 		t.Fatal(err)
 	}
-	f.awaitServed("south", young...)
-	f.awaitUnknownTenant("south", old...)
-	f.awaitServed("east", old...)
-	if err := f.awaitAllAlive(); err != nil {
+	tr.awaitServed("south", updated...)
+	tr.awaitUnknownTenant("south", outdated...)
+	tr.awaitServed("east", outdated...)
+	if err := tr.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
 	var before [4]peerPage
-	for i, s := range f.Schedulers {
-		before[i] = f.awaitPage(s, "the schedulers with the old file are behind", onlyOldBehind(len(f.Schedulers), len(young)))
+	for i, s := range tr.Schedulers {
+		before[i] = tr.awaitPage(s, "the schedulers with the old file are behind", onlyBehindFrom(len(tr.Schedulers), len(updated)))
 	}
-	stop := f.startClients("valley", 6, time.Millisecond, f.Schedulers...)
-	for _, s := range f.Schedulers {
-		f.awaitPage(s, "has load reports of all others", hasReportsOfAllOthers(len(f.Schedulers)))
+	stop := tr.startClients("valley", 6, time.Millisecond, tr.Schedulers...)
+	for _, s := range tr.Schedulers {
+		tr.awaitPage(s, "has load reports of all others", hasReportsOfAllOthers(len(tr.Schedulers)))
 	}
 	stop()
-	for i, s := range f.Schedulers {
-		f.awaitPage(s, "no datagram is rejected", acceptsAllSince(before[i]))
-	}
-	f.reconfigure(newest, old...)
-	f.awaitServed("south", old...)
-	f.awaitUnknownTenant("east", old...)
-	f.awaitRevision(newest.Revision, f.Schedulers...)
-	f.finish()
-	f.checkStayingTenant("valley")
+	for i, s := range tr.Schedulers {
+		tr.awaitPage(s, "no datagram is rejected", acceptsAllSince(before[i]))
+	}
+	tr.reconfigure(newest, outdated...)
+	tr.awaitServed("south", outdated...)
+	tr.awaitUnknownTenant("east", outdated...)
+	tr.awaitRevision(newest.Revision, tr.Schedulers...)
+	tr.finish()
+	tr.checkStayingTenant("valley")
 }
 
-// Guards the last of two files when signals come at once: whatever was read of the first, the second is in force.
+// TestTwoChangesInOneSecond checks that of two files that are signalled in quick succession the second one ends up in force, whether
+// or not the first was read.
 func TestTwoChangesInOneSecond(t *testing.T) {
-	f := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
-	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
+	tr := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
+	tr.startClients("valley", 2, 20*time.Millisecond, tr.Schedulers...)
 	for revision := 2; revision < 12; revision += 2 {
 		passing, last := fmt.Sprint("passing", revision), fmt.Sprint("last", revision)
-		f.reconfigure(Configuration{revision, []Tenant{{passing, 0.5, 0}, {"valley", 0.5, 10}}}, f.Schedulers...)
-		f.reconfigure(Configuration{revision + 1, []Tenant{{"valley", 0.1, 0}, {last, 0.9, 5}}}, f.Schedulers...)
-		f.awaitServed(last, f.Schedulers...)
-		for _, s := range f.Schedulers {
-			if answer := f.submit(s, passing); answer.Status != http.StatusBadRequest {
+		tr.reconfigure(Configuration{revision, []Tenant{{passing, 0.5, 0}, {"valley", 0.5, 10}}}, tr.Schedulers...)
+		tr.reconfigure(Configuration{revision + 1, []Tenant{{"valley", 0.1, 0}, {last, 0.9, 5}}}, tr.Schedulers...)
+		tr.awaitServed(last, tr.Schedulers...)
+		for _, s := range tr.Schedulers {
+			if answer := tr.submit(s, passing); answer.Status != http.StatusBadRequest {
 				t.Errorf("%s: a job of %s, which the last file lacks, was answered with %d", s.Name, passing, answer.Status)
 			}
 		}
-		f.awaitRevision(revision+1, f.Schedulers...)
+		tr.awaitRevision(revision+1, tr.Schedulers...)
 	}
-	f.finish()
-	f.checkStayingTenant("valley")
+	tr.finish()
+	tr.checkStayingTenant("valley")
 }
 
-// Guards a change that is taken back by the former file: the first state is in force again, with its revision, everywhere,
-// whether the change was in force meanwhile or not, and no job is lost.
+// TestChangeTakenBack reverts a change by restoring the former file. The first configuration must be in force again with its
+// revision at every scheduler, whether or not the change had been applied there, and no job may be lost.
 func TestChangeTakenBack(t *testing.T) {
 	first := Configuration{1, []Tenant{{"valley", 0.6, 40}, {"east", 0.4, 0}}}
 	second := Configuration{2, []Tenant{{"north", 0.7, 0}, {"valley", 0.3, 20}}}
-	f := startTrial(t, 3, first)
-	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
-	f.startClients("east", 3, 5*time.Millisecond, f.Schedulers...)
-	f.awaitServed("east", f.Schedulers...)
+	tr := startTrial(t, 3, first)
+	tr.startClients("valley", 2, 20*time.Millisecond, tr.Schedulers...)
+	tr.startClients("east", 3, 5*time.Millisecond, tr.Schedulers...)
+	tr.awaitServed("east", tr.Schedulers...)
 	digest := ""
-	f.awaitRevision(1, f.Schedulers...)
-	f.awaitPage(f.Schedulers[0], "has a digest", func(a *peerPage) error {
-		if digest = a.Members[0].Digest; digest == "" {
-			return fmt.Errorf("none")
+	tr.awaitRevision(1, tr.Schedulers...)
+	tr.awaitPage(tr.Schedulers[0], "has a digest", func(page *peerPage) error {
+		if digest = page.Members[0].Digest; digest == "" {
+			return fmt.Errorf("no digest")
 		}
 		return nil
 	})
 	changed := time.Now()
-	f.reconfigure(second, f.Schedulers[:2]...)
-	f.reconfigure(first, f.Schedulers[1])
-	f.awaitServed("north", f.Schedulers[0])
-	f.awaitUnknownTenant("east", f.Schedulers[0])
-	f.awaitPage(f.Schedulers[2], "it is behind itself", func(a *peerPage) error {
-		if late, err := a.behind(2); err != nil || !late {
+	tr.reconfigure(second, tr.Schedulers[:2]...)
+	tr.reconfigure(first, tr.Schedulers[1])
+	tr.awaitServed("north", tr.Schedulers[0])
+	tr.awaitUnknownTenant("east", tr.Schedulers[0])
+	tr.awaitPage(tr.Schedulers[2], "it is behind itself", func(page *peerPage) error {
+		if late, err := page.isBehind(2); err != nil || !late {
 			return fmt.Errorf("behind %v, error %w", late, err)
 		}
 		return nil
 	})
-	f.reconfigure(first, f.Schedulers[0])
-	f.awaitServed("east", f.Schedulers...)
-	f.awaitUnknownTenant("north", f.Schedulers...)
-	f.awaitRevision(1, f.Schedulers...)
-	for _, s := range f.Schedulers {
-		f.awaitPage(s, "has the first digest", func(a *peerPage) error {
-			for _, m := range a.Members {
+	tr.reconfigure(first, tr.Schedulers[0])
+	tr.awaitServed("east", tr.Schedulers...)
+	tr.awaitUnknownTenant("north", tr.Schedulers...)
+	tr.awaitRevision(1, tr.Schedulers...)
+	for _, s := range tr.Schedulers {
+		tr.awaitPage(s, "has the first digest", func(page *peerPage) error {
+			for _, m := range page.Members {
 				if m.Digest != digest {
-					return fmt.Errorf("%d has %s, and at first it was %s", m.Number, m.Digest, digest)
+					return fmt.Errorf("member %d has digest %s, want the first one, %s", m.Number, m.Digest, digest)
 				}
 			}
 			return nil
 		})
 	}
-	f.finish()
-	f.checkStayingTenant("valley")
-	if inFlight := f.checkChangingTenant("east", changed); inFlight == 0 {
+	tr.finish()
+	tr.checkStayingTenant("valley")
+	if inFlight := tr.checkChangingTenant("east", changed); inFlight == 0 {
 		t.Error("no job of east was in flight at the change")
 	}
-	f.checkChangingTenant("north", changed)
+	tr.checkChangingTenant("north", changed)
 }
 
-// Guards a scheduler that is frozen while tenants change: the others report that it is behind, and after the thaw it has the newest
-// in force in time.
+// TestFrozenThroughAChange freezes a scheduler while tenants change. The others must report that it is behind, and after the thaw
+// it must apply the newest configuration in time.
 func TestFrozenThroughAChange(t *testing.T) {
-	f := startTrial(t, 3, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
-	frozen, others := f.Schedulers[2], f.Schedulers[:2]
-	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
-	f.startClients("east", 2, 20*time.Millisecond, f.Schedulers...)
-	f.awaitServed("east", f.Schedulers...)
-	f.awaitRevision(1, f.Schedulers...)
+	tr := startTrial(t, 3, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
+	frozen, others := tr.Schedulers[2], tr.Schedulers[:2]
+	tr.startClients("valley", 2, 20*time.Millisecond, tr.Schedulers...)
+	tr.startClients("east", 2, 20*time.Millisecond, tr.Schedulers...)
+	tr.awaitServed("east", tr.Schedulers...)
+	tr.awaitRevision(1, tr.Schedulers...)
 	span := 2 * time.Second
 	if *long {
 		span = 10 * time.Second
@@ -247,16 +248,16 @@
 		t.Fatal(err)
 	}
 	thaw := time.After(span)
-	f.reconfigure(Configuration{2, []Tenant{{"valley", 0.6, 0}, {"passing", 0.4, 0}}}, f.Schedulers...)
-	f.awaitServed("passing", others...)
-	f.reconfigure(Configuration{3, []Tenant{{"north", 0.2, 0}, {"valley", 0.6, 10}}}, f.Schedulers...)
-	f.awaitServed("north", others...)
-	f.awaitUnknownTenant("passing", others...)
+	tr.reconfigure(Configuration{2, []Tenant{{"valley", 0.6, 0}, {"passing", 0.4, 0}}}, tr.Schedulers...)
+	tr.awaitServed("passing", others...)
+	tr.reconfigure(Configuration{3, []Tenant{{"north", 0.2, 0}, {"valley", 0.6, 10}}}, tr.Schedulers...)
+	tr.awaitServed("north", others...)
+	tr.awaitUnknownTenant("passing", others...)
 	for _, s := range others {
-		f.awaitPage(s, "the frozen one is behind", func(a *peerPage) error {
+		tr.awaitPage(s, "the frozen one is behind", func(page *peerPage) error {
 			for i, want := range []bool{false, false, true} {
-				if late, err := a.behind(i); err != nil || late != want {
-					return fmt.Errorf("%d behind %v, error %w", i, late, err)
+				if late, err := page.isBehind(i); err != nil || late != want {
+					return fmt.Errorf("member %d behind: %v, error %w", i, late, err)
 				}
 			}
 			return nil
@@ -266,24 +267,24 @@
 	if err := frozen.Thaw(); err != nil {
 		t.Fatal(err)
 	}
-	f.awaitServed("north", frozen)
+	tr.awaitServed("north", frozen)
 	for _, tenant := range []string{"east", "passing"} {
-		f.awaitUnknownTenant(tenant, f.Schedulers...)
+		tr.awaitUnknownTenant(tenant, tr.Schedulers...)
 	}
-	f.awaitRevision(3, f.Schedulers...)
-	if err := f.awaitAllAlive(); err != nil {
+	tr.awaitRevision(3, tr.Schedulers...)
+	if err := tr.awaitAllAlive(); err != nil {
 		t.Error(err)
 	}
-	f.finish()
-	f.checkStayingTenant("valley")
-	f.checkChangingTenant("east", time.Now())
+	tr.finish()
+	tr.checkStayingTenant("valley")
+	tr.checkChangingTenant("east", time.Now())
 }
 
-// badFile is a file with an error: of its tenants, or of what spoil makes of its text.
+// badFile is an invalid operator's file: either its tenants are invalid, or corrupt makes its text invalid.
 type badFile struct {
 	what    string
 	tenants []Tenant
-	spoil   func(text []byte) []byte
+	corrupt func(text []byte) []byte
 }
 
 var goodTenants = []Tenant{{"north", 0.5, 10}, {"valley", 0.5, 0}}
@@ -293,50 +294,50 @@
 	{"share below 0", []Tenant{{"north", -1, 10}, {"valley", 0.5, 0}}, nil},
 	{"quota below 0", []Tenant{{"north", 0.5, -10}, {"valley", 0.5, 0}}, nil},
 	{"no name", []Tenant{{"", 0.5, 10}, {"valley", 0.5, 0}}, nil},
-	{"a name twice", []Tenant{{"north", 0.5, 10}, {"valley", 0.2, 0}, {"north", 0.3, 0}}, nil},
+	{"duplicate name", []Tenant{{"north", 0.5, 10}, {"valley", 0.2, 0}, {"north", 0.3, 0}}, nil},
 	{"truncated within a name", goodTenants, func(text []byte) []byte { return text[:bytes.Index(text, []byte("valley"))+3] }},
 	{"empty", goodTenants, func([]byte) []byte { return nil }},
-	{"an unknown key", goodTenants, func(text []byte) []byte {
+	{"unknown key", goodTenants, func(text []byte) []byte {
 		return bytes.Replace(text, []byte("name = \"north\"\n"), []byte("name = \"north\"\nquota = 3\n"), 1)
 	}},
-	{"a share that is no number", goodTenants, func(text []byte) []byte {
+	{"share NaN", goodTenants, func(text []byte) []byte {
 		return bytes.Replace(text, []byte("share = 0.5"), []byte("share = nan"), 1)
 	}},
-	{"a share without end", goodTenants, func(text []byte) []byte {
+	{"infinite share", goodTenants, func(text []byte) []byte {
 		return bytes.Replace(text, []byte("share = 0.5"), []byte("share = inf"), 1)
 	}},
 }
 
-// checkBadFile has all schedulers read a bad file in place of a good one, and checks that their logs say so and that the first
-// configuration is still in force.
-func (f *trial) checkBadFile(good Configuration, bad badFile) {
-	f.t.Helper()
-	for _, s := range f.Schedulers {
+// checkBadFile makes all schedulers reload an invalid file and checks that their logs report it and that the first configuration is
+// still in force.
+func (tr *trial) checkBadFile(good Configuration, bad badFile) {
+	tr.t.Helper()
+	for _, s := range tr.Schedulers {
 		after, err := s.LogSize()
 		if err != nil {
-			f.t.Fatal(err)
+			tr.t.Fatal(err)
 		}
 		text := s.ConfigurationFile(Configuration{good.Revision, bad.tenants})
-		if bad.spoil != nil {
-			text = bad.spoil(text)
+		if bad.corrupt != nil {
+			text = bad.corrupt(text)
 		}
 		if err := errors.Join(s.ReplaceFile(text), s.Hangup()); err != nil {
-			f.t.Fatal(err)
+			tr.t.Fatal(err)
 		}
 		line, err := s.AwaitLog(after, "configuration", maxApplyTime)
 		if err != nil {
-			f.t.Fatalf("%s: %v", bad.what, err)
+			tr.t.Fatalf("%s: %v", bad.what, err)
 		}
 		if !strings.Contains(line, "the new configuration is bad") {
-			f.t.Errorf("%s: %s", bad.what, line)
+			tr.t.Errorf("%s: %s", bad.what, line)
 		}
 	}
 	var submitted sync.WaitGroup
 	for tenant, want := range map[string]int{"valley": 200, "east": 200, "north": 400} {
-		for _, s := range f.Schedulers {
+		for _, s := range tr.Schedulers {
 			submitted.Go(func() {
-				if answer := f.submit(s, tenant); answer.Status != want {
-					f.t.Errorf("%s: a job of %s was answered with %d, want %d", bad.what, tenant, answer.Status, want)
+				if answer := tr.submit(s, tenant); answer.Status != want {
+					tr.t.Errorf("%s: a job of %s was answered with %d, want %d", bad.what, tenant, answer.Status, want)
 				}
 			})
 		}
@@ -344,91 +345,93 @@
 	submitted.Wait()
 }
 
-// Guards against a bad file of which anything is applied: the log names it, and tenants, revision and jobs are as before.
+// TestBadTenantsChangeNothing guards against an invalid file that is partly applied: the log must report it, and tenants, revision
+// and jobs must be unaffected.
 func TestBadTenantsChangeNothing(t *testing.T) {
-	f := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
-	f.startClients("valley", 2, 20*time.Millisecond, f.Schedulers...)
-	f.startClients("east", 2, 20*time.Millisecond, f.Schedulers...)
-	f.awaitRevision(1, f.Schedulers...)
+	tr := startTrial(t, 2, Configuration{1, []Tenant{{"valley", 0.6, 0}, {"east", 0.4, 0}}})
+	tr.startClients("valley", 2, 20*time.Millisecond, tr.Schedulers...)
+	tr.startClients("east", 2, 20*time.Millisecond, tr.Schedulers...)
+	tr.awaitRevision(1, tr.Schedulers...)
 	good := Configuration{2, goodTenants}
 	for _, bad := range badFiles {
-		f.checkBadFile(good, bad)
-	}
-	f.awaitRevision(1, f.Schedulers...)
-	f.reconfigure(good, f.Schedulers...)
-	f.awaitServed("north", f.Schedulers...)
-	f.awaitUnknownTenant("east", f.Schedulers...)
-	f.awaitRevision(2, f.Schedulers...)
-	f.finish()
-	f.checkStayingTenant("valley")
+		tr.checkBadFile(good, bad)
+	}
+	tr.awaitRevision(1, tr.Schedulers...)
+	tr.reconfigure(good, tr.Schedulers...)
+	tr.awaitServed("north", tr.Schedulers...)
+	tr.awaitUnknownTenant("east", tr.Schedulers...)
+	tr.awaitRevision(2, tr.Schedulers...)
+	tr.finish()
+	tr.checkStayingTenant("valley")
 }
 
 // changingTenants are tenants that are added and removed.
 var changingTenants = []string{"north", "south", "west", "delta", "ridge", "plain"}
 
-// drawConfiguration returns a configuration with some of the changing tenants, and which those are.
-func drawConfiguration(r *rand.Rand, revision int) (c Configuration, there map[string]bool) {
-	c.Revision, there = revision, map[string]bool{}
+// randomConfiguration returns a configuration with a random subset of the changing tenants, and that subset.
+func randomConfiguration(r *rand.Rand, revision int) (c Configuration, present map[string]bool) {
+	c.Revision, present = revision, map[string]bool{}
 	c.Tenants = append(c.Tenants, Tenant{"valley", 0.05 + r.Float64(), float64(r.IntN(40))})
 	for _, name := range changingTenants {
-		if there[name] = r.IntN(2) == 0; there[name] {
+		if present[name] = r.IntN(2) == 0; present[name] {
 			c.Tenants = append(c.Tenants, Tenant{name, 0.05 + r.Float64(), float64(r.IntN(20))})
 		}
 	}
 	r.Shuffle(len(c.Tenants), func(i, j int) { c.Tenants[i], c.Tenants[j] = c.Tenants[j], c.Tenants[i] })
-	return c, there
+	return c, present
 }
 
-// awaitChangingTenants waits until each of the changing tenants that are there is served at all schedulers, or each of the others
-// is unknown.
-func (f *trial) awaitChangingTenants(there map[string]bool, served bool) {
-	f.t.Helper()
+// awaitChangingTenants waits until at all schedulers each present tenant is served, or, if served is false, each absent tenant is
+// unknown.
+func (tr *trial) awaitChangingTenants(present map[string]bool, served bool) {
+	tr.t.Helper()
 	for _, name := range changingTenants {
 		switch {
-		case there[name] != served:
+		case present[name] != served:
 		case served:
-			f.awaitServed(name, f.Schedulers...)
+			tr.awaitServed(name, tr.Schedulers...)
 		default:
-			f.awaitUnknownTenant(name, f.Schedulers...)
+			tr.awaitUnknownTenant(name, tr.Schedulers...)
 		}
 	}
 }
 
-// awaitLastConfiguration waits until all schedulers have the last revision, with the tenants that are there, while datagrams are
-// lost, and heals the network.
-func (f *trial) awaitLastConfiguration(revision int, there map[string]bool) {
-	f.t.Helper()
-	f.awaitChangingTenants(there, true)
-	f.awaitRevision(revision, f.Schedulers...) // half of the datagrams are still lost
-	f.awaitChangingTenants(there, false)
-	f.Network.Heal()
-	if err := f.awaitAllAlive(); err != nil {
-		f.t.Error(err)
+// awaitLastConfiguration waits until all schedulers have applied the last revision with its present tenants while datagrams are
+// lost, and then heals the network.
+func (tr *trial) awaitLastConfiguration(revision int, present map[string]bool) {
+	tr.t.Helper()
+	tr.awaitChangingTenants(present, true)
+	tr.awaitRevision(revision, tr.Schedulers...) // while half of the datagrams are lost
+	tr.awaitChangingTenants(present, false)
+	tr.Network.Heal()
+	if err := tr.awaitAllAlive(); err != nil {
+		tr.t.Error(err)
 	}
 }
 
-// Guards a sequence of random changes, each for some of the schedulers, while datagrams are lost, one scheduler freezes and one is
-// killed: no job of a tenant that stays is rejected, no job is lost, and in the end all have the last configuration in force.
+// TestRandomTenantChanges applies random changes, each to some of the schedulers, while datagrams are lost, one scheduler freezes and
+// one is killed. No job of a tenant that stays may be rejected, no job may be lost, and finally all schedulers must have applied the
+// last configuration.
 func TestRandomTenantChanges(t *testing.T) {
 	r := rand.New(rand.NewPCG(*seed, 0x7ea))
-	first, _ := drawConfiguration(r, 1)
-	f := startTrial(t, 4, first)
-	f.startClients("valley", 2, 40*time.Millisecond, f.Schedulers...)
-	f.awaitServed("valley", f.Schedulers...)
+	first, _ := randomConfiguration(r, 1)
+	tr := startTrial(t, 4, first)
+	tr.startClients("valley", 2, 40*time.Millisecond, tr.Schedulers...)
+	tr.awaitServed("valley", tr.Schedulers...)
 	for _, name := range changingTenants {
-		f.startClients(name, 1, 40*time.Millisecond, f.Schedulers...)
+		tr.startClients(name, 1, 40*time.Millisecond, tr.Schedulers...)
 	}
-	f.loseDatagrams(0.5)
+	tr.loseDatagrams(0.5)
 	began, revision, back := time.Now(), 1, make(chan error, 1)
-	freeze, kill := f.Schedulers[r.IntN(2)], f.Schedulers[2+r.IntN(2)]
+	freeze, kill := tr.Schedulers[r.IntN(2)], tr.Schedulers[2+r.IntN(2)]
 	for n := range *changes {
 		revision++
-		c, _ := drawConfiguration(r, revision)
+		c, _ := randomConfiguration(r, revision)
 		var some []*Scheduler
-		for _, i := range r.Perm(len(f.Schedulers))[:1+r.IntN(len(f.Schedulers))] {
-			some = append(some, f.Schedulers[i])
+		for _, i := range r.Perm(len(tr.Schedulers))[:1+r.IntN(len(tr.Schedulers))] {
+			some = append(some, tr.Schedulers[i])
 		}
-		f.reconfigure(c, some...)
+		tr.reconfigure(c, some...)
 		var err error
 		switch n {
 		case *changes / 4:
@@ -436,7 +439,7 @@
 		case *changes / 3:
 			kill.Kill()
 		case *changes / 2:
-			go func() { back <- f.Start(kill) }()
+			go func() { back <- tr.Start(kill) }()
 		case *changes * 3 / 4:
 			err = freeze.Thaw()
 		}
@@ -448,12 +451,12 @@
 	if err := <-back; err != nil {
 		t.Fatal(err)
 	}
-	last, there := drawConfiguration(r, revision+1)
-	f.reconfigure(last, f.Schedulers...)
-	f.awaitLastConfiguration(last.Revision, there)
-	f.finish()
-	f.checkStayingTenant("valley")
+	last, present := randomConfiguration(r, revision+1)
+	tr.reconfigure(last, tr.Schedulers...)
+	tr.awaitLastConfiguration(last.Revision, present)
+	tr.finish()
+	tr.checkStayingTenant("valley")
 	for _, name := range changingTenants {
-		f.checkChangingTenant(name, began)
+		tr.checkChangingTenant(name, began)
 	}
 }
