--- a/cmd/sedgevale/state.go
+++ b/cmd/sedgevale/state.go
@@ -34,9 +34,9 @@
 		case f.Live:
 			state = "read at a start"
 			liveFiles++
-			tornBytes += f.Torn
+			tornBytes += f.TornBytes
 		}
-		fmt.Printf("%s: %d bytes, %d entries, %d bytes torn: %s\n", f.Name, f.Bytes, f.Frames, f.Torn, state)
+		fmt.Printf("%s: %d bytes, %d entries, %d bytes torn: %s\n", f.Name, f.Bytes, f.Frames, f.TornBytes, state)
 	}
 	if liveFiles == 0 {
 		return exitError{exitDamaged, fmt.Errorf("%s: no whole snapshot", c.Dir)}
--- a/coord/membership/change.go
+++ b/coord/membership/change.go
@@ -24,8 +24,8 @@
 		if seat < 0 || seat >= len(m.Seats) {
 			return m, fmt.Errorf("%w: %d, the membership has %d seats", ErrUnknownSeat, seat, len(m.Seats))
 		}
-		addressSeat := m.SeatAt(address)
-		if m.SeatOf(id) >= 0 || addressSeat >= 0 && addressSeat != seat {
+		addressSeat := m.SeatByAddress(address)
+		if m.SeatByID(id) >= 0 || addressSeat >= 0 && addressSeat != seat {
 			return m, fmt.Errorf("%w: disk %s at %s", ErrAlreadyMember, id, address)
 		}
 		remaining := len(m.Voters())
@@ -45,7 +45,7 @@
 // quorum of voters held after they had installed the learner's epoch.
 func Promote(id string) Change {
 	return func(m Membership) (Membership, error) {
-		seat := m.SeatOf(id)
+		seat := m.SeatByID(id)
 		if seat < 0 || m.Seats[seat].Voter {
 			return m, fmt.Errorf("%w: disk %s", ErrNotLearner, id)
 		}
--- a/coord/membership/membership.go
+++ b/coord/membership/membership.go
@@ -99,19 +99,19 @@
 	return members
 }
 
-// SeatOf returns the index of the seat that the disk with an ID holds, or -1.
-func (m Membership) SeatOf(id string) int {
+// SeatByID returns the index of the seat that the disk with an ID holds, or -1.
+func (m Membership) SeatByID(id string) int {
 	return slices.IndexFunc(m.Seats, func(member Member) bool { return id != "" && member.ID == id })
 }
 
-// SeatAt returns the index of the seat whose member has an address, or -1.
-func (m Membership) SeatAt(address string) int {
+// SeatByAddress returns the index of the seat whose member has an address, or -1.
+func (m Membership) SeatByAddress(address string) int {
 	return slices.IndexFunc(m.Seats, func(member Member) bool { return member.ID != "" && member.Address == address })
 }
 
 // Member returns the member with a disk ID and whether there is one.
 func (m Membership) Member(id string) (Member, bool) {
-	seat := m.SeatOf(id)
+	seat := m.SeatByID(id)
 	if seat < 0 {
 		return Member{}, false
 	}
@@ -147,7 +147,7 @@
 		if member.Address == "" || member.JoinEpoch < 1 || member.JoinEpoch > m.Epoch {
 			return fmt.Errorf("%w: seats[%d]: %+v in epoch %d", ErrInvalid, i, member, m.Epoch)
 		}
-		if m.SeatOf(member.ID) != i || m.SeatAt(member.Address) != i {
+		if m.SeatByID(member.ID) != i || m.SeatByAddress(member.Address) != i {
 			return fmt.Errorf("%w: seats[%d]: %s at %s holds two seats", ErrInvalid, i, member.ID, member.Address)
 		}
 	}
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -30,7 +30,7 @@
 
 func TestBootstrapIgnoresAddressOrder(t *testing.T) {
 	a, b := Bootstrap(5, []string{"a", "b", "c"}), Bootstrap(5, []string{"c", "b", "a", "b"})
-	if !a.Equal(b) || len(a.Voters()) != 3 || a.Quorum() != 3 || a.SeatAt("d") != -1 {
+	if !a.Equal(b) || len(a.Voters()) != 3 || a.Quorum() != 3 || a.SeatByAddress("d") != -1 {
 		t.Errorf("bootstrap from the same addresses: %+v and %+v", a, b)
 	}
 	if c := Bootstrap(5, []string{"a", "b", "d"}); c.Deployment == a.Deployment {
@@ -58,7 +58,7 @@
 	if _, err := NextProposal(m, m, AddLearner(1, "y", "e")); !errors.Is(err, ErrNoQuorum) {
 		t.Errorf("replacing a second voter before the first learner is promoted: error %v, want ErrNoQuorum", err)
 	}
-	if replaced := applyChange(t, m, AddLearner(0, "y", "e")); replaced.SeatOf("y") != 0 {
+	if replaced := applyChange(t, m, AddLearner(0, "y", "e")); replaced.SeatByID("y") != 0 {
 		t.Errorf("a lost learner was not replaced: %+v", replaced)
 	}
 	one := Bootstrap(1, []string{"a"})
@@ -74,7 +74,7 @@
 			t.Errorf("an invalid change was accepted: %+v", changed)
 		}
 	}
-	if again := applyChange(t, m, AddLearner(0, "x", "a")); again.SeatOf("x") != 0 {
+	if again := applyChange(t, m, AddLearner(0, "x", "a")); again.SeatByID("x") != 0 {
 		t.Errorf("a machine with a new disk did not get its own seat again: %+v", again)
 	}
 }
@@ -85,7 +85,7 @@
 	m := initialMembership(t)
 	uncommitted := applyChange(t, m, AddLearner(0, "x", "d"))
 	other, err := NextProposal(m, uncommitted, AddLearner(2, "y", "e"))
-	if err != nil || other.Epoch != 3 || other.BaseEpoch != 1 || other.SeatOf(BootstrapID("a")) != 0 || other.SeatOf("y") != 2 {
+	if err != nil || other.Epoch != 3 || other.BaseEpoch != 1 || other.SeatByID(BootstrapID("a")) != 0 || other.SeatByID("y") != 2 {
 		t.Errorf("replacement of the uncommitted change: %+v, error %v", other, err)
 	}
 	if again, err := NextProposal(m, uncommitted, AddLearner(0, "x", "d")); err != nil || !again.Equal(uncommitted) {
--- a/coord/membership/model_test.go
+++ b/coord/membership/model_test.go
@@ -247,7 +247,7 @@
 // deliverPrepare delivers the prepare message of a round to a replica; the response is lost unless answered is set.
 func (m *model) deliverPrepare(s *modelState, i, disk int, answered bool) bool {
 	r := &s.rounds[i]
-	if r.phase == idle || r.kind == readRound || m.memberships[r.base].SeatOf(diskNames[disk]) < 0 {
+	if r.phase == idle || r.kind == readRound || m.memberships[r.base].SeatByID(diskNames[disk]) < 0 {
 		return false
 	}
 	if r.phase != preparing && answered || r.promised[disk] {
@@ -308,7 +308,7 @@
 // deliverAccept delivers the accept message of a round to a replica; the response is lost unless answered is set.
 func (m *model) deliverAccept(s *modelState, i, disk int, answered bool) bool {
 	r := &s.rounds[i]
-	if r.phase != accepting && r.phase != committed || m.memberships[r.base].SeatOf(diskNames[disk]) < 0 {
+	if r.phase != accepting && r.phase != committed || m.memberships[r.base].SeatByID(diskNames[disk]) < 0 {
 		return false
 	}
 	if r.phase == committed && answered || r.accepted[disk] {
@@ -359,7 +359,7 @@
 // deliverRead delivers the message of a read to a replica. The read ends once a quorum has returned the same ballot.
 func (m *model) deliverRead(s *modelState, i, disk int) bool {
 	r := &s.rounds[i]
-	if r.kind != readRound || r.phase != preparing || r.promised[disk] || m.memberships[r.base].SeatOf(diskNames[disk]) < 0 {
+	if r.kind != readRound || r.phase != preparing || r.promised[disk] || m.memberships[r.base].SeatByID(diskNames[disk]) < 0 {
 		return false
 	}
 	if m.faults.readsIgnoreEpoch {
--- a/coord/shard/primary.go
+++ b/coord/shard/primary.go
@@ -59,8 +59,8 @@
 
 // BeginRepair returns the content of the buckets in which a replica with the given digests differs from the owner, and the
 // sequence number of the last change that it includes. Later changes become pending for the replica.
-func (p *Primary) BeginRepair(replica int, digests []int64) ([]Range, int64) {
-	ranges := DifferingRanges(p.Records, digests)
+func (p *Primary) BeginRepair(replica int, digests []int64) ([]BucketContent, int64) {
+	ranges := DifferingBucketContents(p.Records, digests)
 	p.replicas[replica].inSync = true
 	clear(p.replicas[replica].pending)
 	return ranges, p.sequence
--- a/coord/shard/record.go
+++ b/coord/shard/record.go
@@ -33,8 +33,8 @@
 	Deleted bool
 }
 
-// Range holds all records of one bucket.
-type Range struct {
+// BucketContent holds all records of one bucket.
+type BucketContent struct {
 	Bucket  int64 // 0 to Buckets-1
 	Records []Record
 }
@@ -125,11 +125,11 @@
 	}
 }
 
-// DifferingRanges returns the content of those buckets of a set whose digests differ from the given ones.
-func DifferingRanges(set *RecordSet, digests []int64) []Range {
-	var ranges []Range
+// DifferingBucketContents returns the content of those buckets of a set whose digests differ from the given ones.
+func DifferingBucketContents(set *RecordSet, digests []int64) []BucketContent {
+	var ranges []BucketContent
 	for _, bucket := range DifferingBuckets(set.Digests(), digests) {
-		ranges = append(ranges, Range{Bucket: int64(bucket), Records: set.InBucket(bucket)})
+		ranges = append(ranges, BucketContent{Bucket: int64(bucket), Records: set.InBucket(bucket)})
 	}
 	return ranges
 }
--- a/coord/shard/replica.go
+++ b/coord/shard/replica.go
@@ -29,15 +29,15 @@
 	// Voter is false while the replica may lack a change that a member in its seat has acknowledged. Its acknowledgements
 	// and its records then count for no quorum.
 	Voter bool
-	// TokenKnown is true once this disk has learnt the tokens of all shards from a quorum. Deposed owners are fenced from then
+	// TokensLearned is true once this disk has learnt the tokens of all shards from a quorum. Deposed owners are fenced from then
 	// on, so a completed repair makes the replica a voter.
-	TokenKnown bool
+	TokensLearned bool
 }
 
 // NewReplica returns an empty replica. It is a voter from the start if trusted is set, which requires that the disk knows
 // the tokens of all shards.
 func NewReplica(trusted bool) *Replica {
-	return &Replica{Records: NewRecordSet(), Voter: trusted, TokenKnown: trusted}
+	return &Replica{Records: NewRecordSet(), Voter: trusted, TokensLearned: trusted}
 }
 
 // Fence sets the fencing token below which messages are rejected. It reports false, and changes nothing, if the replica
@@ -65,9 +65,9 @@
 	return true
 }
 
-// ReplaceRanges replaces the content of buckets with that of another replica. This shortens a later repair but does not
+// ReplaceBuckets replaces the content of buckets with that of another replica. This shortens a later repair but does not
 // bring the replica in sync.
-func (r *Replica) ReplaceRanges(ranges []Range) {
+func (r *Replica) ReplaceBuckets(ranges []BucketContent) {
 	for _, replacement := range ranges {
 		r.Records.ReplaceBucket(int(replacement.Bucket), replacement.Records)
 	}
@@ -77,7 +77,7 @@
 // LearnToken and a repair.
 func (r *Replica) Invalidate() {
 	r.Voter = false
-	r.TokenKnown = false
+	r.TokensLearned = false
 	r.InSyncToken = 0
 }
 
@@ -86,14 +86,14 @@
 // owner may have been deposed without knowing it.
 func (r *Replica) LearnToken(token int64) {
 	r.Fence(token)
-	r.TokenKnown = true
+	r.TokensLearned = true
 	r.Voter = r.InSyncToken > 0 && r.InSyncToken >= token
 }
 
 // Repair replaces the content of buckets with that of the owner with a fencing token. The last message of a repair brings the
 // replica in sync. Number counts the owner's repairs of this replica, so that a delayed message of an earlier repair cannot
 // undo later changes. Repair reports false, and changes nothing, if the message is outdated.
-func (r *Replica) Repair(token, number int64, ranges []Range, last bool) bool {
+func (r *Replica) Repair(token, number int64, ranges []BucketContent, last bool) bool {
 	if token == r.FencingToken && number < r.LastRepair {
 		return false
 	}
@@ -101,10 +101,10 @@
 		return false
 	}
 	r.LastRepair = number
-	r.ReplaceRanges(ranges)
+	r.ReplaceBuckets(ranges)
 	if last {
 		r.InSyncToken = token
-		r.Voter = r.Voter || r.TokenKnown
+		r.Voter = r.Voter || r.TokensLearned
 	}
 	return true
 }
--- a/coord/shard/shard_test.go
+++ b/coord/shard/shard_test.go
@@ -127,7 +127,7 @@
 // A repair message that was delayed by a network partition must not undo later writes.
 func TestDelayedRepairIsRejected(t *testing.T) {
 	replica := NewReplica(true)
-	old := []Range{{Bucket: int64(BucketOf("a")), Records: []Record{record("a", 1, 1)}}}
+	old := []BucketContent{{Bucket: int64(BucketOf("a")), Records: []Record{record("a", 1, 1)}}}
 	replica.Repair(3, 2, nil, true)
 	replica.Write(3, []Record{record("a", 3, 7)})
 	if replica.Repair(3, 1, old, true) {
--- a/internal/system/api/golden_test.go
+++ b/internal/system/api/golden_test.go
@@ -20,8 +20,8 @@
 	}
 	goldenOrders = jobs.Orders{
 		Instance: "i-1", AgentIncarnation: "life",
-		KnownDemands: []jobs.Start{{Task: "k", Attempt: 1, Text: "tk", Checkpoint: "sk", Demand: jobs.Resources{CPU: 2, MemMB: 3, GPU: 4}}},
-		Starts:       []jobs.Start{{Task: "s", Attempt: 5, Text: "ts", Checkpoint: "ss", Demand: jobs.Resources{CPU: 6, MemMB: 7, GPU: 8}}},
+		KnownDemands: []jobs.Start{{Task: "k", Attempt: 1, Spec: "tk", Checkpoint: "sk", Demand: jobs.Resources{CPU: 2, MemMB: 3, GPU: 4}}},
+		Starts:       []jobs.Start{{Task: "s", Attempt: 5, Spec: "ts", Checkpoint: "ss", Demand: jobs.Resources{CPU: 6, MemMB: 7, GPU: 8}}},
 		Stops:        []jobs.RunRef{{Task: "x", Attempt: 9}}, DurableCompletions: 10,
 	}
 )
--- a/internal/system/core/draining_test.go
+++ b/internal/system/core/draining_test.go
@@ -43,7 +43,7 @@
 		t.Error("safe to stop before the joining core scheduler has acquired the seat")
 	}
 	m := s.stores["b"].currentMembership()
-	next, err := membership.NextProposal(m, m, membership.AddLearner(m.SeatAt("a"), "x", "d"))
+	next, err := membership.NextProposal(m, m, membership.AddLearner(m.SeatByAddress("a"), "x", "d"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/core/golden_test.go
+++ b/internal/system/core/golden_test.go
@@ -25,7 +25,7 @@
 	goldenBallot  = register.Ballot{Counter: 4, Proposer: "p"}
 	goldenKnown   = register.Ballot{Counter: 5, Proposer: "k"}
 	goldenRecords = []shard.Record{{Key: "key", Version: shard.Version{Token: 6, Sequence: 7}, Value: []byte("v"), Deleted: true}}
-	goldenRanges  = []shard.Range{{Bucket: 8, Records: goldenRecords}}
+	goldenRanges  = []shard.BucketContent{{Bucket: 8, Records: goldenRecords}}
 )
 
 // goldenMessages are the messages between core schedulers and those of the operators' commands, with their Avro encoding.
@@ -43,8 +43,8 @@
 	{&learnRequest{Name: "n", Ballot: goldenBallot, Value: []byte("v")}, "026e0802700276"},
 	{&empty{}, ""},
 	{&ackResponse{From: goldenOrigin}, "026d06"},
-	{&fenceRequest{To: goldenTarget, Shard: "s", Token: 9}, "0264060403140269026102010000000000026d027312"},
-	{&fenceResponse{From: goldenOrigin, Voter: true, InSyncToken: 10, Digests: []int64{11, -12}}, "026d0601140304161700"},
+	{&sealRequest{To: goldenTarget, Shard: "s", Token: 9}, "0264060403140269026102010000000000026d027312"},
+	{&sealResponse{From: goldenOrigin, Voter: true, InSyncToken: 10, Digests: []int64{11, -12}}, "026d0601140304161700"},
 	{&fetchRequest{To: goldenTarget, Shard: "s", Buckets: []int64{13}}, "0264060403140269026102010000000000026d027301021a00"},
 	{&fetchResponse{From: goldenOrigin, Ranges: goldenRanges}, "026d06011a100112066b65790c0e0276010000"},
 	{&prefetchRequest{Shard: "s", Digests: []int64{14}}, "027301021c00"},
--- a/internal/system/core/joining.go
+++ b/internal/system/core/joining.go
@@ -68,7 +68,7 @@
 // freeSeat returns the seat that this scheduler should acquire, or -1 if there is none.
 func (c *Core) freeSeat() int {
 	m := c.store.currentMembership()
-	if seat := m.SeatAt(c.address); seat >= 0 {
+	if seat := m.SeatByAddress(c.address); seat >= 0 {
 		return seat
 	}
 	var free []int
--- a/internal/system/core/learner.go
+++ b/internal/system/core/learner.go
@@ -29,7 +29,7 @@
 		go func() {
 			if address != c.address {
 				request := &learnRequest{Name: name, Ballot: ballot, Value: value}
-				if seat := m.SeatAt(address); seat >= 0 && m.Seats[seat].Voter && name != membershipRegister {
+				if seat := m.SeatByAddress(address); seat >= 0 && m.Seats[seat].Voter && name != membershipRegister {
 					request.Value = nil
 				}
 				_ = c.client.Call(ctx, address, methodLearn, request, &empty{})
--- a/internal/system/core/messages.go
+++ b/internal/system/core/messages.go
@@ -102,21 +102,21 @@
 
 func (r *ackResponse) from() origin { return r.From }
 
-// fenceRequest asks a replica to reject all owners of a shard with a lower fencing token.
-type fenceRequest struct {
+// sealRequest asks a replica to reject all owners of a shard with a lower fencing token.
+type sealRequest struct {
 	To    target
 	Shard string
 	Token int64
 }
 
-type fenceResponse struct {
+type sealResponse struct {
 	From        origin
 	Voter       bool    // whether the replica holds all changes that members in its seat have acknowledged
 	InSyncToken int64   // fencing token of the last owner that the replica was in sync with; 0 if none
 	Digests     []int64 // digests of the replica's buckets
 }
 
-func (r *fenceResponse) from() origin { return r.From }
+func (r *sealResponse) from() origin { return r.From }
 
 // fetchRequest asks a replica for the records of the given buckets.
 type fetchRequest struct {
@@ -127,7 +127,7 @@
 
 type fetchResponse struct {
 	From   origin
-	Ranges []shard.Range
+	Ranges []shard.BucketContent
 }
 
 func (r *fetchResponse) from() origin { return r.From }
@@ -140,7 +140,7 @@
 }
 
 type prefetchResponse struct {
-	Ranges []shard.Range
+	Ranges []shard.BucketContent
 }
 
 // repairRequest replaces buckets of a replica by the owner's.
@@ -149,7 +149,7 @@
 	Shard        string
 	Token        int64
 	RepairNumber int64 // counts the owner's repairs of this replica
-	Ranges       []shard.Range
+	Ranges       []shard.BucketContent
 	Last         bool // whether the replica is in sync after this request
 }
 
--- a/internal/system/core/owner_commit.go
+++ b/internal/system/core/owner_commit.go
@@ -42,7 +42,7 @@
 // triggers the orders to workers. o.mu is held.
 func (o *owner) onCommitAdvanced() {
 	o.committed = max(o.committed, o.primary.Committed())
-	o.scheduler.Committed(o.committed)
+	o.scheduler.OnCommitted(o.committed)
 	waiting := o.commitWaiters[:0]
 	for _, w := range o.commitWaiters {
 		if w.sequence <= o.committed {
--- a/internal/system/core/proposer.go
+++ b/internal/system/core/proposer.go
@@ -127,8 +127,8 @@
 		}
 		if r.err != nil {
 			lastErr = r.err
-			proposal.OnFailure(m.SeatOf(r.member.ID))
-		} else if handle(m.SeatOf(r.member.ID), r.response) {
+			proposal.OnFailure(m.SeatByID(r.member.ID))
+		} else if handle(m.SeatByID(r.member.ID), r.response) {
 			return nil
 		}
 		if proposal.Phase == register.Failed {
--- a/internal/system/core/replication.go
+++ b/internal/system/core/replication.go
@@ -146,7 +146,7 @@
 	c := o.core
 	to := target{Membership: m, Member: r.member.ID}
 	sentAt := time.Now()
-	fence := &fenceRequest{To: to, Shard: o.name, Token: o.token}
+	fence := &sealRequest{To: to, Shard: o.name, Token: o.token}
 	fenced, err := replicaCall(ctx, c, to, r.member.Address, methodFence, c.store.fence, fence)
 	if err != nil {
 		return err
--- a/internal/system/core/store.go
+++ b/internal/system/core/store.go
@@ -56,7 +56,7 @@
 	InSyncToken  int64 // fencing token of the last owner that the replica was in sync with; 0 if none
 	Flag         bool
 	Records      []shard.Record
-	Ranges       []shard.Range
+	Ranges       []shard.BucketContent
 }
 
 // store is the durable state of a core scheduler: the membership, the acceptors of the registers and the replicas of the
@@ -69,7 +69,7 @@
 	// that the log has the entries in the order of the changes, but never during a disk write.
 	mu         sync.Mutex
 	log        *statefile.Log
-	lastTicket *statefile.Ticket // ticket of the newest entry; nil before the first
+	lastTicket *statefile.AppendFuture // ticket of the newest entry; nil before the first
 	identity   identity
 	membership membership.Membership
 	registers  map[string]*register.Acceptor // keyed by name
@@ -131,7 +131,7 @@
 // bootstrapMembership installs the first membership on an empty disk. s.mu is held.
 func (s *store) bootstrapMembership(first membership.Membership) {
 	s.membership = first.Clone()
-	if seat := first.SeatAt(s.address); seat >= 0 {
+	if seat := first.SeatByAddress(s.address); seat >= 0 {
 		member := first.Seats[seat]
 		s.identity.ID, s.identity.JoinEpoch, s.identity.Restored = member.ID, member.JoinEpoch, true
 	}
@@ -191,7 +191,7 @@
 	case entryRepair:
 		s.replica(e.Name).Repair(e.Token, e.RepairNumber, e.Ranges, e.Flag)
 	case entryPrefetch:
-		s.replica(e.Name).ReplaceRanges(e.Ranges)
+		s.replica(e.Name).ReplaceBuckets(e.Ranges)
 	case entryLearnToken:
 		s.replica(e.Name).LearnToken(e.Token)
 	case entryReplica:
@@ -251,7 +251,7 @@
 }
 
 // append queues the entry of an applied change in the log. s.mu is held.
-func (s *store) append(e *entry) (*statefile.Ticket, error) {
+func (s *store) append(e *entry) (*statefile.AppendFuture, error) {
 	payload, err := avrocodec.Encode(e)
 	if err != nil {
 		return nil, fmt.Errorf("core: %w", err)
@@ -261,7 +261,7 @@
 }
 
 // waitDurable waits until an entry is durable. Its error has the code result.StorageFailed.
-func waitDurable(ctx context.Context, ticket *statefile.Ticket, err error) error {
+func waitDurable(ctx context.Context, ticket *statefile.AppendFuture, err error) error {
 	if err != nil {
 		return err
 	}
--- a/internal/system/core/store_registers.go
+++ b/internal/system/core/store_registers.go
@@ -107,7 +107,7 @@
 		s.mu.Unlock()
 		return result.Errorf(result.Unavailable, "%d voters sent their state in epoch %d, %d are a quorum", voters, epoch, s.membership.Quorum())
 	}
-	var ticket *statefile.Ticket
+	var ticket *statefile.AppendFuture
 	var err error
 	for _, e := range s.mergeStates(states) {
 		if ticket, err = s.append(e); err != nil {
--- a/internal/system/core/store_shards.go
+++ b/internal/system/core/store_shards.go
@@ -19,15 +19,15 @@
 	return r
 }
 
-// fence handles a fenceRequest. Its error has the code result.Fenced if a higher fencing token is known.
-func (s *store) fence(ctx context.Context, r *fenceRequest) (*fenceResponse, error) {
-	response := &fenceResponse{}
+// fence handles a sealRequest. Its error has the code result.Fenced if a higher fencing token is known.
+func (s *store) fence(ctx context.Context, r *sealRequest) (*sealResponse, error) {
+	response := &sealResponse{}
 	err := s.applyDurably(ctx, s.admitSeated, r.To, func(from origin) (*entry, error) {
 		replica := s.replica(r.Shard)
 		if !replica.Fence(r.Token) {
 			return nil, result.Errorf(result.Fenced, "shard %s: token %d is known, %d came", r.Shard, replica.FencingToken, r.Token)
 		}
-		*response = fenceResponse{From: from, Voter: replica.Voter, InSyncToken: replica.InSyncToken, Digests: replica.Records.Digests()}
+		*response = sealResponse{From: from, Voter: replica.Voter, InSyncToken: replica.InSyncToken, Digests: replica.Records.Digests()}
 		return &entry{Kind: entryFence, Name: r.Shard, Token: r.Token}, nil
 	})
 	if err != nil {
@@ -53,7 +53,7 @@
 		if bucket < 0 || bucket >= shard.Buckets {
 			return nil, result.Errorf(result.BadRequest, "shard %s: there is no key range %d", r.Shard, bucket)
 		}
-		response.Ranges = append(response.Ranges, shard.Range{Bucket: bucket, Records: set.InBucket(int(bucket))})
+		response.Ranges = append(response.Ranges, shard.BucketContent{Bucket: bucket, Records: set.InBucket(int(bucket))})
 	}
 	return response, nil
 }
@@ -66,17 +66,17 @@
 	if replica == nil {
 		return &prefetchResponse{}, nil
 	}
-	return &prefetchResponse{Ranges: shard.DifferingRanges(replica.Records, r.Digests)}, nil
+	return &prefetchResponse{Ranges: shard.DifferingBucketContents(replica.Records, r.Digests)}, nil
 }
 
 // storePrefetched stores buckets ahead of a repair. It does nothing if this disk holds a seat.
-func (s *store) storePrefetched(ctx context.Context, name string, ranges []shard.Range) error {
+func (s *store) storePrefetched(ctx context.Context, name string, ranges []shard.BucketContent) error {
 	s.mu.Lock()
 	if _, seated := s.membership.Member(s.identity.ID); seated || len(ranges) == 0 {
 		s.mu.Unlock()
 		return nil
 	}
-	s.replica(name).ReplaceRanges(ranges)
+	s.replica(name).ReplaceBuckets(ranges)
 	ticket, err := s.append(&entry{Kind: entryPrefetch, Name: name, Ranges: ranges})
 	s.mu.Unlock()
 	return waitDurable(ctx, ticket, err)
--- a/internal/system/core/store_test.go
+++ b/internal/system/core/store_test.go
@@ -166,7 +166,7 @@
 		s.wantCode(s.accept("c", *to, 6, "other"), want)
 		_, err := st.prepare(s.ctx(), &prepareRequest{To: *to, Name: "config", Ballot: register.Ballot{Counter: 9}})
 		s.wantCode(err, want)
-		_, err = st.fence(s.ctx(), &fenceRequest{To: *to, Shard: "s", Token: 1})
+		_, err = st.fence(s.ctx(), &sealRequest{To: *to, Shard: "s", Token: 1})
 		s.wantCode(err, want)
 		_, err = st.repair(s.ctx(), &repairRequest{To: *to, Shard: "s", Token: 9, Last: true})
 		s.wantCode(err, want)
@@ -221,7 +221,7 @@
 	s.wantCode(s.write("b", "later"), result.OK)
 	s.wantCode(s.rejoin("c", 2, "a", "b"), result.OK)
 	isVoter := func() bool {
-		response, err := s.stores["c"].fence(s.ctx(), &fenceRequest{To: s.to("c", "c"), Shard: "s", Token: 3})
+		response, err := s.stores["c"].fence(s.ctx(), &sealRequest{To: s.to("c", "c"), Shard: "s", Token: 3})
 		s.wantCode(err, result.OK)
 		return response.Voter
 	}
@@ -274,8 +274,8 @@
 	s.wantCode(s.write("c", "key"), result.OK)
 	s.replaceDisk("c")
 	s.wantCode(s.rejoin("c", 2, "a", "b"), result.OK)
-	fence := func() *fenceResponse {
-		response, err := s.stores["c"].fence(s.ctx(), &fenceRequest{To: s.to("c", "c"), Shard: "s", Token: 4})
+	fence := func() *sealResponse {
+		response, err := s.stores["c"].fence(s.ctx(), &sealRequest{To: s.to("c", "c"), Shard: "s", Token: 4})
 		s.wantCode(err, result.OK)
 		return response
 	}
--- a/internal/system/core/takeover.go
+++ b/internal/system/core/takeover.go
@@ -100,23 +100,23 @@
 
 // fenceQuorum makes a quorum of voters with complete replicas reject all earlier owners of a shard. It returns their
 // responses, keyed by seat.
-func (c *Core) fenceQuorum(ctx context.Context, m membership.Membership, name string, token int64) (map[int]*fenceResponse, error) {
-	replies, count := broadcast(c, m, m.Voters(), methodFence, c.store.fence, func(to target) *fenceRequest {
-		return &fenceRequest{To: to, Shard: name, Token: token}
+func (c *Core) fenceQuorum(ctx context.Context, m membership.Membership, name string, token int64) (map[int]*sealResponse, error) {
+	replies, count := broadcast(c, m, m.Voters(), methodFence, c.store.fence, func(to target) *sealRequest {
+		return &sealRequest{To: to, Shard: name, Token: token}
 	})
-	complete, lastErr := awaitQuorum(ctx, replies, count, m.Quorum(), func(r *fenceResponse) bool { return r.Voter })
+	complete, lastErr := awaitQuorum(ctx, replies, count, m.Quorum(), func(r *sealResponse) bool { return r.Voter })
 	if len(complete) < m.Quorum() {
 		return nil, result.Errorf(result.Unavailable, "shard %s: %d replicas sealed, last failure: %w", name, len(complete), lastErr)
 	}
-	fenced := map[int]*fenceResponse{}
+	fenced := map[int]*sealResponse{}
 	for _, r := range complete {
-		fenced[m.SeatOf(r.member.ID)] = r.response
+		fenced[m.SeatByID(r.member.ID)] = r.response
 	}
 	return fenced, nil
 }
 
 // mergeRecords merges the records of those fenced replicas that were in sync with the most recent of the earlier owners.
-func (c *Core) mergeRecords(ctx context.Context, m membership.Membership, name string, fenced map[int]*fenceResponse) (*shard.RecordSet, error) {
+func (c *Core) mergeRecords(ctx context.Context, m membership.Membership, name string, fenced map[int]*sealResponse) (*shard.RecordSet, error) {
 	responses := map[int]shard.FenceResponse{}
 	for seat, response := range fenced {
 		responses[seat] = shard.FenceResponse{InSyncToken: response.InSyncToken, Digests: response.Digests}
--- a/internal/system/edge/forward.go
+++ b/internal/system/edge/forward.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	err := r.scheduler.client.Call(ctx, owner, method, message, response)
-	if err != nil && !result.Unchanged(err) {
+	if err != nil && !result.NotApplied(err) {
 		r.maybeApplied = true
 	}
 	return err
--- a/internal/system/edge/handler.go
+++ b/internal/system/edge/handler.go
@@ -117,7 +117,7 @@
 	if err := spec.UnmarshalJSON(body); err != nil {
 		return err
 	}
-	return spec.Check()
+	return spec.Validate()
 }
 
 func (r *request) jobMessage() *api.JobRequest {
--- a/internal/system/fakeworker/worker.go
+++ b/internal/system/fakeworker/worker.go
@@ -148,7 +148,7 @@
 	if errors.Join(err, response.Body.Close()) != nil || response.StatusCode != http.StatusOK || time.Since(sentAt) > heartbeatTimeout {
 		return retryBackoff
 	}
-	answer := workeragent.Answer{}
+	answer := workeragent.HeartbeatResponse{}
 	if len(body) > 0 {
 		if err := answer.UnmarshalJSON(body); err != nil {
 			w.Observer.InvalidMessage(err)
@@ -175,7 +175,7 @@
 }
 
 // apply applies the response to a heartbeat that was sent at sentAt. Orders with an outdated fencing token are ignored.
-func (w *Worker) apply(a workeragent.Answer, sentAt time.Time) {
+func (w *Worker) apply(a workeragent.HeartbeatResponse, sentAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.endFinishedAttempts()
--- a/internal/system/local/process.go
+++ b/internal/system/local/process.go
@@ -49,7 +49,7 @@
 	command := exec.CommandContext(ctx, s.program, role, "--metrics")
 	command.Cancel = func() error { return command.Process.Signal(syscall.SIGTERM) }
 	command.WaitDelay = shutdownTimeout
-	command.Env = append(os.Environ(), settings.EnvironmentKey+"="+path)
+	command.Env = append(os.Environ(), settings.PathEnvVar+"="+path)
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
--- a/internal/system/result/result.go
+++ b/internal/system/result/result.go
@@ -68,8 +68,8 @@
 	return TransportFailed
 }
 
-// Unchanged reports whether the call that returned err has failed and has certainly changed nothing.
-func Unchanged(err error) bool {
+// NotApplied reports whether the call that returned err has failed and has certainly changed nothing.
+func NotApplied(err error) bool {
 	code := CodeOf(err)
 	return code != OK && code < StorageFailed
 }
--- a/internal/system/result/result_test.go
+++ b/internal/system/result/result_test.go
@@ -28,7 +28,7 @@
 	if CodeOf(nil) != OK || CodeOf(io.EOF) != TransportFailed {
 		t.Error("wrong code for nil or for an error without a code")
 	}
-	if !Unchanged(Errorf(NotReady, "x")) || Unchanged(inner) || Unchanged(nil) || Unchanged(io.EOF) {
-		t.Error("Unchanged returned a wrong value")
+	if !NotApplied(Errorf(NotReady, "x")) || NotApplied(inner) || NotApplied(nil) || NotApplied(io.EOF) {
+		t.Error("NotApplied returned a wrong value")
 	}
 }
--- a/internal/system/rpc/rpc_test.go
+++ b/internal/system/rpc/rpc_test.go
@@ -101,7 +101,7 @@
 				t.Fatal(got, err)
 			}
 			err := client.Call(ctx, address, "m", &message{"ask"}, &message{})
-			if result.CodeOf(err) != result.TransportFailed || result.Unchanged(err) {
+			if result.CodeOf(err) != result.TransportFailed || result.NotApplied(err) {
 				t.Errorf("error %v, want TransportFailed, since the peer may have applied the call", err)
 			}
 			if requests.Load() != 2 {
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// DefaultPath is the path of the settings file if EnvironmentKey is not set.
+// DefaultPath is the path of the settings file if PathEnvVar is not set.
 const DefaultPath = "/etc/sedgevale/boot.json"
 
-// EnvironmentKey is the environment variable that holds the path of the settings file.
-const EnvironmentKey = "SEDGEVALE_SETTINGS"
+// PathEnvVar is the environment variable that holds the path of the settings file.
+const PathEnvVar = "SEDGEVALE_SETTINGS"
 
 // Settings are the settings of one process. Unknown keys of the file are ignored. Fields without a comment are part of the
 // file format but have no effect.
@@ -87,9 +87,9 @@
 	RestoreMS          int64   `json:"restore_ms"`
 }
 
-// Path returns the path of the settings file: the value of EnvironmentKey, or DefaultPath.
+// Path returns the path of the settings file: the value of PathEnvVar, or DefaultPath.
 func Path() string {
-	if path := os.Getenv(EnvironmentKey); path != "" {
+	if path := os.Getenv(PathEnvVar); path != "" {
 		return path
 	}
 	return DefaultPath
--- a/internal/system/side/heartbeat.go
+++ b/internal/system/side/heartbeat.go
@@ -64,7 +64,7 @@
 	defer s.mu.Unlock()
 	w := s.workerFor(instance)
 	w.service = heartbeat.Service
-	if !w.agent.OnHeartbeat(s.now(), heartbeat) {
+	if !w.agent.HandleHeartbeat(s.now(), heartbeat) {
 		return w, heartbeatOutdated
 	}
 	if w.replaced {
@@ -91,7 +91,7 @@
 		http.Error(w, "sequence: a later heartbeat came meanwhile", http.StatusConflict)
 		return
 	}
-	answer := target.agent.Answer(s.now())
+	answer := target.agent.Response(s.now())
 	s.mu.Unlock()
 	answer.RetryAfterMS = heartbeatDelayMS
 	encoded, err := answer.MarshalJSON()
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if leaving := s.workers[r.PathValue("id")]; leaving != nil {
-		leaving.agent.OnDeregister(s.now())
+		leaving.agent.HandleDeregister(s.now())
 		signal(leaving.reportDue)
 	}
 	w.WriteHeader(http.StatusOK)
--- a/internal/system/side/report.go
+++ b/internal/system/side/report.go
@@ -92,7 +92,7 @@
 		signal(w.reportDue)
 		return
 	}
-	if err := w.agent.OnLease(sentAt, response.Token, response.Acknowledged); err != nil {
+	if err := w.agent.HandleLease(sentAt, response.Token, response.Acknowledged); err != nil {
 		s.logger.V(1).Info("ignored lease with outdated fencing token", "owner", owner, "error", err.Error())
 		return
 	}
--- a/internal/system/side/side.go
+++ b/internal/system/side/side.go
@@ -156,7 +156,7 @@
 	if w == nil || w.replaced {
 		return nil, result.Errorf(result.WrongInstance, "instance %s is not here", r.Orders.Instance)
 	}
-	if err := w.agent.OnOrders(s.now(), r.Token, &r.Orders); err != nil {
+	if err := w.agent.HandleOrders(s.now(), r.Token, &r.Orders); err != nil {
 		return nil, err
 	}
 	if w.agent.HasOrders(s.now()) {
@@ -191,7 +191,7 @@
 			w.expiredAt = now
 			signal(w.reportDue)
 		}
-		if instance != s.newestInstance && w.agent.RunsExpired() && now-w.expiredAt > expiredRetention {
+		if instance != s.newestInstance && w.agent.LeaseExpired() && now-w.expiredAt > expiredRetention {
 			w.replaced = true
 			delete(s.workers, instance)
 		}
--- a/internal/system/simulation/stored_data_test.go
+++ b/internal/system/simulation/stored_data_test.go
@@ -86,14 +86,14 @@
 	if failed := response.Body.Close(); failed != nil {
 		s.cluster.violation("heartbeat: %v", failed)
 	}
-	answer := workeragent.Answer{}
+	answer := workeragent.HeartbeatResponse{}
 	if err != nil || response.StatusCode != http.StatusOK || len(body) == 0 || answer.UnmarshalJSON(body) != nil {
 		return
 	}
 	s.applyAnswer(&answer)
 }
 
-func (s *scriptedWorker) applyAnswer(answer *workeragent.Answer) {
+func (s *scriptedWorker) applyAnswer(answer *workeragent.HeartbeatResponse) {
 	for len(s.finished) > 0 && s.finished[0].Number <= answer.LastSeen {
 		s.finished = s.finished[1:]
 	}
--- a/internal/system/statefile/close_test.go
+++ b/internal/system/statefile/close_test.go
@@ -39,7 +39,7 @@
 	dir := t.TempDir()
 	s := &testState{}
 	l := s.open(t, dir)
-	var tickets []*Ticket
+	var tickets []*AppendFuture
 	for i := range 200 {
 		entry := fmt.Sprint("entry", i)
 		s.entries = append(s.entries, entry)
--- a/internal/system/statefile/inspect.go
+++ b/internal/system/statefile/inspect.go
@@ -9,12 +9,12 @@
 
 // FileInfo describes one file of a state directory.
 type FileInfo struct {
-	Name     string
-	Bytes    int64
-	Frames   int   // number of valid frames, without the end marker of a snapshot
-	Torn     int64 // number of bytes after the last valid frame; all bytes of an incomplete snapshot
-	Complete bool  // whether a snapshot has its end marker; always true for a log
-	Live     bool  // whether Open reads the file
+	Name      string
+	Bytes     int64
+	Frames    int   // number of valid frames, without the end marker of a snapshot
+	TornBytes int64 // number of bytes after the last valid frame; all bytes of an incomplete snapshot
+	Complete  bool  // whether a snapshot has its end marker; always true for a log
+	Live      bool  // whether Open reads the file
 }
 
 // Inspect describes the snapshots and logs in a state directory without changing them.
@@ -55,13 +55,13 @@
 	}
 	if strings.HasPrefix(name, logPrefix) {
 		payloads, torn := readFrames(path, 0)
-		info.Frames, info.Torn, info.Complete = len(payloads), torn, true
+		info.Frames, info.TornBytes, info.Complete = len(payloads), torn, true
 		return info
 	}
 	payloads, complete := readSnapshot(path)
 	info.Frames, info.Complete = len(payloads), complete && !strings.HasSuffix(name, tempSuffix)
 	if !complete {
-		info.Torn = info.Bytes
+		info.TornBytes = info.Bytes
 	}
 	return info
 }
--- a/internal/system/statefile/log.go
+++ b/internal/system/statefile/log.go
@@ -29,8 +29,8 @@
 
 	// mu guards the fields below. It is never held during disk I/O or a call of snapshot.
 	mu          sync.Mutex
-	queue       []*Ticket // appends that the writer has not yet taken, in order
-	queuedBytes int       // total size of the payloads in queue
+	queue       []*AppendFuture // appends that the writer has not yet taken, in order
+	queuedBytes int             // total size of the payloads in queue
 	closed      bool
 	wake        chan struct{} // signalled while queue is not empty; closed by Close
 
@@ -43,18 +43,18 @@
 	writtenBytes int64    // size of file
 }
 
-// Ticket is the pending result of an append.
-type Ticket struct {
+// AppendFuture is the pending result of an append.
+type AppendFuture struct {
 	payload []byte
 	done    chan struct{}
 	err     error // set before done is closed
 }
 
 // Done returns a channel that is closed once the entry is durable or the append has failed.
-func (t *Ticket) Done() <-chan struct{} { return t.done }
+func (t *AppendFuture) Done() <-chan struct{} { return t.done }
 
 // Err returns the error of the append, or nil if the entry is durable. It is valid once Done is closed.
-func (t *Ticket) Err() error { return t.err }
+func (t *AppendFuture) Err() error { return t.err }
 
 // Open replays the newest complete generation in dir, entry by entry, and begins a new one. Snapshot must emit a state that
 // includes every entry appended so far. It is called once by Open and later on the writer goroutine.
@@ -77,8 +77,8 @@
 // Append queues an entry and returns a ticket that is done once the entry is durable or has failed. The caller must have
 // applied the entry to the state that snapshot emits, and must append entries in the order in which it applied them. Tickets
 // fail with ErrQueueFull, os.ErrClosed or the write error; after a failed write the next commit begins a new generation.
-func (l *Log) Append(payload []byte) *Ticket {
-	t := &Ticket{payload: payload, done: make(chan struct{})}
+func (l *Log) Append(payload []byte) *AppendFuture {
+	t := &AppendFuture{payload: payload, done: make(chan struct{})}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -142,7 +142,7 @@
 
 // commit makes a batch durable with one write and one sync of the log. If the log exceeds maxLogBytes or a write to it has
 // failed, commit begins a new generation instead, whose snapshot includes the batch.
-func (l *Log) commit(batch []*Ticket) error {
+func (l *Log) commit(batch []*AppendFuture) error {
 	if l.file == nil || l.writtenBytes > maxLogBytes {
 		return l.rotate()
 	}
--- a/jobs/changes.go
+++ b/jobs/changes.go
@@ -50,8 +50,8 @@
 	return last, nil
 }
 
-// Committed calls the functions that waited for the commit of changes up to a sequence number.
-func (s *Scheduler) Committed(sequence int64) {
+// OnCommitted calls the functions that waited for the commit of changes up to a sequence number.
+func (s *Scheduler) OnCommitted(sequence int64) {
 	n := 0
 	for n < len(s.uncommittedCallbacks) && s.uncommittedCallbacks[n].sequence <= sequence {
 		s.uncommittedCallbacks[n].run()
--- a/jobs/cost_test.go
+++ b/jobs/cost_test.go
@@ -104,7 +104,7 @@
 		if _, err := scheduler.Flush(put, 1); err != nil {
 			t.Fatal(err)
 		}
-		scheduler.Committed(1)
+		scheduler.OnCommitted(1)
 	}
 	return now, bytes
 }
--- a/jobs/helpers_test.go
+++ b/jobs/helpers_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	r.pending = nil
-	s.Committed(r.last)
+	s.OnCommitted(r.last)
 }
 
 // restore discards the pending changes and restores a new owner's scheduler from the committed records.
--- a/jobs/lifecycle.go
+++ b/jobs/lifecycle.go
@@ -44,7 +44,7 @@
 	if err := spec.UnmarshalJSON(body); err != nil {
 		return nil, fmt.Errorf("cannot be read: %w", err)
 	}
-	if err := spec.Check(); err != nil {
+	if err := spec.Validate(); err != nil {
 		return nil, err
 	}
 	return &Job{ID: id, Queue: queue, Spec: spec, State: Queued, durableState: Queued}, nil
--- a/jobs/orders.go
+++ b/jobs/orders.go
@@ -62,7 +62,7 @@
 func (r *Run) startOrder() Start {
 	_, _, task := r.task()
 	return Start{
-		Task: r.Key.Task, Attempt: r.Key.Attempt, Text: r.job.Spec.Text, Checkpoint: task.Checkpoint, Demand: r.demand,
+		Task: r.Key.Task, Attempt: r.Key.Attempt, Spec: r.job.Spec.Text, Checkpoint: task.Checkpoint, Demand: r.demand,
 	}
 }
 
--- a/jobs/protocol.go
+++ b/jobs/protocol.go
@@ -81,7 +81,7 @@
 type Start struct {
 	Task       string
 	Attempt    int64
-	Text       string // copy of Spec.Text
+	Spec       string // copy of Spec.Text
 	Checkpoint string // checkpoint to resume from, if any
 	Demand     Resources
 }
--- a/jobs/spec.go
+++ b/jobs/spec.go
@@ -2,7 +2,7 @@
 // until the jobs end.
 //
 // The Scheduler is a state machine that does no I/O and reads no clock. Events are method calls that pass the
-// current time. Flush returns the writes to replicate, and Committed runs the callbacks that had to wait for their commit.
+// current time. Flush returns the writes to replicate, and OnCommitted runs the callbacks that had to wait for their commit.
 //
 // Schedule runs one scheduling cycle (cycle.go). It takes the groups of pending tasks queue by queue, filters the workers
 // (filter.go), picks one worker (pick.go), or one per member of a gang (gang.go), and assigns the task (assign.go). For groups
--- a/jobs/stored_data_test.go
+++ b/jobs/stored_data_test.go
@@ -28,7 +28,7 @@
 	InSync     int64
 	Flag       bool
 	Records    []shard.Record
-	Ranges     []shard.Range
+	Ranges     []shard.BucketContent
 }
 
 type storedIdentity struct {
--- a/jobs/validate.go
+++ b/jobs/validate.go
@@ -10,8 +10,8 @@
 	maxRepeats   = 10000 // maximum occurrences of a job
 )
 
-// Check validates the specification and returns an error that names the first invalid field, or nil.
-func (s *Spec) Check() error {
+// Validate validates the specification and returns an error that names the first invalid field, or nil.
+func (s *Spec) Validate() error {
 	if len(s.Text) > maxSpecBytes {
 		return fmt.Errorf("spec: %d bytes, %d at most", len(s.Text), maxSpecBytes)
 	}
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -31,7 +31,7 @@
 mutate "a learner votes" internal/system/core/store_membership.go 's/err == nil && !member\.Voter/err == nil \&\& !member.Voter \&\& false/'
 mutate "a learner votes before it has read a quorum" internal/system/core/store_registers.go 's/voters < s\.membership\.Quorum\(\)/voters < 1/'
 mutate "learners count in shards" coord/shard/primary.go 's/if replica\.voter/if true/'
-mutate "a repair makes a voter at once" coord/shard/replica.go 's/r\.Voter = r\.Voter \|\| r\.TokenKnown/r.Voter = true/'
+mutate "a repair makes a voter at once" coord/shard/replica.go 's/r\.Voter = r\.Voter \|\| r\.TokensLearned/r.Voter = true/'
 mutate "a disk that rejoined is trusted" internal/system/core/store_membership.go 's/replica\.Invalidate\(\)/_ = replica/'
 mutate "incarnations share ballots" internal/system/core/store.go 's/s\.identity\.ID \+ "#" \+ strconv\.FormatInt\(s\.identity\.Incarnation, 10\)/s.address + strconv.Itoa(0)/'
 mutate "the ballot counter is not restored" internal/system/core/store.go 's/highest = max\(highest, a\.Promised/highest = min(highest, a.Promised/'
--- a/workeragent/agent.go
+++ b/workeragent/agent.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// OnHeartbeat handles a heartbeat. It reports false, and changes nothing, if the sequence number is not higher than that of
+// HandleHeartbeat handles a heartbeat. It reports false, and changes nothing, if the sequence number is not higher than that of
 // the last heartbeat.
-func (a *Agent) OnHeartbeat(now time.Duration, heartbeat Heartbeat) bool {
+func (a *Agent) HandleHeartbeat(now time.Duration, heartbeat Heartbeat) bool {
 	if a.heartbeats > 0 && heartbeat.Sequence <= a.heartbeat.Sequence {
 		return false
 	}
@@ -143,8 +143,8 @@
 // acceptsRuns reports whether the worker is ready for new runs.
 func (a *Agent) acceptsRuns() bool { return a.heartbeat.State == string(jobs.Ready) && !a.deregistered }
 
-// OnDeregister handles the worker's deregistration. Active runs may still finish and be reported.
-func (a *Agent) OnDeregister(now time.Duration) {
+// HandleDeregister handles the worker's deregistration. Active runs may still finish and be reported.
+func (a *Agent) HandleDeregister(now time.Duration) {
 	a.deregistered = true
 	for ref, pending := range a.starts {
 		if !pending.inFlight {
@@ -183,8 +183,8 @@
 // it. Orders for an earlier incarnation are rejected.
 func (a *Agent) Incarnation() string { return a.process + "/" + strconv.FormatInt(a.expiries, 10) }
 
-// RunsExpired reports whether the worker's lease has expired, so that no run of this incarnation can be active.
-func (a *Agent) RunsExpired() bool { return a.expired }
+// LeaseExpired reports whether the worker's lease has expired, so that no run of this incarnation can be active.
+func (a *Agent) LeaseExpired() bool { return a.expired }
 
 // Idle reports whether the worker accepts runs but has no active, finished or pending ones. The answer to an idle worker may be
 // delayed until there is an order.
--- a/workeragent/agent_test.go
+++ b/workeragent/agent_test.go
@@ -65,13 +65,13 @@
 	switch {
 	case event == "restart":
 	case fields[0] == "heartbeat":
-		s.agent.OnHeartbeat(now, parseHeartbeat(fields[1:]))
+		s.agent.HandleHeartbeat(now, parseHeartbeat(fields[1:]))
 	case fields[0] == "check":
 		s.expect(line, fmt.Sprint(s.agent.CheckExpiry(now)), fields[1])
 	case fields[0] == "deregister":
-		s.agent.OnDeregister(now)
+		s.agent.HandleDeregister(now)
 	case fields[0] == "=>":
-		s.expect(line, describeAnswer(s.agent.Answer(now)), strings.Join(fields[1:], " "))
+		s.expect(line, describeAnswer(s.agent.Response(now)), strings.Join(fields[1:], " "))
 	case fields[0] == "dropped":
 		s.expect(line, describeDropped(s.agent.Report(now)), strings.Join(fields[1:], " "))
 	default:
@@ -93,25 +93,25 @@
 	var err error
 	switch fields[0] {
 	case "lease":
-		err = s.agent.OnLease(now, token, 0)
+		err = s.agent.HandleLease(now, token, 0)
 	case "acked":
 		orders.DurableCompletions, _ = strconv.ParseInt(fields[1], 10, 64)
-		err = s.agent.OnOrders(now, token, orders)
+		err = s.agent.HandleOrders(now, token, orders)
 	case "start", "known":
-		start := jobs.Start{Task: fields[1], Attempt: 1, Text: "text"}
+		start := jobs.Start{Task: fields[1], Attempt: 1, Spec: "text"}
 		start.Demand.CPU, _ = strconv.ParseInt(fields[2], 10, 64)
 		if fields[0] == "known" {
 			orders.KnownDemands = []jobs.Start{start}
 		} else {
 			orders.Starts = []jobs.Start{start}
 		}
-		err = s.agent.OnOrders(now, token, orders)
+		err = s.agent.HandleOrders(now, token, orders)
 	case "stop":
 		orders.Stops = []jobs.RunRef{{Task: fields[1], Attempt: 1}}
-		err = s.agent.OnOrders(now, token, orders)
+		err = s.agent.HandleOrders(now, token, orders)
 	case "old-incarnation":
 		orders.AgentIncarnation = "process0/0"
-		err = s.agent.OnOrders(now, token, orders)
+		err = s.agent.HandleOrders(now, token, orders)
 	}
 	if (err != nil) != rejected {
 		s.t.Errorf("line %q: error %v", line, err)
@@ -149,7 +149,7 @@
 }
 
 // describeAnswer formats an answer as scripts expect it.
-func describeAnswer(a Answer) string {
+func describeAnswer(a HeartbeatResponse) string {
 	var words []string
 	if a.LeaseMS > 0 {
 		words = append(words, "lease")
@@ -379,7 +379,7 @@
 	if heartbeat.Active[0] != (ActiveRun{"j.0.1.17", 2, "0bb8", 41.5}) || heartbeat.Finished[0] != (FinishedRun{58, "j.0.1.9", 1, "done", ""}) {
 		t.Errorf("decoded heartbeat: %+v", heartbeat)
 	}
-	answer := Answer{LeaseMS: 4, Started: []Start{{"t", 1, "x", ""}}, Stopped: []RunRef{{"u", 2}}}
+	answer := HeartbeatResponse{LeaseMS: 4, Started: []Start{{"t", 1, "x", ""}}, Stopped: []RunRef{{"u", 2}}}
 	out, _ := answer.MarshalJSON()
 	if string(out) != `{"hold_ms":4,"started":[["t",1,"x",""]],"stopped":[["u",2]]}` {
 		t.Errorf("encoded answer: %s", out)
@@ -395,7 +395,7 @@
 	0    7: lease
 	10   heartbeat S:1 a:t1`)
 	first := a.StateDigest()
-	a.OnHeartbeat(0, parseHeartbeat([]string{"S:2", "a:t1"}))
+	a.HandleHeartbeat(0, parseHeartbeat([]string{"S:2", "a:t1"}))
 	if a.StateDigest() != first {
 		t.Error("a heartbeat with the same runs and state changed the digest")
 	}
@@ -404,7 +404,7 @@
 	}
 	for name, heartbeat := range changes {
 		changed := runScript(t, "0 7: lease")
-		changed.OnHeartbeat(0, parseHeartbeat(heartbeat))
+		changed.HandleHeartbeat(0, parseHeartbeat(heartbeat))
 		if changed.StateDigest() == first {
 			t.Errorf("%s did not change the digest", name)
 		}
@@ -417,7 +417,7 @@
 	cases := map[string]bool{"S:1": true, "S:1 a:t1": false, "S:1 f:1/t1/done": false, "S:1 draining": false}
 	for heartbeat, want := range cases {
 		a := runScript(t, "0 7: lease")
-		a.OnHeartbeat(0, parseHeartbeat(strings.Fields(heartbeat)))
+		a.HandleHeartbeat(0, parseHeartbeat(strings.Fields(heartbeat)))
 		if a.Idle() != want {
 			t.Errorf("after heartbeat %s: idle %t, want %t", heartbeat, a.Idle(), want)
 		}
@@ -430,21 +430,21 @@
 	now := time.Second
 	agent := New(now, "i-1", "process1", testTiming)
 	heartbeat := Heartbeat{State: string(jobs.Ready), Sequence: 1, Capacity: Capacity{CPU: 64000, MemMB: 1 << 20}}
-	agent.OnHeartbeat(now, heartbeat)
+	agent.HandleHeartbeat(now, heartbeat)
 	orders := &jobs.Orders{Instance: "i-1", AgentIncarnation: agent.Incarnation()}
 	text := strings.Repeat("<\x01\"", 1333)
 	for i := range 2500 {
-		orders.Starts = append(orders.Starts, jobs.Start{Task: fmt.Sprint("0123456789abcdef.0.0.", i), Attempt: 1, Text: text, Demand: jobs.Resources{CPU: 10}})
+		orders.Starts = append(orders.Starts, jobs.Start{Task: fmt.Sprint("0123456789abcdef.0.0.", i), Attempt: 1, Spec: text, Demand: jobs.Resources{CPU: 10}})
 	}
-	if err := agent.OnOrders(now, 1, orders); err != nil {
+	if err := agent.HandleOrders(now, 1, orders); err != nil {
 		t.Fatal(err)
 	}
-	if err := agent.OnLease(now, 1, 0); err != nil {
+	if err := agent.HandleLease(now, 1, 0); err != nil {
 		t.Fatal(err)
 	}
 	started := 0
 	for answers := 1; started < len(orders.Starts); answers++ {
-		answer := agent.Answer(now)
+		answer := agent.Response(now)
 		encoded, err := answer.MarshalJSON()
 		if err != nil {
 			t.Fatal(err)
@@ -457,6 +457,6 @@
 			heartbeat.Active = append(heartbeat.Active, ActiveRun{Task: start.Task, Attempt: start.Attempt})
 		}
 		heartbeat.Sequence++
-		agent.OnHeartbeat(now, heartbeat)
+		agent.HandleHeartbeat(now, heartbeat)
 	}
 }
--- a/workeragent/answer.go
+++ b/workeragent/answer.go
@@ -16,9 +16,9 @@
 	escapedByteSize = 6
 )
 
-// Answer returns the answer to the last heartbeat.
-func (a *Agent) Answer(now time.Duration) Answer {
-	answer := Answer{LastSeen: a.acknowledged, FenceToken: a.token}
+// Response returns the answer to the last heartbeat.
+func (a *Agent) Response(now time.Duration) HeartbeatResponse {
+	answer := HeartbeatResponse{LastSeen: a.acknowledged, FenceToken: a.token}
 	for ref := range a.stops {
 		answer.Stopped = append(answer.Stopped, RunRef{ref.Task, ref.Attempt})
 	}
@@ -47,7 +47,7 @@
 		if pending.inFlight || !free.Holds(demand) {
 			continue
 		}
-		size := maxJSONSize(ref.Task) + maxJSONSize(pending.start.Text) + maxJSONSize(pending.start.Checkpoint) + startOverheadBytes
+		size := maxJSONSize(ref.Task) + maxJSONSize(pending.start.Spec) + maxJSONSize(pending.start.Checkpoint) + startOverheadBytes
 		if size > remainingBytes && len(starts) > 0 {
 			continue
 		}
@@ -56,7 +56,7 @@
 		free.MemMB -= demand.MemMB
 		free.GPU -= demand.GPU
 		pending.inFlight = true
-		starts = append(starts, Start{ref.Task, ref.Attempt, pending.start.Text, pending.start.Checkpoint})
+		starts = append(starts, Start{ref.Task, ref.Attempt, pending.start.Spec, pending.start.Checkpoint})
 	}
 	return starts
 }
--- a/workeragent/golden_test.go
+++ b/workeragent/golden_test.go
@@ -35,7 +35,7 @@
 
 // Answers are encoded and decoded with exactly the keys of the worker protocol; zero fields are omitted.
 func TestAnswerBytes(t *testing.T) {
-	answer := workeragent.Answer{
+	answer := workeragent.HeartbeatResponse{
 		LeaseMS: 1, LastSeen: 2, FenceToken: 3, Started: []workeragent.Start{{Task: "t", Attempt: 4, Spec: "x<y", Checkpoint: "s"}},
 		Stopped: []workeragent.RunRef{{Task: "u", Attempt: 5}}, RetryAfterMS: 6,
 	}
@@ -43,11 +43,11 @@
 	if got, err := answer.MarshalJSON(); err != nil || string(got) != text {
 		t.Errorf("error %v, encoded answer:\n%s\nwant\n%s", err, got, text)
 	}
-	var decoded workeragent.Answer
+	var decoded workeragent.HeartbeatResponse
 	if err := decoded.UnmarshalJSON([]byte(text)); err != nil || !reflect.DeepEqual(decoded, answer) {
 		t.Errorf("decoded answer: %+v, error %v", decoded, err)
 	}
-	if got, err := (workeragent.Answer{}).MarshalJSON(); err != nil || string(got) != "{}" {
+	if got, err := (workeragent.HeartbeatResponse{}).MarshalJSON(); err != nil || string(got) != "{}" {
 		t.Errorf("error %v, encoded empty answer: %s", err, got)
 	}
 }
--- a/workeragent/message.go
+++ b/workeragent/message.go
@@ -22,7 +22,7 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Heartbeat is the periodic status message of a worker. Its JSON keys and those of Answer are part of the worker protocol.
+// Heartbeat is the periodic status message of a worker. Its JSON keys and those of HeartbeatResponse are part of the worker protocol.
 // Fields without a comment are decoded but not used.
 //
 //easyjson:json
@@ -52,10 +52,10 @@
 	GPU   int64 `json:"gpu"`
 }
 
-// Answer is the response to a Heartbeat.
+// HeartbeatResponse is the response to a Heartbeat.
 //
 //easyjson:json
-type Answer struct {
+type HeartbeatResponse struct {
 	LeaseMS      int64    `json:"hold_ms,omitempty"`        // duration of the worker's lease, on its own clock, from when it sent the heartbeat; 0 grants no lease
 	LastSeen     int64    `json:"last_seen,omitempty"`      // finished runs up to this number are stored and need not be reported again
 	FenceToken   int64    `json:"fence_token,omitempty"`    // highest fencing token of an owner that the agent has seen
--- a/workeragent/message_easyjson.go
+++ b/workeragent/message_easyjson.go
@@ -408,7 +408,7 @@
 func (v *Capacity) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson4086215fDecodeSedgevaleWorkeragent1(l, v)
 }
-func easyjson4086215fDecodeSedgevaleWorkeragent2(in *jlexer.Lexer, out *Answer) {
+func easyjson4086215fDecodeSedgevaleWorkeragent2(in *jlexer.Lexer, out *HeartbeatResponse) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -510,7 +510,7 @@
 		in.Consumed()
 	}
 }
-func easyjson4086215fEncodeSedgevaleWorkeragent2(out *jwriter.Writer, in Answer) {
+func easyjson4086215fEncodeSedgevaleWorkeragent2(out *jwriter.Writer, in HeartbeatResponse) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -592,25 +592,25 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Answer) MarshalJSON() ([]byte, error) {
+func (v HeartbeatResponse) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson4086215fEncodeSedgevaleWorkeragent2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Answer) MarshalEasyJSON(w *jwriter.Writer) {
+func (v HeartbeatResponse) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson4086215fEncodeSedgevaleWorkeragent2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Answer) UnmarshalJSON(data []byte) error {
+func (v *HeartbeatResponse) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson4086215fDecodeSedgevaleWorkeragent2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Answer) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *HeartbeatResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson4086215fDecodeSedgevaleWorkeragent2(l, v)
 }
--- a/workeragent/orders.go
+++ b/workeragent/orders.go
@@ -7,9 +7,9 @@
 	"sedgevale/jobs"
 )
 
-// OnOrders handles the orders of an owner with a fencing token. The error has the code result.Fenced if a higher token is
+// HandleOrders handles the orders of an owner with a fencing token. The error has the code result.Fenced if a higher token is
 // known, and result.WrongInstance if the orders are for another incarnation of the worker.
-func (a *Agent) OnOrders(now time.Duration, token int64, orders *jobs.Orders) error {
+func (a *Agent) HandleOrders(now time.Duration, token int64, orders *jobs.Orders) error {
 	if token < a.token {
 		return a.fencedError(token)
 	}
@@ -31,9 +31,9 @@
 	return nil
 }
 
-// OnLease handles an owner's response to the report that was sent at sentAt: it renews the agent's lease and acknowledges
+// HandleLease handles an owner's response to the report that was sent at sentAt: it renews the agent's lease and acknowledges
 // the finished runs up to a number. The error has the code result.Fenced if a higher token is known.
-func (a *Agent) OnLease(sentAt time.Duration, token, acknowledged int64) error {
+func (a *Agent) HandleLease(sentAt time.Duration, token, acknowledged int64) error {
 	if token < a.token {
 		return a.fencedError(token)
 	}
