--- a/cmd/sedgevale/fakeworkers.go
+++ b/cmd/sedgevale/fakeworkers.go
@@ -46,7 +46,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	results := map[int]*fake.ResultStore{} // by cell, within which workers deduplicate requests
-	for _, m := range file.Known.Members {
+	for _, m := range file.KnownWorkers.Members {
 		if results[m.Cell] == nil {
 			results[m.Cell] = fake.NewResultStore(0)
 		}
--- a/cmd/sedgevale/main.go
+++ b/cmd/sedgevale/main.go
@@ -75,7 +75,7 @@
 func summarize(c *scheduler.Config) string {
 	text := ""
 	if c.Listen != "" {
-		text = fmt.Sprintf("%d classes, %d workers", len(c.Settings.Classes), len(c.Known.Members))
+		text = fmt.Sprintf("%d classes, %d workers", len(c.Settings.Classes), len(c.KnownWorkers.Members))
 	}
 	if c.Web != nil {
 		if text != "" {
--- a/dispatcher/actions_test.go
+++ b/dispatcher/actions_test.go
@@ -108,7 +108,7 @@
 	}
 	for i := range 3 + w.rng.IntN(14) {
 		w.list = append(w.list, dispatcher.WorkerInfo{
-			Worker: fmt.Sprint("w", i), Zone: i % 3, Kind: i % 2, Cell: i % 4, Weight: []float64{1, 2, 0.5, 4}[w.rng.IntN(4)],
+			Name: fmt.Sprint("w", i), Zone: i % 3, Kind: i % 2, Cell: i % 4, Weight: []float64{1, 2, 0.5, 4}[w.rng.IntN(4)],
 		})
 	}
 	d, err := dispatcher.New(w.set, seed, w)
@@ -145,7 +145,7 @@
 	}
 	set := dispatcher.Settings{
 		Classes:     []dispatcher.Class{class("safe", dispatcher.Idempotent), class("keyed", dispatcher.IdempotentByKey), class("unsafe", dispatcher.NotIdempotent)},
-		MaxAttempts: 1 + w.rng.IntN(5), Weights: dispatcher.WeightMeaning(seed % 3), Zone: int(seed % 4), Dispatchers: 1 + int(seed%3),
+		MaxAttempts: 1 + w.rng.IntN(5), WeightMeaning: dispatcher.WeightMeaning(seed % 3), Zone: int(seed % 4), Dispatchers: 1 + int(seed%3),
 	}
 	set.AllowHedging, set.AllowCancel, set.StartNotified = w.drawFeature("hedging"), w.drawFeature("cancel"), w.drawFeature("notified")
 	set.FIFOWorkers, set.LoadByProbe, set.WatchOnDemand = w.drawFeature("fifo"), w.drawFeature("probes"), w.drawFeature("watch")
@@ -279,7 +279,7 @@
 
 func (w *actionSimulation) submit() {
 	w.serial++
-	q := dispatcher.Request{ID: fmt.Sprint("r", w.serial), Class: w.rng.IntN(len(w.set.Classes)), TimeLeft: time.Duration(w.rng.IntN(3000)) * time.Millisecond}
+	q := dispatcher.Request{ID: fmt.Sprint("r", w.serial), Class: w.rng.IntN(len(w.set.Classes)), RemainingTimeout: time.Duration(w.rng.IntN(3000)) * time.Millisecond}
 	if len(w.tenants) > 0 { // including removed tenants
 		q.Tenant = w.d.TenantIndex(w.tenants[w.rng.IntN(len(w.tenants))])
 		if q.Tenant < 0 {
@@ -344,11 +344,11 @@
 	if a.cancel && w.rng.IntN(4) > 0 {
 		result.Outcome = dispatcher.Cancelled
 	}
-	result.Answered = w.ended[a.id] || result.Outcome == dispatcher.Served
+	result.ClientAnswered = w.ended[a.id] || result.Outcome == dispatcher.Served
 	if w.has("reports") && w.rng.IntN(2) == 0 {
 		result.Report = w.report()
 	}
-	if result.Answered {
+	if result.ClientAnswered {
 		w.end(a.id)
 	}
 	w.record("end %v", w.d.AttemptEnded(w.now, result))
@@ -415,7 +415,7 @@
 		{"cordons", w.cordon}, {"siblings", w.siblingLoad}, {"peers", w.peerLoad}, {"subsets", w.subset},
 		{"settings", func(string) { w.oneTimeIn(4, w.changeSettings) }}, {"learned", func(string) { w.oneTimeIn(10, w.handOver) }},
 	}
-	worker := w.list[w.rng.IntN(len(w.list))].Worker
+	worker := w.list[w.rng.IntN(len(w.list))].Name
 	if drawn := events[w.rng.IntN(len(events))]; w.has(drawn.feature) {
 		drawn.event(worker)
 	}
@@ -448,7 +448,7 @@
 	var subset []string
 	for _, e := range w.list {
 		if w.rng.IntN(2) == 0 {
-			subset = append(subset, e.Worker)
+			subset = append(subset, e.Name)
 		}
 	}
 	w.d.SetSubset(w.now, subset, 1+w.rng.IntN(3))
@@ -494,7 +494,7 @@
 	if w.has("peers") {
 		d.TrackLoadChanges()
 	}
-	d.RestoreCordon(w.list[0].Worker)
+	d.RestoreCordon(w.list[0].Name)
 	d.WorkersUpdated(w.now, dispatcher.UpdateStale, w.list)
 	d.RestoreLearnedState(w.now, state)
 }
--- a/dispatcher/api.go
+++ b/dispatcher/api.go
@@ -18,7 +18,7 @@
 // WorkerInfo is an entry of the worker list. A Dispatcher keeps no reference to the
 // slices that carry it.
 type WorkerInfo struct {
-	Worker    string // name of the worker
+	Name      string // name of the worker
 	Zone      int
 	Kind      int // machine kind
 	Cell      int // failure domain; in classes with DedupCell its workers also share the deduplication keys
@@ -40,14 +40,14 @@
 
 // Request is a request received from a client.
 type Request struct {
-	ID          string
-	Class       int           // index into Settings.Classes
-	Tenant      int           // index from [Dispatcher.TenantIndex], -1 if the settings have no tenants
-	AffinityKey string        // requests with the same key prefer the same worker, which may have cached data; may be empty
-	TimeLeft    time.Duration // time until the client stops waiting
-	RuntimeHint time.Duration // estimated running time; 0 means none
-	Slots       float64       // slots that the request occupies at a worker; 0 counts as 1
-	ClientRetry bool          // the client repeats an earlier request
+	ID               string
+	Class            int           // index into Settings.Classes
+	Tenant           int           // index from [Dispatcher.TenantIndex], -1 if the settings have no tenants
+	AffinityKey      string        // requests with the same key prefer the same worker, which may have cached data; may be empty
+	RemainingTimeout time.Duration // time until the client stops waiting
+	RuntimeHint      time.Duration // estimated running time; 0 means none
+	Slots            float64       // slots that the request occupies at a worker; 0 counts as 1
+	ClientRetry      bool          // the client repeats an earlier request
 }
 
 // Outcome is how an attempt ended.
@@ -75,11 +75,11 @@
 
 // AttemptResult is the result of an attempt that has ended.
 type AttemptResult struct {
-	ID       string
-	Attempt  int // number of the attempt, from 0 in the order of the request's sends
-	Outcome  Outcome
-	Answered bool        // the client has its final response, from this attempt or earlier
-	Report   *LoadReport // load report of the worker, nil if none; the Dispatcher does not retain it
+	ID             string
+	Attempt        int // number of the attempt, from 0 in the order of the request's sends
+	Outcome        Outcome
+	ClientAnswered bool        // the client has its final response, from this attempt or earlier
+	Report         *LoadReport // load report of the worker, nil if none; the Dispatcher does not retain it
 }
 
 // Host carries out the decisions of a Dispatcher. A Dispatcher calls it from within
@@ -127,8 +127,8 @@
 	WorkSent   float64 `json:"sent,omitempty"`    // total work sent, in slot seconds
 }
 
-// Plus returns the sum of two loads.
-func (l Load) Plus(m Load) Load {
+// Add returns the sum of two loads.
+func (l Load) Add(m Load) Load {
 	return Load{l.InFlight + m.InFlight, l.NotStarted + m.NotStarted, l.WorkSent + m.WorkSent}
 }
 
--- a/dispatcher/cordon_test.go
+++ b/dispatcher/cordon_test.go
@@ -24,7 +24,7 @@
 // Guards against worker lists that end a cordon: neither a new list nor a removal and
 // return of the worker ends it, and a drain by discovery continues after it.
 func TestCordonSurvivesWorkerLists(t *testing.T) {
-	a, b := WorkerInfo{Worker: "a", Weight: 1}, WorkerInfo{Worker: "b", Weight: 1}
+	a, b := WorkerInfo{Name: "a", Weight: 1}, WorkerInfo{Name: "b", Weight: 1}
 	d, h := start(t, settings(), a, b)
 	if d.Cordon(h.now, "stranger", true) || d.Cordon(h.now, "stranger", false) {
 		t.Error("an unknown worker was cordoned or uncordoned")
@@ -49,7 +49,7 @@
 	if !d.Cordon(h.now, "a", true) {
 		t.Error("a cordoned worker is unknown after its removal from the list")
 	}
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "a", Weight: 1, StartedAt: h.now}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "a", Weight: 1, StartedAt: h.now}})
 	only("removed and listed again", "b")
 	leaving := a
 	leaving.State = Draining
@@ -66,9 +66,9 @@
 
 // A restored cordon applies to a worker that is listed after it.
 func TestRestoreCordon(t *testing.T) {
-	d, h := start(t, settings(), WorkerInfo{Worker: "b", Weight: 1})
+	d, h := start(t, settings(), WorkerInfo{Name: "b", Weight: 1})
 	d.RestoreCordon("a")
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "a", Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "a", Weight: 1}})
 	for range 12 {
 		if w := h.serveOne(d); w != "b" {
 			t.Fatalf("a request went to %q, want b", w)
@@ -84,7 +84,7 @@
 func TestUncordonedWorkerWarmsUp(t *testing.T) {
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 20*time.Second, 0.1, 3, 2*time.Second
-	d, h := start(t, set, WorkerInfo{Worker: "a", Weight: 1}, WorkerInfo{Worker: "b", Weight: 1})
+	d, h := start(t, set, WorkerInfo{Name: "a", Weight: 1}, WorkerInfo{Name: "b", Weight: 1})
 	count := func(span time.Duration) (n int) {
 		for end := h.now + span; h.now < end; {
 			if h.serveOne(d) == "a" {
@@ -108,7 +108,7 @@
 func TestUncordonedSlowStartBeginsAtRestart(t *testing.T) {
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 20*time.Second, 0.1, 3, 2*time.Second
-	a, b := WorkerInfo{Worker: "a", Weight: 1}, WorkerInfo{Worker: "b", Weight: 1, StartedAt: time.Hour - time.Minute}
+	a, b := WorkerInfo{Name: "a", Weight: 1}, WorkerInfo{Name: "b", Weight: 1, StartedAt: time.Hour - time.Minute}
 	d, h := start(t, set, a, b)
 	for _, w := range []string{"a", "b"} {
 		d.Cordon(h.now, w, true)
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -91,7 +91,7 @@
 		if o == Served && p.h.ends[id] == "" {
 			p.h.ends[id] = "served"
 		}
-		if err := p.d.AttemptEnded(p.h.now, AttemptResult{ID: id, Attempt: n, Outcome: o, Answered: closed}); err != nil {
+		if err := p.d.AttemptEnded(p.h.now, AttemptResult{ID: id, Attempt: n, Outcome: o, ClientAnswered: closed}); err != nil {
 			p.t.Fatal(err)
 		}
 		p.check()
@@ -100,12 +100,12 @@
 
 // changeWorkerState changes the state of a random worker to draining or active.
 func (p *randomRun) changeWorkerState() {
-	w := WorkerInfo{Worker: fmt.Sprint("w", p.rng.IntN(6)), Weight: 1}
-	w.Zone, w.Cell = p.d.workers.byName[w.Worker].Zone, p.d.workers.byName[w.Worker].Cell
+	w := WorkerInfo{Name: fmt.Sprint("w", p.rng.IntN(6)), Weight: 1}
+	w.Zone, w.Cell = p.d.workers.byName[w.Name].Zone, p.d.workers.byName[w.Name].Cell
 	if p.rng.IntN(2) == 0 {
 		w.State = Draining
 	}
-	p.drained[w.Worker] = w.State == Draining
+	p.drained[w.Name] = w.State == Draining
 	p.d.WorkersUpdated(p.h.now, UpdateDelta, []WorkerInfo{w})
 	p.check()
 }
@@ -113,7 +113,7 @@
 // finish ends all open attempts and checks that no request is left.
 func (p *randomRun) finish() {
 	for _, s := range p.open {
-		_ = p.d.AttemptEnded(p.h.now, AttemptResult{ID: s.id, Attempt: s.n, Outcome: Rejected, Answered: p.h.ends[s.id] != ""})
+		_ = p.d.AttemptEnded(p.h.now, AttemptResult{ID: s.id, Attempt: s.n, Outcome: Rejected, ClientAnswered: p.h.ends[s.id] != ""})
 	}
 	p.h.run(p.d, p.h.now+6*time.Second)
 	for id := range p.class {
@@ -163,14 +163,14 @@
 	d, h := start(t, settings(), fleet(2)...)
 	h.submit(d, "r", 0)
 	for what, got := range map[string][2]error{
-		"class":         {d.SubmitRequest(h.now, Request{ID: "x", Class: 3, TimeLeft: 1}), ErrBadRequest},
-		"tenant":        {d.SubmitRequest(h.now, Request{ID: "x", Tenant: 1, TimeLeft: 1}), ErrBadRequest},
-		"twice":         {d.SubmitRequest(h.now, Request{ID: "r", TimeLeft: time.Second}), ErrDuplicateRequest},
+		"class":         {d.SubmitRequest(h.now, Request{ID: "x", Class: 3, RemainingTimeout: 1}), ErrBadRequest},
+		"tenant":        {d.SubmitRequest(h.now, Request{ID: "x", Tenant: 1, RemainingTimeout: 1}), ErrBadRequest},
+		"twice":         {d.SubmitRequest(h.now, Request{ID: "r", RemainingTimeout: time.Second}), ErrDuplicateRequest},
 		"unknown":       {d.AttemptEnded(h.now, AttemptResult{ID: "x"}), ErrUnknownRequest},
 		"attempt":       {d.AttemptStarted(h.now, "r", 1), ErrUnknownAttempt},
 		"progress":      {d.AttemptProgressed(h.now, "r", -1, 0), ErrUnknownAttempt},
 		"stream":        {d.StreamStarted(h.now, "x", 0), ErrUnknownRequest},
-		"good":          {d.AttemptEnded(h.now, AttemptResult{ID: "r", Outcome: Served, Answered: true}), nil},
+		"good":          {d.AttemptEnded(h.now, AttemptResult{ID: "r", Outcome: Served, ClientAnswered: true}), nil},
 		"after its end": {nil, nil},
 	} {
 		if !errors.Is(got[0], got[1]) {
@@ -222,7 +222,7 @@
 	for i := range 6 {
 		h.submit(d, fmt.Sprint("r", i), 0)
 	}
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "w0", State: Draining, Weight: 1}})
 	if len(h.sends) != sends {
 		t.Fatal("sent before all events were read")
 	}
--- a/dispatcher/events.go
+++ b/dispatcher/events.go
@@ -40,12 +40,12 @@
 	q.Slots = max(1, q.Slots)
 	c := d.classes.current[q.Class]
 	r := &request{Request: q, class: c, serial: d.requests.nextSerial(), tenant: d.tenants.at(q.Tenant)}
-	r.deadline = now + q.TimeLeft
+	r.deadline = now + q.RemainingTimeout
 	d.estimate(now, r)
 	r.keyHash = hashOf(q.AffinityKey)
 	d.tenants.arrivals++
 	d.addRequest(r)
-	if q.TimeLeft <= 0 || !d.feasible(now, r, true) {
+	if q.RemainingTimeout <= 0 || !d.feasible(now, r, true) {
 		d.rejectOrFail(now, r)
 		return nil
 	}
@@ -76,7 +76,7 @@
 	r.runtime = run
 	r.targetAt = now + c.LatencyTarget + seconds(c.TargetStretch*run)
 	if r.ClientRetry { // the target counts from the client's first request
-		r.targetAt -= max(0, c.ClientTimeout-r.TimeLeft)
+		r.targetAt -= max(0, c.ClientTimeout-r.RemainingTimeout)
 	}
 }
 
@@ -141,7 +141,7 @@
 		d.applyReport(now, a.worker, res.Report)
 	}
 	d.learn(now, r, a, res.Outcome)
-	if res.Answered {
+	if res.ClientAnswered {
 		d.closeRequest(r)
 	}
 	if !r.ended && r.inFlight == 0 && !r.queued {
--- a/dispatcher/example_test.go
+++ b/dispatcher/example_test.go
@@ -35,12 +35,12 @@
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
 
-	d.WorkersUpdated(clock(), dispatcher.UpdateFull, []dispatcher.WorkerInfo{{Worker: "10.0.0.1:5000"}})
-	err = d.SubmitRequest(clock(), dispatcher.Request{ID: "job-1", TimeLeft: 5 * time.Second})
+	d.WorkersUpdated(clock(), dispatcher.UpdateFull, []dispatcher.WorkerInfo{{Name: "10.0.0.1:5000"}})
+	err = d.SubmitRequest(clock(), dispatcher.Request{ID: "job-1", RemainingTimeout: 5 * time.Second})
 	if err != nil {
 		fmt.Println(err)
 	}
-	err = d.AttemptEnded(clock(), dispatcher.AttemptResult{ID: "job-1", Outcome: dispatcher.Served, Answered: true})
+	err = d.AttemptEnded(clock(), dispatcher.AttemptResult{ID: "job-1", Outcome: dispatcher.Served, ClientAnswered: true})
 	fmt.Println(err)
 	// Output:
 	// send job-1 to 10.0.0.1:5000
--- a/dispatcher/health_test.go
+++ b/dispatcher/health_test.go
@@ -61,7 +61,7 @@
 		w := d.workers.byName["w0"]
 		h.submit(d, "mute", class)
 		h.now += minOvertakeGap + ms
-		d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "v", Cell: 5, Weight: 1}}) // gets the hedged attempt: in the same zone, which deduplicates, but another cell
+		d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "v", Cell: 5, Weight: 1}}) // gets the hedged attempt: in the same zone, which deduplicates, but another cell
 		d.send(h.now, newRequest(d, h, "other"), w)
 		h.reportStart(d, "other", 0)
 		if w.inFlight != 1 || w.notStarted != 0 {
--- a/dispatcher/host_test.go
+++ b/dispatcher/host_test.go
@@ -128,7 +128,7 @@
 				ClientTimeout: 5 * time.Second, LateValue: 0.5},
 			{Name: "unsafe", Idempotency: NotIdempotent, LatencyTarget: 200 * ms, TargetStretch: 2, ClientTimeout: 5 * time.Second, LateValue: 0.5},
 		},
-		MaxAttempts: 4, AllowHedging: true, AllowCancel: true, StartNotified: true, Weights: WeightSize,
+		MaxAttempts: 4, AllowHedging: true, AllowCancel: true, StartNotified: true, WeightMeaning: WeightSize,
 	}
 }
 
@@ -146,21 +146,21 @@
 func fleet(n int) []WorkerInfo {
 	var all []WorkerInfo
 	for i := range n {
-		all = append(all, WorkerInfo{Worker: fmt.Sprint("w", i), Zone: i % 2, Cell: i % 3, Weight: 1})
+		all = append(all, WorkerInfo{Name: fmt.Sprint("w", i), Zone: i % 2, Cell: i % 3, Weight: 1})
 	}
 	return all
 }
 
 func (h *fakeHost) submit(d *Dispatcher, id string, class int) {
 	h.t.Helper()
-	if err := d.SubmitRequest(h.now, Request{ID: id, Class: class, TimeLeft: 5 * time.Second}); err != nil {
+	if err := d.SubmitRequest(h.now, Request{ID: id, Class: class, RemainingTimeout: 5 * time.Second}); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
 func (h *fakeHost) endAttempt(d *Dispatcher, id string, n int, o Outcome) {
 	h.t.Helper()
-	if err := d.AttemptEnded(h.now, AttemptResult{ID: id, Attempt: n, Outcome: o, Answered: o == Served}); err != nil {
+	if err := d.AttemptEnded(h.now, AttemptResult{ID: id, Attempt: n, Outcome: o, ClientAnswered: o == Served}); err != nil {
 		h.t.Fatal(err)
 	}
 	if o == Served {
--- a/dispatcher/learned.go
+++ b/dispatcher/learned.go
@@ -129,7 +129,7 @@
 		age = (now - w.freeSlotsAt).Seconds()
 	}
 	return LearnedWorker{
-		Worker:           w.Worker,
+		Worker:           w.Name,
 		Limit:            encodeLimit(w.limit),
 		RuntimeRatio:     w.runtimeRatio,
 		ErrorRate:        w.errorRate,
--- a/dispatcher/membership.go
+++ b/dispatcher/membership.go
@@ -41,7 +41,7 @@
 
 // updateWorker applies one entry of the worker list.
 func (d *Dispatcher) updateWorker(now time.Duration, e *WorkerInfo) {
-	w := d.workers.byName[e.Worker]
+	w := d.workers.byName[e.Name]
 	if w == nil {
 		if e.State == Removed {
 			return
@@ -60,10 +60,10 @@
 	d.workers.growKindTables(e.Kind)
 	d.workers.maxWeightByKind[e.Kind] = max(d.workers.maxWeightByKind[e.Kind], e.Weight)
 	d.workers.removeFromPools(w)
-	w.size = d.workers.sizeOf(e, d.settings.Weights)
+	w.size = d.workers.sizeOf(e, d.settings.WeightMeaning)
 	d.workers.maxSize = max(d.workers.maxSize, w.size)
 	d.workers.addToPools(w)
-	if d.settings.Weights == WeightLive && e.Weight > 0 {
+	if d.settings.WeightMeaning == WeightLive && e.Weight > 0 {
 		d.workers.applyLiveWeight(now, w)
 	}
 	if e.State == Removed {
@@ -76,11 +76,11 @@
 // drain and after each outcome there, and schedules another close, since a connection
 // may still be established for an attempt that was cancelled.
 func (d *Dispatcher) closeIdleConns(now time.Duration, w *worker) {
-	listed := d.workers.byName[w.Worker] // a new worker of the same name may have replaced w
+	listed := d.workers.byName[w.Name] // a new worker of the same name may have replaced w
 	if d.settings.DrainCloseTimeout == 0 || w.State == Active || listed != nil && listed.State == Active {
 		return
 	}
-	d.host.CloseIdleConnections(w.Worker)
+	d.host.CloseIdleConnections(w.Name)
 	d.draining.closed(now, w)
 }
 
@@ -88,8 +88,8 @@
 // more, half of DrainCloseTimeout after they were last closed.
 func (d *Dispatcher) closeDrainingIdleConns(now time.Duration) {
 	for _, w := range d.draining.due(now, d.settings.DrainCloseTimeout/2) {
-		if listed := d.workers.byName[w.Worker]; listed == nil || listed.State != Active {
-			d.host.CloseIdleConnections(w.Worker)
+		if listed := d.workers.byName[w.Name]; listed == nil || listed.State != Active {
+			d.host.CloseIdleConnections(w.Name)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 // removeWorker removes a worker that is no longer listed, with the load of other
 // dispatchers there. Its attempts in flight refer to it until they end.
 func (d *Dispatcher) removeWorker(w *worker) {
-	delete(d.workers.byName, w.Worker)
+	delete(d.workers.byName, w.Name)
 	d.addInFlight(w, -w.siblingLoad.InFlight)
 	w.notStarted -= w.siblingLoad.NotStarted
 	d.workers.addInFlight(w, -w.peerLoad.InFlight)
--- a/dispatcher/membership_test.go
+++ b/dispatcher/membership_test.go
@@ -9,8 +9,8 @@
 // Draining and removed workers get nothing from the time of the update on.
 func TestDrainingWorkersGetNothing(t *testing.T) {
 	d, h := start(t, settings(), fleet(3)...)
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
-	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}, {Worker: "w1", Zone: 1, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "w0", State: Draining, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{{Name: "w0", State: Draining, Weight: 1}, {Name: "w1", Zone: 1, Weight: 1}})
 	for i := range 20 {
 		h.submit(d, fmt.Sprint("r", i), i%3)
 		h.now += 10 * ms
@@ -76,7 +76,7 @@
 	set.DrainCloseTimeout = 1500 * ms
 	d, h := start(t, set, fleet(1)...)
 	h.submit(d, "r", 0)
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Draining, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "w0", State: Draining, Weight: 1}})
 	if len(h.closes) != 1 {
 		t.Fatalf("%d closes when the drain begins, want 1", len(h.closes))
 	}
--- a/dispatcher/peers.go
+++ b/dispatcher/peers.go
@@ -14,7 +14,7 @@
 			continue
 		}
 		if l := (Load{w.inFlight - w.siblingLoad.InFlight, w.notStarted - w.siblingLoad.NotStarted, w.workSent}); l != (Load{}) {
-			loads[w.Worker] = l
+			loads[w.Name] = l
 		}
 	}
 	return loads
@@ -28,7 +28,7 @@
 		if w == nil {
 			continue
 		}
-		l := loads[w.Worker]
+		l := loads[w.Name]
 		d.addInFlight(w, l.InFlight-w.siblingLoad.InFlight)
 		w.notStarted += l.NotStarted - w.siblingLoad.NotStarted
 		if w.warmAt > now && w.siblingLoadKnown {
@@ -48,7 +48,7 @@
 func (d *Dispatcher) AppendLoadChanges(buf []WorkerLoad) []WorkerLoad {
 	for i, w := range d.loadChanges.workers {
 		w.loadChanged, d.loadChanges.workers[i] = false, nil
-		buf = append(buf, WorkerLoad{w.Worker, Load{w.inFlight - w.peerLoad.InFlight, w.notStarted - w.peerLoad.NotStarted, w.workSent},
+		buf = append(buf, WorkerLoad{w.Name, Load{w.inFlight - w.peerLoad.InFlight, w.notStarted - w.peerLoad.NotStarted, w.workSent},
 			w.inFlight > d.workers.maxFreeByKind[w.Kind]})
 	}
 	d.loadChanges.workers = d.loadChanges.workers[:0]
@@ -91,9 +91,9 @@
 		if w == nil {
 			continue
 		}
-		if w.inSubset != subset[w.Worker] {
+		if w.inSubset != subset[w.Name] {
 			d.workers.adjustPoolSums(w, -1)
-			w.inSubset = subset[w.Worker]
+			w.inSubset = subset[w.Name]
 			d.workers.adjustPoolSums(w, 1)
 			for _, p := range d.workers.pools {
 				p.subsetStale = true
--- a/dispatcher/peers_test.go
+++ b/dispatcher/peers_test.go
@@ -35,7 +35,7 @@
 	if w := d.workers.byName["w0"]; d.capacity.inFlight != 4 || w.inFlight != 1 || w.notStarted != 0 {
 		t.Errorf("%v slots in flight, %v at w0, %d not started", d.capacity.inFlight, w.inFlight, w.notStarted)
 	}
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Removed}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "w0", State: Removed}})
 	d.SetSiblingLoad(h.now, nil)
 	if d.capacity.inFlight != 3 || d.workers.pools[0].inFlight != 3 {
 		t.Errorf("%v slots in flight after the worker and the sibling are gone, want 3", d.capacity.inFlight)
@@ -46,7 +46,7 @@
 func TestSiblingLoadSpendsSlowStartCredit(t *testing.T) {
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, 3, 2*time.Second
-	d, h := start(t, set, WorkerInfo{Worker: "cold", Weight: 1, StartedAt: time.Hour})
+	d, h := start(t, set, WorkerInfo{Name: "cold", Weight: 1, StartedAt: time.Hour})
 	w := d.workers.byName["cold"]
 	w.slowStartCredit = 1
 	d.SetSiblingLoad(h.now, map[string]Load{"cold": {WorkSent: 50}}) // sent before this dispatcher knew of it
@@ -61,7 +61,7 @@
 	set := settings()
 	set.Tenants = []Tenant{{Name: "a", Share: 1, Quota: 10}, {Name: "b", Share: 2}}
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, 3, 2*time.Second
-	workers := append(fleet(3), WorkerInfo{Worker: "cold", Weight: 1, StartedAt: time.Hour - time.Second})
+	workers := append(fleet(3), WorkerInfo{Name: "cold", Weight: 1, StartedAt: time.Hour - time.Second})
 	d, h := start(t, set, workers...)
 	for i := range 60 {
 		id := fmt.Sprint("r", i)
@@ -75,7 +75,7 @@
 		if i%7 == 6 {
 			h.endAttempt(d, id, 0, Rejected)
 		} else {
-			_ = d.AttemptEnded(h.now, AttemptResult{ID: id, Outcome: Served, Answered: true, Report: &LoadReport{HasFreeSlots: true, FreeSlots: 3}})
+			_ = d.AttemptEnded(h.now, AttemptResult{ID: id, Outcome: Served, ClientAnswered: true, Report: &LoadReport{HasFreeSlots: true, FreeSlots: 3}})
 			h.ends[id] = "served"
 		}
 	}
@@ -132,7 +132,7 @@
 	if again := d.AppendLoadChanges(nil); len(again) != 0 {
 		t.Errorf("load changes %v without a change", again)
 	}
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", State: Removed}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "w0", State: Removed}})
 	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w1"}})
 	if d.capacity.inFlight != 2 || d.workers.pools[0].inFlight != 2 {
 		t.Errorf("own slots in flight %v, %v at workers after the load of peers is gone, want 2", d.capacity.inFlight, d.workers.pools[0].inFlight)
@@ -155,12 +155,12 @@
 	if full("r0") {
 		t.Error("reported as saturated before any load report arrived")
 	}
-	_ = d.AttemptEnded(h.now, AttemptResult{ID: "r0", Outcome: Served, Answered: true, Report: &LoadReport{HasFreeSlots: true, FreeSlots: 2}})
+	_ = d.AttemptEnded(h.now, AttemptResult{ID: "r0", Outcome: Served, ClientAnswered: true, Report: &LoadReport{HasFreeSlots: true, FreeSlots: 2}})
 	if full("r1") {
 		t.Error("reported as saturated with one request on two slots")
 	}
 	d.UpdatePeerLoad(h.now, []WorkerLoad{{Worker: "w0", Load: Load{InFlight: 3}}})
-	_ = d.AttemptEnded(h.now, AttemptResult{ID: "r1", Outcome: Served, Answered: true})
+	_ = d.AttemptEnded(h.now, AttemptResult{ID: "r1", Outcome: Served, ClientAnswered: true})
 	if reported := d.AppendLoadChanges(nil); len(reported) != 1 || !reported[0].Saturated || reported[0].InFlight != 0 {
 		t.Errorf("load changes %v with three slots of peers in flight on two slots, want w0 saturated", reported)
 	}
@@ -202,12 +202,12 @@
 	}
 	own := map[string]bool{"w3": true, "w7": true}
 	for _, w := range d.workers.all {
-		if w.inFlight > 0 && !own[w.Worker] {
-			t.Errorf("%v slots in flight at %s, which is not in the subset", w.inFlight, w.Worker)
+		if w.inFlight > 0 && !own[w.Name] {
+			t.Errorf("%v slots in flight at %s, which is not in the subset", w.inFlight, w.Name)
 		}
 	}
 	for name := range own {
-		d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: name, State: Draining}})
+		d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: name, State: Draining}})
 	}
 	if h.submit(d, "out", 0); own[h.lastWorker()] {
 		t.Errorf("the request went to %s, which drains", h.lastWorker())
@@ -226,7 +226,7 @@
 func TestSlowStartOutsideSubset(t *testing.T) {
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow, set.Dispatchers = 8*time.Second, 0.3, 3, 2*time.Second, 300
-	d, h := start(t, set, WorkerInfo{Worker: "mine", Weight: 1}, WorkerInfo{Worker: "cold", Weight: 1, StartedAt: time.Hour})
+	d, h := start(t, set, WorkerInfo{Name: "mine", Weight: 1}, WorkerInfo{Name: "cold", Weight: 1, StartedAt: time.Hour})
 	d.estimates.meanWork = 0.1
 	cold := d.workers.byName["cold"]
 	r := &request{class: d.classes.current[0], work: 0.1, Request: Request{Slots: 1}}
--- a/dispatcher/placement_test.go
+++ b/dispatcher/placement_test.go
@@ -31,7 +31,7 @@
 		h.endAttempt(d, "zone", n, ConnectFailed)
 	}
 	h.submit(d, "nowhere", 2)
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w77", Kind: 1, Zone: 1, State: Draining, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "w77", Kind: 1, Zone: 1, State: Draining, Weight: 1}})
 	h.submit(d, "none", 0)
 	sends := len(h.sends)
 	h.submit(d, "other", 1) // must not be blocked by requests that find no worker
@@ -92,10 +92,10 @@
 
 // With few requests per worker the threshold does not distinguish sizes; the weighted draw does.
 func TestPicksFollowListedSize(t *testing.T) {
-	d, h := start(t, settings(), WorkerInfo{Worker: "large", Weight: 3}, WorkerInfo{Worker: "small", Weight: 1})
+	d, h := start(t, settings(), WorkerInfo{Name: "large", Weight: 3}, WorkerInfo{Name: "small", Weight: 1})
 	large := 0
 	for range 2000 {
-		if d.pickWorker(h.now, &request{class: d.classes.current[0], Request: Request{Slots: 1}, deadline: twoSecondsFrom(h), targetAt: twoSecondsFrom(h)}, true).Worker == "large" {
+		if d.pickWorker(h.now, &request{class: d.classes.current[0], Request: Request{Slots: 1}, deadline: twoSecondsFrom(h), targetAt: twoSecondsFrom(h)}, true).Name == "large" {
 			large++
 		}
 	}
@@ -119,15 +119,15 @@
 		d.WorkersUpdated(h.now, UpdateStale, ws)
 		for i := range 30 {
 			id := fmt.Sprint("r", i)
-			_ = d.SubmitRequest(h.now, Request{ID: id, AffinityKey: id, TimeLeft: 5 * time.Second})
+			_ = d.SubmitRequest(h.now, Request{ID: id, AffinityKey: id, RemainingTimeout: 5 * time.Second})
 			if seed == 2 && owners[id] != h.lastWorker() {
 				t.Errorf("key %s: two dispatchers chose %s and %s", id, owners[id], h.lastWorker())
 			}
 			owners[id] = h.lastWorker()
 			h.endAttempt(d, id, 0, Served)
 		}
-		_ = d.SubmitRequest(h.now, Request{ID: "x", AffinityKey: "k", TimeLeft: 5 * time.Second})
-		_ = d.SubmitRequest(h.now, Request{ID: "y", AffinityKey: "k", TimeLeft: 5 * time.Second})
+		_ = d.SubmitRequest(h.now, Request{ID: "x", AffinityKey: "k", RemainingTimeout: 5 * time.Second})
+		_ = d.SubmitRequest(h.now, Request{ID: "y", AffinityKey: "k", RemainingTimeout: 5 * time.Second})
 		x, y := h.sends[len(h.sends)-2].worker, h.lastWorker()
 		if d.workers.byName[x].Zone != 0 || d.workers.byName[y].Zone != 1 {
 			t.Errorf("owners %s and %s, want one in zone 0 and one in zone 1", x, y)
--- a/dispatcher/pool.go
+++ b/dispatcher/pool.go
@@ -43,7 +43,7 @@
 	for z, ws := range p.zones {
 		ring := p.rings[z][:0]
 		for _, w := range ws {
-			h := hashOf(w.Worker)
+			h := hashOf(w.Name)
 			for i := range uint64(ringPoints) {
 				ring = append(ring, ringPoint{mix(h + i*0x9e3779b97f4a7c15), w})
 			}
--- a/dispatcher/probe.go
+++ b/dispatcher/probe.go
@@ -36,7 +36,7 @@
 		r.probed = append(r.probed, w)
 		if w.freeSlotsAt == 0 || now-w.freeSlotsAt > probeResultTTL {
 			if len(w.probeWaiters) == 0 {
-				d.host.Probe(w.Worker)
+				d.host.Probe(w.Name)
 			}
 			w.probeWaiters = append(w.probeWaiters, r)
 			r.probesPending++
@@ -103,7 +103,7 @@
 		d.meter.worker = d.workers.random(d.rng)
 	}
 	if d.meter.worker != nil && d.meter.worker.State == Active && len(d.meter.worker.probeWaiters) == 0 {
-		d.host.Probe(d.meter.worker.Worker)
+		d.host.Probe(d.meter.worker.Name)
 	}
 }
 
--- a/dispatcher/probe_test.go
+++ b/dispatcher/probe_test.go
@@ -9,10 +9,10 @@
 
 func TestLiveWeightsTellFreeSlots(t *testing.T) {
 	set := settings()
-	set.Weights = WeightLive
-	d, h := start(t, set, WorkerInfo{Worker: "a", Weight: 4}, WorkerInfo{Worker: "b", Weight: 2})
+	set.WeightMeaning = WeightLive
+	d, h := start(t, set, WorkerInfo{Name: "a", Weight: 4}, WorkerInfo{Name: "b", Weight: 2})
 	d.workers.maxFreeByKind[0] = 4
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "a", Weight: 3.2}, {Worker: "b", Weight: 2}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "a", Weight: 3.2}, {Name: "b", Weight: 2}})
 	if a, b := d.workers.byName["a"].freeSlots, d.workers.byName["b"].freeSlots; math.Abs(a-3) > 1e-9 || b != 0 {
 		t.Errorf("free slots %v and %v, want 3 and 0", a, b)
 	}
@@ -26,7 +26,7 @@
 	for _, changes := range []bool{true, false} {
 		d, h := start(t, set, fleet(30)...)
 		submit := func(id string) {
-			if err := d.SubmitRequest(h.now, Request{ID: id, TimeLeft: 5 * time.Second, RuntimeHint: 200 * ms}); err != nil {
+			if err := d.SubmitRequest(h.now, Request{ID: id, RemainingTimeout: 5 * time.Second, RuntimeHint: 200 * ms}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -84,12 +84,12 @@
 	}
 	tn.addRecentWorker(d.workers.all[4])
 	if len(tn.recentWorkers) != maxRecentWorkers || tn.recentWorkers[maxRecentWorkers-1] != d.workers.all[4] {
-		t.Fatalf("%d recent workers, the last %s", len(tn.recentWorkers), tn.recentWorkers[len(tn.recentWorkers)-1].Worker)
+		t.Fatalf("%d recent workers, the last %s", len(tn.recentWorkers), tn.recentWorkers[len(tn.recentWorkers)-1].Name)
 	}
 	d.learn(h.now, &request{class: d.classes.current[0], tenant: tn, Request: Request{Slots: 1}}, &attempt{worker: d.workers.all[4]}, Rejected)
 	for i := range 20 {
 		h.probes = nil
-		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), TimeLeft: 5 * time.Second, RuntimeHint: 200 * ms})
+		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), RemainingTimeout: 5 * time.Second, RuntimeHint: 200 * ms})
 		for _, name := range h.probes {
 			w := d.workers.byName[name]
 			if w.index == 4 || w.index > 8 {
@@ -112,7 +112,7 @@
 		d, h := start(t, set, fleet(30)...)
 		d.meter.seconds, d.meter.changes = 1, 100
 		d.classes.current[0].meanRuntime, d.classes.current[0].meanHint, d.classes.current[0].meanCompletion = 0.2, 0.2, 0.2
-		_ = d.SubmitRequest(h.now, Request{ID: "r", TimeLeft: 5 * time.Second, RuntimeHint: 200 * ms})
+		_ = d.SubmitRequest(h.now, Request{ID: "r", RemainingTimeout: 5 * time.Second, RuntimeHint: 200 * ms})
 		for i := 0; i < len(h.probes); i++ {
 			d.ProbeResult(h.now, h.probes[i], &LoadReport{HasFreeSlots: true, HasInFlight: true, InFlight: inFlight})
 		}
--- a/dispatcher/queue.go
+++ b/dispatcher/queue.go
@@ -115,7 +115,7 @@
 	if w.unhealthyUntil > 0 {
 		w.lastTrial = now
 	}
-	d.host.Send(r.ID, w.Worker, 0)
+	d.host.Send(r.ID, w.Name, 0)
 	if d.settings.StartNotified {
 		wait := (min(r.deadline, r.targetAt) - now - seconds(r.class.meanRuntime)) / 2
 		if w.inFlight <= d.workers.maxFreeByKind[w.Kind] && d.settings.FIFOWorkers && d.overdueStartImpliesUnresponsiveConn() {
--- a/dispatcher/queue_test.go
+++ b/dispatcher/queue_test.go
@@ -16,12 +16,12 @@
 	set.Classes[0].ClientTimeout = time.Minute
 	d, h := start(t, set)
 	for i := range 80 {
-		if err := d.SubmitRequest(h.now, Request{ID: fmt.Sprint(i%2, "-", i), Tenant: i % 2, TimeLeft: time.Minute,
+		if err := d.SubmitRequest(h.now, Request{ID: fmt.Sprint(i%2, "-", i), Tenant: i % 2, RemainingTimeout: time.Minute,
 			RuntimeHint: 100 * ms}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{{Worker: "w", Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateFull, []WorkerInfo{{Name: "w", Weight: 1}})
 	for i := 0; len(h.sends) < 40; i++ { // only one request may wait at the worker, so each end releases another
 		h.now += ms
 		h.endAttempt(d, h.sends[i].id, 0, Served)
@@ -80,12 +80,12 @@
 	d, h := start(t, settings(), fleet(2)...)
 	for i := range 50 {
 		id := fmt.Sprint("r", i)
-		_ = d.SubmitRequest(h.now, Request{ID: id, TimeLeft: 5 * time.Second, RuntimeHint: 10 * ms})
+		_ = d.SubmitRequest(h.now, Request{ID: id, RemainingTimeout: 5 * time.Second, RuntimeHint: 10 * ms})
 		h.now += ms
 		h.endAttempt(d, id, 0, Served)
 	}
 	d.ClientDisconnected(h.now, "none")
-	_ = d.SubmitRequest(h.now, Request{ID: "large", TimeLeft: 5 * time.Second, RuntimeHint: 800 * ms, Slots: 4})
+	_ = d.SubmitRequest(h.now, Request{ID: "large", RemainingTimeout: 5 * time.Second, RuntimeHint: 800 * ms, Slots: 4})
 	h.run(d, h.now+200*ms)
 	if h.attempts["large"] != 1 {
 		t.Errorf("the large request was sent %d times and ended as %q", h.attempts["large"], h.ends["large"])
@@ -102,7 +102,7 @@
 		w.freeSlots, w.freeSlotsAt = 0, h.now-time.Minute
 	}
 	for i := range 10 {
-		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), TimeLeft: 5 * time.Second})
+		_ = d.SubmitRequest(h.now, Request{ID: fmt.Sprint("r", i), RemainingTimeout: 5 * time.Second})
 	}
 	if len(h.sends) != int(2*quotaFactor) {
 		t.Errorf("%d requests sent, with a quota of 2 requests per second", len(h.sends))
--- a/dispatcher/reconfigure.go
+++ b/dispatcher/reconfigure.go
@@ -42,7 +42,7 @@
 // learned state of a class carries over to the class of the same name. Tenants are
 // matched by name: a tenant that remains keeps its turn, its credit and its learned
 // state, whatever happens to the others, and a removed tenant keeps its share until its
-// last request has ended (see [Dispatcher.TenantIndex]). Zone, Dispatchers, Weights and
+// last request has ended (see [Dispatcher.TenantIndex]). Zone, Dispatchers, WeightMeaning and
 // WatchOnDemand keep their values; changing them requires a new Dispatcher. Invalid
 // settings return an error and change nothing.
 func (d *Dispatcher) UpdateSettings(set Settings) error {
@@ -51,7 +51,7 @@
 	}
 	old := d.settings
 	d.settings = set
-	d.settings.Zone, d.settings.Dispatchers, d.settings.Weights, d.settings.WatchOnDemand = old.Zone, old.Dispatchers, old.Weights, old.WatchOnDemand
+	d.settings.Zone, d.settings.Dispatchers, d.settings.WeightMeaning, d.settings.WatchOnDemand = old.Zone, old.Dispatchers, old.WeightMeaning, old.WatchOnDemand
 	d.settings.MaxAttempts = attemptLimit(set)
 	d.budget.configure(set.RetryBudget)
 	d.tenants.update(set.Tenants, d.settings.Dispatchers, len(d.classes.inUse))
--- a/dispatcher/reconfigure_test.go
+++ b/dispatcher/reconfigure_test.go
@@ -57,7 +57,7 @@
 	if h.ends["strict"] != "failed" || h.attempts["strict"] != 1 {
 		t.Errorf("a request of the stricter class ended as %q after %d attempts", h.ends["strict"], h.attempts["strict"])
 	}
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "special", Kind: 7, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "special", Kind: 7, Weight: 1}})
 	h.submit(d, "new", 0)
 	if h.lastWorker() != "special" {
 		t.Errorf("a request of the new class went to %s", h.lastWorker())
@@ -106,18 +106,18 @@
 // the pools that the change has created.
 func TestSettingsChangeWhileARemovedWorkerIsBusy(t *testing.T) {
 	set := settings()
-	d, h := start(t, set, WorkerInfo{Worker: "a", Weight: 1})
+	d, h := start(t, set, WorkerInfo{Name: "a", Weight: 1})
 	h.submit(d, "r", 0)
 	if h.lastWorker() != "a" {
 		t.Fatalf("sent to %q", h.lastWorker())
 	}
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "a", State: Removed}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "a", State: Removed}})
 	set.Classes = append(set.Classes, Class{Name: "other", LatencyTarget: 200 * ms, ClientTimeout: time.Second, Kinds: []int{3}})
 	if err := d.UpdateSettings(set); err != nil {
 		t.Fatal(err)
 	}
 	h.endAttempt(d, "r", 0, Served)
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "a", Kind: 3, Weight: 1}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "a", Kind: 3, Weight: 1}})
 	h.submit(d, "next", 3)
 	if h.lastWorker() != "a" {
 		t.Errorf("the worker gets nothing after it is listed again: sent to %q", h.lastWorker())
--- a/dispatcher/rejection_test.go
+++ b/dispatcher/rejection_test.go
@@ -73,7 +73,7 @@
 func TestHintedRequestIsJudgedByItsHint(t *testing.T) {
 	d, h := start(t, settings(), fleet(2)...)
 	*d.classes.current[0] = class{Class: d.classes.current[0].Class, pool: d.workers.pools[0], meanRuntime: 1, meanHint: 1, meanCompletion: 1.05, samples: 1000, inFlight: 1}
-	_ = d.SubmitRequest(h.now, Request{ID: "short", TimeLeft: 5 * time.Second, RuntimeHint: 10 * ms})
+	_ = d.SubmitRequest(h.now, Request{ID: "short", RemainingTimeout: 5 * time.Second, RuntimeHint: 10 * ms})
 	if h.attempts["short"] != 1 {
 		t.Errorf("the short request was not sent: ended as %q", h.ends["short"])
 	}
--- a/dispatcher/retry_test.go
+++ b/dispatcher/retry_test.go
@@ -43,7 +43,7 @@
 	r := d.requests.byID["r"]
 	for _, w := range d.workers.all {
 		if d.mayAttempt(h.now, r, w) {
-			t.Errorf("may be sent to %s at the end of the window", w.Worker)
+			t.Errorf("may be sent to %s at the end of the window", w.Name)
 		}
 	}
 }
--- a/dispatcher/settings.go
+++ b/dispatcher/settings.go
@@ -84,11 +84,11 @@
 // Settings configures a Dispatcher. Most settings can change while it runs; see
 // [Dispatcher.UpdateSettings].
 type Settings struct {
-	Classes     []Class
-	Tenants     []Tenant // if empty, all requests share one queue
-	Zone        int      // zone of this dispatcher
-	Dispatchers int      // number of dispatchers, including this one; 0 counts as 1
-	Weights     WeightMeaning
+	Classes       []Class
+	Tenants       []Tenant // if empty, all requests share one queue
+	Zone          int      // zone of this dispatcher
+	Dispatchers   int      // number of dispatchers, including this one; 0 counts as 1
+	WeightMeaning WeightMeaning
 
 	MaxAttempts   int  // maximum attempts of one request; 0 means 1
 	AllowHedging  bool // two attempts of one request may be in flight at once
--- a/dispatcher/slowstart_test.go
+++ b/dispatcher/slowstart_test.go
@@ -34,7 +34,7 @@
 	}
 	serve(0, 500)
 	h.sends = h.sends[:0]
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "cold", Weight: 1, StartedAt: h.now}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "cold", Weight: 1, StartedAt: h.now}})
 	began := h.now
 	serve(500, 75) // 1.5 s
 	got := 0
@@ -63,7 +63,7 @@
 	set := settings()
 	set.SlowStartDuration, set.SlowStartCapacity, set.OverloadMultiple, set.OverloadWindow = 8*time.Second, 0.3, 2.5, 1500*ms
 	d, h := start(t, set, fleet(1)...)
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w0", Weight: 1, StartedAt: h.now - time.Second}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "w0", Weight: 1, StartedAt: h.now - time.Second}})
 	if w := d.workers.byName["w0"]; w.warmAt != h.now+7*time.Second || w.slowStartCredit > 0 {
 		t.Errorf("slow start ends in %v, with credit %v", w.warmAt-h.now, w.slowStartCredit)
 	}
@@ -92,7 +92,7 @@
 	const cells = 5
 	var all []WorkerInfo
 	for i := range 20 {
-		all = append(all, WorkerInfo{Worker: fmt.Sprint("w", i), Cell: i % cells, Weight: 1})
+		all = append(all, WorkerInfo{Name: fmt.Sprint("w", i), Cell: i % cells, Weight: 1})
 	}
 	d, h := start(t, set, all...)
 	failRepeatedly(d, h, 0, ConnectFailed)
@@ -104,7 +104,7 @@
 		t.Errorf("%d workers in slow start after two of a cell of 4 failed, want 4", n)
 	}
 	began := h.now - time.Second
-	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Worker: "w10", Weight: 1, StartedAt: began}})
+	d.WorkersUpdated(h.now, UpdateDelta, []WorkerInfo{{Name: "w10", Weight: 1, StartedAt: began}})
 	if w := d.workers.byName["w10"]; w.warmAt != began+set.SlowStartDuration || w.presumedRestartAt != 0 {
 		t.Error("a restart in the worker list does not replace the presumed restart")
 	}
@@ -183,7 +183,7 @@
 				run := 0.4 * []float64{0.4, 0.4, 0.4, 0.4, 3.4}[rng.IntN(5)]
 				id := fmt.Sprint(i, "-", now)
 				work[id] = run
-				_ = d.SubmitRequest(now, Request{ID: id, TimeLeft: 5 * time.Second, RuntimeHint: time.Duration(run * float64(time.Second))})
+				_ = d.SubmitRequest(now, Request{ID: id, RemainingTimeout: 5 * time.Second, RuntimeHint: time.Duration(run * float64(time.Second))})
 			}
 			for _, s := range h.sends {
 				open[i] = append(open[i], timedRequest{s.at + time.Duration(work[s.id]*float64(time.Second)), s.id})
--- a/dispatcher/tenants_test.go
+++ b/dispatcher/tenants_test.go
@@ -33,7 +33,7 @@
 
 func (h *fakeHost) submitForTenant(d *Dispatcher, id string, tenant int, remaining time.Duration) {
 	h.t.Helper()
-	if err := d.SubmitRequest(h.now, Request{ID: id, Tenant: tenant, TimeLeft: remaining, RuntimeHint: 100 * ms}); err != nil {
+	if err := d.SubmitRequest(h.now, Request{ID: id, Tenant: tenant, RemainingTimeout: remaining, RuntimeHint: 100 * ms}); err != nil {
 		h.t.Fatal(err)
 	}
 }
@@ -135,7 +135,7 @@
 // Guards against losing requests of a removed tenant: requests that are queued or in flight end as usual, a request that was
 // accepted before the removal and arrives late is admitted, and the tenant is dropped after that.
 func TestTenantIsRetiredAfterItsRequests(t *testing.T) {
-	d, h := start(t, tenantSettings("abc", 2, 1, 1), WorkerInfo{Worker: "w", Weight: 1})
+	d, h := start(t, tenantSettings("abc", 2, 1, 1), WorkerInfo{Name: "w", Weight: 1})
 	for i := range 6 {
 		h.submitForTenant(d, fmt.Sprint("c", i), 2, 5*time.Second)
 	}
@@ -177,7 +177,7 @@
 	if d.turns() != "ab" || d.tenants.removed != 0 || d.TenantIndex("c") != -1 {
 		t.Errorf("turns %s, %d removed tenants, index %d", d.turns(), d.tenants.removed, d.TenantIndex("c"))
 	}
-	if err := d.SubmitRequest(h.now, Request{ID: "never", Tenant: 2, TimeLeft: time.Second}); !errors.Is(err, ErrBadRequest) {
+	if err := d.SubmitRequest(h.now, Request{ID: "never", Tenant: 2, RemainingTimeout: time.Second}); !errors.Is(err, ErrBadRequest) {
 		t.Errorf("a request of a dropped tenant: error %v, want %v", err, ErrBadRequest)
 	}
 }
@@ -240,7 +240,7 @@
 
 // Requests that were submitted before the settings change from no tenants to some, or back, end as usual.
 func TestTenantsAreAddedAndRemoved(t *testing.T) {
-	d, h := start(t, longQueueSettings(), WorkerInfo{Worker: "w", Weight: 1})
+	d, h := start(t, longQueueSettings(), WorkerInfo{Name: "w", Weight: 1})
 	for i := range 4 {
 		h.submitForTenant(d, fmt.Sprint("any", i), -1, 5*time.Second)
 	}
@@ -313,7 +313,7 @@
 	if n := len(m.set.Tenants); n > 0 {
 		index = rapid.IntRange(0, n-1).Draw(r, "tenant")
 	}
-	if err := m.d.SubmitRequest(m.h.now, Request{ID: fmt.Sprint("r", m.submitted), Tenant: index, TimeLeft: 2 * time.Second, RuntimeHint: 50 * ms}); err != nil {
+	if err := m.d.SubmitRequest(m.h.now, Request{ID: fmt.Sprint("r", m.submitted), Tenant: index, RemainingTimeout: 2 * time.Second, RuntimeHint: 50 * ms}); err != nil {
 		r.Fatal(err)
 	}
 	m.submitted++
@@ -323,7 +323,7 @@
 func (m *tenantsModel) submitLate(r *rapid.T) {
 	name := string(modelTenants[rapid.IntRange(0, 5).Draw(r, "name")])
 	if index := m.d.TenantIndex(name); index >= 0 {
-		if err := m.d.SubmitRequest(m.h.now, Request{ID: fmt.Sprint("r", m.submitted), Tenant: index, TimeLeft: time.Second, RuntimeHint: 50 * ms}); err != nil {
+		if err := m.d.SubmitRequest(m.h.now, Request{ID: fmt.Sprint("r", m.submitted), Tenant: index, RemainingTimeout: time.Second, RuntimeHint: 50 * ms}); err != nil {
 			r.Fatal(err)
 		}
 		if got := m.d.requests.byID[fmt.Sprint("r", m.submitted)]; got != nil && got.tenant.name != name {
@@ -338,7 +338,7 @@
 func (m *tenantsModel) endOne(*rapid.T) {
 	for ; m.done < len(m.h.sends); m.done++ {
 		s := m.h.sends[m.done]
-		if err := m.d.AttemptEnded(m.h.now, AttemptResult{ID: s.id, Attempt: s.n, Outcome: Served, Answered: true}); err == nil {
+		if err := m.d.AttemptEnded(m.h.now, AttemptResult{ID: s.id, Attempt: s.n, Outcome: Served, ClientAnswered: true}); err == nil {
 			if m.h.ends[s.id] == "" {
 				m.h.ends[s.id] = "served"
 			}
--- a/dispatcher/workers.go
+++ b/dispatcher/workers.go
@@ -192,14 +192,14 @@
 // add adds a newly listed worker and gives it the lowest free index.
 func (s *workerSet) add(e *WorkerInfo) *worker {
 	w := &worker{WorkerInfo: *e, poolPositions: slices.Repeat([]int{-1}, len(s.pools)), limit: unlimited, runtimeRatio: 1,
-		index: len(s.all), lastDecreaseRound: -1, cordoned: s.cordons[e.Worker]}
+		index: len(s.all), lastDecreaseRound: -1, cordoned: s.cordons[e.Name]}
 	if i := slices.Index(s.all, nil); i >= 0 {
 		w.index = i
 		s.all[i] = w
 	} else {
 		s.all = append(s.all, w)
 	}
-	s.byName[e.Worker] = w
+	s.byName[e.Name] = w
 	return w
 }
 
@@ -243,10 +243,10 @@
 func (s *workerSet) missing(entries []WorkerInfo) (missing []*worker) {
 	named := make(map[string]bool, len(entries))
 	for i := range entries {
-		named[entries[i].Worker] = true
+		named[entries[i].Name] = true
 	}
 	for _, w := range s.all {
-		if w != nil && !named[w.Worker] {
+		if w != nil && !named[w.Name] {
 			missing = append(missing, w)
 		}
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -62,7 +62,7 @@
 func (n Names) WorkerInfos(l List, toClock func(unixMilli int64) time.Duration) []dispatcher.WorkerInfo {
 	entries := make([]dispatcher.WorkerInfo, 0, len(l.Members))
 	for _, m := range l.Members {
-		entries = append(entries, dispatcher.WorkerInfo{Worker: m.ID, Zone: indexOf(n.Zones, m.Locality),
+		entries = append(entries, dispatcher.WorkerInfo{Name: m.ID, Zone: indexOf(n.Zones, m.Locality),
 			Kind: indexOf(n.Kinds, m.Flavor), Cell: m.Cell, State: phases[m.Phase], Weight: m.Size,
 			StartedAt: toClock(m.UpSince)})
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	got := Names{Zones: []string{"y", "x"}, Kinds: []string{"f"}}.WorkerInfos(l, func(ms int64) time.Duration { return time.Duration(ms) })
-	if want := (dispatcher.WorkerInfo{Worker: "a", Zone: 1, Cell: 3, Weight: 2, StartedAt: 7}); got[0] != want {
+	if want := (dispatcher.WorkerInfo{Name: "a", Zone: 1, Cell: 3, Weight: 2, StartedAt: 7}); got[0] != want {
 		t.Errorf("%+v", got[0])
 	}
 	if w := got[1]; w.State != dispatcher.Removed || w.Zone != 2 || w.Kind != 1 {
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -21,15 +21,15 @@
 func (manualJournal) AttemptSent(uint64, int)                            {}
 func (manualJournal) AttemptStarted(uint64, int)                         {}
 func (manualJournal) AttemptEnded(uint64, int, dispatcher.Outcome, bool) {}
-func (manualJournal) Answered(uint64, Answer)                            {}
+func (manualJournal) Answered(uint64, Response)                          {}
 func (manualJournal) ClientDisconnected(uint64)                          {}
 
 // Guards against an attempt that is sent after its client has disconnected, with settings that
-// do not allow cancelling: an attempt that awaits its intent must not reach the carrier, and
+// do not allow cancelling: an attempt that awaits its intent must not reach the transport, and
 // an attempt whose connection may still be in progress must be cancelled if unsent.
 func TestNoAttemptIsSentAfterClientDisconnects(t *testing.T) {
 	for _, recorded := range []bool{false, true} {
-		c := &fakeCarrier{sent: make(chan *Attempt, 16), cancelled: make(chan *Attempt, 16), cancelledUnsent: make(chan *Attempt, 16)}
+		c := &fakeTransport{sent: make(chan *Attempt, 16), cancelled: make(chan *Attempt, 16), cancelledUnsent: make(chan *Attempt, 16)}
 		clock := NewClock()
 		p, err := NewPlanner(dispatcher.Settings{Classes: classes(), MaxAttempts: 3}, 1, clock, c, func() {}, slog.New(slog.DiscardHandler))
 		if err != nil {
@@ -42,7 +42,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); p.Run(ctx) }()
-		p.WorkersUpdated(dispatcher.UpdateFull, []dispatcher.WorkerInfo{{Worker: "w"}})
+		p.WorkersUpdated(dispatcher.UpdateFull, []dispatcher.WorkerInfo{{Name: "w"}})
 		x := NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, newClient())
 		p.SubmitRequest(x)
 		if recorded {
@@ -98,21 +98,21 @@
 		if attempted {
 			workers = []string{"w"}
 		}
-		p, carrier, clock := startPlanner(t, workers...)
+		p, transport, clock := startPlanner(t, workers...)
 		c := newClient()
 		x := NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c)
 		p.SubmitRequest(x)
 		if attempted {
-			p.AttemptEnded(testkit.Await(t, "the attempt", carrier.sent), dispatcher.Rejected, nil, nil) // the dispatcher now ejects w
+			p.AttemptEnded(testkit.Await(t, "the attempt", transport.sent), dispatcher.Rejected, nil, nil) // the dispatcher now ejects w
 		}
 		p.ClientDisconnected(x)
-		p.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Worker: "v"}})
-		if n := countOpen(t, p); n != 0 || len(carrier.sent) > 0 || c.count() > 0 {
-			t.Errorf("attempted %v: %d open exchanges, %d attempts sent and %d answers, want none", attempted, n, len(carrier.sent), c.count())
+		p.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Name: "v"}})
+		if n := countOpen(t, p); n != 0 || len(transport.sent) > 0 || c.count() > 0 {
+			t.Errorf("attempted %v: %d open exchanges, %d attempts sent and %d answers, want none", attempted, n, len(transport.sent), c.count())
 		}
 		second := newClient()
 		p.SubmitRequest(NewExchange(Job{ID: "s", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, second))
-		if a := testkit.Await(t, "another job's attempt", carrier.sent); a.ID != "s" {
+		if a := testkit.Await(t, "another job's attempt", transport.sent); a.ID != "s" {
 			t.Errorf("attempted %v: job %s was sent, want s", attempted, a.ID)
 		}
 	}
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -2,7 +2,7 @@
 // their timers and carries out their decisions. A [Planner] is the event loop of one
 // Dispatcher, an [Exchange] is one request with its attempts and its single final answer,
 // and a [Set] holds all planners of a process. Servers submit the requests of clients, and
-// a [Carrier] sends the attempts to workers. The package does not depend on any wire
+// a [Transport] sends the attempts to workers. The package does not depend on any wire
 // protocol and makes no scheduling decisions.
 package dispatch
 
@@ -28,22 +28,22 @@
 	Method, Target string
 	IdempotencyKey string // key by which workers discard duplicates; may be empty
 	Body           []byte
-	Payload        any // opaque value for the carrier of the server that created the job
+	Payload        any // opaque value for the transport of the server that created the job
 }
 
-// AnswerKind is the kind of a final answer.
-type AnswerKind uint8
+// ResponseKind is the kind of a final answer.
+type ResponseKind uint8
 
 // The kinds of final answers.
 const (
-	Served   AnswerKind = iota // a worker returned a result
-	Rejected                   // the job was not served; the client may safely retry
-	Failed                     // the job was not served and may have run
+	Served   ResponseKind = iota // a worker returned a result
+	Rejected                     // the job was not served; the client may safely retry
+	Failed                       // the job was not served and may have run
 )
 
-// Answer is the single final answer of an Exchange.
-type Answer struct {
-	Kind       AnswerKind
+// Response is the single final answer of an Exchange.
+type Response struct {
+	Kind       ResponseKind
 	Result     []byte        // the worker's result, if Kind is Served
 	RetryAfter time.Duration // suggested delay before a retry, if Kind is Rejected; 0 if there is no suggestion
 	Reason     string        // human-readable reason why the job was not served
@@ -57,8 +57,8 @@
 	Started()
 	// Progress reports the completed fraction of the job, from 0 to 1.
 	Progress(share float64)
-	// Answer delivers the final answer. It is called once, after all other calls.
-	Answer(Answer)
+	// Respond delivers the final answer. It is called once, after all other calls.
+	Respond(Response)
 }
 
 // Exchange is one request with its client and its attempts. After it has been submitted,
@@ -83,13 +83,13 @@
 
 // answer sends the final answer to the client unless the client has its final answer or has
 // disconnected.
-func (x *Exchange) answer(a Answer) {
+func (x *Exchange) answer(a Response) {
 	if !x.answered {
 		x.answered = true
 		if x.journal != nil {
 			x.journal.Answered(x.recordNumber, a)
 		}
-		x.client.Answer(a)
+		x.client.Respond(a)
 	}
 }
 
@@ -109,7 +109,7 @@
 	attemptCounters               //lint:ignore U1000 the struct is empty in builds without the tally tag
 	dispatchedAt    time.Duration // time on the Clock at which the Dispatcher issued the attempt
 	expiry          time.Duration // time on the Clock from which the attempt must not be sent; 0 if only Deadline applies
-	awaitingIntent  bool          // true until the intent is durable and the carrier has the attempt
+	awaitingIntent  bool          // true until the intent is durable and the transport has the attempt
 	ended           bool
 	neverRan        bool // the attempt has ended without being started by a worker
 }
@@ -118,9 +118,9 @@
 // recognize it as a duplicate of an earlier attempt that may have run.
 func (a *Attempt) Expired(now time.Duration) bool { return a.expiry > 0 && now >= a.expiry }
 
-// Carrier is the transport to the workers. Its methods must not block. It reports the
+// Transport is the transport to the workers. Its methods must not block. It reports the
 // progress and the outcome of each attempt to the attempt's Planner.
-type Carrier interface {
+type Transport interface {
 	// Send sends an attempt to its worker.
 	Send(*Attempt)
 	// Cancel ends an attempt with the outcome Cancelled, unless it has already ended.
@@ -176,5 +176,5 @@
 
 // Reject answers an Exchange that has not been submitted as rejected.
 func (x *Exchange) Reject(after time.Duration, reason string) {
-	x.answer(Answer{Kind: Rejected, RetryAfter: after, Reason: reason})
+	x.answer(Response{Kind: Rejected, RetryAfter: after, Reason: reason})
 }
--- a/internal/dispatch/journal.go
+++ b/internal/dispatch/journal.go
@@ -22,7 +22,7 @@
 	// AttemptEnded records the outcome of an attempt, and whether it is known that no worker
 	// started it.
 	AttemptEnded(number uint64, attempt int, o dispatcher.Outcome, neverRan bool)
-	Answered(number uint64, a Answer)
+	Answered(number uint64, a Response)
 	ClientDisconnected(number uint64)
 }
 
@@ -33,7 +33,7 @@
 // SetJournal sets the journal in which jobs are recorded. It must be called before Run.
 func (p *Planner) SetJournal(j Journal) { p.journal = j }
 
-// InJournal reports whether the attempt's job is recorded in a journal. If so, the carrier
+// InJournal reports whether the attempt's job is recorded in a journal. If so, the transport
 // must call [Planner.AttemptSent].
 func (a *Attempt) InJournal() bool { return a.recordNumber != 0 }
 
@@ -54,11 +54,11 @@
 	return ok
 }
 
-// sendAttempt passes an attempt to the carrier. If the job is recorded in the journal, it
+// sendAttempt passes an attempt to the transport. If the job is recorded in the journal, it
 // does so only once the intent is durable.
 func (p *Planner) sendAttempt(a *Attempt) {
 	if a.recordNumber == 0 {
-		p.carrier.Send(a)
+		p.transport.Send(a)
 		return
 	}
 	a.awaitingIntent = true
@@ -67,8 +67,8 @@
 	})
 }
 
-// handleIntentRecorded passes an attempt to the carrier if its intent is durable, and rejects
-// its job otherwise. The carrier checks whether the worker has started to drain in the
+// handleIntentRecorded passes an attempt to the transport if its intent is durable, and rejects
+// its job otherwise. The transport checks whether the worker has started to drain in the
 // meantime.
 func (p *Planner) handleIntentRecorded(a *Attempt, ok bool) {
 	if !a.awaitingIntent || a.ended {
@@ -79,7 +79,7 @@
 		return
 	}
 	a.awaitingIntent = false
-	p.carrier.Send(a)
+	p.transport.Send(a)
 }
 
 // rejectUnrecordable ends an attempt whose intent was not recorded in time, and answers
@@ -88,9 +88,9 @@
 func (p *Planner) rejectUnrecordable(a *Attempt) {
 	if x := a.Exchange; !x.answered {
 		if x.mayHaveRunExcept(a) {
-			x.answer(Answer{Kind: Failed, Reason: "it cannot be recorded where it goes next", MayHaveRun: true})
+			x.answer(Response{Kind: Failed, Reason: "it cannot be recorded where it goes next", MayHaveRun: true})
 		} else {
-			x.answer(Answer{Kind: Rejected, RetryAfter: min(unrecordableRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
+			x.answer(Response{Kind: Rejected, RetryAfter: min(unrecordableRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
 		}
 	}
 	p.endAttempt(a, dispatcher.NotSent, nil, nil)
--- a/internal/dispatch/journal_test.go
+++ b/internal/dispatch/journal_test.go
@@ -52,7 +52,7 @@
 		j.record("ended")
 	}
 }
-func (j *fakeJournal) Answered(_ uint64, a Answer) {
+func (j *fakeJournal) Answered(_ uint64, a Response) {
 	j.record([]string{"served", "rejected", "failed"}[a.Kind])
 }
 func (j *fakeJournal) ClientDisconnected(uint64) { j.record("client disconnected") }
@@ -66,12 +66,12 @@
 	}
 }
 
-func startPlannerWithJournal(t *testing.T) (*Planner, *fakeCarrier, Clock, *fakeJournal) {
+func startPlannerWithJournal(t *testing.T) (*Planner, *fakeTransport, Clock, *fakeJournal) {
 	t.Helper()
-	p, carrier, clock := startPlanner(t, "w")
+	p, transport, clock := startPlanner(t, "w")
 	j := &fakeJournal{intents: make(chan func(bool), 16)}
 	p.enqueueCall(func() { p.SetJournal(j) })
-	return p, carrier, clock, j
+	return p, transport, clock, j
 }
 
 func newOnceExchange(id string, deadline time.Duration, c Client) *Exchange {
@@ -81,16 +81,16 @@
 // Tests that an attempt is not sent before its intent is durable, that other jobs are sent in
 // the meantime, and that each step is recorded once.
 func TestIntentIsDurableBeforeSend(t *testing.T) {
-	p, carrier, clock, j := startPlannerWithJournal(t)
+	p, transport, clock, j := startPlannerWithJournal(t)
 	c, idempotentClient := newClient(), newClient()
 	p.SubmitRequest(newOnceExchange("r", clock.Now()+5*time.Second, c))
 	intentDone := testkit.Await(t, "an intent", j.intents)
 	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, idempotentClient))
-	if a := testkit.Await(t, "an attempt", carrier.sent); a.ID != "free" || a.InJournal() {
+	if a := testkit.Await(t, "an attempt", transport.sent); a.ID != "free" || a.InJournal() {
 		t.Fatalf("job %s was sent first, in journal %v; want free, not in the journal", a.ID, a.InJournal())
 	}
 	intentDone(true)
-	a := testkit.Await(t, "an attempt", carrier.sent)
+	a := testkit.Await(t, "an attempt", transport.sent)
 	if a.ID != "r" || !a.InJournal() {
 		t.Fatalf("job %s was sent, in journal %v; want r, in the journal", a.ID, a.InJournal())
 	}
@@ -107,7 +107,7 @@
 // Guards against a late or missing answer when the disk is slow, and against an attempt that is
 // sent after its job has been rejected.
 func TestSlowIntentRejectsJobAtDeadline(t *testing.T) {
-	p, carrier, clock, j := startPlannerWithJournal(t)
+	p, transport, clock, j := startPlannerWithJournal(t)
 	c := newClient()
 	deadline := clock.Now() + 300*time.Millisecond
 	p.SubmitRequest(newOnceExchange("r", deadline, c))
@@ -117,8 +117,8 @@
 		t.Errorf("answer %+v, %v after the deadline; want Rejected within 200ms", got, late)
 	}
 	intentDone(true)
-	if n := countOpen(t, p); n != 0 || len(carrier.sent) != 0 || c.count() != 1 {
-		t.Errorf("%d open exchanges, %d attempts sent and %d answers, want 0, 0 and 1", n, len(carrier.sent), c.count())
+	if n := countOpen(t, p); n != 0 || len(transport.sent) != 0 || c.count() != 1 {
+		t.Errorf("%d open exchanges, %d attempts sent and %d answers, want 0, 0 and 1", n, len(transport.sent), c.count())
 	}
 	j.checkRecords(t, "intent w", "rejected", "never ran")
 }
@@ -126,7 +126,7 @@
 // Guards against an attempt that is sent although its intent cannot be written, and against a
 // job that is accepted while the journal is full.
 func TestFullJournalRejectsJobs(t *testing.T) {
-	p, carrier, clock, j := startPlannerWithJournal(t)
+	p, transport, clock, j := startPlannerWithJournal(t)
 	c := newClient()
 	p.SubmitRequest(newOnceExchange("r", clock.Now()+5*time.Second, c))
 	testkit.Await(t, "an intent", j.intents)(false)
@@ -143,7 +143,7 @@
 	}
 	idempotentClient := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, idempotentClient))
-	if a := testkit.Await(t, "an attempt", carrier.sent); a.ID != "free" {
+	if a := testkit.Await(t, "an attempt", transport.sent); a.ID != "free" {
 		t.Errorf("job %s was sent, want free", a.ID)
 	}
 	j.checkRecords(t, "intent w", "rejected", "never ran")
@@ -152,14 +152,14 @@
 // Guards against an attempt that is sent once its intent is durable although a panic of the
 // dispatcher has ended it in the meantime.
 func TestPanicEndsAttemptAwaitingIntent(t *testing.T) {
-	p, carrier, clock, j := startPlannerWithJournal(t)
+	p, transport, clock, j := startPlannerWithJournal(t)
 	p.SubmitRequest(newOnceExchange("r", clock.Now()+5*time.Second, newClient()))
 	intentDone := testkit.Await(t, "an intent", j.intents)
 	p.enqueueCall(func() { panic("injected fault") })
 	countOpen(t, p)
 	intentDone(true)
-	if n := countOpen(t, p); n != 0 || len(carrier.sent) != 0 {
-		t.Errorf("%d open exchanges and %d attempts sent, want none", n, len(carrier.sent))
+	if n := countOpen(t, p); n != 0 || len(transport.sent) != 0 {
+		t.Errorf("%d open exchanges and %d attempts sent, want none", n, len(transport.sent))
 	}
 	j.checkRecords(t, "intent w", "never ran", "failed")
 }
--- a/internal/dispatch/planner.go
+++ b/internal/dispatch/planner.go
@@ -20,7 +20,7 @@
 // [dispatcher.Host], which the Dispatcher calls from Run.
 type Planner struct {
 	clock        Clock
-	carrier      Carrier
+	transport    Transport
 	watchWorkers func()
 	log          *slog.Logger
 	settings     dispatcher.Settings
@@ -75,11 +75,11 @@
 
 // NewPlanner returns a Planner. It calls watchWorkers from Run when the Dispatcher requests
 // the list of workers. It returns an error if the settings are invalid.
-func NewPlanner(settings dispatcher.Settings, seed uint64, clock Clock, carrier Carrier, watchWorkers func(),
+func NewPlanner(settings dispatcher.Settings, seed uint64, clock Clock, transport Transport, watchWorkers func(),
 	log *slog.Logger) (*Planner, error) {
 	p := &Planner{
 		clock:          clock,
-		carrier:        carrier,
+		transport:      transport,
 		watchWorkers:   watchWorkers,
 		log:            log,
 		settings:       settings,
@@ -184,7 +184,7 @@
 		for _, x := range p.exchanges {
 			if !x.answered {
 				n++
-				x.answer(Answer{Kind: Failed, Reason: "the scheduler ends", MayHaveRun: x.mayHaveRun()})
+				x.answer(Response{Kind: Failed, Reason: "the scheduler ends", MayHaveRun: x.mayHaveRun()})
 			}
 		}
 		f(n)
@@ -236,13 +236,13 @@
 			for _, a := range x.attempts {
 				if !a.ended {
 					a.ended, a.neverRan = true, a.awaitingIntent
-					p.carrier.Cancel(a)
+					p.transport.Cancel(a)
 					if a.recordNumber != 0 {
 						p.journal.AttemptEnded(a.recordNumber, a.Number, dispatcher.Cancelled, a.neverRan)
 					}
 				}
 			}
-			x.answer(Answer{Kind: Failed, Reason: "internal error", MayHaveRun: x.mayHaveRun()})
+			x.answer(Response{Kind: Failed, Reason: "internal error", MayHaveRun: x.mayHaveRun()})
 		}
 		clear(p.exchanges)
 		p.timers = nil
@@ -330,30 +330,30 @@
 func (p *Planner) submit(x *Exchange) {
 	remaining := x.deadline - p.now
 	if p.exchanges[x.ID] != nil || p.openAtSibling(x.ID) {
-		x.answer(Answer{Kind: Failed, Reason: "request id in use"})
+		x.answer(Response{Kind: Failed, Reason: "request id in use"})
 		return
 	}
 	class := p.classIndex(x)
 	if class < 0 {
-		x.answer(Answer{Kind: Failed, Reason: "the class is gone"})
+		x.answer(Response{Kind: Failed, Reason: "the class is gone"})
 		return
 	}
 	tenant := p.tenantIndex(x)
 	if tenant < 0 && len(p.settings.Tenants) > 0 {
-		x.answer(Answer{Kind: Failed, Reason: "the tenant is gone"})
+		x.answer(Response{Kind: Failed, Reason: "the tenant is gone"})
 		return
 	}
 	if !p.registerInJournal(x) {
-		x.answer(Answer{Kind: Rejected, RetryAfter: min(unrecordableRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
+		x.answer(Response{Kind: Rejected, RetryAfter: min(unrecordableRetryAfter, p.settings.MaxRetryAfter), Reason: "it cannot be recorded"})
 		return
 	}
 	p.exchanges[x.ID] = x
 	p.announceOpened(x.ID)
 	err := p.dispatcher.SubmitRequest(p.now, dispatcher.Request{ID: x.ID, Class: class, Tenant: tenant, AffinityKey: x.AffinityKey,
-		TimeLeft: remaining, RuntimeHint: x.RuntimeHint, Slots: x.Slots, ClientRetry: x.ClientRetry})
+		RemainingTimeout: remaining, RuntimeHint: x.RuntimeHint, Slots: x.Slots, ClientRetry: x.ClientRetry})
 	if err != nil {
 		p.log.Error("dispatcher returned an error for a new job; answering the job as failed", "err", err)
-		x.answer(Answer{Kind: Failed, Reason: "internal error"})
+		x.answer(Response{Kind: Failed, Reason: "internal error"})
 	}
 	p.removeIfDone(x)
 }
@@ -385,7 +385,7 @@
 			p.log.Error("dispatcher rejected new settings; keeping the current settings", "err", err)
 			return
 		}
-		settings.Zone, settings.Dispatchers, settings.Weights, settings.WatchOnDemand = p.settings.Zone, p.settings.Dispatchers, p.settings.Weights, p.settings.WatchOnDemand
+		settings.Zone, settings.Dispatchers, settings.WeightMeaning, settings.WatchOnDemand = p.settings.Zone, p.settings.Dispatchers, p.settings.WeightMeaning, p.settings.WatchOnDemand
 		p.settings = settings
 	})
 }
@@ -409,11 +409,11 @@
 	p.siblingUpdateDue = true
 	x.lastOutcome = o
 	if o == dispatcher.Served {
-		x.answer(Answer{Kind: Served, Result: result})
+		x.answer(Response{Kind: Served, Result: result})
 		p.cancelUnsent(x)
 	}
 	p.logUnexpected(p.dispatcher.AttemptEnded(p.now, dispatcher.AttemptResult{ID: x.ID, Attempt: a.Number, Outcome: o,
-		Answered: x.answered, Report: report}))
+		ClientAnswered: x.answered, Report: report}))
 	p.removeIfDone(x)
 }
 
@@ -422,8 +422,8 @@
 		clear(p.workers)
 	}
 	for _, e := range entries {
-		if p.workers[e.Worker] = e; e.State == dispatcher.Removed {
-			delete(p.workers, e.Worker)
+		if p.workers[e.Name] = e; e.State == dispatcher.Removed {
+			delete(p.workers, e.Name)
 		}
 	}
 	p.dispatcher.WorkersUpdated(p.now, kind, entries)
@@ -457,7 +457,7 @@
 		case t.attempt.awaitingIntent:
 			p.rejectUnrecordable(t.attempt)
 		default:
-			p.carrier.Cancel(t.attempt)
+			p.transport.Cancel(t.attempt)
 			p.endAttempt(t.attempt, dispatcher.TimedOut, nil, nil)
 		}
 	}
--- a/internal/dispatch/planner_host.go
+++ b/internal/dispatch/planner_host.go
@@ -31,7 +31,7 @@
 func (p *Planner) Reject(id string, after time.Duration) {
 	if x := p.exchanges[id]; x != nil {
 		p.counters.reject()
-		x.answer(Answer{Kind: Rejected, RetryAfter: after, Reason: "cannot be in time"})
+		x.answer(Response{Kind: Rejected, RetryAfter: after, Reason: "cannot be in time"})
 		p.cancelUnsent(x)
 		p.removeIfDone(x)
 	}
@@ -41,7 +41,7 @@
 func (p *Planner) Fail(id string) {
 	if x := p.exchanges[id]; x != nil {
 		p.counters.fail()
-		x.answer(Answer{Kind: Failed, Reason: x.failureReason(), MayHaveRun: x.mayHaveRun()})
+		x.answer(Response{Kind: Failed, Reason: x.failureReason(), MayHaveRun: x.mayHaveRun()})
 		p.cancelUnsent(x)
 		p.removeIfDone(x)
 	}
@@ -58,7 +58,7 @@
 		case a.awaitingIntent:
 			p.AttemptEnded(a, dispatcher.NotSent, nil, nil)
 		default:
-			p.carrier.CancelUnsent(a)
+			p.transport.CancelUnsent(a)
 		}
 	}
 }
@@ -70,10 +70,10 @@
 		return
 	}
 	p.counters.cancel()
-	if a := x.attempts[attempt]; a.awaitingIntent { // the carrier does not have the attempt yet
+	if a := x.attempts[attempt]; a.awaitingIntent { // the transport does not have the attempt yet
 		p.AttemptEnded(a, dispatcher.NotSent, nil, nil)
 	} else {
-		p.carrier.Cancel(a)
+		p.transport.Cancel(a)
 	}
 }
 
@@ -83,10 +83,10 @@
 }
 
 // Probe implements [dispatcher.Host].
-func (p *Planner) Probe(worker string) { p.carrier.Probe(worker, p) }
+func (p *Planner) Probe(worker string) { p.transport.Probe(worker, p) }
 
 // CloseIdleConnections implements [dispatcher.Host].
-func (p *Planner) CloseIdleConnections(worker string) { p.carrier.CloseIdleConnections(worker) }
+func (p *Planner) CloseIdleConnections(worker string) { p.transport.CloseIdleConnections(worker) }
 
 // WatchWorkers implements [dispatcher.Host].
 func (p *Planner) WatchWorkers() { p.watchWorkers() }
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatch/planner_test.go
@@ -17,35 +17,35 @@
 	"sedgevale/internal/testkit"
 )
 
-// fakeCarrier is a Carrier that passes the attempts it is called with to channels.
-type fakeCarrier struct {
+// fakeTransport is a Transport that passes the attempts it is called with to channels.
+type fakeTransport struct {
 	sent            chan *Attempt
 	cancelled       chan *Attempt
 	cancelledUnsent chan *Attempt // nil if the test ignores CancelUnsent
 }
 
-func (c *fakeCarrier) Send(a *Attempt)   { c.sent <- a }
-func (c *fakeCarrier) Cancel(a *Attempt) { c.cancelled <- a }
-func (c *fakeCarrier) CancelUnsent(a *Attempt) {
+func (c *fakeTransport) Send(a *Attempt)   { c.sent <- a }
+func (c *fakeTransport) Cancel(a *Attempt) { c.cancelled <- a }
+func (c *fakeTransport) CancelUnsent(a *Attempt) {
 	if c.cancelledUnsent != nil {
 		c.cancelledUnsent <- a
 	}
 }
-func (c *fakeCarrier) Probe(string, *Planner)      {}
-func (c *fakeCarrier) CloseIdleConnections(string) {}
+func (c *fakeTransport) Probe(string, *Planner)      {}
+func (c *fakeTransport) CloseIdleConnections(string) {}
 
 // fakeClient is a Client that records its answers.
 type fakeClient struct {
 	mu      sync.Mutex
-	answers []Answer
-	first   chan Answer // receives the first answer
+	answers []Response
+	first   chan Response // receives the first answer
 }
 
-func newClient() *fakeClient             { return &fakeClient{first: make(chan Answer, 1)} }
+func newClient() *fakeClient             { return &fakeClient{first: make(chan Response, 1)} }
 func (c *fakeClient) Started()           {}
 func (c *fakeClient) Progress(_ float64) {}
 
-func (c *fakeClient) Answer(a Answer) {
+func (c *fakeClient) Respond(a Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.answers = append(c.answers, a); len(c.answers) == 1 {
@@ -67,9 +67,9 @@
 }
 
 // startPlanner runs a planner with the given workers until the test ends.
-func startPlanner(t *testing.T, workers ...string) (*Planner, *fakeCarrier, Clock) {
+func startPlanner(t *testing.T, workers ...string) (*Planner, *fakeTransport, Clock) {
 	t.Helper()
-	c := &fakeCarrier{sent: make(chan *Attempt, 16), cancelled: make(chan *Attempt, 16)}
+	c := &fakeTransport{sent: make(chan *Attempt, 16), cancelled: make(chan *Attempt, 16)}
 	clock := NewClock()
 	p, err := NewPlanner(dispatcher.Settings{Classes: classes(), MaxAttempts: 3, AllowCancel: true}, 1, clock, c,
 		func() {}, slog.New(slog.DiscardHandler))
@@ -82,7 +82,7 @@
 	t.Cleanup(func() { stop(); <-done })
 	var entries []dispatcher.WorkerInfo
 	for _, w := range workers {
-		entries = append(entries, dispatcher.WorkerInfo{Worker: w})
+		entries = append(entries, dispatcher.WorkerInfo{Name: w})
 	}
 	p.WorkersUpdated(dispatcher.UpdateFull, entries)
 	return p, c, clock
@@ -114,16 +114,16 @@
 // Guards against a missing answer when the worker does not respond, and against a second answer
 // when it responds after the deadline.
 func TestUnresponsiveWorkerFailsJobOnceAtDeadline(t *testing.T) {
-	p, carrier, clock := startPlanner(t, "w")
+	p, transport, clock := startPlanner(t, "w")
 	c := newClient()
 	deadline := clock.Now() + 300*time.Millisecond
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, deadline, c))
-	a := testkit.Await(t, "an attempt", carrier.sent)
+	a := testkit.Await(t, "an attempt", transport.sent)
 	got := testkit.Await(t, "the answer", c.first)
 	if late := clock.Now() - deadline; got.Kind != Failed || !got.MayHaveRun || late > 200*time.Millisecond || late < 0 {
 		t.Errorf("answer %+v, %v after the deadline; want Failed with MayHaveRun within 200ms", got, late)
 	}
-	if testkit.Await(t, "the cancellation", carrier.cancelled) != a {
+	if testkit.Await(t, "the cancellation", transport.cancelled) != a {
 		t.Error("another attempt was cancelled")
 	}
 	p.AttemptEnded(a, dispatcher.Served, []byte("late"), nil)
@@ -135,15 +135,15 @@
 // Guards against the retry of a job that is not idempotent and may have run, and against its
 // rejection, after which the client would retry it.
 func TestNonIdempotentJobIsNotRetried(t *testing.T) {
-	p, carrier, clock := startPlanner(t, "v", "w")
+	p, transport, clock := startPlanner(t, "v", "w")
 	c := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
-	p.AttemptEnded(testkit.Await(t, "an attempt", carrier.sent), dispatcher.ConnectionLost, nil, nil)
+	p.AttemptEnded(testkit.Await(t, "an attempt", transport.sent), dispatcher.ConnectionLost, nil, nil)
 	if got := testkit.Await(t, "the answer", c.first); got.Kind != Failed || !got.MayHaveRun {
 		t.Errorf("answer %+v, want Failed with MayHaveRun", got)
 	}
 	countOpen(t, p)
-	if len(carrier.sent) > 0 {
+	if len(transport.sent) > 0 {
 		t.Error("the job was retried")
 	}
 }
@@ -151,13 +151,13 @@
 // Guards against the failure of a job whose attempt was delayed until its worker started to
 // drain: the attempt was not sent, so the job is retried on another worker.
 func TestUnsentAttemptIsRetriedOnAnotherWorker(t *testing.T) {
-	p, carrier, clock := startPlanner(t, "v", "w")
+	p, transport, clock := startPlanner(t, "v", "w")
 	c := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
-	first := testkit.Await(t, "an attempt", carrier.sent)
-	p.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Worker: first.Worker, State: dispatcher.Draining}})
+	first := testkit.Await(t, "an attempt", transport.sent)
+	p.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Name: first.Worker, State: dispatcher.Draining}})
 	p.AttemptEnded(first, dispatcher.NotSent, nil, nil)
-	second := testkit.Await(t, "an attempt", carrier.sent)
+	second := testkit.Await(t, "an attempt", transport.sent)
 	if second.Worker == first.Worker {
 		t.Error("the job was retried on the draining worker")
 	}
@@ -169,17 +169,17 @@
 
 // Guards against a panic of the dispatcher that ends the process.
 func TestPanicFailsOpenJobsAndRestartsDispatcher(t *testing.T) {
-	p, carrier, clock := startPlanner(t, "w")
+	p, transport, clock := startPlanner(t, "w")
 	c := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, c))
-	testkit.Await(t, "an attempt", carrier.sent)
+	testkit.Await(t, "an attempt", transport.sent)
 	p.queue.Put(event{kind: eventCall, call: func() { panic("injected fault") }})
 	if got := testkit.Await(t, "the answer", c.first); got.Kind != Failed {
 		t.Errorf("answer to the open job %+v, want Failed", got)
 	}
 	second := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "s", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, second))
-	p.AttemptEnded(testkit.Await(t, "an attempt", carrier.sent), dispatcher.Served, nil, nil)
+	p.AttemptEnded(testkit.Await(t, "an attempt", transport.sent), dispatcher.Served, nil, nil)
 	if got := testkit.Await(t, "the answer", second.first); got.Kind != Served {
 		t.Errorf("answer to a job after the panic %+v, want Served", got)
 	}
@@ -188,10 +188,10 @@
 // Guards against open jobs that get no answer when the process ends: FailOpen answers each
 // client once.
 func TestFailOpen(t *testing.T) {
-	p, carrier, clock := startPlanner(t, "w")
+	p, transport, clock := startPlanner(t, "w")
 	c := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "r", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, c))
-	testkit.Await(t, "an attempt", carrier.sent)
+	testkit.Await(t, "an attempt", transport.sent)
 	for _, want := range []int{1, 0} {
 		counted := make(chan int, 1)
 		p.FailOpen(func(n int) { counted <- n })
@@ -302,7 +302,7 @@
 
 // Guards against a cordon that is lost when the dispatcher panics.
 func TestCordonSurvivesPanic(t *testing.T) {
-	p, carrier, clock := startPlanner(t, "w", "v")
+	p, transport, clock := startPlanner(t, "w", "v")
 	countOpen(t, p)
 	done := make(chan bool, 1)
 	p.Cordon("w", true, func(isKnown bool) { done <- isKnown })
@@ -310,7 +310,7 @@
 	p.queue.Put(event{kind: eventCall, call: func() { panic("injected fault") }})
 	for i := range 6 {
 		p.SubmitRequest(NewExchange(Job{ID: string(rune('a' + i)), Class: &classes()[0], Tenant: -1}, clock.Now()+time.Second, newClient()))
-		a := testkit.Await(t, "an attempt", carrier.sent)
+		a := testkit.Await(t, "an attempt", transport.sent)
 		if a.Worker != "v" {
 			t.Fatalf("an attempt was sent to %s, want v", a.Worker)
 		}
@@ -322,12 +322,12 @@
 // Guards against a job that runs in both processes of an upgrade, and against IDs that stay in
 // use after the other process has ended the job or has itself ended.
 func TestSiblingsShareOpenJobIDs(t *testing.T) {
-	p, carrier, clock := startPlanner(t, "w", "v")
+	p, transport, clock := startPlanner(t, "w", "v")
 	updates := make(chan SiblingState, 16)
 	handedOver := make(chan HandoverState, 1)
 	local := newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "local", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, local))
-	first := testkit.Await(t, "an attempt", carrier.sent)
+	first := testkit.Await(t, "an attempt", transport.sent)
 	p.AddSibling(1, func(s SiblingState) { updates <- s }, func(state HandoverState) { handedOver <- state })
 	if state := testkit.Await(t, "the handover", handedOver); len(state.Shared.Opened) != 1 || state.Shared.Opened[0] != "local" ||
 		state.Shared.Loads[first.Worker].InFlight != 1 {
@@ -344,7 +344,7 @@
 		t.Errorf("answer to a job that is open at the sibling: %+v, want Failed without MayHaveRun", a)
 	}
 	submit("b")
-	if a := testkit.Await(t, "an attempt", carrier.sent); a.ID != "b" {
+	if a := testkit.Await(t, "an attempt", transport.sent); a.ID != "b" {
 		t.Errorf("job %s was sent, want b", a.ID)
 	}
 	for opened := false; !opened; {
@@ -358,7 +358,7 @@
 	}
 	p.RemoveSibling(1)
 	submit("c")
-	if a := testkit.Await(t, "an attempt", carrier.sent); a.ID != "c" {
+	if a := testkit.Await(t, "an attempt", transport.sent); a.ID != "c" {
 		t.Errorf("job %s was sent, want c", a.ID)
 	}
 }
@@ -366,12 +366,12 @@
 // Guards against a job in flight that gets another class through its index into the new list of
 // classes: its retries follow the class with which it was submitted.
 func TestUpdateSettingsKeepsClassOfJobs(t *testing.T) {
-	p, carrier, clock := startPlanner(t, "w", "v")
+	p, transport, clock := startPlanner(t, "w", "v")
 	once, free := newClient(), newClient()
 	p.SubmitRequest(NewExchange(Job{ID: "once", Class: &classes()[1], Tenant: -1}, clock.Now()+5*time.Second, once))
-	first := testkit.Await(t, "an attempt", carrier.sent)
+	first := testkit.Await(t, "an attempt", transport.sent)
 	p.SubmitRequest(NewExchange(Job{ID: "free", Class: &classes()[0], Tenant: -1}, clock.Now()+5*time.Second, free))
-	second := testkit.Await(t, "an attempt", carrier.sent)
+	second := testkit.Await(t, "an attempt", transport.sent)
 	swapped := []dispatcher.Class{classes()[1], classes()[0], {Name: "new", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second}}
 	p.UpdateSettings(dispatcher.Settings{Classes: swapped[1:], MaxAttempts: 3, AllowCancel: true}) // removes the class once
 	p.AttemptEnded(first, dispatcher.ConnectionLost, nil, nil)
@@ -379,7 +379,7 @@
 		t.Errorf("answer to the job that is not idempotent: %+v, want Failed", a)
 	}
 	p.AttemptEnded(second, dispatcher.ConnectionLost, nil, nil)
-	if a := testkit.Await(t, "another attempt", carrier.sent); a.ID != "free" {
+	if a := testkit.Await(t, "another attempt", transport.sent); a.ID != "free" {
 		t.Errorf("job %s was retried, want free", a.ID)
 	}
 	removed, added := newClient(), newClient()
@@ -397,7 +397,7 @@
 // parsed: the job keeps its tenant although the tenant's index changes. A job that was parsed
 // before its tenant was removed is served; a job of a tenant that never existed is not.
 func TestUpdateSettingsKeepsTenantOfJobs(t *testing.T) {
-	p, carrier, clock := startPlanner(t, "w", "v")
+	p, transport, clock := startPlanner(t, "w", "v")
 	setTenants := func(names string) {
 		settings := dispatcher.Settings{Classes: classes(), MaxAttempts: 3, AllowCancel: true}
 		for _, n := range names {
@@ -424,7 +424,7 @@
 			}
 			continue
 		}
-		a := testkit.Await(t, "an attempt", carrier.sent)
+		a := testkit.Await(t, "an attempt", transport.sent)
 		if a.ID != id {
 			t.Errorf("%+v: job %s was sent, want %s", c, a.ID, id)
 		}
--- a/internal/dispatch/siblings.go
+++ b/internal/dispatch/siblings.go
@@ -101,7 +101,7 @@
 	for _, other := range p.siblings {
 		for _, loads := range other.loads {
 			for worker, l := range loads {
-				sum[worker] = sum[worker].Plus(l)
+				sum[worker] = sum[worker].Add(l)
 			}
 		}
 	}
--- a/internal/dispatchconfig/admission.go
+++ b/internal/dispatchconfig/admission.go
@@ -21,7 +21,7 @@
 		return errors.New("door.concurrency must be between 1 and 65536")
 	case a.Queue < 0 || a.Queue > maxAdmission || a.Clients < 0 || a.Clients > maxAdmission:
 		return errors.New("door.queue and door.clients must be between 0 and 65536")
-	case len(c.Settings.Realms) == 0:
+	case len(c.Settings.Tenants) == 0:
 		return errors.New("door: there are no realms in the settings to share among")
 	}
 	return nil
--- a/internal/dispatchconfig/config.go
+++ b/internal/dispatchconfig/config.go
@@ -18,13 +18,13 @@
 
 // Config is the configuration of one scheduler process.
 type Config struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Ops       string          `json:"ops"`       // address for operators; empty if there is none
-	Discovery string          `json:"discovery"` // address of the discovery service; if empty, the list in Known is used
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     *discovery.List `json:"known"`
+	Name         string          `json:"name"`
+	Listen       string          `json:"listen"`
+	Ops          string          `json:"ops"`       // address for operators; empty if there is none
+	Discovery    string          `json:"discovery"` // address of the discovery service; if empty, the list in KnownWorkers is used
+	Seed         string          `json:"seed"`
+	Limits       Limits          `json:"limits"`
+	KnownWorkers *discovery.List `json:"known"`
 
 	// PeerListen is the UDP address of this scheduler. Peers holds the UDP addresses of all schedulers of the site,
 	// including this one, by their number. If Peers is empty, the scheduler exchanges no datagrams.
@@ -34,13 +34,13 @@
 	Settings Settings `json:"settings"`
 
 	// The fields from Revision to FailureDetection are set only from an operator's file.
-	Revision  uint32     `json:"-"` // the operator's revision number of the configuration; 0 if there is none
-	SSE       *SSE       `json:"-"`
-	Journal   *Journal   `json:"-"`
-	Web       *Web       `json:"-"`
-	Admission *Admission `json:"-"`
-	Planners  int        `json:"-"`
-	Loops     int        `json:"-"`
+	Revision   uint32     `json:"-"` // the operator's revision number of the configuration; 0 if there is none
+	SSE        *SSE       `json:"-"`
+	Journal    *Journal   `json:"-"`
+	Web        *Web       `json:"-"`
+	Admission  *Admission `json:"-"`
+	Planners   int        `json:"-"`
+	EventLoops int        `json:"-"`
 	// FailureDetection enables failure detection among the schedulers of the site.
 	FailureDetection bool `json:"-"`
 
@@ -157,23 +157,23 @@
 	switch {
 	case c.Listen == "" && c.Web == nil:
 		return errors.New("no address to listen on")
-	case c.Known == nil:
+	case c.KnownWorkers == nil:
 		return errors.New("no list of known workers")
 	case len(c.Settings.Classes) == 0:
 		return errors.New("no class in the settings")
 	case c.keys["settings.bounds.max_attempts"] && c.Settings.Bounds.MaxAttempts <= 0, c.Settings.Bounds.MaxAttempts < 0:
 		return errors.New("max_attempts must be above 0")
 	}
-	if err := c.Known.Validate(); err != nil {
+	if err := c.KnownWorkers.Validate(); err != nil {
 		return err
 	}
 	if err := c.checkOperator(); err != nil {
 		return err
 	}
-	if _, err := c.PeerPlan(); err != nil {
+	if _, err := c.PeerConfig(); err != nil {
 		return err
 	}
-	settings, err := c.Settings.ModuleSettings(max(1, c.Planners))
+	settings, err := c.Settings.DispatcherSettings(max(1, c.Planners))
 	if err != nil {
 		return err
 	}
--- a/internal/dispatchconfig/config_test.go
+++ b/internal/dispatchconfig/config_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n0" || c.Listen != "127.0.0.1:3000" || c.Discovery != "127.0.0.1:8500" || c.Known.Revision != 7 ||
+	if c.Name != "n0" || c.Listen != "127.0.0.1:3000" || c.Discovery != "127.0.0.1:8500" || c.KnownWorkers.Revision != 7 ||
 		c.Limits.Sockets != 1024 || c.SeedNumber() != 0x92094eb940cf389a {
 		t.Errorf("%+v", c)
 	}
@@ -51,14 +51,14 @@
 // checkModuleSettings checks the dispatcher.Settings converted from platformFile.
 func checkModuleSettings(t *testing.T, c *Config) {
 	t.Helper()
-	m, err := c.Settings.ModuleSettings(3)
+	m, err := c.Settings.DispatcherSettings(3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	class := m.Classes[0]
 	if class.Idempotency != dispatcher.IdempotentByKey || class.DedupScope != dispatcher.DedupCell || class.DedupWindow != 7500*time.Millisecond ||
 		class.TargetStretch != 2.5 || class.Kinds != nil || m.Dispatchers != 6 || !m.WatchOnDemand || !m.StartNotified || m.LoadByProbe ||
-		m.Weights != dispatcher.WeightSize || m.SlowStartDuration != 22*time.Second || m.MaxRetryAfter != 2*time.Second ||
+		m.WeightMeaning != dispatcher.WeightSize || m.SlowStartDuration != 22*time.Second || m.MaxRetryAfter != 2*time.Second ||
 		m.Tenants[0].Quota != 58 {
 		t.Errorf("%+v", m)
 	}
--- a/internal/dispatchconfig/journal.go
+++ b/internal/dispatchconfig/journal.go
@@ -84,7 +84,7 @@
 	}
 	var names []string
 	for _, k := range c.Settings.Classes {
-		if k.Effect != "free" {
+		if k.Idempotency != "free" {
 			names = append(names, k.Name)
 		}
 	}
--- a/internal/dispatchconfig/operator.go
+++ b/internal/dispatchconfig/operator.go
@@ -91,18 +91,18 @@
 		}
 	}
 	if f.Web != nil && f.Listen == "" && len(f.Settings.Classes) == 0 { // a reverse proxy without a frontend for jobs; Check requires a class
-		f.Settings.Classes = []Class{{Name: "-", Effect: "free", Promise: 1, HardLimit: 1}}
+		f.Settings.Classes = []Class{{Name: "-", Idempotency: "free", LatencyTarget: 1, ClientTimeout: 1}}
 	}
 	if len(f.Peers) > 0 {
 		f.Settings.Bounds.Peers = true
-		// A scheduler's number is its index in Peers. PeerPlan rejects -1, for a scheduler that is not in the list.
+		// A scheduler's number is its index in Peers. PeerConfig rejects -1, for a scheduler that is not in the list.
 		f.Settings.PeerIndex = slices.Index(f.Peers, f.PeerListen)
-		f.Settings.PeersTotal = len(f.Peers)
+		f.Settings.PeerCount = len(f.Peers)
 	}
 	return &Config{Name: f.Name, Revision: f.Revision, Listen: f.Listen, Ops: f.Ops, Discovery: f.Discovery, Seed: f.Seed, Limits: f.Limits,
 		PeerListen: f.PeerListen, Peers: f.Peers, FailureDetection: true,
-		Known: &discovery.List{Complete: true, Members: f.Workers}, Settings: f.Settings,
-		SSE: f.SSE, Journal: f.Journal, Web: f.Web, Admission: f.Admission, Planners: f.Planners, Loops: f.Loops}
+		KnownWorkers: &discovery.List{Complete: true, Members: f.Workers}, Settings: f.Settings,
+		SSE: f.SSE, Journal: f.Journal, Web: f.Web, Admission: f.Admission, Planners: f.Planners, EventLoops: f.Loops}
 }
 
 // Write writes the file as TOML.
@@ -129,7 +129,7 @@
 			return err
 		}
 	}
-	if c.Planners < 0 || c.Loops < 0 {
+	if c.Planners < 0 || c.EventLoops < 0 {
 		return errors.New("planners and loops must not be negative")
 	}
 	return c.checkWorkers()
@@ -194,7 +194,7 @@
 // checkWorkers checks that the known workers have distinct IDs and valid addresses.
 func (c *Config) checkWorkers() error {
 	seen := map[string]bool{}
-	for _, m := range c.Known.Members {
+	for _, m := range c.KnownWorkers.Members {
 		if seen[m.ID] {
 			return fmt.Errorf("worker %q is listed twice", m.ID)
 		}
--- a/internal/dispatchconfig/peers.go
+++ b/internal/dispatchconfig/peers.go
@@ -14,9 +14,9 @@
 // maxPeers is the maximum number of schedulers of a site.
 const maxPeers = 4096
 
-// PeerPlan is the configuration of the exchange of datagrams with the other schedulers of the
+// PeerConfig is the configuration of the exchange of datagrams with the other schedulers of the
 // site.
-type PeerPlan struct {
+type PeerConfig struct {
 	Listen           netip.AddrPort
 	Peers            []netip.AddrPort // addresses of all schedulers by their number, including this one
 	Self             int              // number of this scheduler
@@ -24,9 +24,9 @@
 	FailureDetection bool
 }
 
-// PeerPlan validates and returns the configuration of peers, or nil if there are no other
+// PeerConfig validates and returns the configuration of peers, or nil if there are no other
 // schedulers or the settings disallow messages to them.
-func (c *Config) PeerPlan() (*PeerPlan, error) {
+func (c *Config) PeerConfig() (*PeerConfig, error) {
 	switch {
 	case len(c.Peers) < 2 || !c.Settings.Bounds.Peers:
 		return nil, nil
@@ -36,7 +36,7 @@
 	if len(c.Peers) > maxPeers {
 		return nil, fmt.Errorf("peers: %d addresses, %d at most", len(c.Peers), maxPeers)
 	}
-	p := &PeerPlan{Self: c.Settings.PeerIndex, FailureDetection: c.FailureDetection}
+	p := &PeerConfig{Self: c.Settings.PeerIndex, FailureDetection: c.FailureDetection}
 	var err error
 	if p.Listen, err = netip.ParseAddrPort(c.PeerListen); err != nil || p.Listen.Port() == 0 || !p.Listen.Addr().Is4() {
 		return nil, fmt.Errorf("peer_listen %q is no IPv4 address and port", c.PeerListen)
@@ -74,7 +74,7 @@
 // the operator's revision number and a digest of the reloadable settings that must be the same
 // at all schedulers: the tenants, in any order, and the classes.
 func (c *Config) PeerRevision() peers.Revision {
-	tenants := slices.Clone(c.Settings.Realms)
+	tenants := slices.Clone(c.Settings.Tenants)
 	slices.SortFunc(tenants, func(a, b Tenant) int { return cmp.Compare(a.Name, b.Name) })
 	h := fnv.New32a()
 	for _, t := range tenants {
@@ -84,7 +84,7 @@
 		// The format holds the names that the fields had in the first version and must not change,
 		// since schedulers of different versions compare their digests.
 		_, _ = fmt.Fprintf(h, "{Name:%s Effect:%s Scope:%s Window:%v Promise:%v HardLimit:%v LateShare:%v Stream:%v AimStretch:%v RunsOn:<nil> RunsIn:<nil>} %v %v\n",
-			k.Name, k.Effect, k.DedupScope, k.DedupWindow, k.Promise, k.HardLimit, k.LateValue, k.Streaming, k.TargetStretch, k.Kinds, k.Zones)
+			k.Name, k.Idempotency, k.DedupScope, k.DedupWindow, k.LatencyTarget, k.ClientTimeout, k.LateValue, k.Streaming, k.TargetStretch, k.Kinds, k.Zones)
 	}
 	return peers.Revision{Number: c.Revision, Digest: h.Sum32()}
 }
--- a/internal/dispatchconfig/peers_test.go
+++ b/internal/dispatchconfig/peers_test.go
@@ -43,10 +43,10 @@
 			}
 			continue
 		}
-		plan, err := got.PeerPlan()
+		plan, err := got.PeerConfig()
 		switch {
 		case err != nil:
-			t.Errorf("%s: PeerPlan: %v", c.keys, err)
+			t.Errorf("%s: PeerConfig: %v", c.keys, err)
 		case c.want == "none" && plan != nil, c.want == "1 of 2" && (plan == nil || plan.Self != 1 || len(plan.Peers) != 2):
 			t.Errorf("%s: plan %+v, want %s", c.keys, plan, c.want)
 		}
@@ -59,15 +59,15 @@
 	c := &Config{Name: "hut", Listen: "127.0.0.1:8080", Peers: []string{"127.0.0.1:1", "127.0.0.2:1"}, PeerListen: "127.0.0.1:1", Revision: 41}
 	c.Settings.Bounds.Peers = true
 	c.Settings.Kinds, c.Settings.Zones = []string{"small", "large"}, []string{"a", "b"}
-	c.Settings.Realms = []Tenant{{Name: "brazos", Share: 2, Quota: 10}, {Name: "leon", Share: 1}}
-	c.Settings.Classes = []Class{{Name: "usage-view", Effect: "free", Promise: 0.1, HardLimit: 5, Kinds: &[]int{0}}}
+	c.Settings.Tenants = []Tenant{{Name: "brazos", Share: 2, Quota: 10}, {Name: "leon", Share: 1}}
+	c.Settings.Classes = []Class{{Name: "usage-view", Idempotency: "free", LatencyTarget: 0.1, ClientTimeout: 5, Kinds: &[]int{0}}}
 	change(c)
 	return c
 }
 
 func siteFingerprint(t *testing.T, change func(c *Config)) uint64 {
 	t.Helper()
-	p, err := newConfig(t, change).PeerPlan()
+	p, err := newConfig(t, change).PeerConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,10 +83,10 @@
 		differs bool
 		change  func(c *Config)
 	}{
-		{"another tenant", false, func(c *Config) { c.Settings.Realms = append(c.Settings.Realms, Tenant{Name: "burleson", Share: 1}) }},
-		{"no tenants", false, func(c *Config) { c.Settings.Realms = nil }},
-		{"another share", false, func(c *Config) { c.Settings.Realms[0].Share = 7 }},
-		{"another class", false, func(c *Config) { c.Settings.Classes[0].Promise = 7 }},
+		{"another tenant", false, func(c *Config) { c.Settings.Tenants = append(c.Settings.Tenants, Tenant{Name: "burleson", Share: 1}) }},
+		{"no tenants", false, func(c *Config) { c.Settings.Tenants = nil }},
+		{"another share", false, func(c *Config) { c.Settings.Tenants[0].Share = 7 }},
+		{"another class", false, func(c *Config) { c.Settings.Classes[0].LatencyTarget = 7 }},
 		{"a later revision", false, func(c *Config) { c.Revision++ }},
 		{"another kind", true, func(c *Config) { c.Settings.Kinds[1] = "huge" }},
 		{"another zone", true, func(c *Config) { c.Settings.Zones[1] = "c" }},
@@ -109,17 +109,17 @@
 		differs bool
 		change  func(c *Config)
 	}{
-		{"tenants in another order", false, func(c *Config) { r := c.Settings.Realms; r[0], r[1] = r[1], r[0] }},
+		{"tenants in another order", false, func(c *Config) { r := c.Settings.Tenants; r[0], r[1] = r[1], r[0] }},
 		{"another name and address", false, func(c *Config) { c.Name, c.Listen, c.PeerListen = "shed", "127.0.0.2:8080", "127.0.0.2:1" }},
 		{"its own number and zone", false, func(c *Config) { c.Settings.PeerIndex, c.Settings.Zone = 1, 1 }},
 		{"the operator's number", false, func(c *Config) { c.Revision++ }},
 		{"the same kinds of a class elsewhere", false, func(c *Config) { c.Settings.Classes[0].Kinds = &[]int{0} }},
-		{"a share", true, func(c *Config) { c.Settings.Realms[1].Share = 7 }},
-		{"a quota", true, func(c *Config) { c.Settings.Realms[0].Quota = 5 }},
-		{"shares swapped", true, func(c *Config) { c.Settings.Realms[0].Share, c.Settings.Realms[1].Share = 1, 2 }},
-		{"a tenant's name", true, func(c *Config) { c.Settings.Realms[1].Name = "lean" }},
-		{"a tenant less", true, func(c *Config) { c.Settings.Realms = c.Settings.Realms[:1] }},
-		{"a class's promise", true, func(c *Config) { c.Settings.Classes[0].Promise = 0.2 }},
+		{"a share", true, func(c *Config) { c.Settings.Tenants[1].Share = 7 }},
+		{"a quota", true, func(c *Config) { c.Settings.Tenants[0].Quota = 5 }},
+		{"shares swapped", true, func(c *Config) { c.Settings.Tenants[0].Share, c.Settings.Tenants[1].Share = 1, 2 }},
+		{"a tenant's name", true, func(c *Config) { c.Settings.Tenants[1].Name = "lean" }},
+		{"a tenant less", true, func(c *Config) { c.Settings.Tenants = c.Settings.Tenants[:1] }},
+		{"a class's promise", true, func(c *Config) { c.Settings.Classes[0].LatencyTarget = 0.2 }},
 		{"a class's kinds", true, func(c *Config) { c.Settings.Classes[0].Kinds = &[]int{1} }},
 		{"a class for all kinds", true, func(c *Config) { c.Settings.Classes[0].Kinds = nil }},
 		{"a class more", true, func(c *Config) { c.Settings.Classes = append(c.Settings.Classes, Class{Name: "plan-change"}) }},
--- a/internal/dispatchconfig/settings.go
+++ b/internal/dispatchconfig/settings.go
@@ -16,7 +16,7 @@
 	Bounds struct {
 		AllowCancel    bool    `json:"cancel" toml:"cancel,omitempty"`
 		DialTimeout    float64 `json:"dial_timeout" toml:"dial_timeout,omitempty"`
-		IdleClose      float64 `json:"idle_close" toml:"idle_close,omitempty"`
+		IdleTimeout    float64 `json:"idle_close" toml:"idle_close,omitempty"`
 		MaxAttempts    int     `json:"max_attempts" toml:"max_attempts,omitempty"`
 		MaxRetryAfter  float64 `json:"max_retry_after" toml:"max_retry_after,omitempty"`
 		AllowProbe     bool    `json:"may_probe" toml:"may_probe,omitempty"`
@@ -27,17 +27,17 @@
 	Classes   []Class `json:"classes" toml:"classes,omitempty"`
 	Discovery string  `json:"discovery" toml:"discovery,omitempty"`
 	Family    struct {
-		ClassKind    []int     `json:"class_kind" toml:"class_kind,omitempty"`
-		ClassStretch []float64 `json:"class_stretch" toml:"class_stretch,omitempty"`
-		QueueOrder   string    `json:"queue_order" toml:"queue_order,omitempty"`
-		TellsStart   bool      `json:"tells_start" toml:"tells_start,omitempty"`
+		ClassKind     []int     `json:"class_kind" toml:"class_kind,omitempty"`
+		ClassStretch  []float64 `json:"class_stretch" toml:"class_stretch,omitempty"`
+		QueueOrder    string    `json:"queue_order" toml:"queue_order,omitempty"`
+		StartNotified bool      `json:"tells_start" toml:"tells_start,omitempty"`
 	} `json:"family_info" toml:"family_info,omitempty"`
-	Kinds      []string `json:"kinds" toml:"kinds,omitempty"`
-	PeersTotal int      `json:"peers_total" toml:"peers_total,omitempty"`
-	PeerIndex  int      `json:"slot_no" toml:"slot_no,omitempty"`
-	Tier       int      `json:"tier" toml:"tier,omitempty"`
-	Realms     []Tenant `json:"realms" toml:"realms,omitempty"`
-	Report     struct {
+	Kinds     []string `json:"kinds" toml:"kinds,omitempty"`
+	PeerCount int      `json:"peers_total" toml:"peers_total,omitempty"`
+	PeerIndex int      `json:"slot_no" toml:"slot_no,omitempty"`
+	Tier      int      `json:"tier" toml:"tier,omitempty"`
+	Tenants   []Tenant `json:"realms" toml:"realms,omitempty"`
+	Report    struct {
 		Via string `json:"via" toml:"via,omitempty"`
 	} `json:"report" toml:"report,omitempty"`
 	Rules struct {
@@ -66,11 +66,11 @@
 // Class is a class of jobs; see [dispatcher.Class].
 type Class struct {
 	Name          string  `json:"name" toml:"name,omitempty"`
-	Effect        string  `json:"effect" toml:"effect,omitempty"`
+	Idempotency   string  `json:"effect" toml:"effect,omitempty"`
 	DedupScope    string  `json:"dedup_scope" toml:"dedup_scope,omitempty"`
 	DedupWindow   float64 `json:"window" toml:"window,omitempty"`
-	Promise       float64 `json:"promise" toml:"promise,omitempty"`
-	HardLimit     float64 `json:"hard_limit" toml:"hard_limit,omitempty"`
+	LatencyTarget float64 `json:"promise" toml:"promise,omitempty"`
+	ClientTimeout float64 `json:"hard_limit" toml:"hard_limit,omitempty"`
 	LateValue     float64 `json:"late_share" toml:"late_share,omitempty"`
 	Streaming     bool    `json:"stream" toml:"stream,omitempty"`
 	TargetStretch float64 `json:"aim_stretch" toml:"aim_stretch,omitempty"`
@@ -116,7 +116,7 @@
 func (s *Settings) checkClasses() error {
 	for i, c := range s.Classes {
 		path := func(field string) string { return fmt.Sprintf("classes[%d].%s", i, field) }
-		_, validEffect := idempotencies[c.Effect]
+		_, validEffect := idempotencies[c.Idempotency]
 		_, validScope := dedupScopes[c.DedupScope]
 		switch {
 		case c.Name == "":
@@ -124,23 +124,23 @@
 		case slices.ContainsFunc(s.Classes[:i], func(other Class) bool { return other.Name == c.Name }):
 			return fieldError(path("name"), "%q is there twice", c.Name)
 		case !validEffect:
-			return fieldError(path("effect"), "%q is none of free, guarded, single_shot", c.Effect)
+			return fieldError(path("effect"), "%q is none of free, guarded, single_shot", c.Idempotency)
 		case !validScope:
 			return fieldError(path("dedup_scope"), "%q is none of all, zone, cell", c.DedupScope)
-		case !(c.HardLimit > 0):
+		case !(c.ClientTimeout > 0):
 			return fieldError(path("hard_limit"), "missing, or not above 0 (seconds)")
-		case !(c.Promise > 0):
+		case !(c.LatencyTarget > 0):
 			return fieldError(path("promise"), "missing, or not above 0 (seconds)")
-		case idempotencies[c.Effect] == dispatcher.IdempotentByKey && !(c.DedupWindow > 0):
-			return fieldError(path("window"), "missing, or not above 0 (seconds), though its effect is %s", c.Effect)
+		case idempotencies[c.Idempotency] == dispatcher.IdempotentByKey && !(c.DedupWindow > 0):
+			return fieldError(path("window"), "missing, or not above 0 (seconds), though its effect is %s", c.Idempotency)
 		}
 	}
 	return nil
 }
 
 func (s *Settings) checkTenants() error {
-	names := make(map[string]bool, len(s.Realms))
-	for i, t := range s.Realms {
+	names := make(map[string]bool, len(s.Tenants))
+	for i, t := range s.Tenants {
 		path := func(field string) string { return fmt.Sprintf("realms[%d].%s", i, field) }
 		switch {
 		case t.Name == "":
@@ -179,20 +179,20 @@
 // Seconds converts a time in seconds to a Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ModuleSettings validates the settings and converts them to [dispatcher.Settings] for each of
+// DispatcherSettings validates the settings and converts them to [dispatcher.Settings] for each of
 // the given number of planners in this process.
-func (s *Settings) ModuleSettings(planners int) (dispatcher.Settings, error) {
+func (s *Settings) DispatcherSettings(planners int) (dispatcher.Settings, error) {
 	if err := s.check(); err != nil {
 		return dispatcher.Settings{}, err
 	}
 	converted := dispatcher.Settings{
 		Zone:          s.Zone,
-		Dispatchers:   max(1, s.PeersTotal) * max(1, planners),
+		Dispatchers:   max(1, s.PeerCount) * max(1, planners),
 		MaxAttempts:   s.Bounds.MaxAttempts,
 		AllowHedging:  s.Bounds.AllowHedging,
 		AllowCancel:   s.Bounds.AllowCancel,
 		WatchOnDemand: s.Discovery == "ask",
-		StartNotified: s.Family.TellsStart,
+		StartNotified: s.Family.StartNotified,
 		FIFOWorkers:   s.Family.QueueOrder == "fifo",
 		LoadByProbe:   s.Bounds.AllowProbe && s.Report.Via == "probe",
 
@@ -209,11 +209,11 @@
 	if err := s.setRetryBudget(&converted); err != nil {
 		return converted, err
 	}
-	converted.Weights = weightMeanings[s.Weights]
+	converted.WeightMeaning = weightMeanings[s.Weights]
 	for i := range s.Classes {
 		converted.Classes = append(converted.Classes, s.convertClass(i))
 	}
-	for _, t := range s.Realms {
+	for _, t := range s.Tenants {
 		converted.Tenants = append(converted.Tenants, dispatcher.Tenant{Name: t.Name, Share: t.Share, Quota: t.Quota})
 	}
 	return converted, nil
@@ -242,9 +242,9 @@
 // precedence over those in family_info.
 func (s *Settings) convertClass(i int) dispatcher.Class {
 	c := &s.Classes[i]
-	converted := dispatcher.Class{Name: c.Name, DedupWindow: Seconds(c.DedupWindow), LatencyTarget: Seconds(c.Promise),
-		ClientTimeout: Seconds(c.HardLimit), LateValue: c.LateValue, Streaming: c.Streaming, TargetStretch: c.TargetStretch}
-	converted.Idempotency, converted.DedupScope = idempotencies[c.Effect], dedupScopes[c.DedupScope]
+	converted := dispatcher.Class{Name: c.Name, DedupWindow: Seconds(c.DedupWindow), LatencyTarget: Seconds(c.LatencyTarget),
+		ClientTimeout: Seconds(c.ClientTimeout), LateValue: c.LateValue, Streaming: c.Streaming, TargetStretch: c.TargetStretch}
+	converted.Idempotency, converted.DedupScope = idempotencies[c.Idempotency], dedupScopes[c.DedupScope]
 	if converted.TargetStretch == 0 && i < len(s.Family.ClassStretch) {
 		converted.TargetStretch = s.Family.ClassStretch[i]
 	}
--- a/internal/fairqueue/driver/driver.go
+++ b/internal/fairqueue/driver/driver.go
@@ -248,8 +248,8 @@
 	job    *job
 }
 
-// Answer passes the answer to the client and releases the job.
-func (l *releasingClient) Answer(a dispatch.Answer) {
-	l.Client.Answer(a)
+// Respond passes the answer to the client and releases the job.
+func (l *releasingClient) Respond(a dispatch.Response) {
+	l.Client.Respond(a)
 	l.driver.release(l.job, a.Kind == dispatch.Served)
 }
--- a/internal/fairqueue/driver/driver_test.go
+++ b/internal/fairqueue/driver/driver_test.go
@@ -21,12 +21,12 @@
 
 // fakeClient records its answers.
 type fakeClient struct {
-	answers chan dispatch.Answer
+	answers chan dispatch.Response
 }
 
-func (c *fakeClient) Started()                 {}
-func (c *fakeClient) Progress(float64)         {}
-func (c *fakeClient) Answer(a dispatch.Answer) { c.answers <- a }
+func (c *fakeClient) Started()                    {}
+func (c *fakeClient) Progress(float64)            {}
+func (c *fakeClient) Respond(a dispatch.Response) { c.answers <- a }
 
 // newTestDriver returns a Driver with tenants a and b and a concurrency of 1, its planners, and a function that submits a job.
 func newTestDriver(t *testing.T) (*Driver, *fakePlanners, func(id string, tenant int, remaining time.Duration) (*dispatch.Exchange, *fakeClient)) {
@@ -40,7 +40,7 @@
 	}
 	class := &dispatcher.Class{Name: "view"}
 	return d, p, func(id string, tenant int, remaining time.Duration) (*dispatch.Exchange, *fakeClient) {
-		c := &fakeClient{answers: make(chan dispatch.Answer, 4)}
+		c := &fakeClient{answers: make(chan dispatch.Response, 4)}
 		x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: tenant, TenantName: []string{"a", "b"}[tenant], Client: id, Slots: 1}, clock.Now()+remaining, c)
 		d.SubmitRequest(x)
 		return x, c
--- a/internal/fleetsim/host.go
+++ b/internal/fleetsim/host.go
@@ -76,7 +76,7 @@
 		s.sim.clientServed(j, s)
 		j.answered = true
 	}
-	_ = s.dispatcher.AttemptEnded(s.sim.now, dispatcher.AttemptResult{ID: j.id, Attempt: number, Outcome: o, Answered: j.answered, Report: report})
+	_ = s.dispatcher.AttemptEnded(s.sim.now, dispatcher.AttemptResult{ID: j.id, Attempt: number, Outcome: o, ClientAnswered: j.answered, Report: report})
 }
 
 // Cancel cancels an attempt and closes its connection.
--- a/internal/fleetsim/scheduler.go
+++ b/internal/fleetsim/scheduler.go
@@ -88,7 +88,7 @@
 		StartNotified:     true,
 		FIFOWorkers:       true,
 		MaxRetryAfter:     2 * time.Second,
-		Weights:           dispatcher.WeightSize,
+		WeightMeaning:     dispatcher.WeightSize,
 		SlowStartDuration: dispatchconfig.Seconds(model.SlowStartSeconds),
 		SlowStartCapacity: model.SlowStartCapacity,
 		OverloadMultiple:  overloadMultiple,
@@ -113,7 +113,7 @@
 	var ids []string
 	for _, m := range s.sim.workerList {
 		if m.State == dispatcher.Active {
-			ids = append(ids, m.Worker)
+			ids = append(ids, m.Name)
 		}
 	}
 	s.peers.SetWorkers(ids)
@@ -183,12 +183,12 @@
 		j.answered, j.attempts = false, nil
 		s.jobs[j.id] = j
 		_ = s.dispatcher.SubmitRequest(s.sim.now, dispatcher.Request{
-			ID:          j.id,
-			Class:       j.class,
-			Tenant:      j.tenant,
-			TimeLeft:    j.deadline - s.sim.now,
-			Slots:       float64(j.slots),
-			ClientRetry: j.clientRetries > 0,
+			ID:               j.id,
+			Class:            j.class,
+			Tenant:           j.tenant,
+			RemainingTimeout: j.deadline - s.sim.now,
+			Slots:            float64(j.slots),
+			ClientRetry:      j.clientRetries > 0,
 		})
 	})
 }
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -102,7 +102,7 @@
 	w := newWorker(&sim.clock, rand.New(rand.NewPCG(sim.rand.Uint64(), 3)), &sim.experiment.Worker, cores, speed)
 	w.startedAt, w.slowStart = from, from > 0
 	sim.workerIndex[id] = len(sim.workers)
-	sim.workerList = append(sim.workerList, dispatcher.WorkerInfo{Worker: id, Cell: len(sim.workers) / 8, Weight: float64(cores), StartedAt: from})
+	sim.workerList = append(sim.workerList, dispatcher.WorkerInfo{Name: id, Cell: len(sim.workers) / 8, Weight: float64(cores), StartedAt: from})
 	sim.workers = append(sim.workers, w)
 }
 
--- a/internal/jobrequest/jobrequest.go
+++ b/internal/jobrequest/jobrequest.go
@@ -52,8 +52,8 @@
 // it.
 func (p *Parser) Update(s *Settings) { p.settings.Store(s) }
 
-// Time converts t to a time on the clock of the deadlines.
-func (p *Parser) Time(t time.Time) time.Duration { return p.clock.At(t) }
+// ClockTime converts t to a time on the clock of the deadlines.
+func (p *Parser) ClockTime(t time.Time) time.Duration { return p.clock.At(t) }
 
 // WithMargin returns a Parser whose deadlines are earlier by the margin.
 func (p *Parser) WithMargin(margin time.Duration) *Parser {
--- a/internal/jobrequest/jobrequest_test.go
+++ b/internal/jobrequest/jobrequest_test.go
@@ -41,7 +41,7 @@
 		t.Errorf("job %+v, want %+v", j, want)
 	}
 	// The timeout starts when the request arrives and is reduced by responseMargin.
-	if left := deadline - p.Time(q.At); left >= 4999*time.Millisecond || left < 4900*time.Millisecond {
+	if left := deadline - p.ClockTime(q.At); left >= 4999*time.Millisecond || left < 4900*time.Millisecond {
 		t.Errorf("%v from the request to the deadline, want slightly less than 4.999s", left)
 	}
 	if _, earlier, _ := p.WithMargin(time.Second).Parse(q, "", 0); earlier != deadline-time.Second {
--- a/internal/journal/recorder/recorder.go
+++ b/internal/journal/recorder/recorder.go
@@ -105,12 +105,12 @@
 		Code: uint8(journal.OutcomeOf(o)), NeverRan: neverRan}, nil)
 }
 
-var answerKinds = map[dispatch.AnswerKind]journal.AnswerKind{
+var answerKinds = map[dispatch.ResponseKind]journal.AnswerKind{
 	dispatch.Served: journal.Served, dispatch.Rejected: journal.Rejected, dispatch.Failed: journal.Failed,
 }
 
 // Answered implements dispatch.Journal. It records the final answer to the client.
-func (r *Recorder) Answered(serial uint64, a dispatch.Answer) {
+func (r *Recorder) Answered(serial uint64, a dispatch.Response) {
 	r.store.Put(journal.Record{Kind: journal.Answered, Serial: serial, At: nowMicros(), Code: uint8(answerKinds[a.Kind]), Text: a.Reason}, nil)
 }
 
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -259,7 +259,7 @@
 			}
 			load.Load = dispatcher.Load{}
 			for _, byWorker := range l.loads {
-				load.Load = load.Plus(byWorker[load.Worker])
+				load.Load = load.Add(byWorker[load.Worker])
 			}
 		}
 		l.node.SetLoad(now, load.Worker, peers.Load{Slots: int(load.InFlight + 0.5), Waiting: load.NotStarted}, load.Saturated)
--- a/internal/platformapi/golden_test.go
+++ b/internal/platformapi/golden_test.go
@@ -22,7 +22,7 @@
 type goldenPlanners struct{}
 
 // goldenAnswers holds the answers by job ID.
-var goldenAnswers = map[string]dispatch.Answer{
+var goldenAnswers = map[string]dispatch.Response{
 	"served":       {Kind: dispatch.Served, Result: []byte("the result\x00")},
 	"refused":      {Kind: dispatch.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "too much to do"},
 	"refused-bare": {Kind: dispatch.Rejected, Reason: "no worker"},
@@ -33,7 +33,7 @@
 	x.WrapClient(func(client dispatch.Client) dispatch.Client {
 		client.Started()
 		client.Progress(0.5)
-		client.Answer(goldenAnswers[x.ID])
+		client.Respond(goldenAnswers[x.ID])
 		return client
 	})
 }
--- a/internal/platformapi/platformapi.go
+++ b/internal/platformapi/platformapi.go
@@ -89,8 +89,8 @@
 func (responder) Started()         {}
 func (responder) Progress(float64) {}
 
-// Answer responds with the answer on the event loop of the connection.
-func (r responder) Answer(a dispatch.Answer) {
+// Respond responds with the answer on the event loop of the connection.
+func (r responder) Respond(a dispatch.Response) {
 	r.conn.Post(func(c *httpd.Conn) {
 		c.State = nil
 		switch a.Kind {
--- a/internal/reverseproxy/health.go
+++ b/internal/reverseproxy/health.go
@@ -138,7 +138,7 @@
 	id, addr := b.id(m.Name), m.Addr
 	b.mu.Unlock()
 	p.transport.update(false, []serverInfo{{id, addr, connect, state == pool.Up}})
-	p.planners.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Worker: id, Kind: p.kind(id), State: workerState(state)}})
+	p.planners.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Name: id, Kind: p.kind(id), State: workerState(state)}})
 	b.dispatchQueue()
 }
 
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -290,7 +290,7 @@
 		for i, m := range b.Servers {
 			id := be.id(m.Name)
 			state, _ := be.pool.State(i)
-			workers = append(workers, dispatcher.WorkerInfo{Worker: id, Kind: p.kinds[id], State: workerState(state)})
+			workers = append(workers, dispatcher.WorkerInfo{Name: id, Kind: p.kinds[id], State: workerState(state)})
 			servers = append(servers, serverInfo{id, m.Addr, connect, state == pool.Up || state == pool.Draining})
 		}
 		be.mu.Unlock()
--- a/internal/reverseproxy/request.go
+++ b/internal/reverseproxy/request.go
@@ -303,10 +303,10 @@
 func (*exchangeClient) Started()         {}
 func (*exchangeClient) Progress(float64) {}
 
-// Answer is called on the planner's goroutine with the outcome of an attempt. Served means that a response head has
+// Respond is called on the planner's goroutine with the outcome of an attempt. Served means that a response head has
 // arrived, which the transport or the transfer forwards. Rejected means that the request has not run or is safe to
 // retry, so that it may be sent to another server.
-func (s *exchangeClient) Answer(a dispatch.Answer) {
+func (s *exchangeClient) Respond(a dispatch.Response) {
 	r := s.request
 	if a.Kind == dispatch.Served {
 		return
--- a/internal/reverseproxy/transport.go
+++ b/internal/reverseproxy/transport.go
@@ -25,7 +25,7 @@
 	ready          bool // whether requests may be sent to the server
 }
 
-// transport sends requests to servers over pooled connections. It implements dispatch.Carrier for the planner.
+// transport sends requests to servers over pooled connections. It implements dispatch.Transport for the planner.
 type transport struct {
 	proxy *Proxy
 	loop  *evloop.Loop
--- a/internal/sse/golden_test.go
+++ b/internal/sse/golden_test.go
@@ -23,7 +23,7 @@
 // goldenPlanners answers each request with the entry of goldenAnswers for its id.
 type goldenPlanners struct{}
 
-var goldenAnswers = map[string]dispatch.Answer{
+var goldenAnswers = map[string]dispatch.Response{
 	"served":       {Kind: dispatch.Served, Result: []byte("the \"result\"\n")},
 	"refused":      {Kind: dispatch.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "too much to do"},
 	"refused-bare": {Kind: dispatch.Rejected, Reason: "no worker"},
@@ -35,7 +35,7 @@
 	x.WrapClient(func(client dispatch.Client) dispatch.Client {
 		client.Started()
 		client.Progress(0.25)
-		client.Answer(goldenAnswers[x.ID])
+		client.Respond(goldenAnswers[x.ID])
 		return client
 	})
 }
--- a/internal/sse/job.go
+++ b/internal/sse/job.go
@@ -46,8 +46,8 @@
 	}{share}, false)
 }
 
-// Answer implements dispatch.Client: it is called once with the outcome of the job.
-func (j *job) Answer(a dispatch.Answer) {
+// Respond implements dispatch.Client: it is called once with the outcome of the job.
+func (j *job) Respond(a dispatch.Response) {
 	switch a.Kind {
 	case dispatch.Served:
 		j.emit("result", nil, struct {
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	deadline = min(deadline, h.parser.Time(q.At)+limit)
+	deadline = min(deadline, h.parser.ClockTime(q.At)+limit)
 	h.mu.Lock()
 	if h.jobs[parsed.ID] != nil {
 		h.mu.Unlock()
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -185,7 +185,7 @@
 	pool.UpdateMembers(false, []Member{{ID: "v", Addr: addr, Ready: true}})
 	_, answers := submitRequest(planner, clock, "a", &keyed, nil)
 	testkit.Await(t, "the first attempt", received)
-	planner.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Worker: "v"}})
+	planner.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Name: "v"}})
 	close(reset)
 	awaitDial(t, pool, "v")
 	got := accept()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -40,7 +40,7 @@
 	maxIdleWhileAvoided = 4           // maximum number of idle connections to a worker while reused connections are avoided
 )
 
-// Pool holds the connections to all workers. It implements dispatch.Carrier. Its methods are safe for concurrent use and
+// Pool holds the connections to all workers. It implements dispatch.Transport. Its methods are safe for concurrent use and
 // take effect on the loop.
 type Pool struct {
 	opt  Options
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -21,11 +21,11 @@
 )
 
 // client receives the answer to a request.
-type client chan dispatch.Answer
+type client chan dispatch.Response
 
-func (client) Started()                   {}
-func (client) Progress(float64)           {}
-func (c client) Answer(a dispatch.Answer) { c <- a }
+func (client) Started()                      {}
+func (client) Progress(float64)              {}
+func (c client) Respond(a dispatch.Response) { c <- a }
 
 var classes = []dispatcher.Class{
 	{Name: "once", Idempotency: dispatcher.NotIdempotent, LatencyTarget: 3 * time.Second, ClientTimeout: 3 * time.Second},
@@ -82,7 +82,7 @@
 		}
 	})
 	pool.UpdateMembers(true, []Member{{ID: "w", Addr: addr, Ready: true}})
-	planner.WorkersUpdated(dispatcher.UpdateFull, []dispatcher.WorkerInfo{{Worker: "w"}})
+	planner.WorkersUpdated(dispatcher.UpdateFull, []dispatcher.WorkerInfo{{Name: "w"}})
 	return pool, planner, clock
 }
 
@@ -92,7 +92,7 @@
 	t.Run("drain", func(t *testing.T) {
 		checkDialsAreCancelled(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
 			pool.UpdateMembers(false, []Member{{ID: "w", Addr: addr}})
-			planner.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Worker: "w", State: dispatcher.Draining}})
+			planner.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Name: "w", State: dispatcher.Draining}})
 		})
 	})
 	t.Run("cordon", func(t *testing.T) {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -225,7 +225,7 @@
 	if key := r.nextField(); !isAbsent(key) {
 		q.AffinityKey = string(key)
 	}
-	if q.TimeLeft, err = r.timeField(); err != nil {
+	if q.RemainingTimeout, err = r.timeField(); err != nil {
 		return err
 	}
 	if q.RuntimeHint, err = r.timeField(); err != nil {
@@ -265,7 +265,7 @@
 	if _, err = r.timeField(); err != nil {
 		return err
 	}
-	if a.Answered, err = r.boolField(); err != nil {
+	if a.ClientAnswered, err = r.boolField(); err != nil {
 		return err
 	}
 	r.nextField() // a note that the decision module does not use
@@ -422,7 +422,7 @@
 	if err != nil {
 		return err
 	}
-	w.Worker = r.intern(name)
+	w.Name = r.intern(name)
 	if w.Zone, err = r.optionalIndex("zone"); err != nil {
 		return err
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -48,9 +48,9 @@
 	}
 	switch p.values["weights"] {
 	case "nominal", "rough":
-		s.Weights = dispatcher.WeightSize
+		s.WeightMeaning = dispatcher.WeightSize
 	case "live":
-		s.Weights = dispatcher.WeightLive
+		s.WeightMeaning = dispatcher.WeightLive
 	}
 	if err := p.classes(&s); err != nil {
 		return s, err
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -44,14 +44,14 @@
 		want Event
 	}{
 		{"KNOCK rq_b 1 2 data/k 0.24 0.012 2 0.5 3", Event{Kind: RequestArrived, Request: dispatcher.Request{
-			ID: "rq_b", Class: 1, Tenant: 2, AffinityKey: "data/k", TimeLeft: 240 * ms, RuntimeHint: 12 * ms, Slots: 2,
+			ID: "rq_b", Class: 1, Tenant: 2, AffinityKey: "data/k", RemainingTimeout: 240 * ms, RuntimeHint: 12 * ms, Slots: 2,
 			ClientRetry: true}}},
 		{"KNOCK rq_b 0 - - 0.24 0.012 - - 0", Event{Kind: RequestArrived, Request: dispatcher.Request{
-			ID: "rq_b", Tenant: -1, TimeLeft: 240 * ms}}},
+			ID: "rq_b", Tenant: -1, RemainingTimeout: 240 * ms}}},
 		{"ANSWER rq_b 1 10.0.0.1:5 no_room 0.0185 0 - -", Event{Kind: AttemptEnded, Result: dispatcher.AttemptResult{
 			ID: "rq_b", Attempt: 1, Outcome: dispatcher.Rejected}}},
 		{"ANSWER rq_b 0 10.0.0.1:5 pass 0.0185 1 - busy:0.62,x0:0.4,rif:3,new:7", Event{Kind: AttemptEnded, Result: dispatcher.AttemptResult{
-			ID: "rq_b", Answered: true, Report: &dispatcher.LoadReport{HasFreeSlots: true, FreeSlots: 0.4, HasInFlight: true, InFlight: 3}}}},
+			ID: "rq_b", ClientAnswered: true, Report: &dispatcher.LoadReport{HasFreeSlots: true, FreeSlots: 0.4, HasInFlight: true, InFlight: 3}}}},
 		{"STATUS_NOTE rq_b 0 10.0.0.1:5 1 0.5", Event{Kind: AttemptNotice, Started: true, Progress: 0.5,
 			Result: dispatcher.AttemptResult{ID: "rq_b"}}},
 		{"STATUS_NOTE rq_b 2 10.0.0.1:5 2 0.25", Event{Kind: AttemptNotice, Progress: 0.25,
@@ -89,8 +89,8 @@
 	if err != nil || len(got) != 3 {
 		t.Fatalf("%d events, error %v", len(got), err)
 	}
-	want := []dispatcher.WorkerInfo{{Worker: "a:1", Kind: 1, Cell: 2, Weight: 1.5},
-		{Worker: "b:1", Zone: 1, State: dispatcher.Draining, Weight: 1, StartedAt: 6100 * ms}}
+	want := []dispatcher.WorkerInfo{{Name: "a:1", Kind: 1, Cell: 2, Weight: 1.5},
+		{Name: "b:1", Zone: 1, State: dispatcher.Draining, Weight: 1, StartedAt: 6100 * ms}}
 	if !reflect.DeepEqual(got[0].Entries, want) || got[0].ListKind != dispatcher.UpdateStale {
 		t.Errorf("first list: %+v", got[0])
 	}
@@ -167,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := dispatcher.Settings{Zone: 1, Dispatchers: 2, Weights: dispatcher.WeightLive, MaxAttempts: 6, AllowHedging: true,
+	want := dispatcher.Settings{Zone: 1, Dispatchers: 2, WeightMeaning: dispatcher.WeightLive, MaxAttempts: 6, AllowHedging: true,
 		AllowCancel: true, WatchOnDemand: true, StartNotified: true, FIFOWorkers: true, MaxRetryAfter: 2 * time.Second, SlowStartCapacity: 0.3,
 		SlowStartDuration: 8700 * ms, OverloadMultiple: 2.5, OverloadWindow: 1500 * ms,
 		Tenants: []dispatcher.Tenant{{Name: "t", Share: 0.4, Quota: 14}},
--- a/scheduler/build.go
+++ b/scheduler/build.go
@@ -48,7 +48,7 @@
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	settings, err := c.Settings.ModuleSettings(max(1, c.Planners))
+	settings, err := c.Settings.DispatcherSettings(max(1, c.Planners))
 	if err != nil {
 		return nil, err
 	}
@@ -71,9 +71,9 @@
 func (s *Scheduler) build(settings *dispatcher.Settings) error {
 	c := s.config
 	s.pool = upstream.New(upstream.Options{Loop: s.workerLoop, DialTimeout: dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout),
-		IdleTimeout: dispatchconfig.Seconds(c.Settings.Bounds.IdleClose), Host: workerHost, Clock: s.clock, Descriptors: s.descriptors,
+		IdleTimeout: dispatchconfig.Seconds(c.Settings.Bounds.IdleTimeout), Host: workerHost, Clock: s.clock, Descriptors: s.descriptors,
 		Log: s.options.Log})
-	s.watcher = discovery.NewWatcher(s.workerLoop, c.Discovery, *c.Known, s.onWorkerList, s.onDiscoveryFailure, s.options.Log)
+	s.watcher = discovery.NewWatcher(s.workerLoop, c.Discovery, *c.KnownWorkers, s.onWorkerList, s.onDiscoveryFailure, s.options.Log)
 	if c.Journal != nil {
 		var err error
 		if s.journal, err = recorder.Open(c, s.options.Log); err != nil {
@@ -87,7 +87,7 @@
 	if err := s.buildPeerLink(planners); err != nil {
 		return err
 	}
-	s.updateWorkers(dispatcher.UpdateStale, *c.Known)
+	s.updateWorkers(dispatcher.UpdateStale, *c.KnownWorkers)
 	s.requestParser = jobrequest.New(s.clock, &jobrequest.Settings{Classes: settings.Classes, Tenants: settings.Tenants})
 	if err := s.buildServers(settings); err != nil {
 		return err
@@ -116,7 +116,7 @@
 // buildPeerLink creates the link to the peer schedulers if the configuration names any.
 func (s *Scheduler) buildPeerLink(planners []*dispatch.Planner) error {
 	c := s.config
-	plan, err := c.PeerPlan()
+	plan, err := c.PeerConfig()
 	if err != nil || plan == nil {
 		return err
 	}
@@ -143,11 +143,11 @@
 		planners = s.admission
 	}
 	if c.Listen != "" {
-		s.servers = append(s.servers, httpd.New(c.Listen, c.Loops, platformapi.New(s.requestParser, planners, s.ready.Load), s.descriptors, log))
+		s.servers = append(s.servers, httpd.New(c.Listen, c.EventLoops, platformapi.New(s.requestParser, planners, s.ready.Load), s.descriptors, log))
 	}
 	if c.Web != nil {
 		var err error
-		if s.reverseProxy, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loops: c.Loops, Loop: s.workerLoop, Clock: s.clock,
+		if s.reverseProxy, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loops: c.EventLoops, Loop: s.workerLoop, Clock: s.clock,
 			Seed: c.SeedNumber() + uint64(max(1, c.Planners)), Budget: s.descriptors, Log: log}); err != nil {
 			return err
 		}
@@ -156,7 +156,7 @@
 	if c.SSE != nil {
 		s.eventStreams = sse.New(sse.Options{Parser: s.requestParser.WithMargin(streamDeadlineMargin), Planners: planners, Ready: s.ready.Load,
 			Heartbeat: dispatchconfig.Seconds(c.SSE.Heartbeat), Retain: dispatchconfig.Seconds(c.SSE.Retain), Log: log})
-		s.servers = append(s.servers, httpd.New(c.SSE.Listen, c.Loops, s.eventStreams, s.descriptors, log))
+		s.servers = append(s.servers, httpd.New(c.SSE.Listen, c.EventLoops, s.eventStreams, s.descriptors, log))
 	}
 	return nil
 }
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -260,7 +260,7 @@
 	if strings.HasSuffix(c.file, ".json") { // the platform's configuration format
 		f := &c.config
 		err = json.NewEncoder(w).Encode(dispatchconfig.Config{Name: f.Name, Listen: f.Listen, Ops: f.Ops, Discovery: f.Discovery,
-			Seed: f.Seed, Limits: f.Limits, Known: &discovery.List{Complete: true, Members: f.Workers}, Settings: f.Settings})
+			Seed: f.Seed, Limits: f.Limits, KnownWorkers: &discovery.List{Complete: true, Members: f.Workers}, Settings: f.Settings})
 	} else {
 		err = c.config.Write(w)
 	}
--- a/scheduler/journal_bench_test.go
+++ b/scheduler/journal_bench_test.go
@@ -95,10 +95,10 @@
 		members = append(members, discovery.Member{ID: fmt.Sprint("box-", i), HostPort: addr, Locality: "hut", Flavor: "box",
 			Phase: "ready", Size: 256})
 	}
-	c := &scheduler.Config{Name: "bench", Listen: testkit.FreeAddr(b), Seed: "1f", Known: &discovery.List{Complete: true, Members: members}}
-	c.Settings.Classes = []dispatchconfig.Class{{Name: "usage-view", Effect: "free", Promise: 8, HardLimit: 10},
-		{Name: "plan-change", Effect: "single_shot", Promise: 8, HardLimit: 10}}
-	c.Settings.Bounds.MaxAttempts, c.Settings.Family.TellsStart = 3, true
+	c := &scheduler.Config{Name: "bench", Listen: testkit.FreeAddr(b), Seed: "1f", KnownWorkers: &discovery.List{Complete: true, Members: members}}
+	c.Settings.Classes = []dispatchconfig.Class{{Name: "usage-view", Idempotency: "free", LatencyTarget: 8, ClientTimeout: 10},
+		{Name: "plan-change", Idempotency: "single_shot", LatencyTarget: 8, ClientTimeout: 10}}
+	c.Settings.Bounds.MaxAttempts, c.Settings.Family.StartNotified = 3, true
 	c.Settings.Kinds, c.Settings.Zones = []string{"box"}, []string{"hut"}
 	return c
 }
--- a/scheduler/reload.go
+++ b/scheduler/reload.go
@@ -21,7 +21,7 @@
 	if err := c.CheckReplaces(s.current.Load()); err != nil {
 		return err
 	}
-	settings, err := c.Settings.ModuleSettings(max(1, s.config.Planners))
+	settings, err := c.Settings.DispatcherSettings(max(1, s.config.Planners))
 	if err != nil {
 		return err
 	}
@@ -40,11 +40,11 @@
 	before := s.settings.Swap(&settings)
 	s.planners.UpdateSettings(settings) // before the parser, which from then on accepts jobs of new tenants
 	s.requestParser.Update(&jobrequest.Settings{Classes: settings.Classes, Tenants: settings.Tenants})
-	s.pool.SetTimeouts(dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout), dispatchconfig.Seconds(c.Settings.Bounds.IdleClose))
+	s.pool.SetTimeouts(dispatchconfig.Seconds(c.Settings.Bounds.DialTimeout), dispatchconfig.Seconds(c.Settings.Bounds.IdleTimeout))
 	s.limitDescriptors(c)
 	s.watcher.SetAddr(c.Discovery)
 	if c.Discovery == "" {
-		s.workerLoop.Do(func() { s.updateWorkers(dispatcher.UpdateFull, *c.Known) })
+		s.workerLoop.Do(func() { s.updateWorkers(dispatcher.UpdateFull, *c.KnownWorkers) })
 	}
 	if s.peerLink != nil {
 		s.peerLink.SetRevision(c.PeerRevision())
@@ -98,7 +98,7 @@
 		{"kinds", start.Settings.Kinds, c.Settings.Kinds},
 		{"zones", start.Settings.Zones, c.Settings.Zones},
 		{"zone", start.Settings.Zone, c.Settings.Zone},
-		{"peers_total", start.Settings.PeersTotal, c.Settings.PeersTotal},
+		{"peers_total", start.Settings.PeerCount, c.Settings.PeerCount},
 		{"peer_listen", start.PeerListen, c.PeerListen},
 		{"peers", start.Peers, c.Peers},
 		{"weights", start.Settings.Weights, c.Settings.Weights},
@@ -107,7 +107,7 @@
 		{"door", start.Admission, c.Admission},
 		{"web", start.Web == nil, c.Web == nil},
 		{"planners", start.Planners, c.Planners},
-		{"loops", start.Loops, c.Loops},
+		{"loops", start.EventLoops, c.EventLoops},
 	} {
 		if !reflect.DeepEqual(part.before, part.after) {
 			names = append(names, part.name)
--- a/scheduler/reload_test.go
+++ b/scheduler/reload_test.go
@@ -101,7 +101,7 @@
 
 	classes := c.config.Settings.Classes
 	strict := classes[0]
-	strict.Effect = "single_shot"
+	strict.Idempotency = "single_shot"
 	added := classes[0]
 	added.Name = "usage-view-ii"
 	c.config.Settings.Classes = append([]scheduler.Class{added, strict}, classes[2]) // plan-change is removed
@@ -161,7 +161,7 @@
 func checkInvalidFileRejected(t *testing.T, f *fleet, c *child) {
 	t.Helper()
 	c.config.Settings.Classes = append([]scheduler.Class(nil), c.config.Settings.Classes...)
-	c.config.Settings.Classes[0].Name, c.config.Settings.Classes[0].HardLimit = "other", -5
+	c.config.Settings.Classes[0].Name, c.config.Settings.Classes[0].ClientTimeout = "other", -5
 	previous := c.config.Discovery
 	c.config.Discovery = testkit.RefusingAddr(t)
 	c.write()
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -19,7 +19,7 @@
 //     The client side (dispatch.Client) posts the response to its connection's event loop.
 //
 // The reverse proxy (internal/reverseproxy) also creates an Exchange for each of its requests, with
-// its own planner and carrier.
+// its own planner and transport.
 package scheduler
 
 import (
@@ -110,7 +110,7 @@
 	}
 	s.acceptSuccessors()
 	s.options.Log.Info("serving", "name", s.config.Name, "listen", s.config.Listen,
-		"workers", len(s.config.Known.Members), "revision", s.config.Known.Revision)
+		"workers", len(s.config.KnownWorkers.Members), "revision", s.config.KnownWorkers.Revision)
 	<-ctx.Done()
 	return s.drain(workCtx)
 }
--- a/scheduler/tenants_test.go
+++ b/scheduler/tenants_test.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.config.Settings.Realms = nil
-	if err := json.Unmarshal(b, &c.config.Settings.Realms); err != nil {
+	c.config.Settings.Tenants = nil
+	if err := json.Unmarshal(b, &c.config.Settings.Tenants); err != nil {
 		c.t.Fatal(err)
 	}
 }
