--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
 // Benchlink runs instances of the decision module (package dispatcher) for the simulator
-// that scores it. It speaks the protocol of package wire on standard input and output.
+// that scores it. It speaks the protocol of package simprotocol on standard input and output.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"os"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/wire"
+	"sedgevale/internal/simprotocol"
 )
 
 func main() {
@@ -22,7 +22,7 @@
 // run replies to batches until the input ends. An error in a batch is reported in a FATAL
 // line, and the rest of the batch is skipped.
 func run(in io.Reader, out io.Writer) error {
-	reader := wire.NewReader(in)
+	reader := simprotocol.NewReader(in)
 	host := &instanceHost{instances: map[string]*dispatcher.Dispatcher{}}
 	for {
 		seq, err := reader.NextBatch()
@@ -33,7 +33,7 @@
 			return err
 		}
 		if err := host.handleBatch(reader); err != nil {
-			var syntax *wire.SyntaxError
+			var syntax *simprotocol.SyntaxError
 			if !errors.As(err, &syntax) && !errors.Is(err, errEventFailed) {
 				return err
 			}
@@ -54,12 +54,12 @@
 
 // instanceHost holds the running instances and the reply to the current batch.
 type instanceHost struct {
-	reply     wire.Writer
+	reply     simprotocol.Writer
 	instances map[string]*dispatcher.Dispatcher
 }
 
 // handleBatch delivers the events of a batch to their instances.
-func (h *instanceHost) handleBatch(reader *wire.Reader) error {
+func (h *instanceHost) handleBatch(reader *simprotocol.Reader) error {
 	for {
 		e, err := reader.NextEvent()
 		if e == nil || err != nil {
@@ -73,21 +73,21 @@
 }
 
 // handleEvent starts or stops an instance, or delivers an event to it. A panic of the instance becomes an error.
-func (h *instanceHost) handleEvent(e *wire.Event) (err error) {
+func (h *instanceHost) handleEvent(e *simprotocol.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
 		}
 	}()
 	switch e.Kind {
-	case wire.InstanceStarted:
+	case simprotocol.InstanceStarted:
 		d, err := dispatcher.New(e.Settings, e.Seed, &h.reply)
 		if err != nil {
 			return err
 		}
 		h.instances[e.Instance] = d
 		return nil
-	case wire.InstanceKilled:
+	case simprotocol.InstanceKilled:
 		delete(h.instances, e.Instance)
 		return nil
 	}
@@ -99,27 +99,27 @@
 }
 
 // deliver calls the method of an instance that handles the event.
-func deliver(d *dispatcher.Dispatcher, e *wire.Event) error {
+func deliver(d *dispatcher.Dispatcher, e *simprotocol.Event) error {
 	id, attempt := e.Result.ID, e.Result.Attempt
 	switch e.Kind {
-	case wire.WorkersUpdated:
+	case simprotocol.WorkersUpdated:
 		d.WorkersUpdated(e.Now, e.ListKind, e.Entries)
-	case wire.RequestArrived:
+	case simprotocol.RequestArrived:
 		return d.SubmitRequest(e.Now, e.Request)
-	case wire.AttemptEnded:
+	case simprotocol.AttemptEnded:
 		return d.AttemptEnded(e.Now, e.Result)
-	case wire.AttemptNotice:
+	case simprotocol.AttemptNotice:
 		if e.Started {
 			return d.AttemptStarted(e.Now, id, attempt)
 		}
 		return d.AttemptProgressed(e.Now, id, attempt, e.Progress)
-	case wire.StreamStarted:
+	case simprotocol.StreamStarted:
 		return d.StreamStarted(e.Now, id, attempt)
-	case wire.ProbeResult:
+	case simprotocol.ProbeResult:
 		d.ProbeResult(e.Now, e.Worker, e.Result.Report)
-	case wire.ClientDisconnected:
+	case simprotocol.ClientDisconnected:
 		d.ClientDisconnected(e.Now, id)
-	case wire.TimerFired:
+	case simprotocol.TimerFired:
 		d.TimerFired(e.Now, e.Token)
 	}
 	return nil
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatchdriver/endings_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package dispatchdriver
 
 import (
 	"context"
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatchdriver/exchange.go
@@ -1,10 +1,10 @@
-// Package dispatch runs [dispatcher.Dispatcher] instances: it feeds them events, keeps
+// Package dispatchdriver runs [dispatcher.Dispatcher] instances: it feeds them events, keeps
 // their timers and carries out their decisions. A [Planner] is the event loop of one
 // Dispatcher, an [Exchange] is one request with its attempts and its single final answer,
 // and a [Set] holds all planners of a process. Servers submit the requests of clients, and
 // a [Transport] sends the attempts to workers. The package does not depend on any wire
 // protocol and makes no scheduling decisions.
-package dispatch
+package dispatchdriver
 
 import (
 	"time"
--- a/internal/dispatch/planner_test.go
+++ b/internal/dispatchdriver/planner_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package dispatchdriver
 
 import (
 	"context"
@@ -260,10 +260,10 @@
 	}
 }
 
-// Tests that package dispatch does not depend on a wire protocol.
+// Tests that package dispatchdriver does not depend on a wire protocol.
 func TestNoProtocolImports(t *testing.T) {
 	files := 0
-	for name, f := range parseImports(t, ".", "dispatch") {
+	for name, f := range parseImports(t, ".", "dispatchdriver") {
 		files++
 		for _, imported := range f.Imports {
 			for _, protocol := range []string{"net", "gnet", "http", "httpd", "http1", "sse", "json", "upstream"} {
--- a/internal/dispatch/tally.go
+++ b/internal/dispatchdriver/tally.go
@@ -1,6 +1,6 @@
 //go:build tally
 
-package dispatch
+package dispatchdriver
 
 import (
 	"log/slog"
--- a/internal/fairqueue/driver/driver.go
+++ b/internal/fairqueue/driver/driver.go
@@ -6,28 +6,28 @@
 	"sync"
 	"time"
 
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/fairqueue"
 )
 
 // Planners dispatch admitted jobs. SubmitRequest submits the exchange of a job, and
 // ClientDisconnected reports that its client has disconnected.
 type Planners interface {
-	SubmitRequest(*dispatch.Exchange)
-	ClientDisconnected(*dispatch.Exchange)
+	SubmitRequest(*dispatchdriver.Exchange)
+	ClientDisconnected(*dispatchdriver.Exchange)
 }
 
 // Driver admits jobs to Planners. It implements Planners itself, so that servers can use either.
 type Driver struct {
 	planners      Planners
-	clock         dispatch.Clock
+	clock         dispatchdriver.Clock
 	maxRetryAfter time.Duration // longest Retry-After; 0 omits it
 
 	mu            sync.Mutex // guards the fields below
 	queue         *fairqueue.Queue
-	jobs          map[*dispatch.Exchange]*job // the jobs that are queued or in flight
-	classCost     map[string]float64          // moving average of the run time of a job in seconds, by class
-	pollScheduled bool                        // a poll timer is pending
+	jobs          map[*dispatchdriver.Exchange]*job // the jobs that are queued or in flight
+	classCost     map[string]float64                // moving average of the run time of a job in seconds, by class
+	pollScheduled bool                              // a poll timer is pending
 	stats         Stats
 }
 
@@ -38,10 +38,10 @@
 
 // job is a job that is queued or in flight.
 type job struct {
-	exchange   *dispatch.Exchange
+	exchange   *dispatchdriver.Exchange
 	request    fairqueue.Request
 	admitted   bool
-	admittedAt time.Duration // time of the dispatch.Clock
+	admittedAt time.Duration // time of the dispatchdriver.Clock
 }
 
 const (
@@ -53,7 +53,7 @@
 
 // New returns a Driver. maxRetryAfter is the longest Retry-After of a rejection; 0 omits it.
 // The error is that of fairqueue.New.
-func New(o fairqueue.Options, planners Planners, clock dispatch.Clock, maxRetryAfter time.Duration) (*Driver, error) {
+func New(o fairqueue.Options, planners Planners, clock dispatchdriver.Clock, maxRetryAfter time.Duration) (*Driver, error) {
 	if maxRetryAfter > 0 {
 		o.MaxRetryAfter = maxRetryAfter
 	}
@@ -62,11 +62,11 @@
 		return nil, err
 	}
 	return &Driver{planners: planners, clock: clock, maxRetryAfter: maxRetryAfter, queue: q,
-		jobs: map[*dispatch.Exchange]*job{}, classCost: map[string]float64{}}, nil
+		jobs: map[*dispatchdriver.Exchange]*job{}, classCost: map[string]float64{}}, nil
 }
 
 // SubmitRequest admits, queues or rejects a job.
-func (d *Driver) SubmitRequest(x *dispatch.Exchange) {
+func (d *Driver) SubmitRequest(x *dispatchdriver.Exchange) {
 	now := d.clock.Now()
 	d.mu.Lock()
 	tenant := -1
@@ -80,7 +80,7 @@
 	}
 	j := &job{exchange: x}
 	j.request = fairqueue.Request{Token: j, Tenant: tenant, Client: x.Client, Cost: d.costOf(x) * max(1, x.Slots), MaxWait: x.TimeLeft(now)/2 - responseMargin}
-	x.WrapClient(func(c dispatch.Client) dispatch.Client { return &releasingClient{c, d, j} })
+	x.WrapClient(func(c dispatchdriver.Client) dispatchdriver.Client { return &releasingClient{c, d, j} })
 	decision, after := d.queue.Arrive(now, j.request)
 	if decision != fairqueue.Rejected {
 		d.jobs[x] = j
@@ -113,7 +113,7 @@
 }
 
 // costOf returns the expected run time of a job in seconds. The caller holds mu.
-func (d *Driver) costOf(x *dispatch.Exchange) float64 {
+func (d *Driver) costOf(x *dispatchdriver.Exchange) float64 {
 	if c, ok := d.classCost[x.Class.Name]; ok {
 		return c
 	}
@@ -122,7 +122,7 @@
 
 // ClientDisconnected handles the disconnect of a job's client: it removes a queued job from the
 // queue, and reports the disconnect of any other job to the planners.
-func (d *Driver) ClientDisconnected(x *dispatch.Exchange) {
+func (d *Driver) ClientDisconnected(x *dispatchdriver.Exchange) {
 	d.mu.Lock()
 	j := d.jobs[x]
 	if j != nil && !j.admitted {
@@ -161,7 +161,7 @@
 // longer meet their deadlines.
 func (d *Driver) admitQueued() {
 	now := d.clock.Now()
-	var admitted []*dispatch.Exchange
+	var admitted []*dispatchdriver.Exchange
 	d.mu.Lock()
 	for {
 		r, ok := d.queue.Next(now)
@@ -243,13 +243,13 @@
 
 // releasingClient wraps a job's client and releases the job when it is answered.
 type releasingClient struct {
-	dispatch.Client
+	dispatchdriver.Client
 	driver *Driver
 	job    *job
 }
 
 // Respond passes the answer to the client and releases the job.
-func (l *releasingClient) Respond(a dispatch.Response) {
+func (l *releasingClient) Respond(a dispatchdriver.Response) {
 	l.Client.Respond(a)
-	l.driver.release(l.job, a.Kind == dispatch.Served)
+	l.driver.release(l.job, a.Kind == dispatchdriver.Served)
 }
--- a/internal/fairqueue/driver/driver_test.go
+++ b/internal/fairqueue/driver/driver_test.go
@@ -5,43 +5,43 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/fairqueue"
 	"sedgevale/internal/testkit"
 )
 
 // fakePlanners records the submitted jobs, and those whose clients have disconnected.
 type fakePlanners struct {
-	submitted    chan *dispatch.Exchange
-	disconnected chan *dispatch.Exchange
+	submitted    chan *dispatchdriver.Exchange
+	disconnected chan *dispatchdriver.Exchange
 }
 
-func (p *fakePlanners) SubmitRequest(x *dispatch.Exchange)      { p.submitted <- x }
-func (p *fakePlanners) ClientDisconnected(x *dispatch.Exchange) { p.disconnected <- x }
+func (p *fakePlanners) SubmitRequest(x *dispatchdriver.Exchange)      { p.submitted <- x }
+func (p *fakePlanners) ClientDisconnected(x *dispatchdriver.Exchange) { p.disconnected <- x }
 
 // fakeClient records its answers.
 type fakeClient struct {
-	answers chan dispatch.Response
+	answers chan dispatchdriver.Response
 }
 
-func (c *fakeClient) Started()                    {}
-func (c *fakeClient) Progress(float64)            {}
-func (c *fakeClient) Respond(a dispatch.Response) { c.answers <- a }
+func (c *fakeClient) Started()                          {}
+func (c *fakeClient) Progress(float64)                  {}
+func (c *fakeClient) Respond(a dispatchdriver.Response) { c.answers <- a }
 
 // newTestDriver returns a Driver with tenants a and b and a concurrency of 1, its planners, and a function that submits a job.
-func newTestDriver(t *testing.T) (*Driver, *fakePlanners, func(id string, tenant int, remaining time.Duration) (*dispatch.Exchange, *fakeClient)) {
+func newTestDriver(t *testing.T) (*Driver, *fakePlanners, func(id string, tenant int, remaining time.Duration) (*dispatchdriver.Exchange, *fakeClient)) {
 	t.Helper()
-	p := &fakePlanners{make(chan *dispatch.Exchange, 16), make(chan *dispatch.Exchange, 16)}
-	clock := dispatch.NewClock()
+	p := &fakePlanners{make(chan *dispatchdriver.Exchange, 16), make(chan *dispatchdriver.Exchange, 16)}
+	clock := dispatchdriver.NewClock()
 	d, err := New(fairqueue.Options{Tenants: []fairqueue.Tenant{{Name: "a", Share: 1}, {Name: "b", Share: 1}}, Concurrency: 1, MaxQueued: 2, Seed: 1}, p, clock,
 		2*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	class := &dispatcher.Class{Name: "view"}
-	return d, p, func(id string, tenant int, remaining time.Duration) (*dispatch.Exchange, *fakeClient) {
-		c := &fakeClient{answers: make(chan dispatch.Response, 4)}
-		x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: tenant, TenantName: []string{"a", "b"}[tenant], Client: id, Slots: 1}, clock.Now()+remaining, c)
+	return d, p, func(id string, tenant int, remaining time.Duration) (*dispatchdriver.Exchange, *fakeClient) {
+		c := &fakeClient{answers: make(chan dispatchdriver.Response, 4)}
+		x := dispatchdriver.NewExchange(dispatchdriver.Job{ID: id, Class: class, Tenant: tenant, TenantName: []string{"a", "b"}[tenant], Client: id, Slots: 1}, clock.Now()+remaining, c)
 		d.SubmitRequest(x)
 		return x, c
 	}
@@ -60,7 +60,7 @@
 	leaving, _ := submit("leaving", 1, 10*time.Second)
 	d.ClientDisconnected(leaving)
 	_, late := submit("late", 0, 200*time.Millisecond)
-	if a := testkit.Await(t, "the answer to the expired job", late.answers); a.Kind != dispatch.Rejected || a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
+	if a := testkit.Await(t, "the answer to the expired job", late.answers); a.Kind != dispatchdriver.Rejected || a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
 		t.Errorf("answer to the expired job: %+v", a)
 	}
 	if len(p.submitted) != 0 {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -8,7 +8,7 @@
 
 	"sedgevale/dispatcher"
 	"sedgevale/internal/discovery"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/sse"
 )
 
@@ -37,8 +37,8 @@
 		List: discovery.List{Revision: 7, Complete: true, Members: []discovery.Member{{
 			ID: "w", HostPort: "10.0.0.1:80", Locality: "z", Flavor: "f", Cell: 3, Phase: "ready", Size: 2.5, UpSince: 99,
 		}}},
-		Planners: []dispatch.HandoverState{{
-			Shared: dispatch.SiblingState{
+		Planners: []dispatchdriver.HandoverState{{
+			Shared: dispatchdriver.SiblingState{
 				Loads: map[string]dispatcher.Load{"w": {InFlight: 1.5, NotStarted: 2, WorkSent: 3.5}}, Opened: []string{"a"}, Ended: []string{"b"},
 			},
 			Learned: goldenLearned(),
@@ -46,7 +46,7 @@
 	}}, `{"state":{"source":"cG9ydCA9IDE=","list":{"revision":7,"complete":true,"members":[{"id":"w","host_port":"10.0.0.1:80","locality":"z","flavor":"f","cell":3,"phase":"ready","size":2.5,"up_since_ms":99}]},"discovery":"file","cordons":["w-1","w-2"],"planners":[{"shared":{"out":{"w":{"held":1.5,"waiting":2,"sent":3.5}},"opened":["a"],"ended":["b"]},"learned":{"classes":[{"name":"c","run":1.5,"base":2.5,"hint":3.5,"complete":4.5,"runs":5.5}],"tenants":[{"name":"t","sigma":6.5,"local":7.5,"arrived":8.5,"tokens":9.5}],"workers":[{"worker":"w","sigma":10.5,"pace":11.5,"bad":12.5,"free":13.5,"free_age":14.5,"cold":15.5,"credit":16.5,"suspect":17.5,"backoff":18.5,"rest":19.5,"rest_for":20.5}],"size":[21.5],"room":[22.5],"jobs":23.5,"work":24.5,"carry":25.5,"arrived":26.5,"prompt":27.5,"silent":28.5,"metered":29.5,"changes":30.5}}]}}`},
 	{Message{State: &State{}}, `{"state":{"list":{"revision":0,"complete":false,"members":null},"discovery":"","planners":null}}`},
 	{Message{Serving: true}, `{"serving":true}`},
-	{Message{PlannerUpdate: &PlannerUpdate{Planner: 2, Shared: dispatch.SiblingState{Loads: map[string]dispatcher.Load{"w": {InFlight: 0.5}}, Opened: []string{"a"}}}}, `{"share":{"planner":2,"shared":{"out":{"w":{"held":0.5}},"opened":["a"]}}}`},
+	{Message{PlannerUpdate: &PlannerUpdate{Planner: 2, Shared: dispatchdriver.SiblingState{Loads: map[string]dispatcher.Load{"w": {InFlight: 0.5}}, Opened: []string{"a"}}}}, `{"share":{"planner":2,"shared":{"out":{"w":{"held":0.5}},"opened":["a"]}}}`},
 	{Message{Order: &Order{Number: 5, Host: "w", Cordon: true}}, `{"order":{"number":5,"host":"w","out":true}}`},
 	{Message{ConfirmedOrder: 5, Descriptors: 12}, `{"done":5,"used":12}`},
 	{Message{Stream: &sse.Stream{
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -20,7 +20,7 @@
 	"golang.org/x/sys/unix"
 
 	"sedgevale/internal/discovery"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/sse"
 )
 
@@ -51,11 +51,11 @@
 
 // State is the state that the old process hands over.
 type State struct {
-	Source    []byte                   `json:"source,omitempty"` // the current configuration, in the platform's format
-	List      discovery.List           `json:"list"`             // of the workers
-	Discovery string                   `json:"discovery"`        // address of the service discovery that sent the list
-	Cordons   []string                 `json:"cordons,omitempty"`
-	Planners  []dispatch.HandoverState `json:"planners"`
+	Source    []byte                         `json:"source,omitempty"` // the current configuration, in the platform's format
+	List      discovery.List                 `json:"list"`             // of the workers
+	Discovery string                         `json:"discovery"`        // address of the service discovery that sent the list
+	Cordons   []string                       `json:"cordons,omitempty"`
+	Planners  []dispatchdriver.HandoverState `json:"planners"`
 }
 
 // Order is an operator's order to cordon or uncordon a worker. The process that receives it
@@ -68,8 +68,8 @@
 
 // PlannerUpdate is an update that a planner sends to its counterpart in the other process.
 type PlannerUpdate struct {
-	Planner int                   `json:"planner"`
-	Shared  dispatch.SiblingState `json:"shared"`
+	Planner int                         `json:"planner"`
+	Shared  dispatchdriver.SiblingState `json:"shared"`
 }
 
 // Message is one line of a Link. Each field that is set is an independent update.
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 
 	"sedgevale/internal/discovery"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/testkit"
 )
@@ -98,7 +98,7 @@
 	go host.Accept(hello, func() []*net.TCPListener { return []*net.TCPListener{l} }, func(s *Session) {
 		link := s.Link(loop, old, log)
 		link.Send(&Message{State: &State{List: discovery.List{Revision: 7}, Cordons: []string{"w"},
-			Planners: []dispatch.HandoverState{{Shared: dispatch.SiblingState{Opened: []string{"job"}}}}}})
+			Planners: []dispatchdriver.HandoverState{{Shared: dispatchdriver.SiblingState{Opened: []string{"job"}}}}}})
 		link.Send(&Message{Descriptors: 5})
 		links <- link
 	}, func(err error) { t.Error(err) })
--- a/internal/haproxy/samples_test.go
+++ b/internal/haproxy/samples_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/dispatch"
 	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/haproxy"
@@ -130,7 +130,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if s.proxy, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loop: loop, Clock: dispatch.NewClock(), Seed: 1, Budget: fdlimit.New(0), Log: log}); err != nil {
+	if s.proxy, err = reverseproxy.New(reverseproxy.Options{Config: c.Web, Loop: loop, Clock: dispatchdriver.NewClock(), Seed: 1, Budget: fdlimit.New(0), Log: log}); err != nil {
 		s.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/jobrequest/jobrequest.go
+++ b/internal/jobrequest/jobrequest.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
 )
@@ -30,7 +30,7 @@
 
 // Parser parses requests. It may be used by several goroutines.
 type Parser struct {
-	clock    dispatch.Clock
+	clock    dispatchdriver.Clock
 	settings *atomic.Pointer[Settings] // shared with the parsers returned by WithMargin
 	margin   time.Duration             // subtracted from timeouts in addition to responseMargin
 }
@@ -42,7 +42,7 @@
 }
 
 // New returns a Parser with the given settings. Its deadlines are times on the clock.
-func New(clock dispatch.Clock, s *Settings) *Parser {
+func New(clock dispatchdriver.Clock, s *Settings) *Parser {
 	p := &Parser{clock: clock, settings: &atomic.Pointer[Settings]{}}
 	p.settings.Store(s)
 	return p
@@ -95,8 +95,8 @@
 // Parse returns a request's job and its deadline on the clock. The id and the timeout are the
 // defaults for a request that does not contain them; with zero values such a request is rejected.
 // The error is an *Error.
-func (p *Parser) Parse(q *httpd.Request, id string, timeout time.Duration) (dispatch.Job, time.Duration, error) {
-	j := dispatch.Job{ID: id, Tenant: -1, Slots: 1, Method: q.Method, Target: q.Target, Body: q.Body}
+func (p *Parser) Parse(q *httpd.Request, id string, timeout time.Duration) (dispatchdriver.Job, time.Duration, error) {
+	j := dispatchdriver.Job{ID: id, Tenant: -1, Slots: 1, Method: q.Method, Target: q.Target, Body: q.Body}
 	settings := p.settings.Load()
 	f := requestFields{job: &j, timeout: timeout}
 	if err := f.read(q.Fields); err != nil {
@@ -126,7 +126,7 @@
 // requestFields holds the values of a request's header fields: those that are copied to the job,
 // and those that Parse still has to resolve.
 type requestFields struct {
-	job                                  *dispatch.Job
+	job                                  *dispatchdriver.Job
 	class, tenant, workHint, requestInfo string
 	timeout                              time.Duration
 }
@@ -198,7 +198,7 @@
 
 // parseRequestInfo parses the pairs in Request-Info. Only slots is used for scheduling; other pairs
 // are ignored.
-func parseRequestInfo(j *dispatch.Job, info string) error {
+func parseRequestInfo(j *dispatchdriver.Job, info string) error {
 	for pair := range strings.SplitSeq(info, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if name != "slots" {
--- a/internal/jobrequest/jobrequest_test.go
+++ b/internal/jobrequest/jobrequest_test.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
 )
 
 // newParser returns a Parser with two classes and two tenants.
 func newParser() *Parser {
-	return New(dispatch.NewClock(), &Settings{Classes: []dispatcher.Class{{Name: "free"}, {Name: "key", Idempotency: dispatcher.IdempotentByKey}},
+	return New(dispatchdriver.NewClock(), &Settings{Classes: []dispatcher.Class{{Name: "free"}, {Name: "key", Idempotency: dispatcher.IdempotentByKey}},
 		Tenants: []dispatcher.Tenant{{Name: "a"}, {Name: "b"}}})
 }
 
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := dispatch.Job{ID: "r1", Class: p.Class("key"), Tenant: 1, TenantName: "b", AffinityKey: "k", ClientRetry: true, Slots: 1.5, IdempotencyKey: "once",
+	want := dispatchdriver.Job{ID: "r1", Class: p.Class("key"), Tenant: 1, TenantName: "b", AffinityKey: "k", ClientRetry: true, Slots: 1.5, IdempotencyKey: "once",
 		RuntimeHint: 2500 * time.Microsecond, Target: "/key/sub?x=1", Method: "POST", Body: []byte("x")}
 	if want.Class == nil || want.Class.Name != "key" || !reflect.DeepEqual(j, want) {
 		t.Errorf("job %+v, want %+v", j, want)
--- a/internal/journal/recorder/recorder.go
+++ b/internal/journal/recorder/recorder.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
 	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/journal"
 	"sedgevale/internal/journal/store"
 )
 
-// Recorder implements dispatch.Journal. Its methods are safe for concurrent use.
+// Recorder implements dispatchdriver.Journal. Its methods are safe for concurrent use.
 type Recorder struct {
 	store           *store.Store
 	options         store.Options
@@ -61,9 +61,9 @@
 
 func nowMicros() int64 { return time.Now().UnixMicro() }
 
-// Register implements dispatch.Journal. It records the acceptance of a job if its class is recorded, and returns the job's
+// Register implements dispatchdriver.Journal. It records the acceptance of a job if its class is recorded, and returns the job's
 // serial, or 0 if the job has no record. ok is false if the job must be rejected because the journal is full.
-func (r *Recorder) Register(j *dispatch.Job) (uint64, bool) {
+func (r *Recorder) Register(j *dispatchdriver.Job) (uint64, bool) {
 	if !r.recordedClasses[j.Class.Name] {
 		return 0, true
 	}
@@ -81,40 +81,40 @@
 	return serial, true
 }
 
-// RecordIntent implements dispatch.Journal. It records that an attempt is about to be sent, and calls done once that record is
+// RecordIntent implements dispatchdriver.Journal. It records that an attempt is about to be sent, and calls done once that record is
 // durable or has failed.
 func (r *Recorder) RecordIntent(serial uint64, attempt int, id, worker string, done func(ok bool)) {
 	r.store.Put(journal.Record{Kind: journal.Intent, Serial: serial, At: nowMicros(), JobID: id, Attempt: attempt, Worker: worker},
 		func(err error) { done(err == nil) })
 }
 
-// AttemptSent implements dispatch.Journal. It records that an attempt was sent.
+// AttemptSent implements dispatchdriver.Journal. It records that an attempt was sent.
 func (r *Recorder) AttemptSent(serial uint64, attempt int) {
 	r.store.Put(journal.Record{Kind: journal.Sent, Serial: serial, At: nowMicros(), Attempt: attempt}, nil)
 }
 
-// AttemptStarted implements dispatch.Journal. It records that a worker started an attempt.
+// AttemptStarted implements dispatchdriver.Journal. It records that a worker started an attempt.
 func (r *Recorder) AttemptStarted(serial uint64, attempt int) {
 	r.store.Put(journal.Record{Kind: journal.Started, Serial: serial, At: nowMicros(), Attempt: attempt}, nil)
 }
 
-// AttemptEnded implements dispatch.Journal. It records the outcome of an attempt and whether the attempt is known never to have
+// AttemptEnded implements dispatchdriver.Journal. It records the outcome of an attempt and whether the attempt is known never to have
 // run.
 func (r *Recorder) AttemptEnded(serial uint64, attempt int, o dispatcher.Outcome, neverRan bool) {
 	r.store.Put(journal.Record{Kind: journal.Ended, Serial: serial, At: nowMicros(), Attempt: attempt,
 		Code: uint8(journal.OutcomeOf(o)), NeverRan: neverRan}, nil)
 }
 
-var answerKinds = map[dispatch.ResponseKind]journal.AnswerKind{
-	dispatch.Served: journal.Served, dispatch.Rejected: journal.Rejected, dispatch.Failed: journal.Failed,
+var answerKinds = map[dispatchdriver.ResponseKind]journal.AnswerKind{
+	dispatchdriver.Served: journal.Served, dispatchdriver.Rejected: journal.Rejected, dispatchdriver.Failed: journal.Failed,
 }
 
-// Answered implements dispatch.Journal. It records the final answer to the client.
-func (r *Recorder) Answered(serial uint64, a dispatch.Response) {
+// Answered implements dispatchdriver.Journal. It records the final answer to the client.
+func (r *Recorder) Answered(serial uint64, a dispatchdriver.Response) {
 	r.store.Put(journal.Record{Kind: journal.Answered, Serial: serial, At: nowMicros(), Code: uint8(answerKinds[a.Kind]), Text: a.Reason}, nil)
 }
 
-// ClientDisconnected implements dispatch.Journal. It records that the client disconnected before its answer.
+// ClientDisconnected implements dispatchdriver.Journal. It records that the client disconnected before its answer.
 func (r *Recorder) ClientDisconnected(serial uint64) {
 	r.store.Put(journal.Record{Kind: journal.ClientGone, Serial: serial, At: nowMicros()}, nil)
 }
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -15,7 +15,7 @@
 
 	"sedgevale/dispatcher"
 	"sedgevale/internal/discovery"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/peers"
 )
 
@@ -42,8 +42,8 @@
 	Revision         peers.Revision   // revision in force at the start; gossiped only with failure detection
 	MinSubscribers   int              // minimum number of subscribers per worker
 	MinSubset        int              // minimum number of workers per subset
-	Planners         []*dispatch.Planner
-	Clock            dispatch.Clock
+	Planners         []*dispatchdriver.Planner
+	Clock            dispatchdriver.Clock
 	Log              *slog.Logger
 }
 
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -10,31 +10,31 @@
 
 	"sedgevale/dispatcher"
 	"sedgevale/internal/discovery"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/testkit"
 )
 
 // transport records the attempts that a planner sends.
-type transport struct{ sent chan *dispatch.Attempt }
+type transport struct{ sent chan *dispatchdriver.Attempt }
 
-func (c *transport) Send(a *dispatch.Attempt)        { c.sent <- a }
-func (c *transport) Cancel(*dispatch.Attempt)        {}
-func (c *transport) CancelUnsent(*dispatch.Attempt)  {}
-func (c *transport) Probe(string, *dispatch.Planner) {}
-func (c *transport) CloseIdleConnections(string)     {}
+func (c *transport) Send(a *dispatchdriver.Attempt)        { c.sent <- a }
+func (c *transport) Cancel(*dispatchdriver.Attempt)        {}
+func (c *transport) CancelUnsent(*dispatchdriver.Attempt)  {}
+func (c *transport) Probe(string, *dispatchdriver.Planner) {}
+func (c *transport) CloseIdleConnections(string)           {}
 
 type client struct{}
 
-func (client) Started()                  {}
-func (client) Progress(float64)          {}
-func (client) Respond(dispatch.Response) {}
+func (client) Started()                        {}
+func (client) Progress(float64)                {}
+func (client) Respond(dispatchdriver.Response) {}
 
 // testScheduler is a planner with its Link to the other schedulers.
 type testScheduler struct {
-	planner   *dispatch.Planner
+	planner   *dispatchdriver.Planner
 	transport *transport
 	link      *Link
-	clock     dispatch.Clock
+	clock     dispatchdriver.Clock
 	class     *dispatcher.Class
 }
 
@@ -43,14 +43,14 @@
 func startScheduler(t *testing.T, self int, addrs []netip.AddrPort) *testScheduler {
 	t.Helper()
 	settings := dispatcher.Settings{Classes: []dispatcher.Class{{Name: "free", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second}}, MaxAttempts: 2}
-	s := &testScheduler{transport: &transport{make(chan *dispatch.Attempt, 16)}, clock: dispatch.NewClock(), class: &settings.Classes[0]}
+	s := &testScheduler{transport: &transport{make(chan *dispatchdriver.Attempt, 16)}, clock: dispatchdriver.NewClock(), class: &settings.Classes[0]}
 	log := slog.New(slog.DiscardHandler)
 	var err error
-	if s.planner, err = dispatch.NewPlanner(settings, uint64(self), s.clock, s.transport, func() {}, log); err != nil {
+	if s.planner, err = dispatchdriver.NewPlanner(settings, uint64(self), s.clock, s.transport, func() {}, log); err != nil {
 		t.Fatal(err)
 	}
 	s.link = New(Options{Listen: addrs[self], Peers: addrs, Self: self, Site: 1, MinSubscribers: 12, MinSubset: 6,
-		Planners: []*dispatch.Planner{s.planner}, Clock: s.clock, Log: log})
+		Planners: []*dispatchdriver.Planner{s.planner}, Clock: s.clock, Log: log})
 	var infos []dispatcher.WorkerInfo
 	for _, m := range workerList.Members {
 		infos = append(infos, dispatcher.WorkerInfo{Name: m.ID})
@@ -67,7 +67,7 @@
 
 func (s *testScheduler) submit(t *testing.T, id string) (worker string) {
 	t.Helper()
-	s.planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: id, Class: s.class, Tenant: -1}, s.clock.Now()+5*time.Second, client{}))
+	s.planner.SubmitRequest(dispatchdriver.NewExchange(dispatchdriver.Job{ID: id, Class: s.class, Tenant: -1}, s.clock.Now()+5*time.Second, client{}))
 	return testkit.Await(t, "a job at a worker", s.transport.sent).Worker
 }
 
--- a/internal/peerlink/revision_test.go
+++ b/internal/peerlink/revision_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/peers"
 	"sedgevale/internal/testkit"
 )
@@ -18,7 +18,7 @@
 func startLink(t *testing.T, self int, addrs []netip.AddrPort, failureDetection bool, r peers.Revision) *Link {
 	t.Helper()
 	l := New(Options{Listen: addrs[self], Peers: addrs, Self: self, Site: 1, FailureDetection: failureDetection, Seed: uint64(self), MinSubscribers: 2, MinSubset: 1,
-		Revision: r, Clock: dispatch.NewClock(), Log: slog.New(slog.DiscardHandler)})
+		Revision: r, Clock: dispatchdriver.NewClock(), Log: slog.New(slog.DiscardHandler)})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { l.Run(ctx); close(done) }()
@@ -79,7 +79,7 @@
 func TestLagsAreLogged(t *testing.T) {
 	addrs := addresses(t, 9)
 	var out bytes.Buffer
-	l := New(Options{Listen: addrs[0], Peers: addrs, Self: 0, Site: 1, FailureDetection: true, Clock: dispatch.NewClock(), Log: slog.New(slog.NewTextHandler(&out, nil))})
+	l := New(Options{Listen: addrs[0], Peers: addrs, Self: 0, Site: 1, FailureDetection: true, Clock: dispatchdriver.NewClock(), Log: slog.New(slog.NewTextHandler(&out, nil))})
 	lag := func(number int, caughtUp bool) peers.Lag {
 		return peers.Lag{Number: number, Revision: 40, Newest: 41, BehindFor: 15_300 * time.Millisecond, CaughtUp: caughtUp}
 	}
--- a/internal/platformapi/golden_test.go
+++ b/internal/platformapi/golden_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/httpd"
 	"sedgevale/internal/jobrequest"
@@ -22,15 +22,15 @@
 type goldenPlanners struct{}
 
 // goldenAnswers holds the answers by job ID.
-var goldenAnswers = map[string]dispatch.Response{
-	"served":       {Kind: dispatch.Served, Result: []byte("the result\x00")},
-	"refused":      {Kind: dispatch.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "too much to do"},
-	"refused-bare": {Kind: dispatch.Rejected, Reason: "no worker"},
-	"failed":       {Kind: dispatch.Failed, Reason: "the worker failed", MayHaveRun: true},
+var goldenAnswers = map[string]dispatchdriver.Response{
+	"served":       {Kind: dispatchdriver.Served, Result: []byte("the result\x00")},
+	"refused":      {Kind: dispatchdriver.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "too much to do"},
+	"refused-bare": {Kind: dispatchdriver.Rejected, Reason: "no worker"},
+	"failed":       {Kind: dispatchdriver.Failed, Reason: "the worker failed", MayHaveRun: true},
 }
 
-func (goldenPlanners) SubmitRequest(x *dispatch.Exchange) {
-	x.WrapClient(func(client dispatch.Client) dispatch.Client {
+func (goldenPlanners) SubmitRequest(x *dispatchdriver.Exchange) {
+	x.WrapClient(func(client dispatchdriver.Client) dispatchdriver.Client {
 		client.Started()
 		client.Progress(0.5)
 		client.Respond(goldenAnswers[x.ID])
@@ -38,7 +38,7 @@
 	})
 }
 
-func (goldenPlanners) ClientDisconnected(*dispatch.Exchange) {}
+func (goldenPlanners) ClientDisconnected(*dispatchdriver.Exchange) {}
 
 // exchange sends the bytes of a request on a new connection and returns the bytes of the response.
 func exchange(t *testing.T, addr, request string) string {
@@ -71,7 +71,7 @@
 // Tests that the responses of the platform's protocol do not change in any byte.
 func TestResponseBytes(t *testing.T) {
 	var ready atomic.Bool
-	parser := jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{
+	parser := jobrequest.New(dispatchdriver.NewClock(), &jobrequest.Settings{
 		Classes: []dispatcher.Class{{Name: "free"}, {Name: "keyed", Idempotency: dispatcher.IdempotentByKey}},
 		Tenants: []dispatcher.Tenant{{Name: "co-op"}},
 	})
--- a/internal/platformapi/platformapi.go
+++ b/internal/platformapi/platformapi.go
@@ -6,18 +6,18 @@
 	"errors"
 	"strconv"
 
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
 	"sedgevale/internal/jobrequest"
 )
 
-// Planners accepts jobs; [dispatch.Set] implements it.
+// Planners accepts jobs; [dispatchdriver.Set] implements it.
 type Planners interface {
 	// SubmitRequest submits an exchange.
-	SubmitRequest(*dispatch.Exchange)
+	SubmitRequest(*dispatchdriver.Exchange)
 	// ClientDisconnected reports that the client of an exchange has disconnected.
-	ClientDisconnected(*dispatch.Exchange)
+	ClientDisconnected(*dispatchdriver.Exchange)
 }
 
 // Handler implements [httpd.Handler] for the platform's protocol.
@@ -43,14 +43,14 @@
 		Reject(c, err)
 		return
 	}
-	x := dispatch.NewExchange(job, deadline, responder{c})
+	x := dispatchdriver.NewExchange(job, deadline, responder{c})
 	c.State = x
 	h.planners.SubmitRequest(x)
 }
 
 // Disconnected reports to the planners that a client has disconnected before its response.
 func (h *Handler) Disconnected(c *httpd.Conn) {
-	if x, ok := c.State.(*dispatch.Exchange); ok {
+	if x, ok := c.State.(*dispatchdriver.Exchange); ok {
 		h.planners.ClientDisconnected(x)
 	}
 }
@@ -83,27 +83,27 @@
 	c.RespondLast(status, fields, []byte(err.Error()+"\n"))
 }
 
-// responder implements [dispatch.Client] for a connection that waits for the response.
+// responder implements [dispatchdriver.Client] for a connection that waits for the response.
 type responder struct{ conn *httpd.Conn }
 
 func (responder) Started()         {}
 func (responder) Progress(float64) {}
 
 // Respond responds with the answer on the event loop of the connection.
-func (r responder) Respond(a dispatch.Response) {
+func (r responder) Respond(a dispatchdriver.Response) {
 	r.conn.Post(func(c *httpd.Conn) {
 		c.State = nil
 		switch a.Kind {
-		case dispatch.Served:
+		case dispatchdriver.Served:
 			c.Respond(200, nil, a.Result)
-		case dispatch.Rejected:
+		case dispatchdriver.Rejected:
 			var fields []http1.Field
 			if a.RetryAfter > 0 {
 				fields = []http1.Field{{Name: "Retry-After",
 					Value: strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)}}
 			}
 			c.Respond(503, fields, []byte(a.Reason+"\n"))
-		case dispatch.Failed:
+		case dispatchdriver.Failed:
 			c.Respond(500, nil, []byte(a.Reason+"\n"))
 		}
 	})
--- a/internal/reverseproxy/helpers_test.go
+++ b/internal/reverseproxy/helpers_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"sedgevale/internal/dispatch"
 	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/route"
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = loop.Stop() })
-	p, err = New(Options{Config: w, Loops: 1, Loop: loop, Clock: dispatch.NewClock(), Seed: 1, Budget: fdlimit.New(0), Log: log})
+	p, err = New(Options{Config: w, Loops: 1, Loop: loop, Clock: dispatchdriver.NewClock(), Seed: 1, Budget: fdlimit.New(0), Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/reverseproxy/proxy.go
+++ b/internal/reverseproxy/proxy.go
@@ -1,5 +1,5 @@
 // Package reverseproxy implements a general-purpose HTTP/1.1 reverse proxy. It shares the event loops,
-// dispatch.Exchange and the decision module with the job frontends. Routing rules select the backend of a request,
+// dispatchdriver.Exchange and the decision module with the job frontends. Routing rules select the backend of a request,
 // the backend's pool selects the server, and the decision module decides whether and when the request is sent.
 // Event loops forward request bodies of up to 64 KiB (httpd.MaxBody) and response bodies of up to 256 KiB
 // (maxBufferedBody); goroutines forward longer bodies and tunnels, reading no faster than they can write.
@@ -17,8 +17,8 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
 	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/httpd"
@@ -30,18 +30,18 @@
 // Options configures a Proxy.
 type Options struct {
 	Config *dispatchconfig.Web
-	Loops  int              // number of event loops for each listener
-	Loop   *evloop.Loop     // event loop for connections to servers
-	Clock  dispatch.Clock   // clock of the planner and the pools
-	Seed   uint64           // seed of the planner's random number generator
-	Budget *fdlimit.Limiter // limiter of open file descriptors
+	Loops  int                  // number of event loops for each listener
+	Loop   *evloop.Loop         // event loop for connections to servers
+	Clock  dispatchdriver.Clock // clock of the planner and the pools
+	Seed   uint64               // seed of the planner's random number generator
+	Budget *fdlimit.Limiter     // limiter of open file descriptors
 	Log    *slog.Logger
 }
 
 // Proxy is a reverse proxy with all its frontends and backends.
 type Proxy struct {
 	opt         Options
-	planners    *dispatch.Set
+	planners    *dispatchdriver.Set
 	transport   *transport
 	servers     []*httpd.Server
 	nextRequest atomic.Uint64    // sequence number of the last request
@@ -98,11 +98,11 @@
 	if err != nil {
 		return nil, err
 	}
-	planner, err := dispatch.NewPlanner(p.moduleSettings(active), o.Seed, o.Clock, p.transport, func() {}, o.Log)
+	planner, err := dispatchdriver.NewPlanner(p.moduleSettings(active), o.Seed, o.Clock, p.transport, func() {}, o.Log)
 	if err != nil {
 		return nil, err
 	}
-	p.planners = dispatch.NewSet(planner)
+	p.planners = dispatchdriver.NewSet(planner)
 	p.install(active)
 	for _, f := range o.Config.Frontends {
 		timeout := dispatchconfig.Seconds(f.RequestTimeout)
--- a/internal/reverseproxy/request.go
+++ b/internal/reverseproxy/request.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
 	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
 	"sedgevale/internal/pool"
@@ -25,7 +25,7 @@
 }
 
 // proxyRequest is a client's request until its response has ended. Each attempt on a server has its own
-// dispatch.Exchange. The responder writes to the client.
+// dispatchdriver.Exchange. The responder writes to the client.
 //
 // Lock order: backend.mu is acquired before proxyRequest.mu.
 type proxyRequest struct {
@@ -46,7 +46,7 @@
 	attempts    int
 	server      string // name of the server on which the request holds a connection slot; "" for none
 	serverIndex int    // pool index of the server of the last attempt
-	exchange    *dispatch.Exchange
+	exchange    *dispatchdriver.Exchange
 	cause       string // cause of the last failure, as named in retry_on
 	sent        bool   // whether the request has been written to the server
 	responding  bool   // whether a response head is being forwarded to the client
@@ -291,13 +291,13 @@
 	if r.transfer != nil { // the upload takes as long as the client needs; the transfer enforces its own timeouts
 		limit = maxTransferTime
 	}
-	r.exchange = dispatch.NewExchange(dispatch.Job{ID: r.proxy.requestID(), Class: class, Tenant: -1, Slots: 1, Payload: r}, now+limit, &exchangeClient{r})
+	r.exchange = dispatchdriver.NewExchange(dispatchdriver.Job{ID: r.proxy.requestID(), Class: class, Tenant: -1, Slots: 1, Payload: r}, now+limit, &exchangeClient{r})
 	x := r.exchange
 	r.mu.Unlock()
 	r.proxy.planners.SubmitRequest(x)
 }
 
-// exchangeClient implements dispatch.Client for a proxyRequest.
+// exchangeClient implements dispatchdriver.Client for a proxyRequest.
 type exchangeClient struct{ request *proxyRequest }
 
 func (*exchangeClient) Started()         {}
@@ -306,9 +306,9 @@
 // Respond is called on the planner's goroutine with the outcome of an attempt. Served means that a response head has
 // arrived, which the transport or the transfer forwards. Rejected means that the request has not run or is safe to
 // retry, so that it may be sent to another server.
-func (s *exchangeClient) Respond(a dispatch.Response) {
+func (s *exchangeClient) Respond(a dispatchdriver.Response) {
 	r := s.request
-	if a.Kind == dispatch.Served {
+	if a.Kind == dispatchdriver.Served {
 		return
 	}
 	r.mu.Lock()
@@ -331,7 +331,7 @@
 	if cause == "" && sent { // the planner ended the attempt before the transport recorded a cause
 		cause = "response-timeout"
 	}
-	retry := a.Kind == dispatch.Rejected && r.mayRetry(cause)
+	retry := a.Kind == dispatchdriver.Rejected && r.mayRetry(cause)
 	if cause == "conn-failure" && server != "" {
 		r.backend.recordConnectFailure(server)
 	}
--- a/internal/reverseproxy/transfer.go
+++ b/internal/reverseproxy/transfer.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
 )
@@ -27,9 +27,9 @@
 type transfer struct {
 	request  *proxyRequest
 	client   *httpd.Detached
-	attempts chan *dispatch.Attempt // attempts that the planner has sent
-	replies  chan localReply        // at most one response that the proxy generated
-	ctx      context.Context        // canceled by stop and when the proxy stops
+	attempts chan *dispatchdriver.Attempt // attempts that the planner has sent
+	replies  chan localReply              // at most one response that the proxy generated
+	ctx      context.Context              // canceled by stop and when the proxy stops
 	cancel   context.CancelFunc
 
 	// mu guards the fields below.
@@ -50,7 +50,7 @@
 
 func newTransfer(r *proxyRequest, c *httpd.Detached) *transfer {
 	ctx, cancel := context.WithCancel(r.proxy.goroutines.Context())
-	return &transfer{request: r, client: c, attempts: make(chan *dispatch.Attempt, 1), replies: make(chan localReply, 1), ctx: ctx, cancel: cancel}
+	return &transfer{request: r, client: c, attempts: make(chan *dispatchdriver.Attempt, 1), replies: make(chan localReply, 1), ctx: ctx, cancel: cancel}
 }
 
 func (t *transfer) reply(status int, fields []http1.Field, body []byte, _ bool) {
@@ -144,7 +144,7 @@
 
 // attempt sends the request to a server and forwards the response. It returns true if another attempt or a reply
 // follows.
-func (t *transfer) attempt(attempt *dispatch.Attempt) (more bool) {
+func (t *transfer) attempt(attempt *dispatchdriver.Attempt) (more bool) {
 	r := t.request
 	addr, connect, wait := t.target()
 	if !r.proxy.opt.Budget.Acquire() {
@@ -194,7 +194,7 @@
 }
 
 // reportOutcome reports the outcome of an attempt to the planner.
-func (t *transfer) reportOutcome(attempt *dispatch.Attempt, o dispatcher.Outcome) {
+func (t *transfer) reportOutcome(attempt *dispatchdriver.Attempt, o dispatcher.Outcome) {
 	if cause := retryCauses[o]; cause != "" {
 		t.request.recordCause(cause)
 	}
--- a/internal/reverseproxy/transport.go
+++ b/internal/reverseproxy/transport.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/http1"
 )
@@ -25,14 +25,14 @@
 	ready          bool // whether requests may be sent to the server
 }
 
-// transport sends requests to servers over pooled connections. It implements dispatch.Transport for the planner.
+// transport sends requests to servers over pooled connections. It implements dispatchdriver.Transport for the planner.
 type transport struct {
 	proxy *Proxy
 	loop  *evloop.Loop
 
 	// The maps below are used on the event loop only.
 	servers   map[string]*server // by serverInfo.id
-	attempts  map[*dispatch.Attempt]*upstreamAttempt
+	attempts  map[*dispatchdriver.Attempt]*upstreamAttempt
 	byRequest map[*proxyRequest]*upstreamAttempt // attempts that no transfer has taken over
 
 	mu    sync.Mutex      // guards ready
@@ -48,7 +48,7 @@
 
 // upstreamAttempt is the transport's state of an attempt. It must be used on the event loop only.
 type upstreamAttempt struct {
-	attempt  *dispatch.Attempt
+	attempt  *dispatchdriver.Attempt
 	request  *proxyRequest
 	server   *server     // nil if removed from the configuration
 	conn     *serverConn // nil if not sent
@@ -57,7 +57,7 @@
 }
 
 func newTransport(p *Proxy) *transport {
-	return &transport{proxy: p, loop: p.opt.Loop, servers: map[string]*server{}, attempts: map[*dispatch.Attempt]*upstreamAttempt{},
+	return &transport{proxy: p, loop: p.opt.Loop, servers: map[string]*server{}, attempts: map[*dispatchdriver.Attempt]*upstreamAttempt{},
 		byRequest: map[*proxyRequest]*upstreamAttempt{}, ready: map[string]bool{}}
 }
 
@@ -113,7 +113,7 @@
 }
 
 // Send sends an attempt to its server.
-func (tr *transport) Send(attempt *dispatch.Attempt) {
+func (tr *transport) Send(attempt *dispatchdriver.Attempt) {
 	r := attempt.Payload.(*proxyRequest)
 	tr.loop.Do(func() {
 		ua := &upstreamAttempt{attempt: attempt, request: r, server: tr.servers[attempt.Worker]}
@@ -133,7 +133,7 @@
 }
 
 // Cancel cancels an attempt by closing its connection.
-func (tr *transport) Cancel(attempt *dispatch.Attempt) {
+func (tr *transport) Cancel(attempt *dispatchdriver.Attempt) {
 	tr.loop.Do(func() {
 		if ua := tr.attempts[attempt]; ua != nil {
 			if ua.request.transfer != nil && ua.done {
@@ -148,7 +148,7 @@
 }
 
 // CancelUnsent cancels an attempt unless its request has been sent or is forwarded by a transfer.
-func (tr *transport) CancelUnsent(attempt *dispatch.Attempt) {
+func (tr *transport) CancelUnsent(attempt *dispatchdriver.Attempt) {
 	tr.loop.Do(func() {
 		if ua := tr.attempts[attempt]; ua != nil && ua.conn == nil && ua.request.transfer == nil {
 			tr.end(ua, dispatcher.NotSent)
@@ -157,7 +157,7 @@
 }
 
 // Probe immediately returns a result without a load report, because the proxy's servers do not report load.
-func (tr *transport) Probe(worker string, p *dispatch.Planner) { p.ProbeResult(worker, nil) }
+func (tr *transport) Probe(worker string, p *dispatchdriver.Planner) { p.ProbeResult(worker, nil) }
 
 // CloseIdleConnections closes a server's idle connections.
 func (tr *transport) CloseIdleConnections(id string) {
--- a/internal/wire/fields.go
+++ b/internal/simprotocol/fields.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bufio"
--- a/internal/wire/reader.go
+++ b/internal/simprotocol/reader.go
@@ -1,8 +1,8 @@
-// Package wire reads and writes zinc-4b3b, the line-based text protocol between cmd/benchlink and
+// Package simprotocol reads and writes zinc-4b3b, the line-based text protocol between cmd/benchlink and
 // the simulator that scores the decision module: a Reader parses batches of events, a Writer
 // encodes replies with actions. The keywords are the protocol's; identifiers follow the decision
 // module (package dispatcher).
-package wire
+package simprotocol
 
 import (
 	"bufio"
--- a/internal/sse/golden_test.go
+++ b/internal/sse/golden_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/httpd"
 	"sedgevale/internal/jobrequest"
@@ -23,16 +23,16 @@
 // goldenPlanners answers each request with the entry of goldenAnswers for its id.
 type goldenPlanners struct{}
 
-var goldenAnswers = map[string]dispatch.Response{
-	"served":       {Kind: dispatch.Served, Result: []byte("the \"result\"\n")},
-	"refused":      {Kind: dispatch.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "too much to do"},
-	"refused-bare": {Kind: dispatch.Rejected, Reason: "no worker"},
-	"failed":       {Kind: dispatch.Failed, Reason: "the worker failed", MayHaveRun: true},
-	"not-run":      {Kind: dispatch.Failed, Reason: "none was there"},
+var goldenAnswers = map[string]dispatchdriver.Response{
+	"served":       {Kind: dispatchdriver.Served, Result: []byte("the \"result\"\n")},
+	"refused":      {Kind: dispatchdriver.Rejected, RetryAfter: 1500 * time.Millisecond, Reason: "too much to do"},
+	"refused-bare": {Kind: dispatchdriver.Rejected, Reason: "no worker"},
+	"failed":       {Kind: dispatchdriver.Failed, Reason: "the worker failed", MayHaveRun: true},
+	"not-run":      {Kind: dispatchdriver.Failed, Reason: "none was there"},
 }
 
-func (goldenPlanners) SubmitRequest(x *dispatch.Exchange) {
-	x.WrapClient(func(client dispatch.Client) dispatch.Client {
+func (goldenPlanners) SubmitRequest(x *dispatchdriver.Exchange) {
+	x.WrapClient(func(client dispatchdriver.Client) dispatchdriver.Client {
 		client.Started()
 		client.Progress(0.25)
 		client.Respond(goldenAnswers[x.ID])
@@ -40,7 +40,7 @@
 	})
 }
 
-func (goldenPlanners) ClientDisconnected(*dispatch.Exchange) {}
+func (goldenPlanners) ClientDisconnected(*dispatchdriver.Exchange) {}
 
 // epochs matches the random epochs in event ids.
 var epochs = regexp.MustCompile(`id: [0-9a-f]{16}:`)
@@ -80,7 +80,7 @@
 func TestStreamBytes(t *testing.T) {
 	var ready atomic.Bool
 	ready.Store(true)
-	parser := jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{Classes: []dispatcher.Class{
+	parser := jobrequest.New(dispatchdriver.NewClock(), &jobrequest.Settings{Classes: []dispatcher.Class{
 		{Name: "free", ClientTimeout: 9 * time.Second}, {Name: "once", Idempotency: dispatcher.NotIdempotent, ClientTimeout: 9 * time.Second},
 	}})
 	handler := sse.New(sse.Options{Parser: parser, Planners: goldenPlanners{}, Ready: ready.Load, Log: slog.New(slog.DiscardHandler)})
--- a/internal/sse/job.go
+++ b/internal/sse/job.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/httpd"
 )
 
@@ -17,7 +17,7 @@
 	text     []byte
 }
 
-// job is a request with its event stream. It is the dispatch.Client of its exchange and
+// job is a request with its event stream. It is the dispatchdriver.Client of its exchange and
 // continues without a subscriber. Handler.mu guards its fields.
 type job struct {
 	handler    *Handler
@@ -36,24 +36,24 @@
 	flushing   bool        // whether a flush is scheduled on the subscriber's event loop
 }
 
-// Started implements dispatch.Client: a worker has started an attempt at the job.
+// Started implements dispatchdriver.Client: a worker has started an attempt at the job.
 func (j *job) Started() { j.emit("started", nil, struct{}{}, false) }
 
-// Progress implements dispatch.Client: a worker has reported the completed share of the job, from 0 to 1.
+// Progress implements dispatchdriver.Client: a worker has reported the completed share of the job, from 0 to 1.
 func (j *job) Progress(share float64) {
 	j.emit("progress", nil, struct {
 		Share float64 `json:"share"`
 	}{share}, false)
 }
 
-// Respond implements dispatch.Client: it is called once with the outcome of the job.
-func (j *job) Respond(a dispatch.Response) {
+// Respond implements dispatchdriver.Client: it is called once with the outcome of the job.
+func (j *job) Respond(a dispatchdriver.Response) {
 	switch a.Kind {
-	case dispatch.Served:
+	case dispatchdriver.Served:
 		j.emit("result", nil, struct {
 			Result string `json:"result"`
 		}{string(a.Result)}, true)
-	case dispatch.Rejected:
+	case dispatchdriver.Rejected:
 		var retry []byte
 		if a.RetryAfter > 0 {
 			ms := max(1, a.RetryAfter.Milliseconds())
@@ -63,7 +63,7 @@
 			Reason     string  `json:"reason"`
 			RetryAfter float64 `json:"retry_after"`
 		}{a.Reason, a.RetryAfter.Seconds()}, true)
-	case dispatch.Failed:
+	case dispatchdriver.Failed:
 		j.emit("failed", nil, newFailure(j.class, a.Reason, a.MayHaveRun), true)
 	}
 }
--- a/internal/sse/job_test.go
+++ b/internal/sse/job_test.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/jobrequest"
 )
 
 func newTestHandler() *Handler {
-	return New(Options{Parser: jobrequest.New(dispatch.NewClock(), &jobrequest.Settings{}), Log: slog.New(slog.DiscardHandler)})
+	return New(Options{Parser: jobrequest.New(dispatchdriver.NewClock(), &jobrequest.Settings{}), Log: slog.New(slog.DiscardHandler)})
 }
 
 // addJob adds a job without a subscriber.
@@ -31,8 +31,8 @@
 	for i := range 5 * maxEventsPerJob {
 		j.Progress(float64(i))
 	}
-	j.Respond(dispatch.Response{Kind: dispatch.Served, Result: []byte("r")})
-	j.Respond(dispatch.Response{Kind: dispatch.Failed})
+	j.Respond(dispatchdriver.Response{Kind: dispatchdriver.Served, Result: []byte("r")})
+	j.Respond(dispatchdriver.Response{Kind: dispatchdriver.Failed})
 	j.Progress(1)
 	var all strings.Builder
 	bytes := 0
@@ -55,7 +55,7 @@
 	h := newTestHandler()
 	h.addJob("runs")
 	for i := range maxFinishedJobs + 10 {
-		h.addJob(randomID()).Respond(dispatch.Response{Kind: dispatch.Rejected, RetryAfter: time.Duration(i)})
+		h.addJob(randomID()).Respond(dispatchdriver.Response{Kind: dispatchdriver.Rejected, RetryAfter: time.Duration(i)})
 	}
 	if n := len(h.jobs); n != maxFinishedJobs+1 {
 		t.Errorf("%d jobs kept, want %d", n, maxFinishedJobs+1)
@@ -99,7 +99,7 @@
 		next.AddMirrored(1, s) // a duplicate is ignored
 	})
 	j.Progress(0.5)
-	j.Respond(dispatch.Response{Kind: dispatch.Served, Result: []byte("r")})
+	j.Respond(dispatchdriver.Response{Kind: dispatchdriver.Served, Result: []byte("r")})
 	text := func(j *job) (all string) {
 		for _, e := range j.events {
 			all += string(e.text)
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/http1"
 	"sedgevale/internal/httpd"
 	"sedgevale/internal/jobrequest"
@@ -191,7 +191,7 @@
 	j.emit("accepted", nil, struct {
 		Request string `json:"request"`
 	}{j.id}, false)
-	h.planners.SubmitRequest(dispatch.NewExchange(parsed, deadline, j))
+	h.planners.SubmitRequest(dispatchdriver.NewExchange(parsed, deadline, j))
 	return nil
 }
 
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/http1"
 )
 
@@ -13,15 +13,15 @@
 
 // call is an attempt or a health check of a worker, from Send or Probe until its outcome is reported.
 type call struct {
-	attempt *dispatch.Attempt // nil for a health check
-	planner *dispatch.Planner // receives the result of a health check; nil for an attempt
+	attempt *dispatchdriver.Attempt // nil for a health check
+	planner *dispatchdriver.Planner // receives the result of a health check; nil for an attempt
 	worker  *worker
 	conn    *conn // nil until the request is sent
 	done    bool
 }
 
 // Send starts an attempt. The outcome is reported to the attempt's planner.
-func (p *Pool) Send(a *dispatch.Attempt) {
+func (p *Pool) Send(a *dispatchdriver.Attempt) {
 	p.loop.Do(func() {
 		cl := &call{attempt: a, worker: p.workers[a.Worker]}
 		p.calls[a] = cl
@@ -30,7 +30,7 @@
 }
 
 // Cancel ends an attempt and closes its connection.
-func (p *Pool) Cancel(a *dispatch.Attempt) {
+func (p *Pool) Cancel(a *dispatchdriver.Attempt) {
 	p.loop.Do(func() {
 		if cl := p.calls[a]; cl != nil {
 			p.finishCall(cl, dispatcher.Cancelled, nil, nil)
@@ -39,7 +39,7 @@
 }
 
 // CancelUnsent ends an attempt if no part of its request has been sent; otherwise it does nothing.
-func (p *Pool) CancelUnsent(a *dispatch.Attempt) {
+func (p *Pool) CancelUnsent(a *dispatchdriver.Attempt) {
 	p.loop.Do(func() {
 		if cl := p.calls[a]; cl != nil && cl.conn == nil {
 			p.finishCall(cl, dispatcher.NotSent, nil, nil)
@@ -48,7 +48,7 @@
 }
 
 // Probe sends a health check, which requests the load of a worker, and reports the result to planner.
-func (p *Pool) Probe(id string, planner *dispatch.Planner) {
+func (p *Pool) Probe(id string, planner *dispatchdriver.Planner) {
 	p.loop.Do(func() {
 		cl := &call{planner: planner, worker: p.workers[id]}
 		if cl.worker == nil {
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/testkit"
 )
@@ -131,13 +131,13 @@
 }
 
 // submitRequest submits a request with 3 s to its deadline, and returns it with the channel of its answer.
-func submitRequest(p *dispatch.Planner, clock dispatch.Clock, id string, class *dispatcher.Class, body []byte) (*dispatch.Exchange, client) {
+func submitRequest(p *dispatchdriver.Planner, clock dispatchdriver.Clock, id string, class *dispatcher.Class, body []byte) (*dispatchdriver.Exchange, client) {
 	answers := make(client, 1)
 	idempotencyKey := ""
 	if class.Idempotency == dispatcher.IdempotentByKey {
 		idempotencyKey = "key-" + id
 	}
-	x := dispatch.NewExchange(dispatch.Job{ID: id, Class: class, Tenant: -1, Method: "POST", Target: "/x", IdempotencyKey: idempotencyKey, Body: body},
+	x := dispatchdriver.NewExchange(dispatchdriver.Job{ID: id, Class: class, Tenant: -1, Method: "POST", Target: "/x", IdempotencyKey: idempotencyKey, Body: body},
 		clock.Now()+3*time.Second, answers)
 	p.SubmitRequest(x)
 	return x, answers
@@ -189,7 +189,7 @@
 	close(reset)
 	awaitDial(t, pool, "v")
 	got := accept()
-	if a := testkit.Await(t, "the answer", answers); a.Kind == dispatch.Served {
+	if a := testkit.Await(t, "the answer", answers); a.Kind == dispatchdriver.Served {
 		t.Errorf("%+v", a)
 	}
 	closed := make(chan struct{})
@@ -212,7 +212,7 @@
 	_, answers := submitRequest(planner, clock, "a", &classes[0], nil)
 	awaitDial(t, pool, "w")
 	pool.UpdateMembers(false, []Member{{ID: "w", Addr: testkit.RefusingAddr(t), Ready: true}})
-	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatchdriver.Rejected {
 		t.Errorf("%+v", a)
 	}
 	if text := testkit.Await(t, "the end of the late connection", accept()); text != "" {
@@ -263,7 +263,7 @@
 			})
 			_, planner, clock := newTestPool(t, addr, 0)
 			_, answers := submitRequest(planner, clock, "a", &classes[0], nil)
-			if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Failed || !a.MayHaveRun {
+			if a := testkit.Await(t, "the answer", answers); a.Kind != dispatchdriver.Failed || !a.MayHaveRun {
 				t.Errorf("%+v", a)
 			}
 			if n := testkit.Await(t, "the end of the worker's response", wrote); n >= 64<<20 {
@@ -290,7 +290,7 @@
 	pool, planner, clock := newTestPool(t, addr, 0)
 	_, first := submitRequest(planner, clock, "a", &classes[0], nil)
 	testkit.Await(t, "the first request", received)
-	if a := testkit.Await(t, "the first answer", first); a.Kind != dispatch.Rejected {
+	if a := testkit.Await(t, "the first answer", first); a.Kind != dispatchdriver.Rejected {
 		t.Errorf("%+v", a)
 	}
 	idle := make(chan int, 1)
@@ -366,7 +366,7 @@
 	const size = 100 << 10 // larger than the send buffer now, but smaller than after closePartlyWritten has enlarged it
 	_, answers = submitRequest(planner, clock, "b", &classes[0], bytes.Repeat([]byte("b"), size))
 	closePartlyWritten(t, pool, 4*size)
-	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatchdriver.Rejected {
 		t.Errorf("%+v", a)
 	}
 	if got, _ := io.Copy(io.Discard, r); got >= size {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/fdlimit"
 )
@@ -19,7 +19,7 @@
 	DialTimeout time.Duration
 	IdleTimeout time.Duration // idle timeout of the workers; 0 if unknown
 	Host        string        // value of the Host field of requests
-	Clock       dispatch.Clock
+	Clock       dispatchdriver.Clock
 	Loop        *evloop.Loop
 	Descriptors *fdlimit.Limiter
 	Log         *slog.Logger
@@ -40,7 +40,7 @@
 	maxIdleWhileAvoided = 4           // maximum number of idle connections to a worker while reused connections are avoided
 )
 
-// Pool holds the connections to all workers. It implements dispatch.Transport. Its methods are safe for concurrent use and
+// Pool holds the connections to all workers. It implements dispatchdriver.Transport. Its methods are safe for concurrent use and
 // take effect on the loop.
 type Pool struct {
 	opt  Options
@@ -49,7 +49,7 @@
 	// The fields below are accessed on the loop only.
 	workers     map[string]*worker
 	cordoned    map[string]bool // workers to which nothing is sent, regardless of the membership list
-	calls       map[*dispatch.Attempt]*call
+	calls       map[*dispatchdriver.Attempt]*call
 	awaitingEnd map[*conn]struct{} // connections whose call has ended while the end of the response is outstanding
 	reusedConns connStats          // calls on connections that had carried a call before
 	newConns    connStats          // first calls on connections
@@ -67,7 +67,7 @@
 func New(opt Options) *Pool {
 	opt.setTimeouts(opt.DialTimeout, opt.IdleTimeout)
 	p := &Pool{opt: opt, loop: opt.Loop, workers: map[string]*worker{}, cordoned: map[string]bool{},
-		calls: map[*dispatch.Attempt]*call{}, awaitingEnd: map[*conn]struct{}{}}
+		calls: map[*dispatchdriver.Attempt]*call{}, awaitingEnd: map[*conn]struct{}{}}
 	opt.Descriptors.OnCritical(func(n int) { p.loop.Do(func() { p.closeIdle(n) }) })
 	return p
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -14,18 +14,18 @@
 	"time"
 
 	"sedgevale/dispatcher"
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/fdlimit"
 	"sedgevale/internal/testkit"
 )
 
 // client receives the answer to a request.
-type client chan dispatch.Response
+type client chan dispatchdriver.Response
 
-func (client) Started()                      {}
-func (client) Progress(float64)              {}
-func (c client) Respond(a dispatch.Response) { c <- a }
+func (client) Started()                            {}
+func (client) Progress(float64)                    {}
+func (c client) Respond(a dispatchdriver.Response) { c <- a }
 
 var classes = []dispatcher.Class{
 	{Name: "once", Idempotency: dispatcher.NotIdempotent, LatencyTarget: 3 * time.Second, ClientTimeout: 3 * time.Second},
@@ -50,13 +50,13 @@
 }
 
 // newTestPool runs a pool and a planner with one worker, "w", at addr.
-func newTestPool(t *testing.T, addr string, idle time.Duration) (*Pool, *dispatch.Planner, dispatch.Clock) {
+func newTestPool(t *testing.T, addr string, idle time.Duration) (*Pool, *dispatchdriver.Planner, dispatchdriver.Clock) {
 	t.Helper()
 	return newTestPoolWithSettings(t, addr, idle, func(*dispatcher.Settings) {})
 }
 
 // newTestPoolWithSettings is like newTestPool, with settings that set changes.
-func newTestPoolWithSettings(t *testing.T, addr string, idle time.Duration, set func(*dispatcher.Settings)) (*Pool, *dispatch.Planner, dispatch.Clock) {
+func newTestPoolWithSettings(t *testing.T, addr string, idle time.Duration, set func(*dispatcher.Settings)) (*Pool, *dispatchdriver.Planner, dispatchdriver.Clock) {
 	t.Helper()
 	settings := dispatcher.Settings{MaxAttempts: 3, AllowCancel: true, Classes: classes}
 	set(&settings)
@@ -65,10 +65,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clock := dispatch.NewClock()
+	clock := dispatchdriver.NewClock()
 	pool := New(Options{DialTimeout: time.Minute, IdleTimeout: idle, Host: "h", Clock: clock, Loop: loop,
 		Descriptors: fdlimit.New(0), Log: log})
-	planner, err := dispatch.NewPlanner(settings, 1, clock, pool, func() {}, log)
+	planner, err := dispatchdriver.NewPlanner(settings, 1, clock, pool, func() {}, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,13 +90,13 @@
 // The request was never sent, so it must be rejected. The same holds for a cordoned worker.
 func TestDrainCancelsDials(t *testing.T) {
 	t.Run("drain", func(t *testing.T) {
-		checkDialsAreCancelled(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
+		checkDialsAreCancelled(t, func(pool *Pool, planner *dispatchdriver.Planner, addr string) {
 			pool.UpdateMembers(false, []Member{{ID: "w", Addr: addr}})
 			planner.WorkersUpdated(dispatcher.UpdateDelta, []dispatcher.WorkerInfo{{Name: "w", State: dispatcher.Draining}})
 		})
 	})
 	t.Run("cordon", func(t *testing.T) {
-		checkDialsAreCancelled(t, func(pool *Pool, planner *dispatch.Planner, addr string) {
+		checkDialsAreCancelled(t, func(pool *Pool, planner *dispatchdriver.Planner, addr string) {
 			planner.Cordon("w", true, func(bool) {})
 			pool.Cordon("w", true, func() {})
 			pool.UpdateMembers(true, []Member{{ID: "w", Addr: addr, Ready: true}})
@@ -105,16 +105,16 @@
 }
 
 // checkDialsAreCancelled checks that a request is rejected if makeUnavailable is called during the dial.
-func checkDialsAreCancelled(t *testing.T, makeUnavailable func(*Pool, *dispatch.Planner, string)) {
+func checkDialsAreCancelled(t *testing.T, makeUnavailable func(*Pool, *dispatchdriver.Planner, string)) {
 	t.Helper()
 	addr, _ := listenWithFullBacklog(t)
 	pool, planner, clock := newTestPool(t, addr, 0)
 	answers := make(client, 1)
-	planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
+	planner.SubmitRequest(dispatchdriver.NewExchange(dispatchdriver.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
 		clock.Now()+3*time.Second, answers))
 	awaitDial(t, pool, "w")
 	makeUnavailable(pool, planner, addr)
-	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Rejected {
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatchdriver.Rejected {
 		t.Errorf("%+v", a)
 	}
 }
@@ -151,9 +151,9 @@
 		want  []int
 	}{{"a", 1, []int{1}}, {"b", 1, []int{2, 1}}, {"c", 1, []int{2, 1}}, {"d", 0, []int{1}}, {"e", 1, []int{2, 2, 1}}} {
 		answers := make(client, 1)
-		planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: job.id, Class: &classes[job.class], Tenant: -1, Method: "POST", Target: "/x"},
+		planner.SubmitRequest(dispatchdriver.NewExchange(dispatchdriver.Job{ID: job.id, Class: &classes[job.class], Tenant: -1, Method: "POST", Target: "/x"},
 			clock.Now()+3*time.Second, answers))
-		if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Served {
+		if a := testkit.Await(t, "the answer", answers); a.Kind != dispatchdriver.Served {
 			t.Errorf("%s: %+v", job.id, a)
 		}
 		for _, want := range job.want {
@@ -175,7 +175,7 @@
 	const idle = 3 * time.Second
 	_, planner, clock := newTestPool(t, l.Addr().String(), idle)
 	answers := make(client, 1)
-	planner.SubmitRequest(dispatch.NewExchange(dispatch.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
+	planner.SubmitRequest(dispatchdriver.NewExchange(dispatchdriver.Job{ID: "a", Class: &classes[0], Tenant: -1, Method: "POST", Target: "/once"},
 		clock.Now()+3*time.Second, answers))
 	c, err := l.Accept()
 	if err != nil {
@@ -190,7 +190,7 @@
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 38\r\n\r\n"+line); err != nil || len(line) != 38 {
 		t.Fatal(len(line), err)
 	}
-	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatch.Served || string(a.Result) != "r" {
+	if a := testkit.Await(t, "the answer", answers); a.Kind != dispatchdriver.Served || string(a.Result) != "r" {
 		t.Errorf("%+v", a)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(idle))
--- a/scheduler/build.go
+++ b/scheduler/build.go
@@ -8,8 +8,8 @@
 
 	"sedgevale/dispatcher"
 	"sedgevale/internal/discovery"
-	"sedgevale/internal/dispatch"
 	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/fairqueue"
 	"sedgevale/internal/fairqueue/driver"
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	settings.WatchOnDemand = c.Discovery != "" // the scheduler requests the list from discovery even where the platform pushes lists
-	s := &Scheduler{options: opt, config: c, clock: dispatch.NewClock(), descriptors: fdlimit.New(0),
+	s := &Scheduler{options: opt, config: c, clock: dispatchdriver.NewClock(), descriptors: fdlimit.New(0),
 		cordonSemaphore: make(chan struct{}, 1), siblings: siblingSet{all: map[*sibling]struct{}{}, added: make(chan struct{}, 1)}}
 	s.settings.Store(&settings)
 	s.current.Store(c)
@@ -97,10 +97,10 @@
 }
 
 // buildPlanners creates the set of planners and returns its members.
-func (s *Scheduler) buildPlanners(settings *dispatcher.Settings) ([]*dispatch.Planner, error) {
-	var planners []*dispatch.Planner
+func (s *Scheduler) buildPlanners(settings *dispatcher.Settings) ([]*dispatchdriver.Planner, error) {
+	var planners []*dispatchdriver.Planner
 	for i := range max(1, s.config.Planners) {
-		p, err := dispatch.NewPlanner(*settings, s.config.SeedNumber()+uint64(i), s.clock, s.pool, s.watcher.Watch, s.options.Log)
+		p, err := dispatchdriver.NewPlanner(*settings, s.config.SeedNumber()+uint64(i), s.clock, s.pool, s.watcher.Watch, s.options.Log)
 		if err != nil {
 			return nil, err
 		}
@@ -109,12 +109,12 @@
 		}
 		planners = append(planners, p)
 	}
-	s.planners = dispatch.NewSet(planners...)
+	s.planners = dispatchdriver.NewSet(planners...)
 	return planners, nil
 }
 
 // buildPeerLink creates the link to the peer schedulers if the configuration names any.
-func (s *Scheduler) buildPeerLink(planners []*dispatch.Planner) error {
+func (s *Scheduler) buildPeerLink(planners []*dispatchdriver.Planner) error {
 	c := s.config
 	plan, err := c.PeerConfig()
 	if err != nil || plan == nil {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -8,15 +8,15 @@
 //   - httpd.Conn.read parses the request on an event loop of the server and calls the handler:
 //     platformapi.Handler.Serve, or sse.Handler.Serve for an event stream. jobrequest.Parser.Parse
 //     returns its job and deadline.
-//   - The handler submits a dispatch.Exchange to the admission queue (driver.Driver) if there is
-//     one, otherwise to the planners (dispatch.Set), which choose one of them by the job's ID.
+//   - The handler submits a dispatchdriver.Exchange to the admission queue (driver.Driver) if there is
+//     one, otherwise to the planners (dispatchdriver.Set), which choose one of them by the job's ID.
 //   - Planner.submit passes it to dispatcher.Dispatcher.SubmitRequest, on the goroutine of
 //     Planner.Run. The Dispatcher calls back the Planner as its Host: Send, Cancel, Reject, Fail.
 //   - Planner.Send passes an attempt to the upstream.Pool, which sends it on the event loop of the
 //     connections to workers, and reports its start, progress and outcome as events to the
 //     Planner. With a journal, the attempt waits until its intent is durable.
 //   - Planner.AttemptEnded and timers lead to the final answer, Exchange.answer, or to a retry.
-//     The client side (dispatch.Client) posts the response to its connection's event loop.
+//     The client side (dispatchdriver.Client) posts the response to its connection's event loop.
 //
 // The reverse proxy (internal/reverseproxy) also creates an Exchange for each of its requests, with
 // its own planner and transport.
@@ -31,8 +31,8 @@
 
 	"sedgevale/dispatcher"
 	"sedgevale/internal/discovery"
-	"sedgevale/internal/dispatch"
 	"sedgevale/internal/dispatchconfig"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/evloop"
 	"sedgevale/internal/fairqueue/driver"
 	"sedgevale/internal/fdlimit"
@@ -63,12 +63,12 @@
 	current         atomic.Pointer[dispatchconfig.Config] // configuration of the last successful Reload
 	settings        atomic.Pointer[dispatcher.Settings]   // settings in force; replaced as a whole
 	requestParser   *jobrequest.Parser
-	clock           dispatch.Clock
+	clock           dispatchdriver.Clock
 	descriptors     *fdlimit.Limiter
 	workerLoop      *evloop.Loop // event loop of the connections to workers, discovery and sibling processes
 	pool            *upstream.Pool
 	watcher         *discovery.Watcher
-	planners        *dispatch.Set
+	planners        *dispatchdriver.Set
 	cordons         *ops.Cordons
 	cordonSemaphore chan struct{} // holds a token while a cordon or uncordon is applied
 	ready           atomic.Bool   // false before the servers have started and from the start of the drain on
--- a/scheduler/siblings.go
+++ b/scheduler/siblings.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"sedgevale/internal/dispatch"
+	"sedgevale/internal/dispatchdriver"
 	"sedgevale/internal/handover"
 )
 
@@ -122,7 +122,7 @@
 }
 
 // publish sends the process an update of a planner of this process.
-func (sib *sibling) publish(planner int, shared dispatch.SiblingState) {
+func (sib *sibling) publish(planner int, shared dispatchdriver.SiblingState) {
 	sib.send(&handover.Message{PlannerUpdate: &handover.PlannerUpdate{Planner: planner, Shared: shared}, Descriptors: sib.scheduler.descriptorsInUse()})
 }
 
